--- a/internal/front/front_test.go
+++ b/internal/frontend/front_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bytes"
@@ -17,22 +17,22 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"quartzpoint/internal/check"
 	"quartzpoint/internal/frame"
-	"quartzpoint/internal/pool"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/server"
 	"quartzpoint/internal/settings"
-	"quartzpoint/internal/standin"
+	"quartzpoint/internal/testkit/fake"
+	"quartzpoint/internal/workerlink"
 )
 
 // bench is a front with a server behind it and a stand-in pool behind that.
 type bench struct {
 	*Front
-	pool *standin.Pool
+	pool *fake.Pool
 }
 
 func newBench(t testing.TB, limits server.Limits) *bench {
-	return newBenchAt(t, limits, standin.Site, nil)
+	return newBenchAt(t, limits, fake.Site, nil)
 }
 
 // newBenchAt makes one for a site, whose listener may stand behind a gate.
@@ -40,17 +40,17 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	told, err := settings.FromJSON([]byte(site))
 	require.NoError(t, err)
-	counts := check.New(log)
+	counts := invariant.New(log)
 	owner, err := server.New(told, 1, limits, counts, log)
 	require.NoError(t, err)
-	b := &bench{pool: standin.NewPool(t).Ready()}
+	b := &bench{pool: fake.NewPool(t).Ready()}
 	b.Front, err = Listen("127.0.0.1:0", owner, limits, counts, log)
 	require.NoError(t, err)
 	if gated != nil {
 		counts := b.listener.(*counted)
 		counts.Listener = gated(counts.Listener)
 	}
-	link := pool.New(b.pool.Address, 1<<20, log, counts.Saw, owner.Nudge)
+	link := workerlink.New(b.pool.Address, 1<<20, log, counts.Saw, owner.Nudge)
 	owner.Serve(link, b.Front)
 	ctx, cancel := context.WithCancel(context.Background())
 	left := make(chan struct{})
@@ -61,7 +61,7 @@
 		owner.Leave(0)
 		select {
 		case <-left:
-		case <-time.After(standin.Patience):
+		case <-time.After(fake.Patience):
 			t.Error("the server does not leave")
 		}
 		cancel()
@@ -74,21 +74,21 @@
 // counted waits until something was counted.
 func (b *bench) counted(t *testing.T, what string) {
 	t.Helper()
-	require.Eventually(t, func() bool { return b.counts.Times(what) > 0 }, standin.Patience, time.Millisecond, what)
+	require.Eventually(t, func() bool { return b.counts.Times(what) > 0 }, fake.Patience, time.Millisecond, what)
 }
 
 func TestRequestsSplitAtEveryByte(t *testing.T) {
 	b := newBench(t, usual())
 	b.pool.Echo = true
-	router := standin.Dial(t, b.Address())
+	router := fake.Dial(t, b.Address())
 	body := "\x00\xffbody\n"
-	for at := range standin.Task(1, "browse", body) {
+	for at := range fake.Task(1, "browse", body) {
 		stream := uint32(at + 1)
-		request := standin.Task(stream, "browse", body)
+		request := fake.Task(stream, "browse", body)
 		router.Send(t, request[:at])
 		// A check on another connection is answered, so the first part has been read by then.
-		other := standin.Dial(t, b.Address())
-		other.Send(t, standin.Frame(20, 1, "", "e2e", "0"))
+		other := fake.Dial(t, b.Address())
+		other.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 		assert.Equal(t, byte(20), other.Next(t).Code)
 		other.Close()
 		router.Send(t, request[at:])
@@ -99,14 +99,14 @@
 
 func TestAnswersInAnyOrder(t *testing.T) {
 	b := newBench(t, usual())
-	router := standin.Dial(t, b.Address())
+	router := fake.Dial(t, b.Address())
 	for stream := range uint32(3) {
-		router.Send(t, standin.Task(stream+1, "pay", ""))
+		router.Send(t, fake.Task(stream+1, "pay", ""))
 		b.pool.Next(t, "spawn")
 	}
 	for _, stream := range []uint32{2, 3, 1} {
 		result := strings.Repeat(strconv.Itoa(int(stream)), 4<<10)
-		b.pool.Finish(standin.Call(stream), "success", []byte(result))
+		b.pool.Finish(fake.Call(stream), "success", []byte(result))
 		got := router.Next(t)
 		assert.Equal(t, stream, got.Stream)
 		assert.Equal(t, result, got.Body)
@@ -115,12 +115,12 @@
 
 // What breaks the framing ends its connection and no other.
 func TestBrokenConnections(t *testing.T) {
-	good := standin.Task(1, "pay", "")
-	cut := standin.Task(1, "pay", "")
+	good := fake.Task(1, "pay", "")
+	cut := fake.Task(1, "pay", "")
 	cut[9] = 200 // more fields than there are
 	var many []byte
 	for stream := range uint32(mostOpen + 1) {
-		many = append(many, standin.Task(stream+1, "pay", "", "call", standin.Call(1000+stream))...)
+		many = append(many, fake.Task(stream+1, "pay", "", "call", fake.Call(1000+stream))...)
 	}
 	cases := map[string]struct {
 		bytes []byte
@@ -129,21 +129,21 @@
 	}{
 		"short length":  {[]byte{0, 0, 0, 4, 10}, 0, "length out of bounds"},
 		"huge length":   {[]byte{0, 4, 0, 1}, 0, "length out of bounds"},
-		"unknown type":  {standin.Frame(13, 1, ""), 0, "unknown frame type"},
-		"cancel":        {standin.Frame(12, 1, ""), 0, "unknown frame type"}, // the site tells of nobody gone
+		"unknown type":  {fake.Frame(13, 1, ""), 0, "unknown frame type"},
+		"cancel":        {fake.Frame(12, 1, ""), 0, "unknown frame type"}, // the site tells of nobody gone
 		"cut fields":    {cut, 0, "field list cut short"},
 		"cut check":     {[]byte{0, 0, 0, 6, 20, 0, 0, 0, 1, 9}, 0, "field list cut short"},
-		"stream 0":      {standin.Task(0, "pay", ""), 0, "stream used before"},
-		"stream in use": {append(good, standin.Task(1, "pay", "", "call", standin.Call(9))...), 1, "stream used before"},
-		"stream of old": {append(standin.Task(8, "unheard-of", ""), good...), 1, "stream used before"},
+		"stream 0":      {fake.Task(0, "pay", ""), 0, "stream used before"},
+		"stream in use": {append(good, fake.Task(1, "pay", "", "call", fake.Call(9))...), 1, "stream used before"},
+		"stream of old": {append(fake.Task(8, "unheard-of", ""), good...), 1, "stream used before"},
 		"too many open": {many, mostOpen, "too many open tasks"},
 	}
 	b := newBench(t, usual())
 	b.pool.Echo = true
-	bystander := standin.Dial(t, b.Address())
+	bystander := fake.Dial(t, b.Address())
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			router := standin.Dial(t, b.Address())
+			router := fake.Dial(t, b.Address())
 			router.Send(t, c.bytes)
 			var errors []string
 			answered := map[uint32]int{}
@@ -161,15 +161,15 @@
 			for stream, times := range answered {
 				assert.Equal(t, 1, times, "stream %d", stream)
 			}
-			bystander.Send(t, standin.Frame(20, 7, "", "e2e", "1"))
-			assert.Equal(t, standin.Reply{Type: 21, Stream: 7, Code: 20, Fields: map[string]string{}}, bystander.Next(t))
+			bystander.Send(t, fake.Frame(20, 7, "", "e2e", "1"))
+			assert.Equal(t, fake.Reply{Type: 21, Stream: 7, Code: 20, Fields: map[string]string{}}, bystander.Next(t))
 		})
 	}
 }
 
 func TestRefusedRequests(t *testing.T) {
 	b := newBench(t, usual())
-	router := standin.Dial(t, b.Address())
+	router := fake.Dial(t, b.Address())
 	now := time.Now()
 	cases := [][]string{
 		{"op", "unheard-of"}, {"call", "9b1f"}, {"call", "9b1f03aa5c7e2d4G"}, {"recv", ""}, {"recv", "soon"},
@@ -180,33 +180,33 @@
 		{"heap", ""}, {"heap", "0"}, {"heap", "2000"}, {"heap", "NaN"}, {"heap", "-1"},
 	}
 	for i, fields := range cases {
-		router.Send(t, standin.Task(uint32(i+1), "pay", "", fields...))
+		router.Send(t, fake.Task(uint32(i+1), "pay", "", fields...))
 		got := router.Next(t)
 		assert.Equal(t, []any{uint32(i + 1), byte(50)}, []any{got.Stream, got.Code}, "%v", fields)
 	}
-	router.Send(t, standin.Task(100, "pay", strings.Repeat("x", mostBody+1)))
+	router.Send(t, fake.Task(100, "pay", strings.Repeat("x", mostBody+1)))
 	assert.Equal(t, byte(50), router.Next(t).Code, "a body that is too long")
-	router.Send(t, standin.Frame(10, 101, strings.Repeat("x", 3*frame.MostWhole), "op", "pay"))
+	router.Send(t, fake.Frame(10, 101, strings.Repeat("x", 3*frame.MostWhole), "op", "pay"))
 	assert.Equal(t, byte(50), router.Next(t).Code, "a frame that is too long")
-	router.Send(t, standin.Task(102, "pay", "after it"))
+	router.Send(t, fake.Task(102, "pay", "after it"))
 	assert.Equal(t, "after it", string(b.pool.Next(t, "spawn").Body), "something else ran, or the frame's rest was read")
 }
 
 func TestCallerGone(t *testing.T) {
 	b := newBench(t, usual())
-	router := standin.Dial(t, b.Address())
-	router.Send(t, standin.Task(1, "browse", ""))
+	router := fake.Dial(t, b.Address())
+	router.Send(t, fake.Task(1, "browse", ""))
 	b.pool.Next(t, "spawn")
 	router.Close()
-	assert.Equal(t, standin.Call(1), b.pool.Next(t, "suspend").Task)
+	assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
 }
 
 // A router that does not read is cut off at a bound, and answers to others wait neither before nor after.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	b := newBench(t, usual())
 	b.pool.Echo = true
-	deaf, other := standin.Dial(t, b.Address()), standin.Dial(t, b.Address())
-	checks := bytes.Repeat(standin.Frame(20, 1, "", "e2e", "0"), 1000)
+	deaf, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
+	checks := bytes.Repeat(fake.Frame(20, 1, "", "e2e", "0"), 1000)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -221,17 +221,17 @@
 			b.counts.Times("connection closed: sends faster than can be read") > 0
 	}
 	for stream := uint32(1); !cut(); stream++ {
-		other.Send(t, standin.Task(stream, "browse", fmt.Sprint(stream)))
+		other.Send(t, fake.Task(stream, "browse", fmt.Sprint(stream)))
 		assert.Equal(t, fmt.Sprint(stream), other.Next(t).Body)
 	}
 	<-done
 }
 
 // speaker is a connection that has had a check answered.
-func (b *bench) speaker(t testing.TB) *standin.Router {
+func (b *bench) speaker(t testing.TB) *fake.Router {
 	t.Helper()
-	r := standin.Dial(t, b.Address())
-	r.Send(t, standin.Frame(20, 1, "", "e2e", "0"))
+	r := fake.Dial(t, b.Address())
+	r.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 	assert.Equal(t, byte(21), r.Next(t).Type)
 	return r
 }
@@ -242,13 +242,13 @@
 	b := newBench(t, limits)
 	first := b.speaker(t)
 	for range 2 * limits.Sockets {
-		standin.Dial(t, b.Address())
+		fake.Dial(t, b.Address())
 		time.Sleep(newWait / 20)
 	}
 	time.Sleep(newWait)
 	busy := b.speaker(t)
 	assert.Zero(t, b.counts.Times("connection asked to go to make room"), "silent ones go before a router's idle one")
-	busy.Send(t, standin.Task(2, "pay", ""))
+	busy.Send(t, fake.Task(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	for range limits.Sockets {
 		b.speaker(t) // which all stay
@@ -257,13 +257,13 @@
 	b.counted(t, "connection closed to make room")
 	assert.Equal(t, byte(30), first.Next(t).Type, "the one idle for longest is asked to go")
 	first.Closed(t)
-	b.pool.Finish(standin.Call(2), "success", []byte("kept"))
+	b.pool.Finish(fake.Call(2), "success", []byte("kept"))
 	assert.Equal(t, "kept", busy.Next(t).Body, "one with an open task never makes room")
 
-	var all []*standin.Router
+	var all []*fake.Router
 	for stream := range uint32(limits.Sockets / 2) { // all in use
-		r := standin.Dial(t, b.Address())
-		r.Send(t, standin.Task(stream+100, "pay", ""))
+		r := fake.Dial(t, b.Address())
+		r.Send(t, fake.Task(stream+100, "pay", ""))
 		all = append(all, r)
 	}
 	require.Eventually(t, func() bool {
@@ -276,7 +276,7 @@
 			open <- n
 		})
 		return <-open == len(all)
-	}, standin.Patience, time.Millisecond)
+	}, fake.Patience, time.Millisecond)
 	require.Positive(t, b.crowd)
 	hold := func(begun time.Duration) { // as where they have begun what is on its way
 		b.inTurn(func() {
@@ -289,13 +289,13 @@
 	}
 	for range b.crowd { // each is heard, and has its one answer
 		r := b.speaker(t)
-		r.Send(t, standin.Task(9, "pay", "", "call", standin.Call(9)))
+		r.Send(t, fake.Task(9, "pay", "", "call", fake.Call(9)))
 		assert.Equal(t, byte(50), r.Next(t).Code)
-		hold(b.server.Now() + standin.Patience)
+		hold(b.server.Now() + fake.Patience)
 	}
 	b.counted(t, "task on a connection beyond the table")
 	assert.Zero(t, b.counts.Times("connection refused, table full"))
-	standin.Dial(t, b.Address()).Closed(t)
+	fake.Dial(t, b.Address()).Closed(t)
 	b.counted(t, "connection refused, table full")
 	hold(0)
 	last := b.speaker(t) // in the place of one of them
@@ -306,9 +306,9 @@
 	require.Eventually(t, func() (within bool) {
 		b.inTurn(func() { within = b.live() <= b.most })
 		return within
-	}, standin.Patience, time.Millisecond)
+	}, fake.Patience, time.Millisecond)
 	b.pool.SetEcho()
-	last.Send(t, standin.Task(10, "pay", "", "call", standin.Call(10)))
+	last.Send(t, fake.Task(10, "pay", "", "call", fake.Call(10)))
 	assert.Equal(t, byte(20), last.Next(t).Code)
 }
 
@@ -335,9 +335,9 @@
 func TestSilentConnections(t *testing.T) {
 	b := newBench(t, usual())
 	rests := b.speaker(t)
-	silent, half, drips := standin.Dial(t, b.Address()), b.speaker(t), standin.Dial(t, b.Address())
+	silent, half, drips := fake.Dial(t, b.Address()), b.speaker(t), fake.Dial(t, b.Address())
 	began := time.Now()
-	frame := standin.Task(1, "pay", "")
+	frame := fake.Task(1, "pay", "")
 	half.Send(t, frame[:len(frame)/2])
 	go func() {
 		for i := range frame[:20] {
@@ -347,26 +347,26 @@
 			time.Sleep(silentWait / 15)
 		}
 	}()
-	for want, r := range map[string]*standin.Router{"nothing understood": silent, "frame not ended": half} {
+	for want, r := range map[string]*fake.Router{"nothing understood": silent, "frame not ended": half} {
 		got := r.Next(t)
 		assert.Equal(t, []any{byte(11), uint32(0), byte(51), want}, []any{got.Type, got.Stream, got.Code, got.Body})
 		r.Closed(t)
 	}
 	drips.Closed(t)
 	assert.GreaterOrEqual(t, time.Since(began), silentWait)
-	rests.Send(t, standin.Frame(20, 2, "", "e2e", "0"))
+	rests.Send(t, fake.Frame(20, 2, "", "e2e", "0"))
 	assert.Equal(t, byte(21), rests.Next(t).Type)
 }
 
 func TestIdleConnectionsAreAskedToGo(t *testing.T) {
 	b := newBench(t, usual())
-	busy, idle := standin.Dial(t, b.Address()), standin.Dial(t, b.Address())
-	busy.Send(t, standin.Task(1, "pay", ""))
+	busy, idle := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
+	busy.Send(t, fake.Task(1, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.server.Post(func() { b.CloseIdle(20 * time.Millisecond) })
-	assert.Equal(t, standin.Reply{Type: 30, Fields: map[string]string{}}, idle.Next(t))
+	assert.Equal(t, fake.Reply{Type: 30, Fields: map[string]string{}}, idle.Next(t))
 	idle.Closed(t) // as its router does not
-	b.pool.Finish(standin.Call(1), "success", []byte("kept open"))
+	b.pool.Finish(fake.Call(1), "success", []byte("kept open"))
 	assert.Equal(t, "kept open", busy.Next(t).Body)
 }
 
@@ -382,8 +382,8 @@
 // An answer that came long after its connection was asked to go was closed on before it was written.
 func TestLateAnswerOnAConnectionAskedToGo(t *testing.T) {
 	b := newBench(t, usual())
-	router := standin.Dial(t, b.Address())
-	router.Send(t, standin.Task(1, "pay", ""))
+	router := fake.Dial(t, b.Address())
+	router.Send(t, fake.Task(1, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.server.Post(func() {
 		c := b.conns[0]
@@ -397,7 +397,7 @@
 func TestBeginningsHoldNoLargeBuffer(t *testing.T) {
 	b := newBench(t, usual())
 	b.speaker(t)
-	check := standin.Frame(20, 1, "", "e2e", "0")
+	check := fake.Frame(20, 1, "", "e2e", "0")
 	sizes := make(chan [2]int)
 	b.server.Post(func() {
 		c := b.conns[0]
@@ -411,21 +411,21 @@
 // Whatever sequence of frames, or of parts of them, one connection sends: another is answered as ever, and
 // nothing is left in the tables.
 func FuzzConnection(f *testing.F) {
-	task := func(stream uint32, more ...string) []byte { return standin.Task(stream, "browse", "b", more...) }
+	task := func(stream uint32, more ...string) []byte { return fake.Task(stream, "browse", "b", more...) }
 	f.Add(append(task(1), task(2, "heap", "-1")...), uint16(7))
 	f.Add(append(task(1), task(1)...), uint16(0))
-	f.Add(append(standin.Frame(20, 1, "", "e2e", "1"), task(3, "call", standin.Call(9))[:40]...), uint16(30))
-	f.Add(append(standin.Frame(10, 1, strings.Repeat("x", 2*frame.MostWhole)), task(2)...), uint16(9000))
+	f.Add(append(fake.Frame(20, 1, "", "e2e", "1"), task(3, "call", fake.Call(9))[:40]...), uint16(30))
+	f.Add(append(fake.Frame(10, 1, strings.Repeat("x", 2*frame.MostWhole)), task(2)...), uint16(9000))
 	b := newBench(f, usual())
 	b.pool.Echo = true
 	bystander, stream := b.speaker(f), uint32(1)
 	f.Fuzz(func(t *testing.T, bytes []byte, at uint16) {
-		r := standin.Dial(t, b.Address())
+		r := fake.Dial(t, b.Address())
 		for _, part := range [][]byte{bytes[:min(int(at), len(bytes))], bytes[min(int(at), len(bytes)):]} {
 			_, _ = r.Write(part) // the server may have cut it off by then
 		}
 		stream++
-		_ = bystander.SetDeadline(time.Now().Add(standin.Patience))
+		_ = bystander.SetDeadline(time.Now().Add(fake.Patience))
 		bystander.Send(t, task(stream, "call", fmt.Sprintf("%016x", 0xdef0000+uint64(stream))))
 		for got := bystander.Next(t); got.Stream != stream; got = bystander.Next(t) {
 			require.Equal(t, byte(frame.Close), got.Type, "an answer to something else")
@@ -435,7 +435,7 @@
 			open := make(chan int)
 			b.server.Post(func() { open <- len(b.conns) })
 			return <-open == 1
-		}, standin.Patience, time.Millisecond)
+		}, fake.Patience, time.Millisecond)
 		for len(b.pool.Commands) > 0 {
 			<-b.pool.Commands
 		}
--- a/internal/front/halfclose.go
+++ b/internal/frontend/halfclose.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"time"
--- a/internal/check/check.go
+++ b/internal/invariant/check.go
@@ -1,6 +1,6 @@
-// Package check watches over what must hold and counts what should not happen. A debug build stops at the
+// Package invariant watches over what must hold and counts what should not happen. A debug build stops at the
 // first thing that does not hold; a release build goes on, counts it and tells of it once.
-package check
+package invariant
 
 import (
 	"log/slog"
--- a/internal/check/check_test.go
+++ b/internal/invariant/check_test.go
@@ -1,4 +1,4 @@
-package check
+package invariant
 
 import (
 	"bytes"
--- a/internal/check/release.go
+++ b/internal/invariant/release.go
@@ -1,6 +1,6 @@
 //go:build !debug
 
-package check
+package invariant
 
 // Debug tells that this build goes on where a check fails.
 const Debug = false
--- a/internal/leasing/leasing.go
+++ b/internal/leasing/leasing.go
@@ -14,7 +14,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/peersync"
 	"quartzpoint/lease"
 )
 
@@ -30,7 +30,7 @@
 	Duties []string
 	Terms  lease.Terms
 	Peers  []string // the other voters
-	Keys   exchange.Keys
+	Keys   peersync.Keys
 	Seed   int64
 	Log    *slog.Logger
 }
@@ -235,7 +235,7 @@
 // send has one talk; no answer is a refusal that says nothing.
 func (k *Keeper) send(ctx context.Context, address string, raw []byte) {
 	wait, cancel := context.WithTimeout(ctx, k.settings.Terms.Lease/roundsPer)
-	got, err := exchange.Vote(wait, address, k.settings.Keys, raw)
+	got, err := peersync.Vote(wait, address, k.settings.Keys, raw)
 	cancel()
 	var b ballot
 	if err != nil || cbor.Unmarshal(got, &b) != nil || b.Answer == nil {
--- a/internal/leasing/leasing_test.go
+++ b/internal/leasing/leasing_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/peersync"
 	"quartzpoint/lease"
 )
 
@@ -19,11 +19,11 @@
 func TestEveryDutyHasOneHolder(t *testing.T) {
 	terms := lease.Terms{Lease: 300 * time.Millisecond, Drift: 0.01, Voters: 3}
 	duties := []string{"compact", "announce"}
-	var givers []*exchange.Giver
+	var givers []*peersync.Giver
 	for range 3 {
 		began := time.Now()
-		g, err := exchange.Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) },
-			check.New(slog.New(slog.DiscardHandler)))
+		g, err := peersync.Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) },
+			invariant.New(slog.New(slog.DiscardHandler)))
 		require.NoError(t, err)
 		g.Serve()
 		t.Cleanup(g.Close)
--- a/internal/exchange/asker.go
+++ b/internal/peersync/asker.go
@@ -1,4 +1,4 @@
-package exchange
+package peersync
 
 import (
 	"context"
@@ -8,18 +8,18 @@
 	"net"
 	"time"
 
-	"quartzpoint/internal/check"
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/invariant"
 )
 
 // Ask has one talk with a running server and returns what it has seen, older by the time that the talk took:
 // how long the view itself was on the way is not known, but no longer than that.
-func Ask(ctx context.Context, address string, keys Keys) (knowledge.View, error) {
+func Ask(ctx context.Context, address string, keys Keys) (estimate.View, error) {
 	began := time.Now()
 	a := newAsks(keys.first())
 	view, err := meet(ctx, address, a, a.step)
 	if err != nil {
-		return knowledge.View{}, err
+		return estimate.View{}, err
 	}
 	return view.Aged(time.Since(began)), nil
 }
@@ -117,21 +117,21 @@
 type Asker struct {
 	Peers  []string
 	Keys   Keys
-	Total  time.Duration   // for which the first answers are waited for
-	Frame  knowledge.Frame // which views can be used
-	Kept   knowledge.View  // what the server before this one left, a voice among the peers'; empty for none
+	Total  time.Duration  // for which the first answers are waited for
+	Frame  estimate.Frame // which views can be used
+	Kept   estimate.View  // what the server before this one left, a voice among the peers'; empty for none
 	Seed   int64
-	Cold   func() bool               // whether the newcomer still needs to ask
-	Take   func(view knowledge.View) // what is to be borrowed, in the place of what was before
-	Counts *check.Counts
+	Cold   func() bool              // whether the newcomer still needs to ask
+	Take   func(view estimate.View) // what is to be borrowed, in the place of what was before
+	Counts *invariant.Counts
 	Log    *slog.Logger
 }
 
 // usable is a peer's view in the order of this server's routes, or why it is not used.
-func (a *Asker) usable(view knowledge.View) (knowledge.View, error) {
+func (a *Asker) usable(view estimate.View) (estimate.View, error) {
 	aligned, err := a.Frame.Align(view)
 	if err != nil {
-		return knowledge.View{}, err
+		return estimate.View{}, err
 	}
 	return a.Frame.Fit(aligned)
 }
@@ -145,7 +145,7 @@
 // answer is how one ask ended.
 type answer struct {
 	peer int
-	view knowledge.View
+	view estimate.View
 	err  error
 }
 
@@ -153,10 +153,10 @@
 // comes late is taken in when it comes.
 func (a *Asker) Run(ctx context.Context) {
 	began := time.Now()
-	asking := knowledge.NewAsking(len(a.Peers), 0, a.Seed)
+	asking := estimate.NewAsking(len(a.Peers), 0, a.Seed)
 	answers := make(chan answer, len(a.Peers)) // each peer is asked once at a time
 	type had struct {
-		view knowledge.View
+		view estimate.View
 		at   time.Duration
 		ok   bool
 	}
@@ -175,7 +175,7 @@
 	take := func(now time.Duration) {
 		settled = true
 		told := 0
-		var usable []knowledge.View
+		var usable []estimate.View
 		if a.Kept.Fresh() {
 			usable = append(usable, a.Kept.Aged(now))
 		}
@@ -185,7 +185,7 @@
 				told++
 			}
 		}
-		merged := knowledge.Merge(usable)
+		merged := estimate.Merge(usable)
 		if told == 0 || !merged.Fresh() { // what was kept alone is borrowed already
 			return
 		}
--- a/internal/exchange/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -1,4 +1,4 @@
-package exchange
+package peersync
 
 import (
 	"bytes"
@@ -22,9 +22,9 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"quartzpoint/internal/check"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/poller"
-	"quartzpoint/knowledge"
 )
 
 const patience = 20 * time.Second
@@ -43,19 +43,19 @@
 )
 
 // seenView is large enough for several parts.
-func seenView(origin uint64) knowledge.View {
-	v := knowledge.View{Origin: origin, Terms: 7}
-	e := knowledge.Estimate{Mean: 0.1, Spread: 0.05, Samples: 20, Age: time.Second}
+func seenView(origin uint64) estimate.View {
+	v := estimate.View{Origin: origin, Terms: 7}
+	e := estimate.Estimate{Mean: 0.1, Spread: 0.05, Samples: 20, Age: time.Second}
 	for i := range 100 {
-		v.Types = append(v.Types, knowledge.TypeView{Name: "type " + string(rune('A'+i)), Core: e, Run: e})
+		v.Types = append(v.Types, estimate.TypeView{Name: "type " + string(rune('A'+i)), Core: e, Run: e})
 	}
 	return v
 }
 
-func counts() *check.Counts { return check.New(slog.New(slog.DiscardHandler)) }
+func counts() *invariant.Counts { return invariant.New(slog.New(slog.DiscardHandler)) }
 
 // giver starts one whose views are a second old when they are put.
-func giver(t testing.TB, keys Keys) (*Giver, *check.Counts) {
+func giver(t testing.TB, keys Keys) (*Giver, *invariant.Counts) {
 	c := counts()
 	began := time.Now()
 	g, err := Listen("127.0.0.1:0", keys, func() time.Duration { return time.Hour + time.Since(began) }, c)
@@ -98,7 +98,7 @@
 			for i := range view.Types {
 				view.Types[i].Core.Age, view.Types[i].Run.Age = time.Second, time.Second
 			}
-			view.Pace, view.Calls, view.Refused, view.Returns = knowledge.Estimate{}, knowledge.Estimate{}, knowledge.Estimate{}, knowledge.Estimate{}
+			view.Pace, view.Calls, view.Refused, view.Returns = estimate.Estimate{}, estimate.Estimate{}, estimate.Estimate{}, estimate.Estimate{}
 			assert.Equal(t, seenView(5), view)
 		})
 	}
@@ -124,7 +124,7 @@
 }
 
 // feed gives an asker bytes and returns the view, an error, or neither where it waits for more.
-func feed(a *asks, raw []byte) (*knowledge.View, error) {
+func feed(a *asks, raw []byte) (*estimate.View, error) {
 	for {
 		m, rest, ok, err := cut(raw)
 		if err != nil || !ok {
@@ -390,25 +390,25 @@
 }
 
 // asker is one of a newcomer, with what it took.
-func asker(t *testing.T, peers []string, cold *atomic.Bool) (a *Asker, took chan knowledge.View) {
-	took = make(chan knowledge.View, 16)
-	frame := knowledge.Frame{Terms: 7, Origin: 99}
+func asker(t *testing.T, peers []string, cold *atomic.Bool) (a *Asker, took chan estimate.View) {
+	took = make(chan estimate.View, 16)
+	frame := estimate.Frame{Terms: 7, Origin: 99}
 	for _, k := range seenView(0).Types {
 		frame.Types = append(frame.Types, k.Name)
 		frame.Outer = append(frame.Outer, time.Second)
 	}
 	return &Asker{
 		Peers: peers, Total: 300 * time.Millisecond, Frame: frame, Seed: 1, Cold: cold.Load,
-		Take: func(v knowledge.View) { took <- v }, Counts: counts(), Log: slog.New(slog.DiscardHandler),
+		Take: func(v estimate.View) { took <- v }, Counts: counts(), Log: slog.New(slog.DiscardHandler),
 	}, took
 }
 
 func TestAsker(t *testing.T) {
 	one, _ := giver(t, nil)
 	empty, _ := giver(t, nil)
-	empty.Put(knowledge.View{Origin: 6, Terms: 7, Types: seenView(0).Types}, 0) // as good as cold: a day old
+	empty.Put(estimate.View{Origin: 6, Terms: 7, Types: seenView(0).Types}, 0) // as good as cold: a day old
 	other, _ := giver(t, nil)
-	other.Put(knowledge.View{Origin: 8, Terms: 1}, time.Hour)
+	other.Put(estimate.View{Origin: 8, Terms: 1}, time.Hour)
 	downListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	down := downListener.Addr().String()
@@ -498,9 +498,9 @@
 func TestTwoNewcomers(t *testing.T) {
 	a, _ := giver(t, nil)
 	b, _ := giver(t, nil)
-	nothing := knowledge.View{Terms: 7}
+	nothing := estimate.View{Terms: 7}
 	for _, k := range seenView(0).Types {
-		nothing.Types = append(nothing.Types, knowledge.TypeView{Name: k.Name})
+		nothing.Types = append(nothing.Types, estimate.TypeView{Name: k.Name})
 	}
 	a.Put(nothing, time.Hour)
 	b.Put(nothing, time.Hour)
@@ -556,7 +556,7 @@
 		view, err := feed(a, raw)
 		if view != nil {
 			assert.NoError(t, err)
-			_, _ = knowledge.Frame{Terms: 7}.Fit(*view)
+			_, _ = estimate.Frame{Terms: 7}.Fit(*view)
 		}
 		g := gives{nonce: nonce}
 		for rest := raw; ; {
@@ -604,7 +604,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(&complaints, nil)))
 	defer slog.SetDefault(before)
 	began := time.Now()
-	g, err := Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) }, check.New(slog.New(slog.DiscardHandler)))
+	g, err := Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) }, invariant.New(slog.New(slog.DiscardHandler)))
 	require.NoError(t, err)
 	prepare := func(link netpoll.Connection) context.Context {
 		ctx := g.prepare(link)
--- a/internal/exchange/giver.go
+++ b/internal/peersync/giver.go
@@ -1,4 +1,4 @@
-package exchange
+package peersync
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/outbox"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/poller"
-	"quartzpoint/knowledge"
+	"quartzpoint/internal/writequeue"
 )
 
 const (
@@ -30,7 +30,7 @@
 // Giver answers other servers from the view that was last put into it. It has a goroutine of its own, which
 // owns its connections: an ask never comes to the owner of decisions.
 type Giver struct {
-	counts   *check.Counts
+	counts   *invariant.Counts
 	now      func() time.Duration
 	listener netpoll.Listener
 	loop     netpoll.EventLoop
@@ -45,26 +45,26 @@
 	over   sync.WaitGroup
 
 	// What follows is the goroutine's own.
-	giving *knowledge.Giving
+	giving *estimate.Giving
 	conns  []*conn
 	from   *seen // what packed was made of
 	packed *packed
 }
 
 type seen struct {
-	view knowledge.View
+	view estimate.View
 	at   time.Duration
 }
 
 // Listen takes the address for a giver. now is the clock by which views are put.
-func Listen(address string, keys Keys, now func() time.Duration, counts *check.Counts) (*Giver, error) {
+func Listen(address string, keys Keys, now func() time.Duration, counts *invariant.Counts) (*Giver, error) {
 	listener, err := netpoll.CreateListener("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers at %s: %w", address, err)
 	}
 	g := &Giver{
 		counts: counts, now: now, listener: &patient{listener, counts},
-		woken: make(chan struct{}, 1), quit: make(chan struct{}), giving: knowledge.NewGiving(now()),
+		woken: make(chan struct{}, 1), quit: make(chan struct{}), giving: estimate.NewGiving(now()),
 	}
 	g.keys.Store(&keys)
 	g.loop, err = netpoll.NewEventLoop(read, netpoll.WithOnPrepare(g.prepare), poller.OnTaken(closingOf))
@@ -77,7 +77,7 @@
 // patient is a listener that outlasts a lack of descriptors: those who ask wait in it.
 type patient struct {
 	netpoll.Listener
-	counts *check.Counts
+	counts *invariant.Counts
 }
 
 func (p *patient) Accept() (net.Conn, error) {
@@ -95,7 +95,7 @@
 func (g *Giver) Address() string { return g.listener.Addr().String() }
 
 // Put leaves a view to be given from now on, in the place of the last. It never waits.
-func (g *Giver) Put(v knowledge.View, at time.Duration) { g.shelf.Store(&seen{v, at}) }
+func (g *Giver) Put(v estimate.View, at time.Duration) { g.shelf.Store(&seen{v, at}) }
 
 // SetKeys changes the keys for talks that begin from now on.
 func (g *Giver) SetKeys(keys Keys) { g.keys.Store(&keys) }
@@ -191,7 +191,7 @@
 	keys  Keys
 	talk  gives
 	part  []byte
-	out   *outbox.Box
+	out   *writequeue.Box
 	let   bool // counted by Giving
 	dead  bool
 
@@ -209,7 +209,7 @@
 	}
 	c := &conn{
 		giver: g, link: link, host: host, born: g.now(), keys: *g.keys.Load(), fd: link.(netpoll.Conn).Fd(),
-		out: outbox.New(mostSent), talk: gives{nonce: make([]byte, nonceSize)},
+		out: writequeue.New(mostSent), talk: gives{nonce: make([]byte, nonceSize)},
 	}
 	_, _ = rand.Read(c.talk.nonce) // never fails
 	total.answered.Add(1)
--- a/internal/exchange/session.go
+++ b/internal/peersync/session.go
@@ -1,4 +1,4 @@
-package exchange
+package peersync
 
 import (
 	"context"
--- a/internal/exchange/talk.go
+++ b/internal/peersync/talk.go
@@ -1,4 +1,4 @@
-// Package exchange carries views of what servers have learned from those that run to those that begin. It
+// Package peersync carries views of what servers have learned from those that run to those that begin. It
 // decides nothing: what a view is worth, whom to ask and whom to answer is package knowledge's.
 //
 // A talk is four steps over one connection, in frames of a length (4 bytes, big-endian) and a CBOR message:
@@ -11,7 +11,7 @@
 //
 // Nonces are new with each talk, so a recorded one proves nothing. Instead of any step a refusal may come. A
 // view of which anything is missing or wrong is dropped whole.
-package exchange
+package peersync
 
 import (
 	"bytes"
@@ -26,8 +26,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"quartzpoint/internal/strict"
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/strictcbor"
 )
 
 // Version is that of the protocol. Fields may be added under it, and are skipped by those that don't know
@@ -74,7 +74,7 @@
 	Ballot   []byte        `cbor:"13,keyasint,omitempty"` // of a vote or its answer; package lease reads it
 }
 
-var decoding = strict.Decoding(knowledge.MaxTold, false)
+var decoding = strictcbor.Decoding(estimate.MaxTold, false)
 
 // pack makes a frame of a message.
 func pack(m message) []byte {
@@ -168,7 +168,7 @@
 	taken time.Duration
 }
 
-func packView(v knowledge.View, taken time.Duration) (*packed, error) {
+func packView(v estimate.View, taken time.Duration) (*packed, error) {
 	raw, err := cbor.Marshal(v.Told())
 	if err != nil {
 		return nil, fmt.Errorf("view: %w", err)
@@ -180,7 +180,7 @@
 }
 
 // Size is the number of bytes that a view takes on the way, without its frames.
-func Size(v knowledge.View) int {
+func Size(v estimate.View) int {
 	made, err := packView(v, 0)
 	if err != nil {
 		return 0
@@ -188,9 +188,9 @@
 	return len(made.bytes)
 }
 
-func unpackView(raw []byte) (v knowledge.View, err error) {
+func unpackView(raw []byte) (v estimate.View, err error) {
 	if err := decoding.Unmarshal(raw, &v); err != nil {
-		return knowledge.View{}, fmt.Errorf("view: %w", err)
+		return estimate.View{}, fmt.Errorf("view: %w", err)
 	}
 	return v, nil
 }
@@ -308,7 +308,7 @@
 
 // step takes a message and returns what is to be sent, or the whole view, which is older by what it was held
 // than it says.
-func (a *asks) step(m message) (out []byte, view *knowledge.View, err error) {
+func (a *asks) step(m message) (out []byte, view *estimate.View, err error) {
 	if opened, err := a.opening(m); opened {
 		if err != nil {
 			return nil, nil, err
--- a/internal/raftlog/layer.go
+++ b/internal/raftlog/layer.go
@@ -11,7 +11,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/peersync"
 )
 
 const (
@@ -22,7 +22,7 @@
 // layer carries the library's connections, each opened by a session that both sides prove.
 type layer struct {
 	listener net.Listener
-	keys     exchange.Keys
+	keys     peersync.Keys
 	reach    map[string]string // where an address is dialled
 	log      *slog.Logger
 	proven   chan net.Conn
@@ -31,7 +31,7 @@
 	over     sync.WaitGroup
 }
 
-func listenLayer(address string, reach map[string]string, keys exchange.Keys, log *slog.Logger) (*layer, error) {
+func listenLayer(address string, reach map[string]string, keys peersync.Keys, log *slog.Logger) (*layer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("replicated log: %w", err)
@@ -62,7 +62,7 @@
 		}
 		l.over.Go(func() {
 			defer func() { <-opening }()
-			if _, err := exchange.Accept(conn, l.keys); err != nil {
+			if _, err := peersync.Accept(conn, l.keys); err != nil {
 				l.log.Warn("replicated log: connection refused", "from", conn.RemoteAddr(), "error", err)
 				conn.Close()
 				return
@@ -107,7 +107,7 @@
 	if !known {
 		return nil, fmt.Errorf("replicated log: %s is none of its members", address)
 	}
-	session, err := exchange.Open(ctx, to, l.keys)
+	session, err := peersync.Open(ctx, to, l.keys)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/raftlog/raftlog.go
+++ b/internal/raftlog/raftlog.go
@@ -15,7 +15,7 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/peersync"
 )
 
 const (
@@ -52,7 +52,7 @@
 	Name    string
 	Dir     string
 	Members []Member
-	Keys    exchange.Keys
+	Keys    peersync.Keys
 	Machine Machine
 	Logger  *slog.Logger
 }
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/raftlog_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/peersync"
 )
 
 const patience = 20 * time.Second
@@ -75,7 +75,7 @@
 		c.lists = append(c.lists, &list{})
 		c.options = append(c.options, Options{
 			Name: members[i].Name, Dir: filepath.Join(t.TempDir(), "log"), Members: members, Machine: c.lists[i],
-			Keys: exchange.Keys{bytes.Repeat([]byte{3}, 16)}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			Keys: peersync.Keys{bytes.Repeat([]byte{3}, 16)}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
 		c.nodes = append(c.nodes, nil)
 		c.start(t, i)
@@ -196,7 +196,7 @@
 	leader := c.leader(t)
 	away := (leader + 1) % 3
 	c.stop(t, away)
-	c.options[away].Keys = exchange.Keys{bytes.Repeat([]byte{4}, 16)}
+	c.options[away].Keys = peersync.Keys{bytes.Repeat([]byte{4}, 16)}
 	c.start(t, away)
 	c.propose(t, "b")
 	assert.Never(t, func() bool { return len(c.lists[away].all()) > 1 }, 300*time.Millisecond, 10*time.Millisecond)
--- a/internal/membership/membership.go
+++ b/internal/registration/membership.go
@@ -1,5 +1,5 @@
-// Package membership reports to the membership service that this server is there.
-package membership
+// Package registration reports to the membership service that this server is there.
+package registration
 
 import (
 	"context"
--- a/internal/membership/membership_test.go
+++ b/internal/registration/membership_test.go
@@ -1,4 +1,4 @@
-package membership
+package registration
 
 import (
 	"io"
@@ -9,22 +9,22 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/internal/standin"
+	"quartzpoint/internal/testkit/fake"
 )
 
 func TestReports(t *testing.T) {
-	members := standin.NewMembers(t)
+	members := fake.NewMembers(t)
 	r := New("n7", members.Address, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go r.Run(t.Context(), time.Millisecond)
 	assert.Equal(t, "HB n7 UP", members.Next(t))
 	assert.Equal(t, "HB n7 UP", members.Next(t))
 	r.Leave()
-	require.Eventually(t, func() bool { return members.Next(t) == "HB n7 OUT" }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return members.Next(t) == "HB n7 OUT" }, fake.Patience, time.Millisecond)
 }
 
 // At a new address the next report comes at once, and the old one gets none.
 func TestMove(t *testing.T) {
-	old, members := standin.NewMembers(t), standin.NewMembers(t)
+	old, members := fake.NewMembers(t), fake.NewMembers(t)
 	r := New("n7", old.Address, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go r.Run(t.Context(), time.Hour)
 	old.Next(t)
@@ -43,14 +43,14 @@
 // A service that was down and came back was told nothing for a further period, as the error of the report
 // before kept the first one back.
 func TestServiceBack(t *testing.T) {
-	members := standin.NewMembers(t)
+	members := fake.NewMembers(t)
 	address := members.Address
 	members.Stop()
 	lines := make(lines, 100)
 	r := New("n7", address, slog.New(slog.NewTextHandler(lines, nil)))
 	go r.Run(t.Context(), 10*time.Millisecond)
 	assert.Contains(t, <-lines, "refused=true")
-	members = standin.MembersAt(t, address)
+	members = fake.MembersAt(t, address)
 	assert.Equal(t, "HB n7 UP", members.Next(t))
 	assert.Contains(t, <-lines, "refused=false")
 	for range 3 {
@@ -65,7 +65,7 @@
 	select {
 	case line := <-l:
 		return line
-	case <-time.After(standin.Patience):
+	case <-time.After(fake.Patience):
 		require.Fail(t, "nothing was logged")
 		return ""
 	}
@@ -87,7 +87,7 @@
 			assert.Contains(t, line, "refused=true")
 			assert.Contains(t, line, address)
 			for range 2 {
-				members := standin.NewMembers(t)
+				members := fake.NewMembers(t)
 				r.Move(members.Address)
 				assert.Equal(t, "HB n7 UP", members.Next(t))
 				assert.Contains(t, next(t, lines), "refused=false")
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"quartzpoint/choice"
-	"quartzpoint/internal/runs"
+	"quartzpoint/admission"
+	"quartzpoint/internal/workerapi"
 )
 
 // supply is the reply that a run went on with from its last call.
@@ -14,7 +14,7 @@
 }
 
 // blocked takes that a run stands at a call. Where its task is answered already, the pool ends it by itself.
-func (s *Server) blocked(n *runs.Notice) {
+func (s *Server) blocked(n *workerapi.Notice) {
 	t := s.tasks[n.Task]
 	if t == nil || !t.active || s.blocking == nil {
 		s.counts.Saw("call of a run nobody asked for")
@@ -30,21 +30,21 @@
 // placeCall has the dependency make the call that a run stands at.
 func (s *Server) placeCall(t *Task, within time.Duration) {
 	s.calls++
-	c := runs.Call{Number: s.calls, Task: t.id, Body: t.asks, Within: within}
+	c := workerapi.Call{Number: s.calls, Task: t.id, Body: t.asks, Within: within}
 	t.call = c.Number
 	s.dependency.Call(c)
 }
 
 // CallEnded takes how a call ended, from any goroutine. There are never more than calls that were made.
-func (s *Server) CallEnded(e runs.CallEnd) { s.Post(func() { s.callEnded(e) }) }
+func (s *Server) CallEnded(e workerapi.CallEnd) { s.Post(func() { s.callEnded(e) }) }
 
-func (s *Server) callEnded(e runs.CallEnd) {
+func (s *Server) callEnded(e workerapi.CallEnd) {
 	t := s.tasks[e.Task]
 	if t == nil || t.call != e.Number {
 		return // its run has ended meanwhile
 	}
 	t.call = 0
-	if e.Outcome == choice.Done && !t.answered {
+	if e.Outcome == admission.Done && !t.answered {
 		s.goOn(t, &supply{reply: e.Result})
 	}
 	s.Returned(t, e.Outcome, e.Took)
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -8,37 +8,37 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/choice"
-	"quartzpoint/internal/runs"
-	"quartzpoint/internal/standin"
+	"quartzpoint/admission"
+	"quartzpoint/internal/testkit/fake"
+	"quartzpoint/internal/workerapi"
 )
 
 // askedOf is a dependency that keeps what it is asked; a test ends the calls.
 type askedOf struct {
-	calls     chan runs.Call
+	calls     chan workerapi.Call
 	abandoned chan uint64
 }
 
-func (d *askedOf) Call(c runs.Call)      { d.calls <- c }
+func (d *askedOf) Call(c workerapi.Call) { d.calls <- c }
 func (d *askedOf) Abandon(number uint64) { d.abandoned <- number }
 
-func (d *askedOf) next(t *testing.T) runs.Call {
+func (d *askedOf) next(t *testing.T) workerapi.Call {
 	t.Helper()
 	select {
 	case c := <-d.calls:
 		return c
-	case <-time.After(standin.Patience):
+	case <-time.After(fake.Patience):
 		require.FailNow(t, "no call")
-		return runs.Call{}
+		return workerapi.Call{}
 	}
 }
 
 // callSite is the usual site, where both types call a dependency that bears many calls.
 var callSite = strings.NewReplacer(`"below":"none","calls-by-class":[false,false]`,
-	`"below":"shared","calls-out":20,"calls-over":5000000,"calls-by-class":[true,true]`).Replace(standin.Site)
+	`"below":"shared","calls-out":20,"calls-over":5000000,"calls-by-class":[true,true]`).Replace(fake.Site)
 
 func newCallBench(t *testing.T, site string) (*bench, *askedOf) {
-	d := &askedOf{make(chan runs.Call, 16), make(chan uint64, 16)}
+	d := &askedOf{make(chan workerapi.Call, 16), make(chan uint64, 16)}
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Calls: true}, d)
 	b.pool.Ready()
 	b.bound(t)
@@ -46,11 +46,11 @@
 }
 
 // atCall starts a task whose run then stands at a call.
-func (b *bench) atCall(t *testing.T, d *askedOf, stream uint32, kind string, waits time.Duration) runs.Call {
+func (b *bench) atCall(t *testing.T, d *askedOf, stream uint32, kind string, waits time.Duration) workerapi.Call {
 	t.Helper()
 	b.ask(stream, kind, waits)
 	b.pool.Next(t, "spawn")
-	b.pool.Block(standin.Call(stream), []byte("what"))
+	b.pool.Block(fake.Call(stream), []byte("what"))
 	return d.next(t)
 }
 
@@ -58,20 +58,20 @@
 func TestRunStandsAtItsCalls(t *testing.T) {
 	b, d := newCallBench(t, callSite)
 	c := b.atCall(t, d, 1, "browse", time.Minute)
-	assert.Equal(t, standin.Call(1), c.Task)
+	assert.Equal(t, fake.Call(1), c.Task)
 	assert.Equal(t, "what", string(c.Body))
 	assert.Positive(t, c.Within)
-	b.CallEnded(runs.CallEnd{Call: c, Outcome: choice.Done, Took: time.Millisecond, Result: []byte("that")})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done, Took: time.Millisecond, Result: []byte("that")})
 	supplied := b.pool.Next(t, "supply")
 	assert.Equal(t, "that", string(supplied.Body))
-	b.pool.Block(standin.Call(1), []byte("and more"))
+	b.pool.Block(fake.Call(1), []byte("and more"))
 	c = d.next(t)
 	assert.Equal(t, "and more", string(c.Body))
-	b.CallEnded(runs.CallEnd{Call: c, Outcome: choice.NotRun})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.NotRun})
 	c = d.next(t) // what never ran is asked again
-	b.CallEnded(runs.CallEnd{Call: c, Outcome: choice.Done, Result: []byte("this")})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done, Result: []byte("this")})
 	b.pool.Next(t, "supply")
-	b.pool.Finish(standin.Call(1), "success", []byte("done"))
+	b.pool.Finish(fake.Call(1), "success", []byte("done"))
 	assert.Equal(t, Honoured, b.next(t).Verdict)
 	assert.Empty(t, d.abandoned)
 }
@@ -79,14 +79,14 @@
 func TestCallThatMayHaveRun(t *testing.T) {
 	b, d := newCallBench(t, callSite)
 	c := b.atCall(t, d, 1, "pay", time.Minute)
-	b.CallEnded(runs.CallEnd{Call: c, Outcome: choice.Unclear})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Unclear})
 	assert.Equal(t, GivenUp, b.next(t).Verdict, "an at-most-once task makes no call twice")
-	b.pool.Finish(standin.Call(1), "interrupted", nil)
+	b.pool.Finish(fake.Call(1), "interrupted", nil)
 
 	c = b.atCall(t, d, 2, "browse", time.Minute)
-	b.CallEnded(runs.CallEnd{Call: c, Outcome: choice.Unclear})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Unclear})
 	c = d.next(t)
-	b.CallEnded(runs.CallEnd{Call: c, Outcome: choice.Done})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done})
 	b.pool.Next(t, "supply")
 }
 
@@ -97,13 +97,13 @@
 	assert.Less(t, c.Within, 2500*time.Millisecond)
 	assert.Equal(t, GivenUp, b.next(t).Verdict)
 	assert.Equal(t, c.Number, <-d.abandoned)
-	b.CallEnded(runs.CallEnd{Call: c, Outcome: choice.Done, Result: []byte("late")})
-	b.pool.Finish(standin.Call(1), "interrupted", nil)
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done, Result: []byte("late")})
+	b.pool.Finish(fake.Call(1), "interrupted", nil)
 	c = b.atCall(t, d, 2, "browse", time.Minute)
-	b.pool.Finish(standin.Call(2), "failure", nil)
+	b.pool.Finish(fake.Call(2), "failure", nil)
 	assert.Equal(t, GivenUp, b.next(t).Verdict)
 	assert.Equal(t, c.Number, <-d.abandoned)
-	b.CallEnded(runs.CallEnd{Call: c, Outcome: choice.Done})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done})
 	b.known(t)
 	for len(b.pool.Commands) > 0 {
 		assert.NotEqual(t, "supply", (<-b.pool.Commands).Verb)
@@ -117,12 +117,12 @@
 			b, d := newCallBench(t, strings.Replace(callSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
 			c := b.atCall(t, d, 1, "pay", time.Minute)
 			b.inTurn(func() {
-				b.callEnded(runs.CallEnd{Call: c, Outcome: choice.Done, Result: []byte("that")})
+				b.callEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done, Result: []byte("that")})
 				b.pool.Cut() // before the word is written
 			})
 			assert.Equal(t, "that", string(b.pool.Next(t, "supply").Body))
 			b.bound(t)
-			b.pool.Block(standin.Call(1), []byte("more"))
+			b.pool.Block(fake.Call(1), []byte("more"))
 			c = d.next(t)
 			b.pool.Move(t) // nobody is where the link would come back
 			b.pool.Cut()
@@ -130,11 +130,11 @@
 				asked := true
 				b.inTurn(func() { _, asked = b.link.Poll() })
 				return !asked
-			}, standin.Patience, time.Millisecond)
-			b.inTurn(func() { b.callEnded(runs.CallEnd{Call: c, Outcome: choice.Done, Result: []byte("this")}) })
+			}, fake.Patience, time.Millisecond)
+			b.inTurn(func() { b.callEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done, Result: []byte("this")}) })
 			b.toPool.Move(b.pool.Address)
 			assert.Equal(t, "this", string(b.pool.Next(t, "supply").Body))
-			b.pool.Finish(standin.Call(1), "success", nil)
+			b.pool.Finish(fake.Call(1), "success", nil)
 			assert.Equal(t, Honoured, b.next(t).Verdict)
 		})
 	}
@@ -142,7 +142,7 @@
 
 // Where no dependency is named, what calls it is turned away as never run, and all else is served.
 func TestTypesThatCallNobody(t *testing.T) {
-	site := strings.Replace(standin.Site, `"calls-by-class":[false,false]`, `"calls-by-class":[true,false]`, 1)
+	site := strings.Replace(fake.Site, `"calls-by-class":[false,false]`, `"calls-by-class":[true,false]`, 1)
 	b := newBenchAt(t, site)
 	b.pool.Ready()
 	b.bound(t)
@@ -153,6 +153,6 @@
 	assert.Equal(t, time.Second, a.ComeBack)
 	b.ask(2, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
-	b.pool.Finish(standin.Call(2), "success", nil)
+	b.pool.Finish(fake.Call(2), "success", nil)
 	assert.Equal(t, Honoured, b.next(t).Verdict)
 }
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/choice"
-	"quartzpoint/internal/standin"
+	"quartzpoint/admission"
+	"quartzpoint/internal/testkit/fake"
 )
 
 // inTurn has the owner stand still while f runs.
@@ -36,20 +36,20 @@
 				asked := true
 				b.inTurn(func() { _, asked = b.link.Poll() })
 				return !asked
-			}, standin.Patience, time.Millisecond)
+			}, fake.Patience, time.Millisecond)
 		}
 		b.inTurn(func() {
-			b.Gone(b.tasks[standin.Call(1)])
+			b.Gone(b.tasks[fake.Call(1)])
 			if !down {
 				b.pool.Cut() // before the word is written
 			}
 		})
-		assert.Equal(t, standin.Call(1), b.pool.Next(t, "suspend").Task)
+		assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
 		require.Eventually(t, func() bool {
 			left := 1
 			b.inTurn(func() { left = len(b.tasks) })
 			return left == 0
-		}, standin.Patience, time.Millisecond)
+		}, fake.Patience, time.Millisecond)
 	}
 }
 
@@ -61,7 +61,7 @@
 	run := func(kind string, stream uint32) {
 		b.ask(stream, kind, time.Minute)
 		b.pool.Next(t, "spawn")
-		b.pool.Finish(standin.Call(stream), "success", []byte("done"))
+		b.pool.Finish(fake.Call(stream), "success", []byte("done"))
 		assert.Equal(t, Honoured, b.next(t).Verdict)
 	}
 	run("pay", 1)
@@ -74,7 +74,7 @@
 	b.inTurn(func() {
 		b.most = 3
 		for _, id := range []string{"a", "b", "c"} {
-			b.spend(&Task{id: id, Task: choice.Task{Type: b.types["pay"]}})
+			b.spend(&Task{id: id, Task: admission.Task{Type: b.types["pay"]}})
 		}
 		assert.Equal(t, []string{"a", "b", "c"}, b.spending, "the oldest goes where the table is full")
 		assert.Len(t, b.spent, 3)
@@ -94,10 +94,10 @@
 		retired := false
 		b.inTurn(func() { retired = b.retired })
 		return retired
-	}, standin.Patience, time.Millisecond)
+	}, fake.Patience, time.Millisecond)
 	b.inTurn(func() { // read only now, past the grace of 400 ms: answered, and not run
 		b.Take(Asked{
-			ID: standin.Call(1), Type: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.noticed + 401*time.Millisecond,
+			ID: fake.Call(1), Type: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.noticed + 401*time.Millisecond,
 			Waits: time.Minute, Caller: b, Stream: 1,
 		})
 	})
@@ -108,7 +108,7 @@
 	b.unheard.Store(false)
 	select {
 	case <-b.left:
-	case <-time.After(standin.Patience):
+	case <-time.After(fake.Patience):
 		require.FailNow(t, "the end does not come")
 	}
 }
@@ -123,29 +123,29 @@
 		came := b.Now() - 300*time.Millisecond
 		b.leave(came, 3*time.Second)
 		assert.Equal(t, came+3*time.Second-noticeDelay, b.stop)
-		late := Asked{ID: standin.Call(1), Type: "pay", HeldKB: 20, Rank: 0.9, Waits: time.Minute, Caller: b, Stream: 1}
+		late := Asked{ID: fake.Call(1), Type: "pay", HeldKB: 20, Rank: 0.9, Waits: time.Minute, Caller: b, Stream: 1}
 		late.Arrived = came + 401*time.Millisecond // the site's grace is 400 ms
 		b.Take(late)
 		due := late
-		due.ID, due.Stream, due.Arrived = standin.Call(2), 2, came+399*time.Millisecond
+		due.ID, due.Stream, due.Arrived = fake.Call(2), 2, came+399*time.Millisecond
 		b.Take(due)
 	})
 	assert.Equal(t, []any{uint32(1), Dismissed}, func() []any { a := b.next(t); return []any{a.stream, a.Verdict} }())
-	assert.Equal(t, standin.Call(2), b.pool.Next(t, "spawn").Task)
-	b.pool.Finish(standin.Call(2), "success", nil)
+	assert.Equal(t, fake.Call(2), b.pool.Next(t, "spawn").Task)
+	b.pool.Finish(fake.Call(2), "success", nil)
 	assert.Equal(t, Honoured, b.next(t).Verdict)
 }
 
 // A numbered task whose caller leaves in the moment it is read, and for which the decisions have no room, kept its
 // number for the whole window, as one that would still run: a repeat was neither run nor turned away.
 func TestNumberOfATaskWhoseCallerLeftAsItWasRead(t *testing.T) {
-	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(standin.Site)
+	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.Site)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
 	b.inTurn(func() {
 		task := b.Take(Asked{
-			ID: standin.Call(1), Type: "pay", HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: time.Minute,
+			ID: fake.Call(1), Type: "pay", HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: time.Minute,
 			Caller: b, Stream: 1, Number: "n",
 		})
 		b.Gone(task)
--- a/internal/server/numbers.go
+++ b/internal/server/numbers.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 )
 
 const (
@@ -79,7 +79,7 @@
 		switch {
 		case t.answered:
 			t.waits = false
-			s.end(t, choice.Void, 0, nil)
+			s.end(t, admission.Void, 0, nil)
 		case t.entry > safe, t.stands:
 			left = append(left, t)
 		default:
@@ -119,7 +119,7 @@
 
 // numbered finds the first of a repeat.
 func (s *Server) numbered(t *Task, a Asked) {
-	if t.Type.Repeats != choice.Numbered {
+	if t.Type.Repeats != admission.Numbered {
 		return
 	}
 	t.number = numberKey(a.Type, a.Number)
@@ -131,21 +131,21 @@
 }
 
 // Remember keeps a number for its window.
-func (s *Server) Remember(t *choice.Task, span time.Duration) {
+func (s *Server) Remember(t *admission.Task, span time.Duration) {
 	if of := s.owner[t]; of != nil && s.numbers[of.number] != nil {
 		s.numbers[of.number].until = s.round.Now + span
 	}
 }
 
 // Forget gives the number of a task that never ran back.
-func (s *Server) Forget(t *choice.Task) {
+func (s *Server) Forget(t *admission.Task) {
 	if of := s.owner[t]; of != nil {
 		s.drop(s.numbers[of.number], Answer{Verdict: Dismissed})
 	}
 }
 
 // AnswerFromFirst answers a repeat as soon as the first has ended.
-func (s *Server) AnswerFromFirst(t *choice.Task) {
+func (s *Server) AnswerFromFirst(t *admission.Task) {
 	of := s.owner[t]
 	s.counts.That(of != nil && of.first != nil, "a repeat without a first")
 	if of == nil || of.first == nil {
@@ -182,12 +182,12 @@
 }
 
 // firstEnded keeps the end of a first that was answered before it.
-func (s *Server) firstEnded(t *Task, outcome choice.Outcome, result []byte) {
+func (s *Server) firstEnded(t *Task, outcome admission.Outcome, result []byte) {
 	n := s.numbers[t.number]
 	if t.number == "" || t.Again || n == nil || n.settled || !t.answered {
 		return
 	}
-	if outcome == choice.Done {
+	if outcome == admission.Done {
 		s.keep(n, Answer{Verdict: Honoured, Result: result})
 	} else {
 		s.keep(n, Answer{Verdict: GivenUp})
--- a/internal/server/numbers_test.go
+++ b/internal/server/numbers_test.go
@@ -7,19 +7,19 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"quartzpoint/internal/standin"
+	"quartzpoint/internal/testkit/fake"
 )
 
 // A repeat that is turned away for want of room was refused with a promise of no effect, though its first had run: its
 // caller would have it run elsewhere.
 func TestRepeatsAreNeverRefusedOnceTheirFirstMayHaveRun(t *testing.T) {
-	site := strings.Replace(standin.Site, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
+	site := strings.Replace(fake.Site, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
 	asked := func(stream uint32, number string) Asked {
 		return Asked{
-			ID: standin.Call(stream), Type: "pay", HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: time.Minute,
+			ID: fake.Call(stream), Type: "pay", HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: time.Minute,
 			Caller: b, Stream: stream, Number: number,
 		}
 	}
@@ -43,13 +43,13 @@
 // A process that stood still reads a repeat behind the window in which it came. It ran, or was refused, as a new one.
 func TestARepeatBelongsToTheWindowInWhichItCame(t *testing.T) {
 	const window = 400 * time.Millisecond
-	site := strings.Replace(standin.Site, `"fragile"`, `"dedup","dedup-window":400000`, 1)
+	site := strings.Replace(fake.Site, `"fragile"`, `"dedup","dedup-window":400000`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
 	asked := func(stream uint32, arrived time.Duration) Asked {
 		return Asked{
-			ID: standin.Call(stream), Type: "pay", HeldKB: 20, Rank: 0.9, Arrived: arrived, Waits: time.Minute,
+			ID: fake.Call(stream), Type: "pay", HeldKB: 20, Rank: 0.9, Arrived: arrived, Waits: time.Minute,
 			Caller: b, Stream: stream, Number: "n",
 		}
 	}
--- a/internal/server/reconcile.go
+++ b/internal/server/reconcile.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/internal/events"
-	"quartzpoint/internal/runs"
+	"quartzpoint/internal/workerapi"
 	"quartzpoint/reconcile"
 )
 
@@ -49,7 +49,7 @@
 
 // reviewRuns takes off the books the runs of which the machine's readings prove that they are over. It is for the
 // moment of the reading: all that the pool reported before is on the books by then.
-func (s *Server) reviewRuns(polled *runs.Notice) {
+func (s *Server) reviewRuns(polled *workerapi.Notice) {
 	if s.doubtful == 0 || s.limits.RunsStay {
 		return
 	}
@@ -61,12 +61,12 @@
 		t := s.tasks[id]
 		s.counts.Saw("end of a run not reported, proven by the readings")
 		s.recordRun(events.RunReleased, "the machine's readings leave no room for it", t)
-		s.end(t, choice.Stopped, 0, nil) // not broken: it tells nothing of this server's health
+		s.end(t, admission.Stopped, 0, nil) // not broken: it tells nothing of this server's health
 	}
 }
 
 // readings are those of one answer of the pool; complete is false where it does not hold all that a proof needs.
-func (s *Server) readings(polled *runs.Notice) (r reconcile.Readings, complete bool) {
+func (s *Server) readings(polled *workerapi.Notice) (r reconcile.Readings, complete bool) {
 	onCores, share, complete := s.settings.Occupied(polled.Readings)
 	memoryKB, stated := s.settings.Values["memory-kb"].(float64)
 	if !complete || !stated {
--- a/internal/server/reconcile_test.go
+++ b/internal/server/reconcile_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 
 	"quartzpoint/internal/events"
-	"quartzpoint/internal/standin"
+	"quartzpoint/internal/testkit/fake"
 )
 
 // shortSite has deadlines of 300 ms, and as many cores as the stand-in's pool.
-var shortSite = strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`).Replace(standin.Site)
+var shortSite = strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`).Replace(fake.Site)
 
 const siteCores = 4
 
@@ -61,7 +61,7 @@
 			require.Eventually(t, func() bool {
 				b.ask(1000, "browse", time.Minute)
 				return b.next(t).Verdict == Honoured
-			}, standin.Patience, time.Millisecond)
+			}, fake.Patience, time.Millisecond)
 			assert.Zero(t, b.counts.Times("end of a run nobody asked for"))
 			assert.Zero(t, b.counts.Times("end of a run not reported, proven by the readings"))
 		})
@@ -81,7 +81,7 @@
 	b.inTurn(func() { assert.GreaterOrEqual(t, b.doubtful, siteCores) })
 	assert.Zero(t, b.counts.Times(proven))
 	b.pool.SetMeager(false)
-	require.Eventually(t, func() bool { return b.counts.Times(proven) >= siteCores }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return b.counts.Times(proven) >= siteCores }, fake.Patience, time.Millisecond)
 }
 
 // The link is lost behind commands that the pool may not have read. A run that was answered meanwhile, and holds its
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -6,27 +6,27 @@
 	"slices"
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/internal/events"
-	"quartzpoint/internal/runs"
+	"quartzpoint/internal/workerapi"
 )
 
 // told takes one notice of the worker pool.
-func (s *Server) told(n *runs.Notice) {
+func (s *Server) told(n *workerapi.Notice) {
 	switch n.Kind {
-	case runs.Polled:
+	case workerapi.Polled:
 		s.polled = n.Nonce
 		s.resume(n.Nonce)
 		s.settings.Gauges(&s.gauges, n.Readings)
 		s.reviewRuns(n)
 		s.fresh = s.fresh || s.asked > 0 && n.Nonce >= s.asked
-	case runs.Finished:
+	case workerapi.Finished:
 		s.finished(n)
-	case runs.Unknown:
+	case workerapi.Unknown:
 		s.unknown(n)
-	case runs.Blocked:
+	case workerapi.Blocked:
 		s.blocked(n)
-	case runs.Verified:
+	case workerapi.Verified:
 		for i, c := range s.checks {
 			if c.nonce == n.Nonce {
 				s.checks = append(s.checks[:i], s.checks[i+1:]...)
@@ -34,25 +34,25 @@
 				break
 			}
 		}
-	case runs.Bound:
+	case workerapi.Bound:
 		s.round.Booted = s.Now() - n.Took
 		s.touched = true
-	case runs.Down:
+	case workerapi.Down:
 		s.linkDown()
-	case runs.Synced:
+	case workerapi.Synced:
 		s.linkSynced()
 	}
 }
 
 // outcomes are the pool's words for the end of a run.
-var outcomes = map[string]choice.Outcome{
-	"success":     choice.Done,
-	"failure":     choice.Broken,
-	"interrupted": choice.Stopped,
-	"nothing":     choice.Void,
+var outcomes = map[string]admission.Outcome{
+	"success":     admission.Done,
+	"failure":     admission.Broken,
+	"interrupted": admission.Stopped,
+	"nothing":     admission.Void,
 }
 
-func (s *Server) finished(n *runs.Notice) {
+func (s *Server) finished(n *workerapi.Notice) {
 	t := s.tasks[n.Task]
 	if t == nil || !t.active {
 		s.counts.Saw("end of a run nobody asked for")
@@ -68,24 +68,24 @@
 	outcome, known := outcomes[n.Outcome]
 	if !known {
 		s.counts.Saw("end of a run with an unknown outcome")
-		outcome = choice.Broken
+		outcome = admission.Broken
 	}
 	s.end(t, outcome, n.Took, n.Result)
 }
 
 // end files the end of a run. It answers for itself: with the result, or as given up on.
-func (s *Server) end(t *Task, outcome choice.Outcome, took time.Duration, result []byte) {
+func (s *Server) end(t *Task, outcome admission.Outcome, took time.Duration, result []byte) {
 	t.active, t.atCall, t.supplied = false, false, nil
 	if t.call > 0 {
 		s.dependency.Abandon(t.call)
 	}
-	s.round.Ended = append(s.round.Ended, choice.Ending{Task: &t.Task, Outcome: outcome, Took: took})
+	s.round.Ended = append(s.round.Ended, admission.Ending{Task: &t.Task, Outcome: outcome, Took: took})
 	s.touched = true
 	s.firstEnded(t, outcome, result)
 	if t.answered {
 		return
 	}
-	if outcome == choice.Done {
+	if outcome == admission.Done {
 		s.answer(t, Answer{Verdict: Honoured, Result: result})
 	} else {
 		given := Answer{Verdict: GivenUp}
@@ -99,14 +99,14 @@
 // unknown takes that the pool did not carry out a command. A run it does not know has not begun and will not.
 // That tells of a caller who invents calls, and nothing of this server: as a broken run it would count against
 // its health, and as a quick one make all tasks of the type look short.
-func (s *Server) unknown(n *runs.Notice) {
+func (s *Server) unknown(n *workerapi.Notice) {
 	if n.Outcome != "spawn" {
 		s.counts.Saw("pool did not carry out a command")
 		return
 	}
 	s.counts.Saw("pool did not carry out a spawn")
 	if t := s.tasks[n.Task]; t != nil && t.active {
-		s.end(t, choice.Void, 0, nil)
+		s.end(t, admission.Void, 0, nil)
 	}
 }
 
@@ -144,8 +144,8 @@
 		case t.supplied != nil && !t.answered && (!t.supplied.sent || t.unsure && !pauses):
 			s.goOn(t, t.supplied) // a run that has gone on already takes no notice
 		case !t.sent && t.answered:
-			s.end(t, choice.Stopped, 0, nil)
-		case !t.sent, t.unsure && !t.answered && t.supplied == nil && t.Type.Repeats == choice.Reissuable:
+			s.end(t, admission.Stopped, 0, nil)
+		case !t.sent, t.unsure && !t.answered && t.supplied == nil && t.Type.Repeats == admission.Reissuable:
 			t.sent, t.unsure = false, false
 			s.recordRun(events.RunRetried, "not known to have begun when the link was lost", t)
 			s.spawn(t)
@@ -183,7 +183,7 @@
 		switch {
 		case !t.active:
 		case t.answered && stands:
-			s.end(t, choice.Stopped, 0, nil) // no further end will be told
+			s.end(t, admission.Stopped, 0, nil) // no further end will be told
 		case t.answered:
 		case stands:
 			if t.supplied != nil { // first, as behind proceed it might be taken for the reply to its next call
@@ -213,5 +213,5 @@
 func (s *Server) spawn(t *Task) {
 	s.counts.That(!t.sent, "a run was sent twice")
 	t.mark = s.link.Next()
-	t.sent = s.link.Start(runs.Run{ID: t.id, Type: t.handler, Body: t.body})
+	t.sent = s.link.Start(workerapi.Run{ID: t.id, Type: t.handler, Body: t.body})
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -13,14 +13,14 @@
 	"sync"
 	"time"
 
-	"quartzpoint/choice"
-	"quartzpoint/internal/check"
+	"quartzpoint/admission"
+	"quartzpoint/estimate"
 	"quartzpoint/internal/events"
-	"quartzpoint/internal/runs"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/settings"
-	"quartzpoint/knowledge"
+	"quartzpoint/internal/workerapi"
 	"quartzpoint/reconcile"
-	"quartzpoint/stamp"
+	"quartzpoint/wallclock"
 )
 
 const (
@@ -58,10 +58,10 @@
 // Server turns events into rounds. Its methods are for its one owner, the goroutine that is in Run, but for
 // Post, Nudge, Leave, Now and Customer.
 type Server struct {
-	module   *choice.Choice
+	module   *admission.Choice
 	settings *settings.Settings
 	values   map[string]any // the module's own copy of the settings, which it reads at each decision
-	types    map[string]*choice.Route
+	types    map[string]*admission.Route
 	link     Pool
 	parts    Composer // of tasks that are made of calls
 
@@ -73,13 +73,13 @@
 	tables tableQueue
 
 	fronts    []Front
-	counts    *check.Counts
+	counts    *invariant.Counts
 	log       *slog.Logger
 	events    *events.Log
 	began     time.Time
 	epoch     time.Duration        // of began, since 1970
 	wallAhead func() time.Duration // by how much the system's Unix clock, which may step, is ahead of the clock of rounds
-	stamps    stamp.Mapper
+	stamps    wallclock.Mapper
 	limits    Limits
 	most      int // tasks
 
@@ -88,8 +88,8 @@
 	woken  chan struct{}
 
 	tasks       map[string]*Task
-	owner       map[*choice.Task]*Task
-	round       choice.Round
+	owner       map[*admission.Task]*Task
+	round       admission.Round
 	touched     bool
 	spent       map[string]time.Duration // calls of at-most-once tasks that may have run, until when they are known
 	spending    []string                 // the same, oldest first
@@ -98,14 +98,14 @@
 	kept        int // bytes of the results that they hold
 	mayKeep     int
 	mostNumbers int
-	ledger      Ledger         // of the numbers, nil without one
-	entering    []*Task        // whose numbers it does not have yet
-	echoed      []*choice.Task // answered from the first in this round
-	atCall      []*choice.Task // started in this round, and made of calls
-	unbegun     []*Task        // whose calls the composer did not take
-	gauges      choice.Gauges
+	ledger      Ledger            // of the numbers, nil without one
+	entering    []*Task           // whose numbers it does not have yet
+	echoed      []*admission.Task // answered from the first in this round
+	atCall      []*admission.Task // started in this round, and made of calls
+	unbegun     []*Task           // whose calls the composer did not take
+	gauges      admission.Gauges
 	fresh       bool // gauges came for the alarm in hand
-	notices     []runs.Notice
+	notices     []workerapi.Notice
 
 	alarms    []time.Duration
 	asked     uint64        // nonce of the alarm's poll, 0 without one
@@ -121,8 +121,8 @@
 	reviewer    reconcile.Reviewer
 	observer    observer
 
-	share  func(view knowledge.View, at time.Duration) // nil where nobody is to know
-	origin knowledge.Frame
+	share  func(view estimate.View, at time.Duration) // nil where nobody is to know
+	origin estimate.Frame
 	shared time.Duration
 
 	timed func(took time.Duration) // nil where nobody wants to know
@@ -142,18 +142,18 @@
 
 // New makes the server for its settings. Settings that ask for what it can't do are an error: a task must not be
 // found unservable only once it has been read.
-func New(told *settings.Settings, seed int64, limits Limits, counts *check.Counts, log *slog.Logger) (*Server, error) {
+func New(told *settings.Settings, seed int64, limits Limits, counts *invariant.Counts, log *slog.Logger) (*Server, error) {
 	s := &Server{
 		settings: told, counts: counts, log: log, events: events.New(log), began: time.Now(), limits: limits,
 		spent: map[string]time.Duration{}, customers: map[string]int{},
 		numbers: map[string]*number{}, mayKeep: limits.MemoryMB << 20 / numberShare,
 		// What the site's own memory holds of numbers, the decisions bound; that is stated with the settings, as any figure.
 		mostNumbers: max(64, limits.MemoryMB<<20/entryShare/entryBytes),
-		types:       map[string]*choice.Route{},
+		types:       map[string]*admission.Route{},
 		most:        max(64, limits.MemoryMB*1024/taskKB/taskShare),
 		woken:       make(chan struct{}, 1), parts: nothing{},
 		unserved: map[string]bool{},
-		tasks:    map[string]*Task{}, owner: map[*choice.Task]*Task{},
+		tasks:    map[string]*Task{}, owner: map[*admission.Task]*Task{},
 		good: true,
 	}
 	for i := 0; ; i++ {
@@ -194,7 +194,7 @@
 	if !limits.Omits { // each call is waited for, whatever an answer without it would earn
 		maps.DeleteFunc(values, func(name string, _ any) bool { return strings.HasSuffix(name, ".skip-share") })
 	}
-	s.module, s.values = choice.New(values, seed), values
+	s.module, s.values = admission.New(values, seed), values
 	if len(s.module.Routes) != len(s.types) {
 		return nil, fmt.Errorf("%d traffic types stated, %d of them named", len(s.module.Routes), len(s.types))
 	}
@@ -278,13 +278,13 @@
 
 // Share has what the server learned left with put, once a second at the most and in the owner's turn, so put must
 // not wait. It is called before Run. The frame says which views the server can Borrow.
-func (s *Server) Share(origin uint64, put func(view knowledge.View, at time.Duration)) knowledge.Frame {
+func (s *Server) Share(origin uint64, put func(view estimate.View, at time.Duration)) estimate.Frame {
 	s.origin, s.share = s.module.Frame(origin, s.limits.Moving), put
 	return s.origin
 }
 
 // Borrow has the owner take in what other servers learned; the view must fit the frame.
-func (s *Server) Borrow(v knowledge.View) {
+func (s *Server) Borrow(v estimate.View) {
 	told := s.Now()
 	s.Post(func() { s.module.Borrow(s.Now(), v.Aged(s.Now()-told)) })
 }
@@ -303,7 +303,7 @@
 // PlausibleStamp tells whether a request's stamp, in Unix milliseconds, is one that a clock may have written which was
 // stepped.
 func (s *Server) PlausibleStamp(unixMS int64) bool {
-	return unixMS >= 0 && unixMS < maxStampMS && stamp.Plausible(time.Duration(unixMS)*time.Millisecond, s.Now()+s.wallAhead())
+	return unixMS >= 0 && unixMS < maxStampMS && wallclock.Plausible(time.Duration(unixMS)*time.Millisecond, s.Now()+s.wallAhead())
 }
 
 // Nudge has the owner look for what came in.
@@ -465,12 +465,12 @@
 		s.round.Clear()
 	}
 	for _, t := range s.echoed {
-		s.round.Ended = append(s.round.Ended, choice.Ending{Task: t, Outcome: choice.Done})
+		s.round.Ended = append(s.round.Ended, admission.Ending{Task: t, Outcome: admission.Done})
 		s.touched = true
 	}
 	s.echoed = s.echoed[:0]
 	for _, t := range s.unbegun {
-		s.end(t, choice.Void, 0, nil)
+		s.end(t, admission.Void, 0, nil)
 	}
 	s.unbegun = s.unbegun[:0]
 	if s.share != nil && now >= s.shared+shareEvery {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/pool"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/settings"
-	"quartzpoint/internal/standin"
+	"quartzpoint/internal/testkit/fake"
+	"quartzpoint/internal/workerlink"
 )
 
 // answered is what a caller was told on a stream.
@@ -29,9 +29,9 @@
 // bench is a server with a stand-in pool and a front that only keeps what it is told.
 type bench struct {
 	*Server
-	pool    *standin.Pool
-	toPool  *pool.Link
-	counts  *check.Counts
+	pool    *fake.Pool
+	toPool  *workerlink.Link
+	counts  *invariant.Counts
 	answers chan answered
 	checks  chan bool
 	left    chan struct{}
@@ -48,7 +48,7 @@
 func (b *bench) Open() int                             { return 0 }
 func (b *bench) Quiet() bool                           { return !b.unheard.Load() }
 
-func newBench(t *testing.T) *bench { return newBenchAt(t, standin.Site) }
+func newBench(t *testing.T) *bench { return newBenchAt(t, fake.Site) }
 
 func newBenchAt(t *testing.T, site string) *bench {
 	return newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256}, nil)
@@ -59,12 +59,12 @@
 	told, err := settings.FromJSON([]byte(site))
 	require.NoError(t, err)
 	b := &bench{
-		pool: standin.NewPool(t), counts: check.New(log), left: make(chan struct{}),
+		pool: fake.NewPool(t), counts: invariant.New(log), left: make(chan struct{}),
 		answers: make(chan answered, 100), checks: make(chan bool, 100),
 	}
 	b.Server, err = New(told, 1, limits, b.counts, log)
 	require.NoError(t, err)
-	link := pool.New(b.pool.Address, 1<<20, log, b.counts.Saw, b.Nudge)
+	link := workerlink.New(b.pool.Address, 1<<20, log, b.counts.Saw, b.Nudge)
 	b.toPool = link
 	b.Serve(link, b)
 	if on != nil {
@@ -77,7 +77,7 @@
 		b.Leave(0)
 		select {
 		case <-b.left:
-		case <-time.After(standin.Patience):
+		case <-time.After(fake.Patience):
 			t.Error("the server does not leave")
 		}
 		cancel()
@@ -89,7 +89,7 @@
 func (b *bench) ask(stream uint32, kind string, waits time.Duration) {
 	b.Post(func() {
 		b.Take(Asked{
-			ID: standin.Call(stream), Type: kind, HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: waits,
+			ID: fake.Call(stream), Type: kind, HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: waits,
 			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
 		})
 	})
@@ -100,7 +100,7 @@
 	select {
 	case a := <-b.answers:
 		return a
-	case <-time.After(standin.Patience):
+	case <-time.After(fake.Patience):
 		require.FailNow(t, "no answer")
 		return answered{}
 	}
@@ -123,7 +123,7 @@
 			bound <- asked > 0 && b.polled >= asked
 		})
 		return <-bound
-	}, standin.Patience, time.Millisecond)
+	}, fake.Patience, time.Millisecond)
 }
 
 // known waits until the pool has read all that was sent and the server knows it.
@@ -139,7 +139,7 @@
 			known <- all
 		})
 		return <-known
-	}, standin.Patience, time.Millisecond)
+	}, fake.Patience, time.Millisecond)
 }
 
 func TestTaskIsServed(t *testing.T) {
@@ -180,7 +180,7 @@
 	b.pool.Next(t, "spawn")
 	b.ask(1, "pay", time.Minute)
 	assert.Equal(t, GivenUp, b.next(t).Verdict)
-	b.pool.Finish(standin.Call(1), "success", nil)
+	b.pool.Finish(fake.Call(1), "success", nil)
 	assert.Equal(t, Honoured, b.next(t).Verdict, "the first one is answered from its run")
 }
 
@@ -244,7 +244,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBenchAt(t, strings.Replace(standin.Site, `"halt":"suspend"`, `"halt":"abort"`, 1))
+			b := newBenchAt(t, strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"abort"`, 1))
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
 			b.bound(t)
@@ -261,7 +261,7 @@
 			}
 			b.pool.Cut()
 			if c.ended {
-				b.pool.Finish(standin.Call(1), "success", []byte("done"))
+				b.pool.Finish(fake.Call(1), "success", []byte("done"))
 			}
 			b.pool.Silence(false)
 			b.pool.Next(t, "bind")
@@ -269,7 +269,7 @@
 				b.pool.Next(t, "spawn")
 			}
 			if !c.ended && c.want == Honoured {
-				b.pool.Finish(standin.Call(1), "success", []byte("done"))
+				b.pool.Finish(fake.Call(1), "success", []byte("done"))
 			}
 			begin := time.Now()
 			assert.Equal(t, c.want, b.next(t).Verdict)
@@ -301,12 +301,12 @@
 			b.pool.SetLoses(false)
 			b.pool.Next(t, "bind")
 			b.pool.Silence(false)
-			assert.Equal(t, standin.Call(1), b.pool.Next(t, "suspend").Task)
+			assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
 			if c.lost {
 				assert.Equal(t, "body 1", string(b.pool.Next(t, "spawn").Body))
 			}
-			assert.Equal(t, standin.Call(1), b.pool.Next(t, "proceed").Task)
-			b.pool.Finish(standin.Call(1), "success", []byte("done"))
+			assert.Equal(t, fake.Call(1), b.pool.Next(t, "proceed").Task)
+			b.pool.Finish(fake.Call(1), "success", []byte("done"))
 			assert.Equal(t, Honoured, b.next(t).Verdict)
 		})
 	}
@@ -357,7 +357,7 @@
 		kind := []string{"browse", "pay"}[stream%2]
 		b.Post(func() {
 			b.Take(Asked{
-				ID: standin.Call(stream), Type: kind, HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(),
+				ID: fake.Call(stream), Type: kind, HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(),
 				Waits: time.Minute, Router: stream, Caller: b, Stream: stream,
 			})
 		})
@@ -380,7 +380,7 @@
 // whose caller says that it waits for a day was kept as long. That it is over has to be proven by the pool's readings.
 func TestNothingStaysForEver(t *testing.T) {
 	site := strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`,
-		`"late-value":0.0`, `"late-value":0.5`).Replace(standin.Site)
+		`"late-value":0.0`, `"late-value":0.5`).Replace(fake.Site)
 	b := newBenchAt(t, site)
 	b.pool.Loses = true
 	b.pool.Ready()
@@ -391,7 +391,7 @@
 		empty := make(chan bool)
 		b.Post(func() { empty <- len(b.tasks) == 0 && len(b.owner) == 0 })
 		return <-empty
-	}, standin.Patience, time.Millisecond)
+	}, fake.Patience, time.Millisecond)
 	assert.Equal(t, 1, b.counts.Times("end of a run not reported, proven by the readings"))
 }
 
@@ -409,7 +409,7 @@
 		empty := make(chan bool)
 		b.Post(func() { empty <- len(b.tasks) == 0 && len(b.owner) == 0 })
 		return <-empty
-	}, standin.Patience, time.Millisecond, "a settled task is kept")
+	}, fake.Patience, time.Millisecond, "a settled task is kept")
 	assert.Empty(t, b.answers)
 }
 
@@ -450,12 +450,12 @@
 		retired := make(chan bool)
 		b.Post(func() { retired <- b.retired && b.Now() > b.noticed+450*time.Millisecond })
 		return <-retired
-	}, standin.Patience, time.Millisecond)
+	}, fake.Patience, time.Millisecond)
 	b.ask(3, "pay", time.Minute) // past it
 	got := b.next(t)
 	assert.Equal(t, []any{uint32(3), Dismissed}, []any{got.stream, got.Verdict})
 	for stream := range uint32(2) {
-		b.pool.Finish(standin.Call(stream+1), "success", nil)
+		b.pool.Finish(fake.Call(stream+1), "success", nil)
 		assert.Equal(t, Honoured, b.next(t).Verdict)
 	}
 	<-b.left
@@ -481,7 +481,7 @@
 	b.Leave(500 * time.Millisecond)
 	select {
 	case <-b.left:
-	case <-time.After(standin.Patience):
+	case <-time.After(fake.Patience):
 		require.FailNow(t, "the server does not leave")
 	}
 }
@@ -493,7 +493,7 @@
 		"no traffic type": {`"name":`, `"title":`},
 	}
 	for want, change := range cases {
-		told, err := settings.FromJSON([]byte(strings.ReplaceAll(standin.Site, change[0], change[1])))
+		told, err := settings.FromJSON([]byte(strings.ReplaceAll(fake.Site, change[0], change[1])))
 		require.NoError(t, err)
 		_, err = New(told, 1, Limits{MemoryMB: 96, Sockets: 256}, nil, nil)
 		assert.ErrorContains(t, err, want)
@@ -502,7 +502,7 @@
 
 // One customer without a name cost all behind it theirs, and with it their share.
 func TestCustomersWithoutNames(t *testing.T) {
-	site := strings.Replace(standin.Site, `"tenants":[]`, `"tenants":[{"quota-rps":1},{"name":"b","quota-rps":2},{}]`, 1)
+	site := strings.Replace(fake.Site, `"tenants":[]`, `"tenants":[{"quota-rps":1},{"name":"b","quota-rps":2},{}]`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Customers: true}, nil)
 	assert.Equal(t, 1, b.Customer("b"))
 	assert.Equal(t, math.MaxInt, b.Customer(""))
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/internal/settings"
 )
 
@@ -136,8 +136,8 @@
 
 // Tables are the routes and tenants in force, by name, as New was told of them or as they have changed since. It is for
 // before Run.
-func (s *Server) Tables() (routes map[string]choice.Route, tenants map[string]float64) {
-	routes, tenants = make(map[string]choice.Route, len(s.types)), make(map[string]float64, len(s.customers))
+func (s *Server) Tables() (routes map[string]admission.Route, tenants map[string]float64) {
+	routes, tenants = make(map[string]admission.Route, len(s.types)), make(map[string]float64, len(s.customers))
 	for name, route := range s.types {
 		routes[name] = route.Stated()
 	}
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/internal/settings"
-	"quartzpoint/internal/standin"
+	"quartzpoint/internal/testkit/fake"
 )
 
-func stated(name string, deadline time.Duration) *choice.Route {
-	return &choice.Route{Name: name, Importance: 1, LateShare: 0.5, ContractTime: time.Second, OuterLimit: deadline}
+func stated(name string, deadline time.Duration) *admission.Route {
+	return &admission.Route{Name: name, Importance: 1, LateShare: 0.5, ContractTime: time.Second, OuterLimit: deadline}
 }
 
 // change has the tables become different and waits until all of it is in force.
@@ -25,7 +25,7 @@
 	b.ChangeTables(change)
 	select {
 	case <-done:
-	case <-time.After(standin.Patience):
+	case <-time.After(fake.Patience):
 		require.FailNow(t, "the tables have not changed")
 	}
 }
@@ -88,15 +88,15 @@
 
 // A key that was used stays used for its window, whatever becomes of its route meanwhile: nothing runs twice.
 func TestWindowsOutlastTheirRoute(t *testing.T) {
-	b := newBenchWith(t, standin.Site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
+	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
 	b.pool.Ready()
 	keyed := stated("charge", time.Minute)
-	keyed.Repeats, keyed.Window = choice.Numbered, time.Hour
+	keyed.Repeats, keyed.Window = admission.Numbered, time.Hour
 	put := TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: keyed}}}
 	ask := func(stream uint32) {
 		b.Post(func() {
 			b.Take(Asked{
-				ID: standin.Call(stream), Type: "charge", HeldKB: 1, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: time.Minute,
+				ID: fake.Call(stream), Type: "charge", HeldKB: 1, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: time.Minute,
 				Caller: b, Stream: stream, Number: "once", Shape: 1,
 			})
 		})
@@ -118,7 +118,7 @@
 // Tenants come, change and go; what one has asked for counts on when its rate changes, and not for another that takes
 // its place later. A place is not taken while requests of the one that left it may still be here.
 func TestTenantsChangeInService(t *testing.T) {
-	b := newBenchWith(t, standin.Site, Limits{MemoryMB: 96, Sockets: 256, Customers: true}, nil)
+	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Customers: true}, nil)
 	b.pool.Ready()
 	tenant := func(name string, rate float64) TableChange {
 		return TableChange{Tenants: []settings.TenantChange{{Name: name, Rate: rate}}}
@@ -189,7 +189,7 @@
 	assert.Equal(t, Honoured, b.next(t).Verdict)
 	select {
 	case <-done:
-	case <-time.After(standin.Patience):
+	case <-time.After(fake.Patience):
 		require.FailNow(t, "the change is not in force")
 	}
 	assert.Equal(t, many+2, <-counted, "with the two that were there")
--- a/internal/server/tasks.go
+++ b/internal/server/tasks.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/internal/events"
 )
 
@@ -52,7 +52,7 @@
 
 // Task is a task and what the program keeps for it until the last that can come for it has come.
 type Task struct {
-	choice.Task
+	admission.Task
 	id       string
 	handler  string
 	body     []byte
@@ -122,7 +122,7 @@
 	if a.Arrived == 0 {
 		a.Arrived = s.at(a.Came, now)
 	}
-	if kind != nil && kind.Repeats == choice.Numbered {
+	if kind != nil && kind.Repeats == admission.Numbered {
 		s.expireNumber(numberKey(a.Type, a.Number), a.Arrived)
 	}
 	switch {
@@ -147,16 +147,16 @@
 		refused = "task without a due time"
 	case len(s.tasks) >= s.most:
 		refused = "task beyond the program's own memory"
-	case kind.Repeats == choice.Numbered && a.Number == "":
+	case kind.Repeats == admission.Numbered && a.Number == "":
 		refused = "numbered task without a number"
-	case kind.Repeats == choice.Numbered && len(s.numbers) >= s.mostNumbers && s.numbers[numberKey(a.Type, a.Number)] == nil:
+	case kind.Repeats == admission.Numbered && len(s.numbers) >= s.mostNumbers && s.numbers[numberKey(a.Type, a.Number)] == nil:
 		refused = "numbered task beyond the program's own memory"
-	case kind.Repeats == choice.Numbered && s.clashes(a):
+	case kind.Repeats == admission.Numbered && s.clashes(a):
 		s.refuse(a, "number of another task", Answer{Verdict: Clashing})
 		return nil
 	default:
 		t := &Task{
-			Task: choice.Task{
+			Task: admission.Task{
 				Type: kind, HeldKB: a.HeldKB, Arrived: a.Arrived, Rank: a.Rank, Caller: a.Router,
 				Customer: a.Customer, Whole: a.Whole,
 			},
@@ -174,7 +174,7 @@
 		s.touched = true
 		return t
 	}
-	if kind != nil && kind.Repeats == choice.Numbered && s.numbers[numberKey(a.Type, a.Number)] != nil {
+	if kind != nil && kind.Repeats == admission.Numbered && s.numbers[numberKey(a.Type, a.Number)] != nil {
 		// Its first may have run: with a promise of no effect its caller would have it run elsewhere.
 		s.refuse(a, refused, Answer{Verdict: GivenUp})
 		return nil
@@ -220,8 +220,8 @@
 }
 
 // Returned tells how a call ended. One that did not end well may be let go again, or left out.
-func (s *Server) Returned(t *Task, outcome choice.Outcome, took time.Duration) {
-	s.round.Returned = append(s.round.Returned, choice.Ending{Task: &t.Task, Outcome: outcome, Took: took})
+func (s *Server) Returned(t *Task, outcome admission.Outcome, took time.Duration) {
+	s.round.Returned = append(s.round.Returned, admission.Ending{Task: &t.Task, Outcome: outcome, Took: took})
 	s.touched = true
 }
 
@@ -247,7 +247,7 @@
 // settle forgets a task for which nothing more can come.
 func (s *Server) settle(t *Task) {
 	if t != nil && t.answered && !t.active {
-		if s.tasks[t.id] == t && t.sent && t.Type.Repeats == choice.AtMostOnce {
+		if s.tasks[t.id] == t && t.sent && t.Type.Repeats == admission.AtMostOnce {
 			s.spend(t)
 		}
 		delete(s.tasks, t.id)
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"quartzpoint/internal/runs"
+	"quartzpoint/internal/workerapi"
 )
 
 // Workers are what runs tasks. All is called by the owner of decisions, and nothing of it may wait: what was
@@ -16,12 +16,12 @@
 //   - nothing, where it never began.
 type Workers interface {
 	// Start begins a run, or tells that it was not asked for: it has then not begun, and may be started again.
-	Start(r runs.Run) (asked bool)
+	Start(r workerapi.Run) (asked bool)
 	// Pause stops a run, for good or until GoOn.
 	Pause(id string) (asked bool)
 	GoOn(id string) (asked bool)
 	// Take gives what was told since the last call, behind into.
-	Take(into []runs.Notice) []runs.Notice
+	Take(into []workerapi.Notice) []workerapi.Notice
 	Flush()
 }
 
@@ -45,7 +45,7 @@
 // Dependency makes the calls that the pool's runs stand at. All is called by the owner of decisions, and nothing of it
 // may wait: how each call ended comes by CallEnded, once.
 type Dependency interface {
-	Call(c runs.Call)
+	Call(c workerapi.Call)
 	// Abandon ends a call whose reply is of no use any more.
 	Abandon(number uint64)
 }
@@ -66,12 +66,12 @@
 // nothing stands where nothing is composed.
 type nothing struct{}
 
-func (nothing) Start(runs.Run) bool                   { return false }
-func (nothing) Pause(string) bool                     { return false }
-func (nothing) GoOn(string) bool                      { return false }
-func (nothing) Take(into []runs.Notice) []runs.Notice { return into }
-func (nothing) Flush()                                {}
-func (nothing) Composes(string) bool                  { return false }
-func (nothing) Waits(string) time.Duration            { return 0 }
-func (nothing) Turn(time.Duration)                    {}
-func (nothing) Due() time.Duration                    { return 1<<63 - 1 }
+func (nothing) Start(workerapi.Run) bool                        { return false }
+func (nothing) Pause(string) bool                               { return false }
+func (nothing) GoOn(string) bool                                { return false }
+func (nothing) Take(into []workerapi.Notice) []workerapi.Notice { return into }
+func (nothing) Flush()                                          {}
+func (nothing) Composes(string) bool                            { return false }
+func (nothing) Waits(string) time.Duration                      { return 0 }
+func (nothing) Turn(time.Duration)                              {}
+func (nothing) Due() time.Duration                              { return 1<<63 - 1 }
--- a/internal/server/writer.go
+++ b/internal/server/writer.go
@@ -5,13 +5,13 @@
 	"strconv"
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/internal/events"
-	"quartzpoint/internal/runs"
+	"quartzpoint/internal/workerapi"
 )
 
-// Start implements choice.Writer, as do the methods below it.
-func (s *Server) Start(t *choice.Task) {
+// Start implements admission.Writer, as do the methods below it.
+func (s *Server) Start(t *admission.Task) {
 	of := s.owner[t]
 	s.counts.That(of != nil && !of.answered, "a settled task was started")
 	grace, _ := s.settings.Values["grace"].(time.Duration)
@@ -37,7 +37,7 @@
 }
 
 // Pause stops a task's run.
-func (s *Server) Pause(t *choice.Task) {
+func (s *Server) Pause(t *admission.Task) {
 	of := s.owner[t]
 	switch {
 	case of == nil:
@@ -49,7 +49,7 @@
 }
 
 // Dismiss turns a task away that never ran.
-func (s *Server) Dismiss(t *choice.Task, comeBack time.Duration, nowhereElse bool) {
+func (s *Server) Dismiss(t *admission.Task, comeBack time.Duration, nowhereElse bool) {
 	of := s.owner[t]
 	s.counts.That(of != nil && !of.active && !of.sent, "a task that may have run was dismissed")
 	switch {
@@ -63,7 +63,7 @@
 }
 
 // GiveUp answers a task that may have run without a result.
-func (s *Server) GiveUp(t *choice.Task) {
+func (s *Server) GiveUp(t *admission.Task) {
 	if of := s.owner[t]; of != nil {
 		s.recordAnswer(events.Failed, of)
 		s.answer(of, Answer{Verdict: GivenUp})
@@ -104,7 +104,7 @@
 
 // Call lets the calls of a task begin. They end before the moment at which the decisions would give it up, so
 // that what is there by then is still answered.
-func (s *Server) Call(t *choice.Task, patience time.Duration) {
+func (s *Server) Call(t *admission.Task, patience time.Duration) {
 	of := s.owner[t]
 	if c, calls := s.calling(of); calls {
 		c.Call(patience)
@@ -122,14 +122,14 @@
 	if of == nil || !of.composed || of.sent {
 		return
 	}
-	of.sent = s.parts.Start(runs.Run{ID: of.id, Type: of.handler, Body: of.body, Until: s.round.Now + patience})
+	of.sent = s.parts.Start(workerapi.Run{ID: of.id, Type: of.handler, Body: of.body, Until: s.round.Now + patience})
 	if !of.sent {
 		s.unbegun = append(s.unbegun, of)
 	}
 }
 
 // SkipCall has a task go on without its call.
-func (s *Server) SkipCall(t *choice.Task) {
+func (s *Server) SkipCall(t *admission.Task) {
 	c, calls := s.calling(s.owner[t])
 	s.counts.That(calls, "a call was to be left out for a task without any")
 	if calls {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 )
 
 type kind int
@@ -235,7 +235,7 @@
 
 // Gauges puts readings, in the order that the settings name, under our names. Where fewer come than were
 // named, the rest keep what they had.
-func (t *Settings) Gauges(into *choice.Gauges, readings []float64) {
+func (t *Settings) Gauges(into *admission.Gauges, readings []float64) {
 	for i, name := range t.gauges[:min(len(readings), len(t.gauges))] {
 		switch name {
 		case "core_use":
--- a/internal/settings/tables.go
+++ b/internal/settings/tables.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/configuration"
 )
 
 // RouteChange is what becomes of one route.
 type RouteChange struct {
 	Name  string
-	Route *choice.Route // nil where it is removed
+	Route *admission.Route // nil where it is removed
 }
 
 // TenantChange is what becomes of one tenant.
@@ -21,14 +21,14 @@
 }
 
 // routeRepeats are the kinds of a configuration's routes.
-var routeRepeats = map[configuration.Idempotency]choice.Repeats{
-	configuration.Retryable: choice.Reissuable, configuration.Keyed: choice.Numbered, configuration.Fragile: choice.AtMostOnce,
+var routeRepeats = map[configuration.Idempotency]admission.Repeats{
+	configuration.Retryable: admission.Reissuable, configuration.Keyed: admission.Numbered, configuration.Fragile: admission.AtMostOnce,
 }
 
 // RouteOf is a route of the configuration as the decisions know it, under the bounds that the platform's settings are
 // read under.
-func RouteOf(name string, stated configuration.Route) choice.Route {
-	return choice.Route{
+func RouteOf(name string, stated configuration.Route) admission.Route {
+	return admission.Route{
 		Name: name, Importance: stated.Value, LateShare: stated.LateValue, Calls: stated.Calls, SkipShare: stated.SkipValue,
 		ContractTime: max(spanOf(float64(stated.LatencyTarget)), time.Microsecond),
 		OuterLimit:   spanOf(float64(stated.Deadline)), Window: spanOf(float64(stated.Window)),
--- a/internal/store/book.go
+++ b/internal/store/book.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"quartzpoint/internal/folder"
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/datadir"
 	"quartzpoint/recovery"
 )
 
@@ -39,7 +39,7 @@
 // book is what is being written to a folder. Its methods are for one goroutine; the jobs that it gives may run beside
 // them, one at a time.
 type book struct {
-	folder  folder.Folder
+	folder  datadir.Folder
 	clock   func() recovery.Moment
 	id      func() uint64 // draws one for a file
 	site    string
@@ -47,7 +47,7 @@
 	numbers bool
 
 	table    *recovery.Table
-	log      folder.File
+	log      datadir.File
 	head     recovery.Header
 	next     uint64 // sequence of the next record
 	nextView uint64
@@ -69,7 +69,7 @@
 }
 
 // look reads all files of a folder that can hold state.
-func look(in folder.Folder, most int64, numbers bool) (found []recovery.Found, err error) {
+func look(in datadir.Folder, most int64, numbers bool) (found []recovery.Found, err error) {
 	entries, err := in.List()
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 			continue
 		}
 		raw, err := in.Read(e.Name, most)
-		if errors.Is(err, folder.ErrTooLarge) {
+		if errors.Is(err, datadir.ErrTooLarge) {
 			found = append(found, recovery.Found{Name: e.Name, Why: err.Error()})
 			continue
 		}
@@ -189,7 +189,7 @@
 	if err != nil {
 		return err
 	}
-	var aside []folder.Entry
+	var aside []datadir.Entry
 	bytes := int64(0)
 	for _, e := range entries {
 		if _, is := placeOf(asideName, e.Name); is {
@@ -247,7 +247,7 @@
 }
 
 // newView is the job of writing a snapshot of what was learned.
-func (b *book) newView(v knowledge.View) func() error {
+func (b *book) newView(v estimate.View) func() error {
 	h := b.header(recovery.ViewFile, b.nextView)
 	h.Terms = v.Terms
 	b.nextView++
@@ -306,7 +306,7 @@
 }
 
 // ours are the names of one content, in order of place.
-func ours(entries []folder.Entry, prefix string) (names []string) {
+func ours(entries []datadir.Entry, prefix string) (names []string) {
 	for _, e := range entries {
 		if _, is := placeOf(prefix, e.Name); is && e.Regular {
 			names = append(names, e.Name)
--- a/internal/store/configuration.go
+++ b/internal/store/configuration.go
@@ -7,15 +7,15 @@
 	"time"
 
 	"quartzpoint/configuration"
-	"quartzpoint/internal/folder"
+	"quartzpoint/internal/datadir"
 )
 
 // Configurations keeps the configuration in force: files of a whole document with the deltas behind it. A new file is
 // begun at a start and once the deltas are more than the document; what a crash leaves of a file is used up to the last
 // item that is whole.
 type Configurations struct {
-	folder folder.Folder
-	file   folder.File // the deltas go on here; nil before the first Replace
+	folder datadir.Folder
+	file   datadir.File // the deltas go on here; nil before the first Replace
 	id     uint64
 	place  uint64
 	seq    uint64
@@ -53,7 +53,7 @@
 }
 
 // OpenConfigurations reads what the folder keeps, the newest file that is of any use.
-func OpenConfigurations(in folder.Folder) (*Configurations, Kept, error) {
+func OpenConfigurations(in datadir.Folder) (*Configurations, Kept, error) {
 	entries, err := in.List()
 	if err != nil {
 		return nil, Kept{}, fmt.Errorf("configuration: %w", err)
--- a/internal/store/configuration_test.go
+++ b/internal/store/configuration_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 
 	"quartzpoint/configuration"
-	"quartzpoint/internal/faultdisk"
-	"quartzpoint/internal/folder"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/testkit/faultdisk"
 )
 
 // configured keeps some versions, large ones among them, and tells each that was kept for sure.
-func configured(in folder.Folder, changes int, kept func(d *configuration.Document)) error {
+func configured(in datadir.Folder, changes int, kept func(d *configuration.Document)) error {
 	c, had, err := OpenConfigurations(in)
 	if err != nil {
 		return err
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/internal/faultdisk"
-	"quartzpoint/internal/folder"
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/testkit/faultdisk"
 	"quartzpoint/recovery"
 )
 
@@ -29,14 +29,14 @@
 
 const window = time.Hour
 
-var views = knowledge.Frame{
+var views = estimate.Frame{
 	Terms: 7, Origin: 99, Types: []string{"browse", "pay"}, Outer: []time.Duration{2 * time.Second, 4 * time.Second},
 }
 
 // viewOf is a view that tells its number.
-func viewOf(n int) knowledge.View {
-	e := knowledge.Estimate{Mean: 0.1 + float64(n)/1e4, Spread: 0.05, Samples: 20}
-	return knowledge.View{Origin: 5, Terms: 7, Types: []knowledge.TypeView{
+func viewOf(n int) estimate.View {
+	e := estimate.Estimate{Mean: 0.1 + float64(n)/1e4, Spread: 0.05, Samples: 20}
+	return estimate.View{Origin: 5, Terms: 7, Types: []estimate.TypeView{
 		{Name: "browse", Core: e, Run: e}, {Name: "pay", Core: e, Run: e},
 	}}
 }
@@ -49,7 +49,7 @@
 }
 
 // newBench has ids from ids on, and stands a millisecond later for each of them.
-func newBench(disk folder.Folder, ids uint64) *bench {
+func newBench(disk datadir.Folder, ids uint64) *bench {
 	later := time.Duration(ids) * time.Millisecond
 	b := &bench{now: recovery.Moment{Wall: 1e18 + later, Up: 1e12 + later, Boot: "boot", Machine: 3}, ids: ids}
 	b.book = book{
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -14,8 +14,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"quartzpoint/internal/strict"
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/strictcbor"
 	"quartzpoint/recovery"
 )
 
@@ -39,7 +39,7 @@
 	Frames uint64 `cbor:"1,keyasint"`
 }
 
-var decoding = strict.Decoding(knowledge.MaxTold, true) // numbers are callers' own bytes
+var decoding = strictcbor.Decoding(estimate.MaxTold, true) // numbers are callers' own bytes
 
 // checksum is over the file's id too: what an earlier file left in the same blocks is no record of this one.
 func checksum(id, seq uint64, payload []byte) uint32 {
@@ -165,7 +165,7 @@
 			return
 		}
 		if f.Header.Content == recovery.ViewFile {
-			var v knowledge.View
+			var v estimate.View
 			if f.View != nil || decoding.Unmarshal(payload, &v) != nil {
 				break
 			}
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"quartzpoint/internal/folder"
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/datadir"
 	"quartzpoint/recovery"
 )
 
@@ -38,7 +38,7 @@
 	Numbers []NumberReport  `json:"numbers"`
 	Unknown int             `json:"unknown"`
 	View    string          `json:"view,omitempty"`    // the newest file that holds one
-	Learned *knowledge.View `json:"learned,omitempty"` // what it holds, aged
+	Learned *estimate.View  `json:"learned,omitempty"` // what it holds, aged
 	Bytes   int64           `json:"bytes"`
 }
 
@@ -53,7 +53,7 @@
 }
 
 // Inspect reads a folder that may be in use. Where here says no site it is that of the files.
-func Inspect(in folder.Folder, here recovery.Here, most int64) (r Report, err error) {
+func Inspect(in datadir.Folder, here recovery.Here, most int64) (r Report, err error) {
 	entries, err := in.List()
 	if err != nil {
 		return r, err
@@ -114,7 +114,7 @@
 
 // Compact has a folder that no server uses hold one table, one log and the newest view. What is left of windows is as
 // at a start.
-func Compact(in folder.Folder, here recovery.Here, most int64, clock func() recovery.Moment) (before, after int64, err error) {
+func Compact(in datadir.Folder, here recovery.Here, most int64, clock func() recovery.Moment) (before, after int64, err error) {
 	found, err := look(in, most, true)
 	if err != nil {
 		return 0, 0, err
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/folder"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/invariant"
 )
 
 const (
@@ -26,9 +26,9 @@
 	lost          = 7 // exit code of a child that misses an effect that had come about
 )
 
-func diskTerms(dir string, counts *check.Counts) Terms {
+func diskTerms(dir string, counts *invariant.Counts) Terms {
 	return Terms{
-		Open: folder.Opener(dir), Clock: SystemClock(), ID: DrawID, Frame: views, Most: mostDisk, Commit: time.Millisecond,
+		Open: datadir.Opener(dir), Clock: SystemClock(), ID: DrawID, Frame: views, Most: mostDisk, Commit: time.Millisecond,
 		Numbers: true, Counts: counts, Log: slog.New(slog.DiscardHandler), Nudge: func() {},
 	}
 }
@@ -41,7 +41,7 @@
 	if dir == "" {
 		return false
 	}
-	s, had, err := New(diskTerms(filepath.Join(dir, "state"), check.New(slog.New(slog.DiscardHandler))))
+	s, had, err := New(diskTerms(filepath.Join(dir, "state"), invariant.New(slog.New(slog.DiscardHandler))))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/folder"
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/recovery"
 )
 
@@ -29,15 +29,15 @@
 
 // Terms are what a store is made from.
 type Terms struct {
-	Open    func(only bool) (folder.Folder, error) // only to read: without the lock
+	Open    func(only bool) (datadir.Folder, error) // only to read: without the lock
 	Clock   func() recovery.Moment
 	ID      func() uint64 // draws one; those of two files must differ
 	Site    string
-	Frame   knowledge.Frame // which views fit
-	Most    int64           // bytes of all files
-	Commit  time.Duration   // for which records are gathered before they are written
-	Numbers bool            // whether the table of numbers is kept
-	Counts  *check.Counts
+	Frame   estimate.Frame // which views fit
+	Most    int64          // bytes of all files
+	Commit  time.Duration  // for which records are gathered before they are written
+	Numbers bool           // whether the table of numbers is kept
+	Counts  *invariant.Counts
 	Log     *slog.Logger
 	Nudge   func() // called when Safe has changed, from the store's goroutine
 	// Late takes what could be read only after the start, from the store's goroutine.
@@ -47,7 +47,7 @@
 // Recovered is what a folder held. The view is aged, and not Fresh where none can be used; windows are by the clock of
 // the boot.
 type Recovered struct {
-	View    knowledge.View
+	View    estimate.View
 	Numbers []recovery.Number
 	Unknown int           // of them, that were begun and not known to have ended
 	At      time.Duration // when it was read, by the clock of the boot
@@ -66,7 +66,7 @@
 	queue  []queued
 	bytes  int
 	last   uint64 // mark of the last record that was given
-	view   *knowledge.View
+	view   *estimate.View
 	ending bool
 	awake  bool // the store's goroutine looks by itself; to wake it would cost the owner's turn some microseconds
 
@@ -79,9 +79,9 @@
 	shadow  *recovery.Table // of the numbers, while there is no book
 	again   time.Duration   // when the folder is tried again
 	pause   time.Duration
-	job     chan error      // of the job that runs, nil without one
-	latest  *knowledge.View // to be written
-	kept    knowledge.View  // as last written
+	job     chan error     // of the job that runs, nil without one
+	latest  *estimate.View // to be written
+	kept    estimate.View  // as last written
 	viewed  time.Duration
 	expired time.Duration
 }
@@ -102,11 +102,11 @@
 	var had Recovered
 	var err error
 	for end := time.Now().Add(lockWait); ; time.Sleep(lockEach) {
-		if had, err = s.open(); !errors.Is(err, folder.ErrInUse) || time.Now().After(end) {
+		if had, err = s.open(); !errors.Is(err, datadir.ErrInUse) || time.Now().After(end) {
 			break
 		}
 	}
-	if errors.Is(err, folder.ErrInUse) {
+	if errors.Is(err, datadir.ErrInUse) {
 		return nil, Recovered{}, err
 	}
 	if err != nil {
@@ -170,7 +170,7 @@
 }
 
 // View takes what the server has learned. The newest is written, once a second at the most.
-func (s *Store) View(v knowledge.View) {
+func (s *Store) View(v estimate.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.view = &v
@@ -209,7 +209,7 @@
 	r.At = max(r.At, more.At)
 }
 
-func (s *Store) bookOf(in folder.Folder) *book {
+func (s *Store) bookOf(in datadir.Folder) *book {
 	return &book{
 		folder: in, clock: s.terms.Clock, id: s.terms.ID, site: s.terms.Site, most: s.terms.Most, numbers: s.terms.Numbers,
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,9 +16,9 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/faultdisk"
-	"quartzpoint/internal/folder"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/testkit/faultdisk"
 	"quartzpoint/recovery"
 )
 
@@ -36,12 +36,12 @@
 	h.now.Store(int64(time.Hour))
 	var ids atomic.Uint64
 	h.Terms = Terms{
-		Open: func(bool) (folder.Folder, error) { return h.disk, h.opened },
+		Open: func(bool) (datadir.Folder, error) { return h.disk, h.opened },
 		Clock: func() recovery.Moment {
 			return recovery.Moment{Wall: 1e18 + time.Duration(h.now.Load()), Up: time.Duration(h.now.Load()), Boot: "b", Machine: 1}
 		},
 		ID: func() uint64 { return ids.Add(1) }, Frame: views, Most: 8 << 20, Numbers: true,
-		Counts: check.New(slog.New(slog.DiscardHandler)), Log: slog.New(slog.DiscardHandler), Nudge: func() {},
+		Counts: invariant.New(slog.New(slog.DiscardHandler)), Log: slog.New(slog.DiscardHandler), Nudge: func() {},
 		Late: func(r Recovered) { h.late <- r },
 	}
 	return h
@@ -199,7 +199,7 @@
 	s.Close()
 	for _, only := range []bool{false, true} { // it opens and can't be written, or can be opened only to read
 		h.disk.ReadOnly = true
-		h.Open = func(read bool) (folder.Folder, error) {
+		h.Open = func(read bool) (datadir.Folder, error) {
 			if only && !read {
 				return nil, faultdisk.ErrReadOnly
 			}
@@ -289,14 +289,14 @@
 // The system's own folder.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
-	terms := func(path string) Terms { return diskTerms(path, check.New(slog.New(slog.DiscardHandler))) }
+	terms := func(path string) Terms { return diskTerms(path, invariant.New(slog.New(slog.DiscardHandler))) }
 	state := filepath.Join(dir, "state")
 	s, _, err := New(terms(state))
 	require.NoError(t, err)
 	s.End("a", 1, time.Hour, true, []byte("r"))
 	began := time.Now()
 	_, _, err = New(terms(state))
-	assert.ErrorIs(t, err, folder.ErrInUse, "two processes")
+	assert.ErrorIs(t, err, datadir.ErrInUse, "two processes")
 	assert.GreaterOrEqual(t, time.Since(began), lockWait, "one that leaves is waited for")
 	s.Close()
 	files, err := os.ReadDir(state)
@@ -323,15 +323,15 @@
 	assert.Equal(t, "not ours", string(raw))
 	link := filepath.Join(dir, "link")
 	require.NoError(t, os.Symlink(state, link))
-	_, err = folder.OpenDisk(link, false)
+	_, err = datadir.OpenDisk(link, false)
 	assert.ErrorContains(t, err, "a symbolic link is not followed")
 
-	_, err = folder.OpenDisk(filepath.Join(dir, "no", "such"), false)
+	_, err = datadir.OpenDisk(filepath.Join(dir, "no", "such"), false)
 	assert.ErrorIs(t, err, os.ErrNotExist, "its parent may be a disk that is not mounted")
 	open := filepath.Join(dir, "open")
 	require.NoError(t, os.Mkdir(open, 0o700))
 	require.NoError(t, os.Chmod(open, 0o777))
-	_, err = folder.OpenDisk(open, false)
+	_, err = datadir.OpenDisk(open, false)
 	assert.ErrorContains(t, err, "lets others write to it")
 }
 
--- a/internal/strict/strict.go
+++ b/internal/strictcbor/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads CBOR from sources that are not trusted: peers, and files that may be damaged.
-package strict
+// Package strictcbor reads CBOR from sources that are not trusted: peers, and files that may be damaged.
+package strictcbor
 
 import (
 	"fmt"
--- a/internal/conformance/conformance.go
+++ b/internal/testkit/conformance/conformance.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
 )
 
 // Ask is one task of a case.
@@ -58,13 +58,13 @@
 const Cores = 2
 
 // Types are those of every front in the suite.
-func Types(numbers bool) []rig.Type {
-	types := []rig.Type{
+func Types(numbers bool) []harness.Type {
+	types := []harness.Type{
 		{Name: "slot-check", Importance: 1, Contract: 600 * time.Millisecond, Outer: 1500 * time.Millisecond},
 		{Name: "confirm-booking", Importance: 4, Contract: time.Second, Outer: 2 * time.Second, Once: true},
 	}
 	if numbers {
-		types = append(types, rig.Type{Name: "deposit", Importance: 4, Contract: 2 * time.Second, Outer: 3 * time.Second})
+		types = append(types, harness.Type{Name: "deposit", Importance: 4, Contract: 2 * time.Second, Outer: 3 * time.Second})
 	}
 	return types
 }
--- a/internal/conformance/fronts.go
+++ b/internal/testkit/conformance/fronts.go
@@ -17,7 +17,7 @@
 	"github.com/gin-gonic/gin"
 
 	"quartzpoint"
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
 	"quartzpoint/middleware"
 	"quartzpoint/middleware/ginmw"
 )
@@ -212,7 +212,7 @@
 
 // daemon is the daemon over its frames, with workers whose runs do not share their cores.
 type daemon struct {
-	*rig.Daemon
+	*harness.Daemon
 	left sync.Once
 	err  error
 }
@@ -220,7 +220,7 @@
 // NewDaemon starts the daemon's program. It carries no numbers.
 func NewDaemon(program, folder, name string) (Front, error) {
 	// So many cores that no run waits for another; the decisions are told of the suite's.
-	d, err := rig.StartFor(program, folder, name, Types(false), rig.Machine{Cores: Cores, Speed: 1, KB: 1 << 20, Apart: true})
+	d, err := harness.StartFor(program, folder, name, Types(false), harness.Machine{Cores: Cores, Speed: 1, KB: 1 << 20, Apart: true})
 	if err != nil {
 		return nil, err
 	}
@@ -239,12 +239,12 @@
 	if a.Breaks {
 		body = append(body, 1)
 	}
-	_, err = link.Write(rig.Frame(10, 1, string(body),
+	_, err = link.Write(harness.Frame(10, 1, string(body),
 		"op", t.Name, "call", fmt.Sprintf("%016x", rand.Uint64()), "recv", strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"src", "1", "ttl", strconv.FormatInt(t.Outer.Milliseconds(), 10), "heap", "4", "crit", "0.5"))
 	for err == nil {
-		var reply rig.Reply
-		if reply, err = rig.ReadReply(link); err == nil && reply.Type == 11 {
+		var reply harness.Reply
+		if reply, err = harness.ReadReply(link); err == nil && reply.Type == 11 {
 			return map[byte]Outcome{20: Honoured, 50: Dismissed, 51: GivenUp}[reply.Code]
 		}
 	}
--- a/internal/lab/chart.go
+++ b/internal/testkit/experiment/chart.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
--- a/internal/lab/experiment.go
+++ b/internal/testkit/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package lab runs experiments on the emulator: drills by policies by seeds, side by side, and goes on where it was
+// Package experiment runs experiments on the emulator: drills by policies by seeds, side by side, and goes on where it was
 // interrupted. Results are kept with what made them, and told as tables, charts and one page.
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"quartzpoint/baseline"
-	"quartzpoint/drill"
 	"quartzpoint/emulator"
+	"quartzpoint/scenario"
 )
 
 // model is that of the emulator: results of another are not mixed with those of this one. It changes when the model does.
@@ -41,7 +41,7 @@
 	Seeds     int      `toml:"seeds"`     // from 1
 	Processes int      `toml:"processes"` // runs at once (all processors)
 
-	drills []*drill.Drill
+	drills []*scenario.Drill
 	texts  []string
 	raw    []byte
 }
@@ -93,7 +93,7 @@
 			fault("%w", err)
 			continue
 		}
-		d, err := drill.Parse(file, string(text))
+		d, err := scenario.Parse(file, string(text))
 		if err != nil {
 			faults = append(faults, err)
 			continue
@@ -215,7 +215,7 @@
 }
 
 // One plays a drill once.
-func One(d *drill.Drill, policy string, made emulator.Maker, seed int64) Run {
+func One(d *scenario.Drill, policy string, made emulator.Maker, seed int64) Run {
 	r := d.Emulate(made, seed)
 	ms := func(q float64) float64 { return float64(r.Took.ValueAtQuantile(q)) / 1e3 }
 	return Run{Drill: d.Name, Policy: policy, Seed: seed, P50: ms(50), P99: ms(99), P999: ms(99.9), Result: r}
--- a/internal/standin/standin.go
+++ b/internal/testkit/fake/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds what tests put in the place of the systems round a server: a worker pool, a
+// Package fake holds what tests put in the place of the systems round a server: a worker pool, a
 // membership service and a router, each by its published protocol and no more than tests need of it.
-package standin
+package fake
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
 )
 
 // Patience bounds every wait of a test. It is met only where something has failed.
@@ -307,7 +307,7 @@
 }
 
 // Reply is a frame that a server wrote.
-type Reply = rig.Reply
+type Reply = harness.Reply
 
 // Dial connects to a server.
 func Dial(t testing.TB, address string) *Router {
@@ -321,7 +321,7 @@
 
 // Frame builds a frame whose fields are names and values in turn.
 func Frame(kind byte, stream uint32, body string, fields ...string) []byte {
-	return rig.Frame(kind, stream, body, fields...)
+	return harness.Frame(kind, stream, body, fields...)
 }
 
 // Call names the task that a test sends on a stream.
@@ -346,7 +346,7 @@
 // Next reads the next frame.
 func (r *Router) Next(t testing.TB) Reply {
 	t.Helper()
-	reply, err := rig.ReadReply(r)
+	reply, err := harness.ReadReply(r)
 	require.NoError(t, err)
 	return reply
 }
@@ -355,7 +355,7 @@
 func (r *Router) Rest(t testing.TB) (all []Reply) {
 	t.Helper()
 	for {
-		reply, err := rig.ReadReply(r)
+		reply, err := harness.ReadReply(r)
 		if err != nil {
 			require.ErrorIs(t, err, io.EOF, "the connection was reset, or an answer cut short, behind %v", all)
 			return all
--- a/internal/faultdisk/faultdisk.go
+++ b/internal/testkit/faultdisk/faultdisk.go
@@ -14,7 +14,7 @@
 	"slices"
 	"sync"
 
-	"quartzpoint/internal/folder"
+	"quartzpoint/internal/datadir"
 )
 
 // Errors of a disk.
@@ -220,15 +220,15 @@
 
 func wrong(op, name string, err error) error { return &fs.PathError{Op: op, Path: name, Err: err} }
 
-// List implements folder.Folder, as do the methods below it.
-func (d *Disk) List() (all []folder.Entry, err error) {
+// List implements datadir.Folder, as do the methods below it.
+func (d *Disk) List() (all []datadir.Entry, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.PowerAt > 0 && d.ops >= d.PowerAt {
 		return nil, ErrPower
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.names)) {
-		all = append(all, folder.Entry{Name: name, Size: int64(len(d.names[name].data)), Regular: true})
+		all = append(all, datadir.Entry{Name: name, Size: int64(len(d.names[name].data)), Regular: true})
 	}
 	return all, nil
 }
@@ -243,12 +243,12 @@
 	case n == nil:
 		return nil, wrong("read", name, fs.ErrNotExist)
 	case int64(len(n.data)) > most:
-		return nil, wrong("read", name, folder.ErrTooLarge)
+		return nil, wrong("read", name, datadir.ErrTooLarge)
 	}
 	return slices.Clone(n.data), nil
 }
 
-func (d *Disk) Create(name string) (folder.File, error) {
+func (d *Disk) Create(name string) (datadir.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.op("create"); err != nil {
--- a/internal/rig/check_test.go
+++ b/internal/testkit/harness/check_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"testing"
--- a/internal/rig/frames.go
+++ b/internal/testkit/harness/frames.go
@@ -1,7 +1,7 @@
-// Package rig plays what stands round real daemons, in real time and on loopback: worker pools that take the
+// Package harness plays what stands round real daemons, in real time and on loopback: worker pools that take the
 // time that a model says, and routers that send a seeded load. It is for measurements and drills; what it tells
 // is measured on sockets, with emulated workers.
-package rig
+package harness
 
 import (
 	"encoding/binary"
--- a/internal/rig/load.go
+++ b/internal/testkit/harness/load.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 	"time"
 
 	"quartzpoint/emulator"
-	"quartzpoint/rules"
+	"quartzpoint/rulecheck"
 )
 
 // What is played in real time is what the emulator plays in simulated time.
@@ -66,7 +66,7 @@
 
 // Check holds what happened, as it was sent, begun and answered, against the four rules. The pools are all that ran
 // anything of it.
-func (r *Result) Check(pools ...*Workers) rules.Report {
+func (r *Result) Check(pools ...*Workers) rulecheck.Report {
 	var first time.Time
 	starts := map[string][]time.Time{}
 	for _, w := range pools {
@@ -76,28 +76,28 @@
 		}
 		w.mu.Unlock()
 	}
-	var events []rules.Event
+	var events []rulecheck.Event
 	for i, s := range r.sent {
 		if first.IsZero() || s.at.Before(first) {
 			first = s.at
 		}
 		try := uint64(i + 1)
-		event := func(kind rules.Kind, at time.Time) rules.Event {
-			return rules.Event{Kind: kind, At: at.Sub(first), Try: try, Effect: s.effect, Due: s.due.Sub(first), Dismissed: s.code == 50}
+		event := func(kind rulecheck.Kind, at time.Time) rulecheck.Event {
+			return rulecheck.Event{Kind: kind, At: at.Sub(first), Try: try, Effect: s.effect, Due: s.due.Sub(first), Dismissed: s.code == 50}
 		}
-		events = append(events, event(rules.Read, s.at))
+		events = append(events, event(rulecheck.Read, s.at))
 		for _, at := range starts[s.id] {
-			events = append(events, event(rules.Started, at))
+			events = append(events, event(rulecheck.Started, at))
 		}
 		for _, at := range s.answered {
-			events = append(events, event(rules.Answered, at))
+			events = append(events, event(rulecheck.Answered, at))
 		}
 		if s.lost {
-			events = append(events, event(rules.Gone, s.due))
+			events = append(events, event(rulecheck.Gone, s.due))
 		}
 	}
-	slices.SortStableFunc(events, func(a, b rules.Event) int { return cmp.Compare(a.At, b.At) })
-	checker := rules.New(answerSlack)
+	slices.SortStableFunc(events, func(a, b rulecheck.Event) int { return cmp.Compare(a.At, b.At) })
+	checker := rulecheck.New(answerSlack)
 	last := time.Duration(0)
 	for _, e := range events {
 		checker.Take(e)
--- a/internal/scale/configuration.go
+++ b/internal/testkit/scale/configuration.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
 )
 
 // Series of the configuration service's run; the last number of each name is what grew.
@@ -161,7 +161,7 @@
 	for i, d := range r.servers {
 		load, types := steadyLoad(requestRate, span, r.part(PlannedRoutes), r.Seed+int64(i))
 		group.Go(func() {
-			got, failed := rig.Run(d.Address, types, load, 1)
+			got, failed := harness.Run(d.Address, types, load, 1)
 			mu.Lock()
 			defer mu.Unlock()
 			if got.Codes[honoured] < got.Tasks {
--- a/internal/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -19,7 +19,7 @@
 
 	"quartzpoint/configuration"
 	"quartzpoint/internal/configwatch"
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
 )
 
 // configurationRun is one run.
@@ -27,7 +27,7 @@
 	*Configuration
 	service  *Service
 	children []*watcherChild
-	servers  []*rig.Daemon
+	servers  []*harness.Daemon
 	recorder *configwatch.Watcher
 
 	mu      sync.Mutex
@@ -212,8 +212,8 @@
 	for _, m := range r.service.Watched(majority) {
 		own += fmt.Sprintf("[[configuration.machine]]\nzone = %q\naddress = %q\n", m.Zone, m.Address)
 	}
-	machine := rig.Machine{Cores: machineCores, Speed: 1, KB: 4e6}
-	d, err := rig.Launch(r.Daemon, []string{"serve"}, r.Folder, name, machine, own, func(listen, pool, members string) ([]byte, error) {
+	machine := harness.Machine{Cores: machineCores, Speed: 1, KB: 4e6}
+	d, err := harness.Launch(r.Daemon, []string{"serve"}, r.Folder, name, machine, own, func(listen, pool, members string) ([]byte, error) {
 		return Site(r.part(PlannedRoutes), r.part(PlannedTenants), listen, pool, members)
 	})
 	if err != nil {
@@ -226,7 +226,7 @@
 var inForceLine = regexp.MustCompile(`time=(\S+) level=INFO msg="configuration: in force" version=(\d+)`)
 
 // versionOf is what a real server logged last as in force.
-func versionOf(d *rig.Daemon) uint64 {
+func versionOf(d *harness.Daemon) uint64 {
 	all := inForceLine.FindAllStringSubmatch(d.Log(), -1)
 	if len(all) == 0 {
 		return 0
--- a/internal/scale/fleets.go
+++ b/internal/testkit/scale/fleets.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"quartzpoint/internal/faultnet"
+	"quartzpoint/internal/testkit/faultnet"
 )
 
 // Series of the hollow fleets.
--- a/internal/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -15,11 +15,11 @@
 	"sync/atomic"
 	"time"
 
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/exchange"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/leasing"
-	"quartzpoint/internal/membership"
-	"quartzpoint/knowledge"
+	"quartzpoint/internal/peersync"
+	"quartzpoint/internal/registration"
 	"quartzpoint/lease"
 )
 
@@ -39,7 +39,7 @@
 
 // HollowState is what a hollow process tells of itself.
 type HollowState struct {
-	Traffic exchange.Traffic
+	Traffic peersync.Traffic
 	Cold    int                 // servers that have no view yet
 	Holders map[string][]string // duty to the servers that may act on it now
 }
@@ -66,7 +66,7 @@
 	spec   *HollowSpec
 	place  int
 	cancel context.CancelFunc
-	giver  *exchange.Giver
+	giver  *peersync.Giver
 	keeper *leasing.Keeper
 	warm   atomic.Bool
 	over   sync.WaitGroup
@@ -119,7 +119,7 @@
 }
 
 func stateOf(servers []*hollowServer) HollowState {
-	state := HollowState{Traffic: exchange.Total(), Holders: map[string][]string{}}
+	state := HollowState{Traffic: peersync.Total(), Holders: map[string][]string{}}
 	for _, s := range servers {
 		if !s.warm.Load() {
 			state.Cold++
@@ -141,10 +141,10 @@
 // start begins all of the server's control code.
 func (s *hollowServer) start() error {
 	log := slog.New(slog.DiscardHandler)
-	counts := check.New(log)
+	counts := invariant.New(log)
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	giver, err := exchange.Listen(s.address(), nil, now, counts)
+	giver, err := peersync.Listen(s.address(), nil, now, counts)
 	if err != nil {
 		return err
 	}
@@ -153,12 +153,12 @@
 	s.warm.Store(false)
 	ctx, cancel := context.WithCancel(s.dialedFrom(context.Background()))
 	s.cancel = cancel
-	reporter := membership.New(fmt.Sprintf("hollow-%d", s.place), s.spec.Members, log)
-	s.over.Go(func() { reporter.Run(ctx, membership.Period) })
+	reporter := registration.New(fmt.Sprintf("hollow-%d", s.place), s.spec.Members, log)
+	s.over.Go(func() { reporter.Run(ctx, registration.Period) })
 	s.over.Go(func() { s.share(ctx, giver, now) })
-	asker := &exchange.Asker{
+	asker := &peersync.Asker{
 		Peers: s.peers(), Total: askTotal, Frame: s.frame(), Seed: s.spec.Seed + int64(s.place),
-		Cold: func() bool { return !s.warm.Load() }, Take: func(knowledge.View) { s.warm.Store(true) },
+		Cold: func() bool { return !s.warm.Load() }, Take: func(estimate.View) { s.warm.Store(true) },
 		Counts: counts, Log: log,
 	}
 	s.over.Go(func() { asker.Run(ctx) })
@@ -168,7 +168,7 @@
 // dialedFrom has the server's talks begin at its own host, as those of a machine of its own would.
 func (s *hollowServer) dialedFrom(ctx context.Context) context.Context {
 	own := netip.MustParseAddrPort(s.address())
-	return exchange.WithLocal(ctx, &net.TCPAddr{IP: own.Addr().AsSlice()})
+	return peersync.WithLocal(ctx, &net.TCPAddr{IP: own.Addr().AsSlice()})
 }
 
 // vote makes the server a voter where the spec says so.
@@ -228,8 +228,8 @@
 }
 
 // frame is what all hollow servers agree on, with an origin of the server's own.
-func (s *hollowServer) frame() knowledge.Frame {
-	f := knowledge.Frame{Terms: sharedTerms, Origin: uint64(s.place) + 1}
+func (s *hollowServer) frame() estimate.Frame {
+	f := estimate.Frame{Terms: sharedTerms, Origin: uint64(s.place) + 1}
 	for i := range s.spec.Routes {
 		f.Types, f.Outer = append(f.Types, RouteName(i)), append(f.Outer, 3*time.Second)
 	}
@@ -237,12 +237,12 @@
 }
 
 // share leaves a view for others once a second, from the moment on at which the server has seen enough.
-func (s *hollowServer) share(ctx context.Context, giver *exchange.Giver, now func() time.Duration) {
+func (s *hollowServer) share(ctx context.Context, giver *peersync.Giver, now func() time.Duration) {
 	frame := s.frame()
-	view := knowledge.View{Origin: frame.Origin, Terms: frame.Terms}
-	seen := knowledge.Estimate{Mean: viewMean, Spread: viewMean / 2, Samples: viewSamples}
+	view := estimate.View{Origin: frame.Origin, Terms: frame.Terms}
+	seen := estimate.Estimate{Mean: viewMean, Spread: viewMean / 2, Samples: viewSamples}
 	for _, name := range frame.Types {
-		view.Types = append(view.Types, knowledge.TypeView{Name: name, Core: seen, Run: seen})
+		view.Types = append(view.Types, estimate.TypeView{Name: name, Core: seen, Run: seen})
 	}
 	ticker := time.NewTicker(viewEach)
 	defer ticker.Stop()
--- a/internal/scale/load.go
+++ b/internal/testkit/scale/load.go
@@ -15,7 +15,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
 )
 
 const (
@@ -76,7 +76,7 @@
 	}
 	if rate > 0 {
 		over.Go(func() {
-			frame := rig.Frame(checkFrame, 1, "")
+			frame := harness.Frame(checkFrame, 1, "")
 			gap := time.Duration(float64(time.Second) / rate)
 			for next, i := time.Now(), 0; ; i++ {
 				select {
@@ -114,7 +114,7 @@
 			during()
 		})
 	}
-	in, frame := bufio.NewReader(conn), rig.Frame(checkFrame, 1, "")
+	in, frame := bufio.NewReader(conn), harness.Frame(checkFrame, 1, "")
 	var took []float64
 	for began := time.Now(); time.Since(began) < span; {
 		sent := time.Now()
@@ -122,7 +122,7 @@
 		if _, err := conn.Write(frame); err != nil {
 			return took, fmt.Errorf("checker: %w", err)
 		}
-		if _, err := rig.ReadReply(in); err != nil {
+		if _, err := harness.ReadReply(in); err != nil {
 			return took, fmt.Errorf("checker: %w", err)
 		}
 		took = append(took, milliseconds(time.Since(sent)))
@@ -133,16 +133,16 @@
 
 // steadyLoad are requests at a rate, each of the same work, at moments that a seed moves a little, over some of the
 // routes that may simply be repeated.
-func steadyLoad(rate float64, span time.Duration, routes int, seed int64) (load []rig.Arrival, types []rig.Type) {
+func steadyLoad(rate float64, span time.Duration, routes int, seed int64) (load []harness.Arrival, types []harness.Type) {
 	for i := 0; i < routes && len(types) < loadedRoutes; i += keyedEvery {
-		types = append(types, rig.Type{
+		types = append(types, harness.Type{
 			Name: RouteName(i), Contract: 900 * time.Millisecond, Outer: 3 * time.Second, Importance: 1,
 		})
 	}
 	chance := rand.New(rand.NewSource(seed))
 	for i := range int(rate * span.Seconds()) {
 		at := (float64(i) + chance.Float64()) / rate
-		load = append(load, rig.Arrival{
+		load = append(load, harness.Arrival{
 			At: time.Duration(at * float64(time.Second)), Type: i % len(types), Work: directWork, Rank: 0.5,
 		})
 	}
@@ -150,8 +150,8 @@
 }
 
 // runDirect sends a load straight to workers of its own and gives how long each request took.
-func runDirect(load []rig.Arrival) ([]time.Duration, error) {
-	workers, err := rig.NewWorkers(rig.Machine{Cores: machineCores, Speed: 1, KB: 4e6})
+func runDirect(load []harness.Arrival) ([]time.Duration, error) {
+	workers, err := harness.NewWorkers(harness.Machine{Cores: machineCores, Speed: 1, KB: 4e6})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"quartzpoint/internal/configwatch"
-	"quartzpoint/internal/exchange"
-	"quartzpoint/internal/faultnet"
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/peersync"
+	"quartzpoint/internal/testkit/faultnet"
+	"quartzpoint/internal/testkit/harness"
 )
 
 // serviceKey is the shared secret of a measured service, hexadecimal.
@@ -40,11 +40,11 @@
 	sessions []string
 	replicas []string
 	cmds     []*exec.Cmd
-	logs     []*rig.LogText
+	logs     []*harness.LogText
 	links    []*faultnet.Proxy
 	crossing map[string]string // sessions of each machine as those of the other side dial it
 	reach    map[string]string // replication of each machine, the same
-	keys     exchange.Keys
+	keys     peersync.Keys
 }
 
 // sideOf has the last two machines on the smaller side.
@@ -59,7 +59,7 @@
 func StartService(program, folder string) (s *Service, err error) {
 	s = &Service{
 		program: program, folder: folder, crossing: map[string]string{}, reach: map[string]string{},
-		keys: exchange.Keys{[]byte(strings.Repeat("\x5e", len(serviceKey)/2))},
+		keys: peersync.Keys{[]byte(strings.Repeat("\x5e", len(serviceKey)/2))},
 	}
 	defer func() {
 		if err != nil {
@@ -72,7 +72,7 @@
 	for i := range ControlMachines {
 		s.names = append(s.names, fmt.Sprintf("control-%d", i))
 		for _, list := range []*[]string{&s.sessions, &s.replicas} {
-			address, err := rig.FreeAddress()
+			address, err := harness.FreeAddress()
 			if err != nil {
 				return s, err
 			}
@@ -86,7 +86,7 @@
 			s.links, into[address] = append(s.links, link), link.Addr()
 		}
 	}
-	s.cmds, s.logs = make([]*exec.Cmd, ControlMachines), make([]*rig.LogText, ControlMachines)
+	s.cmds, s.logs = make([]*exec.Cmd, ControlMachines), make([]*harness.LogText, ControlMachines)
 	for i := range s.names {
 		if err := s.StartMachine(i); err != nil {
 			return s, err
@@ -117,7 +117,7 @@
 		return fmt.Errorf("service: %w", err)
 	}
 	cmd := exec.Command(s.program, "serve", "--config", path)
-	s.logs[i] = &rig.LogText{}
+	s.logs[i] = &harness.LogText{}
 	cmd.Stderr = s.logs[i]
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("service: %w", err)
--- a/internal/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
 )
 
 // What the slopes' series measure. Behind each stands "by" and what grew.
@@ -89,9 +89,9 @@
 var steps = []float64{0, 0.25, 0.5, 0.75, 1}
 
 // launch starts a daemon with tables of a size.
-func (s *Slopes) launch(name string, routes, tenants int) (*rig.Daemon, error) {
-	machine := rig.Machine{Cores: machineCores, Speed: 1, KB: 4e6}
-	return rig.Launch(s.Daemon, nil, s.Folder, name, machine, "", func(listen, pool, members string) ([]byte, error) {
+func (s *Slopes) launch(name string, routes, tenants int) (*harness.Daemon, error) {
+	machine := harness.Machine{Cores: machineCores, Speed: 1, KB: 4e6}
+	return harness.Launch(s.Daemon, nil, s.Folder, name, machine, "", func(listen, pool, members string) ([]byte, error) {
 		return Site(max(routes, fewRoutes), tenants, listen, pool, members)
 	})
 }
@@ -176,7 +176,7 @@
 }
 
 // reloads measures reloads that change nothing, and then one that changes a setting that may move in service.
-func (s *Slopes) reloads(d *rig.Daemon, job table, points Points) error {
+func (s *Slopes) reloads(d *harness.Daemon, job table, points Points) error {
 	var took []time.Duration
 	for range reloads {
 		spent, err := reload(d)
@@ -214,7 +214,7 @@
 }
 
 // reload has a daemon read its configuration anew and gives the processor time that took.
-func reload(d *rig.Daemon) (time.Duration, error) {
+func reload(d *harness.Daemon) (time.Duration, error) {
 	const told = `msg="new configuration"`
 	seen := strings.Count(d.Log(), told)
 	before, err := CPU(d.PID())
@@ -255,7 +255,7 @@
 }
 
 // checksOverReload times health checks on a quiet daemon, and again while it reloads.
-func (s *Slopes) checksOverReload(d *rig.Daemon, job table, points Points) error {
+func (s *Slopes) checksOverReload(d *harness.Daemon, job table, points Points) error {
 	quiet, err := timeChecks(d.Address, checkEach, checkedForSpan/2, nil)
 	if err != nil {
 		return err
@@ -312,7 +312,7 @@
 func (s *Slopes) checks(context.Context) (Points, error) {
 	points := Points{}
 	for _, routes := range s.bothSizes() {
-		err := s.loaded(routes, func(d *rig.Daemon) error {
+		err := s.loaded(routes, func(d *harness.Daemon) error {
 			callers := &callers{address: d.Address}
 			defer callers.close()
 			if err := callers.grow(checkerConns); err != nil {
@@ -337,7 +337,7 @@
 }
 
 // loaded runs a measurement on a daemon with so many routes, and with as large a part of the planned tenants.
-func (s *Slopes) loaded(routes int, measure func(d *rig.Daemon) error) (err error) {
+func (s *Slopes) loaded(routes int, measure func(d *harness.Daemon) error) (err error) {
 	tenants := 0
 	if routes > fewRoutes {
 		tenants = PlannedTenants
@@ -361,7 +361,7 @@
 	}
 	for _, routes := range s.bothSizes() {
 		series := fmt.Sprintf(seriesRequests, routes)
-		err := s.loaded(routes, func(d *rig.Daemon) error {
+		err := s.loaded(routes, func(d *harness.Daemon) error {
 			for again := range requestRepeats {
 				for i, rate := range rates {
 					if err := s.request(d, rate, routes, int64(len(rates)*again+i), series, points); err != nil {
@@ -379,16 +379,16 @@
 }
 
 // request measures one rate.
-func (s *Slopes) request(d *rig.Daemon, rate float64, routes int, place int64, series string, points Points) error {
+func (s *Slopes) request(d *harness.Daemon, rate float64, routes int, place int64, series string, points Points) error {
 	load, types := steadyLoad(rate, s.span(), routes, s.Seed+place)
 	var (
-		through                   rig.Result
+		through                   harness.Result
 		direct                    []time.Duration
 		share                     float64
 		errRun, errDirect, errCPU error
 		group                     sync.WaitGroup
 	)
-	group.Go(func() { through, errRun = rig.Run(d.Address, types, load, 1) })
+	group.Go(func() { through, errRun = harness.Run(d.Address, types, load, 1) })
 	group.Go(func() { share, errCPU = coreShare(d.PID(), s.span()) })
 	if rate > 0 { // beside it, so that what else the machine does hits both
 		group.Go(func() { direct, errDirect = runDirect(load) })
--- a/internal/scale/watchers.go
+++ b/internal/testkit/scale/watchers.go
@@ -16,7 +16,7 @@
 
 	"quartzpoint/configuration"
 	"quartzpoint/internal/configwatch"
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/peersync"
 )
 
 // WatcherSpec says which hollow watchers a process holds.
@@ -31,7 +31,7 @@
 // watcherLine is one line that a process of watchers writes: an event, or, with an answer, what it has used so far.
 type watcherLine struct {
 	Event  *watcherEvent     `json:"e,omitempty"`
-	Answer *exchange.Traffic `json:"answer,omitempty"`
+	Answer *peersync.Traffic `json:"answer,omitempty"`
 }
 
 // watcherEvent is a version that came into force.
@@ -99,7 +99,7 @@
 	watchers := make([]*hollowWatcher, spec.Count)
 	for i := range watchers {
 		watchers[i] = &hollowWatcher{place: spec.First + i}
-		watchers[i].start(spec, exchange.Keys{key}, writer)
+		watchers[i].start(spec, peersync.Keys{key}, writer)
 	}
 	defer func() {
 		for _, w := range watchers {
@@ -117,16 +117,16 @@
 			watchers[i].stop()
 		}
 		for _, i := range chosen {
-			watchers[i].start(spec, exchange.Keys{key}, writer)
+			watchers[i].start(spec, peersync.Keys{key}, writer)
 		}
-		used := exchange.Total()
+		used := peersync.Total()
 		writer.write(watcherLine{Answer: &used})
 	}
 	return lines.Err()
 }
 
 // start begins a watch with nothing in force.
-func (h *hollowWatcher) start(spec WatcherSpec, keys exchange.Keys, writer *lineWriter) {
+func (h *hollowWatcher) start(spec WatcherSpec, keys peersync.Keys, writer *lineWriter) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel, h.over = cancel, make(chan struct{})
 	event := func(e watcherEvent) {
--- a/internal/soak/checker_test.go
+++ b/internal/testkit/soak/checker_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
 )
 
 // The classes of the histories below.
@@ -38,7 +38,7 @@
 		h.Requests = append(h.Requests, r)
 		return r
 	}
-	ran := func(id string, ms int) { life.Runs = append(life.Runs, rig.RunStart{ID: id, At: at(ms)}) }
+	ran := func(id string, ms int) { life.Runs = append(life.Runs, harness.RunStart{ID: id, At: at(ms)}) }
 	request("safe", safeClass, 0, Answered{at(500), CodeServed})
 	ran("safe", 10)
 	request("keyed", keyedClass, 0, Answered{at(500), CodeServed}).Key = "k"
@@ -65,7 +65,7 @@
 }
 
 func (h *History) ran(id string, ms int) {
-	h.Lives[0].Runs = append(h.Lives[0].Runs, rig.RunStart{ID: id, At: at(ms)})
+	h.Lives[0].Runs = append(h.Lives[0].Runs, harness.RunStart{ID: id, At: at(ms)})
 }
 
 func TestAHistoryThatKeepsTheRules(t *testing.T) { assert.Empty(t, Check(kept())) }
--- a/internal/soak/client.go
+++ b/internal/testkit/soak/client.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
 )
 
 const (
@@ -158,7 +158,7 @@
 	} else if class.Calls { // the pool ends a run that stands at its call once its request is over
 		body = binary.BigEndian.AppendUint64(append(body, 0), uint64(sent.Add(ttl).UnixMilli()))
 	}
-	if err := s.write(c, rig.Frame(10, stream, string(body), fields...)); err != nil {
+	if err := s.write(c, harness.Frame(10, stream, string(body), fields...)); err != nil {
 		c.mu.Lock()
 		delete(c.open, stream)
 		c.over = true
@@ -237,7 +237,7 @@
 func (s *sender) read(c *connection) {
 	defer c.Close()
 	for {
-		reply, err := rig.ReadReply(c)
+		reply, err := harness.ReadReply(c)
 		now := time.Now()
 		c.mu.Lock()
 		r := c.open[reply.Stream]
--- a/internal/soak/history.go
+++ b/internal/testkit/soak/history.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
 )
 
 // Request is one that was written whole to a connection, and what became of it.
@@ -44,8 +44,8 @@
 	Exit    int
 	Stopped []Span // by SIGSTOP
 	Starved []Wait // for a core of this machine, as seen now and then
-	Strain  rig.Strain
-	Runs    []rig.RunStart
+	Strain  harness.Strain
+	Runs    []harness.RunStart
 	Log     string
 }
 
@@ -83,10 +83,10 @@
 	Plan     Plan
 	Lives    []*Life
 	Requests []*Request
-	Lateness time.Duration // the most by which the recorder itself was late: machine noise
-	Calls    rig.Strain    // of the shared dependency
-	CallsIn  int           // calls that it had
-	stray    int           // answers on streams that were answered, or never asked
+	Lateness time.Duration  // the most by which the recorder itself was late: machine noise
+	Calls    harness.Strain // of the shared dependency
+	CallsIn  int            // calls that it had
+	stray    int            // answers on streams that were answered, or never asked
 }
 
 // add books a request and gives what is to be filled in under the lock.
--- a/internal/soak/play.go
+++ b/internal/testkit/soak/play.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"quartzpoint/internal/faultnet"
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/faultnet"
+	"quartzpoint/internal/testkit/harness"
 )
 
 const (
@@ -28,7 +28,7 @@
 	number int
 
 	mu      sync.Mutex
-	daemon  *rig.Daemon
+	daemon  *harness.Daemon
 	proxy   *faultnet.Proxy // between the process and its pool
 	life    *Life
 	lives   int
@@ -46,7 +46,7 @@
 }
 
 // process is what runs at a slot now; nil while nothing does.
-func (s *slot) process() (*rig.Daemon, *faultnet.Proxy, *Life) {
+func (s *slot) process() (*harness.Daemon, *faultnet.Proxy, *Life) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.life == nil {
@@ -62,7 +62,7 @@
 	history *History
 	plan    *Plan
 	slots   []*slot
-	shared  *rig.Lookups
+	shared  *harness.Lookups
 }
 
 // Play plays a run and gives what was recorded.
@@ -70,7 +70,7 @@
 	h := &History{Plan: plan}
 	p := &player{program: program, folder: folder, history: h, plan: &h.Plan}
 	var err error
-	if p.shared, err = rig.NewLookups(plan.Shared.Slots, plan.Shared.Took, plan.Shared.Linger, plan.Shared.Survives, plan.Shared.Over); err != nil {
+	if p.shared, err = harness.NewLookups(plan.Shared.Slots, plan.Shared.Took, plan.Shared.Linger, plan.Shared.Survives, plan.Shared.Over); err != nil {
 		return h, err
 	}
 	defer p.shared.Close()
@@ -130,7 +130,7 @@
 			if life == nil {
 				continue
 			}
-			total, err := rig.Starved(daemon.ProcessID())
+			total, err := harness.Starved(daemon.ProcessID())
 			if err != nil {
 				continue // it has ended
 			}
@@ -153,7 +153,7 @@
 func (p *player) start(s *slot) error {
 	var proxy *faultnet.Proxy
 	name := fmt.Sprintf("s%d-%d", s.number, s.lives)
-	daemon, err := rig.Launch(p.program, nil, p.folder, name, p.plan.Machine, "", func(listen, pool, members string) ([]byte, error) {
+	daemon, err := harness.Launch(p.program, nil, p.folder, name, p.plan.Machine, "", func(listen, pool, members string) ([]byte, error) {
 		var err error
 		if proxy, err = faultnet.New(pool); err != nil {
 			return nil, err
@@ -249,9 +249,9 @@
 		sleep(ctx, f.For)
 		daemon.Workers.Hang(false)
 	case Slow:
-		daemon.Workers.Change(func(m *rig.Machine) { m.Speed = p.plan.Machine.Speed / f.Size })
+		daemon.Workers.Change(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed / f.Size })
 		sleep(ctx, f.For)
-		daemon.Workers.Change(func(m *rig.Machine) { m.Speed = p.plan.Machine.Speed })
+		daemon.Workers.Change(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed })
 	case CutLink:
 		for time.Now().Before(until) {
 			proxy.Cut()
@@ -352,7 +352,7 @@
 		return
 	}
 	defer c.Close()
-	whole := rig.Frame(10, 1, "body", "op", "class-0", "call", fmt.Sprintf("%016x", rng.Uint64()), "ttl", "-1")
+	whole := harness.Frame(10, 1, "body", "op", "class-0", "call", fmt.Sprintf("%016x", rng.Uint64()), "ttl", "-1")
 	texts := [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), {0xff, 0xff, 0xff, 0xff, 10}, whole[:1+rng.Intn(len(whole)-1)], whole}
 	_, _ = c.Write(texts[rng.Intn(len(texts))])
 }
--- a/internal/runs/calls.go
+++ b/internal/workerapi/calls.go
@@ -1,9 +1,9 @@
-package runs
+package workerapi
 
 import (
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 )
 
 // Call is what a run asks of the dependency.
@@ -17,7 +17,7 @@
 // CallEnd is how it ended.
 type CallEnd struct {
 	Call
-	Outcome choice.Outcome
+	Outcome admission.Outcome
 	Took    time.Duration
 	Result  []byte
 }
--- a/internal/runs/runs.go
+++ b/internal/workerapi/runs.go
@@ -1,5 +1,5 @@
-// Package runs holds what a server and whatever runs its tasks tell each other.
-package runs
+// Package workerapi holds what a server and whatever runs its tasks tell each other.
+package workerapi
 
 import "time"
 
--- a/internal/pool/pool.go
+++ b/internal/workerlink/pool.go
@@ -1,6 +1,6 @@
-// Package pool holds the link to the worker pool: commands out, notices in, and the link bound anew whenever
+// Package workerlink holds the link to the worker pool: commands out, notices in, and the link bound anew whenever
 // it is lost.
-package pool
+package workerlink
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
-	"quartzpoint/internal/outbox"
-	"quartzpoint/internal/runs"
+	"quartzpoint/internal/workerapi"
+	"quartzpoint/internal/writequeue"
 )
 
 const (
@@ -56,7 +56,7 @@
 	taken   sync.Cond // the owner took what had been read
 	socket  *net.TCPConn
 	raw     syscall.RawConn
-	out     *outbox.Box
+	out     *writequeue.Box
 	known   bool   // the pool has answered the bind
 	synced  bool   // and a poll behind that
 	syncAt  uint64 // nonce of the first such poll
@@ -65,7 +65,7 @@
 	quit    chan struct{}
 	read    uint64 // number of the last notice read
 	missing uint64 // number of a notice that did not come and was asked for by a new bind
-	inbox   []runs.Notice
+	inbox   []workerapi.Notice
 }
 
 // New makes a link to a pool's address that holds at most bound bytes of commands. It calls wake when there
@@ -224,7 +224,7 @@
 		return fmt.Errorf("descriptor of the link: %w", err)
 	}
 	l.mu.Lock()
-	l.socket, l.raw, l.out = socket, raw, outbox.New(l.bound)
+	l.socket, l.raw, l.out = socket, raw, writequeue.New(l.bound)
 	bind := append(strconv.AppendUint([]byte(`{"verb":"bind","index":`), l.read, 10), "}\n"...)
 	err = l.out.Add(bind)
 	l.mu.Unlock()
@@ -309,16 +309,16 @@
 			return err
 		}
 	}
-	n := runs.Notice{Task: told.Task, Outcome: told.Outcome}
+	n := workerapi.Notice{Task: told.Task, Outcome: told.Outcome}
 	switch told.Verb {
 	case "bound":
 		// Only now: a pool that is not up yet answers the bind late and takes no other command before.
 		l.known = true
 		l.syncAt = l.poll()
 		l.log.Info("pool link bound", "pool", told.Outcome, "up_ms", told.Spent, "after_notice", l.read)
-		n.Kind, n.Took = runs.Bound, time.Duration(told.Spent*float64(time.Millisecond))
+		n.Kind, n.Took = workerapi.Bound, time.Duration(told.Spent*float64(time.Millisecond))
 	case "finished":
-		n.Kind, n.Took = runs.Finished, time.Duration(told.Spent*float64(time.Millisecond))
+		n.Kind, n.Took = workerapi.Finished, time.Duration(told.Spent*float64(time.Millisecond))
 		var err error
 		if n.Result, err = base64.StdEncoding.DecodeString(told.Bytes); err != nil {
 			// The notice is kept: without it the link would be bound, and end, at this line again and again.
@@ -326,7 +326,7 @@
 			n.Outcome, n.Result = "failure", nil
 		}
 	case "blocked":
-		n.Kind = runs.Blocked
+		n.Kind = workerapi.Blocked
 		var err error
 		if n.Result, err = base64.StdEncoding.DecodeString(told.Bytes); err != nil {
 			l.saw("pool call that can't be read") // kept: the run stands there, and may do without
@@ -337,18 +337,18 @@
 			l.saw("pool line that is no notice")
 			return nil
 		}
-		n.Kind, n.Nonce, n.Readings = runs.Polled, nonce, told.Readings
+		n.Kind, n.Nonce, n.Readings = workerapi.Polled, nonce, told.Readings
 		if told.Verb == "verified" {
-			n.Kind = runs.Verified
+			n.Kind = workerapi.Verified
 		} else if l.known && !l.synced && nonce >= l.syncAt {
 			l.synced = true
-			l.inbox = append(l.inbox, runs.Notice{Kind: runs.Synced})
+			l.inbox = append(l.inbox, workerapi.Notice{Kind: workerapi.Synced})
 		} else if l.quitAt > 0 && nonce >= l.quitAt && l.quit != nil {
 			close(l.quit)
 			l.quit = nil
 		}
 	case "unknown":
-		n.Kind = runs.Unknown
+		n.Kind = workerapi.Unknown
 	default:
 		return nil // remarks, and whatever a later pool may say beside these
 	}
@@ -361,13 +361,13 @@
 	l.mu.Lock()
 	l.socket.Close()
 	l.socket, l.raw, l.out, l.known, l.synced, l.quitAt, l.quit = nil, nil, nil, false, false, 0, nil
-	l.inbox = append(l.inbox, runs.Notice{Kind: runs.Down})
+	l.inbox = append(l.inbox, workerapi.Notice{Kind: workerapi.Down})
 	l.mu.Unlock()
 	l.wake()
 }
 
 // Take moves all notices read since the last call behind into.
-func (l *Link) Take(into []runs.Notice) []runs.Notice {
+func (l *Link) Take(into []workerapi.Notice) []workerapi.Notice {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	into = append(into, l.inbox...)
@@ -386,7 +386,7 @@
 }
 
 // Start asks the pool to run a task. It tells whether a link took the command; the same holds below.
-func (l *Link) Start(r runs.Run) bool {
+func (l *Link) Start(r workerapi.Run) bool {
 	text := append(quoted(append(quoted([]byte(`{"verb":"spawn","task":`), r.ID), `,"handler":`...), r.Type), `,"bytes":"`...)
 	text = base64.StdEncoding.AppendEncode(text, r.Body)
 	return l.send(append(text, "\"}\n"...))
--- a/internal/pool/pool_test.go
+++ b/internal/workerlink/pool_test.go
@@ -1,4 +1,4 @@
-package pool
+package workerlink
 
 import (
 	"encoding/json"
@@ -11,24 +11,24 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/outbox"
-	"quartzpoint/internal/runs"
-	"quartzpoint/internal/standin"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/testkit/fake"
+	"quartzpoint/internal/workerapi"
+	"quartzpoint/internal/writequeue"
 )
 
 // bench is a link to a stand-in pool and what was read from it.
 type bench struct {
 	*Link
-	pool   *standin.Pool
-	counts *check.Counts
+	pool   *fake.Pool
+	counts *invariant.Counts
 	woken  chan struct{}
-	told   []runs.Notice
+	told   []workerapi.Notice
 }
 
 func newBench(t *testing.T) *bench {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	b := &bench{pool: standin.NewPool(t), counts: check.New(log), woken: make(chan struct{}, 1)}
+	b := &bench{pool: fake.NewPool(t), counts: invariant.New(log), woken: make(chan struct{}, 1)}
 	b.Link = New(b.pool.Address, 1<<20, log, b.counts.Saw, func() {
 		select {
 		case b.woken <- struct{}{}:
@@ -40,9 +40,9 @@
 }
 
 // next waits for the next notice of a kind and passes over others.
-func (b *bench) next(t *testing.T, kind runs.Kind) runs.Notice {
+func (b *bench) next(t *testing.T, kind workerapi.Kind) workerapi.Notice {
 	t.Helper()
-	for limit := time.After(standin.Patience); ; {
+	for limit := time.After(fake.Patience); ; {
 		for len(b.told) > 0 {
 			n := b.told[0]
 			if b.told = b.told[1:]; n.Kind == kind {
@@ -60,7 +60,7 @@
 
 func (b *bench) synced(t *testing.T) *bench {
 	b.pool.Ready()
-	b.next(t, runs.Synced)
+	b.next(t, workerapi.Synced)
 	return b
 }
 
@@ -68,38 +68,38 @@
 	b := newBench(t)
 	bind := b.pool.Next(t, "bind")
 	assert.Zero(t, bind.Index)
-	assert.False(t, b.Start(runs.Run{ID: "early", Type: "browse", Body: nil}), "a command was taken before the pool was bound")
+	assert.False(t, b.Start(workerapi.Run{ID: "early", Type: "browse", Body: nil}), "a command was taken before the pool was bound")
 	b.synced(t)
 
 	body := []byte("\x00\xff\"\n body")
-	assert.True(t, b.Start(runs.Run{ID: "t1", Type: "bro\"wse", Body: body}))
+	assert.True(t, b.Start(workerapi.Run{ID: "t1", Type: "bro\"wse", Body: body}))
 	assert.True(t, b.Pause("t1"))
 	assert.True(t, b.GoOn("t1"))
 	assert.True(t, b.Verify(4))
 	b.Flush()
 	spawn := b.pool.Next(t, "spawn")
-	assert.Equal(t, standin.Command{Verb: "spawn", Task: "t1", Handler: "bro\"wse", Body: body}, spawn)
+	assert.Equal(t, fake.Command{Verb: "spawn", Task: "t1", Handler: "bro\"wse", Body: body}, spawn)
 	for _, verb := range []string{"suspend", "proceed"} {
 		assert.Equal(t, "t1", b.pool.Next(t, verb).Task)
 	}
 	assert.Equal(t, "4", b.pool.Next(t, "verify").Nonce)
-	ended := b.next(t, runs.Finished)
+	ended := b.next(t, workerapi.Finished)
 	assert.Equal(t, "interrupted", ended.Outcome)
 	assert.Equal(t, 5500*time.Microsecond, ended.Took)
 
-	assert.True(t, b.Start(runs.Run{ID: "t2", Type: "browse", Body: body})) // which stays, so that no reading is 0
+	assert.True(t, b.Start(workerapi.Run{ID: "t2", Type: "browse", Body: body})) // which stays, so that no reading is 0
 	next := b.Next()
 	nonce, sent := b.Poll()
 	b.Flush()
 	assert.True(t, sent)
 	assert.Equal(t, next, nonce)
-	assert.Equal(t, []float64{0.25, 1, 0.0027, 3}, b.next(t, runs.Polled).Readings)
+	assert.Equal(t, []float64{0.25, 1, 0.0027, 3}, b.next(t, workerapi.Polled).Readings)
 
 	b.pool.Say(`{"verb":"chatter","index":2,"outcome":"hm"}` + "\n" + `{"verb":"unk`)
 	b.pool.Say(`nown","outcome":"spawn","task":"t9"}` + "\n" + `{"verb":"verified","nonce":"4","outcome":"failure"}` + "\n")
-	unknown := b.next(t, runs.Unknown)
+	unknown := b.next(t, workerapi.Unknown)
 	assert.Equal(t, []string{"spawn", "t9"}, []string{unknown.Outcome, unknown.Task})
-	assert.Equal(t, uint64(4), b.next(t, runs.Verified).Nonce)
+	assert.Equal(t, uint64(4), b.next(t, workerapi.Verified).Nonce)
 }
 
 // A pool that came up long after the server had refused the one poll sent before it was up, and its link was
@@ -119,7 +119,7 @@
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
 	for _, id := range []string{"a", "b", "c"} {
-		b.Start(runs.Run{ID: id, Type: "pay", Body: nil})
+		b.Start(workerapi.Run{ID: id, Type: "pay", Body: nil})
 		b.Flush()
 		b.pool.Next(t, "spawn")
 	}
@@ -127,17 +127,17 @@
 	b.pool.Finish("b", "success", []byte("second"))
 	assert.Equal(t, 0, b.pool.Next(t, "bind").Index)
 	for _, want := range []string{"first", "second"} {
-		assert.Equal(t, want, string(b.next(t, runs.Finished).Result))
+		assert.Equal(t, want, string(b.next(t, workerapi.Finished).Result))
 	}
 	assert.Equal(t, 1, b.counts.Times("pool notices missed, asked for again"))
-	b.next(t, runs.Synced) // of this link, so that the one waited for below is the next link's
+	b.next(t, workerapi.Synced) // of this link, so that the one waited for below is the next link's
 
 	// One that the pool does not keep any more is asked for once.
 	b.pool.Say(`{"verb":"finished","index":7,"task":"c","outcome":"success","spent":1,"bytes":""}` + "\n")
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index)
-	b.next(t, runs.Synced)
+	b.next(t, workerapi.Synced)
 	b.pool.Say(`{"verb":"finished","index":7,"task":"c","outcome":"success","spent":1,"bytes":""}` + "\n")
-	assert.Equal(t, "c", b.next(t, runs.Finished).Task)
+	assert.Equal(t, "c", b.next(t, workerapi.Finished).Task)
 	assert.Equal(t, 1, b.counts.Times("pool notices missed"))
 }
 
@@ -145,28 +145,28 @@
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
 	for _, id := range []string{"a", "b"} {
-		b.Start(runs.Run{ID: id, Type: "pay", Body: nil})
+		b.Start(workerapi.Run{ID: id, Type: "pay", Body: nil})
 		b.Flush()
 		b.pool.Next(t, "spawn")
 	}
 	b.pool.Finish("a", "success", []byte("first"))
-	assert.Equal(t, "first", string(b.next(t, runs.Finished).Result))
+	assert.Equal(t, "first", string(b.next(t, workerapi.Finished).Result))
 	b.pool.Cut()
-	b.next(t, runs.Down)
+	b.next(t, workerapi.Down)
 	b.pool.Finish("b", "success", []byte("second")) // while no link is there, or on the next one
 	assert.Equal(t, 1, b.pool.Next(t, "bind").Index)
-	n := b.next(t, runs.Finished)
+	n := b.next(t, workerapi.Finished)
 	assert.Equal(t, "second", string(n.Result), "the end that came without a link is told once it is back")
 	b.pool.Say(`{"verb":"finished","index":2,"task":"b","outcome":"success","spent":1,"bytes":""}` + "\n")
-	b.next(t, runs.Synced) // of this link, so that the one waited for below is the next link's
+	b.next(t, workerapi.Synced) // of this link, so that the one waited for below is the next link's
 	const beyond = `{"verb":"finished","index":5,"task":"c","outcome":"failure","spent":1}` + "\n"
 	b.pool.Say(beyond)
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index, "what is missing is asked for")
-	b.next(t, runs.Synced)
+	b.next(t, workerapi.Synced)
 	b.pool.Say(beyond)
-	assert.Equal(t, "c", b.next(t, runs.Finished).Task, "a notice told again was taken as a new one")
+	assert.Equal(t, "c", b.next(t, workerapi.Finished).Task, "a notice told again was taken as a new one")
 	b.pool.Say(`{"verb":"finished","index":6,"task":"d","outcome":"success","spent":1,"bytes":"*"}` + "\n")
-	assert.Equal(t, "failure", b.next(t, runs.Finished).Outcome, "a result that can't be read")
+	assert.Equal(t, "failure", b.next(t, workerapi.Finished).Outcome, "a result that can't be read")
 	assert.Equal(t, 1, b.counts.Times("pool notice told again"))
 	assert.Equal(t, 1, b.counts.Times("pool notices missed"))
 }
@@ -184,7 +184,7 @@
 			b := newBench(t).synced(t)
 			b.pool.Next(t, "bind")
 			b.pool.Say(text + `{"verb":"finished","index":1,"task":"a","outcome":"success","spent":1}` + "\n")
-			assert.Equal(t, "a", b.next(t, runs.Finished).Task)
+			assert.Equal(t, "a", b.next(t, workerapi.Finished).Task)
 			assert.Equal(t, 1, b.counts.Times("pool line that is no notice"))
 			assert.Zero(t, b.counts.Times("pool link lost or refused"))
 		})
@@ -196,37 +196,37 @@
 func TestMove(t *testing.T) {
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
-	b.Start(runs.Run{ID: "a", Type: "pay", Body: nil})
+	b.Start(workerapi.Run{ID: "a", Type: "pay", Body: nil})
 	mark := b.Next()
 	b.Flush()
 	b.pool.Next(t, "spawn")
 	b.pool.Finish("a", "success", nil)
-	b.next(t, runs.Finished)
+	b.next(t, workerapi.Finished)
 
 	b.Move("127.0.0.1:1") // nobody answers there
 	time.Sleep(3 * firstWait)
-	assert.True(t, b.Start(runs.Run{ID: "b", Type: "pay", Body: nil}), "the old link works until a new one is open")
+	assert.True(t, b.Start(workerapi.Run{ID: "b", Type: "pay", Body: nil}), "the old link works until a new one is open")
 	b.Flush()
 	b.pool.Next(t, "spawn")
 	b.pool.Move(t)
 	b.Move(b.pool.Address)
-	assert.GreaterOrEqual(t, b.next(t, runs.Polled).Nonce, mark, "nothing sent before is in doubt")
-	b.next(t, runs.Down)
+	assert.GreaterOrEqual(t, b.next(t, workerapi.Polled).Nonce, mark, "nothing sent before is in doubt")
+	b.next(t, workerapi.Down)
 	assert.Equal(t, 1, b.pool.Next(t, "bind").Index)
-	b.next(t, runs.Synced)
+	b.next(t, workerapi.Synced)
 	b.pool.Finish("b", "success", nil)
-	assert.Equal(t, "b", b.next(t, runs.Finished).Task)
+	assert.Equal(t, "b", b.next(t, workerapi.Finished).Task)
 	assert.Zero(t, b.counts.Times("pool link lost or refused"))
 
 	b.pool.Cut()
-	b.next(t, runs.Down)
+	b.next(t, workerapi.Down)
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index, "a link lost later is made good at the new address")
-	b.next(t, runs.Synced)
+	b.next(t, workerapi.Synced)
 
 	b.pool.Silence(true) // a pool that leaves the last poll unanswered
 	b.pool.Move(t)
 	b.Move(b.pool.Address)
-	b.next(t, runs.Down)
+	b.next(t, workerapi.Down)
 	assert.Equal(t, 1, b.counts.Times("pool did not answer the last poll of a link that moved"))
 	b.pool.Next(t, "bind")
 }
@@ -237,12 +237,12 @@
 	b.pool.Next(t, "bind")
 	b.bound = 1 << 10
 	b.pool.Cut()
-	b.next(t, runs.Synced)
+	b.next(t, workerapi.Synced)
 	for range 100 {
-		b.Start(runs.Run{ID: "t", Type: "browse", Body: make([]byte, 512)})
+		b.Start(workerapi.Run{ID: "t", Type: "browse", Body: make([]byte, 512)})
 	}
-	b.next(t, runs.Down)
-	b.next(t, runs.Synced)
+	b.next(t, workerapi.Down)
+	b.next(t, workerapi.Synced)
 }
 
 // Whatever JSON the pool writes, a line is one notice at most, and its number never goes back.
@@ -256,7 +256,7 @@
 			return
 		}
 		l := New("", 1<<20, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {}, func() {})
-		l.out, l.read = outbox.New(1<<20), 3
+		l.out, l.read = writequeue.New(1<<20), 3
 		l.sort(&told)
 		assert.LessOrEqual(t, len(l.inbox), 2)
 		assert.GreaterOrEqual(t, l.read, uint64(3))
--- a/internal/outbox/outbox.go
+++ b/internal/writequeue/outbox.go
@@ -1,6 +1,6 @@
-// Package outbox holds what waits to be written to one peer and writes it gathered, without ever waiting
+// Package writequeue holds what waits to be written to one peer and writes it gathered, without ever waiting
 // for the peer.
-package outbox
+package writequeue
 
 import (
 	"errors"
--- a/internal/outbox/outbox_test.go
+++ b/internal/writequeue/outbox_test.go
@@ -1,4 +1,4 @@
-package outbox
+package writequeue
 
 import (
 	"bytes"
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
 )
 
 // Version is that of the files written here.
@@ -41,7 +41,7 @@
 	Name    string
 	Why     string // nothing of it can be used, and why not
 	Header  Header
-	View    *knowledge.View
+	View    *estimate.View
 	Records []Record // whole, in order, up to the first that is not
 	Whole   bool     // nothing else is in it
 	End     int64    // where what is not whole begins
@@ -52,7 +52,7 @@
 type Here struct {
 	Now   Moment
 	Site  string
-	Frame knowledge.Frame // which views fit; its zero value where none is wanted
+	Frame estimate.Frame // which views fit; its zero value where none is wanted
 }
 
 // Aside is something to be kept that was not used: a file, or what is behind a place in it.
@@ -66,7 +66,7 @@
 
 // Plan is what is to be used, and what becomes of the rest.
 type Plan struct {
-	View     knowledge.View // aged; not Fresh where none is used
+	View     estimate.View // aged; not Fresh where none is used
 	ViewFrom string
 	Table    *Table
 	Unknown  int    // numbers whose end is not known
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
 )
 
 // TestMain draws the same cases every time; another seed is stated with -rapid.seed.
@@ -73,11 +73,11 @@
 	})
 }
 
-var frame = knowledge.Frame{Terms: 7, Origin: 99, Types: []string{"pay"}, Outer: []time.Duration{4 * time.Second}}
+var frame = estimate.Frame{Terms: 7, Origin: 99, Types: []string{"pay"}, Outer: []time.Duration{4 * time.Second}}
 
-func view(mean float64) *knowledge.View {
-	e := knowledge.Estimate{Mean: mean, Samples: 20}
-	return &knowledge.View{Origin: 1, Terms: 7, Types: []knowledge.TypeView{{Name: "pay", Core: e, Run: e}}}
+func view(mean float64) *estimate.View {
+	e := estimate.Estimate{Mean: mean, Samples: 20}
+	return &estimate.View{Origin: 1, Terms: 7, Types: []estimate.TypeView{{Name: "pay", Core: e, Run: e}}}
 }
 
 func viewFile(place uint64, mean float64, at Moment) Found {
@@ -224,8 +224,8 @@
 func TestWorth(t *testing.T) {
 	warm, cold := *view(0.1), *view(0.1)
 	cold.Types[0].Core.Samples = 2
-	assert.True(t, Worth(warm, knowledge.View{}, 0))
-	assert.False(t, Worth(cold, knowledge.View{}, 0), "what the one before left is worth more")
+	assert.True(t, Worth(warm, estimate.View{}, 0))
+	assert.False(t, Worth(cold, estimate.View{}, 0), "what the one before left is worth more")
 	assert.False(t, Worth(warm.Aged(time.Second), warm, time.Second), "nothing was seen since")
 	assert.True(t, Worth(warm.Aged(time.Second/2), warm, time.Second))
 }
--- a/recovery/worth.go
+++ b/recovery/worth.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
 )
 
 // Worth tells whether a view is to be written in the place of the one written so long before. A server that has seen
 // too little itself keeps what the one before it left: else one that starts, and is killed, and starts again would lose
 // all by its second start. One that has seen nothing new since is not written again either: what was written ages by
 // itself.
-func Worth(v, before knowledge.View, since time.Duration) bool {
+func Worth(v, before estimate.View, since time.Duration) bool {
 	if v.Cold() {
 		return false
 	}
--- a/rules/rules.go
+++ b/rulecheck/rules.go
@@ -1,4 +1,4 @@
-// Package rules checks the four rules on what happened, emulated or on sockets, one event after the other:
+// Package rulecheck checks the four rules on what happened, emulated or on sockets, one event after the other:
 //
 //  1. every task read gets exactly one answer before its due time, unless its caller is gone;
 //  2. no effect twice: a task that has run is never dismissed, and one with an effect begins once;
@@ -6,7 +6,7 @@
 //  4. memory, the crowd on the cores and a dependency's load stay under what they survive.
 //
 // It keeps what is open and the effects that came about, does no I/O and reads no clock.
-package rules
+package rulecheck
 
 import (
 	"fmt"
--- a/rules/rules_test.go
+++ b/rulecheck/rules_test.go
@@ -1,4 +1,4 @@
-package rules
+package rulecheck
 
 import (
 	"testing"
--- a/drill/drill.go
+++ b/scenario/drill.go
@@ -1,4 +1,4 @@
-// Package drill reads incident scripts: what a fleet is, what comes, and what goes wrong when. It plays them on an emulated
+// Package scenario reads incident scripts: what a fleet is, what comes, and what goes wrong when. It plays them on an emulated
 // world; the same script drives real daemons elsewhere. It does no I/O: scripts come as text.
 //
 // A script is a row of statements, one a line; # begins a comment.
@@ -12,7 +12,7 @@
 //	at 12s for 6s load by 1.5
 //
 // Whatever goes on for a while ends after its "for"; without one it stays.
-package drill
+package scenario
 
 import (
 	"errors"
--- a/drill/play.go
+++ b/scenario/play.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"math"
--- a/state.go
+++ b/state.go
@@ -5,11 +5,11 @@
 	"log/slog"
 	"time"
 
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/folder"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/server"
 	"quartzpoint/internal/store"
-	"quartzpoint/knowledge"
 )
 
 // State is a folder in which a gate keeps what the gate after it, in another process, goes on from: what it learned,
@@ -22,12 +22,12 @@
 	Commit    time.Duration // for which numbers are gathered before they are written (1 ms); below 0 not at all
 	NoNumbers bool          // only what was learned is kept
 
-	open func(only bool) (folder.Folder, error) // in the place of Dir, for tests
+	open func(only bool) (datadir.Folder, error) // in the place of Dir, for tests
 }
 
 // keepState opens the folder and has the gate go on from it. Only a folder that another process holds is an error;
 // without any other the gate serves on, and the log says so.
-func (g *Gate) keepState(t *State, origin uint64, counts *check.Counts, log *slog.Logger) error {
+func (g *Gate) keepState(t *State, origin uint64, counts *invariant.Counts, log *slog.Logger) error {
 	given := *t
 	if t = &given; t.MostMB == 0 {
 		t.MostMB = 64
@@ -38,13 +38,13 @@
 	if t.Dir == "" || t.MostMB < 8 {
 		return fmt.Errorf("quartzpoint: State: Dir is needed, and MostMB of 8 or more")
 	}
-	frame := g.owner.Share(origin, func(v knowledge.View, _ time.Duration) {
+	frame := g.owner.Share(origin, func(v estimate.View, _ time.Duration) {
 		g.view.Store(&v)
 		g.state.View(v)
 	})
 	open := t.open
 	if open == nil {
-		open = folder.Opener(t.Dir)
+		open = datadir.Opener(t.Dir)
 	}
 	kept, had, err := store.New(store.Terms{
 		Open: open, Clock: store.SystemClock(), ID: store.DrawID, Site: t.Site, Frame: frame,
--- a/state_test.go
+++ b/state_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/internal/faultdisk"
-	"quartzpoint/internal/folder"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/testkit/faultdisk"
 )
 
 // stateTerms are those of a gate with one numbered type and a folder.
@@ -22,7 +22,7 @@
 }
 
 func on(disk *faultdisk.Disk) *State {
-	return &State{Dir: "none", open: func(bool) (folder.Folder, error) { return disk, nil }}
+	return &State{Dir: "none", open: func(bool) (datadir.Folder, error) { return disk, nil }}
 }
 
 func pay(number string) Task { return Task{Type: "pay", Number: number, Shape: 1} }
--- a/stamp/stamp.go
+++ b/wallclock/stamp.go
@@ -1,4 +1,4 @@
-// Package stamp maps stamps of a wall clock, which may be stepped, to a clock that never is.
+// Package wallclock maps stamps of a wall clock, which may be stepped, to a clock that never is.
 //
 // A stamp was written by the machine's wall clock, before or behind a step of it, or by one that this process does not
 // see. The offsets between the two clocks that were seen lately explain it, or it explains itself: of the moments that
@@ -6,7 +6,7 @@
 // those are old: its clocks still have the same offset.
 //
 // It decides only: no I/O and no clock.
-package stamp
+package wallclock
 
 import (
 	"slices"
--- a/stamp/stamp_test.go
+++ b/wallclock/stamp_test.go
@@ -1,4 +1,4 @@
-package stamp
+package wallclock
 
 import (
 	"testing"
