--- a/admission/calls.go
+++ b/admission/calls.go
@@ -10,17 +10,17 @@
 )
 
 func (c *Choice) returned(e Ending, w Writer) {
-	t := e.Task
-	if t.phase != calling {
+	request := e.Request
+	if request.phase != calling {
 		return
 	}
-	c.enter(t, wantsCall)
+	c.enter(request, wantsCall)
 	switch e.Outcome {
 	case Done:
 		c.called.add(c.now, 1, e.Took.Seconds())
 		c.callUsual.take(e.Took.Seconds(), 500)
 		c.callSeen.take(e.Took.Seconds(), c.now)
-		c.enter(t, running)
+		c.enter(request, running)
 		return
 	case Unclear:
 		c.called.add(c.now, 1, e.Took.Seconds()) // abandoned at once, it tells of the server's patience only
@@ -31,17 +31,17 @@
 	}
 	// A call turned away costs the dependency work too. Asking again at once would keep a jam alive that
 	// all servers feed, so each asks later than the last time, and no two at the same moment.
-	t.refusals++
-	wait := max(c.callUsual.mean, c.lentCallTime(), sweep.Seconds()) * math.Exp2(float64(min(t.refusals, 6)))
+	request.refusals++
+	wait := max(c.callUsual.mean, c.lentCallTime(), sweep.Seconds()) * math.Exp2(float64(min(request.refusals, 6)))
 	wait *= 0.5 + c.rng.Float64()
-	t.notBefore = c.now + time.Duration(wait*float64(time.Second))
+	request.notBefore = c.now + time.Duration(wait*float64(time.Second))
 	switch {
-	case t.settled || e.Outcome == NotRun:
-	case t.Type.SkipShare > 0:
-		c.enter(t, running)
-		w.SkipCall(t)
-	case t.Type.Repeats != Reissuable:
-		c.giveUp(t, ReasonCallUnclear, w)
+	case request.settled || e.Outcome == NotRun:
+	case request.Route.SkipShare > 0:
+		c.enter(request, running)
+		w.SkipCall(request)
+	case request.Route.Repeats != Reissuable:
+		c.giveUp(request, ReasonCallUnclear, w)
 	}
 }
 
@@ -57,27 +57,27 @@
 // survives. So the room is a mean over time: a call uses up what the room has saved, and the next waits until
 // that is made good. A room of more than one bounds the number in hand as well.
 func (c *Choice) placeCalls(w Writer) {
-	var waiting []*Task
+	var waiting []*Request
 	inHand := 0.0
-	for _, t := range c.active {
-		switch t.phase {
+	for _, request := range c.active {
+		switch request.phase {
 		case wantsCall:
-			waiting = append(waiting, t)
+			waiting = append(waiting, request)
 		case calling:
 			inHand++
 		}
 	}
-	slices.SortStableFunc(waiting, func(a, b *Task) int {
+	slices.SortStableFunc(waiting, func(a, b *Request) int {
 		return cmp.Or(cmp.Compare(b.skipLoss(), a.skipLoss()), cmp.Compare(a.wanted, b.wanted))
 	})
 	over := pick(c.terms, "calls-over", 5*time.Second).Seconds()
 	in, on, _ := c.counts()
 	crowd := max(1, in/c.cores)
-	for ahead, t := range waiting {
-		if t.settled {
+	for ahead, request := range waiting {
+		if request.settled {
 			continue // ends here by itself
 		}
-		rest := time.Duration(crowd * float64(max(c.need(t)-t.onCore, c.need(t)/4)))
+		rest := time.Duration(crowd * float64(max(c.need(request)-request.onCore, c.need(request)/4)))
 		// Those ahead use up the room first, and all in flight share the cores for what is left. By its own
 		// times alone a task waited until it was too late to go on without; half of the slack is kept back.
 		turn := c.callTime()
@@ -86,20 +86,20 @@
 		}
 		// While the dependency is strained the room that is left belongs to those that can't do without it.
 		spare := !c.strained || inHand+1 <= max(1, c.callRoom*strainShare) && c.callSaved > c.callRoom*strainShare
-		if t.Type.SkipShare > 0 && (!spare || c.now+rest+2*turn > t.wanted) {
-			c.enter(t, running)
-			w.SkipCall(t)
+		if request.Route.SkipShare > 0 && (!spare || c.now+rest+2*turn > request.wanted) {
+			c.enter(request, running)
+			w.SkipCall(request)
 			continue
 		}
-		if c.now < t.notBefore {
+		if c.now < request.notBefore {
 			continue
 		}
 		if inHand+1 > max(1, c.callRoom) || c.callSaved <= 0 || !c.callsTurn() || on+inHand+1 > c.crowdRoom() {
 			c.callsHeld = true
 			continue
 		}
-		patience := t.wanted - c.now
-		if t.Type.SkipShare > 0 {
+		patience := request.wanted - c.now
+		if request.Route.SkipShare > 0 {
 			patience -= rest
 		}
 		// More in hand than the share is survived for part of the time only, so no such call may outlast that.
@@ -110,14 +110,14 @@
 		}
 		// A call that is never answered would keep its place until its task is given up. What may run again asks
 		// again, each time later, as a dependency may just have grown slow.
-		if c.callUsual.count > 0 && t.Type.Repeats == Reissuable {
-			lost := c.callUsual.mean * callLost * math.Exp2(float64(min(t.refusals, 6)))
+		if c.callUsual.count > 0 && request.Route.Repeats == Reissuable {
+			lost := c.callUsual.mean * callLost * math.Exp2(float64(min(request.refusals, 6)))
 			patience = min(patience, time.Duration(lost*float64(time.Second)))
 		}
 		inHand++
-		t.calledAt = c.now
-		c.enter(t, calling)
-		w.Call(t, max(patience, sweep))
+		request.calledAt = c.now
+		c.enter(request, calling)
+		w.Call(request, max(patience, sweep))
 	}
 }
 
@@ -135,8 +135,8 @@
 // callsSeen sums up the latest calls. A small server has one in hand at a time, so a late one counts at once.
 func (c *Choice) callsSeen(buckets int) [4]float64 {
 	seen := c.called.recent(c.now, buckets)
-	for _, t := range c.active {
-		if took := (c.now - t.calledAt).Seconds(); t.phase == calling && took > degraded*c.callUsual.mean {
+	for _, request := range c.active {
+		if took := (c.now - request.calledAt).Seconds(); request.phase == calling && took > degraded*c.callUsual.mean {
 			seen[0]++
 			seen[1] += took
 		}
@@ -145,7 +145,7 @@
 }
 
 // skipLoss is the importance that is lost when a task goes on without its call.
-func (t *Task) skipLoss() float64 { return t.Type.Importance * (1 - t.Type.SkipShare) }
+func (r *Request) skipLoss() float64 { return r.Route.Importance * (1 - r.Route.SkipShare) }
 
 func (c *Choice) callTime() time.Duration {
 	seen := c.callsSeen(len(c.called.buckets))
--- a/admission/choice.go
+++ b/admission/choice.go
@@ -67,11 +67,11 @@
 	cores, memory, factor, numberKB float64
 	coldShare, warmUp               float64 // speed at the start, and the time until all of it is there
 
-	hold    []*Task // by due time
-	active  []*Task // all others that hold something: running, at a call, echoing, answered but on
-	numbers []*Task // entries of the table of numbers
+	hold    []*Request // by due time
+	active  []*Request // all others that hold something: running, at a call, echoing, answered but on
+	numbers []*Request // entries of the table of numbers
 
-	all, kept, out []*Task // room for what a round goes through
+	all, kept, out []*Request // room for what a round goes through
 
 	limit      float64
 	event      bool // a backoff event since the last calibration
@@ -173,19 +173,19 @@
 	for _, e := range r.Returned {
 		c.returned(e, w)
 	}
-	for _, t := range r.AtCall {
-		if t.phase == running {
-			c.enter(t, wantsCall)
+	for _, request := range r.AtCall {
+		if request.phase == running {
+			c.enter(request, wantsCall)
 		}
 	}
 	for _, e := range r.Ended {
 		c.ended(e)
 	}
-	for _, t := range r.Arrived {
-		c.arrived(t, w)
+	for _, request := range r.Arrived {
+		c.arrived(request, w)
 	}
-	for _, t := range r.Gone { // after those that came in: a caller may leave in the moment its task is read
-		c.gone(t, w)
+	for _, request := range r.Gone { // after those that came in: a caller may leave in the moment its task is read
+		c.gone(request, w)
 	}
 	if r.Gauges != nil {
 		c.gauges = *r.Gauges
@@ -199,161 +199,161 @@
 	c.weed(w)
 	c.placeCalls(w)
 	for len(c.hold) > 0 && c.mayStart(c.hold[0]) {
-		t := c.hold[0]
+		request := c.hold[0]
 		c.hold = slices.Delete(c.hold, 0, 1)
-		t.ran = true
-		c.active = append(c.active, t)
-		c.enter(t, running)
-		w.Start(t)
+		request.ran = true
+		c.active = append(c.active, request)
+		c.enter(request, running)
+		w.Start(request)
 	}
 }
 
 // enter books the time of the phase that ends and begins the next.
-func (c *Choice) enter(t *Task, next phase) {
-	spent := c.now - t.since
-	t.since = c.now
-	if t.phase == calling {
+func (c *Choice) enter(request *Request, next phase) {
+	spent := c.now - request.since
+	request.since = c.now
+	if request.phase == calling {
 		c.holdsCall(spent)
 	}
-	if t.phase == running || t.phase == over {
-		t.onCore += spent
-		t.Type.runs.add(c.now, spent.Seconds())
-		if t.Hint > 0 {
+	if request.phase == running || request.phase == over {
+		request.onCore += spent
+		request.Route.runs.add(c.now, spent.Seconds())
+		if request.CostHint > 0 {
 			c.paced.add(c.now, spent.Seconds())
 		}
 	}
-	t.phase = next
+	request.phase = next
 }
 
 // remove takes a task that holds nothing more off the books.
-func (c *Choice) remove(t *Task) {
-	is := func(other *Task) bool { return other == t }
+func (c *Choice) remove(request *Request) {
+	is := func(other *Request) bool { return other == request }
 	c.hold, c.active = slices.DeleteFunc(c.hold, is), slices.DeleteFunc(c.active, is)
 }
 
-func (c *Choice) arrived(t *Task, w Writer) {
-	t.since = c.now
+func (c *Choice) arrived(request *Request, w Writer) {
+	request.since = c.now
 	// One that claims to have come long ago must not pass for a backlog of many.
-	c.unread.add(c.now, 1, min(1, float64(c.now-t.Arrived)/float64(t.Type.ContractTime)))
-	t.last = t.Arrived + t.Type.OuterLimit
-	if t.Due > 0 {
-		t.last = t.Due
+	c.unread.add(c.now, 1, min(1, float64(c.now-request.Arrived)/float64(request.Route.ContractTime)))
+	request.last = request.Arrived + request.Route.OuterLimit
+	if request.Deadline > 0 {
+		request.last = request.Deadline
 	}
-	t.last -= 2 * sweep
-	t.wanted = t.last
-	if t.Type.LateShare == 0 {
-		t.wanted = min(t.last, t.Arrived+t.Type.ContractTime)
+	request.last -= 2 * sweep
+	request.wanted = request.last
+	if request.Route.LateShare == 0 {
+		request.wanted = min(request.last, request.Arrived+request.Route.ContractTime)
 	}
 	again := 0.0
-	last, came := c.callers[t.Caller]
+	last, came := c.callers[request.Router]
 	if came && c.now-last < pick(c.terms, "idle", time.Duration(0)) {
 		again = 1
 	}
 	if came || len(c.callers) < mostCallers { // past that a caller known is taken for new, which closes sooner
-		c.callers[t.Caller] = c.now
+		c.callers[request.Router] = c.now
 	}
 	c.known.add(c.now, 1, again)
-	c.tenants.add(t.Customer, c.now)
-	if t.Rank >= c.level {
-		c.load.add(c.now, c.need(t).Seconds())
-	}
-	if t.Again {
-		c.enter(t, echoing)
-		c.active = append(c.active, t)
-		w.AnswerFromFirst(t)
+	c.tenants.add(request.Tenant, c.now)
+	if request.Rank >= c.level {
+		c.load.add(c.now, c.need(request).Seconds())
+	}
+	if request.Duplicate {
+		c.enter(request, echoing)
+		c.active = append(c.active, request)
+		w.AnswerFromFirst(request)
 		return
 	}
 	if c.stopAt > 0 {
-		t.last, t.wanted = min(t.last, c.stopAt), min(t.wanted, c.stopAt)
-		if t.Came() > c.noticed+pick(c.terms, "grace", time.Duration(0)) {
-			c.dismiss(t, ReasonDraining, w)
+		request.last, request.wanted = min(request.last, c.stopAt), min(request.wanted, c.stopAt)
+		if request.ReceivedAt() > c.noticed+pick(c.terms, "grace", time.Duration(0)) {
+			c.dismiss(request, ReasonDraining, w)
 			return
 		}
 	}
-	if t.Type.Repeats == Numbered {
+	if request.Route.Repeats == Numbered {
 		// The entry comes before any run, so that no repeat is taken for a new task; without room, no task.
-		if c.used()+c.numberKB+t.HeldKB > c.memory {
-			c.dismiss(t, ReasonMemory, w)
+		if c.used()+c.numberKB+request.HeldKB > c.memory {
+			c.dismiss(request, ReasonMemory, w)
 			return
 		}
-		t.kept = t.Arrived + t.Type.Window + sweep
-		c.numbers = append(c.numbers, t)
-		w.Remember(t, t.kept-c.now)
+		request.kept = request.Arrived + request.Route.Window + sweep
+		c.numbers = append(c.numbers, request)
+		w.Remember(request, request.kept-c.now)
 	}
-	i, _ := slices.BinarySearchFunc(c.hold, t, func(a, b *Task) int {
+	i, _ := slices.BinarySearchFunc(c.hold, request, func(a, b *Request) int {
 		if a.last <= b.last {
 			return -1
 		}
 		return 1
 	})
-	c.hold = slices.Insert(c.hold, i, t)
+	c.hold = slices.Insert(c.hold, i, request)
 }
 
 func (c *Choice) ended(e Ending) {
-	t := e.Task
-	if t.phase == echoing {
-		c.remove(t)
+	request := e.Request
+	if request.phase == echoing {
+		c.remove(request)
 		return
 	}
-	if c.enter(t, t.phase); t.phase == calling {
+	if c.enter(request, request.phase); request.phase == calling {
 		// Its call was not reported to have ended, so it is abandoned with the run, and stays in the dependency's hands.
 		c.holdsCall(pick(c.terms, "calls-linger", time.Duration(0)))
 	}
 	if e.Outcome == Done || e.Outcome == Broken {
-		t.Type.runs.add(c.now, 0, 1, e.Took.Seconds())
-		c.busy[t.Type.learned] = true
+		request.Route.runs.add(c.now, 0, 1, e.Took.Seconds())
+		c.busy[request.Route.learned] = true
 		c.ends.add(c.now, 1, float64(e.Outcome-Done))
-		if t.Hint > 0 {
-			c.paced.add(c.now, 0, t.Hint.Seconds())
+		if request.CostHint > 0 {
+			c.paced.add(c.now, 0, request.CostHint.Seconds())
 		}
-		c.learn(t, e.Took)
+		c.learn(request, e.Took)
 	}
 	if e.Outcome == Void { // what never began took no time: no sign of what others need
-		t.Type.runs.add(c.now, -t.onCore.Seconds())
+		request.Route.runs.add(c.now, -request.onCore.Seconds())
 	}
-	t.settled = true
-	c.remove(t)
+	request.settled = true
+	c.remove(request)
 }
 
 // learn takes the run of a task that ended into the long averages. One that outlived its deadline tells of trouble, which
 // the sums of the last seconds show. A long average over the deadline would outlast the trouble for good: no task of
 // the type would be begun any more, and so none could show that they are short again.
-func (c *Choice) learn(t *Task, took time.Duration) {
-	if t.settled && max(took, t.onCore) > t.Type.OuterLimit {
+func (c *Choice) learn(request *Request, took time.Duration) {
+	if request.settled && max(took, request.onCore) > request.Route.OuterLimit {
 		return
 	}
-	t.Type.usual.take(t.onCore.Seconds(), 200)
-	t.Type.latency.take(took.Seconds(), 200)
-	t.Type.coreSeen.take(t.onCore.Seconds()*c.speed(), c.now)
-	t.Type.runSeen.take(took.Seconds(), c.now)
-	if t.Hint > 0 {
-		c.pace.take(t.onCore.Seconds()/t.Hint.Seconds(), 200)
-		c.paceSeen.take(t.onCore.Seconds()*c.speed()/t.Hint.Seconds(), c.now)
+	request.Route.usual.take(request.onCore.Seconds(), 200)
+	request.Route.latency.take(took.Seconds(), 200)
+	request.Route.coreSeen.take(request.onCore.Seconds()*c.speed(), c.now)
+	request.Route.runSeen.take(took.Seconds(), c.now)
+	if request.CostHint > 0 {
+		c.pace.take(request.onCore.Seconds()/request.CostHint.Seconds(), 200)
+		c.paceSeen.take(request.onCore.Seconds()*c.speed()/request.CostHint.Seconds(), c.now)
 	}
 }
 
 // gone frees what was kept for a task that nobody waits for. A numbered one that runs goes on: its client
 // may come again with the number, and is then answered from this run.
-func (c *Choice) gone(t *Task, w Writer) {
+func (c *Choice) gone(request *Request, w Writer) {
 	switch {
-	case t.phase == held || t.phase == echoing:
-		c.forget(t, w)
-		t.settled = true
-		c.remove(t)
-	case t.phase == running || t.phase == wantsCall || t.phase == calling:
-		t.settled = true
-		if t.phase == running && t.Type.Repeats == Reissuable {
-			c.stop(t, w)
+	case request.phase == held || request.phase == echoing:
+		c.forget(request, w)
+		request.settled = true
+		c.remove(request)
+	case request.phase == running || request.phase == wantsCall || request.phase == calling:
+		request.settled = true
+		if request.phase == running && request.Route.Repeats == Reissuable {
+			c.stop(request, w)
 		}
 	}
 }
 
 // forget gives the entry of a task that never ran back; one that ran stays known for its whole window.
-func (c *Choice) forget(t *Task, w Writer) {
-	if t.kept > 0 && !t.ran {
-		t.kept = 0
-		c.numbers = slices.DeleteFunc(c.numbers, func(n *Task) bool { return n == t })
-		w.Forget(t)
+func (c *Choice) forget(request *Request, w Writer) {
+	if request.kept > 0 && !request.ran {
+		request.kept = 0
+		c.numbers = slices.DeleteFunc(c.numbers, func(n *Request) bool { return n == request })
+		w.Forget(request)
 	}
 }
 
@@ -361,8 +361,8 @@
 func (c *Choice) leave(stopAt, noticed time.Duration, w Writer) {
 	c.stopAt, c.noticed = stopAt-2*sweep, noticed
 	w.Health(false, true)
-	for _, t := range slices.Concat(c.hold, c.active) {
-		t.last, t.wanted = min(t.last, c.stopAt), min(t.wanted, c.stopAt)
+	for _, request := range slices.Concat(c.hold, c.active) {
+		request.last, request.wanted = min(request.last, c.stopAt), min(request.wanted, c.stopAt)
 	}
 	in, _, _ := c.counts()
 	w.Note(fmt.Sprintf("leaving: %d held, %.0f in flight", len(c.hold), in))
@@ -383,15 +383,15 @@
 	passed := (c.now - c.swept).Seconds()
 	c.swept = c.now
 	c.ticks++
-	c.numbers = slices.DeleteFunc(c.numbers, func(t *Task) bool { return t.kept <= c.now })
+	c.numbers = slices.DeleteFunc(c.numbers, func(request *Request) bool { return request.kept <= c.now })
 	c.callSaved = min(c.callSaved+c.callRoom*passed, c.callRoom)
 	c.callTurns += passed * c.callRoom / c.callTook()
 	c.weighLent(c.now)
-	for _, t := range c.active {
-		if t.phase == over && c.halts() {
-			w.Pause(t) // a stop has no effect while the cores stand still
+	for _, request := range c.active {
+		if request.phase == over && c.halts() {
+			w.Pause(request) // a stop has no effect while the cores stand still
 		}
-		c.enter(t, t.phase)
+		c.enter(request, request.phase)
 	}
 	if c.gauges.CPU >= softCPU || c.gauges.Memory >= softMemory {
 		c.event = true
--- a/admission/choice_test.go
+++ b/admission/choice_test.go
@@ -16,7 +16,7 @@
 // bench drives one Choice as a program would and keeps what it decided, by task name.
 type bench struct {
 	*Choice
-	names       map[*Task]string
+	names       map[*Request]string
 	said        []string
 	stay        time.Duration // the advice of the last dismissal
 	nowhereElse bool
@@ -48,15 +48,15 @@
 }
 
 func newBench(change map[string]any) *bench {
-	b := &bench{Choice: New(terms(change), 1), names: map[*Task]string{}, at: time.Second}
+	b := &bench{Choice: New(terms(change), 1), names: map[*Request]string{}, at: time.Second}
 	b.round(Round{})
 	return b
 }
 
-func (b *bench) task(name string, kind int) *Task {
-	t := &Task{Type: b.Routes[kind], HeldKB: 10, Arrived: b.at, Rank: 0.99}
-	b.names[t] = name
-	return t
+func (b *bench) task(name string, kind int) *Request {
+	request := &Request{Route: b.Routes[kind], HeldKB: 10, Arrived: b.at, Rank: 0.99}
+	b.names[request] = name
+	return request
 }
 
 func (b *bench) round(r Round) string {
@@ -77,29 +77,31 @@
 	return strings.Join(all, ", ")
 }
 
-func (b *bench) run(t *Task, span time.Duration) {
-	b.round(Round{Arrived: []*Task{t}})
+func (b *bench) run(request *Request, span time.Duration) {
+	b.round(Round{Arrived: []*Request{request}})
 	b.at += span
-	b.round(Round{Ended: []Ending{{Task: t, Outcome: Done, Took: span}}})
+	b.round(Round{Ended: []Ending{{Request: request, Outcome: Done, Took: span}}})
 }
 
-func (b *bench) say(what string, t *Task) { b.said = append(b.said, what+" "+b.names[t]) }
+func (b *bench) say(what string, request *Request) {
+	b.said = append(b.said, what+" "+b.names[request])
+}
 
-func (b *bench) Start(t *Task) { b.say("start", t) }
-func (b *bench) Pause(t *Task) { b.say("pause", t) }
-func (b *bench) Dismiss(t *Task, stay time.Duration, nowhereElse bool) {
-	b.say("dismiss", t)
+func (b *bench) Start(request *Request) { b.say("start", request) }
+func (b *bench) Pause(request *Request) { b.say("pause", request) }
+func (b *bench) Dismiss(request *Request, stay time.Duration, nowhereElse bool) {
+	b.say("dismiss", request)
 	b.stay, b.nowhereElse = stay, nowhereElse
 }
-func (b *bench) GiveUp(t *Task)                    { b.say("give up", t) }
-func (b *bench) AnswerFromFirst(t *Task)           { b.say("echo", t) }
-func (b *bench) Remember(t *Task, _ time.Duration) { b.say("remember", t) }
-func (b *bench) Forget(t *Task)                    { b.say("forget", t) }
-func (b *bench) Call(t *Task, patience time.Duration) {
-	b.say("call", t)
+func (b *bench) GiveUp(request *Request)                    { b.say("give up", request) }
+func (b *bench) AnswerFromFirst(request *Request)           { b.say("echo", request) }
+func (b *bench) Remember(request *Request, _ time.Duration) { b.say("remember", request) }
+func (b *bench) Forget(request *Request)                    { b.say("forget", request) }
+func (b *bench) Call(request *Request, patience time.Duration) {
+	b.say("call", request)
 	b.patience = patience
 }
-func (b *bench) SkipCall(t *Task)             { b.say("skip", t) }
+func (b *bench) SkipCall(request *Request)    { b.say("skip", request) }
 func (b *bench) Health(good, _ bool)          { b.said = append(b.said, fmt.Sprint("health ", good)) }
 func (b *bench) Level(level float64)          { b.said = append(b.said, fmt.Sprintf("level %.2f", level)) }
 func (b *bench) CloseIdle(span time.Duration) { b.closeAfter = span }
@@ -144,48 +146,48 @@
 		b := newBench(nil)
 		b.limit = 8
 		for i := range 12 {
-			b.round(Round{Arrived: []*Task{b.task(fmt.Sprint(i), 0)}})
+			b.round(Round{Arrived: []*Request{b.task(fmt.Sprint(i), 0)}})
 		}
 		b.pass(100*ms, Gauges{CPU: 0.5})
 		assert.Equal(t, 9.0, b.limit)
 	})
 	t.Run("memory bounds the ceiling", func(t *testing.T) {
 		b := newBench(map[string]any{"memory-kb": 600.0})
-		b.round(Round{Arrived: []*Task{b.task("a", 0)}})
+		b.round(Round{Arrived: []*Request{b.task("a", 0)}})
 		assert.InDelta(t, 5.4, b.ceiling(), 0.01)
 	})
 }
 
 func TestHeldTasksStartByDueTimeUnderTheLimit(t *testing.T) {
 	b := newBench(nil)
-	var first []*Task
+	var first []*Request
 	for i := range 4 {
 		first = append(first, b.task(fmt.Sprint(i), 0))
 	}
 	assert.Equal(t, "start 0, start 1, start 2, start 3", b.round(Round{Arrived: first}))
 	late, soon := b.task("late", 0), b.task("soon", 0)
-	late.Due, soon.Due = b.at+4*time.Second, b.at+3*time.Second
-	assert.Empty(t, b.round(Round{Arrived: []*Task{late, soon}}), "the limit keeps them held")
-	assert.Equal(t, "start soon", b.round(Round{Ended: []Ending{{Task: first[0], Outcome: Done}}}))
-	assert.Equal(t, "call 1, start late", b.round(Round{AtCall: []*Task{first[1]}}), "a core left is room")
+	late.Deadline, soon.Deadline = b.at+4*time.Second, b.at+3*time.Second
+	assert.Empty(t, b.round(Round{Arrived: []*Request{late, soon}}), "the limit keeps them held")
+	assert.Equal(t, "start soon", b.round(Round{Ended: []Ending{{Request: first[0], Outcome: Done}}}))
+	assert.Equal(t, "call 1, start late", b.round(Round{AtCall: []*Request{first[1]}}), "a core left is room")
 }
 
 func TestEveryKindIsAnsweredAtItsLastMoment(t *testing.T) {
 	cases := []struct {
 		name string
 		kind int
-		into func(b *bench, x *Task)
+		into func(b *bench, x *Request)
 		want string
 	}{
-		{"held reissuable", 0, func(b *bench, x *Task) { b.limit, b.cores = 0, 0 }, "dismiss x"},
-		{"held numbered", 1, func(b *bench, x *Task) { b.limit, b.cores = 0, 0 }, "forget x, dismiss x"},
+		{"held reissuable", 0, func(b *bench, x *Request) { b.limit, b.cores = 0, 0 }, "dismiss x"},
+		{"held numbered", 1, func(b *bench, x *Request) { b.limit, b.cores = 0, 0 }, "forget x, dismiss x"},
 		{"running reissuable", 0, nil, "give up x, pause x"},
 		{"running numbered", 1, nil, "give up x, pause x"},
 		{"running at-most-once", 2, nil, "give up x, pause x"},
-		{"at a call", 2, func(b *bench, x *Task) { b.round(Round{AtCall: []*Task{x}}) }, "give up x"},
-		{"waiting for its call", 2, func(b *bench, x *Task) {
+		{"at a call", 2, func(b *bench, x *Request) { b.round(Round{AtCall: []*Request{x}}) }, "give up x"},
+		{"waiting for its call", 2, func(b *bench, x *Request) {
 			b.callRoom = 0
-			b.round(Round{AtCall: []*Task{x}})
+			b.round(Round{AtCall: []*Request{x}})
 		}, "give up x"},
 		{"repeat of a numbered", 1, nil, "give up x"},
 	}
@@ -193,11 +195,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(nil)
 			x := b.task("x", c.kind)
-			x.Again = i == len(cases)-1
+			x.Duplicate = i == len(cases)-1
 			if c.into != nil && i < 2 {
 				c.into(b, x)
 			}
-			b.round(Round{Arrived: []*Task{x}})
+			b.round(Round{Arrived: []*Request{x}})
 			if c.into != nil && i >= 2 {
 				c.into(b, x)
 			}
@@ -211,7 +213,7 @@
 	t.Run("a stall of the process", func(t *testing.T) {
 		b := newBench(nil)
 		x := b.task("x", 0)
-		b.round(Round{Arrived: []*Task{x}})
+		b.round(Round{Arrived: []*Request{x}})
 		b.at += 10 * time.Second
 		assert.Equal(t, "give up x, pause x", b.round(Round{}), "any event answers what is overdue")
 	})
@@ -224,9 +226,9 @@
 		t.Run(how, func(t *testing.T) {
 			b := newBench(map[string]any{"halt": "none"})
 			x := b.task("x", 0)
-			b.round(Round{Arrived: []*Task{x}})
+			b.round(Round{Arrived: []*Request{x}})
 			if how == "caller gone" {
-				assert.Empty(t, b.round(Round{Gone: []*Task{x}}))
+				assert.Empty(t, b.round(Round{Gone: []*Request{x}}))
 			} else {
 				x.wanted = b.at + 50*ms
 				assert.Contains(t, b.pass(50*ms, Gauges{CPU: 1}), "give up x")
@@ -244,7 +246,7 @@
 	b := newBench(map[string]any{"crowd": 2.0})
 	b.callRoom, b.callSaved = 0, 0
 	room := int(b.crowdRoom())
-	var parked []*Task
+	var parked []*Request
 	for i := range room {
 		parked = append(parked, b.task(fmt.Sprint("p", i), 2))
 	}
@@ -254,7 +256,7 @@
 	}
 	in, on, waiting := b.counts()
 	assert.Equal(t, []float64{float64(room), 0, float64(room)}, []float64{in, on, waiting})
-	assert.Equal(t, "start free", b.round(Round{Arrived: []*Task{b.task("free", 0)}}))
+	assert.Equal(t, "start free", b.round(Round{Arrived: []*Request{b.task("free", 0)}}))
 }
 
 // While the dependency is strained, a task that calls it waits for its turn, and is dismissed at once where
@@ -265,7 +267,7 @@
 		b.called.add(b.at, 1, 3.0)
 		b.strained = strained
 		x := b.task("x", 2)
-		said := b.round(Round{Arrived: []*Task{x}})
+		said := b.round(Round{Arrived: []*Request{x}})
 		if strained {
 			assert.Equal(t, "dismiss x", said, "a call of three seconds lies past its contract time")
 		} else {
@@ -281,8 +283,8 @@
 		"cores": 1.0, "importance-by": "work", "type.0.late-share": 0.2,
 		"type.1.repeats": "reissuable", "type.1.importance": 1.0,
 	})
-	b.round(Round{Arrived: []*Task{b.task("running", 1)}})
-	var line []*Task
+	b.round(Round{Arrived: []*Request{b.task("running", 1)}})
+	var line []*Request
 	for i := range 3 {
 		old := b.task(fmt.Sprint("late", i), 0)
 		old.Arrived -= 1500 * ms
@@ -298,27 +300,27 @@
 func TestNumberedTasksTakeEffectOnce(t *testing.T) {
 	b := newBench(nil)
 	x, again := b.task("x", 1), b.task("again", 1)
-	again.Again = true
-	assert.Equal(t, "remember x, start x", b.round(Round{Arrived: []*Task{x}}), "an entry comes before the run")
-	assert.Equal(t, "echo again", b.round(Round{Arrived: []*Task{again}}))
-	b.round(Round{AtCall: []*Task{x}})
-	said := b.round(Round{Returned: []Ending{{Task: x, Outcome: Unclear}}})
+	again.Duplicate = true
+	assert.Equal(t, "remember x, start x", b.round(Round{Arrived: []*Request{x}}), "an entry comes before the run")
+	assert.Equal(t, "echo again", b.round(Round{Arrived: []*Request{again}}))
+	b.round(Round{AtCall: []*Request{x}})
+	said := b.round(Round{Returned: []Ending{{Request: x, Outcome: Unclear}}})
 	assert.Equal(t, "give up x", said, "a call that may have taken effect is not made again")
 
 	y := b.task("y", 1)
-	b.round(Round{Arrived: []*Task{y}})
-	b.round(Round{AtCall: []*Task{y}})
-	assert.Empty(t, b.round(Round{Returned: []Ending{{Task: y, Outcome: NotRun}}}), "not again at once")
+	b.round(Round{Arrived: []*Request{y}})
+	b.round(Round{AtCall: []*Request{y}})
+	assert.Empty(t, b.round(Round{Returned: []Ending{{Request: y, Outcome: NotRun}}}), "not again at once")
 	assert.Contains(t, b.pass(time.Second, Gauges{CPU: 1}), "call y", "but later, as it never ran")
 }
 
 func TestMemoryIsReservedAndAHoldItCannotCarryIsCut(t *testing.T) {
 	b := newBench(map[string]any{"memory-kb": 200.0})
-	assert.Equal(t, "remember a, start a", b.round(Round{Arrived: []*Task{b.task("a", 1)}}))
-	assert.Equal(t, "dismiss b", b.round(Round{Arrived: []*Task{b.task("b", 1)}}), "no run without an entry")
-	assert.Empty(t, b.round(Round{Arrived: []*Task{b.task("c", 0)}}), "no start past the memory")
+	assert.Equal(t, "remember a, start a", b.round(Round{Arrived: []*Request{b.task("a", 1)}}))
+	assert.Equal(t, "dismiss b", b.round(Round{Arrived: []*Request{b.task("b", 1)}}), "no run without an entry")
+	assert.Empty(t, b.round(Round{Arrived: []*Request{b.task("c", 0)}}), "no start past the memory")
 	b = newBench(map[string]any{"memory-kb": 600.0, "cores": 0.0})
-	var heap []*Task
+	var heap []*Request
 	for i := range 56 {
 		heap = append(heap, b.task("low", i/55*2))
 	}
@@ -350,12 +352,12 @@
 func TestLeaving(t *testing.T) {
 	b := newBench(nil)
 	x := b.task("x", 2)
-	b.round(Round{Arrived: []*Task{x}})
+	b.round(Round{Arrived: []*Request{x}})
 	assert.Contains(t, b.round(Round{StopAt: b.at + 3*time.Second}), "health false")
 	x.last, x.wanted = b.stopAt, b.stopAt
-	assert.Contains(t, b.round(Round{Arrived: []*Task{b.task("in", 0)}}), "start in")
+	assert.Contains(t, b.round(Round{Arrived: []*Request{b.task("in", 0)}}), "start in")
 	b.at += 2*time.Second + ms
-	assert.Contains(t, b.round(Round{Arrived: []*Task{b.task("out", 0)}}), "dismiss out")
+	assert.Contains(t, b.round(Round{Arrived: []*Request{b.task("out", 0)}}), "dismiss out")
 	assert.Contains(t, b.pass(sweep, Gauges{}), "level 1.00")
 	assert.Contains(t, b.pass(time.Second-2*sweep, Gauges{}), "give up x, pause x", "answered before the stop")
 }
@@ -366,12 +368,12 @@
 		b.run(b.task("usual", 0), 500*ms)
 		b.run(b.task("usual", 2), 500*ms)
 	}
-	var crowd []*Task
+	var crowd []*Request
 	for range 20 {
 		crowd = append(crowd, b.task("low", 0))
 	}
 	b.round(Round{Arrived: crowd})
-	assert.Equal(t, "dismiss low", b.round(Round{Arrived: []*Task{b.task("high", 2)}}))
+	assert.Equal(t, "dismiss low", b.round(Round{Arrived: []*Request{b.task("high", 2)}}))
 }
 
 func TestALongTaskIsGivenTheBenefitOfTheDoubt(t *testing.T) {
@@ -380,8 +382,8 @@
 		b.run(b.task("usual", 0), time.Second)
 	}
 	x := b.task("x", 0)
-	x.Due = b.at + 2*sweep + 800*ms
-	assert.Equal(t, "start x", b.round(Round{Arrived: []*Task{x}}))
+	x.Deadline = b.at + 2*sweep + 800*ms
+	assert.Equal(t, "start x", b.round(Round{Arrived: []*Request{x}}))
 }
 
 func TestLevelFollowsWhatManyTasksShow(t *testing.T) {
@@ -423,8 +425,8 @@
 			b := newBench(c.change)
 			x := b.task("x", 0)
 			x.Arrived -= c.unread
-			x.Due = b.at + 2*sweep + time.Duration(median*float64(b.need(x))) - ms // a millisecond short
-			assert.Equal(t, "dismiss x", b.round(Round{Arrived: []*Task{x}}))
+			x.Deadline = b.at + 2*sweep + time.Duration(median*float64(b.need(x))) - ms // a millisecond short
+			assert.Equal(t, "dismiss x", b.round(Round{Arrived: []*Request{x}}))
 			assert.InDelta(t, c.want, b.stay, float64(ms))
 		})
 	}
@@ -434,18 +436,18 @@
 	b := newBench(nil)
 	b.strained, b.callRoom = true, 1
 	skips, cannot := b.task("skips", 0), b.task("cannot", 2)
-	b.round(Round{Arrived: []*Task{skips, cannot}})
-	assert.Equal(t, "call cannot, skip skips", b.round(Round{AtCall: []*Task{skips, cannot}}))
+	b.round(Round{Arrived: []*Request{skips, cannot}})
+	assert.Equal(t, "call cannot, skip skips", b.round(Round{AtCall: []*Request{skips, cannot}}))
 	for _, c := range []struct {
 		outcome Outcome
 		room    float64
 	}{{Done, 8}, {NotRun, 6}, {Unclear, 8}} {
 		b := newBench(nil)
 		x := b.task("x", 0)
-		b.round(Round{Arrived: []*Task{x}})
-		b.round(Round{AtCall: []*Task{x}})
+		b.round(Round{Arrived: []*Request{x}})
+		b.round(Round{AtCall: []*Request{x}})
 		b.callRoom = 8
-		b.round(Round{Returned: []Ending{{Task: x, Outcome: c.outcome, Took: ms}}})
+		b.round(Round{Returned: []Ending{{Request: x, Outcome: c.outcome, Took: ms}}})
 		b.calibrateCalls()
 		assert.Equal(t, c.room, b.callRoom)
 	}
@@ -457,12 +459,12 @@
 		most, mean, n := 0.0, 0.0, 400
 		for range n { // a dependency that hangs holds each call for as long as the server waits
 			x := b.task("x", 2)
-			b.round(Round{Arrived: []*Task{x}})
-			b.round(Round{AtCall: []*Task{x}})
+			b.round(Round{Arrived: []*Request{x}})
+			b.round(Round{AtCall: []*Request{x}})
 			b.pass(100*ms, Gauges{CPU: 0.5})
-			for _, t := range b.active {
-				if t.phase == calling && b.at >= t.calledAt+b.patience {
-					b.round(Round{Returned: []Ending{{Task: t, Outcome: Unclear}}})
+			for _, request := range b.active {
+				if request.phase == calling && b.at >= request.calledAt+b.patience {
+					b.round(Round{Returned: []Ending{{Request: request, Outcome: Unclear}}})
 				}
 			}
 			most = max(most, b.inHand.sum(b.at)[0]/5)
@@ -482,7 +484,7 @@
 		calls int
 	}{{"tier", 4}, {"shared", 1}} {
 		b := newBench(map[string]any{"calls-share": 0.0, "below": c.below})
-		var xs []*Task
+		var xs []*Request
 		for range 4 {
 			xs = append(xs, b.task("x", 2))
 		}
@@ -502,8 +504,8 @@
 		b := newBench(map[string]any{"idle": c.idle})
 		for i := range uint32(50) {
 			x := b.task("x", 0)
-			x.Caller = i % c.callers
-			b.round(Round{Arrived: []*Task{x}})
+			x.Router = i % c.callers
+			b.round(Round{Arrived: []*Request{x}})
 		}
 		assert.Zero(t, b.closeAfter, "nothing is closed before anything is known")
 		b.pass(period, Gauges{CPU: 1})
@@ -518,13 +520,13 @@
 	b := newBench(map[string]any{"calls-share": 1.2, "memory-kb": 600.0})
 	x, y, large := b.task("x", 2), b.task("y", 2), b.task("large", 0)
 	large.HeldKB = 40
-	b.round(Round{Arrived: []*Task{x, y}})
+	b.round(Round{Arrived: []*Request{x, y}})
 	x.wanted = b.at + 300*ms
-	b.round(Round{AtCall: []*Task{x}})
+	b.round(Round{AtCall: []*Request{x}})
 	assert.LessOrEqual(t, b.patience, 300*ms, "no call outlasts the time in which its task is wanted")
 	assert.Contains(t, b.pass(300*ms, Gauges{CPU: 1}), "give up x")
-	assert.Empty(t, b.round(Round{Arrived: []*Task{large}, AtCall: []*Task{y}}))
-	end := []Ending{{Task: x, Outcome: Unclear}}
+	assert.Empty(t, b.round(Round{Arrived: []*Request{large}, AtCall: []*Request{y}}))
+	end := []Ending{{Request: x, Outcome: Unclear}}
 	assert.Equal(t, "call y, start large", b.round(Round{Returned: end, Ended: end}))
 }
 
@@ -532,12 +534,12 @@
 func TestACallLeftBehindByItsRunLingers(t *testing.T) {
 	b := newBench(nil)
 	task := b.task("a", 2)
-	b.round(Round{Arrived: []*Task{task}})
-	b.round(Round{AtCall: []*Task{task}})
+	b.round(Round{Arrived: []*Request{task}})
+	b.round(Round{AtCall: []*Request{task}})
 	assert.Equal(t, calling, task.phase)
 	b.at += 100 * ms
 	before, saved := b.inHand.sum(b.at)[0], b.callSaved
-	b.round(Round{Ended: []Ending{{Task: task, Outcome: Stopped}}})
+	b.round(Round{Ended: []Ending{{Request: task, Outcome: Stopped}}})
 	assert.InDelta(t, 0.3, b.inHand.sum(b.at)[0]-before, 1e-6, "100 ms in hand, and 200 ms that it lingers")
 	assert.InDelta(t, 0.3, saved-b.callSaved, 1e-6)
 }
@@ -549,19 +551,19 @@
 	}{{1, "call x"}, {-0.5, ""}, {-1.5, "skip x"}} { // a second behind at a room of one is a second's wait
 		b := newBench(nil)
 		x := b.task("x", 0)
-		b.round(Round{Arrived: []*Task{x}})
+		b.round(Round{Arrived: []*Request{x}})
 		b.callRoom, b.callSaved = 1, c.saved
 		x.wanted = b.at + b.need(x) + 2*time.Second
-		assert.Equal(t, c.want, b.round(Round{AtCall: []*Task{x}}))
+		assert.Equal(t, c.want, b.round(Round{AtCall: []*Request{x}}))
 	}
 }
 
 func TestGone(t *testing.T) {
 	b := newBench(nil)
 	x, n := b.task("x", 0), b.task("n", 1)
-	b.round(Round{Arrived: []*Task{x, n}})
-	assert.Equal(t, "pause x", b.round(Round{Gone: []*Task{x, n}}), "a numbered run goes on for its repeats")
-	assert.Empty(t, b.round(Round{Ended: []Ending{{Task: x}}, AtCall: []*Task{n}}), "no call for what has ended")
+	b.round(Round{Arrived: []*Request{x, n}})
+	assert.Equal(t, "pause x", b.round(Round{Gone: []*Request{x, n}}), "a numbered run goes on for its repeats")
+	assert.Empty(t, b.round(Round{Ended: []Ending{{Request: x}}, AtCall: []*Request{n}}), "no call for what has ended")
 	assert.Empty(t, b.pass(10*time.Second, Gauges{CPU: 1}), "and no answer")
 }
 
@@ -569,7 +571,7 @@
 	for kind, want := range []string{"", "remember x, forget x", ""} {
 		b := newBench(nil)
 		x := b.task("x", kind)
-		assert.Equal(t, want, b.round(Round{Arrived: []*Task{x}, Gone: []*Task{x}}))
+		assert.Equal(t, want, b.round(Round{Arrived: []*Request{x}, Gone: []*Request{x}}))
 		assert.NotContains(t, b.pass(10*time.Second, Gauges{CPU: 1}), "x", "no answer is owed")
 	}
 }
@@ -577,10 +579,10 @@
 func TestOneRoundMayHoldAWholeStory(t *testing.T) {
 	b := newBench(nil)
 	x := b.task("x", 2)
-	b.round(Round{Arrived: []*Task{x}})
-	b.round(Round{AtCall: []*Task{x}})
-	end, all := []Ending{{Task: x, Outcome: Done}}, []*Task{x}
-	story := Round{Returned: end, AtCall: all, Ended: end, Gone: all, Arrived: []*Task{b.task("y", 0)}}
+	b.round(Round{Arrived: []*Request{x}})
+	b.round(Round{AtCall: []*Request{x}})
+	end, all := []Ending{{Request: x, Outcome: Done}}, []*Request{x}
+	story := Round{Returned: end, AtCall: all, Ended: end, Gone: all, Arrived: []*Request{b.task("y", 0)}}
 	assert.Equal(t, "start y", b.round(story))
 }
 
@@ -589,8 +591,8 @@
 		b := newBench(nil)
 		for i := range 400 {
 			x := b.task(fmt.Sprint(i), i%3)
-			all += b.round(Round{Arrived: []*Task{x}}) + b.round(Round{AtCall: []*Task{x}})
-			all += b.round(Round{Returned: []Ending{{Task: x, Outcome: Outcome(i % 4)}}}) + b.pass(sweep, Gauges{CPU: 1})
+			all += b.round(Round{Arrived: []*Request{x}}) + b.round(Round{AtCall: []*Request{x}})
+			all += b.round(Round{Returned: []Ending{{Request: x, Outcome: Outcome(i % 4)}}}) + b.pass(sweep, Gauges{CPU: 1})
 		}
 		return all
 	}
@@ -602,7 +604,7 @@
 		"customers": 2.0, "customer.0.rate": 10.0, "customer.1.rate": 10.0, "servers": 10.0, "over-share": 0.05,
 	})
 	within, over := b.task("within", 0), b.task("over", 0)
-	over.Customer = 1
+	over.Tenant = 1
 	for range 5 {
 		b.tenants.add(0, b.at)
 	}
@@ -617,10 +619,10 @@
 	b := newBench(nil)
 	for range 6 {
 		x := b.task("x", 0)
-		b.round(Round{Arrived: []*Task{x}})
-		b.round(Round{Ended: []Ending{{Task: x, Outcome: Broken}}})
+		b.round(Round{Arrived: []*Request{x}})
+		b.round(Round{Ended: []Ending{{Request: x, Outcome: Broken}}})
 	}
-	said := b.round(Round{Arrived: []*Task{b.task("probe", 2), b.task("spared", 2)}})
+	said := b.round(Round{Arrived: []*Request{b.task("probe", 2), b.task("spared", 2)}})
 	assert.Equal(t, "dismiss spared, start probe", said)
 	assert.Equal(t, levelMost, b.level)
 	assert.Contains(t, b.pass(3*time.Second, Gauges{}), "health true", "it tries again by itself")
@@ -629,7 +631,7 @@
 func TestReadingGoesFirstWhenItHeapsUp(t *testing.T) {
 	b := newBench(nil)
 	b.pass(sweep, Gauges{Crowd: 4})
-	two := []*Task{b.task("first", 0), b.task("second", 0)}
+	two := []*Request{b.task("first", 0), b.task("second", 0)}
 	assert.Equal(t, "start first", b.round(Round{Arrived: two}), "reads leave room for one")
 	assert.Equal(t, "start second", b.pass(sweep, Gauges{Crowd: 3}))
 }
@@ -659,9 +661,9 @@
 		said := ""
 		for range 40 {
 			x := b.task("x", 2)
-			said += b.round(Round{Arrived: []*Task{x}}) + b.round(Round{AtCall: []*Task{x}})
+			said += b.round(Round{Arrived: []*Request{x}}) + b.round(Round{AtCall: []*Request{x}})
 			said += b.pass(100*ms, Gauges{CPU: 0.5})
-			b.round(Round{Returned: []Ending{{Task: x, Outcome: Done, Took: 20 * ms}}, Ended: []Ending{{Task: x}}})
+			b.round(Round{Returned: []Ending{{Request: x, Outcome: Done, Took: 20 * ms}}, Ended: []Ending{{Request: x}}})
 		}
 		assert.Contains(t, said, "start x", name)
 		assert.Contains(t, said, "call x", name)
@@ -675,17 +677,17 @@
 	need := b.need(b.task("real", 0))
 	for i := range 2 * mostCallers {
 		invented := b.task("invented", 0)
-		invented.Arrived, invented.Caller = b.at-10*time.Minute, uint32(i)
-		b.round(Round{Arrived: []*Task{invented}})
+		invented.Arrived, invented.Router = b.at-10*time.Minute, uint32(i)
+		b.round(Round{Arrived: []*Request{invented}})
 	}
 	assert.LessOrEqual(t, len(b.callers), mostCallers)
 	lain := b.unread.sum(b.at)
 	assert.LessOrEqual(t, lain[1], lain[0], "old ones pass for more than they are")
 	for range 100 {
 		unknown := b.task("unknown", 0)
-		b.round(Round{Arrived: []*Task{unknown}})
+		b.round(Round{Arrived: []*Request{unknown}})
 		b.at += 10 * ms
-		b.round(Round{Ended: []Ending{{Task: unknown, Outcome: Void}}})
+		b.round(Round{Ended: []Ending{{Request: unknown, Outcome: Void}}})
 	}
 	assert.InDelta(t, float64(need), float64(b.need(b.task("real", 0))), float64(ms))
 	assert.False(t, b.erring)
@@ -700,18 +702,18 @@
 	}
 	for kind, within := range []time.Duration{160 * ms, 2 * time.Second, 2 * time.Second} {
 		x := b.task("x", kind)
-		b.round(Round{Arrived: []*Task{x}})
-		assert.Equal(t, "call x", b.round(Round{AtCall: []*Task{x}}))
+		b.round(Round{Arrived: []*Request{x}})
+		assert.Equal(t, "call x", b.round(Round{AtCall: []*Request{x}}))
 		assert.InDelta(t, within, b.patience, float64(ms), "what may not run twice is waited for")
 		if kind > 0 {
 			continue
 		}
 		for again := within * 2; again < 640*ms; again *= 2 {
-			b.round(Round{Returned: []Ending{{Task: x, Outcome: Unclear, Took: within}}})
+			b.round(Round{Returned: []Ending{{Request: x, Outcome: Unclear, Took: within}}})
 			assert.Equal(t, "call x", b.pass(time.Second/4, Gauges{CPU: 0.5}))
 			assert.InDelta(t, again, b.patience, float64(ms), "one that has only grown slow is heard in the end")
 		}
-		end := []Ending{{Task: x}}
+		end := []Ending{{Request: x}}
 		b.round(Round{Returned: end, Ended: end})
 	}
 }
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -14,15 +14,15 @@
 type sender struct {
 	*bench
 	took  time.Duration // by a call
-	calls map[*Task]Ending
+	calls map[*Request]Ending
 	made  []time.Duration
 }
 
-func (s *sender) Call(t *Task, patience time.Duration) {
+func (s *sender) Call(request *Request, patience time.Duration) {
 	s.made = append(s.made, s.at)
-	s.calls[t] = Ending{Task: t, Outcome: Done, Took: s.took}
+	s.calls[request] = Ending{Request: request, Outcome: Done, Took: s.took}
 	if patience < s.took {
-		s.calls[t] = Ending{Task: t, Outcome: Unclear, Took: patience}
+		s.calls[request] = Ending{Request: request, Outcome: Unclear, Took: patience}
 	}
 }
 
@@ -30,9 +30,9 @@
 func (s *sender) step(busy bool) {
 	s.at += sweep
 	r := Round{Gauges: &Gauges{CPU: 0.3}}
-	for _, t := range s.active {
-		if e, made := s.calls[t]; made && t.calledAt+e.Took <= s.at {
-			delete(s.calls, t)
+	for _, request := range s.active {
+		if e, made := s.calls[request]; made && request.calledAt+e.Took <= s.at {
+			delete(s.calls, request)
 			r.Returned = append(r.Returned, e)
 			if e.Outcome == Done {
 				r.Ended = append(r.Ended, e)
@@ -45,9 +45,9 @@
 	r.Now = s.at
 	s.Decide(&r, s)
 	r = Round{Now: s.at}
-	for _, t := range s.active {
-		if t.phase == running {
-			r.AtCall = append(r.AtCall, t)
+	for _, request := range s.active {
+		if request.phase == running {
+			r.AtCall = append(r.AtCall, request)
 		}
 	}
 	s.Decide(&r, s)
@@ -66,13 +66,13 @@
 					draws := rand.New(rand.NewSource(int64(n)))
 					var fleet []*sender
 					for range n {
-						b := &bench{names: map[*Task]string{}, at: time.Second}
+						b := &bench{names: map[*Request]string{}, at: time.Second}
 						b.Choice = New(terms(map[string]any{
 							"cold": true, "calls-share": budget / float64(n), "calls-over": over, "type.0.skip-share": 0.0,
 							"type.0.contract-time": 3 * time.Second, "type.0.outer-limit": 20 * time.Second,
 							"type.0.late-share": 0.5,
 						}), draws.Int63())
-						fleet = append(fleet, &sender{bench: b, took: took, calls: map[*Task]Ending{}})
+						fleet = append(fleet, &sender{bench: b, took: took, calls: map[*Request]Ending{}})
 					}
 					span, quiet := 40*time.Second, time.Duration(0)
 					if rested {
--- a/admission/lent.go
+++ b/admission/lent.go
@@ -51,9 +51,9 @@
 			told += t.lent.told.Mean*t.coreSeen.count + trust
 		}
 	}
-	for _, t := range c.active {
-		spent := t.onCore.Seconds() * c.speed()
-		if of := &t.Type.lent; of.weight > 0 && spent > overrunning*of.told.Mean {
+	for _, request := range c.active {
+		spent := request.onCore.Seconds() * c.speed()
+		if of := &request.Route.lent; of.weight > 0 && spent > overrunning*of.told.Mean {
 			took += spent
 			told += of.told.Mean
 		}
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -10,9 +10,9 @@
 // departure: room is a core with no run on it now, not a gauge below 70%. That gauge looks half a second
 // back, so with runs away at calls a server full of held work kept a sixth of its cores idle. It acts only
 // while runs wait at calls or disk, and could harm where those all come back at once; crowdRoom bounds that.
-func (c *Choice) mayStart(t *Task) bool {
+func (c *Choice) mayStart(request *Request) bool {
 	in, on, parked := c.counts()
-	if in-parked+1 > c.crowdRoom() || c.used()+t.HeldKB*(c.factor-1) > c.memory {
+	if in-parked+1 > c.crowdRoom() || c.used()+request.HeldKB*(c.factor-1) > c.memory {
 		return false
 	}
 	// Reads share the cores with runs. When they heap up, in a burst or on a cold server, each task is old
@@ -26,14 +26,14 @@
 
 // counts are the tasks in flight, those of them on the cores, and those that wait for room for their call.
 func (c *Choice) counts() (in, on, parked float64) {
-	for _, t := range c.active {
-		if t.phase != echoing {
+	for _, request := range c.active {
+		if request.phase != echoing {
 			in++
 		}
-		if t.phase == running || t.phase == over {
+		if request.phase == running || request.phase == over {
 			on++
 		}
-		if t.phase == wantsCall {
+		if request.phase == wantsCall {
 			parked++
 		}
 	}
@@ -43,14 +43,14 @@
 // used is the memory spoken for, with the reads that may come before the next round.
 func (c *Choice) used() float64 {
 	kb := float64(len(c.numbers)) * c.numberKB
-	for _, t := range c.hold {
-		kb += t.HeldKB
+	for _, request := range c.hold {
+		kb += request.HeldKB
 	}
-	for _, t := range c.active {
-		if t.phase == echoing {
-			kb += t.HeldKB
+	for _, request := range c.active {
+		if request.phase == echoing {
+			kb += request.HeldKB
 		} else {
-			kb += t.HeldKB * c.factor
+			kb += request.HeldKB * c.factor
 		}
 	}
 	return kb
@@ -84,10 +84,10 @@
 // ceiling is the lower of a multiple of the cores and what memory allows at the mean running size.
 func (c *Choice) ceiling() float64 {
 	runs, kb := 0.0, 0.0
-	for _, t := range c.active {
-		if t.phase != echoing {
+	for _, request := range c.active {
+		if request.phase != echoing {
 			runs++
-			kb += t.HeldKB * c.factor
+			kb += request.HeldKB * c.factor
 		}
 	}
 	most := mostPerCore * c.cores
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -34,16 +34,16 @@
 	now      time.Duration
 	wake     time.Duration
 	running  []*playedTask
-	of       map[*admission.Task]*playedTask
+	of       map[*admission.Request]*playedTask
 	honoured float64 // importance within contract time
 	starts   []int   // by 250 ms
-	answers  map[*admission.Task]int
+	answers  map[*admission.Request]int
 	busy     []float64 // core seconds by alarm, of the last half second
 	spent    float64
 }
 
 type playedTask struct {
-	*admission.Task
+	*admission.Request
 	arrival harness.Arrival
 	left    float64
 	began   time.Duration
@@ -66,7 +66,7 @@
 	}
 	p := &played{
 		types: types, machine: m, module: admission.New(values, 1), load: load, now: time.Second,
-		of: map[*admission.Task]*playedTask{}, answers: map[*admission.Task]int{},
+		of: map[*admission.Request]*playedTask{}, answers: map[*admission.Request]int{},
 	}
 	p.frame = p.module.Frame(origin, false)
 	p.module.Decide(&admission.Round{Now: p.now}, p)
@@ -96,10 +96,10 @@
 				kept = append(kept, t)
 				continue
 			}
-			r.Ended = append(r.Ended, admission.Ending{Task: t.Task, Outcome: admission.Done, Took: p.now - t.began})
+			r.Ended = append(r.Ended, admission.Ending{Request: t.Request, Outcome: admission.Done, Took: p.now - t.began})
 			if !t.settled {
 				t.settled = true
-				p.answers[t.Task]++
+				p.answers[t.Request]++
 				if kind := p.types[t.arrival.Type]; p.now-t.Arrived <= kind.Contract {
 					p.honoured += kind.Importance
 				}
@@ -109,11 +109,11 @@
 		for len(p.load) > 0 && time.Second+p.load[0].At <= p.now {
 			a := p.load[0]
 			p.load = p.load[1:]
-			t := &playedTask{arrival: a, left: a.Work.Seconds() / p.machine.Speed, Task: &admission.Task{
-				Type: p.module.Routes[a.Type], HeldKB: 20, Arrived: p.now, Due: p.now + p.types[a.Type].Outer, Rank: a.Rank,
+			t := &playedTask{arrival: a, left: a.Work.Seconds() / p.machine.Speed, Request: &admission.Request{
+				Route: p.module.Routes[a.Type], HeldKB: 20, Arrived: p.now, Deadline: p.now + p.types[a.Type].Outer, Rank: a.Rank,
 			}}
-			p.of[t.Task] = t
-			r.Arrived = append(r.Arrived, t.Task)
+			p.of[t.Request] = t
+			r.Arrived = append(r.Arrived, t.Request)
 		}
 		if p.now >= p.wake {
 			p.busy = append(p.busy, p.spent)
@@ -140,8 +140,8 @@
 	return speed * min(1, p.machine.Cores/float64(len(p.running)))
 }
 
-func (p *played) Start(t *admission.Task) {
-	of := p.of[t]
+func (p *played) Start(request *admission.Request) {
+	of := p.of[request]
 	of.began = p.now
 	p.running = append(p.running, of)
 	for at := int((p.now - time.Second) / slice); len(p.starts) <= at; {
@@ -150,30 +150,33 @@
 	p.starts[int((p.now-time.Second)/slice)]++
 }
 
-func (p *played) Pause(t *admission.Task) {
+func (p *played) Pause(request *admission.Request) {
 	for i, r := range p.running {
-		if r.Task == t {
+		if r.Request == request {
 			p.running = append(p.running[:i], p.running[i+1:]...)
-			p.module.Decide(&admission.Round{Now: p.now, Ended: []admission.Ending{{Task: t, Outcome: admission.Stopped}}}, p)
+			p.module.Decide(&admission.Round{Now: p.now, Ended: []admission.Ending{{Request: request, Outcome: admission.Stopped}}}, p)
 			return
 		}
 	}
 }
 
-func (p *played) answer(t *admission.Task) { p.of[t].settled = true; p.answers[t]++ }
+func (p *played) answer(request *admission.Request) {
+	p.of[request].settled = true
+	p.answers[request]++
+}
 
-func (p *played) Dismiss(t *admission.Task, _ time.Duration, _ bool) { p.answer(t) }
-func (p *played) GiveUp(t *admission.Task)                           { p.answer(t) }
-func (p *played) Wake(in time.Duration)                              { p.wake = p.now + in }
-func (p *played) AnswerFromFirst(*admission.Task)                    {}
-func (p *played) Remember(*admission.Task, time.Duration)            {}
-func (p *played) Forget(*admission.Task)                             {}
-func (p *played) Call(*admission.Task, time.Duration)                {}
-func (p *played) SkipCall(*admission.Task)                           {}
-func (p *played) Health(bool, bool)                                  {}
-func (p *played) Level(float64)                                      {}
-func (p *played) CloseIdle(time.Duration)                            {}
-func (p *played) Note(string)                                        {}
+func (p *played) Dismiss(request *admission.Request, _ time.Duration, _ bool) { p.answer(request) }
+func (p *played) GiveUp(request *admission.Request)                           { p.answer(request) }
+func (p *played) Wake(in time.Duration)                                       { p.wake = p.now + in }
+func (p *played) AnswerFromFirst(*admission.Request)                          {}
+func (p *played) Remember(*admission.Request, time.Duration)                  {}
+func (p *played) Forget(*admission.Request)                                   {}
+func (p *played) Call(*admission.Request, time.Duration)                      {}
+func (p *played) SkipCall(*admission.Request)                                 {}
+func (p *played) Health(bool, bool)                                           {}
+func (p *played) Level(float64)                                               {}
+func (p *played) CloseIdle(time.Duration)                                     {}
+func (p *played) Note(string)                                                 {}
 
 // learned is the view of this server as another gets it.
 func (p *played) learned() estimate.View { return p.module.Learned(p.now, p.frame) }
--- a/admission/reason.go
+++ b/admission/reason.go
@@ -29,11 +29,11 @@
 func (r Reason) String() string { return reasonTexts[r] }
 
 // Reason is why the request was answered without a result, once it was.
-func (t *Task) Reason() Reason { return t.reason }
+func (r *Request) Reason() Reason { return r.reason }
 
 // expiry is the reason of a request whose time is over: its own, or the server's.
-func (c *Choice) expiry(t *Task) Reason {
-	if c.stopAt > 0 && t.wanted == c.stopAt {
+func (c *Choice) expiry(request *Request) Reason {
+	if c.stopAt > 0 && request.wanted == c.stopAt {
 		return ReasonDraining
 	}
 	return ReasonExpired
@@ -59,8 +59,8 @@
 		Held: len(c.hold), OnCores: int(on), InFlight: int(in), Limit: c.limit, MaxCrowd: c.crowdRoom(),
 		UsedKB: c.used(), MaxKB: c.memory,
 	}
-	for _, t := range c.active {
-		if t.settled && t.phase != echoing {
+	for _, request := range c.active {
+		if request.settled && request.phase != echoing {
 			sum.Answered++
 		}
 	}
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -9,44 +9,44 @@
 )
 
 // dismiss turns away a task that never ran.
-func (c *Choice) dismiss(t *Task, reason Reason, w Writer) {
-	t.reason = reason
-	c.forget(t, w)
-	t.settled = true
-	c.remove(t)
+func (c *Choice) dismiss(request *Request, reason Reason, w Writer) {
+	request.reason = reason
+	c.forget(request, w)
+	request.settled = true
+	c.remove(request)
 	// A further try elsewhere helps only while a faster server has time for it, and room: a level this high has
 	// stood for seconds, and then the others are mostly as full. Each try costs a reading. It could harm
 	// where this server alone is slow and callers heed this before the level.
-	hopeless := t.wanted < c.now+c.need(t)/faster || c.level > fullLevel
+	hopeless := request.wanted < c.now+c.need(request)/faster || c.level > fullLevel
 	// It stays away for as long as it lay unread and the hold was too long: those are read or run first.
 	comeBack := time.Duration(0)
 	if pick(c.terms, "come-back", false) {
-		comeBack = min(t.since-t.Arrived+t.excess, pick(c.terms, "come-back-most", comeBack))
+		comeBack = min(request.since-request.Arrived+request.excess, pick(c.terms, "come-back-most", comeBack))
 	}
-	w.Dismiss(t, comeBack, hopeless)
+	w.Dismiss(request, comeBack, hopeless)
 }
 
 // giveUp answers a task that ran, or a repeat whose first may have, and then stops it, so that its core is
 // free at once for work that somebody waits for.
-func (c *Choice) giveUp(t *Task, reason Reason, w Writer) {
-	t.reason = reason
-	t.settled = true
-	w.GiveUp(t)
-	switch t.phase {
+func (c *Choice) giveUp(request *Request, reason Reason, w Writer) {
+	request.reason = reason
+	request.settled = true
+	w.GiveUp(request)
+	switch request.phase {
 	case running:
-		c.stop(t, w)
+		c.stop(request, w)
 	case calling, wantsCall: // its memory, and its call, are given back only with the end that is told
 	default:
-		c.remove(t)
+		c.remove(request)
 	}
 }
 
 // stop frees the core of a run whose answer is given, where the site allows stops (which may change in
 // service); elsewhere the run goes on to its end and counts on the cores until then.
-func (c *Choice) stop(t *Task, w Writer) {
+func (c *Choice) stop(request *Request, w Writer) {
 	if c.halts() {
-		c.enter(t, over)
-		w.Pause(t)
+		c.enter(request, over)
+		w.Pause(request)
 	}
 }
 
@@ -55,11 +55,11 @@
 // expire answers whatever has come to its last moment or can earn nothing any more, in whatever phase.
 func (c *Choice) expire(w Writer) {
 	c.all = append(append(c.all[:0], c.hold...), c.active...)
-	for _, t := range c.all {
-		if c.now >= t.wanted && t.phase == held {
-			c.dismiss(t, c.expiry(t), w)
-		} else if c.now >= t.wanted && !t.settled {
-			c.giveUp(t, c.expiry(t), w)
+	for _, request := range c.all {
+		if c.now >= request.wanted && request.phase == held {
+			c.dismiss(request, c.expiry(request), w)
+		} else if c.now >= request.wanted && !request.settled {
+			c.giveUp(request, c.expiry(request), w)
 		}
 	}
 }
@@ -88,45 +88,45 @@
 // work first. It walks the hold in start order and lays one behind the other on the cores.
 func (c *Choice) weed(w Writer) {
 	ahead := time.Duration(0)
-	for _, t := range c.active {
-		if t.phase == running {
-			need := c.need(t)
-			ahead += max(need-t.onCore, need/2)
+	for _, request := range c.active {
+		if request.phase == running {
+			need := c.need(request)
+			ahead += max(need-request.onCore, need/2)
 		}
 	}
 	_, on, parked := c.counts()
 	wide, atCall := max(c.cores, on), c.strainedCall(parked)
 	kept, out := c.kept[:0], c.out[:0]
-	leaveOut := func(excess time.Duration, reason Reason) *Task {
+	leaveOut := func(excess time.Duration, reason Reason) *Request {
 		least := 0
 		for i := range kept {
 			if c.density(kept[i]) <= c.density(kept[least]) {
 				least = i
 			}
 		}
-		t := kept[least]
-		t.excess, t.reason = excess, reason
+		request := kept[least]
+		request.excess, request.reason = excess, reason
 		kept = slices.Delete(kept, least, least+1)
-		out = append(out, t)
-		ahead -= c.need(t)
-		return t
+		out = append(out, request)
+		ahead -= c.need(request)
+		return request
 	}
-	for _, t := range c.hold {
-		kept = append(kept, t)
-		ahead += c.need(t)
+	for _, request := range c.hold {
+		kept = append(kept, request)
+		ahead += c.need(request)
 		for len(kept) > 0 {
-			need := c.need(t)
+			need := c.need(request)
 			start := c.now + time.Duration(float64(ahead-need)/wide)
 			// A mean is no bound: most tasks need less, as a few very long ones make it up. Judged
 			// by the whole mean, a server with cores to spare sent away what it could have done.
-			waits, run := t.Type.Waits, time.Duration(median*float64(need))
-			if t.Type.Calls {
+			waits, run := request.Route.Waits, time.Duration(median*float64(need))
+			if request.Route.Calls {
 				waits = max(waits, atCall)
 			}
-			latest := t.wanted - waits - run
-			latest = min(latest, t.Arrived+time.Duration(plan*float64(latest-t.Arrived)))
-			t.late = start+run > t.Arrived+t.Type.ContractTime
-			if start <= latest || leaveOut(start-latest, ReasonNoTime) == t {
+			latest := request.wanted - waits - run
+			latest = min(latest, request.Arrived+time.Duration(plan*float64(latest-request.Arrived)))
+			request.late = start+run > request.Arrived+request.Route.ContractTime
+			if start <= latest || leaveOut(start-latest, ReasonNoTime) == request {
 				break
 			}
 		}
@@ -139,49 +139,49 @@
 	for full > 0 && len(kept) > 0 {
 		full -= leaveOut(0, ReasonMemory).HeldKB
 	}
-	for _, t := range out {
-		if t.Rank >= c.level {
-			c.load.add(c.now, 0, c.need(t).Seconds())
+	for _, request := range out {
+		if request.Rank >= c.level {
+			c.load.add(c.now, 0, c.need(request).Seconds())
 		}
-		c.dismiss(t, t.reason, w)
+		c.dismiss(request, request.reason, w)
 	}
 	c.kept, c.out = kept, out
 }
 
 // need is the core time a task is expected to take here. Time already spent on unfinished runs counts
 // against the runs that ended, so that a machine that has just slowed down is noticed before its first end.
-func (c *Choice) need(t *Task) time.Duration {
-	if t.Hint > 0 && (c.pace.count > 0 || c.lentPace.weight > 0) {
+func (c *Choice) need(request *Request) time.Duration {
+	if request.CostHint > 0 && (c.pace.count > 0 || c.lentPace.weight > 0) {
 		seen := c.paced.sum(c.now)
 		pace, trust := c.prior(c.pace, &c.lentPace)
-		trust *= t.Hint.Seconds()
-		return time.Duration((seen[0] + trust*pace) / (seen[1] + trust) * float64(t.Hint))
+		trust *= request.CostHint.Seconds()
+		return time.Duration((seen[0] + trust*pace) / (seen[1] + trust) * float64(request.CostHint))
 	}
-	known := t.Type.usual
+	known := request.Route.usual
 	if known.count == 0 {
-		known.mean = t.Type.ContractTime.Seconds() / guess
+		known.mean = request.Route.ContractTime.Seconds() / guess
 	}
 	usual, trust := known.mean, doubt
 	if c.borrowed {
-		usual, trust = c.prior(known, &t.Type.lent)
+		usual, trust = c.prior(known, &request.Route.lent)
 	}
-	seen := t.Type.runs.sum(c.now)
+	seen := request.Route.runs.sum(c.now)
 	return time.Duration((max(seen[0], 0) + trust*usual) / (seen[1] + trust) * float64(time.Second))
 }
 
 // density is the importance that a second of work earns. What a customer asks beyond its share is worth
 // little and carries no mark, so each of its tasks is taken for the mix that it is on the mean here.
-func (c *Choice) density(t *Task) float64 {
-	worth := t.Type.Importance
-	if t.late { // planned to end past its contract time: it goes before one that would still be in time
-		worth *= t.Type.LateShare
+func (c *Choice) density(request *Request) float64 {
+	worth := request.Route.Importance
+	if request.late { // planned to end past its contract time: it goes before one that would still be in time
+		worth *= request.Route.LateShare
 	}
-	share := c.tenants.rate(t.Customer) / pick(c.terms, "servers", 1.0)
-	if asked := c.tenants.asked(t.Customer, c.now); asked > share {
+	share := c.tenants.rate(request.Tenant) / pick(c.terms, "servers", 1.0)
+	if asked := c.tenants.asked(request.Tenant, c.now); asked > share {
 		worth *= 1 - (1-share/asked)*(1-pick(c.terms, "over-share", 1.0))
 	}
 	if pick(c.terms, "importance-by", "request") == "work" {
 		return worth
 	}
-	return worth / c.need(t).Seconds()
+	return worth / c.need(request).Seconds()
 }
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -49,8 +49,8 @@
 	}
 	ends := func(took time.Duration) {
 		x := b.task("x", 0)
-		b.round(Round{Arrived: []*Task{x}})
-		b.round(Round{Ended: []Ending{{Task: x, Outcome: Done, Took: took}}})
+		b.round(Round{Arrived: []*Request{x}})
+		b.round(Round{Ended: []Ending{{Request: x, Outcome: Done, Took: took}}})
 	}
 	for range 200 {
 		ends(10 * time.Millisecond)
--- a/admission/task.go
+++ b/admission/task.go
@@ -40,18 +40,18 @@
 	lent              lent  // core seconds of a run that other servers told
 }
 
-// Task is one try of a client's work, from its reading to the end of all that it left behind.
-type Task struct {
-	Type     *Route
-	HeldKB   float64
-	Hint     time.Duration // expected work on a standard core; 0 where none was given
-	Arrived  time.Duration // when it reached the machine, before it was read
-	Whole    time.Duration // when its last byte came, where it came in pieces; 0 for with Arrived
-	Due      time.Duration // when its caller stops waiting; 0 where that is not told
-	Rank     float64       // its place from 0 to under 1, by which routers heed the level
-	Customer int
-	Caller   uint32 // the router it came from
-	Again    bool   // a repeat of a numbered task known here
+// Request is one try of a client's work, from its reading to the end of all that it left behind.
+type Request struct {
+	Route      *Route
+	HeldKB     float64
+	CostHint   time.Duration // expected work on a standard core; 0 where none was given
+	Arrived    time.Duration // when it reached the machine, before it was read
+	LastByteAt time.Duration // when its last byte came, where it came in pieces; 0 for with Arrived
+	Deadline   time.Duration // when its caller stops waiting; 0 where that is not told
+	Rank       float64       // its place from 0 to under 1, by which routers heed the level
+	Tenant     int
+	Router     uint32 // the router it came from
+	Duplicate  bool   // a repeat of a numbered task known here
 
 	phase     phase
 	ran       bool
@@ -69,8 +69,8 @@
 	reason    Reason        // why it was answered without a result
 }
 
-// Came is when the task had come whole, by which it is within the grace of a notice or past it.
-func (t *Task) Came() time.Duration { return max(t.Arrived, t.Whole) }
+// ReceivedAt is when the task had come whole, by which it is within the grace of a notice or past it.
+func (r *Request) ReceivedAt() time.Duration { return max(r.Arrived, r.LastByteAt) }
 
 type phase int
 
@@ -106,7 +106,7 @@
 
 // Ending is the end of a run or of a call.
 type Ending struct {
-	Task    *Task
+	Request *Request
 	Outcome Outcome
 	Took    time.Duration
 }
@@ -118,10 +118,10 @@
 	Noticed  time.Duration // with it, when the notice came; 0 for in this round
 	Booted   time.Duration // when the machine's workers started, in the round that hears of it: they are cold from then on
 	Returned []Ending      // calls that ended
-	AtCall   []*Task       // running tasks that need a call to go on
+	AtCall   []*Request    // running tasks that need a call to go on
 	Ended    []Ending      // runs that ended
-	Gone     []*Task       // tasks nobody waits for any longer
-	Arrived  []*Task       // tasks read
+	Gone     []*Request    // tasks nobody waits for any longer
+	Arrived  []*Request    // tasks read
 	Gauges   *Gauges       // set when an alarm rang
 }
 
@@ -140,15 +140,15 @@
 
 // Writer takes the decisions of a round, in order.
 type Writer interface {
-	Start(t *Task)
-	Pause(t *Task)
-	Dismiss(t *Task, comeBack time.Duration, nowhereElse bool)
-	GiveUp(t *Task)
-	AnswerFromFirst(t *Task)
-	Remember(t *Task, span time.Duration)
-	Forget(t *Task)
-	Call(t *Task, patience time.Duration)
-	SkipCall(t *Task)
+	Start(request *Request)
+	Pause(request *Request)
+	Dismiss(request *Request, comeBack time.Duration, nowhereElse bool)
+	GiveUp(request *Request)
+	AnswerFromFirst(request *Request)
+	Remember(request *Request, span time.Duration)
+	Forget(request *Request)
+	Call(request *Request, patience time.Duration)
+	SkipCall(request *Request)
 	Health(good, fromStore bool)
 	Level(level float64)
 	CloseIdle(span time.Duration)
--- a/baseline/base.go
+++ b/baseline/base.go
@@ -51,7 +51,7 @@
 )
 
 type kept struct {
-	task  *admission.Task
+	task  *admission.Request
 	state state
 	since time.Duration
 	due   time.Duration
@@ -61,7 +61,7 @@
 type server struct {
 	limiter
 	line    []*kept // held, in order
-	tasks   map[*admission.Task]*kept
+	tasks   map[*admission.Request]*kept
 	active  []*kept // begun, in order
 	began   bool
 	stopAt  time.Duration
@@ -80,7 +80,7 @@
 			}
 			kinds = append(kinds, kind)
 		}
-		return &server{limiter: make(m, types, rand.New(rand.NewSource(seed))), tasks: map[*admission.Task]*kept{}}, kinds
+		return &server{limiter: make(m, types, rand.New(rand.NewSource(seed))), tasks: map[*admission.Request]*kept{}}, kinds
 	}
 }
 
@@ -125,25 +125,25 @@
 	for _, e := range r.Returned {
 		s.returned(e, w)
 	}
-	for _, t := range r.AtCall {
-		if k := s.tasks[t]; k != nil && k.state == running {
+	for _, request := range r.AtCall {
+		if k := s.tasks[request]; k != nil && k.state == running {
 			k.state = calling
-			w.Call(t, max(k.due-r.Now, 1))
+			w.Call(request, max(k.due-r.Now, 1))
 		}
 	}
 	for _, e := range r.Ended {
-		if k := s.tasks[e.Task]; k != nil {
+		if k := s.tasks[e.Request]; k != nil {
 			s.sample(r.Now, e.Took, len(s.active), e.Outcome != admission.Done)
 			s.remove(k)
 		}
 	}
-	for _, t := range r.Gone {
-		if k := s.tasks[t]; k != nil && k.state == held {
+	for _, request := range r.Gone {
+		if k := s.tasks[request]; k != nil && k.state == held {
 			s.remove(k)
 		}
 	}
-	for _, t := range r.Arrived {
-		s.arrived(t, r.Now, w)
+	for _, request := range r.Arrived {
+		s.arrived(request, r.Now, w)
 	}
 	if r.Gauges != nil {
 		s.gauges(r.Now, *r.Gauges)
@@ -163,9 +163,9 @@
 	}
 }
 
-func (s *server) arrived(t *admission.Task, now time.Duration, w admission.Writer) {
-	k := &kept{task: t, since: now, due: t.Due - early}
-	s.tasks[t] = k
+func (s *server) arrived(request *admission.Request, now time.Duration, w admission.Writer) {
+	k := &kept{task: request, since: now, due: request.Deadline - early}
+	s.tasks[request] = k
 	s.line = append(s.line, k)
 	late := s.stopAt > 0 && now > s.noticed+400*time.Millisecond
 	if late || !s.take(now) || float64(len(s.line)) > holdOver*max(s.room(), 1) {
@@ -210,12 +210,12 @@
 }
 
 func (s *server) returned(e admission.Ending, w admission.Writer) {
-	k := s.tasks[e.Task]
+	k := s.tasks[e.Request]
 	switch {
 	case k == nil || k.state != calling:
 	case e.Outcome == admission.Done:
 		k.state = running
-	case k.task.Type.SkipShare > 0:
+	case k.task.Route.SkipShare > 0:
 		k.state = running
 		w.SkipCall(k.task)
 	default:
--- a/cmd/adapter/instance.go
+++ b/cmd/adapter/instance.go
@@ -11,7 +11,7 @@
 
 // entry is what the door remembers of a task.
 type entry struct {
-	task     *admission.Task
+	task     *admission.Request
 	answered bool
 	active   bool // a run is on, so an end will still come
 }
@@ -22,7 +22,7 @@
 	module   *admission.Choice
 	settings *settings.Settings
 	tasks    map[uint64]*entry
-	ids      map[*admission.Task]uint64
+	ids      map[*admission.Request]uint64
 	round    admission.Round
 	reading  admission.Gauges
 	touched  bool
@@ -39,33 +39,33 @@
 		module:   admission.New(told.Values, int64(seed)),
 		settings: told,
 		tasks:    map[uint64]*entry{},
-		ids:      map[*admission.Task]uint64{},
+		ids:      map[*admission.Request]uint64{},
 		reply:    reply,
 	}, nil
 }
 
 // settle drops what no later event can concern.
-func (in *instance) settle(t *admission.Task) {
-	id, known := in.ids[t]
+func (in *instance) settle(request *admission.Request) {
+	id, known := in.ids[request]
 	if !known {
 		return
 	}
 	if e := in.tasks[id]; e.answered && !e.active {
 		delete(in.tasks, id)
-		delete(in.ids, t)
+		delete(in.ids, request)
 	}
 }
 
-func (in *instance) act(code uint8, t *admission.Task) wire.Action {
+func (in *instance) act(code uint8, request *admission.Request) wire.Action {
 	a := in.reply.Add(code, in.who)
-	a.U64(3, in.ids[t])
+	a.U64(3, in.ids[request])
 	return a
 }
 
-func (in *instance) answered(t *admission.Task) {
-	if e := in.tasks[in.ids[t]]; e != nil {
+func (in *instance) answered(request *admission.Request) {
+	if e := in.tasks[in.ids[request]]; e != nil {
 		e.answered = true
-		in.settle(t)
+		in.settle(request)
 	}
 }
 
@@ -76,38 +76,38 @@
 }
 
 // Start implements admission.Writer, as do the methods below it.
-func (in *instance) Start(t *admission.Task) {
-	in.tasks[in.ids[t]].active = true
-	in.act(wire.Launch, t)
+func (in *instance) Start(request *admission.Request) {
+	in.tasks[in.ids[request]].active = true
+	in.act(wire.Launch, request)
 }
 
-func (in *instance) Pause(t *admission.Task) { in.act(wire.Preempt, t) }
+func (in *instance) Pause(request *admission.Request) { in.act(wire.Preempt, request) }
 
-func (in *instance) Dismiss(t *admission.Task, comeBack time.Duration, nowhereElse bool) {
-	a := in.act(wire.Shed, t)
+func (in *instance) Dismiss(request *admission.Request, comeBack time.Duration, nowhereElse bool) {
+	a := in.act(wire.Shed, request)
 	a.U32(11, micros(comeBack))
 	a.Bool(15, nowhereElse)
-	in.answered(t)
+	in.answered(request)
 }
 
-func (in *instance) GiveUp(t *admission.Task) {
-	in.act(wire.Fail, t)
-	in.answered(t)
+func (in *instance) GiveUp(request *admission.Request) {
+	in.act(wire.Fail, request)
+	in.answered(request)
 }
 
-func (in *instance) AnswerFromFirst(t *admission.Task) { in.act(wire.Echo, t) }
+func (in *instance) AnswerFromFirst(request *admission.Request) { in.act(wire.Echo, request) }
 
-func (in *instance) Remember(t *admission.Task, span time.Duration) {
-	in.act(wire.Keep, t).U32(11, micros(span))
+func (in *instance) Remember(request *admission.Request, span time.Duration) {
+	in.act(wire.Keep, request).U32(11, micros(span))
 }
 
-func (in *instance) Forget(t *admission.Task) { in.act(wire.Unpin, t) }
+func (in *instance) Forget(request *admission.Request) { in.act(wire.Unpin, request) }
 
-func (in *instance) Call(t *admission.Task, patience time.Duration) {
-	in.act(wire.Call, t).U32(11, micros(patience))
+func (in *instance) Call(request *admission.Request, patience time.Duration) {
+	in.act(wire.Call, request).U32(11, micros(patience))
 }
 
-func (in *instance) SkipCall(t *admission.Task) { in.act(wire.GoOn, t) }
+func (in *instance) SkipCall(request *admission.Request) { in.act(wire.GoOn, request) }
 
 func (in *instance) Health(good, fromStore bool) {
 	a := in.reply.Add(wire.Status, in.who)
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -66,10 +66,10 @@
 	}()
 	in.module.Decide(&in.round, in)
 	for _, e := range in.round.Ended {
-		in.settle(e.Task)
+		in.settle(e.Request)
 	}
-	for _, t := range in.round.Gone {
-		in.settle(t)
+	for _, request := range in.round.Gone {
+		in.settle(request)
 	}
 	in.round.Clear()
 	in.touched = false
@@ -171,22 +171,22 @@
 	if service >= len(in.module.Routes) {
 		return fmt.Errorf("task of traffic type %d of %d", service, len(in.module.Routes))
 	}
-	t := &admission.Task{
-		Type:     in.module.Routes[service],
-		HeldKB:   r.F32(11),
-		Arrived:  now - time.Duration(r.U32(58))*time.Microsecond,
-		Due:      time.Duration(r.U64(25)) * time.Microsecond,
-		Rank:     r.F32(37),
-		Customer: int(r.U32(33)),
-		Caller:   r.U32(49),
-		Again:    r.U64(41) != 0,
+	request := &admission.Request{
+		Route:     in.module.Routes[service],
+		HeldKB:    r.F32(11),
+		Arrived:   now - time.Duration(r.U32(58))*time.Microsecond,
+		Deadline:  time.Duration(r.U64(25)) * time.Microsecond,
+		Rank:      r.F32(37),
+		Tenant:    int(r.U32(33)),
+		Router:    r.U32(49),
+		Duplicate: r.U64(41) != 0,
 	}
 	if r.U16(15)&1 != 0 {
-		t.Hint = time.Duration(r.U32(53)) * time.Microsecond
+		request.CostHint = time.Duration(r.U32(53)) * time.Microsecond
 	}
-	in.tasks[id] = &entry{task: t}
-	in.ids[t] = id
-	in.round.Arrived = append(in.round.Arrived, t)
+	in.tasks[id] = &entry{task: request}
+	in.ids[request] = id
+	in.round.Arrived = append(in.round.Arrived, request)
 	return nil
 }
 
@@ -216,10 +216,10 @@
 	249: admission.Void,
 }
 
-func ended(t *admission.Task, r wire.Record) (admission.Ending, error) {
+func ended(request *admission.Request, r wire.Record) (admission.Ending, error) {
 	outcome, known := outcomes[r.U16(11)]
 	if !known {
 		return admission.Ending{}, fmt.Errorf("unknown outcome %d", r.U16(11))
 	}
-	return admission.Ending{Task: t, Outcome: outcome, Took: time.Duration(r.U32(13)) * time.Microsecond}, nil
+	return admission.Ending{Request: request, Outcome: outcome, Took: time.Duration(r.U32(13)) * time.Microsecond}, nil
 }
--- a/cmd/quartzpoint-bench/flat.go
+++ b/cmd/quartzpoint-bench/flat.go
@@ -152,7 +152,7 @@
 }
 
 func (f *flatComposer) Start(r workerapi.Run) bool {
-	kind := f.types[r.Type]
+	kind := f.types[r.Route]
 	n := len(kind.Calls)
 	t := &flatTask{id: r.ID, kind: kind, body: r.Body, settled: make([]bool, n), good: make([]bool, n), tries: make([]int, n)}
 	f.tasks[r.ID] = t
@@ -171,7 +171,7 @@
 	if !t.done {
 		t.done = true
 		delete(f.tasks, t.id)
-		f.ended = append(f.ended, workerapi.Notice{Kind: workerapi.Finished, Task: t.id, Outcome: outcome, Result: result})
+		f.ended = append(f.ended, workerapi.Notice{Kind: workerapi.Finished, RequestID: t.id, Outcome: outcome, Result: result})
 	}
 }
 
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -145,7 +145,7 @@
 	if e.verdict == budget.GivenUp {
 		outcome = admission.Stopped
 	}
-	s.round.Ended = append(s.round.Ended, admission.Ending{Task: &t.Task, Outcome: outcome, Took: s.world.now - t.work.begun})
+	s.round.Ended = append(s.round.Ended, admission.Ending{Request: &t.Request, Outcome: outcome, Took: s.world.now - t.work.begun})
 	if !t.answered {
 		if t.worth = e.worth; e.verdict == budget.GivenUp {
 			s.answer(t, givenUp, 0, false)
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -35,7 +35,7 @@
 
 // try is one task at one server.
 type try struct {
-	admission.Task
+	admission.Request
 	id    uint64
 	of    *request
 	at    *server
@@ -64,9 +64,9 @@
 	pool   *pool
 	began  time.Duration
 
-	tries    map[*admission.Task]*try
+	tries    map[*admission.Request]*try
 	parts    *composer
-	atCall   []*admission.Task // started in this round, and made of calls
+	atCall   []*admission.Request // started in this round, and made of calls
 	round    admission.Round
 	level    float64
 	thaw     time.Duration // until when it stands still
@@ -82,7 +82,7 @@
 	w := s.world
 	s.life++
 	s.alive, s.began, s.level, s.noticed, s.stopAt, s.thaw, s.late = true, w.now, 0, 0, 0, 0, nil
-	s.tries = map[*admission.Task]*try{}
+	s.tries = map[*admission.Request]*try{}
 	s.round = admission.Round{}
 	factor, taken := 1.0, 0.0
 	if s.pool != nil { // what is the machine's stays
@@ -146,11 +146,11 @@
 	}
 	kind := s.types[t.of.kind]
 	ago := max(w.now-came+s.clockOff, 0)
-	t.Task = admission.Task{
-		Type: kind, HeldKB: heldKB, Arrived: w.now - ago, Rank: t.of.rank, Caller: uint32(t.of.router.number),
-		Due: w.now - ago + min(waits, kind.OuterLimit),
+	t.Request = admission.Request{
+		Route: kind, HeldKB: heldKB, Arrived: w.now - ago, Rank: t.of.rank, Router: uint32(t.of.router.number),
+		Deadline: w.now - ago + min(waits, kind.OuterLimit),
 	}
-	s.tries[&t.Task] = t
+	s.tries[&t.Request] = t
 	effect := uint64(0)
 	if w.fleet.Types[t.of.kind].Once {
 		effect = t.of.id
@@ -159,7 +159,7 @@
 	if came+waits <= w.now { // it stood still, and reads what lay there
 		w.rules.Take(rulecheck.Event{Kind: rulecheck.Gone, At: w.now, Try: t.id})
 	}
-	s.round.Arrived = append(s.round.Arrived, &t.Task)
+	s.round.Arrived = append(s.round.Arrived, &t.Request)
 	s.decide()
 }
 
@@ -168,10 +168,10 @@
 	s.round.Now = s.world.now
 	s.policy.Decide(&s.round, s)
 	for _, e := range s.round.Ended {
-		s.settle(s.tries[e.Task])
+		s.settle(s.tries[e.Request])
 	}
-	for _, t := range s.round.Gone {
-		s.settle(s.tries[t])
+	for _, request := range s.round.Gone {
+		s.settle(s.tries[request])
 	}
 	s.round.Clear()
 	for len(s.atCall) > 0 { // what was started and is made of calls is at its calls in the same moment
@@ -183,7 +183,7 @@
 
 func (s *server) settle(t *try) {
 	if t != nil && t.answered && !t.active {
-		delete(s.tries, &t.Task)
+		delete(s.tries, &t.Request)
 	}
 }
 
@@ -191,12 +191,12 @@
 func (s *server) ran(t *try) {
 	if t.call && !t.answered {
 		t.call = false
-		s.round.AtCall = append(s.round.AtCall, &t.Task)
+		s.round.AtCall = append(s.round.AtCall, &t.Request)
 		s.decide()
 		return
 	}
 	t.active = false
-	s.round.Ended = append(s.round.Ended, admission.Ending{Task: &t.Task, Outcome: admission.Done, Took: s.world.now - t.work.begun})
+	s.round.Ended = append(s.round.Ended, admission.Ending{Request: &t.Request, Outcome: admission.Done, Took: s.world.now - t.work.begun})
 	if !t.answered {
 		s.answer(t, honoured, 0, false)
 	}
@@ -205,7 +205,7 @@
 
 // returned takes the end of a call.
 func (s *server) returned(t *try, outcome admission.Outcome, took time.Duration) {
-	s.round.Returned = append(s.round.Returned, admission.Ending{Task: &t.Task, Outcome: outcome, Took: took})
+	s.round.Returned = append(s.round.Returned, admission.Ending{Request: &t.Request, Outcome: outcome, Took: took})
 	if outcome == admission.Done {
 		s.goOn(t)
 	}
@@ -221,7 +221,7 @@
 }
 
 // Start implements admission.Writer, as do the methods below it.
-func (s *server) Start(c *admission.Task) {
+func (s *server) Start(c *admission.Request) {
 	t := s.tries[c]
 	if t == nil || t.answered {
 		return
@@ -250,7 +250,7 @@
 }
 
 // Pause stops a run; that it ended is told a little later, as by the link to a pool.
-func (s *server) Pause(c *admission.Task) {
+func (s *server) Pause(c *admission.Request) {
 	t := s.tries[c]
 	if t == nil || !t.active {
 		return
@@ -267,7 +267,7 @@
 				return
 			}
 			t.active = false
-			s.round.Ended = append(s.round.Ended, admission.Ending{Task: &t.Task, Outcome: admission.Stopped, Took: s.world.now - t.work.begun})
+			s.round.Ended = append(s.round.Ended, admission.Ending{Request: &t.Request, Outcome: admission.Stopped, Took: s.world.now - t.work.begun})
 			if !t.answered {
 				s.answer(t, givenUp, 0, false)
 			}
@@ -276,13 +276,13 @@
 	})
 }
 
-func (s *server) Dismiss(c *admission.Task, comeBack time.Duration, nowhereElse bool) {
+func (s *server) Dismiss(c *admission.Request, comeBack time.Duration, nowhereElse bool) {
 	if t := s.tries[c]; t != nil {
 		s.answer(t, dismissed, comeBack, nowhereElse)
 	}
 }
 
-func (s *server) GiveUp(c *admission.Task) {
+func (s *server) GiveUp(c *admission.Request) {
 	if t := s.tries[c]; t != nil {
 		s.answer(t, givenUp, 0, false)
 		if t.composed && t.active { // the decisions wait for its end, and do not stop it
@@ -304,13 +304,13 @@
 }
 
 // AnswerFromFirst is for numbered tasks, which are not emulated.
-func (s *server) AnswerFromFirst(*admission.Task) {}
+func (s *server) AnswerFromFirst(*admission.Request) {}
 
-func (s *server) Remember(*admission.Task, time.Duration) {}
+func (s *server) Remember(*admission.Request, time.Duration) {}
 
-func (s *server) Forget(*admission.Task) {}
+func (s *server) Forget(*admission.Request) {}
 
-func (s *server) Call(c *admission.Task, patience time.Duration) {
+func (s *server) Call(c *admission.Request, patience time.Duration) {
 	t := s.tries[c]
 	if t == nil || !t.active {
 		return
@@ -325,7 +325,7 @@
 	})
 }
 
-func (s *server) SkipCall(c *admission.Task) {
+func (s *server) SkipCall(c *admission.Request) {
 	if t := s.tries[c]; t != nil {
 		t.worth = s.world.fleet.Types[t.of.kind].Skips
 		s.goOn(t)
@@ -368,7 +368,7 @@
 // lose ends all that a server has with itself.
 func (s *server) lose() {
 	open := s.world.ordered(s.tries)
-	s.tries = map[*admission.Task]*try{}
+	s.tries = map[*admission.Request]*try{}
 	for _, t := range open {
 		if !t.answered {
 			t.answered = true
@@ -429,7 +429,7 @@
 	w := s.world
 	s.thaw = max(s.thaw, w.now+span)
 	for _, t := range w.ordered(s.tries) {
-		if !t.answered && t.Due < s.thaw+thawTime {
+		if !t.answered && t.Deadline < s.thaw+thawTime {
 			w.rules.Take(rulecheck.Event{Kind: rulecheck.Gone, At: w.now, Try: t.id})
 		}
 	}
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -179,7 +179,7 @@
 func (w *World) dependency(name string) *dependency { return w.dependencies[name] }
 
 // ordered gives tries in the order of their ids, as a map's must not decide.
-func (w *World) ordered(tries map[*admission.Task]*try) []*try {
+func (w *World) ordered(tries map[*admission.Request]*try) []*try {
 	all := make([]*try, 0, len(tries))
 	for _, t := range tries {
 		all = append(all, t)
--- a/handlers.go
+++ b/handlers.go
@@ -44,7 +44,7 @@
 	state atomic.Int32 // who answers: whoever moves it from open
 
 	// The owner's own.
-	taken   *server.Task
+	taken   *server.Request
 	running bool
 	begun   time.Duration
 	over    bool // answered, or its caller is gone
@@ -119,23 +119,23 @@
 func (c *call) arrives() {
 	g := c.gate
 	g.runs.calls[c.id] = c
-	a := server.Asked{
-		ID: c.id, Type: c.task.Type, HeldKB: g.runs.heldKB, Rank: c.task.Rank, Router: c.task.Caller, Arrived: c.came,
-		Number: c.task.Number, Shape: c.task.Shape, Customer: math.MaxInt, Caller: c,
+	a := server.Incoming{
+		ID: c.id, Route: c.task.Type, HeldKB: g.runs.heldKB, Rank: c.task.Rank, Router: c.task.Caller, Arrived: c.came,
+		Key: c.task.Number, Shape: c.task.Shape, Tenant: math.MaxInt, Caller: c,
 	}
 	if place, known := g.shares[c.task.Customer]; known {
-		a.Customer = place
+		a.Tenant = place
 	}
 	due := c.task.Due
 	if deadline, stated := c.ctx.Deadline(); stated && (due.IsZero() || deadline.Before(due)) {
 		due = deadline
 	}
 	if !due.IsZero() {
-		a.Waits = max(time.Until(due)+g.owner.Now()-c.came, 1)
+		a.Patience = max(time.Until(due)+g.owner.Now()-c.came, 1)
 	}
 	g.owner.Adopt(c.task.Type)
-	if t := g.owner.Take(a); t != nil && !c.over {
-		c.taken = t
+	if request := g.owner.Take(a); request != nil && !c.over {
+		c.taken = request
 		return
 	}
 	c.drop() // answered at once
@@ -492,7 +492,7 @@
 	h.over, h.spare = h.spare[:0], over
 	h.mu.Unlock()
 	for _, c := range over {
-		n := workerapi.Notice{Kind: workerapi.Finished, Task: c.id, Outcome: "success", Result: c.out, Took: h.gate.owner.Now() - c.begun}
+		n := workerapi.Notice{Kind: workerapi.Finished, RequestID: c.id, Outcome: "success", Result: c.out, Took: h.gate.owner.Now() - c.begun}
 		if c.outErr != nil {
 			n.Outcome = "failure"
 		}
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -86,7 +86,7 @@
 		c.tell(workerapi.CallEnd{Call: asked, Outcome: admission.NotRun})
 		return
 	}
-	c.busy[asked.Number] = l
+	c.busy[asked.CallID] = l
 	ctx, cancel := context.WithTimeout(context.Background(), asked.Within)
 	l.cancel = cancel
 	l.calls <- call{asked, ctx}
@@ -125,7 +125,7 @@
 			}
 			begin := time.Now()
 			outcome, result := l.make(call)
-			l.caller.ended(l, call.Number)
+			l.caller.ended(l, call.CallID)
 			l.caller.tell(workerapi.CallEnd{Call: call.Call, Outcome: outcome, Took: time.Since(begin), Result: result})
 			idle.Reset(idleWait)
 		case <-idle.C:
@@ -229,7 +229,7 @@
 		left = max(left, time.Until(until))
 	}
 	text := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Parent-Id: %s\r\nX-Budget-Ms: %d\r\nContent-Length: %d\r\n\r\n",
-		path, l.address, call.Task, left.Milliseconds(), len(call.Body))
+		path, l.address, call.RequestID, left.Milliseconds(), len(call.Body))
 	if _, err := l.conn.Write(append(text, call.Body...)); err != nil {
 		return admission.Unclear, nil, false
 	}
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -117,7 +117,7 @@
 }
 
 func asked(n uint64, within time.Duration) workerapi.Call {
-	return workerapi.Call{Number: n, Task: "9b1f03aa5c7e2d41", Body: []byte("\x00 what\r\n"), Within: within}
+	return workerapi.Call{CallID: n, RequestID: "9b1f03aa5c7e2d41", Body: []byte("\x00 what\r\n"), Within: within}
 }
 
 const good = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
@@ -207,7 +207,7 @@
 		}
 		e := a.next(t)
 		assert.Equal(t, admission.NotRun, e.Outcome)
-		assert.Equal(t, uint64(3), e.Number)
+		assert.Equal(t, uint64(3), e.CallID)
 		<-x.asked
 		<-x.asked
 		a.Abandon(1)
@@ -234,10 +234,10 @@
 		<-old.opened
 		a.Move(x.address)
 		a.Call(asked(2, fake.Patience))
-		assert.Equal(t, uint64(2), a.next(t).Number)
+		assert.Equal(t, uint64(2), a.next(t).CallID)
 		close(release)
 		e := a.next(t)
-		assert.Equal(t, uint64(1), e.Number)
+		assert.Equal(t, uint64(1), e.CallID)
 		assert.Equal(t, admission.Done, e.Outcome)
 		a.Call(asked(3, fake.Patience))
 		assert.Equal(t, admission.Done, a.next(t).Outcome)
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -97,7 +97,7 @@
 // ask starts a task and returns its id.
 func (b *bench) ask(kind, body string, within time.Duration) string {
 	id := fmt.Sprintf("%016x", b.number.Add(1))
-	b.posted <- func() { b.Start(workerapi.Run{ID: id, Type: kind, Body: []byte(body), Until: b.now() + within}) }
+	b.posted <- func() { b.Start(workerapi.Run{ID: id, Route: kind, Body: []byte(body), Deadline: b.now() + within}) }
 	return id
 }
 
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -124,14 +124,14 @@
 
 // Start begins the calls of a task.
 func (c *Composer) Start(r workerapi.Run) bool {
-	kind := c.types[r.Type]
+	kind := c.types[r.Route]
 	c.counts.That(kind != nil && c.tasks[r.ID] == nil, "a task was composed twice, or has no plan")
 	if kind == nil || c.tasks[r.ID] != nil {
 		return false
 	}
 	t := &task{id: r.ID, kind: kind, body: r.Body, began: c.now()}
 	c.tasks[r.ID] = t
-	t.flight = c.book.Begin(kind.Plan, t.began, r.Until, t)
+	t.flight = c.book.Begin(kind.Plan, t.began, r.Deadline, t)
 	return true
 }
 
@@ -313,7 +313,7 @@
 func (c *Composer) end(t *task, outcome string, result []byte) {
 	c.holds -= t.held
 	delete(c.tasks, t.id)
-	c.ended = append(c.ended, workerapi.Notice{Kind: workerapi.Finished, Task: t.id, Outcome: outcome, Result: result})
+	c.ended = append(c.ended, workerapi.Notice{Kind: workerapi.Finished, RequestID: t.id, Outcome: outcome, Result: result})
 }
 
 // Answer is the form of a composed answer.
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -50,10 +50,10 @@
 	half bool        // its peer has ended its side, and fd is our own duplicate: netpoll has let go of the connection
 	ours atomic.Bool // the end of the connection was asked for here
 
-	open    map[uint32]*server.Task // nil values never stand in it
-	highest uint32                  // stream so far; they go from 1 up, so no list of those used is needed
-	part    []byte                  // the beginning of a frame whose rest has not come
-	beyond  int                     // bytes to pass over
+	open    map[uint32]*server.Request // nil values never stand in it
+	highest uint32                     // stream so far; they go from 1 up, so no list of those used is needed
+	part    []byte                     // the beginning of a frame whose rest has not come
+	beyond  int                        // bytes to pass over
 	out     *writequeue.Box
 	dirty   bool
 	dead    bool
@@ -73,7 +73,7 @@
 func newConn(f *Front, link netpoll.Connection) *conn {
 	return &conn{
 		front: f, link: link, fd: link.(netpoll.Conn).Fd(),
-		open: map[uint32]*server.Task{}, out: writequeue.New(mostOpen * mostAnswer),
+		open: map[uint32]*server.Request{}, out: writequeue.New(mostOpen * mostAnswer),
 		born: f.server.Now(), last: f.server.Now(),
 	}
 }
@@ -247,9 +247,9 @@
 
 // cancel takes that nobody waits for a task any longer. It may cross the answer.
 func (c *conn) cancel(f frame.Frame) {
-	if t := c.open[f.Stream]; t != nil {
+	if request := c.open[f.Stream]; request != nil {
 		delete(c.open, f.Stream)
-		c.front.server.Gone(t)
+		c.front.server.Gone(request)
 	}
 }
 
@@ -281,12 +281,12 @@
 	}
 	asked.Caller, asked.Stream = c, f.Stream
 	if inPieces { // its last byte may have come long after its stamp
-		asked.Whole = c.last
+		asked.LastByteAt = c.last
 	}
 	c.crowds = c.crowds && !c.front.makeRoom(c)
-	asked.NoRoom = c.crowds && c.front.inUse() >= c.front.most
-	if t := c.front.server.Take(asked); t != nil {
-		c.open[f.Stream], c.spoke = t, true
+	asked.Overflow = c.crowds && c.front.inUse() >= c.front.most
+	if request := c.front.server.Take(asked); request != nil {
+		c.open[f.Stream], c.spoke = request, true
 	}
 }
 
@@ -296,12 +296,12 @@
 }
 
 // asked reads a task's fields. Nothing of it points into what was read.
-func (c *conn) asked(fields frame.Fields, body []byte) (a server.Asked, err error) {
+func (c *conn) asked(fields frame.Fields, body []byte) (a server.Incoming, err error) {
 	text := func(name string) string {
 		value, _ := fields.Get(name)
 		return string(value)
 	}
-	a.Type, a.ID = text("op"), text("call")
+	a.Route, a.ID = text("op"), text("call")
 	if !isCall(a.ID) {
 		return a, errors.New("call")
 	}
@@ -317,7 +317,7 @@
 		if err != nil || ms <= 0 || ms > mostWaits.Milliseconds() {
 			return a, errors.New("ttl")
 		}
-		a.Waits = time.Duration(ms) * time.Millisecond
+		a.Patience = time.Duration(ms) * time.Millisecond
 	}
 	a.HeldKB, err = strconv.ParseFloat(text("heap"), 64)
 	if err != nil || !(a.HeldKB > 0 && a.HeldKB < mostHeap) {
@@ -329,16 +329,16 @@
 		a.Rank = 0
 	}
 	customer := text("org")
-	a.Customer = c.front.server.Customer(customer)
+	a.Tenant = c.front.server.Customer(customer)
 	if number := text("dedupe"); number != "" {
 		if len(number) > mostNumber {
 			return a, errors.New("number")
 		}
 		// A customer's number is never another's. A repeat with another body asks for something else.
-		a.Number, a.Shape = customer+"\x00"+number, xxhash.Sum64(body)
+		a.Key, a.Shape = customer+"\x00"+number, xxhash.Sum64(body)
 	}
 	router, _ := strconv.ParseUint(text("src"), 10, 32)
-	a.Router, a.Came = uint32(router), came
+	a.Router, a.SentMS = uint32(router), came
 	a.Body = append([]byte(nil), body...)
 	return a, nil
 }
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -15,23 +15,23 @@
 
 // blocked takes that a run stands at a call. Where its task is answered already, the pool ends it by itself.
 func (s *Server) blocked(n *workerapi.Notice) {
-	t := s.tasks[n.Task]
-	if t == nil || !t.active || s.blocking == nil {
+	request := s.requests[n.RequestID]
+	if request == nil || !request.active || s.blocking == nil {
 		s.counts.Saw("call of a run nobody asked for")
 		return
 	}
-	t.atCall, t.asks, t.supplied, t.calls = true, n.Result, nil, 0
-	t.unsure, t.mark = false, 0 // so it has begun, and read whatever it was told before
-	if !t.answered {
-		s.AtCall(t)
+	request.atCall, request.callBody, request.supplied, request.calls = true, n.Result, nil, 0
+	request.startUnknown, request.spawnMark = false, 0 // so it has begun, and read whatever it was told before
+	if !request.answered {
+		s.AtCall(request)
 	}
 }
 
 // placeCall has the dependency make the call that a run stands at.
-func (s *Server) placeCall(t *Task, within time.Duration) {
+func (s *Server) placeCall(request *Request, within time.Duration) {
 	s.calls++
-	c := workerapi.Call{Number: s.calls, Task: t.id, Body: t.asks, Within: within}
-	t.call = c.Number
+	c := workerapi.Call{CallID: s.calls, RequestID: request.id, Body: request.callBody, Within: within}
+	request.call = c.CallID
 	s.dependency.Call(c)
 }
 
@@ -39,22 +39,22 @@
 func (s *Server) CallEnded(e workerapi.CallEnd) { s.Post(func() { s.callEnded(e) }) }
 
 func (s *Server) callEnded(e workerapi.CallEnd) {
-	t := s.tasks[e.Task]
-	if t == nil || t.call != e.Number {
+	request := s.requests[e.RequestID]
+	if request == nil || request.call != e.CallID {
 		return // its run has ended meanwhile
 	}
-	t.call = 0
-	if e.Outcome == admission.Done && !t.answered {
-		s.goOn(t, &supply{reply: e.Result})
+	request.call = 0
+	if e.Outcome == admission.Done && !request.answered {
+		s.goOn(request, &supply{reply: e.Result})
 	}
-	s.Returned(t, e.Outcome, e.Took)
+	s.Returned(request, e.Outcome, e.Took)
 }
 
 // goOn has a run go on from its call, or notes that the pool could not be told.
-func (s *Server) goOn(t *Task, with *supply) {
-	t.atCall, t.supplied, t.unsure = false, with, false
-	t.mark = s.link.Next()
-	with.sent = s.blocking.Supply(t.id, with.reply)
+func (s *Server) goOn(request *Request, with *supply) {
+	request.atCall, request.supplied, request.startUnknown = false, with, false
+	request.spawnMark = s.link.Next()
+	with.sent = s.blocking.Supply(request.id, with.reply)
 }
 
 // longest is the longest time that callers may be asked to stay away for, 0 where they may not be asked.
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -39,7 +39,7 @@
 			}, fake.Patience, time.Millisecond)
 		}
 		b.inTurn(func() {
-			b.Gone(b.tasks[fake.Call(1)])
+			b.Gone(b.requests[fake.Call(1)])
 			if !down {
 				b.pool.Cut() // before the word is written
 			}
@@ -47,7 +47,7 @@
 		assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
 		require.Eventually(t, func() bool {
 			left := 1
-			b.inTurn(func() { left = len(b.tasks) })
+			b.inTurn(func() { left = len(b.requests) })
 			return left == 0
 		}, fake.Patience, time.Millisecond)
 	}
@@ -72,9 +72,9 @@
 	run("browse", 2) // harmless, and its caller wants an answer
 
 	b.inTurn(func() {
-		b.most = 3
+		b.maxRequests = 3
 		for _, id := range []string{"a", "b", "c"} {
-			b.spend(&Task{id: id, Task: admission.Task{Type: b.types["pay"]}})
+			b.spend(&Request{id: id, Request: admission.Request{Route: b.routes["pay"]}})
 		}
 		assert.Equal(t, []string{"a", "b", "c"}, b.spending, "the oldest goes where the table is full")
 		assert.Len(t, b.spent, 3)
@@ -96,9 +96,9 @@
 		return retired
 	}, fake.Patience, time.Millisecond)
 	b.inTurn(func() { // read only now, past the grace of 400 ms: answered, and not run
-		b.Take(Asked{
-			ID: fake.Call(1), Type: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.noticed + 401*time.Millisecond,
-			Waits: time.Minute, Caller: b, Stream: 1,
+		b.Take(Incoming{
+			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.noticed + 401*time.Millisecond,
+			Patience: time.Minute, Caller: b, Stream: 1,
 		})
 	})
 	assert.Equal(t, Dismissed, b.next(t).Verdict)
@@ -123,7 +123,7 @@
 		came := b.Now() - 300*time.Millisecond
 		b.leave(came, 3*time.Second)
 		assert.Equal(t, came+3*time.Second-noticeDelay, b.stop)
-		late := Asked{ID: fake.Call(1), Type: "pay", HeldKB: 20, Rank: 0.9, Waits: time.Minute, Caller: b, Stream: 1}
+		late := Incoming{ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Patience: time.Minute, Caller: b, Stream: 1}
 		late.Arrived = came + 401*time.Millisecond // the site's grace is 400 ms
 		b.Take(late)
 		due := late
@@ -144,15 +144,15 @@
 	b.pool.Ready()
 	b.bound(t)
 	b.inTurn(func() {
-		task := b.Take(Asked{
-			ID: fake.Call(1), Type: "pay", HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: time.Minute,
-			Caller: b, Stream: 1, Number: "n",
+		task := b.Take(Incoming{
+			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
+			Caller: b, Stream: 1, Key: "n",
 		})
 		b.Gone(task)
 	})
 	b.inTurn(func() {
 		assert.Empty(t, b.numbers)
-		assert.Empty(t, b.tasks)
+		assert.Empty(t, b.requests)
 	})
 	assert.Zero(t, b.counts.Times("check failed: a task was answered twice"))
 	assert.Empty(t, b.answers)
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -22,7 +22,7 @@
 	s.retire = max(now, min(now+grace, s.stop-lastOrders))
 	s.round.StopAt, s.round.Noticed = s.stop, s.noticed
 	s.touched = true
-	s.log.Info("notice to leave", "stop_in", within, "no_more_connections_in", s.retire-now, "tasks", len(s.tasks))
+	s.log.Info("notice to leave", "stop_in", within, "no_more_connections_in", s.retire-now, "tasks", len(s.requests))
 }
 
 const (
@@ -34,7 +34,7 @@
 // longest deadline, 3 s at most, and 0.7 s.
 func (s *Server) earliestKill() time.Duration {
 	longest := time.Duration(0)
-	for _, route := range s.types {
+	for _, route := range s.routes {
 		longest = max(longest, route.OuterLimit)
 	}
 	return min(longest, maxKillDeadline) + killDelay
@@ -55,12 +55,12 @@
 	}
 	if !s.retired {
 		s.retired = true
-		s.log.Info("no more connections", "open", open, "tasks", len(s.tasks))
+		s.log.Info("no more connections", "open", open, "tasks", len(s.requests))
 		return false
 	}
 	unanswered := 0
-	for _, t := range s.tasks {
-		if !t.answered {
+	for _, request := range s.requests {
+		if !request.answered {
 			unanswered++
 		}
 	}
@@ -70,7 +70,7 @@
 	if now < s.stop && !(over && s.quiet()) {
 		return false
 	}
-	s.log.Info("left", "connections", open, "stopped_runs", len(s.tasks), "before_stop", s.stop-now)
+	s.log.Info("left", "connections", open, "stopped_runs", len(s.requests), "before_stop", s.stop-now)
 	return true
 }
 
--- a/internal/server/numbers.go
+++ b/internal/server/numbers.go
@@ -57,15 +57,15 @@
 }
 
 // enter has the ledger keep that a number is about to run. Its run begins in entered.
-func (s *Server) enter(t *Task) {
-	n := s.numbers[t.number]
+func (s *Server) enter(request *Request) {
+	n := s.numbers[request.key]
 	if n == nil { // its window was over before it could start
-		s.spawn(t)
+		s.spawn(request)
 		return
 	}
-	t.entered, t.waits, t.stands = true, true, false
-	t.entry = s.ledger.Begin(n.key, n.shape, n.until-s.round.Now)
-	s.entering = append(s.entering, t)
+	request.ledgered, request.awaitsLedger, request.paused = true, true, false
+	request.ledgerMark = s.ledger.Begin(n.key, n.shape, n.until-s.round.Now)
+	s.entering = append(s.entering, request)
 }
 
 // entered starts the runs that the ledger has, and ends those that were answered before it had them: they never ran.
@@ -75,16 +75,16 @@
 	}
 	safe := s.ledger.Safe()
 	left := s.entering[:0]
-	for _, t := range s.entering {
+	for _, request := range s.entering {
 		switch {
-		case t.answered:
-			t.waits = false
-			s.end(t, admission.Void, 0, nil)
-		case t.entry > safe, t.stands:
-			left = append(left, t)
+		case request.answered:
+			request.awaitsLedger = false
+			s.end(request, admission.Void, 0, nil)
+		case request.ledgerMark > safe, request.paused:
+			left = append(left, request)
 		default:
-			t.waits = false
-			s.spawn(t)
+			request.awaitsLedger = false
+			s.spawn(request)
 		}
 	}
 	clear(s.entering[len(left):])
@@ -99,14 +99,14 @@
 	until   time.Duration
 	settled bool // the first has ended, or can't any more; answer says how
 	answer  Answer
-	waiting []*Task
+	waiting []*Request
 }
 
 func numberKey(kind, given string) string { return kind + "\x00" + given }
 
 // clashes tells whether a task has the number of another that asked for something else.
-func (s *Server) clashes(a Asked) bool {
-	n := s.numbers[numberKey(a.Type, a.Number)]
+func (s *Server) clashes(a Incoming) bool {
+	n := s.numbers[numberKey(a.Route, a.Key)]
 	return n != nil && n.shape != a.Shape
 }
 
@@ -118,73 +118,73 @@
 }
 
 // numbered finds the first of a repeat.
-func (s *Server) numbered(t *Task, a Asked) {
-	if t.Type.Repeats != admission.Numbered {
+func (s *Server) numbered(request *Request, a Incoming) {
+	if request.Route.Repeats != admission.Numbered {
 		return
 	}
-	t.number = numberKey(a.Type, a.Number)
-	t.first = s.numbers[t.number]
-	t.Again = t.first != nil
-	if t.first == nil { // known from here on: a repeat in the same round must not be taken for a first
-		s.numbers[t.number] = &number{key: t.number, shape: a.Shape, until: s.Now() + t.Type.Window + time.Minute}
+	request.key = numberKey(a.Route, a.Key)
+	request.original = s.numbers[request.key]
+	request.Duplicate = request.original != nil
+	if request.original == nil { // known from here on: a repeat in the same round must not be taken for a first
+		s.numbers[request.key] = &number{key: request.key, shape: a.Shape, until: s.Now() + request.Route.Window + time.Minute}
 	}
 }
 
 // Remember keeps a number for its window.
-func (s *Server) Remember(t *admission.Task, span time.Duration) {
-	if of := s.owner[t]; of != nil && s.numbers[of.number] != nil {
-		s.numbers[of.number].until = s.round.Now + span
+func (s *Server) Remember(decided *admission.Request, span time.Duration) {
+	if request := s.owner[decided]; request != nil && s.numbers[request.key] != nil {
+		s.numbers[request.key].until = s.round.Now + span
 	}
 }
 
 // Forget gives the number of a task that never ran back.
-func (s *Server) Forget(t *admission.Task) {
-	if of := s.owner[t]; of != nil {
-		s.drop(s.numbers[of.number], Answer{Verdict: Dismissed})
+func (s *Server) Forget(decided *admission.Request) {
+	if request := s.owner[decided]; request != nil {
+		s.drop(s.numbers[request.key], Answer{Verdict: Dismissed})
 	}
 }
 
 // AnswerFromFirst answers a repeat as soon as the first has ended.
-func (s *Server) AnswerFromFirst(t *admission.Task) {
-	of := s.owner[t]
-	s.counts.That(of != nil && of.first != nil, "a repeat without a first")
-	if of == nil || of.first == nil {
+func (s *Server) AnswerFromFirst(decided *admission.Request) {
+	request := s.owner[decided]
+	s.counts.That(request != nil && request.original != nil, "a repeat without a first")
+	if request == nil || request.original == nil {
 		return
 	}
-	if of.first.settled {
-		s.echo(of, of.first.answer)
+	if request.original.settled {
+		s.echo(request, request.original.answer)
 		return
 	}
-	of.first.waiting = append(of.first.waiting, of)
+	request.original.waiting = append(request.original.waiting, request)
 }
 
 // echo answers a repeat and tells the decisions so.
-func (s *Server) echo(t *Task, a Answer) {
-	if t.answered { // its time was up, or its caller is gone
+func (s *Server) echo(request *Request, a Answer) {
+	if request.answered { // its time was up, or its caller is gone
 		return
 	}
-	s.echoed = append(s.echoed, &t.Task)
-	s.answer(t, a)
+	s.echoed = append(s.echoed, &request.Request)
+	s.answer(request, a)
 }
 
 // firstAnswered keeps the answer of a first for its repeats. One that was given up on may still end well.
-func (s *Server) firstAnswered(t *Task, a Answer) {
-	n := s.numbers[t.number]
-	if t.number == "" || t.Again || n == nil || n.settled {
+func (s *Server) firstAnswered(request *Request, a Answer) {
+	n := s.numbers[request.key]
+	if request.key == "" || request.Duplicate || n == nil || n.settled {
 		return
 	}
 	switch {
 	case a.Verdict == Dismissed:
 		s.drop(n, a) // it never ran, whoever dismissed it
-	case a.Verdict == Honoured || !t.active:
+	case a.Verdict == Honoured || !request.active:
 		s.keep(n, a)
 	}
 }
 
 // firstEnded keeps the end of a first that was answered before it.
-func (s *Server) firstEnded(t *Task, outcome admission.Outcome, result []byte) {
-	n := s.numbers[t.number]
-	if t.number == "" || t.Again || n == nil || n.settled || !t.answered {
+func (s *Server) firstEnded(request *Request, outcome admission.Outcome, result []byte) {
+	n := s.numbers[request.key]
+	if request.key == "" || request.Duplicate || n == nil || n.settled || !request.answered {
 		return
 	}
 	if outcome == admission.Done {
@@ -211,8 +211,8 @@
 func (s *Server) answerWaiting(n *number) {
 	waiting := n.waiting
 	n.waiting = nil
-	for _, t := range waiting {
-		s.echo(t, n.answer)
+	for _, request := range waiting {
+		s.echo(request, n.answer)
 	}
 }
 
--- a/internal/server/numbers_test.go
+++ b/internal/server/numbers_test.go
@@ -17,10 +17,10 @@
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
-	asked := func(stream uint32, number string) Asked {
-		return Asked{
-			ID: fake.Call(stream), Type: "pay", HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: time.Minute,
-			Caller: b, Stream: stream, Number: number,
+	asked := func(stream uint32, number string) Incoming {
+		return Incoming{
+			ID: fake.Call(stream), Route: "pay", HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
+			Caller: b, Stream: stream, Key: number,
 		}
 	}
 	b.inTurn(func() { b.Take(asked(1, "n")) })
@@ -29,9 +29,9 @@
 
 	b.inTurn(func() {
 		crowded := asked(2, "n")
-		crowded.NoRoom = true
+		crowded.Overflow = true
 		b.Take(crowded)
-		b.most = 0
+		b.maxRequests = 0
 		b.Take(asked(3, "n"))
 		b.Take(asked(4, "new"))
 	})
@@ -47,10 +47,10 @@
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
-	asked := func(stream uint32, arrived time.Duration) Asked {
-		return Asked{
-			ID: fake.Call(stream), Type: "pay", HeldKB: 20, Rank: 0.9, Arrived: arrived, Waits: time.Minute,
-			Caller: b, Stream: stream, Number: "n",
+	asked := func(stream uint32, arrived time.Duration) Incoming {
+		return Incoming{
+			ID: fake.Call(stream), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: arrived, Patience: time.Minute,
+			Caller: b, Stream: stream, Key: "n",
 		}
 	}
 	var first time.Duration
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -60,13 +60,13 @@
 }
 
 // recordAnswer records that a request was answered without a result, and why.
-func (s *Server) recordAnswer(kind events.Kind, t *Task) {
-	s.events.Record(kind, t.Reason().String(), slog.String("request", t.id), slog.String("class", t.handler),
-		slog.Duration("age", s.round.Now-t.Arrived))
+func (s *Server) recordAnswer(kind events.Kind, request *Request) {
+	s.events.Record(kind, request.Reason().String(), slog.String("request", request.id), slog.String("class", request.route),
+		slog.Duration("age", s.round.Now-request.Arrived))
 }
 
 // recordRun records what became of a run.
-func (s *Server) recordRun(kind events.Kind, reason string, t *Task) {
-	s.events.Record(kind, reason, slog.String("request", t.id), slog.String("class", t.handler),
-		slog.Duration("age", s.Now()-t.Arrived), slog.Bool("answered", t.answered), slog.Bool("known_to_have_begun", !t.unsure))
+func (s *Server) recordRun(kind events.Kind, reason string, request *Request) {
+	s.events.Record(kind, reason, slog.String("request", request.id), slog.String("class", request.route),
+		slog.Duration("age", s.Now()-request.Arrived), slog.Bool("answered", request.answered), slog.Bool("known_to_have_begun", !request.startUnknown))
 }
--- a/internal/server/reconcile.go
+++ b/internal/server/reconcile.go
@@ -25,26 +25,28 @@
 	s.forgetNumbers(now)
 	s.forgetSpent(now)
 	s.doubtful = 0
-	for _, t := range s.tasks {
+	for _, request := range s.requests {
 		// The time runs from the answer, as arrivals are stamped by a clock that may step.
-		if s.holdsMachine(t) && t.answered && !t.doubtful && now > t.answeredAt+t.Type.OuterLimit {
-			s.doubt(t, "its end was not reported by a deadline after its answer")
+		if s.holdsMachine(request) && request.answered && !request.doubtful && now > request.answeredAt+request.Route.OuterLimit {
+			s.doubt(request, "its end was not reported by a deadline after its answer")
 		}
-		if t.active && t.doubtful {
+		if request.active && request.doubtful {
 			s.doubtful++
 		}
 	}
 }
 
 // holdsMachine is whether a task has a run of the worker pool that is not reported to have ended.
-func (s *Server) holdsMachine(t *Task) bool { return t.active && t.sent && !t.composed }
+func (s *Server) holdsMachine(request *Request) bool {
+	return request.active && request.sent && !request.composed
+}
 
 // doubt marks a run that may be over, or may never have begun. It holds its place all the same until that is proven: taken
 // for ended, it would have its cores and memory given away a second time while the machine is slow or hung.
-func (s *Server) doubt(t *Task, why string) {
-	t.doubtful = true
+func (s *Server) doubt(request *Request, why string) {
+	request.doubtful = true
 	s.doubtful++
-	s.recordRun(events.RunOverdue, why, t)
+	s.recordRun(events.RunOverdue, why, request)
 }
 
 // reviewRuns takes off the books the runs of which the machine's readings prove that they are over. It is for the
@@ -58,10 +60,10 @@
 		return
 	}
 	for _, id := range s.reviewer.Review(readings, s.books(polled.Nonce)) {
-		t := s.tasks[id]
+		request := s.requests[id]
 		s.counts.Saw("end of a run not reported, proven by the readings")
-		s.recordRun(events.RunReleased, "the machine's readings leave no room for it", t)
-		s.end(t, admission.Stopped, 0, nil) // not broken: it tells nothing of this server's health
+		s.recordRun(events.RunReleased, "the machine's readings leave no room for it", request)
+		s.end(request, admission.Stopped, 0, nil) // not broken: it tells nothing of this server's health
 	}
 }
 
@@ -74,9 +76,9 @@
 	}
 	r = reconcile.Readings{OnCores: onCores, MemoryKB: share * memoryKB}
 	now := s.Now()
-	for _, t := range s.tasks {
-		if !t.active && !t.answered && now > t.readAt+heldAfter {
-			r.HeldKB += t.HeldKB
+	for _, request := range s.requests {
+		if !request.active && !request.answered && now > request.readAt+heldAfter {
+			r.HeldKB += request.HeldKB
 		}
 	}
 	return r, true
@@ -88,16 +90,16 @@
 	if !stated {
 		factor = 1
 	}
-	var begun []*Task
-	for _, t := range s.tasks {
-		if s.holdsMachine(t) && !t.waits && t.mark <= poll {
-			begun = append(begun, t)
+	var begun []*Request
+	for _, request := range s.requests {
+		if s.holdsMachine(request) && !request.awaitsLedger && request.spawnMark <= poll {
+			begun = append(begun, request)
 		}
 	}
-	slices.SortFunc(begun, func(a, b *Task) int { return cmp.Or(cmp.Compare(a.readAt, b.readAt), cmp.Compare(a.id, b.id)) })
-	for _, t := range begun {
+	slices.SortFunc(begun, func(a, b *Request) int { return cmp.Or(cmp.Compare(a.readAt, b.readAt), cmp.Compare(a.id, b.id)) })
+	for _, request := range begun {
 		books = append(books, reconcile.Run{
-			ID: t.id, MemoryKB: t.HeldKB * factor, OnCores: !t.atCall && t.doubt != paused, Doubtful: t.doubtful,
+			ID: request.id, MemoryKB: request.HeldKB * factor, OnCores: !request.atCall && request.doubt != paused, Doubtful: request.doubtful,
 		})
 	}
 	return books
--- a/internal/server/retune_test.go
+++ b/internal/server/retune_test.go
@@ -20,10 +20,10 @@
 	first := b.pool.Next(t, "spawn")
 	for i, halt := range []string{"none", "suspend", "none"} {
 		id := fmt.Sprint("gone-", i)
-		var task *Task
+		var task *Request
 		b.Post(func() {
 			b.Retune(map[string]any{"halt": halt})
-			task = b.Take(Asked{ID: id, Type: "browse", HeldKB: 1, Came: time.Now().UnixMilli(), Waits: time.Minute, Caller: b})
+			task = b.Take(Incoming{ID: id, Route: "browse", HeldKB: 1, SentMS: time.Now().UnixMilli(), Patience: time.Minute, Caller: b})
 		})
 		assert.Equal(t, id, b.pool.Next(t, "spawn").Task)
 		b.Post(func() { b.Gone(task) })
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -53,46 +53,46 @@
 }
 
 func (s *Server) finished(n *workerapi.Notice) {
-	t := s.tasks[n.Task]
-	if t == nil || !t.active {
+	request := s.requests[n.RequestID]
+	if request == nil || !request.active {
 		s.counts.Saw("end of a run nobody asked for")
 		return
 	}
-	if t.doubt == asked && n.Outcome == "interrupted" && !t.answered {
-		t.doubt = paused // not its end: it stands still and waits for resume
+	if request.doubt == asked && n.Outcome == "interrupted" && !request.answered {
+		request.doubt = paused // not its end: it stands still and waits for resume
 		return
 	}
-	if t.doubtful {
-		s.recordRun(events.RunEndedLate, n.Outcome, t)
+	if request.doubtful {
+		s.recordRun(events.RunEndedLate, n.Outcome, request)
 	}
 	outcome, known := outcomes[n.Outcome]
 	if !known {
 		s.counts.Saw("end of a run with an unknown outcome")
 		outcome = admission.Broken
 	}
-	s.end(t, outcome, n.Took, n.Result)
+	s.end(request, outcome, n.Took, n.Result)
 }
 
 // end files the end of a run. It answers for itself: with the result, or as given up on.
-func (s *Server) end(t *Task, outcome admission.Outcome, took time.Duration, result []byte) {
-	t.active, t.atCall, t.supplied = false, false, nil
-	if t.call > 0 {
-		s.dependency.Abandon(t.call)
+func (s *Server) end(request *Request, outcome admission.Outcome, took time.Duration, result []byte) {
+	request.active, request.atCall, request.supplied = false, false, nil
+	if request.call > 0 {
+		s.dependency.Abandon(request.call)
 	}
-	s.round.Ended = append(s.round.Ended, admission.Ending{Task: &t.Task, Outcome: outcome, Took: took})
+	s.round.Ended = append(s.round.Ended, admission.Ending{Request: &request.Request, Outcome: outcome, Took: took})
 	s.touched = true
-	s.firstEnded(t, outcome, result)
-	if t.answered {
+	s.firstEnded(request, outcome, result)
+	if request.answered {
 		return
 	}
 	if outcome == admission.Done {
-		s.answer(t, Answer{Verdict: Honoured, Result: result})
+		s.answer(request, Answer{Verdict: Honoured, Result: result})
 	} else {
 		given := Answer{Verdict: GivenUp}
-		if t.composed {
+		if request.composed {
 			given.Result = result // what is known of its parts
 		}
-		s.answer(t, given)
+		s.answer(request, given)
 	}
 }
 
@@ -105,8 +105,8 @@
 		return
 	}
 	s.counts.Saw("pool did not carry out a spawn")
-	if t := s.tasks[n.Task]; t != nil && t.active {
-		s.end(t, admission.Void, 0, nil)
+	if request := s.requests[n.RequestID]; request != nil && request.active {
+		s.end(request, admission.Void, 0, nil)
 	}
 }
 
@@ -114,9 +114,9 @@
 // that it answered.
 func (s *Server) linkDown() {
 	s.doubts = s.doubts[:0]
-	for _, t := range s.tasks { // each for itself, so the order decides nothing
-		if t.active && t.sent && !t.composed && t.mark > s.polled {
-			t.unsure = true
+	for _, request := range s.requests { // each for itself, so the order decides nothing
+		if request.active && request.sent && !request.composed && request.spawnMark > s.polled {
+			request.startUnknown = true
 		}
 	}
 }
@@ -128,35 +128,35 @@
 // pauses runs, and sent again in resume. Elsewhere it stays as it is, and so does a run whose request is answered: it
 // holds its place until its end is reported, or the machine's readings prove that it does not run.
 func (s *Server) linkSynced() {
-	var open []*Task
-	for _, t := range s.tasks {
-		if t.active && !t.composed {
-			open = append(open, t)
+	var open []*Request
+	for _, request := range s.requests {
+		if request.active && !request.composed {
+			open = append(open, request)
 		}
 	}
-	slices.SortFunc(open, func(a, b *Task) int {
+	slices.SortFunc(open, func(a, b *Request) int {
 		return cmp.Or(cmp.Compare(a.Arrived, b.Arrived), cmp.Compare(a.id, b.id))
 	})
 	pauses := s.settings.Values["halt"] == "suspend"
-	for _, t := range open {
+	for _, request := range open {
 		switch {
-		case t.waits: // for the ledger, and was never sent
-		case t.supplied != nil && !t.answered && (!t.supplied.sent || t.unsure && !pauses):
-			s.goOn(t, t.supplied) // a run that has gone on already takes no notice
-		case !t.sent && t.answered:
-			s.end(t, admission.Stopped, 0, nil)
-		case !t.sent, t.unsure && !t.answered && t.supplied == nil && t.Type.Repeats == admission.Reissuable:
-			t.sent, t.unsure = false, false
-			s.recordRun(events.RunRetried, "not known to have begun when the link was lost", t)
-			s.spawn(t)
-		case t.unsure && !t.answered && pauses:
-			s.link.Pause(t.id)
-			if t.doubt == none {
-				t.doubt = asked
+		case request.awaitsLedger: // for the ledger, and was never sent
+		case request.supplied != nil && !request.answered && (!request.supplied.sent || request.startUnknown && !pauses):
+			s.goOn(request, request.supplied) // a run that has gone on already takes no notice
+		case !request.sent && request.answered:
+			s.end(request, admission.Stopped, 0, nil)
+		case !request.sent, request.startUnknown && !request.answered && request.supplied == nil && request.Route.Repeats == admission.Reissuable:
+			request.sent, request.startUnknown = false, false
+			s.recordRun(events.RunRetried, "not known to have begun when the link was lost", request)
+			s.spawn(request)
+		case request.startUnknown && !request.answered && pauses:
+			s.link.Pause(request.id)
+			if request.doubt == none {
+				request.doubt = asked
 			}
-			s.doubts = append(s.doubts, t)
-		case t.unsure && !t.doubtful:
-			s.doubt(t, "not known to have begun when the link was lost")
+			s.doubts = append(s.doubts, request)
+		case request.startUnknown && !request.doubtful:
+			s.doubt(request, "not known to have begun when the link was lost")
 		}
 	}
 	if len(s.doubts) > 0 {
@@ -177,32 +177,32 @@
 	if len(s.doubts) == 0 || answered < s.settled {
 		return
 	}
-	for _, t := range s.doubts {
-		stands := t.doubt == paused
-		t.doubt, t.unsure = none, false
+	for _, request := range s.doubts {
+		stands := request.doubt == paused
+		request.doubt, request.startUnknown = none, false
 		switch {
-		case !t.active:
-		case t.answered && stands:
-			s.end(t, admission.Stopped, 0, nil) // no further end will be told
-		case t.answered:
+		case !request.active:
+		case request.answered && stands:
+			s.end(request, admission.Stopped, 0, nil) // no further end will be told
+		case request.answered:
 		case stands:
-			if t.supplied != nil { // first, as behind proceed it might be taken for the reply to its next call
-				s.goOn(t, t.supplied)
+			if request.supplied != nil { // first, as behind proceed it might be taken for the reply to its next call
+				s.goOn(request, request.supplied)
 			}
-			t.mark = s.link.Next()
-			t.unsure = !s.link.GoOn(t.id) // lost again: in doubt still
-		case t.atCall: // it has gone on, and stands at its next call
-		case t.supplied != nil:
+			request.spawnMark = s.link.Next()
+			request.startUnknown = !s.link.GoOn(request.id) // lost again: in doubt still
+		case request.atCall: // it has gone on, and stands at its next call
+		case request.supplied != nil:
 			s.counts.Saw("run not known to have gone on from its call, told again")
-			s.goOn(t, t.supplied)
-			s.link.GoOn(t.id)
+			s.goOn(request, request.supplied)
+			s.link.GoOn(request.id)
 		default:
 			s.counts.Saw("run not known to have begun, sent again")
-			s.recordRun(events.RunRetried, "not known to have begun when the link was lost", t)
-			t.sent = false
-			s.spawn(t)
-			s.link.GoOn(t.id) // no harm to one that runs; it goes on where an earlier proceed was lost
-			t.sent, t.unsure = true, !t.sent
+			s.recordRun(events.RunRetried, "not known to have begun when the link was lost", request)
+			request.sent = false
+			s.spawn(request)
+			s.link.GoOn(request.id) // no harm to one that runs; it goes on where an earlier proceed was lost
+			request.sent, request.startUnknown = true, !request.sent
 		}
 	}
 	clear(s.doubts)
@@ -210,8 +210,8 @@
 }
 
 // spawn has the pool run a task, or notes that it could not be told.
-func (s *Server) spawn(t *Task) {
-	s.counts.That(!t.sent, "a run was sent twice")
-	t.mark = s.link.Next()
-	t.sent = s.link.Start(workerapi.Run{ID: t.id, Type: t.handler, Body: t.body})
+func (s *Server) spawn(request *Request) {
+	s.counts.That(!request.sent, "a run was sent twice")
+	request.spawnMark = s.link.Next()
+	request.sent = s.link.Start(workerapi.Run{ID: request.id, Route: request.route, Body: request.body})
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	gaugeWait   = 5 * time.Millisecond   // that an alarm's round waits for the pool's gauges
-	verifyWait  = time.Second            // until a deep check without an answer is a bad one
-	mostPasses  = 4                      // over what came in before a round
-	mostAlarms  = 8                      // set at once
-	mostChecks  = 8                      // deep checks in the pool's hands
-	lastOrders  = 400 * time.Millisecond // before the stop, when no further connection is taken
-	lastMoment  = 40 * time.Millisecond  // before the stop, by which the process ends
-	noticeDelay = 15 * time.Millisecond  // by which the notice may have been read late
-	taskKB      = 12                     // what one task may take of the program's own memory
-	taskShare   = 4                      // part of that memory, as a divisor, that tasks may take
-	entryBytes  = 512                    // what an entry of the table of numbers may take of it, its result aside
-	entryShare  = 8                      // part of that memory, as a divisor, that these may take
-	shareEvery  = time.Second            // between the views that are left for others
-	enterEach   = 20 * time.Millisecond  // between looks whether the ledger has what waits for it
-	unbounded   = 1e9                    // calls at once
-	maxStampMS  = 1 << 43                // of a stamp in Unix milliseconds, some centuries: as a span it has to fit its type
+	gaugeWait            = 5 * time.Millisecond   // that an alarm's round waits for the pool's gauges
+	verifyWait           = time.Second            // until a deep check without an answer is a bad one
+	mostPasses           = 4                      // over what came in before a round
+	mostAlarms           = 8                      // set at once
+	mostChecks           = 8                      // deep checks in the pool's hands
+	lastOrders           = 400 * time.Millisecond // before the stop, when no further connection is taken
+	lastMoment           = 40 * time.Millisecond  // before the stop, by which the process ends
+	noticeDelay          = 15 * time.Millisecond  // by which the notice may have been read late
+	requestKB            = 12                     // what one task may take of the program's own memory
+	requestMemoryDivisor = 4                      // part of that memory, as a divisor, that tasks may take
+	entryBytes           = 512                    // what an entry of the table of numbers may take of it, its result aside
+	entryShare           = 8                      // part of that memory, as a divisor, that these may take
+	shareEvery           = time.Second            // between the views that are left for others
+	enterEach            = 20 * time.Millisecond  // between looks whether the ledger has what waits for it
+	unbounded            = 1e9                    // calls at once
+	maxStampMS           = 1 << 43                // of a stamp in Unix milliseconds, some centuries: as a span it has to fit its type
 )
 
 // Limits are those of the program itself, and of what its fronts can carry.
@@ -61,7 +61,7 @@
 	module   *admission.Choice
 	settings *settings.Settings
 	values   map[string]any // the module's own copy of the settings, which it reads at each decision
-	types    map[string]*admission.Route
+	routes   map[string]*admission.Route
 	link     Pool
 	parts    Composer // of tasks that are made of calls
 
@@ -72,23 +72,23 @@
 
 	tables tableQueue
 
-	fronts    []Front
-	counts    *invariant.Counts
-	log       *slog.Logger
-	events    *events.Log
-	began     time.Time
-	epoch     time.Duration        // of began, since 1970
-	wallAhead func() time.Duration // by how much the system's Unix clock, which may step, is ahead of the clock of rounds
-	stamps    wallclock.Mapper
-	limits    Limits
-	most      int // tasks
+	fronts      []Front
+	counts      *invariant.Counts
+	log         *slog.Logger
+	events      *events.Log
+	began       time.Time
+	epoch       time.Duration        // of began, since 1970
+	wallAhead   func() time.Duration // by how much the system's Unix clock, which may step, is ahead of the clock of rounds
+	stamps      wallclock.Mapper
+	limits      Limits
+	maxRequests int // tasks
 
 	mu     sync.Mutex
 	posted []func()
 	woken  chan struct{}
 
-	tasks       map[string]*Task
-	owner       map[*admission.Task]*Task
+	requests    map[string]*Request
+	owner       map[*admission.Request]*Request
 	round       admission.Round
 	touched     bool
 	spent       map[string]time.Duration // calls of at-most-once tasks that may have run, until when they are known
@@ -98,11 +98,11 @@
 	kept        int // bytes of the results that they hold
 	mayKeep     int
 	mostNumbers int
-	ledger      Ledger            // of the numbers, nil without one
-	entering    []*Task           // whose numbers it does not have yet
-	echoed      []*admission.Task // answered from the first in this round
-	atCall      []*admission.Task // started in this round, and made of calls
-	unbegun     []*Task           // whose calls the composer did not take
+	ledger      Ledger               // of the numbers, nil without one
+	entering    []*Request           // whose numbers it does not have yet
+	echoed      []*admission.Request // answered from the first in this round
+	atCall      []*admission.Request // started in this round, and made of calls
+	unbegun     []*Request           // whose calls the composer did not take
 	gauges      admission.Gauges
 	fresh       bool // gauges came for the alarm in hand
 	notices     []workerapi.Notice
@@ -111,7 +111,7 @@
 	asked     uint64        // nonce of the alarm's poll, 0 without one
 	askedLate time.Duration // when its round comes all the same
 	polled    uint64        // nonce of the last poll answered
-	doubts    []*Task       // paused, to be sent again once the poll behind that is answered
+	doubts    []*Request    // paused, to be sent again once the poll behind that is answered
 	settled   uint64        // nonce of that poll
 	tidied    time.Duration
 	turned    time.Duration // the last turn of the owner
@@ -149,11 +149,11 @@
 		numbers: map[string]*number{}, mayKeep: limits.MemoryMB << 20 / numberShare,
 		// What the site's own memory holds of numbers, the decisions bound; that is stated with the settings, as any figure.
 		mostNumbers: max(64, limits.MemoryMB<<20/entryShare/entryBytes),
-		types:       map[string]*admission.Route{},
-		most:        max(64, limits.MemoryMB*1024/taskKB/taskShare),
+		routes:      map[string]*admission.Route{},
+		maxRequests: max(64, limits.MemoryMB*1024/requestKB/requestMemoryDivisor),
 		woken:       make(chan struct{}, 1), parts: nothing{},
 		unserved: map[string]bool{},
-		tasks:    map[string]*Task{}, owner: map[*admission.Task]*Task{},
+		requests: map[string]*Request{}, owner: map[*admission.Request]*Request{},
 		good: true,
 	}
 	for i := 0; ; i++ {
@@ -161,7 +161,7 @@
 		if !stated {
 			break
 		}
-		s.types[name] = nil
+		s.routes[name] = nil
 		if told.Values[fmt.Sprintf("type.%d.repeats", i)] == "numbered" && !limits.Numbers {
 			return nil, fmt.Errorf("traffic type %s is numbered, which this program can't serve yet", name)
 		}
@@ -175,7 +175,7 @@
 		return time.Duration(now.UnixNano()) - s.epoch - now.Sub(s.began)
 	}
 	s.stamps.Observe(s.wallAhead())
-	if len(s.types) == 0 {
+	if len(s.routes) == 0 {
 		return nil, fmt.Errorf("the settings name no traffic type")
 	}
 	customers, _ := told.Values["customers"].(float64)
@@ -195,11 +195,11 @@
 		maps.DeleteFunc(values, func(name string, _ any) bool { return strings.HasSuffix(name, ".skip-share") })
 	}
 	s.module, s.values = admission.New(values, seed), values
-	if len(s.module.Routes) != len(s.types) {
-		return nil, fmt.Errorf("%d traffic types stated, %d of them named", len(s.module.Routes), len(s.types))
+	if len(s.module.Routes) != len(s.routes) {
+		return nil, fmt.Errorf("%d traffic types stated, %d of them named", len(s.module.Routes), len(s.routes))
 	}
 	for i, t := range s.module.Routes {
-		s.types[told.Values[fmt.Sprintf("type.%d.name", i)].(string)] = t
+		s.routes[told.Values[fmt.Sprintf("type.%d.name", i)].(string)] = t
 	}
 	return s, nil
 }
@@ -221,7 +221,7 @@
 // the composer's to keep to, so the decisions let their calls go without a room of their own.
 func (s *Server) Compose(c Composer) {
 	s.parts = c
-	for name, t := range s.types { // each by itself
+	for name, t := range s.routes { // each by itself
 		if c.Composes(name) {
 			t.Waits = c.Waits(name)
 			delete(s.unserved, name)
@@ -233,7 +233,7 @@
 // than that earns nothing.
 func (s *Server) Types() map[string]time.Duration {
 	all := map[string]time.Duration{}
-	for name, t := range s.types {
+	for name, t := range s.routes {
 		all[name] = t.OuterLimit
 		if t.LateShare == 0 {
 			all[name] = min(t.ContractTime, t.OuterLimit)
@@ -259,13 +259,13 @@
 // Adopt gives a name that the settings do not state one of the types that they state for strangers, whose names begin
 // with a NUL byte; where all are given away, tasks of the name are dismissed.
 func (s *Server) Adopt(name string) {
-	if s.types[name] != nil {
+	if s.routes[name] != nil {
 		return
 	}
 	spare := fmt.Sprintf("\x00%d", s.adopted)
-	if t := s.types[spare]; t != nil {
+	if t := s.routes[spare]; t != nil {
 		s.adopted++
-		s.types[name] = t
+		s.routes[name] = t
 	}
 }
 
@@ -452,10 +452,10 @@
 	s.round.Now = now
 	s.module.Decide(&s.round, s)
 	for _, e := range s.round.Ended {
-		s.settle(s.owner[e.Task])
+		s.settle(s.owner[e.Request])
 	}
-	for _, t := range s.round.Gone {
-		s.settle(s.owner[t])
+	for _, decided := range s.round.Gone {
+		s.settle(s.owner[decided])
 	}
 	s.round.Clear()
 	s.touched = false
@@ -464,13 +464,13 @@
 		s.module.Decide(&s.round, s)
 		s.round.Clear()
 	}
-	for _, t := range s.echoed {
-		s.round.Ended = append(s.round.Ended, admission.Ending{Task: t, Outcome: admission.Done})
+	for _, decided := range s.echoed {
+		s.round.Ended = append(s.round.Ended, admission.Ending{Request: decided, Outcome: admission.Done})
 		s.touched = true
 	}
 	s.echoed = s.echoed[:0]
-	for _, t := range s.unbegun {
-		s.end(t, admission.Void, 0, nil)
+	for _, request := range s.unbegun {
+		s.end(request, admission.Void, 0, nil)
 	}
 	s.unbegun = s.unbegun[:0]
 	if s.share != nil && now >= s.shared+shareEvery {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -88,8 +88,8 @@
 // ask has the owner take a task.
 func (b *bench) ask(stream uint32, kind string, waits time.Duration) {
 	b.Post(func() {
-		b.Take(Asked{
-			ID: fake.Call(stream), Type: kind, HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: waits,
+		b.Take(Incoming{
+			ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: waits,
 			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
 		})
 	})
@@ -133,8 +133,8 @@
 		known := make(chan bool)
 		b.Post(func() {
 			all := true
-			for _, task := range b.tasks {
-				all = all && (!task.active || task.sent && task.mark <= b.polled)
+			for _, task := range b.requests {
+				all = all && (!task.active || task.sent && task.spawnMark <= b.polled)
 			}
 			known <- all
 		})
@@ -356,9 +356,9 @@
 	for stream := range uint32(2000) {
 		kind := []string{"browse", "pay"}[stream%2]
 		b.Post(func() {
-			b.Take(Asked{
-				ID: fake.Call(stream), Type: kind, HeldKB: 20, Rank: 0.9, Came: time.Now().UnixMilli(),
-				Waits: time.Minute, Router: stream, Caller: b, Stream: stream,
+			b.Take(Incoming{
+				ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(),
+				Patience: time.Minute, Router: stream, Caller: b, Stream: stream,
 			})
 		})
 		b.next(t)
@@ -371,7 +371,7 @@
 	}
 	sizes := make(chan []int)
 	b.Post(func() {
-		sizes <- []int{len(b.tasks), len(b.owner), len(b.doubts), len(b.alarms) / 2, len(b.Server.checks)}
+		sizes <- []int{len(b.requests), len(b.owner), len(b.doubts), len(b.alarms) / 2, len(b.Server.checks)}
 	})
 	assert.Equal(t, []int{0, 0, 0, 0, 0}, <-sizes)
 }
@@ -389,7 +389,7 @@
 	assert.Equal(t, GivenUp, b.next(t).Verdict)
 	require.Eventually(t, func() bool {
 		empty := make(chan bool)
-		b.Post(func() { empty <- len(b.tasks) == 0 && len(b.owner) == 0 })
+		b.Post(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
 		return <-empty
 	}, fake.Patience, time.Millisecond)
 	assert.Equal(t, 1, b.counts.Times("end of a run not reported, proven by the readings"))
@@ -398,16 +398,16 @@
 func TestCallerGone(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
-	var task *Task
+	var task *Request
 	b.Post(func() {
-		task = b.Take(Asked{ID: "x", Type: "browse", HeldKB: 1, Came: time.Now().UnixMilli(), Waits: time.Minute, Caller: b})
+		task = b.Take(Incoming{ID: "x", Route: "browse", HeldKB: 1, SentMS: time.Now().UnixMilli(), Patience: time.Minute, Caller: b})
 	})
 	b.pool.Next(t, "spawn")
 	b.Post(func() { b.Gone(task); b.Gone(task) })
 	b.pool.Next(t, "suspend")
 	require.Eventually(t, func() bool {
 		empty := make(chan bool)
-		b.Post(func() { empty <- len(b.tasks) == 0 && len(b.owner) == 0 })
+		b.Post(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
 		return <-empty
 	}, fake.Patience, time.Millisecond, "a settled task is kept")
 	assert.Empty(t, b.answers)
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -78,11 +78,11 @@
 }
 
 func (s *Server) changeRoute(change settings.RouteChange) {
-	was, name := s.types[change.Name], change.Name
+	was, name := s.routes[change.Name], change.Name
 	if change.Route == nil {
 		if was != nil {
 			s.module.Remove(was)
-			delete(s.types, name)
+			delete(s.routes, name)
 			delete(s.unserved, name)
 		}
 		return
@@ -92,7 +92,7 @@
 	if composed {
 		stated.Waits = s.parts.Waits(name)
 	}
-	s.types[name] = s.module.Put(was, stated)
+	s.routes[name] = s.module.Put(was, stated)
 	delete(s.unserved, name)
 	if stated.Calls && !s.limits.Calls && !composed {
 		s.unserved[name] = true
@@ -128,8 +128,8 @@
 // longestDeadline is how long any request that is here now may stay.
 func (s *Server) longestDeadline() time.Duration {
 	longest := time.Duration(0)
-	for _, t := range s.tasks {
-		longest = max(longest, t.Type.OuterLimit)
+	for _, request := range s.requests {
+		longest = max(longest, request.Route.OuterLimit)
 	}
 	return longest
 }
@@ -137,8 +137,8 @@
 // Tables are the routes and tenants in force, by name, as New was told of them or as they have changed since. It is for
 // before Run.
 func (s *Server) Tables() (routes map[string]admission.Route, tenants map[string]float64) {
-	routes, tenants = make(map[string]admission.Route, len(s.types)), make(map[string]float64, len(s.customers))
-	for name, route := range s.types {
+	routes, tenants = make(map[string]admission.Route, len(s.routes)), make(map[string]float64, len(s.customers))
+	for name, route := range s.routes {
 		routes[name] = route.Stated()
 	}
 	for name, place := range s.customers {
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -95,9 +95,9 @@
 	put := TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: keyed}}}
 	ask := func(stream uint32) {
 		b.Post(func() {
-			b.Take(Asked{
-				ID: fake.Call(stream), Type: "charge", HeldKB: 1, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: time.Minute,
-				Caller: b, Stream: stream, Number: "once", Shape: 1,
+			b.Take(Incoming{
+				ID: fake.Call(stream), Route: "charge", HeldKB: 1, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
+				Caller: b, Stream: stream, Key: "once", Shape: 1,
 			})
 		})
 	}
@@ -134,7 +134,7 @@
 	b.change(t, tenant("north", 5))
 	assert.Equal(t, 0, place("north"))
 	b.Post(func() {
-		b.Take(Asked{ID: "a", Type: "pay", HeldKB: 1, Rank: 0.9, Came: time.Now().UnixMilli(), Waits: time.Minute, Caller: b})
+		b.Take(Incoming{ID: "a", Route: "pay", HeldKB: 1, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute, Caller: b})
 	})
 	run := b.pool.Next(t, "spawn")
 	b.change(t, tenant("north", 7))
@@ -166,7 +166,7 @@
 	}
 	done := make(chan struct{})
 	counted := make(chan int, 1)
-	large.Done = func() { counted <- len(b.types) }
+	large.Done = func() { counted <- len(b.routes) }
 	b.ChangeTables(large)
 	seen := 0
 	var step func()
@@ -193,5 +193,5 @@
 		require.FailNow(t, "the change is not in force")
 	}
 	assert.Equal(t, many+2, <-counted, "with the two that were there")
-	b.inTurn(func() { assert.Len(t, b.types, many+1) })
+	b.inTurn(func() { assert.Len(t, b.routes, many+1) })
 }
--- a/internal/server/tasks.go
+++ b/internal/server/tasks.go
@@ -50,33 +50,33 @@
 	Quiet() bool           // nothing that came waits to be taken or read
 }
 
-// Task is a task and what the program keeps for it until the last that can come for it has come.
-type Task struct {
-	admission.Task
-	id       string
-	handler  string
-	body     []byte
-	caller   Caller
-	stream   uint32
-	answered bool
-	active   bool   // started, and its end not told yet
-	sent     bool   // the pool was told to run it
-	mark     uint64 // the nonce of the first poll behind that
-	unsure   bool   // whether the pool was, is not known
-	doubt    doubt
-	composed bool // made of calls, and no run of the pool
-	number   string
-	first    *number // whose answer a repeat waits for
-	entered  bool    // its number was given to the ledger
-	waits    bool    // to run once the ledger has that
-	entry    uint64  // the ledger's mark
-	stands   bool    // paused meanwhile
-	atCall   bool    // its run stands at a call
-	asks     []byte  // what that call is to carry
-	call     uint64  // the call of it that the dependency has, 0 without one
-	supplied *supply // what it last went on with from a call
-	calls    int     // made for the call that its run stands at
-	doubtful bool    // its run may be over, or never have begun; that is not known
+// Request is a task and what the program keeps for it until the last that can come for it has come.
+type Request struct {
+	admission.Request
+	id           string
+	route        string
+	body         []byte
+	caller       Caller
+	stream       uint32
+	answered     bool
+	active       bool   // started, and its end not told yet
+	sent         bool   // the pool was told to run it
+	spawnMark    uint64 // the nonce of the first poll behind that
+	startUnknown bool   // whether the pool was, is not known
+	doubt        doubt
+	composed     bool // made of calls, and no run of the pool
+	key          string
+	original     *number // whose answer a repeat waits for
+	ledgered     bool    // its number was given to the ledger
+	awaitsLedger bool    // to run once the ledger has that
+	ledgerMark   uint64  // the ledger's mark
+	paused       bool    // paused meanwhile
+	atCall       bool    // its run stands at a call
+	callBody     []byte  // what that call is to carry
+	call         uint64  // the call of it that the dependency has, 0 without one
+	supplied     *supply // what it last went on with from a call
+	calls        int     // made for the call that its run stands at
+	doubtful     bool    // its run may be over, or never have begun; that is not known
 
 	readAt     time.Duration
 	answeredAt time.Duration
@@ -91,90 +91,90 @@
 	paused       // it did, so it had begun
 )
 
-// Asked is a task as a front has read it.
-type Asked struct {
-	ID     string // the same at no other task
-	Type   string
-	HeldKB float64
-	Rank   float64
-	Router uint32
-	Came   int64 // Unix milliseconds
-	Waits  time.Duration
-	Body   []byte // kept
-	Caller Caller
-	Stream uint32
-	NoRoom bool // for its connection, so it is dismissed
+// Incoming is a task as a front has read it.
+type Incoming struct {
+	ID       string // the same at no other task
+	Route    string
+	HeldKB   float64
+	Rank     float64
+	Router   uint32
+	SentMS   int64 // Unix milliseconds
+	Patience time.Duration
+	Body     []byte // kept
+	Caller   Caller
+	Stream   uint32
+	Overflow bool // for its connection, so it is dismissed
 
-	Number   string // of a numbered task, the same for all its repeats
-	Shape    uint64 // by which a repeat is known to ask for the same
-	Customer int
-	Arrived  time.Duration // by the clock of rounds, in the place of Came
-	Whole    time.Duration // when its last byte was read, where it came in pieces
+	Key        string // of a numbered task, the same for all its repeats
+	Shape      uint64 // by which a repeat is known to ask for the same
+	Tenant     int
+	Arrived    time.Duration // by the clock of rounds, in the place of Came
+	LastByteAt time.Duration // when its last byte was read, where it came in pieces
 }
 
 // Take files a task that a front has read. A task that can't be understood is dismissed at once, and nothing
 // is returned for it.
-func (s *Server) Take(a Asked) *Task {
-	kind := s.types[a.Type]
+func (s *Server) Take(a Incoming) *Request {
+	kind := s.routes[a.Route]
 	due, _ := s.settings.Values["tells-due"].(bool)
 	refused := ""
 	now := s.Now()
 	if a.Arrived == 0 {
-		a.Arrived = s.at(a.Came, now)
+		a.Arrived = s.at(a.SentMS, now)
 	}
 	if kind != nil && kind.Repeats == admission.Numbered {
-		s.expireNumber(numberKey(a.Type, a.Number), a.Arrived)
+		s.expireNumber(numberKey(a.Route, a.Key), a.Arrived)
 	}
 	switch {
 	case kind == nil:
 		refused = "task of an unknown type"
-	case s.unserved[a.Type]:
+	case s.unserved[a.Route]:
 		s.refuse(a, "task of a type that calls, without a dependency", Answer{Verdict: Dismissed, ComeBack: s.longest()})
 		return nil
-	case s.tasks[a.ID] != nil && (s.tasks[a.ID].active || s.tasks[a.ID].sent):
+	case s.requests[a.ID] != nil && (s.requests[a.ID].active || s.requests[a.ID].sent):
 		// A dismissal would say that this call never ran, and its caller might have it run elsewhere.
 		s.refuse(a, "task whose call is known already", Answer{Verdict: GivenUp})
 		return nil
-	case s.tasks[a.ID] != nil:
+	case s.requests[a.ID] != nil:
 		refused = "task whose call is known already"
 	case s.spent[a.ID] > 0:
 		// Its caller has, or had, an answer to this call; what has run is never rerun, and never dismissed.
 		s.refuse(a, "task whose call may have run before", Answer{Verdict: GivenUp})
 		return nil
-	case a.NoRoom:
+	case a.Overflow:
 		refused = "task on a connection beyond the table"
-	case due && a.Waits <= 0:
+	case due && a.Patience <= 0:
 		refused = "task without a due time"
-	case len(s.tasks) >= s.most:
+	case len(s.requests) >= s.maxRequests:
 		refused = "task beyond the program's own memory"
-	case kind.Repeats == admission.Numbered && a.Number == "":
+	case kind.Repeats == admission.Numbered && a.Key == "":
 		refused = "numbered task without a number"
-	case kind.Repeats == admission.Numbered && len(s.numbers) >= s.mostNumbers && s.numbers[numberKey(a.Type, a.Number)] == nil:
+	case kind.Repeats == admission.Numbered && len(s.numbers) >= s.mostNumbers && s.numbers[numberKey(a.Route, a.Key)] == nil:
 		refused = "numbered task beyond the program's own memory"
 	case kind.Repeats == admission.Numbered && s.clashes(a):
 		s.refuse(a, "number of another task", Answer{Verdict: Clashing})
 		return nil
 	default:
-		t := &Task{
-			Task: admission.Task{
-				Type: kind, HeldKB: a.HeldKB, Arrived: a.Arrived, Rank: a.Rank, Caller: a.Router,
-				Customer: a.Customer, Whole: a.Whole,
+		request := &Request{
+			Request: admission.Request{
+				Route: kind, HeldKB: a.HeldKB, Arrived: a.Arrived, Rank: a.Rank, Router: a.Router,
+				Tenant: a.Tenant, LastByteAt: a.LastByteAt,
 			},
-			id: a.ID, handler: a.Type, body: a.Body, caller: a.Caller, stream: a.Stream, readAt: now,
+			id: a.ID, route: a.Route, body: a.Body, caller: a.Caller, stream: a.Stream, readAt: now,
 		}
-		if a.Waits > 0 {
+		if a.Patience > 0 {
 			// Past its outer limit a task earns nothing, whatever a caller says it waits: held for a day, it would
 			// take part of the memory for as long.
-			t.Due = t.Arrived + min(a.Waits, kind.OuterLimit)
+			request.Deadline = request.Arrived + min(a.Patience, kind.OuterLimit)
 		}
-		t.composed = s.parts.Composes(t.handler)
-		s.numbered(t, a)
-		s.tasks[t.id], s.owner[&t.Task] = t, t
-		s.round.Arrived = append(s.round.Arrived, &t.Task)
+		request.composed = s.parts.Composes(request.route)
+		s.numbered(request, a)
+		s.requests[request.id], s.owner[&request.Request] = request, request
+		s.round.Arrived = append(s.round.Arrived, &request.Request)
 		s.touched = true
-		return t
+		return request
 	}
-	if kind != nil && kind.Repeats == admission.Numbered && s.numbers[numberKey(a.Type, a.Number)] != nil {
+	if kind != nil && kind.Repeats == admission.Numbered && s.numbers[numberKey(a.Route, a.Key)] != nil {
 		// Its first may have run: with a promise of no effect its caller would have it run elsewhere.
 		s.refuse(a, refused, Answer{Verdict: GivenUp})
 		return nil
@@ -184,7 +184,7 @@
 }
 
 // refuse answers at once what is not taken in. The module never hears of it, as there is nothing to decide on.
-func (s *Server) refuse(a Asked, why string, answer Answer) {
+func (s *Server) refuse(a Incoming, why string, answer Answer) {
 	s.counts.Saw(why)
 	kind := events.Refused
 	if answer.Verdict != Dismissed {
@@ -203,31 +203,31 @@
 }
 
 // Gone files that nobody waits for a task any longer.
-func (s *Server) Gone(t *Task) {
-	if t.answered {
+func (s *Server) Gone(request *Request) {
+	if request.answered {
 		return
 	}
-	t.answered, t.answeredAt = true, s.Now()
-	s.round.Gone = append(s.round.Gone, &t.Task)
+	request.answered, request.answeredAt = true, s.Now()
+	s.round.Gone = append(s.round.Gone, &request.Request)
 	s.touched = true
-	s.abandon(t)
+	s.abandon(request)
 }
 
 // AtCall has a run wait until it may make a call.
-func (s *Server) AtCall(t *Task) {
-	s.round.AtCall = append(s.round.AtCall, &t.Task)
+func (s *Server) AtCall(request *Request) {
+	s.round.AtCall = append(s.round.AtCall, &request.Request)
 	s.touched = true
 }
 
 // Returned tells how a call ended. One that did not end well may be let go again, or left out.
-func (s *Server) Returned(t *Task, outcome admission.Outcome, took time.Duration) {
-	s.round.Returned = append(s.round.Returned, admission.Ending{Task: &t.Task, Outcome: outcome, Took: took})
+func (s *Server) Returned(request *Request, outcome admission.Outcome, took time.Duration) {
+	s.round.Returned = append(s.round.Returned, admission.Ending{Request: &request.Request, Outcome: outcome, Took: took})
 	s.touched = true
 }
 
 // by is what runs a task.
-func (s *Server) by(t *Task) Workers {
-	if t.composed {
+func (s *Server) by(request *Request) Workers {
+	if request.composed {
 		return s.parts
 	}
 	return s.link
@@ -235,35 +235,35 @@
 
 // abandon has the calls of a task end that nobody waits for any more. The decisions stop runs by themselves, but
 // not what is at a call: there they wait for its end.
-func (s *Server) abandon(t *Task) {
-	if t.composed && t.sent && t.active {
-		s.parts.Pause(t.id)
+func (s *Server) abandon(request *Request) {
+	if request.composed && request.sent && request.active {
+		s.parts.Pause(request.id)
 	}
-	if t.call > 0 {
-		s.dependency.Abandon(t.call)
+	if request.call > 0 {
+		s.dependency.Abandon(request.call)
 	}
 }
 
 // settle forgets a task for which nothing more can come.
-func (s *Server) settle(t *Task) {
-	if t != nil && t.answered && !t.active {
-		if s.tasks[t.id] == t && t.sent && t.Type.Repeats == admission.AtMostOnce {
-			s.spend(t)
+func (s *Server) settle(request *Request) {
+	if request != nil && request.answered && !request.active {
+		if s.requests[request.id] == request && request.sent && request.Route.Repeats == admission.AtMostOnce {
+			s.spend(request)
 		}
-		delete(s.tasks, t.id)
-		delete(s.owner, &t.Task)
+		delete(s.requests, request.id)
+		delete(s.owner, &request.Request)
 	}
 }
 
 // spend keeps the call of a task that may have run for as long as a copy of it may come. Where the table is full, the
 // oldest goes: it is the likeliest to be past all copies.
-func (s *Server) spend(t *Task) {
-	if len(s.spending) >= s.most {
+func (s *Server) spend(request *Request) {
+	if len(s.spending) >= s.maxRequests {
 		delete(s.spent, s.spending[0])
 		s.spending = s.spending[1:]
 	}
-	s.spent[t.id] = s.Now() + 2*t.Type.OuterLimit
-	s.spending = append(s.spending, t.id)
+	s.spent[request.id] = s.Now() + 2*request.Route.OuterLimit
+	s.spending = append(s.spending, request.id)
 }
 
 // forgetSpent lets go of calls that no copy can come of any more.
@@ -275,14 +275,14 @@
 }
 
 // answer gives a task its one answer.
-func (s *Server) answer(t *Task, a Answer) {
-	s.counts.That(!t.answered, "a task was answered twice")
-	if t.answered {
+func (s *Server) answer(request *Request, a Answer) {
+	s.counts.That(!request.answered, "a task was answered twice")
+	if request.answered {
 		return
 	}
-	t.answered, t.answeredAt = true, s.Now()
+	request.answered, request.answeredAt = true, s.Now()
 	a.Level = s.level
-	s.firstAnswered(t, a)
-	t.caller.Answer(t.stream, a)
-	s.settle(t)
+	s.firstAnswered(request, a)
+	request.caller.Answer(request.stream, a)
+	s.settle(request)
 }
--- a/internal/server/writer.go
+++ b/internal/server/writer.go
@@ -11,63 +11,63 @@
 )
 
 // Start implements admission.Writer, as do the methods below it.
-func (s *Server) Start(t *admission.Task) {
-	of := s.owner[t]
-	s.counts.That(of != nil && !of.answered, "a settled task was started")
+func (s *Server) Start(decided *admission.Request) {
+	request := s.owner[decided]
+	s.counts.That(request != nil && !request.answered, "a settled task was started")
 	grace, _ := s.settings.Values["grace"].(time.Duration)
-	s.counts.That(s.noticed == 0 || t.Came() <= s.noticed+grace, "a task from past the grace was started")
-	if of == nil || of.answered {
+	s.counts.That(s.noticed == 0 || decided.ReceivedAt() <= s.noticed+grace, "a task from past the grace was started")
+	if request == nil || request.answered {
 		return
 	}
-	of.active = true
-	if of.composed {
-		s.atCall = append(s.atCall, t)
+	request.active = true
+	if request.composed {
+		s.atCall = append(s.atCall, decided)
 		return
 	}
 	switch {
-	case of.waits:
-		of.stands = false
-	case of.sent:
-		s.link.GoOn(of.id)
-	case of.number != "" && s.ledger != nil && !of.entered:
-		s.enter(of)
+	case request.awaitsLedger:
+		request.paused = false
+	case request.sent:
+		s.link.GoOn(request.id)
+	case request.key != "" && s.ledger != nil && !request.ledgered:
+		s.enter(request)
 	default:
-		s.spawn(of)
+		s.spawn(request)
 	}
 }
 
 // Pause stops a task's run.
-func (s *Server) Pause(t *admission.Task) {
-	of := s.owner[t]
+func (s *Server) Pause(decided *admission.Request) {
+	request := s.owner[decided]
 	switch {
-	case of == nil:
-	case of.waits:
-		of.stands = true
+	case request == nil:
+	case request.awaitsLedger:
+		request.paused = true
 	default:
-		s.by(of).Pause(of.id)
+		s.by(request).Pause(request.id)
 	}
 }
 
 // Dismiss turns a task away that never ran.
-func (s *Server) Dismiss(t *admission.Task, comeBack time.Duration, nowhereElse bool) {
-	of := s.owner[t]
-	s.counts.That(of != nil && !of.active && !of.sent, "a task that may have run was dismissed")
+func (s *Server) Dismiss(decided *admission.Request, comeBack time.Duration, nowhereElse bool) {
+	request := s.owner[decided]
+	s.counts.That(request != nil && !request.active && !request.sent, "a task that may have run was dismissed")
 	switch {
-	case of == nil:
-	case of.answered: // its caller left in the moment it was read; its number is given back all the same
-		s.firstAnswered(of, Answer{Verdict: Dismissed})
+	case request == nil:
+	case request.answered: // its caller left in the moment it was read; its number is given back all the same
+		s.firstAnswered(request, Answer{Verdict: Dismissed})
 	default:
-		s.recordAnswer(events.Refused, of)
-		s.answer(of, Answer{Verdict: Dismissed, ComeBack: comeBack, NowhereElse: nowhereElse})
+		s.recordAnswer(events.Refused, request)
+		s.answer(request, Answer{Verdict: Dismissed, ComeBack: comeBack, NowhereElse: nowhereElse})
 	}
 }
 
 // GiveUp answers a task that may have run without a result.
-func (s *Server) GiveUp(t *admission.Task) {
-	if of := s.owner[t]; of != nil {
-		s.recordAnswer(events.Failed, of)
-		s.answer(of, Answer{Verdict: GivenUp})
-		s.abandon(of)
+func (s *Server) GiveUp(decided *admission.Request) {
+	if request := s.owner[decided]; request != nil {
+		s.recordAnswer(events.Failed, request)
+		s.answer(request, Answer{Verdict: GivenUp})
+		s.abandon(request)
 	}
 }
 
@@ -104,33 +104,33 @@
 
 // Call lets the calls of a task begin. They end before the moment at which the decisions would give it up, so
 // that what is there by then is still answered.
-func (s *Server) Call(t *admission.Task, patience time.Duration) {
-	of := s.owner[t]
-	if c, calls := s.calling(of); calls {
+func (s *Server) Call(decided *admission.Request, patience time.Duration) {
+	request := s.owner[decided]
+	if c, calls := s.calling(request); calls {
 		c.Call(patience)
 		return
 	}
-	if of != nil && of.atCall {
-		if of.calls > 0 {
-			s.events.Record(events.CallRetried, "the call before did not go well", slog.String("request", of.id), slog.Int("calls", of.calls))
+	if request != nil && request.atCall {
+		if request.calls > 0 {
+			s.events.Record(events.CallRetried, "the call before did not go well", slog.String("request", request.id), slog.Int("calls", request.calls))
 		}
-		of.calls++
-		s.placeCall(of, patience)
+		request.calls++
+		s.placeCall(request, patience)
 		return
 	}
-	s.counts.That(of != nil && of.composed && !of.sent, "a call was to be made for a task without any, or twice")
-	if of == nil || !of.composed || of.sent {
+	s.counts.That(request != nil && request.composed && !request.sent, "a call was to be made for a task without any, or twice")
+	if request == nil || !request.composed || request.sent {
 		return
 	}
-	of.sent = s.parts.Start(workerapi.Run{ID: of.id, Type: of.handler, Body: of.body, Until: s.round.Now + patience})
-	if !of.sent {
-		s.unbegun = append(s.unbegun, of)
+	request.sent = s.parts.Start(workerapi.Run{ID: request.id, Route: request.route, Body: request.body, Deadline: s.round.Now + patience})
+	if !request.sent {
+		s.unbegun = append(s.unbegun, request)
 	}
 }
 
 // SkipCall has a task go on without its call.
-func (s *Server) SkipCall(t *admission.Task) {
-	c, calls := s.calling(s.owner[t])
+func (s *Server) SkipCall(decided *admission.Request) {
+	c, calls := s.calling(s.owner[decided])
 	s.counts.That(calls, "a call was to be left out for a task without any")
 	if calls {
 		c.Skip()
@@ -138,10 +138,10 @@
 }
 
 // calling is a task whose run makes its calls itself.
-func (s *Server) calling(of *Task) (c Calling, calls bool) {
-	if of == nil || of.composed {
+func (s *Server) calling(request *Request) (c Calling, calls bool) {
+	if request == nil || request.composed {
 		return nil, false
 	}
-	c, calls = of.caller.(Calling)
+	c, calls = request.caller.(Calling)
 	return c, calls
 }
--- a/internal/workerapi/calls.go
+++ b/internal/workerapi/calls.go
@@ -8,10 +8,10 @@
 
 // Call is what a run asks of the dependency.
 type Call struct {
-	Number uint64 // never that of another
-	Task   string
-	Body   []byte        // not changed
-	Within time.Duration // it is given up on after that
+	CallID    uint64 // never that of another
+	RequestID string
+	Body      []byte        // not changed
+	Within    time.Duration // it is given up on after that
 }
 
 // CallEnd is how it ended.
--- a/internal/workerapi/runs.go
+++ b/internal/workerapi/runs.go
@@ -5,10 +5,10 @@
 
 // Run is a task to be run.
 type Run struct {
-	ID    string // the same at no other task
-	Type  string
-	Body  []byte        // as it came; not changed, and kept by whoever runs it
-	Until time.Duration // by the clock of rounds, when its end is of no use any more; 0 where that is not told
+	ID       string // the same at no other task
+	Route    string
+	Body     []byte        // as it came; not changed, and kept by whoever runs it
+	Deadline time.Duration // by the clock of rounds, when its end is of no use any more; 0 where that is not told
 }
 
 // Kind says what a notice tells.
@@ -29,11 +29,11 @@
 
 // Notice is one thing that is told of runs, or of the state of a link.
 type Notice struct {
-	Kind     Kind
-	Task     string
-	Outcome  string // how a run or a check ended, or the command that was not carried out
-	Took     time.Duration
-	Result   []byte
-	Nonce    uint64
-	Readings []float64
+	Kind      Kind
+	RequestID string
+	Outcome   string // how a run or a check ended, or the command that was not carried out
+	Took      time.Duration
+	Result    []byte
+	Nonce     uint64
+	Readings  []float64
 }
--- a/internal/workerlink/pool.go
+++ b/internal/workerlink/pool.go
@@ -309,7 +309,7 @@
 			return err
 		}
 	}
-	n := workerapi.Notice{Task: told.Task, Outcome: told.Outcome}
+	n := workerapi.Notice{RequestID: told.Task, Outcome: told.Outcome}
 	switch told.Verb {
 	case "bound":
 		// Only now: a pool that is not up yet answers the bind late and takes no other command before.
@@ -387,7 +387,7 @@
 
 // Start asks the pool to run a task. It tells whether a link took the command; the same holds below.
 func (l *Link) Start(r workerapi.Run) bool {
-	text := append(quoted(append(quoted([]byte(`{"verb":"spawn","task":`), r.ID), `,"handler":`...), r.Type), `,"bytes":"`...)
+	text := append(quoted(append(quoted([]byte(`{"verb":"spawn","task":`), r.ID), `,"handler":`...), r.Route), `,"bytes":"`...)
 	text = base64.StdEncoding.AppendEncode(text, r.Body)
 	return l.send(append(text, "\"}\n"...))
 }
--- a/internal/workerlink/pool_test.go
+++ b/internal/workerlink/pool_test.go
@@ -68,11 +68,11 @@
 	b := newBench(t)
 	bind := b.pool.Next(t, "bind")
 	assert.Zero(t, bind.Index)
-	assert.False(t, b.Start(workerapi.Run{ID: "early", Type: "browse", Body: nil}), "a command was taken before the pool was bound")
+	assert.False(t, b.Start(workerapi.Run{ID: "early", Route: "browse", Body: nil}), "a command was taken before the pool was bound")
 	b.synced(t)
 
 	body := []byte("\x00\xff\"\n body")
-	assert.True(t, b.Start(workerapi.Run{ID: "t1", Type: "bro\"wse", Body: body}))
+	assert.True(t, b.Start(workerapi.Run{ID: "t1", Route: "bro\"wse", Body: body}))
 	assert.True(t, b.Pause("t1"))
 	assert.True(t, b.GoOn("t1"))
 	assert.True(t, b.Verify(4))
@@ -87,7 +87,7 @@
 	assert.Equal(t, "interrupted", ended.Outcome)
 	assert.Equal(t, 5500*time.Microsecond, ended.Took)
 
-	assert.True(t, b.Start(workerapi.Run{ID: "t2", Type: "browse", Body: body})) // which stays, so that no reading is 0
+	assert.True(t, b.Start(workerapi.Run{ID: "t2", Route: "browse", Body: body})) // which stays, so that no reading is 0
 	next := b.Next()
 	nonce, sent := b.Poll()
 	b.Flush()
@@ -98,7 +98,7 @@
 	b.pool.Say(`{"verb":"chatter","index":2,"outcome":"hm"}` + "\n" + `{"verb":"unk`)
 	b.pool.Say(`nown","outcome":"spawn","task":"t9"}` + "\n" + `{"verb":"verified","nonce":"4","outcome":"failure"}` + "\n")
 	unknown := b.next(t, workerapi.Unknown)
-	assert.Equal(t, []string{"spawn", "t9"}, []string{unknown.Outcome, unknown.Task})
+	assert.Equal(t, []string{"spawn", "t9"}, []string{unknown.Outcome, unknown.RequestID})
 	assert.Equal(t, uint64(4), b.next(t, workerapi.Verified).Nonce)
 }
 
@@ -119,7 +119,7 @@
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
 	for _, id := range []string{"a", "b", "c"} {
-		b.Start(workerapi.Run{ID: id, Type: "pay", Body: nil})
+		b.Start(workerapi.Run{ID: id, Route: "pay", Body: nil})
 		b.Flush()
 		b.pool.Next(t, "spawn")
 	}
@@ -137,7 +137,7 @@
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index)
 	b.next(t, workerapi.Synced)
 	b.pool.Say(`{"verb":"finished","index":7,"task":"c","outcome":"success","spent":1,"bytes":""}` + "\n")
-	assert.Equal(t, "c", b.next(t, workerapi.Finished).Task)
+	assert.Equal(t, "c", b.next(t, workerapi.Finished).RequestID)
 	assert.Equal(t, 1, b.counts.Times("pool notices missed"))
 }
 
@@ -145,7 +145,7 @@
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
 	for _, id := range []string{"a", "b"} {
-		b.Start(workerapi.Run{ID: id, Type: "pay", Body: nil})
+		b.Start(workerapi.Run{ID: id, Route: "pay", Body: nil})
 		b.Flush()
 		b.pool.Next(t, "spawn")
 	}
@@ -164,7 +164,7 @@
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index, "what is missing is asked for")
 	b.next(t, workerapi.Synced)
 	b.pool.Say(beyond)
-	assert.Equal(t, "c", b.next(t, workerapi.Finished).Task, "a notice told again was taken as a new one")
+	assert.Equal(t, "c", b.next(t, workerapi.Finished).RequestID, "a notice told again was taken as a new one")
 	b.pool.Say(`{"verb":"finished","index":6,"task":"d","outcome":"success","spent":1,"bytes":"*"}` + "\n")
 	assert.Equal(t, "failure", b.next(t, workerapi.Finished).Outcome, "a result that can't be read")
 	assert.Equal(t, 1, b.counts.Times("pool notice told again"))
@@ -184,7 +184,7 @@
 			b := newBench(t).synced(t)
 			b.pool.Next(t, "bind")
 			b.pool.Say(text + `{"verb":"finished","index":1,"task":"a","outcome":"success","spent":1}` + "\n")
-			assert.Equal(t, "a", b.next(t, workerapi.Finished).Task)
+			assert.Equal(t, "a", b.next(t, workerapi.Finished).RequestID)
 			assert.Equal(t, 1, b.counts.Times("pool line that is no notice"))
 			assert.Zero(t, b.counts.Times("pool link lost or refused"))
 		})
@@ -196,7 +196,7 @@
 func TestMove(t *testing.T) {
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
-	b.Start(workerapi.Run{ID: "a", Type: "pay", Body: nil})
+	b.Start(workerapi.Run{ID: "a", Route: "pay", Body: nil})
 	mark := b.Next()
 	b.Flush()
 	b.pool.Next(t, "spawn")
@@ -205,7 +205,7 @@
 
 	b.Move("127.0.0.1:1") // nobody answers there
 	time.Sleep(3 * firstWait)
-	assert.True(t, b.Start(workerapi.Run{ID: "b", Type: "pay", Body: nil}), "the old link works until a new one is open")
+	assert.True(t, b.Start(workerapi.Run{ID: "b", Route: "pay", Body: nil}), "the old link works until a new one is open")
 	b.Flush()
 	b.pool.Next(t, "spawn")
 	b.pool.Move(t)
@@ -215,7 +215,7 @@
 	assert.Equal(t, 1, b.pool.Next(t, "bind").Index)
 	b.next(t, workerapi.Synced)
 	b.pool.Finish("b", "success", nil)
-	assert.Equal(t, "b", b.next(t, workerapi.Finished).Task)
+	assert.Equal(t, "b", b.next(t, workerapi.Finished).RequestID)
 	assert.Zero(t, b.counts.Times("pool link lost or refused"))
 
 	b.pool.Cut()
@@ -239,7 +239,7 @@
 	b.pool.Cut()
 	b.next(t, workerapi.Synced)
 	for range 100 {
-		b.Start(workerapi.Run{ID: "t", Type: "browse", Body: make([]byte, 512)})
+		b.Start(workerapi.Run{ID: "t", Route: "browse", Body: make([]byte, 512)})
 	}
 	b.next(t, workerapi.Down)
 	b.next(t, workerapi.Synced)
