--- a/admission/calls.go
+++ b/admission/calls.go
@@ -37,10 +37,10 @@
 	request.notBefore = c.now + time.Duration(wait*float64(time.Second))
 	switch {
 	case request.settled || e.Outcome == NotRun:
-	case request.Route.SkipShare > 0:
+	case request.Route.SkipValueShare > 0:
 		c.enter(request, running)
 		w.SkipCall(request)
-	case request.Route.Repeats != Reissuable:
+	case request.Route.Idempotency != Retryable:
 		c.giveUp(request, ReasonCallUnclear, w)
 	}
 }
@@ -86,7 +86,7 @@
 		}
 		// While the dependency is strained the room that is left belongs to those that can't do without it.
 		spare := !c.strained || inHand+1 <= max(1, c.callRoom*strainShare) && c.callSaved > c.callRoom*strainShare
-		if request.Route.SkipShare > 0 && (!spare || c.now+rest+2*turn > request.wanted) {
+		if request.Route.SkipValueShare > 0 && (!spare || c.now+rest+2*turn > request.wanted) {
 			c.enter(request, running)
 			w.SkipCall(request)
 			continue
@@ -99,7 +99,7 @@
 			continue
 		}
 		patience := request.wanted - c.now
-		if request.Route.SkipShare > 0 {
+		if request.Route.SkipValueShare > 0 {
 			patience -= rest
 		}
 		// More in hand than the share is survived for part of the time only, so no such call may outlast that.
@@ -110,7 +110,7 @@
 		}
 		// A call that is never answered would keep its place until its task is given up. What may run again asks
 		// again, each time later, as a dependency may just have grown slow.
-		if c.callUsual.count > 0 && request.Route.Repeats == Reissuable {
+		if c.callUsual.count > 0 && request.Route.Idempotency == Retryable {
 			lost := c.callUsual.mean * callLost * math.Exp2(float64(min(request.refusals, 6)))
 			patience = min(patience, time.Duration(lost*float64(time.Second)))
 		}
@@ -145,7 +145,7 @@
 }
 
 // skipLoss is the importance that is lost when a task goes on without its call.
-func (r *Request) skipLoss() float64 { return r.Route.Importance * (1 - r.Route.SkipShare) }
+func (r *Request) skipLoss() float64 { return r.Route.Value * (1 - r.Route.SkipValueShare) }
 
 func (c *Choice) callTime() time.Duration {
 	seen := c.callsSeen(len(c.called.buckets))
--- a/admission/choice.go
+++ b/admission/choice.go
@@ -58,7 +58,7 @@
 	Routes []*Route
 
 	terms   map[string]any
-	busy    map[*learned]bool // of routes whose runs ended lately, the only ones whose latency can have moved
+	busy    map[*routeStats]bool // of routes whose runs ended lately, the only ones whose latency can have moved
 	tenants tenants
 	rng     *rand.Rand
 	now     time.Duration
@@ -132,7 +132,7 @@
 		unread:   newRing(time.Second, 10),
 		known:    newRing(customerSpan, 10),
 		callers:  map[uint32]time.Duration{},
-		busy:     map[*learned]bool{},
+		busy:     map[*routeStats]bool{},
 		ends:     newRing(3*time.Second, 6),
 		paced:    newRing(6*time.Second, 12),
 		called:   newRing(2*time.Second, 8),
@@ -234,15 +234,15 @@
 func (c *Choice) arrived(request *Request, w Writer) {
 	request.since = c.now
 	// One that claims to have come long ago must not pass for a backlog of many.
-	c.unread.add(c.now, 1, min(1, float64(c.now-request.Arrived)/float64(request.Route.ContractTime)))
-	request.last = request.Arrived + request.Route.OuterLimit
+	c.unread.add(c.now, 1, min(1, float64(c.now-request.Arrived)/float64(request.Route.LatencyTarget)))
+	request.last = request.Arrived + request.Route.Deadline
 	if request.Deadline > 0 {
 		request.last = request.Deadline
 	}
 	request.last -= 2 * sweep
 	request.wanted = request.last
-	if request.Route.LateShare == 0 {
-		request.wanted = min(request.last, request.Arrived+request.Route.ContractTime)
+	if request.Route.LateValueShare == 0 {
+		request.wanted = min(request.last, request.Arrived+request.Route.LatencyTarget)
 	}
 	again := 0.0
 	last, came := c.callers[request.Router]
@@ -270,13 +270,13 @@
 			return
 		}
 	}
-	if request.Route.Repeats == Numbered {
+	if request.Route.Idempotency == Keyed {
 		// The entry comes before any run, so that no repeat is taken for a new task; without room, no task.
 		if c.used()+c.numberKB+request.HeldKB > c.memory {
 			c.dismiss(request, ReasonMemory, w)
 			return
 		}
-		request.kept = request.Arrived + request.Route.Window + sweep
+		request.kept = request.Arrived + request.Route.DedupWindow + sweep
 		c.numbers = append(c.numbers, request)
 		w.Remember(request, request.kept-c.now)
 	}
@@ -301,7 +301,7 @@
 	}
 	if e.Outcome == Done || e.Outcome == Broken {
 		request.Route.runs.add(c.now, 0, 1, e.Took.Seconds())
-		c.busy[request.Route.learned] = true
+		c.busy[request.Route.routeStats] = true
 		c.ends.add(c.now, 1, float64(e.Outcome-Done))
 		if request.CostHint > 0 {
 			c.paced.add(c.now, 0, request.CostHint.Seconds())
@@ -319,13 +319,13 @@
 // the sums of the last seconds show. A long average over the deadline would outlast the trouble for good: no task of
 // the type would be begun any more, and so none could show that they are short again.
 func (c *Choice) learn(request *Request, took time.Duration) {
-	if request.settled && max(took, request.onCore) > request.Route.OuterLimit {
+	if request.settled && max(took, request.onCore) > request.Route.Deadline {
 		return
 	}
-	request.Route.usual.take(request.onCore.Seconds(), 200)
+	request.Route.coreSeconds.take(request.onCore.Seconds(), 200)
 	request.Route.latency.take(took.Seconds(), 200)
-	request.Route.coreSeen.take(request.onCore.Seconds()*c.speed(), c.now)
-	request.Route.runSeen.take(took.Seconds(), c.now)
+	request.Route.coreSample.take(request.onCore.Seconds()*c.speed(), c.now)
+	request.Route.runSample.take(took.Seconds(), c.now)
 	if request.CostHint > 0 {
 		c.pace.take(request.onCore.Seconds()/request.CostHint.Seconds(), 200)
 		c.paceSeen.take(request.onCore.Seconds()*c.speed()/request.CostHint.Seconds(), c.now)
@@ -342,7 +342,7 @@
 		c.remove(request)
 	case request.phase == running || request.phase == wantsCall || request.phase == calling:
 		request.settled = true
-		if request.phase == running && request.Route.Repeats == Reissuable {
+		if request.phase == running && request.Route.Idempotency == Retryable {
 			c.stop(request, w)
 		}
 	}
--- a/admission/lent.go
+++ b/admission/lent.go
@@ -44,16 +44,16 @@
 	c.borrowed = false
 	took, told := 0.0, 0.0
 	for _, t := range c.Routes {
-		if t.lent.weigh(now) {
+		if t.peerCore.weigh(now) {
 			c.borrowed = true
-			trust := scaleDoubt / float64(len(c.Routes)) * t.lent.told.Mean
-			took += t.coreSeen.mean*t.coreSeen.count + trust
-			told += t.lent.told.Mean*t.coreSeen.count + trust
+			trust := scaleDoubt / float64(len(c.Routes)) * t.peerCore.told.Mean
+			took += t.coreSample.mean*t.coreSample.count + trust
+			told += t.peerCore.told.Mean*t.coreSample.count + trust
 		}
 	}
 	for _, request := range c.active {
 		spent := request.onCore.Seconds() * c.speed()
-		if of := &request.Route.lent; of.weight > 0 && spent > overrunning*of.told.Mean {
+		if of := &request.Route.peerCore; of.weight > 0 && spent > overrunning*of.told.Mean {
 			took += spent
 			told += of.told.Mean
 		}
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -26,7 +26,7 @@
 
 // played drives the decisions in simulated time against cores that are shared evenly, as a worker pool's are.
 type played struct {
-	types    []harness.Type
+	types    []harness.Route
 	machine  harness.Machine
 	module   *admission.Choice
 	frame    estimate.Frame
@@ -52,7 +52,7 @@
 
 const slice = 250 * time.Millisecond
 
-func play(types []harness.Type, m harness.Machine, load []harness.Arrival, origin uint64) *played {
+func play(types []harness.Route, m harness.Machine, load []harness.Arrival, origin uint64) *played {
 	values := map[string]any{
 		"cores": m.Cores, "memory-kb": m.KB, "running-factor": 8.0, "types": float64(len(types)), "crowd": 6.0,
 		"advert": "threshold", "come-back": true, "come-back-most": time.Second, "cold": m.ColdShare > 0,
@@ -60,8 +60,8 @@
 	}
 	for i, t := range types {
 		of := fmt.Sprintf("type.%d.", i)
-		values[of+"name"], values[of+"importance"] = t.Name, t.Importance
-		values[of+"contract-time"], values[of+"outer-limit"] = t.Contract, t.Outer
+		values[of+"name"], values[of+"importance"] = t.Name, t.Value
+		values[of+"contract-time"], values[of+"outer-limit"] = t.LatencyTarget, t.Deadline
 		values[of+"repeats"] = map[bool]string{false: "reissuable", true: "at-most-once"}[t.Once]
 	}
 	p := &played{
@@ -100,8 +100,8 @@
 			if !t.settled {
 				t.settled = true
 				p.answers[t.Request]++
-				if kind := p.types[t.arrival.Type]; p.now-t.Arrived <= kind.Contract {
-					p.honoured += kind.Importance
+				if kind := p.types[t.arrival.Type]; p.now-t.Arrived <= kind.LatencyTarget {
+					p.honoured += kind.Value
 				}
 			}
 		}
@@ -110,7 +110,7 @@
 			a := p.load[0]
 			p.load = p.load[1:]
 			t := &playedTask{arrival: a, left: a.Work.Seconds() / p.machine.Speed, Request: &admission.Request{
-				Route: p.module.Routes[a.Type], HeldKB: 20, Arrived: p.now, Deadline: p.now + p.types[a.Type].Outer, Rank: a.Rank,
+				Route: p.module.Routes[a.Type], HeldKB: 20, Arrived: p.now, Deadline: p.now + p.types[a.Type].Deadline, Rank: a.Rank,
 			}}
 			p.of[t.Request] = t
 			r.Arrived = append(r.Arrived, t.Request)
@@ -184,7 +184,7 @@
 var fourCores = harness.Machine{Cores: 4, Speed: 1, KB: 64000}
 
 // peerView is what a server has seen that was under load for a while.
-func peerView(types []harness.Type, m harness.Machine, seed int64) estimate.View {
+func peerView(types []harness.Route, m harness.Machine, seed int64) estimate.View {
 	peer := play(types, m, harness.Arrivals(types, harness.Rate(types, m, 1.2), 10*time.Second, seed), 1)
 	peer.until(8 * time.Second)
 	return peer.learned()
@@ -192,7 +192,7 @@
 
 // pair plays a cold newcomer and one that borrows under the same arrivals.
 func pair(t require.TestingT, v estimate.View, m harness.Machine, seed int64) (cold, borrows *played) {
-	types := harness.BookingTypes()
+	types := harness.BookingRoutes()
 	load := harness.Arrivals(types, harness.Rate(types, fourCores, 1.2), 10*time.Second, seed+100)
 	cold, borrows = play(types, m, load, 2), play(types, m, load, 3)
 	fit, err := borrows.frame.Fit(v)
@@ -213,7 +213,7 @@
 	sum := 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		cold, fresh := pair(t, peerView(harness.BookingTypes(), fourCores, seed), fourCores, seed)
+		cold, fresh := pair(t, peerView(harness.BookingRoutes(), fourCores, seed), fourCores, seed)
 		sum += fresh.honoured / cold.honoured / seeds
 	}
 	assert.Greater(t, sum, 1.01)
@@ -225,7 +225,7 @@
 	slow := fourCores
 	slow.Speed /= 3
 	rapid.Check(t, func(t *rapid.T) {
-		v := peerView(harness.BookingTypes(), fourCores, 7)
+		v := peerView(harness.BookingRoutes(), fourCores, 7)
 		for i := range v.Types {
 			v.Types[i].Core.Mean *= rapid.Float64Range(0.01, 3).Draw(t, "factor")
 		}
@@ -243,7 +243,7 @@
 	sum, starts := 0.0, 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		v := peerView(harness.BookingTypes(), fourCores, seed).Aged(5 * time.Second)
+		v := peerView(harness.BookingRoutes(), fourCores, seed).Aged(5 * time.Second)
 		cold, young := pair(t, v, slow, seed)
 		sum += young.honoured / cold.honoured / seeds
 		a, b := 0, 0
@@ -258,8 +258,8 @@
 
 // What is borrowed is not handed on, and is gone when it is old though nothing was seen here.
 func TestBorrowedIsNotLearned(t *testing.T) {
-	v := peerView(harness.BookingTypes(), fourCores, 1)
-	idle := play(harness.BookingTypes(), fourCores, nil, 2)
+	v := peerView(harness.BookingRoutes(), fourCores, 1)
+	idle := play(harness.BookingRoutes(), fourCores, nil, 2)
 	fit, err := idle.frame.Fit(v)
 	require.NoError(t, err)
 	idle.module.Borrow(idle.now, fit)
@@ -269,12 +269,12 @@
 	}
 	assert.True(t, idle.learned().Cold())
 	idle.until(estimate.OldAt(estimate.Returning))
-	load := harness.Arrivals(harness.BookingTypes(), harness.Rate(harness.BookingTypes(), fourCores, 1.2), 5*time.Second, 3)
+	load := harness.Arrivals(harness.BookingRoutes(), harness.Rate(harness.BookingRoutes(), fourCores, 1.2), 5*time.Second, 3)
 	later := estimate.OldAt(estimate.Returning)
 	for i := range load {
 		load[i].At += later
 	}
-	cold := play(harness.BookingTypes(), fourCores, nil, 2)
+	cold := play(harness.BookingRoutes(), fourCores, nil, 2)
 	cold.until(later)
 	cold.load, idle.load = load, load
 	cold.until(later + 10*time.Second)
@@ -289,7 +289,7 @@
 	sum := 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		cold, fresh := pair(t, peerView(harness.BookingTypes(), fourCores, seed), m, seed)
+		cold, fresh := pair(t, peerView(harness.BookingRoutes(), fourCores, seed), m, seed)
 		sum += fresh.honoured / cold.honoured / seeds
 	}
 	assert.Greater(t, sum, 0.99)
@@ -297,7 +297,7 @@
 
 // BenchmarkDecide is a server at 120% of what it can do; simulated.
 func BenchmarkDecide(b *testing.B) {
-	types := harness.BookingTypes()
+	types := harness.BookingRoutes()
 	for b.Loop() {
 		play(types, fourCores, harness.Arrivals(types, harness.Rate(types, fourCores, 1.2), 10*time.Second, 1), 1).
 			until(12 * time.Second)
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -119,13 +119,13 @@
 			start := c.now + time.Duration(float64(ahead-need)/wide)
 			// A mean is no bound: most tasks need less, as a few very long ones make it up. Judged
 			// by the whole mean, a server with cores to spare sent away what it could have done.
-			waits, run := request.Route.Waits, time.Duration(median*float64(need))
-			if request.Route.Calls {
+			waits, run := request.Route.CallWait, time.Duration(median*float64(need))
+			if request.Route.CallsDependency {
 				waits = max(waits, atCall)
 			}
 			latest := request.wanted - waits - run
 			latest = min(latest, request.Arrived+time.Duration(plan*float64(latest-request.Arrived)))
-			request.late = start+run > request.Arrived+request.Route.ContractTime
+			request.late = start+run > request.Arrived+request.Route.LatencyTarget
 			if start <= latest || leaveOut(start-latest, ReasonNoTime) == request {
 				break
 			}
@@ -157,13 +157,13 @@
 		trust *= request.CostHint.Seconds()
 		return time.Duration((seen[0] + trust*pace) / (seen[1] + trust) * float64(request.CostHint))
 	}
-	known := request.Route.usual
+	known := request.Route.coreSeconds
 	if known.count == 0 {
-		known.mean = request.Route.ContractTime.Seconds() / guess
+		known.mean = request.Route.LatencyTarget.Seconds() / guess
 	}
 	usual, trust := known.mean, doubt
 	if c.borrowed {
-		usual, trust = c.prior(known, &request.Route.lent)
+		usual, trust = c.prior(known, &request.Route.peerCore)
 	}
 	seen := request.Route.runs.sum(c.now)
 	return time.Duration((max(seen[0], 0) + trust*usual) / (seen[1] + trust) * float64(time.Second))
@@ -172,9 +172,9 @@
 // density is the importance that a second of work earns. What a customer asks beyond its share is worth
 // little and carries no mark, so each of its tasks is taken for the mix that it is on the mean here.
 func (c *Choice) density(request *Request) float64 {
-	worth := request.Route.Importance
+	worth := request.Route.Value
 	if request.late { // planned to end past its contract time: it goes before one that would still be in time
-		worth *= request.Route.LateShare
+		worth *= request.Route.LateValueShare
 	}
 	share := c.tenants.rate(request.Tenant) / pick(c.terms, "servers", 1.0)
 	if asked := c.tenants.asked(request.Tenant, c.now); asked > share {
--- a/admission/table.go
+++ b/admission/table.go
@@ -11,21 +11,21 @@
 // was seen of each. A change costs what it changes, not what the tables hold.
 
 // repeatKinds are the words of the settings.
-var repeatKinds = map[string]Repeats{"numbered": Numbered, "at-most-once": AtMostOnce}
+var repeatKinds = map[string]Idempotency{"numbered": Keyed, "at-most-once": AtMostOnce}
 
 // newRoute reads the i-th route of the settings.
 func newRoute(terms map[string]any, i int) Route {
 	of := "type." + strconv.Itoa(i) + "."
 	return Route{
-		Name:         pick(terms, of+"name", ""),
-		Importance:   pick(terms, of+"importance", 1.0),
-		LateShare:    pick(terms, of+"late-share", 0.0),
-		ContractTime: pick(terms, of+"contract-time", time.Second),
-		OuterLimit:   pick(terms, of+"outer-limit", time.Second),
-		Window:       pick(terms, of+"window", time.Duration(0)),
-		Calls:        pick(terms, of+"calls", false),
-		SkipShare:    pick(terms, of+"skip-share", 0.0),
-		Repeats:      repeatKinds[pick(terms, of+"repeats", "reissuable")],
+		Name:            pick(terms, of+"name", ""),
+		Value:           pick(terms, of+"importance", 1.0),
+		LateValueShare:  pick(terms, of+"late-share", 0.0),
+		LatencyTarget:   pick(terms, of+"contract-time", time.Second),
+		Deadline:        pick(terms, of+"outer-limit", time.Second),
+		DedupWindow:     pick(terms, of+"window", time.Duration(0)),
+		CallsDependency: pick(terms, of+"calls", false),
+		SkipValueShare:  pick(terms, of+"skip-share", 0.0),
+		Idempotency:     repeatKinds[pick(terms, of+"repeats", "reissuable")],
 	}
 }
 
@@ -34,15 +34,15 @@
 func (c *Choice) Put(was *Route, stated Route) *Route {
 	t := &stated
 	if was != nil {
-		t.place, t.learned = was.place, was.learned
-		c.Routes[t.place] = t
+		t.index, t.routeStats = was.index, was.routeStats
+		c.Routes[t.index] = t
 	} else {
-		t.place, t.learned = len(c.Routes), &learned{runs: newRing(6*time.Second, 12)}
+		t.index, t.routeStats = len(c.Routes), &routeStats{runs: newRing(6*time.Second, 12)}
 		c.Routes = append(c.Routes, t)
 	}
-	c.callGuess = max(c.callGuess, t.ContractTime.Seconds()/guess)
+	c.callGuess = max(c.callGuess, t.LatencyTarget.Seconds()/guess)
 	if c.coldShare < 1 { // at a release the whole fleet knows as little, in the same moment
-		c.callGuess = max(c.callGuess, t.ContractTime.Seconds()/2)
+		c.callGuess = max(c.callGuess, t.LatencyTarget.Seconds()/2)
 	}
 	return t
 }
@@ -50,11 +50,11 @@
 // Remove takes a route out. Tasks of it that were taken in go on under it to their end.
 func (c *Choice) Remove(t *Route) {
 	last := c.Routes[len(c.Routes)-1]
-	last.place = t.place
-	c.Routes[t.place] = last
+	last.index = t.index
+	c.Routes[t.index] = last
 	c.Routes[len(c.Routes)-1] = nil
 	c.Routes = c.Routes[:len(c.Routes)-1]
-	delete(c.busy, t.learned)
+	delete(c.busy, t.routeStats)
 }
 
 // PutTenant states the rate of the tenant at a place of the table, in requests a second over the whole fleet. A place
@@ -77,10 +77,10 @@
 // TenantRate is the rate stated of the tenant at a place, in requests a second over the whole fleet.
 func (c *Choice) TenantRate(place int) float64 { return c.tenants.rate(place) }
 
-// Stated is the route as it was stated, with nothing of what was learned.
-func (t *Route) Stated() Route {
+// Settings is the route as it was stated, with nothing of what was learned.
+func (t *Route) Settings() Route {
 	stated := *t
-	stated.place, stated.learned = 0, nil
+	stated.index, stated.routeStats = 0, nil
 	return stated
 }
 
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -19,23 +19,23 @@
 			name := fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "name"))
 			was := live[name]
 			if was != nil && rapid.Bool().Draw(t, "remove") {
-				c.busy[was.learned] = true
+				c.busy[was.routeStats] = true
 				c.Remove(was)
-				assert.False(t, c.busy[was.learned])
+				assert.False(t, c.busy[was.routeStats])
 				delete(live, name)
 				continue
 			}
-			stated := Route{Name: name, Importance: rapid.Float64Range(0, 9).Draw(t, "value"), ContractTime: time.Second}
+			stated := Route{Name: name, Value: rapid.Float64Range(0, 9).Draw(t, "value"), LatencyTarget: time.Second}
 			now := c.Put(was, stated)
 			if was != nil {
-				assert.Same(t, was.learned, now.learned)
+				assert.Same(t, was.routeStats, now.routeStats)
 			}
-			assert.Equal(t, stated, now.Stated())
+			assert.Equal(t, stated, now.Settings())
 			live[name] = now
 		}
 		assert.Len(t, c.Routes, len(live))
 		for place, route := range c.Routes {
-			assert.Equal(t, place, route.place)
+			assert.Equal(t, place, route.index)
 			assert.Same(t, live[route.Name], route)
 		}
 	})
@@ -45,7 +45,7 @@
 func TestOnlyBusyRoutesAreLookedAt(t *testing.T) {
 	b := newBench(nil)
 	for i := range 50 {
-		b.Put(nil, Route{Name: fmt.Sprint("idle", i), ContractTime: time.Second, OuterLimit: time.Second})
+		b.Put(nil, Route{Name: fmt.Sprint("idle", i), LatencyTarget: time.Second, Deadline: time.Second})
 	}
 	ends := func(took time.Duration) {
 		x := b.task("x", 0)
--- a/admission/task.go
+++ b/admission/task.go
@@ -3,41 +3,41 @@
 
 import "time"
 
-// Repeats says whether a task may be run again.
-type Repeats int
+// Idempotency says whether a task may be run again.
+type Idempotency int
 
 // The three kinds. A numbered task carries a mark by which a repeat is known.
 const (
-	Reissuable Repeats = iota
-	Numbered
+	Retryable Idempotency = iota
+	Keyed
 	AtMostOnce
 )
 
 // Route is what a kind of task is owed and worth, as stated at the start, and what was seen of it.
 type Route struct {
-	Name         string
-	Importance   float64
-	LateShare    float64
-	ContractTime time.Duration
-	OuterLimit   time.Duration
-	Window       time.Duration
-	Repeats      Repeats
-	Calls        bool
-	SkipShare    float64
-	Waits        time.Duration // that its runs wait for calls whatever the cores do; they begin as much sooner
-
-	place int // in the table
-	*learned
+	Name            string
+	Value           float64
+	LateValueShare  float64
+	LatencyTarget   time.Duration
+	Deadline        time.Duration
+	DedupWindow     time.Duration
+	Idempotency     Idempotency
+	CallsDependency bool
+	SkipValueShare  float64
+	CallWait        time.Duration // that its runs wait for calls whatever the cores do; they begin as much sooner
+
+	index int // in the table
+	*routeStats
 }
 
-// learned is what was seen of a route; it outlasts what is stated of it.
-type learned struct {
-	runs    *ring
-	usual   trend // core seconds of a run
-	latency trend // seconds from start to end
+// routeStats is what was seen of a route; it outlasts what is stated of it.
+type routeStats struct {
+	runs        *ring
+	coreSeconds trend // core seconds of a run
+	latency     trend // seconds from start to end
 
-	coreSeen, runSeen sight // of both, to be handed out
-	lent              lent  // core seconds of a run that other servers told
+	coreSample, runSample sight // of both, to be handed out
+	peerCore              lent  // core seconds of a run that other servers told
 }
 
 // Request is one try of a client's work, from its reading to the end of all that it left behind.
--- a/admission/view.go
+++ b/admission/view.go
@@ -15,7 +15,7 @@
 	f := estimate.Frame{Terms: estimate.Digest(c.terms, moving), Origin: origin, Moving: moving}
 	for _, t := range c.Routes {
 		f.Types = append(f.Types, t.Name)
-		f.Outer = append(f.Outer, t.OuterLimit)
+		f.Outer = append(f.Outer, t.Deadline)
 	}
 	return f
 }
@@ -26,7 +26,7 @@
 	v.Pace, v.Calls = c.paceSeen.tell(now), c.callSeen.tell(now)
 	for _, t := range c.Routes {
 		v.Types = append(v.Types, estimate.TypeView{
-			Name: t.Name, Core: t.coreSeen.tell(now), Run: t.runSeen.tell(now),
+			Name: t.Name, Core: t.coreSample.tell(now), Run: t.runSample.tell(now),
 		})
 	}
 	if calls := c.called.sum(now); calls[0]+calls[2] > 0 {
@@ -47,7 +47,7 @@
 		told[t.Name] = t.Core
 	}
 	for _, t := range c.Routes {
-		t.lent = lent{told: told[t.Name], kind: estimate.CoreTime, at: now}
+		t.peerCore = lent{told: told[t.Name], kind: estimate.CoreTime, at: now}
 	}
 	c.lentPace = lent{told: v.Pace, kind: estimate.Pace, at: now}
 	c.lentCalls = lent{told: v.Calls, kind: estimate.CallTime, at: now}
--- a/baseline/aimd.go
+++ b/baseline/aimd.go
@@ -21,7 +21,7 @@
 
 const calibration = time.Second
 
-func newAIMD(m emulator.Machine, _ []emulator.Type, _ *rand.Rand) limiter {
+func newAIMD(m emulator.Machine, _ []emulator.Route, _ *rand.Rand) limiter {
 	return &aimd{limit: m.Cores, least: m.Cores} // as here: less would leave cores idle
 }
 
--- a/baseline/base.go
+++ b/baseline/base.go
@@ -68,15 +68,15 @@
 	noticed time.Duration
 }
 
-func maker(make func(m emulator.Machine, types []emulator.Type, rng *rand.Rand) limiter) emulator.Maker {
-	return func(types []emulator.Type, m emulator.Machine, _ float64, seed int64) (emulator.Policy, []*admission.Route) {
+func maker(make func(m emulator.Machine, types []emulator.Route, rng *rand.Rand) limiter) emulator.Maker {
+	return func(types []emulator.Route, m emulator.Machine, _ float64, seed int64) (emulator.Policy, []*admission.Route) {
 		var kinds []*admission.Route
 		for _, t := range types {
 			kind := &admission.Route{
-				Importance: t.Importance, ContractTime: t.Contract, OuterLimit: t.Outer, Calls: t.Calls != "", SkipShare: t.Skips,
+				Value: t.Value, LatencyTarget: t.LatencyTarget, Deadline: t.Deadline, CallsDependency: t.Calls != "", SkipValueShare: t.Skips,
 			}
 			if t.Once {
-				kind.Repeats = admission.AtMostOnce
+				kind.Idempotency = admission.AtMostOnce
 			}
 			kinds = append(kinds, kind)
 		}
@@ -215,7 +215,7 @@
 	case k == nil || k.state != calling:
 	case e.Outcome == admission.Done:
 		k.state = running
-	case k.task.Route.SkipShare > 0:
+	case k.task.Route.SkipValueShare > 0:
 		k.state = running
 		w.SkipCall(k.task)
 	default:
--- a/baseline/codel.go
+++ b/baseline/codel.go
@@ -23,7 +23,7 @@
 	count    int
 }
 
-func newCoDel(m emulator.Machine, _ []emulator.Type, _ *rand.Rand) limiter {
+func newCoDel(m emulator.Machine, _ []emulator.Route, _ *rand.Rand) limiter {
 	return &coDel{fixed: fixed{limit: fixedRuns * m.Cores}}
 }
 
--- a/baseline/fixed.go
+++ b/baseline/fixed.go
@@ -14,7 +14,7 @@
 	limit float64
 }
 
-func newFixed(m emulator.Machine, _ []emulator.Type, _ *rand.Rand) limiter {
+func newFixed(m emulator.Machine, _ []emulator.Route, _ *rand.Rand) limiter {
 	return &fixed{limit: fixedRuns * m.Cores}
 }
 
--- a/baseline/gradient2.go
+++ b/baseline/gradient2.go
@@ -16,7 +16,7 @@
 	long        float64
 }
 
-func newGradient2(m emulator.Machine, _ []emulator.Type, _ *rand.Rand) limiter {
+func newGradient2(m emulator.Machine, _ []emulator.Route, _ *rand.Rand) limiter {
 	return &gradient2{limit: 20, most: 200}
 }
 
--- a/baseline/nolimit.go
+++ b/baseline/nolimit.go
@@ -10,6 +10,6 @@
 // noLimit starts all that comes.
 type noLimit struct{ plain }
 
-func newNoLimit(emulator.Machine, []emulator.Type, *rand.Rand) limiter { return noLimit{} }
+func newNoLimit(emulator.Machine, []emulator.Route, *rand.Rand) limiter { return noLimit{} }
 
 func (noLimit) room() float64 { return math.Inf(1) }
--- a/baseline/tokenbucket.go
+++ b/baseline/tokenbucket.go
@@ -15,7 +15,7 @@
 	last         time.Duration
 }
 
-func newTokenBucket(m emulator.Machine, types []emulator.Type, _ *rand.Rand) limiter {
+func newTokenBucket(m emulator.Machine, types []emulator.Route, _ *rand.Rand) limiter {
 	rate := emulator.Rate(types, m, 1)
 	return &tokenBucket{fixed: fixed{limit: fixedRuns * m.Cores}, rate: rate, tokens: rate}
 }
--- a/baseline/vegas.go
+++ b/baseline/vegas.go
@@ -19,7 +19,7 @@
 	samples int
 }
 
-func newVegas(m emulator.Machine, _ []emulator.Type, rng *rand.Rand) limiter {
+func newVegas(m emulator.Machine, _ []emulator.Route, rng *rand.Rand) limiter {
 	return &vegas{rng: rng, limit: 20}
 }
 
--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -137,7 +137,7 @@
 	for i, address := range f.sessions {
 		own += fmt.Sprintf("[[configuration.machine]]\nzone = \"z%d\"\naddress = %q\n", i, address)
 	}
-	types := []harness.Type{{Name: "base", Contract: time.Second, Outer: 2 * time.Second, Importance: 1}}
+	types := []harness.Route{{Name: "base", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
 	d, err := harness.Start(filepath.Join(programs, "quartzpoint"), f.folder, "app", types, harness.Machine{Cores: 4, Speed: 1, KB: 1e6}, own)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = d.Stop() })
@@ -153,7 +153,7 @@
 // codes sends one request of a route and gives the code of its answer.
 func codes(t *testing.T, d *harness.Daemon, route string) (code byte) {
 	t.Helper()
-	types := []harness.Type{{Name: route, Contract: time.Second, Outer: 2 * time.Second, Importance: 1}}
+	types := []harness.Route{{Name: route, LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
 	got, err := harness.Run(d.Address, types, []harness.Arrival{{Work: time.Millisecond, Rank: 0.9}}, 1)
 	require.NoError(t, err)
 	require.Len(t, got.Codes, 1)
--- a/cmd/quartzpoint-bench/dependencies.go
+++ b/cmd/quartzpoint-bench/dependencies.go
@@ -122,13 +122,13 @@
 `
 
 // The types of the drills: two are made of calls, one is run by the pool and needs none.
-func drillTypes() []harness.Type {
-	return []harness.Type{
-		{Name: "slot-check", Importance: 1, Contract: 800 * time.Millisecond, Outer: 2 * time.Second, Share: 0.6,
+func drillTypes() []harness.Route {
+	return []harness.Route{
+		{Name: "slot-check", Value: 1, LatencyTarget: 800 * time.Millisecond, Deadline: 2 * time.Second, Share: 0.6,
 			Work: time.Millisecond, Composed: true},
-		{Name: "confirm-booking", Importance: 4, Contract: 1500 * time.Millisecond, Outer: 3 * time.Second, Once: true,
+		{Name: "confirm-booking", Value: 4, LatencyTarget: 1500 * time.Millisecond, Deadline: 3 * time.Second, Once: true,
 			Share: 0.15, Work: time.Millisecond, Composed: true},
-		{Name: "guest-note", Importance: 1, Contract: time.Second, Outer: 2 * time.Second, Share: 0.25,
+		{Name: "guest-note", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 0.25,
 			Work: 40 * time.Millisecond, Spread: 0.5},
 	}
 }
--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -192,7 +192,7 @@
 
 func partsOf(r emulator.Result) parts {
 	n := float64(max(r.Requests, 1))
-	return parts{r.Importance / max(r.Offered, 1e-9), float64(r.Dismissed) / n, float64(r.GivenUp) / n}
+	return parts{r.Value / max(r.Offered, 1e-9), float64(r.Dismissed) / n, float64(r.GivenUp) / n}
 }
 
 // speed plays a thousand servers and a million tasks.
@@ -208,7 +208,7 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	fmt.Printf("1,000 servers, %d tasks on one processor: %v, %.0f events a second, %.0f MB, honoured %.3f\n",
-		r.Requests, took.Round(time.Millisecond), float64(r.Events)/took.Seconds(), float64(memory.Sys)/(1<<20), r.Importance/r.Offered)
+		r.Requests, took.Round(time.Millisecond), float64(r.Events)/took.Seconds(), float64(memory.Sys)/(1<<20), r.Value/r.Offered)
 	return []aim{
 		{"tasks", float64(r.Requests), 1e6, math.Inf(1)}, {"seconds", took.Seconds(), 0, 60},
 		{"memory, MB", float64(memory.Sys) / (1 << 20), 0, 4096}, {"rules broken", float64(r.Rules.Total()), 0, 0},
--- a/cmd/quartzpoint-bench/library.go
+++ b/cmd/quartzpoint-bench/library.go
@@ -210,12 +210,12 @@
 }
 
 // policy lets a task run, or says no.
-type policy func(ctx context.Context, t *harness.Type, run func(context.Context) error) error
+type policy func(ctx context.Context, t *harness.Route, run func(context.Context) error) error
 
 var errNo = errors.New("no")
 
 // policies are the gate and what it is measured beside, each in fresh state.
-func policies(types []harness.Type, each float64) (names []string, made map[string]func(*harness.Cores) (policy, func(), error)) {
+func policies(types []harness.Route, each float64) (names []string, made map[string]func(*harness.Cores) (policy, func(), error)) {
 	return []string{"gate", "none", "semaphore", "token bucket"}, map[string]func(*harness.Cores) (policy, func(), error){
 		"gate": func(cores *harness.Cores) (policy, func(), error) {
 			t := quartzpoint.Terms{Cores: labCores, MemoryMB: 256, Gauges: func(int) quartzpoint.Gauges {
@@ -223,22 +223,22 @@
 				return quartzpoint.Gauges{CPU: cpu, Crowd: crowd}
 			}}
 			for _, k := range types {
-				t.Types = append(t.Types, quartzpoint.Type{Name: k.Name, Importance: k.Importance, Contract: k.Contract, Outer: k.Outer})
+				t.Types = append(t.Types, quartzpoint.Type{Name: k.Name, Importance: k.Value, Contract: k.LatencyTarget, Outer: k.Deadline})
 			}
 			g, err := quartzpoint.New(t)
 			if err != nil {
 				return nil, nil, err
 			}
-			return func(ctx context.Context, k *harness.Type, run func(context.Context) error) error {
+			return func(ctx context.Context, k *harness.Route, run func(context.Context) error) error {
 				return g.Do(ctx, quartzpoint.Task{Type: k.Name}, run)
 			}, func() { _ = g.Leave(context.Background()) }, nil
 		},
 		"none": func(*harness.Cores) (policy, func(), error) {
-			return func(ctx context.Context, _ *harness.Type, run func(context.Context) error) error { return run(ctx) }, func() {}, nil
+			return func(ctx context.Context, _ *harness.Route, run func(context.Context) error) error { return run(ctx) }, func() {}, nil
 		},
 		"semaphore": func(*harness.Cores) (policy, func(), error) {
 			slots := make(chan struct{}, 2*labCores)
-			return func(ctx context.Context, _ *harness.Type, run func(context.Context) error) error {
+			return func(ctx context.Context, _ *harness.Route, run func(context.Context) error) error {
 				select {
 				case slots <- struct{}{}:
 					defer func() { <-slots }()
@@ -250,7 +250,7 @@
 		},
 		"token bucket": func(*harness.Cores) (policy, func(), error) {
 			bucket := rate.NewLimiter(rate.Limit(each), max(1, int(each/4)))
-			return func(ctx context.Context, _ *harness.Type, run func(context.Context) error) error {
+			return func(ctx context.Context, _ *harness.Route, run func(context.Context) error) error {
 				if !bucket.Allow() {
 					return errNo
 				}
@@ -262,10 +262,10 @@
 
 // ahead is the importance honoured in contract time at 150% of what the cores can do.
 func (m *measureLibrary) ahead() (f figures, err error) {
-	types := []harness.Type{
-		{Name: "slot-check", Importance: 1, Contract: 500 * time.Millisecond, Outer: 2 * time.Second, Share: 0.5, Work: 20 * time.Millisecond, Spread: 0.6},
-		{Name: "confirm-booking", Importance: 4, Contract: time.Second, Outer: 3 * time.Second, Share: 0.3, Work: 30 * time.Millisecond, Spread: 0.6},
-		{Name: "floor-refresh", Importance: 1, Contract: 2 * time.Second, Outer: 4 * time.Second, Share: 0.2, Work: 100 * time.Millisecond, Spread: 0.6},
+	types := []harness.Route{
+		{Name: "slot-check", Value: 1, LatencyTarget: 500 * time.Millisecond, Deadline: 2 * time.Second, Share: 0.5, Work: 20 * time.Millisecond, Spread: 0.6},
+		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 3 * time.Second, Share: 0.3, Work: 30 * time.Millisecond, Spread: 0.6},
+		{Name: "floor-refresh", Value: 1, LatencyTarget: 2 * time.Second, Deadline: 4 * time.Second, Share: 0.2, Work: 100 * time.Millisecond, Spread: 0.6},
 	}
 	machine := harness.Machine{Cores: labCores, Speed: 1}
 	full := harness.Rate(types, machine, 1)
@@ -347,7 +347,7 @@
 }
 
 // within plays a load inside this process.
-func within(types []harness.Type, load []harness.Arrival, cores *harness.Cores, p policy) (r harness.Result) {
+func within(types []harness.Route, load []harness.Arrival, cores *harness.Cores, p policy) (r harness.Result) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	began := time.Now()
@@ -358,7 +358,7 @@
 		go func() {
 			defer all.Done()
 			t := &types[a.Type]
-			ctx, cancel := context.WithTimeout(context.Background(), t.Outer)
+			ctx, cancel := context.WithTimeout(context.Background(), t.Deadline)
 			defer cancel()
 			asked := time.Now()
 			err := p(ctx, t, func(ctx context.Context) error { return cores.Work(ctx, a.Work) })
@@ -366,13 +366,13 @@
 			mu.Lock()
 			defer mu.Unlock()
 			r.Tasks++
-			r.Offered += t.Importance
+			r.Offered += t.Value
 			r.Took = append(r.Took, took)
-			if took > t.Outer+50*time.Millisecond {
+			if took > t.Deadline+50*time.Millisecond {
 				r.Late++
 			}
-			if err == nil && took <= t.Contract {
-				r.Honoured += t.Importance
+			if err == nil && took <= t.LatencyTarget {
+				r.Honoured += t.Value
 			}
 		}()
 	}
--- a/cmd/quartzpoint-bench/load.go
+++ b/cmd/quartzpoint-bench/load.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			return err
 		}
-		d.Fleet.Servers, types = 1, d.Fleet.Types
+		d.Fleet.Servers, types = 1, d.Fleet.Routes
 		load = d.Arrivals(cmd.Seed)
 	default:
 		return errors.New("a --drill or a --capture is needed")
@@ -85,7 +85,7 @@
 }
 
 // overHTTP posts each task with its type in X-Type and its work, in nanoseconds, in X-Works.
-func overHTTP(url string, types []harness.Type, load []harness.Arrival, took *hdrhistogram.Histogram) error {
+func overHTTP(url string, types []harness.Route, load []harness.Arrival, took *hdrhistogram.Histogram) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer client.CloseIdleConnections()
 	codes := map[int]int{}
@@ -98,7 +98,7 @@
 		meant := began.Add(a.At)
 		time.Sleep(time.Until(meant))
 		t := types[a.Type]
-		offered += t.Importance
+		offered += t.Value
 		open.Add(1)
 		go func() {
 			defer open.Done()
@@ -120,8 +120,8 @@
 			codes[code]++
 			if code == http.StatusOK {
 				_ = took.RecordValue(min(max(passed.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
-				if passed <= t.Contract {
-					honoured += t.Importance
+				if passed <= t.LatencyTarget {
+					honoured += t.Value
 				}
 			}
 		}()
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func readCapture(path string, types []harness.Type, seed int64) (load []harness.Arrival, err error) {
+func readCapture(path string, types []harness.Route, seed int64) (load []harness.Arrival, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -168,7 +168,7 @@
 	return load, lines.Err()
 }
 
-func saveCapture(path string, types []harness.Type, load []harness.Arrival) error {
+func saveCapture(path string, types []harness.Route, load []harness.Arrival) error {
 	var text strings.Builder
 	for _, a := range load {
 		raw, err := json.Marshal(captured{a.At.String(), types[a.Type].Name, a.Work.String(), a.Rank})
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -109,7 +109,7 @@
 				return err
 			}
 		}
-		d, err := harness.Start(m.Daemon, folder, name, harness.BookingTypes(), g.machine, own)
+		d, err := harness.Start(m.Daemon, folder, name, harness.BookingRoutes(), g.machine, own)
 		if err != nil {
 			return err
 		}
@@ -122,7 +122,7 @@
 }
 
 func (g *group) run(span time.Duration, full harness.Machine) error {
-	types := harness.BookingTypes()
+	types := harness.BookingRoutes()
 	g.results = make([]harness.Result, len(g.daemons))
 	failed := make([]error, len(g.daemons))
 	g.began = time.Now()
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -43,14 +43,14 @@
 	daemon       *harness.Daemon
 	tables, bank *harness.Dependency
 	socket, file string
-	types        []harness.Type
+	types        []harness.Route
 }
 
 func startComposed(t *testing.T, bank harness.Script) *composed {
-	c := &composed{types: []harness.Type{
-		{Name: "confirm-booking", Importance: 4, Contract: time.Second, Outer: 2 * time.Second, Once: true, Share: 0.5,
+	c := &composed{types: []harness.Route{
+		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, Once: true, Share: 0.5,
 			Work: time.Millisecond, Composed: true},
-		{Name: "guest-note", Importance: 1, Contract: time.Second, Outer: 2 * time.Second, Share: 0.5, Work: 20 * time.Millisecond},
+		{Name: "guest-note", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 0.5, Work: 20 * time.Millisecond},
 	}}
 	var err error
 	c.tables, err = harness.NewDependency(8, 5*time.Millisecond, 0, 1, nil)
--- a/cmd/quartzpoint/lease_test.go
+++ b/cmd/quartzpoint/lease_test.go
@@ -29,7 +29,7 @@
 // asks server j.
 func proxiedFleet(t *testing.T, n int, proxied bool) (daemons []*harness.Daemon, sockets []string,
 	links [][]*faultnet.Proxy) {
-	types := []harness.Type{{Name: "slot-check", Importance: 1, Contract: time.Second, Outer: 2 * time.Second, Share: 1}}
+	types := []harness.Route{{Name: "slot-check", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 1}}
 	folder := t.TempDir()
 	addresses := make([]string, n)
 	for i := range addresses {
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -13,12 +13,12 @@
 )
 
 // shortClasses are many, with deadlines that a machine in trouble outlasts many times over.
-func shortClasses() (classes []harness.Type) {
+func shortClasses() (classes []harness.Route) {
 	const count = 12
 	for i := range count {
-		classes = append(classes, harness.Type{
-			Name: fmt.Sprintf("class-%d", i), Importance: float64(1 + i%4), Share: 1.0 / count, Spread: 0.3, Once: i%3 == 0,
-			Contract: 400 * time.Millisecond, Outer: 400 * time.Millisecond, Work: time.Duration(20+5*i) * time.Millisecond,
+		classes = append(classes, harness.Route{
+			Name: fmt.Sprintf("class-%d", i), Value: float64(1 + i%4), Share: 1.0 / count, Spread: 0.3, Once: i%3 == 0,
+			LatencyTarget: 400 * time.Millisecond, Deadline: 400 * time.Millisecond, Work: time.Duration(20+5*i) * time.Millisecond,
 		})
 	}
 	return classes
--- a/cmd/quartzpoint/peers_test.go
+++ b/cmd/quartzpoint/peers_test.go
@@ -80,8 +80,8 @@
 
 // A server under load, and a newcomer that asks it; then the keys are changed while both run.
 func TestPeersExchange(t *testing.T) {
-	types := []harness.Type{{
-		Name: "browse", Importance: 1, Contract: 2 * time.Second, Outer: 3 * time.Second, Share: 1,
+	types := []harness.Route{{
+		Name: "browse", Value: 1, LatencyTarget: 2 * time.Second, Deadline: 3 * time.Second, Share: 1,
 		Work: 20 * time.Millisecond, Spread: 0.5,
 	}}
 	machine := harness.Machine{Cores: 2, Speed: 1, KB: 60000}
--- a/cmd/quartzpoint/state_test.go
+++ b/cmd/quartzpoint/state_test.go
@@ -16,8 +16,8 @@
 // A server under load is killed; the one after it goes on from the folder. A third finds it in use, and once that one has
 // left, damaged.
 func TestStateAcrossKill(t *testing.T) {
-	types := []harness.Type{{
-		Name: "slot-check", Importance: 1, Contract: time.Second, Outer: 2 * time.Second, Share: 1, Work: 20 * time.Millisecond,
+	types := []harness.Route{{
+		Name: "slot-check", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 1, Work: 20 * time.Millisecond,
 	}}
 	folder := t.TempDir()
 	state := filepath.Join(folder, "state")
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -53,7 +53,7 @@
 // begin begins the calls of a task.
 func (c *composer) begin(t *try, until time.Duration) {
 	t.attempts = &[budget.MostCalls][2]*attempt{}
-	t.flight = c.book.Begin(c.server.world.fleet.Plans[c.server.world.fleet.Types[t.of.kind].Name], c.server.world.now, until, t)
+	t.flight = c.book.Begin(c.server.world.fleet.Plans[c.server.world.fleet.Routes[t.of.kind].Name], c.server.world.now, until, t)
 	c.settle()
 }
 
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -13,14 +13,14 @@
 
 func branch(servers int) Fleet {
 	return Fleet{
-		Servers: servers, Zones: 2, Machine: Machine{Cores: 4, Speed: 1, KB: 64000}, Types: BranchTypes(), Routers: 2,
+		Servers: servers, Zones: 2, Machine: Machine{Cores: 4, Speed: 1, KB: 64000}, Routes: BranchTypes(), Routers: 2,
 		Habits: Habits{Pick: "round", Tries: 3, Budget: 0.2, Heeds: true}, Delay: 300 * time.Microsecond,
 		Jitter: 100 * time.Microsecond, Lag: 500 * time.Millisecond,
 	}
 }
 
 func (f Fleet) rate(share float64) float64 {
-	return float64(f.Servers) * Rate(f.Types, f.Machine, share)
+	return float64(f.Servers) * Rate(f.Routes, f.Machine, share)
 }
 
 func whole(r Result) string {
@@ -34,7 +34,7 @@
 		f := branch(10)
 		r := New(f, 1).Run(Load{Rate: f.rate(share), Span: 20 * time.Second})
 		t.Logf("%.1f: %d requests, honoured %.3f, dismissed %d, given up %d, left %d, tries %d, rules %v, events %d in %v",
-			share, r.Requests, r.Importance/r.Offered, r.Dismissed, r.GivenUp, r.Left, r.Tries, r.Rules.Broken, r.Events, time.Since(began))
+			share, r.Requests, r.Value/r.Offered, r.Dismissed, r.GivenUp, r.Left, r.Tries, r.Rules.Broken, r.Events, time.Since(began))
 		for _, words := range r.Rules.Words {
 			t.Log(words)
 		}
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Type is a traffic type with the work of its tasks.
-type Type struct {
-	Name       string
-	Importance float64
-	Contract   time.Duration
-	Outer      time.Duration
-	Once       bool          // at-most-once
-	Share      float64       // of all tasks
-	Work       time.Duration // mean, on a core of speed 1
-	Spread     float64       // standard deviation of the work over its mean
-	Composed   bool          // answers are made of parts, and tell their worth
-	Calls      string        // dependency that its runs call half way; empty for none. Emulated only
-	Skips      float64       // what a task is worth that went on without its call
+// Route is a traffic type with the work of its tasks.
+type Route struct {
+	Name          string
+	Value         float64
+	LatencyTarget time.Duration
+	Deadline      time.Duration
+	Once          bool          // at-most-once
+	Share         float64       // of all tasks
+	Work          time.Duration // mean, on a core of speed 1
+	Spread        float64       // standard deviation of the work over its mean
+	Composed      bool          // answers are made of parts, and tell their worth
+	Calls         string        // dependency that its runs call half way; empty for none. Emulated only
+	Skips         float64       // what a task is worth that went on without its call
 }
 
-// BookingTypes are those of a branch: a dozen, each rare, with work that a part of their contract time tells little of.
-func BookingTypes() (types []Type) {
+// BookingRoutes are those of a branch: a dozen, each rare, with work that a part of their contract time tells little of.
+func BookingRoutes() (types []Route) {
 	for i, name := range []string{
 		"slot-check", "confirm-booking", "guest-note", "floor-refresh", "waitlist", "deposit",
 		"table-map", "party-split", "menu-look", "shift-plan", "call-back", "seat-walk-in",
 	} {
-		types = append(types, Type{
-			Name: name, Importance: []float64{1, 6, 2}[i%3], Share: 1.0 / 12, Spread: 0.6, Once: i%3 == 1,
-			Contract: []time.Duration{time.Second, 3 * time.Second}[i%2], Outer: 5 * time.Second,
+		types = append(types, Route{
+			Name: name, Value: []float64{1, 6, 2}[i%3], Share: 1.0 / 12, Spread: 0.6, Once: i%3 == 1,
+			LatencyTarget: []time.Duration{time.Second, 3 * time.Second}[i%2], Deadline: 5 * time.Second,
 			Work: []time.Duration{30, 600, 100, 900, 40, 300}[i%6] * time.Millisecond,
 		})
 	}
@@ -37,12 +37,12 @@
 }
 
 // BranchTypes are four types of short work, as most sites have: looks, bookings, long refreshes and notes.
-func BranchTypes() []Type {
-	return []Type{
-		{Name: "slot-check", Importance: 1, Share: 0.55, Spread: 0.6, Contract: 800 * time.Millisecond, Outer: 2 * time.Second, Work: 15 * time.Millisecond},
-		{Name: "confirm-booking", Importance: 6, Share: 0.15, Spread: 0.4, Contract: 1500 * time.Millisecond, Outer: 3 * time.Second, Work: 40 * time.Millisecond, Once: true},
-		{Name: "floor-refresh", Importance: 1, Share: 0.1, Spread: 0.8, Contract: 2 * time.Second, Outer: 4 * time.Second, Work: 120 * time.Millisecond},
-		{Name: "guest-note", Importance: 2, Share: 0.2, Spread: 0.6, Contract: time.Second, Outer: 2 * time.Second, Work: 25 * time.Millisecond},
+func BranchTypes() []Route {
+	return []Route{
+		{Name: "slot-check", Value: 1, Share: 0.55, Spread: 0.6, LatencyTarget: 800 * time.Millisecond, Deadline: 2 * time.Second, Work: 15 * time.Millisecond},
+		{Name: "confirm-booking", Value: 6, Share: 0.15, Spread: 0.4, LatencyTarget: 1500 * time.Millisecond, Deadline: 3 * time.Second, Work: 40 * time.Millisecond, Once: true},
+		{Name: "floor-refresh", Value: 1, Share: 0.1, Spread: 0.8, LatencyTarget: 2 * time.Second, Deadline: 4 * time.Second, Work: 120 * time.Millisecond},
+		{Name: "guest-note", Value: 2, Share: 0.2, Spread: 0.6, LatencyTarget: time.Second, Deadline: 2 * time.Second, Work: 25 * time.Millisecond},
 	}
 }
 
@@ -55,7 +55,7 @@
 }
 
 // Arrivals draws a load: Poisson, so that it comes whether or not answers do, with log-normal work.
-func Arrivals(types []Type, rate float64, span time.Duration, seed int64) (all []Arrival) {
+func Arrivals(types []Route, rate float64, span time.Duration, seed int64) (all []Arrival) {
 	rng := rand.New(rand.NewSource(seed))
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / rate
@@ -69,7 +69,7 @@
 }
 
 // draw draws the rank, type and work of one task.
-func draw(rng *rand.Rand, types []Type) (a Arrival) {
+func draw(rng *rand.Rand, types []Route) (a Arrival) {
 	a.Rank = rng.Float64()
 	for left := rng.Float64(); a.Type < len(types)-1 && left >= types[a.Type].Share; a.Type++ {
 		left -= types[a.Type].Share
@@ -81,7 +81,7 @@
 }
 
 // Rate is that of a load which asks for a share of what a machine can do, in tasks a second.
-func Rate(types []Type, m Machine, share float64) float64 {
+func Rate(types []Route, m Machine, share float64) float64 {
 	mean := 0.0
 	for _, t := range types {
 		mean += t.Share * t.Work.Seconds()
@@ -134,8 +134,8 @@
 // RunKB is what a run on the cores takes of the memory.
 const RunKB = 160.0
 
-// Terms are those that a server of a site works by, in the words of the decisions.
-func Terms(types []Type, m Machine, calls float64) map[string]any {
+// Settings are those that a server of a site works by, in the words of the decisions.
+func Settings(types []Route, m Machine, calls float64) map[string]any {
 	values := map[string]any{
 		"advert": "threshold", "below": "none", "cold": m.ColdShare > 0, "cold-share": m.ColdShare, "come-back": true,
 		"come-back-most": time.Second, "cores": m.Cores, "crowd": 6.0, "grace": grace, "halt": "suspend",
@@ -147,8 +147,8 @@
 	}
 	for i, t := range types {
 		of := typeKey(i)
-		values[of+"calls"], values[of+"contract-time"], values[of+"importance"] = t.Calls != "", t.Contract, t.Importance
-		values[of+"late-share"], values[of+"name"], values[of+"outer-limit"] = 0.0, t.Name, t.Outer
+		values[of+"calls"], values[of+"contract-time"], values[of+"importance"] = t.Calls != "", t.LatencyTarget, t.Value
+		values[of+"late-share"], values[of+"name"], values[of+"outer-limit"] = 0.0, t.Name, t.Deadline
 		values[of+"repeats"], values[of+"skip-share"] = "reissuable", t.Skips
 		if t.Once {
 			values[of+"repeats"] = "at-most-once"
--- a/emulator/router.go
+++ b/emulator/router.go
@@ -100,16 +100,16 @@
 	}
 	q.tried = append(q.tried, n)
 	w.ids++
-	work, after, calls := q.work, 0.0, w.fleet.Types[q.kind].Calls != ""
+	work, after, calls := q.work, 0.0, w.fleet.Routes[q.kind].Calls != ""
 	if calls {
 		work, after = q.work/2, q.work/2
 	}
-	t := &try{id: w.ids, of: q, after: after, call: calls, worth: 1, composed: w.fleet.Plans[w.fleet.Types[q.kind].Name] != nil}
+	t := &try{id: w.ids, of: q, after: after, call: calls, worth: 1, composed: w.fleet.Plans[w.fleet.Routes[q.kind].Name] != nil}
 	t.work = run{of: t, left: work, place: -1}
 	r.known[n].open++
 	s, sent, ask := w.servers[n], w.now, q.ask
 	t.at = s
-	waits := q.asked + w.fleet.Types[q.kind].Outer - w.now
+	waits := q.asked + w.fleet.Routes[q.kind].Deadline - w.now
 	w.after(w.way(), func() {
 		if q.ask != ask || q.over { // its client has gone on the way
 			r.known[n].open--
@@ -145,10 +145,10 @@
 		w.served(q, t.worth)
 		return
 	}
-	once := w.fleet.Types[q.kind].Once
+	once := w.fleet.Routes[q.kind].Once
 	// A connection that was refused carried nothing; one that broke may have carried an effect.
 	may := v == dismissed || v == lost && !(once && t.reached) || r.habits.Repeat && !once
-	left := q.asked + w.fleet.Types[q.kind].Outer - w.now
+	left := q.asked + w.fleet.Routes[q.kind].Deadline - w.now
 	more := r.habits.Tries == 0 || len(q.tried) < r.habits.Tries || v == lost && len(q.tried) < r.habits.Tries+2
 	if r.habits.Heeds && nowhereElse {
 		more = false
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -15,11 +15,11 @@
 }
 
 // Maker makes the policy of a server, and the traffic types that its tasks point to, in the order of the site's.
-type Maker func(types []Type, m Machine, calls float64, seed int64) (Policy, []*admission.Route)
+type Maker func(types []Route, m Machine, calls float64, seed int64) (Policy, []*admission.Route)
 
 // Own makes the project's own decisions.
-func Own(types []Type, m Machine, calls float64, seed int64) (Policy, []*admission.Route) {
-	c := admission.New(Terms(types, m, calls), seed)
+func Own(types []Route, m Machine, calls float64, seed int64) (Policy, []*admission.Route) {
+	c := admission.New(Settings(types, m, calls), seed)
 	return c, c.Routes
 }
 
@@ -91,11 +91,11 @@
 	s.pool = &pool{engine: &w.engine, machine: w.fleet.Machine, factor: factor, taken: taken, began: w.now, last: w.now}
 	life := s.life
 	s.pool.told = func(r *run) { s.when(life, func() { s.ran(r.of) }) }
-	s.policy, s.types = w.fleet.Policy(w.fleet.Types, w.fleet.Machine, w.callShare(), w.seed+int64(s.number)+1000*int64(s.life))
+	s.policy, s.types = w.fleet.Policy(w.fleet.Routes, w.fleet.Machine, w.callShare(), w.seed+int64(s.number)+1000*int64(s.life))
 	s.parts, s.atCall = newComposer(s), nil
-	for i, t := range w.fleet.Types {
+	for i, t := range w.fleet.Routes {
 		if plan := w.fleet.Plans[t.Name]; plan != nil {
-			s.types[i].Waits = plan.NeededPath()
+			s.types[i].CallWait = plan.NeededPath()
 		}
 	}
 	if c, own := s.policy.(*admission.Choice); own && w.fleet.Peers {
@@ -148,11 +148,11 @@
 	ago := max(w.now-came+s.clockOff, 0)
 	t.Request = admission.Request{
 		Route: kind, HeldKB: heldKB, Arrived: w.now - ago, Rank: t.of.rank, Router: uint32(t.of.router.number),
-		Deadline: w.now - ago + min(waits, kind.OuterLimit),
+		Deadline: w.now - ago + min(waits, kind.Deadline),
 	}
 	s.tries[&t.Request] = t
 	effect := uint64(0)
-	if w.fleet.Types[t.of.kind].Once {
+	if w.fleet.Routes[t.of.kind].Once {
 		effect = t.of.id
 	}
 	w.rules.Take(rulecheck.Event{Kind: rulecheck.Read, At: w.now, Server: s.number, Try: t.id, Effect: effect, Due: came + waits})
@@ -320,14 +320,14 @@
 		return
 	}
 	life := s.life
-	s.world.dependency(s.world.fleet.Types[t.of.kind].Calls).take(patience, func(outcome admission.Outcome, took time.Duration) {
+	s.world.dependency(s.world.fleet.Routes[t.of.kind].Calls).take(patience, func(outcome admission.Outcome, took time.Duration) {
 		s.when(life, func() { s.returned(t, outcome, took) })
 	})
 }
 
 func (s *server) SkipCall(c *admission.Request) {
 	if t := s.tries[c]; t != nil {
-		t.worth = s.world.fleet.Types[t.of.kind].Skips
+		t.worth = s.world.fleet.Routes[t.of.kind].Skips
 		s.goOn(t)
 	}
 }
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -53,7 +53,7 @@
 	Servers      int
 	Zones        int
 	Machine      Machine
-	Types        []Type
+	Routes       []Route
 	Policy       Maker
 	Peers        bool // a server that starts asks running ones what they know
 	Routers      int
@@ -83,7 +83,7 @@
 // Result is what became of a load.
 type Result struct {
 	Requests, Honoured, Dismissed, GivenUp, Left int     // Left are those that got no answer while anybody waited
-	Offered, Importance                          float64 // of all, and of what was honoured within its contract time
+	Offered, Value                               float64 // of all, and of what was honoured within its contract time
 	Tries, Starts, Twice                         int
 	ByType                                       []float64 // importance honoured
 	OfType                                       []float64 // and offered
@@ -143,7 +143,7 @@
 		dependencies: map[string]*dependency{}, delayBy: 1, lag: fleet.Lag, loadBy: 1, clients: fleet.Clients,
 	}
 	w.result.Took = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-	w.result.ByType, w.result.OfType = make([]float64, len(fleet.Types)), make([]float64, len(fleet.Types))
+	w.result.ByType, w.result.OfType = make([]float64, len(fleet.Routes)), make([]float64, len(fleet.Routes))
 	for i, d := range fleet.Dependencies {
 		w.dependencies[d.Name] = &dependency{world: w, Dependency: d, slow: 1, chance: source(seed, "dependency", i), number: i}
 	}
@@ -201,8 +201,8 @@
 		w.arrivals(load, source(w.seed, "load", 0))
 	}
 	longest := time.Duration(0)
-	for _, t := range w.fleet.Types {
-		longest = max(longest, t.Outer)
+	for _, t := range w.fleet.Routes {
+		longest = max(longest, t.Deadline)
 	}
 	for end := load.Span + 2*longest + time.Second; w.step(end); {
 	}
@@ -230,7 +230,7 @@
 				return
 			}
 			if chance.Float64()*most < factor() {
-				a := draw(chance, w.fleet.Types)
+				a := draw(chance, w.fleet.Routes)
 				w.arrive(&a)
 			}
 			next()
@@ -242,15 +242,15 @@
 // arrive begins a request.
 func (w *World) arrive(a *Arrival) {
 	w.ids++
-	t := w.fleet.Types[a.Type]
+	t := w.fleet.Routes[a.Type]
 	q := &request{
 		id: w.ids, kind: a.Type, rank: min(a.Rank, 0.9999), work: max(a.Work.Seconds(), 1e-6), began: w.now,
 		router: w.routers[int(w.ids)%len(w.routers)], repeats: w.clients.Repeats,
 	}
 	w.result.Requests++
-	w.result.Offered += t.Importance
-	w.result.OfType[a.Type] += t.Importance
-	w.result.Seconds[w.second(w.now)].Offered += t.Importance
+	w.result.Offered += t.Value
+	w.result.OfType[a.Type] += t.Value
+	w.result.Seconds[w.second(w.now)].Offered += t.Value
 	w.ask(q)
 }
 
@@ -261,7 +261,7 @@
 // ask has a client ask, for the first time or again.
 func (w *World) ask(q *request) {
 	q.asked, q.tried, q.ask = w.now, nil, q.ask+1
-	ask, outer := q.ask, w.fleet.Types[q.kind].Outer
+	ask, outer := q.ask, w.fleet.Routes[q.kind].Deadline
 	w.after(outer, func() {
 		if !q.over && q.ask == ask {
 			w.unserved(q, lost, 0)
@@ -294,12 +294,12 @@
 func (w *World) served(q *request, part float64) {
 	q.over = true
 	took := w.now - q.asked
-	t := w.fleet.Types[q.kind]
+	t := w.fleet.Routes[q.kind]
 	w.result.Honoured++
 	_ = w.result.Took.RecordValue(min(max(took.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
-	if took <= t.Contract {
-		worth := t.Importance * part
-		w.result.Importance += worth
+	if took <= t.LatencyTarget {
+		worth := t.Value * part
+		w.result.Value += worth
 		w.result.ByType[q.kind] += worth
 		w.result.Seconds[w.second(q.began)].Honoured += worth
 	}
@@ -312,8 +312,8 @@
 	}
 	q.ask++ // its time is of no account any more
 	// What may have run is not asked for again where it must not run twice.
-	again := q.repeats != 0 && w.now < w.span+time.Second && !(q.ran && w.fleet.Types[q.kind].Once) &&
-		!(v == lost && w.fleet.Types[q.kind].Once)
+	again := q.repeats != 0 && w.now < w.span+time.Second && !(q.ran && w.fleet.Routes[q.kind].Once) &&
+		!(v == lost && w.fleet.Routes[q.kind].Once)
 	if again {
 		q.repeats--
 		pause := w.clients.Pause
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -35,7 +35,7 @@
 func (s *Server) earliestKill() time.Duration {
 	longest := time.Duration(0)
 	for _, route := range s.routes {
-		longest = max(longest, route.OuterLimit)
+		longest = max(longest, route.Deadline)
 	}
 	return min(longest, maxKillDeadline) + killDelay
 }
--- a/internal/server/numbers.go
+++ b/internal/server/numbers.go
@@ -119,14 +119,14 @@
 
 // numbered finds the first of a repeat.
 func (s *Server) numbered(request *Request, a Incoming) {
-	if request.Route.Repeats != admission.Numbered {
+	if request.Route.Idempotency != admission.Keyed {
 		return
 	}
 	request.key = numberKey(a.Route, a.Key)
 	request.original = s.numbers[request.key]
 	request.Duplicate = request.original != nil
 	if request.original == nil { // known from here on: a repeat in the same round must not be taken for a first
-		s.numbers[request.key] = &number{key: request.key, shape: a.Shape, until: s.Now() + request.Route.Window + time.Minute}
+		s.numbers[request.key] = &number{key: request.key, shape: a.Shape, until: s.Now() + request.Route.DedupWindow + time.Minute}
 	}
 }
 
--- a/internal/server/reconcile.go
+++ b/internal/server/reconcile.go
@@ -27,7 +27,7 @@
 	s.doubtful = 0
 	for _, request := range s.requests {
 		// The time runs from the answer, as arrivals are stamped by a clock that may step.
-		if s.holdsMachine(request) && request.answered && !request.doubtful && now > request.answeredAt+request.Route.OuterLimit {
+		if s.holdsMachine(request) && request.answered && !request.doubtful && now > request.answeredAt+request.Route.Deadline {
 			s.doubt(request, "its end was not reported by a deadline after its answer")
 		}
 		if request.active && request.doubtful {
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -145,7 +145,7 @@
 			s.goOn(request, request.supplied) // a run that has gone on already takes no notice
 		case !request.sent && request.answered:
 			s.end(request, admission.Stopped, 0, nil)
-		case !request.sent, request.startUnknown && !request.answered && request.supplied == nil && request.Route.Repeats == admission.Reissuable:
+		case !request.sent, request.startUnknown && !request.answered && request.supplied == nil && request.Route.Idempotency == admission.Retryable:
 			request.sent, request.startUnknown = false, false
 			s.recordRun(events.RunRetried, "not known to have begun when the link was lost", request)
 			s.spawn(request)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -223,7 +223,7 @@
 	s.parts = c
 	for name, t := range s.routes { // each by itself
 		if c.Composes(name) {
-			t.Waits = c.Waits(name)
+			t.CallWait = c.Waits(name)
 			delete(s.unserved, name)
 		}
 	}
@@ -234,9 +234,9 @@
 func (s *Server) Types() map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for name, t := range s.routes {
-		all[name] = t.OuterLimit
-		if t.LateShare == 0 {
-			all[name] = min(t.ContractTime, t.OuterLimit)
+		all[name] = t.Deadline
+		if t.LateValueShare == 0 {
+			all[name] = min(t.LatencyTarget, t.Deadline)
 		}
 	}
 	return all
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -90,11 +90,11 @@
 	stated := *change.Route
 	composed := s.parts.Composes(name)
 	if composed {
-		stated.Waits = s.parts.Waits(name)
+		stated.CallWait = s.parts.Waits(name)
 	}
 	s.routes[name] = s.module.Put(was, stated)
 	delete(s.unserved, name)
-	if stated.Calls && !s.limits.Calls && !composed {
+	if stated.CallsDependency && !s.limits.Calls && !composed {
 		s.unserved[name] = true
 	}
 }
@@ -129,7 +129,7 @@
 func (s *Server) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, request := range s.requests {
-		longest = max(longest, request.Route.OuterLimit)
+		longest = max(longest, request.Route.Deadline)
 	}
 	return longest
 }
@@ -139,7 +139,7 @@
 func (s *Server) Tables() (routes map[string]admission.Route, tenants map[string]float64) {
 	routes, tenants = make(map[string]admission.Route, len(s.routes)), make(map[string]float64, len(s.customers))
 	for name, route := range s.routes {
-		routes[name] = route.Stated()
+		routes[name] = route.Settings()
 	}
 	for name, place := range s.customers {
 		tenants[name] = s.module.TenantRate(place)
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -14,7 +14,7 @@
 )
 
 func stated(name string, deadline time.Duration) *admission.Route {
-	return &admission.Route{Name: name, Importance: 1, LateShare: 0.5, ContractTime: time.Second, OuterLimit: deadline}
+	return &admission.Route{Name: name, Value: 1, LateValueShare: 0.5, LatencyTarget: time.Second, Deadline: deadline}
 }
 
 // change has the tables become different and waits until all of it is in force.
@@ -91,7 +91,7 @@
 	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
 	b.pool.Ready()
 	keyed := stated("charge", time.Minute)
-	keyed.Repeats, keyed.Window = admission.Numbered, time.Hour
+	keyed.Idempotency, keyed.DedupWindow = admission.Keyed, time.Hour
 	put := TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: keyed}}}
 	ask := func(stream uint32) {
 		b.Post(func() {
@@ -109,7 +109,7 @@
 	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "charge"}}})
 	b.change(t, put)
 	shorter := *keyed
-	shorter.Window = time.Millisecond
+	shorter.DedupWindow = time.Millisecond
 	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: &shorter}}})
 	ask(2)
 	assert.Equal(t, answered{2, Answer{Verdict: Honoured, Result: []byte("done")}}, b.next(t), "answered from the first")
--- a/internal/server/tasks.go
+++ b/internal/server/tasks.go
@@ -122,7 +122,7 @@
 	if a.Arrived == 0 {
 		a.Arrived = s.at(a.SentMS, now)
 	}
-	if kind != nil && kind.Repeats == admission.Numbered {
+	if kind != nil && kind.Idempotency == admission.Keyed {
 		s.expireNumber(numberKey(a.Route, a.Key), a.Arrived)
 	}
 	switch {
@@ -147,11 +147,11 @@
 		refused = "task without a due time"
 	case len(s.requests) >= s.maxRequests:
 		refused = "task beyond the program's own memory"
-	case kind.Repeats == admission.Numbered && a.Key == "":
+	case kind.Idempotency == admission.Keyed && a.Key == "":
 		refused = "numbered task without a number"
-	case kind.Repeats == admission.Numbered && len(s.numbers) >= s.mostNumbers && s.numbers[numberKey(a.Route, a.Key)] == nil:
+	case kind.Idempotency == admission.Keyed && len(s.numbers) >= s.mostNumbers && s.numbers[numberKey(a.Route, a.Key)] == nil:
 		refused = "numbered task beyond the program's own memory"
-	case kind.Repeats == admission.Numbered && s.clashes(a):
+	case kind.Idempotency == admission.Keyed && s.clashes(a):
 		s.refuse(a, "number of another task", Answer{Verdict: Clashing})
 		return nil
 	default:
@@ -165,7 +165,7 @@
 		if a.Patience > 0 {
 			// Past its outer limit a task earns nothing, whatever a caller says it waits: held for a day, it would
 			// take part of the memory for as long.
-			request.Deadline = request.Arrived + min(a.Patience, kind.OuterLimit)
+			request.Deadline = request.Arrived + min(a.Patience, kind.Deadline)
 		}
 		request.composed = s.parts.Composes(request.route)
 		s.numbered(request, a)
@@ -174,7 +174,7 @@
 		s.touched = true
 		return request
 	}
-	if kind != nil && kind.Repeats == admission.Numbered && s.numbers[numberKey(a.Route, a.Key)] != nil {
+	if kind != nil && kind.Idempotency == admission.Keyed && s.numbers[numberKey(a.Route, a.Key)] != nil {
 		// Its first may have run: with a promise of no effect its caller would have it run elsewhere.
 		s.refuse(a, refused, Answer{Verdict: GivenUp})
 		return nil
@@ -247,7 +247,7 @@
 // settle forgets a task for which nothing more can come.
 func (s *Server) settle(request *Request) {
 	if request != nil && request.answered && !request.active {
-		if s.requests[request.id] == request && request.sent && request.Route.Repeats == admission.AtMostOnce {
+		if s.requests[request.id] == request && request.sent && request.Route.Idempotency == admission.AtMostOnce {
 			s.spend(request)
 		}
 		delete(s.requests, request.id)
@@ -262,7 +262,7 @@
 		delete(s.spent, s.spending[0])
 		s.spending = s.spending[1:]
 	}
-	s.spent[request.id] = s.Now() + 2*request.Route.OuterLimit
+	s.spent[request.id] = s.Now() + 2*request.Route.Deadline
 	s.spending = append(s.spending, request.id)
 }
 
--- a/internal/settings/tables.go
+++ b/internal/settings/tables.go
@@ -20,19 +20,19 @@
 	Removed bool
 }
 
-// routeRepeats are the kinds of a configuration's routes.
-var routeRepeats = map[configuration.Idempotency]admission.Repeats{
-	configuration.Retryable: admission.Reissuable, configuration.Keyed: admission.Numbered, configuration.Fragile: admission.AtMostOnce,
+// idempotencyOf are the kinds of a configuration's routes.
+var idempotencyOf = map[configuration.Idempotency]admission.Idempotency{
+	configuration.Retryable: admission.Retryable, configuration.Keyed: admission.Keyed, configuration.Fragile: admission.AtMostOnce,
 }
 
 // RouteOf is a route of the configuration as the decisions know it, under the bounds that the platform's settings are
 // read under.
 func RouteOf(name string, stated configuration.Route) admission.Route {
 	return admission.Route{
-		Name: name, Importance: stated.Value, LateShare: stated.LateValue, Calls: stated.Calls, SkipShare: stated.SkipValue,
-		ContractTime: max(spanOf(float64(stated.LatencyTarget)), time.Microsecond),
-		OuterLimit:   spanOf(float64(stated.Deadline)), Window: spanOf(float64(stated.Window)),
-		Repeats: routeRepeats[stated.Idempotency],
+		Name: name, Value: stated.Value, LateValueShare: stated.LateValue, CallsDependency: stated.Calls, SkipValueShare: stated.SkipValue,
+		LatencyTarget: max(spanOf(float64(stated.LatencyTarget)), time.Microsecond),
+		Deadline:      spanOf(float64(stated.Deadline)), DedupWindow: spanOf(float64(stated.Window)),
+		Idempotency: idempotencyOf[stated.Idempotency],
 	}
 }
 
--- a/internal/testkit/conformance/conformance.go
+++ b/internal/testkit/conformance/conformance.go
@@ -58,13 +58,13 @@
 const Cores = 2
 
 // Types are those of every front in the suite.
-func Types(numbers bool) []harness.Type {
-	types := []harness.Type{
-		{Name: "slot-check", Importance: 1, Contract: 600 * time.Millisecond, Outer: 1500 * time.Millisecond},
-		{Name: "confirm-booking", Importance: 4, Contract: time.Second, Outer: 2 * time.Second, Once: true},
+func Types(numbers bool) []harness.Route {
+	types := []harness.Route{
+		{Name: "slot-check", Value: 1, LatencyTarget: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond},
+		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, Once: true},
 	}
 	if numbers {
-		types = append(types, harness.Type{Name: "deposit", Importance: 4, Contract: 2 * time.Second, Outer: 3 * time.Second})
+		types = append(types, harness.Route{Name: "deposit", Value: 4, LatencyTarget: 2 * time.Second, Deadline: 3 * time.Second})
 	}
 	return types
 }
@@ -140,7 +140,7 @@
 		go func() {
 			defer all.Done()
 			time.Sleep(time.Until(began.Add(a.At)))
-			limit := types[a.Type].Outer
+			limit := types[a.Type].Deadline
 			ctx, cancel := context.WithTimeout(context.Background(), limit+time.Second)
 			if a.Gone > 0 { // not by a deadline: fronts that are told of one plan by it
 				timer := time.AfterFunc(a.Gone, cancel)
--- a/internal/testkit/conformance/fronts.go
+++ b/internal/testkit/conformance/fronts.go
@@ -60,7 +60,7 @@
 	t := quartzpoint.Terms{Cores: Cores, MemoryMB: 1 << 10, Grace: 400 * time.Millisecond, Seed: 1}
 	t.Gauges = func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Crowd: float64(running)} }
 	for _, kind := range Types(numbers) {
-		of := quartzpoint.Type{Name: kind.Name, Importance: kind.Importance, Contract: kind.Contract, Outer: kind.Outer}
+		of := quartzpoint.Type{Name: kind.Name, Importance: kind.Value, Contract: kind.LatencyTarget, Outer: kind.Deadline}
 		if kind.Once {
 			of.Repeats = quartzpoint.AtMostOnce
 		}
@@ -241,7 +241,7 @@
 	}
 	_, err = link.Write(harness.Frame(10, 1, string(body),
 		"op", t.Name, "call", fmt.Sprintf("%016x", rand.Uint64()), "recv", strconv.FormatInt(time.Now().UnixMilli(), 10),
-		"src", "1", "ttl", strconv.FormatInt(t.Outer.Milliseconds(), 10), "heap", "4", "crit", "0.5"))
+		"src", "1", "ttl", strconv.FormatInt(t.Deadline.Milliseconds(), 10), "heap", "4", "crit", "0.5"))
 	for err == nil {
 		var reply harness.Reply
 		if reply, err = harness.ReadReply(link); err == nil && reply.Type == 11 {
--- a/internal/testkit/experiment/experiment.go
+++ b/internal/testkit/experiment/experiment.go
@@ -122,7 +122,7 @@
 }
 
 // Share is the part of the offered importance that was honoured.
-func (r Run) Share() float64 { return r.Result.Importance / max(r.Result.Offered, 1e-9) }
+func (r Run) Share() float64 { return r.Result.Value / max(r.Result.Offered, 1e-9) }
 
 func (e *Experiment) key(i int, policy string, seed int64) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d\x00%s\x00%s\x00%d", model, e.texts[i], policy, seed)))
--- a/internal/testkit/harness/daemon.go
+++ b/internal/testkit/harness/daemon.go
@@ -57,17 +57,17 @@
 
 // Start starts a program as a server on loopback, and returns once it serves and its pool is bound. own is the
 // text of its configuration file; empty for none.
-func Start(program, folder, name string, types []Type, m Machine, own string) (d *Daemon, err error) {
+func Start(program, folder, name string, types []Route, m Machine, own string) (d *Daemon, err error) {
 	return StartAs(program, []string{"serve"}, folder, name, types, m, own)
 }
 
 // StartFor starts the daemon as it runs without a file of its own.
-func StartFor(program, folder, name string, types []Type, m Machine) (*Daemon, error) {
+func StartFor(program, folder, name string, types []Route, m Machine) (*Daemon, error) {
 	return StartAs(program, nil, folder, name, types, m, "")
 }
 
 // StartAs does the same with other arguments before the configuration file's.
-func StartAs(program string, as []string, folder, name string, types []Type, m Machine, own string) (*Daemon, error) {
+func StartAs(program string, as []string, folder, name string, types []Route, m Machine, own string) (*Daemon, error) {
 	return Launch(program, as, folder, name, m, own, func(listen, pool, members string) ([]byte, error) {
 		return Configuration(name, listen, pool, members, types, m)
 	})
@@ -135,7 +135,7 @@
 }
 
 // Configuration is the platform's, for a server of a site with these types.
-func Configuration(name, listen, pool, members string, types []Type, m Machine) ([]byte, error) {
+func Configuration(name, listen, pool, members string, types []Route, m Machine) ([]byte, error) {
 	raw, err := json.Marshal(map[string]any{
 		"name": name, "listen": listen, "pool": pool, "members": members,
 		"seed": "5eed", "stop_ms": 1500, "settings": settings(types, m),
@@ -270,7 +270,7 @@
 }
 
 // settings are the platform's for a site with these types.
-func settings(types []Type, m Machine) map[string]any {
+func settings(types []Route, m Machine) map[string]any {
 	var services []map[string]any
 	calls, skips := []bool{}, []float64{}
 	for _, t := range types {
@@ -279,8 +279,8 @@
 			repeats = "fragile"
 		}
 		services = append(services, map[string]any{
-			"name": t.Name, "goal-time": t.Contract.Microseconds(), "deadline": t.Outer.Microseconds(),
-			"gain": t.Importance, "idempotency": repeats, "late-value": 0.0,
+			"name": t.Name, "goal-time": t.LatencyTarget.Microseconds(), "deadline": t.Deadline.Microseconds(),
+			"gain": t.Value, "idempotency": repeats, "late-value": 0.0,
 		})
 		calls, skips = append(calls, false), append(skips, 0)
 	}
--- a/internal/testkit/harness/fleet.go
+++ b/internal/testkit/harness/fleet.go
@@ -17,7 +17,7 @@
 // Fleet is a number of real daemons behind one router, that goes round them and tries the next where one dismisses a task or
 // is gone.
 type Fleet struct {
-	types []Type
+	types []Route
 	tries int
 	start func(i, life int) (*Daemon, error)
 
@@ -42,7 +42,7 @@
 }
 
 // NewFleet starts the daemons; start is called with each one's number and life.
-func NewFleet(types []Type, servers, tries int, start func(i, life int) (*Daemon, error)) (*Fleet, error) {
+func NewFleet(types []Route, servers, tries int, start func(i, life int) (*Daemon, error)) (*Fleet, error) {
 	f := &Fleet{types: types, tries: tries, start: start, ids: rand.New(rand.NewSource(time.Now().UnixNano()))}
 	for i := range servers {
 		m := &member{}
@@ -79,7 +79,7 @@
 // carried an effect.
 func (f *Fleet) elsewhere(p *pending, lost bool) bool {
 	t := f.types[p.arrival.Type]
-	if lost && t.Once || p.tries >= f.tries || time.Until(p.sent.Add(t.Outer)) < leastCut {
+	if lost && t.Once || p.tries >= f.tries || time.Until(p.sent.Add(t.Deadline)) < leastCut {
 		return false
 	}
 	f.jobs.Add(1)
@@ -130,8 +130,8 @@
 		time.Sleep(time.Until(f.began.Add(load[n].At)))
 		t := f.types[load[n].Type]
 		f.result.Tasks++
-		f.result.Offered += t.Importance
-		longest = max(longest, t.Outer)
+		f.result.Offered += t.Value
+		longest = max(longest, t.Deadline)
 		p := &pending{arrival: &load[n], sent: time.Now()}
 		if t.Once {
 			p.effect = uint64(n) + 1
--- a/internal/testkit/harness/load.go
+++ b/internal/testkit/harness/load.go
@@ -19,24 +19,24 @@
 
 // What is played in real time is what the emulator plays in simulated time.
 type (
-	// Type is a traffic type with the work of its tasks.
-	Type = emulator.Type
+	// Route is a traffic type with the work of its tasks.
+	Route = emulator.Route
 	// Arrival is one task of a load.
 	Arrival = emulator.Arrival
 	// Machine is what a worker pool runs on.
 	Machine = emulator.Machine
 )
 
-// BookingTypes are the emulator's, as are those below.
-func BookingTypes() []Type { return emulator.BookingTypes() }
+// BookingRoutes are the emulator's, as are those below.
+func BookingRoutes() []Route { return emulator.BookingRoutes() }
 
 // Arrivals draws a load.
-func Arrivals(types []Type, rate float64, span time.Duration, seed int64) []Arrival {
+func Arrivals(types []Route, rate float64, span time.Duration, seed int64) []Arrival {
 	return emulator.Arrivals(types, rate, span, seed)
 }
 
 // Rate is that of a load which asks for a share of what a machine can do.
-func Rate(types []Type, m Machine, share float64) float64 { return emulator.Rate(types, m, share) }
+func Rate(types []Route, m Machine, share float64) float64 { return emulator.Rate(types, m, share) }
 
 // Result is what became of a load.
 type Result struct {
@@ -133,7 +133,7 @@
 // router sends a load and keeps what comes back.
 type router struct {
 	address string
-	types   []Type
+	types   []Route
 	number  int
 	readers sync.WaitGroup
 
@@ -148,7 +148,7 @@
 
 // Run sends a load to a server and waits for what it owes: everything by its outer limit. Tasks that found all
 // connections full are counted as unanswered; none should be.
-func Run(address string, types []Type, load []Arrival, number int) (Result, error) {
+func Run(address string, types []Route, load []Arrival, number int) (Result, error) {
 	r := &router{
 		address: address, types: types, number: number, result: Result{Codes: map[byte]int{}, ByType: make([]float64, len(types))},
 		answered: make(chan struct{}, 1),
@@ -163,9 +163,9 @@
 		if types[load[n].Type].Once {
 			p.effect = uint64(n) + 1
 		}
-		last = p.sent.Add(types[load[n].Type].Outer)
+		last = p.sent.Add(types[load[n].Type].Deadline)
 		r.result.Tasks++
-		r.result.Offered += types[load[n].Type].Importance
+		r.result.Offered += types[load[n].Type].Value
 		id := fmt.Sprintf("%016x", ids.Uint64())
 		if err := r.send(p, id); err != nil { // a connection that closed as the task crossed it: once more
 			if err := r.send(p, id); err != nil {
@@ -253,12 +253,12 @@
 	stream := l.stream
 	l.open[stream] = p
 	p.place = len(r.result.sent)
-	r.result.sent = append(r.result.sent, sent{id: id, effect: p.effect, at: time.Now(), due: p.sent.Add(t.Outer)})
+	r.result.sent = append(r.result.sent, sent{id: id, effect: p.effect, at: time.Now(), due: p.sent.Add(t.Deadline)})
 	r.mu.Unlock()
 	body := binary.BigEndian.AppendUint64(nil, uint64(max(p.arrival.Work.Microseconds(), 1)))
 	_, err = l.Write(Frame(10, stream, string(body),
 		"op", t.Name, "call", id, "recv", strconv.FormatInt(p.sent.UnixMilli(), 10),
-		"src", strconv.Itoa(r.number), "ttl", strconv.FormatInt(t.Outer.Milliseconds(), 10), "heap", "20.0",
+		"src", strconv.Itoa(r.number), "ttl", strconv.FormatInt(t.Deadline.Milliseconds(), 10), "heap", "20.0",
 		"crit", strconv.FormatFloat(min(p.arrival.Rank, 0.9999), 'f', 4, 64)))
 	if err != nil {
 		r.mu.Lock()
@@ -325,10 +325,10 @@
 	r.readers.Wait()
 }
 
-func (r *Result) take(p *pending, t Type, reply Reply, now time.Time) {
+func (r *Result) take(p *pending, t Route, reply Reply, now time.Time) {
 	r.Codes[reply.Code]++
 	took := now.Sub(p.sent)
-	if took > t.Outer+answerSlack {
+	if took > t.Deadline+answerSlack {
 		r.Late++
 	}
 	if reply.Code != 20 {
@@ -348,8 +348,8 @@
 			r.Partial++
 		}
 	}
-	if took <= t.Contract {
-		r.Honoured += worth * t.Importance
-		r.ByType[p.arrival.Type] += worth * t.Importance
+	if took <= t.LatencyTarget {
+		r.Honoured += worth * t.Value
+		r.ByType[p.arrival.Type] += worth * t.Value
 	}
 }
--- a/internal/testkit/scale/load.go
+++ b/internal/testkit/scale/load.go
@@ -133,10 +133,10 @@
 
 // steadyLoad are requests at a rate, each of the same work, at moments that a seed moves a little, over some of the
 // routes that may simply be repeated.
-func steadyLoad(rate float64, span time.Duration, routes int, seed int64) (load []harness.Arrival, types []harness.Type) {
+func steadyLoad(rate float64, span time.Duration, routes int, seed int64) (load []harness.Arrival, types []harness.Route) {
 	for i := 0; i < routes && len(types) < loadedRoutes; i += keyedEvery {
-		types = append(types, harness.Type{
-			Name: RouteName(i), Contract: 900 * time.Millisecond, Outer: 3 * time.Second, Importance: 1,
+		types = append(types, harness.Route{
+			Name: RouteName(i), LatencyTarget: 900 * time.Millisecond, Deadline: 3 * time.Second, Value: 1,
 		})
 	}
 	chance := rand.New(rand.NewSource(seed))
--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -278,7 +278,7 @@
 	d := &Drill{
 		Name: strings.TrimSuffix(file[strings.LastIndex(file, "/")+1:], ".drill"), Share: 0.8, Span: 20 * time.Second,
 		Fleet: emulator.Fleet{
-			Servers: 10, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1}, Types: emulator.BranchTypes(), Routers: 2,
+			Servers: 10, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1}, Routes: emulator.BranchTypes(), Routers: 2,
 			Habits: emulator.Habits{Pick: "round", Tries: 3, Budget: 0.2, Heeds: true},
 			Delay:  300 * time.Microsecond, Jitter: 100 * time.Microsecond, Lag: 500 * time.Millisecond,
 		},
@@ -318,7 +318,7 @@
 			switch *f.Mix {
 			case "branch":
 			case "booking":
-				d.Fleet.Types = emulator.BookingTypes()
+				d.Fleet.Routes = emulator.BookingRoutes()
 			default:
 				r.fault(s.Pos, "mix %s: branch and booking are known", *f.Mix)
 			}
@@ -352,8 +352,8 @@
 	})
 	for _, name := range of.By {
 		found := false
-		for i := range d.Fleet.Types {
-			if t := &d.Fleet.Types[i]; t.Name == name {
+		for i := range d.Fleet.Routes {
+			if t := &d.Fleet.Routes[i]; t.Name == name {
 				t.Calls, t.Skips, found = of.Name, r.number(of.Skips, 0, 0, 1), true
 			}
 		}
@@ -365,7 +365,7 @@
 
 // compose reads how tasks of a type are made of calls. Needed calls come first, the others beside them.
 func (r *reading) compose(d *Drill, s *statement) {
-	kind := slices.IndexFunc(d.Fleet.Types, func(t emulator.Type) bool { return t.Name == s.Compose.Type })
+	kind := slices.IndexFunc(d.Fleet.Routes, func(t emulator.Route) bool { return t.Name == s.Compose.Type })
 	if kind < 0 {
 		r.fault(s.Pos, "no traffic type %s in this mix", s.Compose.Type)
 		return
@@ -382,8 +382,8 @@
 			Expected: d.Fleet.Dependencies[at].Mean, Seconds: true, Hedge: true,
 		})
 	}
-	t := d.Fleet.Types[kind]
-	if err := plan.Check(len(d.Fleet.Dependencies), min(t.Contract, t.Outer)); err != nil {
+	t := d.Fleet.Routes[kind]
+	if err := plan.Check(len(d.Fleet.Dependencies), min(t.LatencyTarget, t.Deadline)); err != nil {
 		r.fault(s.Pos, "%v", err)
 		return
 	}
--- a/scenario/drill_test.go
+++ b/scenario/drill_test.go
@@ -31,7 +31,7 @@
 			began := time.Now()
 			r := d.Emulate(emulator.Own, 1)
 			t.Logf("%.3f of %d requests, dismissed %d, given up %d, left %d, tries %d, rules %v, %d events in %v",
-				r.Importance/r.Offered, r.Requests, r.Dismissed, r.GivenUp, r.Left, r.Tries, r.Rules.Broken, r.Events, time.Since(began))
+				r.Value/r.Offered, r.Requests, r.Dismissed, r.GivenUp, r.Left, r.Tries, r.Rules.Broken, r.Events, time.Since(began))
 			assert.Zero(t, r.Rules.Total(), strings.Join(r.Rules.Words, "\n"))
 			assert.Zero(t, r.Twice)
 			assert.Equal(t, r.Requests, r.Honoured+r.Dismissed+r.GivenUp+r.Left)
--- a/scenario/play.go
+++ b/scenario/play.go
@@ -11,7 +11,7 @@
 
 // Rate is the drill's load in tasks a second, for the whole fleet.
 func (d *Drill) Rate() float64 {
-	return float64(d.Fleet.Servers) * emulator.Rate(d.Fleet.Types, d.Fleet.Machine, d.Share)
+	return float64(d.Fleet.Servers) * emulator.Rate(d.Fleet.Routes, d.Fleet.Machine, d.Share)
 }
 
 // Over is by how much the load is more at a moment, by its bursts and its curve.
@@ -42,7 +42,7 @@
 		most = max(most, over(at))
 	}
 	thin := rand.New(rand.NewSource(seed ^ 0x7417))
-	return slices.DeleteFunc(emulator.Arrivals(d.Fleet.Types, d.Rate()*most, d.Span, seed), func(a emulator.Arrival) bool {
+	return slices.DeleteFunc(emulator.Arrivals(d.Fleet.Routes, d.Rate()*most, d.Span, seed), func(a emulator.Arrival) bool {
 		return thin.Float64()*most >= over(a.At)
 	})
 }
