--- a/admission/calls.go
+++ b/admission/calls.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-func (c *Choice) returned(e Ending, w Writer) {
+func (c *Controller) returned(e Completion, w Executor) {
 	request := e.Request
 	if request.phase != calling {
 		return
 	}
 	c.enter(request, wantsCall)
 	switch e.Outcome {
-	case Done:
+	case Succeeded:
 		c.called.add(c.now, 1, e.Took.Seconds())
 		c.callUsual.take(e.Took.Seconds(), 500)
 		c.callSeen.take(e.Took.Seconds(), c.now)
 		c.enter(request, running)
 		return
-	case Unclear:
+	case Unknown:
 		c.called.add(c.now, 1, e.Took.Seconds()) // abandoned at once, it tells of the server's patience only
 		c.holdsCall(pick(c.terms, "calls-linger", time.Duration(0)))
 		c.callGuess = max(c.callGuess, e.Took.Seconds())
@@ -46,7 +46,7 @@
 }
 
 // holdsCall books time for which a call was in the dependency's hands.
-func (c *Choice) holdsCall(spent time.Duration) {
+func (c *Controller) holdsCall(spent time.Duration) {
 	c.inHand.add(c.now, spent.Seconds())
 	c.callSaved -= spent.Seconds()
 }
@@ -56,7 +56,7 @@
 // A share may be less than one call, and hundreds of servers that hold one each are more than the dependency
 // survives. So the room is a mean over time: a call uses up what the room has saved, and the next waits until
 // that is made good. A room of more than one bounds the number in hand as well.
-func (c *Choice) placeCalls(w Writer) {
+func (c *Controller) placeCalls(w Executor) {
 	var waiting []*Request
 	inHand := 0.0
 	for _, request := range c.active {
@@ -124,16 +124,18 @@
 // callsTurn spreads over a fleet calls that are more than a share bears: hundreds of servers that begin one
 // each at a release, or in a burst, pass what the dependency survives. A turn comes for each call that the
 // room allows, at a phase of the server's own, and lasts for what the share leaves. Few with work wait more.
-func (c *Choice) callsTurn() bool {
+func (c *Controller) callsTurn() bool {
 	over := max(pick(c.terms, "calls-over", 5*time.Second), sweep).Seconds()
 	spare := (c.callShare*hardMemory - c.callRoom) * over
 	return c.callShare <= noShare || math.Mod(c.callTurns, 1) < spare/c.callTook()
 }
 
-func (c *Choice) callTook() float64 { return cmp.Or(c.callUsual.mean, c.lentCallTime(), c.callGuess) }
+func (c *Controller) callTook() float64 {
+	return cmp.Or(c.callUsual.mean, c.lentCallTime(), c.callGuess)
+}
 
 // callsSeen sums up the latest calls. A small server has one in hand at a time, so a late one counts at once.
-func (c *Choice) callsSeen(buckets int) [4]float64 {
+func (c *Controller) callsSeen(buckets int) [4]float64 {
 	seen := c.called.recent(c.now, buckets)
 	for _, request := range c.active {
 		if took := (c.now - request.calledAt).Seconds(); request.phase == calling && took > degraded*c.callUsual.mean {
@@ -147,14 +149,14 @@
 // skipLoss is the importance that is lost when a task goes on without its call.
 func (r *Request) skipLoss() float64 { return r.Route.Value * (1 - r.Route.SkipValueShare) }
 
-func (c *Choice) callTime() time.Duration {
+func (c *Controller) callTime() time.Duration {
 	seen := c.callsSeen(len(c.called.buckets))
 	return time.Duration(max(seen[1]/max(seen[0], 1), c.lentCallTime()) * float64(time.Second))
 }
 
 // calibrateCalls, four times a second, moves the room for calls by the rule of the limit: up by a part of the
 // share while calls wait and come back as usual, down by a quarter when turned away or much later than usual.
-func (c *Choice) calibrateCalls() {
+func (c *Controller) calibrateCalls() {
 	seen := c.callsSeen(4)
 	// The mean of a few calls varies widely; without that margin calm servers saw strain several times a
 	// minute and left out calls that had all the time they needed.
@@ -171,7 +173,7 @@
 
 // strainedCall is a call's time and the turn behind those parked, that a calling task waits off the cores
 // under strain; without it such tasks waited at their call until given up. At ease turns clear faster: 0.
-func (c *Choice) strainedCall(parked float64) time.Duration {
+func (c *Controller) strainedCall(parked float64) time.Duration {
 	if !c.strained {
 		return 0
 	}
--- a/admission/choice.go
+++ b/admission/choice.go
@@ -53,8 +53,8 @@
 	levelMost    = 0.95             // the most important tasks are never kept away altogether
 )
 
-// Choice decides for one server.
-type Choice struct {
+// Controller decides for one server.
+type Controller struct {
 	Routes []*Route
 
 	terms   map[string]any
@@ -119,8 +119,8 @@
 }
 
 // New starts the decisions of a server that knows its terms and nothing else.
-func New(terms map[string]any, seed int64) *Choice {
-	c := &Choice{
+func New(terms map[string]any, seed int64) *Controller {
+	controller := &Controller{
 		terms:    terms,
 		rng:      rand.New(rand.NewSource(seed)),
 		cores:    pick(terms, "cores", 1.0),
@@ -138,61 +138,61 @@
 		called:   newRing(2*time.Second, 8),
 		inHand:   newRing(pick(terms, "calls-over", 5*time.Second), 20),
 	}
-	c.limit, c.coldShare = c.cores, 1
+	controller.limit, controller.coldShare = controller.cores, 1
 	if pick(terms, "cold", false) {
-		c.coldShare = pick(terms, "cold-share", 0.0)
+		controller.coldShare = pick(terms, "cold-share", 0.0)
 	}
-	c.callShare = max(pick(terms, "calls-share", 0.0), noShare)
+	controller.callShare = max(pick(terms, "calls-share", 0.0), noShare)
 	if pick(terms, "below", "shared") == "tier" {
 		// Servers below that run this code guard themselves and tell no share: what may be at calls is what
 		// the crowd here allows, and the room moves by what comes back, turned away or late.
-		c.callShare = crowdShare * pick(terms, "crowd", 2.0) * c.cores
+		controller.callShare = crowdShare * pick(terms, "crowd", 2.0) * controller.cores
 	}
-	c.callRoom = c.callShare * callStart
-	c.callSaved, c.callTurns = c.callRoom, c.rng.Float64()
+	controller.callRoom = controller.callShare * callStart
+	controller.callSaved, controller.callTurns = controller.callRoom, controller.rng.Float64()
 	for i := range int(pick(terms, "types", 0.0)) {
-		c.Put(nil, newRoute(terms, i))
+		controller.PutRoute(nil, newRoute(terms, i))
 	}
-	c.tenants = newTenants(terms)
-	return c
+	controller.tenants = newTenants(terms)
+	return controller
 }
 
 // Decide takes all that came in and writes what is to be done. A call's outcome is taken before a new call
 // of the same task, and both before its end, so that a round may hold a task's whole story.
-func (c *Choice) Decide(r *Round, w Writer) {
+func (c *Controller) Decide(r *Round, w Executor) {
 	c.now = r.Now
 	if c.swept == 0 {
 		c.began, c.swept, c.calibrated = r.Now, r.Now, r.Now
-		w.Health(true, true)
-		w.Wake(sweep)
+		w.SetHealth(true, true)
+		w.WakeAfter(sweep)
 	}
-	c.began = max(c.began, r.Booted)
+	c.began = max(c.began, r.WorkersStartedAt)
 	if r.StopAt > 0 && c.stopAt == 0 {
-		c.leave(r.StopAt, cmp.Or(r.Noticed, c.now), w)
+		c.leave(r.StopAt, cmp.Or(r.NotifiedAt, c.now), w)
 	}
-	for _, e := range r.Returned {
+	for _, e := range r.CallsEnded {
 		c.returned(e, w)
 	}
-	for _, request := range r.AtCall {
+	for _, request := range r.AwaitingCall {
 		if request.phase == running {
 			c.enter(request, wantsCall)
 		}
 	}
-	for _, e := range r.Ended {
+	for _, e := range r.RunsEnded {
 		c.ended(e)
 	}
 	for _, request := range r.Arrived {
 		c.arrived(request, w)
 	}
-	for _, request := range r.Gone { // after those that came in: a caller may leave in the moment its task is read
+	for _, request := range r.Canceled { // after those that came in: a caller may leave in the moment its task is read
 		c.gone(request, w)
 	}
 	if r.Gauges != nil {
 		c.gauges = *r.Gauges
 		_, on, _ := c.counts()
-		c.reads = min(c.gauges.Crowd-on, c.cores) // one a core at a time
+		c.reads = min(c.gauges.Runnable-on, c.cores) // one a core at a time
 		c.measure(w)
-		w.Wake(sweep)
+		w.WakeAfter(sweep)
 	}
 	c.expire(w)
 	c.shield(w)
@@ -209,7 +209,7 @@
 }
 
 // enter books the time of the phase that ends and begins the next.
-func (c *Choice) enter(request *Request, next phase) {
+func (c *Controller) enter(request *Request, next phase) {
 	spent := c.now - request.since
 	request.since = c.now
 	if request.phase == calling {
@@ -226,12 +226,12 @@
 }
 
 // remove takes a task that holds nothing more off the books.
-func (c *Choice) remove(request *Request) {
+func (c *Controller) remove(request *Request) {
 	is := func(other *Request) bool { return other == request }
 	c.hold, c.active = slices.DeleteFunc(c.hold, is), slices.DeleteFunc(c.active, is)
 }
 
-func (c *Choice) arrived(request *Request, w Writer) {
+func (c *Controller) arrived(request *Request, w Executor) {
 	request.since = c.now
 	// One that claims to have come long ago must not pass for a backlog of many.
 	c.unread.add(c.now, 1, min(1, float64(c.now-request.Arrived)/float64(request.Route.LatencyTarget)))
@@ -260,7 +260,7 @@
 	if request.Duplicate {
 		c.enter(request, echoing)
 		c.active = append(c.active, request)
-		w.AnswerFromFirst(request)
+		w.AnswerFromOriginal(request)
 		return
 	}
 	if c.stopAt > 0 {
@@ -278,7 +278,7 @@
 		}
 		request.kept = request.Arrived + request.Route.DedupWindow + sweep
 		c.numbers = append(c.numbers, request)
-		w.Remember(request, request.kept-c.now)
+		w.RememberKey(request, request.kept-c.now)
 	}
 	i, _ := slices.BinarySearchFunc(c.hold, request, func(a, b *Request) int {
 		if a.last <= b.last {
@@ -289,7 +289,7 @@
 	c.hold = slices.Insert(c.hold, i, request)
 }
 
-func (c *Choice) ended(e Ending) {
+func (c *Controller) ended(e Completion) {
 	request := e.Request
 	if request.phase == echoing {
 		c.remove(request)
@@ -299,16 +299,16 @@
 		// Its call was not reported to have ended, so it is abandoned with the run, and stays in the dependency's hands.
 		c.holdsCall(pick(c.terms, "calls-linger", time.Duration(0)))
 	}
-	if e.Outcome == Done || e.Outcome == Broken {
+	if e.Outcome == Succeeded || e.Outcome == Failed {
 		request.Route.runs.add(c.now, 0, 1, e.Took.Seconds())
 		c.busy[request.Route.routeStats] = true
-		c.ends.add(c.now, 1, float64(e.Outcome-Done))
+		c.ends.add(c.now, 1, float64(e.Outcome-Succeeded))
 		if request.CostHint > 0 {
 			c.paced.add(c.now, 0, request.CostHint.Seconds())
 		}
 		c.learn(request, e.Took)
 	}
-	if e.Outcome == Void { // what never began took no time: no sign of what others need
+	if e.Outcome == NeverStarted { // what never began took no time: no sign of what others need
 		request.Route.runs.add(c.now, -request.onCore.Seconds())
 	}
 	request.settled = true
@@ -318,7 +318,7 @@
 // learn takes the run of a task that ended into the long averages. One that outlived its deadline tells of trouble, which
 // the sums of the last seconds show. A long average over the deadline would outlast the trouble for good: no task of
 // the type would be begun any more, and so none could show that they are short again.
-func (c *Choice) learn(request *Request, took time.Duration) {
+func (c *Controller) learn(request *Request, took time.Duration) {
 	if request.settled && max(took, request.onCore) > request.Route.Deadline {
 		return
 	}
@@ -334,7 +334,7 @@
 
 // gone frees what was kept for a task that nobody waits for. A numbered one that runs goes on: its client
 // may come again with the number, and is then answered from this run.
-func (c *Choice) gone(request *Request, w Writer) {
+func (c *Controller) gone(request *Request, w Executor) {
 	switch {
 	case request.phase == held || request.phase == echoing:
 		c.forget(request, w)
@@ -349,37 +349,37 @@
 }
 
 // forget gives the entry of a task that never ran back; one that ran stays known for its whole window.
-func (c *Choice) forget(request *Request, w Writer) {
+func (c *Controller) forget(request *Request, w Executor) {
 	if request.kept > 0 && !request.ran {
 		request.kept = 0
 		c.numbers = slices.DeleteFunc(c.numbers, func(n *Request) bool { return n == request })
-		w.Forget(request)
+		w.ForgetKey(request)
 	}
 }
 
 // leave makes the server ready to go: checks fail, the level shuts, and nothing is planned past the stop.
-func (c *Choice) leave(stopAt, noticed time.Duration, w Writer) {
+func (c *Controller) leave(stopAt, noticed time.Duration, w Executor) {
 	c.stopAt, c.noticed = stopAt-2*sweep, noticed
-	w.Health(false, true)
+	w.SetHealth(false, true)
 	for _, request := range slices.Concat(c.hold, c.active) {
 		request.last, request.wanted = min(request.last, c.stopAt), min(request.wanted, c.stopAt)
 	}
 	in, _, _ := c.counts()
-	w.Note(fmt.Sprintf("leaving: %d held, %.0f in flight", len(c.hold), in))
+	w.Log(fmt.Sprintf("leaving: %d held, %.0f in flight", len(c.hold), in))
 }
 
 // say tells callers the level in the site's words: a rank below which they send nothing, or the part of
 // the tasks that they do not take elsewhere, which is what a level lets in where ranks are spread evenly.
-func (c *Choice) say(level float64, w Writer) {
+func (c *Controller) say(level float64, w Executor) {
 	value := map[string]float64{"threshold": level, "share_of": 1 - level}
 	if v, told := value[pick(c.terms, "advert", "none")]; told && v != c.said {
-		w.Level(v)
+		w.SetShedLevel(v)
 		c.said = v
 	}
 }
 
 // measure runs at each alarm: it books time, notices backoff events and moves limit and level.
-func (c *Choice) measure(w Writer) {
+func (c *Controller) measure(w Executor) {
 	passed := (c.now - c.swept).Seconds()
 	c.swept = c.now
 	c.ticks++
@@ -434,7 +434,7 @@
 // work too. Where a caller comes back less than once in the time that routers keep a connection, most are
 // kept for nothing; the part of tasks that did come back within it, to the fourth, is what is kept of it.
 // It guards against any number of routers; it could harm where callers come in bouts with long rests.
-func (c *Choice) closeIdle(w Writer) {
+func (c *Controller) closeIdle(w Executor) {
 	idle := pick(c.terms, "idle", time.Duration(0))
 	maps.DeleteFunc(c.callers, func(_ uint32, last time.Duration) bool { return last+idle <= c.now })
 	seen := c.known.sum(c.now)
@@ -442,6 +442,6 @@
 		seen[0], seen[1] = fewTasks, fewTasks*c.lentReturns.told.Mean
 	}
 	if seen[0] >= fewTasks && idle > 0 {
-		w.CloseIdle(max(10*time.Millisecond, time.Duration(math.Pow(seen[1]/seen[0], 4)*float64(idle))))
+		w.CloseIdleAfter(max(10*time.Millisecond, time.Duration(math.Pow(seen[1]/seen[0], 4)*float64(idle))))
 	}
 }
--- a/admission/choice_test.go
+++ b/admission/choice_test.go
@@ -15,7 +15,7 @@
 
 // bench drives one Choice as a program would and keeps what it decided, by task name.
 type bench struct {
-	*Choice
+	*Controller
 	names       map[*Request]string
 	said        []string
 	stay        time.Duration // the advice of the last dismissal
@@ -48,7 +48,7 @@
 }
 
 func newBench(change map[string]any) *bench {
-	b := &bench{Choice: New(terms(change), 1), names: map[*Request]string{}, at: time.Second}
+	b := &bench{Controller: New(terms(change), 1), names: map[*Request]string{}, at: time.Second}
 	b.round(Round{})
 	return b
 }
@@ -80,7 +80,7 @@
 func (b *bench) run(request *Request, span time.Duration) {
 	b.round(Round{Arrived: []*Request{request}})
 	b.at += span
-	b.round(Round{Ended: []Ending{{Request: request, Outcome: Done, Took: span}}})
+	b.round(Round{RunsEnded: []Completion{{Request: request, Outcome: Succeeded, Took: span}}})
 }
 
 func (b *bench) say(what string, request *Request) {
@@ -89,24 +89,26 @@
 
 func (b *bench) Start(request *Request) { b.say("start", request) }
 func (b *bench) Pause(request *Request) { b.say("pause", request) }
-func (b *bench) Dismiss(request *Request, stay time.Duration, nowhereElse bool) {
+func (b *bench) Reject(request *Request, stay time.Duration, nowhereElse bool) {
 	b.say("dismiss", request)
 	b.stay, b.nowhereElse = stay, nowhereElse
 }
-func (b *bench) GiveUp(request *Request)                    { b.say("give up", request) }
-func (b *bench) AnswerFromFirst(request *Request)           { b.say("echo", request) }
-func (b *bench) Remember(request *Request, _ time.Duration) { b.say("remember", request) }
-func (b *bench) Forget(request *Request)                    { b.say("forget", request) }
+func (b *bench) Abort(request *Request)                        { b.say("give up", request) }
+func (b *bench) AnswerFromOriginal(request *Request)           { b.say("echo", request) }
+func (b *bench) RememberKey(request *Request, _ time.Duration) { b.say("remember", request) }
+func (b *bench) ForgetKey(request *Request)                    { b.say("forget", request) }
 func (b *bench) Call(request *Request, patience time.Duration) {
 	b.say("call", request)
 	b.patience = patience
 }
-func (b *bench) SkipCall(request *Request)    { b.say("skip", request) }
-func (b *bench) Health(good, _ bool)          { b.said = append(b.said, fmt.Sprint("health ", good)) }
-func (b *bench) Level(level float64)          { b.said = append(b.said, fmt.Sprintf("level %.2f", level)) }
-func (b *bench) CloseIdle(span time.Duration) { b.closeAfter = span }
-func (b *bench) Wake(time.Duration)           {}
-func (b *bench) Note(string)                  {}
+func (b *bench) SkipCall(request *Request) { b.say("skip", request) }
+func (b *bench) SetHealth(good, _ bool)    { b.said = append(b.said, fmt.Sprint("health ", good)) }
+func (b *bench) SetShedLevel(level float64) {
+	b.said = append(b.said, fmt.Sprintf("level %.2f", level))
+}
+func (b *bench) CloseIdleAfter(span time.Duration) { b.closeAfter = span }
+func (b *bench) WakeAfter(time.Duration)           {}
+func (b *bench) Log(string)                        {}
 
 func TestLimitFollowsTheDesign(t *testing.T) {
 	cases := []struct {
@@ -168,8 +170,8 @@
 	late, soon := b.task("late", 0), b.task("soon", 0)
 	late.Deadline, soon.Deadline = b.at+4*time.Second, b.at+3*time.Second
 	assert.Empty(t, b.round(Round{Arrived: []*Request{late, soon}}), "the limit keeps them held")
-	assert.Equal(t, "start soon", b.round(Round{Ended: []Ending{{Request: first[0], Outcome: Done}}}))
-	assert.Equal(t, "call 1, start late", b.round(Round{AtCall: []*Request{first[1]}}), "a core left is room")
+	assert.Equal(t, "start soon", b.round(Round{RunsEnded: []Completion{{Request: first[0], Outcome: Succeeded}}}))
+	assert.Equal(t, "call 1, start late", b.round(Round{AwaitingCall: []*Request{first[1]}}), "a core left is room")
 }
 
 func TestEveryKindIsAnsweredAtItsLastMoment(t *testing.T) {
@@ -184,10 +186,10 @@
 		{"running reissuable", 0, nil, "give up x, pause x"},
 		{"running numbered", 1, nil, "give up x, pause x"},
 		{"running at-most-once", 2, nil, "give up x, pause x"},
-		{"at a call", 2, func(b *bench, x *Request) { b.round(Round{AtCall: []*Request{x}}) }, "give up x"},
+		{"at a call", 2, func(b *bench, x *Request) { b.round(Round{AwaitingCall: []*Request{x}}) }, "give up x"},
 		{"waiting for its call", 2, func(b *bench, x *Request) {
 			b.callRoom = 0
-			b.round(Round{AtCall: []*Request{x}})
+			b.round(Round{AwaitingCall: []*Request{x}})
 		}, "give up x"},
 		{"repeat of a numbered", 1, nil, "give up x"},
 	}
@@ -228,7 +230,7 @@
 			x := b.task("x", 0)
 			b.round(Round{Arrived: []*Request{x}})
 			if how == "caller gone" {
-				assert.Empty(t, b.round(Round{Gone: []*Request{x}}))
+				assert.Empty(t, b.round(Round{Canceled: []*Request{x}}))
 			} else {
 				x.wanted = b.at + 50*ms
 				assert.Contains(t, b.pass(50*ms, Gauges{CPU: 1}), "give up x")
@@ -252,7 +254,7 @@
 	}
 	b.round(Round{Arrived: parked})
 	for range room {
-		b.round(Round{AtCall: parked}) // no room for calls: each waits at its call, and the next starts
+		b.round(Round{AwaitingCall: parked}) // no room for calls: each waits at its call, and the next starts
 	}
 	in, on, waiting := b.counts()
 	assert.Equal(t, []float64{float64(room), 0, float64(room)}, []float64{in, on, waiting})
@@ -303,14 +305,14 @@
 	again.Duplicate = true
 	assert.Equal(t, "remember x, start x", b.round(Round{Arrived: []*Request{x}}), "an entry comes before the run")
 	assert.Equal(t, "echo again", b.round(Round{Arrived: []*Request{again}}))
-	b.round(Round{AtCall: []*Request{x}})
-	said := b.round(Round{Returned: []Ending{{Request: x, Outcome: Unclear}}})
+	b.round(Round{AwaitingCall: []*Request{x}})
+	said := b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Unknown}}})
 	assert.Equal(t, "give up x", said, "a call that may have taken effect is not made again")
 
 	y := b.task("y", 1)
 	b.round(Round{Arrived: []*Request{y}})
-	b.round(Round{AtCall: []*Request{y}})
-	assert.Empty(t, b.round(Round{Returned: []Ending{{Request: y, Outcome: NotRun}}}), "not again at once")
+	b.round(Round{AwaitingCall: []*Request{y}})
+	assert.Empty(t, b.round(Round{CallsEnded: []Completion{{Request: y, Outcome: NotRun}}}), "not again at once")
 	assert.Contains(t, b.pass(time.Second, Gauges{CPU: 1}), "call y", "but later, as it never ran")
 }
 
@@ -343,9 +345,9 @@
 	b := newBench(map[string]any{"cold": true, "cold-share": 0.2, "warm-up": 10 * time.Second})
 	b.pass(8*time.Second, Gauges{})
 	assert.InDelta(t, 0.84, b.speed(), 0.01)
-	b.round(Round{Booted: b.at - time.Second})
+	b.round(Round{WorkersStartedAt: b.at - time.Second})
 	assert.InDelta(t, 0.28, b.speed(), 0.01)
-	b.round(Round{Booted: b.at - 5*time.Second})
+	b.round(Round{WorkersStartedAt: b.at - 5*time.Second})
 	assert.InDelta(t, 0.28, b.speed(), 0.01, "an earlier start makes nothing warmer")
 }
 
@@ -437,17 +439,17 @@
 	b.strained, b.callRoom = true, 1
 	skips, cannot := b.task("skips", 0), b.task("cannot", 2)
 	b.round(Round{Arrived: []*Request{skips, cannot}})
-	assert.Equal(t, "call cannot, skip skips", b.round(Round{AtCall: []*Request{skips, cannot}}))
+	assert.Equal(t, "call cannot, skip skips", b.round(Round{AwaitingCall: []*Request{skips, cannot}}))
 	for _, c := range []struct {
 		outcome Outcome
 		room    float64
-	}{{Done, 8}, {NotRun, 6}, {Unclear, 8}} {
+	}{{Succeeded, 8}, {NotRun, 6}, {Unknown, 8}} {
 		b := newBench(nil)
 		x := b.task("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
-		b.round(Round{AtCall: []*Request{x}})
+		b.round(Round{AwaitingCall: []*Request{x}})
 		b.callRoom = 8
-		b.round(Round{Returned: []Ending{{Request: x, Outcome: c.outcome, Took: ms}}})
+		b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: c.outcome, Took: ms}}})
 		b.calibrateCalls()
 		assert.Equal(t, c.room, b.callRoom)
 	}
@@ -460,11 +462,11 @@
 		for range n { // a dependency that hangs holds each call for as long as the server waits
 			x := b.task("x", 2)
 			b.round(Round{Arrived: []*Request{x}})
-			b.round(Round{AtCall: []*Request{x}})
+			b.round(Round{AwaitingCall: []*Request{x}})
 			b.pass(100*ms, Gauges{CPU: 0.5})
 			for _, request := range b.active {
 				if request.phase == calling && b.at >= request.calledAt+b.patience {
-					b.round(Round{Returned: []Ending{{Request: request, Outcome: Unclear}}})
+					b.round(Round{CallsEnded: []Completion{{Request: request, Outcome: Unknown}}})
 				}
 			}
 			most = max(most, b.inHand.sum(b.at)[0]/5)
@@ -490,7 +492,7 @@
 		}
 		b.round(Round{Arrived: xs})
 		b.pass(period, Gauges{CPU: 0.5})
-		said := b.round(Round{AtCall: xs})
+		said := b.round(Round{AwaitingCall: xs})
 		assert.Equal(t, c.calls, strings.Count(said, "call x"), c.below)
 	}
 }
@@ -522,12 +524,12 @@
 	large.HeldKB = 40
 	b.round(Round{Arrived: []*Request{x, y}})
 	x.wanted = b.at + 300*ms
-	b.round(Round{AtCall: []*Request{x}})
+	b.round(Round{AwaitingCall: []*Request{x}})
 	assert.LessOrEqual(t, b.patience, 300*ms, "no call outlasts the time in which its task is wanted")
 	assert.Contains(t, b.pass(300*ms, Gauges{CPU: 1}), "give up x")
-	assert.Empty(t, b.round(Round{Arrived: []*Request{large}, AtCall: []*Request{y}}))
-	end := []Ending{{Request: x, Outcome: Unclear}}
-	assert.Equal(t, "call y, start large", b.round(Round{Returned: end, Ended: end}))
+	assert.Empty(t, b.round(Round{Arrived: []*Request{large}, AwaitingCall: []*Request{y}}))
+	end := []Completion{{Request: x, Outcome: Unknown}}
+	assert.Equal(t, "call y, start large", b.round(Round{CallsEnded: end, RunsEnded: end}))
 }
 
 // The run of a task that is over ends at its call before that is reported to have ended: the dependency has it still.
@@ -535,11 +537,11 @@
 	b := newBench(nil)
 	task := b.task("a", 2)
 	b.round(Round{Arrived: []*Request{task}})
-	b.round(Round{AtCall: []*Request{task}})
+	b.round(Round{AwaitingCall: []*Request{task}})
 	assert.Equal(t, calling, task.phase)
 	b.at += 100 * ms
 	before, saved := b.inHand.sum(b.at)[0], b.callSaved
-	b.round(Round{Ended: []Ending{{Request: task, Outcome: Stopped}}})
+	b.round(Round{RunsEnded: []Completion{{Request: task, Outcome: Stopped}}})
 	assert.InDelta(t, 0.3, b.inHand.sum(b.at)[0]-before, 1e-6, "100 ms in hand, and 200 ms that it lingers")
 	assert.InDelta(t, 0.3, saved-b.callSaved, 1e-6)
 }
@@ -554,7 +556,7 @@
 		b.round(Round{Arrived: []*Request{x}})
 		b.callRoom, b.callSaved = 1, c.saved
 		x.wanted = b.at + b.need(x) + 2*time.Second
-		assert.Equal(t, c.want, b.round(Round{AtCall: []*Request{x}}))
+		assert.Equal(t, c.want, b.round(Round{AwaitingCall: []*Request{x}}))
 	}
 }
 
@@ -562,8 +564,8 @@
 	b := newBench(nil)
 	x, n := b.task("x", 0), b.task("n", 1)
 	b.round(Round{Arrived: []*Request{x, n}})
-	assert.Equal(t, "pause x", b.round(Round{Gone: []*Request{x, n}}), "a numbered run goes on for its repeats")
-	assert.Empty(t, b.round(Round{Ended: []Ending{{Request: x}}, AtCall: []*Request{n}}), "no call for what has ended")
+	assert.Equal(t, "pause x", b.round(Round{Canceled: []*Request{x, n}}), "a numbered run goes on for its repeats")
+	assert.Empty(t, b.round(Round{RunsEnded: []Completion{{Request: x}}, AwaitingCall: []*Request{n}}), "no call for what has ended")
 	assert.Empty(t, b.pass(10*time.Second, Gauges{CPU: 1}), "and no answer")
 }
 
@@ -571,7 +573,7 @@
 	for kind, want := range []string{"", "remember x, forget x", ""} {
 		b := newBench(nil)
 		x := b.task("x", kind)
-		assert.Equal(t, want, b.round(Round{Arrived: []*Request{x}, Gone: []*Request{x}}))
+		assert.Equal(t, want, b.round(Round{Arrived: []*Request{x}, Canceled: []*Request{x}}))
 		assert.NotContains(t, b.pass(10*time.Second, Gauges{CPU: 1}), "x", "no answer is owed")
 	}
 }
@@ -580,9 +582,9 @@
 	b := newBench(nil)
 	x := b.task("x", 2)
 	b.round(Round{Arrived: []*Request{x}})
-	b.round(Round{AtCall: []*Request{x}})
-	end, all := []Ending{{Request: x, Outcome: Done}}, []*Request{x}
-	story := Round{Returned: end, AtCall: all, Ended: end, Gone: all, Arrived: []*Request{b.task("y", 0)}}
+	b.round(Round{AwaitingCall: []*Request{x}})
+	end, all := []Completion{{Request: x, Outcome: Succeeded}}, []*Request{x}
+	story := Round{CallsEnded: end, AwaitingCall: all, RunsEnded: end, Canceled: all, Arrived: []*Request{b.task("y", 0)}}
 	assert.Equal(t, "start y", b.round(story))
 }
 
@@ -591,8 +593,8 @@
 		b := newBench(nil)
 		for i := range 400 {
 			x := b.task(fmt.Sprint(i), i%3)
-			all += b.round(Round{Arrived: []*Request{x}}) + b.round(Round{AtCall: []*Request{x}})
-			all += b.round(Round{Returned: []Ending{{Request: x, Outcome: Outcome(i % 4)}}}) + b.pass(sweep, Gauges{CPU: 1})
+			all += b.round(Round{Arrived: []*Request{x}}) + b.round(Round{AwaitingCall: []*Request{x}})
+			all += b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Outcome(i % 4)}}}) + b.pass(sweep, Gauges{CPU: 1})
 		}
 		return all
 	}
@@ -611,7 +613,7 @@
 	for range 20 {
 		b.tenants.add(1, b.at)
 	}
-	assert.Equal(t, b.density(within), (&bench{Choice: newBench(nil).Choice}).density(within))
+	assert.Equal(t, b.density(within), (&bench{Controller: newBench(nil).Controller}).density(within))
 	assert.InDelta(t, 0.525*b.density(within), b.density(over), 0.001)
 }
 
@@ -620,7 +622,7 @@
 	for range 6 {
 		x := b.task("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
-		b.round(Round{Ended: []Ending{{Request: x, Outcome: Broken}}})
+		b.round(Round{RunsEnded: []Completion{{Request: x, Outcome: Failed}}})
 	}
 	said := b.round(Round{Arrived: []*Request{b.task("probe", 2), b.task("spared", 2)}})
 	assert.Equal(t, "dismiss spared, start probe", said)
@@ -630,10 +632,10 @@
 
 func TestReadingGoesFirstWhenItHeapsUp(t *testing.T) {
 	b := newBench(nil)
-	b.pass(sweep, Gauges{Crowd: 4})
+	b.pass(sweep, Gauges{Runnable: 4})
 	two := []*Request{b.task("first", 0), b.task("second", 0)}
 	assert.Equal(t, "start first", b.round(Round{Arrived: two}), "reads leave room for one")
-	assert.Equal(t, "start second", b.pass(sweep, Gauges{Crowd: 3}))
+	assert.Equal(t, "start second", b.pass(sweep, Gauges{Runnable: 3}))
 }
 
 func TestDismissalsWanderOnlyWhileOthersMayHaveRoom(t *testing.T) {
@@ -661,9 +663,9 @@
 		said := ""
 		for range 40 {
 			x := b.task("x", 2)
-			said += b.round(Round{Arrived: []*Request{x}}) + b.round(Round{AtCall: []*Request{x}})
+			said += b.round(Round{Arrived: []*Request{x}}) + b.round(Round{AwaitingCall: []*Request{x}})
 			said += b.pass(100*ms, Gauges{CPU: 0.5})
-			b.round(Round{Returned: []Ending{{Request: x, Outcome: Done, Took: 20 * ms}}, Ended: []Ending{{Request: x}}})
+			b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Succeeded, Took: 20 * ms}}, RunsEnded: []Completion{{Request: x}}})
 		}
 		assert.Contains(t, said, "start x", name)
 		assert.Contains(t, said, "call x", name)
@@ -687,7 +689,7 @@
 		unknown := b.task("unknown", 0)
 		b.round(Round{Arrived: []*Request{unknown}})
 		b.at += 10 * ms
-		b.round(Round{Ended: []Ending{{Request: unknown, Outcome: Void}}})
+		b.round(Round{RunsEnded: []Completion{{Request: unknown, Outcome: NeverStarted}}})
 	}
 	assert.InDelta(t, float64(need), float64(b.need(b.task("real", 0))), float64(ms))
 	assert.False(t, b.erring)
@@ -703,17 +705,17 @@
 	for kind, within := range []time.Duration{160 * ms, 2 * time.Second, 2 * time.Second} {
 		x := b.task("x", kind)
 		b.round(Round{Arrived: []*Request{x}})
-		assert.Equal(t, "call x", b.round(Round{AtCall: []*Request{x}}))
+		assert.Equal(t, "call x", b.round(Round{AwaitingCall: []*Request{x}}))
 		assert.InDelta(t, within, b.patience, float64(ms), "what may not run twice is waited for")
 		if kind > 0 {
 			continue
 		}
 		for again := within * 2; again < 640*ms; again *= 2 {
-			b.round(Round{Returned: []Ending{{Request: x, Outcome: Unclear, Took: within}}})
+			b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Unknown, Took: within}}})
 			assert.Equal(t, "call x", b.pass(time.Second/4, Gauges{CPU: 0.5}))
 			assert.InDelta(t, again, b.patience, float64(ms), "one that has only grown slow is heard in the end")
 		}
-		end := []Ending{{Request: x}}
-		b.round(Round{Returned: end, Ended: end})
+		end := []Completion{{Request: x}}
+		b.round(Round{CallsEnded: end, RunsEnded: end})
 	}
 }
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -14,15 +14,15 @@
 type sender struct {
 	*bench
 	took  time.Duration // by a call
-	calls map[*Request]Ending
+	calls map[*Request]Completion
 	made  []time.Duration
 }
 
 func (s *sender) Call(request *Request, patience time.Duration) {
 	s.made = append(s.made, s.at)
-	s.calls[request] = Ending{Request: request, Outcome: Done, Took: s.took}
+	s.calls[request] = Completion{Request: request, Outcome: Succeeded, Took: s.took}
 	if patience < s.took {
-		s.calls[request] = Ending{Request: request, Outcome: Unclear, Took: patience}
+		s.calls[request] = Completion{Request: request, Outcome: Unknown, Took: patience}
 	}
 }
 
@@ -33,13 +33,13 @@
 	for _, request := range s.active {
 		if e, made := s.calls[request]; made && request.calledAt+e.Took <= s.at {
 			delete(s.calls, request)
-			r.Returned = append(r.Returned, e)
-			if e.Outcome == Done {
-				r.Ended = append(r.Ended, e)
+			r.CallsEnded = append(r.CallsEnded, e)
+			if e.Outcome == Succeeded {
+				r.RunsEnded = append(r.RunsEnded, e)
 			}
 		}
 	}
-	if busy && len(s.active)-len(r.Ended) <= len(s.calls) {
+	if busy && len(s.active)-len(r.RunsEnded) <= len(s.calls) {
 		r.Arrived = append(r.Arrived, s.task("x", 0))
 	}
 	r.Now = s.at
@@ -47,7 +47,7 @@
 	r = Round{Now: s.at}
 	for _, request := range s.active {
 		if request.phase == running {
-			r.AtCall = append(r.AtCall, request)
+			r.AwaitingCall = append(r.AwaitingCall, request)
 		}
 	}
 	s.Decide(&r, s)
@@ -67,12 +67,12 @@
 					var fleet []*sender
 					for range n {
 						b := &bench{names: map[*Request]string{}, at: time.Second}
-						b.Choice = New(terms(map[string]any{
+						b.Controller = New(terms(map[string]any{
 							"cold": true, "calls-share": budget / float64(n), "calls-over": over, "type.0.skip-share": 0.0,
 							"type.0.contract-time": 3 * time.Second, "type.0.outer-limit": 20 * time.Second,
 							"type.0.late-share": 0.5,
 						}), draws.Int63())
-						fleet = append(fleet, &sender{bench: b, took: took, calls: map[*Request]Ending{}})
+						fleet = append(fleet, &sender{bench: b, took: took, calls: map[*Request]Completion{}})
 					}
 					span, quiet := 40*time.Second, time.Duration(0)
 					if rested {
--- a/admission/lent.go
+++ b/admission/lent.go
@@ -37,7 +37,7 @@
 // runs took longer than was told, of whatever type, all that was told is taken for as much longer. It answers
 // a view from before a zone was lost, or of faster servers. It could harm where one type alone has grown
 // dearer; own samples of the others then put that right.
-func (c *Choice) weighLent(now time.Duration) {
+func (c *Controller) weighLent(now time.Duration) {
 	if !c.borrowed {
 		return
 	}
@@ -70,7 +70,7 @@
 // prior is what is expected before the latest runs are looked at, from own runs and what is borrowed, and the
 // number of runs that it is trusted for. What stands in the place of own runs while there are none counts as
 // one, so that what is borrowed fades into it as it grows old.
-func (c *Choice) prior(own trend, l *lent) (mean, trust float64) {
+func (c *Controller) prior(own trend, l *lent) (mean, trust float64) {
 	if l.weight == 0 {
 		return own.mean, doubt
 	}
@@ -83,7 +83,7 @@
 
 // lentCallTime is what calls are told to take, until the first of this server's own has come back. It only
 // ever has a server wait longer, or go on without a call sooner.
-func (c *Choice) lentCallTime() float64 {
+func (c *Controller) lentCallTime() float64 {
 	if c.callUsual.count > 0 || c.lentCalls.weight == 0 {
 		return 0
 	}
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -10,7 +10,7 @@
 // departure: room is a core with no run on it now, not a gauge below 70%. That gauge looks half a second
 // back, so with runs away at calls a server full of held work kept a sixth of its cores idle. It acts only
 // while runs wait at calls or disk, and could harm where those all come back at once; crowdRoom bounds that.
-func (c *Choice) mayStart(request *Request) bool {
+func (c *Controller) mayStart(request *Request) bool {
 	in, on, parked := c.counts()
 	if in-parked+1 > c.crowdRoom() || c.used()+request.HeldKB*(c.factor-1) > c.memory {
 		return false
@@ -25,7 +25,7 @@
 }
 
 // counts are the tasks in flight, those of them on the cores, and those that wait for room for their call.
-func (c *Choice) counts() (in, on, parked float64) {
+func (c *Controller) counts() (in, on, parked float64) {
 	for _, request := range c.active {
 		if request.phase != echoing {
 			in++
@@ -41,7 +41,7 @@
 }
 
 // used is the memory spoken for, with the reads that may come before the next round.
-func (c *Choice) used() float64 {
+func (c *Controller) used() float64 {
 	kb := float64(len(c.numbers)) * c.numberKB
 	for _, request := range c.hold {
 		kb += request.HeldKB
@@ -59,17 +59,17 @@
 // crowdRoom is how many may be on the cores or at a call without the cores ever being crowded past what the
 // server survives, even if all came back from their calls at once; a run that waits for room for its call
 // comes back only by a call placed within it. A cold server is taken to be as cold as stated.
-func (c *Choice) crowdRoom() float64 {
+func (c *Controller) crowdRoom() float64 {
 	return crowdShare * (1 + (pick(c.terms, "crowd", 2.0)-1)*c.speed()) * c.cores
 }
 
 // speed is the part of its speed that the server is taken to have, as it warms up from a cold start.
-func (c *Choice) speed() float64 {
+func (c *Controller) speed() float64 {
 	return min(1, c.coldShare+(1-c.coldShare)*float64(c.now-c.began)/c.warmUp)
 }
 
 // calibrate is the design's pass over the limit.
-func (c *Choice) calibrate(w Writer) {
+func (c *Controller) calibrate(w Executor) {
 	c.calibrated = c.now
 	if c.event {
 		c.limit *= backoff
@@ -82,7 +82,7 @@
 }
 
 // ceiling is the lower of a multiple of the cores and what memory allows at the mean running size.
-func (c *Choice) ceiling() float64 {
+func (c *Controller) ceiling() float64 {
 	runs, kb := 0.0, 0.0
 	for _, request := range c.active {
 		if request.phase != echoing {
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -28,7 +28,7 @@
 type played struct {
 	types    []harness.Route
 	machine  harness.Machine
-	module   *admission.Choice
+	module   *admission.Controller
 	frame    estimate.Frame
 	load     []harness.Arrival
 	now      time.Duration
@@ -68,7 +68,7 @@
 		types: types, machine: m, module: admission.New(values, 1), load: load, now: time.Second,
 		of: map[*admission.Request]*playedTask{}, answers: map[*admission.Request]int{},
 	}
-	p.frame = p.module.Frame(origin, false)
+	p.frame = p.module.EstimateSchema(origin, false)
 	p.module.Decide(&admission.Round{Now: p.now}, p)
 	return p
 }
@@ -96,7 +96,7 @@
 				kept = append(kept, t)
 				continue
 			}
-			r.Ended = append(r.Ended, admission.Ending{Request: t.Request, Outcome: admission.Done, Took: p.now - t.began})
+			r.RunsEnded = append(r.RunsEnded, admission.Completion{Request: t.Request, Outcome: admission.Succeeded, Took: p.now - t.began})
 			if !t.settled {
 				t.settled = true
 				p.answers[t.Request]++
@@ -121,8 +121,8 @@
 				p.busy = p.busy[1:]
 			}
 			r.Gauges = &admission.Gauges{
-				CPU:   (p.spent - p.busy[0]) / (0.025 * float64(max(len(p.busy)-1, 1))) / p.machine.Cores,
-				Crowd: float64(len(p.running)), Memory: 160 * float64(len(p.running)) / p.machine.KB,
+				CPU:      (p.spent - p.busy[0]) / (0.025 * float64(max(len(p.busy)-1, 1))) / p.machine.Cores,
+				Runnable: float64(len(p.running)), Memory: 160 * float64(len(p.running)) / p.machine.KB,
 			}
 		}
 		p.module.Decide(&r, p)
@@ -154,7 +154,7 @@
 	for i, r := range p.running {
 		if r.Request == request {
 			p.running = append(p.running[:i], p.running[i+1:]...)
-			p.module.Decide(&admission.Round{Now: p.now, Ended: []admission.Ending{{Request: request, Outcome: admission.Stopped}}}, p)
+			p.module.Decide(&admission.Round{Now: p.now, RunsEnded: []admission.Completion{{Request: request, Outcome: admission.Stopped}}}, p)
 			return
 		}
 	}
@@ -165,21 +165,21 @@
 	p.answers[request]++
 }
 
-func (p *played) Dismiss(request *admission.Request, _ time.Duration, _ bool) { p.answer(request) }
-func (p *played) GiveUp(request *admission.Request)                           { p.answer(request) }
-func (p *played) Wake(in time.Duration)                                       { p.wake = p.now + in }
-func (p *played) AnswerFromFirst(*admission.Request)                          {}
-func (p *played) Remember(*admission.Request, time.Duration)                  {}
-func (p *played) Forget(*admission.Request)                                   {}
-func (p *played) Call(*admission.Request, time.Duration)                      {}
-func (p *played) SkipCall(*admission.Request)                                 {}
-func (p *played) Health(bool, bool)                                           {}
-func (p *played) Level(float64)                                               {}
-func (p *played) CloseIdle(time.Duration)                                     {}
-func (p *played) Note(string)                                                 {}
+func (p *played) Reject(request *admission.Request, _ time.Duration, _ bool) { p.answer(request) }
+func (p *played) Abort(request *admission.Request)                           { p.answer(request) }
+func (p *played) WakeAfter(in time.Duration)                                 { p.wake = p.now + in }
+func (p *played) AnswerFromOriginal(*admission.Request)                      {}
+func (p *played) RememberKey(*admission.Request, time.Duration)              {}
+func (p *played) ForgetKey(*admission.Request)                               {}
+func (p *played) Call(*admission.Request, time.Duration)                     {}
+func (p *played) SkipCall(*admission.Request)                                {}
+func (p *played) SetHealth(bool, bool)                                       {}
+func (p *played) SetShedLevel(float64)                                       {}
+func (p *played) CloseIdleAfter(time.Duration)                               {}
+func (p *played) Log(string)                                                 {}
 
 // learned is the view of this server as another gets it.
-func (p *played) learned() estimate.View { return p.module.Learned(p.now, p.frame) }
+func (p *played) learned() estimate.View { return p.module.Estimates(p.now, p.frame) }
 
 var fourCores = harness.Machine{Cores: 4, Speed: 1, KB: 64000}
 
@@ -197,7 +197,7 @@
 	cold, borrows = play(types, m, load, 2), play(types, m, load, 3)
 	fit, err := borrows.frame.Fit(v)
 	require.NoError(t, err)
-	borrows.module.Borrow(borrows.now, fit)
+	borrows.module.UsePeerEstimates(borrows.now, fit)
 	for _, p := range []*played{cold, borrows} {
 		p.until(16 * time.Second)
 		for _, n := range p.answers {
@@ -262,7 +262,7 @@
 	idle := play(harness.BookingRoutes(), fourCores, nil, 2)
 	fit, err := idle.frame.Fit(v)
 	require.NoError(t, err)
-	idle.module.Borrow(idle.now, fit)
+	idle.module.UsePeerEstimates(idle.now, fit)
 	idle.until(time.Second)
 	for _, told := range idle.learned().Types {
 		assert.False(t, told.Core.Known(), "an echo")
--- a/admission/reason.go
+++ b/admission/reason.go
@@ -32,7 +32,7 @@
 func (r *Request) Reason() Reason { return r.reason }
 
 // expiry is the reason of a request whose time is over: its own, or the server's.
-func (c *Choice) expiry(request *Request) Reason {
+func (c *Controller) expiry(request *Request) Reason {
 	if c.stopAt > 0 && request.wanted == c.stopAt {
 		return ReasonDraining
 	}
@@ -41,22 +41,22 @@
 
 // Occupancy is what the server has on its books for the machine.
 type Occupancy struct {
-	Held     int     // requests that wait for a start
-	OnCores  int     // runs on the cores, those included whose requests are answered
-	InFlight int     // runs on the cores, at calls and waiting for them
-	Answered int     // of those in flight, the ones whose requests are answered
-	Limit    float64 // on those in flight
-	MaxCrowd float64 // runs on the cores and at calls that are ever allowed
-	UsedKB   float64 // memory of all that is held, in flight and kept
-	MaxKB    float64 // memory that is ever planned for
+	Held           int     // requests that wait for a start
+	OnCores        int     // runs on the cores, those included whose requests are answered
+	InFlight       int     // runs on the cores, at calls and waiting for them
+	Answered       int     // of those in flight, the ones whose requests are answered
+	Limit          float64 // on those in flight
+	MaxConcurrency float64 // runs on the cores and at calls that are ever allowed
+	UsedKB         float64 // memory of all that is held, in flight and kept
+	MaxKB          float64 // memory that is ever planned for
 }
 
 // Occupancy sums up the books at a moment of the clock of rounds.
-func (c *Choice) Occupancy(now time.Duration) Occupancy {
+func (c *Controller) Occupancy(now time.Duration) Occupancy {
 	c.now = max(c.now, now)
 	in, on, _ := c.counts()
 	sum := Occupancy{
-		Held: len(c.hold), OnCores: int(on), InFlight: int(in), Limit: c.limit, MaxCrowd: c.crowdRoom(),
+		Held: len(c.hold), OnCores: int(on), InFlight: int(in), Limit: c.limit, MaxConcurrency: c.crowdRoom(),
 		UsedKB: c.used(), MaxKB: c.memory,
 	}
 	for _, request := range c.active {
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -9,7 +9,7 @@
 )
 
 // dismiss turns away a task that never ran.
-func (c *Choice) dismiss(request *Request, reason Reason, w Writer) {
+func (c *Controller) dismiss(request *Request, reason Reason, w Executor) {
 	request.reason = reason
 	c.forget(request, w)
 	request.settled = true
@@ -23,15 +23,15 @@
 	if pick(c.terms, "come-back", false) {
 		comeBack = min(request.since-request.Arrived+request.excess, pick(c.terms, "come-back-most", comeBack))
 	}
-	w.Dismiss(request, comeBack, hopeless)
+	w.Reject(request, comeBack, hopeless)
 }
 
 // giveUp answers a task that ran, or a repeat whose first may have, and then stops it, so that its core is
 // free at once for work that somebody waits for.
-func (c *Choice) giveUp(request *Request, reason Reason, w Writer) {
+func (c *Controller) giveUp(request *Request, reason Reason, w Executor) {
 	request.reason = reason
 	request.settled = true
-	w.GiveUp(request)
+	w.Abort(request)
 	switch request.phase {
 	case running:
 		c.stop(request, w)
@@ -43,17 +43,17 @@
 
 // stop frees the core of a run whose answer is given, where the site allows stops (which may change in
 // service); elsewhere the run goes on to its end and counts on the cores until then.
-func (c *Choice) stop(request *Request, w Writer) {
+func (c *Controller) stop(request *Request, w Executor) {
 	if c.halts() {
 		c.enter(request, over)
 		w.Pause(request)
 	}
 }
 
-func (c *Choice) halts() bool { return pick(c.terms, "halt", "suspend") != "none" }
+func (c *Controller) halts() bool { return pick(c.terms, "halt", "suspend") != "none" }
 
 // expire answers whatever has come to its last moment or can earn nothing any more, in whatever phase.
-func (c *Choice) expire(w Writer) {
+func (c *Controller) expire(w Executor) {
 	c.all = append(append(c.all[:0], c.hold...), c.active...)
 	for _, request := range c.all {
 		if c.now >= request.wanted && request.phase == held {
@@ -68,12 +68,12 @@
 // callers that pick the fastest flock to it, and a numbered or at-most-once task broken here can't be run
 // elsewhere. One task at a time is still run, to see the end of it. It could harm where all servers break
 // most runs, as the few that would go well are then dismissed too; hence only past a half.
-func (c *Choice) shield(w Writer) {
+func (c *Controller) shield(w Executor) {
 	seen := c.ends.sum(c.now)
 	erring := seen[0] >= 6 && seen[1] > seen[0]/2
 	if erring != c.erring && c.stopAt == 0 {
-		w.Health(!erring, true)
-		w.Note(fmt.Sprintf("erring: %t, %.0f of %.0f runs broken", erring, seen[1], seen[0]))
+		w.SetHealth(!erring, true)
+		w.Log(fmt.Sprintf("erring: %t, %.0f of %.0f runs broken", erring, seen[1], seen[0]))
 	}
 	if c.erring = erring; !erring {
 		return
@@ -86,7 +86,7 @@
 
 // weed leaves out, of the held tasks, those that cannot be honoured in time, the least important for its
 // work first. It walks the hold in start order and lays one behind the other on the cores.
-func (c *Choice) weed(w Writer) {
+func (c *Controller) weed(w Executor) {
 	ahead := time.Duration(0)
 	for _, request := range c.active {
 		if request.phase == running {
@@ -150,7 +150,7 @@
 
 // need is the core time a task is expected to take here. Time already spent on unfinished runs counts
 // against the runs that ended, so that a machine that has just slowed down is noticed before its first end.
-func (c *Choice) need(request *Request) time.Duration {
+func (c *Controller) need(request *Request) time.Duration {
 	if request.CostHint > 0 && (c.pace.count > 0 || c.lentPace.weight > 0) {
 		seen := c.paced.sum(c.now)
 		pace, trust := c.prior(c.pace, &c.lentPace)
@@ -171,7 +171,7 @@
 
 // density is the importance that a second of work earns. What a customer asks beyond its share is worth
 // little and carries no mark, so each of its tasks is taken for the mix that it is on the mean here.
-func (c *Choice) density(request *Request) float64 {
+func (c *Controller) density(request *Request) float64 {
 	worth := request.Route.Value
 	if request.late { // planned to end past its contract time: it goes before one that would still be in time
 		worth *= request.Route.LateValueShare
--- a/admission/table.go
+++ b/admission/table.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// Put adds a route, or states anew the one that was: tasks taken in before keep what they were taken in under, and what
+// PutRoute adds a route, or states anew the one that was: tasks taken in before keep what they were taken in under, and what
 // was learned of the route stays. Of stated only the settings count. It returns the route that new tasks are to have.
-func (c *Choice) Put(was *Route, stated Route) *Route {
+func (c *Controller) PutRoute(was *Route, stated Route) *Route {
 	t := &stated
 	if was != nil {
 		t.index, t.routeStats = was.index, was.routeStats
@@ -47,8 +47,8 @@
 	return t
 }
 
-// Remove takes a route out. Tasks of it that were taken in go on under it to their end.
-func (c *Choice) Remove(t *Route) {
+// RemoveRoute takes a route out. Tasks of it that were taken in go on under it to their end.
+func (c *Controller) RemoveRoute(t *Route) {
 	last := c.Routes[len(c.Routes)-1]
 	last.index = t.index
 	c.Routes[t.index] = last
@@ -59,7 +59,7 @@
 
 // PutTenant states the rate of the tenant at a place of the table, in requests a second over the whole fleet. A place
 // one past the end adds one. What the tenant at the place has asked for counts on, unless another takes the place.
-func (c *Choice) PutTenant(place int, rate float64, another bool) {
+func (c *Controller) PutTenant(place int, rate float64, another bool) {
 	if place == len(c.tenants.rates) {
 		c.tenants.rates = append(c.tenants.rates, rate)
 		c.tenants.seen = append(c.tenants.seen, nil)
@@ -71,11 +71,11 @@
 	}
 }
 
-// Tenants is the number of places in the table of tenants.
-func (c *Choice) Tenants() int { return len(c.tenants.rates) }
+// TenantCount is the number of places in the table of tenants.
+func (c *Controller) TenantCount() int { return len(c.tenants.rates) }
 
 // TenantRate is the rate stated of the tenant at a place, in requests a second over the whole fleet.
-func (c *Choice) TenantRate(place int) float64 { return c.tenants.rate(place) }
+func (c *Controller) TenantRate(place int) float64 { return c.tenants.rate(place) }
 
 // Settings is the route as it was stated, with nothing of what was learned.
 func (t *Route) Settings() Route {
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -13,28 +13,28 @@
 // what was learned of one outlasts its being stated anew.
 func TestTableOfRoutes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := New(map[string]any{"types": 1.0, "type.0.name": "first", "type.0.contract-time": time.Second}, 1)
-		live := map[string]*Route{"first": c.Routes[0]}
+		controller := New(map[string]any{"types": 1.0, "type.0.name": "first", "type.0.contract-time": time.Second}, 1)
+		live := map[string]*Route{"first": controller.Routes[0]}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name := fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "name"))
 			was := live[name]
 			if was != nil && rapid.Bool().Draw(t, "remove") {
-				c.busy[was.routeStats] = true
-				c.Remove(was)
-				assert.False(t, c.busy[was.routeStats])
+				controller.busy[was.routeStats] = true
+				controller.RemoveRoute(was)
+				assert.False(t, controller.busy[was.routeStats])
 				delete(live, name)
 				continue
 			}
 			stated := Route{Name: name, Value: rapid.Float64Range(0, 9).Draw(t, "value"), LatencyTarget: time.Second}
-			now := c.Put(was, stated)
+			now := controller.PutRoute(was, stated)
 			if was != nil {
 				assert.Same(t, was.routeStats, now.routeStats)
 			}
 			assert.Equal(t, stated, now.Settings())
 			live[name] = now
 		}
-		assert.Len(t, c.Routes, len(live))
-		for place, route := range c.Routes {
+		assert.Len(t, controller.Routes, len(live))
+		for place, route := range controller.Routes {
 			assert.Equal(t, place, route.index)
 			assert.Same(t, live[route.Name], route)
 		}
@@ -45,12 +45,12 @@
 func TestOnlyBusyRoutesAreLookedAt(t *testing.T) {
 	b := newBench(nil)
 	for i := range 50 {
-		b.Put(nil, Route{Name: fmt.Sprint("idle", i), LatencyTarget: time.Second, Deadline: time.Second})
+		b.PutRoute(nil, Route{Name: fmt.Sprint("idle", i), LatencyTarget: time.Second, Deadline: time.Second})
 	}
 	ends := func(took time.Duration) {
 		x := b.task("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
-		b.round(Round{Ended: []Ending{{Request: x, Outcome: Done, Took: took}}})
+		b.round(Round{RunsEnded: []Completion{{Request: x, Outcome: Succeeded, Took: took}}})
 	}
 	for range 200 {
 		ends(10 * time.Millisecond)
@@ -68,18 +68,18 @@
 
 // A tenant that has asked for nothing costs no more than its rate, and one past the table is nobody's.
 func TestTableOfTenants(t *testing.T) {
-	c := New(map[string]any{"customers": 2.0, "customer.0.rate": 4.0}, 1)
-	assert.Equal(t, 2, c.Tenants())
-	c.PutTenant(2, 9, true)
-	c.tenants.add(2, time.Second)
-	c.tenants.add(7, time.Second)
-	assert.Equal(t, 0.1, c.tenants.asked(2, time.Second))
-	assert.Zero(t, c.tenants.asked(0, time.Second))
-	assert.Zero(t, c.tenants.asked(7, time.Second))
-	assert.Nil(t, c.tenants.seen[0])
-	c.PutTenant(2, 3, false)
-	assert.Equal(t, 0.1, c.tenants.asked(2, time.Second), "its rate moved, not what it asked for")
-	assert.Equal(t, 3.0, c.TenantRate(2))
-	c.PutTenant(2, 3, true)
-	assert.Zero(t, c.tenants.asked(2, time.Second), "another's place now")
+	controller := New(map[string]any{"customers": 2.0, "customer.0.rate": 4.0}, 1)
+	assert.Equal(t, 2, controller.TenantCount())
+	controller.PutTenant(2, 9, true)
+	controller.tenants.add(2, time.Second)
+	controller.tenants.add(7, time.Second)
+	assert.Equal(t, 0.1, controller.tenants.asked(2, time.Second))
+	assert.Zero(t, controller.tenants.asked(0, time.Second))
+	assert.Zero(t, controller.tenants.asked(7, time.Second))
+	assert.Nil(t, controller.tenants.seen[0])
+	controller.PutTenant(2, 3, false)
+	assert.Equal(t, 0.1, controller.tenants.asked(2, time.Second), "its rate moved, not what it asked for")
+	assert.Equal(t, 3.0, controller.TenantRate(2))
+	controller.PutTenant(2, 3, true)
+	assert.Zero(t, controller.tenants.asked(2, time.Second), "another's place now")
 }
--- a/admission/task.go
+++ b/admission/task.go
@@ -88,24 +88,24 @@
 
 // The outcomes. NotRun proves that nothing happened; Unclear leaves it open.
 const (
-	Done Outcome = iota
-	Broken
+	Succeeded Outcome = iota
+	Failed
 	NotRun
-	Unclear
+	Unknown
 	Stopped
-	Void
+	NeverStarted
 )
 
 // Gauges are the server's own readings.
 type Gauges struct {
-	CPU    float64 // busy share of the cores over the half second before
-	Crowd  float64 // all that wants a core now
-	Memory float64 // share in use
-	Links  float64 // open connections
+	CPU         float64 // busy share of the cores over the half second before
+	Runnable    float64 // all that wants a core now
+	Memory      float64 // share in use
+	Connections float64 // open connections
 }
 
-// Ending is the end of a run or of a call.
-type Ending struct {
+// Completion is the end of a run or of a call.
+type Completion struct {
 	Request *Request
 	Outcome Outcome
 	Took    time.Duration
@@ -113,45 +113,45 @@
 
 // Round is all that came in at one moment, grouped by what it means to the server.
 type Round struct {
-	Now      time.Duration
-	StopAt   time.Duration // set in the round of the notice to leave: when the process is stopped
-	Noticed  time.Duration // with it, when the notice came; 0 for in this round
-	Booted   time.Duration // when the machine's workers started, in the round that hears of it: they are cold from then on
-	Returned []Ending      // calls that ended
-	AtCall   []*Request    // running tasks that need a call to go on
-	Ended    []Ending      // runs that ended
-	Gone     []*Request    // tasks nobody waits for any longer
-	Arrived  []*Request    // tasks read
-	Gauges   *Gauges       // set when an alarm rang
+	Now              time.Duration
+	StopAt           time.Duration // set in the round of the notice to leave: when the process is stopped
+	NotifiedAt       time.Duration // with it, when the notice came; 0 for in this round
+	WorkersStartedAt time.Duration // when the machine's workers started, in the round that hears of it: they are cold from then on
+	CallsEnded       []Completion  // calls that ended
+	AwaitingCall     []*Request    // running tasks that need a call to go on
+	RunsEnded        []Completion  // runs that ended
+	Canceled         []*Request    // tasks nobody waits for any longer
+	Arrived          []*Request    // tasks read
+	Gauges           *Gauges       // set when an alarm rang
 }
 
-// Clear empties a round for the next one and keeps its memory, but nothing that its tasks hold.
-func (r *Round) Clear() {
-	clear(r.Returned)
-	clear(r.AtCall)
-	clear(r.Ended)
-	clear(r.Gone)
+// Reset empties a round for the next one and keeps its memory, but nothing that its tasks hold.
+func (r *Round) Reset() {
+	clear(r.CallsEnded)
+	clear(r.AwaitingCall)
+	clear(r.RunsEnded)
+	clear(r.Canceled)
 	clear(r.Arrived)
 	*r = Round{
-		Returned: r.Returned[:0], AtCall: r.AtCall[:0], Ended: r.Ended[:0],
-		Gone: r.Gone[:0], Arrived: r.Arrived[:0],
+		CallsEnded: r.CallsEnded[:0], AwaitingCall: r.AwaitingCall[:0], RunsEnded: r.RunsEnded[:0],
+		Canceled: r.Canceled[:0], Arrived: r.Arrived[:0],
 	}
 }
 
-// Writer takes the decisions of a round, in order.
-type Writer interface {
+// Executor takes the decisions of a round, in order.
+type Executor interface {
 	Start(request *Request)
 	Pause(request *Request)
-	Dismiss(request *Request, comeBack time.Duration, nowhereElse bool)
-	GiveUp(request *Request)
-	AnswerFromFirst(request *Request)
-	Remember(request *Request, span time.Duration)
-	Forget(request *Request)
+	Reject(request *Request, comeBack time.Duration, nowhereElse bool)
+	Abort(request *Request)
+	AnswerFromOriginal(request *Request)
+	RememberKey(request *Request, span time.Duration)
+	ForgetKey(request *Request)
 	Call(request *Request, patience time.Duration)
 	SkipCall(request *Request)
-	Health(good, fromStore bool)
-	Level(level float64)
-	CloseIdle(span time.Duration)
-	Wake(in time.Duration)
-	Note(words string)
+	SetHealth(good, fromStore bool)
+	SetShedLevel(level float64)
+	CloseIdleAfter(span time.Duration)
+	WakeAfter(in time.Duration)
+	Log(words string)
 }
--- a/admission/view.go
+++ b/admission/view.go
@@ -10,8 +10,8 @@
 // after a change.
 const sightSpan = 32
 
-// Frame tells which views this server can use; moving says that its routes come and go.
-func (c *Choice) Frame(origin uint64, moving bool) estimate.Frame {
+// EstimateSchema tells which views this server can use; moving says that its routes come and go.
+func (c *Controller) EstimateSchema(origin uint64, moving bool) estimate.Frame {
 	f := estimate.Frame{Terms: estimate.Digest(c.terms, moving), Origin: origin, Moving: moving}
 	for _, t := range c.Routes {
 		f.Types = append(f.Types, t.Name)
@@ -20,8 +20,8 @@
 	return f
 }
 
-// Learned is what this server has seen itself up to a moment. Core times are told as on a warm server.
-func (c *Choice) Learned(now time.Duration, f estimate.Frame) estimate.View {
+// Estimates is what this server has seen itself up to a moment. Core times are told as on a warm server.
+func (c *Controller) Estimates(now time.Duration, f estimate.Frame) estimate.View {
 	v := estimate.View{Origin: f.Origin, Terms: f.Terms}
 	v.Pace, v.Calls = c.paceSeen.tell(now), c.callSeen.tell(now)
 	for _, t := range c.Routes {
@@ -39,9 +39,9 @@
 	return v
 }
 
-// Borrow takes in what others have learned, in the place of what was borrowed before. The view must have
+// UsePeerEstimates takes in what others have learned, in the place of what was borrowed before. The view must have
 // passed Frame.Fit for this server; its routes are known by their names, as some may have come or gone since.
-func (c *Choice) Borrow(now time.Duration, v estimate.View) {
+func (c *Controller) UsePeerEstimates(now time.Duration, v estimate.View) {
 	told := make(map[string]estimate.Estimate, len(v.Types))
 	for _, t := range v.Types {
 		told[t.Name] = t.Core
--- a/baseline/base.go
+++ b/baseline/base.go
@@ -113,31 +113,31 @@
 }
 
 // Decide implements emulator.Policy.
-func (s *server) Decide(r *admission.Round, w admission.Writer) {
+func (s *server) Decide(r *admission.Round, w admission.Executor) {
 	if !s.began {
 		s.began = true
-		w.Health(true, true)
-		w.Wake(tick)
+		w.SetHealth(true, true)
+		w.WakeAfter(tick)
 	}
 	if r.StopAt > 0 && s.stopAt == 0 {
 		s.stopAt, s.noticed = r.StopAt, r.Now
 	}
-	for _, e := range r.Returned {
+	for _, e := range r.CallsEnded {
 		s.returned(e, w)
 	}
-	for _, request := range r.AtCall {
+	for _, request := range r.AwaitingCall {
 		if k := s.tasks[request]; k != nil && k.state == running {
 			k.state = calling
 			w.Call(request, max(k.due-r.Now, 1))
 		}
 	}
-	for _, e := range r.Ended {
+	for _, e := range r.RunsEnded {
 		if k := s.tasks[e.Request]; k != nil {
-			s.sample(r.Now, e.Took, len(s.active), e.Outcome != admission.Done)
+			s.sample(r.Now, e.Took, len(s.active), e.Outcome != admission.Succeeded)
 			s.remove(k)
 		}
 	}
-	for _, request := range r.Gone {
+	for _, request := range r.Canceled {
 		if k := s.tasks[request]; k != nil && k.state == held {
 			s.remove(k)
 		}
@@ -147,7 +147,7 @@
 	}
 	if r.Gauges != nil {
 		s.gauges(r.Now, *r.Gauges)
-		w.Wake(tick)
+		w.WakeAfter(tick)
 	}
 	s.expire(r.Now, w)
 	for len(s.line) > 0 && float64(len(s.active)) < max(s.room(), 1) {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (s *server) arrived(request *admission.Request, now time.Duration, w admission.Writer) {
+func (s *server) arrived(request *admission.Request, now time.Duration, w admission.Executor) {
 	k := &kept{task: request, since: now, due: request.Deadline - early}
 	s.tasks[request] = k
 	s.line = append(s.line, k)
@@ -173,9 +173,9 @@
 	}
 }
 
-func (s *server) dismiss(k *kept, w admission.Writer) {
+func (s *server) dismiss(k *kept, w admission.Executor) {
 	s.remove(k)
-	w.Dismiss(k.task, 0, false)
+	w.Reject(k.task, 0, false)
 }
 
 func (s *server) remove(k *kept) {
@@ -189,7 +189,7 @@
 }
 
 // expire answers what is late, or would be past the stop.
-func (s *server) expire(now time.Duration, w admission.Writer) {
+func (s *server) expire(now time.Duration, w admission.Executor) {
 	late := func(k *kept) bool { return now >= k.due || s.stopAt > 0 && now >= s.stopAt-early }
 	for _, k := range slices.Clone(s.line) {
 		if late(k) {
@@ -203,17 +203,17 @@
 	}
 }
 
-func (s *server) giveUp(k *kept, w admission.Writer) {
+func (s *server) giveUp(k *kept, w admission.Executor) {
 	k.state = stopping
-	w.GiveUp(k.task)
+	w.Abort(k.task)
 	w.Pause(k.task)
 }
 
-func (s *server) returned(e admission.Ending, w admission.Writer) {
+func (s *server) returned(e admission.Completion, w admission.Executor) {
 	k := s.tasks[e.Request]
 	switch {
 	case k == nil || k.state != calling:
-	case e.Outcome == admission.Done:
+	case e.Outcome == admission.Succeeded:
 		k.state = running
 	case k.task.Route.SkipValueShare > 0:
 		k.state = running
--- a/cmd/adapter/instance.go
+++ b/cmd/adapter/instance.go
@@ -19,7 +19,7 @@
 // instance is one app server: its module, the ids of its tasks, and the writer of its decisions.
 type instance struct {
 	who      uint16
-	module   *admission.Choice
+	module   *admission.Controller
 	settings *settings.Settings
 	tasks    map[uint64]*entry
 	ids      map[*admission.Request]uint64
@@ -83,25 +83,25 @@
 
 func (in *instance) Pause(request *admission.Request) { in.act(wire.Preempt, request) }
 
-func (in *instance) Dismiss(request *admission.Request, comeBack time.Duration, nowhereElse bool) {
+func (in *instance) Reject(request *admission.Request, comeBack time.Duration, nowhereElse bool) {
 	a := in.act(wire.Shed, request)
 	a.U32(11, micros(comeBack))
 	a.Bool(15, nowhereElse)
 	in.answered(request)
 }
 
-func (in *instance) GiveUp(request *admission.Request) {
+func (in *instance) Abort(request *admission.Request) {
 	in.act(wire.Fail, request)
 	in.answered(request)
 }
 
-func (in *instance) AnswerFromFirst(request *admission.Request) { in.act(wire.Echo, request) }
+func (in *instance) AnswerFromOriginal(request *admission.Request) { in.act(wire.Echo, request) }
 
-func (in *instance) Remember(request *admission.Request, span time.Duration) {
+func (in *instance) RememberKey(request *admission.Request, span time.Duration) {
 	in.act(wire.Keep, request).U32(11, micros(span))
 }
 
-func (in *instance) Forget(request *admission.Request) { in.act(wire.Unpin, request) }
+func (in *instance) ForgetKey(request *admission.Request) { in.act(wire.Unpin, request) }
 
 func (in *instance) Call(request *admission.Request, patience time.Duration) {
 	in.act(wire.Call, request).U32(11, micros(patience))
@@ -109,20 +109,20 @@
 
 func (in *instance) SkipCall(request *admission.Request) { in.act(wire.GoOn, request) }
 
-func (in *instance) Health(good, fromStore bool) {
+func (in *instance) SetHealth(good, fromStore bool) {
 	a := in.reply.Add(wire.Status, in.who)
 	a.Bool(3, good)
 	a.Bool(4, fromStore)
 }
 
-func (in *instance) Level(level float64) { in.reply.Add(wire.HintOut, in.who).F32(3, level) }
+func (in *instance) SetShedLevel(level float64) { in.reply.Add(wire.HintOut, in.who).F32(3, level) }
 
-func (in *instance) CloseIdle(span time.Duration) {
+func (in *instance) CloseIdleAfter(span time.Duration) {
 	in.reply.Add(wire.CloseIdle, in.who).U32(3, micros(span))
 }
 
-func (in *instance) Wake(after time.Duration) {
+func (in *instance) WakeAfter(after time.Duration) {
 	in.reply.Add(wire.Remind, in.who).U32(3, micros(after))
 }
 
-func (in *instance) Note(words string) { in.reply.Text(wire.NoteDown, in.who, words) }
+func (in *instance) Log(words string) { in.reply.Text(wire.NoteDown, in.who, words) }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -65,13 +65,13 @@
 		}
 	}()
 	in.module.Decide(&in.round, in)
-	for _, e := range in.round.Ended {
+	for _, e := range in.round.RunsEnded {
 		in.settle(e.Request)
 	}
-	for _, request := range in.round.Gone {
+	for _, request := range in.round.Canceled {
 		in.settle(request)
 	}
-	in.round.Clear()
+	in.round.Reset()
 	in.touched = false
 }
 
@@ -128,19 +128,19 @@
 	}
 	switch code {
 	case wire.AtCall:
-		round.AtCall = append(round.AtCall, e.task)
+		round.AwaitingCall = append(round.AwaitingCall, e.task)
 	case wire.ClientGone:
 		e.answered = true
-		round.Gone = append(round.Gone, e.task)
+		round.Canceled = append(round.Canceled, e.task)
 	case wire.CallResult:
 		ending, err := ended(e.task, r)
-		round.Returned = append(round.Returned, ending)
+		round.CallsEnded = append(round.CallsEnded, ending)
 		return err
 	case wire.Finished:
 		ending, err := ended(e.task, r)
-		round.Ended = append(round.Ended, ending)
+		round.RunsEnded = append(round.RunsEnded, ending)
 		e.active = false
-		e.answered = e.answered || ending.Outcome == admission.Done || ending.Outcome == admission.Broken
+		e.answered = e.answered || ending.Outcome == admission.Succeeded || ending.Outcome == admission.Failed
 		return err
 	}
 	return nil
@@ -206,20 +206,20 @@
 
 // outcomes are the wire's codes in our words.
 var outcomes = map[uint16]admission.Outcome{
-	0:   admission.Done,
-	255: admission.Broken,
+	0:   admission.Succeeded,
+	255: admission.Failed,
 	254: admission.NotRun,
-	253: admission.Unclear,
+	253: admission.Unknown,
 	252: admission.NotRun,
-	251: admission.Unclear,
+	251: admission.Unknown,
 	250: admission.Stopped,
-	249: admission.Void,
+	249: admission.NeverStarted,
 }
 
-func ended(request *admission.Request, r wire.Record) (admission.Ending, error) {
+func ended(request *admission.Request, r wire.Record) (admission.Completion, error) {
 	outcome, known := outcomes[r.U16(11)]
 	if !known {
-		return admission.Ending{}, fmt.Errorf("unknown outcome %d", r.U16(11))
+		return admission.Completion{}, fmt.Errorf("unknown outcome %d", r.U16(11))
 	}
-	return admission.Ending{Request: request, Outcome: outcome, Took: time.Duration(r.U32(13)) * time.Microsecond}, nil
+	return admission.Completion{Request: request, Outcome: outcome, Took: time.Duration(r.U32(13)) * time.Microsecond}, nil
 }
--- a/cmd/quartzpoint-bench/flat.go
+++ b/cmd/quartzpoint-bench/flat.go
@@ -171,7 +171,7 @@
 	if !t.done {
 		t.done = true
 		delete(f.tasks, t.id)
-		f.ended = append(f.ended, workerapi.Notice{Kind: workerapi.Finished, RequestID: t.id, Outcome: outcome, Result: result})
+		f.ended = append(f.ended, workerapi.Notice{Kind: workerapi.RunFinished, RequestID: t.id, Outcome: outcome, Result: result})
 	}
 }
 
--- a/cmd/quartzpoint/configuration_test.go
+++ b/cmd/quartzpoint/configuration_test.go
@@ -25,7 +25,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	agreed, err := settings.FromJSON([]byte(fake.Site))
 	require.NoError(t, err)
-	owner, err := server.New(agreed, 1, server.Limits{MemoryMB: 96, Sockets: 256, Numbers: true, Customers: true, Moving: true}, invariant.New(log), log)
+	owner, err := server.New(agreed, 1, server.Limits{MemoryMB: 96, Sockets: 256, Keys: true, Tenants: true, DynamicTables: true}, invariant.New(log), log)
 	require.NoError(t, err)
 	return owner
 }
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -66,7 +66,7 @@
 	if len(stated.Ask) > 0 {
 		asker := &peersync.Asker{
 			Peers: stated.Ask, Keys: keys, Total: stated.Total, Frame: k.frame, Kept: k.view, Seed: seed,
-			Cold: func() bool { return !warm.Load() }, Take: owner.Borrow, Counts: counts, Log: log,
+			Cold: func() bool { return !warm.Load() }, Take: owner.UsePeerEstimates, Counts: counts, Log: log,
 		}
 		go asker.Run(ctx)
 	}
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -65,7 +65,7 @@
 	seed := int64(s.Seed)
 	counts := invariant.New(log)
 	bounds := s.bounds()
-	bounds.Moving = ours.Configuration != nil
+	bounds.DynamicTables = ours.Configuration != nil
 	owner, err := server.New(s.settings, seed, bounds, counts, log)
 	if err != nil {
 		return err
--- a/cmd/quartzpoint/start.go
+++ b/cmd/quartzpoint/start.go
@@ -217,7 +217,7 @@
 func (s start) bounds() server.Limits {
 	return server.Limits{
 		MemoryMB: s.Limits.megabytes(), Sockets: max(2, s.Limits.sockets()-s.callSockets()),
-		Numbers: true, Customers: true, Calls: s.Index != "", KilledEarly: true,
+		Keys: true, Tenants: true, Calls: s.Index != "", KilledEarly: true,
 	}
 }
 
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -106,8 +106,8 @@
 			if a.cancelled {
 				c.book.Late(a.dependency, w.now)
 			} else {
-				how := map[admission.Outcome]budget.Ended{admission.Done: budget.Good, admission.NotRun: budget.Refused}[outcome]
-				if outcome == admission.Unclear {
+				how := map[admission.Outcome]budget.Ended{admission.Succeeded: budget.Good, admission.NotRun: budget.Refused}[outcome]
+				if outcome == admission.Unknown {
 					how = budget.Lost
 				}
 				t.attempts[call][number] = nil
@@ -141,11 +141,11 @@
 		return
 	}
 	t.active = false
-	outcome := admission.Done
+	outcome := admission.Succeeded
 	if e.verdict == budget.GivenUp {
 		outcome = admission.Stopped
 	}
-	s.round.Ended = append(s.round.Ended, admission.Ending{Request: &t.Request, Outcome: outcome, Took: s.world.now - t.work.begun})
+	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &t.Request, Outcome: outcome, Took: s.world.now - t.work.begun})
 	if !t.answered {
 		if t.worth = e.worth; e.verdict == budget.GivenUp {
 			s.answer(t, givenUp, 0, false)
--- a/emulator/dependency.go
+++ b/emulator/dependency.go
@@ -36,7 +36,7 @@
 func (d *dependency) take(patience time.Duration, told func(outcome admission.Outcome, took time.Duration)) {
 	w := d.world
 	c := &call{told: told, began: w.now}
-	w.after(patience, func() { d.end(c, admission.Unclear) })
+	w.after(patience, func() { d.end(c, admission.Unknown) })
 	w.rules.Take(rulecheck.Event{Kind: rulecheck.CallsOpen, At: w.now, Server: d.number,
 		Value: float64(d.busy+len(d.line)) / (dependencySurvives * float64(d.Slots))})
 	switch {
@@ -61,7 +61,7 @@
 	w.after(time.Duration(took), func() {
 		d.busy--
 		if !d.stops {
-			d.end(c, admission.Done)
+			d.end(c, admission.Succeeded)
 		}
 		d.goOn()
 	})
--- a/emulator/parts_test.go
+++ b/emulator/parts_test.go
@@ -103,7 +103,7 @@
 	for w.step(time.Minute) {
 	}
 	assert.Equal(t, map[string]admission.Outcome{
-		"first": admission.Done, "second": admission.Done, "no patience": admission.Unclear, "refused": admission.NotRun, "silent": admission.Unclear,
+		"first": admission.Succeeded, "second": admission.Succeeded, "no patience": admission.Unknown, "refused": admission.NotRun, "silent": admission.Unknown,
 	}, told)
 	assert.Equal(t, 10*time.Millisecond, at["first"])
 	assert.Equal(t, 20*time.Millisecond, at["second"])
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -11,7 +11,7 @@
 
 // Policy decides for one server, as admission.Choice does. Baselines are others.
 type Policy interface {
-	Decide(r *admission.Round, w admission.Writer)
+	Decide(r *admission.Round, w admission.Executor)
 }
 
 // Maker makes the policy of a server, and the traffic types that its tasks point to, in the order of the site's.
@@ -19,8 +19,8 @@
 
 // Own makes the project's own decisions.
 func Own(types []Route, m Machine, calls float64, seed int64) (Policy, []*admission.Route) {
-	c := admission.New(Settings(types, m, calls), seed)
-	return c, c.Routes
+	controller := admission.New(Settings(types, m, calls), seed)
+	return controller, controller.Routes
 }
 
 // The verdicts of an answer.
@@ -98,29 +98,29 @@
 			s.types[i].CallWait = plan.NeededPath()
 		}
 	}
-	if c, own := s.policy.(*admission.Choice); own && w.fleet.Peers {
-		s.learn(c)
+	if controller, own := s.policy.(*admission.Controller); own && w.fleet.Peers {
+		s.learn(controller)
 	}
 	s.decide()
 }
 
 // learn asks up to three running servers what they know, as a newcomer with [peers] does.
-func (s *server) learn(c *admission.Choice) {
+func (s *server) learn(controller *admission.Controller) {
 	w := s.world
-	frame := c.Frame(uint64(s.number)<<32|s.life, false)
+	frame := controller.EstimateSchema(uint64(s.number)<<32|s.life, false)
 	var views []estimate.View
 	for _, i := range w.chance.Perm(len(w.servers)) {
 		other := w.servers[i]
-		peer, own := other.policy.(*admission.Choice)
+		peer, own := other.policy.(*admission.Controller)
 		if other == s || !other.alive || !own || len(views) == 3 {
 			continue
 		}
-		if view, err := frame.Fit(peer.Learned(w.now, peer.Frame(uint64(other.number)<<32|other.life, false))); err == nil {
+		if view, err := frame.Fit(peer.Estimates(w.now, peer.EstimateSchema(uint64(other.number)<<32|other.life, false))); err == nil {
 			views = append(views, view)
 		}
 	}
 	if merged := estimate.Merge(views); merged.Fresh() {
-		c.Borrow(w.now, merged)
+		controller.UsePeerEstimates(w.now, merged)
 	}
 }
 
@@ -167,17 +167,17 @@
 func (s *server) decide() {
 	s.round.Now = s.world.now
 	s.policy.Decide(&s.round, s)
-	for _, e := range s.round.Ended {
+	for _, e := range s.round.RunsEnded {
 		s.settle(s.tries[e.Request])
 	}
-	for _, request := range s.round.Gone {
+	for _, request := range s.round.Canceled {
 		s.settle(s.tries[request])
 	}
-	s.round.Clear()
+	s.round.Reset()
 	for len(s.atCall) > 0 { // what was started and is made of calls is at its calls in the same moment
-		s.round.Now, s.round.AtCall, s.atCall = s.world.now, append(s.round.AtCall, s.atCall...), s.atCall[:0]
+		s.round.Now, s.round.AwaitingCall, s.atCall = s.world.now, append(s.round.AwaitingCall, s.atCall...), s.atCall[:0]
 		s.policy.Decide(&s.round, s)
-		s.round.Clear()
+		s.round.Reset()
 	}
 }
 
@@ -191,12 +191,12 @@
 func (s *server) ran(t *try) {
 	if t.call && !t.answered {
 		t.call = false
-		s.round.AtCall = append(s.round.AtCall, &t.Request)
+		s.round.AwaitingCall = append(s.round.AwaitingCall, &t.Request)
 		s.decide()
 		return
 	}
 	t.active = false
-	s.round.Ended = append(s.round.Ended, admission.Ending{Request: &t.Request, Outcome: admission.Done, Took: s.world.now - t.work.begun})
+	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &t.Request, Outcome: admission.Succeeded, Took: s.world.now - t.work.begun})
 	if !t.answered {
 		s.answer(t, honoured, 0, false)
 	}
@@ -205,8 +205,8 @@
 
 // returned takes the end of a call.
 func (s *server) returned(t *try, outcome admission.Outcome, took time.Duration) {
-	s.round.Returned = append(s.round.Returned, admission.Ending{Request: &t.Request, Outcome: outcome, Took: took})
-	if outcome == admission.Done {
+	s.round.CallsEnded = append(s.round.CallsEnded, admission.Completion{Request: &t.Request, Outcome: outcome, Took: took})
+	if outcome == admission.Succeeded {
 		s.goOn(t)
 	}
 	s.decide()
@@ -267,7 +267,7 @@
 				return
 			}
 			t.active = false
-			s.round.Ended = append(s.round.Ended, admission.Ending{Request: &t.Request, Outcome: admission.Stopped, Took: s.world.now - t.work.begun})
+			s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &t.Request, Outcome: admission.Stopped, Took: s.world.now - t.work.begun})
 			if !t.answered {
 				s.answer(t, givenUp, 0, false)
 			}
@@ -276,13 +276,13 @@
 	})
 }
 
-func (s *server) Dismiss(c *admission.Request, comeBack time.Duration, nowhereElse bool) {
+func (s *server) Reject(c *admission.Request, comeBack time.Duration, nowhereElse bool) {
 	if t := s.tries[c]; t != nil {
 		s.answer(t, dismissed, comeBack, nowhereElse)
 	}
 }
 
-func (s *server) GiveUp(c *admission.Request) {
+func (s *server) Abort(c *admission.Request) {
 	if t := s.tries[c]; t != nil {
 		s.answer(t, givenUp, 0, false)
 		if t.composed && t.active { // the decisions wait for its end, and do not stop it
@@ -303,12 +303,12 @@
 	s.settle(t)
 }
 
-// AnswerFromFirst is for numbered tasks, which are not emulated.
-func (s *server) AnswerFromFirst(*admission.Request) {}
+// AnswerFromOriginal is for numbered tasks, which are not emulated.
+func (s *server) AnswerFromOriginal(*admission.Request) {}
 
-func (s *server) Remember(*admission.Request, time.Duration) {}
+func (s *server) RememberKey(*admission.Request, time.Duration) {}
 
-func (s *server) Forget(*admission.Request) {}
+func (s *server) ForgetKey(*admission.Request) {}
 
 func (s *server) Call(c *admission.Request, patience time.Duration) {
 	t := s.tries[c]
@@ -332,21 +332,21 @@
 	}
 }
 
-func (s *server) Health(bool, bool) {}
+func (s *server) SetHealth(bool, bool) {}
 
-func (s *server) Level(level float64) { s.level = level }
+func (s *server) SetShedLevel(level float64) { s.level = level }
 
-func (s *server) CloseIdle(time.Duration) {}
+func (s *server) CloseIdleAfter(time.Duration) {}
 
-func (s *server) Note(string) {}
+func (s *server) Log(string) {}
 
-// Wake sets an alarm; its round has the gauges.
-func (s *server) Wake(in time.Duration) {
+// WakeAfter sets an alarm; its round has the gauges.
+func (s *server) WakeAfter(in time.Duration) {
 	life := s.life
 	s.world.after(in, func() {
 		s.when(life, func() {
 			s.round.Gauges = &admission.Gauges{
-				CPU: s.pool.use(), Crowd: float64(len(s.pool.runs)) + s.pool.taken, Links: 1,
+				CPU: s.pool.use(), Runnable: float64(len(s.pool.runs)) + s.pool.taken, Connections: 1,
 				Memory: min(1, RunKB*float64(len(s.pool.runs))/s.pool.machine.KB),
 			}
 			s.decide()
--- a/gate.go
+++ b/gate.go
@@ -188,7 +188,7 @@
 	}
 	g.good.Store(true)
 	g.owner, err = server.New(settings.Of(values, "core_use", "on_cores", "heap_share", "links"), t.Seed, server.Limits{
-		MemoryMB: t.MemoryMB, Numbers: true, Customers: true, Calls: true, Omits: true, RunsStay: true, Spins: spins,
+		MemoryMB: t.MemoryMB, Keys: true, Tenants: true, Calls: true, SkipsCalls: true, RunsStay: true, Spins: spins,
 	}, g.counts, t.Log)
 	if err != nil {
 		return nil, fmt.Errorf("quartzpoint: %w", err)
@@ -485,7 +485,7 @@
 	return Counts{g.taken.Load(), g.honoured.Load(), g.dismissed.Load(), g.givenUp.Load(), g.gone.Load(), g.late.Load()}
 }
 
-// CloseIdle does nothing: a gate has no connections. Like the methods below it, it is for the owner of decisions, whose
+// CloseIdleAfter does nothing: a gate has no connections. Like the methods below it, it is for the owner of decisions, whose
 // front the gate is.
 func (g *Gate) CloseIdle(time.Duration) {}
 
@@ -495,8 +495,8 @@
 	return true
 }
 
-// Retire is called when no more tasks are wanted.
-func (g *Gate) Retire() {}
+// StopAccepting is called when no more tasks are wanted.
+func (g *Gate) StopAccepting() {}
 
 // Quiet is true: calls come as they are made.
 func (g *Gate) Quiet() bool { return true }
--- a/handlers.go
+++ b/handlers.go
@@ -176,13 +176,13 @@
 	c.over = true
 	if c.state.CompareAndSwap(open, byOwner) {
 		switch a.Verdict {
-		case server.Honoured: // a repeat
+		case server.Served: // a repeat
 			g.honoured.Add(1)
 			c.result = bytes.Clone(a.Result) // the table's, for further repeats
-		case server.Dismissed:
+		case server.Rejected:
 			g.dismissed.Add(1)
-			c.err = &Dismissed{ComeBack: a.ComeBack, NowhereElse: a.NowhereElse}
-		case server.Clashing:
+			c.err = &Dismissed{ComeBack: a.RetryAfter, NowhereElse: a.NoRetryElsewhere}
+		case server.KeyConflict:
 			c.err = ErrClash
 		default:
 			g.givenUp.Add(1)
@@ -374,12 +374,12 @@
 		began := time.Now()
 		inner, cancel := context.WithTimeout(ctx, within)
 		err := make(inner)
-		took, outcome := time.Since(began), admission.Done
+		took, outcome := time.Since(began), admission.Succeeded
 		switch {
 		case err != nil && inner.Err() != nil:
-			outcome = admission.Unclear
+			outcome = admission.Unknown
 		case err != nil:
-			outcome = admission.Broken
+			outcome = admission.Failed
 		}
 		cancel()
 		c.tell(func() { owner.Returned(c.taken, outcome, took) })
@@ -492,7 +492,7 @@
 	h.over, h.spare = h.spare[:0], over
 	h.mu.Unlock()
 	for _, c := range over {
-		n := workerapi.Notice{Kind: workerapi.Finished, RequestID: c.id, Outcome: "success", Result: c.out, Took: h.gate.owner.Now() - c.begun}
+		n := workerapi.Notice{Kind: workerapi.RunFinished, RequestID: c.id, Outcome: "success", Result: c.out, Took: h.gate.owner.Now() - c.begun}
 		if c.outErr != nil {
 			n.Outcome = "failure"
 		}
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -231,7 +231,7 @@
 	text := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Parent-Id: %s\r\nX-Budget-Ms: %d\r\nContent-Length: %d\r\n\r\n",
 		path, l.address, call.RequestID, left.Milliseconds(), len(call.Body))
 	if _, err := l.conn.Write(append(text, call.Body...)); err != nil {
-		return admission.Unclear, nil, false
+		return admission.Unknown, nil, false
 	}
 	l.head.N = maxHead + maxReply
 	var reply *http.Response
@@ -241,7 +241,7 @@
 			if call.ctx.Err() == nil {
 				c.saw("call broken off")
 			}
-			return admission.Unclear, nil, false
+			return admission.Unknown, nil, false
 		}
 		if reply.StatusCode >= http.StatusOK {
 			break
@@ -251,10 +251,10 @@
 	result, err := io.ReadAll(io.LimitReader(reply.Body, maxReply+1))
 	switch {
 	case err != nil:
-		return admission.Unclear, nil, false
+		return admission.Unknown, nil, false
 	case len(result) > maxReply:
 		c.saw("reply of a call too long")
-		return admission.Broken, nil, false
+		return admission.Failed, nil, false
 	}
 	return outcomeOf(reply), result, !reply.Close && l.in.Buffered() == 0
 }
@@ -267,11 +267,11 @@
 	}
 	switch {
 	case reply.StatusCode/100 == 2:
-		return admission.Done
+		return admission.Succeeded
 	case reply.StatusCode == http.StatusRequestTimeout || reply.StatusCode == http.StatusGatewayTimeout:
-		return admission.Unclear
+		return admission.Unknown
 	}
-	return admission.Broken
+	return admission.Failed
 }
 
 func (l *link) close() {
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -128,22 +128,22 @@
 		outcome admission.Outcome
 		result  string
 	}{
-		"good":                  {good, admission.Done, "reply"},
-		"good, in chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nre\r\n3\r\nply\r\n0\r\n\r\n", admission.Done, "reply"},
-		"good, to the end":      {"HTTP/1.0 200 OK\r\n\r\nreply\x00", admission.Done, "reply"},
-		"good, and closes":      {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nreply\x00", admission.Done, "reply"},
-		"good, and empty":       {"HTTP/1.1 204 No Content\r\n\r\n", admission.Done, ""},
-		"good, said beforehand": {"HTTP/1.1 102 Processing\r\n\r\n" + good, admission.Done, "reply"},
+		"good":                  {good, admission.Succeeded, "reply"},
+		"good, in chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nre\r\n3\r\nply\r\n0\r\n\r\n", admission.Succeeded, "reply"},
+		"good, to the end":      {"HTTP/1.0 200 OK\r\n\r\nreply\x00", admission.Succeeded, "reply"},
+		"good, and closes":      {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nreply\x00", admission.Succeeded, "reply"},
+		"good, and empty":       {"HTTP/1.1 204 No Content\r\n\r\n", admission.Succeeded, ""},
+		"good, said beforehand": {"HTTP/1.1 102 Processing\r\n\r\n" + good, admission.Succeeded, "reply"},
 		"turned away unseen":    {"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n", admission.NotRun, ""},
-		"failed":                {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", admission.Broken, ""},
-		"failed, not shed":      {"HTTP/1.1 503 Busy\r\nX-Shed: 0\r\nContent-Length: 0\r\n\r\n", admission.Broken, ""},
-		"too late there":        {"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", admission.Unclear, ""},
-		"closed":                {"\x00", admission.Unclear, ""},
-		"cut short":             {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nreply\x00", admission.Unclear, ""},
-		"nonsense":              {"SSH-2.0\r\n\r\n", admission.Unclear, ""},
-		"never a reply":         {"", admission.Unclear, ""},
-		"a head without end":    {"HTTP/1.1 200 OK\r\nX: " + fmt.Sprintf("%0100000d", 1), admission.Unclear, ""},
-		"a reply without end":   {"HTTP/1.1 200 OK\r\n\r\n" + fmt.Sprintf("%020000d", 1), admission.Broken, ""},
+		"failed":                {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
+		"failed, not shed":      {"HTTP/1.1 503 Busy\r\nX-Shed: 0\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
+		"too late there":        {"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", admission.Unknown, ""},
+		"closed":                {"\x00", admission.Unknown, ""},
+		"cut short":             {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nreply\x00", admission.Unknown, ""},
+		"nonsense":              {"SSH-2.0\r\n\r\n", admission.Unknown, ""},
+		"never a reply":         {"", admission.Unknown, ""},
+		"a head without end":    {"HTTP/1.1 200 OK\r\nX: " + fmt.Sprintf("%0100000d", 1), admission.Unknown, ""},
+		"a reply without end":   {"HTTP/1.1 200 OK\r\n\r\n" + fmt.Sprintf("%020000d", 1), admission.Failed, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -157,7 +157,7 @@
 			a.Call(asked(1, time.Second))
 			e := a.next(t)
 			assert.Equal(t, c.outcome, e.Outcome)
-			if c.outcome == admission.Done {
+			if c.outcome == admission.Succeeded {
 				assert.Equal(t, c.result, string(e.Result))
 			}
 			r := <-x.asked
@@ -168,7 +168,7 @@
 
 			a.Call(asked(2, fake.Patience))
 			e = a.next(t)
-			assert.Equal(t, admission.Done, e.Outcome, "the next call is none the worse")
+			assert.Equal(t, admission.Succeeded, e.Outcome, "the next call is none the worse")
 			assert.Equal(t, "reply", string(e.Result))
 		})
 	}
@@ -180,7 +180,7 @@
 		a := newAsking(t, x.address, 4)
 		for n := range uint64(5) {
 			a.Call(asked(n+1, fake.Patience))
-			assert.Equal(t, admission.Done, a.next(t).Outcome)
+			assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
 		}
 		assert.Len(t, x.opened, 1)
 	})
@@ -197,7 +197,7 @@
 			return a.idle[0].stale()
 		}, fake.Patience, time.Millisecond)
 		a.Call(asked(2, fake.Patience))
-		assert.Equal(t, admission.Done, a.next(t).Outcome)
+		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
 	})
 	t.Run("no more than allowed", func(t *testing.T) {
 		x := newIndex(t, func(int) string { return "" })
@@ -213,8 +213,8 @@
 		a.Abandon(1)
 		a.Abandon(2)
 		a.Abandon(3) // not in hand: no harm
-		assert.Equal(t, admission.Unclear, a.next(t).Outcome)
-		assert.Equal(t, admission.Unclear, a.next(t).Outcome)
+		assert.Equal(t, admission.Unknown, a.next(t).Outcome)
+		assert.Equal(t, admission.Unknown, a.next(t).Outcome)
 	})
 	t.Run("nobody there, and then somebody", func(t *testing.T) {
 		a := newAsking(t, "127.0.0.1:1", 2)
@@ -223,7 +223,7 @@
 		x := newIndex(t, func(int) string { return good })
 		a.Move(x.address)
 		a.Call(asked(2, fake.Patience))
-		assert.Equal(t, admission.Done, a.next(t).Outcome)
+		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
 	})
 	t.Run("a move lets what is under way end", func(t *testing.T) {
 		release := make(chan bool)
@@ -238,9 +238,9 @@
 		close(release)
 		e := a.next(t)
 		assert.Equal(t, uint64(1), e.CallID)
-		assert.Equal(t, admission.Done, e.Outcome)
+		assert.Equal(t, admission.Succeeded, e.Outcome)
 		a.Call(asked(3, fake.Patience))
-		assert.Equal(t, admission.Done, a.next(t).Outcome)
+		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
 		assert.Len(t, old.asked, 1)
 		assert.Len(t, x.asked, 2)
 	})
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -313,7 +313,7 @@
 func (c *Composer) end(t *task, outcome string, result []byte) {
 	c.holds -= t.held
 	delete(c.tasks, t.id)
-	c.ended = append(c.ended, workerapi.Notice{Kind: workerapi.Finished, RequestID: t.id, Outcome: outcome, Result: result})
+	c.ended = append(c.ended, workerapi.Notice{Kind: workerapi.RunFinished, RequestID: t.id, Outcome: outcome, Result: result})
 }
 
 // Answer is the form of a composed answer.
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -292,7 +292,7 @@
 
 func (c *conn) dismiss(stream uint32, why string) {
 	c.front.counts.Saw("task not understood: " + why)
-	c.front.server.DismissUnseen(c, stream, "not understood: "+why)
+	c.front.server.RejectUnparsed(c, stream, "not understood: "+why)
 }
 
 // asked reads a task's fields. Nothing of it points into what was read.
@@ -329,7 +329,7 @@
 		a.Rank = 0
 	}
 	customer := text("org")
-	a.Tenant = c.front.server.Customer(customer)
+	a.Tenant = c.front.server.TenantIndex(customer)
 	if number := text("dedupe"); number != "" {
 		if len(number) > mostNumber {
 			return a, errors.New("number")
@@ -355,21 +355,21 @@
 
 // codes are the protocol's codes for verdicts.
 var codes = map[server.Verdict]byte{
-	server.Honoured:  frame.Honoured,
-	server.Dismissed: frame.Dismissed,
-	server.GivenUp:   frame.GivenUp,
-	server.Clashing:  frame.GivenUp, // the other one may have run: what is dismissed may be sent elsewhere
+	server.Served:      frame.Honoured,
+	server.Rejected:    frame.Dismissed,
+	server.Aborted:     frame.GivenUp,
+	server.KeyConflict: frame.GivenUp, // the other one may have run: what is dismissed may be sent elsewhere
 }
 
 // Answer puts the one answer to a task behind what waits to be written.
 func (c *conn) Answer(stream uint32, a server.Answer) {
 	delete(c.open, stream)
-	fields := withLevel(a.Level)
-	if a.ComeBack > 0 {
-		ms := (a.ComeBack + time.Millisecond - 1) / time.Millisecond
+	fields := withLevel(a.ShedLevel)
+	if a.RetryAfter > 0 {
+		ms := (a.RetryAfter + time.Millisecond - 1) / time.Millisecond
 		fields = append(fields, frame.Field{Name: "pushback", Value: strconv.FormatInt(int64(ms), 10)})
 	}
-	if a.NowhereElse {
+	if a.NoRetryElsewhere {
 		fields = append(fields, frame.Field{Name: "stop", Value: "1"})
 	}
 	c.put(frame.Begin(nil, frame.Answer, stream, codes[a.Verdict], fields, len(a.Result)), a.Result)
--- a/internal/frontend/crossing_test.go
+++ b/internal/frontend/crossing_test.go
@@ -83,7 +83,7 @@
 		c := b.conns[0]
 		require.NoError(t, c.out.Add([]byte{})) // the box is there and empty
 		for range 8 {
-			c.Answer(9, server.Answer{Verdict: server.Honoured, Result: []byte(result)})
+			c.Answer(9, server.Answer{Verdict: server.Served, Result: []byte(result)})
 		}
 		c.retired, c.last = true, b.server.Now()-2*retiredWait
 		b.sweep(b.server.Now())
@@ -130,7 +130,7 @@
 		}
 		b.bound = 10_000
 		of[false].put(make([]byte, b.bound-10))
-		of[true].Answer(2, server.Answer{Verdict: server.Honoured, Result: make([]byte, 100)})
+		of[true].Answer(2, server.Answer{Verdict: server.Served, Result: make([]byte, 100)})
 		assert.Equal(t, []bool{true, false}, []bool{of[false].dead, of[true].dead})
 		assert.Less(t, b.waiting, b.bound, "what waited for the one cut off is given back at once")
 	})
@@ -171,7 +171,7 @@
 // connection it comes. Another customer's task is never answered by it.
 func TestRepeatsOfANumberedTask(t *testing.T) {
 	limits := usual()
-	limits.Numbers, limits.Customers = true, true
+	limits.Keys, limits.Tenants = true, true
 	b := newBenchAt(t, limits, numberedSite, nil)
 	one, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	ask := func(r *fake.Router, stream uint32, call uint32, org, body string) {
@@ -222,7 +222,7 @@
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.Task(1, "pay", ""))
 	b.inTurn(func() {
-		b.Retire()
+		b.StopAccepting()
 		b.Flush()
 		assert.False(t, b.Quiet(), "the process would end with a task unread")
 	})
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -285,7 +285,7 @@
 // Open is the number of connections.
 func (f *Front) Open() int { return len(f.conns) }
 
-// CloseIdle sets for how long a connection may carry nothing.
+// CloseIdleAfter sets for how long a connection may carry nothing.
 func (f *Front) CloseIdle(span time.Duration) { f.idle = span }
 
 // Flush writes what was answered, and now and then looks for idle connections: behind the writing, as a
@@ -370,8 +370,8 @@
 	return c.last
 }
 
-// Retire closes the listener and asks all routers to send nothing more on their connections.
-func (f *Front) Retire() {
+// StopAccepting closes the listener and asks all routers to send nothing more on their connections.
+func (f *Front) StopAccepting() {
 	if f.retired {
 		return
 	}
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -374,7 +374,7 @@
 func TestLeavingClosesWhatStays(t *testing.T) {
 	b := newBench(t, usual())
 	stays := b.speaker(t)
-	b.server.Post(b.Retire)
+	b.server.Post(b.StopAccepting)
 	assert.Equal(t, byte(30), stays.Next(t).Type)
 	stays.Closed(t)
 }
@@ -388,7 +388,7 @@
 	b.server.Post(func() {
 		c := b.conns[0]
 		c.retired, c.last, b.swept = true, 0, 0
-		c.Answer(1, server.Answer{Verdict: server.GivenUp})
+		c.Answer(1, server.Answer{Verdict: server.Aborted})
 	})
 	assert.Equal(t, byte(51), router.Next(t).Code)
 }
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -44,7 +44,7 @@
 		return // its run has ended meanwhile
 	}
 	request.call = 0
-	if e.Outcome == admission.Done && !request.answered {
+	if e.Outcome == admission.Succeeded && !request.answered {
 		s.goOn(request, &supply{reply: e.Result})
 	}
 	s.Returned(request, e.Outcome, e.Took)
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -61,7 +61,7 @@
 	assert.Equal(t, fake.Call(1), c.RequestID)
 	assert.Equal(t, "what", string(c.Body))
 	assert.Positive(t, c.Within)
-	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done, Took: time.Millisecond, Result: []byte("that")})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Took: time.Millisecond, Result: []byte("that")})
 	supplied := b.pool.Next(t, "supply")
 	assert.Equal(t, "that", string(supplied.Body))
 	b.pool.Block(fake.Call(1), []byte("and more"))
@@ -69,24 +69,24 @@
 	assert.Equal(t, "and more", string(c.Body))
 	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.NotRun})
 	c = d.next(t) // what never ran is asked again
-	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done, Result: []byte("this")})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("this")})
 	b.pool.Next(t, "supply")
 	b.pool.Finish(fake.Call(1), "success", []byte("done"))
-	assert.Equal(t, Honoured, b.next(t).Verdict)
+	assert.Equal(t, Served, b.next(t).Verdict)
 	assert.Empty(t, d.abandoned)
 }
 
 func TestCallThatMayHaveRun(t *testing.T) {
 	b, d := newCallBench(t, callSite)
 	c := b.atCall(t, d, 1, "pay", time.Minute)
-	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Unclear})
-	assert.Equal(t, GivenUp, b.next(t).Verdict, "an at-most-once task makes no call twice")
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Unknown})
+	assert.Equal(t, Aborted, b.next(t).Verdict, "an at-most-once task makes no call twice")
 	b.pool.Finish(fake.Call(1), "interrupted", nil)
 
 	c = b.atCall(t, d, 2, "browse", time.Minute)
-	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Unclear})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Unknown})
 	c = d.next(t)
-	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded})
 	b.pool.Next(t, "supply")
 }
 
@@ -95,15 +95,15 @@
 	b, d := newCallBench(t, callSite)
 	c := b.atCall(t, d, 1, "browse", 2500*time.Millisecond)
 	assert.Less(t, c.Within, 2500*time.Millisecond)
-	assert.Equal(t, GivenUp, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.next(t).Verdict)
 	assert.Equal(t, c.CallID, <-d.abandoned)
-	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done, Result: []byte("late")})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("late")})
 	b.pool.Finish(fake.Call(1), "interrupted", nil)
 	c = b.atCall(t, d, 2, "browse", time.Minute)
 	b.pool.Finish(fake.Call(2), "failure", nil)
-	assert.Equal(t, GivenUp, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.next(t).Verdict)
 	assert.Equal(t, c.CallID, <-d.abandoned)
-	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done})
+	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded})
 	b.known(t)
 	for len(b.pool.Commands) > 0 {
 		assert.NotEqual(t, "supply", (<-b.pool.Commands).Verb)
@@ -117,7 +117,7 @@
 			b, d := newCallBench(t, strings.Replace(callSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
 			c := b.atCall(t, d, 1, "pay", time.Minute)
 			b.inTurn(func() {
-				b.callEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done, Result: []byte("that")})
+				b.callEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("that")})
 				b.pool.Cut() // before the word is written
 			})
 			assert.Equal(t, "that", string(b.pool.Next(t, "supply").Body))
@@ -131,11 +131,11 @@
 				b.inTurn(func() { _, asked = b.link.Poll() })
 				return !asked
 			}, fake.Patience, time.Millisecond)
-			b.inTurn(func() { b.callEnded(workerapi.CallEnd{Call: c, Outcome: admission.Done, Result: []byte("this")}) })
+			b.inTurn(func() { b.callEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("this")}) })
 			b.toPool.Move(b.pool.Address)
 			assert.Equal(t, "this", string(b.pool.Next(t, "supply").Body))
 			b.pool.Finish(fake.Call(1), "success", nil)
-			assert.Equal(t, Honoured, b.next(t).Verdict)
+			assert.Equal(t, Served, b.next(t).Verdict)
 		})
 	}
 }
@@ -149,10 +149,10 @@
 	assert.Equal(t, []string{"browse"}, b.Unserved())
 	b.ask(1, "browse", time.Minute)
 	a := b.next(t)
-	assert.Equal(t, Dismissed, a.Verdict)
-	assert.Equal(t, time.Second, a.ComeBack)
+	assert.Equal(t, Rejected, a.Verdict)
+	assert.Equal(t, time.Second, a.RetryAfter)
 	b.ask(2, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
 	b.pool.Finish(fake.Call(2), "success", nil)
-	assert.Equal(t, Honoured, b.next(t).Verdict)
+	assert.Equal(t, Served, b.next(t).Verdict)
 }
--- a/internal/server/checks.go
+++ b/internal/server/checks.go
@@ -17,7 +17,7 @@
 		return
 	}
 	s.checkNonce++
-	if len(s.checks) >= mostChecks {
+	if len(s.checks) >= maxChecks {
 		c.Checked(stream, false, s.level)
 		return
 	}
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -62,11 +62,11 @@
 		b.ask(stream, kind, time.Minute)
 		b.pool.Next(t, "spawn")
 		b.pool.Finish(fake.Call(stream), "success", []byte("done"))
-		assert.Equal(t, Honoured, b.next(t).Verdict)
+		assert.Equal(t, Served, b.next(t).Verdict)
 	}
 	run("pay", 1)
 	b.ask(1, "pay", time.Minute)
-	assert.Equal(t, GivenUp, b.next(t).Verdict, "what has run is neither run again nor dismissed")
+	assert.Equal(t, Aborted, b.next(t).Verdict, "what has run is neither run again nor dismissed")
 	assert.Empty(t, b.pool.Commands)
 	run("browse", 2)
 	run("browse", 2) // harmless, and its caller wants an answer
@@ -74,13 +74,13 @@
 	b.inTurn(func() {
 		b.maxRequests = 3
 		for _, id := range []string{"a", "b", "c"} {
-			b.spend(&Request{id: id, Request: admission.Request{Route: b.routes["pay"]}})
+			b.rememberRun(&Request{id: id, Request: admission.Request{Route: b.routes["pay"]}})
 		}
-		assert.Equal(t, []string{"a", "b", "c"}, b.spending, "the oldest goes where the table is full")
-		assert.Len(t, b.spent, 3)
-		b.forgetSpent(b.Now() + time.Minute)
-		assert.Empty(t, b.spent)
-		assert.Empty(t, b.spending)
+		assert.Equal(t, []string{"a", "b", "c"}, b.mayHaveRunOrder, "the oldest goes where the table is full")
+		assert.Len(t, b.mayHaveRun, 3)
+		b.expireRuns(b.Now() + time.Minute)
+		assert.Empty(t, b.mayHaveRun)
+		assert.Empty(t, b.mayHaveRunOrder)
 	})
 }
 
@@ -101,7 +101,7 @@
 			Patience: time.Minute, Caller: b, Stream: 1,
 		})
 	})
-	assert.Equal(t, Dismissed, b.next(t).Verdict)
+	assert.Equal(t, Rejected, b.next(t).Verdict)
 	for range 20 { // rounds of a process that stays
 		b.inTurn(func() {})
 	}
@@ -130,17 +130,17 @@
 		due.ID, due.Stream, due.Arrived = fake.Call(2), 2, came+399*time.Millisecond
 		b.Take(due)
 	})
-	assert.Equal(t, []any{uint32(1), Dismissed}, func() []any { a := b.next(t); return []any{a.stream, a.Verdict} }())
+	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.next(t); return []any{a.stream, a.Verdict} }())
 	assert.Equal(t, fake.Call(2), b.pool.Next(t, "spawn").Task)
 	b.pool.Finish(fake.Call(2), "success", nil)
-	assert.Equal(t, Honoured, b.next(t).Verdict)
+	assert.Equal(t, Served, b.next(t).Verdict)
 }
 
 // A numbered task whose caller leaves in the moment it is read, and for which the decisions have no room, kept its
 // number for the whole window, as one that would still run: a repeat was neither run nor turned away.
 func TestNumberOfATaskWhoseCallerLeftAsItWasRead(t *testing.T) {
 	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.Site)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
+	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
 	b.inTurn(func() {
@@ -151,7 +151,7 @@
 		b.Gone(task)
 	})
 	b.inTurn(func() {
-		assert.Empty(t, b.numbers)
+		assert.Empty(t, b.keys)
 		assert.Empty(t, b.requests)
 	})
 	assert.Zero(t, b.counts.Times("check failed: a task was answered twice"))
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -20,7 +20,7 @@
 	s.noticed, s.stop = now, now+within-noticeDelay
 	grace, _ := s.settings.Values["grace"].(time.Duration)
 	s.retire = max(now, min(now+grace, s.stop-lastOrders))
-	s.round.StopAt, s.round.Noticed = s.stop, s.noticed
+	s.round.StopAt, s.round.NotifiedAt = s.stop, s.noticed
 	s.touched = true
 	s.log.Info("notice to leave", "stop_in", within, "no_more_connections_in", s.retire-now, "tasks", len(s.requests))
 }
@@ -49,7 +49,7 @@
 	open := 0
 	for _, f := range s.fronts {
 		if !s.retired {
-			f.Retire()
+			f.StopAccepting()
 		}
 		open += f.Open()
 	}
--- a/internal/server/numbers.go
+++ b/internal/server/numbers.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// numberShare is the part of the program's memory, as a divisor, that answers kept for repeats may take.
-	numberShare = 16
+	// resultMemoryDivisor is the part of the program's memory, as a divisor, that answers kept for repeats may take.
+	resultMemoryDivisor = 16
 	// readWithin is the time in which a request is read that waited while the process stood still. For so long a number is
 	// kept behind its window, as a repeat belongs to the window in which it came, whenever it is read.
 	readWithin = time.Second
@@ -27,14 +27,14 @@
 	Safe() uint64
 }
 
-// Known is a number of a server before this one. One that is not honoured has begun, and its end is not known: repeats
+// KeyRecord is a number of a server before this one. One that is not honoured has begun, and its end is not known: repeats
 // of it are given up on, as it may have had its effect.
-type Known struct {
-	Key      string
-	Shape    uint64
-	Left     time.Duration // of its window
-	Honoured bool
-	Result   []byte
+type KeyRecord struct {
+	Key       string
+	Shape     uint64
+	Remaining time.Duration // of its window
+	Served    bool
+	Result    []byte
 }
 
 // Keep has numbered tasks run only once the ledger has them, before Run.
@@ -42,23 +42,23 @@
 
 // Restore takes in what an earlier server's ledger held, in the owner's turn or before Run. What is known here already
 // is known better.
-func (s *Server) Restore(all []Known) {
+func (s *Server) Restore(all []KeyRecord) {
 	for _, k := range all {
-		if s.numbers[k.Key] != nil {
+		if s.keys[k.Key] != nil {
 			continue
 		}
-		n := &number{key: k.Key, shape: k.Shape, until: s.Now() + k.Left, settled: true, answer: Answer{Verdict: GivenUp}}
-		if k.Honoured && s.kept+len(k.Result) <= s.mayKeep {
-			n.answer = Answer{Verdict: Honoured, Result: k.Result}
-			s.kept += len(k.Result)
+		n := &keyEntry{key: k.Key, shape: k.Shape, until: s.Now() + k.Remaining, settled: true, answer: Answer{Verdict: Aborted}}
+		if k.Served && s.resultBytes+len(k.Result) <= s.maxResultBytes {
+			n.answer = Answer{Verdict: Served, Result: k.Result}
+			s.resultBytes += len(k.Result)
 		}
-		s.numbers[k.Key] = n
+		s.keys[k.Key] = n
 	}
 }
 
 // enter has the ledger keep that a number is about to run. Its run begins in entered.
 func (s *Server) enter(request *Request) {
-	n := s.numbers[request.key]
+	n := s.keys[request.key]
 	if n == nil { // its window was over before it could start
 		s.spawn(request)
 		return
@@ -79,7 +79,7 @@
 		switch {
 		case request.answered:
 			request.awaitsLedger = false
-			s.end(request, admission.Void, 0, nil)
+			s.end(request, admission.NeverStarted, 0, nil)
 		case request.ledgerMark > safe, request.paused:
 			left = append(left, request)
 		default:
@@ -91,9 +91,9 @@
 	s.entering = left
 }
 
-// number is an entry of the table of numbered tasks. Its window is the decisions' to state, and so is when it is
+// keyEntry is an entry of the table of numbered tasks. Its window is the decisions' to state, and so is when it is
 // given back. A repeat is answered from the first run and never runs.
-type number struct {
+type keyEntry struct {
 	key     string
 	shape   uint64
 	until   time.Duration
@@ -102,50 +102,50 @@
 	waiting []*Request
 }
 
-func numberKey(kind, given string) string { return kind + "\x00" + given }
+func entryKey(kind, given string) string { return kind + "\x00" + given }
 
-// clashes tells whether a task has the number of another that asked for something else.
-func (s *Server) clashes(a Incoming) bool {
-	n := s.numbers[numberKey(a.Route, a.Key)]
+// keyConflicts tells whether a task has the number of another that asked for something else.
+func (s *Server) keyConflicts(a Incoming) bool {
+	n := s.keys[entryKey(a.Route, a.Key)]
 	return n != nil && n.shape != a.Shape
 }
 
-// expireNumber drops the number of a task that came behind the window of the number's first, as it is a new one.
-func (s *Server) expireNumber(key string, arrived time.Duration) {
-	if n := s.numbers[key]; n != nil && n.settled && arrived > n.until {
-		s.drop(n, Answer{Verdict: GivenUp})
+// expireKey drops the number of a task that came behind the window of the number's first, as it is a new one.
+func (s *Server) expireKey(key string, arrived time.Duration) {
+	if n := s.keys[key]; n != nil && n.settled && arrived > n.until {
+		s.dropKey(n, Answer{Verdict: Aborted})
 	}
 }
 
-// numbered finds the first of a repeat.
-func (s *Server) numbered(request *Request, a Incoming) {
+// attachKey finds the first of a repeat.
+func (s *Server) attachKey(request *Request, a Incoming) {
 	if request.Route.Idempotency != admission.Keyed {
 		return
 	}
-	request.key = numberKey(a.Route, a.Key)
-	request.original = s.numbers[request.key]
+	request.key = entryKey(a.Route, a.Key)
+	request.original = s.keys[request.key]
 	request.Duplicate = request.original != nil
 	if request.original == nil { // known from here on: a repeat in the same round must not be taken for a first
-		s.numbers[request.key] = &number{key: request.key, shape: a.Shape, until: s.Now() + request.Route.DedupWindow + time.Minute}
+		s.keys[request.key] = &keyEntry{key: request.key, shape: a.Shape, until: s.Now() + request.Route.DedupWindow + time.Minute}
 	}
 }
 
-// Remember keeps a number for its window.
-func (s *Server) Remember(decided *admission.Request, span time.Duration) {
-	if request := s.owner[decided]; request != nil && s.numbers[request.key] != nil {
-		s.numbers[request.key].until = s.round.Now + span
+// RememberKey keeps a number for its window.
+func (s *Server) RememberKey(decided *admission.Request, span time.Duration) {
+	if request := s.owner[decided]; request != nil && s.keys[request.key] != nil {
+		s.keys[request.key].until = s.round.Now + span
 	}
 }
 
-// Forget gives the number of a task that never ran back.
-func (s *Server) Forget(decided *admission.Request) {
+// ForgetKey gives the number of a task that never ran back.
+func (s *Server) ForgetKey(decided *admission.Request) {
 	if request := s.owner[decided]; request != nil {
-		s.drop(s.numbers[request.key], Answer{Verdict: Dismissed})
+		s.dropKey(s.keys[request.key], Answer{Verdict: Rejected})
 	}
 }
 
-// AnswerFromFirst answers a repeat as soon as the first has ended.
-func (s *Server) AnswerFromFirst(decided *admission.Request) {
+// AnswerFromOriginal answers a repeat as soon as the first has ended.
+func (s *Server) AnswerFromOriginal(decided *admission.Request) {
 	request := s.owner[decided]
 	s.counts.That(request != nil && request.original != nil, "a repeat without a first")
 	if request == nil || request.original == nil {
@@ -169,46 +169,46 @@
 
 // firstAnswered keeps the answer of a first for its repeats. One that was given up on may still end well.
 func (s *Server) firstAnswered(request *Request, a Answer) {
-	n := s.numbers[request.key]
+	n := s.keys[request.key]
 	if request.key == "" || request.Duplicate || n == nil || n.settled {
 		return
 	}
 	switch {
-	case a.Verdict == Dismissed:
-		s.drop(n, a) // it never ran, whoever dismissed it
-	case a.Verdict == Honoured || !request.active:
-		s.keep(n, a)
+	case a.Verdict == Rejected:
+		s.dropKey(n, a) // it never ran, whoever dismissed it
+	case a.Verdict == Served || !request.active:
+		s.settleKey(n, a)
 	}
 }
 
 // firstEnded keeps the end of a first that was answered before it.
 func (s *Server) firstEnded(request *Request, outcome admission.Outcome, result []byte) {
-	n := s.numbers[request.key]
+	n := s.keys[request.key]
 	if request.key == "" || request.Duplicate || n == nil || n.settled || !request.answered {
 		return
 	}
-	if outcome == admission.Done {
-		s.keep(n, Answer{Verdict: Honoured, Result: result})
+	if outcome == admission.Succeeded {
+		s.settleKey(n, Answer{Verdict: Served, Result: result})
 	} else {
-		s.keep(n, Answer{Verdict: GivenUp})
+		s.settleKey(n, Answer{Verdict: Aborted})
 	}
 }
 
-// keep settles a number. A result that has no room is not kept: its repeats are then given up on, and still not run.
-func (s *Server) keep(n *number, a Answer) {
-	if s.kept+len(a.Result) > s.mayKeep {
+// settleKey settles a number. A result that has no room is not kept: its repeats are then given up on, and still not run.
+func (s *Server) settleKey(n *keyEntry, a Answer) {
+	if s.resultBytes+len(a.Result) > s.maxResultBytes {
 		s.counts.Saw("result of a numbered task beyond the program's own memory")
-		a = Answer{Verdict: GivenUp}
+		a = Answer{Verdict: Aborted}
 	}
-	s.kept += len(a.Result)
+	s.resultBytes += len(a.Result)
 	n.settled, n.answer = true, a
 	if s.ledger != nil {
-		s.ledger.End(n.key, n.shape, n.until-s.Now(), a.Verdict == Honoured, a.Result)
+		s.ledger.End(n.key, n.shape, n.until-s.Now(), a.Verdict == Served, a.Result)
 	}
 	s.answerWaiting(n)
 }
 
-func (s *Server) answerWaiting(n *number) {
+func (s *Server) answerWaiting(n *keyEntry) {
 	waiting := n.waiting
 	n.waiting = nil
 	for _, request := range waiting {
@@ -216,13 +216,13 @@
 	}
 }
 
-// drop takes a number off the table; who waits for its first is told.
-func (s *Server) drop(n *number, a Answer) {
+// dropKey takes a number off the table; who waits for its first is told.
+func (s *Server) dropKey(n *keyEntry, a Answer) {
 	if n == nil {
 		return
 	}
-	delete(s.numbers, n.key)
-	s.kept -= len(n.answer.Result)
+	delete(s.keys, n.key)
+	s.resultBytes -= len(n.answer.Result)
 	if !n.settled {
 		n.settled, n.answer = true, a
 	}
@@ -237,14 +237,14 @@
 	s.turned = now
 }
 
-// forgetNumbers drops those whose window is over, and for which no repeat can be unread.
-func (s *Server) forgetNumbers(now time.Duration) {
+// expireKeys drops those whose window is over, and for which no repeat can be unread.
+func (s *Server) expireKeys(now time.Duration) {
 	if now < s.unreadUntil {
 		return
 	}
-	for _, n := range s.numbers { // each by itself, so the order decides nothing
+	for _, n := range s.keys { // each by itself, so the order decides nothing
 		if now >= n.until+readWithin && len(n.waiting) == 0 {
-			s.drop(n, Answer{Verdict: GivenUp})
+			s.dropKey(n, Answer{Verdict: Aborted})
 		}
 	}
 }
--- a/internal/server/numbers_test.go
+++ b/internal/server/numbers_test.go
@@ -14,7 +14,7 @@
 // caller would have it run elsewhere.
 func TestRepeatsAreNeverRefusedOnceTheirFirstMayHaveRun(t *testing.T) {
 	site := strings.Replace(fake.Site, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
+	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
 	asked := func(stream uint32, number string) Incoming {
@@ -25,7 +25,7 @@
 	}
 	b.inTurn(func() { b.Take(asked(1, "n")) })
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
-	assert.Equal(t, Honoured, b.next(t).Verdict)
+	assert.Equal(t, Served, b.next(t).Verdict)
 
 	b.inTurn(func() {
 		crowded := asked(2, "n")
@@ -35,7 +35,7 @@
 		b.Take(asked(3, "n"))
 		b.Take(asked(4, "new"))
 	})
-	for _, want := range []Verdict{GivenUp, GivenUp, Dismissed} {
+	for _, want := range []Verdict{Aborted, Aborted, Rejected} {
 		assert.Equal(t, want, b.next(t).Verdict)
 	}
 }
@@ -44,7 +44,7 @@
 func TestARepeatBelongsToTheWindowInWhichItCame(t *testing.T) {
 	const window = 400 * time.Millisecond
 	site := strings.Replace(fake.Site, `"fragile"`, `"dedup","dedup-window":400000`, 1)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
+	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
 	asked := func(stream uint32, arrived time.Duration) Incoming {
@@ -56,7 +56,7 @@
 	var first time.Duration
 	b.inTurn(func() { first = b.Now(); b.Take(asked(1, first)) })
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", []byte("done"))
-	assert.Equal(t, Honoured, b.next(t).Verdict)
+	assert.Equal(t, Served, b.next(t).Verdict)
 
 	b.inTurn(func() { time.Sleep(window + 800*time.Millisecond) }) // the owner stands still, as in a stopped process
 	for range 3 {
@@ -64,7 +64,7 @@
 	}
 	b.inTurn(func() { b.Take(asked(2, first+window/2)) })
 	again := b.next(t)
-	assert.Equal(t, []any{Honoured, "done"}, []any{again.Verdict, string(again.Result)}, "a repeat is answered from its first")
+	assert.Equal(t, []any{Served, "done"}, []any{again.Verdict, string(again.Result)}, "a repeat is answered from its first")
 	assert.Empty(t, b.pool.Commands)
 
 	b.inTurn(func() { b.Take(asked(3, first+2*window)) }) // this one came behind the window
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -24,7 +24,7 @@
 func (s *Server) observe(now time.Duration) {
 	if s.round.Gauges != nil {
 		// One request a core is read at a time, and takes part of it.
-		excess := s.gauges.Crowd - float64(s.module.Occupancy(now).OnCores) - s.cores()
+		excess := s.gauges.Runnable - float64(s.controller.Occupancy(now).OnCores) - s.cores()
 		if s.observer.looks == 0 || excess < s.observer.excess {
 			s.observer.excess = excess
 		}
@@ -49,13 +49,13 @@
 }
 
 func (s *Server) recordOccupancy(now time.Duration, reason string) {
-	books := s.module.Occupancy(now)
+	books := s.controller.Occupancy(now)
 	memoryKB, _ := s.settings.Values["memory-kb"].(float64)
 	s.events.Record(events.Overcommitted, reason,
 		slog.Int("doubtful", s.doubtful), slog.Int("on_cores", books.OnCores), slog.Int("in_flight", books.InFlight),
 		slog.Int("answered", books.Answered), slog.Int("held", books.Held), slog.Float64("limit", books.Limit),
-		slog.Float64("max_crowd", books.MaxCrowd), slog.Float64("used_kb", books.UsedKB), slog.Float64("max_kb", books.MaxKB),
-		slog.Float64("read_crowd", s.gauges.Crowd), slog.Float64("read_cpu", s.gauges.CPU),
+		slog.Float64("max_crowd", books.MaxConcurrency), slog.Float64("used_kb", books.UsedKB), slog.Float64("max_kb", books.MaxKB),
+		slog.Float64("read_crowd", s.gauges.Runnable), slog.Float64("read_cpu", s.gauges.CPU),
 		slog.Float64("read_kb", s.gauges.Memory*memoryKB))
 }
 
--- a/internal/server/reconcile.go
+++ b/internal/server/reconcile.go
@@ -22,8 +22,8 @@
 		return
 	}
 	s.tidied = now
-	s.forgetNumbers(now)
-	s.forgetSpent(now)
+	s.expireKeys(now)
+	s.expireRuns(now)
 	s.doubtful = 0
 	for _, request := range s.requests {
 		// The time runs from the answer, as arrivals are stamped by a clock that may step.
--- a/internal/server/reconcile_test.go
+++ b/internal/server/reconcile_test.go
@@ -24,7 +24,7 @@
 		b.pool.Next(t, "spawn")
 	}
 	for range siteCores {
-		assert.Equal(t, GivenUp, b.next(t).Verdict)
+		assert.Equal(t, Aborted, b.next(t).Verdict)
 	}
 }
 
@@ -60,7 +60,7 @@
 			b.pool.SetEcho() // the machine goes on: all that it holds ends
 			require.Eventually(t, func() bool {
 				b.ask(1000, "browse", time.Minute)
-				return b.next(t).Verdict == Honoured
+				return b.next(t).Verdict == Served
 			}, fake.Patience, time.Millisecond)
 			assert.Zero(t, b.counts.Times("end of a run nobody asked for"))
 			assert.Zero(t, b.counts.Times("end of a run not reported, proven by the readings"))
--- a/internal/server/retune_test.go
+++ b/internal/server/retune_test.go
@@ -49,6 +49,6 @@
 	assert.True(t, <-unstated)
 	b.pool.Finish(first.Task, "success", []byte("done"))
 	got := b.next(t)
-	assert.Equal(t, []any{uint32(1), Honoured}, []any{got.stream, got.Verdict})
+	assert.Equal(t, []any{uint32(1), Served}, []any{got.stream, got.Verdict})
 	assert.Empty(t, b.answers, "one answer each, and none for those whose callers left")
 }
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -11,8 +11,8 @@
 	"quartzpoint/internal/workerapi"
 )
 
-// told takes one notice of the worker pool.
-func (s *Server) told(n *workerapi.Notice) {
+// onNotice takes one notice of the worker pool.
+func (s *Server) onNotice(n *workerapi.Notice) {
 	switch n.Kind {
 	case workerapi.Polled:
 		s.polled = n.Nonce
@@ -20,11 +20,11 @@
 		s.settings.Gauges(&s.gauges, n.Readings)
 		s.reviewRuns(n)
 		s.fresh = s.fresh || s.asked > 0 && n.Nonce >= s.asked
-	case workerapi.Finished:
+	case workerapi.RunFinished:
 		s.finished(n)
 	case workerapi.Unknown:
 		s.unknown(n)
-	case workerapi.Blocked:
+	case workerapi.RunBlocked:
 		s.blocked(n)
 	case workerapi.Verified:
 		for i, c := range s.checks {
@@ -34,22 +34,22 @@
 				break
 			}
 		}
-	case workerapi.Bound:
-		s.round.Booted = s.Now() - n.Took
+	case workerapi.LinkBound:
+		s.round.WorkersStartedAt = s.Now() - n.Took
 		s.touched = true
-	case workerapi.Down:
+	case workerapi.LinkDown:
 		s.linkDown()
-	case workerapi.Synced:
+	case workerapi.LinkSynced:
 		s.linkSynced()
 	}
 }
 
 // outcomes are the pool's words for the end of a run.
 var outcomes = map[string]admission.Outcome{
-	"success":     admission.Done,
-	"failure":     admission.Broken,
+	"success":     admission.Succeeded,
+	"failure":     admission.Failed,
 	"interrupted": admission.Stopped,
-	"nothing":     admission.Void,
+	"nothing":     admission.NeverStarted,
 }
 
 func (s *Server) finished(n *workerapi.Notice) {
@@ -68,7 +68,7 @@
 	outcome, known := outcomes[n.Outcome]
 	if !known {
 		s.counts.Saw("end of a run with an unknown outcome")
-		outcome = admission.Broken
+		outcome = admission.Failed
 	}
 	s.end(request, outcome, n.Took, n.Result)
 }
@@ -79,16 +79,16 @@
 	if request.call > 0 {
 		s.dependency.Abandon(request.call)
 	}
-	s.round.Ended = append(s.round.Ended, admission.Ending{Request: &request.Request, Outcome: outcome, Took: took})
+	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &request.Request, Outcome: outcome, Took: took})
 	s.touched = true
 	s.firstEnded(request, outcome, result)
 	if request.answered {
 		return
 	}
-	if outcome == admission.Done {
-		s.answer(request, Answer{Verdict: Honoured, Result: result})
+	if outcome == admission.Succeeded {
+		s.answer(request, Answer{Verdict: Served, Result: result})
 	} else {
-		given := Answer{Verdict: GivenUp}
+		given := Answer{Verdict: Aborted}
 		if request.composed {
 			given.Result = result // what is known of its parts
 		}
@@ -106,7 +106,7 @@
 	}
 	s.counts.Saw("pool did not carry out a spawn")
 	if request := s.requests[n.RequestID]; request != nil && request.active {
-		s.end(request, admission.Void, 0, nil)
+		s.end(request, admission.NeverStarted, 0, nil)
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -26,9 +26,9 @@
 const (
 	gaugeWait            = 5 * time.Millisecond   // that an alarm's round waits for the pool's gauges
 	verifyWait           = time.Second            // until a deep check without an answer is a bad one
-	mostPasses           = 4                      // over what came in before a round
-	mostAlarms           = 8                      // set at once
-	mostChecks           = 8                      // deep checks in the pool's hands
+	maxPasses            = 4                      // over what came in before a round
+	maxAlarms            = 8                      // set at once
+	maxChecks            = 8                      // deep checks in the pool's hands
 	lastOrders           = 400 * time.Millisecond // before the stop, when no further connection is taken
 	lastMoment           = 40 * time.Millisecond  // before the stop, by which the process ends
 	noticeDelay          = 15 * time.Millisecond  // by which the notice may have been read late
@@ -45,12 +45,12 @@
 // Limits are those of the program itself, and of what its fronts can carry.
 type Limits struct {
 	MemoryMB, Sockets int
-	Numbers           bool // tasks come with their numbers
-	Customers         bool // and with their customers
+	Keys              bool // tasks come with their numbers
+	Tenants           bool // and with their customers
 	Calls             bool // runs say when they are at a call, and there is a dependency for it
-	Omits             bool // they can go on without
+	SkipsCalls        bool // they can go on without
 	Spins             int  // looks for more before the owner rests; its waking costs more than a few of them
-	Moving            bool // routes and tenants come and go in service
+	DynamicTables     bool // routes and tenants come and go in service
 	RunsStay          bool // a run holds its place until it ends, however long ago it was answered
 	KilledEarly       bool // the process may be killed sooner after the notice than that says: see earliestKill
 }
@@ -58,12 +58,12 @@
 // Server turns events into rounds. Its methods are for its one owner, the goroutine that is in Run, but for
 // Post, Nudge, Leave, Now and Customer.
 type Server struct {
-	module   *admission.Choice
-	settings *settings.Settings
-	values   map[string]any // the module's own copy of the settings, which it reads at each decision
-	routes   map[string]*admission.Route
-	link     Pool
-	parts    Composer // of tasks that are made of calls
+	controller *admission.Controller
+	settings   *settings.Settings
+	values     map[string]any // the module's own copy of the settings, which it reads at each decision
+	routes     map[string]*admission.Route
+	link       WorkerLink
+	parts      Composer // of tasks that are made of calls
 
 	dependency Dependency      // of the pool's runs, nil without one
 	blocking   Blocking        // the pool, where they stand at calls of it
@@ -72,7 +72,7 @@
 
 	tables tableQueue
 
-	fronts      []Front
+	fronts      []Frontend
 	counts      *invariant.Counts
 	log         *slog.Logger
 	events      *events.Log
@@ -87,25 +87,25 @@
 	posted []func()
 	woken  chan struct{}
 
-	requests    map[string]*Request
-	owner       map[*admission.Request]*Request
-	round       admission.Round
-	touched     bool
-	spent       map[string]time.Duration // calls of at-most-once tasks that may have run, until when they are known
-	spending    []string                 // the same, oldest first
-	customers   map[string]int
-	numbers     map[string]*number
-	kept        int // bytes of the results that they hold
-	mayKeep     int
-	mostNumbers int
-	ledger      Ledger               // of the numbers, nil without one
-	entering    []*Request           // whose numbers it does not have yet
-	echoed      []*admission.Request // answered from the first in this round
-	atCall      []*admission.Request // started in this round, and made of calls
-	unbegun     []*Request           // whose calls the composer did not take
-	gauges      admission.Gauges
-	fresh       bool // gauges came for the alarm in hand
-	notices     []workerapi.Notice
+	requests        map[string]*Request
+	owner           map[*admission.Request]*Request
+	round           admission.Round
+	touched         bool
+	mayHaveRun      map[string]time.Duration // calls of at-most-once tasks that may have run, until when they are known
+	mayHaveRunOrder []string                 // the same, oldest first
+	tenants         map[string]int
+	keys            map[string]*keyEntry
+	resultBytes     int // bytes of the results that they hold
+	maxResultBytes  int
+	maxKeys         int
+	ledger          Ledger               // of the numbers, nil without one
+	entering        []*Request           // whose numbers it does not have yet
+	echoed          []*admission.Request // answered from the first in this round
+	atCall          []*admission.Request // started in this round, and made of calls
+	unbegun         []*Request           // whose calls the composer did not take
+	gauges          admission.Gauges
+	fresh           bool // gauges came for the alarm in hand
+	notices         []workerapi.Notice
 
 	alarms    []time.Duration
 	asked     uint64        // nonce of the alarm's poll, 0 without one
@@ -145,10 +145,10 @@
 func New(told *settings.Settings, seed int64, limits Limits, counts *invariant.Counts, log *slog.Logger) (*Server, error) {
 	s := &Server{
 		settings: told, counts: counts, log: log, events: events.New(log), began: time.Now(), limits: limits,
-		spent: map[string]time.Duration{}, customers: map[string]int{},
-		numbers: map[string]*number{}, mayKeep: limits.MemoryMB << 20 / numberShare,
+		mayHaveRun: map[string]time.Duration{}, tenants: map[string]int{},
+		keys: map[string]*keyEntry{}, maxResultBytes: limits.MemoryMB << 20 / resultMemoryDivisor,
 		// What the site's own memory holds of numbers, the decisions bound; that is stated with the settings, as any figure.
-		mostNumbers: max(64, limits.MemoryMB<<20/entryShare/entryBytes),
+		maxKeys:     max(64, limits.MemoryMB<<20/entryShare/entryBytes),
 		routes:      map[string]*admission.Route{},
 		maxRequests: max(64, limits.MemoryMB*1024/requestKB/requestMemoryDivisor),
 		woken:       make(chan struct{}, 1), parts: nothing{},
@@ -162,7 +162,7 @@
 			break
 		}
 		s.routes[name] = nil
-		if told.Values[fmt.Sprintf("type.%d.repeats", i)] == "numbered" && !limits.Numbers {
+		if told.Values[fmt.Sprintf("type.%d.repeats", i)] == "numbered" && !limits.Keys {
 			return nil, fmt.Errorf("traffic type %s is numbered, which this program can't serve yet", name)
 		}
 		if told.Values[fmt.Sprintf("type.%d.calls", i)] == true && !limits.Calls {
@@ -179,26 +179,26 @@
 		return nil, fmt.Errorf("the settings name no traffic type")
 	}
 	customers, _ := told.Values["customers"].(float64)
-	if customers > 0 && !limits.Customers {
+	if customers > 0 && !limits.Tenants {
 		return nil, fmt.Errorf("the settings name customers, whom this program can't tell apart yet")
 	}
 	for i := range int(customers) { // one without a name leaves the others theirs
 		if name, stated := told.Values[fmt.Sprintf("customer.%d.name", i)].(string); stated {
-			s.customers[name] = i
+			s.tenants[name] = i
 		}
 	}
 	values := maps.Clone(told.Values)
 	if !limits.Calls {
 		values["calls-share"] = unbounded // the composer keeps to what its dependencies survive
 	}
-	if !limits.Omits { // each call is waited for, whatever an answer without it would earn
+	if !limits.SkipsCalls { // each call is waited for, whatever an answer without it would earn
 		maps.DeleteFunc(values, func(name string, _ any) bool { return strings.HasSuffix(name, ".skip-share") })
 	}
-	s.module, s.values = admission.New(values, seed), values
-	if len(s.module.Routes) != len(s.routes) {
-		return nil, fmt.Errorf("%d traffic types stated, %d of them named", len(s.module.Routes), len(s.routes))
+	s.controller, s.values = admission.New(values, seed), values
+	if len(s.controller.Routes) != len(s.routes) {
+		return nil, fmt.Errorf("%d traffic types stated, %d of them named", len(s.controller.Routes), len(s.routes))
 	}
-	for i, t := range s.module.Routes {
+	for i, t := range s.controller.Routes {
 		s.routes[told.Values[fmt.Sprintf("type.%d.name", i)].(string)] = t
 	}
 	return s, nil
@@ -208,7 +208,7 @@
 func (s *Server) Events() *events.Log { return s.events }
 
 // Serve gives the server its link and its fronts, before Run.
-func (s *Server) Serve(link Pool, fronts ...Front) { s.link, s.fronts = link, fronts }
+func (s *Server) Serve(link WorkerLink, fronts ...Frontend) { s.link, s.fronts = link, fronts }
 
 // Depend gives the server what makes the calls of the pool's runs, and the pool that tells of them, before Run and
 // where its Limits say Calls.
@@ -242,9 +242,9 @@
 	return all
 }
 
-// Customer is the place of a customer in the settings. One they do not name is nobody's: it has no share, and takes of none.
-func (s *Server) Customer(name string) int {
-	if place, known := s.customers[name]; known {
+// TenantIndex is the place of a customer in the settings. One they do not name is nobody's: it has no share, and takes of none.
+func (s *Server) TenantIndex(name string) int {
+	if place, known := s.tenants[name]; known {
 		return place
 	}
 	return math.MaxInt
@@ -279,14 +279,14 @@
 // Share has what the server learned left with put, once a second at the most and in the owner's turn, so put must
 // not wait. It is called before Run. The frame says which views the server can Borrow.
 func (s *Server) Share(origin uint64, put func(view estimate.View, at time.Duration)) estimate.Frame {
-	s.origin, s.share = s.module.Frame(origin, s.limits.Moving), put
+	s.origin, s.share = s.controller.EstimateSchema(origin, s.limits.DynamicTables), put
 	return s.origin
 }
 
-// Borrow has the owner take in what other servers learned; the view must fit the frame.
-func (s *Server) Borrow(v estimate.View) {
+// UsePeerEstimates has the owner take in what other servers learned; the view must fit the frame.
+func (s *Server) UsePeerEstimates(v estimate.View) {
 	told := s.Now()
-	s.Post(func() { s.module.Borrow(s.Now(), v.Aged(s.Now()-told)) })
+	s.Post(func() { s.controller.UsePeerEstimates(s.Now(), v.Aged(s.Now()-told)) })
 }
 
 // Now is the time since the Unix epoch by a clock that never steps back.
@@ -336,7 +336,7 @@
 		began := s.Now()
 		s.stalled(began)
 		s.stamps.Observe(s.wallAhead())
-		for pass, again := 0, true; again && pass < mostPasses; pass++ {
+		for pass, again := 0, true; again && pass < maxPasses; pass++ {
 			s.mu.Lock()
 			batch, s.posted = s.posted, batch[:0]
 			s.mu.Unlock()
@@ -347,7 +347,7 @@
 			s.entered()
 			s.notices = s.parts.Take(s.link.Take(s.notices[:0]))
 			for i := range s.notices {
-				s.told(&s.notices[i])
+				s.onNotice(&s.notices[i])
 			}
 			again = len(batch) > 0
 			clear(batch)
@@ -450,31 +450,31 @@
 // decide hands the round to the module.
 func (s *Server) decide(now time.Duration) {
 	s.round.Now = now
-	s.module.Decide(&s.round, s)
-	for _, e := range s.round.Ended {
+	s.controller.Decide(&s.round, s)
+	for _, e := range s.round.RunsEnded {
 		s.settle(s.owner[e.Request])
 	}
-	for _, decided := range s.round.Gone {
+	for _, decided := range s.round.Canceled {
 		s.settle(s.owner[decided])
 	}
-	s.round.Clear()
+	s.round.Reset()
 	s.touched = false
 	for len(s.atCall) > 0 { // what was started and is made of calls is at its calls in the same moment
-		s.round.Now, s.round.AtCall, s.atCall = now, append(s.round.AtCall, s.atCall...), s.atCall[:0]
-		s.module.Decide(&s.round, s)
-		s.round.Clear()
+		s.round.Now, s.round.AwaitingCall, s.atCall = now, append(s.round.AwaitingCall, s.atCall...), s.atCall[:0]
+		s.controller.Decide(&s.round, s)
+		s.round.Reset()
 	}
 	for _, decided := range s.echoed {
-		s.round.Ended = append(s.round.Ended, admission.Ending{Request: decided, Outcome: admission.Done})
+		s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: decided, Outcome: admission.Succeeded})
 		s.touched = true
 	}
 	s.echoed = s.echoed[:0]
 	for _, request := range s.unbegun {
-		s.end(request, admission.Void, 0, nil)
+		s.end(request, admission.NeverStarted, 0, nil)
 	}
 	s.unbegun = s.unbegun[:0]
 	if s.share != nil && now >= s.shared+shareEvery {
 		s.shared = now
-		s.share(s.module.Learned(now, s.origin), now)
+		s.share(s.controller.Estimates(now, s.origin), now)
 	}
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -44,7 +44,7 @@
 func (b *bench) Checked(_ uint32, good bool, _ string) { b.checks <- good }
 func (b *bench) CloseIdle(time.Duration)               {}
 func (b *bench) Flush() bool                           { return !b.unread }
-func (b *bench) Retire()                               { b.retired = true }
+func (b *bench) StopAccepting()                        { b.retired = true }
 func (b *bench) Open() int                             { return 0 }
 func (b *bench) Quiet() bool                           { return !b.unheard.Load() }
 
@@ -151,11 +151,11 @@
 	assert.Equal(t, "pay", spawn.Handler)
 	b.pool.Finish(spawn.Task, "success", []byte("done"))
 	got := b.next(t)
-	assert.Equal(t, answered{1, Answer{Verdict: Honoured, Result: []byte("done")}}, got)
+	assert.Equal(t, answered{1, Answer{Verdict: Served, Result: []byte("done")}}, got)
 
 	b.ask(2, "pay", time.Second)
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "failure", nil)
-	assert.Equal(t, GivenUp, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.next(t).Verdict)
 }
 
 func TestNotUnderstoodIsDismissed(t *testing.T) {
@@ -163,13 +163,13 @@
 	b.ask(1, "unheard-of", time.Second)
 	b.ask(2, "pay", 0)
 	for range 2 {
-		assert.Equal(t, Dismissed, b.next(t).Verdict)
+		assert.Equal(t, Rejected, b.next(t).Verdict)
 	}
 	b.Post(func() { // in one round, so that the first is still held
 		b.ask(3, "pay", time.Minute)
 		b.ask(3, "pay", time.Minute)
 	})
-	assert.Equal(t, Dismissed, b.next(t).Verdict, "a call that is known was taken again")
+	assert.Equal(t, Rejected, b.next(t).Verdict, "a call that is known was taken again")
 }
 
 // A call sent again while its first run is on was dismissed, which says that it never ran.
@@ -179,9 +179,9 @@
 	b.ask(1, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
 	b.ask(1, "pay", time.Minute)
-	assert.Equal(t, GivenUp, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.next(t).Verdict)
 	b.pool.Finish(fake.Call(1), "success", nil)
-	assert.Equal(t, Honoured, b.next(t).Verdict, "the first one is answered from its run")
+	assert.Equal(t, Served, b.next(t).Verdict, "the first one is answered from its run")
 }
 
 // The due answer must not hang on the pool: neither one that is not there nor one that tells no gauges.
@@ -193,7 +193,7 @@
 			b.pool.Ready()
 		}
 		b.ask(1, "pay", 300*time.Millisecond)
-		assert.Contains(t, []Verdict{Dismissed, GivenUp}, b.next(t).Verdict)
+		assert.Contains(t, []Verdict{Rejected, Aborted}, b.next(t).Verdict)
 	}
 }
 
@@ -235,12 +235,12 @@
 		want       Verdict
 		spawned    bool // a second time
 	}{
-		{"known to run", "pay", false, false, false, Honoured, false},
-		{"ended without a link", "pay", false, false, true, Honoured, false},
-		{"unsure and ended without a link", "pay", true, false, true, Honoured, false},
-		{"unsure, at most once, runs", "pay", true, false, false, Honoured, false},
-		{"unsure, at most once, never begun", "pay", true, true, false, GivenUp, false},
-		{"unsure, reissuable", "browse", true, false, false, Honoured, true},
+		{"known to run", "pay", false, false, false, Served, false},
+		{"ended without a link", "pay", false, false, true, Served, false},
+		{"unsure and ended without a link", "pay", true, false, true, Served, false},
+		{"unsure, at most once, runs", "pay", true, false, false, Served, false},
+		{"unsure, at most once, never begun", "pay", true, true, false, Aborted, false},
+		{"unsure, reissuable", "browse", true, false, false, Served, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -268,7 +268,7 @@
 			if c.spawned {
 				b.pool.Next(t, "spawn")
 			}
-			if !c.ended && c.want == Honoured {
+			if !c.ended && c.want == Served {
 				b.pool.Finish(fake.Call(1), "success", []byte("done"))
 			}
 			begin := time.Now()
@@ -307,7 +307,7 @@
 			}
 			assert.Equal(t, fake.Call(1), b.pool.Next(t, "proceed").Task)
 			b.pool.Finish(fake.Call(1), "success", []byte("done"))
-			assert.Equal(t, Honoured, b.next(t).Verdict)
+			assert.Equal(t, Served, b.next(t).Verdict)
 		})
 	}
 }
@@ -335,14 +335,14 @@
 	b.pool.Say(`{"verb":"unknown","outcome":"suspend","task":"` + task + `"}` + "\n")
 	b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"nobody"}` + "\n")
 	b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"` + task + `"}` + "\n")
-	assert.Equal(t, GivenUp, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.next(t).Verdict)
 	assert.Equal(t, 2, b.counts.Times("pool did not carry out a spawn"))
 
 	// Calls that a bad client invents counted as broken runs, and closed this server's health to all.
 	for stream := range uint32(20) {
 		b.ask(100+stream, "browse", time.Minute)
 		b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").Task + `"}` + "\n")
-		assert.Equal(t, GivenUp, b.next(t).Verdict)
+		assert.Equal(t, Aborted, b.next(t).Verdict)
 	}
 	b.Post(func() { b.Check(b, 1, false) })
 	assert.True(t, <-b.checks, "the server's health was closed")
@@ -386,7 +386,7 @@
 	b.pool.Ready()
 	b.ask(1, "browse", 24*time.Hour)
 	b.pool.Next(t, "spawn")
-	assert.Equal(t, GivenUp, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.next(t).Verdict)
 	require.Eventually(t, func() bool {
 		empty := make(chan bool)
 		b.Post(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
@@ -417,7 +417,7 @@
 	b := newBench(t)
 	b.Post(func() { b.Check(b, 1, true) })
 	assert.True(t, <-b.checks)
-	b.Post(func() { b.Health(true, false); b.Check(b, 1, true) })
+	b.Post(func() { b.SetHealth(true, false); b.Check(b, 1, true) })
 	assert.False(t, <-b.checks, "a deep check was good without a pool")
 	b.pool.Ready()
 	b.bound(t)
@@ -453,10 +453,10 @@
 	}, fake.Patience, time.Millisecond)
 	b.ask(3, "pay", time.Minute) // past it
 	got := b.next(t)
-	assert.Equal(t, []any{uint32(3), Dismissed}, []any{got.stream, got.Verdict})
+	assert.Equal(t, []any{uint32(3), Rejected}, []any{got.stream, got.Verdict})
 	for stream := range uint32(2) {
 		b.pool.Finish(fake.Call(stream+1), "success", nil)
-		assert.Equal(t, Honoured, b.next(t).Verdict)
+		assert.Equal(t, Served, b.next(t).Verdict)
 	}
 	<-b.left
 }
@@ -503,7 +503,7 @@
 // One customer without a name cost all behind it theirs, and with it their share.
 func TestCustomersWithoutNames(t *testing.T) {
 	site := strings.Replace(fake.Site, `"tenants":[]`, `"tenants":[{"quota-rps":1},{"name":"b","quota-rps":2},{}]`, 1)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Customers: true}, nil)
-	assert.Equal(t, 1, b.Customer("b"))
-	assert.Equal(t, math.MaxInt, b.Customer(""))
+	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
+	assert.Equal(t, 1, b.TenantIndex("b"))
+	assert.Equal(t, math.MaxInt, b.TenantIndex(""))
 }
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -81,7 +81,7 @@
 	was, name := s.routes[change.Name], change.Name
 	if change.Route == nil {
 		if was != nil {
-			s.module.Remove(was)
+			s.controller.RemoveRoute(was)
 			delete(s.routes, name)
 			delete(s.unserved, name)
 		}
@@ -92,7 +92,7 @@
 	if composed {
 		stated.CallWait = s.parts.Waits(name)
 	}
-	s.routes[name] = s.module.Put(was, stated)
+	s.routes[name] = s.controller.PutRoute(was, stated)
 	delete(s.unserved, name)
 	if stated.CallsDependency && !s.limits.Calls && !composed {
 		s.unserved[name] = true
@@ -100,18 +100,18 @@
 }
 
 func (s *Server) changeTenant(change settings.TenantChange) {
-	place, known := s.customers[change.Name]
+	place, known := s.tenants[change.Name]
 	switch {
 	case change.Removed && known:
-		delete(s.customers, change.Name)
+		delete(s.tenants, change.Name)
 		s.tables.free = append(s.tables.free, freePlace{place, s.Now() + s.longestDeadline()})
 	case change.Removed:
 	case known:
-		s.module.PutTenant(place, change.Rate, false)
+		s.controller.PutTenant(place, change.Rate, false)
 	default:
 		place := s.freePlace()
-		s.module.PutTenant(place, change.Rate, true)
-		s.customers[change.Name] = place
+		s.controller.PutTenant(place, change.Rate, true)
+		s.tenants[change.Name] = place
 	}
 }
 
@@ -122,7 +122,7 @@
 		s.tables.free = s.tables.free[1:]
 		return place
 	}
-	return s.module.Tenants()
+	return s.controller.TenantCount()
 }
 
 // longestDeadline is how long any request that is here now may stay.
@@ -137,12 +137,12 @@
 // Tables are the routes and tenants in force, by name, as New was told of them or as they have changed since. It is for
 // before Run.
 func (s *Server) Tables() (routes map[string]admission.Route, tenants map[string]float64) {
-	routes, tenants = make(map[string]admission.Route, len(s.routes)), make(map[string]float64, len(s.customers))
+	routes, tenants = make(map[string]admission.Route, len(s.routes)), make(map[string]float64, len(s.tenants))
 	for name, route := range s.routes {
 		routes[name] = route.Settings()
 	}
-	for name, place := range s.customers {
-		tenants[name] = s.module.TenantRate(place)
+	for name, place := range s.tenants {
+		tenants[name] = s.controller.TenantRate(place)
 	}
 	return routes, tenants
 }
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -36,7 +36,7 @@
 	b := newBench(t)
 	b.pool.Ready()
 	b.ask(1, "quote", time.Minute)
-	assert.Equal(t, Dismissed, b.next(t).Verdict, "not known yet")
+	assert.Equal(t, Rejected, b.next(t).Verdict, "not known yet")
 
 	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "quote", Route: stated("quote", time.Minute)}}})
 	b.ask(2, "quote", time.Minute)
@@ -46,16 +46,16 @@
 	b.ask(3, "quote", time.Minute)
 	second := b.pool.Next(t, "spawn")
 	late := b.next(t)
-	assert.Equal(t, []any{uint32(3), GivenUp}, []any{late.stream, late.Verdict}, "the later one has the shorter deadline")
+	assert.Equal(t, []any{uint32(3), Aborted}, []any{late.stream, late.Verdict}, "the later one has the shorter deadline")
 	b.pool.Finish(second.Task, "interrupted", nil)
 
 	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "quote"}}})
 	b.ask(4, "quote", time.Minute)
 	gone := b.next(t)
-	assert.Equal(t, []any{uint32(4), Dismissed}, []any{gone.stream, gone.Verdict}, "removed")
+	assert.Equal(t, []any{uint32(4), Rejected}, []any{gone.stream, gone.Verdict}, "removed")
 	b.pool.Finish(first.Task, "success", []byte("done"))
 	got := b.next(t)
-	assert.Equal(t, answered{2, Answer{Verdict: Honoured, Result: []byte("done")}}, got, "what was in flight is finished")
+	assert.Equal(t, answered{2, Answer{Verdict: Served, Result: []byte("done")}}, got, "what was in flight is finished")
 	assert.Empty(t, b.answers)
 }
 
@@ -70,7 +70,7 @@
 	}
 	samples := func() (n float64) {
 		b.inTurn(func() {
-			for _, told := range b.module.Learned(b.Now(), b.origin).Types {
+			for _, told := range b.controller.Estimates(b.Now(), b.origin).Types {
 				if told.Name == "pay" {
 					n = told.Run.Samples
 				}
@@ -88,7 +88,7 @@
 
 // A key that was used stays used for its window, whatever becomes of its route meanwhile: nothing runs twice.
 func TestWindowsOutlastTheirRoute(t *testing.T) {
-	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Numbers: true}, nil)
+	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	keyed := stated("charge", time.Minute)
 	keyed.Idempotency, keyed.DedupWindow = admission.Keyed, time.Hour
@@ -105,20 +105,20 @@
 	ask(1)
 	run := b.pool.Next(t, "spawn")
 	b.pool.Finish(run.Task, "success", []byte("done"))
-	assert.Equal(t, Honoured, b.next(t).Verdict)
+	assert.Equal(t, Served, b.next(t).Verdict)
 	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "charge"}}})
 	b.change(t, put)
 	shorter := *keyed
 	shorter.DedupWindow = time.Millisecond
 	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: &shorter}}})
 	ask(2)
-	assert.Equal(t, answered{2, Answer{Verdict: Honoured, Result: []byte("done")}}, b.next(t), "answered from the first")
+	assert.Equal(t, answered{2, Answer{Verdict: Served, Result: []byte("done")}}, b.next(t), "answered from the first")
 }
 
 // Tenants come, change and go; what one has asked for counts on when its rate changes, and not for another that takes
 // its place later. A place is not taken while requests of the one that left it may still be here.
 func TestTenantsChangeInService(t *testing.T) {
-	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Customers: true}, nil)
+	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
 	b.pool.Ready()
 	tenant := func(name string, rate float64) TableChange {
 		return TableChange{Tenants: []settings.TenantChange{{Name: name, Rate: rate}}}
@@ -127,7 +127,7 @@
 		return TableChange{Tenants: []settings.TenantChange{{Name: name, Removed: true}}}
 	}
 	place := func(name string) (place int) {
-		b.inTurn(func() { place = b.Customer(name) })
+		b.inTurn(func() { place = b.TenantIndex(name) })
 		return place
 	}
 	unknown := place("north")
@@ -176,7 +176,7 @@
 			left = len(b.tables.changes[0].Routes)
 		}
 		if seen > 0 && left > 0 {
-			assert.LessOrEqual(t, seen-left, (mostPasses+1)*changesPerRound, "a part in each round")
+			assert.LessOrEqual(t, seen-left, (maxPasses+1)*changesPerRound, "a part in each round")
 		}
 		if seen = left; left > 0 {
 			b.Post(step)
@@ -186,7 +186,7 @@
 	b.ChangeTables(TableChange{Routes: []settings.RouteChange{{Name: "r0"}}, Done: func() { close(done) }})
 	b.ask(1, "pay", time.Minute)
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
-	assert.Equal(t, Honoured, b.next(t).Verdict)
+	assert.Equal(t, Served, b.next(t).Verdict)
 	select {
 	case <-done:
 	case <-time.After(fake.Patience):
--- a/internal/server/tasks.go
+++ b/internal/server/tasks.go
@@ -13,19 +13,19 @@
 
 // The three verdicts.
 const (
-	Honoured Verdict = iota
-	Dismissed
-	GivenUp
-	Clashing // the number of another task, with another shape; nothing ran
+	Served Verdict = iota
+	Rejected
+	Aborted
+	KeyConflict // the number of another task, with another shape; nothing ran
 )
 
 // Answer is the one final answer to a task.
 type Answer struct {
-	Verdict     Verdict
-	Level       string        // as last stated, empty where it never was
-	ComeBack    time.Duration // on a dismissal, how long the caller should stay away
-	NowhereElse bool          // on a dismissal, that no other server be tried
-	Result      []byte
+	Verdict          Verdict
+	ShedLevel        string        // as last stated, empty where it never was
+	RetryAfter       time.Duration // on a dismissal, how long the caller should stay away
+	NoRetryElsewhere bool          // on a dismissal, that no other server be tried
+	Result           []byte
 }
 
 // Caller is where tasks and health checks come from. All calls come from the owner of decisions.
@@ -34,18 +34,18 @@
 	Checked(stream uint32, good bool, level string)
 }
 
-// Calling is a Caller whose runs call a dependency that servers share, and tell of it by AtCall and Returned.
+// Calling is a Caller whose runs call a dependency that servers share, and tell of it by AwaitingCall and Returned.
 type Calling interface {
 	Caller
 	Call(within time.Duration) // the call may be made now, and takes no longer
 	Skip()                     // the task goes on without it
 }
 
-// Front is a way in for tasks.
-type Front interface {
+// Frontend is a way in for tasks.
+type Frontend interface {
 	CloseIdle(span time.Duration)
 	Flush() (written bool) // writes all that was answered; false while peers have yet to read some
-	Retire()               // takes no more connections and asks for no more tasks on those that are open
+	StopAccepting()        // takes no more connections and asks for no more tasks on those that are open
 	Open() int             // connections
 	Quiet() bool           // nothing that came waits to be taken or read
 }
@@ -66,17 +66,17 @@
 	doubt        doubt
 	composed     bool // made of calls, and no run of the pool
 	key          string
-	original     *number // whose answer a repeat waits for
-	ledgered     bool    // its number was given to the ledger
-	awaitsLedger bool    // to run once the ledger has that
-	ledgerMark   uint64  // the ledger's mark
-	paused       bool    // paused meanwhile
-	atCall       bool    // its run stands at a call
-	callBody     []byte  // what that call is to carry
-	call         uint64  // the call of it that the dependency has, 0 without one
-	supplied     *supply // what it last went on with from a call
-	calls        int     // made for the call that its run stands at
-	doubtful     bool    // its run may be over, or never have begun; that is not known
+	original     *keyEntry // whose answer a repeat waits for
+	ledgered     bool      // its number was given to the ledger
+	awaitsLedger bool      // to run once the ledger has that
+	ledgerMark   uint64    // the ledger's mark
+	paused       bool      // paused meanwhile
+	atCall       bool      // its run stands at a call
+	callBody     []byte    // what that call is to carry
+	call         uint64    // the call of it that the dependency has, 0 without one
+	supplied     *supply   // what it last went on with from a call
+	calls        int       // made for the call that its run stands at
+	doubtful     bool      // its run may be over, or never have begun; that is not known
 
 	readAt     time.Duration
 	answeredAt time.Duration
@@ -123,23 +123,23 @@
 		a.Arrived = s.at(a.SentMS, now)
 	}
 	if kind != nil && kind.Idempotency == admission.Keyed {
-		s.expireNumber(numberKey(a.Route, a.Key), a.Arrived)
+		s.expireKey(entryKey(a.Route, a.Key), a.Arrived)
 	}
 	switch {
 	case kind == nil:
 		refused = "task of an unknown type"
 	case s.unserved[a.Route]:
-		s.refuse(a, "task of a type that calls, without a dependency", Answer{Verdict: Dismissed, ComeBack: s.longest()})
+		s.refuse(a, "task of a type that calls, without a dependency", Answer{Verdict: Rejected, RetryAfter: s.longest()})
 		return nil
 	case s.requests[a.ID] != nil && (s.requests[a.ID].active || s.requests[a.ID].sent):
 		// A dismissal would say that this call never ran, and its caller might have it run elsewhere.
-		s.refuse(a, "task whose call is known already", Answer{Verdict: GivenUp})
+		s.refuse(a, "task whose call is known already", Answer{Verdict: Aborted})
 		return nil
 	case s.requests[a.ID] != nil:
 		refused = "task whose call is known already"
-	case s.spent[a.ID] > 0:
+	case s.mayHaveRun[a.ID] > 0:
 		// Its caller has, or had, an answer to this call; what has run is never rerun, and never dismissed.
-		s.refuse(a, "task whose call may have run before", Answer{Verdict: GivenUp})
+		s.refuse(a, "task whose call may have run before", Answer{Verdict: Aborted})
 		return nil
 	case a.Overflow:
 		refused = "task on a connection beyond the table"
@@ -149,10 +149,10 @@
 		refused = "task beyond the program's own memory"
 	case kind.Idempotency == admission.Keyed && a.Key == "":
 		refused = "numbered task without a number"
-	case kind.Idempotency == admission.Keyed && len(s.numbers) >= s.mostNumbers && s.numbers[numberKey(a.Route, a.Key)] == nil:
+	case kind.Idempotency == admission.Keyed && len(s.keys) >= s.maxKeys && s.keys[entryKey(a.Route, a.Key)] == nil:
 		refused = "numbered task beyond the program's own memory"
-	case kind.Idempotency == admission.Keyed && s.clashes(a):
-		s.refuse(a, "number of another task", Answer{Verdict: Clashing})
+	case kind.Idempotency == admission.Keyed && s.keyConflicts(a):
+		s.refuse(a, "number of another task", Answer{Verdict: KeyConflict})
 		return nil
 	default:
 		request := &Request{
@@ -168,18 +168,18 @@
 			request.Deadline = request.Arrived + min(a.Patience, kind.Deadline)
 		}
 		request.composed = s.parts.Composes(request.route)
-		s.numbered(request, a)
+		s.attachKey(request, a)
 		s.requests[request.id], s.owner[&request.Request] = request, request
 		s.round.Arrived = append(s.round.Arrived, &request.Request)
 		s.touched = true
 		return request
 	}
-	if kind != nil && kind.Idempotency == admission.Keyed && s.numbers[numberKey(a.Route, a.Key)] != nil {
+	if kind != nil && kind.Idempotency == admission.Keyed && s.keys[entryKey(a.Route, a.Key)] != nil {
 		// Its first may have run: with a promise of no effect its caller would have it run elsewhere.
-		s.refuse(a, refused, Answer{Verdict: GivenUp})
+		s.refuse(a, refused, Answer{Verdict: Aborted})
 		return nil
 	}
-	s.refuse(a, refused, Answer{Verdict: Dismissed})
+	s.refuse(a, refused, Answer{Verdict: Rejected})
 	return nil
 }
 
@@ -187,19 +187,19 @@
 func (s *Server) refuse(a Incoming, why string, answer Answer) {
 	s.counts.Saw(why)
 	kind := events.Refused
-	if answer.Verdict != Dismissed {
+	if answer.Verdict != Rejected {
 		kind = events.Failed
 	}
 	s.events.Record(kind, why, slog.String("request", a.ID))
-	answer.Level = s.level
+	answer.ShedLevel = s.level
 	a.Caller.Answer(a.Stream, answer)
 }
 
-// DismissUnseen dismisses at once what can't be understood. The module never hears of it, as there is nothing to
+// RejectUnparsed dismisses at once what can't be understood. The module never hears of it, as there is nothing to
 // decide on.
-func (s *Server) DismissUnseen(c Caller, stream uint32, why string) {
+func (s *Server) RejectUnparsed(c Caller, stream uint32, why string) {
 	s.events.Record(events.Refused, why, slog.Uint64("stream", uint64(stream)))
-	c.Answer(stream, Answer{Verdict: Dismissed, Level: s.level})
+	c.Answer(stream, Answer{Verdict: Rejected, ShedLevel: s.level})
 }
 
 // Gone files that nobody waits for a task any longer.
@@ -208,20 +208,20 @@
 		return
 	}
 	request.answered, request.answeredAt = true, s.Now()
-	s.round.Gone = append(s.round.Gone, &request.Request)
+	s.round.Canceled = append(s.round.Canceled, &request.Request)
 	s.touched = true
 	s.abandon(request)
 }
 
-// AtCall has a run wait until it may make a call.
+// AwaitingCall has a run wait until it may make a call.
 func (s *Server) AtCall(request *Request) {
-	s.round.AtCall = append(s.round.AtCall, &request.Request)
+	s.round.AwaitingCall = append(s.round.AwaitingCall, &request.Request)
 	s.touched = true
 }
 
 // Returned tells how a call ended. One that did not end well may be let go again, or left out.
 func (s *Server) Returned(request *Request, outcome admission.Outcome, took time.Duration) {
-	s.round.Returned = append(s.round.Returned, admission.Ending{Request: &request.Request, Outcome: outcome, Took: took})
+	s.round.CallsEnded = append(s.round.CallsEnded, admission.Completion{Request: &request.Request, Outcome: outcome, Took: took})
 	s.touched = true
 }
 
@@ -248,29 +248,29 @@
 func (s *Server) settle(request *Request) {
 	if request != nil && request.answered && !request.active {
 		if s.requests[request.id] == request && request.sent && request.Route.Idempotency == admission.AtMostOnce {
-			s.spend(request)
+			s.rememberRun(request)
 		}
 		delete(s.requests, request.id)
 		delete(s.owner, &request.Request)
 	}
 }
 
-// spend keeps the call of a task that may have run for as long as a copy of it may come. Where the table is full, the
+// rememberRun keeps the call of a task that may have run for as long as a copy of it may come. Where the table is full, the
 // oldest goes: it is the likeliest to be past all copies.
-func (s *Server) spend(request *Request) {
-	if len(s.spending) >= s.maxRequests {
-		delete(s.spent, s.spending[0])
-		s.spending = s.spending[1:]
+func (s *Server) rememberRun(request *Request) {
+	if len(s.mayHaveRunOrder) >= s.maxRequests {
+		delete(s.mayHaveRun, s.mayHaveRunOrder[0])
+		s.mayHaveRunOrder = s.mayHaveRunOrder[1:]
 	}
-	s.spent[request.id] = s.Now() + 2*request.Route.Deadline
-	s.spending = append(s.spending, request.id)
+	s.mayHaveRun[request.id] = s.Now() + 2*request.Route.Deadline
+	s.mayHaveRunOrder = append(s.mayHaveRunOrder, request.id)
 }
 
-// forgetSpent lets go of calls that no copy can come of any more.
-func (s *Server) forgetSpent(now time.Duration) {
-	for len(s.spending) > 0 && s.spent[s.spending[0]] <= now {
-		delete(s.spent, s.spending[0])
-		s.spending = s.spending[1:]
+// expireRuns lets go of calls that no copy can come of any more.
+func (s *Server) expireRuns(now time.Duration) {
+	for len(s.mayHaveRunOrder) > 0 && s.mayHaveRun[s.mayHaveRunOrder[0]] <= now {
+		delete(s.mayHaveRun, s.mayHaveRunOrder[0])
+		s.mayHaveRunOrder = s.mayHaveRunOrder[1:]
 	}
 }
 
@@ -281,7 +281,7 @@
 		return
 	}
 	request.answered, request.answeredAt = true, s.Now()
-	a.Level = s.level
+	a.ShedLevel = s.level
 	s.firstAnswered(request, a)
 	request.caller.Answer(request.stream, a)
 	s.settle(request)
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -25,8 +25,8 @@
 	Flush()
 }
 
-// Pool is the machine's own workers, whose gauges the decisions go by.
-type Pool interface {
+// WorkerLink is the machine's own workers, whose gauges the decisions go by.
+type WorkerLink interface {
 	Workers
 	// Poll asks for the gauges; the answer carries the nonce. sent is false while nobody would answer.
 	Poll() (nonce uint64, sent bool)
--- a/internal/server/writer.go
+++ b/internal/server/writer.go
@@ -48,59 +48,59 @@
 	}
 }
 
-// Dismiss turns a task away that never ran.
-func (s *Server) Dismiss(decided *admission.Request, comeBack time.Duration, nowhereElse bool) {
+// Reject turns a task away that never ran.
+func (s *Server) Reject(decided *admission.Request, comeBack time.Duration, nowhereElse bool) {
 	request := s.owner[decided]
 	s.counts.That(request != nil && !request.active && !request.sent, "a task that may have run was dismissed")
 	switch {
 	case request == nil:
 	case request.answered: // its caller left in the moment it was read; its number is given back all the same
-		s.firstAnswered(request, Answer{Verdict: Dismissed})
+		s.firstAnswered(request, Answer{Verdict: Rejected})
 	default:
 		s.recordAnswer(events.Refused, request)
-		s.answer(request, Answer{Verdict: Dismissed, ComeBack: comeBack, NowhereElse: nowhereElse})
+		s.answer(request, Answer{Verdict: Rejected, RetryAfter: comeBack, NoRetryElsewhere: nowhereElse})
 	}
 }
 
-// GiveUp answers a task that may have run without a result.
-func (s *Server) GiveUp(decided *admission.Request) {
+// Abort answers a task that may have run without a result.
+func (s *Server) Abort(decided *admission.Request) {
 	if request := s.owner[decided]; request != nil {
 		s.recordAnswer(events.Failed, request)
-		s.answer(request, Answer{Verdict: GivenUp})
+		s.answer(request, Answer{Verdict: Aborted})
 		s.abandon(request)
 	}
 }
 
-// Health sets what health checks are told.
-func (s *Server) Health(good, fromStore bool) {
+// SetHealth sets what health checks are told.
+func (s *Server) SetHealth(good, fromStore bool) {
 	if good != s.good {
 		s.log.Info("health", "good", good)
 	}
 	s.good, s.fromStore = good, fromStore
 }
 
-// Level sets what is told with every answer from here on.
-func (s *Server) Level(level float64) {
+// SetShedLevel sets what is told with every answer from here on.
+func (s *Server) SetShedLevel(level float64) {
 	s.level, s.standing = strconv.FormatFloat(level, 'f', -1, 64), level
 }
 
-// CloseIdle has the fronts close connections that have carried nothing for a while.
-func (s *Server) CloseIdle(span time.Duration) {
+// CloseIdleAfter has the fronts close connections that have carried nothing for a while.
+func (s *Server) CloseIdleAfter(span time.Duration) {
 	for _, f := range s.fronts {
 		f.CloseIdle(span)
 	}
 }
 
-// Wake sets an alarm. The module sets one at each that rings; more would be chains of them.
-func (s *Server) Wake(in time.Duration) {
-	s.counts.That(len(s.alarms) < mostAlarms, "alarms pile up")
-	if len(s.alarms) < mostAlarms {
+// WakeAfter sets an alarm. The module sets one at each that rings; more would be chains of them.
+func (s *Server) WakeAfter(in time.Duration) {
+	s.counts.That(len(s.alarms) < maxAlarms, "alarms pile up")
+	if len(s.alarms) < maxAlarms {
 		s.alarms = append(s.alarms, s.Now()+in)
 	}
 }
 
-// Note logs the module's own words on something that operators may act on.
-func (s *Server) Note(words string) { s.log.Info("decision", "note", words) }
+// Log logs the module's own words on something that operators may act on.
+func (s *Server) Log(words string) { s.log.Info("decision", "note", words) }
 
 // Call lets the calls of a task begin. They end before the moment at which the decisions would give it up, so
 // that what is there by then is still answered.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -241,11 +241,11 @@
 		case "core_use":
 			into.CPU = readings[i]
 		case "on_cores":
-			into.Crowd = readings[i]
+			into.Runnable = readings[i]
 		case "heap_share":
 			into.Memory = readings[i]
 		case "links":
-			into.Links = readings[i]
+			into.Connections = readings[i]
 		}
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -53,9 +53,9 @@
 		"type.1.calls": false, "type.1.skip-share": 0.0, "customers": 1.0, "customer.0.rate": 12.5,
 	}, tree.Values)
 
-	gauges := admission.Gauges{Crowd: 7}
+	gauges := admission.Gauges{Runnable: 7}
 	tree.Gauges(&gauges, []float64{1, 2, 3, 4})
-	assert.Equal(t, admission.Gauges{Links: 1, CPU: 2, Memory: 4, Crowd: 7}, gauges)
+	assert.Equal(t, admission.Gauges{Connections: 1, CPU: 2, Memory: 4, Runnable: 7}, gauges)
 }
 
 func TestBroken(t *testing.T) {
--- a/internal/store/resume.go
+++ b/internal/store/resume.go
@@ -9,7 +9,7 @@
 func Resume(s *server.Server, had Recovered) {
 	s.Restore(had.known())
 	if had.View.Fresh() {
-		s.Borrow(had.View)
+		s.UsePeerEstimates(had.View)
 	}
 }
 
@@ -19,10 +19,10 @@
 	s.Post(func() { s.Restore(had.known()) })
 }
 
-func (r Recovered) known() []server.Known {
-	known := make([]server.Known, len(r.Numbers))
+func (r Recovered) known() []server.KeyRecord {
+	known := make([]server.KeyRecord, len(r.Numbers))
 	for i, n := range r.Numbers {
-		known[i] = server.Known{Key: n.Key, Shape: n.Shape, Left: n.Until - r.At, Honoured: n.Honoured, Result: n.Result}
+		known[i] = server.KeyRecord{Key: n.Key, Shape: n.Shape, Remaining: n.Until - r.At, Served: n.Honoured, Result: n.Result}
 	}
 	return known
 }
--- a/internal/workerapi/runs.go
+++ b/internal/workerapi/runs.go
@@ -17,14 +17,14 @@
 // The kinds of notices. Synced says that all the pool had to tell from before the link was bound has been
 // read, so that what is still unknown then never came to it.
 const (
-	Down Kind = iota
-	Synced
-	Finished
+	LinkDown Kind = iota
+	LinkSynced
+	RunFinished
 	Polled
 	Verified
 	Unknown
-	Blocked // a run stands at a call, whose body is the result
-	Bound   // the pool took the link; Took is for how long it has been up
+	RunBlocked // a run stands at a call, whose body is the result
+	LinkBound  // the pool took the link; Took is for how long it has been up
 )
 
 // Notice is one thing that is told of runs, or of the state of a link.
--- a/internal/workerlink/pool.go
+++ b/internal/workerlink/pool.go
@@ -316,9 +316,9 @@
 		l.known = true
 		l.syncAt = l.poll()
 		l.log.Info("pool link bound", "pool", told.Outcome, "up_ms", told.Spent, "after_notice", l.read)
-		n.Kind, n.Took = workerapi.Bound, time.Duration(told.Spent*float64(time.Millisecond))
+		n.Kind, n.Took = workerapi.LinkBound, time.Duration(told.Spent*float64(time.Millisecond))
 	case "finished":
-		n.Kind, n.Took = workerapi.Finished, time.Duration(told.Spent*float64(time.Millisecond))
+		n.Kind, n.Took = workerapi.RunFinished, time.Duration(told.Spent*float64(time.Millisecond))
 		var err error
 		if n.Result, err = base64.StdEncoding.DecodeString(told.Bytes); err != nil {
 			// The notice is kept: without it the link would be bound, and end, at this line again and again.
@@ -326,7 +326,7 @@
 			n.Outcome, n.Result = "failure", nil
 		}
 	case "blocked":
-		n.Kind = workerapi.Blocked
+		n.Kind = workerapi.RunBlocked
 		var err error
 		if n.Result, err = base64.StdEncoding.DecodeString(told.Bytes); err != nil {
 			l.saw("pool call that can't be read") // kept: the run stands there, and may do without
@@ -342,7 +342,7 @@
 			n.Kind = workerapi.Verified
 		} else if l.known && !l.synced && nonce >= l.syncAt {
 			l.synced = true
-			l.inbox = append(l.inbox, workerapi.Notice{Kind: workerapi.Synced})
+			l.inbox = append(l.inbox, workerapi.Notice{Kind: workerapi.LinkSynced})
 		} else if l.quitAt > 0 && nonce >= l.quitAt && l.quit != nil {
 			close(l.quit)
 			l.quit = nil
@@ -361,7 +361,7 @@
 	l.mu.Lock()
 	l.socket.Close()
 	l.socket, l.raw, l.out, l.known, l.synced, l.quitAt, l.quit = nil, nil, nil, false, false, 0, nil
-	l.inbox = append(l.inbox, workerapi.Notice{Kind: workerapi.Down})
+	l.inbox = append(l.inbox, workerapi.Notice{Kind: workerapi.LinkDown})
 	l.mu.Unlock()
 	l.wake()
 }
--- a/internal/workerlink/pool_test.go
+++ b/internal/workerlink/pool_test.go
@@ -60,7 +60,7 @@
 
 func (b *bench) synced(t *testing.T) *bench {
 	b.pool.Ready()
-	b.next(t, workerapi.Synced)
+	b.next(t, workerapi.LinkSynced)
 	return b
 }
 
@@ -83,7 +83,7 @@
 		assert.Equal(t, "t1", b.pool.Next(t, verb).Task)
 	}
 	assert.Equal(t, "4", b.pool.Next(t, "verify").Nonce)
-	ended := b.next(t, workerapi.Finished)
+	ended := b.next(t, workerapi.RunFinished)
 	assert.Equal(t, "interrupted", ended.Outcome)
 	assert.Equal(t, 5500*time.Microsecond, ended.Took)
 
@@ -127,17 +127,17 @@
 	b.pool.Finish("b", "success", []byte("second"))
 	assert.Equal(t, 0, b.pool.Next(t, "bind").Index)
 	for _, want := range []string{"first", "second"} {
-		assert.Equal(t, want, string(b.next(t, workerapi.Finished).Result))
+		assert.Equal(t, want, string(b.next(t, workerapi.RunFinished).Result))
 	}
 	assert.Equal(t, 1, b.counts.Times("pool notices missed, asked for again"))
-	b.next(t, workerapi.Synced) // of this link, so that the one waited for below is the next link's
+	b.next(t, workerapi.LinkSynced) // of this link, so that the one waited for below is the next link's
 
 	// One that the pool does not keep any more is asked for once.
 	b.pool.Say(`{"verb":"finished","index":7,"task":"c","outcome":"success","spent":1,"bytes":""}` + "\n")
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index)
-	b.next(t, workerapi.Synced)
+	b.next(t, workerapi.LinkSynced)
 	b.pool.Say(`{"verb":"finished","index":7,"task":"c","outcome":"success","spent":1,"bytes":""}` + "\n")
-	assert.Equal(t, "c", b.next(t, workerapi.Finished).RequestID)
+	assert.Equal(t, "c", b.next(t, workerapi.RunFinished).RequestID)
 	assert.Equal(t, 1, b.counts.Times("pool notices missed"))
 }
 
@@ -150,23 +150,23 @@
 		b.pool.Next(t, "spawn")
 	}
 	b.pool.Finish("a", "success", []byte("first"))
-	assert.Equal(t, "first", string(b.next(t, workerapi.Finished).Result))
+	assert.Equal(t, "first", string(b.next(t, workerapi.RunFinished).Result))
 	b.pool.Cut()
-	b.next(t, workerapi.Down)
+	b.next(t, workerapi.LinkDown)
 	b.pool.Finish("b", "success", []byte("second")) // while no link is there, or on the next one
 	assert.Equal(t, 1, b.pool.Next(t, "bind").Index)
-	n := b.next(t, workerapi.Finished)
+	n := b.next(t, workerapi.RunFinished)
 	assert.Equal(t, "second", string(n.Result), "the end that came without a link is told once it is back")
 	b.pool.Say(`{"verb":"finished","index":2,"task":"b","outcome":"success","spent":1,"bytes":""}` + "\n")
-	b.next(t, workerapi.Synced) // of this link, so that the one waited for below is the next link's
+	b.next(t, workerapi.LinkSynced) // of this link, so that the one waited for below is the next link's
 	const beyond = `{"verb":"finished","index":5,"task":"c","outcome":"failure","spent":1}` + "\n"
 	b.pool.Say(beyond)
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index, "what is missing is asked for")
-	b.next(t, workerapi.Synced)
+	b.next(t, workerapi.LinkSynced)
 	b.pool.Say(beyond)
-	assert.Equal(t, "c", b.next(t, workerapi.Finished).RequestID, "a notice told again was taken as a new one")
+	assert.Equal(t, "c", b.next(t, workerapi.RunFinished).RequestID, "a notice told again was taken as a new one")
 	b.pool.Say(`{"verb":"finished","index":6,"task":"d","outcome":"success","spent":1,"bytes":"*"}` + "\n")
-	assert.Equal(t, "failure", b.next(t, workerapi.Finished).Outcome, "a result that can't be read")
+	assert.Equal(t, "failure", b.next(t, workerapi.RunFinished).Outcome, "a result that can't be read")
 	assert.Equal(t, 1, b.counts.Times("pool notice told again"))
 	assert.Equal(t, 1, b.counts.Times("pool notices missed"))
 }
@@ -184,7 +184,7 @@
 			b := newBench(t).synced(t)
 			b.pool.Next(t, "bind")
 			b.pool.Say(text + `{"verb":"finished","index":1,"task":"a","outcome":"success","spent":1}` + "\n")
-			assert.Equal(t, "a", b.next(t, workerapi.Finished).RequestID)
+			assert.Equal(t, "a", b.next(t, workerapi.RunFinished).RequestID)
 			assert.Equal(t, 1, b.counts.Times("pool line that is no notice"))
 			assert.Zero(t, b.counts.Times("pool link lost or refused"))
 		})
@@ -201,7 +201,7 @@
 	b.Flush()
 	b.pool.Next(t, "spawn")
 	b.pool.Finish("a", "success", nil)
-	b.next(t, workerapi.Finished)
+	b.next(t, workerapi.RunFinished)
 
 	b.Move("127.0.0.1:1") // nobody answers there
 	time.Sleep(3 * firstWait)
@@ -211,22 +211,22 @@
 	b.pool.Move(t)
 	b.Move(b.pool.Address)
 	assert.GreaterOrEqual(t, b.next(t, workerapi.Polled).Nonce, mark, "nothing sent before is in doubt")
-	b.next(t, workerapi.Down)
+	b.next(t, workerapi.LinkDown)
 	assert.Equal(t, 1, b.pool.Next(t, "bind").Index)
-	b.next(t, workerapi.Synced)
+	b.next(t, workerapi.LinkSynced)
 	b.pool.Finish("b", "success", nil)
-	assert.Equal(t, "b", b.next(t, workerapi.Finished).RequestID)
+	assert.Equal(t, "b", b.next(t, workerapi.RunFinished).RequestID)
 	assert.Zero(t, b.counts.Times("pool link lost or refused"))
 
 	b.pool.Cut()
-	b.next(t, workerapi.Down)
+	b.next(t, workerapi.LinkDown)
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index, "a link lost later is made good at the new address")
-	b.next(t, workerapi.Synced)
+	b.next(t, workerapi.LinkSynced)
 
 	b.pool.Silence(true) // a pool that leaves the last poll unanswered
 	b.pool.Move(t)
 	b.Move(b.pool.Address)
-	b.next(t, workerapi.Down)
+	b.next(t, workerapi.LinkDown)
 	assert.Equal(t, 1, b.counts.Times("pool did not answer the last poll of a link that moved"))
 	b.pool.Next(t, "bind")
 }
@@ -237,12 +237,12 @@
 	b.pool.Next(t, "bind")
 	b.bound = 1 << 10
 	b.pool.Cut()
-	b.next(t, workerapi.Synced)
+	b.next(t, workerapi.LinkSynced)
 	for range 100 {
 		b.Start(workerapi.Run{ID: "t", Route: "browse", Body: make([]byte, 512)})
 	}
-	b.next(t, workerapi.Down)
-	b.next(t, workerapi.Synced)
+	b.next(t, workerapi.LinkDown)
+	b.next(t, workerapi.LinkSynced)
 }
 
 // Whatever JSON the pool writes, a line is one notice at most, and its number never goes back.
