--- a/admission/lent.go
+++ b/admission/lent.go
@@ -1,7 +1,7 @@
 package admission
 
 // What becomes of knowledge that is borrowed. It stands beside what was seen here and never in it: it is not
-// handed on, own samples outweigh it as they come, and once it is old (estimate.OldAt) nothing of it is
+// handed on, own samples outweigh it as they come, and once it is old (estimate.MaxAge) nothing of it is
 // left, so that the server decides as a cold one does. It never moves the limit, the room for calls or the
 // level: it tells how long work takes, not how much to let in. view.go takes it in and hands it out.
 
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -29,7 +29,7 @@
 	types    []harness.Route
 	machine  harness.Machine
 	module   *admission.Controller
-	frame    estimate.Frame
+	frame    estimate.Schema
 	load     []harness.Arrival
 	now      time.Duration
 	wake     time.Duration
@@ -179,23 +179,23 @@
 func (p *played) Log(string)                                                 {}
 
 // learned is the view of this server as another gets it.
-func (p *played) learned() estimate.View { return p.module.Estimates(p.now, p.frame) }
+func (p *played) learned() estimate.Snapshot { return p.module.Estimates(p.now, p.frame) }
 
 var fourCores = harness.Machine{Cores: 4, Speed: 1, KB: 64000}
 
 // peerView is what a server has seen that was under load for a while.
-func peerView(types []harness.Route, m harness.Machine, seed int64) estimate.View {
+func peerView(types []harness.Route, m harness.Machine, seed int64) estimate.Snapshot {
 	peer := play(types, m, harness.Arrivals(types, harness.Rate(types, m, 1.2), 10*time.Second, seed), 1)
 	peer.until(8 * time.Second)
 	return peer.learned()
 }
 
 // pair plays a cold newcomer and one that borrows under the same arrivals.
-func pair(t require.TestingT, v estimate.View, m harness.Machine, seed int64) (cold, borrows *played) {
+func pair(t require.TestingT, snapshot estimate.Snapshot, m harness.Machine, seed int64) (cold, borrows *played) {
 	types := harness.BookingRoutes()
 	load := harness.Arrivals(types, harness.Rate(types, fourCores, 1.2), 10*time.Second, seed+100)
 	cold, borrows = play(types, m, load, 2), play(types, m, load, 3)
-	fit, err := borrows.frame.Fit(v)
+	fit, err := borrows.frame.Validate(snapshot)
 	require.NoError(t, err)
 	borrows.module.UsePeerEstimates(borrows.now, fit)
 	for _, p := range []*played{cold, borrows} {
@@ -225,12 +225,12 @@
 	slow := fourCores
 	slow.Speed /= 3
 	rapid.Check(t, func(t *rapid.T) {
-		v := peerView(harness.BookingRoutes(), fourCores, 7)
-		for i := range v.Types {
-			v.Types[i].Core.Mean *= rapid.Float64Range(0.01, 3).Draw(t, "factor")
+		snapshot := peerView(harness.BookingRoutes(), fourCores, 7)
+		for i := range snapshot.Routes {
+			snapshot.Routes[i].Core.Mean *= rapid.Float64Range(0.01, 3).Draw(t, "factor")
 		}
-		v = v.Aged(estimate.OldAt(estimate.Returning))
-		cold, old := pair(t, v, slow, rapid.Int64Range(0, 1000).Draw(t, "seed"))
+		snapshot = snapshot.Aged(estimate.MaxAge(estimate.ReturnRatio))
+		cold, old := pair(t, snapshot, slow, rapid.Int64Range(0, 1000).Draw(t, "seed"))
 		assert.Equal(t, cold.starts, old.starts)
 		assert.Equal(t, cold.honoured, old.honoured)
 	})
@@ -243,8 +243,8 @@
 	sum, starts := 0.0, 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		v := peerView(harness.BookingRoutes(), fourCores, seed).Aged(5 * time.Second)
-		cold, young := pair(t, v, slow, seed)
+		snapshot := peerView(harness.BookingRoutes(), fourCores, seed).Aged(5 * time.Second)
+		cold, young := pair(t, snapshot, slow, seed)
 		sum += young.honoured / cold.honoured / seeds
 		a, b := 0, 0
 		for i := range min(len(cold.starts), len(young.starts)) {
@@ -258,19 +258,19 @@
 
 // What is borrowed is not handed on, and is gone when it is old though nothing was seen here.
 func TestBorrowedIsNotLearned(t *testing.T) {
-	v := peerView(harness.BookingRoutes(), fourCores, 1)
+	snapshot := peerView(harness.BookingRoutes(), fourCores, 1)
 	idle := play(harness.BookingRoutes(), fourCores, nil, 2)
-	fit, err := idle.frame.Fit(v)
+	fit, err := idle.frame.Validate(snapshot)
 	require.NoError(t, err)
 	idle.module.UsePeerEstimates(idle.now, fit)
 	idle.until(time.Second)
-	for _, told := range idle.learned().Types {
+	for _, told := range idle.learned().Routes {
 		assert.False(t, told.Core.Known(), "an echo")
 	}
 	assert.True(t, idle.learned().Cold())
-	idle.until(estimate.OldAt(estimate.Returning))
+	idle.until(estimate.MaxAge(estimate.ReturnRatio))
 	load := harness.Arrivals(harness.BookingRoutes(), harness.Rate(harness.BookingRoutes(), fourCores, 1.2), 5*time.Second, 3)
-	later := estimate.OldAt(estimate.Returning)
+	later := estimate.MaxAge(estimate.ReturnRatio)
 	for i := range load {
 		load[i].At += later
 	}
--- a/admission/view.go
+++ b/admission/view.go
@@ -11,47 +11,47 @@
 const sightSpan = 32
 
 // EstimateSchema tells which views this server can use; moving says that its routes come and go.
-func (c *Controller) EstimateSchema(origin uint64, moving bool) estimate.Frame {
-	f := estimate.Frame{Terms: estimate.Digest(c.terms, moving), Origin: origin, Moving: moving}
+func (c *Controller) EstimateSchema(origin uint64, moving bool) estimate.Schema {
+	schema := estimate.Schema{SettingsDigest: estimate.Digest(c.terms, moving), Origin: origin, Dynamic: moving}
 	for _, t := range c.Routes {
-		f.Types = append(f.Types, t.Name)
-		f.Outer = append(f.Outer, t.Deadline)
+		schema.Routes = append(schema.Routes, t.Name)
+		schema.Deadlines = append(schema.Deadlines, t.Deadline)
 	}
-	return f
+	return schema
 }
 
 // Estimates is what this server has seen itself up to a moment. Core times are told as on a warm server.
-func (c *Controller) Estimates(now time.Duration, f estimate.Frame) estimate.View {
-	v := estimate.View{Origin: f.Origin, Terms: f.Terms}
-	v.Pace, v.Calls = c.paceSeen.tell(now), c.callSeen.tell(now)
+func (c *Controller) Estimates(now time.Duration, schema estimate.Schema) estimate.Snapshot {
+	snapshot := estimate.Snapshot{Origin: schema.Origin, SettingsDigest: schema.SettingsDigest}
+	snapshot.Pace, snapshot.Calls = c.paceSeen.tell(now), c.callSeen.tell(now)
 	for _, t := range c.Routes {
-		v.Types = append(v.Types, estimate.TypeView{
+		snapshot.Routes = append(snapshot.Routes, estimate.RouteEstimates{
 			Name: t.Name, Core: t.coreSample.tell(now), Run: t.runSample.tell(now),
 		})
 	}
 	if calls := c.called.sum(now); calls[0]+calls[2] > 0 {
 		all := calls[0] + calls[2]
-		v.Refused = estimate.Estimate{Mean: calls[2] / all, Samples: all, Age: time.Second}
+		snapshot.RejectRatio = estimate.Estimate{Mean: calls[2] / all, Samples: all, Age: time.Second}
 	}
 	if came := c.known.sum(now); came[0] > 0 {
-		v.Returns = estimate.Estimate{Mean: came[1] / came[0], Samples: came[0], Age: customerSpan / 2}
+		snapshot.ReturnRatio = estimate.Estimate{Mean: came[1] / came[0], Samples: came[0], Age: customerSpan / 2}
 	}
-	return v
+	return snapshot
 }
 
 // UsePeerEstimates takes in what others have learned, in the place of what was borrowed before. The view must have
 // passed Frame.Fit for this server; its routes are known by their names, as some may have come or gone since.
-func (c *Controller) UsePeerEstimates(now time.Duration, v estimate.View) {
-	told := make(map[string]estimate.Estimate, len(v.Types))
-	for _, t := range v.Types {
+func (c *Controller) UsePeerEstimates(now time.Duration, snapshot estimate.Snapshot) {
+	told := make(map[string]estimate.Estimate, len(snapshot.Routes))
+	for _, t := range snapshot.Routes {
 		told[t.Name] = t.Core
 	}
 	for _, t := range c.Routes {
 		t.peerCore = lent{told: told[t.Name], kind: estimate.CoreTime, at: now}
 	}
-	c.lentPace = lent{told: v.Pace, kind: estimate.Pace, at: now}
-	c.lentCalls = lent{told: v.Calls, kind: estimate.CallTime, at: now}
-	c.lentReturns = lent{told: v.Returns, kind: estimate.Returning, at: now}
+	c.lentPace = lent{told: snapshot.Pace, kind: estimate.Pace, at: now}
+	c.lentCalls = lent{told: snapshot.Calls, kind: estimate.CallTime, at: now}
+	c.lentReturns = lent{told: snapshot.ReturnRatio, kind: estimate.ReturnRatio, at: now}
 	c.borrowed = true
 	c.weighLent(now)
 }
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -26,52 +26,52 @@
 	said  []string
 	falls map[int]bool // calls that have something to fall back on
 	sent  []sentCall
-	over  map[*Flight]Verdict
-	parts map[*Flight][]Why
+	over  map[*Execution]Verdict
+	parts map[*Execution][]PartStatus
 }
 
 type sentCall struct {
-	flight        *Flight
+	flight        *Execution
 	call, attempt int
 	within        time.Duration
 }
 
-func (h *hand) Send(f *Flight, call, attempt int, within time.Duration) {
+func (h *hand) Send(f *Execution, call, attempt int, within time.Duration) {
 	h.said = append(h.said, fmt.Sprintf("send %s/%d", f.plan.Calls[call].Name, attempt))
 	h.sent = append(h.sent, sentCall{f, call, attempt, within})
 }
 
-func (h *hand) Cancel(f *Flight, call, attempt int) {
+func (h *hand) Cancel(f *Execution, call, attempt int) {
 	h.said = append(h.said, fmt.Sprintf("cancel %s/%d", f.plan.Calls[call].Name, attempt))
 }
-func (h *hand) FallBack(_ *Flight, call int) bool { return h.falls[call] }
-func (h *hand) Finish(f *Flight, v Verdict) {
+func (h *hand) Fallback(_ *Execution, call int) bool { return h.falls[call] }
+func (h *hand) Finish(f *Execution, v Verdict) {
 	h.said = append(h.said, fmt.Sprintf("finish %d", v))
 	h.over[f] = v
-	var whys []Why
+	var whys []PartStatus
 	for i := range f.plan.Calls {
-		_, why := f.Part(i)
+		_, why := f.PartStatus(i)
 		whys = append(whys, why)
 	}
 	h.parts[f] = whys
 }
 
 func newHand() *hand {
-	return &hand{falls: map[int]bool{}, over: map[*Flight]Verdict{}, parts: map[*Flight][]Why{}}
+	return &hand{falls: map[int]bool{}, over: map[*Execution]Verdict{}, parts: map[*Execution][]PartStatus{}}
 }
 
 func (h *hand) take() (said []string) { said, h.said = h.said, nil; return said }
 
-func terms(share int) Terms {
-	return Terms{Name: "d", Share: share, Waiting: 4, Linger: time.Second, Seconds: 0.1}
+func terms(share int) Options {
+	return Options{Name: "d", Share: share, QueueLimit: 4, Linger: time.Second, RetryRatio: 0.1}
 }
 
 // plan is a needed read, an optional one beside it, and a needed at-most-once call behind the first.
 func plan(t require.TestingT, change func(*Plan)) *Plan {
-	p := &Plan{Type: "t", Reserve: 10 * ms, Calls: []Call{
-		{Name: "a", Needed: true, Importance: 2, Expected: 20 * ms, Seconds: true},
-		{Name: "b", Importance: 1, Expected: 20 * ms},
-		{Name: "c", Needed: true, Importance: 5, Expected: 40 * ms, After: []int{0}, Effect: AtMostOnce},
+	p := &Plan{Route: "t", Reserve: 10 * ms, Calls: []Call{
+		{Name: "a", Required: true, Value: 2, Expected: 20 * ms, Retry: true},
+		{Name: "b", Value: 1, Expected: 20 * ms},
+		{Name: "c", Required: true, Value: 5, Expected: 40 * ms, After: []int{0}, Effect: AtMostOnce},
 	}}
 	if change != nil {
 		change(p)
@@ -80,15 +80,15 @@
 	return p
 }
 
-func book(h *hand, share int) (*Book, *Dependency) {
+func book(h *hand, share int) (*Scheduler, *Dependency) {
 	d := NewDependency(terms(share), 1)
 	d.limit = float64(share)
-	return NewBook([]*Dependency{d}, h, 1), d
+	return NewScheduler([]*Dependency{d}, h, 1), d
 }
 
 func TestCheck(t *testing.T) {
 	call := func(name string, after ...int) Call {
-		return Call{Name: name, Needed: true, Expected: 20 * ms, After: after}
+		return Call{Name: name, Required: true, Expected: 20 * ms, After: after}
 	}
 	cases := []struct {
 		name  string
@@ -100,13 +100,13 @@
 		{"a circle", []Call{call("a", 2), call("b", 0), call("c", 1), call("d")}, time.Second, "wait for each other: a, b, c"},
 		{"itself", []Call{call("a", 0)}, time.Second, "not there"},
 		{"nowhere", []Call{call("a", 7)}, time.Second, "not there"},
-		{"no dependency", []Call{{Name: "a", Needed: true, Expected: ms, Dependency: 3}}, time.Second, "no such dependency"},
+		{"no dependency", []Call{{Name: "a", Required: true, Expected: ms, Dependency: 3}}, time.Second, "no such dependency"},
 		{"nothing needed", []Call{{Name: "a", Expected: ms}}, time.Second, "no call is needed"},
-		{"an at-most-once call with a second attempt", []Call{{Name: "a", Needed: true, Expected: ms, Effect: AtMostOnce, Seconds: true}}, time.Second, "can't have a second"},
-		{"a hedged effect", []Call{{Name: "a", Needed: true, Expected: ms, Effect: Numbered, Hedge: true}}, time.Second, "only reads"},
-		{"an effect that falls back", []Call{{Name: "a", Needed: true, Expected: ms, Effect: Numbered, FallBack: true}}, time.Second, "place of an effect"},
+		{"an at-most-once call with a second attempt", []Call{{Name: "a", Required: true, Expected: ms, Effect: AtMostOnce, Retry: true}}, time.Second, "can't have a second"},
+		{"a hedged effect", []Call{{Name: "a", Required: true, Expected: ms, Effect: Keyed, Hedge: true}}, time.Second, "only reads"},
+		{"an effect that falls back", []Call{{Name: "a", Required: true, Expected: ms, Effect: Keyed, Fallback: true}}, time.Second, "place of an effect"},
 		{"no time", []Call{call("a"), call("b", 0)}, 30 * ms, "needed calls take 40ms"},
-		{"no expected time", []Call{{Name: "a", Needed: true}}, time.Second, "above 0"},
+		{"no expected time", []Call{{Name: "a", Required: true}}, time.Second, "above 0"},
 	}
 	for _, c := range cases {
 		err := (&Plan{Calls: c.calls}).Check(1, c.whole)
@@ -119,7 +119,7 @@
 func TestFlight(t *testing.T) {
 	type step struct {
 		at   time.Duration
-		do   func(b *Book, h *hand)
+		do   func(b *Scheduler, h *hand)
 		says []string
 	}
 	cases := []struct {
@@ -130,37 +130,37 @@
 	}{
 		{"whole", nil, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Book, h *hand) { b.Returned(h.sent[0].flight, 0, 0, Good, 10*ms) }, []string{"send c/0"}},
-			{20 * ms, func(b *Book, h *hand) { b.Returned(h.sent[0].flight, 1, 0, Good, 20*ms) }, nil},
-			{30 * ms, func(b *Book, h *hand) { b.Returned(h.sent[0].flight, 2, 0, Good, 30*ms) }, []string{"finish 0"}},
+			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, Succeeded, 10*ms) }, []string{"send c/0"}},
+			{20 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 1, 0, Succeeded, 20*ms) }, nil},
+			{30 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 2, 0, Succeeded, 30*ms) }, []string{"finish 0"}},
 		}},
 		{"the optional one late: partial, with what is there", nil, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Book, h *hand) { b.Returned(h.sent[0].flight, 0, 0, Good, 10*ms) }, []string{"send c/0"}},
-			{30 * ms, func(b *Book, h *hand) { b.Returned(h.sent[0].flight, 2, 0, Good, 30*ms) }, nil},
+			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, Succeeded, 10*ms) }, []string{"send c/0"}},
+			{30 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 2, 0, Succeeded, 30*ms) }, nil},
 			{80 * ms, nil, []string{"cancel b/0", "finish 1"}},
 		}},
-		{"a needed one failed: given up at once", func(p *Plan) { p.Calls[0].Seconds = false }, nil, []step{
+		{"a needed one failed: given up at once", func(p *Plan) { p.Calls[0].Retry = false }, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Book, h *hand) { b.Returned(h.sent[0].flight, 0, 0, Failed, 10*ms) }, []string{"cancel b/0", "finish 2"}},
+			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, Failed, 10*ms) }, []string{"cancel b/0", "finish 2"}},
 		}},
-		{"it falls back", func(p *Plan) { p.Calls[0].Seconds, p.Calls[0].FallBack = false, true }, []int{0}, []step{
+		{"it falls back", func(p *Plan) { p.Calls[0].Retry, p.Calls[0].Fallback = false, true }, []int{0}, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Book, h *hand) { b.Returned(h.sent[0].flight, 0, 0, Failed, 10*ms) }, []string{"send c/0"}},
+			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, Failed, 10*ms) }, []string{"send c/0"}},
 		}},
 		{"no second attempt that was not earned", nil, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Book, h *hand) { b.Returned(h.sent[0].flight, 0, 0, NotSent, 10*ms) }, []string{"cancel b/0", "finish 2"}},
+			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, NotSent, 10*ms) }, []string{"cancel b/0", "finish 2"}},
 		}},
 		{"an unclear at-most-once call", nil, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Book, h *hand) { b.Returned(h.sent[0].flight, 0, 0, Good, 10*ms) }, []string{"send c/0"}},
-			{20 * ms, func(b *Book, h *hand) { b.Returned(h.sent[0].flight, 2, 0, Lost, 20*ms) }, []string{"cancel b/0", "finish 2"}},
-			{25 * ms, func(b *Book, h *hand) { b.Late(0, 25*ms) }, nil},
+			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, Succeeded, 10*ms) }, []string{"send c/0"}},
+			{20 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 2, 0, Lost, 20*ms) }, []string{"cancel b/0", "finish 2"}},
+			{25 * ms, func(b *Scheduler, h *hand) { b.Late(0, 25*ms) }, nil},
 		}},
 		{"the caller gone", nil, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Book, h *hand) { b.Abandon(h.sent[0].flight, 10*ms) }, []string{"cancel a/0", "cancel b/0"}},
+			{10 * ms, func(b *Scheduler, h *hand) { b.Abandon(h.sent[0].flight, 10*ms) }, []string{"cancel a/0", "cancel b/0"}},
 			{time.Second, nil, nil},
 		}},
 	}
@@ -178,7 +178,7 @@
 				if s.do != nil {
 					s.do(b, h)
 				}
-				b.Turn(s.at)
+				b.Advance(s.at)
 				assert.Equal(t, s.says, h.take(), "at %v", s.at)
 			}
 		})
@@ -189,10 +189,10 @@
 func TestShed(t *testing.T) {
 	h := newHand()
 	b, _ := book(h, 10)
-	p := &Plan{Type: "t", Calls: []Call{
-		{Name: "cheap", Importance: 1, Expected: 100 * ms},
-		{Name: "dear", Importance: 5, Expected: 100 * ms},
-		{Name: "last", Needed: true, Expected: 100 * ms, After: []int{0, 1}},
+	p := &Plan{Route: "t", Calls: []Call{
+		{Name: "cheap", Value: 1, Expected: 100 * ms},
+		{Name: "dear", Value: 5, Expected: 100 * ms},
+		{Name: "last", Required: true, Expected: 100 * ms, After: []int{0, 1}},
 	}}
 	require.NoError(t, p.Check(1, time.Minute))
 	p.Calls[0].Expected = 150 * ms
@@ -206,7 +206,7 @@
 func TestWaiting(t *testing.T) {
 	h := newHand()
 	b, d := book(h, 1)
-	p := &Plan{Type: "t", Calls: []Call{{Name: "a", Needed: true, Expected: 10 * ms}}}
+	p := &Plan{Route: "t", Calls: []Call{{Name: "a", Required: true, Expected: 10 * ms}}}
 	require.NoError(t, p.Check(1, time.Minute))
 	first := b.Begin(p, 0, time.Second, nil)
 	late := b.Begin(p, 0, 900*ms, nil)
@@ -215,13 +215,13 @@
 	}
 	soon := b.Begin(p, 0, 400*ms, nil) // the fifth: the one due last has no room
 	assert.Equal(t, []string{"send a/0", "finish 2"}, h.take())
-	assert.Equal(t, GivenUp, h.over[late])
-	assert.Equal(t, []Why{NoRoom}, h.parts[late])
-	b.Returned(first, 0, 0, Good, 5*ms)
+	assert.Equal(t, Aborted, h.over[late])
+	assert.Equal(t, []PartStatus{OverLimit}, h.parts[late])
+	b.CallEnded(first, 0, 0, Succeeded, 5*ms)
 	assert.Equal(t, []string{"finish 0", "send a/0"}, h.take())
 	assert.Same(t, soon, h.sent[1].flight)
 	assert.Len(t, d.waiting, 3)
-	b.Turn(700 * ms)
+	b.Advance(700 * ms)
 	assert.Empty(t, d.waiting, "waiting has an end")
 	assert.Zero(t, b.Open())
 }
@@ -229,7 +229,7 @@
 func TestLimitAndBreaker(t *testing.T) {
 	d := NewDependency(terms(8), 1)
 	now := time.Duration(0)
-	call := func(how Ended, took time.Duration) (sent bool) {
+	call := func(how Outcome, took time.Duration) (sent bool) {
 		admitted, _ := d.Admit(now)
 		if admitted {
 			d.Ended(how, took, true, now+took)
@@ -237,7 +237,7 @@
 		return admitted
 	}
 	for range 40 {
-		require.True(t, call(Good, 10*ms))
+		require.True(t, call(Succeeded, 10*ms))
 		now += 25 * ms
 	}
 	assert.Equal(t, 4.0, d.limit, "nobody waited")
@@ -246,13 +246,13 @@
 	d.Tick(now)
 	assert.Equal(t, 5.0, d.limit)
 	for range 10 { // slower, though none fails
-		call(Good, 60*ms)
+		call(Succeeded, 60*ms)
 		now += 25 * ms
 	}
 	now += period - 250*ms
 	d.Tick(now)
 	assert.InDelta(t, 3.75, d.limit, 1e-9, "a backoff event")
-	assert.False(t, d.Second(now), "degraded, whatever was earned")
+	assert.False(t, d.TakeRetryToken(now), "degraded, whatever was earned")
 
 	now += 5 * time.Second
 	sent := 0
@@ -269,9 +269,9 @@
 	assert.True(t, admitted && !broken, "a probe")
 	_, broken = d.Admit(now)
 	assert.True(t, broken, "one at a time")
-	d.Ended(Good, 5*ms, true, now)
+	d.Ended(Succeeded, 5*ms, true, now)
 	assert.Equal(t, HalfOpen, d.breaker)
-	call(Good, 5*ms)
+	call(Succeeded, 5*ms)
 	assert.Equal(t, Closed, d.breaker)
 	assert.Less(t, d.limit, 3.0, "slow start")
 }
@@ -280,7 +280,7 @@
 func TestLingering(t *testing.T) {
 	h := newHand()
 	b, d := book(h, 2)
-	p := &Plan{Type: "t", Calls: []Call{{Name: "a", Needed: true, Expected: 10 * ms}}}
+	p := &Plan{Route: "t", Calls: []Call{{Name: "a", Required: true, Expected: 10 * ms}}}
 	require.NoError(t, p.Check(1, time.Minute))
 	for range 2 {
 		b.Abandon(b.Begin(p, 0, time.Second, nil), ms)
@@ -290,7 +290,7 @@
 	assert.Empty(t, h.take(), "both slots are still taken")
 	b.Late(0, 10*ms)
 	assert.Equal(t, []string{"send a/0"}, h.take())
-	b.Turn(1100 * ms)
+	b.Advance(1100 * ms)
 	assert.LessOrEqual(t, d.taken(), 2)
 	assert.Equal(t, 1, d.Late)
 }
@@ -299,41 +299,41 @@
 func TestBudgetOfSecondAttempts(t *testing.T) {
 	h := newHand()
 	b, d := book(h, 100)
-	p := &Plan{Type: "t", Calls: []Call{{Name: "a", Needed: true, Expected: ms, Seconds: true, Hedge: true}}}
+	p := &Plan{Route: "t", Calls: []Call{{Name: "a", Required: true, Expected: ms, Retry: true, Hedge: true}}}
 	require.NoError(t, p.Check(1, time.Minute))
 	now := time.Duration(0)
 	at := 0
-	round := func(how Ended) {
+	round := func(how Outcome) {
 		b.Begin(p, now, now+time.Second, nil)
 		for ; at < len(h.sent); at++ {
 			s := h.sent[at]
-			b.Returned(s.flight, s.call, s.attempt, how, now+ms)
+			b.CallEnded(s.flight, s.call, s.attempt, how, now+ms)
 		}
 		now += 5 * ms
-		b.Turn(now)
+		b.Advance(now)
 	}
 	for range 400 {
-		round(Good)
+		round(Succeeded)
 	}
 	assert.Equal(t, mostTokens, d.tokens)
 	for range 2000 {
 		round(Failed)
 	}
-	assert.LessOrEqual(t, float64(d.SecondsSpent), mostTokens)
+	assert.LessOrEqual(t, float64(d.Retries), mostTokens)
 	assert.Less(t, len(h.sent), 600, "and few first ones")
 }
 
 // drawnPlan is any plan that is right.
 func drawnPlan(t *rapid.T) *Plan {
-	p := &Plan{Type: "t", Reserve: time.Duration(rapid.IntRange(0, 20).Draw(t, "reserve")) * ms}
+	p := &Plan{Route: "t", Reserve: time.Duration(rapid.IntRange(0, 20).Draw(t, "reserve")) * ms}
 	for i := range rapid.IntRange(1, 8).Draw(t, "calls") {
 		c := Call{
-			Name: fmt.Sprint("call ", i), Needed: i == 0 || rapid.Bool().Draw(t, "needed"),
-			Expected:   time.Duration(rapid.IntRange(1, 100).Draw(t, "expected")) * ms,
-			Importance: float64(rapid.IntRange(0, 5).Draw(t, "importance")), Dependency: rapid.IntRange(0, 1).Draw(t, "dependency"),
+			Name: fmt.Sprint("call ", i), Required: i == 0 || rapid.Bool().Draw(t, "needed"),
+			Expected: time.Duration(rapid.IntRange(1, 100).Draw(t, "expected")) * ms,
+			Value:    float64(rapid.IntRange(0, 5).Draw(t, "importance")), Dependency: rapid.IntRange(0, 1).Draw(t, "dependency"),
 			Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
 		}
-		c.Seconds = c.Effect != AtMostOnce && rapid.Bool().Draw(t, "seconds")
+		c.Retry = c.Effect != AtMostOnce && rapid.Bool().Draw(t, "seconds")
 		c.Hedge = c.Effect == Read && rapid.Bool().Draw(t, "hedge")
 		for a := range i {
 			if rapid.IntRange(0, 3).Draw(t, "after") == 0 {
@@ -351,13 +351,13 @@
 	*hand
 	t    *rapid.T
 	now  time.Duration
-	ends map[*Flight]time.Duration
+	ends map[*Execution]time.Duration
 }
 
-func (w *watcher) Send(f *Flight, call, attempt int, within time.Duration) {
+func (w *watcher) Send(f *Execution, call, attempt int, within time.Duration) {
 	w.hand.Send(f, call, attempt, within)
 	c := f.plan.Calls[call]
-	assert.LessOrEqual(w.t, w.now+within, w.ends[f.Ref.(*Flight)], "a call outlasts its task")
+	assert.LessOrEqual(w.t, w.now+within, w.ends[f.Ref.(*Execution)], "a call outlasts its task")
 	if c.Effect == AtMostOnce {
 		assert.Zero(w.t, attempt, "an at-most-once call was sent again")
 	}
@@ -367,22 +367,22 @@
 // twice or later than its time, and nothing is left over.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &watcher{hand: newHand(), t: t, ends: map[*Flight]time.Duration{}}
+		w := &watcher{hand: newHand(), t: t, ends: map[*Execution]time.Duration{}}
 		share := rapid.IntRange(1, 6).Draw(t, "share")
 		deps := []*Dependency{NewDependency(terms(share), 1), NewDependency(terms(share), 2)}
-		b := NewBook(deps, w, 3)
+		b := NewScheduler(deps, w, 3)
 		p := drawnPlan(t)
 		begun, abandoned := 0, 0
 		latest := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			w.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "passes")) * ms
-			b.Turn(w.now)
+			b.Advance(w.now)
 			for _, f := range b.flights {
 				assert.Less(t, w.now, f.until, "a task outlasts its time")
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				mark := &Flight{}
+				mark := &Execution{}
 				until := w.now + time.Duration(rapid.IntRange(1, 500).Draw(t, "time"))*ms
 				w.ends[mark], latest = until, max(latest, until)
 				begun++
@@ -396,7 +396,7 @@
 				}
 				if len(open) > 0 {
 					s := rapid.SampledFrom(open).Draw(t, "ends")
-					b.Returned(s.flight, s.call, s.attempt, Ended(rapid.IntRange(0, 4).Draw(t, "how")), w.now)
+					b.CallEnded(s.flight, s.call, s.attempt, Outcome(rapid.IntRange(0, 4).Draw(t, "how")), w.now)
 				} else if len(b.flights) > 0 && rapid.Bool().Draw(t, "abandon") {
 					abandoned++
 					b.Abandon(b.flights[0], w.now)
@@ -407,11 +407,11 @@
 				assert.LessOrEqual(t, d.limit, float64(share))
 				assert.LessOrEqual(t, d.taken(), share)
 				assert.GreaterOrEqual(t, d.inFlight, 0)
-				assert.LessOrEqual(t, len(d.waiting), d.terms.Waiting)
+				assert.LessOrEqual(t, len(d.waiting), d.options.QueueLimit)
 			}
 		}
-		b.Turn(latest + time.Second)
-		b.Turn(latest + 5*time.Second)
+		b.Advance(latest + time.Second)
+		b.Advance(latest + 5*time.Second)
 		assert.Zero(t, b.Open())
 		finished := 0
 		for _, s := range w.said {
@@ -433,9 +433,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawnPlan(t)
 		until := time.Duration(rapid.IntRange(30, 2000).Draw(t, "time")) * ms
-		b := NewBook([]*Dependency{NewDependency(terms(50), 1), NewDependency(terms(50), 2)}, newHand(), 1)
-		f := &Flight{plan: p, until: until}
-		var ends [MostCalls]time.Duration
+		b := NewScheduler([]*Dependency{NewDependency(terms(50), 1), NewDependency(terms(50), 2)}, newHand(), 1)
+		f := &Execution{plan: p, until: until}
+		var ends [MaxCalls]time.Duration
 		for _, i := range p.order {
 			begins := time.Duration(0)
 			for a := range p.Calls {
@@ -449,19 +449,19 @@
 	})
 }
 
-type silent struct{ last *Flight }
+type silent struct{ last *Execution }
 
-func (s *silent) Send(f *Flight, _, _ int, _ time.Duration) { s.last = f }
-func (*silent) Cancel(*Flight, int, int)                    {}
-func (*silent) FallBack(*Flight, int) bool                  { return false }
-func (*silent) Finish(*Flight, Verdict)                     {}
+func (s *silent) Send(f *Execution, _, _ int, _ time.Duration) { s.last = f }
+func (*silent) Cancel(*Execution, int, int)                    {}
+func (*silent) Fallback(*Execution, int) bool                  { return false }
+func (*silent) Finish(*Execution, Verdict)                     {}
 
 // BenchmarkCall is one decision of a task of three calls: its begin, each end, and its finish make four.
 func BenchmarkCall(b *testing.B) {
 	s := &silent{}
 	deps := []*Dependency{NewDependency(terms(100), 1)}
 	deps[0].limit = 100
-	k := NewBook(deps, s, 1)
+	k := NewScheduler(deps, s, 1)
 	p := plan(b, nil)
 	now := time.Duration(0)
 	b.ReportAllocs()
@@ -469,14 +469,14 @@
 		now += ms
 		k.Begin(p, now, now+time.Second, nil)
 		for i := range 3 {
-			k.Returned(s.last, i, 0, Good, now+ms)
+			k.CallEnded(s.last, i, 0, Succeeded, now+ms)
 		}
-		k.Turn(now)
+		k.Advance(now)
 	}
 }
 
 // A wide share and a long queue cost nothing until they are used.
 func TestNothingIsLaidOutForABound(t *testing.T) {
-	d := NewDependency(Terms{Share: 1000, Waiting: 4096}, 1)
+	d := NewDependency(Options{Share: 1000, QueueLimit: 4096}, 1)
 	assert.Zero(t, cap(d.waiting)+cap(d.lingering))
 }
--- a/budget/dependency.go
+++ b/budget/dependency.go
@@ -31,13 +31,13 @@
 	mostCallTime = int64(60 * time.Second / time.Microsecond)
 )
 
-// Terms are what is stated of a dependency.
-type Terms struct {
-	Name    string
-	Share   int           // calls that it survives of this server, abandoned ones included
-	Waiting int           // calls that may wait for room
-	Linger  time.Duration // after which a call that nobody waits for is taken to have ended
-	Seconds float64       // second attempts for each first one that went well
+// Options are what is stated of a dependency.
+type Options struct {
+	Name       string
+	Share      int           // calls that it survives of this server, abandoned ones included
+	QueueLimit int           // calls that may wait for room
+	Linger     time.Duration // after which a call that nobody waits for is taken to have ended
+	RetryRatio float64       // second attempts for each first one that went well
 }
 
 // Breaker is whether calls go to a dependency at all.
@@ -52,14 +52,14 @@
 
 func (b Breaker) String() string { return [...]string{"closed", "open", "half-open"}[b] }
 
-// Ended is how a call ended.
-type Ended int
+// Outcome is how a call ended.
+type Outcome int
 
 // The outcomes. NotSent and Refused prove that nothing ran; Lost leaves it open.
 const (
-	Good Ended = iota
+	Succeeded Outcome = iota
 	Failed
-	Refused
+	Rejected
 	NotSent
 	Lost
 )
@@ -73,8 +73,8 @@
 // mechanism: +1 a period without a backoff event, ×0.75 with one. Every call takes a slot until it has ended or
 // lingered out, whether or not anybody waits for it.
 type Dependency struct {
-	terms Terms
-	rng   *rand.Rand
+	options Options
+	rng     *rand.Rand
 
 	limit      float64
 	calibrated time.Duration
@@ -100,14 +100,14 @@
 
 	tokens float64
 
-	Firsts, SecondsSpent, Late, Opened int // counted since the start
-	waiting                            []waiter
+	Firsts, Retries, Late, Opened int // counted since the start
+	waiting                       []waiter
 }
 
 // NewDependency starts with nothing known.
-func NewDependency(t Terms, seed int64) *Dependency {
+func NewDependency(t Options, seed int64) *Dependency {
 	return &Dependency{
-		terms: t, rng: rand.New(rand.NewSource(seed)), limit: max(1, float64(t.Share)*startShare),
+		options: t, rng: rand.New(rand.NewSource(seed)), limit: max(1, float64(t.Share)*startShare),
 		times: hdrhistogram.New(1, mostCallTime, 2), pause: firstOpen,
 	}
 }
@@ -163,7 +163,7 @@
 	}
 }
 
-func (d *Dependency) bound() { d.limit = min(max(d.limit, 1), float64(d.terms.Share)) }
+func (d *Dependency) bound() { d.limit = min(max(d.limit, 1), float64(d.options.Share)) }
 
 // Degraded tells whether calls take much longer than usual, or many come back undone.
 func (d *Dependency) Degraded(now time.Duration) bool {
@@ -196,19 +196,19 @@
 	return true, false
 }
 
-// Second tells whether a second attempt may be made, and spends it: earned by first ones that went well, and
+// TakeRetryToken tells whether a second attempt may be made, and spends it: earned by first ones that went well, and
 // never while the dependency is degraded, when it would only feed what is wrong.
-func (d *Dependency) Second(now time.Duration) bool {
+func (d *Dependency) TakeRetryToken(now time.Duration) bool {
 	if d.tokens < 1 || d.breaker != Closed || d.Degraded(now) {
 		return false
 	}
 	d.tokens--
-	d.SecondsSpent++
+	d.Retries++
 	return true
 }
 
 // Ended gives back the slot of a call that somebody waited for.
-func (d *Dependency) Ended(how Ended, took time.Duration, first bool, now time.Duration) {
+func (d *Dependency) Ended(how Outcome, took time.Duration, first bool, now time.Duration) {
 	d.inFlight--
 	d.judge(how, took, first, now)
 }
@@ -217,7 +217,7 @@
 // lingered out: what the dependency still works on is part of its load.
 func (d *Dependency) Abandoned(waited time.Duration, failed bool, now time.Duration) {
 	d.inFlight--
-	d.lingering = append(d.lingering, now+d.terms.Linger) // the same for all, so it stays in order
+	d.lingering = append(d.lingering, now+d.options.Linger) // the same for all, so it stays in order
 	if failed {
 		d.judge(Lost, waited, false, now)
 	} else {
@@ -234,11 +234,11 @@
 	}
 }
 
-func (d *Dependency) judge(how Ended, took time.Duration, first bool, now time.Duration) {
+func (d *Dependency) judge(how Outcome, took time.Duration, first bool, now time.Duration) {
 	b := d.bucket(now)
 	b.calls++
 	b.passed += took.Seconds()
-	if how == Good {
+	if how == Succeeded {
 		if d.count >= few && took.Seconds() > slowTimes*d.mean {
 			b.slow++
 		}
@@ -246,13 +246,13 @@
 		d.mean += (took.Seconds() - d.mean) / d.count
 		_ = d.times.RecordValue(min(max(took.Microseconds(), 1), mostCallTime)) // in range
 		if first {
-			d.tokens = min(d.tokens+d.terms.Seconds, mostTokens)
+			d.tokens = min(d.tokens+d.options.RetryRatio, mostTokens)
 		}
 		d.inRow = 0
 	} else {
 		b.failed++
 		d.inRow++
-		if how == Refused {
+		if how == Rejected {
 			d.event = true
 		}
 	}
@@ -262,7 +262,7 @@
 		if how == Lost && took > leastProbe && d.well > 0 {
 			break // a probe from before those that went well since
 		}
-		if how != Good {
+		if how != Succeeded {
 			d.open(now, took)
 		} else if d.well++; d.well >= probes {
 			d.close(now)
@@ -271,7 +271,7 @@
 		s := d.sum(now)
 		if s.calls >= breakLeast && s.failed > breakShare*s.calls || d.inRow >= 2*breakLeast {
 			d.open(now, 0)
-		} else if d.target > 0 && how == Good { // slow start: as fast as calls end well
+		} else if d.target > 0 && how == Succeeded { // slow start: as fast as calls end well
 			if d.limit++; d.limit >= d.target {
 				d.target = 0
 			}
@@ -326,9 +326,9 @@
 // State tells how the dependency stands.
 func (d *Dependency) State(now time.Duration) State {
 	s := State{
-		Name: d.terms.Name, Limit: d.limit, Share: d.terms.Share, InFlight: d.inFlight, Lingering: len(d.lingering),
+		Name: d.options.Name, Limit: d.limit, Share: d.options.Share, InFlight: d.inFlight, Lingering: len(d.lingering),
 		Waiting: len(d.waiting), Breaker: d.breaker.String(), Degraded: d.Degraded(now), Firsts: d.Firsts,
-		Seconds: d.SecondsSpent, Earned: d.tokens, Late: d.Late, Opened: d.Opened,
+		Seconds: d.Retries, Earned: d.tokens, Late: d.Late, Opened: d.Opened,
 	}
 	for i, q := range []float64{50, 95, 99} {
 		s.QuantilesInMillis[i] = float64(d.times.ValueAtPercentile(q)) / 1000
--- a/budget/flight.go
+++ b/budget/flight.go
@@ -19,27 +19,27 @@
 
 // The verdicts. Partial has all that is needed, and lacks something else.
 const (
-	Whole Verdict = iota
+	Complete Verdict = iota
 	Partial
-	GivenUp
+	Aborted
 )
 
-// Why says what became of a call's part.
-type Why int
+// PartStatus says what became of a call's part.
+type PartStatus int
 
 // The reasons. FellBack has a part all the same; Unclear is an effect that may or may not have happened.
 const (
-	Fresh Why = iota
+	Fresh PartStatus = iota
 	FellBack
-	NoTime
-	NoRoom
+	DeadlineTooClose
+	OverLimit
 	Broken
-	Undone
+	NotRun
 	TooLate
 	Unclear
 )
 
-func (w Why) String() string {
+func (w PartStatus) String() string {
 	return [...]string{"fresh", "fell back", "no time", "no room", "breaker open", "failed", "late", "unclear"}[w]
 }
 
@@ -56,7 +56,7 @@
 type callState struct {
 	phase    phase
 	good     bool
-	why      Why
+	why      PartStatus
 	attempts int
 	live     [attemptsMost]bool
 	began    [attemptsMost]time.Duration
@@ -64,28 +64,30 @@
 	next     time.Duration // of a hedge or of a second attempt; 0 without one
 }
 
-// Flight is one task under way.
-type Flight struct {
+// Execution is one task under way.
+type Execution struct {
 	Ref   any // what the Writer keeps with it
 	plan  *Plan
 	until time.Duration
-	calls [MostCalls]callState
+	calls [MaxCalls]callState
 	done  bool
 }
 
 // Plan is that of the task.
-func (f *Flight) Plan() *Plan { return f.plan }
+func (f *Execution) Plan() *Plan { return f.plan }
 
-// Part tells what became of a call.
-func (f *Flight) Part(call int) (good bool, why Why) { return f.calls[call].good, f.calls[call].why }
+// PartStatus tells what became of a call.
+func (f *Execution) PartStatus(call int) (good bool, why PartStatus) {
+	return f.calls[call].good, f.calls[call].why
+}
 
-// Worth is the importance of the parts that are there, as a share of all.
-func (f *Flight) Worth() float64 {
+// Value is the importance of the parts that are there, as a share of all.
+func (f *Execution) Value() float64 {
 	has, all := 0.0, 0.0
 	for i, c := range f.plan.Calls {
-		all += c.Importance
+		all += c.Value
 		if f.calls[i].good {
-			has += c.Importance
+			has += c.Value
 		}
 	}
 	if all == 0 {
@@ -94,56 +96,56 @@
 	return has / all
 }
 
-// Writer carries out what is decided. None of its methods may call back.
-type Writer interface {
+// Executor carries out what is decided. None of its methods may call back.
+type Executor interface {
 	// Send makes a call; attempt is 0, or 1 for a second one of the same call, which carries the same number.
-	Send(f *Flight, call, attempt int, within time.Duration)
+	Send(f *Execution, call, attempt int, within time.Duration)
 	// Cancel tells that nobody waits for an attempt any more. Its end, if it is ever told, goes to Late.
-	Cancel(f *Flight, call, attempt int)
-	// FallBack puts a last good result or a constant in the place of a part, and tells whether there is one.
-	FallBack(f *Flight, call int) bool
+	Cancel(f *Execution, call, attempt int)
+	// Fallback puts a last good result or a constant in the place of a part, and tells whether there is one.
+	Fallback(f *Execution, call int) bool
 	// Finish answers the task. The flight is used again after it.
-	Finish(f *Flight, v Verdict)
+	Finish(f *Execution, v Verdict)
 }
 
 type waiter struct {
-	flight *Flight
+	flight *Execution
 	call   int
 	due    time.Duration
 }
 
-// Book holds the dependencies and all tasks under way. Its methods are for one caller at a time.
-type Book struct {
+// Scheduler holds the dependencies and all tasks under way. Its methods are for one caller at a time.
+type Scheduler struct {
 	deps    []*Dependency
-	writer  Writer
+	writer  Executor
 	rng     *rand.Rand
-	flights []*Flight
-	free    []*Flight
+	flights []*Execution
+	free    []*Execution
 	over    bool // some of them are finished, and not collected yet
 	next    time.Duration
 }
 
-// NewBook begins with dependencies in the order in which plans name them.
-func NewBook(deps []*Dependency, w Writer, seed int64) *Book {
-	return &Book{deps: deps, writer: w, rng: rand.New(rand.NewSource(seed)), next: never}
+// NewScheduler begins with dependencies in the order in which plans name them.
+func NewScheduler(deps []*Dependency, w Executor, seed int64) *Scheduler {
+	return &Scheduler{deps: deps, writer: w, rng: rand.New(rand.NewSource(seed)), next: never}
 }
 
 const never = time.Duration(1<<63 - 1)
 
 // Open is the number of tasks under way.
-func (b *Book) Open() int { return len(b.flights) }
+func (b *Scheduler) Open() int { return len(b.flights) }
 
 // Next is the moment of the earliest timer.
-func (b *Book) Next() time.Duration { return b.next }
+func (b *Scheduler) Next() time.Duration { return b.next }
 
 // Begin starts a task that is to be answered by a moment. It gives none where the task was finished at once.
-func (b *Book) Begin(p *Plan, now, until time.Duration, ref any) *Flight {
-	var f *Flight
+func (b *Scheduler) Begin(p *Plan, now, until time.Duration, ref any) *Execution {
+	var f *Execution
 	if n := len(b.free); n > 0 {
 		f, b.free = b.free[n-1], b.free[:n-1]
-		*f = Flight{}
+		*f = Execution{}
 	} else {
-		f = &Flight{}
+		f = &Execution{}
 	}
 	f.Ref, f.plan, f.until = ref, p, until-p.Reserve
 	b.flights = append(b.flights, f)
@@ -158,8 +160,8 @@
 	return f
 }
 
-// Returned takes the end of an attempt that was not cancelled.
-func (b *Book) Returned(f *Flight, call, attempt int, how Ended, now time.Duration) {
+// CallEnded takes the end of an attempt that was not cancelled.
+func (b *Scheduler) CallEnded(f *Execution, call, attempt int, how Outcome, now time.Duration) {
 	s, c := &f.calls[call], &f.plan.Calls[call]
 	d := b.deps[c.Dependency]
 	if f.done || !s.live[attempt] {
@@ -169,7 +171,7 @@
 	d.Tick(now)
 	d.Ended(how, now-s.began[attempt], attempt == 0, now)
 	switch {
-	case how == Good:
+	case how == Succeeded:
 		b.drop(f, call, false, now)
 		b.settle(f, call, true, Fresh, now)
 	case s.live[1-attempt]: // the other may still come back
@@ -180,22 +182,22 @@
 	b.collect()
 }
 
-func failedAs(c *Call, how Ended) Why {
+func failedAs(c *Call, how Outcome) PartStatus {
 	if c.Effect == AtMostOnce && how == Lost {
 		return Unclear
 	}
-	return Undone
+	return NotRun
 }
 
 // Late takes the end of an attempt that was cancelled: its slot is free, and nothing else changes.
-func (b *Book) Late(dependency int, now time.Duration) {
+func (b *Scheduler) Late(dependency int, now time.Duration) {
 	b.deps[dependency].LateEnd(now)
 	b.admitWaiting(dependency, now)
 	b.collect()
 }
 
 // Abandon ends a task without an answer: somebody else has given it up, or its caller is gone.
-func (b *Book) Abandon(f *Flight, now time.Duration) {
+func (b *Scheduler) Abandon(f *Execution, now time.Duration) {
 	if f.done {
 		return
 	}
@@ -203,8 +205,8 @@
 	b.collect()
 }
 
-// Turn does what is due.
-func (b *Book) Turn(now time.Duration) {
+// Advance does what is due.
+func (b *Scheduler) Advance(now time.Duration) {
 	for i := range b.deps {
 		b.admitWaiting(i, now) // limits move and slots linger out with time
 	}
@@ -232,7 +234,7 @@
 	}
 }
 
-func (b *Book) timers(f *Flight, now time.Duration) {
+func (b *Scheduler) timers(f *Execution, now time.Duration) {
 	if f.done {
 		return
 	}
@@ -247,13 +249,13 @@
 			return
 		case s.phase == waits && now >= s.deadline:
 			b.unwait(f, i)
-			b.settle(f, i, false, NoRoom, now)
+			b.settle(f, i, false, OverLimit, now)
 		case s.phase == pausing && now >= s.next:
 			s.next = 0
 			if admitted, _ := b.deps[c.Dependency].Admit(now); admitted {
 				b.send(f, i, now)
 			} else {
-				b.settle(f, i, false, NoRoom, now)
+				b.settle(f, i, false, OverLimit, now)
 			}
 		case s.phase == open && now >= s.deadline:
 			b.drop(f, i, true, now)
@@ -265,7 +267,7 @@
 	}
 }
 
-func lateAs(c *Call) Why {
+func lateAs(c *Call) PartStatus {
 	if c.Effect == AtMostOnce {
 		return Unclear
 	}
@@ -273,23 +275,23 @@
 }
 
 // timeUp answers with what is there.
-func (b *Book) timeUp(f *Flight, now time.Duration) {
+func (b *Scheduler) timeUp(f *Execution, now time.Duration) {
 	for i := range f.plan.Calls {
 		s, c := &f.calls[i], &f.plan.Calls[i]
 		if s.phase == settled {
 			continue
 		}
-		why := NoTime
+		why := DeadlineTooClose
 		switch s.phase {
 		case open:
 			b.drop(f, i, true, now)
 			why = lateAs(c)
 		case waits:
 			b.unwait(f, i)
-			why = NoRoom
+			why = OverLimit
 		}
 		s.phase, s.why = settled, why
-		if c.FallBack && b.writer.FallBack(f, i) {
+		if c.Fallback && b.writer.Fallback(f, i) {
 			s.good, s.why = true, FellBack
 		}
 	}
@@ -298,16 +300,16 @@
 
 // settle ends a call. Without one that is needed the task is given up at once: waiting for the rest would only
 // hold up whoever asked.
-func (b *Book) settle(f *Flight, i int, good bool, why Why, now time.Duration) {
+func (b *Scheduler) settle(f *Execution, i int, good bool, why PartStatus, now time.Duration) {
 	s, c := &f.calls[i], &f.plan.Calls[i]
 	if f.done || s.phase == settled {
 		return
 	}
 	s.phase, s.good, s.why, s.next = settled, good, why, 0
-	if !good && c.FallBack && b.writer.FallBack(f, i) {
+	if !good && c.Fallback && b.writer.Fallback(f, i) {
 		s.good, s.why = true, FellBack
 	}
-	if c.Needed && !s.good {
+	if c.Required && !s.good {
 		b.finish(f, now)
 		return
 	}
@@ -315,7 +317,7 @@
 }
 
 // advance begins all calls that wait for nothing any more, side by side, and finishes a task without any left.
-func (b *Book) advance(f *Flight, now time.Duration) {
+func (b *Scheduler) advance(f *Execution, now time.Duration) {
 	left := false
 	for _, i := range f.plan.order {
 		if f.done {
@@ -341,14 +343,14 @@
 	}
 }
 
-func (b *Book) begin(f *Flight, i int, now time.Duration) {
+func (b *Scheduler) begin(f *Execution, i int, now time.Duration) {
 	s, c := &f.calls[i], &f.plan.Calls[i]
 	d := b.deps[c.Dependency]
 	may, takes := b.allowed(f, i, now), d.Expected(c.Expected)
 	// An optional call is begun although it is seen to take longer than it may: else a dependency that was slow would
 	// never be seen to be quick again. The breaker keeps that to a few.
-	if left := f.until - now; may <= 0 || !c.Needed && left < takes || may < takes/hopeless && c.Needed {
-		b.settle(f, i, false, NoTime, now)
+	if left := f.until - now; may <= 0 || !c.Required && left < takes || may < takes/hopeless && c.Required {
+		b.settle(f, i, false, DeadlineTooClose, now)
 		return
 	}
 	admitted, broken := d.Admit(now)
@@ -365,13 +367,13 @@
 }
 
 // wait puts a call behind those that are due sooner. Past the bound the one due last goes.
-func (b *Book) wait(w waiter, now time.Duration) {
+func (b *Scheduler) wait(w waiter, now time.Duration) {
 	d := b.deps[w.flight.plan.Calls[w.call].Dependency]
 	at := len(d.waiting)
 	for at > 0 && d.waiting[at-1].due > w.due {
 		at--
 	}
-	if len(d.waiting) < d.terms.Waiting {
+	if len(d.waiting) < d.options.QueueLimit {
 		d.waiting = slices.Insert(d.waiting, at, w)
 		return
 	}
@@ -381,22 +383,22 @@
 		copy(d.waiting[at+1:], d.waiting[at:len(d.waiting)-1])
 		d.waiting[at] = w
 	}
-	b.settle(last.flight, last.call, false, NoRoom, now)
+	b.settle(last.flight, last.call, false, OverLimit, now)
 }
 
-func (b *Book) unwait(f *Flight, i int) {
+func (b *Scheduler) unwait(f *Execution, i int) {
 	d := b.deps[f.plan.Calls[i].Dependency]
 	d.waiting = slices.DeleteFunc(d.waiting, func(w waiter) bool { return w.flight == f && w.call == i })
 }
 
 // admitWaiting gives free room to those that wait, by due time.
-func (b *Book) admitWaiting(dependency int, now time.Duration) {
+func (b *Scheduler) admitWaiting(dependency int, now time.Duration) {
 	d := b.deps[dependency]
 	for len(d.waiting) > 0 {
 		w := d.waiting[0]
 		if now >= w.flight.until { // its time is up, and the timers have not come to it yet
 			d.waiting = d.waiting[:copy(d.waiting, d.waiting[1:])]
-			b.settle(w.flight, w.call, false, NoRoom, now)
+			b.settle(w.flight, w.call, false, OverLimit, now)
 			continue
 		}
 		admitted, broken := d.Admit(now)
@@ -414,7 +416,7 @@
 }
 
 // send makes an attempt for which a slot was taken.
-func (b *Book) send(f *Flight, i int, now time.Duration) {
+func (b *Scheduler) send(f *Execution, i int, now time.Duration) {
 	s, c := &f.calls[i], &f.plan.Calls[i]
 	d := b.deps[c.Dependency]
 	attempt := s.attempts
@@ -434,12 +436,12 @@
 
 // again makes ready a second attempt, where the plan, the time, the budget and the effect allow one. An
 // at-most-once call never has one, whatever is said of its first: plans that state one are refused.
-func (b *Book) again(f *Flight, i int, how Ended, now time.Duration) bool {
+func (b *Scheduler) again(f *Execution, i int, how Outcome, now time.Duration) bool {
 	s, c := &f.calls[i], &f.plan.Calls[i]
 	d := b.deps[c.Dependency]
 	wait := time.Duration(b.rng.Int63n(int64(retryWait)))
-	if !c.Seconds || c.Effect == AtMostOnce || s.attempts >= attemptsMost ||
-		now+wait+d.Expected(c.Expected) > s.deadline || !d.Second(now) {
+	if !c.Retry || c.Effect == AtMostOnce || s.attempts >= attemptsMost ||
+		now+wait+d.Expected(c.Expected) > s.deadline || !d.TakeRetryToken(now) {
 		return false
 	}
 	s.phase, s.next = pausing, now+wait
@@ -448,10 +450,10 @@
 }
 
 // hedge makes a second attempt beside a slow first one, from the same budget as any other.
-func (b *Book) hedge(f *Flight, i int, now time.Duration) {
+func (b *Scheduler) hedge(f *Execution, i int, now time.Duration) {
 	s, c := &f.calls[i], &f.plan.Calls[i]
 	d := b.deps[c.Dependency]
-	if c.Effect != Read || s.attempts >= attemptsMost || d.taken() >= int(d.limit) || !d.Second(now) {
+	if c.Effect != Read || s.attempts >= attemptsMost || d.taken() >= int(d.limit) || !d.TakeRetryToken(now) {
 		return
 	}
 	if admitted, _ := d.Admit(now); admitted {
@@ -460,7 +462,7 @@
 }
 
 // drop cancels the attempts of a call that are still open.
-func (b *Book) drop(f *Flight, i int, failed bool, now time.Duration) {
+func (b *Scheduler) drop(f *Execution, i int, failed bool, now time.Duration) {
 	s := &f.calls[i]
 	for attempt := range s.live {
 		if s.live[attempt] {
@@ -472,11 +474,11 @@
 }
 
 // finish answers a task by what its calls came to.
-func (b *Book) finish(f *Flight, now time.Duration) {
-	v := Whole
+func (b *Scheduler) finish(f *Execution, now time.Duration) {
+	v := Complete
 	for i, c := range f.plan.Calls {
-		if s := &f.calls[i]; !s.good && c.Needed {
-			v = GivenUp
+		if s := &f.calls[i]; !s.good && c.Required {
+			v = Aborted
 			break
 		} else if !s.good || s.why != Fresh {
 			v = Partial
@@ -487,7 +489,7 @@
 }
 
 // close lets go of all that a task holds.
-func (b *Book) close(f *Flight, now time.Duration) {
+func (b *Scheduler) close(f *Execution, now time.Duration) {
 	f.done, b.over = true, true
 	for i := range f.plan.Calls {
 		switch f.calls[i].phase {
@@ -503,7 +505,7 @@
 }
 
 // collect keeps finished flights for the next tasks.
-func (b *Book) collect() {
+func (b *Scheduler) collect() {
 	if !b.over {
 		return
 	}
@@ -525,7 +527,7 @@
 // it to the end. So the parts along any way never add up to more than the time left, and a call that is done
 // sooner leaves the rest to those behind it. One that is not needed gets a few times what it is stated to take and
 // no more: while a task waits for it, it takes room in flight from tasks that need nothing of that dependency.
-func (b *Book) allowed(f *Flight, i int, now time.Duration) time.Duration {
+func (b *Scheduler) allowed(f *Execution, i int, now time.Duration) time.Duration {
 	left := f.until - now
 	if left <= 0 {
 		return 0
@@ -533,19 +535,19 @@
 	own := b.takes(f, i)
 	way := own + b.tails(f)[i]
 	may := time.Duration(float64(left) * float64(own) / float64(way))
-	if c := &f.plan.Calls[i]; !c.Needed {
+	if c := &f.plan.Calls[i]; !c.Required {
 		return min(may, optionalTimes*c.Expected)
 	}
 	return min(may, neededTimes*max(own, f.plan.Calls[i].Expected))
 }
 
-func (b *Book) takes(f *Flight, i int) time.Duration {
+func (b *Scheduler) takes(f *Execution, i int) time.Duration {
 	c := &f.plan.Calls[i]
 	return max(b.deps[c.Dependency].Expected(c.Expected), time.Microsecond)
 }
 
 // tails are the longest expected ways behind each call.
-func (b *Book) tails(f *Flight) (tails [MostCalls]time.Duration) {
+func (b *Scheduler) tails(f *Execution) (tails [MaxCalls]time.Duration) {
 	order := f.plan.order
 	for at := len(order) - 1; at >= 0; at-- {
 		j := order[at]
@@ -564,10 +566,10 @@
 
 // shed leaves out optional calls while the longest expected way takes more than is left: the one of least
 // importance for its time first.
-func (b *Book) shed(f *Flight, now time.Duration) {
+func (b *Scheduler) shed(f *Execution, now time.Duration) {
 	for {
 		tails := b.tails(f)
-		var heads [MostCalls]time.Duration
+		var heads [MaxCalls]time.Duration
 		least, worth := -1, 0.0
 		for _, i := range f.plan.order {
 			if f.calls[i].phase == settled {
@@ -580,10 +582,10 @@
 				}
 			}
 			c := &f.plan.Calls[i]
-			if c.Needed || heads[i]+takes+tails[i] <= f.until-now {
+			if c.Required || heads[i]+takes+tails[i] <= f.until-now {
 				continue
 			}
-			if w := c.Importance / takes.Seconds(); least < 0 || w < worth {
+			if w := c.Value / takes.Seconds(); least < 0 || w < worth {
 				least, worth = i, w
 			}
 		}
@@ -591,8 +593,8 @@
 			return
 		}
 		s := &f.calls[least]
-		s.phase, s.why = settled, NoTime
-		if f.plan.Calls[least].FallBack && b.writer.FallBack(f, least) {
+		s.phase, s.why = settled, DeadlineTooClose
+		if f.plan.Calls[least].Fallback && b.writer.Fallback(f, least) {
 			s.good, s.why = true, FellBack
 		}
 	}
--- a/budget/plan.go
+++ b/budget/plan.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// MostCalls bounds the calls of a plan.
-const MostCalls = 16
+// MaxCalls bounds the calls of a plan.
+const MaxCalls = 16
 
 // Effect says what a repeated call does.
 type Effect int
@@ -19,7 +19,7 @@
 // A read may be repeated; a numbered call with its number; an at-most-once call whose outcome is unclear never.
 const (
 	Read Effect = iota
-	Numbered
+	Keyed
 	AtMostOnce
 )
 
@@ -27,24 +27,24 @@
 type Call struct {
 	Name       string
 	Dependency int           // its place among the dependencies
-	Needed     bool          // without it there is no answer
+	Required   bool          // without it there is no answer
 	After      []int         // calls that must be settled before, by their place in the plan
-	Importance float64       // that its part adds to the answer
+	Value      float64       // that its part adds to the answer
 	Expected   time.Duration // until enough of it was seen
 	Effect     Effect
-	FallBack   bool // a last good result or a constant may take its place
-	Seconds    bool // a second attempt may be made
+	Fallback   bool // a last good result or a constant may take its place
+	Retry      bool // a second attempt may be made
 	Hedge      bool // a second attempt may be made beside a slow first one; reads only
 }
 
 // Plan is how a traffic type's tasks are made. Check must have passed it.
 type Plan struct {
-	Type    string
+	Route   string
 	Calls   []Call
 	Reserve time.Duration // of the time, for composing and answering
 
 	order  []int // so that each call comes behind those it waits for
-	before [MostCalls][MostCalls]bool
+	before [MaxCalls][MaxCalls]bool
 }
 
 // Check makes a plan fit for use, or tells all that is wrong with it. whole is the time that a task has, from its
@@ -52,23 +52,23 @@
 func (p *Plan) Check(dependencies int, whole time.Duration) error {
 	var faults []error
 	fault := func(words string, of ...any) { faults = append(faults, fmt.Errorf(words, of...)) }
-	if len(p.Calls) == 0 || len(p.Calls) > MostCalls {
-		fault("%d calls; 1 to %d are allowed", len(p.Calls), MostCalls)
+	if len(p.Calls) == 0 || len(p.Calls) > MaxCalls {
+		fault("%d calls; 1 to %d are allowed", len(p.Calls), MaxCalls)
 		return errors.Join(faults...)
 	}
 	needed := false
 	for i, c := range p.Calls {
-		needed = needed || c.Needed
+		needed = needed || c.Required
 		if c.Dependency < 0 || c.Dependency >= dependencies {
 			fault("call %q: no such dependency", c.Name)
 		}
-		if c.Effect == AtMostOnce && (c.Seconds || c.Hedge) {
+		if c.Effect == AtMostOnce && (c.Retry || c.Hedge) {
 			fault("call %q: an at-most-once call can't have a second attempt", c.Name)
 		}
 		if c.Hedge && c.Effect != Read {
 			fault("call %q: only reads are hedged", c.Name)
 		}
-		if c.FallBack && c.Effect != Read {
+		if c.Fallback && c.Effect != Read {
 			fault("call %q: nothing takes the place of an effect", c.Name)
 		}
 		if c.Expected <= 0 {
@@ -100,7 +100,7 @@
 // sort lays the calls in an order, or names those that wait for each other.
 func (p *Plan) sort() error {
 	p.order = p.order[:0]
-	var laid [MostCalls]bool
+	var laid [MaxCalls]bool
 	for len(p.order) < len(p.Calls) {
 		before := len(p.order)
 		for i := range p.Calls {
@@ -128,14 +128,14 @@
 
 // path is the longest way through the plan, of needed calls alone or of all.
 func (p *Plan) path(takes func(int) time.Duration, needed bool) (longest time.Duration) {
-	var ends [MostCalls]time.Duration
+	var ends [MaxCalls]time.Duration
 	for _, i := range p.order {
 		for a := range p.Calls {
 			if p.before[i][a] {
 				ends[i] = max(ends[i], ends[a])
 			}
 		}
-		if !needed || p.Calls[i].Needed {
+		if !needed || p.Calls[i].Required {
 			ends[i] += takes(i)
 		}
 		longest = max(longest, ends[i])
@@ -154,11 +154,11 @@
 
 // Spans lays the plan out on a time line for its operators.
 func (p *Plan) Spans(whole time.Duration, names []string) (spans []Span) {
-	var ends [MostCalls]time.Duration
-	f := Flight{plan: p, until: whole - p.Reserve}
-	book := &Book{deps: make([]*Dependency, len(names))}
+	var ends [MaxCalls]time.Duration
+	f := Execution{plan: p, until: whole - p.Reserve}
+	book := &Scheduler{deps: make([]*Dependency, len(names))}
 	for i := range names {
-		book.deps[i] = NewDependency(Terms{Share: 1, Waiting: 1}, 0)
+		book.deps[i] = NewDependency(Options{Share: 1, QueueLimit: 1}, 0)
 	}
 	for _, i := range p.order {
 		begins := time.Duration(0)
@@ -169,7 +169,7 @@
 		}
 		c := p.Calls[i]
 		ends[i] = begins + c.Expected
-		spans = append(spans, Span{c.Name, begins, ends[i], book.allowed(&f, i, begins), c.Needed, names[c.Dependency]})
+		spans = append(spans, Span{c.Name, begins, ends[i], book.allowed(&f, i, begins), c.Required, names[c.Dependency]})
 	}
 	return spans
 }
--- a/classpool/classpool_test.go
+++ b/classpool/classpool_test.go
@@ -22,23 +22,23 @@
 func TestTreeFaults(t *testing.T) {
 	cases := []struct {
 		name  string
-		terms []Terms
+		terms []Options
 		want  string
 	}{
 		{"none", nil, "0 pools"},
-		{"no name", []Terms{{}}, "without a name"},
-		{"twice", []Terms{{Name: "a"}, {Name: "a"}}, `"a" stands twice`},
-		{"no parent", []Terms{{Name: "a", Parent: "b"}}, `no pool "b"`},
-		{"a ring", []Terms{{Name: "a", Parent: "b"}, {Name: "b", Parent: "a"}}, "or a ring"},
-		{"too deep", []Terms{{Name: "a"}, {Name: "b", Parent: "a"}, {Name: "c", Parent: "b"}, {Name: "d", Parent: "c"}, {Name: "e", Parent: "d"}}, "more than 4"},
-		{"floor", []Terms{{Name: "a", Floor: 1.5}}, "floor = 1.5"},
-		{"floor over ceiling", []Terms{{Name: "a", Floor: 0.5, Ceiling: 0.2}}, "over its ceiling"},
+		{"no name", []Options{{}}, "without a name"},
+		{"twice", []Options{{Name: "a"}, {Name: "a"}}, `"a" stands twice`},
+		{"no parent", []Options{{Name: "a", Parent: "b"}}, `no pool "b"`},
+		{"a ring", []Options{{Name: "a", Parent: "b"}, {Name: "b", Parent: "a"}}, "or a ring"},
+		{"too deep", []Options{{Name: "a"}, {Name: "b", Parent: "a"}, {Name: "c", Parent: "b"}, {Name: "d", Parent: "c"}, {Name: "e", Parent: "d"}}, "more than 4"},
+		{"floor", []Options{{Name: "a", Floor: 1.5}}, "floor = 1.5"},
+		{"floor over ceiling", []Options{{Name: "a", Floor: 0.5, Ceiling: 0.2}}, "over its ceiling"},
 	}
 	for _, c := range cases {
 		_, err := NewTree(c.terms)
 		assert.ErrorContains(t, err, c.want, c.name)
 	}
-	tree, err := NewTree([]Terms{{Name: "b", Parent: "a", Floor: 0.8}, {Name: "a"}, {Name: "c", Parent: "a", Floor: 0.7}})
+	tree, err := NewTree([]Options{{Name: "b", Parent: "a", Floor: 0.8}, {Name: "a"}, {Name: "c", Parent: "a", Floor: 0.7}})
 	require.NoError(t, err, "in any order")
 	assert.Equal(t, []string{"a"}, tree.Crowded())
 	_, is := tree.Leaf("a")
@@ -181,7 +181,7 @@
 	return used, waited, idle
 }
 
-func newPools(t require.TestingT, cores float64, terms ...Terms) *Pools {
+func newPools(t require.TestingT, cores float64, terms ...Options) *Pools {
 	tree, err := NewTree(terms)
 	require.NoError(t, err)
 	return New(tree, cores, 0)
@@ -191,15 +191,15 @@
 	const span = 40 * time.Second
 	cases := []struct {
 		name    string
-		terms   []Terms
+		terms   []Options
 		classes []class
 		want    []float64 // of the cores' time
 	}{
-		{"two at 200%, by weight", []Terms{{Name: "a", Weight: 3}, {Name: "b"}}, []class{{"a", 400, 0.02, 0, 0}, {"b", 400, 0.02, 0, 0}}, []float64{0.75, 0.25}},
-		{"core time is parted, not the count", []Terms{{Name: "a"}, {Name: "b"}}, []class{{"a", 800, 0.005, 0, 0}, {"b", 40, 0.1, 0, 0}}, []float64{0.5, 0.5}},
-		{"one dear class at 95% of the tasks", []Terms{{Name: "a", Floor: 0.2}, {Name: "b"}}, []class{{"a", 40, 0.02, 0, 0}, {"b", 760, 0.05, 0, 0}}, []float64{0.2, 0.8}},
-		{"a small one has all that it asks for", []Terms{{Name: "a"}, {Name: "b"}, {Name: "c"}}, []class{{"a", 20, 0.01, 0, 0}, {"b", 400, 0.02, 0, 0}, {"c", 400, 0.02, 0, 0}}, []float64{0.05, 0.475, 0.475}},
-		{"inside a parent's floor", []Terms{{Name: "p", Floor: 0.5}, {Name: "a", Parent: "p"}, {Name: "b", Parent: "p"}, {Name: "c", Weight: 100}},
+		{"two at 200%, by weight", []Options{{Name: "a", Weight: 3}, {Name: "b"}}, []class{{"a", 400, 0.02, 0, 0}, {"b", 400, 0.02, 0, 0}}, []float64{0.75, 0.25}},
+		{"core time is parted, not the count", []Options{{Name: "a"}, {Name: "b"}}, []class{{"a", 800, 0.005, 0, 0}, {"b", 40, 0.1, 0, 0}}, []float64{0.5, 0.5}},
+		{"one dear class at 95% of the tasks", []Options{{Name: "a", Floor: 0.2}, {Name: "b"}}, []class{{"a", 40, 0.02, 0, 0}, {"b", 760, 0.05, 0, 0}}, []float64{0.2, 0.8}},
+		{"a small one has all that it asks for", []Options{{Name: "a"}, {Name: "b"}, {Name: "c"}}, []class{{"a", 20, 0.01, 0, 0}, {"b", 400, 0.02, 0, 0}, {"c", 400, 0.02, 0, 0}}, []float64{0.05, 0.475, 0.475}},
+		{"inside a parent's floor", []Options{{Name: "p", Floor: 0.5}, {Name: "a", Parent: "p"}, {Name: "b", Parent: "p"}, {Name: "c", Weight: 100}},
 			[]class{{"a", 400, 0.02, 0, 0}, {"b", 400, 0.02, 0, 0}, {"c", 400, 0.02, 0, 0}}, []float64{0.25, 0.25, 0.5}},
 	}
 	for _, c := range cases {
@@ -216,12 +216,12 @@
 // A class that vanishes leaves its room to the others, and has it again soon after it comes back: it has not saved up all
 // that it did not use.
 func TestVanishesAndComesBack(t *testing.T) {
-	p := newPools(t, 4, Terms{Name: "a", Floor: 0.5}, Terms{Name: "b"})
+	p := newPools(t, 4, Options{Name: "a", Floor: 0.5}, Options{Name: "b"})
 	classes := []class{{"a", 400, 0.02, 0, 10 * time.Second}, {"b", 800, 0.02, 0, 0}}
 	used, _, _ := played(p, 4, 20*time.Second, classes, nil)
 	assert.InDelta(t, 4*20, used[0]+used[1], 2, "no core stood idle")
 
-	p = newPools(t, 4, Terms{Name: "a"}, Terms{Name: "b"})
+	p = newPools(t, 4, Options{Name: "a"}, Options{Name: "b"})
 	back := []class{{"a", 400, 0.02, 20 * time.Second, 0}, {"b", 800, 0.02, 0, 0}}
 	used, waited, _ := played(p, 4, 24*time.Second, back, nil)
 	assert.InDelta(t, 0.5*4*4, used[0], 3, "half of what there was since it came back")
@@ -231,7 +231,7 @@
 
 // The reserve serves the cheapest under any load, within its share; a class that grows dear loses its place.
 func TestReserve(t *testing.T) {
-	terms := []Terms{{Name: "look", Weight: 0.01}, {Name: "book"}, {Name: "refresh"}}
+	terms := []Options{{Name: "look", Weight: 0.01}, {Name: "book"}, {Name: "refresh"}}
 	classes := []class{{"look", 100, 0.001, 0, 0}, {"book", 100, 0.04, 0, 0}, {"refresh", 100, 0.06, 0, 0}}
 	without := newPools(t, 4, terms...)
 	_, before, _ := played(without, 4, 20*time.Second, classes, nil)
@@ -253,7 +253,7 @@
 
 // A cost that doubles is followed: the share of core time is soon what it was.
 func TestCostDrifts(t *testing.T) {
-	p := newPools(t, 4, Terms{Name: "a"}, Terms{Name: "b"})
+	p := newPools(t, 4, Options{Name: "a"}, Options{Name: "b"})
 	classes := []class{{"a", 400, 0.02, 0, 0}, {"b", 400, 0.02, 0, 0}}
 	used, _, _ := played(p, 4, 40*time.Second, classes, func(c class, now time.Duration) float64 {
 		if c.name == "a" {
@@ -269,11 +269,11 @@
 func TestNoStarvation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "n")
-		var terms []Terms
+		var terms []Options
 		var classes []class
 		names := []string{"a", "b", "c", "d"}
 		for i := range n {
-			terms = append(terms, Terms{Name: names[i], Floor: rapid.Float64Range(0, 0.6).Draw(t, "floor"), Weight: rapid.Float64Range(0.1, 10).Draw(t, "weight")})
+			terms = append(terms, Options{Name: names[i], Floor: rapid.Float64Range(0, 0.6).Draw(t, "floor"), Weight: rapid.Float64Range(0.1, 10).Draw(t, "weight")})
 			classes = append(classes, class{name: names[i], rate: rapid.Float64Range(20, 300).Draw(t, "rate"), cost: rapid.Float64Range(0.002, 0.05).Draw(t, "cost")})
 		}
 		p := newPools(t, 2, terms...)
--- a/classpool/tree.go
+++ b/classpool/tree.go
@@ -14,8 +14,8 @@
 	mostDepth = 4
 )
 
-// Terms state one pool. Shares are of its parent's room.
-type Terms struct {
+// Options state one pool. Shares are of its parent's room.
+type Options struct {
 	Name    string
 	Parent  string  // empty at the top
 	Floor   float64 // that it gets whatever others ask, while it asks for it; 0 to 1
@@ -25,7 +25,7 @@
 
 // pool is one of the tree.
 type pool struct {
-	Terms
+	Options
 	parent   int // -1 at the top
 	children []int
 
@@ -43,13 +43,13 @@
 
 // NewTree makes a tree. The error joins all that is wrong. Floors that add up to more than there is are no fault: each then
 // gets its part of what there is, and Crowded names the parent.
-func NewTree(all []Terms) (*Tree, error) {
+func NewTree(all []Options) (*Tree, error) {
 	var faults []error
 	fault := func(words string, of ...any) { faults = append(faults, fmt.Errorf(words, of...)) }
 	if len(all) == 0 || len(all) > mostPools {
 		return nil, fmt.Errorf("%d pools; 1 to %d are allowed", len(all), mostPools)
 	}
-	stated := map[string]Terms{}
+	stated := map[string]Options{}
 	for _, t := range all {
 		if t.Name == "" {
 			fault("a pool without a name")
@@ -105,7 +105,7 @@
 			}
 			at := len(t.pools)
 			t.place[one.Name] = at
-			p := pool{Terms: one, parent: -1}
+			p := pool{Options: one, parent: -1}
 			if one.Parent != "" {
 				p.parent = parent
 				t.pools[parent].children = append(t.pools[parent].children, at)
--- a/cmd/quartzpoint-bench/flat.go
+++ b/cmd/quartzpoint-bench/flat.go
@@ -178,11 +178,11 @@
 func (f *flatComposer) advance(t *flatTask) {
 	all, worth, has, whole := true, 0.0, 0.0, true
 	for i, c := range t.kind.Calls {
-		worth += c.Importance
+		worth += c.Value
 		if t.settled[i] {
 			if t.good[i] {
-				has += c.Importance
-			} else if whole = false; c.Needed {
+				has += c.Value
+			} else if whole = false; c.Required {
 				f.end(t, "interrupted", nil)
 				return
 			}
@@ -249,7 +249,7 @@
 			delete(f.open, b.Sent)
 			switch {
 			case !open || c.task.done:
-			case b.How == budget.Good:
+			case b.How == budget.Succeeded:
 				c.task.settled[c.call], c.task.good[c.call] = true, true
 				f.advance(c.task)
 			default:
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -239,7 +239,7 @@
 	peerOver := make(chan error, 1)
 	go func() { peerOver <- peer.run(m.Warm+m.Span, full) }()
 	time.Sleep(m.Warm)
-	view, err := peersync.Ask(context.Background(), peerAt, nil)
+	snapshot, err := peersync.Fetch(context.Background(), peerAt, nil)
 	if err != nil {
 		return p, errors.Join(err, <-peerOver)
 	}
@@ -258,7 +258,7 @@
 		if err != nil {
 			return p, err
 		}
-		giver.Put(view, time.Hour-age)
+		giver.Publish(snapshot, time.Hour-age)
 		giver.Serve()
 		defer giver.Close()
 		played[age] = giver.Address()
@@ -297,7 +297,7 @@
 	p.twins = slowTwin.honoured() / slowCold.honoured()
 	p.more, p.twinsMore = startedMore(old, slowCold, m.Span), startedMore(slowTwin, slowCold, m.Span)
 	p.asked, p.askedTwins = asked.honoured()/unasked.honoured(), unaskedTwin.honoured()/unasked.honoured()
-	p.askTook, p.asks, p.askBytes = times[len(times)/2], len(times), float64(peersync.Size(view))
+	p.askTook, p.asks, p.askBytes = times[len(times)/2], len(times), float64(peersync.Size(snapshot))
 	return p, nil
 }
 
@@ -311,7 +311,7 @@
 			return took
 		case <-tick.C:
 			begin := time.Now()
-			if _, err := peersync.Ask(context.Background(), address, nil); err == nil {
+			if _, err := peersync.Fetch(context.Background(), address, nil); err == nil {
 				took = append(took, time.Since(begin))
 			}
 		}
--- a/cmd/quartzpoint-bench/state.go
+++ b/cmd/quartzpoint-bench/state.go
@@ -499,24 +499,24 @@
 }
 
 // leftIn is what a folder holds of what was learned.
-func leftIn(dir string) (v estimate.View, err error) {
+func leftIn(dir string) (snapshot estimate.Snapshot, err error) {
 	in, err := datadir.OpenDisk(dir, true)
 	if err != nil {
-		return v, err
+		return snapshot, err
 	}
 	defer in.Close()
 	report, err := store.Inspect(in, recovery.Here{Now: store.SystemClock()()}, stateMB<<20)
 	if err != nil {
-		return v, err
+		return snapshot, err
 	}
 	if report.Learned == nil {
-		return v, errors.New("the server before left no view")
+		return snapshot, errors.New("the server before left no view")
 	}
 	return *report.Learned, nil
 }
 
 // writeAged makes a folder as a server would have left it so long ago.
-func writeAged(dir string, v estimate.View, age time.Duration) error {
+func writeAged(dir string, snapshot estimate.Snapshot, age time.Duration) error {
 	terms := storeTerms(dir, 0)
 	clock := terms.Clock
 	terms.Numbers = false
@@ -529,10 +529,10 @@
 	if err != nil {
 		return err
 	}
-	for i := range v.Types { // as young as it was left: the time since is the folder's
-		v.Types[i].Core.Age = min(v.Types[i].Core.Age, time.Second)
+	for i := range snapshot.Routes { // as young as it was left: the time since is the folder's
+		snapshot.Routes[i].Core.Age = min(snapshot.Routes[i].Core.Age, time.Second)
 	}
-	s.View(v)
+	s.View(snapshot)
 	s.Close()
 	return nil
 }
--- a/cmd/quartzpoint/control.go
+++ b/cmd/quartzpoint/control.go
@@ -26,7 +26,7 @@
 type operatorAnswers struct {
 	owner    *server.Server
 	composer *fanout.Composer
-	keeper   *leasing.Keeper
+	keeper   *leasing.Manager
 	watcher  *configwatch.Watcher
 }
 
--- a/cmd/quartzpoint/lease.go
+++ b/cmd/quartzpoint/lease.go
@@ -14,7 +14,7 @@
 
 // leaseKeeper makes the keeper of the duties that [lease] names, or none where it names none. Its name in the
 // fleet is its address for peers, which no other server has.
-func leaseKeeper(ours *config.Config, seed int64, log *slog.Logger) (*leasing.Keeper, error) {
+func leaseKeeper(ours *config.Config, seed int64, log *slog.Logger) (*leasing.Manager, error) {
 	if ours.Lease == nil {
 		return nil, nil
 	}
@@ -22,15 +22,15 @@
 	if err != nil {
 		return nil, err
 	}
-	keeper, err := leasing.New(leasing.Settings{
-		Name: ours.Peers.Listen, Duties: ours.Lease.Duties, Terms: ours.Lease.Terms, Peers: ours.Peers.Ask,
+	keeper, err := leasing.New(leasing.Options{
+		Name: ours.Peers.Listen, Duties: ours.Lease.Duties, Config: ours.Lease.Config, Peers: ours.Peers.Ask,
 		Keys: keys, Seed: seed, Log: log,
 	})
 	if err != nil {
 		return nil, err
 	}
-	log.Info("duties held by lease", "duties", len(ours.Lease.Duties), "voters", ours.Lease.Terms.Voters,
-		"lease", ours.Lease.Terms.Lease, "drift", ours.Lease.Terms.Drift)
+	log.Info("duties held by lease", "duties", len(ours.Lease.Duties), "voters", ours.Lease.Config.Voters,
+		"lease", ours.Lease.Config.Duration, "drift", ours.Lease.Config.MaxClockDrift)
 	return keeper, nil
 }
 
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -21,7 +21,7 @@
 // exchanging is a server's part in the exchange of knowledge; the zero value is none.
 type exchanging struct {
 	stated *config.Peers
-	giver  *peersync.Giver
+	server *peersync.Server
 }
 
 // keysOf reads a key file, where one is stated.
@@ -49,23 +49,23 @@
 		log.Warn("peers without a key", "key_file", "", "so", "loopback addresses only")
 	}
 	if stated.Listen != "" {
-		if e.giver, err = peersync.Listen(stated.Listen, keys, owner.Now, counts); err != nil {
+		if e.server, err = peersync.Listen(stated.Listen, keys, owner.Now, counts); err != nil {
 			return nil, err
 		}
-		e.giver.Serve()
-		context.AfterFunc(ctx, e.giver.Close)
+		e.server.Serve()
+		context.AfterFunc(ctx, e.server.Close)
 		log.Info("views given to peers", "listen", stated.Listen, "keys", len(keys))
 	}
 	var warm atomic.Bool
-	k.share = append(k.share, func(v estimate.View, at time.Duration) {
-		warm.Store(!v.Cold())
-		if e.giver != nil {
-			e.giver.Put(v, at)
+	k.share = append(k.share, func(snapshot estimate.Snapshot, at time.Duration) {
+		warm.Store(!snapshot.Cold())
+		if e.server != nil {
+			e.server.Publish(snapshot, at)
 		}
 	})
 	if len(stated.Ask) > 0 {
-		asker := &peersync.Asker{
-			Peers: stated.Ask, Keys: keys, Total: stated.Total, Frame: k.frame, Kept: k.view, Seed: seed,
+		asker := &peersync.Client{
+			Peers: stated.Ask, Keys: keys, Total: stated.Total, Schema: k.frame, Stored: k.view, Seed: seed,
 			Cold: func() bool { return !warm.Load() }, Take: owner.UsePeerEstimates, Counts: counts, Log: log,
 		}
 		go asker.Run(ctx)
@@ -75,7 +75,7 @@
 
 // again reads the keys anew; all else of the section changes only with a restart.
 func (e *exchanging) again(log *slog.Logger) {
-	if e.giver == nil || e.stated.KeyFile == "" {
+	if e.server == nil || e.stated.KeyFile == "" {
 		return
 	}
 	keys, err := peersync.ReadKeys(e.stated.KeyFile)
@@ -83,7 +83,7 @@
 		log.Warn("new keys refused, the old ones stay", "error", err)
 		return
 	}
-	e.giver.SetKeys(keys)
+	e.server.SetKeys(keys)
 	log.Info("new keys", "keys", len(keys))
 }
 
@@ -105,14 +105,14 @@
 	if err != nil {
 		return err
 	}
-	view, err := peersync.Ask(context.Background(), cmd.Address, keys)
+	snapshot, err := peersync.Fetch(context.Background(), cmd.Address, keys)
 	if err != nil {
 		return err
 	}
 	if cmd.JSON {
-		return printJSON(os.Stdout, view)
+		return printJSON(os.Stdout, snapshot)
 	}
-	return show(os.Stdout, view)
+	return show(os.Stdout, snapshot)
 }
 
 func printJSON(to io.Writer, what any) error {
@@ -122,7 +122,7 @@
 }
 
 // show prints a view as a table. A weight is the number of own samples that a newcomer would take it for.
-func show(to io.Writer, v estimate.View) error {
+func show(to io.Writer, snapshot estimate.Snapshot) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "what\tmean\tspread\tsamples\tage\tweight\t\n")
 	row := func(what string, e estimate.Estimate, k estimate.Kind) {
@@ -133,17 +133,17 @@
 		fmt.Fprintf(table, "%s\t%.4g\t%.3g\t%.0f\t%s\t%.1f\t\n",
 			what, e.Mean, e.Spread, e.Samples, e.Age.Round(100*time.Millisecond), e.Weight(k))
 	}
-	for _, t := range v.Types {
+	for _, t := range snapshot.Routes {
 		row(fmt.Sprintf("%q core s", t.Name), t.Core, estimate.CoreTime)
 		row(fmt.Sprintf("%q run s", t.Name), t.Run, estimate.RunTime)
 	}
-	row("pace", v.Pace, estimate.Pace)
-	row("calls s", v.Calls, estimate.CallTime)
-	row("calls refused", v.Refused, estimate.Refusals)
-	row("callers back", v.Returns, estimate.Returning)
+	row("pace", snapshot.Pace, estimate.Pace)
+	row("calls s", snapshot.Calls, estimate.CallTime)
+	row("calls refused", snapshot.RejectRatio, estimate.RejectRatio)
+	row("callers back", snapshot.ReturnRatio, estimate.ReturnRatio)
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
 	}
-	_, err := fmt.Fprintf(to, "origin %016x, terms %016x\n", v.Origin, v.Terms)
+	_, err := fmt.Fprintf(to, "origin %016x, terms %016x\n", snapshot.Origin, snapshot.SettingsDigest)
 	return err
 }
--- a/cmd/quartzpoint/peers_test.go
+++ b/cmd/quartzpoint/peers_test.go
@@ -115,10 +115,10 @@
 	assert.Contains(t, out, `"browse" core s`)
 	out, code = ask(t, nil, "peer", "show", address, "--key-file", keys, "--json")
 	require.Zero(t, code, out)
-	var v estimate.View
-	require.NoError(t, json.Unmarshal([]byte(out), &v))
-	assert.Greater(t, v.Types[0].Core.Samples, 8.0)
-	assert.InDelta(t, 0.03, v.Types[0].Core.Mean, 0.02)
+	var snapshot estimate.Snapshot
+	require.NoError(t, json.Unmarshal([]byte(out), &snapshot))
+	assert.Greater(t, snapshot.Routes[0].Core.Samples, 8.0)
+	assert.InDelta(t, 0.03, snapshot.Routes[0].Core.Mean, 0.02)
 
 	newcomer := start("newcomer", "[peers]\nask = [\""+address+"\"]\nkey-file = \""+keys+"\"\n")
 	logged(newcomer, "borrowed from peers")
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -111,7 +111,7 @@
 	}
 	leaseCtx, giveUp := context.WithCancel(ctx) // at the notice to leave, duties are given up first
 	if keeper != nil {
-		exchanging.giver.SetVoter(keeper.Vote)
+		exchanging.server.SetVoteHandler(keeper.Vote)
 		go keeper.Run(leaseCtx)
 	}
 	if watcher != nil {
--- a/cmd/quartzpoint/state.go
+++ b/cmd/quartzpoint/state.go
@@ -22,18 +22,18 @@
 
 // keeping is what a server learns and to whom it goes, the folder among them where one is stated.
 type keeping struct {
-	frame estimate.Frame
-	view  estimate.View // what the server before this one left; not fresh for none
-	share []func(v estimate.View, at time.Duration)
+	frame estimate.Schema
+	view  estimate.Snapshot // what the server before this one left; not fresh for none
+	share []func(snapshot estimate.Snapshot, at time.Duration)
 	state *store.Store // nil without a folder
 }
 
 // keep opens the folder that is stated, and has the server go on from what it holds.
 func keep(stated *config.State, owner *server.Server, counts *invariant.Counts, log *slog.Logger) (*keeping, error) {
 	k := &keeping{}
-	k.frame = owner.Share(store.DrawID(), func(v estimate.View, at time.Duration) {
+	k.frame = owner.PublishEstimates(store.DrawID(), func(snapshot estimate.Snapshot, at time.Duration) {
 		for _, put := range k.share {
-			put(v, at)
+			put(snapshot, at)
 		}
 	})
 	if stated == nil {
@@ -52,7 +52,7 @@
 		owner.Keep(kept)
 	}
 	k.state, k.view = kept, had.View
-	k.share = append(k.share, func(v estimate.View, _ time.Duration) { kept.View(v) })
+	k.share = append(k.share, func(snapshot estimate.Snapshot, _ time.Duration) { kept.View(snapshot) })
 	return k, nil
 }
 
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -10,13 +10,13 @@
 // composer is a server's part that makes tasks of calls to several dependencies, by package budget, as internal/fanout
 // does. Such tasks take no core.
 type composer struct {
-	server *server
-	life   uint64
-	deps   []*budget.Dependency
-	ways   []*dependency
-	book   *budget.Book
-	timer  uint64
-	ended  []composedEnd
+	server    *server
+	life      uint64
+	deps      []*budget.Dependency
+	ways      []*dependency
+	scheduler *budget.Scheduler
+	timer     uint64
+	ended     []composedEnd
 }
 
 type composedEnd struct {
@@ -27,7 +27,7 @@
 
 // attempt is one in a dependency's hands.
 type attempt struct {
-	flight       *budget.Flight
+	flight       *budget.Execution
 	call, number int
 	dependency   int
 	cancelled    bool
@@ -41,29 +41,29 @@
 	c := &composer{server: s, life: s.life}
 	for i, d := range w.fleet.Dependencies {
 		share := shareOf(d.Slots, w.fleet.Servers)
-		c.deps = append(c.deps, budget.NewDependency(budget.Terms{
-			Name: d.Name, Share: share, Waiting: 4 * share, Linger: 5 * time.Second, Seconds: 0.1,
+		c.deps = append(c.deps, budget.NewDependency(budget.Options{
+			Name: d.Name, Share: share, QueueLimit: 4 * share, Linger: 5 * time.Second, RetryRatio: 0.1,
 		}, w.seed+int64(100*s.number+i)))
 		c.ways = append(c.ways, w.dependencies[d.Name])
 	}
-	c.book = budget.NewBook(c.deps, c, w.seed+int64(s.number))
+	c.scheduler = budget.NewScheduler(c.deps, c, w.seed+int64(s.number))
 	return c
 }
 
 // begin begins the calls of a task.
 func (c *composer) begin(t *try, until time.Duration) {
-	t.attempts = &[budget.MostCalls][2]*attempt{}
-	t.flight = c.book.Begin(c.server.world.fleet.Plans[c.server.world.fleet.Routes[t.of.kind].Name], c.server.world.now, until, t)
+	t.attempts = &[budget.MaxCalls][2]*attempt{}
+	t.flight = c.scheduler.Begin(c.server.world.fleet.Plans[c.server.world.fleet.Routes[t.of.kind].Name], c.server.world.now, until, t)
 	c.settle()
 }
 
 // abandon ends the calls of a task that nobody waits for.
 func (c *composer) abandon(t *try) {
 	if t.flight != nil {
-		c.book.Abandon(t.flight, c.server.world.now)
+		c.scheduler.Abandon(t.flight, c.server.world.now)
 		t.flight = nil
 	}
-	c.ended = append(c.ended, composedEnd{t, budget.GivenUp, 0})
+	c.ended = append(c.ended, composedEnd{t, budget.Aborted, 0})
 	c.settle()
 }
 
@@ -73,7 +73,7 @@
 	w := c.server.world
 	c.timer++
 	mine := c.timer
-	next := c.book.Next()
+	next := c.scheduler.Next()
 	if len(c.ended) > 0 {
 		next = w.now
 	}
@@ -90,35 +90,35 @@
 			for _, e := range ended {
 				c.server.composedEnded(e)
 			}
-			c.book.Turn(w.now)
+			c.scheduler.Advance(w.now)
 			c.settle()
 		})
 	})
 }
 
 // Send implements budget.Writer, as do the methods below it.
-func (c *composer) Send(f *budget.Flight, call, number int, within time.Duration) {
+func (c *composer) Send(f *budget.Execution, call, number int, within time.Duration) {
 	w, t := c.server.world, f.Ref.(*try)
 	a := &attempt{flight: f, call: call, number: number, dependency: f.Plan().Calls[call].Dependency}
 	t.attempts[call][number] = a
 	c.ways[a.dependency].take(within, func(outcome admission.Outcome, _ time.Duration) {
 		c.server.when(c.life, func() {
 			if a.cancelled {
-				c.book.Late(a.dependency, w.now)
+				c.scheduler.Late(a.dependency, w.now)
 			} else {
-				how := map[admission.Outcome]budget.Ended{admission.Succeeded: budget.Good, admission.NotRun: budget.Refused}[outcome]
+				how := map[admission.Outcome]budget.Outcome{admission.Succeeded: budget.Succeeded, admission.NotRun: budget.Rejected}[outcome]
 				if outcome == admission.Unknown {
 					how = budget.Lost
 				}
 				t.attempts[call][number] = nil
-				c.book.Returned(f, call, number, how, w.now)
+				c.scheduler.CallEnded(f, call, number, how, w.now)
 			}
 			c.settle()
 		})
 	})
 }
 
-func (c *composer) Cancel(f *budget.Flight, call, number int) {
+func (c *composer) Cancel(f *budget.Execution, call, number int) {
 	t := f.Ref.(*try)
 	if a := t.attempts[call][number]; a != nil {
 		a.cancelled = true
@@ -126,12 +126,12 @@
 	}
 }
 
-func (c *composer) FallBack(*budget.Flight, int) bool { return false }
+func (c *composer) Fallback(*budget.Execution, int) bool { return false }
 
-func (c *composer) Finish(f *budget.Flight, v budget.Verdict) {
+func (c *composer) Finish(f *budget.Execution, v budget.Verdict) {
 	t := f.Ref.(*try)
 	t.flight = nil
-	c.ended = append(c.ended, composedEnd{t, v, f.Worth()})
+	c.ended = append(c.ended, composedEnd{t, v, f.Value()})
 }
 
 // composedEnded takes the end of a task made of calls.
@@ -142,12 +142,12 @@
 	}
 	t.active = false
 	outcome := admission.Succeeded
-	if e.verdict == budget.GivenUp {
+	if e.verdict == budget.Aborted {
 		outcome = admission.Stopped
 	}
 	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &t.Request, Outcome: outcome, Took: s.world.now - t.work.begun})
 	if !t.answered {
-		if t.worth = e.worth; e.verdict == budget.GivenUp {
+		if t.worth = e.worth; e.verdict == budget.Aborted {
 			s.answer(t, givenUp, 0, false)
 		} else {
 			s.answer(t, honoured, 0, false)
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -45,8 +45,8 @@
 	worth float64 // of its importance: less where it went on without a call, or lacks parts
 
 	composed bool
-	flight   *budget.Flight
-	attempts *[budget.MostCalls][2]*attempt // nil until its calls begin
+	flight   *budget.Execution
+	attempts *[budget.MaxCalls][2]*attempt // nil until its calls begin
 
 	reached, answered, started, active bool
 }
@@ -107,16 +107,16 @@
 // learn asks up to three running servers what they know, as a newcomer with [peers] does.
 func (s *server) learn(controller *admission.Controller) {
 	w := s.world
-	frame := controller.EstimateSchema(uint64(s.number)<<32|s.life, false)
-	var views []estimate.View
+	schema := controller.EstimateSchema(uint64(s.number)<<32|s.life, false)
+	var views []estimate.Snapshot
 	for _, i := range w.chance.Perm(len(w.servers)) {
 		other := w.servers[i]
 		peer, own := other.policy.(*admission.Controller)
 		if other == s || !other.alive || !own || len(views) == 3 {
 			continue
 		}
-		if view, err := frame.Fit(peer.Estimates(w.now, peer.EstimateSchema(uint64(other.number)<<32|other.life, false))); err == nil {
-			views = append(views, view)
+		if snapshot, err := schema.Validate(peer.Estimates(w.now, peer.EstimateSchema(uint64(other.number)<<32|other.life, false))); err == nil {
+			views = append(views, snapshot)
 		}
 	}
 	if merged := estimate.Merge(views); merged.Fresh() {
--- a/estimate/asking.go
+++ b/estimate/asking.go
@@ -7,7 +7,7 @@
 
 const (
 	firstPause = time.Second
-	mostPause  = 15 * time.Second
+	maxPause   = 15 * time.Second
 	// maxVoices is how many peers' answers a newcomer wants. A listed fleet may be hundreds; the median of a few voices
 	// says as much, and what a start costs must not grow with the fleet.
 	maxVoices = 16
@@ -16,10 +16,10 @@
 	askFor = 2 * time.Minute
 )
 
-// Asking decides which peers a newcomer asks, and when again. One that has answered is not asked again; one
+// PollSchedule decides which peers a newcomer asks, and when again. One that has answered is not asked again; one
 // that was down, late or not understood is, in growing pauses with jitter, so that a fleet that starts together
 // does not ask together. Nothing here waits: what it says is carried out elsewhere.
-type Asking struct {
+type PollSchedule struct {
 	rng   *rand.Rand
 	began time.Duration
 	peers []asked
@@ -33,9 +33,9 @@
 	next     time.Duration
 }
 
-// NewAsking begins at a moment with a number of peers.
-func NewAsking(peers int, now time.Duration, seed int64) *Asking {
-	a := &Asking{rng: rand.New(rand.NewSource(seed)), began: now, peers: make([]asked, peers)}
+// NewPollSchedule begins at a moment with a number of peers.
+func NewPollSchedule(peers int, now time.Duration, seed int64) *PollSchedule {
+	a := &PollSchedule{rng: rand.New(rand.NewSource(seed)), began: now, peers: make([]asked, peers)}
 	for i := range a.peers {
 		a.peers[i].next = now
 		a.order = append(a.order, i)
@@ -48,7 +48,7 @@
 
 // Due names the peers to be asked now and marks them as being asked. cold tells whether the newcomer still
 // needs to; once it does not, nobody is asked any more.
-func (a *Asking) Due(now time.Duration, cold bool) (due []int) {
+func (a *PollSchedule) Due(now time.Duration, cold bool) (due []int) {
 	if !cold || now > a.began+askFor {
 		return nil
 	}
@@ -71,16 +71,16 @@
 }
 
 // Ended tells how an ask ended. comeBack is how long the peer asked to stay away, 0 where it did not say.
-func (a *Asking) Ended(peer int, now time.Duration, answered bool, comeBack time.Duration) {
+func (a *PollSchedule) Ended(peer int, now time.Duration, answered bool, comeBack time.Duration) {
 	p := &a.peers[peer]
 	p.open, p.answered = false, answered
-	pause := min(firstPause<<min(p.tries-1, 8), mostPause)
+	pause := min(firstPause<<min(p.tries-1, 8), maxPause)
 	pause = pause/2 + time.Duration(a.rng.Int63n(int64(pause))) // half to one and a half
-	p.next = now + max(pause, min(comeBack, mostPause))
+	p.next = now + max(pause, min(comeBack, maxPause))
 }
 
 // Over tells whether nobody will be asked any more.
-func (a *Asking) Over(now time.Duration, cold bool) bool {
+func (a *PollSchedule) Over(now time.Duration, cold bool) bool {
 	if !cold || now > a.began+askFor {
 		return true
 	}
@@ -94,7 +94,7 @@
 }
 
 // Next is the moment of the next ask, or of the end of asking; far off where only asks that are open count.
-func (a *Asking) Next() time.Duration {
+func (a *PollSchedule) Next() time.Duration {
 	next := a.began + askFor
 	for _, p := range a.peers {
 		if !p.answered && !p.open {
--- a/estimate/giving.go
+++ b/estimate/giving.go
@@ -10,13 +10,13 @@
 	burst     = 1.0         // seconds' worth that may come at once
 	openEach  = 4           // connections of one address
 	openAll   = 16          // and in all
-	mostKnown = 1024        // addresses remembered; past it, one that has not asked for longest is forgotten
+	maxKnown  = 1024        // addresses remembered; past it, one that has not asked for longest is forgotten
 	backSoon  = time.Second // advice to one that is turned away
 )
 
-// Giving decides whom a running server answers: askers must not cost it more than a stated part of its time,
+// ServeLimiter decides whom a running server answers: askers must not cost it more than a stated part of its time,
 // and one that asks without end must not keep others from being answered.
-type Giving struct {
+type ServeLimiter struct {
 	known map[string]*giver
 	all   giver
 }
@@ -27,9 +27,9 @@
 	last        time.Duration
 }
 
-// NewGiving begins with nobody known.
-func NewGiving(now time.Duration) *Giving {
-	return &Giving{known: map[string]*giver{}, all: giver{asks: asksAll * burst, bytes: bytesAll * burst, last: now}}
+// NewServeLimiter begins with nobody known.
+func NewServeLimiter(now time.Duration) *ServeLimiter {
+	return &ServeLimiter{known: map[string]*giver{}, all: giver{asks: asksAll * burst, bytes: bytesAll * burst, last: now}}
 }
 
 func (g *giver) fill(now time.Duration, asks, bytes float64) {
@@ -40,13 +40,13 @@
 }
 
 // Joined tells whether a new connection of an address may stay. One that may must be Left again.
-func (g *Giving) Joined(address string, now time.Duration) bool {
+func (g *ServeLimiter) Joined(address string, now time.Duration) bool {
 	from := g.known[address]
 	if g.all.open >= openAll || from != nil && from.open >= openEach {
 		return false
 	}
 	if from == nil {
-		if len(g.known) >= mostKnown {
+		if len(g.known) >= maxKnown {
 			g.forget()
 		}
 		from = &giver{asks: asksEach * burst, bytes: bytesEach * burst, last: now}
@@ -59,7 +59,7 @@
 
 // forget drops the address that has not asked for longest, of those with nothing open: there are fewer open
 // than known. Of several, the lesser address.
-func (g *Giving) forget() {
+func (g *ServeLimiter) forget() {
 	least := ""
 	for address, of := range g.known { // the least of all, so the order decides nothing
 		if of.open > 0 {
@@ -73,13 +73,13 @@
 }
 
 // Left ends a connection that was let in.
-func (g *Giving) Left(address string) {
+func (g *ServeLimiter) Left(address string) {
 	g.known[address].open--
 	g.all.open--
 }
 
-// Ask tells whether an ask of an address, to be answered with so many bytes, is; else when to come again.
-func (g *Giving) Ask(address string, bytes int, now time.Duration) (given bool, comeBack time.Duration) {
+// Allow tells whether an ask of an address, to be answered with so many bytes, is; else when to come again.
+func (g *ServeLimiter) Allow(address string, bytes int, now time.Duration) (given bool, comeBack time.Duration) {
 	from := g.known[address]
 	from.fill(now, asksEach, bytesEach)
 	g.all.fill(now, asksAll, bytesAll)
--- a/estimate/weigh.go
+++ b/estimate/weigh.go
@@ -16,8 +16,8 @@
 	RunTime
 	Pace
 	CallTime
-	Refusals
-	Returning
+	RejectRatio
+	ReturnRatio
 )
 
 // halfLives are the ages at which an estimate is worth half. What the work needs changes with the mix over an
@@ -26,7 +26,7 @@
 // callers over many minutes.
 var halfLives = [...]time.Duration{
 	CoreTime: 20 * time.Second, RunTime: 10 * time.Second, Pace: time.Minute, CallTime: 10 * time.Second,
-	Refusals: 5 * time.Second, Returning: 2 * time.Minute,
+	RejectRatio: 5 * time.Second, ReturnRatio: 2 * time.Minute,
 }
 
 const (
@@ -34,29 +34,29 @@
 	// core time is twice what a lost zone takes to show in a running peer's own samples and in the lists of
 	// routers; longer would let a newcomer act on a world that its peers have left.
 	oldAfter = 3
-	// mostTrust is the number of samples that any borrowed estimate is taken for at the most. So a newcomer's
+	// maxTrust is the number of samples that any borrowed estimate is taken for at the most. So a newcomer's
 	// own samples outweigh it after that many runs, whatever the peer claims.
-	mostTrust = 12.0
+	maxTrust = 12.0
 	// agree is by how much two estimates may differ and still speak of the same.
 	agree = 3.0
-	// mostPaces bounds what a difference of machines is allowed to explain.
-	mostPaces = 4.0
+	// maxPace bounds what a difference of machines is allowed to explain.
+	maxPace = 4.0
 )
 
-// OldAt is the age from which on an estimate of a kind is old and not acted on: the newcomer then decides as a
+// MaxAge is the age from which on an estimate of a kind is old and not acted on: the newcomer then decides as a
 // cold one does.
-func OldAt(k Kind) time.Duration { return oldAfter * halfLives[k] }
+func MaxAge(k Kind) time.Duration { return oldAfter * halfLives[k] }
 
 // Weight is the number of own samples that an estimate is worth now; 0 where it is old.
 func (e Estimate) Weight(k Kind) float64 {
-	if !e.Known() || e.Age >= OldAt(k) {
+	if !e.Known() || e.Age >= MaxAge(k) {
 		return 0
 	}
-	return min(e.Samples, mostTrust) * math.Exp2(-float64(e.Age)/float64(halfLives[k]))
+	return min(e.Samples, maxTrust) * math.Exp2(-float64(e.Age)/float64(halfLives[k]))
 }
 
 // Fresh tells whether anything in a view is still worth being taken.
-func (v View) Fresh() bool {
+func (v Snapshot) Fresh() bool {
 	for e, k := range v.estimates() {
 		if e.Weight(k) > 0 {
 			return true
@@ -66,12 +66,12 @@
 }
 
 // Cold tells whether a server has seen too little itself to go without its peers' word.
-func (v View) Cold() bool {
+func (v Snapshot) Cold() bool {
 	samples := 0.0
-	for _, t := range v.Types {
+	for _, t := range v.Routes {
 		samples += t.Core.Samples
 	}
-	return samples < mostTrust
+	return samples < maxTrust
 }
 
 // Merge makes one view of several that Fit has passed. The order of views does not matter. Each estimate is
@@ -83,15 +83,15 @@
 //   - where two answer there is no majority: if they are further apart than three times, neither is believed,
 //     else the larger need, the fewer samples and the greater age count;
 //   - core and run times are first brought to the median pace, where all that answer state theirs.
-func Merge(views []View) View {
+func Merge(views []Snapshot) Snapshot {
 	if len(views) == 0 {
-		return View{}
+		return Snapshot{}
 	}
 	views = slices.Clone(views)
-	slices.SortStableFunc(views, func(a, b View) int { return cmp.Compare(a.Origin, b.Origin) })
+	slices.SortStableFunc(views, func(a, b Snapshot) int { return cmp.Compare(a.Origin, b.Origin) })
 	toOnePace(views)
-	merged := View{Terms: views[0].Terms, Types: make([]TypeView, len(views[0].Types))}
-	of := func(get func(*View) *Estimate, k Kind) {
+	merged := Snapshot{SettingsDigest: views[0].SettingsDigest, Routes: make([]RouteEstimates, len(views[0].Routes))}
+	of := func(get func(*Snapshot) *Estimate, k Kind) {
 		var voices []Estimate
 		for from := 0; from < len(views); {
 			to := from
@@ -108,39 +108,39 @@
 		}
 		*get(&merged) = middle(voices)
 	}
-	for i := range merged.Types {
-		merged.Types[i].Name = views[0].Types[i].Name
-		of(func(v *View) *Estimate { return &v.Types[i].Core }, CoreTime)
-		of(func(v *View) *Estimate { return &v.Types[i].Run }, RunTime)
+	for i := range merged.Routes {
+		merged.Routes[i].Name = views[0].Routes[i].Name
+		of(func(v *Snapshot) *Estimate { return &v.Routes[i].Core }, CoreTime)
+		of(func(v *Snapshot) *Estimate { return &v.Routes[i].Run }, RunTime)
 	}
-	of(func(v *View) *Estimate { return &v.Pace }, Pace)
-	of(func(v *View) *Estimate { return &v.Calls }, CallTime)
-	of(func(v *View) *Estimate { return &v.Refused }, Refusals)
-	of(func(v *View) *Estimate { return &v.Returns }, Returning)
+	of(func(v *Snapshot) *Estimate { return &v.Pace }, Pace)
+	of(func(v *Snapshot) *Estimate { return &v.Calls }, CallTime)
+	of(func(v *Snapshot) *Estimate { return &v.RejectRatio }, RejectRatio)
+	of(func(v *Snapshot) *Estimate { return &v.ReturnRatio }, ReturnRatio)
 	return merged
 }
 
 // toOnePace brings core and run times to the median pace of all origins. Without a pace from each, machines are
 // taken to be alike: own samples then correct what is wrong in that. The views are sorted by origin.
-func toOnePace(views []View) {
+func toOnePace(views []Snapshot) {
 	var paces []float64
-	for i, v := range views {
+	for i, snapshot := range views {
 		switch {
-		case v.Pace.Weight(Pace) == 0:
+		case snapshot.Pace.Weight(Pace) == 0:
 			return
-		case i > 0 && views[i-1].Origin == v.Origin:
-			paces[len(paces)-1] = max(paces[len(paces)-1], v.Pace.Mean)
+		case i > 0 && views[i-1].Origin == snapshot.Origin:
+			paces[len(paces)-1] = max(paces[len(paces)-1], snapshot.Pace.Mean)
 		default:
-			paces = append(paces, v.Pace.Mean)
+			paces = append(paces, snapshot.Pace.Mean)
 		}
 	}
 	slices.Sort(paces)
 	median := paces[len(paces)/2]
 	for i := range views {
-		by := min(max(median/views[i].Pace.Mean, 1/mostPaces), mostPaces)
-		views[i].Types = slices.Clone(views[i].Types)
-		for j := range views[i].Types {
-			t := &views[i].Types[j]
+		by := min(max(median/views[i].Pace.Mean, 1/maxPace), maxPace)
+		views[i].Routes = slices.Clone(views[i].Routes)
+		for j := range views[i].Routes {
+			t := &views[i].Routes[j]
 			t.Core.Mean, t.Core.Spread = t.Core.Mean*by, t.Core.Spread*by
 			t.Run.Mean, t.Run.Spread = t.Run.Mean*by, t.Run.Spread*by
 		}
--- a/gate.go
+++ b/gate.go
@@ -147,7 +147,7 @@
 	ids    atomic.Uint64 // of calls
 	stuck  int64
 	shares map[string]int // places of customers
-	view   atomic.Pointer[estimate.View]
+	view   atomic.Pointer[estimate.Snapshot]
 	state  *store.Store // nil without one
 	good   atomic.Bool
 	level  atomic.Uint64 // bits
@@ -202,7 +202,7 @@
 			return nil, err
 		}
 	} else {
-		g.owner.Share(0, func(v estimate.View, _ time.Duration) { g.view.Store(&v) })
+		g.owner.PublishEstimates(0, func(snapshot estimate.Snapshot, _ time.Duration) { g.view.Store(&snapshot) })
 	}
 	go func() {
 		defer close(g.closed)
@@ -470,11 +470,11 @@
 func (g *Gate) Level() float64 { return math.Float64frombits(g.level.Load()) }
 
 // View is what the gate has learned, for a newcomer; empty in its first second.
-func (g *Gate) View() estimate.View {
+func (g *Gate) View() estimate.Snapshot {
 	if v := g.view.Load(); v != nil {
 		return *v
 	}
-	return estimate.View{}
+	return estimate.Snapshot{}
 }
 
 // Counts is what became of tasks so far. Late are runs that go on past their answer.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -26,10 +26,10 @@
 	Peers        *Peers // nil: no exchange of knowledge
 	Control      string // path of the socket that operators ask; empty: none
 	Dependencies []Dependency
-	Types        []Type            // traffic types that are made of calls
-	State        *State            // nil: nothing is kept for the server after this one
-	Pools        []classpool.Terms // empty: no pools; read and checked, not yet used in decisions
-	Lease        *Lease            // nil: no duty is held by lease
+	Types        []Type              // traffic types that are made of calls
+	State        *State              // nil: nothing is kept for the server after this one
+	Pools        []classpool.Options // empty: no pools; read and checked, not yet used in decisions
+	Lease        *Lease              // nil: no duty is held by lease
 	// Configuration is nil where routes and tenants are those of the platform's configuration for good.
 	Configuration *Configuration
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,7 +44,7 @@
 		"]\n[lease]\nduties = [\"compact\"]"))
 	require.NoError(t, err)
 	assert.Len(t, got.Peers.Ask, 1024)
-	assert.Equal(t, 1025, got.Lease.Terms.Voters)
+	assert.Equal(t, 1025, got.Lease.Config.Voters)
 }
 
 func TestState(t *testing.T) {
@@ -60,9 +60,9 @@
 	peers := "[peers]\nlisten = \"127.0.0.1:7401\"\nask = [\"127.0.0.1:7402\", \"127.0.0.1:7403\"]\n"
 	got, err := Parse("x.toml", []byte(peers+"[lease]\nduties = [\"compact\"]\nlease = \"3s\"\ndrift = 0.02"))
 	require.NoError(t, err)
-	assert.Equal(t, &Lease{Duties: []string{"compact"}, Terms: lease.Terms{Lease: 3 * time.Second, Drift: 0.02, Voters: 3}},
+	assert.Equal(t, &Lease{Duties: []string{"compact"}, Config: lease.Config{Duration: 3 * time.Second, MaxClockDrift: 0.02, Voters: 3}},
 		got.Lease)
-	require.NoError(t, got.Lease.Terms.Check())
+	require.NoError(t, got.Lease.Config.Validate())
 	for name, c := range map[string]struct{ text, fault string }{
 		"no duties":  {peers + "[lease]\n", "x.toml:4: lease.duties: the names of the duties held by lease are needed"},
 		"no voters":  {"[lease]\nduties = [\"d\"]", "x.toml:1: lease: needs [peers] with listen, where this server votes"},
@@ -87,7 +87,7 @@
 floor = 0.1
 `))
 	require.NoError(t, err)
-	assert.Equal(t, []classpool.Terms{
+	assert.Equal(t, []classpool.Options{
 		{Name: "booking", Floor: 0.4, Ceiling: 1, Weight: 3},
 		{Name: "browsing", Ceiling: 0.8, Weight: 1},
 		{Name: "browsing-slow", Parent: "browsing", Floor: 0.1, Ceiling: 1, Weight: 1},
--- a/internal/config/dependencies.go
+++ b/internal/config/dependencies.go
@@ -20,7 +20,7 @@
 
 // Dependency is one that tasks call.
 type Dependency struct {
-	budget.Terms
+	budget.Options
 	Address     string
 	Connections int
 	Silence     time.Duration // after which a connection that owes answers and says nothing is dead
@@ -43,7 +43,7 @@
 
 // Plan is the type's plan.
 func (t Type) Plan() *budget.Plan {
-	p := &budget.Plan{Type: t.Name, Reserve: t.Reserve}
+	p := &budget.Plan{Route: t.Name, Reserve: t.Reserve}
 	for _, c := range t.Calls {
 		p.Calls = append(p.Calls, c.Call)
 	}
@@ -53,12 +53,12 @@
 func readDependencies(s *section) (all []Dependency) {
 	for _, one := range s.all(mostDependencies) {
 		d := Dependency{
-			Terms: budget.Terms{
-				Name:    one.named,
-				Share:   one.whole("share", 8, 1, mostShare),
-				Waiting: one.whole("waiting", 64, 0, mostWaiting),
-				Linger:  one.span("linger", 2*time.Second, 10*time.Millisecond, time.Minute),
-				Seconds: one.number("second-attempts", 0.1, 0, 0.5),
+			Options: budget.Options{
+				Name:       one.named,
+				Share:      one.whole("share", 8, 1, mostShare),
+				QueueLimit: one.whole("waiting", 64, 0, mostWaiting),
+				Linger:     one.span("linger", 2*time.Second, 10*time.Millisecond, time.Minute),
+				RetryRatio: one.number("second-attempts", 0.1, 0, 0.5),
 			},
 			Address: one.text("address", "", "an address and port without a name, as \"127.0.0.1:9501\", is allowed",
 				address),
@@ -75,12 +75,12 @@
 	return all
 }
 
-var effects = map[string]budget.Effect{"read": budget.Read, "numbered": budget.Numbered, "at-most-once": budget.AtMostOnce}
+var effects = map[string]budget.Effect{"read": budget.Read, "numbered": budget.Keyed, "at-most-once": budget.AtMostOnce}
 
 func readTypes(s *section, dependencies []Dependency) (all []Type) {
 	for _, one := range s.all(mostTypes) {
 		t := Type{Name: one.named, Reserve: one.span("reserve", 30*time.Millisecond, time.Millisecond, 5*time.Second)}
-		items := one.list("calls", budget.MostCalls)
+		items := one.list("calls", budget.MaxCalls)
 		var names []string
 		for _, item := range items {
 			names = append(names, item.text("name", "", "a name is allowed", func(n string) bool { return n != "" }))
@@ -119,10 +119,10 @@
 	c := Call{Call: budget.Call{
 		Name:       names[i],
 		Dependency: -1,
-		Needed:     s.flag("needed"),
-		Importance: s.number("importance", 1, 0, 1e6),
+		Required:   s.flag("needed"),
+		Value:      s.number("importance", 1, 0, 1e6),
 		Expected:   s.span("expected", 50*time.Millisecond, 100*time.Microsecond, time.Minute),
-		Seconds:    s.flag("second-attempt"),
+		Retry:      s.flag("second-attempt"),
 		Hedge:      s.flag("hedge"),
 	}}
 	if names[i] == "" {
@@ -144,7 +144,7 @@
 	c.Op = s.text("op", c.Name, "a word is allowed", func(n string) bool { return n != "" && len(n) <= mostOp })
 	c.Effect = effects[s.text("effect", "read", "\"read\", \"numbered\" or \"at-most-once\" is allowed",
 		func(n string) bool { _, known := effects[n]; return known })]
-	for _, a := range s.texts("after", budget.MostCalls, "a name of a call of the same type", func(n string) bool {
+	for _, a := range s.texts("after", budget.MaxCalls, "a name of a call of the same type", func(n string) bool {
 		return slices.Contains(names, n) && n != c.Name
 	}) {
 		c.After = append(c.After, slices.Index(names, a))
@@ -154,7 +154,7 @@
 		c.Default = []byte(s.text("default", "", "a text of 2048 bytes at most is allowed",
 			func(n string) bool { return len(n) <= mostDefault }))
 	}
-	c.FallBack = c.Keep > 0 || c.Default != nil
+	c.Fallback = c.Keep > 0 || c.Default != nil
 	s.end()
 	return c
 }
--- a/internal/config/lease.go
+++ b/internal/config/lease.go
@@ -16,7 +16,7 @@
 // servers named under [peers] vote, with this one; a majority grants.
 type Lease struct {
 	Duties []string
-	Terms  lease.Terms
+	Config lease.Config
 }
 
 func readLease(s *section, peers *Peers) *Lease {
@@ -24,9 +24,9 @@
 		Duties: s.texts("duties", mostDuties, "names of duties, different and not empty, are allowed", func(t string) bool {
 			return t != ""
 		}),
-		Terms: lease.Terms{
-			Lease: s.span("lease", leaseDefault, 100*time.Millisecond, time.Minute),
-			Drift: s.number("drift", driftDefault, 0, 0.2),
+		Config: lease.Config{
+			Duration:      s.span("lease", leaseDefault, 100*time.Millisecond, time.Minute),
+			MaxClockDrift: s.number("drift", driftDefault, 0, 0.2),
 		},
 	}
 	if _, stated := s.values["duties"]; !stated {
@@ -35,7 +35,7 @@
 	if peers == nil || len(peers.Ask) == 0 || peers.Listen == "" {
 		s.fault("", nil, "needs [peers] with listen, where this server votes, and the servers that vote, under ask")
 	} else {
-		l.Terms.Voters = len(peers.Ask) + 1
+		l.Config.Voters = len(peers.Ask) + 1
 	}
 	s.end()
 	return l
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -7,10 +7,10 @@
 // readPools reads the tree of pools that parts the one limit of tasks in flight among classes of work, a
 // [pools.NAME] table for each: its parent (none at the top), floor and ceiling as parts of the parent's room,
 // and the weight by which what is left is parted. The tree is checked whole by classpool, as it will be used.
-func readPools(s *section) (all []classpool.Terms) {
+func readPools(s *section) (all []classpool.Options) {
 	before := len(s.faults)
 	for _, one := range s.all(mostPools) {
-		all = append(all, classpool.Terms{
+		all = append(all, classpool.Options{
 			Name:    one.named,
 			Parent:  one.text("parent", "", "the name of another pool is allowed", func(n string) bool { return n != "" }),
 			Floor:   one.number("floor", 0, 0, 1),
--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -220,7 +220,7 @@
 	m := newMachine(t)
 	for name, wrong := range map[string]peersync.Keys{"another": {bytes.Repeat([]byte{6}, 16)}, "none": nil} {
 		_, err := configwatch.AskStatus(t.Context(), m.address, wrong)
-		var refused *peersync.Refused
+		var refused *peersync.RejectedError
 		assert.ErrorAs(t, err, &refused, name)
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		_, err = configwatch.Propose(ctx, []string{m.address}, wrong, deadline(1))
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -96,9 +96,9 @@
 		if held {
 			wait = time.Duration(chance.Int63n(int64(spreadOver)))
 		}
-		var refused *peersync.Refused
+		var refused *peersync.RejectedError
 		if errors.As(err, &refused) {
-			wait += min(refused.ComeBack, mostRefused)
+			wait += min(refused.RetryAfter, mostRefused)
 		}
 		if pause = min(2*pause, longest); !sleep(ctx, wait) {
 			return
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -42,7 +42,7 @@
 
 func dependency(name, address string) Dependency {
 	return Dependency{
-		Terms:   budget.Terms{Name: name, Share: 8, Waiting: 8, Linger: 300 * ms, Seconds: 0.5},
+		Options: budget.Options{Name: name, Share: 8, QueueLimit: 8, Linger: 300 * ms, RetryRatio: 0.5},
 		Address: address, Connections: 2, Silence: 500 * ms,
 	}
 }
@@ -133,9 +133,9 @@
 // kinds is a type with a needed read of the first dependency, and one of the second that it can do without.
 func kinds(change func(*Type)) []Type {
 	t := Type{
-		Plan: &budget.Plan{Type: "look", Reserve: 10 * ms, Calls: []budget.Call{
-			{Name: "map", Needed: true, Importance: 3, Expected: 20 * ms, Seconds: true},
-			{Name: "guest", Dependency: 1, Importance: 1, Expected: 20 * ms},
+		Plan: &budget.Plan{Route: "look", Reserve: 10 * ms, Calls: []budget.Call{
+			{Name: "map", Required: true, Value: 3, Expected: 20 * ms, Retry: true},
+			{Name: "guest", Dependency: 1, Value: 1, Expected: 20 * ms},
 		}},
 		Calls: []Call{{Op: "read-map"}, {Op: "read-guest"}},
 	}
@@ -160,7 +160,7 @@
 		{"the optional one fails", nil, broken, nil, "success", []string{"fresh", "missing"}, 0.75},
 		{"the optional one is late", nil, slow, nil, "success", []string{"fresh", "missing"}, 0.75},
 		{"a constant for it", nil, broken, func(t *Type) {
-			t.Plan.Calls[1].FallBack, t.Calls[1].Default = true, []byte("nobody")
+			t.Plan.Calls[1].Fallback, t.Calls[1].Default = true, []byte("nobody")
 		}, "success", []string{"fresh", "default"}, 1},
 		{"the needed one fails", broken, nil, nil, "interrupted", []string{"missing", "missing"}, 0},
 		{"the needed one is late", slow, nil, nil, "interrupted", []string{"missing", "fresh"}, 0.25},
@@ -189,7 +189,7 @@
 	var failing atomic.Bool
 	other := acts(t, ms, func(time.Duration) harness.Mood { return harness.Mood{Errors: failing.Load()} })
 	one := acts(t, ms, nil)
-	b := newBench(t, 64<<20, kinds(func(t *Type) { t.Plan.Calls[1].FallBack, t.Calls[1].Keep = true, 400*ms }),
+	b := newBench(t, 64<<20, kinds(func(t *Type) { t.Plan.Calls[1].Fallback, t.Calls[1].Keep = true, 400*ms }),
 		dependency("one", one.Address), dependency("other", other.Address))
 	b.ask("look", "mine", 300*ms)
 	_, a := b.next()
@@ -213,9 +213,9 @@
 // confirm is a needed hold with a number and a deposit that must not run twice behind it.
 func confirm() []Type {
 	return []Type{{
-		Plan: &budget.Plan{Type: "confirm", Reserve: 10 * ms, Calls: []budget.Call{
-			{Name: "hold", Needed: true, Importance: 1, Expected: 20 * ms, Effect: budget.Numbered, Seconds: true},
-			{Name: "deposit", Dependency: 1, Needed: true, Importance: 1, Expected: 20 * ms, Effect: budget.AtMostOnce, After: []int{0}},
+		Plan: &budget.Plan{Route: "confirm", Reserve: 10 * ms, Calls: []budget.Call{
+			{Name: "hold", Required: true, Value: 1, Expected: 20 * ms, Effect: budget.Keyed, Retry: true},
+			{Name: "deposit", Dependency: 1, Required: true, Value: 1, Expected: 20 * ms, Effect: budget.AtMostOnce, After: []int{0}},
 		}},
 		Calls: []Call{{Op: "hold"}, {Op: "deposit"}},
 	}}
@@ -296,7 +296,7 @@
 	b.posted <- func() {
 		for range 2 { // a second attempt is earned
 			_, _ = b.deps[0].Admit(b.now())
-			b.deps[0].Ended(budget.Good, ms, true, b.now())
+			b.deps[0].Ended(budget.Succeeded, ms, true, b.now())
 		}
 	}
 	b.ask("confirm", "x", 2*time.Second)
@@ -367,7 +367,7 @@
 
 	plan := kinds(nil)[0].Plan
 	require.NoError(t, plan.Check(2, time.Minute))
-	d := []*budget.Dependency{budget.NewDependency(budget.Terms{Share: 4}, 1), budget.NewDependency(budget.Terms{Share: 4}, 1)}
+	d := []*budget.Dependency{budget.NewDependency(budget.Options{Share: 4}, 1), budget.NewDependency(budget.Options{Share: 4}, 1)}
 	for _, c := range []struct {
 		sizes     [2]int
 		cut, fits bool
@@ -375,18 +375,18 @@
 		{[2]int{100, 100}, false, true}, {[2]int{2000, 2000}, true, true}, {[2]int{4000, 10}, true, false},
 	} {
 		k := &keeper{}
-		book := budget.NewBook(d, k, 1)
+		book := budget.NewScheduler(d, k, 1)
 		tk := &task{kind: &Type{Plan: plan, Calls: make([]Call, 2)}}
 		f := book.Begin(plan, time.Hour, time.Hour+time.Second, tk)
 		for i, size := range c.sizes {
 			tk.parts[i] = []byte(strings.Repeat("x", size))
 			k.at = func() {
-				raw, cut, fits := tk.answer(f, budget.Whole)
+				raw, cut, fits := tk.answer(f, budget.Complete)
 				assert.Equal(t, c.cut, cut)
 				assert.Equal(t, c.fits, fits)
 				assert.LessOrEqual(t, len(raw), mostAnswer)
 			}
-			book.Returned(f, i, 0, budget.Good, time.Hour+ms)
+			book.CallEnded(f, i, 0, budget.Succeeded, time.Hour+ms)
 		}
 		assert.True(t, k.finished)
 	}
@@ -398,10 +398,10 @@
 	finished bool
 }
 
-func (*keeper) Send(*budget.Flight, int, int, time.Duration) {}
-func (*keeper) Cancel(*budget.Flight, int, int)              {}
-func (*keeper) FallBack(*budget.Flight, int) bool            { return false }
-func (k *keeper) Finish(*budget.Flight, budget.Verdict)      { k.finished = true; k.at() }
+func (*keeper) Send(*budget.Execution, int, int, time.Duration) {}
+func (*keeper) Cancel(*budget.Execution, int, int)              {}
+func (*keeper) Fallback(*budget.Execution, int) bool            { return false }
+func (k *keeper) Finish(*budget.Execution, budget.Verdict)      { k.finished = true; k.at() }
 
 // The caller is gone, or somebody else gave the task up: nothing more is called, and nothing is left.
 func TestPause(t *testing.T) {
@@ -415,7 +415,7 @@
 	time.Sleep(150 * ms)
 	assert.Zero(t, deposit.Seen().Calls)
 	left := make(chan int, 1)
-	b.posted <- func() { left <- len(b.tasks) + b.book.Open() }
+	b.posted <- func() { left <- len(b.tasks) + b.scheduler.Open() }
 	assert.Zero(t, <-left)
 	b.posted <- func() { assert.False(t, b.Pause(id)) }
 }
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -29,7 +29,7 @@
 
 // Dependency is one that is called.
 type Dependency struct {
-	budget.Terms
+	budget.Options
 	Address     string
 	Connections int
 	Silence     time.Duration // after which a connection that owes an answer and says nothing is dead
@@ -50,13 +50,13 @@
 
 // Composer makes tasks of calls. All of it belongs to the owner of decisions, but for what its transports read.
 type Composer struct {
-	counts *invariant.Counts
-	now    func() time.Duration
-	types  map[string]*Type
-	ways   []Transport
-	deps   []*budget.Dependency
-	book   *budget.Book
-	over   sync.WaitGroup
+	counts    *invariant.Counts
+	now       func() time.Duration
+	types     map[string]*Type
+	ways      []Transport
+	deps      []*budget.Dependency
+	scheduler *budget.Scheduler
+	over      sync.WaitGroup
 
 	tasks   map[string]*task
 	ended   []workerapi.Notice
@@ -75,12 +75,12 @@
 	id     string
 	kind   *Type
 	body   []byte
-	flight *budget.Flight
+	flight *budget.Execution
 	began  time.Duration
-	parts  [budget.MostCalls][]byte
-	held   int                             // bytes of them that are the program's own
-	ages   [budget.MostCalls]time.Duration // of last good results
-	sent   [budget.MostCalls][2]*Sent
+	parts  [budget.MaxCalls][]byte
+	held   int                            // bytes of them that are the program's own
+	ages   [budget.MaxCalls]time.Duration // of last good results
+	sent   [budget.MaxCalls][2]*Sent
 }
 
 // good is a last good result.
@@ -103,13 +103,13 @@
 	c.kept, err = simplelru.NewLRU(mostEntries, func(key string, g good) { c.keeps -= len(key) + len(g.body) })
 	counts.That(err == nil, "no table of last good results")
 	for i, d := range dependencies {
-		c.deps = append(c.deps, budget.NewDependency(d.Terms, seed+int64(i)))
+		c.deps = append(c.deps, budget.NewDependency(d.Options, seed+int64(i)))
 		c.ways = append(c.ways, Dial(ctx, d, seed+int64(i), log, counts.Saw, wake, &c.over))
 	}
 	for _, t := range types {
-		c.types[t.Plan.Type] = &t
+		c.types[t.Plan.Route] = &t
 	}
-	c.book = budget.NewBook(c.deps, c, seed)
+	c.scheduler = budget.NewScheduler(c.deps, c, seed)
 	return c
 }
 
@@ -131,7 +131,7 @@
 	}
 	t := &task{id: r.ID, kind: kind, body: r.Body, began: c.now()}
 	c.tasks[r.ID] = t
-	t.flight = c.book.Begin(kind.Plan, t.began, r.Deadline, t)
+	t.flight = c.scheduler.Begin(kind.Plan, t.began, r.Deadline, t)
 	return true
 }
 
@@ -143,7 +143,7 @@
 		return false
 	}
 	if t.flight != nil {
-		c.book.Abandon(t.flight, c.now())
+		c.scheduler.Abandon(t.flight, c.now())
 	}
 	c.end(t, "interrupted", nil)
 	return true
@@ -173,7 +173,7 @@
 	if len(c.unsent)+len(c.ended) > 0 {
 		return 0
 	}
-	next := c.book.Next()
+	next := c.scheduler.Next()
 	if len(c.tasks) > 0 {
 		next = min(next, c.looked+lookEvery)
 	}
@@ -184,7 +184,7 @@
 func (c *Composer) Turn(now time.Duration) {
 	for _, s := range c.unsent {
 		if s.cancelled {
-			c.book.Late(s.dependency, now)
+			c.scheduler.Late(s.dependency, now)
 		} else {
 			c.returned(Back{Sent: s, How: budget.NotSent}, now)
 		}
@@ -198,13 +198,13 @@
 	slices.SortStableFunc(c.backs, func(a, b Back) int { return a.Sent.at.Compare(b.Sent.at) })
 	for _, b := range c.backs {
 		if b.Sent.cancelled {
-			c.book.Late(b.Sent.dependency, now)
+			c.scheduler.Late(b.Sent.dependency, now)
 			continue
 		}
 		c.returned(b, now)
 	}
 	clear(c.backs)
-	c.book.Turn(now)
+	c.scheduler.Advance(now)
 	if now >= c.looked+lookEvery {
 		c.looked = now
 		for _, w := range c.ways {
@@ -217,7 +217,7 @@
 	s := b.Sent
 	t := s.flight.Ref.(*task)
 	t.sent[s.call][s.attempt] = nil
-	if b.How == budget.Good {
+	if b.How == budget.Succeeded {
 		if c.holds+len(b.Body) > c.mayHold {
 			c.counts.Saw("result of a call beyond the program's own memory")
 			b.How = budget.Failed
@@ -228,13 +228,13 @@
 			c.keep(t, s.call, b.Body, now)
 		}
 	}
-	c.book.Returned(s.flight, s.call, s.attempt, b.How, now)
+	c.scheduler.CallEnded(s.flight, s.call, s.attempt, b.How, now)
 }
 
 // key finds last good results: the same call of the same type with the same body. A body may be 2 KiB; it counts
 // against the bound as the result does.
 func key(t *task, call int) string {
-	return t.kind.Plan.Type + "\x00" + t.kind.Plan.Calls[call].Name + "\x00" + string(t.body)
+	return t.kind.Plan.Route + "\x00" + t.kind.Plan.Calls[call].Name + "\x00" + string(t.body)
 }
 
 // keep puts a result into the table of last good ones, within its bound in bytes; the ones longest unused go first.
@@ -251,7 +251,7 @@
 }
 
 // Send makes an attempt; like the methods below it carries out what package budget decides.
-func (c *Composer) Send(f *budget.Flight, call, attempt int, within time.Duration) {
+func (c *Composer) Send(f *budget.Execution, call, attempt int, within time.Duration) {
 	t := f.Ref.(*task)
 	planned := &t.kind.Plan.Calls[call]
 	s := &Sent{
@@ -268,7 +268,7 @@
 }
 
 // Cancel lets go of an attempt. A call with an effect is not taken back: it may have begun.
-func (c *Composer) Cancel(f *budget.Flight, call, attempt int) {
+func (c *Composer) Cancel(f *budget.Execution, call, attempt int) {
 	t := f.Ref.(*task)
 	s := t.sent[call][attempt]
 	t.sent[call][attempt] = nil
@@ -278,8 +278,8 @@
 	}
 }
 
-// FallBack puts a last good result, or else the stated constant, in the place of a part.
-func (c *Composer) FallBack(f *budget.Flight, call int) bool {
+// Fallback puts a last good result, or else the stated constant, in the place of a part.
+func (c *Composer) Fallback(f *budget.Execution, call int) bool {
 	t := f.Ref.(*task)
 	how := t.kind.Calls[call]
 	if how.Keep > 0 {
@@ -297,13 +297,13 @@
 }
 
 // Finish answers a task.
-func (c *Composer) Finish(f *budget.Flight, v budget.Verdict) {
+func (c *Composer) Finish(f *budget.Execution, v budget.Verdict) {
 	t := f.Ref.(*task)
 	result, cut, fits := t.answer(f, v)
 	if cut {
 		c.counts.Saw("composed answer too long, parts left out")
 	}
-	if v == budget.GivenUp || !fits {
+	if v == budget.Aborted || !fits {
 		c.end(t, "interrupted", result)
 	} else {
 		c.end(t, "success", result)
@@ -334,12 +334,12 @@
 
 // answer composes what is there. Where it would be too long the largest parts are left out, optional ones first;
 // without one that is needed it does not fit.
-func (t *task) answer(f *budget.Flight, v budget.Verdict) (raw []byte, cut, fits bool) {
-	a := Answer{Whole: v == budget.Whole, Worth: f.Worth()}
+func (t *task) answer(f *budget.Execution, v budget.Verdict) (raw []byte, cut, fits bool) {
+	a := Answer{Whole: v == budget.Complete, Worth: f.Value()}
 	size := 64
 	for i, c := range t.kind.Plan.Calls {
 		p := Part{Name: c.Name, State: "fresh"}
-		has, why := f.Part(i)
+		has, why := f.PartStatus(i)
 		switch {
 		case !has:
 			p.State, p.Why = "missing", why.String()
@@ -358,9 +358,9 @@
 	for size > mostAnswer {
 		largest := 0
 		for i, c := range t.kind.Plan.Calls {
-			than := t.kind.Plan.Calls[largest].Needed
-			if p := &a.Parts[i]; p.Result != "" && (a.Parts[largest].Result == "" || than && !c.Needed ||
-				than == c.Needed && len(p.Result) > len(a.Parts[largest].Result)) {
+			than := t.kind.Plan.Calls[largest].Required
+			if p := &a.Parts[i]; p.Result != "" && (a.Parts[largest].Result == "" || than && !c.Required ||
+				than == c.Required && len(p.Result) > len(a.Parts[largest].Result)) {
 				largest = i
 			}
 		}
@@ -370,7 +370,7 @@
 		}
 		size -= len(p.Result)
 		*p = Part{Name: p.Name, State: "missing", Why: "answer too long"}
-		a.Whole, cut, fits = false, true, fits && !c.Needed
+		a.Whole, cut, fits = false, true, fits && !c.Required
 	}
 	raw, err := json.Marshal(a)
 	if err != nil || len(raw) > mostAnswer {
--- a/internal/fanout/frames.go
+++ b/internal/fanout/frames.go
@@ -34,7 +34,7 @@
 	Body   []byte
 	Within time.Duration
 
-	flight        *budget.Flight
+	flight        *budget.Execution
 	call, attempt int
 	dependency    int
 	cancelled     bool
@@ -44,7 +44,7 @@
 // Back is how an attempt ended.
 type Back struct {
 	Sent *Sent
-	How  budget.Ended
+	How  budget.Outcome
 	Body []byte
 }
 
@@ -260,9 +260,9 @@
 	}
 	switch {
 	case len(f.Payload) > 0 && f.Payload[0] == frame.Honoured && len(body) <= mostResult:
-		back.How, back.Body = budget.Good, append([]byte{}, body...)
+		back.How, back.Body = budget.Succeeded, append([]byte{}, body...)
 	case len(f.Payload) > 0 && f.Payload[0] == frame.Dismissed:
-		back.How = budget.Refused
+		back.How = budget.Rejected
 	}
 	l.of.inbox = append(l.of.inbox, back)
 }
--- a/internal/leasing/leasing.go
+++ b/internal/leasing/leasing.go
@@ -24,11 +24,11 @@
 	roundsPer  = 4    // rounds of asks within one lease, so that a holder renews three times before its end
 )
 
-// Settings are what a keeper is started with.
-type Settings struct {
+// Options are what a keeper is started with.
+type Options struct {
 	Name   string // this server's own, which no other in the fleet has: its address for peers
 	Duties []string
-	Terms  lease.Terms
+	Config lease.Config
 	Peers  []string // the other voters
 	Keys   peersync.Keys
 	Seed   int64
@@ -48,16 +48,16 @@
 
 // ballot is what goes in a vote and in its answer.
 type ballot struct {
-	Ask    *lease.Ask    `cbor:"1,keyasint,omitempty"`
-	Answer *lease.Answer `cbor:"2,keyasint,omitempty"`
+	Ask    *lease.VoteRequest  `cbor:"1,keyasint,omitempty"`
+	Answer *lease.VoteResponse `cbor:"2,keyasint,omitempty"`
 }
 
-// Keeper is one server's part. Its goroutine owns the grantor and the candidates; ballots from the giver and
+// Manager is one server's part. Its goroutine owns the grantor and the candidates; ballots from the giver and
 // answers from peers are posted to it.
-type Keeper struct {
-	settings   Settings
+type Manager struct {
+	settings   Options
 	began      time.Time
-	grantor    *lease.Grantor
+	grantor    *lease.Voter
 	candidates []*lease.Candidate
 	held       []bool
 	heard      []string // holder last named in a refusal, so that each change is said once
@@ -71,21 +71,21 @@
 }
 
 // New makes a keeper whose grantor has granted nothing: it waits out what it may have granted before a restart.
-func New(s Settings) (*Keeper, error) {
-	if err := s.Terms.Check(); err != nil {
+func New(s Options) (*Manager, error) {
+	if err := s.Config.Validate(); err != nil {
 		return nil, err
 	}
-	if s.Terms.Voters != len(s.Peers)+1 {
-		return nil, fmt.Errorf("lease: %d voters for %d peers and this server", s.Terms.Voters, len(s.Peers))
+	if s.Config.Voters != len(s.Peers)+1 {
+		return nil, fmt.Errorf("lease: %d voters for %d peers and this server", s.Config.Voters, len(s.Peers))
 	}
-	k := &Keeper{
-		settings: s, began: time.Now(), grantor: lease.NewGrantor(s.Name, s.Terms),
+	k := &Manager{
+		settings: s, began: time.Now(), grantor: lease.NewVoter(s.Name, s.Config),
 		held: make([]bool, len(s.Duties)), heard: make([]string, len(s.Duties)), woken: make(chan struct{}, 1),
 		talks: make(chan struct{}, mostTalks),
 	}
 	k.grantor.Restarted(k.now())
 	for i, duty := range s.Duties {
-		k.candidates = append(k.candidates, lease.NewCandidate(duty, s.Name, s.Terms, s.Seed+int64(i)))
+		k.candidates = append(k.candidates, lease.NewCandidate(duty, s.Name, s.Config, s.Seed+int64(i)))
 	}
 	for range s.Peers {
 		k.asks = append(k.asks, make(chan [][]byte, 1))
@@ -95,23 +95,23 @@
 }
 
 // now is this process's own clock, which only runs forward: the lease's bound on drift is about its rate.
-func (k *Keeper) now() time.Duration { return time.Since(k.began) }
+func (k *Manager) now() time.Duration { return time.Since(k.began) }
 
 // Vote is the giver's Voter: a ballot from a peer is considered in the keeper's turn.
-func (k *Keeper) Vote(raw []byte, answer func([]byte)) {
+func (k *Manager) Vote(raw []byte, answer func([]byte)) {
 	var b ballot
 	if err := cbor.Unmarshal(raw, &b); err != nil || b.Ask == nil {
 		return // the talk ends at its time; a peer that sends this is not one of ours
 	}
 	k.post(func() {
-		a := k.grantor.Consider(*b.Ask, k.now())
+		a := k.grantor.HandleRequest(*b.Ask, k.now())
 		if out, err := cbor.Marshal(ballot{Answer: &a}); err == nil {
 			answer(out)
 		}
 	})
 }
 
-func (k *Keeper) post(f func()) {
+func (k *Manager) post(f func()) {
 	k.mu.Lock()
 	if len(k.posted) < mostPosted { // else the ask or answer is lost, as on the way, and the lease is made for that
 		k.posted = append(k.posted, f)
@@ -124,7 +124,7 @@
 }
 
 // turn does what was posted.
-func (k *Keeper) turn() {
+func (k *Manager) turn() {
 	k.mu.Lock()
 	batch := k.posted
 	k.posted = nil // so that a queue that was long once holds no memory
@@ -135,7 +135,7 @@
 }
 
 // Holdings is how the duties stand, as last shown; any goroutine may ask.
-func (k *Keeper) Holdings() []Holding {
+func (k *Manager) Holdings() []Holding {
 	now, shown := k.now(), slices.Clone(*k.shown.Load())
 	for i := range shown {
 		shown[i].Holds = now < shown[i].until
@@ -145,7 +145,7 @@
 }
 
 // Holds says whether this server may act on duty now, and under which token.
-func (k *Keeper) Holds(duty string) (lease.Token, bool) {
+func (k *Manager) Holds(duty string) (lease.Token, bool) {
 	for _, h := range *k.shown.Load() {
 		if h.Duty == duty && k.now() < h.until {
 			return lease.Token(h.Token), true
@@ -155,12 +155,12 @@
 }
 
 // Run keeps the duties until ctx ends, then gives up at once what it holds.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	for i, address := range k.settings.Peers {
 		k.over.Add(1)
 		go k.ask(ctx, address, k.asks[i])
 	}
-	ticker := time.NewTicker(k.settings.Terms.Lease / roundsPer)
+	ticker := time.NewTicker(k.settings.Config.Duration / roundsPer)
 	defer ticker.Stop()
 	k.round()
 	for {
@@ -171,7 +171,7 @@
 					k.grantor.Release(c.Duty, c.Name, c.Token(), k.now())
 					k.settings.Log.Info("lease given up", "duty", c.Duty, "token", c.Token(), "why", "leaving")
 				}
-				c.Lose()
+				c.StepDown()
 			}
 			k.show()
 			k.over.Wait()
@@ -186,15 +186,15 @@
 }
 
 // round sends each candidate's asks to this server's grantor and to every peer.
-func (k *Keeper) round() {
+func (k *Manager) round() {
 	now := k.now()
 	var batch [][]byte
 	for _, c := range k.candidates {
-		a, ok := c.Asks(now)
+		a, ok := c.NextRequest(now)
 		if !ok {
 			continue
 		}
-		k.heardFrom(c, k.grantor.Consider(a, now))
+		k.heardFrom(c, k.grantor.HandleRequest(a, now))
 		if raw, err := cbor.Marshal(ballot{Ask: &a}); err == nil {
 			batch = append(batch, raw)
 		}
@@ -212,7 +212,7 @@
 }
 
 // ask is one peer's sender: it has one talk at a time, so up to mostTalks peers that do not answer hold up nobody else.
-func (k *Keeper) ask(ctx context.Context, address string, asks chan [][]byte) {
+func (k *Manager) ask(ctx context.Context, address string, asks chan [][]byte) {
 	defer k.over.Done()
 	for {
 		select {
@@ -233,9 +233,9 @@
 }
 
 // send has one talk; no answer is a refusal that says nothing.
-func (k *Keeper) send(ctx context.Context, address string, raw []byte) {
-	wait, cancel := context.WithTimeout(ctx, k.settings.Terms.Lease/roundsPer)
-	got, err := peersync.Vote(wait, address, k.settings.Keys, raw)
+func (k *Manager) send(ctx context.Context, address string, raw []byte) {
+	wait, cancel := context.WithTimeout(ctx, k.settings.Config.Duration/roundsPer)
+	got, err := peersync.RequestVote(wait, address, k.settings.Keys, raw)
 	cancel()
 	var b ballot
 	if err != nil || cbor.Unmarshal(got, &b) != nil || b.Answer == nil {
@@ -250,8 +250,8 @@
 	})
 }
 
-func (k *Keeper) heardFrom(c *lease.Candidate, a lease.Answer) {
-	c.Heard(a, k.now())
+func (k *Manager) heardFrom(c *lease.Candidate, a lease.VoteResponse) {
+	c.HandleResponse(a, k.now())
 	i := slices.Index(k.candidates, c)
 	if !a.Granted && a.Holder != "" && a.Holder != c.Name && a.Holder != k.heard[i] {
 		k.heard[i] = a.Holder
@@ -260,7 +260,7 @@
 }
 
 // look says what changed: a grant or a loss, each once.
-func (k *Keeper) look() {
+func (k *Manager) look() {
 	now := k.now()
 	for i, c := range k.candidates {
 		holds := c.Holds(now)
@@ -276,7 +276,7 @@
 	k.show()
 }
 
-func (k *Keeper) show() {
+func (k *Manager) show() {
 	now := k.now()
 	shown := make([]Holding, 0, len(k.candidates))
 	for _, c := range k.candidates {
--- a/internal/leasing/leasing_test.go
+++ b/internal/leasing/leasing_test.go
@@ -17,9 +17,9 @@
 // Three keepers on loopback, each with its giver, hold two duties: each duty has one holder, and both are held,
 // so that the asks of one duty do not push out those of another on the way to a peer.
 func TestEveryDutyHasOneHolder(t *testing.T) {
-	terms := lease.Terms{Lease: 300 * time.Millisecond, Drift: 0.01, Voters: 3}
+	terms := lease.Config{Duration: 300 * time.Millisecond, MaxClockDrift: 0.01, Voters: 3}
 	duties := []string{"compact", "announce"}
-	var givers []*peersync.Giver
+	var givers []*peersync.Server
 	for range 3 {
 		began := time.Now()
 		g, err := peersync.Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) },
@@ -30,7 +30,7 @@
 		givers = append(givers, g)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var keepers []*Keeper
+	var keepers []*Manager
 	done := make(chan struct{}, 3)
 	for i, g := range givers {
 		var peers []string
@@ -39,10 +39,10 @@
 				peers = append(peers, other.Address())
 			}
 		}
-		k, err := New(Settings{Name: g.Address(), Duties: duties, Terms: terms, Peers: peers, Seed: int64(i),
+		k, err := New(Options{Name: g.Address(), Duties: duties, Config: terms, Peers: peers, Seed: int64(i),
 			Log: slog.New(slog.DiscardHandler)})
 		require.NoError(t, err)
-		g.SetVoter(k.Vote)
+		g.SetVoteHandler(k.Vote)
 		keepers = append(keepers, k)
 		go func() { k.Run(ctx); done <- struct{}{} }()
 	}
@@ -67,14 +67,14 @@
 		assert.LessOrEqual(t, holders("announce"), 1)
 		time.Sleep(10 * time.Millisecond)
 	}
-	_, err := New(Settings{Name: "x", Duties: duties, Terms: terms, Peers: []string{"a"}})
+	_, err := New(Options{Name: "x", Duties: duties, Config: terms, Peers: []string{"a"}})
 	assert.ErrorContains(t, err, "3 voters for 1 peers")
 }
 
 // A thousand voters answer at once, and more than the queue holds come to it: it holds what it says, and no memory for
 // what is not there.
 func TestQueueOfAThousand(t *testing.T) {
-	k, err := New(Settings{Name: "a", Duties: []string{"d"}, Terms: lease.Terms{Lease: time.Second, Voters: 1},
+	k, err := New(Options{Name: "a", Duties: []string{"d"}, Config: lease.Config{Duration: time.Second, Voters: 1},
 		Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
 	assert.Zero(t, cap(k.posted))
--- a/internal/peersync/asker.go
+++ b/internal/peersync/asker.go
@@ -12,21 +12,21 @@
 	"quartzpoint/internal/invariant"
 )
 
-// Ask has one talk with a running server and returns what it has seen, older by the time that the talk took:
+// Fetch has one talk with a running server and returns what it has seen, older by the time that the talk took:
 // how long the view itself was on the way is not known, but no longer than that.
-func Ask(ctx context.Context, address string, keys Keys) (estimate.View, error) {
+func Fetch(ctx context.Context, address string, keys Keys) (estimate.Snapshot, error) {
 	began := time.Now()
 	a := newAsks(keys.first())
 	view, err := meet(ctx, address, a, a.step)
 	if err != nil {
-		return estimate.View{}, err
+		return estimate.Snapshot{}, err
 	}
 	return view.Aged(time.Since(began)), nil
 }
 
-// Vote has one talk with a running server that asks it for a lease: the ballot goes, proven by the key, and
+// RequestVote has one talk with a running server that asks it for a lease: the ballot goes, proven by the key, and
 // the proven answer comes back. What a ballot says is package lease's; here it is bytes.
-func Vote(ctx context.Context, address string, keys Keys, ballot []byte) ([]byte, error) {
+func RequestVote(ctx context.Context, address string, keys Keys, ballot []byte) ([]byte, error) {
 	if len(ballot) == 0 || len(ballot) > mostBallot {
 		return nil, fmt.Errorf("ballot of %d bytes, 1 to %d allowed", len(ballot), mostBallot)
 	}
@@ -113,27 +113,27 @@
 	}
 }
 
-// Asker asks a newcomer's peers until it has their word or does not need it any more.
-type Asker struct {
+// Client asks a newcomer's peers until it has their word or does not need it any more.
+type Client struct {
 	Peers  []string
 	Keys   Keys
-	Total  time.Duration  // for which the first answers are waited for
-	Frame  estimate.Frame // which views can be used
-	Kept   estimate.View  // what the server before this one left, a voice among the peers'; empty for none
+	Total  time.Duration     // for which the first answers are waited for
+	Schema estimate.Schema   // which views can be used
+	Stored estimate.Snapshot // what the server before this one left, a voice among the peers'; empty for none
 	Seed   int64
-	Cold   func() bool              // whether the newcomer still needs to ask
-	Take   func(view estimate.View) // what is to be borrowed, in the place of what was before
+	Cold   func() bool                      // whether the newcomer still needs to ask
+	Take   func(snapshot estimate.Snapshot) // what is to be borrowed, in the place of what was before
 	Counts *invariant.Counts
 	Log    *slog.Logger
 }
 
 // usable is a peer's view in the order of this server's routes, or why it is not used.
-func (a *Asker) usable(view estimate.View) (estimate.View, error) {
-	aligned, err := a.Frame.Align(view)
+func (a *Client) usable(snapshot estimate.Snapshot) (estimate.Snapshot, error) {
+	aligned, err := a.Schema.Align(snapshot)
 	if err != nil {
-		return estimate.View{}, err
+		return estimate.Snapshot{}, err
 	}
-	return a.Frame.Fit(aligned)
+	return a.Schema.Validate(aligned)
 }
 
 // mostTalks is how many peers a newcomer asks at once, as each takes a descriptor.
@@ -145,18 +145,18 @@
 // answer is how one ask ended.
 type answer struct {
 	peer int
-	view estimate.View
+	view estimate.Snapshot
 	err  error
 }
 
 // Run asks until it is over or the context ends. It serves nobody: tasks are taken meanwhile, and a view that
 // comes late is taken in when it comes.
-func (a *Asker) Run(ctx context.Context) {
+func (a *Client) Run(ctx context.Context) {
 	began := time.Now()
-	asking := estimate.NewAsking(len(a.Peers), 0, a.Seed)
+	asking := estimate.NewPollSchedule(len(a.Peers), 0, a.Seed)
 	answers := make(chan answer, len(a.Peers)) // each peer is asked once at a time
 	type had struct {
-		view estimate.View
+		view estimate.Snapshot
 		at   time.Duration
 		ok   bool
 	}
@@ -175,9 +175,9 @@
 	take := func(now time.Duration) {
 		settled = true
 		told := 0
-		var usable []estimate.View
-		if a.Kept.Fresh() {
-			usable = append(usable, a.Kept.Aged(now))
+		var usable []estimate.Snapshot
+		if a.Stored.Fresh() {
+			usable = append(usable, a.Stored.Aged(now))
 		}
 		for _, h := range views {
 			if h.ok {
@@ -201,7 +201,7 @@
 				var got answer
 				select {
 				case talks <- struct{}{}:
-					got.view, got.err = Ask(ctx, a.Peers[peer], a.Keys)
+					got.view, got.err = Fetch(ctx, a.Peers[peer], a.Keys)
 					<-talks
 				case <-ctx.Done():
 					got.err = ctx.Err()
@@ -228,17 +228,17 @@
 		case got := <-answers:
 			open--
 			now = time.Since(began)
-			view, err := got.view, got.err
+			snapshot, err := got.view, got.err
 			if err == nil {
-				view, err = a.usable(view)
+				snapshot, err = a.usable(snapshot)
 			}
-			if err == nil && !view.Fresh() {
+			if err == nil && !snapshot.Fresh() {
 				err = errCold
 			}
-			var refused *Refused
+			var refused *RejectedError
 			comeBack := time.Duration(0)
 			if errors.As(err, &refused) {
-				comeBack = refused.ComeBack
+				comeBack = refused.RetryAfter
 			}
 			asking.Ended(got.peer, now, err == nil, comeBack)
 			if err != nil {
@@ -246,7 +246,7 @@
 				a.Log.Warn("no view from a peer", "peer", a.Peers[got.peer], "error", err)
 				continue
 			}
-			views[got.peer] = had{view, now, true}
+			views[got.peer] = had{snapshot, now, true}
 			if settled || open == 0 {
 				take(now)
 			}
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -43,24 +43,24 @@
 )
 
 // seenView is large enough for several parts.
-func seenView(origin uint64) estimate.View {
-	v := estimate.View{Origin: origin, Terms: 7}
+func seenView(origin uint64) estimate.Snapshot {
+	snapshot := estimate.Snapshot{Origin: origin, SettingsDigest: 7}
 	e := estimate.Estimate{Mean: 0.1, Spread: 0.05, Samples: 20, Age: time.Second}
 	for i := range 100 {
-		v.Types = append(v.Types, estimate.TypeView{Name: "type " + string(rune('A'+i)), Core: e, Run: e})
+		snapshot.Routes = append(snapshot.Routes, estimate.RouteEstimates{Name: "type " + string(rune('A'+i)), Core: e, Run: e})
 	}
-	return v
+	return snapshot
 }
 
 func counts() *invariant.Counts { return invariant.New(slog.New(slog.DiscardHandler)) }
 
 // giver starts one whose views are a second old when they are put.
-func giver(t testing.TB, keys Keys) (*Giver, *invariant.Counts) {
+func giver(t testing.TB, keys Keys) (*Server, *invariant.Counts) {
 	c := counts()
 	began := time.Now()
 	g, err := Listen("127.0.0.1:0", keys, func() time.Duration { return time.Hour + time.Since(began) }, c)
 	require.NoError(t, err)
-	g.Put(seenView(5), time.Hour-time.Second)
+	g.Publish(seenView(5), time.Hour-time.Second)
 	g.Serve()
 	t.Cleanup(g.Close)
 	return g, c
@@ -82,24 +82,24 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g, saw := giver(t, c.gives)
-			view, err := Ask(t.Context(), g.Address(), c.asks_)
+			snapshot, err := Fetch(t.Context(), g.Address(), c.asks_)
 			if c.err != "" {
 				assert.ErrorContains(t, err, c.err)
-				assert.Empty(t, view)
+				assert.Empty(t, snapshot)
 				assert.Equal(t, 1, saw.Times("peer closed: not proven, or out of its place"))
 				return
 			}
 			require.NoError(t, err)
-			assert.Greater(t, Size(view), 2*mostPart, "several parts")
-			age := view.Types[0].Core.Age
+			assert.Greater(t, Size(snapshot), 2*mostPart, "several parts")
+			age := snapshot.Routes[0].Core.Age
 			assert.GreaterOrEqual(t, age, 2*time.Second, "its own age, and that for which it was held")
 			assert.Less(t, age, 2*time.Second+patience)
-			view = view.Aged(0)
-			for i := range view.Types {
-				view.Types[i].Core.Age, view.Types[i].Run.Age = time.Second, time.Second
+			snapshot = snapshot.Aged(0)
+			for i := range snapshot.Routes {
+				snapshot.Routes[i].Core.Age, snapshot.Routes[i].Run.Age = time.Second, time.Second
 			}
-			view.Pace, view.Calls, view.Refused, view.Returns = estimate.Estimate{}, estimate.Estimate{}, estimate.Estimate{}, estimate.Estimate{}
-			assert.Equal(t, seenView(5), view)
+			snapshot.Pace, snapshot.Calls, snapshot.RejectRatio, snapshot.ReturnRatio = estimate.Estimate{}, estimate.Estimate{}, estimate.Estimate{}, estimate.Estimate{}
+			assert.Equal(t, seenView(5), snapshot)
 		})
 	}
 }
@@ -124,7 +124,7 @@
 }
 
 // feed gives an asker bytes and returns the view, an error, or neither where it waits for more.
-func feed(a *asks, raw []byte) (*estimate.View, error) {
+func feed(a *asks, raw []byte) (*estimate.Snapshot, error) {
 	for {
 		m, rest, ok, err := cut(raw)
 		if err != nil || !ok {
@@ -198,7 +198,7 @@
 			go pass(to, from, up)
 			go pass(from, to, down)
 		}()
-		_, err = Ask(t.Context(), between.Addr().String(), Keys{keyA})
+		_, err = Fetch(t.Context(), between.Addr().String(), Keys{keyA})
 		between.Close()
 		over.Wait()
 		return err
@@ -210,7 +210,7 @@
 		assert.Error(t, through(n*3, true), "ask cut at %d", n*3)
 		time.Sleep(110 * time.Millisecond) // the rate that one address may ask at
 	}
-	_, err := Ask(t.Context(), g.Address(), Keys{keyA})
+	_, err := Fetch(t.Context(), g.Address(), Keys{keyA})
 	assert.NoError(t, err)
 }
 
@@ -312,7 +312,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			got, err := Ask(t.Context(), peer(t, c.script), nil)
+			got, err := Fetch(t.Context(), peer(t, c.script), nil)
 			assert.ErrorContains(t, err, c.err)
 			assert.Empty(t, got)
 		})
@@ -325,7 +325,7 @@
 func TestReplay(t *testing.T) {
 	_, steps := recorded(t, keyA, bytes.Repeat([]byte{9}, nonceSize))
 	old := bytes.Join(steps(&asks{key: keyA, nonce: bytes.Repeat([]byte{3}, nonceSize)}), nil)
-	_, err := Ask(t.Context(), peer(t, func(c net.Conn) {
+	_, err := Fetch(t.Context(), peer(t, func(c net.Conn) {
 		_, _ = c.Write(old)
 		_, _ = io.Copy(io.Discard, c)
 	}), Keys{keyA})
@@ -361,7 +361,7 @@
 		_, _ = link.Write(first)
 		links = append(links, link)
 	}
-	_, err := Ask(t.Context(), g.Address(), nil)
+	_, err := Fetch(t.Context(), g.Address(), nil)
 	require.NoError(t, err)
 	for _, l := range links {
 		require.NoError(t, l.SetDeadline(time.Now().Add(patience)))
@@ -380,35 +380,35 @@
 
 	refused := 0
 	for range 30 {
-		var no *Refused
-		if _, err := Ask(t.Context(), g.Address(), nil); errors.As(err, &no) {
+		var no *RejectedError
+		if _, err := Fetch(t.Context(), g.Address(), nil); errors.As(err, &no) {
 			refused++
-			assert.Equal(t, time.Second, no.ComeBack)
+			assert.Equal(t, time.Second, no.RetryAfter)
 		}
 	}
 	assert.Positive(t, refused, "asked too often")
 }
 
 // asker is one of a newcomer, with what it took.
-func asker(t *testing.T, peers []string, cold *atomic.Bool) (a *Asker, took chan estimate.View) {
-	took = make(chan estimate.View, 16)
-	frame := estimate.Frame{Terms: 7, Origin: 99}
-	for _, k := range seenView(0).Types {
-		frame.Types = append(frame.Types, k.Name)
-		frame.Outer = append(frame.Outer, time.Second)
+func asker(t *testing.T, peers []string, cold *atomic.Bool) (a *Client, took chan estimate.Snapshot) {
+	took = make(chan estimate.Snapshot, 16)
+	schema := estimate.Schema{SettingsDigest: 7, Origin: 99}
+	for _, k := range seenView(0).Routes {
+		schema.Routes = append(schema.Routes, k.Name)
+		schema.Deadlines = append(schema.Deadlines, time.Second)
 	}
-	return &Asker{
-		Peers: peers, Total: 300 * time.Millisecond, Frame: frame, Seed: 1, Cold: cold.Load,
-		Take: func(v estimate.View) { took <- v }, Counts: counts(), Log: slog.New(slog.DiscardHandler),
+	return &Client{
+		Peers: peers, Total: 300 * time.Millisecond, Schema: schema, Seed: 1, Cold: cold.Load,
+		Take: func(snapshot estimate.Snapshot) { took <- snapshot }, Counts: counts(), Log: slog.New(slog.DiscardHandler),
 	}, took
 }
 
 func TestAsker(t *testing.T) {
 	one, _ := giver(t, nil)
 	empty, _ := giver(t, nil)
-	empty.Put(estimate.View{Origin: 6, Terms: 7, Types: seenView(0).Types}, 0) // as good as cold: a day old
+	empty.Publish(estimate.Snapshot{Origin: 6, SettingsDigest: 7, Routes: seenView(0).Routes}, 0) // as good as cold: a day old
 	other, _ := giver(t, nil)
-	other.Put(estimate.View{Origin: 8, Terms: 1}, time.Hour)
+	other.Publish(estimate.Snapshot{Origin: 8, SettingsDigest: 1}, time.Hour)
 	downListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	down := downListener.Addr().String()
@@ -422,14 +422,14 @@
 	over := make(chan struct{})
 	began := time.Now()
 	go func() { a.Run(ctx); close(over) }()
-	v := <-took
+	snapshot := <-took
 	assert.Less(t, time.Since(began), talkWait, "a silent peer holds up nobody past the total time")
-	assert.True(t, v.Types[0].Core.Known())
+	assert.True(t, snapshot.Routes[0].Core.Known())
 
 	// The one that was down comes up: it is asked again, and its late view taken in.
 	late, err := Listen(down, nil, func() time.Duration { return time.Hour }, counts())
 	require.NoError(t, err)
-	late.Put(seenView(11), time.Hour)
+	late.Publish(seenView(11), time.Hour)
 	late.Serve()
 	defer late.Close()
 	select {
@@ -498,18 +498,18 @@
 func TestTwoNewcomers(t *testing.T) {
 	a, _ := giver(t, nil)
 	b, _ := giver(t, nil)
-	nothing := estimate.View{Terms: 7}
-	for _, k := range seenView(0).Types {
-		nothing.Types = append(nothing.Types, estimate.TypeView{Name: k.Name})
+	nothing := estimate.Snapshot{SettingsDigest: 7}
+	for _, k := range seenView(0).Routes {
+		nothing.Routes = append(nothing.Routes, estimate.RouteEstimates{Name: k.Name})
 	}
-	a.Put(nothing, time.Hour)
-	b.Put(nothing, time.Hour)
+	a.Publish(nothing, time.Hour)
+	b.Publish(nothing, time.Hour)
 	var cold atomic.Bool
 	cold.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	var over sync.WaitGroup
-	for _, g := range []*Giver{a, b} {
+	for _, g := range []*Server{a, b} {
 		asks, took := asker(t, []string{g.Address()}, &cold)
 		over.Add(1)
 		go func() {
@@ -556,7 +556,7 @@
 		view, err := feed(a, raw)
 		if view != nil {
 			assert.NoError(t, err)
-			_, _ = estimate.Frame{Terms: 7}.Fit(*view)
+			_, _ = estimate.Schema{SettingsDigest: 7}.Validate(*view)
 		}
 		g := gives{nonce: nonce}
 		for rest := raw; ; {
@@ -576,21 +576,21 @@
 	keys := Keys{[]byte("a shared secret of the fleet....")}
 	g, _ := giver(t, keys)
 	ctx := context.Background()
-	var refused *Refused
-	_, err := Vote(ctx, g.Address(), keys, []byte("ballot"))
+	var refused *RejectedError
+	_, err := RequestVote(ctx, g.Address(), keys, []byte("ballot"))
 	require.ErrorAs(t, err, &refused, "a giver without a voter refuses")
-	g.SetVoter(func(ballot []byte, answer func([]byte)) { answer(append([]byte("seen "), ballot...)) })
-	got, err := Vote(ctx, g.Address(), keys, []byte("ballot"))
+	g.SetVoteHandler(func(ballot []byte, answer func([]byte)) { answer(append([]byte("seen "), ballot...)) })
+	got, err := RequestVote(ctx, g.Address(), keys, []byte("ballot"))
 	require.NoError(t, err)
 	assert.Equal(t, "seen ballot", string(got))
-	_, err = Vote(ctx, g.Address(), Keys{[]byte("another secret, not the fleet's.")}, []byte("ballot"))
+	_, err = RequestVote(ctx, g.Address(), Keys{[]byte("another secret, not the fleet's.")}, []byte("ballot"))
 	assert.Error(t, err, "a ballot under a key the giver does not know")
-	_, err = Vote(ctx, g.Address(), keys, make([]byte, mostBallot+1))
+	_, err = RequestVote(ctx, g.Address(), keys, make([]byte, mostBallot+1))
 	assert.ErrorContains(t, err, "ballot of")
-	g.SetVoter(func([]byte, func([]byte)) {}) // never answers: the talk ends at its time
+	g.SetVoteHandler(func([]byte, func([]byte)) {}) // never answers: the talk ends at its time
 	short, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 	defer cancel()
-	_, err = Vote(short, g.Address(), keys, []byte("ballot"))
+	_, err = RequestVote(short, g.Address(), keys, []byte("ballot"))
 	assert.Error(t, err)
 }
 
@@ -617,7 +617,7 @@
 	require.NoError(t, err)
 	g.Serve()
 	t.Cleanup(g.Close)
-	g.Put(seenView(0), 0)
+	g.Publish(seenView(0), 0)
 	var over sync.WaitGroup
 	for range 100 {
 		over.Go(func() {
@@ -632,7 +632,7 @@
 	}
 	over.Wait()
 	require.Eventually(t, func() bool {
-		_, err := Ask(t.Context(), g.Address(), nil)
+		_, err := Fetch(t.Context(), g.Address(), nil)
 		return err == nil
 	}, patience, 10*time.Millisecond, "peers are answered again")
 	assert.NotContains(t, complaints.String(), "detach operator failed")
--- a/internal/peersync/giver.go
+++ b/internal/peersync/giver.go
@@ -27,16 +27,16 @@
 // connKey finds a connection in its context.
 type connKey struct{}
 
-// Giver answers other servers from the view that was last put into it. It has a goroutine of its own, which
+// Server answers other servers from the view that was last put into it. It has a goroutine of its own, which
 // owns its connections: an ask never comes to the owner of decisions.
-type Giver struct {
+type Server struct {
 	counts   *invariant.Counts
 	now      func() time.Duration
 	listener netpoll.Listener
 	loop     netpoll.EventLoop
 	keys     atomic.Pointer[Keys]
 	shelf    atomic.Pointer[seen]
-	voter    atomic.Pointer[Voter]
+	voter    atomic.Pointer[VoteHandler]
 
 	mu     sync.Mutex
 	posted []func()
@@ -45,26 +45,26 @@
 	over   sync.WaitGroup
 
 	// What follows is the goroutine's own.
-	giving *estimate.Giving
+	giving *estimate.ServeLimiter
 	conns  []*conn
 	from   *seen // what packed was made of
 	packed *packed
 }
 
 type seen struct {
-	view estimate.View
+	view estimate.Snapshot
 	at   time.Duration
 }
 
 // Listen takes the address for a giver. now is the clock by which views are put.
-func Listen(address string, keys Keys, now func() time.Duration, counts *invariant.Counts) (*Giver, error) {
+func Listen(address string, keys Keys, now func() time.Duration, counts *invariant.Counts) (*Server, error) {
 	listener, err := netpoll.CreateListener("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers at %s: %w", address, err)
 	}
-	g := &Giver{
+	g := &Server{
 		counts: counts, now: now, listener: &patient{listener, counts},
-		woken: make(chan struct{}, 1), quit: make(chan struct{}), giving: estimate.NewGiving(now()),
+		woken: make(chan struct{}, 1), quit: make(chan struct{}), giving: estimate.NewServeLimiter(now()),
 	}
 	g.keys.Store(&keys)
 	g.loop, err = netpoll.NewEventLoop(read, netpoll.WithOnPrepare(g.prepare), poller.OnTaken(closingOf))
@@ -84,24 +84,26 @@
 	return poller.Accept(p.Listener, func() { p.counts.Saw("peer waits, descriptors ran out") })
 }
 
-// Voter takes a proven ballot and hands it over; answer may be called once, from any goroutine, with what goes
+// VoteHandler takes a proven ballot and hands it over; answer may be called once, from any goroutine, with what goes
 // back. The giver decides nothing of it.
-type Voter func(ballot []byte, answer func([]byte))
+type VoteHandler func(ballot []byte, answer func([]byte))
 
-// SetVoter has ballots handed to vote; without one they are refused.
-func (g *Giver) SetVoter(vote Voter) { g.voter.Store(&vote) }
+// SetVoteHandler has ballots handed to vote; without one they are refused.
+func (g *Server) SetVoteHandler(vote VoteHandler) { g.voter.Store(&vote) }
 
 // Address is where the giver listens.
-func (g *Giver) Address() string { return g.listener.Addr().String() }
+func (g *Server) Address() string { return g.listener.Addr().String() }
 
-// Put leaves a view to be given from now on, in the place of the last. It never waits.
-func (g *Giver) Put(v estimate.View, at time.Duration) { g.shelf.Store(&seen{v, at}) }
+// Publish leaves a view to be given from now on, in the place of the last. It never waits.
+func (g *Server) Publish(snapshot estimate.Snapshot, at time.Duration) {
+	g.shelf.Store(&seen{snapshot, at})
+}
 
 // SetKeys changes the keys for talks that begin from now on.
-func (g *Giver) SetKeys(keys Keys) { g.keys.Store(&keys) }
+func (g *Server) SetKeys(keys Keys) { g.keys.Store(&keys) }
 
 // Post has the giver's goroutine call f in its turn.
-func (g *Giver) Post(f func()) {
+func (g *Server) Post(f func()) {
 	g.mu.Lock()
 	g.posted = append(g.posted, f)
 	g.mu.Unlock()
@@ -112,7 +114,7 @@
 }
 
 // Serve answers until Close.
-func (g *Giver) Serve() {
+func (g *Server) Serve() {
 	g.over.Add(2)
 	go func() {
 		defer g.over.Done()
@@ -131,13 +133,13 @@
 }
 
 // Close ends the listener, all talks and the goroutines.
-func (g *Giver) Close() {
+func (g *Server) Close() {
 	close(g.quit)
 	_ = unix.Shutdown(g.listener.Fd(), unix.SHUT_RD) // as package front does, and why is said there
 	g.over.Wait()
 }
 
-func (g *Giver) run() {
+func (g *Server) run() {
 	ticker := time.NewTicker(sweeping)
 	defer ticker.Stop()
 	for {
@@ -168,7 +170,7 @@
 }
 
 // view is what is given now, packed once for all that ask until the next is put.
-func (g *Giver) view() *packed {
+func (g *Server) view() *packed {
 	latest := g.shelf.Load()
 	if latest != g.from {
 		g.from, g.packed = latest, nil
@@ -184,16 +186,16 @@
 
 // conn is one asker's connection.
 type conn struct {
-	giver *Giver
-	link  netpoll.Connection
-	host  string
-	born  time.Duration
-	keys  Keys
-	talk  gives
-	part  []byte
-	out   *writequeue.Box
-	let   bool // counted by Giving
-	dead  bool
+	server  *Server
+	link    netpoll.Connection
+	host    string
+	born    time.Duration
+	keys    Keys
+	session gives
+	part    []byte
+	out     *writequeue.Box
+	let     bool // counted by Giving
+	dead    bool
 
 	closing poller.Closing
 
@@ -202,16 +204,16 @@
 	fd   int
 }
 
-func (g *Giver) prepare(link netpoll.Connection) context.Context {
+func (g *Server) prepare(link netpoll.Connection) context.Context {
 	host, _, err := net.SplitHostPort(link.RemoteAddr().String())
 	if err != nil {
 		host = link.RemoteAddr().String()
 	}
 	c := &conn{
-		giver: g, link: link, host: host, born: g.now(), keys: *g.keys.Load(), fd: link.(netpoll.Conn).Fd(),
-		out: writequeue.New(mostSent), talk: gives{nonce: make([]byte, nonceSize)},
+		server: g, link: link, host: host, born: g.now(), keys: *g.keys.Load(), fd: link.(netpoll.Conn).Fd(),
+		out: writequeue.New(mostSent), session: gives{nonce: make([]byte, nonceSize)},
 	}
-	_, _ = rand.Read(c.talk.nonce) // never fails
+	_, _ = rand.Read(c.session.nonce) // never fails
 	total.answered.Add(1)
 	_ = link.AddCloseCallback(c.ended)
 	g.Post(c.join)
@@ -219,8 +221,8 @@
 }
 
 func (c *conn) join() {
-	c.giver.conns = append(c.giver.conns, c)
-	if c.let = c.giver.giving.Joined(c.host, c.giver.now()); !c.let {
+	c.server.conns = append(c.server.conns, c)
+	if c.let = c.server.giving.Joined(c.host, c.server.now()); !c.let {
 		c.fail("peer closed: too many open talks")
 	}
 }
@@ -230,21 +232,21 @@
 	c.mu.Lock()
 	c.gone = true
 	c.mu.Unlock()
-	c.giver.Post(c.leave)
+	c.server.Post(c.leave)
 	return nil
 }
 
 func (c *conn) leave() {
 	c.dead = true
-	for i, other := range c.giver.conns {
+	for i, other := range c.server.conns {
 		if other == c {
-			c.giver.conns = append(c.giver.conns[:i], c.giver.conns[i+1:]...)
+			c.server.conns = append(c.server.conns[:i], c.server.conns[i+1:]...)
 			break
 		}
 	}
 	if c.let {
 		c.let = false
-		c.giver.giving.Left(c.host)
+		c.server.giving.Left(c.host)
 	}
 }
 
@@ -258,7 +260,7 @@
 
 func (c *conn) fail(why string) {
 	if !c.dead {
-		c.giver.counts.Saw(why)
+		c.server.counts.Saw(why)
 		c.close()
 	}
 }
@@ -318,16 +320,16 @@
 			return
 		}
 		c.part = c.part[:copy(c.part, rest)]
-		now := c.giver.now()
-		out, err := c.talk.step(m, c.keys, c.giver.view(), now, func(bytes int) (bool, time.Duration) {
-			return c.giver.giving.Ask(c.host, bytes, now)
+		now := c.server.now()
+		out, err := c.session.step(m, c.keys, c.server.view(), now, func(bytes int) (bool, time.Duration) {
+			return c.server.giving.Allow(c.host, bytes, now)
 		})
 		if err != nil {
 			c.fail("peer closed: not proven, or out of its place")
 			return
 		}
-		if ballot := c.talk.ballot; ballot != nil {
-			c.talk.ballot = nil
+		if ballot := c.session.ballot; ballot != nil {
+			c.session.ballot = nil
 			out = c.vote(ballot)
 		}
 		if !c.send(out...) {
@@ -351,16 +353,16 @@
 
 // vote hands a ballot to the voter; its answer is written in the giver's turn, if the talk is still there.
 func (c *conn) vote(ballot []byte) [][]byte {
-	vote := c.giver.voter.Load()
+	vote := c.server.voter.Load()
 	if vote == nil {
 		return [][]byte{pack(message{Kind: refusal, Why: "no lease here", ComeBack: time.Second})}
 	}
 	(*vote)(ballot, func(answer []byte) {
-		c.giver.Post(func() {
+		c.server.Post(func() {
 			if c.dead || len(answer) == 0 || len(answer) > mostBallot {
 				return
 			}
-			c.send(c.talk.voted(answer))
+			c.send(c.session.voted(answer))
 		})
 	})
 	return nil
--- a/internal/peersync/session.go
+++ b/internal/peersync/session.go
@@ -190,7 +190,7 @@
 		case err != nil:
 			return nil, err
 		case m.Kind == refusal:
-			return nil, &Refused{m.Why[:min(len(m.Why), 64)], max(m.ComeBack, 0)}
+			return nil, &RejectedError{m.Why[:min(len(m.Why), 64)], max(m.ComeBack, 0)}
 		case m.Kind != part && m.Kind != end || m.Number != number:
 			return nil, errSequence
 		case len(payload)+len(m.Bytes) > limit:
--- a/internal/peersync/session_test.go
+++ b/internal/peersync/session_test.go
@@ -88,7 +88,7 @@
 	other := Keys{bytes.Repeat([]byte{9}, leastKey)}
 	for name, keys := range map[string]Keys{"another": other, "none": nil} {
 		_, _, errA, errB := sessions(t, keys, sessionKey, nil)
-		var refused *Refused
+		var refused *RejectedError
 		assert.ErrorAs(t, errA, &refused, name)
 		assert.ErrorContains(t, errB, "key is not known", name)
 	}
--- a/internal/peersync/talk.go
+++ b/internal/peersync/talk.go
@@ -74,7 +74,7 @@
 	Ballot   []byte        `cbor:"13,keyasint,omitempty"` // of a vote or its answer; package lease reads it
 }
 
-var decoding = strictcbor.Decoding(estimate.MaxTold, false)
+var decoding = strictcbor.Decoding(estimate.MaxPublishedRoutes, false)
 
 // pack makes a frame of a message.
 func pack(m message) []byte {
@@ -168,8 +168,8 @@
 	taken time.Duration
 }
 
-func packView(v estimate.View, taken time.Duration) (*packed, error) {
-	raw, err := cbor.Marshal(v.Told())
+func packView(snapshot estimate.Snapshot, taken time.Duration) (*packed, error) {
+	raw, err := cbor.Marshal(snapshot.Published())
 	if err != nil {
 		return nil, fmt.Errorf("view: %w", err)
 	}
@@ -180,19 +180,19 @@
 }
 
 // Size is the number of bytes that a view takes on the way, without its frames.
-func Size(v estimate.View) int {
-	made, err := packView(v, 0)
+func Size(snapshot estimate.Snapshot) int {
+	made, err := packView(snapshot, 0)
 	if err != nil {
 		return 0
 	}
 	return len(made.bytes)
 }
 
-func unpackView(raw []byte) (v estimate.View, err error) {
-	if err := decoding.Unmarshal(raw, &v); err != nil {
-		return estimate.View{}, fmt.Errorf("view: %w", err)
+func unpackView(raw []byte) (snapshot estimate.Snapshot, err error) {
+	if err := decoding.Unmarshal(raw, &snapshot); err != nil {
+		return estimate.Snapshot{}, fmt.Errorf("view: %w", err)
 	}
-	return v, nil
+	return snapshot, nil
 }
 
 // errSequence tells that a step came that the talk has no place for.
@@ -264,13 +264,13 @@
 	}))
 }
 
-// Refused is an answer without a view.
-type Refused struct {
-	Why      string
-	ComeBack time.Duration
+// RejectedError is an answer without a view.
+type RejectedError struct {
+	Reason     string
+	RetryAfter time.Duration
 }
 
-func (r *Refused) Error() string { return fmt.Sprintf("refused: %q", r.Why) }
+func (r *RejectedError) Error() string { return fmt.Sprintf("refused: %q", r.Reason) }
 
 // asks is the asker's side of a talk.
 type asks struct {
@@ -286,7 +286,7 @@
 func (a *asks) opening(m message) (bool, error) {
 	switch {
 	case m.Kind == refusal:
-		return true, &Refused{m.Why[:min(len(m.Why), 64)], max(m.ComeBack, 0)}
+		return true, &RejectedError{m.Why[:min(len(m.Why), 64)], max(m.ComeBack, 0)}
 	case m.Kind == challenge && a.theirs == nil && len(m.Nonce) == nonceSize:
 		if !proven(m.Proof, a.key, "giver", a.nonce, m.Nonce) {
 			return true, errors.New("peer's proof is wrong")
@@ -308,7 +308,7 @@
 
 // step takes a message and returns what is to be sent, or the whole view, which is older by what it was held
 // than it says.
-func (a *asks) step(m message) (out []byte, view *estimate.View, err error) {
+func (a *asks) step(m message) (out []byte, view *estimate.Snapshot, err error) {
 	if opened, err := a.opening(m); opened {
 		if err != nil {
 			return nil, nil, err
@@ -335,12 +335,12 @@
 		case !proven(m.Proof, a.key, "view", a.nonce, a.theirs, held(m.Held), raw):
 			return nil, nil, errors.New("proof of the view is wrong")
 		}
-		v, err := unpackView(raw)
+		snapshot, err := unpackView(raw)
 		if err != nil {
 			return nil, nil, err
 		}
-		v = v.Aged(m.Held)
-		return nil, &v, nil
+		snapshot = snapshot.Aged(m.Held)
+		return nil, &snapshot, nil
 	}
 	return nil, nil, errSequence
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -121,9 +121,9 @@
 	reviewer    reconcile.Reviewer
 	observer    observer
 
-	share  func(view estimate.View, at time.Duration) // nil where nobody is to know
-	origin estimate.Frame
-	shared time.Duration
+	publish     func(snapshot estimate.Snapshot, at time.Duration) // nil where nobody is to know
+	schema      estimate.Schema
+	publishedAt time.Duration
 
 	timed func(took time.Duration) // nil where nobody wants to know
 
@@ -276,17 +276,17 @@
 // Standing is the level as last stated.
 func (s *Server) Standing() float64 { return s.standing }
 
-// Share has what the server learned left with put, once a second at the most and in the owner's turn, so put must
+// PublishEstimates has what the server learned left with put, once a second at the most and in the owner's turn, so put must
 // not wait. It is called before Run. The frame says which views the server can Borrow.
-func (s *Server) Share(origin uint64, put func(view estimate.View, at time.Duration)) estimate.Frame {
-	s.origin, s.share = s.controller.EstimateSchema(origin, s.limits.DynamicTables), put
-	return s.origin
+func (s *Server) PublishEstimates(origin uint64, put func(snapshot estimate.Snapshot, at time.Duration)) estimate.Schema {
+	s.schema, s.publish = s.controller.EstimateSchema(origin, s.limits.DynamicTables), put
+	return s.schema
 }
 
 // UsePeerEstimates has the owner take in what other servers learned; the view must fit the frame.
-func (s *Server) UsePeerEstimates(v estimate.View) {
+func (s *Server) UsePeerEstimates(snapshot estimate.Snapshot) {
 	told := s.Now()
-	s.Post(func() { s.controller.UsePeerEstimates(s.Now(), v.Aged(s.Now()-told)) })
+	s.Post(func() { s.controller.UsePeerEstimates(s.Now(), snapshot.Aged(s.Now()-told)) })
 }
 
 // Now is the time since the Unix epoch by a clock that never steps back.
@@ -473,8 +473,8 @@
 		s.end(request, admission.NeverStarted, 0, nil)
 	}
 	s.unbegun = s.unbegun[:0]
-	if s.share != nil && now >= s.shared+shareEvery {
-		s.shared = now
-		s.share(s.controller.Estimates(now, s.origin), now)
+	if s.publish != nil && now >= s.publishedAt+shareEvery {
+		s.publishedAt = now
+		s.publish(s.controller.Estimates(now, s.schema), now)
 	}
 }
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -70,7 +70,7 @@
 	}
 	samples := func() (n float64) {
 		b.inTurn(func() {
-			for _, told := range b.controller.Estimates(b.Now(), b.origin).Types {
+			for _, told := range b.controller.Estimates(b.Now(), b.schema).Routes {
 				if told.Name == "pay" {
 					n = told.Run.Samples
 				}
--- a/internal/store/book.go
+++ b/internal/store/book.go
@@ -247,13 +247,13 @@
 }
 
 // newView is the job of writing a snapshot of what was learned.
-func (b *book) newView(v estimate.View) func() error {
+func (b *book) newView(snapshot estimate.Snapshot) func() error {
 	h := b.header(recovery.ViewFile, b.nextView)
-	h.Terms = v.Terms
+	h.Terms = snapshot.SettingsDigest
 	b.nextView++
 	return func() error {
 		raw := appendFrame(nil, 0, 0, h)
-		raw = appendFrame(raw, h.ID, 1, v.Told())
+		raw = appendFrame(raw, h.ID, 1, snapshot.Published())
 		raw = appendFrame(raw, h.ID, 2, end{1})
 		if err := b.place(nameOf(viewName, h.Place), raw); err != nil {
 			return err
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -29,14 +29,14 @@
 
 const window = time.Hour
 
-var views = estimate.Frame{
-	Terms: 7, Origin: 99, Types: []string{"browse", "pay"}, Outer: []time.Duration{2 * time.Second, 4 * time.Second},
+var views = estimate.Schema{
+	SettingsDigest: 7, Origin: 99, Routes: []string{"browse", "pay"}, Deadlines: []time.Duration{2 * time.Second, 4 * time.Second},
 }
 
 // viewOf is a view that tells its number.
-func viewOf(n int) estimate.View {
+func viewOf(n int) estimate.Snapshot {
 	e := estimate.Estimate{Mean: 0.1 + float64(n)/1e4, Spread: 0.05, Samples: 20}
-	return estimate.View{Origin: 5, Terms: 7, Types: []estimate.TypeView{
+	return estimate.Snapshot{Origin: 5, SettingsDigest: 7, Routes: []estimate.RouteEstimates{
 		{Name: "browse", Core: e, Run: e}, {Name: "pay", Core: e, Run: e},
 	}}
 }
@@ -129,7 +129,7 @@
 		return errors.New("a view was kept and is lost")
 	}
 	if p.View.Fresh() {
-		n := int((p.View.Types[0].Core.Mean-0.1)*1e4 + 0.5)
+		n := int((p.View.Routes[0].Core.Mean-0.1)*1e4 + 0.5)
 		if n < r.view || n > r.viewed {
 			return fmt.Errorf("view %d, and %d was kept, %d given", n, r.view, r.viewed)
 		}
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -39,7 +39,7 @@
 	Frames uint64 `cbor:"1,keyasint"`
 }
 
-var decoding = strictcbor.Decoding(estimate.MaxTold, true) // numbers are callers' own bytes
+var decoding = strictcbor.Decoding(estimate.MaxPublishedRoutes, true) // numbers are callers' own bytes
 
 // checksum is over the file's id too: what an earlier file left in the same blocks is no record of this one.
 func checksum(id, seq uint64, payload []byte) uint32 {
@@ -165,11 +165,11 @@
 			return
 		}
 		if f.Header.Content == recovery.ViewFile {
-			var v estimate.View
-			if f.View != nil || decoding.Unmarshal(payload, &v) != nil {
+			var snapshot estimate.Snapshot
+			if f.View != nil || decoding.Unmarshal(payload, &snapshot) != nil {
 				break
 			}
-			f.View = &v
+			f.View = &snapshot
 		} else {
 			r, ok := record(seq, payload)
 			if !ok {
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -32,14 +32,14 @@
 
 // Report tells what a folder holds, and what a start would use of it.
 type Report struct {
-	Files   []FileReport    `json:"files"`
-	Plan    recovery.Plan   `json:"-"`
-	Notes   []recovery.Note `json:"notes"`
-	Numbers []NumberReport  `json:"numbers"`
-	Unknown int             `json:"unknown"`
-	View    string          `json:"view,omitempty"`    // the newest file that holds one
-	Learned *estimate.View  `json:"learned,omitempty"` // what it holds, aged
-	Bytes   int64           `json:"bytes"`
+	Files   []FileReport       `json:"files"`
+	Plan    recovery.Plan      `json:"-"`
+	Notes   []recovery.Note    `json:"notes"`
+	Numbers []NumberReport     `json:"numbers"`
+	Unknown int                `json:"unknown"`
+	View    string             `json:"view,omitempty"`    // the newest file that holds one
+	Learned *estimate.Snapshot `json:"learned,omitempty"` // what it holds, aged
+	Bytes   int64              `json:"bytes"`
 }
 
 // siteOf is the site that a folder is of: the stated one, else that of its first file that has one.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -33,10 +33,10 @@
 	Clock   func() recovery.Moment
 	ID      func() uint64 // draws one; those of two files must differ
 	Site    string
-	Frame   estimate.Frame // which views fit
-	Most    int64          // bytes of all files
-	Commit  time.Duration  // for which records are gathered before they are written
-	Numbers bool           // whether the table of numbers is kept
+	Frame   estimate.Schema // which views fit
+	Most    int64           // bytes of all files
+	Commit  time.Duration   // for which records are gathered before they are written
+	Numbers bool            // whether the table of numbers is kept
 	Counts  *invariant.Counts
 	Log     *slog.Logger
 	Nudge   func() // called when Safe has changed, from the store's goroutine
@@ -47,7 +47,7 @@
 // Recovered is what a folder held. The view is aged, and not Fresh where none can be used; windows are by the clock of
 // the boot.
 type Recovered struct {
-	View    estimate.View
+	View    estimate.Snapshot
 	Numbers []recovery.Number
 	Unknown int           // of them, that were begun and not known to have ended
 	At      time.Duration // when it was read, by the clock of the boot
@@ -66,7 +66,7 @@
 	queue  []queued
 	bytes  int
 	last   uint64 // mark of the last record that was given
-	view   *estimate.View
+	view   *estimate.Snapshot
 	ending bool
 	awake  bool // the store's goroutine looks by itself; to wake it would cost the owner's turn some microseconds
 
@@ -79,9 +79,9 @@
 	shadow  *recovery.Table // of the numbers, while there is no book
 	again   time.Duration   // when the folder is tried again
 	pause   time.Duration
-	job     chan error     // of the job that runs, nil without one
-	latest  *estimate.View // to be written
-	kept    estimate.View  // as last written
+	job     chan error         // of the job that runs, nil without one
+	latest  *estimate.Snapshot // to be written
+	kept    estimate.Snapshot  // as last written
 	viewed  time.Duration
 	expired time.Duration
 }
@@ -170,10 +170,10 @@
 }
 
 // View takes what the server has learned. The newest is written, once a second at the most.
-func (s *Store) View(v estimate.View) {
+func (s *Store) View(snapshot estimate.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.view = &v
+	s.view = &snapshot
 	s.nudge()
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -86,7 +86,7 @@
 	assert.Equal(t, []byte("seat 4"), had.Numbers[0].Result)
 	assert.Equal(t, uint64(3), had.Numbers[0].Shape)
 	assert.Equal(t, 3, had.Unknown)
-	assert.Equal(t, 10*time.Second, had.View.Types[0].Core.Age)
+	assert.Equal(t, 10*time.Second, had.View.Routes[0].Core.Age)
 }
 
 // Records that come together are written together.
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -63,13 +63,13 @@
 // hollowServer is one server's control code without a request path: it reports to the membership service, answers and
 // asks peers, and votes on leases where it is a voter.
 type hollowServer struct {
-	spec   *HollowSpec
-	place  int
-	cancel context.CancelFunc
-	giver  *peersync.Giver
-	keeper *leasing.Keeper
-	warm   atomic.Bool
-	over   sync.WaitGroup
+	spec       *HollowSpec
+	place      int
+	cancel     context.CancelFunc
+	peerServer *peersync.Server
+	keeper     *leasing.Manager
+	warm       atomic.Bool
+	over       sync.WaitGroup
 }
 
 // RunHollow holds a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec.
@@ -149,16 +149,16 @@
 		return err
 	}
 	giver.Serve()
-	s.giver = giver
+	s.peerServer = giver
 	s.warm.Store(false)
 	ctx, cancel := context.WithCancel(s.dialedFrom(context.Background()))
 	s.cancel = cancel
 	reporter := registration.New(fmt.Sprintf("hollow-%d", s.place), s.spec.Members, log)
 	s.over.Go(func() { reporter.Run(ctx, registration.Period) })
 	s.over.Go(func() { s.share(ctx, giver, now) })
-	asker := &peersync.Asker{
-		Peers: s.peers(), Total: askTotal, Frame: s.frame(), Seed: s.spec.Seed + int64(s.place),
-		Cold: func() bool { return !s.warm.Load() }, Take: func(estimate.View) { s.warm.Store(true) },
+	asker := &peersync.Client{
+		Peers: s.peers(), Total: askTotal, Schema: s.frame(), Seed: s.spec.Seed + int64(s.place),
+		Cold: func() bool { return !s.warm.Load() }, Take: func(estimate.Snapshot) { s.warm.Store(true) },
 		Counts: counts, Log: log,
 	}
 	s.over.Go(func() { asker.Run(ctx) })
@@ -186,15 +186,15 @@
 	for i := range s.spec.Duties {
 		duties = append(duties, fmt.Sprintf("duty-%d", i))
 	}
-	keeper, err := leasing.New(leasing.Settings{
+	keeper, err := leasing.New(leasing.Options{
 		Name: s.address(), Duties: duties, Peers: others, Seed: s.spec.Seed + int64(s.place), Log: log,
-		Terms: lease.Terms{Lease: s.spec.Lease, Drift: hollowDrift, Voters: s.spec.Voters},
+		Config: lease.Config{Duration: s.spec.Lease, MaxClockDrift: hollowDrift, Voters: s.spec.Voters},
 	})
 	if err != nil {
 		return err
 	}
 	s.keeper = keeper
-	s.giver.SetVoter(keeper.Vote)
+	s.peerServer.SetVoteHandler(keeper.Vote)
 	s.over.Go(func() { keeper.Run(ctx) })
 	return nil
 }
@@ -205,7 +205,7 @@
 		return
 	}
 	s.cancel()
-	s.giver.Close()
+	s.peerServer.Close()
 	s.over.Wait()
 }
 
@@ -228,21 +228,21 @@
 }
 
 // frame is what all hollow servers agree on, with an origin of the server's own.
-func (s *hollowServer) frame() estimate.Frame {
-	f := estimate.Frame{Terms: sharedTerms, Origin: uint64(s.place) + 1}
+func (s *hollowServer) frame() estimate.Schema {
+	schema := estimate.Schema{SettingsDigest: sharedTerms, Origin: uint64(s.place) + 1}
 	for i := range s.spec.Routes {
-		f.Types, f.Outer = append(f.Types, RouteName(i)), append(f.Outer, 3*time.Second)
+		schema.Routes, schema.Deadlines = append(schema.Routes, RouteName(i)), append(schema.Deadlines, 3*time.Second)
 	}
-	return f
+	return schema
 }
 
 // share leaves a view for others once a second, from the moment on at which the server has seen enough.
-func (s *hollowServer) share(ctx context.Context, giver *peersync.Giver, now func() time.Duration) {
-	frame := s.frame()
-	view := estimate.View{Origin: frame.Origin, Terms: frame.Terms}
+func (s *hollowServer) share(ctx context.Context, giver *peersync.Server, now func() time.Duration) {
+	schema := s.frame()
+	snapshot := estimate.Snapshot{Origin: schema.Origin, SettingsDigest: schema.SettingsDigest}
 	seen := estimate.Estimate{Mean: viewMean, Spread: viewMean / 2, Samples: viewSamples}
-	for _, name := range frame.Types {
-		view.Types = append(view.Types, estimate.TypeView{Name: name, Core: seen, Run: seen})
+	for _, name := range schema.Routes {
+		snapshot.Routes = append(snapshot.Routes, estimate.RouteEstimates{Name: name, Core: seen, Run: seen})
 	}
 	ticker := time.NewTicker(viewEach)
 	defer ticker.Stop()
@@ -256,7 +256,7 @@
 			s.warm.Store(true)
 		}
 		if s.warm.Load() {
-			giver.Put(view, now())
+			giver.Publish(snapshot, now())
 		}
 	}
 }
--- a/lease/fence.go
+++ b/lease/fence.go
@@ -24,9 +24,9 @@
 // Newest is the newest token admitted for duty, 0 where none.
 func (f *Fence) Newest(duty string) Token { return f.newest[duty] }
 
-// Act is one act on a duty as a fence recorded it: who, under which token, and whether it was admitted.
+// FencedOperation is one act on a duty as a fence recorded it: who, under which token, and whether it was admitted.
 // At is the order in which the fence saw them.
-type Act struct {
+type FencedOperation struct {
 	Duty     string
 	By       string
 	Token    Token
@@ -34,10 +34,10 @@
 	At       int64
 }
 
-// Check reads a history of acts, in the order of At, and names the first moment two holders acted under
+// CheckHistory reads a history of acts, in the order of At, and names the first moment two holders acted under
 // valid tokens: an act admitted under a token older than one admitted before it, or one token admitted for
 // two processes. It is the one checker of the lease tests, and it fails on a planted double hold.
-func Check(history []Act) error {
+func CheckHistory(history []FencedOperation) error {
 	type seen struct {
 		token Token
 		by    string
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -22,20 +22,20 @@
 // its token, and a Fence refuses one older than the newest it has seen.
 type Token uint64
 
-// Terms are the figures every process of a fleet shares.
-type Terms struct {
-	Lease  time.Duration // how long a grant lasts
-	Drift  float64       // the most by which two clocks' rates differ, as a part (0.01 is 1%)
-	Voters int           // grantors in all; a majority is more than half of them
+// Config are the figures every process of a fleet shares.
+type Config struct {
+	Duration      time.Duration // how long a grant lasts
+	MaxClockDrift float64       // the most by which two clocks' rates differ, as a part (0.01 is 1%)
+	Voters        int           // grantors in all; a majority is more than half of them
 }
 
-// Check names what makes a fleet's terms unusable.
-func (t Terms) Check() error {
+// Validate names what makes a fleet's terms unusable.
+func (t Config) Validate() error {
 	switch {
-	case t.Lease <= 0:
-		return fmt.Errorf("lease.lease %v: must be above zero", t.Lease)
-	case t.Drift < 0 || t.Drift >= 0.5:
-		return fmt.Errorf("lease.drift %v: from 0 to under 0.5", t.Drift)
+	case t.Duration <= 0:
+		return fmt.Errorf("lease.lease %v: must be above zero", t.Duration)
+	case t.MaxClockDrift < 0 || t.MaxClockDrift >= 0.5:
+		return fmt.Errorf("lease.drift %v: from 0 to under 0.5", t.MaxClockDrift)
 	case t.Voters < 1:
 		return fmt.Errorf("lease.voters %d: one at least", t.Voters)
 	}
@@ -44,21 +44,21 @@
 
 // margin is what a lease is lengthened by on a grantor's clock and shortened by on the holder's: the most
 // by which the two may have moved apart over one lease.
-func (t Terms) margin() time.Duration { return time.Duration(t.Drift * float64(t.Lease)) }
+func (t Config) margin() time.Duration { return time.Duration(t.MaxClockDrift * float64(t.Duration)) }
 
 // Majority is how many grants make a holder.
-func (t Terms) Majority() int { return t.Voters/2 + 1 }
+func (t Config) Majority() int { return t.Voters/2 + 1 }
 
-// Ask is a candidate's request to hold a duty, or to renew what it holds under the same token.
-type Ask struct {
+// VoteRequest is a candidate's request to hold a duty, or to renew what it holds under the same token.
+type VoteRequest struct {
 	Duty  string
 	From  string
 	Token Token
 }
 
-// Answer is a grantor's word on an Ask. Where it refused, Newest and Holder tell whom it grants now and
+// VoteResponse is a grantor's word on an Ask. Where it refused, Newest and Holder tell whom it grants now and
 // Free how long, on the grantor's clock, until it may grant anew; the candidate waits that long.
-type Answer struct {
+type VoteResponse struct {
 	Duty    string
 	To      string
 	By      string
@@ -76,35 +76,35 @@
 	until  time.Duration
 }
 
-// Grantor is one process's vote, for every duty. What it has granted must survive its restart, or it
+// Voter is one process's vote, for every duty. What it has granted must survive its restart, or it
 // waits out a whole lease with the allowance before it grants anything (Restarted).
-type Grantor struct {
+type Voter struct {
 	Name   string
-	terms  Terms
+	config Config
 	duties map[string]*grant
 	quiet  time.Duration // until then it grants nothing, after a restart that lost its grants
 }
 
-// NewGrantor starts a grantor that has granted nothing.
-func NewGrantor(name string, terms Terms) *Grantor {
-	return &Grantor{Name: name, terms: terms, duties: map[string]*grant{}}
+// NewVoter starts a grantor that has granted nothing.
+func NewVoter(name string, terms Config) *Voter {
+	return &Voter{Name: name, config: terms, duties: map[string]*grant{}}
 }
 
 // Restarted is a grantor that came back without what it had granted: it may have granted a lease that still
 // runs, so it grants nothing until that could have ended.
-func (g *Grantor) Restarted(now time.Duration) {
+func (g *Voter) Restarted(now time.Duration) {
 	g.duties = map[string]*grant{}
-	g.quiet = now + g.terms.Lease + 2*g.terms.margin()
+	g.quiet = now + g.config.Duration + 2*g.config.margin()
 }
 
-// Consider answers an Ask read at now on the grantor's clock.
-func (g *Grantor) Consider(a Ask, now time.Duration) Answer {
+// HandleRequest answers an Ask read at now on the grantor's clock.
+func (g *Voter) HandleRequest(a VoteRequest, now time.Duration) VoteResponse {
 	d := g.duties[a.Duty]
 	if d == nil {
 		d = &grant{}
 		g.duties[a.Duty] = d
 	}
-	answer := Answer{Duty: a.Duty, To: a.From, By: g.Name, Token: a.Token, Newest: d.token, Holder: d.holder}
+	answer := VoteResponse{Duty: a.Duty, To: a.From, By: g.Name, Token: a.Token, Newest: d.token, Holder: d.holder}
 	free := max(d.until, g.quiet) - now
 	// The holder renews under its token, or one that asks anew supersedes its own earlier grant.
 	renews := a.From == d.holder && (a.Token == d.token && now < d.until || a.Token > d.token)
@@ -117,13 +117,13 @@
 		answer.Free = free
 		return answer
 	}
-	d.holder, d.token, d.until = a.From, a.Token, now+g.terms.Lease+g.terms.margin()
+	d.holder, d.token, d.until = a.From, a.Token, now+g.config.Duration+g.config.margin()
 	answer.Granted, answer.Newest, answer.Holder = true, d.token, d.holder
 	return answer
 }
 
 // Release gives a duty back before its lease ends, where the holder says so under its own token.
-func (g *Grantor) Release(duty, from string, token Token, now time.Duration) {
+func (g *Voter) Release(duty, from string, token Token, now time.Duration) {
 	if d := g.duties[duty]; d != nil && d.holder == from && d.token == token {
 		d.until = min(d.until, now)
 	}
@@ -132,7 +132,7 @@
 // Candidate is one process's wish to hold one duty.
 type Candidate struct {
 	Duty, Name string
-	terms      Terms
+	config     Config
 	token      Token
 	asked      time.Duration // when the present round of asks went out
 	votes      map[string]bool
@@ -143,26 +143,26 @@
 }
 
 // NewCandidate wants duty for name; the seed spreads its tries.
-func NewCandidate(duty, name string, terms Terms, seed int64) *Candidate {
-	return &Candidate{Duty: duty, Name: name, terms: terms, votes: map[string]bool{}, rng: rand.New(rand.NewSource(seed))}
+func NewCandidate(duty, name string, terms Config, seed int64) *Candidate {
+	return &Candidate{Duty: duty, Name: name, config: terms, votes: map[string]bool{}, rng: rand.New(rand.NewSource(seed))}
 }
 
-// Asks is the round of asks to send to every grantor at now, or none while it must wait. A holder renews
+// NextRequest is the round of asks to send to every grantor at now, or none while it must wait. A holder renews
 // under its token; another asks one above the newest token it heard of.
-func (c *Candidate) Asks(now time.Duration) (Ask, bool) {
+func (c *Candidate) NextRequest(now time.Duration) (VoteRequest, bool) {
 	if now < c.notBefore {
-		return Ask{}, false
+		return VoteRequest{}, false
 	}
 	if !c.Holds(now) {
 		c.token = max(c.token, c.newest) + 1
 	}
 	c.asked, c.votes = now, map[string]bool{}
-	return Ask{Duty: c.Duty, From: c.Name, Token: c.token}, true
+	return VoteRequest{Duty: c.Duty, From: c.Name, Token: c.token}, true
 }
 
-// Heard takes an answer read at now. A majority of grants for the present round makes it the holder until
+// HandleResponse takes an answer read at now. A majority of grants for the present round makes it the holder until
 // the lease, less the allowance, has passed since the round was sent: no grantor frees the duty sooner.
-func (c *Candidate) Heard(a Answer, now time.Duration) {
+func (c *Candidate) HandleResponse(a VoteResponse, now time.Duration) {
 	c.newest = max(c.newest, a.Newest)
 	if a.Token != c.token || a.To != c.Name || a.Duty != c.Duty {
 		return // an answer to an earlier round
@@ -172,13 +172,13 @@
 		// again; each waits a part of a lease more, drawn anew. Refused for a stale token alone, it asks
 		// again at once above the newest.
 		if a.Free > 0 {
-			c.notBefore = max(c.notBefore, now+a.Free+time.Duration(c.rng.Int63n(int64(c.terms.Lease/2)+1)))
+			c.notBefore = max(c.notBefore, now+a.Free+time.Duration(c.rng.Int63n(int64(c.config.Duration/2)+1)))
 		}
 		return
 	}
 	c.votes[a.By] = true
-	if len(c.votes) >= c.terms.Majority() {
-		c.until = c.asked + c.terms.Lease - c.terms.margin()
+	if len(c.votes) >= c.config.Majority() {
+		c.until = c.asked + c.config.Duration - c.config.margin()
 	}
 }
 
@@ -191,11 +191,11 @@
 // Until is the end of what it holds, on its own clock.
 func (c *Candidate) Until() time.Duration { return c.until }
 
-// Lose gives up at once what it holds, as on a notice to leave; Release tells the grantors.
-func (c *Candidate) Lose() { c.until = 0 }
+// StepDown gives up at once what it holds, as on a notice to leave; Release tells the grantors.
+func (c *Candidate) StepDown() { c.until = 0 }
 
 // Granted is the holder and token this grantor last granted for duty, as operators are shown it.
-func (g *Grantor) Granted(duty string) (holder string, token uint64) {
+func (g *Voter) Granted(duty string) (holder string, token uint64) {
 	if d := g.duties[duty]; d != nil {
 		return d.holder, uint64(d.token)
 	}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -17,7 +17,7 @@
 	name    string
 	rate    float64
 	offset  time.Duration
-	grantor *Grantor
+	grantor *Voter
 	cand    *Candidate
 	stalled time.Duration // stands still until then, in true time
 }
@@ -30,31 +30,31 @@
 type message struct {
 	at     time.Duration
 	to     int
-	ask    *Ask
-	answer *Answer
+	ask    *VoteRequest
+	answer *VoteResponse
 }
 
 // fleet plays processes that all want one duty, over links that lose and delay, in steps of a millisecond.
 type fleet struct {
 	rng      *rand.Rand
-	terms    Terms
+	terms    Config
 	procs    []*process
 	wire     []message
 	fence    *Fence
-	history  []Act
+	history  []FencedOperation
 	overlaps int // moments at which two believed they held
 	acts     int
 }
 
 func newFleet(seed int64, n int, drift float64) *fleet {
 	f := &fleet{rng: rand.New(rand.NewSource(seed)), fence: NewFence()}
-	f.terms = Terms{Lease: 500 * ms, Drift: drift, Voters: n}
+	f.terms = Config{Duration: 500 * ms, MaxClockDrift: drift, Voters: n}
 	for i := range n {
 		name := string(rune('a' + i))
 		// Rates within half the allowance on either side, so any two differ by the allowance at most.
 		rate := 1 + (f.rng.Float64()-0.5)*drift
 		p := &process{name: name, rate: rate, offset: time.Duration(f.rng.Int63n(int64(time.Hour)))}
-		p.grantor, p.cand = NewGrantor(name, f.terms), NewCandidate("compact", name, f.terms, seed*10+int64(i))
+		p.grantor, p.cand = NewVoter(name, f.terms), NewCandidate("compact", name, f.terms, seed*10+int64(i))
 		f.procs = append(f.procs, p)
 	}
 	return f
@@ -81,10 +81,10 @@
 			continue
 		}
 		if m.ask != nil {
-			answer := p.grantor.Consider(*m.ask, p.clock(at))
+			answer := p.grantor.HandleRequest(*m.ask, p.clock(at))
 			f.send(at, f.index(m.ask.From), message{answer: &answer})
 		} else {
-			p.cand.Heard(*m.answer, p.clock(at))
+			p.cand.HandleResponse(*m.answer, p.clock(at))
 		}
 	}
 	holders := 0
@@ -99,13 +99,13 @@
 				f.act(p, at)
 			}
 		}
-		if p.cand.Holds(now) && p.cand.Until()-now > f.terms.Lease/2 {
+		if p.cand.Holds(now) && p.cand.Until()-now > f.terms.Duration/2 {
 			continue // renews in the second half of its lease
 		}
 		if at%(20*ms) != time.Duration(i)*ms {
 			continue // each asks at its own moments, a round in 20 ms at the most
 		}
-		if ask, ok := p.cand.Asks(now); ok {
+		if ask, ok := p.cand.NextRequest(now); ok {
 			for to := range f.procs {
 				f.send(at, to, message{ask: &ask})
 			}
@@ -119,7 +119,7 @@
 func (f *fleet) act(p *process, at time.Duration) {
 	f.acts++
 	token := p.cand.Token()
-	f.history = append(f.history, Act{"compact", p.name, token, f.fence.Admit("compact", token), int64(at)})
+	f.history = append(f.history, FencedOperation{"compact", p.name, token, f.fence.Admit("compact", token), int64(at)})
 }
 
 func (f *fleet) index(name string) int { return int(name[0] - 'a') }
@@ -151,7 +151,7 @@
 					}
 				}
 				require.Zero(t, f.overlaps, "seed %d: two held at once", seed)
-				require.NoError(t, Check(f.history), "seed %d", seed)
+				require.NoError(t, CheckHistory(f.history), "seed %d", seed)
 				acts += f.acts
 			}
 			assert.Positive(t, acts, "holders acted")
@@ -166,31 +166,31 @@
 // Past the stated drift a process whose clock runs slow believes it holds after the others freed the duty:
 // the token is what refuses its acts then.
 // round sends c's asks to every voter at once, read at voters' time at and the candidate's own, if it may ask.
-func round(c *Candidate, voters []*Grantor, at, own time.Duration) bool {
-	ask, ok := c.Asks(own)
+func round(c *Candidate, voters []*Voter, at, own time.Duration) bool {
+	ask, ok := c.NextRequest(own)
 	for _, g := range voters {
 		if ok {
-			c.Heard(g.Consider(ask, at), own)
+			c.HandleResponse(g.HandleRequest(ask, at), own)
 		}
 	}
 	return ok
 }
 
 func TestAStaleHolderIsRefusedByItsToken(t *testing.T) {
-	terms := Terms{Lease: 500 * ms, Voters: 3}
-	grantors := []*Grantor{NewGrantor("a", terms), NewGrantor("b", terms), NewGrantor("c", terms)}
+	terms := Config{Duration: 500 * ms, Voters: 3}
+	grantors := []*Voter{NewVoter("a", terms), NewVoter("b", terms), NewVoter("c", terms)}
 	old, next := NewCandidate("d", "old", terms, 1), NewCandidate("d", "next", terms, 2)
 	win := func(c *Candidate, now time.Duration) { require.True(t, round(c, grantors, now, now)) }
 	fence := NewFence()
 	win(old, 0)
 	require.True(t, old.Holds(0))
 	assert.True(t, fence.Admit("d", old.Token()))
-	ask, _ := next.Asks(100 * ms)
+	ask, _ := next.NextRequest(100 * ms)
 	for _, g := range grantors {
-		answer := g.Consider(ask, 100*ms)
+		answer := g.HandleRequest(ask, 100*ms)
 		assert.False(t, answer.Granted, "no grant while a lease runs")
 		assert.Equal(t, 400*ms, answer.Free)
-		next.Heard(answer, 100*ms)
+		next.HandleResponse(answer, 100*ms)
 	}
 	win(next, 800*ms) // after the lease and the wait drawn on refusal
 	require.True(t, next.Holds(800*ms))
@@ -199,67 +199,67 @@
 	// old stood still and its clock says 300 ms: it still believes it holds.
 	assert.True(t, old.Holds(300*ms))
 	assert.False(t, fence.Admit("d", old.Token()), "its acts are refused")
-	history := []Act{
+	history := []FencedOperation{
 		{"d", "old", old.Token(), true, 1}, {"d", "next", next.Token(), true, 2},
 		{"d", "old", old.Token(), false, 3},
 	}
-	assert.NoError(t, Check(history))
+	assert.NoError(t, CheckHistory(history))
 }
 
 func TestTheCheckerFailsOnAPlantedDoubleHold(t *testing.T) {
-	cases := map[string][]Act{
+	cases := map[string][]FencedOperation{
 		// what a stalled holder did, admitted with no fence, beside the new holder's acts
 		"an older token after a newer": {{"d", "next", 2, true, 1}, {"d", "old", 1, true, 2}},
 		"one token for two":            {{"d", "a", 3, true, 1}, {"d", "b", 3, true, 2}},
 		"out of order":                 {{"d", "a", 1, true, 2}, {"d", "a", 1, true, 1}},
 	}
 	for name, history := range cases {
-		assert.Error(t, Check(history), name)
+		assert.Error(t, CheckHistory(history), name)
 	}
-	assert.NoError(t, Check([]Act{{"d", "a", 1, true, 1}, {"d", "b", 1, false, 2}, {"e", "b", 1, true, 3}}))
+	assert.NoError(t, CheckHistory([]FencedOperation{{"d", "a", 1, true, 1}, {"d", "b", 1, false, 2}, {"e", "b", 1, true, 3}}))
 }
 
 func TestARestartedGrantorWaitsOutWhatItMayHaveGranted(t *testing.T) {
-	terms := Terms{Lease: time.Second, Drift: 0.1, Voters: 1}
-	g := NewGrantor("a", terms)
-	assert.True(t, g.Consider(Ask{"d", "x", 1}, 0).Granted)
+	terms := Config{Duration: time.Second, MaxClockDrift: 0.1, Voters: 1}
+	g := NewVoter("a", terms)
+	assert.True(t, g.HandleRequest(VoteRequest{"d", "x", 1}, 0).Granted)
 	g.Restarted(500 * ms)
-	answer := g.Consider(Ask{"d", "y", 2}, 600*ms)
+	answer := g.HandleRequest(VoteRequest{"d", "y", 2}, 600*ms)
 	assert.False(t, answer.Granted)
 	assert.Equal(t, 1100*ms, answer.Free, "lease and twice the allowance from the restart")
-	assert.True(t, g.Consider(Ask{"d", "y", 2}, 1700*ms).Granted)
+	assert.True(t, g.HandleRequest(VoteRequest{"d", "y", 2}, 1700*ms).Granted)
 }
 
 func TestTermsNameTheirKey(t *testing.T) {
-	for key, terms := range map[string]Terms{
-		"lease.lease":  {Drift: 0.01, Voters: 3},
-		"lease.drift":  {Lease: time.Second, Drift: 0.5, Voters: 3},
-		"lease.voters": {Lease: time.Second},
+	for key, terms := range map[string]Config{
+		"lease.lease":  {MaxClockDrift: 0.01, Voters: 3},
+		"lease.drift":  {Duration: time.Second, MaxClockDrift: 0.5, Voters: 3},
+		"lease.voters": {Duration: time.Second},
 	} {
-		assert.ErrorContains(t, terms.Check(), key)
+		assert.ErrorContains(t, terms.Validate(), key)
 	}
-	assert.NoError(t, Terms{Lease: time.Second, Drift: 0.01, Voters: 3}.Check())
+	assert.NoError(t, Config{Duration: time.Second, MaxClockDrift: 0.01, Voters: 3}.Validate())
 }
 
 // A holder whose clock runs slow believes it holds for longer in true time. Within the stated drift its belief
 // ends before any voter frees the duty; past it, another is granted while it still believes, and only the
 // token keeps its acts out.
 func TestTheDriftBoundAndWhatBreaksPastIt(t *testing.T) {
-	terms := Terms{Lease: time.Second, Drift: 0.1, Voters: 3}
+	terms := Config{Duration: time.Second, MaxClockDrift: 0.1, Voters: 3}
 	for _, c := range []struct {
 		name    string
 		rate    float64 // of the holder's clock against the voters'
 		overlap bool
 	}{{"at the bound", 0.9, false}, {"fast", 1.1, false}, {"past the bound", 0.7, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			voters := []*Grantor{NewGrantor("a", terms), NewGrantor("b", terms), NewGrantor("c", terms)}
+			voters := []*Voter{NewVoter("a", terms), NewVoter("b", terms), NewVoter("c", terms)}
 			old, next := NewCandidate("d", "old", terms, 1), NewCandidate("d", "next", terms, 2)
 			own := func(true time.Duration) time.Duration { return time.Duration(c.rate * float64(true)) }
 			round(old, voters, 0, own(0))
 			require.True(t, old.Holds(own(0)))
 			// next asks every millisecond of true time from the moment the voters free the duty
 			granted := time.Duration(0)
-			for at := terms.Lease + terms.margin(); granted == 0 && at < 2*terms.Lease; at += ms {
+			for at := terms.Duration + terms.margin(); granted == 0 && at < 2*terms.Duration; at += ms {
 				if round(next, voters, at, at); next.Holds(at) {
 					granted = at
 				}
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -41,7 +41,7 @@
 	Name    string
 	Why     string // nothing of it can be used, and why not
 	Header  Header
-	View    *estimate.View
+	View    *estimate.Snapshot
 	Records []Record // whole, in order, up to the first that is not
 	Whole   bool     // nothing else is in it
 	End     int64    // where what is not whole begins
@@ -52,7 +52,7 @@
 type Here struct {
 	Now   Moment
 	Site  string
-	Frame estimate.Frame // which views fit; its zero value where none is wanted
+	Frame estimate.Schema // which views fit; its zero value where none is wanted
 }
 
 // Aside is something to be kept that was not used: a file, or what is behind a place in it.
@@ -66,7 +66,7 @@
 
 // Plan is what is to be used, and what becomes of the rest.
 type Plan struct {
-	View     estimate.View // aged; not Fresh where none is used
+	View     estimate.Snapshot // aged; not Fresh where none is used
 	ViewFrom string
 	Table    *Table
 	Unknown  int    // numbers whose end is not known
@@ -164,13 +164,13 @@
 			p.note(f.Name, "of another machine")
 			continue
 		}
-		if len(here.Frame.Types) == 0 {
+		if len(here.Frame.Routes) == 0 {
 			continue
 		}
 		// Frame.Fit is a peer's gate, and a file's: what it lets through can be acted on.
 		fit, err := here.Frame.Align(*f.View)
 		if err == nil {
-			fit, err = here.Frame.Fit(fit)
+			fit, err = here.Frame.Validate(fit)
 		}
 		if err != nil {
 			p.note(f.Name, err.Error())
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -73,11 +73,11 @@
 	})
 }
 
-var frame = estimate.Frame{Terms: 7, Origin: 99, Types: []string{"pay"}, Outer: []time.Duration{4 * time.Second}}
+var frame = estimate.Schema{SettingsDigest: 7, Origin: 99, Routes: []string{"pay"}, Deadlines: []time.Duration{4 * time.Second}}
 
-func view(mean float64) *estimate.View {
+func view(mean float64) *estimate.Snapshot {
 	e := estimate.Estimate{Mean: mean, Samples: 20}
-	return &estimate.View{Origin: 1, Terms: 7, Types: []estimate.TypeView{{Name: "pay", Core: e, Run: e}}}
+	return &estimate.Snapshot{Origin: 1, SettingsDigest: 7, Routes: []estimate.RouteEstimates{{Name: "pay", Core: e, Run: e}}}
 }
 
 func viewFile(place uint64, mean float64, at Moment) Found {
@@ -103,7 +103,7 @@
 		{"from the future", []Found{viewFile(1, 0.1, before(-time.Minute, time.Second))}, 0, "old"},
 		{"of another site", []Found{with(viewFile(1, 0.1, young), func(f *Found) { f.Header.Site = "x" })}, 0, `of site "x", and this is "s"`},
 		{"of another machine", []Found{with(viewFile(1, 0.1, young), func(f *Found) { f.Header.At.Machine = 8 })}, 0, "of another machine"},
-		{"of other terms", []Found{with(viewFile(1, 0.1, young), func(f *Found) { f.View.Terms = 8 })}, 0, "other terms"},
+		{"of other terms", []Found{with(viewFile(1, 0.1, young), func(f *Found) { f.View.SettingsDigest = 8 })}, 0, "other terms"},
 		{"of a newer version, and one known", []Found{viewFile(1, 0.1, young), with(viewFile(2, 0.2, young), func(f *Found) { f.Header.Version = Version + 1 })}, 0.1, "version 3, and 2 at the most is known here"},
 		{"of a version that never was", []Found{with(viewFile(1, 0.1, young), func(f *Found) { f.Header.Version = 0 })}, 0, "version 0, from which no step leads here"},
 		{"of version 1", []Found{with(viewFile(1, 0.1, young), func(f *Found) {
@@ -118,8 +118,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := Decide(c.found, Here{Now: now, Site: "s", Frame: frame})
 			if assert.Equal(t, c.mean > 0, p.View.Fresh()); c.mean > 0 {
-				assert.Equal(t, c.mean, p.View.Types[0].Core.Mean)
-				assert.Equal(t, time.Second, p.View.Types[0].Core.Age)
+				assert.Equal(t, c.mean, p.View.Routes[0].Core.Mean)
+				assert.Equal(t, time.Second, p.View.Routes[0].Core.Age)
 			}
 			if c.why == "" {
 				assert.Empty(t, p.Notes)
@@ -223,9 +223,9 @@
 
 func TestWorth(t *testing.T) {
 	warm, cold := *view(0.1), *view(0.1)
-	cold.Types[0].Core.Samples = 2
-	assert.True(t, Worth(warm, estimate.View{}, 0))
-	assert.False(t, Worth(cold, estimate.View{}, 0), "what the one before left is worth more")
+	cold.Routes[0].Core.Samples = 2
+	assert.True(t, Worth(warm, estimate.Snapshot{}, 0))
+	assert.False(t, Worth(cold, estimate.Snapshot{}, 0), "what the one before left is worth more")
 	assert.False(t, Worth(warm.Aged(time.Second), warm, time.Second), "nothing was seen since")
 	assert.True(t, Worth(warm.Aged(time.Second/2), warm, time.Second))
 }
--- a/recovery/worth.go
+++ b/recovery/worth.go
@@ -10,15 +10,15 @@
 // too little itself keeps what the one before it left: else one that starts, and is killed, and starts again would lose
 // all by its second start. One that has seen nothing new since is not written again either: what was written ages by
 // itself.
-func Worth(v, before estimate.View, since time.Duration) bool {
-	if v.Cold() {
+func Worth(snapshot, before estimate.Snapshot, since time.Duration) bool {
+	if snapshot.Cold() {
 		return false
 	}
-	if len(before.Types) != len(v.Types) {
+	if len(before.Routes) != len(snapshot.Routes) {
 		return true
 	}
-	for i, t := range v.Types {
-		if t.Core.Known() && t.Core.Age < before.Types[i].Core.Age+since {
+	for i, t := range snapshot.Routes {
+		if t.Core.Known() && t.Core.Age < before.Routes[i].Core.Age+since {
 			return true
 		}
 	}
