--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -370,7 +370,7 @@
 		r.fault(s.Pos, "no traffic type %s in this mix", s.Compose.Type)
 		return
 	}
-	plan := &budget.Plan{Type: s.Compose.Type, Reserve: 5 * time.Millisecond}
+	plan := &budget.Plan{Route: s.Compose.Type, Reserve: 5 * time.Millisecond}
 	for _, c := range s.Compose.Calls {
 		at := slices.IndexFunc(d.Fleet.Dependencies, func(o emulator.Dependency) bool { return o.Name == c.Name })
 		if at < 0 {
@@ -378,8 +378,8 @@
 			return
 		}
 		plan.Calls = append(plan.Calls, budget.Call{
-			Name: c.Name, Dependency: at, Needed: c.Needed, Importance: r.number(c.Worth, 1, 0.001, 1000),
-			Expected: d.Fleet.Dependencies[at].Mean, Seconds: true, Hedge: true,
+			Name: c.Name, Dependency: at, Required: c.Needed, Value: r.number(c.Worth, 1, 0.001, 1000),
+			Expected: d.Fleet.Dependencies[at].Mean, Retry: true, Hedge: true,
 		})
 	}
 	t := d.Fleet.Routes[kind]
--- a/state.go
+++ b/state.go
@@ -38,16 +38,16 @@
 	if t.Dir == "" || t.MostMB < 8 {
 		return fmt.Errorf("quartzpoint: State: Dir is needed, and MostMB of 8 or more")
 	}
-	frame := g.owner.Share(origin, func(v estimate.View, _ time.Duration) {
-		g.view.Store(&v)
-		g.state.View(v)
+	schema := g.owner.PublishEstimates(origin, func(snapshot estimate.Snapshot, _ time.Duration) {
+		g.view.Store(&snapshot)
+		g.state.View(snapshot)
 	})
 	open := t.open
 	if open == nil {
 		open = datadir.Opener(t.Dir)
 	}
 	kept, had, err := store.New(store.Terms{
-		Open: open, Clock: store.SystemClock(), ID: store.DrawID, Site: t.Site, Frame: frame,
+		Open: open, Clock: store.SystemClock(), ID: store.DrawID, Site: t.Site, Frame: schema,
 		Most: int64(t.MostMB) << 20, Commit: max(t.Commit, 0), Numbers: !t.NoNumbers, Counts: counts, Log: log,
 		Nudge: g.owner.Nudge, Late: func(r store.Recovered) { store.ResumeLate(g.owner, r) },
 	})
