--- a/gate.go
+++ b/gate.go
@@ -485,7 +485,7 @@
 	return Counts{g.taken.Load(), g.honoured.Load(), g.dismissed.Load(), g.givenUp.Load(), g.gone.Load(), g.late.Load()}
 }
 
-// CloseIdleAfter does nothing: a gate has no connections. Like the methods below it, it is for the owner of decisions, whose
+// CloseIdle does nothing: a gate has no connections. Like the methods below it, it is for the owner of decisions, whose
 // front the gate is.
 func (g *Gate) CloseIdle(time.Duration) {}
 
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -285,7 +285,7 @@
 // Open is the number of connections.
 func (f *Front) Open() int { return len(f.conns) }
 
-// CloseIdleAfter sets for how long a connection may carry nothing.
+// CloseIdle sets for how long a connection may carry nothing.
 func (f *Front) CloseIdle(span time.Duration) { f.idle = span }
 
 // Flush writes what was answered, and now and then looks for idle connections: behind the writing, as a
--- a/internal/server/tasks.go
+++ b/internal/server/tasks.go
@@ -213,7 +213,7 @@
 	s.abandon(request)
 }
 
-// AwaitingCall has a run wait until it may make a call.
+// AtCall has a run wait until it may make a call.
 func (s *Server) AtCall(request *Request) {
 	s.round.AwaitingCall = append(s.round.AwaitingCall, &request.Request)
 	s.touched = true
