--- a/admission/calls.go
+++ b/admission/calls.go
@@ -24,7 +24,7 @@
 		return
 	case Unknown:
 		c.called.add(c.now, 1, e.Took.Seconds()) // abandoned at once, it tells of the server's patience only
-		c.holdsCall(pick(c.terms, "calls-linger", time.Duration(0)))
+		c.holdsCall(c.settings.CallLinger)
 		c.callGuess = max(c.callGuess, e.Took.Seconds())
 	default:
 		c.called.add(c.now, 0, 0, 1)
@@ -70,7 +70,7 @@
 	slices.SortStableFunc(waiting, func(a, b *Request) int {
 		return cmp.Or(cmp.Compare(b.skipLoss(), a.skipLoss()), cmp.Compare(a.wanted, b.wanted))
 	})
-	over := pick(c.terms, "calls-over", 5*time.Second).Seconds()
+	over := c.settings.CallWindow.Seconds()
 	in, on, _ := c.counts()
 	crowd := max(1, in/c.cores)
 	for ahead, request := range waiting {
@@ -105,7 +105,7 @@
 		// More in hand than the share is survived for part of the time only, so no such call may outlast that.
 		if inHand+1 > c.callShare {
 			left := c.callShare*over*hardMemory - c.inHand.sum(c.now)[0]
-			left -= pick(c.terms, "calls-linger", time.Duration(0)).Seconds()
+			left -= c.settings.CallLinger.Seconds()
 			patience = min(patience, max(time.Duration(left*float64(time.Second)), 2*c.callTime()))
 		}
 		// A call that is never answered would keep its place until its task is given up. What may run again asks
@@ -125,7 +125,7 @@
 // each at a release, or in a burst, pass what the dependency survives. A turn comes for each call that the
 // room allows, at a phase of the server's own, and lasts for what the share leaves. Few with work wait more.
 func (c *Controller) callsTurn() bool {
-	over := max(pick(c.terms, "calls-over", 5*time.Second), sweep).Seconds()
+	over := max(c.settings.CallWindow, sweep).Seconds()
 	spare := (c.callShare*hardMemory - c.callRoom) * over
 	return c.callShare <= noShare || math.Mod(c.callTurns, 1) < spare/c.callTook()
 }
--- a/admission/choice.go
+++ b/admission/choice.go
@@ -57,12 +57,12 @@
 type Controller struct {
 	Routes []*Route
 
-	terms   map[string]any
-	busy    map[*routeStats]bool // of routes whose runs ended lately, the only ones whose latency can have moved
-	tenants tenants
-	rng     *rand.Rand
-	now     time.Duration
-	began   time.Duration
+	settings Settings
+	busy     map[*routeStats]bool // of routes whose runs ended lately, the only ones whose latency can have moved
+	tenants  tenants
+	rng      *rand.Rand
+	now      time.Duration
+	began    time.Duration
 
 	cores, memory, factor, numberKB float64
 	coldShare, warmUp               float64 // speed at the start, and the time until all of it is there
@@ -110,24 +110,16 @@
 	borrowed                         bool    // something that is borrowed is not old yet
 }
 
-// pick reads one of the terms, or what holds where it was not stated.
-func pick[T any](terms map[string]any, name string, otherwise T) T {
-	if v, stated := terms[name].(T); stated {
-		return v
-	}
-	return otherwise
-}
-
-// New starts the decisions of a server that knows its terms and nothing else.
-func New(terms map[string]any, seed int64) *Controller {
+// New starts the decisions of a server that knows its settings and nothing else.
+func New(settings Settings, seed int64) *Controller {
 	controller := &Controller{
-		terms:    terms,
+		settings: settings,
 		rng:      rand.New(rand.NewSource(seed)),
-		cores:    pick(terms, "cores", 1.0),
-		memory:   pick(terms, "memory-kb", math.Inf(1)) * hardMemory,
-		factor:   pick(terms, "running-factor", 1.0),
-		numberKB: pick(terms, "number-kb", 0.0),
-		warmUp:   float64(max(pick(terms, "warm-up", time.Second), 1)),
+		cores:    settings.Cores,
+		memory:   settings.MemoryKB * hardMemory,
+		factor:   settings.RunningMemoryFactor,
+		numberKB: settings.KeyKB,
+		warmUp:   float64(max(settings.WarmUp, 1)),
 		load:     newRing(time.Second, 10),
 		unread:   newRing(time.Second, 10),
 		known:    newRing(customerSpan, 10),
@@ -136,24 +128,24 @@
 		ends:     newRing(3*time.Second, 6),
 		paced:    newRing(6*time.Second, 12),
 		called:   newRing(2*time.Second, 8),
-		inHand:   newRing(pick(terms, "calls-over", 5*time.Second), 20),
+		inHand:   newRing(settings.CallWindow, 20),
 	}
 	controller.limit, controller.coldShare = controller.cores, 1
-	if pick(terms, "cold", false) {
-		controller.coldShare = pick(terms, "cold-share", 0.0)
+	if settings.Cold {
+		controller.coldShare = settings.ColdSpeed
 	}
-	controller.callShare = max(pick(terms, "calls-share", 0.0), noShare)
-	if pick(terms, "below", "shared") == "tier" {
+	controller.callShare = max(settings.CallShare, noShare)
+	if settings.CallsTier {
 		// Servers below that run this code guard themselves and tell no share: what may be at calls is what
 		// the crowd here allows, and the room moves by what comes back, turned away or late.
-		controller.callShare = crowdShare * pick(terms, "crowd", 2.0) * controller.cores
+		controller.callShare = crowdShare * settings.MaxRunnablePerCore * controller.cores
 	}
 	controller.callRoom = controller.callShare * callStart
 	controller.callSaved, controller.callTurns = controller.callRoom, controller.rng.Float64()
-	for i := range int(pick(terms, "types", 0.0)) {
-		controller.PutRoute(nil, newRoute(terms, i))
+	for _, route := range settings.Routes {
+		controller.PutRoute(nil, route)
 	}
-	controller.tenants = newTenants(terms)
+	controller.tenants = newTenants(settings.Tenants)
 	return controller
 }
 
@@ -246,7 +238,7 @@
 	}
 	again := 0.0
 	last, came := c.callers[request.Router]
-	if came && c.now-last < pick(c.terms, "idle", time.Duration(0)) {
+	if came && c.now-last < c.settings.IdleTimeout {
 		again = 1
 	}
 	if came || len(c.callers) < mostCallers { // past that a caller known is taken for new, which closes sooner
@@ -265,7 +257,7 @@
 	}
 	if c.stopAt > 0 {
 		request.last, request.wanted = min(request.last, c.stopAt), min(request.wanted, c.stopAt)
-		if request.ReceivedAt() > c.noticed+pick(c.terms, "grace", time.Duration(0)) {
+		if request.ReceivedAt() > c.noticed+c.settings.Grace {
 			c.dismiss(request, ReasonDraining, w)
 			return
 		}
@@ -297,7 +289,7 @@
 	}
 	if c.enter(request, request.phase); request.phase == calling {
 		// Its call was not reported to have ended, so it is abandoned with the run, and stays in the dependency's hands.
-		c.holdsCall(pick(c.terms, "calls-linger", time.Duration(0)))
+		c.holdsCall(c.settings.CallLinger)
 	}
 	if e.Outcome == Succeeded || e.Outcome == Failed {
 		request.Route.runs.add(c.now, 0, 1, e.Took.Seconds())
@@ -371,10 +363,17 @@
 // say tells callers the level in the site's words: a rank below which they send nothing, or the part of
 // the tasks that they do not take elsewhere, which is what a level lets in where ranks are spread evenly.
 func (c *Controller) say(level float64, w Executor) {
-	value := map[string]float64{"threshold": level, "share_of": 1 - level}
-	if v, told := value[pick(c.terms, "advert", "none")]; told && v != c.said {
-		w.SetShedLevel(v)
-		c.said = v
+	value := level
+	switch c.settings.ShedLevelFormat {
+	case ShedLevelNone:
+		return
+	case ShedLevelThreshold:
+	case ShedLevelShare:
+		value = 1 - level
+	}
+	if value != c.said {
+		w.SetShedLevel(value)
+		c.said = value
 	}
 }
 
@@ -412,7 +411,7 @@
 	} else if c.gauges.CPU < idleCPU && len(c.hold) > 0 && c.ticks%4 == 0 {
 		c.limit = min(c.limit+1, c.ceiling())
 	}
-	if c.stopAt > 0 && c.now > c.noticed+pick(c.terms, "grace", time.Duration(0)) {
+	if c.stopAt > 0 && c.now > c.noticed+c.settings.Grace {
 		c.say(1, w)
 	} else if c.stopAt == 0 && c.ticks%4 == 0 {
 		seen := c.load.sum(c.now)
@@ -435,7 +434,7 @@
 // kept for nothing; the part of tasks that did come back within it, to the fourth, is what is kept of it.
 // It guards against any number of routers; it could harm where callers come in bouts with long rests.
 func (c *Controller) closeIdle(w Executor) {
-	idle := pick(c.terms, "idle", time.Duration(0))
+	idle := c.settings.IdleTimeout
 	maps.DeleteFunc(c.callers, func(_ uint32, last time.Duration) bool { return last+idle <= c.now })
 	seen := c.known.sum(c.now)
 	if seen[0] < fewTasks && c.lentReturns.weight > 0 {
--- a/admission/choice_test.go
+++ b/admission/choice_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"math"
 	"strings"
 	"testing"
@@ -25,30 +24,29 @@
 	at          time.Duration
 }
 
-// terms are those of a server of four cores with a type of each kind, changed where a case wants.
-func terms(change map[string]any) map[string]any {
-	all := map[string]any{
-		"cores": 4.0, "memory-kb": 10000.0, "running-factor": 10.0, "number-kb": 50.0, "types": 3.0,
-		"crowd": 6.0, "crowd-over": time.Second, "cold-share": 0.2, "warm-up": 10 * time.Second,
-		"grace": 2 * time.Second, "advert": "threshold", "come-back": true, "come-back-most": time.Second,
-		"calls-share": 10.0, "calls-over": 5 * time.Second, "calls-linger": 200 * ms,
+// testSettings are those of a server of four cores with a route of each kind, changed where a case wants.
+func testSettings(change func(*Settings)) Settings {
+	settings := DefaultSettings()
+	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.KeyKB = 4, 10000, 10, 50
+	settings.MaxRunnablePerCore, settings.ColdSpeed, settings.WarmUp = 6, 0.2, 10*time.Second
+	settings.Grace, settings.ShedLevelFormat = 2*time.Second, ShedLevelThreshold
+	settings.RetryAfter, settings.MaxRetryAfter = true, time.Second
+	settings.CallShare, settings.CallWindow, settings.CallLinger = 10, 5*time.Second, 200*ms
+	for i, idempotency := range []Idempotency{Retryable, Keyed, AtMostOnce} {
+		settings.Routes = append(settings.Routes, Route{
+			Idempotency: idempotency, Value: float64(1 + i), LatencyTarget: 2 * time.Second, Deadline: 5 * time.Second,
+			DedupWindow: 20 * time.Second, CallsDependency: true,
+		})
 	}
-	for i, repeats := range []string{"reissuable", "numbered", "at-most-once"} {
-		of := fmt.Sprintf("type.%d.", i)
-		all[of+"repeats"] = repeats
-		all[of+"importance"] = float64(1 + i)
-		all[of+"contract-time"] = 2 * time.Second
-		all[of+"outer-limit"] = 5 * time.Second
-		all[of+"window"] = 20 * time.Second
-		all[of+"calls"] = true
+	settings.Routes[0].SkipValueShare = 0.5
+	if change != nil {
+		change(&settings)
 	}
-	all["type.0.skip-share"] = 0.5
-	maps.Copy(all, change)
-	return all
+	return settings
 }
 
-func newBench(change map[string]any) *bench {
-	b := &bench{Controller: New(terms(change), 1), names: map[*Request]string{}, at: time.Second}
+func newBench(change func(*Settings)) *bench {
+	b := &bench{Controller: New(testSettings(change), 1), names: map[*Request]string{}, at: time.Second}
 	b.round(Round{})
 	return b
 }
@@ -154,7 +152,7 @@
 		assert.Equal(t, 9.0, b.limit)
 	})
 	t.Run("memory bounds the ceiling", func(t *testing.T) {
-		b := newBench(map[string]any{"memory-kb": 600.0})
+		b := newBench(func(s *Settings) { s.MemoryKB = 600 })
 		b.round(Round{Arrived: []*Request{b.task("a", 0)}})
 		assert.InDelta(t, 5.4, b.ceiling(), 0.01)
 	})
@@ -226,7 +224,7 @@
 func TestNoStopWhereTheSiteAllowsNone(t *testing.T) {
 	for _, how := range []string{"given up", "caller gone"} {
 		t.Run(how, func(t *testing.T) {
-			b := newBench(map[string]any{"halt": "none"})
+			b := newBench(func(s *Settings) { s.Preemption = PreemptionNone })
 			x := b.task("x", 0)
 			b.round(Round{Arrived: []*Request{x}})
 			if how == "caller gone" {
@@ -245,7 +243,7 @@
 // Runs that wait for room for their call come back to the cores only by a call placed here, so they leave the
 // crowd bound to others: on a slow dependency they filled it and tasks without calls were dismissed.
 func TestParkedRunsLeaveTheCrowdBound(t *testing.T) {
-	b := newBench(map[string]any{"crowd": 2.0})
+	b := newBench(func(s *Settings) { s.MaxRunnablePerCore = 2 })
 	b.callRoom, b.callSaved = 0, 0
 	room := int(b.crowdRoom())
 	var parked []*Request
@@ -281,9 +279,9 @@
 // Where cores are short, a task that can only answer late earns its late share alone, so it is left out
 // before one of the same importance that would still be answered in time.
 func TestLateAnswersGoFirstWhereCoresAreShort(t *testing.T) {
-	b := newBench(map[string]any{
-		"cores": 1.0, "importance-by": "work", "type.0.late-share": 0.2,
-		"type.1.repeats": "reissuable", "type.1.importance": 1.0,
+	b := newBench(func(s *Settings) {
+		s.Cores, s.ValueByWork, s.Routes[0].LateValueShare = 1, true, 0.2
+		s.Routes[1].Idempotency, s.Routes[1].Value = Retryable, 1
 	})
 	b.round(Round{Arrived: []*Request{b.task("running", 1)}})
 	var line []*Request
@@ -317,11 +315,11 @@
 }
 
 func TestMemoryIsReservedAndAHoldItCannotCarryIsCut(t *testing.T) {
-	b := newBench(map[string]any{"memory-kb": 200.0})
+	b := newBench(func(s *Settings) { s.MemoryKB = 200 })
 	assert.Equal(t, "remember a, start a", b.round(Round{Arrived: []*Request{b.task("a", 1)}}))
 	assert.Equal(t, "dismiss b", b.round(Round{Arrived: []*Request{b.task("b", 1)}}), "no run without an entry")
 	assert.Empty(t, b.round(Round{Arrived: []*Request{b.task("c", 0)}}), "no start past the memory")
-	b = newBench(map[string]any{"memory-kb": 600.0, "cores": 0.0})
+	b = newBench(func(s *Settings) { s.MemoryKB, s.Cores = 600, 0 })
 	var heap []*Request
 	for i := range 56 {
 		heap = append(heap, b.task("low", i/55*2))
@@ -332,7 +330,7 @@
 
 func TestColdServersCrowdTheirCoresLess(t *testing.T) {
 	warm := newBench(nil)
-	cold := newBench(map[string]any{"cold": true})
+	cold := newBench(func(s *Settings) { s.Cold = true })
 	assert.InDelta(t, 0.8*6*4, warm.crowdRoom(), 0.01)
 	assert.InDelta(t, 0.8*2*4, cold.crowdRoom(), 0.01)
 	cold.at += 5 * time.Second
@@ -342,7 +340,7 @@
 
 // Workers that come up behind the program are as cold as they are, not as the program is old.
 func TestWorkersThatStartLaterAreColdFromThenOn(t *testing.T) {
-	b := newBench(map[string]any{"cold": true, "cold-share": 0.2, "warm-up": 10 * time.Second})
+	b := newBench(func(s *Settings) { s.Cold, s.ColdSpeed, s.WarmUp = true, 0.2, 10*time.Second })
 	b.pass(8*time.Second, Gauges{})
 	assert.InDelta(t, 0.84, b.speed(), 0.01)
 	b.round(Round{WorkersStartedAt: b.at - time.Second})
@@ -414,13 +412,13 @@
 	cases := []struct {
 		name   string
 		unread time.Duration
-		change map[string]any
+		change func(*Settings)
 		want   time.Duration
 	}{
 		{"a hopeless one read at once", 0, nil, ms},
 		{"as long as it lay unread and the hold is too long", 400 * ms, nil, 500 * ms},
 		{"never longer than is heeded", 3 * time.Second, nil, time.Second},
-		{"nothing where advice is not passed on", 400 * ms, map[string]any{"come-back": false}, 0},
+		{"nothing where advice is not passed on", 400 * ms, func(s *Settings) { s.RetryAfter = false }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -457,7 +455,7 @@
 
 func TestCallsKeepToAShareOfLessThanOne(t *testing.T) {
 	for _, share := range []float64{0, 0.05, 0.5, 0.9, 1.4} {
-		b := newBench(map[string]any{"calls-share": share})
+		b := newBench(func(s *Settings) { s.CallShare = share })
 		most, mean, n := 0.0, 0.0, 400
 		for range n { // a dependency that hangs holds each call for as long as the server waits
 			x := b.task("x", 2)
@@ -483,9 +481,10 @@
 func TestCallsToATierBelowGoByTheCrowdNotAShareNeverTold(t *testing.T) {
 	for _, c := range []struct {
 		below string
+		tier  bool
 		calls int
-	}{{"tier", 4}, {"shared", 1}} {
-		b := newBench(map[string]any{"calls-share": 0.0, "below": c.below})
+	}{{"tier", true, 4}, {"shared", false, 1}} {
+		b := newBench(func(s *Settings) { s.CallShare, s.CallsTier = 0, c.tier })
 		var xs []*Request
 		for range 4 {
 			xs = append(xs, b.task("x", 2))
@@ -503,7 +502,7 @@
 		idle    time.Duration
 		want    time.Duration
 	}{{1, 30 * time.Second, 20 * time.Second}, {1000, 30 * time.Second, 10 * ms}, {1, 0, 0}} {
-		b := newBench(map[string]any{"idle": c.idle})
+		b := newBench(func(s *Settings) { s.IdleTimeout = c.idle })
 		for i := range uint32(50) {
 			x := b.task("x", 0)
 			x.Router = i % c.callers
@@ -519,7 +518,7 @@
 }
 
 func TestACallGivenUpOnHoldsRoomAndMemoryUntilItsEnd(t *testing.T) {
-	b := newBench(map[string]any{"calls-share": 1.2, "memory-kb": 600.0})
+	b := newBench(func(s *Settings) { s.CallShare, s.MemoryKB = 1.2, 600 })
 	x, y, large := b.task("x", 2), b.task("y", 2), b.task("large", 0)
 	large.HeldKB = 40
 	b.round(Round{Arrived: []*Request{x, y}})
@@ -602,8 +601,8 @@
 }
 
 func TestCustomersOverTheirShareGiveWayFirst(t *testing.T) {
-	b := newBench(map[string]any{
-		"customers": 2.0, "customer.0.rate": 10.0, "customer.1.rate": 10.0, "servers": 10.0, "over-share": 0.05,
+	b := newBench(func(s *Settings) {
+		s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{Rate: 10}, {Rate: 10}}, 10, 0.05
 	})
 	within, over := b.task("within", 0), b.task("over", 0)
 	over.Tenant = 1
@@ -653,11 +652,11 @@
 }
 
 func TestOddTermsDecideSanely(t *testing.T) {
-	for name, odd := range map[string]map[string]any{
-		"nothing stated":     {"calls-share": 0.0, "servers": 0.0, "routers": 0.0, "idle": time.Duration(0)},
-		"one server":         {"servers": 1.0, "routers": 1.0, "customers": 1.0, "customer.0.rate": 0.0},
-		"nothing in sharing": {"customers": 1.0, "customer.0.rate": 0.0, "servers": 0.0, "over-share": 0.0},
-		"no time at all":     {"calls-over": time.Duration(0), "calls-linger": time.Duration(0), "warm-up": time.Duration(1)},
+	for name, odd := range map[string]func(*Settings){
+		"nothing stated":     func(s *Settings) { s.CallShare, s.FleetServers, s.IdleTimeout = 0, 0, 0 },
+		"one server":         func(s *Settings) { s.FleetServers, s.Tenants = 1, []Tenant{{Rate: 0}} },
+		"nothing in sharing": func(s *Settings) { s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{Rate: 0}}, 0, 0 },
+		"no time at all":     func(s *Settings) { s.CallWindow, s.CallLinger, s.WarmUp = 0, 0, 1 },
 	} {
 		b := newBench(odd)
 		said := ""
@@ -675,7 +674,7 @@
 
 // What callers invent moves no belief: an age, a number of callers, calls that the pool does not know.
 func TestInventedTasksMoveNoBelief(t *testing.T) {
-	b := newBench(map[string]any{"idle": 30 * time.Second})
+	b := newBench(func(s *Settings) { s.IdleTimeout = 30 * time.Second })
 	need := b.need(b.task("real", 0))
 	for i := range 2 * mostCallers {
 		invented := b.task("invented", 0)
@@ -698,7 +697,7 @@
 // A site whose link to its dependency was cut for seconds (split+brink): the calls that were under way were never
 // answered, each kept its place until its task was given up, and the server stood behind one or two of them.
 func TestACallThatIsNeverAnsweredIsAskedAgain(t *testing.T) {
-	b := newBench(map[string]any{"type.0.skip-share": 0.0})
+	b := newBench(func(s *Settings) { s.Routes[0].SkipValueShare = 0 })
 	for range 10 {
 		b.callUsual.take(0.02, 500)
 	}
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -67,10 +67,10 @@
 					var fleet []*sender
 					for range n {
 						b := &bench{names: map[*Request]string{}, at: time.Second}
-						b.Controller = New(terms(map[string]any{
-							"cold": true, "calls-share": budget / float64(n), "calls-over": over, "type.0.skip-share": 0.0,
-							"type.0.contract-time": 3 * time.Second, "type.0.outer-limit": 20 * time.Second,
-							"type.0.late-share": 0.5,
+						b.Controller = New(testSettings(func(s *Settings) {
+							s.Cold, s.CallShare, s.CallWindow = true, budget/float64(n), over
+							s.Routes[0].SkipValueShare, s.Routes[0].LateValueShare = 0, 0.5
+							s.Routes[0].LatencyTarget, s.Routes[0].Deadline = 3*time.Second, 20*time.Second
 						}), draws.Int63())
 						fleet = append(fleet, &sender{bench: b, took: took, calls: map[*Request]Completion{}})
 					}
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -60,7 +60,7 @@
 // server survives, even if all came back from their calls at once; a run that waits for room for its call
 // comes back only by a call placed within it. A cold server is taken to be as cold as stated.
 func (c *Controller) crowdRoom() float64 {
-	return crowdShare * (1 + (pick(c.terms, "crowd", 2.0)-1)*c.speed()) * c.cores
+	return crowdShare * (1 + (c.settings.MaxRunnablePerCore-1)*c.speed()) * c.cores
 }
 
 // speed is the part of its speed that the server is taken to have, as it warms up from a cold start.
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"flag"
-	"fmt"
 	"math"
 	"testing"
 	"time"
@@ -53,22 +52,23 @@
 const slice = 250 * time.Millisecond
 
 func play(types []harness.Route, m harness.Machine, load []harness.Arrival, origin uint64) *played {
-	values := map[string]any{
-		"cores": m.Cores, "memory-kb": m.KB, "running-factor": 8.0, "types": float64(len(types)), "crowd": 6.0,
-		"advert": "threshold", "come-back": true, "come-back-most": time.Second, "cold": m.ColdShare > 0,
-		"cold-share": m.ColdShare, "warm-up": m.WarmUp, "idle": 15 * time.Second,
-	}
-	for i, t := range types {
-		of := fmt.Sprintf("type.%d.", i)
-		values[of+"name"], values[of+"importance"] = t.Name, t.Value
-		values[of+"contract-time"], values[of+"outer-limit"] = t.LatencyTarget, t.Deadline
-		values[of+"repeats"] = map[bool]string{false: "reissuable", true: "at-most-once"}[t.Once]
+	settings := admission.DefaultSettings()
+	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.MaxRunnablePerCore = m.Cores, m.KB, 8, 6
+	settings.ShedLevelFormat, settings.RetryAfter, settings.MaxRetryAfter = admission.ShedLevelThreshold, true, time.Second
+	settings.Cold, settings.ColdSpeed, settings.WarmUp = m.ColdShare > 0, m.ColdShare, m.WarmUp
+	settings.IdleTimeout = 15 * time.Second
+	for _, route := range types {
+		stated := admission.Route{Name: route.Name, Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline}
+		if route.Once {
+			stated.Idempotency = admission.AtMostOnce
+		}
+		settings.Routes = append(settings.Routes, stated)
 	}
 	p := &played{
-		types: types, machine: m, module: admission.New(values, 1), load: load, now: time.Second,
+		types: types, machine: m, module: admission.New(settings, 1), load: load, now: time.Second,
 		of: map[*admission.Request]*playedTask{}, answers: map[*admission.Request]int{},
 	}
-	p.frame = p.module.EstimateSchema(origin, false)
+	p.frame = p.module.EstimateSchema(origin, 0, false)
 	p.module.Decide(&admission.Round{Now: p.now}, p)
 	return p
 }
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -20,8 +20,8 @@
 	hopeless := request.wanted < c.now+c.need(request)/faster || c.level > fullLevel
 	// It stays away for as long as it lay unread and the hold was too long: those are read or run first.
 	comeBack := time.Duration(0)
-	if pick(c.terms, "come-back", false) {
-		comeBack = min(request.since-request.Arrived+request.excess, pick(c.terms, "come-back-most", comeBack))
+	if c.settings.RetryAfter {
+		comeBack = min(request.since-request.Arrived+request.excess, c.settings.MaxRetryAfter)
 	}
 	w.Reject(request, comeBack, hopeless)
 }
@@ -50,7 +50,7 @@
 	}
 }
 
-func (c *Controller) halts() bool { return pick(c.terms, "halt", "suspend") != "none" }
+func (c *Controller) halts() bool { return c.settings.Preemption.Allowed() }
 
 // expire answers whatever has come to its last moment or can earn nothing any more, in whatever phase.
 func (c *Controller) expire(w Executor) {
@@ -176,11 +176,11 @@
 	if request.late { // planned to end past its contract time: it goes before one that would still be in time
 		worth *= request.Route.LateValueShare
 	}
-	share := c.tenants.rate(request.Tenant) / pick(c.terms, "servers", 1.0)
+	share := c.tenants.rate(request.Tenant) / c.settings.FleetServers
 	if asked := c.tenants.asked(request.Tenant, c.now); asked > share {
-		worth *= 1 - (1-share/asked)*(1-pick(c.terms, "over-share", 1.0))
+		worth *= 1 - (1-share/asked)*(1-c.settings.OverQuotaValue)
 	}
-	if pick(c.terms, "importance-by", "request") == "work" {
+	if c.settings.ValueByWork {
 		return worth
 	}
 	return worth / c.need(request).Seconds()
--- a/admission/table.go
+++ b/admission/table.go
@@ -3,32 +3,12 @@
 import (
 	"cmp"
 	"math"
-	"strconv"
 	"time"
 )
 
 // The tables of routes and tenants, which may change in service. Nothing here decides: it holds what is stated and what
 // was seen of each. A change costs what it changes, not what the tables hold.
 
-// repeatKinds are the words of the settings.
-var repeatKinds = map[string]Idempotency{"numbered": Keyed, "at-most-once": AtMostOnce}
-
-// newRoute reads the i-th route of the settings.
-func newRoute(terms map[string]any, i int) Route {
-	of := "type." + strconv.Itoa(i) + "."
-	return Route{
-		Name:            pick(terms, of+"name", ""),
-		Value:           pick(terms, of+"importance", 1.0),
-		LateValueShare:  pick(terms, of+"late-share", 0.0),
-		LatencyTarget:   pick(terms, of+"contract-time", time.Second),
-		Deadline:        pick(terms, of+"outer-limit", time.Second),
-		DedupWindow:     pick(terms, of+"window", time.Duration(0)),
-		CallsDependency: pick(terms, of+"calls", false),
-		SkipValueShare:  pick(terms, of+"skip-share", 0.0),
-		Idempotency:     repeatKinds[pick(terms, of+"repeats", "reissuable")],
-	}
-}
-
 // PutRoute adds a route, or states anew the one that was: tasks taken in before keep what they were taken in under, and what
 // was learned of the route stays. Of stated only the settings count. It returns the route that new tasks are to have.
 func (c *Controller) PutRoute(was *Route, stated Route) *Route {
@@ -90,9 +70,9 @@
 	seen  []*ring   // nil for one that has asked for nothing yet
 }
 
-func newTenants(terms map[string]any) (all tenants) {
-	for i := range int(pick(terms, "customers", 0.0)) {
-		all.rates = append(all.rates, pick(terms, "customer."+strconv.Itoa(i)+".rate", math.Inf(1)))
+func newTenants(stated []Tenant) (all tenants) {
+	for _, tenant := range stated {
+		all.rates = append(all.rates, tenant.Rate)
 	}
 	all.seen = make([]*ring, len(all.rates))
 	return all
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -13,7 +13,9 @@
 // what was learned of one outlasts its being stated anew.
 func TestTableOfRoutes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		controller := New(map[string]any{"types": 1.0, "type.0.name": "first", "type.0.contract-time": time.Second}, 1)
+		settings := DefaultSettings()
+		settings.Routes = []Route{{Name: "first", Value: 1, LatencyTarget: time.Second, Deadline: time.Second}}
+		controller := New(settings, 1)
 		live := map[string]*Route{"first": controller.Routes[0]}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name := fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "name"))
@@ -68,7 +70,9 @@
 
 // A tenant that has asked for nothing costs no more than its rate, and one past the table is nobody's.
 func TestTableOfTenants(t *testing.T) {
-	controller := New(map[string]any{"customers": 2.0, "customer.0.rate": 4.0}, 1)
+	settings := DefaultSettings()
+	settings.Tenants = []Tenant{{Rate: 4}, DefaultTenant()}
+	controller := New(settings, 1)
 	assert.Equal(t, 2, controller.TenantCount())
 	controller.PutTenant(2, 9, true)
 	controller.tenants.add(2, time.Second)
--- a/admission/view.go
+++ b/admission/view.go
@@ -10,9 +10,10 @@
 // after a change.
 const sightSpan = 32
 
-// EstimateSchema tells which views this server can use; moving says that its routes come and go.
-func (c *Controller) EstimateSchema(origin uint64, moving bool) estimate.Schema {
-	schema := estimate.Schema{SettingsDigest: estimate.Digest(c.terms, moving), Origin: origin, Dynamic: moving}
+// EstimateSchema says which snapshots this server can use: those of servers with the same settings digest. dynamic says
+// that routes come and go while it runs.
+func (c *Controller) EstimateSchema(origin, settingsDigest uint64, dynamic bool) estimate.Schema {
+	schema := estimate.Schema{SettingsDigest: settingsDigest, Origin: origin, Dynamic: dynamic}
 	for _, t := range c.Routes {
 		schema.Routes = append(schema.Routes, t.Name)
 		schema.Deadlines = append(schema.Deadlines, t.Deadline)
--- a/cmd/adapter/instance.go
+++ b/cmd/adapter/instance.go
@@ -36,7 +36,7 @@
 	}
 	return &instance{
 		who:      who,
-		module:   admission.New(told.Values, int64(seed)),
+		module:   admission.New(told.Admission, int64(seed)),
 		settings: told,
 		tasks:    map[uint64]*entry{},
 		ids:      map[*admission.Request]uint64{},
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -259,7 +259,7 @@
 			hup("only_with_a_restart=[]") // the variable for listen wins over the file
 			changed := strings.Replace(fake.Site, `"cores":4`, `"cores":5`, 1)
 			fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, changed)
-			hup(`only_with_a_restart="[settings cores]"`)
+			hup(`only_with_a_restart="[settings extra.cores]"`)
 			honoured(run(3, "pay"))
 			// Settings that move in service, there and back by the same step; a run in hand across both.
 			across := run(4, "browse")
--- a/cmd/quartzpoint/reload_test.go
+++ b/cmd/quartzpoint/reload_test.go
@@ -90,7 +90,7 @@
 	require.NoError(t, os.WriteFile(p.path, []byte(text), 0o600))
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 	p.logged(t, "stop_ms=700")
-	p.logged(t, `only_with_a_restart="[limits index settings cores,customer.0.name,customer.0.rate,customers,type.1.name]"`)
+	p.logged(t, `only_with_a_restart="[limits index settings extra.cores,services.1.name,tenants.0.name,tenants.0.quota-rps,tenants.count]"`)
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.Task(1, "pay", "")) // as the process was started
 	p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
@@ -130,8 +130,8 @@
 		assert.Contains(t, last, want)
 	}
 	reload(string(first), "moved=map[] only_with_a_restart=[]")
-	reload(other, `moved=map[halt:none] only_with_a_restart="[settings cores]"`)
-	reload(other, `moved=map[] only_with_a_restart="[settings cores]"`)
+	reload(other, `moved=map[halt:none] only_with_a_restart="[settings extra.cores]"`)
+	reload(other, `moved=map[] only_with_a_restart="[settings extra.cores]"`)
 	reload(string(first), "moved=map[halt:suspend] only_with_a_restart=[]")
 	reload(string(first), "moved=map[] only_with_a_restart=[]")
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
--- a/cmd/quartzpoint/start.go
+++ b/cmd/quartzpoint/start.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"maps"
 	"net"
 	"os"
 	"runtime"
@@ -35,9 +34,8 @@
 	Seed     uint64
 	Stop     time.Duration
 	Limits   limits
-	settings *settings.Settings
+	settings *settings.Settings       // as asked last
 	types    map[string]time.Duration // that a task of each type has
-	agreed   map[string]any           // what the settings say, as asked last
 	sum      uint64                   // of the settings' text, by which one that has not changed is known
 }
 
@@ -100,10 +98,10 @@
 		}
 	}
 	stop := c.positive("stop_ms")
-	s.Stop = time.Duration(min(stop, float64(settings.MaxSpan/time.Millisecond)) * float64(time.Millisecond))
+	s.Stop = time.Duration(min(stop, float64(settings.MaxDuration/time.Millisecond)) * float64(time.Millisecond))
 	s.Limits = limits{c.positive("limits.cores"), c.positive("limits.memory_mb"), c.positive("limits.sockets")}
-	if s.sum = xxhash.Sum64(c.keys["settings"]); before.agreed != nil && s.sum == before.sum {
-		s.settings, s.types, s.agreed = before.settings, before.types, before.agreed
+	if s.sum = xxhash.Sum64(c.keys["settings"]); before.settings != nil && s.sum == before.sum {
+		s.settings, s.types = before.settings, before.types
 	} else {
 		c.settings(&s)
 	}
@@ -192,7 +190,7 @@
 	}
 	agreed, err := settings.FromJSON(c.keys["settings"])
 	if err == nil {
-		err = agreed.Lacks()
+		err = agreed.Missing()
 	}
 	if err != nil {
 		all := []error{err}
@@ -210,7 +208,6 @@
 		return
 	}
 	s.settings, s.types = agreed, made.Types()
-	s.agreed = maps.Clone(agreed.Values) // the owner writes its own when settings move
 }
 
 // bounds are those of the program itself.
@@ -247,7 +244,7 @@
 }
 
 // again reads the configuration anew, sees that the whole of it could be started with, and then applies what
-// can change while tasks run: the two addresses, the time to the stop, and the settings that settings.Moves
+// can change while tasks run: the two addresses, the time to the stop, and the settings that settings.Adjustable
 // names, which the owner takes in its turn. It gives what is in force from then on; a file that is missing,
 // half written or wrong changes nothing.
 func (s start) again(link *workerlink.Link, calls *dependency.Caller, reporter *registration.Reporter, owner *server.Server,
@@ -269,11 +266,10 @@
 		index = n.Index
 		calls.Move(index)
 	}
-	var moved map[string]any
-	var settingNames []string
+	var change settings.Change
 	if n.sum != s.sum {
-		moved, settingNames = settings.Moves(s.agreed, n.agreed)
-		if len(n.agreed) > largeSettings { // what was read is as much again as what is kept
+		change = s.settings.Compare(n.settings)
+		if n.settings.Len() > largeSettings { // what was read is as much again as what is kept
 			defer debug.FreeOSMemory()
 		}
 	}
@@ -284,21 +280,21 @@
 	}{
 		{"name", n.Name != s.Name}, {"listen", n.Listen != s.Listen}, {"limits", n.Limits != s.Limits},
 		{"index", n.Index != index},
-		{"settings " + strings.Join(settingNames, ","), len(settingNames) > 0},
+		{"settings " + strings.Join(change.Fixed, ","), len(change.Fixed) > 0},
 	} {
 		if key.differ {
 			fixed = append(fixed, key.name)
 		}
 	}
-	if len(moved) > 0 {
-		maps.Copy(s.agreed, moved) // what was asked last; the owner's copy is its own
-		maps.DeleteFunc(s.agreed, func(_ string, v any) bool { return v == nil })
-		owner.Post(func() { owner.Retune(moved) })
+	if len(change.Adjusted) > 0 {
+		s.settings = s.settings.WithAdjustable(n.settings)
+		next := s.settings
+		owner.Post(func() { owner.Reconfigure(next) })
 	}
-	log.Info("new configuration", "pool", n.Pool, "members", n.Members, "index", index, "stop_ms", n.Stop.Milliseconds(), "moved", moved,
+	log.Info("new configuration", "pool", n.Pool, "members", n.Members, "index", index, "stop_ms", n.Stop.Milliseconds(), "moved", change.Adjusted,
 		"only_with_a_restart", fixed)
 	s.Pool, s.Members, s.Index, s.Stop = n.Pool, n.Members, index, n.Stop
-	if s.sum = n.sum; len(settingNames) > 0 {
+	if s.sum = n.sum; len(change.Fixed) > 0 {
 		s.sum = 0 // what is in force is no text that was read
 	}
 	return s
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -16,8 +16,6 @@
 
 const grace = 400 * time.Millisecond
 
-func typeKey(i int) string { return fmt.Sprintf("type.%d.", i) }
-
 // event is something that is due. Of two at one moment the one that was set first is played first.
 type event struct {
 	at  time.Duration
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -4,6 +4,8 @@
 	"math"
 	"math/rand"
 	"time"
+
+	"quartzpoint/admission"
 )
 
 // Route is a traffic type with the work of its tasks.
@@ -134,25 +136,33 @@
 // RunKB is what a run on the cores takes of the memory.
 const RunKB = 160.0
 
-// Settings are those that a server of a site works by, in the words of the decisions.
-func Settings(types []Route, m Machine, calls float64) map[string]any {
-	values := map[string]any{
-		"advert": "threshold", "below": "none", "cold": m.ColdShare > 0, "cold-share": m.ColdShare, "come-back": true,
-		"come-back-most": time.Second, "cores": m.Cores, "crowd": 6.0, "grace": grace, "halt": "suspend",
-		"idle": 15 * time.Second, "importance-by": "request", "memory-kb": m.KB, "running-factor": 8.0, "servers": 2.0,
-		"tells-due": true, "types": float64(len(types)), "warm-up": m.WarmUp,
-	}
-	if calls > 0 {
-		values["calls-share"], values["calls-over"] = calls, 5*time.Second
-	}
-	for i, t := range types {
-		of := typeKey(i)
-		values[of+"calls"], values[of+"contract-time"], values[of+"importance"] = t.Calls != "", t.LatencyTarget, t.Value
-		values[of+"late-share"], values[of+"name"], values[of+"outer-limit"] = 0.0, t.Name, t.Deadline
-		values[of+"repeats"], values[of+"skip-share"] = "reissuable", t.Skips
-		if t.Once {
-			values[of+"repeats"] = "at-most-once"
+// Settings are those that a server of a fleet decides under.
+func Settings(routes []Route, m Machine, calls float64) admission.Settings {
+	settings := admission.DefaultSettings()
+	settings.Cores = m.Cores
+	settings.MemoryKB = m.KB
+	settings.RunningMemoryFactor = 8
+	settings.MaxRunnablePerCore = 6
+	settings.Cold = m.ColdShare > 0
+	settings.ColdSpeed = m.ColdShare
+	settings.WarmUp = m.WarmUp
+	settings.Grace = grace
+	settings.IdleTimeout = 15 * time.Second
+	settings.Preemption = admission.PreemptionSuspend
+	settings.ShedLevelFormat = admission.ShedLevelThreshold
+	settings.RetryAfter = true
+	settings.MaxRetryAfter = time.Second
+	settings.FleetServers = 2
+	settings.CallShare = calls
+	for _, route := range routes {
+		stated := admission.Route{
+			Name: route.Name, Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline,
+			CallsDependency: route.Calls != "", SkipValueShare: route.Skips,
+		}
+		if route.Once {
+			stated.Idempotency = admission.AtMostOnce
 		}
+		settings.Routes = append(settings.Routes, stated)
 	}
-	return values
+	return settings
 }
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -107,7 +107,7 @@
 // learn asks up to three running servers what they know, as a newcomer with [peers] does.
 func (s *server) learn(controller *admission.Controller) {
 	w := s.world
-	schema := controller.EstimateSchema(uint64(s.number)<<32|s.life, false)
+	schema := controller.EstimateSchema(uint64(s.number)<<32|s.life, 0, false)
 	var views []estimate.Snapshot
 	for _, i := range w.chance.Perm(len(w.servers)) {
 		other := w.servers[i]
@@ -115,7 +115,7 @@
 		if other == s || !other.alive || !own || len(views) == 3 {
 			continue
 		}
-		if snapshot, err := schema.Validate(peer.Estimates(w.now, peer.EstimateSchema(uint64(other.number)<<32|other.life, false))); err == nil {
+		if snapshot, err := schema.Validate(peer.Estimates(w.now, peer.EstimateSchema(uint64(other.number)<<32|other.life, 0, false))); err == nil {
 			views = append(views, snapshot)
 		}
 	}
--- a/estimate/view.go
+++ b/estimate/view.go
@@ -64,18 +64,9 @@
 	ReturnRatio    Estimate         `cbor:"7,keyasint" json:"returns"` // share of tasks whose caller came within the idle time before
 }
 
-// Digest tells terms apart: views learned under other traffic types are of no use. Cores, memory and the number
-// of servers are not in it, as pace and core time allow for another machine; nor are routes where they move, as those
-// are known by their names.
-func Digest(terms map[string]any, moving bool) uint64 {
-	var lines []string
-	for name, value := range terms {
-		if strings.HasPrefix(name, "type.") && !moving || name == "importance-by" || name == "idle" {
-			lines = append(lines, fmt.Sprintf("%s=%v", name, value))
-		}
-	}
-	slices.Sort(lines)
-	return xxhash.Sum64String(strings.Join(lines, "\n"))
+// Digest is over the settings on which estimates depend, a line each as name=value, in any order.
+func Digest(settings []string) uint64 {
+	return xxhash.Sum64String(strings.Join(slices.Sorted(slices.Values(settings)), "\n"))
 }
 
 // Aged is the view after more time has passed since it was told.
--- a/gate.go
+++ b/gate.go
@@ -26,6 +26,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"quartzpoint/admission"
 	"quartzpoint/estimate"
 	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/server"
@@ -178,7 +179,7 @@
 	if t.Log == nil {
 		t.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
-	values, err := t.values()
+	decisions, err := t.settings()
 	if err != nil {
 		return nil, err
 	}
@@ -187,7 +188,7 @@
 		g.shares[c.Name] = i
 	}
 	g.good.Store(true)
-	g.owner, err = server.New(settings.Of(values, "core_use", "on_cores", "heap_share", "links"), t.Seed, server.Limits{
+	g.owner, err = server.New(settings.FromAdmission(decisions, settings.Readings...), t.Seed, server.Limits{
 		MemoryMB: t.MemoryMB, Keys: true, Tenants: true, Calls: true, SkipsCalls: true, RunsStay: true, Spins: spins,
 	}, g.counts, t.Log)
 	if err != nil {
@@ -215,16 +216,22 @@
 	return g, nil
 }
 
-// values are the terms in the words of the decisions.
-func (t Terms) values() (map[string]any, error) {
-	values := map[string]any{
-		"cores": t.Cores, "memory-kb": float64(t.MemoryMB) * 1024 / 2, "running-factor": float64(heldShare),
-		"number-kb": 1.0, "cold": false, "advert": "threshold", "crowd": float64(mostCrowd), "halt": "none",
-		"idle": idleSpan, "tells-due": false, "come-back": true, "come-back-most": adviceMost, "grace": t.Grace,
-		"types": float64(len(t.Types) + strangers),
-	}
-	if t.Calls.Over == 0 {
-		t.Calls.Over = 5 * time.Second
+// settings are the terms as the decisions know them, with their defaults.
+func (t Terms) settings() (admission.Settings, error) {
+	settings := admission.DefaultSettings()
+	settings.Cores = t.Cores
+	settings.MemoryKB = float64(t.MemoryMB) * 1024 / 2
+	settings.RunningMemoryFactor = heldShare
+	settings.KeyKB = 1
+	settings.ShedLevelFormat = admission.ShedLevelThreshold
+	settings.MaxRunnablePerCore = mostCrowd
+	settings.Preemption = admission.PreemptionNone
+	settings.IdleTimeout = idleSpan
+	settings.RetryAfter, settings.MaxRetryAfter = true, adviceMost
+	settings.Grace = t.Grace
+	settings.CallShare, settings.CallLinger = t.Calls.Share, t.Calls.Linger
+	if t.Calls.Over != 0 {
+		settings.CallWindow = t.Calls.Over
 	}
 	if t.Servers == 0 {
 		t.Servers = 1
@@ -232,16 +239,15 @@
 	if t.OverShare == 0 {
 		t.OverShare = 1
 	}
-	values["calls-share"], values["calls-over"], values["calls-linger"] = t.Calls.Share, t.Calls.Over, t.Calls.Linger
-	values["servers"], values["over-share"], values["customers"] = t.Servers, t.OverShare, float64(len(t.Customers))
-	for i, c := range t.Customers {
+	settings.FleetServers, settings.OverQuotaValue = t.Servers, t.OverShare
+	for _, c := range t.Customers {
 		if c.Rate <= 0 || t.Servers < 1 || t.OverShare < 0 || t.OverShare > 1 {
-			return nil, fmt.Errorf("quartzpoint: customer %q: Rate, Servers or OverShare out of range", c.Name)
+			return settings, fmt.Errorf("quartzpoint: customer %q: Rate, Servers or OverShare out of range", c.Name)
 		}
-		values[fmt.Sprintf("customer.%d.rate", i)] = c.Rate
+		settings.Tenants = append(settings.Tenants, admission.Tenant{Rate: c.Rate})
 	}
 	if t.Cores <= 0 || t.MemoryMB <= 0 || t.TaskKB <= 0 || t.Grace < 0 {
-		return nil, errors.New("quartzpoint: Cores, MemoryMB, TaskKB and Grace must not be below 0")
+		return settings, errors.New("quartzpoint: Cores, MemoryMB, TaskKB and Grace must not be below 0")
 	}
 	names := map[string]bool{}
 	for i := range len(t.Types) + strangers {
@@ -250,35 +256,50 @@
 			kind = t.Types[i]
 		}
 		if kind.Name == "" || names[kind.Name] {
-			return nil, fmt.Errorf("quartzpoint: type %d: a name of its own is needed, not %q", i, kind.Name)
+			return settings, fmt.Errorf("quartzpoint: type %d: a name of its own is needed, not %q", i, kind.Name)
 		}
 		names[kind.Name] = true
-		if kind.Importance == 0 {
-			kind.Importance = 1
-		}
-		if kind.Contract == 0 {
-			kind.Contract = time.Second
-		}
-		if kind.Outer == 0 {
-			kind.Outer = 2 * kind.Contract
-		}
-		if kind.Repeats == "" {
-			kind.Repeats = Reissuable
+		route, err := kind.route()
+		if err != nil {
+			return settings, err
 		}
-		if kind.Window == 0 {
-			kind.Window = time.Minute
-		}
-		known := kind.Repeats == Reissuable || kind.Repeats == Numbered || kind.Repeats == AtMostOnce
-		if !known || kind.Importance < 0 || kind.Contract < 0 || kind.Outer < kind.Contract || kind.Window < 0 ||
-			kind.SkipShare < 0 || kind.SkipShare > 1 {
-			return nil, fmt.Errorf("quartzpoint: type %q: Repeats, Importance, Contract, Outer, Window or SkipShare out of range", kind.Name)
-		}
-		of := fmt.Sprintf("type.%d.", i)
-		values[of+"name"], values[of+"importance"], values[of+"repeats"] = kind.Name, kind.Importance, string(kind.Repeats)
-		values[of+"skip-share"], values[of+"calls"] = kind.SkipShare, t.Calls.Share > 0
-		values[of+"contract-time"], values[of+"outer-limit"], values[of+"window"] = kind.Contract, kind.Outer, kind.Window
+		route.CallsDependency = t.Calls.Share > 0
+		settings.Routes = append(settings.Routes, route)
+	}
+	return settings, nil
+}
+
+// idempotencies are the library's words for it.
+var idempotencies = map[Repeats]admission.Idempotency{
+	Reissuable: admission.Retryable, Numbered: admission.Keyed, AtMostOnce: admission.AtMostOnce,
+}
+
+// route is the type as the decisions know it, with its defaults.
+func (t Type) route() (admission.Route, error) {
+	if t.Importance == 0 {
+		t.Importance = 1
+	}
+	if t.Contract == 0 {
+		t.Contract = time.Second
+	}
+	if t.Outer == 0 {
+		t.Outer = 2 * t.Contract
+	}
+	if t.Repeats == "" {
+		t.Repeats = Reissuable
+	}
+	if t.Window == 0 {
+		t.Window = time.Minute
+	}
+	idempotency, known := idempotencies[t.Repeats]
+	if !known || t.Importance < 0 || t.Contract < 0 || t.Outer < t.Contract || t.Window < 0 ||
+		t.SkipShare < 0 || t.SkipShare > 1 {
+		return admission.Route{}, fmt.Errorf("quartzpoint: type %q: Repeats, Importance, Contract, Outer, Window or SkipShare out of range", t.Name)
 	}
-	return values, nil
+	return admission.Route{
+		Name: t.Name, Value: t.Importance, Idempotency: idempotency, SkipValueShare: t.SkipShare,
+		LatencyTarget: t.Contract, Deadline: t.Outer, DedupWindow: t.Window,
+	}, nil
 }
 
 // ReadTerms reads terms from a TOML file with the names of the fields; times as "300ms". Unknown keys are errors.
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -59,9 +59,8 @@
 
 // longest is the longest time that callers may be asked to stay away for, 0 where they may not be asked.
 func (s *Server) longest() time.Duration {
-	if asks, _ := s.settings.Values["come-back"].(bool); !asks {
+	if !s.settings.Admission.RetryAfter {
 		return 0
 	}
-	most, _ := s.settings.Values["come-back-most"].(time.Duration)
-	return most
+	return s.settings.Admission.MaxRetryAfter
 }
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -18,7 +18,7 @@
 		within = min(within, s.earliestKill())
 	}
 	s.noticed, s.stop = now, now+within-noticeDelay
-	grace, _ := s.settings.Values["grace"].(time.Duration)
+	grace := s.settings.Admission.Grace
 	s.retire = max(now, min(now+grace, s.stop-lastOrders))
 	s.round.StopAt, s.round.NotifiedAt = s.stop, s.noticed
 	s.touched = true
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -44,13 +44,15 @@
 }
 
 func (s *Server) cores() float64 {
-	cores, _ := s.settings.Values["cores"].(float64)
-	return cores
+	return s.settings.Admission.Cores
 }
 
 func (s *Server) recordOccupancy(now time.Duration, reason string) {
 	books := s.controller.Occupancy(now)
-	memoryKB, _ := s.settings.Values["memory-kb"].(float64)
+	memoryKB, stated := s.settings.MemoryKB()
+	if !stated {
+		memoryKB = 0
+	}
 	s.events.Record(events.Overcommitted, reason,
 		slog.Int("doubtful", s.doubtful), slog.Int("on_cores", books.OnCores), slog.Int("in_flight", books.InFlight),
 		slog.Int("answered", books.Answered), slog.Int("held", books.Held), slog.Float64("limit", books.Limit),
--- a/internal/server/reconcile.go
+++ b/internal/server/reconcile.go
@@ -70,7 +70,7 @@
 // readings are those of one answer of the pool; complete is false where it does not hold all that a proof needs.
 func (s *Server) readings(polled *workerapi.Notice) (r reconcile.Readings, complete bool) {
 	onCores, share, complete := s.settings.Occupied(polled.Readings)
-	memoryKB, stated := s.settings.Values["memory-kb"].(float64)
+	memoryKB, stated := s.settings.MemoryKB()
 	if !complete || !stated {
 		return r, false
 	}
@@ -86,10 +86,7 @@
 
 // books are the runs that the pool had been told of before a poll, the oldest first.
 func (s *Server) books(poll uint64) (books []reconcile.Run) {
-	factor, stated := s.settings.Values["running-factor"].(float64)
-	if !stated {
-		factor = 1
-	}
+	factor := s.settings.Admission.RunningMemoryFactor
 	var begun []*Request
 	for _, request := range s.requests {
 		if s.holdsMachine(request) && !request.awaitsLedger && request.spawnMark <= poll {
--- a/internal/server/retune_test.go
+++ b/internal/server/reconfigure_test.go
@@ -6,6 +6,10 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"quartzpoint/admission"
+	"quartzpoint/internal/settings"
 )
 
 // Settings that move in service hold from the next round on, both ways, and what was taken in before stays
@@ -18,11 +22,16 @@
 	b.bound(t)
 	b.ask(1, "browse", time.Minute) // taken in before the first switch, answered after the last
 	first := b.pool.Next(t, "spawn")
+	adjusted := func(halt string) *settings.Settings {
+		next, err := settings.FromLines(halt)
+		require.NoError(t, err)
+		return b.settings.WithAdjustable(next)
+	}
 	for i, halt := range []string{"none", "suspend", "none"} {
 		id := fmt.Sprint("gone-", i)
 		var task *Request
 		b.Post(func() {
-			b.Retune(map[string]any{"halt": halt})
+			b.Reconfigure(adjusted("extra.halt=" + halt))
 			task = b.Take(Incoming{ID: id, Route: "browse", HeldKB: 1, SentMS: time.Now().UnixMilli(), Patience: time.Minute, Caller: b})
 		})
 		assert.Equal(t, id, b.pool.Next(t, "spawn").Task)
@@ -41,10 +50,9 @@
 	}
 	unstated := make(chan bool)
 	b.Post(func() {
-		b.Retune(map[string]any{"halt": nil}) // no longer stated: as at a start without it
-		_, inTerms := b.settings.Values["halt"]
-		_, inModule := b.values["halt"]
-		unstated <- !inTerms && !inModule
+		b.Reconfigure(adjusted("")) // no longer stated: as at a start without it
+		unstated <- b.settings.Admission.Preemption == admission.PreemptionUnspecified &&
+			b.settings.Compare(adjusted("")).Adjusted["halt"] == nil && len(b.settings.Compare(adjusted("")).Adjusted) == 0
 	})
 	assert.True(t, <-unstated)
 	b.pool.Finish(first.Task, "success", []byte("done"))
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -137,7 +137,7 @@
 	slices.SortFunc(open, func(a, b *Request) int {
 		return cmp.Or(cmp.Compare(a.Arrived, b.Arrived), cmp.Compare(a.id, b.id))
 	})
-	pauses := s.settings.Values["halt"] == "suspend"
+	pauses := s.settings.Admission.Preemption.Resumable()
 	for _, request := range open {
 		switch {
 		case request.awaitsLedger: // for the ledger, and was never sent
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -9,7 +9,6 @@
 	"math"
 	"runtime"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -60,7 +59,6 @@
 type Server struct {
 	controller *admission.Controller
 	settings   *settings.Settings
-	values     map[string]any // the module's own copy of the settings, which it reads at each decision
 	routes     map[string]*admission.Route
 	link       WorkerLink
 	parts      Composer // of tasks that are made of calls
@@ -142,9 +140,9 @@
 
 // New makes the server for its settings. Settings that ask for what it can't do are an error: a task must not be
 // found unservable only once it has been read.
-func New(told *settings.Settings, seed int64, limits Limits, counts *invariant.Counts, log *slog.Logger) (*Server, error) {
+func New(stated *settings.Settings, seed int64, limits Limits, counts *invariant.Counts, log *slog.Logger) (*Server, error) {
 	s := &Server{
-		settings: told, counts: counts, log: log, events: events.New(log), began: time.Now(), limits: limits,
+		settings: stated, counts: counts, log: log, events: events.New(log), began: time.Now(), limits: limits,
 		mayHaveRun: map[string]time.Duration{}, tenants: map[string]int{},
 		keys: map[string]*keyEntry{}, maxResultBytes: limits.MemoryMB << 20 / resultMemoryDivisor,
 		// What the site's own memory holds of numbers, the decisions bound; that is stated with the settings, as any figure.
@@ -156,17 +154,16 @@
 		requests: map[string]*Request{}, owner: map[*admission.Request]*Request{},
 		good: true,
 	}
-	for i := 0; ; i++ {
-		name, stated := told.Values[fmt.Sprintf("type.%d.name", i)].(string)
-		if !stated {
+	for _, route := range stated.Admission.Routes {
+		if route.Name == "" {
 			break
 		}
-		s.routes[name] = nil
-		if told.Values[fmt.Sprintf("type.%d.repeats", i)] == "numbered" && !limits.Keys {
-			return nil, fmt.Errorf("traffic type %s is numbered, which this program can't serve yet", name)
+		s.routes[route.Name] = nil
+		if route.Idempotency == admission.Keyed && !limits.Keys {
+			return nil, fmt.Errorf("traffic type %s is numbered, which this program can't serve yet", route.Name)
 		}
-		if told.Values[fmt.Sprintf("type.%d.calls", i)] == true && !limits.Calls {
-			s.unserved[name] = true
+		if route.CallsDependency && !limits.Calls {
+			s.unserved[route.Name] = true
 		}
 	}
 	s.epoch = time.Duration(s.began.UnixNano())
@@ -178,32 +175,39 @@
 	if len(s.routes) == 0 {
 		return nil, fmt.Errorf("the settings name no traffic type")
 	}
-	customers, _ := told.Values["customers"].(float64)
-	if customers > 0 && !limits.Tenants {
+	if len(stated.Admission.Tenants) > 0 && !limits.Tenants {
 		return nil, fmt.Errorf("the settings name customers, whom this program can't tell apart yet")
 	}
-	for i := range int(customers) { // one without a name leaves the others theirs
-		if name, stated := told.Values[fmt.Sprintf("customer.%d.name", i)].(string); stated {
-			s.tenants[name] = i
+	for i, tenant := range stated.Admission.Tenants { // one without a name leaves the others theirs
+		if tenant.Name != "" {
+			s.tenants[tenant.Name] = i
 		}
 	}
-	values := maps.Clone(told.Values)
-	if !limits.Calls {
-		values["calls-share"] = unbounded // the composer keeps to what its dependencies survive
-	}
-	if !limits.SkipsCalls { // each call is waited for, whatever an answer without it would earn
-		maps.DeleteFunc(values, func(name string, _ any) bool { return strings.HasSuffix(name, ".skip-share") })
-	}
-	s.controller, s.values = admission.New(values, seed), values
+	s.controller = admission.New(s.admissionSettings(), seed)
 	if len(s.controller.Routes) != len(s.routes) {
 		return nil, fmt.Errorf("%d traffic types stated, %d of them named", len(s.controller.Routes), len(s.routes))
 	}
-	for i, t := range s.controller.Routes {
-		s.routes[told.Values[fmt.Sprintf("type.%d.name", i)].(string)] = t
+	for _, route := range s.controller.Routes {
+		s.routes[route.Name] = route
 	}
 	return s, nil
 }
 
+// admissionSettings are the settings as they hold for what this program and its fronts can carry.
+func (s *Server) admissionSettings() admission.Settings {
+	adapted := s.settings.Admission
+	if !s.limits.Calls {
+		adapted.CallShare = unbounded // the composer keeps to what its dependencies survive
+	}
+	if !s.limits.SkipsCalls { // each call is waited for, whatever an answer without it would earn
+		adapted.Routes = slices.Clone(adapted.Routes)
+		for i := range adapted.Routes {
+			adapted.Routes[i].SkipValueShare = 0
+		}
+	}
+	return adapted
+}
+
 // Events is the log of what becomes of requests, runs and connections.
 func (s *Server) Events() *events.Log { return s.events }
 
@@ -252,8 +256,7 @@
 
 // TellsGone is whether routers say when nobody waits for a task any longer.
 func (s *Server) TellsGone() bool {
-	tells, _ := s.settings.Values["tells-gone"].(bool)
-	return tells
+	return s.settings.RoutersReportCancel
 }
 
 // Adopt gives a name that the settings do not state one of the types that they state for strangers, whose names begin
@@ -279,7 +282,7 @@
 // PublishEstimates has what the server learned left with put, once a second at the most and in the owner's turn, so put must
 // not wait. It is called before Run. The frame says which views the server can Borrow.
 func (s *Server) PublishEstimates(origin uint64, put func(snapshot estimate.Snapshot, at time.Duration)) estimate.Schema {
-	s.schema, s.publish = s.controller.EstimateSchema(origin, s.limits.DynamicTables), put
+	s.schema, s.publish = s.controller.EstimateSchema(origin, s.settings.Digest(s.limits.DynamicTables, s.limits.SkipsCalls), s.limits.DynamicTables), put
 	return s.schema
 }
 
--- a/internal/server/tasks.go
+++ b/internal/server/tasks.go
@@ -116,7 +116,6 @@
 // is returned for it.
 func (s *Server) Take(a Incoming) *Request {
 	kind := s.routes[a.Route]
-	due, _ := s.settings.Values["tells-due"].(bool)
 	refused := ""
 	now := s.Now()
 	if a.Arrived == 0 {
@@ -143,7 +142,7 @@
 		return nil
 	case a.Overflow:
 		refused = "task on a connection beyond the table"
-	case due && a.Patience <= 0:
+	case s.settings.RoutersSendDeadlines && a.Patience <= 0:
 		refused = "task without a due time"
 	case len(s.requests) >= s.maxRequests:
 		refused = "task beyond the program's own memory"
--- a/internal/server/writer.go
+++ b/internal/server/writer.go
@@ -14,7 +14,7 @@
 func (s *Server) Start(decided *admission.Request) {
 	request := s.owner[decided]
 	s.counts.That(request != nil && !request.answered, "a settled task was started")
-	grace, _ := s.settings.Values["grace"].(time.Duration)
+	grace := s.settings.Admission.Grace
 	s.counts.That(s.noticed == 0 || decided.ReceivedAt() <= s.noticed+grace, "a task from past the grace was started")
 	if request == nil || request.answered {
 		return
--- /dev/null
+++ b/internal/settings/keys.go
@@ -0,0 +1,215 @@
+package settings
+
+import (
+	"strings"
+	"time"
+
+	"quartzpoint/admission"
+)
+
+// The platform's names of the pool's readings.
+const (
+	gaugeCPU         = "core_use"
+	gaugeRunnable    = "on_cores"
+	gaugeMemory      = "heap_share"
+	gaugeConnections = "links"
+)
+
+// Readings are the names of all readings, in the order of admission.Gauges.
+var Readings = []string{gaugeCPU, gaugeRunnable, gaugeMemory, gaugeConnections}
+
+// The platform's keys that code names beside the tables.
+const (
+	keyGauges           = "extra.gauges"
+	keyCallsByClass     = "extra.calls-by-class"
+	keySkipValueByClass = "extra.class-skip-worth"
+	keyIdleTimeout      = "extra.idle"
+	keyMemory           = "extra.ram-kb"
+	keyValueBy          = "value-by"
+	keyRouteCount       = "services.count"
+	keyTenantCount      = "tenants.count"
+	keyPreemption       = "extra.halt"
+	keyShedLevelFormat  = "extra.advert"
+)
+
+// kind is how the text of a setting is read.
+type kind int
+
+const (
+	kindNumber   kind = iota
+	kindDuration      // a whole number of microseconds
+	kindFlag
+	kindText
+)
+
+// value is a setting's value; the field of its kind is set.
+type value struct {
+	number   float64
+	duration time.Duration
+	flag     bool
+	text     string
+}
+
+// setting is how one key is read, and where its value goes in a T.
+type setting[T any] struct {
+	kind    kind
+	bounds  bounds
+	minimum time.Duration          // that a shorter duration is taken for
+	allow   []string               // the texts that are allowed; nil for any
+	store   func(into *T, v value) // nil: the value is checked, and nothing reads it
+}
+
+func numberOf[T any](holds bounds, field func(*T) *float64) setting[T] {
+	return setting[T]{kind: kindNumber, bounds: holds, store: func(into *T, v value) { *field(into) = v.number }}
+}
+
+func durationOf[T any](holds bounds, field func(*T) *time.Duration) setting[T] {
+	return setting[T]{kind: kindDuration, bounds: holds, store: func(into *T, v value) { *field(into) = v.duration }}
+}
+
+// atLeast takes a shorter duration for the minimum.
+func (s setting[T]) atLeast(minimum time.Duration) setting[T] {
+	s.minimum = minimum
+	return s
+}
+
+func flagOf[T any](field func(*T) *bool) setting[T] {
+	return setting[T]{kind: kindFlag, store: func(into *T, v value) { *field(into) = v.flag }}
+}
+
+func textOf[T any](store func(*T, string), allow ...string) setting[T] {
+	return setting[T]{kind: kindText, allow: allow, store: func(into *T, v value) { store(into, v.text) }}
+}
+
+func checkedOnly[T any](k kind, holds bounds) setting[T] { return setting[T]{kind: k, bounds: holds} }
+
+// serverKeys are the settings that stand alone.
+var serverKeys = map[string]setting[Settings]{
+	"extra.cores":                     numberOf(aboveZero, func(s *Settings) *float64 { return &s.Admission.Cores }),
+	keyMemory:                         numberOf(aboveZero, func(s *Settings) *float64 { return &s.Admission.MemoryKB }),
+	"extra.run-factor":                numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.RunningMemoryFactor }),
+	"extra.key-kb":                    numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.KeyKB }),
+	"extra.cold":                      flagOf(func(s *Settings) *bool { return &s.Admission.Cold }),
+	"extra.below":                     textOf(func(s *Settings, v string) { s.Admission.CallsTier = v == "tier" }),
+	"extra.calls-out":                 numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.CallShare }),
+	"extra.calls-over":                durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.CallWindow }),
+	"extra.lingers":                   durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.CallLinger }),
+	keyIdleTimeout:                    durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.IdleTimeout }),
+	"extra.tells-gone":                flagOf(func(s *Settings) *bool { return &s.RoutersReportCancel }),
+	"extra.passes-deadline":           flagOf(func(s *Settings) *bool { return &s.RoutersSendDeadlines }),
+	"limits.retry-after":              flagOf(func(s *Settings) *bool { return &s.Admission.RetryAfter }),
+	"limits.max-retry-after":          durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.MaxRetryAfter }),
+	"obligations.cold-share":          numberOf(share, func(s *Settings) *float64 { return &s.Admission.ColdSpeed }),
+	"obligations.warm-up":             durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.WarmUp }),
+	"obligations.overload-factor":     numberOf(aboveZero, func(s *Settings) *float64 { return &s.Admission.MaxRunnablePerCore }),
+	"obligations.stop-sending-within": durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.Grace }),
+	"over-share-worth":                numberOf(share, func(s *Settings) *float64 { return &s.Admission.OverQuotaValue }),
+	keyValueBy:                        textOf(func(s *Settings, v string) { s.Admission.ValueByWork = v == "work" }),
+	"servers":                         numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.FleetServers }),
+
+	"extra.heeded":                checkedOnly[Settings](kindDuration, notNegative),
+	"extra.upstreams":             checkedOnly[Settings](kindNumber, notNegative),
+	"extra.deep-checks":           checkedOnly[Settings](kindFlag, anything),
+	"extra.readiness":             checkedOnly[Settings](kindFlag, anything),
+	"obligations.fall":            checkedOnly[Settings](kindDuration, notNegative),
+	"obligations.grace-to-answer": checkedOnly[Settings](kindDuration, notNegative),
+	"tick":                        checkedOnly[Settings](kindDuration, notNegative),
+	"scoring-mix.whole":           checkedOnly[Settings](kindNumber, notNegative),
+	"scoring-mix.worst-window":    checkedOnly[Settings](kindNumber, notNegative),
+	"scoring-mix.worst-class":     checkedOnly[Settings](kindNumber, notNegative),
+	"scoring-mix.worst-tenant":    checkedOnly[Settings](kindNumber, notNegative),
+	"prices.waste":                checkedOnly[Settings](kindNumber, anything),
+	"prices.late-fail":            checkedOnly[Settings](kindNumber, anything),
+	"prices.handshake":            checkedOnly[Settings](kindNumber, anything),
+}
+
+// adjustableKeys are the settings that may change in service. Nothing that was admitted depends on them: a new value holds
+// from the next decision on. Every other setting needs a restart.
+var adjustableKeys = map[string]setting[admission.Settings]{
+	keyPreemption: textOf(func(s *admission.Settings, v string) {
+		s.Preemption = preemptions[v]
+	}, "none", "abort", "suspend"),
+	keyShedLevelFormat: textOf(func(s *admission.Settings, v string) {
+		s.ShedLevelFormat = shedLevelFormats[v]
+	}, "none", "threshold", "window", "share_of"),
+}
+
+var preemptions = map[string]admission.Preemption{
+	"none": admission.PreemptionNone, "abort": admission.PreemptionAbort, "suspend": admission.PreemptionSuspend,
+}
+
+// shedLevelFormats has no "window": a server says no level there.
+var shedLevelFormats = map[string]admission.ShedLevelFormat{
+	"threshold": admission.ShedLevelThreshold, "share_of": admission.ShedLevelShare,
+}
+
+// routeKeys are the settings of one item of the list "services".
+var routeKeys = map[string]setting[admission.Route]{
+	"gain":         numberOf(notNegative, func(r *admission.Route) *float64 { return &r.Value }),
+	"late-value":   numberOf(share, func(r *admission.Route) *float64 { return &r.LateValueShare }),
+	"goal-time":    durationOf(notNegative, func(r *admission.Route) *time.Duration { return &r.LatencyTarget }).atLeast(minLatencyTarget),
+	"deadline":     durationOf(aboveZero, func(r *admission.Route) *time.Duration { return &r.Deadline }),
+	"dedup-window": durationOf(notNegative, func(r *admission.Route) *time.Duration { return &r.DedupWindow }),
+	"idempotency": textOf(func(r *admission.Route, v string) {
+		r.Idempotency = idempotencies[v]
+	}, "retryable", "dedup", "fragile"),
+	"name": textOf(func(r *admission.Route, v string) { r.Name = v }),
+}
+
+// requiredOfRoute are the settings that each route states; without them nobody can say how it is to be served.
+var requiredOfRoute = []string{"name", "idempotency", "deadline", "goal-time"}
+
+var idempotencies = map[string]admission.Idempotency{
+	"retryable": admission.Retryable, "dedup": admission.Keyed, "fragile": admission.AtMostOnce,
+}
+
+// routeRows are the settings that carry one value for each route, separated by commas.
+var routeRows = map[string]setting[admission.Route]{
+	keyCallsByClass:     flagOf(func(r *admission.Route) *bool { return &r.CallsDependency }),
+	keySkipValueByClass: numberOf(share, func(r *admission.Route) *float64 { return &r.SkipValueShare }),
+}
+
+// tenantKeys are the settings of one item of the list "tenants".
+var tenantKeys = map[string]setting[admission.Tenant]{
+	"quota-rps": numberOf(notNegative, func(t *admission.Tenant) *float64 { return &t.Rate }),
+	"fraction":  checkedOnly[admission.Tenant](kindNumber, share),
+	"name":      textOf(func(t *admission.Tenant, v string) { t.Name = v }),
+}
+
+// digestNames are the names under which Settings.Digest knows the platform's keys. Another name or spelling would make
+// the estimates of earlier versions unusable.
+var digestNames = map[string]string{keyIdleTimeout: "idle", keyValueBy: "importance-by"}
+
+// digestRouteNames are those of a route's settings.
+var digestRouteNames = map[string]string{
+	"gain": "importance", "late-value": "late-share", "goal-time": "contract-time", "deadline": "outer-limit",
+	"dedup-window": "window", "idempotency": "repeats", "name": "name",
+}
+
+// digestRowNames are those of the settings that come as a row over all routes.
+var digestRowNames = map[string]string{keyCallsByClass: "calls", keySkipValueByClass: "skip-share"}
+
+// digestIdempotency are the spellings of a route's idempotency.
+var digestIdempotency = map[admission.Idempotency]string{
+	admission.Retryable: "reissuable", admission.Keyed: "numbered", admission.AtMostOnce: "at-most-once",
+}
+
+// digestName is the name of a stated key under the digest, "" where it does not count, and whether it is a route's.
+func digestName(key string) (name string, ofRoute bool) {
+	if name := digestNames[key]; name != "" {
+		return name, false
+	}
+	if list, rest, found := strings.Cut(key, "."); found && list == listRoutes {
+		place, field, _ := strings.Cut(rest, ".")
+		if name := digestRouteNames[field]; name != "" {
+			return "type." + place + "." + name, true
+		}
+		return "", true
+	}
+	for row, name := range digestRowNames {
+		if place, found := strings.CutPrefix(key, row+"."); found {
+			return "type." + place + "." + name, true
+		}
+	}
+	return "", false
+}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -45,13 +46,25 @@
 	tree, err := FromJSON([]byte(nested))
 	require.NoError(t, err)
 	assert.Equal(t, lines, tree)
-	assert.Equal(t, map[string]any{
-		"cores": 2.0, "memory-kb": 1000.0, "cold": false, "calls-over": 5 * time.Second, "crowd": 4.0,
-		"types": 2.0, "type.0.name": "browse", "type.0.contract-time": 2 * time.Second,
-		"type.0.repeats": "numbered", "type.0.window": 9 * time.Second, "type.0.calls": true,
-		"type.0.skip-share": 0.5, "type.1.name": "pay", "type.1.repeats": "at-most-once",
-		"type.1.calls": false, "type.1.skip-share": 0.0, "customers": 1.0, "customer.0.rate": 12.5,
-	}, tree.Values)
+	want := admission.DefaultSettings()
+	want.Cores, want.MemoryKB, want.MaxRunnablePerCore, want.CallWindow = 2, 1000, 4, 5*time.Second
+	want.Routes = []admission.Route{
+		{
+			Name: "browse", Value: 1, LatencyTarget: 2 * time.Second, Deadline: time.Second, Idempotency: admission.Keyed,
+			DedupWindow: 9 * time.Second, CallsDependency: true, SkipValueShare: 0.5,
+		},
+		{Name: "pay", Value: 1, LatencyTarget: time.Second, Deadline: time.Second, Idempotency: admission.AtMostOnce},
+	}
+	want.Tenants = []admission.Tenant{{Rate: 12.5}}
+	assert.Equal(t, want, tree.Admission)
+	assert.Equal(t, map[string]string{
+		"extra.cores": "2", "extra.ram-kb": "1000", "extra.cold": "false", "extra.calls-over": "5s",
+		"obligations.overload-factor": "4", "services.count": "2", "services.0.name": "browse",
+		"services.0.goal-time": "2s", "services.0.idempotency": "numbered", "services.0.dedup-window": "9s",
+		"extra.calls-by-class.0": "true", "extra.class-skip-worth.0": "0.5", "services.1.name": "pay",
+		"services.1.idempotency": "at-most-once", "extra.calls-by-class.1": "false", "extra.class-skip-worth.1": "0",
+		"tenants.count": "1", "tenants.0.quota-rps": "12.5",
+	}, tree.stated)
 
 	gauges := admission.Gauges{Runnable: 7}
 	tree.Gauges(&gauges, []float64{1, 2, 3, 4})
@@ -95,14 +108,52 @@
 	}
 }
 
-func TestMovesPartsWhatMayChangeInService(t *testing.T) {
-	was := map[string]any{"halt": "suspend", "advert": "threshold", "cores": 4.0, "grace": time.Second}
-	moved, fixed := Moves(was, map[string]any{"halt": "none", "cores": 4.0, "grace": 2 * time.Second})
-	assert.Equal(t, map[string]any{"halt": "none", "advert": nil}, moved, "one no longer stated is as at a start")
-	assert.Equal(t, []string{"grace"}, fixed)
-	moved, fixed = Moves(was, was)
-	assert.Empty(t, moved)
-	assert.Empty(t, fixed)
+func TestCompareSeparatesWhatMayChangeInService(t *testing.T) {
+	read := func(lines string) *Settings {
+		s, err := FromLines(lines)
+		require.NoError(t, err)
+		return s
+	}
+	was := read("extra.halt=suspend\nextra.advert=threshold\nextra.cores=4\nobligations.stop-sending-within=1000000")
+	next := read("extra.halt=none\nextra.cores=4.0\nobligations.stop-sending-within=2000000")
+	change := was.Compare(next)
+	assert.Equal(t, map[string]any{"halt": "none", "advert": nil}, change.Adjusted, "one no longer stated is as at a start")
+	assert.Equal(t, []string{"obligations.stop-sending-within"}, change.Fixed)
+	change = was.Compare(was)
+	assert.Empty(t, change.Adjusted)
+	assert.Empty(t, change.Fixed)
+
+	adjusted := was.WithAdjustable(next)
+	assert.Equal(t, Adjustable{admission.PreemptionNone, admission.ShedLevelNone}, adjusted.Adjustable())
+	assert.Equal(t, time.Second, adjusted.Admission.Grace, "the rest needs a restart")
+	assert.Empty(t, adjusted.Compare(next).Adjusted)
+	assert.Equal(t, admission.PreemptionSuspend, was.Admission.Preemption, "a change makes a new value")
+}
+
+// Estimates are used by servers whose settings have the same digest: by peers of another version, and by the next version
+// from disk. The figures are those of f1daac1, which digested a map under names of its own.
+func TestDigestIsThatOfEarlierVersions(t *testing.T) {
+	odd := `{"extra":{"idle":3e7,"class-skip-worth":[0.25,null,1,0.5],"calls-by-class":[null,true]},"value-by":"work",
+"services":[{"name":"a","idempotency":"retryable","deadline":9000000,"goal-time":0,"gain":1e21,"late-value":0.1},
+{"name":"b","idempotency":"fragile","deadline":1.5e6,"goal-time":8000000}]}`
+	lines, err := FromLines(flat)
+	require.NoError(t, err)
+	for _, c := range []struct {
+		name                                       string
+		read                                       func() (*Settings, error)
+		withSkips, withoutSkips, dynamic, dynamic2 uint64
+	}{
+		{"flat", func() (*Settings, error) { return lines, nil }, 0x157bcb0acdda3d57, 0x84dcfe74bcd8030e, 0xef46db3751d8e999, 0xef46db3751d8e999},
+		{"nested", func() (*Settings, error) { return FromJSON([]byte(nested)) }, 0x157bcb0acdda3d57, 0x84dcfe74bcd8030e, 0xef46db3751d8e999, 0xef46db3751d8e999},
+		{"odd", func() (*Settings, error) { return FromJSON([]byte(odd)) }, 0xcc039db41e8b0609, 0x693cd96e58a29594, 0x6b4594699ea74b, 0x6b4594699ea74b},
+	} {
+		s, err := c.read()
+		require.NoError(t, err)
+		assert.Equal(t, c.withSkips, s.Digest(false, true), c.name)
+		assert.Equal(t, c.withoutSkips, s.Digest(false, false), c.name)
+		assert.Equal(t, c.dynamic, s.Digest(true, true), c.name)
+		assert.Equal(t, c.dynamic2, s.Digest(true, false), c.name)
+	}
 }
 
 const types = `"services":[{"name":"a","idempotency":"dedup","deadline":9000000,"goal-time":8000000}]`
@@ -148,7 +199,7 @@
 	} {
 		told, err := FromJSON([]byte(text))
 		if err == nil {
-			err = told.Lacks()
+			err = told.Missing()
 		}
 		assert.ErrorContains(t, err, want, text)
 	}
@@ -156,47 +207,56 @@
 
 // Values that settings may hold: some were refused, and a start with them.
 func TestValidValues(t *testing.T) {
+	idle := func(s *Settings) any { return s.Admission.IdleTimeout }
+	calls := func(s *Settings) any { return s.Admission.Routes[0].CallsDependency }
+	statedAs := func(key string) func(s *Settings) any {
+		return func(s *Settings) any {
+			spelling, stated := s.stated[key]
+			return fmt.Sprint(stated, " ", spelling)
+		}
+	}
 	cases := []struct {
-		settings, name string
-		want           any
+		settings string
+		of       func(*Settings) any
+		want     any
 	}{
-		{`"extra":{"idle":3e7}`, "idle", 30 * time.Second},
-		{`"extra":{"idle":30000000.0}`, "idle", 30 * time.Second},
-		{`"extra":{"idle":0}`, "idle", time.Duration(0)},
-		{`"extra":{"idle":9223372036854775807}`, "idle", MaxSpan},
-		{`"extra":{"idle":1e300}`, "idle", MaxSpan},
-		{`"extra":{"idle":null}`, "idle", nil},
-		{`"extra":{"cores":0.25}`, "cores", 0.25},
-		{`"extra":{"ram-kb":1e15}`, "memory-kb", 1e15},
-		{`"extra":{"upstreams":2.5}`, "routers", 2.5},
-		{`"extra":{"calls-by-class":[null]}`, "type.0.calls", nil},
-		{`"extra":{"calls-by-class":[]}`, "type.0.calls", nil},
-		{`"extra":{"calls-by-class":[true,true,true]}`, "type.0.calls", true},
-		{`"extra":{"below":"elsewhere"}`, "below", "elsewhere"},
-		{`"prices":{"waste":-0.5}`, "price-waste", -0.5},
-		{`"tenants":[{"quota-rps":0},{"name":"b"}]`, "customers", 2.0},
-		{`"tenants":null`, "customers", nil},
-		{`"later":{"keys":[1,{"a":[[]]}]}`, "types", 1.0},
+		{`"extra":{"idle":3e7}`, idle, 30 * time.Second},
+		{`"extra":{"idle":30000000.0}`, idle, 30 * time.Second},
+		{`"extra":{"idle":0}`, idle, time.Duration(0)},
+		{`"extra":{"idle":9223372036854775807}`, idle, MaxDuration},
+		{`"extra":{"idle":1e300}`, idle, MaxDuration},
+		{`"extra":{"idle":null}`, statedAs("extra.idle"), "false "},
+		{`"extra":{"cores":0.25}`, func(s *Settings) any { return s.Admission.Cores }, 0.25},
+		{`"extra":{"ram-kb":1e15}`, func(s *Settings) any { return s.Admission.MemoryKB }, 1e15},
+		{`"extra":{"upstreams":2.5}`, statedAs("extra.upstreams"), "true 2.5"},
+		{`"extra":{"calls-by-class":[null]}`, statedAs("extra.calls-by-class.0"), "false "},
+		{`"extra":{"calls-by-class":[]}`, statedAs("extra.calls-by-class.0"), "false "},
+		{`"extra":{"calls-by-class":[true,true,true]}`, calls, true},
+		{`"extra":{"below":"elsewhere"}`, statedAs("extra.below"), "true elsewhere"},
+		{`"prices":{"waste":-0.5}`, statedAs("prices.waste"), "true -0.5"},
+		{`"tenants":[{"quota-rps":0},{"name":"b"}]`, func(s *Settings) any { return len(s.Admission.Tenants) }, 2},
+		{`"tenants":null`, func(s *Settings) any { return len(s.Admission.Tenants) }, 0},
+		{`"later":{"keys":[1,{"a":[[]]}]}`, func(s *Settings) any { return len(s.Admission.Routes) }, 1},
 	}
 	for _, c := range cases {
 		told, err := FromJSON([]byte(`{` + types + `,` + c.settings + `}`))
 		if assert.NoError(t, err, c.settings) {
-			assert.NoError(t, told.Lacks(), c.settings)
-			assert.Equal(t, c.want, told.Values[c.name], c.settings)
+			assert.NoError(t, told.Missing(), c.settings)
+			assert.Equal(t, c.want, c.of(told), c.settings)
 		}
 	}
-	// Decisions divide by the contract time.
+	// Decisions divide by the latency target.
 	told, err := FromJSON([]byte(`{"services":[{"name":"a","goal-time":0}]}`))
 	require.NoError(t, err)
-	assert.Equal(t, time.Microsecond, told.Values["type.0.contract-time"])
+	assert.Equal(t, time.Microsecond, told.Admission.Routes[0].LatencyTarget)
 }
 
 // A type named like a kind of repeats got another name, so its tasks were taken for those of no type.
 func TestTypeNamedLikeAKindOfRepeats(t *testing.T) {
-	for theirs, ours := range repeats {
+	for theirs, ours := range idempotencies {
 		told, err := FromJSON([]byte(`{"services":[{"name":"` + theirs + `","idempotency":"` + theirs + `"}]}`))
 		require.NoError(t, err)
-		assert.Equal(t, theirs, told.Values["type.0.name"])
-		assert.Equal(t, ours, told.Values["type.0.repeats"])
+		assert.Equal(t, theirs, told.Admission.Routes[0].Name)
+		assert.Equal(t, ours, told.Admission.Routes[0].Idempotency)
 	}
 }
--- a/internal/testkit/scale/fleet_test.go
+++ b/internal/testkit/scale/fleet_test.go
@@ -53,7 +53,7 @@
 
 // The capacity page says what the recorded points give.
 func TestCapacityPage(t *testing.T) {
-	root := filepath.Join("..", "..")
+	root := filepath.Join("..", "..", "..")
 	points, origins, err := ReadAll(filepath.Join(root, "results", "scale"))
 	require.NoError(t, err)
 	rows, err := Capacity(points)
@@ -71,7 +71,7 @@
 
 // A figure that is not what the points give is found.
 func TestCapacityIsWorkedOut(t *testing.T) {
-	points, _, err := ReadAll(filepath.Join("..", "..", "results", "scale"))
+	points, _, err := ReadAll(filepath.Join("..", "..", "..", "results", "scale"))
 	require.NoError(t, err)
 	rows, err := Capacity(points)
 	require.NoError(t, err)
--- a/state_test.go
+++ b/state_test.go
@@ -12,6 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/settings"
 	"quartzpoint/internal/testkit/faultdisk"
 )
 
@@ -154,3 +155,19 @@
 	require.NoError(t, err)
 	assert.Equal(t, &State{Dir: "d", Commit: 3 * ms}, terms.State)
 }
+
+// A gate uses the estimates that one of an earlier version left on disk only under the same digest of the settings. The
+// figures are those of f1daac1.
+func TestSettingsDigestIsThatOfEarlierVersions(t *testing.T) {
+	decisions, err := Terms{
+		Types: []Type{
+			{Name: "a"},
+			{Name: "b", Repeats: Numbered, Importance: 2.5, Contract: 300 * time.Millisecond, SkipShare: 0.25},
+		},
+		Cores: 2, MemoryMB: 64, TaskKB: 64, Calls: Calls{Share: 3},
+	}.settings()
+	require.NoError(t, err)
+	s := settings.FromAdmission(decisions, settings.Readings...)
+	assert.Equal(t, uint64(0xed7afa671ea5905a), s.Digest(false, true))
+	assert.Equal(t, uint64(0xaf35d81566381a9e), s.Digest(true, true))
+}
