--- a/admission/choice_test.go
+++ b/admission/choice_test.go
@@ -67,7 +67,7 @@
 func (b *bench) pass(span time.Duration, g Gauges) string {
 	var all []string
 	for end := b.at + span; b.at < end; {
-		b.at += sweep
+		b.at += tickInterval
 		if said := b.round(Round{Gauges: &g}); said != "" {
 			all = append(all, said)
 		}
@@ -124,9 +124,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(nil)
-			b.limit = c.before
-			b.pass(period, c.gauges)
-			assert.Equal(t, c.after, b.limit)
+			b.limit.value = c.before
+			b.pass(calibrationPeriod, c.gauges)
+			assert.Equal(t, c.after, b.limit.value)
 		})
 	}
 	t.Run("latency half over its usual cuts", func(t *testing.T) {
@@ -135,26 +135,26 @@
 			b.run(b.task("usual", 0), 100*ms)
 		}
 		b.at += 3 * time.Second
-		b.calibrated, b.limit = b.at-period, 8
+		b.limit.calibratedAt, b.limit.value = b.at-calibrationPeriod, 8
 		for range 5 {
 			b.run(b.task("slow", 0), 200*ms)
 		}
-		b.pass(sweep, Gauges{CPU: 0.8})
-		assert.Equal(t, 6.0, b.limit)
+		b.pass(tickInterval, Gauges{CPU: 0.8})
+		assert.Equal(t, 6.0, b.limit.value)
 	})
 	t.Run("climbs at once while cores idle and work is held", func(t *testing.T) {
 		b := newBench(nil)
-		b.limit = 8
+		b.limit.value = 8
 		for i := range 12 {
 			b.round(Round{Arrived: []*Request{b.task(fmt.Sprint(i), 0)}})
 		}
 		b.pass(100*ms, Gauges{CPU: 0.5})
-		assert.Equal(t, 9.0, b.limit)
+		assert.Equal(t, 9.0, b.limit.value)
 	})
 	t.Run("memory bounds the ceiling", func(t *testing.T) {
 		b := newBench(func(s *Settings) { s.MemoryKB = 600 })
 		b.round(Round{Arrived: []*Request{b.task("a", 0)}})
-		assert.InDelta(t, 5.4, b.ceiling(), 0.01)
+		assert.InDelta(t, 5.4, b.maxLimit(), 0.01)
 	})
 }
 
@@ -179,14 +179,14 @@
 		into func(b *bench, x *Request)
 		want string
 	}{
-		{"held reissuable", 0, func(b *bench, x *Request) { b.limit, b.cores = 0, 0 }, "dismiss x"},
-		{"held numbered", 1, func(b *bench, x *Request) { b.limit, b.cores = 0, 0 }, "forget x, dismiss x"},
+		{"held reissuable", 0, func(b *bench, x *Request) { b.limit.value, b.limit.minimum, b.settings.Cores = 0, 0, 0 }, "dismiss x"},
+		{"held numbered", 1, func(b *bench, x *Request) { b.limit.value, b.limit.minimum, b.settings.Cores = 0, 0, 0 }, "forget x, dismiss x"},
 		{"running reissuable", 0, nil, "give up x, pause x"},
 		{"running numbered", 1, nil, "give up x, pause x"},
 		{"running at-most-once", 2, nil, "give up x, pause x"},
 		{"at a call", 2, func(b *bench, x *Request) { b.round(Round{AwaitingCall: []*Request{x}}) }, "give up x"},
 		{"waiting for its call", 2, func(b *bench, x *Request) {
-			b.callRoom = 0
+			b.calls.capacity = 0
 			b.round(Round{AwaitingCall: []*Request{x}})
 		}, "give up x"},
 		{"repeat of a numbered", 1, nil, "give up x"},
@@ -203,10 +203,10 @@
 			if c.into != nil && i >= 2 {
 				c.into(b, x)
 			}
-			x.wanted = b.at + 100*ms
+			x.usefulUntil = b.at + 100*ms
 			assert.NotContains(t, b.pass(75*ms, Gauges{CPU: 1}), "x")
 			assert.Contains(t, b.pass(25*ms, Gauges{CPU: 1}), c.want)
-			x.phase = max(x.phase, held)
+			x.phase = max(x.phase, queued)
 			assert.NotContains(t, b.pass(time.Second, Gauges{CPU: 1}), "give up", "one answer only")
 		})
 	}
@@ -230,12 +230,11 @@
 			if how == "caller gone" {
 				assert.Empty(t, b.round(Round{Canceled: []*Request{x}}))
 			} else {
-				x.wanted = b.at + 50*ms
+				x.usefulUntil = b.at + 50*ms
 				assert.Contains(t, b.pass(50*ms, Gauges{CPU: 1}), "give up x")
 			}
 			assert.NotContains(t, b.pass(time.Second, Gauges{CPU: 1}), "pause")
-			_, on, _ := b.counts()
-			assert.Equal(t, 1.0, on, "the run still takes its core")
+			assert.Equal(t, 1.0, b.inFlight().onCores, "the run still takes its core")
 		})
 	}
 }
@@ -244,8 +243,8 @@
 // crowd bound to others: on a slow dependency they filled it and tasks without calls were dismissed.
 func TestParkedRunsLeaveTheCrowdBound(t *testing.T) {
 	b := newBench(func(s *Settings) { s.MaxRunnablePerCore = 2 })
-	b.callRoom, b.callSaved = 0, 0
-	room := int(b.crowdRoom())
+	b.calls.capacity, b.calls.credit = 0, 0
+	room := int(b.maxConcurrency())
 	var parked []*Request
 	for i := range room {
 		parked = append(parked, b.task(fmt.Sprint("p", i), 2))
@@ -254,8 +253,7 @@
 	for range room {
 		b.round(Round{AwaitingCall: parked}) // no room for calls: each waits at its call, and the next starts
 	}
-	in, on, waiting := b.counts()
-	assert.Equal(t, []float64{float64(room), 0, float64(room)}, []float64{in, on, waiting})
+	assert.Equal(t, inFlightCount{total: float64(room), awaitingCall: float64(room)}, b.inFlight())
 	assert.Equal(t, "start free", b.round(Round{Arrived: []*Request{b.task("free", 0)}}))
 }
 
@@ -264,8 +262,8 @@
 func TestStrainedCallsCountInTheHold(t *testing.T) {
 	for _, strained := range []bool{false, true} {
 		b := newBench(nil)
-		b.called.add(b.at, 1, 3.0)
-		b.strained = strained
+		b.calls.outcomes.add(b.at, 1, 3.0)
+		b.calls.strained = strained
 		x := b.task("x", 2)
 		said := b.round(Round{Arrived: []*Request{x}})
 		if strained {
@@ -325,17 +323,17 @@
 		heap = append(heap, b.task("low", i/55*2))
 	}
 	assert.Equal(t, "dismiss low, dismiss low", b.round(Round{Arrived: heap}), "not the one of importance")
-	assert.Contains(t, b.hold, heap[55])
+	assert.Contains(t, b.queue, heap[55])
 }
 
 func TestColdServersCrowdTheirCoresLess(t *testing.T) {
 	warm := newBench(nil)
 	cold := newBench(func(s *Settings) { s.Cold = true })
-	assert.InDelta(t, 0.8*6*4, warm.crowdRoom(), 0.01)
-	assert.InDelta(t, 0.8*2*4, cold.crowdRoom(), 0.01)
+	assert.InDelta(t, 0.8*6*4, warm.maxConcurrency(), 0.01)
+	assert.InDelta(t, 0.8*2*4, cold.maxConcurrency(), 0.01)
 	cold.at += 5 * time.Second
 	cold.round(Round{})
-	assert.InDelta(t, 0.8*4*4, cold.crowdRoom(), 0.01)
+	assert.InDelta(t, 0.8*4*4, cold.maxConcurrency(), 0.01)
 }
 
 // Workers that come up behind the program are as cold as they are, not as the program is old.
@@ -354,12 +352,12 @@
 	x := b.task("x", 2)
 	b.round(Round{Arrived: []*Request{x}})
 	assert.Contains(t, b.round(Round{StopAt: b.at + 3*time.Second}), "health false")
-	x.last, x.wanted = b.stopAt, b.stopAt
+	x.answerBy, x.usefulUntil = b.drain.deadline, b.drain.deadline
 	assert.Contains(t, b.round(Round{Arrived: []*Request{b.task("in", 0)}}), "start in")
 	b.at += 2*time.Second + ms
 	assert.Contains(t, b.round(Round{Arrived: []*Request{b.task("out", 0)}}), "dismiss out")
-	assert.Contains(t, b.pass(sweep, Gauges{}), "level 1.00")
-	assert.Contains(t, b.pass(time.Second-2*sweep, Gauges{}), "give up x, pause x", "answered before the stop")
+	assert.Contains(t, b.pass(tickInterval, Gauges{}), "level 1.00")
+	assert.Contains(t, b.pass(time.Second-2*tickInterval, Gauges{}), "give up x, pause x", "answered before the stop")
 }
 
 func TestWhatCannotBeHonouredIsLeftOutByImportance(t *testing.T) {
@@ -382,7 +380,7 @@
 		b.run(b.task("usual", 0), time.Second)
 	}
 	x := b.task("x", 0)
-	x.Deadline = b.at + 2*sweep + 800*ms
+	x.Deadline = b.at + 2*tickInterval + 800*ms
 	assert.Equal(t, "start x", b.round(Round{Arrived: []*Request{x}}))
 }
 
@@ -396,15 +394,15 @@
 		b := newBench(nil)
 		for i := range 64 {
 			if i%c.every == 0 {
-				b.unread.add(b.at, 1, c.lain)
-				b.load.add(b.at, 1, c.dismissed)
+				b.shedding.unread.add(b.at, 1, c.lain)
+				b.shedding.work.add(b.at, 1, c.dismissed)
 			}
-			b.pass(sweep, Gauges{CPU: 1})
+			b.pass(tickInterval, Gauges{CPU: 1})
 		}
-		assert.LessOrEqual(t, b.level, c.most, name)
-		assert.GreaterOrEqual(t, b.level, c.min, name)
+		assert.LessOrEqual(t, b.shedding.level, c.most, name)
+		assert.GreaterOrEqual(t, b.shedding.level, c.min, name)
 		b.pass(6*time.Second, Gauges{CPU: 0.5})
-		assert.Zero(t, b.level, "it falls back by itself")
+		assert.Zero(t, b.shedding.level, "it falls back by itself")
 	}
 }
 
@@ -425,7 +423,7 @@
 			b := newBench(c.change)
 			x := b.task("x", 0)
 			x.Arrived -= c.unread
-			x.Deadline = b.at + 2*sweep + time.Duration(median*float64(b.need(x))) - ms // a millisecond short
+			x.Deadline = b.at + 2*tickInterval + time.Duration(medianToMean*float64(b.expectedWork(x))) - ms // a millisecond short
 			assert.Equal(t, "dismiss x", b.round(Round{Arrived: []*Request{x}}))
 			assert.InDelta(t, c.want, b.stay, float64(ms))
 		})
@@ -434,7 +432,7 @@
 
 func TestCallsUnderStrain(t *testing.T) {
 	b := newBench(nil)
-	b.strained, b.callRoom = true, 1
+	b.calls.strained, b.calls.capacity = true, 1
 	skips, cannot := b.task("skips", 0), b.task("cannot", 2)
 	b.round(Round{Arrived: []*Request{skips, cannot}})
 	assert.Equal(t, "call cannot, skip skips", b.round(Round{AwaitingCall: []*Request{skips, cannot}}))
@@ -446,10 +444,10 @@
 		x := b.task("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
 		b.round(Round{AwaitingCall: []*Request{x}})
-		b.callRoom = 8
+		b.calls.capacity = 8
 		b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: c.outcome, Took: ms}}})
 		b.calibrateCalls()
-		assert.Equal(t, c.room, b.callRoom)
+		assert.Equal(t, c.room, b.calls.capacity)
 	}
 }
 
@@ -467,8 +465,8 @@
 					b.round(Round{CallsEnded: []Completion{{Request: request, Outcome: Unknown}}})
 				}
 			}
-			most = max(most, b.inHand.sum(b.at)[0]/5)
-			mean += b.inHand.sum(b.at)[0] / 5 / float64(n)
+			most = max(most, b.calls.inProgress.sum(b.at)[0]/5)
+			mean += b.calls.inProgress.sum(b.at)[0] / 5 / float64(n)
 		}
 		assert.LessOrEqual(t, most, max(share, 0.1), "in any window")
 		assert.LessOrEqual(t, mean, max(share, 0.02), "and in the long run, however small the share")
@@ -490,7 +488,7 @@
 			xs = append(xs, b.task("x", 2))
 		}
 		b.round(Round{Arrived: xs})
-		b.pass(period, Gauges{CPU: 0.5})
+		b.pass(calibrationPeriod, Gauges{CPU: 0.5})
 		said := b.round(Round{AwaitingCall: xs})
 		assert.Equal(t, c.calls, strings.Count(said, "call x"), c.below)
 	}
@@ -509,11 +507,11 @@
 			b.round(Round{Arrived: []*Request{x}})
 		}
 		assert.Zero(t, b.closeAfter, "nothing is closed before anything is known")
-		b.pass(period, Gauges{CPU: 1})
+		b.pass(calibrationPeriod, Gauges{CPU: 1})
 		assert.GreaterOrEqual(t, b.closeAfter, c.want)
 		assert.LessOrEqual(t, b.closeAfter, c.want*3/2)
 		b.pass(31*time.Second, Gauges{CPU: 1})
-		assert.True(t, c.idle == 0 || len(b.callers) == 0, "what is known of callers does not pile up")
+		assert.True(t, c.idle == 0 || len(b.connections.lastSeen) == 0, "what is known of callers does not pile up")
 	}
 }
 
@@ -522,7 +520,7 @@
 	x, y, large := b.task("x", 2), b.task("y", 2), b.task("large", 0)
 	large.HeldKB = 40
 	b.round(Round{Arrived: []*Request{x, y}})
-	x.wanted = b.at + 300*ms
+	x.usefulUntil = b.at + 300*ms
 	b.round(Round{AwaitingCall: []*Request{x}})
 	assert.LessOrEqual(t, b.patience, 300*ms, "no call outlasts the time in which its task is wanted")
 	assert.Contains(t, b.pass(300*ms, Gauges{CPU: 1}), "give up x")
@@ -539,10 +537,10 @@
 	b.round(Round{AwaitingCall: []*Request{task}})
 	assert.Equal(t, calling, task.phase)
 	b.at += 100 * ms
-	before, saved := b.inHand.sum(b.at)[0], b.callSaved
+	before, saved := b.calls.inProgress.sum(b.at)[0], b.calls.credit
 	b.round(Round{RunsEnded: []Completion{{Request: task, Outcome: Stopped}}})
-	assert.InDelta(t, 0.3, b.inHand.sum(b.at)[0]-before, 1e-6, "100 ms in hand, and 200 ms that it lingers")
-	assert.InDelta(t, 0.3, saved-b.callSaved, 1e-6)
+	assert.InDelta(t, 0.3, b.calls.inProgress.sum(b.at)[0]-before, 1e-6, "100 ms in hand, and 200 ms that it lingers")
+	assert.InDelta(t, 0.3, saved-b.calls.credit, 1e-6)
 }
 
 func TestACallIsSkippedWhenItsTurnComesTooLate(t *testing.T) {
@@ -553,8 +551,8 @@
 		b := newBench(nil)
 		x := b.task("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
-		b.callRoom, b.callSaved = 1, c.saved
-		x.wanted = b.at + b.need(x) + 2*time.Second
+		b.calls.capacity, b.calls.credit = 1, c.saved
+		x.usefulUntil = b.at + b.expectedWork(x) + 2*time.Second
 		assert.Equal(t, c.want, b.round(Round{AwaitingCall: []*Request{x}}))
 	}
 }
@@ -593,7 +591,7 @@
 		for i := range 400 {
 			x := b.task(fmt.Sprint(i), i%3)
 			all += b.round(Round{Arrived: []*Request{x}}) + b.round(Round{AwaitingCall: []*Request{x}})
-			all += b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Outcome(i % 4)}}}) + b.pass(sweep, Gauges{CPU: 1})
+			all += b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Outcome(i % 4)}}}) + b.pass(tickInterval, Gauges{CPU: 1})
 		}
 		return all
 	}
@@ -612,8 +610,8 @@
 	for range 20 {
 		b.tenants.add(1, b.at)
 	}
-	assert.Equal(t, b.density(within), (&bench{Controller: newBench(nil).Controller}).density(within))
-	assert.InDelta(t, 0.525*b.density(within), b.density(over), 0.001)
+	assert.Equal(t, b.valueDensity(within), (&bench{Controller: newBench(nil).Controller}).valueDensity(within))
+	assert.InDelta(t, 0.525*b.valueDensity(within), b.valueDensity(over), 0.001)
 }
 
 func TestAServerThatErrsKeepsTasksOff(t *testing.T) {
@@ -625,16 +623,16 @@
 	}
 	said := b.round(Round{Arrived: []*Request{b.task("probe", 2), b.task("spared", 2)}})
 	assert.Equal(t, "dismiss spared, start probe", said)
-	assert.Equal(t, levelMost, b.level)
+	assert.Equal(t, maxShedLevel, b.shedding.level)
 	assert.Contains(t, b.pass(3*time.Second, Gauges{}), "health true", "it tries again by itself")
 }
 
 func TestReadingGoesFirstWhenItHeapsUp(t *testing.T) {
 	b := newBench(nil)
-	b.pass(sweep, Gauges{Runnable: 4})
+	b.pass(tickInterval, Gauges{Runnable: 4})
 	two := []*Request{b.task("first", 0), b.task("second", 0)}
 	assert.Equal(t, "start first", b.round(Round{Arrived: two}), "reads leave room for one")
-	assert.Equal(t, "start second", b.pass(sweep, Gauges{Runnable: 3}))
+	assert.Equal(t, "start second", b.pass(tickInterval, Gauges{Runnable: 3}))
 }
 
 func TestDismissalsWanderOnlyWhileOthersMayHaveRoom(t *testing.T) {
@@ -642,11 +640,11 @@
 		level float64
 		left  time.Duration
 		want  bool
-	}{{0, time.Second, false}, {fullLevel, time.Second, false}, {2 * fullLevel, time.Second, true}, {0, 200 * ms, false}, {0, 100 * ms, true}} {
+	}{{0, time.Second, false}, {fleetFullLevel, time.Second, false}, {2 * fleetFullLevel, time.Second, true}, {0, 200 * ms, false}, {0, 100 * ms, true}} {
 		b := newBench(nil)
 		x := b.task("x", 0)
-		x.wanted, b.level = b.at+c.left, c.level
-		b.dismiss(x, ReasonNoTime, b)
+		x.usefulUntil, b.shedding.level = b.at+c.left, c.level
+		b.reject(x, ReasonNoTime, b)
 		assert.Equal(t, c.want, b.nowhereElse)
 	}
 }
@@ -668,21 +666,21 @@
 		}
 		assert.Contains(t, said, "start x", name)
 		assert.Contains(t, said, "call x", name)
-		assert.False(t, math.IsNaN(b.level+b.limit+b.callRoom+b.callSaved+b.density(b.task("y", 0))), name)
+		assert.False(t, math.IsNaN(b.shedding.level+b.limit.value+b.calls.capacity+b.calls.credit+b.valueDensity(b.task("y", 0))), name)
 	}
 }
 
 // What callers invent moves no belief: an age, a number of callers, calls that the pool does not know.
 func TestInventedTasksMoveNoBelief(t *testing.T) {
 	b := newBench(func(s *Settings) { s.IdleTimeout = 30 * time.Second })
-	need := b.need(b.task("real", 0))
-	for i := range 2 * mostCallers {
+	need := b.expectedWork(b.task("real", 0))
+	for i := range 2 * maxRouters {
 		invented := b.task("invented", 0)
 		invented.Arrived, invented.Router = b.at-10*time.Minute, uint32(i)
 		b.round(Round{Arrived: []*Request{invented}})
 	}
-	assert.LessOrEqual(t, len(b.callers), mostCallers)
-	lain := b.unread.sum(b.at)
+	assert.LessOrEqual(t, len(b.connections.lastSeen), maxRouters)
+	lain := b.shedding.unread.sum(b.at)
 	assert.LessOrEqual(t, lain[1], lain[0], "old ones pass for more than they are")
 	for range 100 {
 		unknown := b.task("unknown", 0)
@@ -690,8 +688,8 @@
 		b.at += 10 * ms
 		b.round(Round{RunsEnded: []Completion{{Request: unknown, Outcome: NeverStarted}}})
 	}
-	assert.InDelta(t, float64(need), float64(b.need(b.task("real", 0))), float64(ms))
-	assert.False(t, b.erring)
+	assert.InDelta(t, float64(need), float64(b.expectedWork(b.task("real", 0))), float64(ms))
+	assert.False(t, b.health.failing)
 }
 
 // A site whose link to its dependency was cut for seconds (split+brink): the calls that were under way were never
@@ -699,7 +697,7 @@
 func TestACallThatIsNeverAnsweredIsAskedAgain(t *testing.T) {
 	b := newBench(func(s *Settings) { s.Routes[0].SkipValueShare = 0 })
 	for range 10 {
-		b.callUsual.take(0.02, 500)
+		b.calls.seconds.add(0.02, 500)
 	}
 	for kind, within := range []time.Duration{160 * ms, 2 * time.Second, 2 * time.Second} {
 		x := b.task("x", kind)
--- /dev/null
+++ b/admission/controller.go
@@ -0,0 +1,257 @@
+package admission
+
+import (
+	"math/rand"
+	"slices"
+	"time"
+)
+
+// tickInterval is the time between rounds with gauges. Every margin that must cover one round is counted in it.
+const tickInterval = 25 * time.Millisecond
+
+// Every so many ticks some rules look again.
+const (
+	ticksPerLimitRaise      = 4
+	ticksPerLevelMove       = 4
+	ticksPerCallCalibration = 10
+)
+
+// Controller decides for one server. Its methods are for one goroutine.
+//
+// A request that holds anything is in exactly one of queue and active; one with an idempotency key is in keyed as well
+// until its entry expires or is given back.
+type Controller struct {
+	// Routes are the routes by their index. Programs read it; PutRoute and RemoveRoute change it.
+	Routes []*Route
+
+	settings Settings
+	random   *rand.Rand
+	now      time.Duration // of the round in hand
+	gauges   Gauges        // the latest
+	tickedAt time.Duration // 0 before the first round
+	ticks    int
+
+	queue  []*Request // by answerBy
+	active []*Request // running, at a call, awaiting an original, or answered with a run still on
+	keyed  []*Request // with an entry in the table of idempotency keys
+
+	limit       inFlightLimit
+	slowStart   slowStart
+	shedding    shedLevel
+	calls       callCapacity
+	work        workEstimate
+	peers       peerScale
+	connections connectionReuse
+	health      runHealth
+	drain       drain
+	tenants     tenantTable
+
+	otherRunnable float64 // what wanted a core at the last tick beside runs: reads of requests
+
+	scratch struct{ all, kept, shed []*Request } // memory used again by each round
+}
+
+// New starts the decisions of a server that knows its settings and nothing else. The seed draws the jitter of retries and
+// the server's turn among a fleet's.
+func New(settings Settings, seed int64) *Controller {
+	controller := &Controller{
+		settings:    settings,
+		random:      rand.New(rand.NewSource(seed)),
+		limit:       newInFlightLimit(settings.Cores),
+		slowStart:   newSlowStart(settings),
+		shedding:    newShedLevel(),
+		calls:       newCallCapacity(settings),
+		work:        newWorkEstimate(),
+		connections: newConnectionReuse(),
+		health:      newRunHealth(),
+		tenants:     newTenantTable(settings.Tenants),
+	}
+	controller.calls.turns = controller.random.Float64()
+	for _, route := range settings.Routes {
+		controller.PutRoute(nil, route)
+	}
+	return controller
+}
+
+// Decide takes a round and tells the executor what is to be done. The end of a call is taken before a new call of the same
+// request, and both before the end of its run, so that a round may hold a request's whole life.
+func (c *Controller) Decide(r *Round, w Executor) {
+	c.now = r.Now
+	c.begin(w)
+	c.slowStart.workersStarted(r.WorkersStartedAt)
+	c.beginDrain(r, w)
+	c.takeEvents(r, w)
+	if r.Gauges != nil {
+		c.tick(*r.Gauges, w)
+	}
+	c.expireRequests(w)
+	c.ejectWhileFailing(w)
+	c.shedUnmeetable(w)
+	c.placeCalls(w)
+	c.startQueued(w)
+}
+
+// begin prepares for the first round.
+func (c *Controller) begin(w Executor) {
+	if c.tickedAt != 0 {
+		return
+	}
+	c.slowStart.since, c.tickedAt, c.limit.calibratedAt = c.now, c.now, c.now
+	w.SetHealth(true, true)
+	w.WakeAfter(tickInterval)
+}
+
+// takeEvents takes what happened to requests.
+func (c *Controller) takeEvents(r *Round, w Executor) {
+	for _, end := range r.CallsEnded {
+		c.endCall(end, w)
+	}
+	for _, request := range r.AwaitingCall {
+		if request.phase == running {
+			c.enterPhase(request, awaitingCall)
+		}
+	}
+	for _, end := range r.RunsEnded {
+		c.endRun(end)
+	}
+	for _, request := range r.Arrived {
+		c.arrive(request, w)
+	}
+	for _, request := range r.Canceled { // after the arrivals: a caller may leave in the moment its request is read
+		c.cancel(request, w)
+	}
+}
+
+// tick does what is done at intervals: it charges time, calibrates the limits and moves the shed level.
+func (c *Controller) tick(gauges Gauges, w Executor) {
+	c.gauges = gauges
+	c.otherRunnable = min(gauges.Runnable-c.inFlight().onCores, c.settings.Cores) // at most one request per core is read at a time
+	passed := (c.now - c.tickedAt).Seconds()
+	c.tickedAt = c.now
+	c.ticks++
+	c.expireKeys()
+	c.calls.refill(passed)
+	c.agePeerEstimates(c.now)
+	c.chargeActive(w)
+	c.limit.noteGauges(gauges)
+	c.limit.noteLatencies(c.now)
+	if c.ticks%ticksPerCallCalibration == 0 {
+		c.calibrateCalls()
+	}
+	c.calibrateLimit(w)
+	c.moveShedLevel(w)
+	w.WakeAfter(tickInterval)
+}
+
+// calibrateLimit calibrates the limit once in calibrationPeriod, and raises it sooner while cores are idle and requests wait.
+func (c *Controller) calibrateLimit(w Executor) {
+	switch {
+	case c.limit.calibrationDue(c.now):
+		c.limit.calibrate(c.now, c.maxLimit())
+		c.tuneIdleTimeout(w)
+	case c.gauges.CPU < cpuIdle && len(c.queue) > 0 && c.ticks%ticksPerLimitRaise == 0:
+		c.limit.raise(c.maxLimit())
+	}
+}
+
+// chargeActive charges the time since the last tick to the phases of active requests.
+func (c *Controller) chargeActive(w Executor) {
+	for _, request := range c.active {
+		if request.phase == stopping && c.settings.Preemption.Allowed() {
+			w.Pause(request) // again: a stop has no effect while the cores stand still
+		}
+		c.enterPhase(request, request.phase)
+	}
+}
+
+// startQueued starts requests from the head of the queue while they may start.
+func (c *Controller) startQueued(w Executor) {
+	for len(c.queue) > 0 && c.mayStart(c.queue[0]) {
+		request := c.queue[0]
+		c.queue = slices.Delete(c.queue, 0, 1)
+		request.started = true
+		c.active = append(c.active, request)
+		c.enterPhase(request, running)
+		w.Start(request)
+	}
+}
+
+// enterPhase charges the time of the phase that ends and begins the next, which may be the same.
+func (c *Controller) enterPhase(request *Request, next phase) {
+	spent := c.now - request.phaseSince
+	request.phaseSince = c.now
+	if request.phase == calling {
+		c.calls.charge(c.now, spent)
+	}
+	if request.phase.onCores() {
+		request.coreTime += spent
+		request.Route.recentRuns.add(c.now, spent.Seconds())
+		if request.CostHint > 0 {
+			c.work.hinted.add(c.now, spent.Seconds())
+		}
+	}
+	request.phase = next
+}
+
+// endRun takes the end of a run.
+func (c *Controller) endRun(end Completion) {
+	request := end.Request
+	if request.phase == awaitingOriginal {
+		c.release(request)
+		return
+	}
+	c.enterPhase(request, request.phase)
+	if request.phase == calling {
+		// The end of its call was not reported: the call is abandoned with the run, and stays the dependency's load.
+		c.calls.charge(c.now, c.settings.CallLinger)
+	}
+	switch end.Outcome {
+	case Succeeded, Failed:
+		request.Route.recentRuns.add(c.now, 0, 1, end.Took.Seconds())
+		c.limit.busyRoutes[request.Route.routeStats] = true
+		c.health.add(c.now, end.Outcome)
+		if request.CostHint > 0 {
+			c.work.hinted.add(c.now, 0, request.CostHint.Seconds())
+		}
+		c.recordRun(request, end.Took)
+	case NeverStarted: // it took no time, and says nothing of what others need
+		request.Route.recentRuns.add(c.now, -request.coreTime.Seconds())
+	case NotRun, Unknown, Stopped:
+	}
+	request.answered = true
+	c.release(request)
+}
+
+// release takes out a request that holds nothing more.
+func (c *Controller) release(request *Request) {
+	is := func(other *Request) bool { return other == request }
+	c.queue, c.active = slices.DeleteFunc(c.queue, is), slices.DeleteFunc(c.active, is)
+}
+
+// Occupancy is what the server has booked of the machine.
+type Occupancy struct {
+	Held           int     // queued requests
+	OnCores        int     // runs on the cores, those included whose requests are answered
+	InFlight       int     // runs on the cores, at calls and waiting for them
+	Answered       int     // of those in flight, the ones whose requests are answered
+	Limit          float64 // on those in flight
+	MaxConcurrency float64 // runs on the cores and at calls that are ever allowed
+	UsedKB         float64 // memory of all that is queued, in flight and kept for idempotency keys
+	MaxKB          float64 // memory that is ever planned for
+}
+
+// Occupancy is what is booked at a moment of the clock of rounds.
+func (c *Controller) Occupancy(now time.Duration) Occupancy {
+	c.now = max(c.now, now)
+	count := c.inFlight()
+	sum := Occupancy{
+		Held: len(c.queue), OnCores: int(count.onCores), InFlight: int(count.total), Limit: c.limit.value,
+		MaxConcurrency: c.maxConcurrency(), UsedKB: c.memoryUsedKB(), MaxKB: c.memoryKB(),
+	}
+	for _, request := range c.active {
+		if request.answered && request.phase.holdsRun() {
+			sum.Answered++
+		}
+	}
+	return sum
+}
--- /dev/null
+++ b/admission/drain.go
@@ -0,0 +1,41 @@
+package admission
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// drain is the state of a graceful shutdown.
+type drain struct {
+	deadline   time.Duration // by which all is answered; 0 before the notice
+	notifiedAt time.Duration
+}
+
+func (d *drain) begun() bool { return d.deadline > 0 }
+
+// pastGrace is whether a moment is past the grace of the notice.
+func (d *drain) pastGrace(moment, grace time.Duration) bool { return moment > d.notifiedAt+grace }
+
+// limit has a request answered before the process is stopped.
+func (d *drain) limit(request *Request) {
+	request.answerBy, request.usefulUntil = min(request.answerBy, d.deadline), min(request.usefulUntil, d.deadline)
+}
+
+// notifiedAt is when the notice to shut down came: in the round that brings it, where that does not say otherwise.
+func (r *Round) notifiedAt() time.Duration { return cmp.Or(r.NotifiedAt, r.Now) }
+
+// beginDrain takes the notice to shut down, where the round brings the first: health checks fail, and nothing is planned past
+// the stop.
+func (c *Controller) beginDrain(r *Round, w Executor) {
+	if r.StopAt <= 0 || c.drain.begun() {
+		return
+	}
+	c.drain = drain{deadline: r.StopAt - answerMargin, notifiedAt: r.notifiedAt()}
+	w.SetHealth(false, true)
+	for _, request := range slices.Concat(c.queue, c.active) {
+		c.drain.limit(request)
+	}
+	w.Log(fmt.Sprintf("leaving: %d held, %.0f in flight", len(c.queue), c.inFlight().total))
+}
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -28,7 +28,7 @@
 
 // step lets a sweep pass; busy keeps a task waiting for its call.
 func (s *sender) step(busy bool) {
-	s.at += sweep
+	s.at += tickInterval
 	r := Round{Gauges: &Gauges{CPU: 0.3}}
 	for _, request := range s.active {
 		if e, made := s.calls[request]; made && request.calledAt+e.Took <= s.at {
@@ -81,7 +81,7 @@
 					var made []time.Duration
 					for _, s := range fleet {
 						s.Decide(&Round{Now: s.at}, s)
-						for at := time.Duration(0); at < quiet+span; at += sweep {
+						for at := time.Duration(0); at < quiet+span; at += tickInterval {
 							s.step(at >= quiet || at < quiet/2 && draws.Intn(100) == 0)
 						}
 						made = append(made, s.made...)
@@ -89,7 +89,7 @@
 					calls := budget * over.Seconds() / took.Seconds()
 					bound := calls + 2*math.Sqrt(calls) + 2
 					most := 0
-					for begin := time.Second; begin < time.Second+quiet+span; begin += sweep {
+					for begin := time.Second; begin < time.Second+quiet+span; begin += tickInterval {
 						in := 0
 						for _, at := range made {
 							if at >= begin && at < begin+over {
@@ -106,8 +106,8 @@
 						}
 					}
 					rate := float64(late) / (span / 2).Seconds() * took.Seconds()
-					if took < time.Duration(budget/float64(n)*hardMemory*float64(over))-200*ms { // no longer than a share bears
-						assert.Greater(t, rate, budget*callStart/2, "and the budget is used: calls in hand on the mean")
+					if took < time.Duration(budget/float64(n)*plannedShare*float64(over))-200*ms { // no longer than a share bears
+						assert.Greater(t, rate, budget*initialCallShare/2, "and the budget is used: calls in hand on the mean")
 					}
 				})
 			}
--- /dev/null
+++ b/admission/health.go
@@ -0,0 +1,54 @@
+package admission
+
+import (
+	"fmt"
+	"time"
+)
+
+const (
+	healthWindow      = 3 * time.Second
+	healthWindowParts = 6
+	minRunsJudged     = 6   // ended runs in the window under which the server does not judge itself
+	failingShare      = 0.5 // share of failed runs over which it does
+)
+
+// runHealth is whether the server's runs end well. Failing runs are quick, so callers that pick the fastest server choose
+// one whose runs fail, and a request that must not run twice is lost there.
+type runHealth struct {
+	runs    *slidingSums // ended, and failed ones of them
+	failing bool
+}
+
+func newRunHealth() runHealth {
+	return runHealth{runs: newSlidingSums(healthWindow, healthWindowParts)}
+}
+
+// add counts a run that succeeded or failed.
+func (h *runHealth) add(now time.Duration, outcome Outcome) {
+	failed := 0.0
+	if outcome == Failed {
+		failed = 1
+	}
+	h.runs.add(now, 1, failed)
+}
+
+// ejectWhileFailing takes the server out of service while most of its runs fail: health checks fail, callers are asked to
+// keep away, and all but one request at a time is rejected. That one shows when runs succeed again.
+func (c *Controller) ejectWhileFailing(w Executor) {
+	runs := c.health.runs.sum(c.now)
+	ended, failed := runs[0], runs[1]
+	failing := ended >= minRunsJudged && failed > ended*failingShare
+	if failing != c.health.failing && !c.drain.begun() {
+		w.SetHealth(!failing, true)
+		w.Log(fmt.Sprintf("erring: %t, %.0f of %.0f runs broken", failing, failed, ended))
+	}
+	c.health.failing = failing
+	if !failing {
+		return
+	}
+	c.shedding.level = maxShedLevel
+	inFlight := c.inFlight().total
+	for len(c.queue) > 0 && inFlight+float64(len(c.queue)) > 1 {
+		c.reject(c.queue[len(c.queue)-1], ReasonRunsFail, w)
+	}
+}
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -1,98 +1,95 @@
 package admission
 
-// How many requests run at once: the in-flight limit of docs/design.md, and the room that memory and cores leave.
-
 import (
 	"math"
+	"time"
 )
 
-// mayStart is the gate of the design: under the limit, or beyond it while the cores have room to spare. The
-// departure: room is a core with no run on it now, not a gauge below 70%. That gauge looks half a second
-// back, so with runs away at calls a server full of held work kept a sixth of its cores idle. It acts only
-// while runs wait at calls or disk, and could harm where those all come back at once; crowdRoom bounds that.
-func (c *Controller) mayStart(request *Request) bool {
-	in, on, parked := c.counts()
-	if in-parked+1 > c.crowdRoom() || c.used()+request.HeldKB*(c.factor-1) > c.memory {
-		return false
-	}
-	// Reads share the cores with runs. When they heap up, in a burst or on a cold server, each task is old
-	// before it is known, and most are then read in vain; so reading goes first. At most one task a core is
-	// read at a time, so some runs always go on. It could harm where reads are many but short.
-	if on+c.reads >= c.cores*readCrowd {
-		return false
-	}
-	return in < math.Floor(c.limit) || on < c.cores && c.gauges.Memory < softMemory
+// The in-flight limit of docs/design.md: additive increase, multiplicative decrease. Once in calibrationPeriod it grows by
+// one without a backoff event, and shrinks to backoffFactor of itself with one. A backoff event is a busy CPU, full memory, or
+// a route whose latency has risen.
+
+const (
+	calibrationPeriod = time.Second
+	backoffFactor     = 0.75
+	cpuSoftLimit      = 0.90 // share of the cores from which on the CPU gauge is a backoff event
+	memorySoftLimit   = 0.75 // share of the memory from which on the memory gauge is a backoff event
+	cpuIdle           = 0.70 // share of the cores under which the limit grows between calibrations
+	degradedLatency   = 1.5  // ratio of a route's recent mean latency to its long mean that is a backoff event
+	minLatencySamples = 5    // ended runs that a recent mean stands on
+	latencyParts      = 4    // parts of recentRuns that are recent: two seconds
+
+	maxInFlightPerCore = 6.0 // requests
+)
+
+// inFlightLimit bounds the requests in flight: on the cores, at calls and waiting for them.
+type inFlightLimit struct {
+	value        float64 // requests
+	minimum      float64 // requests; the core count
+	backoffEvent bool    // one was seen since the last calibration
+	calibratedAt time.Duration
+	busyRoutes   map[*routeStats]bool // whose runs ended lately: the only ones whose latency can have risen
 }
 
-// counts are the tasks in flight, those of them on the cores, and those that wait for room for their call.
-func (c *Controller) counts() (in, on, parked float64) {
-	for _, request := range c.active {
-		if request.phase != echoing {
-			in++
-		}
-		if request.phase == running || request.phase == over {
-			on++
-		}
-		if request.phase == wantsCall {
-			parked++
-		}
-	}
-	return in, on, parked
+// newInFlightLimit starts at the minimum.
+func newInFlightLimit(cores float64) inFlightLimit {
+	return inFlightLimit{value: cores, minimum: cores, busyRoutes: map[*routeStats]bool{}}
 }
 
-// used is the memory spoken for, with the reads that may come before the next round.
-func (c *Controller) used() float64 {
-	kb := float64(len(c.numbers)) * c.numberKB
-	for _, request := range c.hold {
-		kb += request.HeldKB
-	}
-	for _, request := range c.active {
-		if request.phase == echoing {
-			kb += request.HeldKB
-		} else {
-			kb += request.HeldKB * c.factor
-		}
+// noteGauges notes a backoff event by CPU or memory.
+func (l *inFlightLimit) noteGauges(g Gauges) {
+	if g.CPU >= cpuSoftLimit || g.Memory >= memorySoftLimit {
+		l.backoffEvent = true
 	}
-	return kb
 }
 
-// crowdRoom is how many may be on the cores or at a call without the cores ever being crowded past what the
-// server survives, even if all came back from their calls at once; a run that waits for room for its call
-// comes back only by a call placed within it. A cold server is taken to be as cold as stated.
-func (c *Controller) crowdRoom() float64 {
-	return crowdShare * (1 + (c.settings.MaxRunnablePerCore-1)*c.speed()) * c.cores
+// noteLatencies notes a backoff event by latency. The order of routes changes nothing.
+func (l *inFlightLimit) noteLatencies(now time.Duration) {
+	for route := range l.busyRoutes {
+		recent := runTotalsOf(route.recentRuns.recent(now, latencyParts))
+		if recent.ended == 0 {
+			delete(l.busyRoutes, route)
+		} else if recent.ended >= minLatencySamples && recent.latency/recent.ended > degradedLatency*route.latency.mean {
+			l.backoffEvent = true
+		}
+	}
 }
 
-// speed is the part of its speed that the server is taken to have, as it warms up from a cold start.
-func (c *Controller) speed() float64 {
-	return min(1, c.coldShare+(1-c.coldShare)*float64(c.now-c.began)/c.warmUp)
+// calibrationDue is whether a calibration period is over.
+func (l *inFlightLimit) calibrationDue(now time.Duration) bool {
+	return now >= l.calibratedAt+calibrationPeriod
 }
 
-// calibrate is the design's pass over the limit.
-func (c *Controller) calibrate(w Executor) {
-	c.calibrated = c.now
-	if c.event {
-		c.limit *= backoff
+// calibrate moves the limit by what was noted since the last calibration.
+func (l *inFlightLimit) calibrate(now time.Duration, maximum float64) {
+	l.calibratedAt = now
+	if l.backoffEvent {
+		l.value *= backoffFactor
 	} else {
-		c.limit++
+		l.value++
 	}
-	c.event = false
-	c.limit = max(min(c.limit, c.ceiling()), c.cores)
-	c.closeIdle(w)
+	l.backoffEvent = false
+	l.value = max(min(l.value, maximum), l.minimum)
 }
 
-// ceiling is the lower of a multiple of the cores and what memory allows at the mean running size.
-func (c *Controller) ceiling() float64 {
-	runs, kb := 0.0, 0.0
+// raise adds one to the limit between calibrations.
+func (l *inFlightLimit) raise(maximum float64) { l.value = min(l.value+1, maximum) }
+
+// allows is whether one more request may be in flight.
+func (l *inFlightLimit) allows(inFlight float64) bool { return inFlight < math.Floor(l.value) }
+
+// maxLimit is the lower of a multiple of the cores and what memory allows at the mean size of what is in flight.
+func (c *Controller) maxLimit() float64 {
+	count, kb := 0.0, 0.0
 	for _, request := range c.active {
-		if request.phase != echoing {
-			runs++
-			kb += request.HeldKB * c.factor
+		if request.phase.holdsRun() {
+			count++
+			kb += request.HeldKB * c.settings.RunningMemoryFactor
 		}
 	}
-	most := mostPerCore * c.cores
-	if runs > 0 {
-		most = min(most, (c.memory-c.used()+kb)/(kb/runs))
+	maximum := maxInFlightPerCore * c.settings.Cores
+	if count > 0 {
+		maximum = min(maximum, (c.memoryKB()-c.memoryUsedKB()+kb)/(kb/count))
 	}
-	return most
+	return maximum
 }
--- /dev/null
+++ b/admission/queue.go
@@ -0,0 +1,134 @@
+package admission
+
+import (
+	"slices"
+)
+
+// answerMargin is the time before a deadline by which a request is answered: a tick may come late by one interval, and the
+// answer takes its way.
+const answerMargin = 2 * tickInterval
+
+// arrive takes a request that was read: a duplicate waits for its original, one past the grace of a shutdown or without room
+// for its idempotency key is rejected, all others are queued.
+func (c *Controller) arrive(request *Request, w Executor) {
+	c.setDeadlines(request)
+	c.countArrival(request)
+	if request.Duplicate {
+		c.enterPhase(request, awaitingOriginal)
+		c.active = append(c.active, request)
+		w.AnswerFromOriginal(request)
+		return
+	}
+	if c.drain.begun() {
+		c.drain.limit(request)
+		if c.drain.pastGrace(request.ReceivedAt(), c.settings.Grace) {
+			c.reject(request, ReasonDraining, w)
+			return
+		}
+	}
+	if request.Route.Idempotency == Keyed && !c.rememberKey(request, w) {
+		c.reject(request, ReasonMemory, w)
+		return
+	}
+	c.enqueue(request)
+}
+
+// setDeadlines sets until when the request is answered, and until when that earns anything.
+func (c *Controller) setDeadlines(request *Request) {
+	request.phaseSince = c.now
+	request.answerBy = request.Arrived + request.Route.Deadline
+	if request.Deadline > 0 {
+		request.answerBy = request.Deadline
+	}
+	request.answerBy -= answerMargin
+	request.usefulUntil = request.answerBy
+	if request.Route.LateValueShare == 0 {
+		request.usefulUntil = min(request.answerBy, request.Arrived+request.Route.LatencyTarget)
+	}
+}
+
+// countArrival counts a request in what is learned from arrivals.
+func (c *Controller) countArrival(request *Request) {
+	c.shedding.addRead(c.now, request)
+	c.connections.add(c.now, request.Router, c.settings.IdleTimeout)
+	c.tenants.add(request.Tenant, c.now)
+	if request.Rank >= c.shedding.level {
+		c.shedding.addOffered(c.now, c.expectedWork(request))
+	}
+}
+
+// rememberKey makes the entry of the request's idempotency key, before any run, so that no duplicate passes for a new
+// request. It is false without memory for the entry.
+func (c *Controller) rememberKey(request *Request, w Executor) bool {
+	if c.memoryUsedKB()+c.settings.KeyKB+request.HeldKB > c.memoryKB() {
+		return false
+	}
+	request.keyExpiresAt = request.Arrived + request.Route.DedupWindow + tickInterval
+	c.keyed = append(c.keyed, request)
+	w.RememberKey(request, request.keyExpiresAt-c.now)
+	return true
+}
+
+// releaseKey gives back the entry of a request that never ran. The key of one that ran stays known for its whole window.
+func (c *Controller) releaseKey(request *Request, w Executor) {
+	if request.keyExpiresAt > 0 && !request.started {
+		request.keyExpiresAt = 0
+		c.keyed = slices.DeleteFunc(c.keyed, func(other *Request) bool { return other == request })
+		w.ForgetKey(request)
+	}
+}
+
+// expireKeys drops the entries whose window is over.
+func (c *Controller) expireKeys() {
+	c.keyed = slices.DeleteFunc(c.keyed, func(request *Request) bool { return request.keyExpiresAt <= c.now })
+}
+
+// enqueue puts a request behind all that are to be answered no later.
+func (c *Controller) enqueue(request *Request) {
+	i, _ := slices.BinarySearchFunc(c.queue, request, func(a, b *Request) int {
+		if a.answerBy <= b.answerBy {
+			return -1
+		}
+		return 1
+	})
+	c.queue = slices.Insert(c.queue, i, request)
+}
+
+// cancel frees what is held for a request that nobody waits for any more. The run of a keyed request goes on: its caller may
+// come again with the key, and is then answered from this run.
+func (c *Controller) cancel(request *Request, w Executor) {
+	switch request.phase {
+	case queued, awaitingOriginal:
+		c.releaseKey(request, w)
+		request.answered = true
+		c.release(request)
+	case running, awaitingCall, calling:
+		request.answered = true
+		if request.phase == running && request.Route.Idempotency == Retryable {
+			c.preempt(request, w)
+		}
+	case stopping:
+	}
+}
+
+// expireRequests answers, in whatever phase they are, the requests for which an answer earns nothing any more.
+func (c *Controller) expireRequests(w Executor) {
+	c.scratch.all = append(append(c.scratch.all[:0], c.queue...), c.active...)
+	for _, request := range c.scratch.all {
+		switch {
+		case c.now < request.usefulUntil:
+		case request.phase == queued:
+			c.reject(request, c.expiryReason(request), w)
+		case !request.answered:
+			c.abort(request, c.expiryReason(request), w)
+		}
+	}
+}
+
+// expiryReason is the reason of a request whose time is over: its own, or the server's.
+func (c *Controller) expiryReason(request *Request) RejectReason {
+	if c.drain.begun() && request.usefulUntil == c.drain.deadline {
+		return ReasonDraining
+	}
+	return ReasonExpired
+}
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -21,9 +21,9 @@
 			name := fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "name"))
 			was := live[name]
 			if was != nil && rapid.Bool().Draw(t, "remove") {
-				controller.busy[was.routeStats] = true
+				controller.limit.busyRoutes[was.routeStats] = true
 				controller.RemoveRoute(was)
-				assert.False(t, controller.busy[was.routeStats])
+				assert.False(t, controller.limit.busyRoutes[was.routeStats])
 				delete(live, name)
 				continue
 			}
@@ -57,15 +57,15 @@
 	for range 200 {
 		ends(10 * time.Millisecond)
 	}
-	assert.Len(t, b.busy, 1)
+	assert.Len(t, b.limit.busyRoutes, 1)
 	b.pass(10*time.Second, Gauges{})
-	assert.Empty(t, b.busy, "its runs ended long ago")
+	assert.Empty(t, b.limit.busyRoutes, "its runs ended long ago")
 	for range 8 {
 		ends(time.Second)
 	}
-	b.event = false
-	b.pass(sweep, Gauges{})
-	assert.True(t, b.event, "latency has risen")
+	b.limit.backoffEvent = false
+	b.pass(tickInterval, Gauges{})
+	assert.True(t, b.limit.backoffEvent, "latency has risen")
 }
 
 // A tenant that has asked for nothing costs no more than its rate, and one past the table is nobody's.
@@ -77,13 +77,13 @@
 	controller.PutTenant(2, 9, true)
 	controller.tenants.add(2, time.Second)
 	controller.tenants.add(7, time.Second)
-	assert.Equal(t, 0.1, controller.tenants.asked(2, time.Second))
-	assert.Zero(t, controller.tenants.asked(0, time.Second))
-	assert.Zero(t, controller.tenants.asked(7, time.Second))
-	assert.Nil(t, controller.tenants.seen[0])
+	assert.Equal(t, 0.1, controller.tenants.rate(2, time.Second))
+	assert.Zero(t, controller.tenants.rate(0, time.Second))
+	assert.Zero(t, controller.tenants.rate(7, time.Second))
+	assert.Nil(t, controller.tenants.requests[0])
 	controller.PutTenant(2, 3, false)
-	assert.Equal(t, 0.1, controller.tenants.asked(2, time.Second), "its rate moved, not what it asked for")
+	assert.Equal(t, 0.1, controller.tenants.rate(2, time.Second), "its rate moved, not what it asked for")
 	assert.Equal(t, 3.0, controller.TenantRate(2))
 	controller.PutTenant(2, 3, true)
-	assert.Zero(t, controller.tenants.asked(2, time.Second), "another's place now")
+	assert.Zero(t, controller.tenants.rate(2, time.Second), "another's place now")
 }
--- /dev/null
+++ b/admission/work.go
@@ -0,0 +1,73 @@
+package admission
+
+import "time"
+
+const (
+	priorRuns         = 2.0   // runs that the long mean counts for beside the recent ones
+	runMemory         = 200.0 // runs that the long means look back over
+	hintedWindow      = 6 * time.Second
+	hintedWindowParts = 12
+)
+
+// workEstimate is how long work takes here that its callers gave a hint of.
+type workEstimate struct {
+	hinted        *slidingSums // core seconds spent on requests with a hint, and hinted seconds of those that ended
+	hintRatio     movingMean   // core seconds for a hinted second
+	hintSample    sampleStats  // the same, for other servers
+	peerHintRatio peerEstimate
+}
+
+func newWorkEstimate() workEstimate {
+	return workEstimate{hinted: newSlidingSums(hintedWindow, hintedWindowParts)}
+}
+
+// recordRun takes an ended run into the long means. A run that outlived its deadline shows a fault, which the sums of the
+// last seconds hold: in a long mean it would outlast the fault, no request of the route would be started any more, and so none
+// could show that they are short again.
+func (c *Controller) recordRun(request *Request, took time.Duration) {
+	if request.answered && max(took, request.coreTime) > request.Route.Deadline {
+		return
+	}
+	request.Route.coreSeconds.add(request.coreTime.Seconds(), runMemory)
+	request.Route.latency.add(took.Seconds(), runMemory)
+	request.Route.coreSample.add(request.coreTime.Seconds()*c.speed(), c.now)
+	request.Route.runSample.add(took.Seconds(), c.now)
+	if request.CostHint > 0 {
+		c.work.hintRatio.add(request.coreTime.Seconds()/request.CostHint.Seconds(), runMemory)
+		c.work.hintSample.add(request.coreTime.Seconds()*c.speed()/request.CostHint.Seconds(), c.now)
+	}
+}
+
+// expectedWork is the core time that a request is expected to take here, from the recent runs and a prior. Time spent on
+// unfinished runs counts against the runs that ended, so that a machine that has slowed down shows before the first end.
+func (c *Controller) expectedWork(request *Request) time.Duration {
+	if request.CostHint > 0 && (c.work.hintRatio.count > 0 || c.work.peerHintRatio.weight > 0) {
+		return c.expectedHintedWork(request.CostHint)
+	}
+	known := request.Route.coreSeconds
+	if known.count == 0 {
+		known.mean = request.Route.LatencyTarget.Seconds() / unknownWorkDivisor
+	}
+	mean, runs := known.mean, priorRuns
+	if c.peers.present {
+		mean, runs = c.prior(known, &request.Route.peerCoreSeconds)
+	}
+	recent := runTotalsOf(request.Route.recentRuns.sum(c.now))
+	return time.Duration((max(recent.coreSeconds, 0) + runs*mean) / (recent.ended + runs) * float64(time.Second))
+}
+
+// expectedHintedWork is the core time that work with a hint is expected to take.
+func (c *Controller) expectedHintedWork(hint time.Duration) time.Duration {
+	sums := c.work.hinted.sum(c.now)
+	spent, hinted := sums[0], sums[1]
+	ratio, prior := c.prior(c.work.hintRatio, &c.work.peerHintRatio)
+	prior *= hint.Seconds()
+	return time.Duration((spent + prior*ratio) / (hinted + prior) * float64(hint))
+}
+
+// remainingWork is the core time that an unfinished request is expected to need from here on, of which a part is always
+// expected: the whole by minimumDivisor.
+func (c *Controller) remainingWork(request *Request, minimumDivisor int) time.Duration {
+	expected := c.expectedWork(request)
+	return max(expected-request.coreTime, expected/time.Duration(minimumDivisor))
+}
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -63,7 +63,7 @@
 
 // recordAnswer records that a request was answered without a result, and why.
 func (s *Server) recordAnswer(kind events.Kind, request *Request) {
-	s.events.Record(kind, request.Reason().String(), slog.String("request", request.id), slog.String("class", request.route),
+	s.events.Record(kind, request.RejectReason().String(), slog.String("request", request.id), slog.String("class", request.route),
 		slog.Duration("age", s.round.Now-request.Arrived))
 }
 
