--- /dev/null
+++ b/admission/bench_test.go
@@ -0,0 +1,107 @@
+package admission
+
+import (
+	"fmt"
+	"strings"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// bench drives one Controller as a program would and keeps what it decided, by request name.
+type bench struct {
+	*Controller
+	names            map[*Request]string
+	decisions        []string
+	retryAfter       time.Duration // the advice of the last rejection
+	noRetryElsewhere bool
+	closeAfter       time.Duration
+	patience         time.Duration // of the last call
+	at               time.Duration
+}
+
+// testSettings are those of a server of four cores with a route of each kind, changed where a case wants.
+func testSettings(change func(*Settings)) Settings {
+	settings := DefaultSettings()
+	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.KeyKB = 4, 10000, 10, 50
+	settings.MaxRunnablePerCore, settings.ColdSpeed, settings.WarmUp = 6, 0.2, 10*time.Second
+	settings.Grace, settings.ShedLevelFormat = 2*time.Second, ShedLevelThreshold
+	settings.RetryAfter, settings.MaxRetryAfter = true, time.Second
+	settings.CallShare, settings.CallWindow, settings.CallLinger = 10, 5*time.Second, 200*ms
+	for i, idempotency := range []Idempotency{Retryable, Keyed, AtMostOnce} {
+		settings.Routes = append(settings.Routes, Route{
+			Idempotency: idempotency, Value: float64(1 + i), LatencyTarget: 2 * time.Second, Deadline: 5 * time.Second,
+			DedupWindow: 20 * time.Second, CallsDependency: true,
+		})
+	}
+	settings.Routes[0].SkipValueShare = 0.5
+	if change != nil {
+		change(&settings)
+	}
+	return settings
+}
+
+func newBench(change func(*Settings)) *bench {
+	b := &bench{Controller: New(testSettings(change), 1), names: map[*Request]string{}, at: time.Second}
+	b.round(Round{})
+	return b
+}
+
+func (b *bench) request(name string, kind int) *Request {
+	request := &Request{Route: b.Routes[kind], HeldKB: 10, Arrived: b.at, Rank: 0.99}
+	b.names[request] = name
+	return request
+}
+
+func (b *bench) round(r Round) string {
+	b.decisions = nil
+	r.Now = b.at
+	b.Decide(&r, b)
+	return strings.Join(b.decisions, ", ")
+}
+
+func (b *bench) pass(span time.Duration, g Gauges) string {
+	var all []string
+	for end := b.at + span; b.at < end; {
+		b.at += tickInterval
+		if decisions := b.round(Round{Gauges: &g}); decisions != "" {
+			all = append(all, decisions)
+		}
+	}
+	return strings.Join(all, ", ")
+}
+
+func (b *bench) run(request *Request, span time.Duration) {
+	b.round(Round{Arrived: []*Request{request}})
+	b.at += span
+	b.round(Round{RunsEnded: []Completion{{Request: request, Outcome: Succeeded, Took: span}}})
+}
+
+func (b *bench) record(what string, request *Request) {
+	b.decisions = append(b.decisions, what+" "+b.names[request])
+}
+
+func (b *bench) Start(request *Request) { b.record("start", request) }
+func (b *bench) Pause(request *Request) { b.record("pause", request) }
+func (b *bench) Reject(request *Request, retryAfter time.Duration, noRetryElsewhere bool) {
+	b.record("reject", request)
+	b.retryAfter, b.noRetryElsewhere = retryAfter, noRetryElsewhere
+}
+func (b *bench) Abort(request *Request)                        { b.record("abort", request) }
+func (b *bench) AnswerFromOriginal(request *Request)           { b.record("echo", request) }
+func (b *bench) RememberKey(request *Request, _ time.Duration) { b.record("remember", request) }
+func (b *bench) ForgetKey(request *Request)                    { b.record("forget", request) }
+func (b *bench) Call(request *Request, patience time.Duration) {
+	b.record("call", request)
+	b.patience = patience
+}
+func (b *bench) SkipCall(request *Request) { b.record("skip", request) }
+func (b *bench) SetHealth(good, _ bool) {
+	b.decisions = append(b.decisions, fmt.Sprint("health ", good))
+}
+func (b *bench) SetShedLevel(level float64) {
+	b.decisions = append(b.decisions, fmt.Sprintf("level %.2f", level))
+}
+func (b *bench) CloseIdleAfter(span time.Duration) { b.closeAfter = span }
+func (b *bench) WakeAfter(time.Duration)           {}
+func (b *bench) Log(string)                        {}
--- /dev/null
+++ b/admission/calls_test.go
@@ -0,0 +1,140 @@
+package admission
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestCallsUnderStrain(t *testing.T) {
+	b := newBench(nil)
+	b.calls.strained, b.calls.capacity = true, 1
+	skips, cannot := b.request("skips", 0), b.request("cannot", 2)
+	b.round(Round{Arrived: []*Request{skips, cannot}})
+	assert.Equal(t, "call cannot, skip skips", b.round(Round{AwaitingCall: []*Request{skips, cannot}}))
+	for _, c := range []struct {
+		outcome Outcome
+		room    float64
+	}{{Succeeded, 8}, {NotRun, 6}, {Unknown, 8}} {
+		b := newBench(nil)
+		x := b.request("x", 0)
+		b.round(Round{Arrived: []*Request{x}})
+		b.round(Round{AwaitingCall: []*Request{x}})
+		b.calls.capacity = 8
+		b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: c.outcome, Took: ms}}})
+		b.calibrateCalls()
+		assert.Equal(t, c.room, b.calls.capacity)
+	}
+}
+
+func TestCallsKeepToAShareOfLessThanOne(t *testing.T) {
+	for _, share := range []float64{0, 0.05, 0.5, 0.9, 1.4} {
+		b := newBench(func(s *Settings) { s.CallShare = share })
+		most, mean, n := 0.0, 0.0, 400
+		for range n { // a dependency that hangs holds each call for as long as the server waits
+			x := b.request("x", 2)
+			b.round(Round{Arrived: []*Request{x}})
+			b.round(Round{AwaitingCall: []*Request{x}})
+			b.pass(100*ms, Gauges{CPU: 0.5})
+			for _, request := range b.active {
+				if request.phase == calling && b.at >= request.calledAt+b.patience {
+					b.round(Round{CallsEnded: []Completion{{Request: request, Outcome: Unknown}}})
+				}
+			}
+			most = max(most, b.calls.inProgress.sum(b.at)[0]/5)
+			mean += b.calls.inProgress.sum(b.at)[0] / 5 / float64(n)
+		}
+		assert.LessOrEqual(t, most, max(share, 0.1), "in any window")
+		assert.LessOrEqual(t, mean, max(share, 0.02), "and in the long run, however small the share")
+		assert.Positive(t, mean, "yet calls go on")
+	}
+}
+
+// accra-heat-control: requests call a tier of servers that tell no share; taken as a share of nothing, a call
+// went once in minutes and every setpoint-change was aborted at its call.
+func TestCallsToATierOfServersGoByConcurrency(t *testing.T) {
+	for _, c := range []struct {
+		below string
+		tier  bool
+		calls int
+	}{{"tier", true, 4}, {"shared", false, 1}} {
+		b := newBench(func(s *Settings) { s.CallShare, s.CallsTier = 0, c.tier })
+		var xs []*Request
+		for range 4 {
+			xs = append(xs, b.request("x", 2))
+		}
+		b.round(Round{Arrived: xs})
+		b.pass(calibrationPeriod, Gauges{CPU: 0.5})
+		decisions := b.round(Round{AwaitingCall: xs})
+		assert.Equal(t, c.calls, strings.Count(decisions, "call x"), c.below)
+	}
+}
+
+func TestAnAbandonedCallHoldsCapacityAndMemoryUntilItsEnd(t *testing.T) {
+	b := newBench(func(s *Settings) { s.CallShare, s.MemoryKB = 1.2, 600 })
+	x, y, large := b.request("x", 2), b.request("y", 2), b.request("large", 0)
+	large.HeldKB = 40
+	b.round(Round{Arrived: []*Request{x, y}})
+	x.usefulUntil = b.at + 300*ms
+	b.round(Round{AwaitingCall: []*Request{x}})
+	assert.LessOrEqual(t, b.patience, 300*ms, "no call outlasts the time in which its request is wanted")
+	assert.Contains(t, b.pass(300*ms, Gauges{CPU: 1}), "abort x")
+	assert.Empty(t, b.round(Round{Arrived: []*Request{large}, AwaitingCall: []*Request{y}}))
+	end := []Completion{{Request: x, Outcome: Unknown}}
+	assert.Equal(t, "call y, start large", b.round(Round{CallsEnded: end, RunsEnded: end}))
+}
+
+// The run of a request that is over ends at its call before that is reported to have ended: the dependency has it still.
+func TestACallLeftBehindByItsRunLingers(t *testing.T) {
+	b := newBench(nil)
+	request := b.request("a", 2)
+	b.round(Round{Arrived: []*Request{request}})
+	b.round(Round{AwaitingCall: []*Request{request}})
+	assert.Equal(t, calling, request.phase)
+	b.at += 100 * ms
+	before, saved := b.calls.inProgress.sum(b.at)[0], b.calls.credit
+	b.round(Round{RunsEnded: []Completion{{Request: request, Outcome: Stopped}}})
+	assert.InDelta(t, 0.3, b.calls.inProgress.sum(b.at)[0]-before, 1e-6, "100 ms in hand, and 200 ms that it lingers")
+	assert.InDelta(t, 0.3, saved-b.calls.credit, 1e-6)
+}
+
+func TestACallIsSkippedWhenItsTurnComesTooLate(t *testing.T) {
+	for _, c := range []struct {
+		saved float64
+		want  string
+	}{{1, "call x"}, {-0.5, ""}, {-1.5, "skip x"}} { // a second behind at a room of one is a second's wait
+		b := newBench(nil)
+		x := b.request("x", 0)
+		b.round(Round{Arrived: []*Request{x}})
+		b.calls.capacity, b.calls.credit = 1, c.saved
+		x.usefulUntil = b.at + b.expectedWork(x) + 2*time.Second
+		assert.Equal(t, c.want, b.round(Round{AwaitingCall: []*Request{x}}))
+	}
+}
+
+// A site whose link to its dependency was cut for seconds (split+brink): the calls that were under way were never
+// answered, each kept its place until its request was aborted, and the server stood behind one or two of them.
+func TestACallThatIsNeverAnsweredIsMadeAgain(t *testing.T) {
+	b := newBench(func(s *Settings) { s.Routes[0].SkipValueShare = 0 })
+	for range 10 {
+		b.calls.seconds.add(0.02, 500)
+	}
+	for kind, within := range []time.Duration{160 * ms, 2 * time.Second, 2 * time.Second} {
+		x := b.request("x", kind)
+		b.round(Round{Arrived: []*Request{x}})
+		assert.Equal(t, "call x", b.round(Round{AwaitingCall: []*Request{x}}))
+		assert.InDelta(t, within, b.patience, float64(ms), "what may not run twice is waited for")
+		if kind > 0 {
+			continue
+		}
+		for again := within * 2; again < 640*ms; again *= 2 {
+			b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Unknown, Took: within}}})
+			assert.Equal(t, "call x", b.pass(time.Second/4, Gauges{CPU: 0.5}))
+			assert.InDelta(t, again, b.patience, float64(ms), "one that has only grown slow is heard in the end")
+		}
+		end := []Completion{{Request: x}}
+		b.round(Round{CallsEnded: end, RunsEnded: end})
+	}
+}
--- /dev/null
+++ b/admission/controller_test.go
@@ -0,0 +1,53 @@
+package admission
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestOneRoundMayHoldARequestsWholeLife(t *testing.T) {
+	b := newBench(nil)
+	x := b.request("x", 2)
+	b.round(Round{Arrived: []*Request{x}})
+	b.round(Round{AwaitingCall: []*Request{x}})
+	end, all := []Completion{{Request: x, Outcome: Succeeded}}, []*Request{x}
+	story := Round{CallsEnded: end, AwaitingCall: all, RunsEnded: end, Canceled: all, Arrived: []*Request{b.request("y", 0)}}
+	assert.Equal(t, "start y", b.round(story))
+}
+
+func TestSameEventsSameDecisions(t *testing.T) {
+	story := func() (all string) {
+		b := newBench(nil)
+		for i := range 400 {
+			x := b.request(fmt.Sprint(i), i%3)
+			all += b.round(Round{Arrived: []*Request{x}}) + b.round(Round{AwaitingCall: []*Request{x}})
+			all += b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Outcome(i % 4)}}}) + b.pass(tickInterval, Gauges{CPU: 1})
+		}
+		return all
+	}
+	assert.Equal(t, story(), story())
+}
+
+func TestOddSettingsDecideSanely(t *testing.T) {
+	for name, odd := range map[string]func(*Settings){
+		"nothing stated":     func(s *Settings) { s.CallShare, s.FleetServers, s.IdleTimeout = 0, 0, 0 },
+		"one server":         func(s *Settings) { s.FleetServers, s.Tenants = 1, []Tenant{{Rate: 0}} },
+		"nothing in sharing": func(s *Settings) { s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{Rate: 0}}, 0, 0 },
+		"no time at all":     func(s *Settings) { s.CallWindow, s.CallLinger, s.WarmUp = 0, 0, 1 },
+	} {
+		b := newBench(odd)
+		decisions := ""
+		for range 40 {
+			x := b.request("x", 2)
+			decisions += b.round(Round{Arrived: []*Request{x}}) + b.round(Round{AwaitingCall: []*Request{x}})
+			decisions += b.pass(100*ms, Gauges{CPU: 0.5})
+			b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Succeeded, Took: 20 * ms}}, RunsEnded: []Completion{{Request: x}}})
+		}
+		assert.Contains(t, decisions, "start x", name)
+		assert.Contains(t, decisions, "call x", name)
+		assert.False(t, math.IsNaN(b.shedding.level+b.limit.value+b.calls.capacity+b.calls.credit+b.valueDensity(b.request("y", 0))), name)
+	}
+}
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// sender is a server of a fleet whose tasks call one dependency.
+// sender is a server of a fleet whose requests call one dependency.
 type sender struct {
 	*bench
 	took  time.Duration // by a call
@@ -26,7 +26,7 @@
 	}
 }
 
-// step lets a sweep pass; busy keeps a task waiting for its call.
+// step lets a sweep pass; busy keeps a request waiting for its call.
 func (s *sender) step(busy bool) {
 	s.at += tickInterval
 	r := Round{Gauges: &Gauges{CPU: 0.3}}
@@ -40,7 +40,7 @@
 		}
 	}
 	if busy && len(s.active)-len(r.RunsEnded) <= len(s.calls) {
-		r.Arrived = append(r.Arrived, s.task("x", 0))
+		r.Arrived = append(r.Arrived, s.request("x", 0))
 	}
 	r.Now = s.at
 	s.Decide(&r, s)
--- /dev/null
+++ b/admission/health_test.go
@@ -0,0 +1,21 @@
+package admission
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestAServerWhoseRunsFailEjectsItself(t *testing.T) {
+	b := newBench(nil)
+	for range 6 {
+		x := b.request("x", 0)
+		b.round(Round{Arrived: []*Request{x}})
+		b.round(Round{RunsEnded: []Completion{{Request: x, Outcome: Failed}}})
+	}
+	decisions := b.round(Round{Arrived: []*Request{b.request("probe", 2), b.request("spared", 2)}})
+	assert.Equal(t, "reject spared, start probe", decisions)
+	assert.Equal(t, maxShedLevel, b.shedding.level)
+	assert.Contains(t, b.pass(3*time.Second, Gauges{}), "health true", "it tries again by itself")
+}
--- /dev/null
+++ b/admission/limit_test.go
@@ -0,0 +1,59 @@
+package admission
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestLimitFollowsTheDesign(t *testing.T) {
+	cases := []struct {
+		name   string
+		before float64
+		gauges Gauges
+		after  float64
+	}{
+		{"quiet period adds one", 8, Gauges{CPU: 0.8}, 9},
+		{"CPU at its soft limit cuts", 8, Gauges{CPU: 0.9}, 6},
+		{"memory at its soft limit cuts", 8, Gauges{CPU: 0.8, Memory: 0.75}, 6},
+		{"never under the cores", 5, Gauges{CPU: 0.95}, 4},
+		{"never over the ceiling", 24, Gauges{CPU: 0.8}, 24},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			b := newBench(nil)
+			b.limit.value = c.before
+			b.pass(calibrationPeriod, c.gauges)
+			assert.Equal(t, c.after, b.limit.value)
+		})
+	}
+	t.Run("latency half over its usual cuts", func(t *testing.T) {
+		b := newBench(nil)
+		for range 50 {
+			b.run(b.request("usual", 0), 100*ms)
+		}
+		b.at += 3 * time.Second
+		b.limit.calibratedAt, b.limit.value = b.at-calibrationPeriod, 8
+		for range 5 {
+			b.run(b.request("slow", 0), 200*ms)
+		}
+		b.pass(tickInterval, Gauges{CPU: 0.8})
+		assert.Equal(t, 6.0, b.limit.value)
+	})
+	t.Run("climbs at once while cores idle and work is held", func(t *testing.T) {
+		b := newBench(nil)
+		b.limit.value = 8
+		for i := range 12 {
+			b.round(Round{Arrived: []*Request{b.request(fmt.Sprint(i), 0)}})
+		}
+		b.pass(100*ms, Gauges{CPU: 0.5})
+		assert.Equal(t, 9.0, b.limit.value)
+	})
+	t.Run("memory bounds the ceiling", func(t *testing.T) {
+		b := newBench(func(s *Settings) { s.MemoryKB = 600 })
+		b.round(Round{Arrived: []*Request{b.request("a", 0)}})
+		assert.InDelta(t, 5.4, b.maxLimit(), 0.01)
+	})
+}
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -32,8 +32,8 @@
 	load     []harness.Arrival
 	now      time.Duration
 	wake     time.Duration
-	running  []*playedTask
-	of       map[*admission.Request]*playedTask
+	running  []*playedRequest
+	of       map[*admission.Request]*playedRequest
 	honoured float64 // importance within contract time
 	starts   []int   // by 250 ms
 	answers  map[*admission.Request]int
@@ -41,7 +41,7 @@
 	spent    float64
 }
 
-type playedTask struct {
+type playedRequest struct {
 	*admission.Request
 	arrival harness.Arrival
 	left    float64
@@ -66,7 +66,7 @@
 	}
 	p := &played{
 		types: types, machine: m, module: admission.New(settings, 1), load: load, now: time.Second,
-		of: map[*admission.Request]*playedTask{}, answers: map[*admission.Request]int{},
+		of: map[*admission.Request]*playedRequest{}, answers: map[*admission.Request]int{},
 	}
 	p.frame = p.module.EstimateSchema(origin, 0, false)
 	p.module.Decide(&admission.Round{Now: p.now}, p)
@@ -109,7 +109,7 @@
 		for len(p.load) > 0 && time.Second+p.load[0].At <= p.now {
 			a := p.load[0]
 			p.load = p.load[1:]
-			t := &playedTask{arrival: a, left: a.Work.Seconds() / p.machine.Speed, Request: &admission.Request{
+			t := &playedRequest{arrival: a, left: a.Work.Seconds() / p.machine.Speed, Request: &admission.Request{
 				Route: p.module.Routes[a.Type], HeldKB: 20, Arrived: p.now, Deadline: p.now + p.types[a.Type].Deadline, Rank: a.Rank,
 			}}
 			p.of[t.Request] = t
@@ -201,7 +201,7 @@
 	for _, p := range []*played{cold, borrows} {
 		p.until(16 * time.Second)
 		for _, n := range p.answers {
-			require.Equal(t, 1, n, "answers to one task")
+			require.Equal(t, 1, n, "answers to one request")
 		}
 		require.Len(t, p.answers, len(load))
 	}
--- /dev/null
+++ b/admission/shed_test.go
@@ -0,0 +1,87 @@
+package admission
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// While the dependency is strained, a request that calls it waits for its turn, and is rejected at once where
+// that turn comes too late; at ease the same request is kept.
+func TestStrainedCallsCountInTheQueue(t *testing.T) {
+	for _, strained := range []bool{false, true} {
+		b := newBench(nil)
+		b.calls.outcomes.add(b.at, 1, 3.0)
+		b.calls.strained = strained
+		x := b.request("x", 2)
+		decisions := b.round(Round{Arrived: []*Request{x}})
+		if strained {
+			assert.Equal(t, "reject x", decisions, "a call of three seconds lies past its contract time")
+		} else {
+			assert.Equal(t, "start x", decisions)
+		}
+	}
+}
+
+// Where cores are short, a request that can only answer late earns its late value share alone, so it is left out
+// before one of the same value that would still be answered in time.
+func TestLateAnswersAreShedFirstWhereCoresAreShort(t *testing.T) {
+	b := newBench(func(s *Settings) {
+		s.Cores, s.ValueByWork, s.Routes[0].LateValueShare = 1, true, 0.2
+		s.Routes[1].Idempotency, s.Routes[1].Value = Retryable, 1
+	})
+	b.round(Round{Arrived: []*Request{b.request("running", 1)}})
+	var line []*Request
+	for i := range 3 {
+		old := b.request(fmt.Sprint("late", i), 0)
+		old.Arrived -= 1500 * ms
+		line = append(line, old)
+	}
+	for i := range 4 {
+		line = append(line, b.request(fmt.Sprint("fresh", i), 1))
+	}
+	decisions := b.round(Round{Arrived: line})
+	assert.Equal(t, "reject late2, reject late1, reject late0, reject fresh3", decisions, "before the fresh ones")
+}
+
+func TestUnmeetableRequestsAreShedByValue(t *testing.T) {
+	b := newBench(nil)
+	for range 20 {
+		b.run(b.request("usual", 0), 500*ms)
+		b.run(b.request("usual", 2), 500*ms)
+	}
+	var crowd []*Request
+	for range 20 {
+		crowd = append(crowd, b.request("low", 0))
+	}
+	b.round(Round{Arrived: crowd})
+	assert.Equal(t, "reject low", b.round(Round{Arrived: []*Request{b.request("high", 2)}}))
+}
+
+func TestALongRequestIsJudgedByTheMedian(t *testing.T) {
+	b := newBench(nil)
+	for range 20 {
+		b.run(b.request("usual", 0), time.Second)
+	}
+	x := b.request("x", 0)
+	x.Deadline = b.at + 2*tickInterval + 800*ms
+	assert.Equal(t, "start x", b.round(Round{Arrived: []*Request{x}}))
+}
+
+func TestTenantsOverTheirQuotaGiveWayFirst(t *testing.T) {
+	b := newBench(func(s *Settings) {
+		s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{Rate: 10}, {Rate: 10}}, 10, 0.05
+	})
+	within, over := b.request("within", 0), b.request("over", 0)
+	over.Tenant = 1
+	for range 5 {
+		b.tenants.add(0, b.at)
+	}
+	for range 20 {
+		b.tenants.add(1, b.at)
+	}
+	assert.Equal(t, b.valueDensity(within), (&bench{Controller: newBench(nil).Controller}).valueDensity(within))
+	assert.InDelta(t, 0.525*b.valueDensity(within), b.valueDensity(over), 0.001)
+}
--- /dev/null
+++ b/admission/shedlevel_test.go
@@ -0,0 +1,30 @@
+package admission
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestShedLevelFollowsWhatManyRequestsShow(t *testing.T) {
+	for name, c := range map[string]struct {
+		every                      int // a request each so many sweeps
+		lain, dismissed, most, min float64
+	}{
+		"many dismissed": {1, 0, 1, 0.95, 0.4}, "few dismissed": {16, 0, 1, 0.1, 0}, "many read late": {1, 0.5, 0, 0.95, 0.1},
+	} {
+		b := newBench(nil)
+		for i := range 64 {
+			if i%c.every == 0 {
+				b.shedding.unread.add(b.at, 1, c.lain)
+				b.shedding.work.add(b.at, 1, c.dismissed)
+			}
+			b.pass(tickInterval, Gauges{CPU: 1})
+		}
+		assert.LessOrEqual(t, b.shedding.level, c.most, name)
+		assert.GreaterOrEqual(t, b.shedding.level, c.min, name)
+		b.pass(6*time.Second, Gauges{CPU: 0.5})
+		assert.Zero(t, b.shedding.level, "it falls back by itself")
+	}
+}
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -50,7 +50,7 @@
 		b.PutRoute(nil, Route{Name: fmt.Sprint("idle", i), LatencyTarget: time.Second, Deadline: time.Second})
 	}
 	ends := func(took time.Duration) {
-		x := b.task("x", 0)
+		x := b.request("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
 		b.round(Round{RunsEnded: []Completion{{Request: x, Outcome: Succeeded, Took: took}}})
 	}
--- /dev/null
+++ b/admission/work_test.go
@@ -0,0 +1,30 @@
+package admission
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// What callers invent moves no belief: an age, a number of callers, calls that the pool does not know.
+func TestInventedRequestsTeachNothing(t *testing.T) {
+	b := newBench(func(s *Settings) { s.IdleTimeout = 30 * time.Second })
+	need := b.expectedWork(b.request("real", 0))
+	for i := range 2 * maxRouters {
+		invented := b.request("invented", 0)
+		invented.Arrived, invented.Router = b.at-10*time.Minute, uint32(i)
+		b.round(Round{Arrived: []*Request{invented}})
+	}
+	assert.LessOrEqual(t, len(b.connections.lastSeen), maxRouters)
+	lain := b.shedding.unread.sum(b.at)
+	assert.LessOrEqual(t, lain[1], lain[0], "old ones pass for more than they are")
+	for range 100 {
+		unknown := b.request("unknown", 0)
+		b.round(Round{Arrived: []*Request{unknown}})
+		b.at += 10 * ms
+		b.round(Round{RunsEnded: []Completion{{Request: unknown, Outcome: NeverStarted}}})
+	}
+	assert.InDelta(t, float64(need), float64(b.expectedWork(b.request("real", 0))), float64(ms))
+	assert.False(t, b.health.failing)
+}
