--- /dev/null
+++ b/internal/testkit/replay/recording_test.go
@@ -0,0 +1,338 @@
+package replay_test
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"os"
+	"time"
+)
+
+// A file of recordings is gzipped: for each stream its name, its length and its bytes. A stream is what one server's
+// decisions were told and answered, from their start on: a header in JSON, then records. A record is a letter and its
+// fields: integers and spans (nanoseconds) as zigzag varints, floats by their 64 bits, texts and lists behind their
+// length, flags as a byte. Moments are told as the difference from the last round's.
+//
+//	R  a route as the settings state it, in their order; routes are numbered from 1 as they come
+//	p  a route put in service: the one before it or 0, what is stated; the new one gets the next number
+//	x  a route removed        t  a tenant's rate stated       T  a tenant's rate, as answered
+//	w  how long runs of a route wait for calls               s  a setting that moved in service
+//	f  the frame of views, as answered     l  a view, as answered     b  a view that was borrowed
+//	o  what is on the books, as answered
+//	q  a request; they are numbered from 1 as they come
+//	r  a round, then the decisions in their order, then e
+
+// exact is a float by its bits.
+type exact uint64
+
+func (e exact) float() float64 { return math.Float64frombits(uint64(e)) }
+func (e exact) String() string { return fmt.Sprintf("%v(%016x)", e.float(), uint64(e)) }
+func bits(v float64) exact     { return exact(math.Float64bits(v)) }
+
+type header struct {
+	Settings string // the platform's, in its flat form
+	Seed     int64
+	Commit   string // of the code that decided
+	By       string // the program that was recorded
+}
+
+type route struct {
+	name                        string
+	importance, lateShare       exact
+	contract, outermost, window time.Duration
+	repeats                     byte // r may be repeated, k has an idempotency key, o runs at most once
+	calls                       bool
+	skipShare                   exact
+	waits                       time.Duration
+}
+
+type request struct {
+	route                     int
+	heldKB                    float64
+	hint, arrived, whole, due time.Duration
+	rank                      float64
+	tenant                    int
+	caller                    uint32
+	again                     bool
+}
+
+type ending struct {
+	request int
+	outcome byte // d done, b broken, n not run, u unclear, s stopped, v void
+	took    time.Duration
+}
+
+type round struct {
+	now, stopAt, noticed, booted time.Duration
+	returned                     []ending
+	atCall                       []int
+	ended                        []ending
+	gone, arrived                []int
+	gauges                       []float64 // share of the cores, what wants one, share of memory, links; nil for none
+}
+
+// decision is one, with what it needs of the fields: S start, P pause, D reject (span, yes: no other server), G abort, A
+// answer from the first, M remember an idempotency key, F forget it, C call (span), K go on without the call, H health
+// (yes, yesToo: without asking the pool), L level, I close idle connections, W wake, N note.
+type decision struct {
+	what        byte
+	request     int
+	span        time.Duration
+	value       exact
+	yes, yesToo bool
+	reason      int // in the order in which the code states them
+	words       string
+}
+
+func (d decision) String() string {
+	return fmt.Sprintf("%c request=%d span=%v value=%v %t %t reason=%d %q",
+		d.what, d.request, d.span, d.value, d.yes, d.yesToo, d.reason, d.words)
+}
+
+type estimate struct {
+	mean, spread, samples exact
+	age                   time.Duration
+}
+
+type routeView struct {
+	name      string
+	core, run estimate
+}
+
+type view struct {
+	origin, terms                 uint64
+	routes                        []routeView
+	pace, calls, refused, returns estimate
+}
+
+type frame struct {
+	terms, origin uint64
+	moving        bool
+	names         []string
+	outermost     []time.Duration
+}
+
+type books struct {
+	held, onCores, inFlight, answered int
+	limit, maxCrowd, usedKB, maxKB    exact
+}
+
+// stream is one of a file.
+type stream struct {
+	name string
+	raw  []byte
+}
+
+// readFile takes the streams off a file.
+func readFile(path string) (all []stream, err error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	unpacked, err := gzip.NewReader(bytes.NewReader(raw))
+	if err != nil {
+		return nil, err
+	}
+	if raw, err = io.ReadAll(unpacked); err != nil {
+		return nil, err
+	}
+	for r := (reader{raw: raw}); len(r.raw) > 0; {
+		name := r.text()
+		body := r.take(int(r.int()))
+		if r.err != nil {
+			return nil, r.err
+		}
+		all = append(all, stream{name, body})
+	}
+	return all, nil
+}
+
+var errCut = errors.New("the recording ends in the middle of a record")
+
+// reader takes fields off a stream. Behind an error all are empty.
+type reader struct {
+	raw  []byte
+	err  error
+	now  time.Duration
+	last int // request that was told last
+}
+
+func (r *reader) take(n int) []byte {
+	if r.err != nil || n < 0 || n > len(r.raw) {
+		r.err, r.raw = errCut, nil
+		return nil
+	}
+	b := r.raw[:n]
+	r.raw = r.raw[n:]
+	return b
+}
+
+func (r *reader) byte() byte {
+	if b := r.take(1); len(b) == 1 {
+		return b[0]
+	}
+	return 0
+}
+
+func (r *reader) int() int64 {
+	v, n := binary.Varint(r.raw)
+	if n <= 0 {
+		r.err, r.raw = errCut, nil
+		return 0
+	}
+	r.raw = r.raw[n:]
+	return v
+}
+
+func (r *reader) u64() uint64 {
+	if b := r.take(8); len(b) == 8 {
+		return binary.LittleEndian.Uint64(b)
+	}
+	return 0
+}
+
+func (r *reader) count() int          { return int(r.int()) }
+func (r *reader) span() time.Duration { return time.Duration(r.int()) }
+func (r *reader) flag() bool          { return r.byte() != 0 }
+func (r *reader) exact() exact        { return exact(r.u64()) }
+func (r *reader) float() float64      { return r.exact().float() }
+func (r *reader) text() string        { return string(r.take(r.count())) }
+
+// moment is one that may not be stated.
+func (r *reader) moment() time.Duration {
+	if !r.flag() {
+		return 0
+	}
+	return r.now + r.span()
+}
+
+func (r *reader) header() (h header) {
+	if text := r.text(); r.err == nil {
+		r.err = json.Unmarshal([]byte(text), &h)
+	}
+	return h
+}
+
+func (r *reader) route() route {
+	return route{
+		name: r.text(), importance: r.exact(), lateShare: r.exact(), contract: r.span(), outermost: r.span(), window: r.span(),
+		repeats: r.byte(), calls: r.flag(), skipShare: r.exact(), waits: r.span(),
+	}
+}
+
+// request reads one whose moments are told as the difference from those of the round behind it.
+func (r *reader) request() func(now time.Duration) request {
+	since := func() func(now time.Duration) time.Duration {
+		if !r.flag() {
+			return func(time.Duration) time.Duration { return 0 }
+		}
+		by := r.span()
+		return func(now time.Duration) time.Duration { return now + by }
+	}
+	q := request{route: r.count(), heldKB: r.float(), hint: r.span()}
+	arrived, whole, due := since(), since(), since() // the last from the first
+	q.rank, q.tenant, q.caller, q.again = r.float(), r.count(), uint32(r.int()), r.flag()
+	return func(now time.Duration) request {
+		q.arrived, q.whole = arrived(now), whole(now)
+		q.due = due(q.arrived)
+		return q
+	}
+}
+
+func (r *reader) id() int {
+	r.last += r.count()
+	return r.last
+}
+
+func (r *reader) ids() (all []int) {
+	for n := r.count(); n > 0 && r.err == nil; n-- {
+		all = append(all, r.id())
+	}
+	return all
+}
+
+func (r *reader) endings() (all []ending) {
+	for n := r.count(); n > 0 && r.err == nil; n-- {
+		all = append(all, ending{r.id(), r.byte(), r.span()})
+	}
+	return all
+}
+
+func (r *reader) round() (told round) {
+	r.now += r.span()
+	told = round{
+		now: r.now, stopAt: r.moment(), noticed: r.moment(), booted: r.moment(), returned: r.endings(), atCall: r.ids(),
+		ended: r.endings(), gone: r.ids(), arrived: r.ids(),
+	}
+	if r.flag() {
+		told.gauges = []float64{r.float(), r.float(), r.float(), r.float()}
+	}
+	return told
+}
+
+// decisions are those of a round.
+func (r *reader) decisions() (all []decision) {
+	for r.err == nil {
+		d := decision{what: r.byte()}
+		switch d.what {
+		case 'e':
+			return all
+		case 'S', 'P', 'A', 'F', 'K':
+			d.request = r.id()
+		case 'D':
+			d.request, d.span, d.yes, d.reason = r.id(), r.span(), r.flag(), r.count()
+		case 'G':
+			d.request, d.reason = r.id(), r.count()
+		case 'M', 'C':
+			d.request, d.span = r.id(), r.span()
+		case 'H':
+			d.yes, d.yesToo = r.flag(), r.flag()
+		case 'L':
+			d.value = r.exact()
+		case 'I', 'W':
+			d.span = r.span()
+		case 'N':
+			d.words = r.text()
+		default:
+			if r.err == nil {
+				r.err = fmt.Errorf("a decision of the kind %q", d.what)
+			}
+		}
+		all = append(all, d)
+	}
+	return all
+}
+
+func (r *reader) estimate() (e estimate) {
+	if r.flag() {
+		e = estimate{r.exact(), r.exact(), r.exact(), r.span()}
+	}
+	return e
+}
+
+func (r *reader) view() (v view) {
+	v.origin, v.terms = r.u64(), r.u64()
+	for n := r.count(); n > 0 && r.err == nil; n-- {
+		v.routes = append(v.routes, routeView{r.text(), r.estimate(), r.estimate()})
+	}
+	v.pace, v.calls, v.refused, v.returns = r.estimate(), r.estimate(), r.estimate(), r.estimate()
+	return v
+}
+
+func (r *reader) frame() (f frame) {
+	f.terms, f.origin, f.moving = r.u64(), r.u64(), r.flag()
+	for n := r.count(); n > 0 && r.err == nil; n-- {
+		f.names = append(f.names, r.text())
+		f.outermost = append(f.outermost, r.span())
+	}
+	return f
+}
+
+func (r *reader) books() books {
+	return books{r.count(), r.count(), r.count(), r.count(), r.exact(), r.exact(), r.exact(), r.exact()}
+}
