--- a/cmd/quartzpoint-bench/state.go
+++ b/cmd/quartzpoint-bench/state.go
@@ -231,11 +231,11 @@
 	return sum, err
 }
 
-func storeTerms(dir string, commit time.Duration) store.Terms {
+func storeTerms(dir string, commit time.Duration) store.Options {
 	quiet := slog.New(slog.DiscardHandler)
-	return store.Terms{
-		Open: datadir.Opener(dir), Clock: store.SystemClock(), ID: store.DrawID, Most: stateMB << 20, Commit: commit,
-		Numbers: true, Counts: invariant.New(quiet), Log: quiet, Nudge: func() {},
+	return store.Options{
+		OpenDir: datadir.Opener(dir), Clock: store.SystemClock(), NewID: store.RandomID, MaxBytes: stateMB << 20, CommitInterval: commit,
+		PersistKeys: true, Counts: invariant.New(quiet), Log: quiet, OnDurable: func() {},
 	}
 }
 
@@ -258,7 +258,7 @@
 				defer all.Done()
 				for i := 0; time.Now().Before(end); i++ {
 					began := time.Now()
-					for mark := s.Begin(fmt.Sprintf("pay\x00%d-%d", c, i), 1, time.Minute); s.Safe() < mark; {
+					for mark := s.RecordStart(fmt.Sprintf("pay\x00%d-%d", c, i), 1, time.Minute); s.DurableMark() < mark; {
 						time.Sleep(100 * time.Microsecond)
 					}
 					kept.Add(1)
@@ -280,8 +280,8 @@
 		return nil, "", err
 	}
 	for i := range recoverAll {
-		if mark := s.Begin(fmt.Sprintf("pay\x00%d", i), 1, time.Hour); i%1000 == 999 {
-			for s.Safe() < mark {
+		if mark := s.RecordStart(fmt.Sprintf("pay\x00%d", i), 1, time.Hour); i%1000 == 999 {
+			for s.DurableMark() < mark {
 				time.Sleep(100 * time.Microsecond)
 			}
 		}
@@ -298,8 +298,8 @@
 	}
 	took := time.Since(began)
 	s.Close()
-	if len(had.Numbers) != recoverAll {
-		return nil, "", fmt.Errorf("%d of %d entries came back", len(had.Numbers), recoverAll)
+	if len(had.Keys) != recoverAll {
+		return nil, "", fmt.Errorf("%d of %d entries came back", len(had.Keys), recoverAll)
 	}
 	fmt.Fprintf(table, "start with %d entries, %.1f MB: ms\t%.0f\t\t\t\n", recoverAll, float64(size)/(1<<20), float64(took.Milliseconds()))
 	aims = append(aims, aim{"start, s", took.Seconds(), 0, 2}, aim{"bytes on disk", float64(size), 1, stateMB << 20})
@@ -500,29 +500,29 @@
 
 // leftIn is what a folder holds of what was learned.
 func leftIn(dir string) (snapshot estimate.Snapshot, err error) {
-	in, err := datadir.OpenDisk(dir, true)
+	in, err := datadir.Open(dir, true)
 	if err != nil {
 		return snapshot, err
 	}
 	defer in.Close()
-	report, err := store.Inspect(in, recovery.Here{Now: store.SystemClock()()}, stateMB<<20)
+	report, err := store.Inspect(in, recovery.Environment{Now: store.SystemClock()()}, stateMB<<20)
 	if err != nil {
 		return snapshot, err
 	}
-	if report.Learned == nil {
+	if report.Estimates == nil {
 		return snapshot, errors.New("the server before left no view")
 	}
-	return *report.Learned, nil
+	return *report.Estimates, nil
 }
 
 // writeAged makes a folder as a server would have left it so long ago.
 func writeAged(dir string, snapshot estimate.Snapshot, age time.Duration) error {
 	terms := storeTerms(dir, 0)
 	clock := terms.Clock
-	terms.Numbers = false
-	terms.Clock = func() recovery.Moment {
+	terms.PersistKeys = false
+	terms.Clock = func() recovery.Timestamp {
 		now := clock()
-		now.Wall, now.Up = now.Wall-age, now.Up-age
+		now.Wall, now.SinceBoot = now.Wall-age, now.SinceBoot-age
 		return now
 	}
 	s, _, err := store.New(terms)
@@ -532,7 +532,7 @@
 	for i := range snapshot.Routes { // as young as it was left: the time since is the folder's
 		snapshot.Routes[i].Core.Age = min(snapshot.Routes[i].Core.Age, time.Second)
 	}
-	s.View(snapshot)
+	s.SaveEstimates(snapshot)
 	s.Close()
 	return nil
 }
--- a/cmd/quartzpoint/check.go
+++ b/cmd/quartzpoint/check.go
@@ -60,7 +60,7 @@
 // stateFault is what a folder of state could not be opened for. One that is not there yet is made at the start, in a folder
 // that is.
 func stateFault(dir string) error {
-	in, err := datadir.OpenDisk(dir, true)
+	in, err := datadir.Open(dir, true)
 	if err == nil {
 		return in.Close()
 	}
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -28,7 +28,7 @@
 type tableKeeper struct {
 	owner  *server.Server
 	memory int
-	disk   *store.Configurations // nil where nothing is kept
+	disk   *store.ConfigurationStore // nil where nothing is kept
 
 	// The tables that the platform's configuration stated, until those of the service take their place for good.
 	baseRoutes  map[string]admission.Route
@@ -77,16 +77,16 @@
 
 // open reads what was kept, and has it in force before the start.
 func (k *tableKeeper) open(dir string, log *slog.Logger) (*configuration.Document, error) {
-	disk, err := datadir.OpenDisk(dir, false)
+	disk, err := datadir.Open(dir, false)
 	if err != nil {
 		return nil, fmt.Errorf("configuration.dir: %w", err)
 	}
-	kept, had, err := store.OpenConfigurations(disk)
+	kept, had, err := store.OpenConfigurationStore(disk)
 	if err != nil {
 		return nil, fmt.Errorf("configuration.dir: %w", err)
 	}
 	k.disk = kept
-	for _, why := range had.Passed {
+	for _, why := range had.Skipped {
 		log.Warn("configuration: kept file not used", "why", why)
 	}
 	if had.Document == nil {
@@ -97,7 +97,7 @@
 	}
 	k.owner.SetTables(k.change(configuration.Between(configuration.NewDocument(), had.Document)))
 	log.Info("configuration: kept on disk, in force", "version", had.Document.Version,
-		"age", time.Since(had.Written).Round(time.Second), "routes", len(had.Document.Routes), "tenants", len(had.Document.Tenants))
+		"age", time.Since(had.WrittenAt).Round(time.Second), "routes", len(had.Document.Routes), "tenants", len(had.Document.Tenants))
 	return had.Document, nil
 }
 
--- a/cmd/quartzpoint/configuration_test.go
+++ b/cmd/quartzpoint/configuration_test.go
@@ -33,9 +33,9 @@
 // keepDocument leaves a document in a folder, as a server before this one did.
 func keepDocument(t *testing.T, dir string, d *configuration.Document) {
 	t.Helper()
-	disk, err := datadir.OpenDisk(dir, false)
+	disk, err := datadir.Open(dir, false)
 	require.NoError(t, err)
-	kept, _, err := store.OpenConfigurations(disk)
+	kept, _, err := store.OpenConfigurationStore(disk)
 	require.NoError(t, err)
 	require.NoError(t, kept.Replace(d))
 	require.NoError(t, kept.Close())
--- a/cmd/quartzpoint/main.go
+++ b/cmd/quartzpoint/main.go
@@ -31,7 +31,7 @@
 	Peer          peers          `cmd:"" help:"Ask running servers."`
 	Lease         leases         `cmd:"" help:"Ask running servers about duties held by lease."`
 	Dependencies  asking         `cmd:"" help:"Print how a running server's dependencies stand."`
-	State         states         `cmd:"" help:"Read and tidy folders of state."`
+	State         stateCommands  `cmd:"" help:"Read and tidy folders of state."`
 	Configuration configurations `cmd:"" help:"Ask running servers about the configuration service."`
 	Version       version        `cmd:"" help:"Print the version."`
 }
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -35,7 +35,7 @@
 // begin takes the part that is stated: it gives where listen is, and asks where peers are. Both end with the
 // context. What the server learns goes to peers and to kept, which may be nil.
 func begin(
-	ctx context.Context, stated *config.Peers, owner *server.Server, k *keeping, seed int64, counts *invariant.Counts, log *slog.Logger,
+	ctx context.Context, stated *config.Peers, owner *server.Server, k *statePersistence, seed int64, counts *invariant.Counts, log *slog.Logger,
 ) (*exchanging, error) {
 	e := &exchanging{stated: stated}
 	if stated == nil {
@@ -57,7 +57,7 @@
 		log.Info("views given to peers", "listen", stated.Listen, "keys", len(keys))
 	}
 	var warm atomic.Bool
-	k.share = append(k.share, func(snapshot estimate.Snapshot, at time.Duration) {
+	k.publish = append(k.publish, func(snapshot estimate.Snapshot, at time.Duration) {
 		warm.Store(!snapshot.Cold())
 		if e.server != nil {
 			e.server.Publish(snapshot, at)
@@ -65,7 +65,7 @@
 	})
 	if len(stated.Ask) > 0 {
 		asker := &peersync.Client{
-			Peers: stated.Ask, Keys: keys, Total: stated.Total, Schema: k.frame, Stored: k.view, Seed: seed,
+			Peers: stated.Ask, Keys: keys, Total: stated.Total, Schema: k.schema, Stored: k.recovered, Seed: seed,
 			Cold: func() bool { return !warm.Load() }, Take: owner.UsePeerEstimates, Counts: counts, Log: log,
 		}
 		go asker.Run(ctx)
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -98,9 +98,9 @@
 	if err := told.listen(ctx, ours.Control); err != nil {
 		return err
 	}
-	var kept *keeping
+	var kept *statePersistence
 	if ours.State != nil || ours.Peers != nil {
-		if kept, err = keep(ours.State, owner, counts, log); err != nil {
+		if kept, err = openState(ours.State, owner, counts, log); err != nil {
 			return err
 		}
 		defer kept.close()
--- a/internal/datadir/folder.go
+++ b/internal/datadir/folder.go
@@ -14,16 +14,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Folder is a folder of files. Names are single parts of a path. What a method says was done may be lost with the
+// Dir is a folder of files. Names are single parts of a path. What a method says was done may be lost with the
 // power until Sync, of the file for what is in it and of the folder for names.
-type Folder interface {
+type Dir interface {
 	List() ([]Entry, error)
 	Read(name string, most int64) ([]byte, error)
 	Create(name string) (File, error) // that is not there yet
 	Rename(from, to string) error
 	Remove(name string) error
 	Sync() error
-	Free() (bytes int64, err error)
+	FreeBytes() (bytes int64, err error)
 	Close() error
 }
 
@@ -49,18 +49,18 @@
 
 const lockName = "lock"
 
-// Disk is a folder of the system's, locked against other processes until it is closed. All goes by its descriptor and
+// OSDir is a folder of the system's, locked against other processes until it is closed. All goes by its descriptor and
 // follows no symbolic link: whoever may write beside the folder can't lead the server elsewhere.
-type Disk struct {
+type OSDir struct {
 	path string
 	fd   int
 	lock int
 }
 
 // Opener opens a folder of the system's, to write in it or only to read.
-func Opener(path string) func(only bool) (Folder, error) {
-	return func(only bool) (Folder, error) {
-		d, err := OpenDisk(path, only)
+func Opener(path string) func(readOnly bool) (Dir, error) {
+	return func(readOnly bool) (Dir, error) {
+		d, err := Open(path, readOnly)
 		if err != nil {
 			return nil, err // and no nil Disk in an interface
 		}
@@ -68,11 +68,11 @@
 	}
 }
 
-// OpenDisk opens a folder, and makes it, with mode 0700, where only its last part is missing. It is locked unless the
+// Open opens a folder, and makes it, with mode 0700, where only its last part is missing. It is locked unless the
 // caller only reads.
-func OpenDisk(path string, only bool) (*Disk, error) {
-	fail := func(err error) (*Disk, error) { return nil, fmt.Errorf("folder %s: %w", path, err) }
-	if path = filepath.Clean(path); !only {
+func Open(path string, readOnly bool) (*OSDir, error) {
+	fail := func(err error) (*OSDir, error) { return nil, fmt.Errorf("folder %s: %w", path, err) }
+	if path = filepath.Clean(path); !readOnly {
 		if err := unix.Mkdir(path, 0o700); err != nil && err != unix.EEXIST {
 			return fail(err)
 		}
@@ -84,17 +84,17 @@
 		}
 		return fail(err)
 	}
-	d := &Disk{path: path, fd: fd, lock: -1}
+	d := &OSDir{path: path, fd: fd, lock: -1}
 	var about unix.Stat_t
 	if err := unix.Fstat(fd, &about); err != nil {
 		d.Close()
 		return fail(err)
 	}
-	if about.Mode&0o022 != 0 && !only {
+	if about.Mode&0o022 != 0 && !readOnly {
 		d.Close()
 		return fail(fmt.Errorf("mode %04o lets others write to it; 0700 is needed", about.Mode&0o777))
 	}
-	if only {
+	if readOnly {
 		return d, nil
 	}
 	d.lock, err = unix.Openat(fd, lockName, unix.O_RDWR|unix.O_CREAT|unix.O_NOFOLLOW|unix.O_CLOEXEC, 0o600)
@@ -111,7 +111,7 @@
 }
 
 // List implements Folder, as do the methods below it.
-func (d *Disk) List() ([]Entry, error) {
+func (d *OSDir) List() ([]Entry, error) {
 	fd, err := unix.Openat(d.fd, ".", unix.O_RDONLY|unix.O_DIRECTORY|unix.O_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("folder %s: %w", d.path, err)
@@ -127,76 +127,76 @@
 	for _, name := range names {
 		var about unix.Stat_t
 		if err := unix.Fstatat(d.fd, name, &about, unix.AT_SYMLINK_NOFOLLOW); err != nil {
-			return nil, d.wrong(name, err)
+			return nil, d.pathError(name, err)
 		}
 		all = append(all, Entry{name, about.Size, about.Mode&unix.S_IFMT == unix.S_IFREG})
 	}
 	return all, nil
 }
 
-func (d *Disk) wrong(name string, err error) error {
+func (d *OSDir) pathError(name string, err error) error {
 	return &fs.PathError{Op: "state", Path: filepath.Join(d.path, name), Err: err}
 }
 
-func (d *Disk) open(name string, flags int) (*os.File, error) {
+func (d *OSDir) open(name string, flags int) (*os.File, error) {
 	fd, err := unix.Openat(d.fd, name, flags|unix.O_NOFOLLOW|unix.O_CLOEXEC, 0o600)
 	if err != nil {
-		return nil, d.wrong(name, err)
+		return nil, d.pathError(name, err)
 	}
 	return os.NewFile(uintptr(fd), filepath.Join(d.path, name)), nil
 }
 
-func (d *Disk) Read(name string, most int64) ([]byte, error) {
+func (d *OSDir) Read(name string, maxBytes int64) ([]byte, error) {
 	file, err := d.open(name, unix.O_RDONLY|unix.O_NONBLOCK) // a pipe in its place must not hold up the start
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	raw, err := io.ReadAll(io.LimitReader(file, most+1))
+	raw, err := io.ReadAll(io.LimitReader(file, maxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	if int64(len(raw)) > most {
-		return nil, d.wrong(name, ErrTooLarge)
+	if int64(len(raw)) > maxBytes {
+		return nil, d.pathError(name, ErrTooLarge)
 	}
 	return raw, nil
 }
 
-func (d *Disk) Create(name string) (File, error) {
+func (d *OSDir) Create(name string) (File, error) {
 	return d.open(name, unix.O_WRONLY|unix.O_CREAT|unix.O_EXCL)
 }
 
-func (d *Disk) Rename(from, to string) error {
+func (d *OSDir) Rename(from, to string) error {
 	if err := unix.Renameat(d.fd, from, d.fd, to); err != nil {
-		return d.wrong(from, err)
+		return d.pathError(from, err)
 	}
 	return nil
 }
 
-func (d *Disk) Remove(name string) error {
+func (d *OSDir) Remove(name string) error {
 	if err := unix.Unlinkat(d.fd, name, 0); err != nil {
-		return d.wrong(name, err)
+		return d.pathError(name, err)
 	}
 	return nil
 }
 
-func (d *Disk) Sync() error {
+func (d *OSDir) Sync() error {
 	if err := unix.Fsync(d.fd); err != nil {
-		return d.wrong("", err)
+		return d.pathError("", err)
 	}
 	return nil
 }
 
-func (d *Disk) Free() (int64, error) {
+func (d *OSDir) FreeBytes() (int64, error) {
 	var about unix.Statfs_t
 	if err := unix.Fstatfs(d.fd, &about); err != nil {
-		return 0, d.wrong("", err)
+		return 0, d.pathError("", err)
 	}
 	return int64(about.Bavail) * about.Bsize, nil
 }
 
 // Close lets the lock go.
-func (d *Disk) Close() error {
+func (d *OSDir) Close() error {
 	if d.lock >= 0 {
 		_ = unix.Close(d.lock)
 	}
--- a/internal/server/numbers.go
+++ b/internal/server/numbers.go
@@ -19,12 +19,12 @@
 // Ledger keeps the table of numbered tasks where a crash does not reach it. Its methods are called by the owner of
 // decisions and must not wait. What is left of a window is told with each.
 type Ledger interface {
-	// Begin has it kept that a number is about to run; the run waits until Safe has reached the mark.
-	Begin(key string, shape uint64, left time.Duration) (mark uint64)
-	// End has it kept how the run ended. The result must not be changed afterwards.
-	End(key string, shape uint64, left time.Duration, honoured bool, result []byte)
-	// Safe is the mark up to which all is kept, or can't be for now: what waits for it goes on. Nudge tells of a change.
-	Safe() uint64
+	// RecordStart has it kept that a number is about to run; the run waits until DurableMark has reached the mark.
+	RecordStart(key string, shape uint64, left time.Duration) (mark uint64)
+	// RecordEnd has it kept how the run ended. The result must not be changed afterwards.
+	RecordEnd(key string, shape uint64, left time.Duration, honoured bool, result []byte)
+	// DurableMark is the mark up to which all is kept, or can't be for now: what waits for it goes on. Nudge tells of a change.
+	DurableMark() uint64
 }
 
 // KeyRecord is a number of a server before this one. One that is not honoured has begun, and its end is not known: repeats
@@ -64,7 +64,7 @@
 		return
 	}
 	request.ledgered, request.awaitsLedger, request.paused = true, true, false
-	request.ledgerMark = s.ledger.Begin(n.key, n.shape, n.until-s.round.Now)
+	request.ledgerMark = s.ledger.RecordStart(n.key, n.shape, n.until-s.round.Now)
 	s.entering = append(s.entering, request)
 }
 
@@ -73,7 +73,7 @@
 	if len(s.entering) == 0 {
 		return
 	}
-	safe := s.ledger.Safe()
+	safe := s.ledger.DurableMark()
 	left := s.entering[:0]
 	for _, request := range s.entering {
 		switch {
@@ -203,7 +203,7 @@
 	s.resultBytes += len(a.Result)
 	n.settled, n.answer = true, a
 	if s.ledger != nil {
-		s.ledger.End(n.key, n.shape, n.until-s.Now(), a.Verdict == Served, a.Result)
+		s.ledger.RecordEnd(n.key, n.shape, n.until-s.Now(), a.Verdict == Served, a.Result)
 	}
 	s.answerWaiting(n)
 }
--- a/internal/store/book.go
+++ b/internal/store/book.go
@@ -14,127 +14,127 @@
 
 // The names of files are their content and their place, so that their order is known before they are read.
 const (
-	viewName  = "view-"
-	tableName = "table-"
-	logName   = "log-"
-	asideName = "aside-"
-	tempName  = "temp-"
+	estimatesPrefix  = "view-"
+	tablePrefix      = "table-"
+	logPrefix        = "log-"
+	quarantinePrefix = "aside-"
+	temporaryPrefix  = "temp-"
 )
 
 const (
-	mostFiles  = 256 // of ours in a folder; past it something is wrong with it
-	mostAside  = 8   // files that are kept aside; past it the oldest go
-	keepTables = 2   // and the records behind the older one: a snapshot that rots is not the only one
-	keepViews  = 2
-	leastFree  = 4 << 20 // bytes left on the disk, beside what is to be written
-	parts      = 8       // of the folder's bound: a table, and the records since the last, take one each
-	segments   = 4       // that the records since the last table are in
+	maxFiles          = 256 // of ours in a folder; past it something is wrong with it
+	maxQuarantined    = 8   // files that are kept aside; past it the oldest go
+	retainedTables    = 2   // and the records behind the older one: a snapshot that rots is not the only one
+	retainedEstimates = 2
+	minFreeBytes      = 4 << 20 // bytes left on the disk, beside what is to be written
+	sizeParts         = 8       // of the folder's bound: a table, and the records since the last, take one each
+	segmentsPerTable  = 4       // that the records since the last table are in
 )
 
 var (
-	errFull   = errors.New("no space left on the disk, or too little")
-	errBehind = errors.New("more to be written than the disk takes")
+	errDiskFull     = errors.New("no space left on the disk, or too little")
+	errWriterBehind = errors.New("more to be written than the disk takes")
 )
 
-// book is what is being written to a folder. Its methods are for one goroutine; the jobs that it gives may run beside
+// writer is what is being written to a folder. Its methods are for one goroutine; the jobs that it gives may run beside
 // them, one at a time.
-type book struct {
-	folder  datadir.Folder
-	clock   func() recovery.Moment
-	id      func() uint64 // draws one for a file
-	site    string
-	most    int64 // bytes of all
-	numbers bool
+type writer struct {
+	dir         datadir.Dir
+	clock       func() recovery.Timestamp
+	newID       func() uint64 // draws one for a file
+	site        string
+	maxBytes    int64 // bytes of all
+	persistKeys bool
 
-	table    *recovery.Table
-	log      datadir.File
-	head     recovery.Header
-	next     uint64 // sequence of the next record
-	nextView uint64
-	pending  []byte // frames to be written
-	segment  int64  // bytes of the log
-	since    int64  // bytes of all logs since the last table
+	keys            *recovery.KeyTable
+	log             datadir.File
+	logHeader       recovery.Header
+	nextSequence    uint64 // sequence of the next record
+	nextEstimates   uint64
+	pending         []byte // frames to be written
+	segmentBytes    int64  // bytes of the log
+	bytesSinceTable int64  // bytes of all logs since the last table
 }
 
-func nameOf(prefix string, place uint64) string { return fmt.Sprintf("%s%016x", prefix, place) }
+func fileName(prefix string, place uint64) string { return fmt.Sprintf("%s%016x", prefix, place) }
 
-// placeOf tells a name's place; false for what is not of that content.
-func placeOf(prefix, name string) (place uint64, is bool) {
+// parseFileName tells a name's place; false for what is not of that content.
+func parseFileName(prefix, name string) (place uint64, is bool) {
 	rest, is := strings.CutPrefix(name, prefix)
 	if !is || len(rest) < 16 {
 		return 0, false
 	}
 	n, err := fmt.Sscanf(rest[:16], "%x", &place)
-	return place, n == 1 && err == nil && (prefix == asideName || len(rest) == 16)
+	return place, n == 1 && err == nil && (prefix == quarantinePrefix || len(rest) == 16)
 }
 
-// look reads all files of a folder that can hold state.
-func look(in datadir.Folder, most int64, numbers bool) (found []recovery.Found, err error) {
+// readFiles reads all files of a folder that can hold state.
+func readFiles(in datadir.Dir, most int64, numbers bool) (found []recovery.File, err error) {
 	entries, err := in.List()
 	if err != nil {
 		return nil, err
 	}
 	for _, e := range entries {
-		_, view := placeOf(viewName, e.Name)
-		_, table := placeOf(tableName, e.Name)
-		_, log := placeOf(logName, e.Name)
+		_, view := parseFileName(estimatesPrefix, e.Name)
+		_, table := parseFileName(tablePrefix, e.Name)
+		_, log := parseFileName(logPrefix, e.Name)
 		if !view && !(numbers && (table || log)) {
 			continue
 		}
-		if len(found) == mostFiles {
-			return nil, fmt.Errorf("over %d files of state", mostFiles)
+		if len(found) == maxFiles {
+			return nil, fmt.Errorf("over %d files of state", maxFiles)
 		}
 		if !e.Regular {
-			found = append(found, recovery.Found{Name: e.Name, Why: "no regular file"})
+			found = append(found, recovery.File{Name: e.Name, Why: "no regular file"})
 			continue
 		}
 		raw, err := in.Read(e.Name, most)
 		if errors.Is(err, datadir.ErrTooLarge) {
-			found = append(found, recovery.Found{Name: e.Name, Why: err.Error()})
+			found = append(found, recovery.File{Name: e.Name, Why: err.Error()})
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		found = append(found, read(e.Name, raw))
+		found = append(found, parseFile(e.Name, raw))
 	}
 	return found, nil
 }
 
-// read decides what of a folder is used. It changes nothing.
-func (b *book) read(here recovery.Here) (recovery.Plan, error) {
-	found, err := look(b.folder, b.most, b.numbers)
+// plan decides what of a folder is used. It changes nothing.
+func (w *writer) plan(here recovery.Environment) (recovery.Plan, error) {
+	found, err := readFiles(w.dir, w.maxBytes, w.persistKeys)
 	if err != nil {
-		return recovery.Plan{Table: recovery.NewTable()}, err
+		return recovery.Plan{Keys: recovery.NewKeyTable()}, err
 	}
-	return recovery.Decide(found, here), nil
+	return recovery.NewPlan(found, here), nil
 }
 
-// begin carries out a plan: what is not used is put aside, the table stands in a fresh snapshot, and a log begins behind
+// apply carries out a plan: what is not used is put aside, the table stands in a fresh snapshot, and a log begins behind
 // it. Nothing is removed before that is safe.
-func (b *book) begin(plan recovery.Plan, table *recovery.Table) error {
-	b.table, b.next, b.nextView = table, plan.Next, plan.NextView
-	if err := b.putAside(plan.Aside); err != nil {
+func (w *writer) apply(plan recovery.Plan, table *recovery.KeyTable) error {
+	w.keys, w.nextSequence, w.nextEstimates = table, plan.NextSequence, plan.NextEstimates
+	if err := w.quarantine(plan.Quarantine); err != nil {
 		return err
 	}
-	if err := b.clean(); err != nil || !b.numbers {
+	if err := w.removeTemporary(); err != nil || !w.persistKeys {
 		return err
 	}
-	if err := b.newTable()(); err != nil {
+	if err := w.keyTableJob()(); err != nil {
 		return err
 	}
-	return b.rotate()
+	return w.rotateLog()
 }
 
-// clean removes what a crash left half made.
-func (b *book) clean() error {
-	entries, err := b.folder.List()
+// removeTemporary removes what a crash left half made.
+func (w *writer) removeTemporary() error {
+	entries, err := w.dir.List()
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name, tempName) && e.Regular {
-			if err := b.folder.Remove(e.Name); err != nil {
+		if strings.HasPrefix(e.Name, temporaryPrefix) && e.Regular {
+			if err := w.dir.Remove(e.Name); err != nil {
 				return err
 			}
 		}
@@ -142,63 +142,63 @@
 	return nil
 }
 
-// putAside keeps what was not used under a name that nothing reads.
-func (b *book) putAside(all []recovery.Aside) error {
+// quarantine keeps what was not used under a name that nothing reads.
+func (w *writer) quarantine(all []recovery.Quarantined) error {
 	if len(all) == 0 {
 		return nil
 	}
-	entries, err := b.folder.List()
+	entries, err := w.dir.List()
 	if err != nil {
 		return err
 	}
 	next, size := uint64(1), map[string]int64{}
 	for _, e := range entries {
 		size[e.Name] = e.Size
-		if place, is := placeOf(asideName, e.Name); is {
+		if place, is := parseFileName(quarantinePrefix, e.Name); is {
 			next = max(next, place+1)
 		}
 	}
 	for _, a := range all {
-		to := fmt.Sprintf("%s-%s", nameOf(asideName, next), a.Name)
+		to := fmt.Sprintf("%s-%s", fileName(quarantinePrefix, next), a.Name)
 		next++
 		switch {
-		case a.From > 0: // the whole part is still needed until it stands in a snapshot
-			raw, err := b.folder.Read(a.Name, b.most)
+		case a.FromByte > 0: // the whole part is still needed until it stands in a snapshot
+			raw, err := w.dir.Read(a.Name, w.maxBytes)
 			if err != nil {
 				return err
 			}
-			if err := b.write(to, raw[min(a.From, int64(len(raw))):]); err != nil {
+			if err := w.createFile(to, raw[min(a.FromByte, int64(len(raw))):]); err != nil {
 				return err
 			}
 		case size[a.Name] == 0:
-			if err := b.folder.Remove(a.Name); err != nil { // made, and then the power went
+			if err := w.dir.Remove(a.Name); err != nil { // made, and then the power went
 				return err
 			}
 		default:
-			if err := b.folder.Rename(a.Name, to); err != nil {
+			if err := w.dir.Rename(a.Name, to); err != nil {
 				return err
 			}
 		}
 	}
-	return errors.Join(b.folder.Sync(), b.trimAside())
+	return errors.Join(w.dir.Sync(), w.trimQuarantine())
 }
 
-// trimAside keeps what is aside within a bound.
-func (b *book) trimAside() error {
-	entries, err := b.folder.List()
+// trimQuarantine keeps what is aside within a bound.
+func (w *writer) trimQuarantine() error {
+	entries, err := w.dir.List()
 	if err != nil {
 		return err
 	}
 	var aside []datadir.Entry
 	bytes := int64(0)
 	for _, e := range entries {
-		if _, is := placeOf(asideName, e.Name); is {
+		if _, is := parseFileName(quarantinePrefix, e.Name); is {
 			aside = append(aside, e)
 			bytes += e.Size
 		}
 	}
-	for len(aside) > mostAside || bytes > b.most/parts && len(aside) > 1 {
-		if err := b.folder.Remove(aside[0].Name); err != nil {
+	for len(aside) > maxQuarantined || bytes > w.maxBytes/sizeParts && len(aside) > 1 {
+		if err := w.dir.Remove(aside[0].Name); err != nil {
 			return err
 		}
 		bytes -= aside[0].Size
@@ -207,16 +207,16 @@
 	return nil
 }
 
-// write makes a file whole, and durable but for its name.
-func (b *book) write(name string, raw []byte) error {
-	free, err := b.folder.Free()
+// createFile makes a file whole, and durable but for its name.
+func (w *writer) createFile(name string, raw []byte) error {
+	free, err := w.dir.FreeBytes()
 	if err != nil {
 		return err
 	}
-	if free < int64(len(raw))+leastFree {
-		return errFull
+	if free < int64(len(raw))+minFreeBytes {
+		return errDiskFull
 	}
-	file, err := b.folder.Create(name)
+	file, err := w.dir.Create(name)
 	if err != nil {
 		return err
 	}
@@ -227,77 +227,77 @@
 	return errors.Join(err, file.Close())
 }
 
-// place has a file stand under its name, whole, or not at all.
-func (b *book) place(name string, raw []byte) error {
-	temp := tempName + name
-	if err := b.write(temp, raw); err != nil {
-		_ = b.folder.Remove(temp) // the disk may be full of it
+// replaceFile has a file stand under its name, whole, or not at all.
+func (w *writer) replaceFile(name string, raw []byte) error {
+	temp := temporaryPrefix + name
+	if err := w.createFile(temp, raw); err != nil {
+		_ = w.dir.Remove(temp) // the disk may be full of it
 		return err
 	}
-	if err := b.folder.Rename(temp, name); err != nil {
+	if err := w.dir.Rename(temp, name); err != nil {
 		return err
 	}
-	return b.folder.Sync()
+	return w.dir.Sync()
 }
 
-func (b *book) header(content recovery.Content, place uint64) recovery.Header {
+func (w *writer) header(content recovery.ContentType, place uint64) recovery.Header {
 	return recovery.Header{
-		Version: recovery.Version, Content: content, Site: b.site, At: b.clock(), ID: b.id(), Place: place,
+		Version: recovery.FormatVersion, Content: content, Site: w.site, CreatedAt: w.clock(), ID: w.newID(), Sequence: place,
 	}
 }
 
-// newView is the job of writing a snapshot of what was learned.
-func (b *book) newView(snapshot estimate.Snapshot) func() error {
-	h := b.header(recovery.ViewFile, b.nextView)
-	h.Terms = snapshot.SettingsDigest
-	b.nextView++
+// estimatesJob is the job of writing a snapshot of what was learned.
+func (w *writer) estimatesJob(snapshot estimate.Snapshot) func() error {
+	h := w.header(recovery.EstimatesFile, w.nextEstimates)
+	h.SettingsDigest = snapshot.SettingsDigest
+	w.nextEstimates++
 	return func() error {
 		raw := appendFrame(nil, 0, 0, h)
 		raw = appendFrame(raw, h.ID, 1, snapshot.Published())
-		raw = appendFrame(raw, h.ID, 2, end{1})
-		if err := b.place(nameOf(viewName, h.Place), raw); err != nil {
+		raw = appendFrame(raw, h.ID, 2, trailer{1})
+		if err := w.replaceFile(fileName(estimatesPrefix, h.Sequence), raw); err != nil {
 			return err
 		}
-		return b.keepNewest(viewName, keepViews)
+		return w.keepNewest(estimatesPrefix, retainedEstimates)
 	}
 }
 
-// newTable is the job of writing a snapshot of the table. What was written before it is then no longer needed, but for
+// keyTableJob is the job of writing a snapshot of the table. What was written before it is then no longer needed, but for
 // one generation.
-func (b *book) newTable() func() error {
-	h := b.header(recovery.TableFile, b.next-1)
-	b.table.Expire(h.At.Up)
-	all := b.table.All()
-	b.since = b.segment
+func (w *writer) keyTableJob() func() error {
+	h := w.header(recovery.KeyTableFile, w.nextSequence-1)
+	w.keys.Expire(h.CreatedAt.SinceBoot)
+	all := w.keys.Entries()
+	w.bytesSinceTable = w.segmentBytes
 	return func() error {
 		raw := appendFrame(nil, 0, 0, h)
 		for i, n := range all {
-			raw = appendFrame(raw, h.ID, uint64(i)+1, recordOf(n, h.At.Up, h.At.Up))
+			raw = appendFrame(raw, h.ID, uint64(i)+1, newRecord(n, h.CreatedAt.SinceBoot, h.CreatedAt.SinceBoot))
 		}
-		raw = appendFrame(raw, h.ID, uint64(len(all))+1, end{uint64(len(all))})
-		if err := b.place(nameOf(tableName, h.Place), raw); err != nil {
+		raw = appendFrame(raw, h.ID, uint64(len(all))+1, trailer{uint64(len(all))})
+		if err := w.replaceFile(fileName(tablePrefix, h.Sequence), raw); err != nil {
 			return err
 		}
-		return b.prune()
+		return w.prune()
 	}
 }
 
-func recordOf(n recovery.Number, now, began time.Duration) recovery.Record {
-	r := recovery.Record{Kind: recovery.Begun, Key: n.Key, Shape: n.Shape, At: now - began, Left: max(n.Until-now, 0)}
-	if n.Honoured {
-		r.Kind, r.Honoured, r.Result = recovery.Ended, true, n.Result
+func newRecord(n recovery.KeyEntry, now, began time.Duration) recovery.Record {
+	r := recovery.Record{Kind: recovery.KeyStarted, Key: n.Key, Shape: n.Shape, Elapsed: now - began, Remaining: max(n.ExpiresAt-now, 0)}
+	if n.Served {
+		r.Kind, r.Served, r.Result = recovery.KeyFinished, true, n.Result
 	}
 	return r
 }
 
-func (b *book) keepNewest(prefix string, keep int) error {
-	entries, err := b.folder.List()
+func (w *writer) keepNewest(prefix string, keep int) error {
+	entries, err := w.dir.List()
 	if err != nil {
 		return err
 	}
-	names := ours(entries, prefix)
+	names := sortedFiles(entries, prefix)
 	for len(names) > keep {
-		if err := b.folder.Remove(names[0]); err != nil {
+		if err := w.dir.Remove(names[0]); err != nil {
 			return err
 		}
 		names = names[1:]
@@ -305,10 +305,10 @@
 	return nil
 }
 
-// ours are the names of one content, in order of place.
-func ours(entries []datadir.Entry, prefix string) (names []string) {
+// sortedFiles are the names of one content, in order of place.
+func sortedFiles(entries []datadir.Entry, prefix string) (names []string) {
 	for _, e := range entries {
-		if _, is := placeOf(prefix, e.Name); is && e.Regular {
+		if _, is := parseFileName(prefix, e.Name); is && e.Regular {
 			names = append(names, e.Name)
 		}
 	}
@@ -317,118 +317,118 @@
 }
 
 // prune removes the tables but the newest, and the logs of which all records are in the oldest that is left.
-func (b *book) prune() error {
-	if err := b.keepNewest(tableName, keepTables); err != nil {
+func (w *writer) prune() error {
+	if err := w.keepNewest(tablePrefix, retainedTables); err != nil {
 		return err
 	}
-	entries, err := b.folder.List()
+	entries, err := w.dir.List()
 	if err != nil {
 		return err
 	}
-	tables, logs := ours(entries, tableName), ours(entries, logName)
-	if len(tables) < keepTables {
+	tables, logs := sortedFiles(entries, tablePrefix), sortedFiles(entries, logPrefix)
+	if len(tables) < retainedTables {
 		return nil
 	}
-	covered, _ := placeOf(tableName, tables[0])
+	covered, _ := parseFileName(tablePrefix, tables[0])
 	for i := 0; i+1 < len(logs); i++ {
-		if behind, _ := placeOf(logName, logs[i+1]); behind > covered+1 {
+		if behind, _ := parseFileName(logPrefix, logs[i+1]); behind > covered+1 {
 			break
 		}
-		if err := b.folder.Remove(logs[i]); err != nil {
+		if err := w.dir.Remove(logs[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// rotate begins a new log. Its name is durable before a record of it counts as kept.
-func (b *book) rotate() error {
-	if b.log != nil {
-		if err := b.log.Close(); err != nil {
+// rotateLog begins a new log. Its name is durable before a record of it counts as kept.
+func (w *writer) rotateLog() error {
+	if w.log != nil {
+		if err := w.log.Close(); err != nil {
 			return err
 		}
-		b.log = nil
+		w.log = nil
 	}
-	name := nameOf(logName, b.next)
-	entries, err := b.folder.List()
+	name := fileName(logPrefix, w.nextSequence)
+	entries, err := w.dir.List()
 	if err != nil {
 		return err
 	}
-	if slices.Contains(ours(entries, logName), name) {
-		if err := b.folder.Remove(name); err != nil { // no record of it is whole, else the next would be another
+	if slices.Contains(sortedFiles(entries, logPrefix), name) {
+		if err := w.dir.Remove(name); err != nil { // no record of it is whole, else the next would be another
 			return err
 		}
 	}
-	free, err := b.folder.Free()
+	free, err := w.dir.FreeBytes()
 	if err != nil {
 		return err
 	}
-	if free < b.most/parts/segments+leastFree {
-		return errFull
+	if free < w.maxBytes/sizeParts/segmentsPerTable+minFreeBytes {
+		return errDiskFull
 	}
-	b.head = b.header(recovery.LogFile, b.next)
-	if b.log, err = b.folder.Create(name); err != nil {
+	w.logHeader = w.header(recovery.KeyLogFile, w.nextSequence)
+	if w.log, err = w.dir.Create(name); err != nil {
 		return err
 	}
-	raw := appendFrame(nil, 0, 0, b.head)
-	if _, err := b.log.Write(raw); err != nil {
+	raw := appendFrame(nil, 0, 0, w.logHeader)
+	if _, err := w.log.Write(raw); err != nil {
 		return err
 	}
-	if err := b.log.Sync(); err != nil {
+	if err := w.log.Sync(); err != nil {
 		return err
 	}
-	b.segment = int64(len(raw))
-	b.since += b.segment
-	return b.folder.Sync()
+	w.segmentBytes = int64(len(raw))
+	w.bytesSinceTable += w.segmentBytes
+	return w.dir.Sync()
 }
 
-// put adds a record to the table, and to what the next commit writes.
-func (b *book) put(n recovery.Number, ended bool, now time.Duration) {
-	b.table.Put(n)
-	r := recordOf(n, now, b.head.At.Up)
+// appendRecord adds a record to the table, and to what the next commit writes.
+func (w *writer) appendRecord(n recovery.KeyEntry, ended bool, now time.Duration) {
+	w.keys.Put(n)
+	r := newRecord(n, now, w.logHeader.CreatedAt.SinceBoot)
 	if ended {
-		r.Kind = recovery.Ended
+		r.Kind = recovery.KeyFinished
 	}
-	b.pending = appendFrame(b.pending, b.head.ID, b.next, r)
-	b.next++
+	w.pending = appendFrame(w.pending, w.logHeader.ID, w.nextSequence, r)
+	w.nextSequence++
 }
 
 // commit makes what was put durable.
-func (b *book) commit() error {
-	raw := b.pending
-	b.pending = b.pending[:0]
+func (w *writer) commit() error {
+	raw := w.pending
+	w.pending = w.pending[:0]
 	if len(raw) == 0 {
 		return nil
 	}
-	if b.since+int64(len(raw)) > 2*b.most/parts {
-		return errBehind
+	if w.bytesSinceTable+int64(len(raw)) > 2*w.maxBytes/sizeParts {
+		return errWriterBehind
 	}
-	if _, err := b.log.Write(raw); err != nil {
+	if _, err := w.log.Write(raw); err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	if err := b.log.Sync(); err != nil {
+	if err := w.log.Sync(); err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	b.segment += int64(len(raw))
-	b.since += int64(len(raw))
-	if cap(b.pending) > 1<<20 {
-		b.pending = nil // a burst's
+	w.segmentBytes += int64(len(raw))
+	w.bytesSinceTable += int64(len(raw))
+	if cap(w.pending) > 1<<20 {
+		w.pending = nil // a burst's
 	}
-	if b.segment > b.most/parts/segments {
-		return b.rotate()
+	if w.segmentBytes > w.maxBytes/sizeParts/segmentsPerTable {
+		return w.rotateLog()
 	}
 	return nil
 }
 
-// wantsTable tells that the records since the last table have become many.
-func (b *book) wantsTable() bool { return b.since > b.most/parts }
+// needsKeyTable tells that the records since the last table have become many.
+func (w *writer) needsKeyTable() bool { return w.bytesSinceTable > w.maxBytes/sizeParts }
 
 // close lets the folder go.
-func (b *book) close() error {
+func (w *writer) close() error {
 	var err error
-	if b.log != nil {
-		err = b.log.Close()
-		b.log = nil
+	if w.log != nil {
+		err = w.log.Close()
+		w.log = nil
 	}
-	return errors.Join(err, b.folder.Close())
+	return errors.Join(err, w.dir.Close())
 }
--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -15,27 +15,27 @@
 
 // SystemClock reads the clocks of this machine, and finds its mark and the boot's. Where these can't be read they are
 // unknown, and recovery takes what it finds for as old as may be.
-func SystemClock() func() recovery.Moment {
+func SystemClock() func() recovery.Timestamp {
 	boot, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
-	here := recovery.Moment{Boot: strings.TrimSpace(string(boot))}
+	here := recovery.Timestamp{BootID: strings.TrimSpace(string(boot))}
 	if id, err := os.ReadFile("/etc/machine-id"); err == nil && len(id) > 0 {
-		here.Machine = xxhash.Sum64(id)
+		here.MachineID = xxhash.Sum64(id)
 	} else if name, err := os.Hostname(); err == nil {
-		here.Machine = xxhash.Sum64String(name)
+		here.MachineID = xxhash.Sum64String(name)
 	}
-	return func() recovery.Moment {
+	return func() recovery.Timestamp {
 		now := here
 		now.Wall = time.Duration(time.Now().UnixNano())
 		var up unix.Timespec
 		if unix.ClockGettime(unix.CLOCK_BOOTTIME, &up) == nil {
-			now.Up = time.Duration(up.Nano())
+			now.SinceBoot = time.Duration(up.Nano())
 		}
 		return now
 	}
 }
 
-// DrawID draws an id for a file.
-func DrawID() uint64 {
+// RandomID draws an id for a file.
+func RandomID() uint64 {
 	var id [8]byte
 	_, _ = rand.Read(id[:]) // never fails
 	return binary.LittleEndian.Uint64(id[:])
--- a/internal/store/configuration.go
+++ b/internal/store/configuration.go
@@ -10,25 +10,25 @@
 	"quartzpoint/internal/datadir"
 )
 
-// Configurations keeps the configuration in force: files of a whole document with the deltas behind it. A new file is
+// ConfigurationStore keeps the configuration in force: files of a whole document with the deltas behind it. A new file is
 // begun at a start and once the deltas are more than the document; what a crash leaves of a file is used up to the last
 // item that is whole.
-type Configurations struct {
-	folder datadir.Folder
-	file   datadir.File // the deltas go on here; nil before the first Replace
-	id     uint64
-	place  uint64
-	seq    uint64
-	whole  int // bytes of the document in the file
-	deltas int // bytes of the deltas behind it
+type ConfigurationStore struct {
+	dir           datadir.Dir
+	file          datadir.File // the deltas go on here; nil before the first Replace
+	id            uint64
+	fileNumber    uint64
+	sequence      uint64
+	documentBytes int // bytes of the document in the file
+	deltaBytes    int // bytes of the deltas behind it
 }
 
 const (
-	configurationName  = "configuration-"
-	configurationKind  = 0xC0 // of the header, which no other file of the package has
-	chunkSize          = 128 << 10
-	leastDeltas        = 256 << 10 // bytes of deltas that are always kept behind a document
-	maxConfigurationMB = 128
+	configurationPrefix   = "configuration-"
+	configurationKind     = 0xC0 // of the header, which no other file of the package has
+	chunkBytes            = 128 << 10
+	minRetainedDeltaBytes = 256 << 10 // bytes of deltas that are always kept behind a document
+	maxConfigurationMB    = 128
 )
 
 // configurationHeader opens a file.
@@ -37,44 +37,44 @@
 	ID   uint64 `cbor:"2,keyasint"`
 }
 
-// chunk is a part of a document or delta.
-type chunk struct {
-	At    int64  `cbor:"1,keyasint"` // when it was written, in Unix milliseconds
-	Delta bool   `cbor:"2,keyasint,omitempty"`
-	Last  bool   `cbor:"3,keyasint,omitempty"`
-	Bytes []byte `cbor:"4,keyasint"`
+// configurationChunk is a part of a document or delta.
+type configurationChunk struct {
+	WrittenAtMillis int64  `cbor:"1,keyasint"` // when it was written, in Unix milliseconds
+	Delta           bool   `cbor:"2,keyasint,omitempty"`
+	Last            bool   `cbor:"3,keyasint,omitempty"`
+	Bytes           []byte `cbor:"4,keyasint"`
 }
 
-// Kept is what a start finds.
-type Kept struct {
-	Document *configuration.Document // nil for nothing of use
-	Written  time.Time               // when the last of it was
-	Passed   []string                // files of which nothing is used
+// RecoveredConfiguration is what a start finds.
+type RecoveredConfiguration struct {
+	Document  *configuration.Document // nil for nothing of use
+	WrittenAt time.Time               // when the last of it was
+	Skipped   []string                // files of which nothing is used
 }
 
-// OpenConfigurations reads what the folder keeps, the newest file that is of any use.
-func OpenConfigurations(in datadir.Folder) (*Configurations, Kept, error) {
+// OpenConfigurationStore reads what the folder keeps, the newest file that is of any use.
+func OpenConfigurationStore(in datadir.Dir) (*ConfigurationStore, RecoveredConfiguration, error) {
 	entries, err := in.List()
 	if err != nil {
-		return nil, Kept{}, fmt.Errorf("configuration: %w", err)
+		return nil, RecoveredConfiguration{}, fmt.Errorf("configuration: %w", err)
 	}
-	names := ours(entries, configurationName)
+	names := sortedFiles(entries, configurationPrefix)
 	slices.Sort(names)
 	slices.Reverse(names)
-	c, kept := &Configurations{folder: in, id: DrawID()}, Kept{}
+	c, kept := &ConfigurationStore{dir: in, id: RandomID()}, RecoveredConfiguration{}
 	for _, name := range names {
-		if place, is := placeOf(configurationName, name); is {
-			c.place = max(c.place, place)
+		if place, is := parseFileName(configurationPrefix, name); is {
+			c.fileNumber = max(c.fileNumber, place)
 		}
 		if kept.Document != nil {
 			continue
 		}
 		raw, err := in.Read(name, maxConfigurationMB<<20)
 		if err == nil {
-			kept.Document, kept.Written, err = readConfiguration(raw)
+			kept.Document, kept.WrittenAt, err = readConfiguration(raw)
 		}
 		if err != nil {
-			kept.Passed = append(kept.Passed, fmt.Sprintf("%s: %v", name, err))
+			kept.Skipped = append(kept.Skipped, fmt.Sprintf("%s: %v", name, err))
 		}
 	}
 	return c, kept, nil
@@ -84,25 +84,25 @@
 
 // readConfiguration takes what is whole of a file.
 func readConfiguration(raw []byte) (d *configuration.Document, written time.Time, err error) {
-	seq, payload, rest, ok := cut(raw, 0)
+	seq, payload, rest, ok := readFrame(raw, 0)
 	var header configurationHeader
 	if !ok || seq != 0 || decoding.Unmarshal(payload, &header) != nil || header.Kind != configurationKind {
 		return nil, written, errNoHeader
 	}
 	var item []byte
 	for next := uint64(1); ; next++ {
-		seq, payload, rest, ok = cut(rest, header.ID)
-		var part chunk
+		seq, payload, rest, ok = readFrame(rest, header.ID)
+		var part configurationChunk
 		if !ok || seq != next || decoding.Unmarshal(payload, &part) != nil {
 			break
 		}
 		if item = append(item, part.Bytes...); !part.Last {
 			continue
 		}
-		if d, err = takeItem(d, item, part.Delta); err != nil {
+		if d, err = applyItem(d, item, part.Delta); err != nil {
 			break
 		}
-		written, item = time.UnixMilli(part.At), nil
+		written, item = time.UnixMilli(part.WrittenAtMillis), nil
 	}
 	if d == nil {
 		return nil, written, errors.Join(errNoDocument, err)
@@ -110,8 +110,8 @@
 	return d, written, nil
 }
 
-// takeItem puts a document, or a delta on the one before it. A delta that does not fit leaves that as it is.
-func takeItem(d *configuration.Document, item []byte, isDelta bool) (*configuration.Document, error) {
+// applyItem puts a document, or a delta on the one before it. A delta that does not fit leaves that as it is.
+func applyItem(d *configuration.Document, item []byte, isDelta bool) (*configuration.Document, error) {
 	if !isDelta {
 		whole, err := configuration.ReadSnapshot(item)
 		if err != nil {
@@ -130,48 +130,48 @@
 }
 
 // Replace begins a file with a document, and removes those before it.
-func (c *Configurations) Replace(d *configuration.Document) error {
-	c.place++
-	name, whole := nameOf(configurationName, c.place), d.Snapshot()
+func (c *ConfigurationStore) Replace(d *configuration.Document) error {
+	c.fileNumber++
+	name, whole := fileName(configurationPrefix, c.fileNumber), d.Snapshot()
 	raw := appendFrame(nil, 0, 0, configurationHeader{configurationKind, c.id})
-	c.seq = 0
+	c.sequence = 0
 	raw = c.appendItem(raw, whole, false)
-	file, err := c.folder.Create(name)
+	file, err := c.dir.Create(name)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	_, err = file.Write(raw)
-	if err = errors.Join(err, file.Sync(), c.folder.Sync()); err != nil {
+	if err = errors.Join(err, file.Sync(), c.dir.Sync()); err != nil {
 		return errors.Join(fmt.Errorf("configuration: %w", err), file.Close())
 	}
 	if c.file != nil {
 		err = c.file.Close()
 	}
-	c.file, c.whole, c.deltas = file, len(raw), 0
+	c.file, c.documentBytes, c.deltaBytes = file, len(raw), 0
 	return errors.Join(err, c.prune(name))
 }
 
 // prune removes all files but one.
-func (c *Configurations) prune(keep string) error {
-	entries, err := c.folder.List()
+func (c *ConfigurationStore) prune(keep string) error {
+	entries, err := c.dir.List()
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	for _, name := range ours(entries, configurationName) {
+	for _, name := range sortedFiles(entries, configurationPrefix) {
 		if name != keep {
-			err = errors.Join(err, c.folder.Remove(name))
+			err = errors.Join(err, c.dir.Remove(name))
 		}
 	}
-	return errors.Join(err, c.folder.Sync())
+	return errors.Join(err, c.dir.Sync())
 }
 
 // appendItem adds the frames of a document or delta.
-func (c *Configurations) appendItem(raw, item []byte, isDelta bool) []byte {
+func (c *ConfigurationStore) appendItem(raw, item []byte, isDelta bool) []byte {
 	now := time.Now().UnixMilli()
 	for {
-		size := min(len(item), chunkSize)
-		c.seq++
-		raw = appendFrame(raw, c.id, c.seq, chunk{At: now, Delta: isDelta, Last: size == len(item), Bytes: item[:size]})
+		size := min(len(item), chunkBytes)
+		c.sequence++
+		raw = appendFrame(raw, c.id, c.sequence, configurationChunk{WrittenAtMillis: now, Delta: isDelta, Last: size == len(item), Bytes: item[:size]})
 		if item = item[size:]; len(item) == 0 {
 			return raw
 		}
@@ -179,12 +179,12 @@
 }
 
 // Append puts a delta behind what is kept, which then comes to the document.
-func (c *Configurations) Append(delta configuration.Delta, d *configuration.Document) error {
-	if c.file == nil || c.deltas > max(c.whole, leastDeltas) {
+func (c *ConfigurationStore) Append(delta configuration.Delta, d *configuration.Document) error {
+	if c.file == nil || c.deltaBytes > max(c.documentBytes, minRetainedDeltaBytes) {
 		return c.Replace(d)
 	}
 	raw := c.appendItem(nil, delta.Bytes(), true)
-	c.deltas += len(raw)
+	c.deltaBytes += len(raw)
 	if _, err := c.file.Write(raw); err != nil {
 		c.file = nil // what is behind a torn item is not read: the next one begins a file
 		return fmt.Errorf("configuration: %w", err)
@@ -197,10 +197,10 @@
 }
 
 // Close ends the file and lets the folder go.
-func (c *Configurations) Close() error {
+func (c *ConfigurationStore) Close() error {
 	var err error
 	if c.file != nil {
 		err = c.file.Close()
 	}
-	return errors.Join(err, c.folder.Close())
+	return errors.Join(err, c.dir.Close())
 }
--- a/internal/store/configuration_test.go
+++ b/internal/store/configuration_test.go
@@ -14,8 +14,8 @@
 )
 
 // configured keeps some versions, large ones among them, and tells each that was kept for sure.
-func configured(in datadir.Folder, changes int, kept func(d *configuration.Document)) error {
-	c, had, err := OpenConfigurations(in)
+func configured(in datadir.Dir, changes int, kept func(d *configuration.Document)) error {
+	c, had, err := OpenConfigurationStore(in)
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 			require.ErrorIs(t, configured(disk, changes, func(d *configuration.Document) { last = d }), faultdisk.ErrPower)
 			after := disk.Crash(faultdisk.Drawn{Rand: rand.New(rand.NewSource(draw*1e6 + int64(at)))})
 			after.PowerAt = 0
-			_, had, err := OpenConfigurations(after)
+			_, had, err := OpenConfigurationStore(after)
 			require.NoError(t, err)
 			if had.Document == nil {
 				require.Zero(t, last.Version, "at %d", at)
@@ -73,7 +73,7 @@
 				require.Equal(t, last.Version+1, had.Document.Version, "at %d", at)
 			}
 			require.NoError(t, configured(after, 3, func(d *configuration.Document) { last = d }), "goes on")
-			_, had, err = OpenConfigurations(after)
+			_, had, err = OpenConfigurationStore(after)
 			require.NoError(t, err)
 			require.Equal(t, last, had.Document)
 		}
@@ -94,10 +94,10 @@
 		bad[at] ^= 0x10
 		damaged := faultdisk.New()
 		damaged.Put(name, bad)
-		_, had, err := OpenConfigurations(damaged)
+		_, had, err := OpenConfigurationStore(damaged)
 		require.NoError(t, err)
 		if had.Document == nil {
-			assert.Len(t, had.Passed, 1)
+			assert.Len(t, had.Skipped, 1)
 			continue
 		}
 		require.Equal(t, versions[had.Document.Version], had.Document, "byte %d", at)
@@ -105,13 +105,13 @@
 	many := faultdisk.New()
 	require.NoError(t, configured(many, 400, func(*configuration.Document) {}))
 	assert.Len(t, many.Names(), 1)
-	assert.Less(t, many.Bytes(), int64(3*leastDeltas))
+	assert.Less(t, many.Bytes(), int64(3*minRetainedDeltaBytes))
 }
 
 // A disk that fails says so, and the next version is kept again.
 func TestConfigurationDiskFails(t *testing.T) {
 	disk := faultdisk.New()
-	c, _, err := OpenConfigurations(disk)
+	c, _, err := OpenConfigurationStore(disk)
 	require.NoError(t, err)
 	d := configuration.NewDocument()
 	keep := func() error {
@@ -125,7 +125,7 @@
 	require.ErrorIs(t, keep(), faultdisk.ErrFull)
 	disk.Set(func() { disk.Fails = nil })
 	require.NoError(t, keep())
-	_, had, err := OpenConfigurations(disk)
+	_, had, err := OpenConfigurationStore(disk)
 	require.NoError(t, err)
 	assert.Equal(t, d, had.Document)
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -43,36 +43,38 @@
 
 // bench is a book on a disk, with a clock that the test sets.
 type bench struct {
-	book
-	now recovery.Moment
+	writer
+	now recovery.Timestamp
 	ids uint64
 }
 
 // newBench has ids from ids on, and stands a millisecond later for each of them.
-func newBench(disk datadir.Folder, ids uint64) *bench {
+func newBench(disk datadir.Dir, ids uint64) *bench {
 	later := time.Duration(ids) * time.Millisecond
-	b := &bench{now: recovery.Moment{Wall: 1e18 + later, Up: 1e12 + later, Boot: "boot", Machine: 3}, ids: ids}
-	b.book = book{
-		folder: disk, clock: func() recovery.Moment { return b.now }, site: "s", most: 1 << 20, numbers: true,
-		id: func() uint64 { b.ids++; return b.ids },
+	b := &bench{now: recovery.Timestamp{Wall: 1e18 + later, SinceBoot: 1e12 + later, BootID: "boot", MachineID: 3}, ids: ids}
+	b.writer = writer{
+		dir: disk, clock: func() recovery.Timestamp { return b.now }, site: "s", maxBytes: 1 << 20, persistKeys: true,
+		newID: func() uint64 { b.ids++; return b.ids },
 	}
 	return b
 }
 
-func (b *bench) here() recovery.Here { return recovery.Here{Now: b.now, Site: "s", Frame: views} }
+func (b *bench) here() recovery.Environment {
+	return recovery.Environment{Now: b.now, Site: "s", Schema: views}
+}
 
 // start reads what is there, and begins behind it.
 func (b *bench) start() (recovery.Plan, error) {
-	plan, err := b.read(b.here())
+	plan, err := b.plan(b.here())
 	if err != nil {
 		return plan, err
 	}
-	return plan, b.begin(plan, plan.Table)
+	return plan, b.apply(plan, plan.Keys)
 }
 
 // told is what was given for one number, in order, and how far it was said to be kept.
 type told struct {
-	states []recovery.Number
+	states []recovery.KeyEntry
 	kept   int // states
 }
 
@@ -86,7 +88,7 @@
 
 func newReference() *reference { return &reference{numbers: map[string]*told{}} }
 
-func (r *reference) give(n recovery.Number) {
+func (r *reference) give(n recovery.KeyEntry) {
 	if r.numbers[n.Key] == nil {
 		r.numbers[n.Key] = &told{}
 		r.given = append(r.given, n.Key)
@@ -104,7 +106,7 @@
 // be there, as it was or as begun, and nothing else is.
 func (r *reference) check(p recovery.Plan) error {
 	for key, of := range r.numbers {
-		n, known := p.Table.Get(key)
+		n, known := p.Keys.Get(key)
 		if !known {
 			if of.kept > 0 {
 				return fmt.Errorf("%q was kept and is lost", key)
@@ -113,23 +115,23 @@
 		}
 		fits := false
 		for i, s := range of.states {
-			same := s.Honoured == n.Honoured && string(s.Result) == string(n.Result) && s.Shape == n.Shape
+			same := s.Served == n.Served && string(s.Result) == string(n.Result) && s.Shape == n.Shape
 			fits = fits || same && i+1 >= of.kept
 		}
-		if begun := !n.Honoured && n.Result == nil; !fits && !(begun && of.kept < len(of.states)) {
-			return fmt.Errorf("%q stands as honoured=%v result %q, after %d states, %d kept", key, n.Honoured, n.Result, len(of.states), of.kept)
+		if begun := !n.Served && n.Result == nil; !fits && !(begun && of.kept < len(of.states)) {
+			return fmt.Errorf("%q stands as honoured=%v result %q, after %d states, %d kept", key, n.Served, n.Result, len(of.states), of.kept)
 		}
 	}
-	for _, n := range p.Table.All() {
+	for _, n := range p.Keys.Entries() {
 		if r.numbers[n.Key] == nil {
 			return fmt.Errorf("%q was never given", n.Key)
 		}
 	}
-	if r.view > 0 && !p.View.Fresh() {
+	if r.view > 0 && !p.Estimates.Fresh() {
 		return errors.New("a view was kept and is lost")
 	}
-	if p.View.Fresh() {
-		n := int((p.View.Routes[0].Core.Mean-0.1)*1e4 + 0.5)
+	if p.Estimates.Fresh() {
+		n := int((p.Estimates.Routes[0].Core.Mean-0.1)*1e4 + 0.5)
 		if n < r.view || n > r.viewed {
 			return fmt.Errorf("view %d, and %d was kept, %d given", n, r.view, r.viewed)
 		}
@@ -143,26 +145,26 @@
 	if _, err := b.start(); err != nil {
 		return err
 	}
-	var open []recovery.Number
+	var open []recovery.KeyEntry
 	for i := range steps {
-		b.now.Up += time.Millisecond
+		b.now.SinceBoot += time.Millisecond
 		b.now.Wall += time.Millisecond
 		switch what := rng.Intn(10); {
 		case what < 4:
-			n := recovery.Number{Key: fmt.Sprintf("pay\x00%d\xff-%d", seed, i), Shape: uint64(i), Until: b.now.Up + window}
+			n := recovery.KeyEntry{Key: fmt.Sprintf("pay\x00%d\xff-%d", seed, i), Shape: uint64(i), ExpiresAt: b.now.SinceBoot + window}
 			r.give(n)
 			open = append(open, n)
-			b.put(n, false, b.now.Up)
+			b.appendRecord(n, false, b.now.SinceBoot)
 		case what < 7 && len(open) > 0:
 			at := rng.Intn(len(open))
 			n := open[at]
 			open = slices.Delete(open, at, at+1)
-			if n.Honoured = rng.Intn(3) > 0; n.Honoured {
+			if n.Served = rng.Intn(3) > 0; n.Served {
 				n.Result = make([]byte, rng.Intn(700))
 				rng.Read(n.Result)
 			}
 			r.give(n)
-			b.put(n, true, b.now.Up)
+			b.appendRecord(n, true, b.now.SinceBoot)
 		case what < 8:
 			if err := b.commit(); err != nil {
 				return err
@@ -170,7 +172,7 @@
 			r.keepAll()
 		case what < 9:
 			r.viewed++
-			if err := b.newView(viewOf(r.viewed))(); err != nil {
+			if err := b.estimatesJob(viewOf(r.viewed))(); err != nil {
 				return err
 			}
 			r.view = r.viewed
@@ -179,9 +181,9 @@
 				return err
 			}
 			r.keepAll()
-			job := b.newTable()
+			job := b.keyTableJob()
 			if rng.Intn(2) == 0 {
-				job = b.rotate
+				job = b.rotateLog
 			}
 			if err := job(); err != nil {
 				return err
@@ -232,19 +234,19 @@
 	_, err := b.start()
 	require.NoError(t, err)
 	for i := range 5 {
-		n := recovery.Number{Key: fmt.Sprint("pay\x00", i), Until: b.now.Up + window, Honoured: true, Result: []byte("seat")}
+		n := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: b.now.SinceBoot + window, Served: true, Result: []byte("seat")}
 		ref.give(n)
-		b.put(n, true, b.now.Up)
+		b.appendRecord(n, true, b.now.SinceBoot)
 	}
 	require.NoError(t, b.commit())
-	name := nameOf(logName, 1)
+	name := fileName(logPrefix, 1)
 	raw := disk.Get(name)
 	for cut := range raw {
 		disk.Put(name, raw[:cut])
-		p, err := newBench(disk, 9).read(b.here())
+		p, err := newBench(disk, 9).plan(b.here())
 		require.NoError(t, err)
 		require.NoError(t, ref.check(p), "cut at %d", cut)
-		assert.LessOrEqual(t, p.Table.Len(), cut*5/len(raw)+1)
+		assert.LessOrEqual(t, p.Keys.Len(), cut*5/len(raw)+1)
 	}
 }
 
@@ -256,12 +258,12 @@
 	_, err := b.start()
 	require.NoError(t, err)
 	give := func(i int) {
-		n := recovery.Number{Key: fmt.Sprint("pay\x00", i), Until: b.now.Up + window}
+		n := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: b.now.SinceBoot + window}
 		ref.give(n)
-		b.put(n, false, b.now.Up)
-		n.Honoured, n.Result = true, []byte("seat")
+		b.appendRecord(n, false, b.now.SinceBoot)
+		n.Served, n.Result = true, []byte("seat")
 		ref.give(n)
-		b.put(n, true, b.now.Up)
+		b.appendRecord(n, true, b.now.SinceBoot)
 		require.NoError(t, b.commit())
 	}
 	for round := range 3 {
@@ -269,9 +271,9 @@
 			give(10*round + i)
 		}
 		ref.viewed++
-		require.NoError(t, b.newView(viewOf(ref.viewed))())
-		require.NoError(t, b.newTable()())
-		require.NoError(t, b.rotate())
+		require.NoError(t, b.estimatesJob(viewOf(ref.viewed))())
+		require.NoError(t, b.keyTableJob()())
+		require.NoError(t, b.rotateLog())
 	}
 	give(99)
 	flips := 0
@@ -281,14 +283,14 @@
 			flipped := slices.Clone(raw)
 			flipped[bit/8] ^= 1 << (bit % 8)
 			disk.Put(name, flipped)
-			p, err := newBench(disk, 9).read(b.here())
+			p, err := newBench(disk, 9).plan(b.here())
 			require.NoError(t, err)
 			require.NoError(t, ref.check(p), "%s bit %d", name, bit)
 			for i := range 2 { // begun before the last table but one: in two snapshots and in the log
-				_, known := p.Table.Get(fmt.Sprint("pay\x00", i))
+				_, known := p.Keys.Get(fmt.Sprint("pay\x00", i))
 				require.True(t, known, "%s bit %d", name, bit)
 			}
-			require.True(t, p.View.Fresh())
+			require.True(t, p.Estimates.Fresh())
 			flips++
 		}
 		disk.Put(name, raw)
@@ -351,9 +353,9 @@
 		for _, of := range ref.numbers { // what came back is what is known from here on, and is kept
 			of.kept, of.states = 0, slices.Clone(of.states)
 		}
-		for _, n := range plan.Table.All() {
+		for _, n := range plan.Keys.Entries() {
 			of := ref.numbers[n.Key]
-			of.states, of.kept = []recovery.Number{n}, 1
+			of.states, of.kept = []recovery.KeyEntry{n}, 1
 		}
 		for key, of := range ref.numbers {
 			if of.kept == 0 {
@@ -367,18 +369,18 @@
 		var err error
 		switch operations[o] {
 		case "begin":
-			n := recovery.Number{Key: fmt.Sprint("pay\x00", begun), Until: b.now.Up + window}
+			n := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", begun), ExpiresAt: b.now.SinceBoot + window}
 			begun++
 			ref.give(n)
-			b.put(n, false, b.now.Up)
+			b.appendRecord(n, false, b.now.SinceBoot)
 		case "end":
 			key := fmt.Sprint("pay\x00", begun-1)
 			if ref.numbers[key] == nil {
 				continue
 			}
-			n := recovery.Number{Key: key, Until: b.now.Up + window, Honoured: true, Result: []byte{byte(i)}}
+			n := recovery.KeyEntry{Key: key, ExpiresAt: b.now.SinceBoot + window, Served: true, Result: []byte{byte(i)}}
 			ref.give(n)
-			b.put(n, true, b.now.Up)
+			b.appendRecord(n, true, b.now.SinceBoot)
 		case "commit":
 			if err = b.commit(); err == nil {
 				ref.keepAll()
@@ -386,12 +388,12 @@
 		case "table":
 			if err = b.commit(); err == nil {
 				ref.keepAll()
-				err = b.newTable()()
+				err = b.keyTableJob()()
 			}
 		case "rotate":
 			if err = b.commit(); err == nil {
 				ref.keepAll()
-				err = b.rotate()
+				err = b.rotateLog()
 			}
 		case "lose all":
 			err = crash(faultdisk.All{}, uint64(100*i+100))
@@ -414,18 +416,18 @@
 	if _, err := b.start(); err != nil {
 		f.Fatal(err)
 	}
-	b.put(recovery.Number{Key: "pay", Until: b.now.Up + window, Honoured: true, Result: []byte("r")}, true, b.now.Up)
-	if err := errors.Join(b.commit(), b.newView(viewOf(1))(), b.newTable()()); err != nil {
+	b.appendRecord(recovery.KeyEntry{Key: "pay", ExpiresAt: b.now.SinceBoot + window, Served: true, Result: []byte("r")}, true, b.now.SinceBoot)
+	if err := errors.Join(b.commit(), b.estimatesJob(viewOf(1))(), b.keyTableJob()()); err != nil {
 		f.Fatal(err)
 	}
 	for _, name := range disk.Names() {
 		f.Add(disk.Get(name))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		found := read("x", raw)
-		if n := len(found.Records) + len(found.Beyond); n*frameHead > len(raw) {
+		found := parseFile("x", raw)
+		if n := len(found.Records) + len(found.Salvaged); n*frameHeaderBytes > len(raw) {
 			t.Fatalf("%d records in %d bytes", n, len(raw))
 		}
-		recovery.Decide([]recovery.Found{found}, b.here())
+		recovery.NewPlan([]recovery.File{found}, b.here())
 	})
 }
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	frameHead = 18
-	mostFrame = 256 << 10
-	// mostResult bounds what is kept of one result: repeats of a number with a larger one are given up on after a
+	frameHeaderBytes = 18
+	maxFrameBytes    = 256 << 10
+	// maxResultBytes bounds what is kept of one result: repeats of a number with a larger one are given up on after a
 	// restart, and still not run.
-	mostResult = 64 << 10
-	mostKey    = 8 << 10
+	maxResultBytes = 64 << 10
+	maxKeyBytes    = 8 << 10
 )
 
 var magic = [2]byte{0xC5, 'q'}
@@ -34,8 +34,8 @@
 // finds them by chance, and the processor computes it.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// end closes a snapshot.
-type end struct {
+// trailer closes a snapshot.
+type trailer struct {
 	Frames uint64 `cbor:"1,keyasint"`
 }
 
@@ -63,28 +63,28 @@
 	return append(to, payload...)
 }
 
-// cut takes a frame off; ok is false where there is none, or none that is whole.
-func cut(raw []byte, id uint64) (seq uint64, payload, rest []byte, ok bool) {
-	if len(raw) < frameHead || raw[0] != magic[0] || raw[1] != magic[1] {
+// readFrame takes a frame off; ok is false where there is none, or none that is whole.
+func readFrame(raw []byte, id uint64) (seq uint64, payload, rest []byte, ok bool) {
+	if len(raw) < frameHeaderBytes || raw[0] != magic[0] || raw[1] != magic[1] {
 		return 0, nil, raw, false
 	}
 	size := binary.LittleEndian.Uint32(raw[2:])
-	if size > mostFrame || int(size) > len(raw)-frameHead {
+	if size > maxFrameBytes || int(size) > len(raw)-frameHeaderBytes {
 		return 0, nil, raw, false
 	}
 	seq = binary.LittleEndian.Uint64(raw[10:])
-	payload = raw[frameHead : frameHead+size]
+	payload = raw[frameHeaderBytes : frameHeaderBytes+size]
 	if checksum(id, seq, payload) != binary.LittleEndian.Uint32(raw[6:]) {
 		return 0, nil, raw, false
 	}
-	return seq, payload, raw[frameHead+int(size):], true
+	return seq, payload, raw[frameHeaderBytes+int(size):], true
 }
 
 var errNoHeader = errors.New("no whole header")
 
 // readHeader takes the header off a file's bytes.
 func readHeader(raw []byte) (h recovery.Header, rest []byte, err error) {
-	seq, payload, rest, ok := cut(raw, 0)
+	seq, payload, rest, ok := readFrame(raw, 0)
 	if !ok || seq != 0 {
 		return h, raw, errNoHeader
 	}
@@ -94,52 +94,52 @@
 	return h, rest, nil
 }
 
-// read makes what was found of a file's bytes. Nothing of it points into them.
-func read(name string, raw []byte) recovery.Found {
-	f := recovery.Found{Name: name}
+// parseFile makes what was found of a file's bytes. Nothing of it points into them.
+func parseFile(name string, raw []byte) recovery.File {
+	f := recovery.File{Name: name}
 	h, rest, err := readHeader(raw)
 	if err != nil {
 		f.Why = err.Error()
 		return f
 	}
-	if f.Header = h; h.Version > recovery.Version {
+	if f.Header = h; h.Version > recovery.FormatVersion {
 		return f // recovery says that it is not known
 	}
-	if h.Content == recovery.LogFile {
-		readLog(&f, raw, rest)
+	if h.Content == recovery.KeyLogFile {
+		parseLog(&f, raw, rest)
 	} else {
-		readSnapshot(&f, raw, rest)
+		parseSnapshot(&f, raw, rest)
 	}
 	return f
 }
 
-func record(seq uint64, payload []byte) (r recovery.Record, ok bool) {
-	if decoding.Unmarshal(payload, &r) != nil || r.Key == "" || r.Kind != recovery.Begun && r.Kind != recovery.Ended {
+func parseRecord(seq uint64, payload []byte) (r recovery.Record, ok bool) {
+	if decoding.Unmarshal(payload, &r) != nil || r.Key == "" || r.Kind != recovery.KeyStarted && r.Kind != recovery.KeyFinished {
 		return r, false
 	}
-	r.Seq = seq
+	r.Sequence = seq
 	return r, true
 }
 
-func readLog(f *recovery.Found, raw, rest []byte) {
-	id, next := f.Header.ID, f.Header.Place
+func parseLog(f *recovery.File, raw, rest []byte) {
+	id, next := f.Header.ID, f.Header.Sequence
 	for len(rest) > 0 {
-		seq, payload, after, ok := cut(rest, id)
+		seq, payload, after, ok := readFrame(rest, id)
 		if !ok || seq != next {
 			break
 		}
-		r, ok := record(seq, payload)
+		r, ok := parseRecord(seq, payload)
 		if !ok {
 			break
 		}
 		f.Records = append(f.Records, r)
 		rest, next = after, next+1
 	}
-	f.End, f.Whole = int64(len(raw)-len(rest)), len(rest) == 0
+	f.CompleteBytes, f.Complete = int64(len(raw)-len(rest)), len(rest) == 0
 	for len(rest) > 0 { // on to the next frame that is whole, wherever it begins
-		if seq, payload, after, ok := cut(rest, id); ok && seq >= next {
-			if r, ok := record(seq, payload); ok {
-				f.Beyond = append(f.Beyond, r)
+		if seq, payload, after, ok := readFrame(rest, id); ok && seq >= next {
+			if r, ok := parseRecord(seq, payload); ok {
+				f.Salvaged = append(f.Salvaged, r)
 				rest, next = after, seq+1
 				continue
 			}
@@ -152,26 +152,26 @@
 	}
 }
 
-func readSnapshot(f *recovery.Found, raw, rest []byte) {
+func parseSnapshot(f *recovery.File, raw, rest []byte) {
 	for next := uint64(1); ; next++ {
-		seq, payload, after, ok := cut(rest, f.Header.ID)
+		seq, payload, after, ok := readFrame(rest, f.Header.ID)
 		if !ok || seq != next {
 			break
 		}
-		var last end
+		var last trailer
 		if len(after) == 0 && decoding.Unmarshal(payload, &last) == nil && last.Frames == next-1 {
-			f.Whole = f.Header.Content != recovery.ViewFile || f.View != nil
-			f.End = int64(len(raw))
+			f.Complete = f.Header.Content != recovery.EstimatesFile || f.Estimates != nil
+			f.CompleteBytes = int64(len(raw))
 			return
 		}
-		if f.Header.Content == recovery.ViewFile {
+		if f.Header.Content == recovery.EstimatesFile {
 			var snapshot estimate.Snapshot
-			if f.View != nil || decoding.Unmarshal(payload, &snapshot) != nil {
+			if f.Estimates != nil || decoding.Unmarshal(payload, &snapshot) != nil {
 				break
 			}
-			f.View = &snapshot
+			f.Estimates = &snapshot
 		} else {
-			r, ok := record(seq, payload)
+			r, ok := parseRecord(seq, payload)
 			if !ok {
 				break
 			}
@@ -179,6 +179,6 @@
 		}
 		rest = after
 	}
-	f.End = int64(len(raw) - len(rest))
-	f.View, f.Records = nil, nil // a snapshot is whole or nothing
+	f.CompleteBytes = int64(len(raw) - len(rest))
+	f.Estimates, f.Records = nil, nil // a snapshot is whole or nothing
 }
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -26,10 +26,10 @@
 	lost          = 7 // exit code of a child that misses an effect that had come about
 )
 
-func diskTerms(dir string, counts *invariant.Counts) Terms {
-	return Terms{
-		Open: datadir.Opener(dir), Clock: SystemClock(), ID: DrawID, Frame: views, Most: mostDisk, Commit: time.Millisecond,
-		Numbers: true, Counts: counts, Log: slog.New(slog.DiscardHandler), Nudge: func() {},
+func diskTerms(dir string, counts *invariant.Counts) Options {
+	return Options{
+		OpenDir: datadir.Opener(dir), Clock: SystemClock(), NewID: RandomID, Schema: views, MaxBytes: mostDisk, CommitInterval: time.Millisecond,
+		PersistKeys: true, Counts: counts, Log: slog.New(slog.DiscardHandler), OnDurable: func() {},
 	}
 }
 
@@ -47,9 +47,9 @@
 		os.Exit(1)
 	}
 	known := map[string]bool{}
-	for _, n := range had.Numbers {
+	for _, n := range had.Keys {
 		known[n.Key] = true
-		if n.Honoured && string(n.Result) != "result of "+n.Key {
+		if n.Served && string(n.Result) != "result of "+n.Key {
 			fmt.Fprintf(os.Stderr, "%s: result %q\n", n.Key, n.Result)
 			os.Exit(lost)
 		}
@@ -70,12 +70,12 @@
 	work := func(lane int) {
 		for i := 0; ; i++ {
 			key := fmt.Sprintf("%d-%d-%d", os.Getpid(), lane, i)
-			for mark := s.Begin(key, 1, window); s.Safe() < mark; {
+			for mark := s.RecordStart(key, 1, window); s.DurableMark() < mark; {
 				time.Sleep(50 * time.Microsecond)
 			}
 			fmt.Fprintln(effects, key)
-			s.End(key, 1, window, true, []byte("result of "+key))
-			s.View(viewOf(i))
+			s.RecordEnd(key, 1, window, true, []byte("result of "+key))
+			s.SaveEstimates(viewOf(i))
 		}
 	}
 	for lane := range 7 {
--- a/internal/store/resume.go
+++ b/internal/store/resume.go
@@ -4,25 +4,25 @@
 	"quartzpoint/internal/server"
 )
 
-// Resume has a server that does not run yet go on from what its folder held. What was learned counts as a peer's word
+// Restore has a server that does not run yet go on from what its folder held. What was learned counts as a peer's word
 // does.
-func Resume(s *server.Server, had Recovered) {
-	s.Restore(had.known())
-	if had.View.Fresh() {
-		s.UsePeerEstimates(had.View)
+func Restore(s *server.Server, had Recovered) {
+	s.Restore(had.keyRecords())
+	if had.Estimates.Fresh() {
+		s.UsePeerEstimates(had.Estimates)
 	}
 }
 
-// ResumeLate has a running server take in the numbers of a folder that could not be read at the start. What was learned
+// RestoreLate has a running server take in the numbers of a folder that could not be read at the start. What was learned
 // is not: the server has seen for itself by then, or has its peers' word.
-func ResumeLate(s *server.Server, had Recovered) {
-	s.Post(func() { s.Restore(had.known()) })
+func RestoreLate(s *server.Server, had Recovered) {
+	s.Post(func() { s.Restore(had.keyRecords()) })
 }
 
-func (r Recovered) known() []server.KeyRecord {
-	known := make([]server.KeyRecord, len(r.Numbers))
-	for i, n := range r.Numbers {
-		known[i] = server.KeyRecord{Key: n.Key, Shape: n.Shape, Remaining: n.Until - r.At, Served: n.Honoured, Result: n.Result}
+func (r Recovered) keyRecords() []server.KeyRecord {
+	known := make([]server.KeyRecord, len(r.Keys))
+	for i, n := range r.Keys {
+		known[i] = server.KeyRecord{Key: n.Key, Shape: n.Shape, Remaining: n.ExpiresAt - r.ReadAt, Served: n.Served, Result: n.Result}
 	}
 	return known
 }
--- a/internal/testkit/faultdisk/faultdisk.go
+++ b/internal/testkit/faultdisk/faultdisk.go
@@ -307,7 +307,7 @@
 	return nil
 }
 
-func (d *Disk) Free() (int64, error) {
+func (d *Disk) FreeBytes() (int64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.Space < 0 {
--- a/recovery/clock.go
+++ b/recovery/clock.go
@@ -5,16 +5,16 @@
 
 import "time"
 
-// Oldest is the age of what can't be dated: nothing learned is worth anything at it.
-const Oldest = 365 * 24 * time.Hour
+// MaxAge is the age of what can't be dated: nothing learned is worth anything at it.
+const MaxAge = 365 * 24 * time.Hour
 
-// Moment is one reading of a machine's clocks. Two clocks, because neither is enough: the wall clock goes on while the
+// Timestamp is one reading of a machine's clocks. Two clocks, because neither is enough: the wall clock goes on while the
 // machine is off and can be set; the other can't be set and begins anew with each boot.
-type Moment struct {
-	Wall    time.Duration `cbor:"1,keyasint,omitempty" json:"wall"`    // since 1970
-	Up      time.Duration `cbor:"2,keyasint,omitempty" json:"up"`      // since the boot, sleep included
-	Boot    string        `cbor:"3,keyasint,omitempty" json:"boot"`    // name of the boot; empty where it is not known
-	Machine uint64        `cbor:"4,keyasint,omitempty" json:"machine"` // mark of the machine; 0 where it is not known
+type Timestamp struct {
+	Wall      time.Duration `cbor:"1,keyasint,omitempty" json:"wall"`    // since 1970
+	SinceBoot time.Duration `cbor:"2,keyasint,omitempty" json:"up"`      // since the boot, sleep included
+	BootID    string        `cbor:"3,keyasint,omitempty" json:"boot"`    // name of the boot; empty where it is not known
+	MachineID uint64        `cbor:"4,keyasint,omitempty" json:"machine"` // mark of the machine; 0 where it is not known
 }
 
 // Age tells how long ago a moment was: least is what has passed for sure, most what may have. Knowledge goes by most,
@@ -26,19 +26,19 @@
 //   - From an earlier boot of the same machine, the time since this boot has passed for sure.
 //   - From another machine nothing is sure.
 //   - A wall clock that stands before the moment, for a file from the future or a clock set back, makes most Oldest.
-func Age(then, now Moment) (least, most time.Duration) {
+func Age(then, now Timestamp) (least, most time.Duration) {
 	most = now.Wall - then.Wall
-	known := then.Machine != 0 && then.Machine == now.Machine && then.Boot != ""
+	known := then.MachineID != 0 && then.MachineID == now.MachineID && then.BootID != ""
 	switch {
-	case known && then.Boot == now.Boot && now.Up >= then.Up:
-		least = now.Up - then.Up
-	case known && then.Boot != now.Boot:
-		least = now.Up
+	case known && then.BootID == now.BootID && now.SinceBoot >= then.SinceBoot:
+		least = now.SinceBoot - then.SinceBoot
+	case known && then.BootID != now.BootID:
+		least = now.SinceBoot
 	case known: // one boot, and its clock ran backwards: a copied file, or a lie
-		most = Oldest
+		most = MaxAge
 	}
 	if most < 0 || then.Wall == 0 {
-		return least, max(Oldest, least)
+		return least, max(MaxAge, least)
 	}
 	return least, max(least, most)
 }
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -9,87 +9,90 @@
 	"quartzpoint/estimate"
 )
 
-// Version is that of the files written here.
-const Version = 2
+// FormatVersion is that of the files written here.
+const FormatVersion = 2
 
-// Content is what a file holds.
-type Content uint8
+// ContentType is what a file holds.
+type ContentType uint8
 
 // The contents of files.
 const (
-	ViewFile  Content = 1 // a snapshot of what was learned
-	TableFile Content = 2 // a snapshot of the table of numbers
-	LogFile   Content = 3 // records of numbers, in the order of their sequence
+	EstimatesFile ContentType = 1 // a snapshot of what was learned
+	KeyTableFile  ContentType = 2 // a snapshot of the table of numbers
+	KeyLogFile    ContentType = 3 // records of numbers, in the order of their sequence
 )
 
 // Header is the beginning of every file.
 type Header struct {
-	Version int     `cbor:"1,keyasint" json:"version"`
-	Content Content `cbor:"2,keyasint" json:"content"`
-	Site    string  `cbor:"3,keyasint,omitempty" json:"site"`
-	Terms   uint64  `cbor:"4,keyasint,omitempty" json:"terms"` // digest of those that a view was learned under
-	At      Moment  `cbor:"5,keyasint,omitempty" json:"at"`    // when it was begun
-	ID      uint64  `cbor:"6,keyasint" json:"id"`              // drawn; every record's checksum is over it too
+	Version        int         `cbor:"1,keyasint" json:"version"`
+	Content        ContentType `cbor:"2,keyasint" json:"content"`
+	Site           string      `cbor:"3,keyasint,omitempty" json:"site"`
+	SettingsDigest uint64      `cbor:"4,keyasint,omitempty" json:"terms"` // digest of those that a view was learned under
+	CreatedAt      Timestamp   `cbor:"5,keyasint,omitempty" json:"at"`    // when it was begun
+	ID             uint64      `cbor:"6,keyasint" json:"id"`              // drawn; every record's checksum is over it too
 	// Place orders files of one content. Of a log it is the sequence of its first record; of a table that of the last
 	// that it covers; of a view its number.
-	Place uint64 `cbor:"7,keyasint" json:"place"`
-	Wall  int64  `cbor:"8,keyasint,omitempty" json:"-"` // version 1 knew the wall clock only
+	Sequence   uint64 `cbor:"7,keyasint" json:"place"`
+	LegacyWall int64  `cbor:"8,keyasint,omitempty" json:"-"` // version 1 knew the wall clock only
 }
 
-// Found is a file as it was read.
-type Found struct {
-	Name    string
-	Why     string // nothing of it can be used, and why not
-	Header  Header
-	View    *estimate.Snapshot
-	Records []Record // whole, in order, up to the first that is not
-	Whole   bool     // nothing else is in it
-	End     int64    // where what is not whole begins
-	Beyond  []Record // whole ones behind that
+// File is a file as it was read.
+type File struct {
+	Name          string
+	Why           string // nothing of it can be used, and why not
+	Header        Header
+	Estimates     *estimate.Snapshot
+	Records       []Record // whole, in order, up to the first that is not
+	Complete      bool     // nothing else is in it
+	CompleteBytes int64    // where what is not whole begins
+	Salvaged      []Record // whole ones behind that
 }
 
-// Here is what is known for sure at a start.
-type Here struct {
-	Now   Moment
-	Site  string
-	Frame estimate.Schema // which views fit; its zero value where none is wanted
+// Environment is what is known for sure at a start.
+type Environment struct {
+	Now    Timestamp
+	Site   string
+	Schema estimate.Schema // which views fit; its zero value where none is wanted
 }
 
-// Aside is something to be kept that was not used: a file, or what is behind a place in it.
-type Aside struct {
-	Name string
-	From int64
+// Quarantined is something to be kept that was not used: a file, or what is behind a place in it.
+type Quarantined struct {
+	Name     string
+	FromByte int64
 }
 
-// Note says why something was not used.
-type Note struct{ Name, Why string }
+// Finding says why something was not used.
+type Finding struct {
+	File   string `json:"Name"`
+	Reason string `json:"Why"`
+}
 
 // Plan is what is to be used, and what becomes of the rest.
 type Plan struct {
-	View     estimate.Snapshot // aged; not Fresh where none is used
-	ViewFrom string
-	Table    *Table
-	Unknown  int    // numbers whose end is not known
-	Next     uint64 // sequence of the next record: above all that were ever seen
-	NextView uint64
-	Aside    []Aside
-	Notes    []Note
+	Estimates       estimate.Snapshot // aged; not Fresh where none is used
+	EstimatesFrom   string
+	Keys            *KeyTable
+	UnknownOutcomes int    // numbers whose end is not known
+	NextSequence    uint64 // sequence of the next record: above all that were ever seen
+	NextEstimates   uint64
+	Quarantine      []Quarantined
+	Findings        []Finding
 }
 
-// steps bring what was read one version further, from the one they stand at.
-var steps = map[int]func(*Found){
+// migrations bring what was read one version further, from the one they stand at.
+var migrations = map[int]func(*File){
 	// Version 1 had the wall clock alone. Without boot and machine its windows count in full, and its views by the
 	// wall clock.
-	1: func(f *Found) { f.Header.At = Moment{Wall: time.Duration(f.Header.Wall)} },
+	1: func(f *File) { f.Header.CreatedAt = Timestamp{Wall: time.Duration(f.Header.LegacyWall)} },
 }
 
 // Migrate brings what was read to the version of here, a step at a time, or says why that can't be.
-func Migrate(f *Found) error {
-	if f.Header.Version > Version {
-		return fmt.Errorf("version %d, and %d at the most is known here", f.Header.Version, Version)
+func Migrate(f *File) error {
+	if f.Header.Version > FormatVersion {
+		return fmt.Errorf("version %d, and %d at the most is known here", f.Header.Version, FormatVersion)
 	}
-	for f.Header.Version < Version {
-		step := steps[f.Header.Version]
+	for f.Header.Version < FormatVersion {
+		step := migrations[f.Header.Version]
 		if step == nil {
 			return fmt.Errorf("version %d, from which no step leads here", f.Header.Version)
 		}
@@ -99,12 +102,12 @@
 	return nil
 }
 
-// Decide makes the plan of a start. Its order of files does not depend on that of found.
-func Decide(found []Found, here Here) Plan {
-	p := Plan{Table: NewTable(), Next: 1, NextView: 1}
-	var views, tables, logs []Found
+// NewPlan makes the plan of a start. Its order of files does not depend on that of found.
+func NewPlan(found []File, here Environment) Plan {
+	p := Plan{Keys: NewKeyTable(), NextSequence: 1, NextEstimates: 1}
+	var views, tables, logs []File
 	found = slices.Clone(found)
-	slices.SortFunc(found, func(a, b Found) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(found, func(a, b File) int { return cmp.Compare(a.Name, b.Name) })
 	for _, f := range found {
 		if f.Why == "" {
 			if err := Migrate(&f); err != nil {
@@ -114,139 +117,139 @@
 			}
 		}
 		if f.Why != "" {
-			p.note(f.Name, f.Why)
-			p.Aside = append(p.Aside, Aside{Name: f.Name})
+			p.addFinding(f.Name, f.Why)
+			p.Quarantine = append(p.Quarantine, Quarantined{Name: f.Name})
 			continue
 		}
 		switch f.Header.Content {
-		case ViewFile:
+		case EstimatesFile:
 			views = append(views, f)
-			p.NextView = max(p.NextView, f.Header.Place+1)
-		case TableFile:
+			p.NextEstimates = max(p.NextEstimates, f.Header.Sequence+1)
+		case KeyTableFile:
 			tables = append(tables, f)
-			p.Next = max(p.Next, f.Header.Place+1)
-		case LogFile:
+			p.NextSequence = max(p.NextSequence, f.Header.Sequence+1)
+		case KeyLogFile:
 			logs = append(logs, f)
-			p.Next = max(p.Next, f.Header.Place)
-			for _, r := range f.Beyond {
-				p.Next = max(p.Next, r.Seq+1)
+			p.NextSequence = max(p.NextSequence, f.Header.Sequence)
+			for _, r := range f.Salvaged {
+				p.NextSequence = max(p.NextSequence, r.Sequence+1)
 			}
 			if n := len(f.Records); n > 0 {
-				p.Next = max(p.Next, f.Records[n-1].Seq+1)
+				p.NextSequence = max(p.NextSequence, f.Records[n-1].Sequence+1)
 			}
 		default:
-			p.note(f.Name, "content unknown")
-			p.Aside = append(p.Aside, Aside{Name: f.Name})
+			p.addFinding(f.Name, "content unknown")
+			p.Quarantine = append(p.Quarantine, Quarantined{Name: f.Name})
 		}
 	}
-	p.chooseView(views, here)
-	p.replay(tables, logs, here)
+	p.chooseEstimates(views, here)
+	p.replayKeys(tables, logs, here)
 	return p
 }
 
-func (p *Plan) note(name, why string) { p.Notes = append(p.Notes, Note{name, why}) }
+func (p *Plan) addFinding(name, why string) { p.Findings = append(p.Findings, Finding{name, why}) }
 
-func newest(files []Found) {
-	slices.SortStableFunc(files, func(a, b Found) int { return cmp.Compare(b.Header.Place, a.Header.Place) })
+func sortNewestFirst(files []File) {
+	slices.SortStableFunc(files, func(a, b File) int { return cmp.Compare(b.Header.Sequence, a.Header.Sequence) })
 }
 
-// chooseView takes the newest view that is whole, of this machine and these terms, and not old.
-func (p *Plan) chooseView(views []Found, here Here) {
-	newest(views)
+// chooseEstimates takes the newest view that is whole, of this machine and these terms, and not old.
+func (p *Plan) chooseEstimates(views []File, here Environment) {
+	sortNewestFirst(views)
 	for _, f := range views {
-		_, age := Age(f.Header.At, here.Now)
+		_, age := Age(f.Header.CreatedAt, here.Now)
 		switch {
-		case !f.Whole || f.View == nil:
-			p.note(f.Name, "not whole")
-			p.Aside = append(p.Aside, Aside{Name: f.Name})
+		case !f.Complete || f.Estimates == nil:
+			p.addFinding(f.Name, "not whole")
+			p.Quarantine = append(p.Quarantine, Quarantined{Name: f.Name})
 			continue
-		case f.Header.At.Machine != 0 && f.Header.At.Machine != here.Now.Machine:
-			p.note(f.Name, "of another machine")
+		case f.Header.CreatedAt.MachineID != 0 && f.Header.CreatedAt.MachineID != here.Now.MachineID:
+			p.addFinding(f.Name, "of another machine")
 			continue
 		}
-		if len(here.Frame.Routes) == 0 {
+		if len(here.Schema.Routes) == 0 {
 			continue
 		}
 		// Frame.Fit is a peer's gate, and a file's: what it lets through can be acted on.
-		fit, err := here.Frame.Align(*f.View)
+		fit, err := here.Schema.Align(*f.Estimates)
 		if err == nil {
-			fit, err = here.Frame.Validate(fit)
+			fit, err = here.Schema.Validate(fit)
 		}
 		if err != nil {
-			p.note(f.Name, err.Error())
+			p.addFinding(f.Name, err.Error())
 			continue
 		}
 		if fit = fit.Aged(age); !fit.Fresh() {
-			p.note(f.Name, "old")
+			p.addFinding(f.Name, "old")
 			continue
 		}
-		p.View, p.ViewFrom = fit, f.Name
+		p.Estimates, p.EstimatesFrom = fit, f.Name
 		return
 	}
 }
 
-// replay makes the table from the newest snapshot that is whole and the records behind it, up to the first that is not
+// replayKeys makes the table from the newest snapshot that is whole and the records behind it, up to the first that is not
 // whole. Of what is behind that, one thing is still taken: that a number had begun. It can only keep an effect from
 // happening twice; a result from there is not believed.
-func (p *Plan) replay(tables, logs []Found, here Here) {
-	newest(tables)
+func (p *Plan) replayKeys(tables, logs []File, here Environment) {
+	sortNewestFirst(tables)
 	at, based := uint64(0), false
 	for _, f := range tables {
-		if !f.Whole {
-			p.note(f.Name, "not whole")
-			p.Aside = append(p.Aside, Aside{Name: f.Name})
+		if !f.Complete {
+			p.addFinding(f.Name, "not whole")
+			p.Quarantine = append(p.Quarantine, Quarantined{Name: f.Name})
 			continue
 		}
 		if !based {
-			p.apply(f, f.Records, here, false)
-			at, based = f.Header.Place, true
+			p.applyRecords(f, f.Records, here, false)
+			at, based = f.Header.Sequence, true
 		}
 	}
-	newest(logs)
+	sortNewestFirst(logs)
 	slices.Reverse(logs)
 	broken := false
 	for i, f := range logs {
-		if i+1 < len(logs) && logs[i+1].Header.Place <= at+1 && f.Header.Place <= at {
+		if i+1 < len(logs) && logs[i+1].Header.Sequence <= at+1 && f.Header.Sequence <= at {
 			continue // all of it is in the snapshot
 		}
-		if !based && i == 0 && f.Header.Place > 1 {
-			p.note(f.Name, "what came before it is missing")
-			at = f.Header.Place - 1
+		if !based && i == 0 && f.Header.Sequence > 1 {
+			p.addFinding(f.Name, "what came before it is missing")
+			at = f.Header.Sequence - 1
 		}
-		if f.Header.Place > at+1 && !broken {
+		if f.Header.Sequence > at+1 && !broken {
 			broken = true
-			p.note(f.Name, fmt.Sprintf("records %d to %d before it are missing", at+1, f.Header.Place-1))
+			p.addFinding(f.Name, fmt.Sprintf("records %d to %d before it are missing", at+1, f.Header.Sequence-1))
 		}
 		for _, r := range f.Records {
-			if r.Seq <= at {
+			if r.Sequence <= at {
 				continue
 			}
-			if r.Seq != at+1 {
+			if r.Sequence != at+1 {
 				broken = true
 			}
 			if !broken {
-				at = r.Seq
+				at = r.Sequence
 			}
-			p.apply(f, []Record{r}, here, broken)
+			p.applyRecords(f, []Record{r}, here, broken)
 		}
-		if !f.Whole {
+		if !f.Complete {
 			broken = true
-			p.note(f.Name, fmt.Sprintf("not whole from byte %d on, with %d whole records behind", f.End, len(f.Beyond)))
-			p.Aside = append(p.Aside, Aside{Name: f.Name, From: f.End})
-			p.apply(f, slices.DeleteFunc(slices.Clone(f.Beyond), func(r Record) bool { return r.Seq <= at }), here, true)
+			p.addFinding(f.Name, fmt.Sprintf("not whole from byte %d on, with %d whole records behind", f.CompleteBytes, len(f.Salvaged)))
+			p.Quarantine = append(p.Quarantine, Quarantined{Name: f.Name, FromByte: f.CompleteBytes})
+			p.applyRecords(f, slices.DeleteFunc(slices.Clone(f.Salvaged), func(r Record) bool { return r.Sequence <= at }), here, true)
 		}
 	}
-	p.Table.Expire(here.Now.Up)
-	for _, n := range p.Table.All() {
-		if !n.Honoured {
-			p.Unknown++
+	p.Keys.Expire(here.Now.SinceBoot)
+	for _, n := range p.Keys.Entries() {
+		if !n.Served {
+			p.UnknownOutcomes++
 		}
 	}
 }
 
-func (p *Plan) apply(f Found, records []Record, here Here, unsure bool) {
-	ago, _ := Age(f.Header.At, here.Now)
+func (p *Plan) applyRecords(f File, records []Record, here Environment, unsure bool) {
+	ago, _ := Age(f.Header.CreatedAt, here.Now)
 	for _, r := range records {
-		p.Table.apply(r, ago, here.Now.Up, unsure)
+		p.Keys.apply(r, ago, here.Now.SinceBoot, unsure)
 	}
 }
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -21,30 +21,33 @@
 	m.Run()
 }
 
-var now = Moment{Wall: 1000 * time.Hour, Up: 100 * time.Hour, Boot: "b", Machine: 7}
+var now = Timestamp{Wall: 1000 * time.Hour, SinceBoot: 100 * time.Hour, BootID: "b", MachineID: 7}
 
-func before(wall, up time.Duration) Moment {
-	return Moment{Wall: now.Wall - wall, Up: now.Up - up, Boot: "b", Machine: 7}
+func before(wall, up time.Duration) Timestamp {
+	return Timestamp{Wall: now.Wall - wall, SinceBoot: now.SinceBoot - up, BootID: "b", MachineID: 7}
 }
 
 func TestAge(t *testing.T) {
-	other := func(m Moment, boot string, machine uint64) Moment { m.Boot, m.Machine = boot, machine; return m }
+	other := func(m Timestamp, boot string, machine uint64) Timestamp {
+		m.BootID, m.MachineID = boot, machine
+		return m
+	}
 	cases := []struct {
 		name        string
-		then        Moment
+		then        Timestamp
 		least, most time.Duration
 	}{
 		{"one boot", before(time.Minute, time.Minute), time.Minute, time.Minute},
 		{"wall clock set forward", before(time.Hour, time.Minute), time.Minute, time.Hour},
 		{"wall clock set back a little", before(time.Second, time.Minute), time.Minute, time.Minute},
-		{"a file from the future, or set back past it", before(-time.Second, time.Minute), time.Minute, Oldest},
-		{"the boot's clock ran backwards", before(time.Minute, -time.Second), 0, Oldest},
-		{"the boot before", other(before(time.Minute, 0), "a", 7), now.Up, now.Up},
-		{"many boots before", other(before(400*time.Hour, 0), "a", 7), now.Up, 400 * time.Hour},
+		{"a file from the future, or set back past it", before(-time.Second, time.Minute), time.Minute, MaxAge},
+		{"the boot's clock ran backwards", before(time.Minute, -time.Second), 0, MaxAge},
+		{"the boot before", other(before(time.Minute, 0), "a", 7), now.SinceBoot, now.SinceBoot},
+		{"many boots before", other(before(400*time.Hour, 0), "a", 7), now.SinceBoot, 400 * time.Hour},
 		{"another machine", other(before(time.Minute, time.Minute), "b", 8), 0, time.Minute},
 		{"machine not known", other(before(time.Minute, time.Minute), "b", 0), 0, time.Minute},
 		{"boot not known", other(before(time.Minute, time.Minute), "", 7), 0, time.Minute},
-		{"nothing known", Moment{}, 0, Oldest},
+		{"nothing known", Timestamp{}, 0, MaxAge},
 	}
 	for _, c := range cases {
 		least, most := Age(c.then, now)
@@ -62,7 +65,7 @@
 		reboot := rapid.Bool().Draw(t, "reboot")
 		later := now
 		if reboot { // the boot came somewhere between
-			later.Boot, later.Up = "c", time.Duration(rapid.Int64Range(0, int64(passed)).Draw(t, "up"))
+			later.BootID, later.SinceBoot = "c", time.Duration(rapid.Int64Range(0, int64(passed)).Draw(t, "up"))
 		}
 		least, most := Age(then, later)
 		assert.LessOrEqual(t, least, passed)
@@ -80,117 +83,120 @@
 	return &estimate.Snapshot{Origin: 1, SettingsDigest: 7, Routes: []estimate.RouteEstimates{{Name: "pay", Core: e, Run: e}}}
 }
 
-func viewFile(place uint64, mean float64, at Moment) Found {
-	return Found{
-		Name: "view-" + string(rune('a'+place)), Whole: true, View: view(mean),
-		Header: Header{Version: Version, Content: ViewFile, Site: "s", Place: place, At: at},
+func viewFile(place uint64, mean float64, at Timestamp) File {
+	return File{
+		Name: "view-" + string(rune('a'+place)), Complete: true, Estimates: view(mean),
+		Header: Header{Version: FormatVersion, Content: EstimatesFile, Site: "s", Sequence: place, CreatedAt: at},
 	}
 }
 
 func TestView(t *testing.T) {
 	young, old := before(time.Second, time.Second), before(time.Hour, time.Hour)
-	with := func(f Found, change func(*Found)) Found { change(&f); return f }
+	with := func(f File, change func(*File)) File { change(&f); return f }
 	cases := []struct {
 		name  string
-		found []Found
+		found []File
 		mean  float64 // 0: none
 		why   string
 	}{
 		{"none", nil, 0, ""},
-		{"the newest", []Found{viewFile(1, 0.1, young), viewFile(2, 0.2, young)}, 0.2, ""},
-		{"the newest is not whole", []Found{viewFile(1, 0.1, young), with(viewFile(2, 0.2, young), func(f *Found) { f.Whole, f.View = false, nil })}, 0.1, "not whole"},
-		{"old", []Found{viewFile(1, 0.1, old)}, 0, "old"},
-		{"from the future", []Found{viewFile(1, 0.1, before(-time.Minute, time.Second))}, 0, "old"},
-		{"of another site", []Found{with(viewFile(1, 0.1, young), func(f *Found) { f.Header.Site = "x" })}, 0, `of site "x", and this is "s"`},
-		{"of another machine", []Found{with(viewFile(1, 0.1, young), func(f *Found) { f.Header.At.Machine = 8 })}, 0, "of another machine"},
-		{"of other terms", []Found{with(viewFile(1, 0.1, young), func(f *Found) { f.View.SettingsDigest = 8 })}, 0, "other terms"},
-		{"of a newer version, and one known", []Found{viewFile(1, 0.1, young), with(viewFile(2, 0.2, young), func(f *Found) { f.Header.Version = Version + 1 })}, 0.1, "version 3, and 2 at the most is known here"},
-		{"of a version that never was", []Found{with(viewFile(1, 0.1, young), func(f *Found) { f.Header.Version = 0 })}, 0, "version 0, from which no step leads here"},
-		{"of version 1", []Found{with(viewFile(1, 0.1, young), func(f *Found) {
-			f.Header.Version, f.Header.At, f.Header.Wall = 1, Moment{}, int64(young.Wall)
+		{"the newest", []File{viewFile(1, 0.1, young), viewFile(2, 0.2, young)}, 0.2, ""},
+		{"the newest is not whole", []File{viewFile(1, 0.1, young), with(viewFile(2, 0.2, young), func(f *File) { f.Complete, f.Estimates = false, nil })}, 0.1, "not whole"},
+		{"old", []File{viewFile(1, 0.1, old)}, 0, "old"},
+		{"from the future", []File{viewFile(1, 0.1, before(-time.Minute, time.Second))}, 0, "old"},
+		{"of another site", []File{with(viewFile(1, 0.1, young), func(f *File) { f.Header.Site = "x" })}, 0, `of site "x", and this is "s"`},
+		{"of another machine", []File{with(viewFile(1, 0.1, young), func(f *File) { f.Header.CreatedAt.MachineID = 8 })}, 0, "of another machine"},
+		{"of other terms", []File{with(viewFile(1, 0.1, young), func(f *File) { f.Estimates.SettingsDigest = 8 })}, 0, "other terms"},
+		{"of a newer version, and one known", []File{viewFile(1, 0.1, young), with(viewFile(2, 0.2, young), func(f *File) { f.Header.Version = FormatVersion + 1 })}, 0.1, "version 3, and 2 at the most is known here"},
+		{"of a version that never was", []File{with(viewFile(1, 0.1, young), func(f *File) { f.Header.Version = 0 })}, 0, "version 0, from which no step leads here"},
+		{"of version 1", []File{with(viewFile(1, 0.1, young), func(f *File) {
+			f.Header.Version, f.Header.CreatedAt, f.Header.LegacyWall = 1, Timestamp{}, int64(young.Wall)
 		})}, 0.1, ""},
-		{"of version 1 and old", []Found{with(viewFile(1, 0.1, young), func(f *Found) {
-			f.Header.Version, f.Header.At, f.Header.Wall = 1, Moment{}, int64(old.Wall)
+		{"of version 1 and old", []File{with(viewFile(1, 0.1, young), func(f *File) {
+			f.Header.Version, f.Header.CreatedAt, f.Header.LegacyWall = 1, Timestamp{}, int64(old.Wall)
 		})}, 0, "old"},
-		{"unreadable", []Found{{Name: "view-x", Why: "no whole header"}}, 0, "no whole header"},
+		{"unreadable", []File{{Name: "view-x", Why: "no whole header"}}, 0, "no whole header"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := Decide(c.found, Here{Now: now, Site: "s", Frame: frame})
-			if assert.Equal(t, c.mean > 0, p.View.Fresh()); c.mean > 0 {
-				assert.Equal(t, c.mean, p.View.Routes[0].Core.Mean)
-				assert.Equal(t, time.Second, p.View.Routes[0].Core.Age)
+			p := NewPlan(c.found, Environment{Now: now, Site: "s", Schema: frame})
+			if assert.Equal(t, c.mean > 0, p.Estimates.Fresh()); c.mean > 0 {
+				assert.Equal(t, c.mean, p.Estimates.Routes[0].Core.Mean)
+				assert.Equal(t, time.Second, p.Estimates.Routes[0].Core.Age)
 			}
 			if c.why == "" {
-				assert.Empty(t, p.Notes)
+				assert.Empty(t, p.Findings)
 			} else {
-				require.Len(t, p.Notes, 1)
-				assert.Contains(t, p.Notes[0].Why, c.why)
+				require.Len(t, p.Findings, 1)
+				assert.Contains(t, p.Findings[0].Reason, c.why)
 			}
 		})
 	}
 }
 
-func logFile(place uint64, whole bool, records ...Record) Found {
+func logFile(place uint64, whole bool, records ...Record) File {
 	for i := range records {
-		records[i].Seq = place + uint64(i)
+		records[i].Sequence = place + uint64(i)
 	}
-	return Found{
-		Name: "log-" + string(rune('a'+place)), Whole: whole, Records: records,
-		Header: Header{Version: Version, Content: LogFile, Site: "s", Place: place, At: before(time.Minute, time.Minute)},
+	return File{
+		Name: "log-" + string(rune('a'+place)), Complete: whole, Records: records,
+		Header: Header{Version: FormatVersion, Content: KeyLogFile, Site: "s", Sequence: place, CreatedAt: before(time.Minute, time.Minute)},
 	}
 }
 
-func begun(key string) Record { return Record{Kind: Begun, Key: key, Left: time.Hour} }
+func begun(key string) Record { return Record{Kind: KeyStarted, Key: key, Remaining: time.Hour} }
 
 func ended(key, result string) Record {
-	return Record{Kind: Ended, Key: key, Left: time.Hour, Honoured: true, Result: []byte(result)}
+	return Record{Kind: KeyFinished, Key: key, Remaining: time.Hour, Served: true, Result: []byte(result)}
 }
 
-func tableFile(place uint64, records ...Record) Found {
+func tableFile(place uint64, records ...Record) File {
 	f := logFile(place, true, records...)
-	f.Name, f.Header.Content = "table-"+string(rune('a'+place)), TableFile
+	f.Name, f.Header.Content = "table-"+string(rune('a'+place)), KeyTableFile
 	return f
 }
 
 func TestTable(t *testing.T) {
-	behind := func(f Found, beyond ...Record) Found { f.Whole, f.End, f.Beyond = false, 77, beyond; return f }
-	at := func(seq uint64, r Record) Record { r.Seq = seq; return r }
+	behind := func(f File, beyond ...Record) File {
+		f.Complete, f.CompleteBytes, f.Salvaged = false, 77, beyond
+		return f
+	}
+	at := func(seq uint64, r Record) Record { r.Sequence = seq; return r }
 	rotten := tableFile(4)
-	rotten.Whole, rotten.Records = false, nil
+	rotten.Complete, rotten.Records = false, nil
 	cases := []struct {
 		name  string
-		found []Found
+		found []File
 		want  map[string]string // results; "?" where the end is not known
 		next  uint64
 		aside int
 	}{
-		{"begun and ended", []Found{logFile(1, true, begun("a"), begun("b"), ended("a", "1"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
-		{"a snapshot and what came after it", []Found{tableFile(2, ended("a", "1")), logFile(1, true, begun("a"), begun("x"), begun("b"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
-		{"two logs", []Found{logFile(3, true, ended("b", "2")), logFile(1, true, begun("a"), begun("b"))}, map[string]string{"a": "?", "b": "2"}, 4, 0},
-		{"a torn end", []Found{behind(logFile(1, false, begun("a")))}, map[string]string{"a": "?"}, 2, 1},
-		{"behind what is torn only that something began is taken", []Found{behind(logFile(1, false, begun("a")), at(3, ended("a", "no")), at(4, begun("c")))}, map[string]string{"a": "?", "c": "?"}, 5, 1},
-		{"so with a whole log behind a torn one", []Found{behind(logFile(1, false, begun("a"))), logFile(3, true, ended("a", "no"), ended("d", "no"))}, map[string]string{"a": "?", "d": "?"}, 5, 1},
-		{"a log in between is missing", []Found{logFile(1, true, ended("a", "1")), logFile(5, true, ended("e", "no"))}, map[string]string{"a": "1", "e": "?"}, 6, 0},
-		{"the newest snapshot is rotten", []Found{rotten, tableFile(2, ended("a", "1")), logFile(3, true, begun("b"), ended("b", "2")), logFile(5, true, begun("c"))}, map[string]string{"a": "1", "b": "2", "c": "?"}, 6, 1},
-		{"no snapshot, and the first logs are gone", []Found{logFile(9, true, begun("a"), ended("a", "1"))}, map[string]string{"a": "1"}, 11, 0},
-		{"an empty log", []Found{tableFile(3, ended("a", "1")), logFile(4, true)}, map[string]string{"a": "1"}, 4, 0},
+		{"begun and ended", []File{logFile(1, true, begun("a"), begun("b"), ended("a", "1"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
+		{"a snapshot and what came after it", []File{tableFile(2, ended("a", "1")), logFile(1, true, begun("a"), begun("x"), begun("b"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
+		{"two logs", []File{logFile(3, true, ended("b", "2")), logFile(1, true, begun("a"), begun("b"))}, map[string]string{"a": "?", "b": "2"}, 4, 0},
+		{"a torn end", []File{behind(logFile(1, false, begun("a")))}, map[string]string{"a": "?"}, 2, 1},
+		{"behind what is torn only that something began is taken", []File{behind(logFile(1, false, begun("a")), at(3, ended("a", "no")), at(4, begun("c")))}, map[string]string{"a": "?", "c": "?"}, 5, 1},
+		{"so with a whole log behind a torn one", []File{behind(logFile(1, false, begun("a"))), logFile(3, true, ended("a", "no"), ended("d", "no"))}, map[string]string{"a": "?", "d": "?"}, 5, 1},
+		{"a log in between is missing", []File{logFile(1, true, ended("a", "1")), logFile(5, true, ended("e", "no"))}, map[string]string{"a": "1", "e": "?"}, 6, 0},
+		{"the newest snapshot is rotten", []File{rotten, tableFile(2, ended("a", "1")), logFile(3, true, begun("b"), ended("b", "2")), logFile(5, true, begun("c"))}, map[string]string{"a": "1", "b": "2", "c": "?"}, 6, 1},
+		{"no snapshot, and the first logs are gone", []File{logFile(9, true, begun("a"), ended("a", "1"))}, map[string]string{"a": "1"}, 11, 0},
+		{"an empty log", []File{tableFile(3, ended("a", "1")), logFile(4, true)}, map[string]string{"a": "1"}, 4, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			rand.New(rand.NewSource(1)).Shuffle(len(c.found), func(i, j int) { c.found[i], c.found[j] = c.found[j], c.found[i] })
-			p := Decide(c.found, Here{Now: now, Site: "s"})
+			p := NewPlan(c.found, Environment{Now: now, Site: "s"})
 			got, unknown := map[string]string{}, 0
-			for _, n := range p.Table.All() {
-				if got[n.Key] = string(n.Result); !n.Honoured {
+			for _, n := range p.Keys.Entries() {
+				if got[n.Key] = string(n.Result); !n.Served {
 					got[n.Key] = "?"
 					unknown++
 				}
 			}
 			assert.Equal(t, c.want, got)
-			assert.Equal(t, unknown, p.Unknown)
-			assert.Equal(t, c.next, p.Next)
-			assert.Len(t, p.Aside, c.aside)
+			assert.Equal(t, unknown, p.UnknownOutcomes)
+			assert.Equal(t, c.next, p.NextSequence)
+			assert.Len(t, p.Quarantine, c.aside)
 		})
 	}
 }
@@ -198,7 +204,7 @@
 func TestWindow(t *testing.T) {
 	cases := []struct {
 		name string
-		then Moment
+		then Timestamp
 		at   time.Duration // of the record, in its file
 		left time.Duration // of a window of an hour; 0: over
 	}{
@@ -207,16 +213,16 @@
 		{"over", before(time.Hour, time.Hour), 0, 0},
 		{"over by a wall clock that was set", before(time.Hour, time.Minute), 0, 59 * time.Minute},
 		{"a wall clock that was set back", before(-time.Hour, time.Minute), 0, 59 * time.Minute},
-		{"on another machine nothing is sure", Moment{Wall: 1, Up: 1, Boot: "x", Machine: 9}, 0, time.Hour},
-		{"before a boot long ago", Moment{Wall: 1, Up: 1, Boot: "x", Machine: 7}, 0, 0},
-		{"longer in its file than has passed for sure", Moment{Wall: 1, Up: 1, Boot: "x", Machine: 9}, time.Hour, time.Hour},
+		{"on another machine nothing is sure", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 9}, 0, time.Hour},
+		{"before a boot long ago", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 7}, 0, 0},
+		{"longer in its file than has passed for sure", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 9}, time.Hour, time.Hour},
 	}
 	for _, c := range cases {
 		f := logFile(1, true, begun("a"))
-		f.Header.At, f.Records[0].At = c.then, c.at
-		n, known := Decide([]Found{f}, Here{Now: now, Site: "s"}).Table.Get("a")
+		f.Header.CreatedAt, f.Records[0].Elapsed = c.then, c.at
+		n, known := NewPlan([]File{f}, Environment{Now: now, Site: "s"}).Keys.Get("a")
 		if assert.Equal(t, c.left > 0, known, c.name); known {
-			assert.Equal(t, c.left, n.Until-now.Up, c.name)
+			assert.Equal(t, c.left, n.ExpiresAt-now.SinceBoot, c.name)
 		}
 	}
 }
@@ -224,19 +230,19 @@
 func TestWorth(t *testing.T) {
 	warm, cold := *view(0.1), *view(0.1)
 	cold.Routes[0].Core.Samples = 2
-	assert.True(t, Worth(warm, estimate.Snapshot{}, 0))
-	assert.False(t, Worth(cold, estimate.Snapshot{}, 0), "what the one before left is worth more")
-	assert.False(t, Worth(warm.Aged(time.Second), warm, time.Second), "nothing was seen since")
-	assert.True(t, Worth(warm.Aged(time.Second/2), warm, time.Second))
+	assert.True(t, ShouldPersist(warm, estimate.Snapshot{}, 0))
+	assert.False(t, ShouldPersist(cold, estimate.Snapshot{}, 0), "what the one before left is worth more")
+	assert.False(t, ShouldPersist(warm.Aged(time.Second), warm, time.Second), "nothing was seen since")
+	assert.True(t, ShouldPersist(warm.Aged(time.Second/2), warm, time.Second))
 }
 
 func TestTableBytes(t *testing.T) {
-	table := NewTable()
-	table.Put(Number{Key: "a", Until: 5, Result: make([]byte, 100)})
-	table.Put(Number{Key: "b", Until: 9})
-	table.Put(Number{Key: "a", Until: 5, Result: make([]byte, 10)})
-	assert.Equal(t, 2*numberBytes+2+10, table.Bytes())
+	table := NewKeyTable()
+	table.Put(KeyEntry{Key: "a", ExpiresAt: 5, Result: make([]byte, 100)})
+	table.Put(KeyEntry{Key: "b", ExpiresAt: 9})
+	table.Put(KeyEntry{Key: "a", ExpiresAt: 5, Result: make([]byte, 10)})
+	assert.Equal(t, 2*entryOverheadBytes+2+10, table.SizeBytes())
 	table.Expire(5)
 	assert.Equal(t, 1, table.Len())
-	assert.Equal(t, numberBytes+1, table.Bytes())
+	assert.Equal(t, entryOverheadBytes+1, table.SizeBytes())
 }
--- a/state.go
+++ b/state.go
@@ -22,7 +22,7 @@
 	Commit    time.Duration // for which numbers are gathered before they are written (1 ms); below 0 not at all
 	NoNumbers bool          // only what was learned is kept
 
-	open func(only bool) (datadir.Folder, error) // in the place of Dir, for tests
+	open func(only bool) (datadir.Dir, error) // in the place of Dir, for tests
 }
 
 // keepState opens the folder and has the gate go on from it. Only a folder that another process holds is an error;
@@ -40,22 +40,22 @@
 	}
 	schema := g.owner.PublishEstimates(origin, func(snapshot estimate.Snapshot, _ time.Duration) {
 		g.view.Store(&snapshot)
-		g.state.View(snapshot)
+		g.state.SaveEstimates(snapshot)
 	})
 	open := t.open
 	if open == nil {
 		open = datadir.Opener(t.Dir)
 	}
-	kept, had, err := store.New(store.Terms{
-		Open: open, Clock: store.SystemClock(), ID: store.DrawID, Site: t.Site, Frame: schema,
-		Most: int64(t.MostMB) << 20, Commit: max(t.Commit, 0), Numbers: !t.NoNumbers, Counts: counts, Log: log,
-		Nudge: g.owner.Nudge, Late: func(r store.Recovered) { store.ResumeLate(g.owner, r) },
+	kept, had, err := store.New(store.Options{
+		OpenDir: open, Clock: store.SystemClock(), NewID: store.RandomID, Site: t.Site, Schema: schema,
+		MaxBytes: int64(t.MostMB) << 20, CommitInterval: max(t.Commit, 0), PersistKeys: !t.NoNumbers, Counts: counts, Log: log,
+		OnDurable: g.owner.Nudge, OnLateRecovery: func(r store.Recovered) { store.RestoreLate(g.owner, r) },
 	})
 	if err != nil {
 		return fmt.Errorf("quartzpoint: State: %w", err)
 	}
 	g.state = kept
-	store.Resume(g.owner, had)
+	store.Restore(g.owner, had)
 	if !t.NoNumbers {
 		g.owner.Keep(kept)
 	}
--- a/state_test.go
+++ b/state_test.go
@@ -23,7 +23,7 @@
 }
 
 func on(disk *faultdisk.Disk) *State {
-	return &State{Dir: "none", open: func(bool) (datadir.Folder, error) { return disk, nil }}
+	return &State{Dir: "none", open: func(bool) (datadir.Dir, error) { return disk, nil }}
 }
 
 func pay(number string) Task { return Task{Type: "pay", Number: number, Shape: 1} }
@@ -134,11 +134,11 @@
 	assert.Error(t, ask(ctx, "gone"), "its caller went")
 	assert.Error(t, ask(t.Context(), "late"), "its time was up")
 	assert.Less(t, time.Since(began), 900*ms)
-	require.Eventually(t, func() bool { return g.state.Safe() > 1<<60 }, 5*time.Second, ms)
+	require.Eventually(t, func() bool { return g.state.DurableMark() > 1<<60 }, 5*time.Second, ms)
 	assert.NoError(t, ask(t.Context(), "without"))
 	assert.Equal(t, "without", <-ran)
 	close(hold)
-	require.Eventually(t, func() bool { return g.state.Safe() < 1<<60 }, 5*time.Second, ms)
+	require.Eventually(t, func() bool { return g.state.DurableMark() < 1<<60 }, 5*time.Second, ms)
 	assert.NoError(t, ask(t.Context(), "after"))
 	assert.Equal(t, "after", <-ran)
 	assert.Empty(t, ran)
