--- /dev/null
+++ b/cmd/quartzpoint/state_commands.go
@@ -0,0 +1,152 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"quartzpoint/estimate"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/store"
+	"quartzpoint/recovery"
+)
+
+// stateCommands are the commands on state directories.
+type stateCommands struct {
+	Show    stateShow    `cmd:"" help:"Print what a folder holds, and what a start would use of it."`
+	Verify  stateVerify  `cmd:"" help:"Tell whether all of a folder is whole; exit code 1 where it is not."`
+	Export  stateExport  `cmd:"" help:"Print all that a start would use, as JSON."`
+	Compact stateCompact `cmd:"" help:"Have the folder of a server that is stopped hold one table and one log."`
+}
+
+// stateDir names the directory that a command works on.
+type stateDir struct {
+	Dir    string `arg:"" help:"The folder, as in its [state] dir."`
+	Site   string `help:"Its site; that of its files where it is not stated."`
+	MostMB int    `name:"most-mb" default:"64" help:"As in [state]."`
+}
+
+func (d *stateDir) maxBytes() int64 { return int64(d.MostMB) << 20 }
+
+// inspect reads the directory without its lock: a server may be using it.
+func (d *stateDir) inspect(now recovery.Timestamp) (store.Report, error) {
+	dir, err := datadir.Open(d.Dir, true)
+	if err != nil {
+		return store.Report{}, err
+	}
+	report, err := store.Inspect(dir, recovery.Environment{Now: now, Site: d.Site}, d.maxBytes())
+	return report, errors.Join(err, dir.Close())
+}
+
+// stateShow prints a directory's report.
+type stateShow struct {
+	stateDir
+	JSON bool `name:"json" help:"Print it as JSON."`
+}
+
+// Run prints the report.
+func (cmd *stateShow) Run() error {
+	now := store.SystemClock()()
+	report, err := cmd.inspect(now)
+	if err != nil {
+		return err
+	}
+	if cmd.JSON {
+		return printJSON(os.Stdout, report)
+	}
+	if err := printFiles(os.Stdout, report.Files, now); err != nil {
+		return err
+	}
+	byRoute := map[string]int{}
+	for _, key := range report.Keys {
+		byRoute[key.Route]++
+	}
+	fmt.Printf("%d numbers, the end of %d not known, %d bytes\n", len(report.Keys), report.UnknownOutcomes, report.Bytes)
+	for _, route := range slices.Sorted(maps.Keys(byRoute)) {
+		fmt.Printf("  %s: %d\n", route, byRoute[route])
+	}
+	if report.Estimates != nil {
+		if err := show(os.Stdout, *report.Estimates); err != nil {
+			return err
+		}
+	}
+	for _, finding := range report.Findings {
+		fmt.Printf("not used: %s: %s\n", finding.File, finding.Reason)
+	}
+	return nil
+}
+
+func printFiles(to io.Writer, files []store.FileReport, now recovery.Timestamp) error {
+	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "file\tbytes\tversion\tsite\tbegun ago\trecords\twhole\t")
+	for _, f := range files {
+		if f.Header == nil {
+			fmt.Fprintf(table, "%s\t%d\t\t\t\t\t%s\t\n", f.Name, f.Bytes, f.Problem)
+			continue
+		}
+		_, age := recovery.Age(f.Header.CreatedAt, now)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%v\t%d\t%t\t\n", f.Name, f.Bytes, f.Header.Version, f.Header.Site,
+			age.Round(time.Second), f.Records, f.Complete)
+	}
+	if err := table.Flush(); err != nil {
+		return fmt.Errorf("table: %w", err)
+	}
+	return nil
+}
+
+// stateVerify fails if a directory holds anything that a start would not use.
+type stateVerify struct{ stateDir }
+
+// Run reads every frame of every file.
+func (cmd *stateVerify) Run() error {
+	report, err := cmd.inspect(store.SystemClock()())
+	if err != nil {
+		return err
+	}
+	if problems := report.Problems(); len(problems) > 0 {
+		return errors.New(strings.Join(problems, "\n"))
+	}
+	fmt.Printf("%d files, all whole\n", len(report.Files))
+	return nil
+}
+
+// stateExport prints what a start would use.
+type stateExport struct{ stateDir }
+
+// stateContents is the JSON that stateExport prints. Its members are in alphabetical order.
+type stateContents struct {
+	Estimates *estimate.Snapshot `json:"learned"`
+	Keys      []store.KeyReport  `json:"numbers"`
+}
+
+// Run prints the estimates and the idempotency keys as JSON.
+func (cmd *stateExport) Run() error {
+	report, err := cmd.inspect(store.SystemClock()())
+	if err != nil {
+		return err
+	}
+	return printJSON(os.Stdout, stateContents{Estimates: report.Estimates, Keys: report.Keys})
+}
+
+// stateCompact rewrites a directory that no server uses.
+type stateCompact struct{ stateDir }
+
+// Run takes the directory's lock, so it fails while a server uses it.
+func (cmd *stateCompact) Run() error {
+	dir, err := datadir.Open(cmd.Dir, false)
+	if err != nil {
+		return err
+	}
+	before, after, err := store.Compact(dir, cmd.Site, cmd.maxBytes(), store.SystemClock())
+	if err = errors.Join(err, dir.Close()); err != nil {
+		return err
+	}
+	fmt.Printf("%d bytes, and %d before\n", after, before)
+	return nil
+}
--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -13,28 +13,28 @@
 	"quartzpoint/recovery"
 )
 
-// SystemClock reads the clocks of this machine, and finds its mark and the boot's. Where these can't be read they are
-// unknown, and recovery takes what it finds for as old as may be.
+// SystemClock returns a function that reads this machine's clocks. If the ids of the machine or the boot cannot be read
+// they stay unknown, and package recovery makes the weakest assumptions about ages.
 func SystemClock() func() recovery.Timestamp {
 	boot, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
-	here := recovery.Timestamp{BootID: strings.TrimSpace(string(boot))}
+	base := recovery.Timestamp{BootID: strings.TrimSpace(string(boot))}
 	if id, err := os.ReadFile("/etc/machine-id"); err == nil && len(id) > 0 {
-		here.MachineID = xxhash.Sum64(id)
+		base.MachineID = xxhash.Sum64(id)
 	} else if name, err := os.Hostname(); err == nil {
-		here.MachineID = xxhash.Sum64String(name)
+		base.MachineID = xxhash.Sum64String(name)
 	}
 	return func() recovery.Timestamp {
-		now := here
+		now := base
 		now.Wall = time.Duration(time.Now().UnixNano())
-		var up unix.Timespec
-		if unix.ClockGettime(unix.CLOCK_BOOTTIME, &up) == nil {
-			now.SinceBoot = time.Duration(up.Nano())
+		var sinceBoot unix.Timespec
+		if unix.ClockGettime(unix.CLOCK_BOOTTIME, &sinceBoot) == nil {
+			now.SinceBoot = time.Duration(sinceBoot.Nano())
 		}
 		return now
 	}
 }
 
-// RandomID draws an id for a file.
+// RandomID returns a random id, for a file or a server.
 func RandomID() uint64 {
 	var id [8]byte
 	_, _ = rand.Read(id[:]) // never fails
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -115,10 +115,10 @@
 		}
 		fits := false
 		for i, s := range of.states {
-			same := s.Served == n.Served && string(s.Result) == string(n.Result) && s.Shape == n.Shape
+			same := s.Served == n.Served && string(s.Result) == string(n.Result) && s.Fingerprint == n.Fingerprint
 			fits = fits || same && i+1 >= of.kept
 		}
-		if begun := !n.Served && n.Result == nil; !fits && !(begun && of.kept < len(of.states)) {
+		if begun := !n.Served && n.Result == nil; !fits && (!begun || of.kept >= len(of.states)) {
 			return fmt.Errorf("%q stands as honoured=%v result %q, after %d states, %d kept", key, n.Served, n.Result, len(of.states), of.kept)
 		}
 	}
@@ -151,7 +151,7 @@
 		b.now.Wall += time.Millisecond
 		switch what := rng.Intn(10); {
 		case what < 4:
-			n := recovery.KeyEntry{Key: fmt.Sprintf("pay\x00%d\xff-%d", seed, i), Shape: uint64(i), ExpiresAt: b.now.SinceBoot + window}
+			n := recovery.KeyEntry{Key: fmt.Sprintf("pay\x00%d\xff-%d", seed, i), Fingerprint: uint64(i), ExpiresAt: b.now.SinceBoot + window}
 			r.give(n)
 			open = append(open, n)
 			b.appendRecord(n, false, b.now.SinceBoot)
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -10,135 +10,121 @@
 	"quartzpoint/recovery"
 )
 
-// FileReport tells of one file of a folder.
+// FileReport describes one file of a directory.
 type FileReport struct {
 	Name     string           `json:"name"`
 	Bytes    int64            `json:"bytes"`
-	Header   *recovery.Header `json:"header,omitempty"`
+	Header   *recovery.Header `json:"header,omitempty"` // nil if the file cannot be used
 	Records  int              `json:"records"`
 	Complete bool             `json:"whole"`
-	Salvaged int              `json:"beyond,omitempty"` // whole records behind the first that is not
-	Problem  string           `json:"why,omitempty"`
+	Salvaged int              `json:"beyond,omitempty"` // undamaged records behind the first damage
+	Problem  string           `json:"why,omitempty"`    // why the file cannot be used
 }
 
-// KeyReport tells of one number. Left is of its window.
+// KeyReport describes one idempotency key.
 type KeyReport struct {
 	Route     string        `json:"type"`
 	Key       string        `json:"number"`
-	Remaining time.Duration `json:"left"`
+	Remaining time.Duration `json:"left"` // of the deduplication window
 	Served    bool          `json:"honoured"`
 	Result    []byte        `json:"result,omitempty"`
 }
 
-// Report tells what a folder holds, and what a start would use of it.
+// Report describes what a directory holds, and what a start would use of it.
 type Report struct {
 	Files           []FileReport       `json:"files"`
-	Plan            recovery.Plan      `json:"-"`
 	Findings        []recovery.Finding `json:"notes"`
 	Keys            []KeyReport        `json:"numbers"`
 	UnknownOutcomes int                `json:"unknown"`
-	EstimatesFile   string             `json:"view,omitempty"`    // the newest file that holds one
-	Estimates       *estimate.Snapshot `json:"learned,omitempty"` // what it holds, aged
-	Bytes           int64              `json:"bytes"`
+	EstimatesFile   string             `json:"view,omitempty"`    // the newest that is complete
+	Estimates       *estimate.Snapshot `json:"learned,omitempty"` // of that file, aged to now
+	Bytes           int64              `json:"bytes"`             // of all files
 }
 
-// resolveSite is the site that a folder is of: the stated one, else that of its first file that has one.
-func resolveSite(found []recovery.File, stated string) string {
-	for _, f := range found {
-		if stated == "" && f.Why == "" {
+// problemQuarantined marks files that a start never reads.
+const problemQuarantined = "kept aside"
+
+// resolveSite returns the stated site, or that of the first file that has one.
+func resolveSite(files []recovery.File, stated string) string {
+	for _, f := range files {
+		if stated == "" && f.Err == nil {
 			stated = f.Header.Site
 		}
 	}
 	return stated
 }
 
-// Inspect reads a folder that may be in use. Where here says no site it is that of the files.
-func Inspect(in datadir.Dir, here recovery.Environment, most int64) (r Report, err error) {
-	entries, err := in.List()
+// Inspect reads a directory, which may be in use. Without a site in the environment it takes that of the files.
+func Inspect(dir datadir.Dir, environment recovery.Environment, maxBytes int64) (r Report, err error) {
+	entries, err := dir.List()
+	if err != nil {
+		return r, err
+	}
+	files, err := readFiles(dir, maxBytes, true)
 	if err != nil {
 		return r, err
 	}
+	r.addFiles(entries, files)
+	r.addEstimates(files, environment.Now)
+	environment.Site = resolveSite(files, environment.Site)
+	plan := recovery.NewPlan(files, environment)
+	r.Findings, r.UnknownOutcomes = plan.Findings, plan.UnknownOutcomes
+	for _, entry := range plan.Keys.Entries() {
+		route, key, _ := strings.Cut(entry.Key, "\x00")
+		r.Keys = append(r.Keys, KeyReport{
+			Route: route, Key: key, Remaining: entry.ExpiresAt - environment.Now.SinceBoot, Served: entry.Served, Result: entry.Result,
+		})
+	}
+	return r, nil
+}
+
+func (r *Report) addFiles(entries []datadir.Entry, files []recovery.File) {
 	sizes := map[string]int64{}
 	for _, e := range entries {
 		sizes[e.Name] = e.Size
 		r.Bytes += e.Size
 	}
-	found, err := readFiles(in, most, true)
-	if err != nil {
-		return r, err
-	}
-	here.Site = resolveSite(found, here.Site)
-	for _, f := range found {
-		one := FileReport{Name: f.Name, Bytes: sizes[f.Name], Records: len(f.Records), Complete: f.Complete, Salvaged: len(f.Salvaged), Problem: f.Why}
-		if f.Why == "" {
-			one.Header = &f.Header
+	for _, f := range files {
+		report := FileReport{
+			Name: f.Name, Bytes: sizes[f.Name], Records: len(f.Records), Complete: f.Complete, Salvaged: len(f.Salvaged),
+		}
+		if f.Err != nil {
+			report.Problem = f.Err.Error()
+		} else {
+			report.Header = &f.Header
 		}
-		r.Files = append(r.Files, one)
+		r.Files = append(r.Files, report)
 	}
 	for _, e := range entries {
-		if _, is := parseFileName(quarantinePrefix, e.Name); is {
-			r.Files = append(r.Files, FileReport{Name: e.Name, Bytes: e.Size, Problem: "kept aside"})
+		if _, ok := parseFileName(quarantinePrefix, e.Name); ok {
+			r.Files = append(r.Files, FileReport{Name: e.Name, Bytes: e.Size, Problem: problemQuarantined})
 		}
 	}
-	r.Plan = recovery.NewPlan(found, here)
-	r.Findings, r.UnknownOutcomes = r.Plan.Findings, r.Plan.UnknownOutcomes
-	for _, f := range found { // by name, so the newest is the last
+}
+
+// addEstimates takes the estimates of the newest complete file. Files are sorted by name, so it is the last one.
+func (r *Report) addEstimates(files []recovery.File, now recovery.Timestamp) {
+	for _, f := range files {
 		if f.Estimates != nil && f.Complete && f.Header.Version == recovery.FormatVersion {
-			_, age := recovery.Age(f.Header.CreatedAt, here.Now)
-			learned := f.Estimates.Aged(age)
-			r.EstimatesFile, r.Estimates = f.Name, &learned
+			_, age := recovery.Age(f.Header.CreatedAt, now)
+			aged := f.Estimates.Aged(age)
+			r.EstimatesFile, r.Estimates = f.Name, &aged
 		}
 	}
-	for _, n := range r.Plan.Keys.Entries() {
-		kind, number, _ := strings.Cut(n.Key, "\x00")
-		r.Keys = append(r.Keys, KeyReport{kind, number, n.ExpiresAt - here.Now.SinceBoot, n.Served, n.Result})
-	}
-	return r, nil
 }
 
-// Problems are what a start would not use, or not wholly; none for a folder that is as it was left.
-func (r Report) Problems() (words []string) {
+// Problems lists what a start would not use, completely or in part. It is empty for a directory that was left in order.
+func (r Report) Problems() (problems []string) {
 	for _, f := range r.Files {
 		switch {
-		case f.Header == nil && f.Problem != "kept aside":
-			words = append(words, fmt.Sprintf("%s: %s", f.Name, f.Problem))
+		case f.Header == nil && f.Problem != problemQuarantined:
+			problems = append(problems, fmt.Sprintf("%s: %s", f.Name, f.Problem))
 		case f.Header != nil && !f.Complete && f.Header.Version <= recovery.FormatVersion:
-			words = append(words, fmt.Sprintf("%s: not whole, %d records before that and %d behind", f.Name, f.Records, f.Salvaged))
+			problems = append(problems, fmt.Sprintf("%s: not whole, %d records before that and %d behind", f.Name, f.Records, f.Salvaged))
 		}
 	}
-	for _, n := range r.Findings {
-		words = append(words, fmt.Sprintf("%s: %s", n.File, n.Reason))
-	}
-	return words
-}
-
-// Compact has a folder that no server uses hold one table, one log and the newest view. What is left of windows is as
-// at a start.
-func Compact(in datadir.Dir, here recovery.Environment, most int64, clock func() recovery.Timestamp) (before, after int64, err error) {
-	found, err := readFiles(in, most, true)
-	if err != nil {
-		return 0, 0, err
-	}
-	here.Site = resolveSite(found, here.Site)
-	report, err := Inspect(in, here, most)
-	if err != nil {
-		return 0, 0, err
-	}
-	b := &writer{dir: in, clock: clock, newID: RandomID, site: here.Site, maxBytes: most, persistKeys: true}
-	for range retainedTables { // the older generation goes with the second
-		plan, err := b.plan(here)
-		if err == nil {
-			err = b.apply(plan, plan.Keys)
-		}
-		if err != nil {
-			return 0, 0, err
-		}
-		if err := b.log.Close(); err != nil {
-			return 0, 0, fmt.Errorf("log: %w", err)
-		}
-		b.log = nil
+	for _, finding := range r.Findings {
+		problems = append(problems, fmt.Sprintf("%s: %s", finding.File, finding.Reason))
 	}
-	before = report.Bytes
-	report, err = Inspect(in, here, most)
-	return before, report.Bytes, err
+	return problems
 }
--- /dev/null
+++ b/internal/store/recover.go
@@ -0,0 +1,111 @@
+package store
+
+import (
+	"errors"
+	"time"
+
+	"quartzpoint/internal/datadir"
+	"quartzpoint/recovery"
+)
+
+// The delay before the directory is retried doubles from the first to the second.
+const (
+	minRetryDelay = time.Second
+	maxRetryDelay = 30 * time.Second
+)
+
+func (s *Store) newWriter(dir datadir.Dir) *writer {
+	return &writer{
+		dir: dir, clock: s.options.Clock, newID: s.options.NewID, site: s.options.Site,
+		maxBytes: s.options.MaxBytes, persistKeys: s.options.PersistKeys,
+	}
+}
+
+// readState plans what is used of a directory, and adds its keys to the unwritten ones. It returns those that are new.
+func (s *Store) readState(w *writer) (recovery.Plan, Recovered, error) {
+	plan, err := w.plan(recovery.Environment{Now: s.options.Clock(), Site: s.options.Site, Schema: s.options.Schema})
+	recovered := Recovered{Estimates: plan.Estimates, UnknownOutcomes: plan.UnknownOutcomes, ReadAt: s.now()}
+	if err != nil {
+		return plan, recovered, err
+	}
+	for _, finding := range plan.Findings {
+		s.options.Log.Warn("state not used", "file", finding.File, "why", finding.Reason)
+	}
+	for _, entry := range plan.Keys.Entries() {
+		if _, known := s.unwritten.Get(entry.Key); !known {
+			recovered.Keys = append(recovered.Keys, entry)
+			s.unwritten.Put(entry)
+		}
+	}
+	return plan, recovered, nil
+}
+
+// open reads the directory and writes all that is known anew. What it read and was not known is returned with an error
+// too.
+func (s *Store) open() (Recovered, error) {
+	start := s.now()
+	dir, err := s.options.OpenDir(false)
+	if err != nil {
+		return Recovered{}, err
+	}
+	w := s.newWriter(dir)
+	plan, recovered, err := s.readState(w)
+	if err == nil {
+		err = w.apply(plan, s.unwritten)
+	}
+	if err != nil {
+		return recovered, errors.Join(err, w.close())
+	}
+	s.writer, s.unwritten = w, nil
+	recovered.Duration = s.now() - start
+	s.options.Log.Info("state read", "view", plan.EstimatesFrom, "numbers", len(recovered.Keys),
+		"unknown", plan.UnknownOutcomes, "took", recovered.Duration)
+	return recovered, nil
+}
+
+// openReadOnly reads a directory that cannot be written to: what has run must not run again for that.
+func (s *Store) openReadOnly() Recovered {
+	dir, err := s.options.OpenDir(true)
+	if err != nil {
+		return Recovered{}
+	}
+	_, recovered, _ := s.readState(s.newWriter(dir)) // the failure to open the directory for writing is reported instead
+	_ = dir.Close()                                  // nothing was written
+	return recovered
+}
+
+// suspend goes on without the directory after a failure.
+func (s *Store) suspend(err error) {
+	s.options.Counts.Saw("state not kept: disk")
+	if !s.suspended.Swap(true) {
+		s.options.Log.Error("state is not kept, serving on without it", "error", err, "again_in", s.retryDelay)
+	}
+	if s.writer != nil {
+		if s.job != nil { // it writes to the same directory
+			<-s.job
+			s.job = nil
+		}
+		s.unwritten = s.writer.keys
+		_ = s.writer.close() // its files no longer count: all is written anew
+		s.writer = nil
+	}
+	s.retryAt = s.now() + s.retryDelay
+	s.retryDelay = min(2*s.retryDelay, maxRetryDelay)
+	s.writingSince.Store(0)
+	s.options.OnDurable()
+}
+
+// retry opens the directory again after a failure.
+func (s *Store) retry() {
+	recovered, err := s.open()
+	if s.options.OnLateRecovery != nil && (len(recovered.Keys) > 0 || recovered.Estimates.Fresh()) {
+		s.options.OnLateRecovery(recovered)
+	}
+	if err != nil {
+		s.suspend(err)
+		return
+	}
+	s.retryDelay = minRetryDelay
+	s.suspended.Store(false)
+	s.options.Log.Info("state is kept again")
+}
--- /dev/null
+++ b/internal/store/run.go
@@ -0,0 +1,191 @@
+package store
+
+import (
+	"errors"
+	"time"
+
+	"quartzpoint/estimate"
+	"quartzpoint/recovery"
+)
+
+const (
+	idleCommitsBeforeSleep = 20          // commit intervals without a record, after which the goroutine stops polling
+	sleepInterval          = time.Hour   // between wake-ups without any work
+	expireInterval         = time.Second // between searches of a full key table for expired entries
+	// estimatesInterval is a little less than the second in which the server publishes its estimates, so that each
+	// publication is written although its time varies.
+	estimatesInterval = 900 * time.Millisecond
+)
+
+// batch is what was queued since the last turn of the store's goroutine.
+type batch struct {
+	records   []queuedRecord
+	lastMark  uint64
+	estimates *estimate.Snapshot
+	closing   bool
+}
+
+// run is the store's goroutine. Records that arrive within one commit interval are written together.
+func (s *Store) run() {
+	defer close(s.stopped)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for idleCommits := 0; ; {
+		timer.Reset(s.nextWait(idleCommits))
+		select {
+		case <-s.wake:
+		case <-timer.C:
+		case err := <-s.job: // nil if no job runs, and never ready then
+			if s.job = nil; err != nil {
+				s.suspend(err)
+			}
+		}
+		if s.writer == nil && s.now() >= s.retryAt {
+			s.retry()
+		}
+		b := s.dequeue()
+		if idleCommits++; len(b.records) > 0 {
+			idleCommits = 0
+		}
+		if b.estimates != nil {
+			s.pendingEstimates = b.estimates
+		}
+		s.writeRecords(b.records, b.lastMark)
+		s.startDueJob()
+		if b.closing {
+			s.finish()
+			return
+		}
+	}
+}
+
+// nextWait decides whether the goroutine polls, and returns how long it waits for more to do.
+func (s *Store) nextWait(idleCommits int) time.Duration {
+	wait := sleepInterval
+	if s.writer == nil {
+		wait = max(s.retryAt-s.now(), 0)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.polling = s.writer != nil && s.options.CommitInterval > 0 && idleCommits < idleCommitsBeforeSleep
+	switch {
+	case s.polling:
+		return s.options.CommitInterval
+	case len(s.queue) > 0: // queued while the goroutine was polling, so nobody woke it
+		return 0
+	}
+	return wait
+}
+
+// dequeue gathers records for the commit interval, unless the goroutine did so while it was polling, and takes them.
+func (s *Store) dequeue() batch {
+	s.mu.Lock()
+	gather := len(s.queue) > 0 && s.writer != nil && !s.closing && !s.polling
+	s.mu.Unlock()
+	if gather && s.options.CommitInterval > 0 {
+		time.Sleep(s.options.CommitInterval)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	b := batch{records: s.queue, lastMark: s.lastMark, estimates: s.queuedEstimates, closing: s.closing}
+	s.queue, s.queuedEstimates, s.queuedBytes = nil, nil, 0
+	return b
+}
+
+// writeRecords stores records and releases the requests that wait for them.
+func (s *Store) writeRecords(records []queuedRecord, lastMark uint64) {
+	if len(records) == 0 {
+		return
+	}
+	now := s.now()
+	for _, r := range records {
+		s.putRecord(r, now)
+	}
+	if s.writer != nil {
+		s.writingSince.Store(int64(now))
+		err := s.writer.commit()
+		s.writingSince.Store(0)
+		if err != nil {
+			s.suspend(err)
+		}
+	}
+	s.durableMark.Store(lastMark)
+	s.options.OnDurable()
+}
+
+// putRecord adds a record to the key table, and to the next commit if there is a writer. A key that the table has no
+// room for is not stored, nor is such a result.
+func (s *Store) putRecord(r queuedRecord, now time.Duration) {
+	keys := s.unwritten
+	if s.writer != nil {
+		keys = s.writer.keys
+	}
+	r.entry.ExpiresAt = now + r.remaining
+	if keys.SizeBytes()+r.sizeBytes() > s.maxTableBytes() && now >= s.expiredAt+expireInterval {
+		keys.Expire(now)
+		s.expiredAt = now
+	}
+	if _, known := keys.Get(r.entry.Key); !known && keys.SizeBytes()+r.sizeBytes() > s.maxTableBytes() {
+		s.options.Counts.Saw("numbered task not kept on disk: beyond its bound")
+		return
+	}
+	if keys.SizeBytes()+len(r.entry.Result) > s.maxTableBytes() {
+		s.options.Counts.Saw("result not kept on disk: beyond its bound")
+		r.entry.Served, r.entry.Result = false, nil
+	}
+	if s.writer != nil {
+		s.writer.appendRecord(r.entry, r.finished, now)
+	} else {
+		keys.Put(r.entry)
+	}
+}
+
+func (s *Store) maxTableBytes() int { return int(s.options.MaxBytes / sizeParts) }
+
+// startDueJob starts the job that is due, if any. One runs at a time.
+func (s *Store) startDueJob() {
+	switch {
+	case s.writer == nil || s.job != nil:
+	case s.options.PersistKeys && s.writer.needsKeyTable():
+		s.startJob(s.writer.keyTableJob())
+	case s.pendingEstimates != nil && s.now() >= s.estimatesWrittenAt+estimatesInterval:
+		if job := s.estimatesJob(); job != nil {
+			s.startJob(job)
+		}
+	}
+}
+
+// estimatesJob returns the job of writing the newest estimates, or nil if they should not be persisted.
+func (s *Store) estimatesJob() func() error {
+	snapshot, now := s.pendingEstimates, s.now()
+	s.pendingEstimates = nil
+	if snapshot == nil || !recovery.ShouldPersist(*snapshot, s.writtenEstimates, now-s.estimatesWrittenAt) {
+		return nil
+	}
+	s.writtenEstimates, s.estimatesWrittenAt = *snapshot, now
+	return s.writer.estimatesJob(*snapshot)
+}
+
+// startJob runs a job beside the store's goroutine, which waits for it before it closes the directory.
+func (s *Store) startJob(job func() error) {
+	done := make(chan error, 1)
+	s.job = done
+	go func() { done <- job() }()
+}
+
+// finish waits for the running job, writes the newest estimates, and closes the directory.
+func (s *Store) finish() {
+	if s.writer == nil {
+		return
+	}
+	var err error
+	if s.job != nil {
+		err = <-s.job
+	}
+	if job := s.estimatesJob(); job != nil && err == nil {
+		err = job()
+	}
+	if err = errors.Join(err, s.writer.close()); err != nil {
+		s.options.Log.Error("state not written to the end", "error", err)
+	}
+}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -84,7 +84,7 @@
 	}
 	assert.Equal(t, map[string]time.Duration{"a": 50 * time.Second, "b": 50 * time.Second, "c": 50 * time.Second, "big": 50 * time.Second}, left)
 	assert.Equal(t, []byte("seat 4"), had.Keys[0].Result)
-	assert.Equal(t, uint64(3), had.Keys[0].Shape)
+	assert.Equal(t, uint64(3), had.Keys[0].Fingerprint)
 	assert.Equal(t, 3, had.UnknownOutcomes)
 	assert.Equal(t, 10*time.Second, had.Estimates.Routes[0].Core.Age)
 }
--- /dev/null
+++ b/recovery/estimates.go
@@ -0,0 +1,61 @@
+package recovery
+
+import (
+	"time"
+
+	"quartzpoint/estimate"
+)
+
+// chooseEstimates uses the newest snapshot that is complete, of this machine and these settings, and not too old.
+func (p *Plan) chooseEstimates(files []File, environment Environment) {
+	sortNewestFirst(files)
+	for _, f := range files {
+		_, age := Age(f.Header.CreatedAt, environment.Now)
+		switch {
+		case !f.Complete || f.Estimates == nil:
+			p.reject(f.Name, "not whole")
+			continue
+		case f.Header.CreatedAt.MachineID != 0 && f.Header.CreatedAt.MachineID != environment.Now.MachineID:
+			p.addFinding(f.Name, "of another machine")
+			continue
+		}
+		if len(environment.Schema.Routes) == 0 {
+			continue
+		}
+		// The same validation as for a peer's estimates: what passes can be acted on.
+		aligned, err := environment.Schema.Align(*f.Estimates)
+		if err == nil {
+			aligned, err = environment.Schema.Validate(aligned)
+		}
+		if err != nil {
+			p.addFinding(f.Name, err.Error())
+			continue
+		}
+		if aligned = aligned.Aged(age); !aligned.Fresh() {
+			p.addFinding(f.Name, "old")
+			continue
+		}
+		p.Estimates, p.EstimatesFrom = aligned, f.Name
+		return
+	}
+}
+
+// ShouldPersist reports whether a snapshot replaces the one persisted sincePersisted ago.
+//
+// A cold server must not replace what the server before it left: a server that crashes soon after each start would
+// otherwise lose everything with its second start. A snapshot in which nothing is newer is not written either, as the
+// persisted one ages by itself.
+func ShouldPersist(snapshot, persisted estimate.Snapshot, sincePersisted time.Duration) bool {
+	if snapshot.Cold() {
+		return false
+	}
+	if len(persisted.Routes) != len(snapshot.Routes) {
+		return true
+	}
+	for i, route := range snapshot.Routes {
+		if route.Core.Known() && route.Core.Age < persisted.Routes[i].Core.Age+sincePersisted {
+			return true
+		}
+	}
+	return false
+}
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -1,6 +1,7 @@
 package recovery
 
 import (
+	"errors"
 	"flag"
 	"math/rand"
 	"testing"
@@ -115,7 +116,7 @@
 		{"of version 1 and old", []File{with(viewFile(1, 0.1, young), func(f *File) {
 			f.Header.Version, f.Header.CreatedAt, f.Header.LegacyWall = 1, Timestamp{}, int64(old.Wall)
 		})}, 0, "old"},
-		{"unreadable", []File{{Name: "view-x", Why: "no whole header"}}, 0, "no whole header"},
+		{"unreadable", []File{{Name: "view-x", Err: errors.New("no whole header")}}, 0, "no whole header"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- /dev/null
+++ b/recovery/timestamp.go
@@ -0,0 +1,43 @@
+// Package recovery decides which of the state that a server left on disk is used after a start: which files, up to
+// which byte, how old their contents count as, and what becomes of idempotency keys whose requests started and are not
+// known to have finished. It does no I/O and reads no clock: package internal/store reads and writes the files.
+package recovery
+
+import "time"
+
+// MaxAge is the age of what cannot be dated. Estimates of that age are never used.
+const MaxAge = 365 * 24 * time.Hour
+
+// Timestamp is one reading of a machine's clocks. It holds two clocks because neither is enough: the wall clock runs on
+// while the machine is off, but can be set; the boot clock cannot be set, but starts anew with each boot.
+type Timestamp struct {
+	Wall      time.Duration `cbor:"1,keyasint,omitempty" json:"wall"`    // since the Unix epoch
+	SinceBoot time.Duration `cbor:"2,keyasint,omitempty" json:"up"`      // boot clock, time asleep included
+	BootID    string        `cbor:"3,keyasint,omitempty" json:"boot"`    // empty if unknown
+	MachineID uint64        `cbor:"4,keyasint,omitempty" json:"machine"` // digest of the machine's id; 0 if unknown
+}
+
+// Age returns bounds on the time from then to now: at least minAge has passed, and at most maxAge is believed to have.
+// Estimates age by maxAge, so that a clock that was set makes them count for less and never for more. Deduplication
+// windows run by minAge, so that such a clock keeps a key for longer and never for shorter.
+//
+//   - Within one boot the boot clock decides. maxAge also believes a wall clock that was set forward.
+//   - From an earlier boot of the same machine, the time since the current boot has passed for certain.
+//   - From another machine nothing is certain.
+//   - If the wall clock reads earlier than then (a timestamp from the future, or a clock set back), maxAge is MaxAge.
+func Age(then, now Timestamp) (minAge, maxAge time.Duration) {
+	maxAge = now.Wall - then.Wall
+	sameMachine := then.MachineID != 0 && then.MachineID == now.MachineID && then.BootID != ""
+	switch {
+	case sameMachine && then.BootID == now.BootID && now.SinceBoot >= then.SinceBoot:
+		minAge = now.SinceBoot - then.SinceBoot
+	case sameMachine && then.BootID != now.BootID:
+		minAge = now.SinceBoot
+	case sameMachine: // the boot clock ran backwards within one boot: the file was copied or forged
+		maxAge = MaxAge
+	}
+	if maxAge < 0 || then.Wall == 0 {
+		return minAge, max(MaxAge, minAge)
+	}
+	return minAge, max(minAge, maxAge)
+}
--- a/state.go
+++ b/state.go
@@ -1,6 +1,7 @@
 package quartzpoint
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"time"
@@ -8,58 +9,66 @@
 	"quartzpoint/estimate"
 	"quartzpoint/internal/datadir"
 	"quartzpoint/internal/invariant"
-	"quartzpoint/internal/server"
 	"quartzpoint/internal/store"
 )
 
-// State is a folder in which a gate keeps what the gate after it, in another process, goes on from: what it learned,
-// and the table of numbered tasks. A numbered task then runs only once the folder has its number, so that a repeat is
-// known after a crash too: it is answered from the first, or given up on where the first's end is not known.
+// Defaults and bounds of State.
+const (
+	defaultStateMB     = 64
+	minStateMB         = 8
+	defaultStateCommit = time.Millisecond
+)
+
+// State names a directory in which a gate stores what the next process starts from: its estimates, and its table of
+// idempotency keys. A request with an idempotency key then runs only once its key is durable, so that a repeat is
+// recognized after a crash too: it is answered with the original's result, or aborted if the original's outcome is not
+// known.
+//
+// Only a directory that another process uses makes New fail. If the directory cannot be used for another reason, the gate
+// serves without it, logs that, and retries.
 type State struct {
-	Dir       string        // of this gate alone, mode 0700; its last part is made where it is missing
-	Site      string        // label; files of another are not used
-	MostMB    int           // of all files (64)
-	Commit    time.Duration // for which numbers are gathered before they are written (1 ms); below 0 not at all
-	NoNumbers bool          // only what was learned is kept
+	Dir       string        // used by this gate alone, mode 0700; its last element is created if missing
+	Site      string        // label; files of another site are not used
+	MostMB    int           // limit of all files together, in MiB, 8 or more (64)
+	Commit    time.Duration // for which keys are gathered before they are written together (1 ms); negative for none
+	NoNumbers bool          // store only the estimates
 
-	open func(only bool) (datadir.Dir, error) // in the place of Dir, for tests
+	open func(readOnly bool) (datadir.Dir, error) // set by tests, in place of Dir
 }
 
-// keepState opens the folder and has the gate go on from it. Only a folder that another process holds is an error;
-// without any other the gate serves on, and the log says so.
-func (g *Gate) keepState(t *State, origin uint64, counts *invariant.Counts, log *slog.Logger) error {
-	given := *t
-	if t = &given; t.MostMB == 0 {
-		t.MostMB = 64
+// withDefaults returns a copy whose zero values are replaced by the defaults.
+func (t State) withDefaults() (State, error) {
+	if t.MostMB == 0 {
+		t.MostMB = defaultStateMB
 	}
 	if t.Commit == 0 {
-		t.Commit = time.Millisecond
+		t.Commit = defaultStateCommit
+	}
+	if t.Dir == "" || t.MostMB < minStateMB {
+		return t, errors.New("quartzpoint: State: Dir is needed, and MostMB of 8 or more")
 	}
-	if t.Dir == "" || t.MostMB < 8 {
-		return fmt.Errorf("quartzpoint: State: Dir is needed, and MostMB of 8 or more")
+	if t.open == nil {
+		t.open = datadir.Opener(t.Dir)
+	}
+	return t, nil
+}
+
+// keepState opens the state directory and has the gate start from it.
+func (g *Gate) keepState(stated *State, origin uint64, counts *invariant.Counts, log *slog.Logger) error {
+	t, err := stated.withDefaults()
+	if err != nil {
+		return err
 	}
 	schema := g.owner.PublishEstimates(origin, func(snapshot estimate.Snapshot, _ time.Duration) {
 		g.view.Store(&snapshot)
 		g.state.SaveEstimates(snapshot)
 	})
-	open := t.open
-	if open == nil {
-		open = datadir.Opener(t.Dir)
-	}
-	kept, had, err := store.New(store.Options{
-		OpenDir: open, Clock: store.SystemClock(), NewID: store.RandomID, Site: t.Site, Schema: schema,
-		MaxBytes: int64(t.MostMB) << 20, CommitInterval: max(t.Commit, 0), PersistKeys: !t.NoNumbers, Counts: counts, Log: log,
-		OnDurable: g.owner.Nudge, OnLateRecovery: func(r store.Recovered) { store.RestoreLate(g.owner, r) },
+	g.state, _, err = store.Attach(g.owner, store.Options{
+		OpenDir: t.open, Site: t.Site, Schema: schema, MaxBytes: int64(t.MostMB) << 20, CommitInterval: max(t.Commit, 0),
+		PersistKeys: !t.NoNumbers, Counts: counts, Log: log,
 	})
 	if err != nil {
 		return fmt.Errorf("quartzpoint: State: %w", err)
 	}
-	g.state = kept
-	store.Restore(g.owner, had)
-	if !t.NoNumbers {
-		g.owner.Keep(kept)
-	}
 	return nil
 }
-
-var _ server.Ledger = (*store.Store)(nil)
