--- a/internal/store/configuration_store_test.go
+++ b/internal/store/configuration_store_test.go
@@ -13,13 +13,13 @@
 	"quartzpoint/internal/testkit/faultdisk"
 )
 
-// configured keeps some versions, large ones among them, and tells each that was kept for sure.
-func configured(in datadir.Dir, changes int, kept func(d *configuration.Document)) error {
-	c, had, err := OpenConfigurationStore(in)
+// storeChanges stores some versions, large ones among them, and reports each that is durable.
+func storeChanges(dir datadir.Dir, changes int, durable func(d *configuration.Document)) error {
+	c, recovered, err := OpenConfigurationStore(dir)
 	if err != nil {
 		return err
 	}
-	d := had.Document
+	d := recovered.Document
 	if d == nil {
 		d = configuration.NewDocument()
 	}
@@ -43,49 +43,49 @@
 		if err != nil {
 			return err
 		}
-		kept(d.Clone())
+		durable(d.Clone())
 	}
 	return nil
 }
 
-// The power goes at every operation: a start then has the last version that was kept for sure, or the one that was being
-// kept, whole.
+// The power fails at every operation. A start must then read the last version that was durable, or the one that was being
+// written, completely.
 func TestConfigurationAcrossPowerLoss(t *testing.T) {
 	const changes = 30
 	whole := faultdisk.New()
-	require.NoError(t, configured(whole, changes, func(*configuration.Document) {}))
+	require.NoError(t, storeChanges(whole, changes, func(*configuration.Document) {}))
 	for at := 1; at <= whole.Ops(); at++ {
 		for draw := range int64(4) {
 			disk, last := faultdisk.New(), configuration.NewDocument()
 			disk.PowerAt = at
-			require.ErrorIs(t, configured(disk, changes, func(d *configuration.Document) { last = d }), faultdisk.ErrPower)
+			require.ErrorIs(t, storeChanges(disk, changes, func(d *configuration.Document) { last = d }), faultdisk.ErrPower)
 			after := disk.Crash(faultdisk.Drawn{Rand: rand.New(rand.NewSource(draw*1e6 + int64(at)))})
 			after.PowerAt = 0
-			_, had, err := OpenConfigurationStore(after)
+			_, recovered, err := OpenConfigurationStore(after)
 			require.NoError(t, err)
-			if had.Document == nil {
+			if recovered.Document == nil {
 				require.Zero(t, last.Version, "at %d", at)
 				continue
 			}
-			if had.Document.Version == last.Version {
-				require.Equal(t, last, had.Document, "at %d", at)
+			if recovered.Document.Version == last.Version {
+				require.Equal(t, last, recovered.Document, "at %d", at)
 			} else {
-				require.Equal(t, last.Version+1, had.Document.Version, "at %d", at)
+				require.Equal(t, last.Version+1, recovered.Document.Version, "at %d", at)
 			}
-			require.NoError(t, configured(after, 3, func(d *configuration.Document) { last = d }), "goes on")
-			_, had, err = OpenConfigurationStore(after)
+			require.NoError(t, storeChanges(after, 3, func(d *configuration.Document) { last = d }), "goes on")
+			_, recovered, err = OpenConfigurationStore(after)
 			require.NoError(t, err)
-			require.Equal(t, last, had.Document)
+			require.Equal(t, last, recovered.Document)
 		}
 	}
 }
 
-// A file with any byte wrong gives a version that was there, whole, or nothing; the folder keeps one file, bounded by
-// what is in force.
+// A file with any one byte wrong is read as a version that was stored, or not at all. The directory holds one file, whose
+// size is bounded by that of the document.
 func TestDamagedConfiguration(t *testing.T) {
 	disk := faultdisk.New()
 	versions := map[uint64]*configuration.Document{}
-	require.NoError(t, configured(disk, 12, func(d *configuration.Document) { versions[d.Version] = d }))
+	require.NoError(t, storeChanges(disk, 12, func(d *configuration.Document) { versions[d.Version] = d }))
 	require.Len(t, disk.Names(), 1)
 	name := disk.Names()[0]
 	good := disk.Get(name)
@@ -94,38 +94,38 @@
 		bad[at] ^= 0x10
 		damaged := faultdisk.New()
 		damaged.Put(name, bad)
-		_, had, err := OpenConfigurationStore(damaged)
+		_, recovered, err := OpenConfigurationStore(damaged)
 		require.NoError(t, err)
-		if had.Document == nil {
-			assert.Len(t, had.Skipped, 1)
+		if recovered.Document == nil {
+			assert.Len(t, recovered.Skipped, 1)
 			continue
 		}
-		require.Equal(t, versions[had.Document.Version], had.Document, "byte %d", at)
+		require.Equal(t, versions[recovered.Document.Version], recovered.Document, "byte %d", at)
 	}
 	many := faultdisk.New()
-	require.NoError(t, configured(many, 400, func(*configuration.Document) {}))
+	require.NoError(t, storeChanges(many, 400, func(*configuration.Document) {}))
 	assert.Len(t, many.Names(), 1)
 	assert.Less(t, many.Bytes(), int64(3*minRetainedDeltaBytes))
 }
 
-// A disk that fails says so, and the next version is kept again.
+// A disk fails: the change is reported as not stored, and the next version is stored again.
 func TestConfigurationDiskFails(t *testing.T) {
 	disk := faultdisk.New()
 	c, _, err := OpenConfigurationStore(disk)
 	require.NoError(t, err)
 	d := configuration.NewDocument()
-	keep := func() error {
+	change := func() error {
 		delta := d.Accept(configuration.Change{Routes: map[string]*configuration.Route{
 			"pay": {LatencyTarget: 1, Deadline: int64(d.Version + 1), Idempotency: configuration.Retryable},
 		}})
 		return c.Append(delta, d)
 	}
-	require.NoError(t, keep())
+	require.NoError(t, change())
 	disk.Set(func() { disk.Fails = func(string) error { return faultdisk.ErrFull } })
-	require.ErrorIs(t, keep(), faultdisk.ErrFull)
+	require.ErrorIs(t, change(), faultdisk.ErrFull)
 	disk.Set(func() { disk.Fails = nil })
-	require.NoError(t, keep())
-	_, had, err := OpenConfigurationStore(disk)
+	require.NoError(t, change())
+	_, recovered, err := OpenConfigurationStore(disk)
 	require.NoError(t, err)
-	assert.Equal(t, d, had.Document)
+	assert.Equal(t, d, recovered.Document)
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -1,224 +1,55 @@
 package store
 
 import (
-	"errors"
 	"flag"
 	"fmt"
 	"math/rand"
 	"slices"
 	"testing"
-	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/estimate"
-	"quartzpoint/internal/datadir"
 	"quartzpoint/internal/testkit/faultdisk"
 	"quartzpoint/recovery"
 )
 
-// TestMain draws the same cases every time, and plays the child that tests kill.
+// TestMain runs the tests, or the child process that TestKills kills.
 func TestMain(m *testing.M) {
-	if playChild() {
+	if runChild() {
 		return
 	}
 	flag.Parse()
 	m.Run()
 }
 
-const window = time.Hour
-
-var views = estimate.Schema{
-	SettingsDigest: 7, Origin: 99, Routes: []string{"browse", "pay"}, Deadlines: []time.Duration{2 * time.Second, 4 * time.Second},
-}
-
-// viewOf is a view that tells its number.
-func viewOf(n int) estimate.Snapshot {
-	e := estimate.Estimate{Mean: 0.1 + float64(n)/1e4, Spread: 0.05, Samples: 20}
-	return estimate.Snapshot{Origin: 5, SettingsDigest: 7, Routes: []estimate.RouteEstimates{
-		{Name: "browse", Core: e, Run: e}, {Name: "pay", Core: e, Run: e},
-	}}
-}
-
-// bench is a book on a disk, with a clock that the test sets.
-type bench struct {
-	writer
-	now recovery.Timestamp
-	ids uint64
-}
-
-// newBench has ids from ids on, and stands a millisecond later for each of them.
-func newBench(disk datadir.Dir, ids uint64) *bench {
-	later := time.Duration(ids) * time.Millisecond
-	b := &bench{now: recovery.Timestamp{Wall: 1e18 + later, SinceBoot: 1e12 + later, BootID: "boot", MachineID: 3}, ids: ids}
-	b.writer = writer{
-		dir: disk, clock: func() recovery.Timestamp { return b.now }, site: "s", maxBytes: 1 << 20, persistKeys: true,
-		newID: func() uint64 { b.ids++; return b.ids },
-	}
-	return b
-}
-
-func (b *bench) here() recovery.Environment {
-	return recovery.Environment{Now: b.now, Site: "s", Schema: views}
-}
-
-// start reads what is there, and begins behind it.
-func (b *bench) start() (recovery.Plan, error) {
-	plan, err := b.plan(b.here())
-	if err != nil {
-		return plan, err
-	}
-	return plan, b.apply(plan, plan.Keys)
-}
-
-// told is what was given for one number, in order, and how far it was said to be kept.
-type told struct {
-	states []recovery.KeyEntry
-	kept   int // states
-}
-
-// reference is what must hold, in memory.
-type reference struct {
-	numbers map[string]*told
-	given   []string // keys, in order
-	view    int      // the newest that was said to be kept
-	viewed  int      // the newest that was given
-}
-
-func newReference() *reference { return &reference{numbers: map[string]*told{}} }
-
-func (r *reference) give(n recovery.KeyEntry) {
-	if r.numbers[n.Key] == nil {
-		r.numbers[n.Key] = &told{}
-		r.given = append(r.given, n.Key)
-	}
-	r.numbers[n.Key].states = append(r.numbers[n.Key].states, n)
-}
-
-func (r *reference) keepAll() {
-	for _, n := range r.numbers {
-		n.kept = len(n.states)
-	}
-}
-
-// check compares what was recovered with what must hold: what was said to be kept is there as it was, what was not may
-// be there, as it was or as begun, and nothing else is.
-func (r *reference) check(p recovery.Plan) error {
-	for key, of := range r.numbers {
-		n, known := p.Keys.Get(key)
-		if !known {
-			if of.kept > 0 {
-				return fmt.Errorf("%q was kept and is lost", key)
-			}
-			continue
-		}
-		fits := false
-		for i, s := range of.states {
-			same := s.Served == n.Served && string(s.Result) == string(n.Result) && s.Fingerprint == n.Fingerprint
-			fits = fits || same && i+1 >= of.kept
-		}
-		if begun := !n.Served && n.Result == nil; !fits && (!begun || of.kept >= len(of.states)) {
-			return fmt.Errorf("%q stands as honoured=%v result %q, after %d states, %d kept", key, n.Served, n.Result, len(of.states), of.kept)
-		}
-	}
-	for _, n := range p.Keys.Entries() {
-		if r.numbers[n.Key] == nil {
-			return fmt.Errorf("%q was never given", n.Key)
-		}
-	}
-	if r.view > 0 && !p.Estimates.Fresh() {
-		return errors.New("a view was kept and is lost")
-	}
-	if p.Estimates.Fresh() {
-		n := int((p.Estimates.Routes[0].Core.Mean-0.1)*1e4 + 0.5)
-		if n < r.view || n > r.viewed {
-			return fmt.Errorf("view %d, and %d was kept, %d given", n, r.view, r.viewed)
-		}
-	}
-	return nil
-}
-
-// play runs a script of so many steps until it ends or the disk fails.
-func play(b *bench, r *reference, seed int64, steps int) error {
-	rng := rand.New(rand.NewSource(seed))
-	if _, err := b.start(); err != nil {
-		return err
-	}
-	var open []recovery.KeyEntry
-	for i := range steps {
-		b.now.SinceBoot += time.Millisecond
-		b.now.Wall += time.Millisecond
-		switch what := rng.Intn(10); {
-		case what < 4:
-			n := recovery.KeyEntry{Key: fmt.Sprintf("pay\x00%d\xff-%d", seed, i), Fingerprint: uint64(i), ExpiresAt: b.now.SinceBoot + window}
-			r.give(n)
-			open = append(open, n)
-			b.appendRecord(n, false, b.now.SinceBoot)
-		case what < 7 && len(open) > 0:
-			at := rng.Intn(len(open))
-			n := open[at]
-			open = slices.Delete(open, at, at+1)
-			if n.Served = rng.Intn(3) > 0; n.Served {
-				n.Result = make([]byte, rng.Intn(700))
-				rng.Read(n.Result)
-			}
-			r.give(n)
-			b.appendRecord(n, true, b.now.SinceBoot)
-		case what < 8:
-			if err := b.commit(); err != nil {
-				return err
-			}
-			r.keepAll()
-		case what < 9:
-			r.viewed++
-			if err := b.estimatesJob(viewOf(r.viewed))(); err != nil {
-				return err
-			}
-			r.view = r.viewed
-		default:
-			if err := b.commit(); err != nil {
-				return err
-			}
-			r.keepAll()
-			job := b.keyTableJob()
-			if rng.Intn(2) == 0 {
-				job = b.rotateLog
-			}
-			if err := job(); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
-
-// Every operation of recorded runs is a moment at which the power goes, and so is every one of the starts after it.
+// The power fails at every operation of some recorded runs, and again during the starts after it. What was reported
+// durable must be there after each, and the next start must read the same.
 func TestPowerLossAtEveryOperation(t *testing.T) {
 	crashes := 0
 	for seed := int64(1); seed <= 4; seed++ {
 		whole := faultdisk.New()
-		require.NoError(t, play(newBench(whole, 0), newReference(), seed, 60))
+		require.NoError(t, runScript(newTestWriter(whole, 0), newModel(), seed, 60))
 		for at := 1; at <= whole.Ops(); at++ {
 			for draw := int64(0); draw < 6; draw++ {
-				disk, ref := faultdisk.New(), newReference()
+				disk, ref := faultdisk.New(), newModel()
 				disk.PowerAt = at
-				require.ErrorIs(t, play(newBench(disk, 0), ref, seed, 60), faultdisk.ErrPower)
+				require.ErrorIs(t, runScript(newTestWriter(disk, 0), ref, seed, 60), faultdisk.ErrPower)
 				loss := faultdisk.Drawn{Rand: rand.New(rand.NewSource(draw*1e6 + int64(at)))}
 				after := disk.Crash(loss)
 				crashes++
-				for again := at % 7; again > 0; again -= 3 { // the power goes in the start, too
+				for again := at % 7; again > 0; again -= 3 { // the power fails during the start, too
 					after.PowerAt = again
-					if _, err := newBench(after, 1000).start(); err == nil {
+					if _, err := newTestWriter(after, 1000).restart(); err == nil {
 						break
 					}
 					after = after.Crash(loss)
 				}
 				after.PowerAt = 0
-				plan, err := newBench(after, 2000).start()
+				plan, err := newTestWriter(after, 2000).restart()
 				require.NoError(t, err, "seed %d at %d draw %d", seed, at, draw)
 				require.NoError(t, ref.check(plan), "seed %d at %d draw %d", seed, at, draw)
-				plan, err = newBench(after, 3000).start() // and what is written then says the same
+				plan, err = newTestWriter(after, 3000).restart() // reads what the start before wrote
 				require.NoError(t, err)
 				require.NoError(t, ref.check(plan), "seed %d at %d draw %d, second start", seed, at, draw)
 			}
@@ -227,15 +58,15 @@
 	t.Logf("%d crashes", crashes)
 }
 
-// The log is cut at every byte: what was synced before stays, and nothing comes of the rest.
+// The log is cut short at every byte. Complete records stay, and nothing is made of the rest.
 func TestTornAtEveryByte(t *testing.T) {
-	disk, ref := faultdisk.New(), newReference()
-	b := newBench(disk, 0)
-	_, err := b.start()
+	disk, ref := faultdisk.New(), newModel()
+	b := newTestWriter(disk, 0)
+	_, err := b.restart()
 	require.NoError(t, err)
 	for i := range 5 {
 		n := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: b.now.SinceBoot + window, Served: true, Result: []byte("seat")}
-		ref.give(n)
+		ref.add(n)
 		b.appendRecord(n, true, b.now.SinceBoot)
 	}
 	require.NoError(t, b.commit())
@@ -243,26 +74,26 @@
 	raw := disk.Get(name)
 	for cut := range raw {
 		disk.Put(name, raw[:cut])
-		p, err := newBench(disk, 9).plan(b.here())
+		p, err := newTestWriter(disk, 9).plan(b.environment())
 		require.NoError(t, err)
 		require.NoError(t, ref.check(p), "cut at %d", cut)
 		assert.LessOrEqual(t, p.Keys.Len(), cut*5/len(raw)+1)
 	}
 }
 
-// Any one bit of any file may flip. What is read is then what was written, or nothing of it, or a number whose end is
-// not known; a snapshot that rots has one before it.
+// Any one bit of any file flips. What is read must then be what was written, or nothing of it, or a key whose outcome is
+// not known; behind a damaged snapshot there is an older one.
 func TestEveryBitFlipped(t *testing.T) {
-	disk, ref := faultdisk.New(), newReference()
-	b := newBench(disk, 0)
-	_, err := b.start()
+	disk, ref := faultdisk.New(), newModel()
+	b := newTestWriter(disk, 0)
+	_, err := b.restart()
 	require.NoError(t, err)
 	give := func(i int) {
 		n := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: b.now.SinceBoot + window}
-		ref.give(n)
+		ref.add(n)
 		b.appendRecord(n, false, b.now.SinceBoot)
 		n.Served, n.Result = true, []byte("seat")
-		ref.give(n)
+		ref.add(n)
 		b.appendRecord(n, true, b.now.SinceBoot)
 		require.NoError(t, b.commit())
 	}
@@ -270,8 +101,8 @@
 		for i := range 2 {
 			give(10*round + i)
 		}
-		ref.viewed++
-		require.NoError(t, b.estimatesJob(viewOf(ref.viewed))())
+		ref.lastSnapshot++
+		require.NoError(t, b.estimatesJob(numberedSnapshot(ref.lastSnapshot))())
 		require.NoError(t, b.keyTableJob()())
 		require.NoError(t, b.rotateLog())
 	}
@@ -283,10 +114,10 @@
 			flipped := slices.Clone(raw)
 			flipped[bit/8] ^= 1 << (bit % 8)
 			disk.Put(name, flipped)
-			p, err := newBench(disk, 9).plan(b.here())
+			p, err := newTestWriter(disk, 9).plan(b.environment())
 			require.NoError(t, err)
 			require.NoError(t, ref.check(p), "%s bit %d", name, bit)
-			for i := range 2 { // begun before the last table but one: in two snapshots and in the log
+			for i := range 2 { // started before the last table but one: in two snapshots and in the log
 				_, known := p.Keys.Get(fmt.Sprint("pay\x00", i))
 				require.True(t, known, "%s bit %d", name, bit)
 			}
@@ -297,137 +128,3 @@
 	}
 	t.Logf("%d flips", flips)
 }
-
-// The operations of the model, and how the power may go.
-var operations = []string{"begin", "end", "commit", "table", "rotate", "lose all", "lose none", "lose half"}
-
-// All rows of operations up to a depth are played against the reference in memory.
-func TestModelExhaustively(t *testing.T) {
-	depth := 5
-	if testing.Short() {
-		depth = 4
-	}
-	rows := 0
-	row := make([]int, depth)
-	for {
-		rows++
-		require.NoError(t, playRow(row), "%v", names(row))
-		at := depth - 1
-		for ; at >= 0; at-- {
-			if row[at]++; row[at] < len(operations) {
-				break
-			}
-			row[at] = 0
-		}
-		if at < 0 {
-			break
-		}
-	}
-	t.Logf("%d rows of %d operations", rows, depth)
-}
-
-func names(row []int) (words []string) {
-	for _, o := range row {
-		words = append(words, operations[o])
-	}
-	return words
-}
-
-// playRow plays one row, and loses all that is not kept at its end.
-func playRow(row []int) error {
-	disk, ref := faultdisk.New(), newReference()
-	b := newBench(disk, 0)
-	if _, err := b.start(); err != nil {
-		return err
-	}
-	crash := func(loss faultdisk.Loss, ids uint64) error {
-		disk = disk.Crash(loss)
-		b = newBench(disk, ids)
-		plan, err := b.start()
-		if err != nil {
-			return err
-		}
-		if err := ref.check(plan); err != nil {
-			return err
-		}
-		for _, of := range ref.numbers { // what came back is what is known from here on, and is kept
-			of.kept, of.states = 0, slices.Clone(of.states)
-		}
-		for _, n := range plan.Keys.Entries() {
-			of := ref.numbers[n.Key]
-			of.states, of.kept = []recovery.KeyEntry{n}, 1
-		}
-		for key, of := range ref.numbers {
-			if of.kept == 0 {
-				delete(ref.numbers, key)
-			}
-		}
-		return nil
-	}
-	begun := 0
-	for i, o := range row {
-		var err error
-		switch operations[o] {
-		case "begin":
-			n := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", begun), ExpiresAt: b.now.SinceBoot + window}
-			begun++
-			ref.give(n)
-			b.appendRecord(n, false, b.now.SinceBoot)
-		case "end":
-			key := fmt.Sprint("pay\x00", begun-1)
-			if ref.numbers[key] == nil {
-				continue
-			}
-			n := recovery.KeyEntry{Key: key, ExpiresAt: b.now.SinceBoot + window, Served: true, Result: []byte{byte(i)}}
-			ref.give(n)
-			b.appendRecord(n, true, b.now.SinceBoot)
-		case "commit":
-			if err = b.commit(); err == nil {
-				ref.keepAll()
-			}
-		case "table":
-			if err = b.commit(); err == nil {
-				ref.keepAll()
-				err = b.keyTableJob()()
-			}
-		case "rotate":
-			if err = b.commit(); err == nil {
-				ref.keepAll()
-				err = b.rotateLog()
-			}
-		case "lose all":
-			err = crash(faultdisk.All{}, uint64(100*i+100))
-		case "lose none":
-			err = crash(faultdisk.None{}, uint64(100*i+100))
-		case "lose half":
-			err = crash(faultdisk.Half{}, uint64(100*i+100))
-		}
-		if err != nil {
-			return err
-		}
-	}
-	return crash(faultdisk.All{}, 5000)
-}
-
-// Whatever bytes stand in a file, reading them ends, and gives no more records than they have room for.
-func FuzzRead(f *testing.F) {
-	disk := faultdisk.New()
-	b := newBench(disk, 0)
-	if _, err := b.start(); err != nil {
-		f.Fatal(err)
-	}
-	b.appendRecord(recovery.KeyEntry{Key: "pay", ExpiresAt: b.now.SinceBoot + window, Served: true, Result: []byte("r")}, true, b.now.SinceBoot)
-	if err := errors.Join(b.commit(), b.estimatesJob(viewOf(1))(), b.keyTableJob()()); err != nil {
-		f.Fatal(err)
-	}
-	for _, name := range disk.Names() {
-		f.Add(disk.Get(name))
-	}
-	f.Fuzz(func(t *testing.T, raw []byte) {
-		found := parseFile("x", raw)
-		if n := len(found.Records) + len(found.Salvaged); n*frameHeaderBytes > len(raw) {
-			t.Fatalf("%d records in %d bytes", n, len(raw))
-		}
-		recovery.NewPlan([]recovery.File{found}, b.here())
-	})
-}
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -21,37 +21,37 @@
 )
 
 const (
-	mostDisk      = 64 << 20 // a number beyond its share of that is not kept, and this test would see it as lost
-	childVariable = "QUARTZPOINT_STORE_CHILD"
-	lost          = 7 // exit code of a child that misses an effect that had come about
+	maxTestBytes   = 64 << 20 // enough that no key is left out for its size, which the test would take for a loss
+	childVariable  = "QUARTZPOINT_STORE_CHILD"
+	exitLostEffect = 7 // exit code of a child that does not know a key whose effect had happened
 )
 
-func diskTerms(dir string, counts *invariant.Counts) Options {
+func osDirOptions(dir string, counts *invariant.Counts) Options {
 	return Options{
-		OpenDir: datadir.Opener(dir), Clock: SystemClock(), NewID: RandomID, Schema: views, MaxBytes: mostDisk, CommitInterval: time.Millisecond,
+		OpenDir: datadir.Opener(dir), Clock: SystemClock(), NewID: RandomID, Schema: testSchema, MaxBytes: maxTestBytes, CommitInterval: time.Millisecond,
 		PersistKeys: true, Counts: counts, Log: slog.New(slog.DiscardHandler), OnDurable: func() {},
 	}
 }
 
-// playChild is the process that is killed: it reads what is there, compares it with the effects that have come about, and
-// goes on with new ones. An effect is a line in a file, written with one call once the store has the number; a kill does
-// not take it back.
-func playChild() bool {
+// runChild is the process that is killed. It recovers the directory, compares that with the effects that have happened,
+// and causes new ones. An effect is a line in a file, written by one call once the store has the key; a kill does not undo
+// it. runChild reports whether this process is such a child.
+func runChild() bool {
 	dir := os.Getenv(childVariable)
 	if dir == "" {
 		return false
 	}
-	s, had, err := New(diskTerms(filepath.Join(dir, "state"), invariant.New(slog.New(slog.DiscardHandler))))
+	s, recovered, err := New(osDirOptions(filepath.Join(dir, "state"), invariant.New(slog.New(slog.DiscardHandler))))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	known := map[string]bool{}
-	for _, n := range had.Keys {
-		known[n.Key] = true
-		if n.Served && string(n.Result) != "result of "+n.Key {
-			fmt.Fprintf(os.Stderr, "%s: result %q\n", n.Key, n.Result)
-			os.Exit(lost)
+	for _, entry := range recovered.Keys {
+		known[entry.Key] = true
+		if entry.Served && string(entry.Result) != "result of "+entry.Key {
+			fmt.Fprintf(os.Stderr, "%s: result %q\n", entry.Key, entry.Result)
+			os.Exit(exitLostEffect)
 		}
 	}
 	path := filepath.Join(dir, "effects")
@@ -59,7 +59,7 @@
 	for _, key := range strings.Fields(string(before)) {
 		if !known[key] {
 			fmt.Fprintf(os.Stderr, "%s had its effect and is not known\n", key)
-			os.Exit(lost)
+			os.Exit(exitLostEffect)
 		}
 	}
 	effects, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
@@ -75,7 +75,7 @@
 			}
 			fmt.Fprintln(effects, key)
 			s.RecordEnd(key, 1, window, true, []byte("result of "+key))
-			s.SaveEstimates(viewOf(i))
+			s.SaveEstimates(numberedSnapshot(i))
 		}
 	}
 	for lane := range 7 {
@@ -85,8 +85,8 @@
 	return true
 }
 
-// Processes are killed at moments that a seed draws, in their start too. None misses an effect of those before it, and the
-// folder stays within its bound.
+// Processes are killed at random moments of a fixed seed, also during their start. None may miss an effect of those before
+// it, and the directory stays within its size limit.
 func TestKills(t *testing.T) {
 	const lanes, kills = 4, 50
 	var all sync.WaitGroup
@@ -100,15 +100,15 @@
 			for kill := range kills {
 				child := exec.Command(os.Args[0])
 				child.Env = append(os.Environ(), childVariable+"="+dir)
-				var said bytes.Buffer
-				child.Stderr = &said
+				var output bytes.Buffer
+				child.Stderr = &output
 				if !assert.NoError(t, child.Start()) {
 					return
 				}
 				time.Sleep(time.Duration(rng.Intn(100)) * time.Millisecond)
 				_ = child.Process.Kill()
 				_ = child.Wait()
-				if !assert.Equal(t, -1, child.ProcessState.ExitCode(), "lane %d kill %d: %s", lane, kill, said.String()) {
+				if !assert.Equal(t, -1, child.ProcessState.ExitCode(), "lane %d kill %d: %s", lane, kill, output.String()) {
 					return
 				}
 			}
@@ -123,7 +123,7 @@
 				size += about.Size()
 				entries++
 			}
-			assert.LessOrEqual(t, size, int64(mostDisk))
+			assert.LessOrEqual(t, size, int64(maxTestBytes))
 			assert.LessOrEqual(t, entries, 64)
 		}()
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,8 +22,8 @@
 	"quartzpoint/recovery"
 )
 
-// hands are what a store is given: a disk, and a clock that goes by hand.
-type hands struct {
+// testOptions are the options of a store on a disk in memory, with a clock that the test sets.
+type testOptions struct {
 	Options
 	disk   *faultdisk.Disk
 	now    atomic.Int64
@@ -31,199 +31,200 @@
 	opened error
 }
 
-func handTerms(disk *faultdisk.Disk) *hands {
-	h := &hands{disk: disk, late: make(chan Recovered, 4)}
-	h.now.Store(int64(time.Hour))
+func newTestOptions(disk *faultdisk.Disk) *testOptions {
+	o := &testOptions{disk: disk, late: make(chan Recovered, 4)}
+	o.now.Store(int64(time.Hour))
 	var ids atomic.Uint64
-	h.Options = Options{
-		OpenDir: func(bool) (datadir.Dir, error) { return h.disk, h.opened },
+	o.Options = Options{
+		OpenDir: func(bool) (datadir.Dir, error) { return o.disk, o.opened },
 		Clock: func() recovery.Timestamp {
-			return recovery.Timestamp{Wall: 1e18 + time.Duration(h.now.Load()), SinceBoot: time.Duration(h.now.Load()), BootID: "b", MachineID: 1}
+			return recovery.Timestamp{Wall: 1e18 + time.Duration(o.now.Load()), SinceBoot: time.Duration(o.now.Load()), BootID: "b", MachineID: 1}
 		},
-		NewID: func() uint64 { return ids.Add(1) }, Schema: views, MaxBytes: 8 << 20, PersistKeys: true,
+		NewID: func() uint64 { return ids.Add(1) }, Schema: testSchema, MaxBytes: 8 << 20, PersistKeys: true,
 		Counts: invariant.New(slog.New(slog.DiscardHandler)), Log: slog.New(slog.DiscardHandler), OnDurable: func() {},
-		OnLateRecovery: func(r Recovered) { h.late <- r },
+		OnLateRecovery: func(r Recovered) { o.late <- r },
 	}
-	return h
+	return o
 }
 
-func (h *hands) pass(d time.Duration) { h.now.Add(int64(d)) }
+func (o *testOptions) advance(d time.Duration) { o.now.Add(int64(d)) }
 
-func within(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	require.Eventually(t, holds, 5*time.Second, time.Millisecond, what)
 }
 
-// settled tells that a mark is durable, and not only let go.
-func settled(s *Store, mark uint64) func() bool {
+// isDurable reports whether a record is durable, and not only released because the disk failed.
+func isDurable(s *Store, mark uint64) func() bool {
 	return func() bool { at := s.DurableMark(); return at >= mark && at != math.MaxUint64 }
 }
 
 func TestRestart(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	h := handTerms(faultdisk.New())
-	s, had, err := New(h.Options)
+	o := newTestOptions(faultdisk.New())
+	s, recovered, err := New(o.Options)
 	require.NoError(t, err)
-	assert.Empty(t, had.Keys)
+	assert.Empty(t, recovered.Keys)
 	s.RecordEnd("a", 3, time.Minute, true, []byte("seat 4"))
 	s.RecordStart("b", 4, time.Minute)
 	s.RecordEnd("c", 5, time.Minute, false, nil)
 	s.RecordEnd("big", 6, time.Minute, true, make([]byte, maxResultBytes+1))
 	s.RecordStart("short", 7, time.Second)
-	s.SaveEstimates(viewOf(8))
+	s.SaveEstimates(numberedSnapshot(8))
 	s.Close()
 
-	h.pass(10 * time.Second)
-	s, had, err = New(h.Options)
+	o.advance(10 * time.Second)
+	s, recovered, err = New(o.Options)
 	require.NoError(t, err)
 	defer s.Close()
-	left := map[string]time.Duration{}
-	for _, n := range had.Keys {
-		left[n.Key] = n.ExpiresAt - had.ReadAt
+	remaining := map[string]time.Duration{}
+	for _, n := range recovered.Keys {
+		remaining[n.Key] = n.ExpiresAt - recovered.ReadAt
 		assert.Equal(t, n.Key == "a", n.Served, n.Key)
 	}
-	assert.Equal(t, map[string]time.Duration{"a": 50 * time.Second, "b": 50 * time.Second, "c": 50 * time.Second, "big": 50 * time.Second}, left)
-	assert.Equal(t, []byte("seat 4"), had.Keys[0].Result)
-	assert.Equal(t, uint64(3), had.Keys[0].Fingerprint)
-	assert.Equal(t, 3, had.UnknownOutcomes)
-	assert.Equal(t, 10*time.Second, had.Estimates.Routes[0].Core.Age)
+	assert.Equal(t, map[string]time.Duration{"a": 50 * time.Second, "b": 50 * time.Second, "c": 50 * time.Second, "big": 50 * time.Second}, remaining)
+	assert.Equal(t, []byte("seat 4"), recovered.Keys[0].Result)
+	assert.Equal(t, uint64(3), recovered.Keys[0].Fingerprint)
+	assert.Equal(t, 3, recovered.UnknownOutcomes)
+	assert.Equal(t, 10*time.Second, recovered.Estimates.Routes[0].Core.Age)
 }
 
-// Records that come together are written together.
+// Records that arrive within one commit interval are written together.
 func TestGroupCommit(t *testing.T) {
-	h := handTerms(faultdisk.New())
-	h.CommitInterval = 20 * time.Millisecond
-	s, _, err := New(h.Options)
+	o := newTestOptions(faultdisk.New())
+	o.CommitInterval = 20 * time.Millisecond
+	s, _, err := New(o.Options)
 	require.NoError(t, err)
 	defer s.Close()
-	before := h.disk.Ops()
+	before := o.disk.Ops()
 	var mark uint64
 	for i := range 500 {
 		mark = s.RecordStart(fmt.Sprint(i), 0, time.Minute)
 	}
-	within(t, "kept", settled(s, mark))
-	assert.LessOrEqual(t, h.disk.Ops()-before, 2*4, "writes and syncs")
+	eventually(t, "kept", isDurable(s, mark))
+	assert.LessOrEqual(t, o.disk.Ops()-before, 2*4, "writes and syncs")
 }
 
-// The policy for a disk that fails, whatever the failure: what waits goes on, one line, and again once it is well.
+// A disk fails in one of several ways. Requests that wait for it are released, one line is logged, and once the disk works
+// again all keys are stored anew, also those recorded meanwhile.
 func TestDiskFails(t *testing.T) {
 	cases := []struct {
 		name string
-		fail func(h *hands)
-		mend func(h *hands)
+		fail func(o *testOptions)
+		mend func(o *testOptions)
 	}{
-		{"full in the middle", func(h *hands) { h.disk.Space = 10 }, func(h *hands) { h.disk.Space = -1 }},
-		{"read-only", func(h *hands) { h.disk.ReadOnly = true }, func(h *hands) { h.disk.ReadOnly = false }},
-		{"syncs fail", func(h *hands) {
-			h.disk.Fails = func(kind string) error {
+		{"full in the middle", func(o *testOptions) { o.disk.Space = 10 }, func(o *testOptions) { o.disk.Space = -1 }},
+		{"read-only", func(o *testOptions) { o.disk.ReadOnly = true }, func(o *testOptions) { o.disk.ReadOnly = false }},
+		{"syncs fail", func(o *testOptions) {
+			o.disk.Fails = func(kind string) error {
 				if kind == "sync" {
 					return faultdisk.ErrIO
 				}
 				return nil
 			}
-		}, func(h *hands) { h.disk.Fails = nil }},
-		{"gone", func(h *hands) { h.disk.ReadOnly, h.opened = true, faultdisk.ErrIO }, func(h *hands) { h.disk.ReadOnly, h.opened = false, nil }},
+		}, func(o *testOptions) { o.disk.Fails = nil }},
+		{"gone", func(o *testOptions) { o.disk.ReadOnly, o.opened = true, faultdisk.ErrIO }, func(o *testOptions) { o.disk.ReadOnly, o.opened = false, nil }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			defer goleak.VerifyNone(t)
-			h := handTerms(faultdisk.New())
-			lines := &counting{}
-			h.Log = slog.New(slog.NewTextHandler(lines, nil))
-			s, _, err := New(h.Options)
+			o := newTestOptions(faultdisk.New())
+			lines := &logCounter{}
+			o.Log = slog.New(slog.NewTextHandler(lines, nil))
+			s, _, err := New(o.Options)
 			require.NoError(t, err)
 			kept := s.RecordStart("kept", 1, time.Hour)
-			within(t, "kept", settled(s, kept))
+			eventually(t, "kept", isDurable(s, kept))
 
-			h.disk.Set(func() { c.fail(h) })
+			o.disk.Set(func() { c.fail(o) })
 			s.RecordStart("in vain", 1, time.Hour)
-			within(t, "let go", func() bool { return s.DurableMark() == math.MaxUint64 })
-			for range 5 { // tries
-				h.pass(maxRetryDelay)
+			eventually(t, "let go", func() bool { return s.DurableMark() == math.MaxUint64 })
+			for range 5 { // retries
+				o.advance(maxRetryDelay)
 				s.wakeWriter()
 				time.Sleep(2 * time.Millisecond)
 			}
 			mark := s.RecordStart("meanwhile", 1, time.Hour)
 			assert.GreaterOrEqual(t, s.DurableMark(), mark, "served on without it")
-			assert.Equal(t, 1, lines.with("serving on without it"), "one line")
+			assert.Equal(t, 1, lines.count("serving on without it"), "one line")
 
-			h.disk.Set(func() { c.mend(h) })
-			h.pass(maxRetryDelay)
+			o.disk.Set(func() { c.mend(o) })
+			o.advance(maxRetryDelay)
 			s.wakeWriter()
 			mark = s.RecordStart("after", 1, time.Hour)
-			within(t, "kept again", settled(s, mark))
-			assert.Equal(t, 1, lines.with("state is kept again"))
+			eventually(t, "kept again", isDurable(s, mark))
+			assert.Equal(t, 1, lines.count("state is kept again"))
 			s.Close()
-			s, had, err := New(h.Options)
+			s, recovered, err := New(o.Options)
 			require.NoError(t, err)
 			s.Close()
 			var keys []string
-			for _, n := range had.Keys {
+			for _, n := range recovered.Keys {
 				keys = append(keys, n.Key)
 			}
 			assert.ElementsMatch(t, []string{"kept", "in vain", "meanwhile", "after"}, keys, "all that was known is written anew")
-			assert.Empty(t, h.late, "nothing of its own is told as new")
+			assert.Empty(t, o.late, "nothing of its own is told as new")
 		})
 	}
 }
 
-// A folder that can't be read at the start is read as soon as it can be.
-func TestLate(t *testing.T) {
-	h := handTerms(faultdisk.New())
-	s, _, err := New(h.Options)
+// A directory that cannot be read at the start is read as soon as it can be, and its keys are reported late.
+func TestLateRecovery(t *testing.T) {
+	o := newTestOptions(faultdisk.New())
+	s, _, err := New(o.Options)
 	require.NoError(t, err)
 	s.RecordStart("before", 1, time.Hour)
 	s.Close()
 
-	h.opened = faultdisk.ErrIO
-	s, had, err := New(h.Options)
+	o.opened = faultdisk.ErrIO
+	s, recovered, err := New(o.Options)
 	require.NoError(t, err, "it serves without")
 	defer s.Close()
-	assert.Empty(t, had.Keys)
+	assert.Empty(t, recovered.Keys)
 	s.RecordStart("new", 1, time.Hour)
-	h.disk.Set(func() { h.opened = nil })
-	h.pass(maxRetryDelay)
+	o.disk.Set(func() { o.opened = nil })
+	o.advance(maxRetryDelay)
 	s.wakeWriter()
-	got := <-h.late
+	got := <-o.late
 	require.Len(t, got.Keys, 1)
 	assert.Equal(t, "before", got.Keys[0].Key)
 }
 
-// What a folder that can't be written to holds is used all the same: what has run does not run again for that.
+// A directory cannot be written to at the start. What it holds is used all the same: what has run must not run again.
 func TestReadOnlyAtTheStart(t *testing.T) {
-	h := handTerms(faultdisk.New())
-	s, _, err := New(h.Options)
+	o := newTestOptions(faultdisk.New())
+	s, _, err := New(o.Options)
 	require.NoError(t, err)
 	s.RecordStart("before", 1, time.Hour)
-	s.SaveEstimates(viewOf(1))
+	s.SaveEstimates(numberedSnapshot(1))
 	s.Close()
-	for _, only := range []bool{false, true} { // it opens and can't be written, or can be opened only to read
-		h.disk.ReadOnly = true
-		h.OpenDir = func(read bool) (datadir.Dir, error) {
-			if only && !read {
+	for _, readOnly := range []bool{false, true} { // it opens but cannot be written to, or opens only read-only
+		o.disk.ReadOnly = true
+		o.OpenDir = func(openReadOnly bool) (datadir.Dir, error) {
+			if readOnly && !openReadOnly {
 				return nil, faultdisk.ErrReadOnly
 			}
-			return h.disk, nil
+			return o.disk, nil
 		}
-		s, had, err := New(h.Options)
+		s, recovered, err := New(o.Options)
 		require.NoError(t, err)
-		assert.Len(t, had.Keys, 1)
-		assert.True(t, had.Estimates.Fresh())
+		assert.Len(t, recovered.Keys, 1)
+		assert.True(t, recovered.Estimates.Fresh())
 		assert.Equal(t, uint64(math.MaxUint64), s.DurableMark())
 		s.Close()
 	}
 }
 
-// A disk that neither fails nor answers holds up nothing for longer than a second.
+// A disk neither fails nor answers. No request waits for it longer than stallTimeout, and the queue stays bounded.
 func TestStall(t *testing.T) {
-	h := handTerms(faultdisk.New())
-	s, _, err := New(h.Options)
+	o := newTestOptions(faultdisk.New())
+	s, _, err := New(o.Options)
 	require.NoError(t, err)
 	hold := make(chan struct{})
 	var once sync.Once
 	defer once.Do(func() { close(hold) })
-	h.disk.Set(func() {
-		h.disk.Fails = func(kind string) error {
+	o.disk.Set(func() {
+		o.disk.Fails = func(kind string) error {
 			if kind == "sync" {
 				<-hold
 			}
@@ -231,71 +232,71 @@
 		}
 	})
 	mark := s.RecordStart("a", 1, time.Hour)
-	within(t, "the disk has it", func() bool { return s.writingSince.Load() > 0 })
+	eventually(t, "the disk has it", func() bool { return s.writingSince.Load() > 0 })
 	assert.Less(t, s.DurableMark(), mark)
-	h.pass(stallTimeout + 1)
+	o.advance(stallTimeout + 1)
 	assert.GreaterOrEqual(t, s.DurableMark(), mark)
-	for i := range 2 * maxQueueBytes / 128 { // and what waits has a bound
+	for i := range 2 * maxQueueBytes / 128 { // the queue has a limit
 		s.RecordStart(fmt.Sprint(i), 1, time.Hour)
 	}
 	assert.LessOrEqual(t, s.queuedBytes, maxQueueBytes)
-	assert.Positive(t, h.Counts.Times("numbered task not kept on disk: too many wait for it"))
+	assert.Positive(t, o.Counts.Times("numbered task not kept on disk: too many wait for it"))
 	once.Do(func() { close(hold) })
-	within(t, "kept", settled(s, s.lastMark))
+	eventually(t, "kept", isDurable(s, s.lastMark))
 	s.Close()
 }
 
-// However much is told, the folder stays within its bound, and what has no room is not kept.
+// However much is recorded, the directory stays within its size limit, and what has no room is not stored.
 func TestBound(t *testing.T) {
-	h := handTerms(faultdisk.New())
-	s, _, err := New(h.Options)
+	o := newTestOptions(faultdisk.New())
+	s, _, err := New(o.Options)
 	require.NoError(t, err)
 	defer s.Close()
-	most := int64(0)
+	maxBytes := int64(0)
 	result := make([]byte, 30<<10)
 	for i := range 3000 {
 		mark := s.RecordStart(fmt.Sprint(i), 1, time.Duration(1+i%4)*time.Second/4)
 		s.RecordEnd(fmt.Sprint(i), 1, time.Duration(1+i%4)*time.Second/4, true, result)
 		if i%8 == 0 {
-			within(t, "kept", func() bool { return s.DurableMark() >= mark })
-			most = max(most, h.disk.Bytes())
+			eventually(t, "kept", func() bool { return s.DurableMark() >= mark })
+			maxBytes = max(maxBytes, o.disk.Bytes())
 		}
-		h.pass(50 * time.Millisecond)
+		o.advance(50 * time.Millisecond)
 	}
-	assert.LessOrEqual(t, most, h.MaxBytes)
-	assert.Greater(t, most, h.MaxBytes/4, "the bound was come near to")
-	assert.Less(t, h.disk.Ops(), 40*3000)
+	assert.LessOrEqual(t, maxBytes, o.MaxBytes)
+	assert.Greater(t, maxBytes, o.MaxBytes/4, "the bound was come near to")
+	assert.Less(t, o.disk.Ops(), 40*3000)
 }
 
-// Ten crashes in a row leave a bounded folder, and what was kept before the first.
+// Ten crashes in a row lose nothing that was durable, and leave few files.
 func TestTenCrashes(t *testing.T) {
-	h := handTerms(faultdisk.New())
+	o := newTestOptions(faultdisk.New())
 	for i := range 10 {
-		s, had, err := New(h.Options)
+		s, recovered, err := New(o.Options)
 		require.NoError(t, err)
-		assert.Len(t, had.Keys, i)
+		assert.Len(t, recovered.Keys, i)
 		mark := s.RecordStart(fmt.Sprint(i), 1, time.Hour)
-		within(t, "kept", settled(s, mark))
-		h.disk.Set(func() { h.disk.ReadOnly = true }) // nothing more of this process reaches it
-		after := h.disk.Crash(faultdisk.Half{})
+		eventually(t, "kept", isDurable(s, mark))
+		o.disk.Set(func() { o.disk.ReadOnly = true }) // nothing more of this process reaches it
+		after := o.disk.Crash(faultdisk.Half{})
 		s.Close()
-		h.disk = after
-		h.pass(time.Second)
+		o.disk = after
+		o.advance(time.Second)
 	}
-	assert.LessOrEqual(t, len(h.disk.Names()), 2*retainedTables+retainedEstimates+maxQuarantined+2)
-	assert.LessOrEqual(t, h.disk.Bytes(), int64(64<<10))
+	assert.LessOrEqual(t, len(o.disk.Names()), 2*retainedTables+retainedEstimates+maxQuarantined+2)
+	assert.LessOrEqual(t, o.disk.Bytes(), int64(64<<10))
 }
 
-// The system's own folder.
+// A directory of the operating system: its lock, the modes of its files, and symbolic links in their place.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
-	terms := func(path string) Options { return diskTerms(path, invariant.New(slog.New(slog.DiscardHandler))) }
+	options := func(path string) Options { return osDirOptions(path, invariant.New(slog.New(slog.DiscardHandler))) }
 	state := filepath.Join(dir, "state")
-	s, _, err := New(terms(state))
+	s, _, err := New(options(state))
 	require.NoError(t, err)
 	s.RecordEnd("a", 1, time.Hour, true, []byte("r"))
 	began := time.Now()
-	_, _, err = New(terms(state))
+	_, _, err = New(options(state))
 	assert.ErrorIs(t, err, datadir.ErrInUse, "two processes")
 	assert.GreaterOrEqual(t, time.Since(began), lockTimeout, "one that leaves is waited for")
 	s.Close()
@@ -314,9 +315,9 @@
 	secret := filepath.Join(dir, "secret")
 	require.NoError(t, os.WriteFile(secret, []byte("not ours"), 0o600))
 	require.NoError(t, os.Symlink(secret, filepath.Join(state, fileName(logPrefix, 0xff))))
-	s, had, err := New(terms(state))
+	s, recovered, err := New(options(state))
 	require.NoError(t, err)
-	assert.Len(t, had.Keys, 1)
+	assert.Len(t, recovered.Keys, 1)
 	s.Close()
 	raw, err := os.ReadFile(secret)
 	require.NoError(t, err)
@@ -335,55 +336,56 @@
 	assert.ErrorContains(t, err, "lets others write to it")
 }
 
-// Files of another site, of a newer version and of no form at all are kept aside, and what can be used is used.
-func TestAside(t *testing.T) {
-	h := handTerms(faultdisk.New())
-	h.Site = "north"
-	s, _, err := New(h.Options)
+// Files of another site, of a newer version and of no known format are quarantined, and the rest is used. Other files in
+// the directory are left alone.
+func TestQuarantine(t *testing.T) {
+	o := newTestOptions(faultdisk.New())
+	o.Site = "north"
+	s, _, err := New(o.Options)
 	require.NoError(t, err)
 	s.RecordStart("a", 1, time.Hour)
 	s.Close()
-	h.Site = "south"
-	s, had, err := New(h.Options)
+	o.Site = "south"
+	s, recovered, err := New(o.Options)
 	require.NoError(t, err)
-	assert.Empty(t, had.Keys, "another site's numbers are others")
+	assert.Empty(t, recovered.Keys, "another site's numbers are others")
 	s.Close()
 
 	newer := appendFrame(nil, 0, 0, recovery.Header{Version: recovery.FormatVersion + 1, Content: recovery.KeyLogFile, Site: "south", Sequence: 900})
-	h.disk.Put(fileName(logPrefix, 900), newer)
-	h.disk.Put(fileName(logPrefix, 901), []byte("#!/bin/sh"))
-	h.disk.Put(fileName(logPrefix, 902), nil)
-	h.disk.Put("notes.txt", []byte("the operators' own"))
-	s, _, err = New(h.Options)
+	o.disk.Put(fileName(logPrefix, 900), newer)
+	o.disk.Put(fileName(logPrefix, 901), []byte("#!/bin/sh"))
+	o.disk.Put(fileName(logPrefix, 902), nil)
+	o.disk.Put("notes.txt", []byte("the operators' own"))
+	s, _, err = New(o.Options)
 	require.NoError(t, err)
 	s.Close()
-	aside := 0
-	for _, name := range h.disk.Names() {
+	quarantined := 0
+	for _, name := range o.disk.Names() {
 		if _, is := parseFileName(quarantinePrefix, name); is {
-			aside++
-			if raw := h.disk.Get(name); len(raw) < 20 {
+			quarantined++
+			if raw := o.disk.Get(name); len(raw) < 20 {
 				assert.Equal(t, "#!/bin/sh", string(raw))
 			}
 		}
 	}
-	assert.Equal(t, 2+2, aside, "a table and a log of the other site, one newer, one that is none")
-	assert.Equal(t, "the operators' own", string(h.disk.Get("notes.txt")))
+	assert.Equal(t, 2+2, quarantined, "a table and a log of the other site, one newer, one that is none")
+	assert.Equal(t, "the operators' own", string(o.disk.Get("notes.txt")))
 }
 
-// counting counts lines of a log.
-type counting struct {
+// logCounter counts the lines of a log.
+type logCounter struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-func (c *counting) Write(p []byte) (int, error) {
+func (c *logCounter) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.text = append(c.text, p...)
 	return len(p), nil
 }
 
-func (c *counting) with(words string) int {
+func (c *logCounter) count(words string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return bytes.Count(c.text, []byte(words))
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -14,7 +14,7 @@
 	"quartzpoint/estimate"
 )
 
-// TestMain draws the same cases every time; another seed is stated with -rapid.seed.
+// TestMain fixes the seed of the drawn cases, unless -rapid.seed sets another.
 func TestMain(m *testing.M) {
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
 		_ = seed.Value.Set("20261201")
@@ -24,8 +24,8 @@
 
 var now = Timestamp{Wall: 1000 * time.Hour, SinceBoot: 100 * time.Hour, BootID: "b", MachineID: 7}
 
-func before(wall, up time.Duration) Timestamp {
-	return Timestamp{Wall: now.Wall - wall, SinceBoot: now.SinceBoot - up, BootID: "b", MachineID: 7}
+func before(wall, sinceBoot time.Duration) Timestamp {
+	return Timestamp{Wall: now.Wall - wall, SinceBoot: now.SinceBoot - sinceBoot, BootID: "b", MachineID: 7}
 }
 
 func TestAge(t *testing.T) {
@@ -34,9 +34,9 @@
 		return m
 	}
 	cases := []struct {
-		name        string
-		then        Timestamp
-		least, most time.Duration
+		name           string
+		then           Timestamp
+		minAge, maxAge time.Duration
 	}{
 		{"one boot", before(time.Minute, time.Minute), time.Minute, time.Minute},
 		{"wall clock set forward", before(time.Hour, time.Minute), time.Minute, time.Hour},
@@ -51,13 +51,13 @@
 		{"nothing known", Timestamp{}, 0, MaxAge},
 	}
 	for _, c := range cases {
-		least, most := Age(c.then, now)
-		assert.Equal(t, c.least, least, c.name)
-		assert.Equal(t, c.most, most, c.name)
+		minAge, maxAge := Age(c.then, now)
+		assert.Equal(t, c.minAge, minAge, c.name)
+		assert.Equal(t, c.maxAge, maxAge, c.name)
 	}
 }
 
-// However the wall clock stands, least is never more than what has passed, and most never less.
+// However the wall clock was set, minAge is never more than the time that has passed. Within one boot maxAge is never less.
 func TestAgeBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		passed := time.Duration(rapid.Int64Range(0, int64(90*time.Hour)).Draw(t, "passed"))
@@ -65,149 +65,149 @@
 		then := before(passed+step, passed)
 		reboot := rapid.Bool().Draw(t, "reboot")
 		later := now
-		if reboot { // the boot came somewhere between
+		if reboot { // at any time between
 			later.BootID, later.SinceBoot = "c", time.Duration(rapid.Int64Range(0, int64(passed)).Draw(t, "up"))
 		}
-		least, most := Age(then, later)
-		assert.LessOrEqual(t, least, passed)
-		assert.LessOrEqual(t, least, most)
+		minAge, maxAge := Age(then, later)
+		assert.LessOrEqual(t, minAge, passed)
+		assert.LessOrEqual(t, minAge, maxAge)
 		if !reboot {
-			assert.GreaterOrEqual(t, most, passed)
+			assert.GreaterOrEqual(t, maxAge, passed)
 		}
 	})
 }
 
-var frame = estimate.Schema{SettingsDigest: 7, Origin: 99, Routes: []string{"pay"}, Deadlines: []time.Duration{4 * time.Second}}
+var testSchema = estimate.Schema{SettingsDigest: 7, Origin: 99, Routes: []string{"pay"}, Deadlines: []time.Duration{4 * time.Second}}
 
-func view(mean float64) *estimate.Snapshot {
+func snapshotOf(mean float64) *estimate.Snapshot {
 	e := estimate.Estimate{Mean: mean, Samples: 20}
 	return &estimate.Snapshot{Origin: 1, SettingsDigest: 7, Routes: []estimate.RouteEstimates{{Name: "pay", Core: e, Run: e}}}
 }
 
-func viewFile(place uint64, mean float64, at Timestamp) File {
+func estimatesFile(sequence uint64, mean float64, createdAt Timestamp) File {
 	return File{
-		Name: "view-" + string(rune('a'+place)), Complete: true, Estimates: view(mean),
-		Header: Header{Version: FormatVersion, Content: EstimatesFile, Site: "s", Sequence: place, CreatedAt: at},
+		Name: "view-" + string(rune('a'+sequence)), Complete: true, Estimates: snapshotOf(mean),
+		Header: Header{Version: FormatVersion, Content: EstimatesFile, Site: "s", Sequence: sequence, CreatedAt: createdAt},
 	}
 }
 
-func TestView(t *testing.T) {
-	young, old := before(time.Second, time.Second), before(time.Hour, time.Hour)
+func TestEstimates(t *testing.T) {
+	recent, old := before(time.Second, time.Second), before(time.Hour, time.Hour)
 	with := func(f File, change func(*File)) File { change(&f); return f }
 	cases := []struct {
-		name  string
-		found []File
-		mean  float64 // 0: none
-		why   string
+		name   string
+		files  []File
+		mean   float64 // 0 for none
+		reason string
 	}{
 		{"none", nil, 0, ""},
-		{"the newest", []File{viewFile(1, 0.1, young), viewFile(2, 0.2, young)}, 0.2, ""},
-		{"the newest is not whole", []File{viewFile(1, 0.1, young), with(viewFile(2, 0.2, young), func(f *File) { f.Complete, f.Estimates = false, nil })}, 0.1, "not whole"},
-		{"old", []File{viewFile(1, 0.1, old)}, 0, "old"},
-		{"from the future", []File{viewFile(1, 0.1, before(-time.Minute, time.Second))}, 0, "old"},
-		{"of another site", []File{with(viewFile(1, 0.1, young), func(f *File) { f.Header.Site = "x" })}, 0, `of site "x", and this is "s"`},
-		{"of another machine", []File{with(viewFile(1, 0.1, young), func(f *File) { f.Header.CreatedAt.MachineID = 8 })}, 0, "of another machine"},
-		{"of other terms", []File{with(viewFile(1, 0.1, young), func(f *File) { f.Estimates.SettingsDigest = 8 })}, 0, "other terms"},
-		{"of a newer version, and one known", []File{viewFile(1, 0.1, young), with(viewFile(2, 0.2, young), func(f *File) { f.Header.Version = FormatVersion + 1 })}, 0.1, "version 3, and 2 at the most is known here"},
-		{"of a version that never was", []File{with(viewFile(1, 0.1, young), func(f *File) { f.Header.Version = 0 })}, 0, "version 0, from which no step leads here"},
-		{"of version 1", []File{with(viewFile(1, 0.1, young), func(f *File) {
-			f.Header.Version, f.Header.CreatedAt, f.Header.LegacyWall = 1, Timestamp{}, int64(young.Wall)
+		{"the newest", []File{estimatesFile(1, 0.1, recent), estimatesFile(2, 0.2, recent)}, 0.2, ""},
+		{"the newest is not whole", []File{estimatesFile(1, 0.1, recent), with(estimatesFile(2, 0.2, recent), func(f *File) { f.Complete, f.Estimates = false, nil })}, 0.1, "not whole"},
+		{"old", []File{estimatesFile(1, 0.1, old)}, 0, "old"},
+		{"from the future", []File{estimatesFile(1, 0.1, before(-time.Minute, time.Second))}, 0, "old"},
+		{"of another site", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.Site = "x" })}, 0, `of site "x", and this is "s"`},
+		{"of another machine", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.CreatedAt.MachineID = 8 })}, 0, "of another machine"},
+		{"of other terms", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Estimates.SettingsDigest = 8 })}, 0, "other terms"},
+		{"of a newer version, and one known", []File{estimatesFile(1, 0.1, recent), with(estimatesFile(2, 0.2, recent), func(f *File) { f.Header.Version = FormatVersion + 1 })}, 0.1, "version 3, and 2 at the most is known here"},
+		{"of a version that never was", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.Version = 0 })}, 0, "version 0, from which no step leads here"},
+		{"of version 1", []File{with(estimatesFile(1, 0.1, recent), func(f *File) {
+			f.Header.Version, f.Header.CreatedAt, f.Header.LegacyWall = 1, Timestamp{}, int64(recent.Wall)
 		})}, 0.1, ""},
-		{"of version 1 and old", []File{with(viewFile(1, 0.1, young), func(f *File) {
+		{"of version 1 and old", []File{with(estimatesFile(1, 0.1, recent), func(f *File) {
 			f.Header.Version, f.Header.CreatedAt, f.Header.LegacyWall = 1, Timestamp{}, int64(old.Wall)
 		})}, 0, "old"},
 		{"unreadable", []File{{Name: "view-x", Err: errors.New("no whole header")}}, 0, "no whole header"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := NewPlan(c.found, Environment{Now: now, Site: "s", Schema: frame})
-			if assert.Equal(t, c.mean > 0, p.Estimates.Fresh()); c.mean > 0 {
-				assert.Equal(t, c.mean, p.Estimates.Routes[0].Core.Mean)
-				assert.Equal(t, time.Second, p.Estimates.Routes[0].Core.Age)
+			plan := NewPlan(c.files, Environment{Now: now, Site: "s", Schema: testSchema})
+			if assert.Equal(t, c.mean > 0, plan.Estimates.Fresh()); c.mean > 0 {
+				assert.Equal(t, c.mean, plan.Estimates.Routes[0].Core.Mean)
+				assert.Equal(t, time.Second, plan.Estimates.Routes[0].Core.Age)
 			}
-			if c.why == "" {
-				assert.Empty(t, p.Findings)
+			if c.reason == "" {
+				assert.Empty(t, plan.Findings)
 			} else {
-				require.Len(t, p.Findings, 1)
-				assert.Contains(t, p.Findings[0].Reason, c.why)
+				require.Len(t, plan.Findings, 1)
+				assert.Contains(t, plan.Findings[0].Reason, c.reason)
 			}
 		})
 	}
 }
 
-func logFile(place uint64, whole bool, records ...Record) File {
+func logFile(sequence uint64, complete bool, records ...Record) File {
 	for i := range records {
-		records[i].Sequence = place + uint64(i)
+		records[i].Sequence = sequence + uint64(i)
 	}
 	return File{
-		Name: "log-" + string(rune('a'+place)), Complete: whole, Records: records,
-		Header: Header{Version: FormatVersion, Content: KeyLogFile, Site: "s", Sequence: place, CreatedAt: before(time.Minute, time.Minute)},
+		Name: "log-" + string(rune('a'+sequence)), Complete: complete, Records: records,
+		Header: Header{Version: FormatVersion, Content: KeyLogFile, Site: "s", Sequence: sequence, CreatedAt: before(time.Minute, time.Minute)},
 	}
 }
 
-func begun(key string) Record { return Record{Kind: KeyStarted, Key: key, Remaining: time.Hour} }
+func started(key string) Record { return Record{Kind: KeyStarted, Key: key, Remaining: time.Hour} }
 
-func ended(key, result string) Record {
+func finished(key, result string) Record {
 	return Record{Kind: KeyFinished, Key: key, Remaining: time.Hour, Served: true, Result: []byte(result)}
 }
 
-func tableFile(place uint64, records ...Record) File {
-	f := logFile(place, true, records...)
-	f.Name, f.Header.Content = "table-"+string(rune('a'+place)), KeyTableFile
+func tableFile(sequence uint64, records ...Record) File {
+	f := logFile(sequence, true, records...)
+	f.Name, f.Header.Content = "table-"+string(rune('a'+sequence)), KeyTableFile
 	return f
 }
 
-func TestTable(t *testing.T) {
-	behind := func(f File, beyond ...Record) File {
-		f.Complete, f.CompleteBytes, f.Salvaged = false, 77, beyond
+func TestKeyReplay(t *testing.T) {
+	damaged := func(f File, salvaged ...Record) File {
+		f.Complete, f.CompleteBytes, f.Salvaged = false, 77, salvaged
 		return f
 	}
 	at := func(seq uint64, r Record) Record { r.Sequence = seq; return r }
-	rotten := tableFile(4)
-	rotten.Complete, rotten.Records = false, nil
+	damagedTable := tableFile(4)
+	damagedTable.Complete, damagedTable.Records = false, nil
 	cases := []struct {
-		name  string
-		found []File
-		want  map[string]string // results; "?" where the end is not known
-		next  uint64
-		aside int
+		name        string
+		files       []File
+		want        map[string]string // results by key; "?" if the outcome is not known
+		next        uint64
+		quarantined int
 	}{
-		{"begun and ended", []File{logFile(1, true, begun("a"), begun("b"), ended("a", "1"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
-		{"a snapshot and what came after it", []File{tableFile(2, ended("a", "1")), logFile(1, true, begun("a"), begun("x"), begun("b"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
-		{"two logs", []File{logFile(3, true, ended("b", "2")), logFile(1, true, begun("a"), begun("b"))}, map[string]string{"a": "?", "b": "2"}, 4, 0},
-		{"a torn end", []File{behind(logFile(1, false, begun("a")))}, map[string]string{"a": "?"}, 2, 1},
-		{"behind what is torn only that something began is taken", []File{behind(logFile(1, false, begun("a")), at(3, ended("a", "no")), at(4, begun("c")))}, map[string]string{"a": "?", "c": "?"}, 5, 1},
-		{"so with a whole log behind a torn one", []File{behind(logFile(1, false, begun("a"))), logFile(3, true, ended("a", "no"), ended("d", "no"))}, map[string]string{"a": "?", "d": "?"}, 5, 1},
-		{"a log in between is missing", []File{logFile(1, true, ended("a", "1")), logFile(5, true, ended("e", "no"))}, map[string]string{"a": "1", "e": "?"}, 6, 0},
-		{"the newest snapshot is rotten", []File{rotten, tableFile(2, ended("a", "1")), logFile(3, true, begun("b"), ended("b", "2")), logFile(5, true, begun("c"))}, map[string]string{"a": "1", "b": "2", "c": "?"}, 6, 1},
-		{"no snapshot, and the first logs are gone", []File{logFile(9, true, begun("a"), ended("a", "1"))}, map[string]string{"a": "1"}, 11, 0},
-		{"an empty log", []File{tableFile(3, ended("a", "1")), logFile(4, true)}, map[string]string{"a": "1"}, 4, 0},
+		{"begun and ended", []File{logFile(1, true, started("a"), started("b"), finished("a", "1"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
+		{"a snapshot and what came after it", []File{tableFile(2, finished("a", "1")), logFile(1, true, started("a"), started("x"), started("b"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
+		{"two logs", []File{logFile(3, true, finished("b", "2")), logFile(1, true, started("a"), started("b"))}, map[string]string{"a": "?", "b": "2"}, 4, 0},
+		{"a torn end", []File{damaged(logFile(1, false, started("a")))}, map[string]string{"a": "?"}, 2, 1},
+		{"behind what is torn only that something began is taken", []File{damaged(logFile(1, false, started("a")), at(3, finished("a", "no")), at(4, started("c")))}, map[string]string{"a": "?", "c": "?"}, 5, 1},
+		{"so with a whole log behind a torn one", []File{damaged(logFile(1, false, started("a"))), logFile(3, true, finished("a", "no"), finished("d", "no"))}, map[string]string{"a": "?", "d": "?"}, 5, 1},
+		{"a log in between is missing", []File{logFile(1, true, finished("a", "1")), logFile(5, true, finished("e", "no"))}, map[string]string{"a": "1", "e": "?"}, 6, 0},
+		{"the newest snapshot is damaged", []File{damagedTable, tableFile(2, finished("a", "1")), logFile(3, true, started("b"), finished("b", "2")), logFile(5, true, started("c"))}, map[string]string{"a": "1", "b": "2", "c": "?"}, 6, 1},
+		{"no snapshot, and the first logs are gone", []File{logFile(9, true, started("a"), finished("a", "1"))}, map[string]string{"a": "1"}, 11, 0},
+		{"an empty log", []File{tableFile(3, finished("a", "1")), logFile(4, true)}, map[string]string{"a": "1"}, 4, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			rand.New(rand.NewSource(1)).Shuffle(len(c.found), func(i, j int) { c.found[i], c.found[j] = c.found[j], c.found[i] })
-			p := NewPlan(c.found, Environment{Now: now, Site: "s"})
+			rand.New(rand.NewSource(1)).Shuffle(len(c.files), func(i, j int) { c.files[i], c.files[j] = c.files[j], c.files[i] })
+			plan := NewPlan(c.files, Environment{Now: now, Site: "s"})
 			got, unknown := map[string]string{}, 0
-			for _, n := range p.Keys.Entries() {
+			for _, n := range plan.Keys.Entries() {
 				if got[n.Key] = string(n.Result); !n.Served {
 					got[n.Key] = "?"
 					unknown++
 				}
 			}
 			assert.Equal(t, c.want, got)
-			assert.Equal(t, unknown, p.UnknownOutcomes)
-			assert.Equal(t, c.next, p.NextSequence)
-			assert.Len(t, p.Quarantine, c.aside)
+			assert.Equal(t, unknown, plan.UnknownOutcomes)
+			assert.Equal(t, c.next, plan.NextSequence)
+			assert.Len(t, plan.Quarantine, c.quarantined)
 		})
 	}
 }
 
-func TestWindow(t *testing.T) {
+func TestDeduplicationWindow(t *testing.T) {
 	cases := []struct {
-		name string
-		then Timestamp
-		at   time.Duration // of the record, in its file
-		left time.Duration // of a window of an hour; 0: over
+		name      string
+		then      Timestamp
+		elapsed   time.Duration // from the file's creation to the record
+		remaining time.Duration // of a window of an hour; 0 if it has ended
 	}{
 		{"a minute ago", before(time.Minute, time.Minute), 0, 59 * time.Minute},
 		{"late in its file", before(time.Minute, time.Minute), 50 * time.Second, 59*time.Minute + 50*time.Second},
@@ -219,17 +219,17 @@
 		{"longer in its file than has passed for sure", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 9}, time.Hour, time.Hour},
 	}
 	for _, c := range cases {
-		f := logFile(1, true, begun("a"))
-		f.Header.CreatedAt, f.Records[0].Elapsed = c.then, c.at
+		f := logFile(1, true, started("a"))
+		f.Header.CreatedAt, f.Records[0].Elapsed = c.then, c.elapsed
 		n, known := NewPlan([]File{f}, Environment{Now: now, Site: "s"}).Keys.Get("a")
-		if assert.Equal(t, c.left > 0, known, c.name); known {
-			assert.Equal(t, c.left, n.ExpiresAt-now.SinceBoot, c.name)
+		if assert.Equal(t, c.remaining > 0, known, c.name); known {
+			assert.Equal(t, c.remaining, n.ExpiresAt-now.SinceBoot, c.name)
 		}
 	}
 }
 
-func TestWorth(t *testing.T) {
-	warm, cold := *view(0.1), *view(0.1)
+func TestShouldPersist(t *testing.T) {
+	warm, cold := *snapshotOf(0.1), *snapshotOf(0.1)
 	cold.Routes[0].Core.Samples = 2
 	assert.True(t, ShouldPersist(warm, estimate.Snapshot{}, 0))
 	assert.False(t, ShouldPersist(cold, estimate.Snapshot{}, 0), "what the one before left is worth more")
@@ -237,7 +237,7 @@
 	assert.True(t, ShouldPersist(warm.Aged(time.Second/2), warm, time.Second))
 }
 
-func TestTableBytes(t *testing.T) {
+func TestKeyTableSize(t *testing.T) {
 	table := NewKeyTable()
 	table.Put(KeyEntry{Key: "a", ExpiresAt: 5, Result: make([]byte, 100)})
 	table.Put(KeyEntry{Key: "b", ExpiresAt: 9})
--- a/recovery/timestamp.go
+++ b/recovery/timestamp.go
@@ -1,6 +1,3 @@
-// Package recovery decides which of the state that a server left on disk is used after a start: which files, up to
-// which byte, how old their contents count as, and what becomes of idempotency keys whose requests started and are not
-// known to have finished. It does no I/O and reads no clock: package internal/store reads and writes the files.
 package recovery
 
 import "time"
