--- /dev/null
+++ b/cmd/quartzpoint-bench/state_disk.go
@@ -0,0 +1,122 @@
+package main
+
+import (
+	"fmt"
+	"log/slog"
+	"math"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"text/tabwriter"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/store"
+)
+
+const (
+	commitCallers   = 256 // each waits for its record before it sends the next
+	commitSpan      = time.Second
+	recoveredKeys   = 100_000
+	queuedKeys      = 1000 // recorded before the caller waits for the disk
+	durablePollWait = 100 * time.Microsecond
+)
+
+func storeOptions(dir string, commitInterval time.Duration) store.Options {
+	quiet := slog.New(slog.DiscardHandler)
+	return store.Options{
+		OpenDir: datadir.Opener(dir), Clock: store.SystemClock(), NewID: store.RandomID, MaxBytes: stateMB << 20,
+		CommitInterval: commitInterval, PersistKeys: true, Counts: invariant.New(quiet), Log: quiet, OnDurable: func() {},
+	}
+}
+
+func waitDurable(s *store.Store, mark uint64) {
+	for s.DurableMark() < mark {
+		time.Sleep(durablePollWait)
+	}
+}
+
+// disk measures group commits and the time of a start.
+func (m *measureState) disk(root string, table *tabwriter.Writer) (partResult, error) {
+	var result partResult
+	for _, interval := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
+		target, err := measureCommits(filepath.Join(root, "commit-"+interval.String()), interval, table)
+		if err != nil {
+			return partResult{}, err
+		}
+		result.aims = append(result.aims, target)
+	}
+	dir := filepath.Join(root, "many")
+	if err := writeManyKeys(dir); err != nil {
+		return partResult{}, err
+	}
+	size, err := dirSize(dir)
+	if err != nil {
+		return partResult{}, err
+	}
+	start := time.Now()
+	s, recovered, err := store.New(storeOptions(dir, 0))
+	if err != nil {
+		return partResult{}, err
+	}
+	took := time.Since(start)
+	s.Close()
+	if len(recovered.Keys) != recoveredKeys {
+		return partResult{}, fmt.Errorf("%d of %d entries came back", len(recovered.Keys), recoveredKeys)
+	}
+	fmt.Fprintf(table, "start with %d entries, %.1f MB: ms\t%.0f\t\t\t\n", recoveredKeys, float64(size)/(1<<20), float64(took.Milliseconds()))
+	result.aims = append(result.aims, aim{"start, s", took.Seconds(), 0, 2}, aim{"bytes on disk", float64(size), 1, stateMB << 20})
+	result.summary = fmt.Sprintf("start %d ms", took.Milliseconds())
+	return result, nil
+}
+
+// measureCommits has callers record keys for commitSpan, and prints how many became durable and how long each took.
+func measureCommits(dir string, interval time.Duration, table *tabwriter.Writer) (aim, error) {
+	s, _, err := store.New(storeOptions(dir, interval))
+	if err != nil {
+		return aim{}, err
+	}
+	var durable atomic.Int64
+	waits := hdrhistogram.New(1, 10_000_000, 3) // microseconds
+	var mu sync.Mutex
+	var all sync.WaitGroup
+	end := time.Now().Add(commitSpan)
+	for caller := range commitCallers {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			for i := 0; time.Now().Before(end); i++ {
+				start := time.Now()
+				waitDurable(s, s.RecordStart(fmt.Sprintf("pay\x00%d-%d", caller, i), 1, time.Minute))
+				durable.Add(1)
+				mu.Lock()
+				_ = waits.RecordValue(time.Since(start).Microseconds()) // in the histogram's range
+				mu.Unlock()
+			}
+		}()
+	}
+	all.Wait()
+	s.Close()
+	fmt.Fprintf(table, "commit of %v: %d entries a second by %d callers, wait ms p50, p99, most\t%.1f\t%.1f\t%.1f\t\n",
+		interval, durable.Load(), commitCallers,
+		float64(waits.ValueAtQuantile(50))/1e3, float64(waits.ValueAtQuantile(99))/1e3, float64(waits.Max())/1e3)
+	return aim{"entries a second", float64(durable.Load()), 1000, math.Inf(1)}, nil
+}
+
+// writeManyKeys leaves a directory with recoveredKeys keys.
+func writeManyKeys(dir string) error {
+	s, _, err := store.New(storeOptions(dir, 0))
+	if err != nil {
+		return err
+	}
+	for i := range recoveredKeys {
+		if mark := s.RecordStart(fmt.Sprintf("pay\x00%d", i), 1, time.Hour); i%queuedKeys == queuedKeys-1 {
+			waitDurable(s, mark)
+		}
+	}
+	s.Close()
+	return nil
+}
--- /dev/null
+++ b/cmd/quartzpoint-bench/state_kills.go
@@ -0,0 +1,174 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io/fs"
+	"math"
+	"math/rand"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"text/tabwriter"
+	"time"
+
+	"quartzpoint"
+)
+
+const (
+	killLanes    = 8 // state directories, each with one process at a time
+	childCallers = 8 // of a child's gate
+	maxKillDelay = 250 * time.Millisecond
+	// exitWrongEffect is the exit code of a child that found an effect lost or run twice, or another result.
+	exitWrongEffect = 7
+)
+
+// stateChild is the process that is killed: a gate whose requests with idempotency keys append to a file.
+type stateChild struct {
+	Dir string `arg:""`
+}
+
+func childTerms(state *quartzpoint.State) quartzpoint.Terms {
+	return quartzpoint.Terms{Cores: 4, MemoryMB: 256, State: state, Types: []quartzpoint.Type{
+		{Name: "pay", Repeats: quartzpoint.Numbered, Contract: 2 * time.Second, Window: time.Hour},
+	}, Gauges: func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Crowd: min(float64(running), 4)} }}
+}
+
+// Run repeats the requests of earlier processes, and then sends new ones until the process is killed.
+func (cmd *stateChild) Run() error {
+	path := filepath.Join(cmd.Dir, "effects")
+	before, err := os.ReadFile(path)
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return err
+	}
+	effects, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	gate, err := quartzpoint.New(childTerms(&quartzpoint.State{Dir: filepath.Join(cmd.Dir, "state"), Commit: time.Millisecond}))
+	if err != nil {
+		return err
+	}
+	earlier := strings.Fields(string(before))
+	var all sync.WaitGroup
+	for caller := range childCallers {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			for i := caller; i < len(earlier); i += childCallers {
+				repeatEffect(gate, earlier[i])
+			}
+			for i := 0; ; i++ {
+				key := fmt.Sprintf("%d-%d-%d", os.Getpid(), caller, i)
+				if _, err := sendKeyed(gate, key, func() { fmt.Fprintln(effects, key) }); err != nil {
+					time.Sleep(time.Millisecond)
+				}
+			}
+		}()
+	}
+	all.Wait()
+	return nil
+}
+
+func sendKeyed(gate *quartzpoint.Gate, key string, effect func()) ([]byte, error) {
+	return gate.DoOnce(context.Background(), quartzpoint.Task{Type: "pay", Number: key}, func(context.Context) ([]byte, error) {
+		effect()
+		return []byte("result of " + key), nil
+	})
+}
+
+// repeatEffect repeats a request that had its effect, and exits if it runs again or has another result.
+func repeatEffect(gate *quartzpoint.Gate, key string) {
+	result, err := sendKeyed(gate, key, func() { exitWrong("%s ran twice", key) })
+	if err == nil && string(result) != "result of "+key {
+		exitWrong("%s: result %q", key, result)
+	}
+}
+
+func exitWrong(format string, args ...any) {
+	fmt.Fprintf(os.Stderr, format+"\n", args...)
+	os.Exit(exitWrongEffect)
+}
+
+// killTally counts over all lanes.
+type killTally struct {
+	wrong, effects, maxBytes atomic.Int64
+}
+
+// kills has processes killed at random moments of a fixed seed, also during their start.
+func (m *measureState) kills(root string, table *tabwriter.Writer) (partResult, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return partResult{}, err
+	}
+	var tally killTally
+	failed := make([]error, killLanes)
+	var all sync.WaitGroup
+	for lane := range killLanes {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			dir := filepath.Join(root, fmt.Sprintf("kills-%d", lane))
+			failed[lane] = m.killLane(self, dir, lane, &tally)
+		}()
+	}
+	all.Wait()
+	kills, wrong, effects, bytes := m.Kills/killLanes*killLanes, tally.wrong.Load(), tally.effects.Load(), tally.maxBytes.Load()
+	fmt.Fprintf(table, "kills (real processes): %d, effects %d, wrong %d, most bytes %d\t\t\t\t\n", kills, effects, wrong, bytes)
+	return partResult{[]aim{
+		{"kills", float64(kills), 300, math.Inf(1)}, {"effects lost or run twice", float64(wrong), 0, 0},
+		{"effects", float64(effects), float64(kills), math.Inf(1)}, {"bytes on disk", float64(bytes), 1, stateMB << 20},
+	}, fmt.Sprintf("kills %d, wrong %d", kills, wrong)}, errors.Join(failed...)
+}
+
+// killLane starts and kills one process after the other on one directory.
+func (m *measureState) killLane(program, dir string, lane int, tally *killTally) error {
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		return err
+	}
+	rng := rand.New(rand.NewSource(int64(lane)))
+	var failed error
+	for kill := 0; kill < m.Kills/killLanes && failed == nil; kill++ {
+		delay := time.Duration(rng.Intn(int(maxKillDelay/time.Millisecond))) * time.Millisecond
+		code, output, err := runAndKill(program, dir, delay)
+		if err != nil {
+			return err
+		}
+		switch code {
+		case -1: // killed
+		case exitWrongEffect:
+			tally.wrong.Add(1)
+			fmt.Fprintf(os.Stderr, "lane %d kill %d: %s", lane, kill, output)
+		default:
+			failed = fmt.Errorf("child ended with %d: %s", code, output)
+		}
+		if size, err := dirSize(filepath.Join(dir, "state")); err == nil && size > tally.maxBytes.Load() {
+			tally.maxBytes.Store(size)
+		}
+	}
+	raw, _ := os.ReadFile(filepath.Join(dir, "effects")) // missing if no child got to its first effect
+	lines := strings.Fields(string(raw))
+	tally.effects.Add(int64(len(lines)))
+	slices.Sort(lines)
+	tally.wrong.Add(int64(len(lines) - len(slices.Compact(lines))))
+	return failed
+}
+
+// runAndKill starts a child and kills it after a delay. The exit code is -1 if the child ran until then.
+func runAndKill(program, dir string, delay time.Duration) (exitCode int, output string, err error) {
+	var stderr strings.Builder
+	child := exec.Command(program, "state-child", dir)
+	child.Stderr = &stderr
+	if err := child.Start(); err != nil {
+		return 0, "", err
+	}
+	time.Sleep(delay)
+	_ = child.Process.Kill() // fails if the child has ended; its exit code says so
+	_ = child.Wait()
+	return child.ProcessState.ExitCode(), stderr.String(), nil
+}
--- /dev/null
+++ b/cmd/quartzpoint-bench/state_restart.go
@@ -0,0 +1,201 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"sync"
+	"text/tabwriter"
+	"time"
+
+	"quartzpoint/estimate"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/store"
+	"quartzpoint/internal/testkit/harness"
+	"quartzpoint/recovery"
+)
+
+// restart compares servers that start from a state directory with cold ones, under the same arrivals.
+func (m *measureState) restart(root string, table *tabwriter.Writer) (partResult, error) {
+	results, failed := make([]restartResult, m.Seeds), make([]error, m.Seeds)
+	var all sync.WaitGroup
+	for i := range results {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			results[i], failed[i] = m.compareRestarts(root, int64(i+1))
+		}()
+	}
+	all.Wait()
+	if err := errors.Join(failed...); err != nil {
+		return partResult{}, err
+	}
+	return m.reportRestarts(results, table), nil
+}
+
+// restartResult holds, for one seed, what groups served over their cold twins, and the requests they started more.
+type restartResult struct {
+	fresh, twins, old, young, slowTwins float64
+	oldMore, youngMore, twinsMore       []float64
+	broken                              []string // rules
+}
+
+func (m *measureState) reportRestarts(results []restartResult, table *tabwriter.Writer) partResult {
+	column := func(of func(restartResult) float64) (values []float64) {
+		for _, r := range results {
+			values = append(values, of(r))
+		}
+		return values
+	}
+	fmt.Fprintf(table, "restarts: sockets, emulated workers, %d seeds of %d servers, load %.0f%%\t\t\t\t\n", m.Seeds, m.Group, 100*m.Load)
+	fresh, worst := row(table, "killed and started again, honoured over cold in 10 s", column(func(r restartResult) float64 { return r.fresh }))
+	row(table, "  a second cold twin (noise)", column(func(r restartResult) float64 { return r.twins }))
+	row(table, "folder of 5 min, pool at a third: over cold", column(func(r restartResult) float64 { return r.old }))
+	row(table, "folder of now, pool at a third: over cold", column(func(r restartResult) float64 { return r.young }))
+	row(table, "  a second cold twin (noise)", column(func(r restartResult) float64 { return r.slowTwins }))
+	var old, young []pairResult
+	broken := 0
+	for i, r := range results {
+		old = append(old, pairResult{more: r.oldMore, twinsMore: r.twinsMore})
+		young = append(young, pairResult{more: r.youngMore, twinsMore: r.twinsMore})
+		for _, rule := range r.broken {
+			broken++
+			fmt.Fprintf(table, "seed %d: %s\t\t\t\t\n", i+1, rule)
+		}
+	}
+	oldAhead, oldTasks := excess(old)
+	youngAhead, youngTasks := excess(young)
+	fmt.Fprintf(table, "started ahead of cold at the most, standard errors (tasks a group): old %.1f (%.1f), young %.1f (%.1f)\t\t\t\t\n",
+		oldAhead, oldTasks, youngAhead, youngTasks)
+	return partResult{[]aim{
+		{"restart, honoured over cold, median", fresh, 1, math.Inf(1)}, {"old folder started ahead", oldAhead, 0, certain},
+		{"young folder in a slower world started ahead", youngAhead, 0, certain}, {"rules broken", float64(broken), 0, 0},
+	}, fmt.Sprintf("restart %.3f (worst %.3f), old ahead %.1f, young ahead %.1f errors, rules broken %d",
+		fresh, worst, oldAhead, youngAhead, broken)}
+}
+
+// stateCopies makes the state directories of a seed's groups from the one that a killed server left.
+type stateCopies struct {
+	root string
+	seed int64
+	left string // directory of the killed server
+}
+
+func stateSection(dir string) string { return fmt.Sprintf("[state]\ndir = %q\n", dir) }
+
+func (c stateCopies) path(name string, server int) string {
+	return filepath.Join(c.root, fmt.Sprintf("%s-%d-%d", name, c.seed, server))
+}
+
+// exact returns the configuration of a group's servers, each with a copy as it was left.
+func (c stateCopies) exact(name string) func(server int) (string, error) {
+	return func(server int) (string, error) {
+		dir := c.path(name, server)
+		return stateSection(dir), errors.Join(os.CopyFS(dir, os.DirFS(c.left)), os.Chmod(dir, 0o700))
+	}
+}
+
+// aged is exact for directories that were left age ago.
+func (c stateCopies) aged(name string, left estimate.Snapshot, age time.Duration) func(server int) (string, error) {
+	return func(server int) (string, error) {
+		dir := c.path(name, server)
+		return stateSection(dir), writeAged(dir, left, age)
+	}
+}
+
+// compareRestarts runs the groups of one seed.
+func (m *measureState) compareRestarts(root string, seed int64) (r restartResult, err error) {
+	full := harness.Machine{Cores: m.Cores, Speed: 1, KB: 16000 * m.Cores}
+	slower := full
+	slower.Speed *= slow
+	peers := &measurePeers{Daemon: m.Daemon, Span: m.Span, Group: m.Group}
+	copies := stateCopies{root: root, seed: seed, left: filepath.Join(root, fmt.Sprintf("warm-%d", seed))}
+	if err := m.warmAndKill(peers, root, copies.left, full, seed); err != nil {
+		return r, err
+	}
+	left, err := readEstimates(copies.left)
+	if err != nil {
+		return r, err
+	}
+	newGroup := func(name string, machine harness.Machine, ownOf func(int) (string, error)) *group {
+		return &group{name: name, machine: machine, ownOf: ownOf, share: m.Load, seed: seed}
+	}
+	cold, twin := newGroup("s-cold", full, nil), newGroup("s-twin", full, nil)
+	fresh := newGroup("s-fresh", full, copies.exact("s-fresh"))
+	slowCold, slowTwin := newGroup("s-slow-cold", slower, nil), newGroup("s-slow-twin", slower, nil)
+	old := newGroup("s-slow-old", slower, copies.aged("s-old", left, oldAge))
+	young := newGroup("s-slow-young", slower, copies.aged("s-young", left, 0))
+	groups := []*group{cold, fresh, twin, slowCold, slowTwin, old, young}
+	if err := peers.together(root, full, groups, m.Group, m.Group, max(1, m.Group/2)); err != nil {
+		return r, err
+	}
+	for _, g := range groups {
+		r.broken = append(r.broken, g.broken()...)
+	}
+	half := 0.0 // the twin group may be smaller than the cold one
+	for i := range twin.results {
+		half += cold.results[i].Honoured
+	}
+	r.fresh, r.twins = fresh.honoured()/cold.honoured(), twin.honoured()/half
+	r.old, r.young = old.honoured()/slowCold.honoured(), young.honoured()/slowCold.honoured()
+	r.slowTwins = slowTwin.honoured() / slowCold.honoured()
+	r.oldMore, r.youngMore = startedMore(old, slowCold, m.Span), startedMore(young, slowCold, m.Span)
+	r.twinsMore = startedMore(slowTwin, slowCold, m.Span)
+	return r, nil
+}
+
+// warmAndKill has a server write its state to dir under load, and kills it, so that nothing is written at its end.
+func (m *measureState) warmAndKill(peers *measurePeers, root, dir string, machine harness.Machine, seed int64) error {
+	warm := &group{name: "warm", machine: machine, own: stateSection(dir), share: m.Load, seed: seed + 500}
+	if err := warm.start(peers, root, 1); err != nil {
+		return errors.Join(err, warm.stop())
+	}
+	done := make(chan error, 1)
+	go func() { done <- warm.run(m.Warm, machine) }()
+	time.Sleep(m.Warm)
+	if err := warm.daemons[0].Kill(); err != nil {
+		return err
+	}
+	<-done // its error is that the server was killed
+	return nil
+}
+
+// readEstimates returns the estimates that a directory holds.
+func readEstimates(path string) (snapshot estimate.Snapshot, err error) {
+	dir, err := datadir.Open(path, true)
+	if err != nil {
+		return snapshot, err
+	}
+	report, err := store.Inspect(dir, recovery.Environment{Now: store.SystemClock()()}, stateMB<<20)
+	if err = errors.Join(err, dir.Close()); err != nil {
+		return snapshot, err
+	}
+	if report.Estimates == nil {
+		return snapshot, errors.New("the server before left no view")
+	}
+	return *report.Estimates, nil
+}
+
+// writeAged makes a directory as a server would have left it age ago.
+func writeAged(dir string, snapshot estimate.Snapshot, age time.Duration) error {
+	options := storeOptions(dir, 0)
+	clock := options.Clock
+	options.PersistKeys = false
+	options.Clock = func() recovery.Timestamp {
+		now := clock()
+		now.Wall, now.SinceBoot = now.Wall-age, now.SinceBoot-age
+		return now
+	}
+	s, _, err := store.New(options)
+	if err != nil {
+		return err
+	}
+	for i := range snapshot.Routes { // the age since then is the directory's
+		snapshot.Routes[i].Core.Age = min(snapshot.Routes[i].Core.Age, time.Second)
+	}
+	s.SaveEstimates(snapshot)
+	s.Close()
+	return nil
+}
--- a/cmd/quartzpoint/state_test.go
+++ b/cmd/quartzpoint/state_test.go
@@ -13,28 +13,28 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// A server under load is killed; the one after it goes on from the folder. A third finds it in use, and once that one has
-// left, damaged.
+// A server under load is killed, and the next one starts from its directory. A third server finds the directory in use. Then
+// the estimates are damaged: verify says so, and the next server starts without them.
 func TestStateAcrossKill(t *testing.T) {
-	types := []harness.Route{{
+	routes := []harness.Route{{
 		Name: "slot-check", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 1, Work: 20 * time.Millisecond,
 	}}
 	folder := t.TempDir()
 	state := filepath.Join(folder, "state")
-	own := fmt.Sprintf("[state]\ndir = %q\nsite = \"s\"\nnumbers = true\n", state)
+	section := fmt.Sprintf("[state]\ndir = %q\nsite = \"s\"\nnumbers = true\n", state)
 	start := func(name string) (*harness.Daemon, error) {
-		return harness.Start(builds["debug"], folder, name, types, harness.Machine{Cores: 2, Speed: 1, KB: 60000}, own)
+		return harness.Start(builds["debug"], folder, name, routes, harness.Machine{Cores: 2, Speed: 1, KB: 60000}, section)
 	}
 	first, err := start("first")
 	require.NoError(t, err)
-	done, err := harness.Run(first.Address, types, harness.Arrivals(types, 60, 2500*time.Millisecond, 1), 1)
+	done, err := harness.Run(first.Address, routes, harness.Arrivals(routes, 60, 2500*time.Millisecond, 1), 1)
 	require.NoError(t, err)
 	assert.Zero(t, done.Unanswered)
-	// The view is written once a second at the most, by the store's own turn: on a busy machine the run can end
-	// before it is. So the kill waits for the file itself, the event the rest of the test is about.
+	// Estimates are written about once a second, so on a busy machine the run can end before they are. The kill waits for
+	// their file, which the rest of the test is about.
 	require.Eventually(t, func() bool {
-		views, err := filepath.Glob(filepath.Join(state, "view-*"))
-		return err == nil && len(views) > 0
+		files, err := filepath.Glob(filepath.Join(state, "view-*"))
+		return err == nil && len(files) > 0
 	}, time.Minute, 10*time.Millisecond, "no view written before the kill")
 	require.NoError(t, first.Kill())
 
@@ -56,14 +56,7 @@
 	assert.ErrorContains(t, err, "in use by another process")
 	require.NoError(t, second.Stop())
 
-	views, err := filepath.Glob(filepath.Join(state, "view-*"))
-	require.NoError(t, err)
-	for _, path := range views {
-		raw, err := os.ReadFile(path)
-		require.NoError(t, err)
-		raw[len(raw)/2] ^= 1
-		require.NoError(t, os.WriteFile(path, raw, 0o600))
-	}
+	damageEstimates(t, state)
 	out, code = ask(t, nil, "state", "verify", state)
 	assert.Equal(t, 1, code, out)
 	assert.Contains(t, out, "not whole")
@@ -78,3 +71,16 @@
 	assert.Zero(t, code, out)
 	assert.Contains(t, out, `"numbers"`)
 }
+
+// damageEstimates flips a bit in each file of estimates.
+func damageEstimates(t *testing.T, state string) {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(state, "view-*"))
+	require.NoError(t, err)
+	for _, path := range paths {
+		raw, err := os.ReadFile(path)
+		require.NoError(t, err)
+		raw[len(raw)/2] ^= 1
+		require.NoError(t, os.WriteFile(path, raw, 0o600))
+	}
+}
--- a/state_test.go
+++ b/state_test.go
@@ -34,7 +34,8 @@
 	require.NoError(t, g.Leave(ctx))
 }
 
-// A gate goes on from the folder of the one before it.
+// A gate starts from the directory of the one before it: results are returned to repeats, what failed is not run again, and
+// callers may change the results they got.
 func TestStateRestart(t *testing.T) {
 	state := &State{Dir: filepath.Join(t.TempDir(), "state"), Site: "s"}
 	g, err := New(stateTerms(state))
@@ -84,7 +85,7 @@
 	assert.NotEmpty(t, files)
 }
 
-// The power goes while a task runs. Its repeat is not run by the next gate, as the first may have had its effect.
+// The power fails while a request runs. The next gate does not run its repeat, as the original may have had its effect.
 func TestStatePowerLoss(t *testing.T) {
 	disk := faultdisk.New()
 	g, err := New(stateTerms(on(disk)))
@@ -109,8 +110,8 @@
 	assert.ErrorIs(t, err, ErrGivenUp)
 }
 
-// A disk that does not answer: a task waits for it only as long as it is wanted, and one that was answered meanwhile never
-// runs. After a second the gate serves without.
+// A disk neither fails nor answers. A request waits for it only until its caller leaves or its deadline, and then never runs.
+// After a second the gate serves without the disk, until that answers again.
 func TestStateStalls(t *testing.T) {
 	disk := faultdisk.New()
 	g := newGate(t, stateTerms(on(disk)))
