--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -29,7 +29,7 @@
 		return plan, recovered, err
 	}
 	for _, finding := range plan.Findings {
-		s.options.Log.Warn("state not used", "file", finding.File, "why", finding.Reason)
+		s.options.Log.Warn("state file not used", "file", finding.File, "reason", finding.Reason)
 	}
 	for _, entry := range plan.Keys.Entries() {
 		if _, known := s.unwritten.Get(entry.Key); !known {
@@ -58,8 +58,8 @@
 	}
 	s.writer, s.unwritten = w, nil
 	recovered.Duration = s.now() - start
-	s.options.Log.Info("state read", "view", plan.EstimatesFrom, "numbers", len(recovered.Keys),
-		"unknown", plan.UnknownOutcomes, "took", recovered.Duration)
+	s.options.Log.Info("state recovered", "estimates", plan.EstimatesFrom, "keys", len(recovered.Keys),
+		"unknown_outcomes", plan.UnknownOutcomes, "took", recovered.Duration)
 	return recovered, nil
 }
 
@@ -76,9 +76,9 @@
 
 // suspend goes on without the directory after a failure.
 func (s *Store) suspend(err error) {
-	s.options.Counts.Saw("state not kept: disk")
+	s.options.Counts.Saw(countDirFailed)
 	if !s.suspended.Swap(true) {
-		s.options.Log.Error("state is not kept, serving on without it", "error", err, "again_in", s.retryDelay)
+		s.options.Log.Error("state directory failed, serving without it", "error", err, "retry_in", s.retryDelay)
 	}
 	if s.writer != nil {
 		if s.job != nil { // it writes to the same directory
@@ -107,5 +107,5 @@
 	}
 	s.retryDelay = minRetryDelay
 	s.suspended.Store(false)
-	s.options.Log.Info("state is kept again")
+	s.options.Log.Info("state directory works again")
 }
--- a/internal/store/run.go
+++ b/internal/store/run.go
@@ -126,11 +126,11 @@
 		s.expiredAt = now
 	}
 	if _, known := keys.Get(r.entry.Key); !known && keys.SizeBytes()+r.sizeBytes() > s.maxTableBytes() {
-		s.options.Counts.Saw("numbered task not kept on disk: beyond its bound")
+		s.options.Counts.Saw(countTableFull)
 		return
 	}
 	if keys.SizeBytes()+len(r.entry.Result) > s.maxTableBytes() {
-		s.options.Counts.Saw("result not kept on disk: beyond its bound")
+		s.options.Counts.Saw(countResultNoRoom)
 		r.entry.Served, r.entry.Result = false, nil
 	}
 	if s.writer != nil {
@@ -186,6 +186,6 @@
 		err = job()
 	}
 	if err = errors.Join(err, s.writer.close()); err != nil {
-		s.options.Log.Error("state not written to the end", "error", err)
+		s.options.Log.Error("state not written completely", "error", err)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -161,17 +161,17 @@
 		return 0
 	}
 	if len(r.entry.Key) > maxKeyBytes {
-		s.options.Counts.Saw("number too long to be kept on disk")
+		s.options.Counts.Saw(countKeyTooLong)
 		return 0
 	}
 	if len(r.entry.Result) > maxResultBytes {
-		s.options.Counts.Saw("result too large to be kept on disk")
+		s.options.Counts.Saw(countResultTooLong)
 		r.entry.Served, r.entry.Result = false, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.queuedBytes+r.sizeBytes() > maxQueueBytes {
-		s.options.Counts.Saw("numbered task not kept on disk: too many wait for it")
+		s.options.Counts.Saw(countQueueFull)
 		return 0
 	}
 	s.queue = append(s.queue, r)
@@ -190,7 +190,7 @@
 		return math.MaxUint64
 	}
 	if since := s.writingSince.Load(); since > 0 && s.now()-time.Duration(since) > stallTimeout {
-		s.options.Counts.Saw("disk stalled, numbered tasks run without it")
+		s.options.Counts.Saw(countDiskStalled)
 		return math.MaxUint64
 	}
 	return s.durableMark.Load()
@@ -213,7 +213,7 @@
 	select {
 	case <-s.stopped:
 	case <-time.After(closeTimeout):
-		s.options.Log.Warn("state not written to the end", "waited", closeTimeout)
+		s.options.Log.Warn("state not written completely", "waited", closeTimeout)
 	}
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -146,14 +146,14 @@
 			}
 			mark := s.RecordStart("meanwhile", 1, time.Hour)
 			assert.GreaterOrEqual(t, s.DurableMark(), mark, "served on without it")
-			assert.Equal(t, 1, lines.count("serving on without it"), "one line")
+			assert.Equal(t, 1, lines.count("serving without it"), "one line")
 
 			o.disk.Set(func() { c.mend(o) })
 			o.advance(maxRetryDelay)
 			s.wakeWriter()
 			mark = s.RecordStart("after", 1, time.Hour)
 			eventually(t, "kept again", isDurable(s, mark))
-			assert.Equal(t, 1, lines.count("state is kept again"))
+			assert.Equal(t, 1, lines.count("state directory works again"))
 			s.Close()
 			s, recovered, err := New(o.Options)
 			require.NoError(t, err)
@@ -240,7 +240,7 @@
 		s.RecordStart(fmt.Sprint(i), 1, time.Hour)
 	}
 	assert.LessOrEqual(t, s.queuedBytes, maxQueueBytes)
-	assert.Positive(t, o.Counts.Times("numbered task not kept on disk: too many wait for it"))
+	assert.Positive(t, o.Counts.Times(countQueueFull))
 	once.Do(func() { close(hold) })
 	eventually(t, "kept", isDurable(s, s.lastMark))
 	s.Close()
