--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -123,7 +123,7 @@
 		aims, words = append(aims, more...), append(words, said)
 	}
 	fmt.Printf("measure emulator: %s\n", strings.Join(words, ", "))
-	return short(aims)
+	return missedAims(aims)
 }
 
 // real plays the same scripts and arrivals on real daemons and on emulated ones.
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -395,7 +395,7 @@
 	fmt.Printf("measure peers: fresh %.3f (worst %.3f), old mean %.3f (chance down to %.3f), started ahead %.1f errors, "+
 		"asked mean %.3f (chance down to %.3f), rules broken %d, seeds %d\n",
 		freshMedian, fresh[0], oldMean, oldLeast, ahead, askedMean, askedLeast, broken, m.Seeds)
-	return short([]aim{
+	return missedAims([]aim{
 		{"fresh view, median", freshMedian, 1, math.Inf(1)}, {"fresh view, worst seed", fresh[0], 0.98, math.Inf(1)},
 		{"old view, mean", oldMean, oldLeast, math.Inf(1)}, {"old view, started ahead", ahead, 0, certain},
 		{"young view, mean", youngMean, youngLeast, math.Inf(1)},
--- a/cmd/quartzpoint-bench/state.go
+++ b/cmd/quartzpoint-bench/state.go
@@ -65,11 +65,11 @@
 		return err
 	}
 	fmt.Printf("measure state: %s, seeds %d\n", strings.Join(summaries, ", "), m.Seeds)
-	return short(aims)
+	return missedAims(aims)
 }
 
-// short returns an error for each target that was missed.
-func short(aims []aim) error {
+// missedAims returns an error for each target that was missed.
+func missedAims(aims []aim) error {
 	var missed []error
 	for _, a := range aims {
 		if !(a.value >= a.least && a.value <= a.most) {
@@ -79,8 +79,8 @@
 	return errors.Join(missed...)
 }
 
-// row prints the figures of all seeds, and returns their median and minimum.
-func row(table *tabwriter.Writer, what string, values []float64) (median, lowest float64) {
+// printQuantiles prints the figures of all seeds, and returns their median and minimum.
+func printQuantiles(table *tabwriter.Writer, what string, values []float64) (median, lowest float64) {
 	values = slices.Sorted(slices.Values(values))
 	median = stat.Quantile(0.5, stat.LinInterp, values, nil)
 	fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%.3f\t\n", what, median, values[0], values[len(values)-1])
--- a/cmd/quartzpoint-bench/state_restart.go
+++ b/cmd/quartzpoint-bench/state_restart.go
@@ -50,11 +50,11 @@
 		return values
 	}
 	fmt.Fprintf(table, "restarts: sockets, emulated workers, %d seeds of %d servers, load %.0f%%\t\t\t\t\n", m.Seeds, m.Group, 100*m.Load)
-	fresh, worst := row(table, "killed and started again, honoured over cold in 10 s", column(func(r restartResult) float64 { return r.fresh }))
-	row(table, "  a second cold twin (noise)", column(func(r restartResult) float64 { return r.twins }))
-	row(table, "folder of 5 min, pool at a third: over cold", column(func(r restartResult) float64 { return r.old }))
-	row(table, "folder of now, pool at a third: over cold", column(func(r restartResult) float64 { return r.young }))
-	row(table, "  a second cold twin (noise)", column(func(r restartResult) float64 { return r.slowTwins }))
+	fresh, worst := printQuantiles(table, "killed and started again, honoured over cold in 10 s", column(func(r restartResult) float64 { return r.fresh }))
+	printQuantiles(table, "  a second cold twin (noise)", column(func(r restartResult) float64 { return r.twins }))
+	printQuantiles(table, "folder of 5 min, pool at a third: over cold", column(func(r restartResult) float64 { return r.old }))
+	printQuantiles(table, "folder of now, pool at a third: over cold", column(func(r restartResult) float64 { return r.young }))
+	printQuantiles(table, "  a second cold twin (noise)", column(func(r restartResult) float64 { return r.slowTwins }))
 	var old, young []pairResult
 	broken := 0
 	for i, r := range results {
--- a/cmd/quartzpoint-bench/state_rounds.go
+++ b/cmd/quartzpoint-bench/state_rounds.go
@@ -46,8 +46,8 @@
 			*p99s = append(*p99s, float64(times.ValueAtQuantile(99))/1e3)
 		}
 	}
-	row(table, fmt.Sprintf("p99 of rounds with the folder, us, by run (in process, 1 of %d numbered)", keyedEach), withP99)
-	row(table, "p99 of rounds without, us, by run", withoutP99)
+	printQuantiles(table, fmt.Sprintf("p99 of rounds with the folder, us, by run (in process, 1 of %d numbered)", keyedEach), withP99)
+	printQuantiles(table, "p99 of rounds without, us, by run", withoutP99)
 	ratio := float64(with.ValueAtQuantile(99)) / float64(without.ValueAtQuantile(99))
 	fmt.Fprintf(table, "  of all %d and %d rounds: over without\t%.3f\t\t\t\n", with.TotalCount(), without.TotalCount(), ratio)
 	return partResult{[]aim{{"p99 of rounds over without", ratio, 0, 1.05}}, fmt.Sprintf("rounds %.3f", ratio)}, nil
--- a/gate.go
+++ b/gate.go
@@ -199,7 +199,7 @@
 	g.owner.Serve(g.runs, g)
 	g.owner.Time(t.Rounds)
 	if t.State != nil {
-		if err := g.keepState(t.State, store.RandomID(), g.counts, t.Log); err != nil {
+		if err := g.openState(t.State, store.RandomID(), g.counts, t.Log); err != nil {
 			return nil, err
 		}
 	} else {
--- a/state.go
+++ b/state.go
@@ -53,8 +53,8 @@
 	return t, nil
 }
 
-// keepState opens the state directory and has the gate start from it.
-func (g *Gate) keepState(stated *State, origin uint64, counts *invariant.Counts, log *slog.Logger) error {
+// openState opens the state directory and has the gate start from it.
+func (g *Gate) openState(stated *State, origin uint64, counts *invariant.Counts, log *slog.Logger) error {
 	t, err := stated.withDefaults()
 	if err != nil {
 		return err
--- a/state_test.go
+++ b/state_test.go
@@ -22,7 +22,7 @@
 	return Terms{State: state, Types: []Type{{Name: "pay", Repeats: Numbered, Contract: 400 * ms, Outer: 500 * ms, Window: time.Hour}}}
 }
 
-func on(disk *faultdisk.Disk) *State {
+func stateOnDisk(disk *faultdisk.Disk) *State {
 	return &State{Dir: "none", open: func(bool) (datadir.Dir, error) { return disk, nil }}
 }
 
@@ -88,7 +88,7 @@
 // The power fails while a request runs. The next gate does not run its repeat, as the original may have had its effect.
 func TestStatePowerLoss(t *testing.T) {
 	disk := faultdisk.New()
-	g, err := New(stateTerms(on(disk)))
+	g, err := New(stateTerms(stateOnDisk(disk)))
 	require.NoError(t, err)
 	began, end := make(chan struct{}), make(chan struct{})
 	over := make(chan error, 1)
@@ -102,7 +102,7 @@
 	assert.NoError(t, <-over)
 	leaveNow(t, g)
 
-	g = newGate(t, stateTerms(on(after)))
+	g = newGate(t, stateTerms(stateOnDisk(after)))
 	_, err = g.DoOnce(t.Context(), pay("x"), func(context.Context) ([]byte, error) {
 		assert.Fail(t, "ran again")
 		return nil, nil
@@ -114,7 +114,7 @@
 // After a second the gate serves without the disk, until that answers again.
 func TestStateStalls(t *testing.T) {
 	disk := faultdisk.New()
-	g := newGate(t, stateTerms(on(disk)))
+	g := newGate(t, stateTerms(stateOnDisk(disk)))
 	hold := make(chan struct{})
 	disk.Set(func() {
 		disk.Fails = func(kind string) error {
