--- a/cmd/quartzconfig/apply.go
+++ b/cmd/quartzconfig/apply.go
@@ -47,14 +47,14 @@
 func (cmd *applying) change() (change configuration.Change, err error) {
 	raw := []byte(nil)
 	if cmd.File == "-" {
-		raw, err = io.ReadAll(io.LimitReader(os.Stdin, configuration.MaxChange+1))
+		raw, err = io.ReadAll(io.LimitReader(os.Stdin, configuration.MaxChangeBytes+1))
 	} else {
 		raw, err = os.ReadFile(cmd.File)
 	}
 	if err != nil {
 		return change, fmt.Errorf("change: %w", err)
 	}
-	if change, err = configuration.ReadChange(raw); err != nil {
+	if change, err = configuration.ParseChange(raw); err != nil {
 		return change, err
 	}
 	if cmd.ID != "" {
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -95,7 +95,7 @@
 	if err := k.fits(had.Document); err != nil {
 		return nil, fmt.Errorf("configuration.dir %s: %w", dir, err)
 	}
-	k.owner.SetTables(k.change(configuration.Between(configuration.NewDocument(), had.Document)))
+	k.owner.SetTables(k.change(configuration.Diff(configuration.NewDocument(), had.Document)))
 	log.Info("configuration: kept on disk, in force", "version", had.Document.Version,
 		"age", time.Since(had.Written).Round(time.Second), "routes", len(had.Document.Routes), "tenants", len(had.Document.Tenants))
 	return had.Document, nil
--- a/cmd/quartzpoint/configuration_test.go
+++ b/cmd/quartzpoint/configuration_test.go
@@ -44,10 +44,10 @@
 func documentOf(routes, tenants int) *configuration.Document {
 	change := configuration.Change{Routes: map[string]*configuration.Route{}, Tenants: map[string]*configuration.Tenant{}}
 	for i := range routes {
-		change.Routes[fmt.Sprint("route", i)] = &configuration.Route{LatencyTarget: 1e6, Deadline: 2e6, Value: 3, Idempotency: configuration.Keyed, Window: 5}
+		change.Routes[fmt.Sprint("route", i)] = &configuration.Route{LatencyTarget: 1e6, Deadline: 2e6, Value: 3, Idempotency: configuration.Keyed, DedupWindow: 5}
 	}
 	for i := range tenants {
-		change.Tenants[fmt.Sprint("tenant", i)] = &configuration.Tenant{Rate: float64(i)}
+		change.Tenants[fmt.Sprint("tenant", i)] = &configuration.Tenant{QuotaRPS: float64(i)}
 	}
 	d := configuration.NewDocument()
 	d.Accept(change)
@@ -66,7 +66,7 @@
 	routes, tenants := owner.Tables()
 	assert.Len(t, routes, 3)
 	for name, route := range routes {
-		assert.Equal(t, settings.RouteOf(name, configuration.Route{LatencyTarget: 1e6, Deadline: 2e6, Value: 3, Idempotency: configuration.Keyed, Window: 5}), route)
+		assert.Equal(t, settings.RouteOf(name, configuration.Route{LatencyTarget: 1e6, Deadline: 2e6, Value: 3, Idempotency: configuration.Keyed, DedupWindow: 5}), route)
 	}
 	assert.Equal(t, map[string]float64{"tenant0": 0, "tenant1": 1}, tenants)
 	assert.Equal(t, uint64(1), watcher.Document.Version)
@@ -87,7 +87,7 @@
 	assert.Equal(t, before, after)
 
 	k := &tableKeeper{owner: owner, memory: 16 << 20}
-	err = k.apply(t.Context(), configuration.Between(configuration.NewDocument(), large), large)
+	err = k.apply(t.Context(), configuration.Diff(configuration.NewDocument(), large), large)
 	assert.ErrorContains(t, err, "limits.memory_mb")
 }
 
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -25,9 +25,9 @@
 	return &Route{LatencyTarget: 1000, Deadline: deadline, Value: 1, Idempotency: Retryable}
 }
 
-// drawn is a change that a document may accept, of a few names, so that they come again.
-func drawn(t *rapid.T, d *Document) Change {
-	change := Change{Whole: rapid.Float64Range(0, 1).Draw(t, "whole") > 0.9, Routes: map[string]*Route{"always": route(1)}, Tenants: map[string]*Tenant{}}
+// drawChange is a change that a document may accept, of a few names, so that they come again.
+func drawChange(t *rapid.T, d *Document) Change {
+	change := Change{ReplaceAll: rapid.Float64Range(0, 1).Draw(t, "whole") > 0.9, Routes: map[string]*Route{"always": route(1)}, Tenants: map[string]*Tenant{}}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 6, rapid.ID).Draw(t, "names") {
 		name := fmt.Sprint("name", i)
 		if _, there := d.Routes[name]; there && rapid.Bool().Draw(t, "remove") {
@@ -38,7 +38,7 @@
 		if _, there := d.Tenants[name]; there && rapid.Bool().Draw(t, "remove") {
 			change.Tenants[name] = nil
 		} else {
-			change.Tenants[name] = &Tenant{Rate: rapid.Float64Range(0, 3).Draw(t, "rate")}
+			change.Tenants[name] = &Tenant{QuotaRPS: rapid.Float64Range(0, 3).Draw(t, "rate")}
 		}
 	}
 	return change
@@ -51,24 +51,24 @@
 		h := NewHistory(NewDocument())
 		snapshots := [][]byte{h.Document.Snapshot()}
 		for i := range rapid.IntRange(1, 12).Draw(t, "changes") {
-			change := drawn(t, h.Document)
+			change := drawChange(t, h.Document)
 			version, err := h.Accept(change)
 			require.NoError(t, err)
 			require.Equal(t, uint64(i+1), version)
 			snapshots = append(snapshots, h.Document.Snapshot())
 		}
-		kept, err := ReadHistory(h.Bytes())
+		kept, err := DecodeHistory(h.Encode())
 		require.NoError(t, err)
-		assert.Equal(t, h.Bytes(), kept.Bytes())
+		assert.Equal(t, h.Encode(), kept.Encode())
 		for version, raw := range snapshots {
-			d, err := ReadSnapshot(raw)
+			d, err := DecodeSnapshot(raw)
 			require.NoError(t, err)
 			straight := d.Clone()
-			require.NoError(t, straight.applyAny(Between(d, h.Document)))
+			require.NoError(t, straight.applyFromAnyVersion(Diff(d, h.Document)))
 			deltas, whole := kept.Since(uint64(version))
 			require.False(t, whole)
 			for _, raw := range deltas {
-				delta, err := ReadDelta(raw)
+				delta, err := DecodeDelta(raw)
 				require.NoError(t, err)
 				require.NoError(t, d.Apply(delta))
 			}
@@ -79,8 +79,8 @@
 	})
 }
 
-// applyAny takes a delta of any two versions.
-func (d *Document) applyAny(delta Delta) error {
+// applyFromAnyVersion takes a delta of any two versions.
+func (d *Document) applyFromAnyVersion(delta Delta) error {
 	d.Version = delta.Version - 1
 	return d.Apply(delta)
 }
@@ -90,26 +90,26 @@
 func TestDamageIsDroppedWhole(t *testing.T) {
 	h := NewHistory(NewDocument())
 	for i := range 3 {
-		_, err := h.Accept(Change{Routes: map[string]*Route{fmt.Sprint("r", i): route(1)}, Tenants: map[string]*Tenant{"t": {Rate: float64(i)}}})
+		_, err := h.Accept(Change{Routes: map[string]*Route{fmt.Sprint("r", i): route(1)}, Tenants: map[string]*Tenant{"t": {QuotaRPS: float64(i)}}})
 		require.NoError(t, err)
 	}
 	d := NewDocument()
 	deltas, _ := h.Since(0)
-	first, err := ReadDelta(deltas[0])
+	first, err := DecodeDelta(deltas[0])
 	require.NoError(t, err)
 	require.NoError(t, d.Apply(first))
 	before := d.Clone()
 	for name, raw := range map[string][]byte{"again": deltas[0], "one left out": deltas[2]} {
-		delta, err := ReadDelta(raw)
+		delta, err := DecodeDelta(raw)
 		require.NoError(t, err, name)
-		assert.ErrorIs(t, d.Apply(delta), ErrDamaged, name)
+		assert.ErrorIs(t, d.Apply(delta), ErrCorrupt, name)
 		assert.Equal(t, before, d, name)
 	}
-	second, err := ReadDelta(deltas[1])
+	second, err := DecodeDelta(deltas[1])
 	require.NoError(t, err)
-	second.Tenants["t"].Rate = 7
+	second.Tenants["t"].QuotaRPS = 7
 	second.Routes["other"] = nil
-	assert.ErrorIs(t, d.Apply(second), ErrDamaged)
+	assert.ErrorIs(t, d.Apply(second), ErrCorrupt)
 	assert.Equal(t, before, d)
 
 	whole := h.Document.Snapshot()
@@ -117,20 +117,20 @@
 		for _, bit := range []byte{1, 0x80} {
 			bad := slices.Clone(whole)
 			bad[i] ^= bit
-			if got, err := ReadSnapshot(bad); err == nil {
+			if got, err := DecodeSnapshot(bad); err == nil {
 				got.Version = h.Document.Version // the version is not content; who asks for one sees to it
 				assert.Equal(t, h.Document, got, "byte %d", i)
 			}
 		}
-		_, err := ReadSnapshot(whole[:i])
-		assert.ErrorIs(t, err, ErrDamaged, "cut at %d", i)
+		_, err := DecodeSnapshot(whole[:i])
+		assert.ErrorIs(t, err, ErrCorrupt, "cut at %d", i)
 	}
 }
 
 // Every fault of a change is told at once, by key, and nothing is taken of it.
 func TestFaults(t *testing.T) {
 	h := NewHistory(NewDocument())
-	_, err := h.Accept(Change{ID: "first", Routes: map[string]*Route{"pay": route(9)}, Tenants: map[string]*Tenant{"north": {Rate: 1}}})
+	_, err := h.Accept(Change{ID: "first", Routes: map[string]*Route{"pay": route(9)}, Tenants: map[string]*Tenant{"north": {QuotaRPS: 1}}})
 	require.NoError(t, err)
 	before := h.Document.Clone()
 	var change Change
@@ -139,10 +139,10 @@
 "key":{"goal-time":1,"deadline":1,"idempotency":"dedup"},"gone":null,"pay":null},
 "tenants":{"south":{"quota-rps":-1,"fraction":3},"west":null}}`), &change))
 	_, err = h.Accept(change)
-	var refusal *Refusal
+	var refusal *ValidationError
 	require.ErrorAs(t, err, &refusal)
 	var keys []string
-	for _, f := range refusal.Faults {
+	for _, f := range refusal.Violations {
 		keys = append(keys, f.Key)
 	}
 	assert.Equal(t, []string{
@@ -155,10 +155,10 @@
 	for name, c := range map[string]Change{
 		"nothing named":     {},
 		"no route left":     {Routes: map[string]*Route{"pay": nil}},
-		"whole, without":    {Whole: true, Tenants: map[string]*Tenant{"north": {}}},
-		"an id too long":    {ID: string(make([]byte, MaxID+1)), Routes: map[string]*Route{"pay": route(1)}},
-		"a name too long":   {Routes: map[string]*Route{string(make([]byte, MaxName+1)): route(1)}},
-		"a rate of no size": {Tenants: map[string]*Tenant{"north": {Rate: nan()}}},
+		"whole, without":    {ReplaceAll: true, Tenants: map[string]*Tenant{"north": {}}},
+		"an id too long":    {ID: string(make([]byte, MaxIDBytes+1)), Routes: map[string]*Route{"pay": route(1)}},
+		"a name too long":   {Routes: map[string]*Route{string(make([]byte, MaxNameBytes+1)): route(1)}},
+		"a rate of no size": {Tenants: map[string]*Tenant{"north": {QuotaRPS: nan()}}},
 	} {
 		_, err := h.Accept(c)
 		assert.ErrorAs(t, err, &refusal, name)
@@ -182,7 +182,7 @@
 	require.NoError(t, err)
 	_, err = h.Accept(Change{ID: "c", Base: &base, Routes: map[string]*Route{"pay": route(3)}})
 	assert.ErrorContains(t, err, "base = 1: is not the newest version, which is 2")
-	again, err := ReadHistory(h.Bytes())
+	again, err := DecodeHistory(h.Encode())
 	require.NoError(t, err)
 	version, err := again.Accept(change)
 	require.NoError(t, err)
@@ -192,7 +192,7 @@
 // What is kept for watchers is bounded; one that is too far behind, or ahead of this history, wants a snapshot.
 func TestSince(t *testing.T) {
 	h := NewHistory(NewDocument())
-	for i := range maxKept + 10 {
+	for i := range maxDeltas + 10 {
 		_, err := h.Accept(Change{ID: fmt.Sprint(i), Routes: map[string]*Route{"pay": route(int64(i%2 + 1))}})
 		require.NoError(t, err)
 	}
@@ -200,13 +200,13 @@
 	deltas, whole := h.Since(newest)
 	assert.Empty(t, deltas)
 	assert.False(t, whole)
-	deltas, whole = h.Since(newest - maxKept)
-	assert.Len(t, deltas, maxKept)
+	deltas, whole = h.Since(newest - maxDeltas)
+	assert.Len(t, deltas, maxDeltas)
 	assert.False(t, whole)
-	for _, version := range []uint64{0, newest - maxKept - 1, newest + 1} {
+	for _, version := range []uint64{0, newest - maxDeltas - 1, newest + 1} {
 		_, whole = h.Since(version)
 		assert.True(t, whole, version)
 	}
-	assert.Len(t, h.ids, maxIDs)
-	assert.Len(t, slices.Collect(maps.Keys(h.ids)), maxIDs)
+	assert.Len(t, h.versionByID, maxIDs)
+	assert.Len(t, slices.Collect(maps.Keys(h.versionByID)), maxIDs)
 }
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -34,8 +34,8 @@
 	return &Document{Routes: map[string]Route{}, Tenants: map[string]Tenant{}}
 }
 
-// encoding gives the same bytes for the same content.
-var encoding = func() cbor.EncMode {
+// encMode gives the same bytes for the same content.
+var encMode = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(fmt.Errorf("cbor: %w", err)) // the options are constant
@@ -43,11 +43,11 @@
 	return mode
 }()
 
-// decoding bounds what a message may make of the memory of its reader.
-var decoding = func() cbor.DecMode {
+// decMode bounds what a message may make of the memory of its reader.
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxNestedLevels: 6, MaxArrayElements: maxKept, MaxMapPairs: MaxTenants,
+		MaxNestedLevels: 6, MaxArrayElements: maxDeltas, MaxMapPairs: MaxTenants,
 	}.DecMode()
 	if err != nil {
 		panic(fmt.Errorf("cbor: %w", err)) // the options are constant
@@ -56,7 +56,7 @@
 }()
 
 func encode(value any) []byte {
-	raw, err := encoding.Marshal(value)
+	raw, err := encMode.Marshal(value)
 	if err != nil {
 		panic(fmt.Errorf("cbor: %w", err)) // plain structures always have a form
 	}
@@ -71,9 +71,9 @@
 	return Digest(h.Sum64())
 }
 
-// putEntry sets or, without a value, removes an entry of a table, and moves the digest.
-func putEntry[T any](d *Document, kind string, table map[string]T, name string, value *T) {
-	if before, there := table[name]; there {
+// setEntry sets or, without a value, removes an entry of a table, and moves the digest.
+func setEntry[T any](d *Document, kind string, table map[string]T, name string, value *T) {
+	if before, exists := table[name]; exists {
 		d.Digest -= entryHash(kind, name, before)
 		delete(table, name)
 	}
@@ -86,17 +86,17 @@
 // Accept takes a change that Check found no fault in, and gives the delta that it is.
 func (d *Document) Accept(change Change) Delta {
 	delta := Delta{Version: d.Version + 1}
-	delta.Routes = tableDelta(d.Routes, change.Routes, change.Whole)
-	delta.Tenants = tableDelta(d.Tenants, change.Tenants, change.Whole)
-	d.put(delta)
+	delta.Routes = diffTable(d.Routes, change.Routes, change.ReplaceAll)
+	delta.Tenants = diffTable(d.Tenants, change.Tenants, change.ReplaceAll)
+	d.applyUnchecked(delta)
 	delta.Digest = d.Digest
 	return delta
 }
 
-// tableDelta is what a change makes different in a table. What it states as it is already is left out.
-func tableDelta[T comparable](table map[string]T, change map[string]*T, whole bool) map[string]*T {
+// diffTable is what a change makes different in a table. What it states as it is already is left out.
+func diffTable[T comparable](table map[string]T, change map[string]*T, replaceAll bool) map[string]*T {
 	delta := map[string]*T{}
-	if whole {
+	if replaceAll {
 		for name := range table {
 			if change[name] == nil {
 				delta[name] = nil
@@ -104,58 +104,58 @@
 		}
 	}
 	for name, value := range change {
-		before, there := table[name]
-		if value == nil && there || value != nil && !(there && before == *value) {
+		before, exists := table[name]
+		if value == nil && exists || value != nil && !(exists && before == *value) {
 			delta[name] = value
 		}
 	}
 	return delta
 }
 
-func (d *Document) put(delta Delta) {
+func (d *Document) applyUnchecked(delta Delta) {
 	for name, route := range delta.Routes {
-		putEntry(d, "route", d.Routes, name, route)
+		setEntry(d, "route", d.Routes, name, route)
 	}
 	for name, tenant := range delta.Tenants {
-		putEntry(d, "tenant", d.Tenants, name, tenant)
+		setEntry(d, "tenant", d.Tenants, name, tenant)
 	}
 	d.Version = delta.Version
 }
 
-// ErrDamaged tells that content is not what its digest or its version says. Whoever meets it drops all of it.
-var ErrDamaged = errors.New("configuration: content is damaged or of another history")
+// ErrCorrupt tells that content is not what its digest or its version says. Whoever meets it drops all of it.
+var ErrCorrupt = errors.New("configuration: content is damaged or of another history")
 
 // Apply takes a delta. One that does not follow, or that does not lead to the content that it says, changes nothing.
 func (d *Document) Apply(delta Delta) error {
 	if delta.Version != d.Version+1 {
-		return fmt.Errorf("%w: version %d behind %d", ErrDamaged, delta.Version, d.Version)
+		return fmt.Errorf("%w: version %d behind %d", ErrCorrupt, delta.Version, d.Version)
 	}
-	undo := d.Undo(delta)
-	d.put(delta)
+	inverse := d.Inverse(delta)
+	d.applyUnchecked(delta)
 	if d.Digest != delta.Digest {
-		d.Revert(undo)
-		return fmt.Errorf("%w: version %d leads to other content", ErrDamaged, delta.Version)
+		d.Revert(inverse)
+		return fmt.Errorf("%w: version %d leads to other content", ErrCorrupt, delta.Version)
 	}
 	return nil
 }
 
-// Undo is what takes a document back to where it stands now, after the delta was applied.
-func (d *Document) Undo(delta Delta) Delta {
+// Inverse is what takes a document back to where it stands now, after the delta was applied.
+func (d *Document) Inverse(delta Delta) Delta {
 	return Delta{
 		Version: d.Version, Digest: d.Digest,
-		Routes: beforeOf(d.Routes, delta.Routes), Tenants: beforeOf(d.Tenants, delta.Tenants),
+		Routes: inverseTable(d.Routes, delta.Routes), Tenants: inverseTable(d.Tenants, delta.Tenants),
 	}
 }
 
 // Revert takes a document back by what Undo gave.
-func (d *Document) Revert(undo Delta) { d.put(undo) }
+func (d *Document) Revert(inverse Delta) { d.applyUnchecked(inverse) }
 
-// beforeOf is what undoes the part of a delta.
-func beforeOf[T any](table map[string]T, delta map[string]*T) map[string]*T {
+// inverseTable is what undoes the part of a delta.
+func inverseTable[T any](table map[string]T, delta map[string]*T) map[string]*T {
 	before := make(map[string]*T, len(delta))
 	for name := range delta {
 		before[name] = nil
-		if value, there := table[name]; there {
+		if value, exists := table[name]; exists {
 			before[name] = &value
 		}
 	}
@@ -169,13 +169,13 @@
 	return &copied
 }
 
-// Between is the delta that takes one document straight to another, however far apart their versions are. It is for
+// Diff is the delta that takes one document straight to another, however far apart their versions are. It is for
 // what runs, and no part of the history.
-func Between(from, to *Document) Delta {
+func Diff(from, to *Document) Delta {
 	return Delta{
 		Version: to.Version, Digest: to.Digest,
-		Routes:  tableDelta(from.Routes, pointers(to.Routes), true),
-		Tenants: tableDelta(from.Tenants, pointers(to.Tenants), true),
+		Routes:  diffTable(from.Routes, pointers(to.Routes), true),
+		Tenants: diffTable(from.Tenants, pointers(to.Tenants), true),
 	}
 }
 
@@ -187,8 +187,8 @@
 	return all
 }
 
-// snapshot is the form of a whole document.
-type snapshot struct {
+// documentRecord is the form of a whole document.
+type documentRecord struct {
 	Version uint64            `cbor:"1,keyasint"`
 	Routes  map[string]Route  `cbor:"2,keyasint,omitempty"`
 	Tenants map[string]Tenant `cbor:"3,keyasint,omitempty"`
@@ -197,41 +197,41 @@
 
 // Snapshot is the whole document as it is sent and kept. The same document gives the same bytes.
 func (d *Document) Snapshot() []byte {
-	return encode(snapshot{d.Version, d.Routes, d.Tenants, d.Digest})
+	return encode(documentRecord{d.Version, d.Routes, d.Tenants, d.Digest})
 }
 
-// ReadSnapshot takes a whole document, or nothing of it.
-func ReadSnapshot(raw []byte) (*Document, error) {
-	var s snapshot
-	if err := decoding.Unmarshal(raw, &s); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+// DecodeSnapshot takes a whole document, or nothing of it.
+func DecodeSnapshot(raw []byte) (*Document, error) {
+	var s documentRecord
+	if err := decMode.Unmarshal(raw, &s); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if len(s.Routes) > MaxRoutes {
-		return nil, fmt.Errorf("%w: %d routes", ErrDamaged, len(s.Routes))
+		return nil, fmt.Errorf("%w: %d routes", ErrCorrupt, len(s.Routes))
 	}
 	d := NewDocument()
 	for name, route := range s.Routes {
-		putEntry(d, "route", d.Routes, name, &route)
+		setEntry(d, "route", d.Routes, name, &route)
 	}
 	for name, tenant := range s.Tenants {
-		putEntry(d, "tenant", d.Tenants, name, &tenant)
+		setEntry(d, "tenant", d.Tenants, name, &tenant)
 	}
 	if d.Version = s.Version; d.Digest != s.Digest {
-		return nil, fmt.Errorf("%w: version %d", ErrDamaged, s.Version)
+		return nil, fmt.Errorf("%w: version %d", ErrCorrupt, s.Version)
 	}
 	return d, nil
 }
 
-// Bytes is the delta as it is sent and kept.
-func (d Delta) Bytes() []byte { return encode(d) }
+// Encode is the delta as it is sent and kept.
+func (d Delta) Encode() []byte { return encode(d) }
 
-// ReadDelta takes a delta that was sent or kept.
-func ReadDelta(raw []byte) (delta Delta, err error) {
-	if err := decoding.Unmarshal(raw, &delta); err != nil {
-		return Delta{}, fmt.Errorf("%w: %w", ErrDamaged, err)
+// DecodeDelta takes a delta that was sent or kept.
+func DecodeDelta(raw []byte) (delta Delta, err error) {
+	if err := decMode.Unmarshal(raw, &delta); err != nil {
+		return Delta{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return delta, nil
 }
 
-// Size is the number of entries that a delta changes.
-func (d Delta) Size() int { return len(d.Routes) + len(d.Tenants) }
+// Len is the number of entries that a delta changes.
+func (d Delta) Len() int { return len(d.Routes) + len(d.Tenants) }
--- a/configuration/file.go
+++ b/configuration/file.go
@@ -8,15 +8,15 @@
 	"io"
 )
 
-// ReadChange takes the text of a file: a Change as JSON, or a platform configuration, whose routes and tenants are then
+// ParseChange takes the text of a file: a Change as JSON, or a platform configuration, whose routes and tenants are then
 // all that there are to be. Keys that a change does not have are faults.
-func ReadChange(raw []byte) (Change, error) {
-	var keys map[string]json.RawMessage
-	if err := json.Unmarshal(raw, &keys); err != nil {
+func ParseChange(raw []byte) (Change, error) {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(raw, &fields); err != nil {
 		return Change{}, fmt.Errorf("change: %w", err)
 	}
-	if settings, platform := keys["settings"]; platform {
-		return readPlatform(settings)
+	if settings, isPlatform := fields["settings"]; isPlatform {
+		return parsePlatform(settings)
 	}
 	var change Change
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -30,8 +30,8 @@
 	return change, nil
 }
 
-// platformSettings are the parts of the platform's settings that a document holds.
-type platformSettings struct {
+// platformConfig are the parts of the platform's settings that a document holds.
+type platformConfig struct {
 	Services []struct {
 		Name string `json:"name"`
 		Route
@@ -46,20 +46,20 @@
 	} `json:"extra"`
 }
 
-// readPlatform makes the change that has exactly what a platform configuration states.
-func readPlatform(raw []byte) (Change, error) {
-	var settings platformSettings
+// parsePlatform makes the change that has exactly what a platform configuration states.
+func parsePlatform(raw []byte) (Change, error) {
+	var settings platformConfig
 	if err := json.Unmarshal(raw, &settings); err != nil {
 		return Change{}, fmt.Errorf("settings: %w", err)
 	}
-	change := Change{Whole: true, Routes: map[string]*Route{}, Tenants: map[string]*Tenant{}}
+	change := Change{ReplaceAll: true, Routes: map[string]*Route{}, Tenants: map[string]*Tenant{}}
 	for i, service := range settings.Services {
 		route := service.Route
 		if i < len(settings.Extra.Calls) {
-			route.Calls = settings.Extra.Calls[i]
+			route.CallsDependency = settings.Extra.Calls[i]
 		}
 		if i < len(settings.Extra.Skips) {
-			route.SkipValue = settings.Extra.Skips[i]
+			route.SkipValueShare = settings.Extra.Skips[i]
 		}
 		if change.Routes[service.Name] != nil {
 			return Change{}, fmt.Errorf("settings: services.%d.name: %q stands twice", i, service.Name)
--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -189,9 +189,9 @@
 	m := newMachine(t)
 	bad := configuration.Change{Routes: map[string]*configuration.Route{"pay": {Idempotency: "often"}, "gone": nil}}
 	_, err := configwatch.Propose(t.Context(), []string{m.address}, keys, bad)
-	var refusal *configuration.Refusal
+	var refusal *configuration.ValidationError
 	require.ErrorAs(t, err, &refusal)
-	assert.Len(t, refusal.Faults, 4)
+	assert.Len(t, refusal.Violations, 4)
 	assert.Zero(t, m.log.proposed.Load())
 	change := deadline(1)
 	change.ID = "once"
--- a/internal/configserve/hub.go
+++ b/internal/configserve/hub.go
@@ -79,8 +79,8 @@
 	return Result{Version: version, Err: err}
 }
 
-func unreadable(err error) *configuration.Refusal {
-	return &configuration.Refusal{Faults: []configuration.Fault{{Key: "change", Allowed: "is not readable: " + err.Error()}}}
+func unreadable(err error) *configuration.ValidationError {
+	return &configuration.ValidationError{Violations: []configuration.Violation{{Key: "change", Allowed: "is not readable: " + err.Error()}}}
 }
 
 // tell wakes all watchers.
@@ -94,12 +94,12 @@
 func (h *Hub) Snapshot() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.history.Bytes()
+	return h.history.Encode()
 }
 
 // Restore takes a whole history in the place of what was there.
 func (h *Hub) Restore(raw []byte) error {
-	history, err := configuration.ReadHistory(raw)
+	history, err := configuration.DecodeHistory(raw)
 	if err != nil {
 		return err
 	}
@@ -119,10 +119,10 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if version, known := h.history.Accepted(change.ID); known {
+	if version, known := h.history.VersionOf(change.ID); known {
 		return version, nil
 	}
-	return 0, h.history.Document.Check(change)
+	return 0, h.history.Document.Validate(change)
 }
 
 // position is how far a watcher was told.
--- a/internal/configserve/server.go
+++ b/internal/configserve/server.go
@@ -122,9 +122,9 @@
 		}
 		result = came.(Result) // what Hub.Apply gives
 	}
-	var refusal *configuration.Refusal
+	var refusal *configuration.ValidationError
 	if errors.As(result.Err, &refusal) {
-		return configwatch.Outcome{Faults: refusal.Faults}
+		return configwatch.Outcome{Faults: refusal.Violations}
 	}
 	s.Logger.Info("configuration: accepted", "version", result.Version)
 	return configwatch.Outcome{Version: result.Version}
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -45,9 +45,9 @@
 	if err != nil {
 		return 0, fmt.Errorf("change: %w", err)
 	}
-	if len(raw) > configuration.MaxChange {
-		return 0, &configuration.Refusal{Faults: []configuration.Fault{{
-			Key: "change", Value: fmt.Sprintf("%d bytes", len(raw)), Allowed: fmt.Sprintf("%d bytes at most are allowed", configuration.MaxChange),
+	if len(raw) > configuration.MaxChangeBytes {
+		return 0, &configuration.ValidationError{Violations: []configuration.Violation{{
+			Key: "change", Value: fmt.Sprintf("%d bytes", len(raw)), Allowed: fmt.Sprintf("%d bytes at most are allowed", configuration.MaxChangeBytes),
 		}}}
 	}
 	failed := []error{ErrNotReached}
@@ -64,7 +64,7 @@
 		case outcome.Version > 0:
 			return outcome.Version, nil
 		case len(outcome.Faults) > 0:
-			return 0, &configuration.Refusal{Faults: outcome.Faults}
+			return 0, &configuration.ValidationError{Violations: outcome.Faults}
 		case outcome.Leader != "" && outcome.Leader != address:
 			leader = outcome.Leader
 			tries--
--- a/internal/configwatch/protocol.go
+++ b/internal/configwatch/protocol.go
@@ -14,7 +14,7 @@
 
 // Bounds of messages, in bytes.
 const (
-	MaxRequest = configuration.MaxChange + 4<<10
+	MaxRequest = configuration.MaxChangeBytes + 4<<10
 	MaxUpdate  = 64 << 20 // a snapshot of the largest tables
 	MaxReport  = 16 << 10
 	MaxAnswer  = 1 << 20
@@ -61,10 +61,10 @@
 
 // Outcome answers a change.
 type Outcome struct {
-	Version uint64                `cbor:"1,keyasint,omitempty"` // as which it was accepted
-	Faults  []configuration.Fault `cbor:"2,keyasint,omitempty"` // why it was refused
-	Leader  string                `cbor:"3,keyasint,omitempty"` // where to ask instead; empty where nobody knows
-	Failed  string                `cbor:"4,keyasint,omitempty"` // why it is not known what became of it
+	Version uint64                    `cbor:"1,keyasint,omitempty"` // as which it was accepted
+	Faults  []configuration.Violation `cbor:"2,keyasint,omitempty"` // why it was refused
+	Leader  string                    `cbor:"3,keyasint,omitempty"` // where to ask instead; empty where nobody knows
+	Failed  string                    `cbor:"4,keyasint,omitempty"` // why it is not known what became of it
 }
 
 // MachineStatus answers a Status.
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -170,7 +170,7 @@
 			continue
 		}
 		fault := w.take(ctx, update)
-		if errors.Is(fault, configuration.ErrDamaged) {
+		if errors.Is(fault, configuration.ErrCorrupt) {
 			return fault // dropped whole, and had from another machine
 		}
 		report := Report{Version: w.Document.Version, Digest: w.Document.Digest}
@@ -186,20 +186,20 @@
 // take has an update come into force. What was in force stays where it cannot.
 func (w *Watcher) take(ctx context.Context, update Update) error {
 	if update.Snapshot != nil {
-		to, err := configuration.ReadSnapshot(update.Snapshot)
+		to, err := configuration.DecodeSnapshot(update.Snapshot)
 		if err != nil {
 			return err
 		}
 		if to.Version < w.Document.Version {
-			return fmt.Errorf("%w: a snapshot of version %d, and %d is in force", configuration.ErrDamaged, to.Version, w.Document.Version)
+			return fmt.Errorf("%w: a snapshot of version %d, and %d is in force", configuration.ErrCorrupt, to.Version, w.Document.Version)
 		}
-		if err := w.force(ctx, configuration.Between(w.Document, to), to); err != nil {
+		if err := w.force(ctx, configuration.Diff(w.Document, to), to); err != nil {
 			return err
 		}
 		w.keep(func() error { return w.Disk.Replace(w.Document) })
 	}
 	for _, raw := range update.Deltas {
-		delta, err := configuration.ReadDelta(raw)
+		delta, err := configuration.DecodeDelta(raw)
 		if err != nil {
 			return err
 		}
@@ -212,7 +212,7 @@
 
 // step has one delta come into force.
 func (w *Watcher) step(ctx context.Context, delta configuration.Delta) error {
-	undo := w.Document.Undo(delta)
+	undo := w.Document.Inverse(delta)
 	if err := w.Document.Apply(delta); err != nil {
 		return err
 	}
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	d = configuration.NewDocument()
 	for i := range versions {
-		all = append(all, d.Accept(configuration.Change{Tenants: map[string]*configuration.Tenant{"north": {Rate: float64(i + 1)}}}))
+		all = append(all, d.Accept(configuration.Change{Tenants: map[string]*configuration.Tenant{"north": {QuotaRPS: float64(i + 1)}}}))
 	}
 	return all, d
 }
@@ -57,18 +57,18 @@
 			return nil
 		},
 	}
-	require.NoError(t, w.take(t.Context(), Update{Deltas: [][]byte{all[0].Bytes()}}))
+	require.NoError(t, w.take(t.Context(), Update{Deltas: [][]byte{all[0].Encode()}}))
 	before := w.Document.Clone()
 	refuse = true
-	assert.ErrorContains(t, w.take(t.Context(), Update{Deltas: [][]byte{all[1].Bytes()}}), "no room")
+	assert.ErrorContains(t, w.take(t.Context(), Update{Deltas: [][]byte{all[1].Encode()}}), "no room")
 	assert.ErrorContains(t, w.take(t.Context(), Update{Snapshot: newest.Snapshot()}), "no room")
 	assert.Equal(t, before, w.Document)
 	refuse = false
-	assert.ErrorIs(t, w.take(t.Context(), Update{Deltas: [][]byte{all[2].Bytes()}}), configuration.ErrDamaged)
-	assert.ErrorIs(t, w.take(t.Context(), Update{Snapshot: newest.Snapshot()[1:]}), configuration.ErrDamaged)
+	assert.ErrorIs(t, w.take(t.Context(), Update{Deltas: [][]byte{all[2].Encode()}}), configuration.ErrCorrupt)
+	assert.ErrorIs(t, w.take(t.Context(), Update{Snapshot: newest.Snapshot()[1:]}), configuration.ErrCorrupt)
 	assert.Equal(t, before, w.Document)
 	require.NoError(t, w.take(t.Context(), Update{Snapshot: newest.Snapshot()}))
 	assert.Equal(t, newest, w.Document)
-	assert.ErrorIs(t, w.take(t.Context(), Update{Snapshot: before.Snapshot()}), configuration.ErrDamaged)
+	assert.ErrorIs(t, w.take(t.Context(), Update{Snapshot: before.Snapshot()}), configuration.ErrCorrupt)
 	assert.Equal(t, Standing{Version: 3, Silent: -1}, w.Standing())
 }
--- a/internal/settings/tables.go
+++ b/internal/settings/tables.go
@@ -22,16 +22,16 @@
 
 // idempotencyOf are the kinds of a configuration's routes.
 var idempotencyOf = map[configuration.Idempotency]admission.Idempotency{
-	configuration.Retryable: admission.Retryable, configuration.Keyed: admission.Keyed, configuration.Fragile: admission.AtMostOnce,
+	configuration.Retryable: admission.Retryable, configuration.Keyed: admission.Keyed, configuration.AtMostOnce: admission.AtMostOnce,
 }
 
 // RouteOf is a route of the configuration as the decisions know it, under the bounds that the platform's settings are
 // read under.
 func RouteOf(name string, stated configuration.Route) admission.Route {
 	return admission.Route{
-		Name: name, Value: stated.Value, LateValueShare: stated.LateValue, CallsDependency: stated.Calls, SkipValueShare: stated.SkipValue,
+		Name: name, Value: stated.Value, LateValueShare: stated.LateValueShare, CallsDependency: stated.CallsDependency, SkipValueShare: stated.SkipValueShare,
 		LatencyTarget: max(spanOf(float64(stated.LatencyTarget)), time.Microsecond),
-		Deadline:      spanOf(float64(stated.Deadline)), DedupWindow: spanOf(float64(stated.Window)),
+		Deadline:      spanOf(float64(stated.Deadline)), DedupWindow: spanOf(float64(stated.DedupWindow)),
 		Idempotency: idempotencyOf[stated.Idempotency],
 	}
 }
@@ -49,7 +49,7 @@
 	for name, stated := range delta.Tenants {
 		change := TenantChange{Name: name, Removed: stated == nil}
 		if stated != nil {
-			change.Rate = stated.Rate
+			change.Rate = stated.QuotaRPS
 		}
 		tenants = append(tenants, change)
 	}
--- a/internal/store/configuration.go
+++ b/internal/store/configuration.go
@@ -113,7 +113,7 @@
 // takeItem puts a document, or a delta on the one before it. A delta that does not fit leaves that as it is.
 func takeItem(d *configuration.Document, item []byte, isDelta bool) (*configuration.Document, error) {
 	if !isDelta {
-		whole, err := configuration.ReadSnapshot(item)
+		whole, err := configuration.DecodeSnapshot(item)
 		if err != nil {
 			return d, err
 		}
@@ -122,7 +122,7 @@
 	if d == nil {
 		return nil, errNoDocument
 	}
-	delta, err := configuration.ReadDelta(item)
+	delta, err := configuration.DecodeDelta(item)
 	if err != nil {
 		return d, err
 	}
@@ -183,7 +183,7 @@
 	if c.file == nil || c.deltas > max(c.whole, leastDeltas) {
 		return c.Replace(d)
 	}
-	raw := c.appendItem(nil, delta.Bytes(), true)
+	raw := c.appendItem(nil, delta.Encode(), true)
 	c.deltas += len(raw)
 	if _, err := c.file.Write(raw); err != nil {
 		c.file = nil // what is behind a torn item is not read: the next one begins a file
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	whole, err := configuration.ReadChange(site)
+	whole, err := configuration.ParseChange(site)
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 		Name: "recorder", Machines: machines, Keys: r.service.keys, Document: configuration.NewDocument(), Seed: r.Seed, Log: discard,
 		Apply: func(_ context.Context, delta configuration.Delta, _ *configuration.Document) error {
 			if stated := delta.Tenants[markerTenant]; stated != nil {
-				marker = stated.Rate
+				marker = stated.QuotaRPS
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -114,7 +114,7 @@
 	if change.Tenants == nil {
 		change.Tenants = map[string]*configuration.Tenant{}
 	}
-	change.Tenants[markerTenant] = &configuration.Tenant{Rate: r.marker}
+	change.Tenants[markerTenant] = &configuration.Tenant{QuotaRPS: r.marker}
 	change.ID = fmt.Sprintf("measured-%g", r.marker)
 	proposed := time.Now()
 	version, err := configwatch.Propose(ctx, r.service.sessions, r.service.keys, change)
