--- a/cmd/quartzconfig/main.go
+++ b/cmd/quartzconfig/main.go
@@ -62,7 +62,7 @@
 	}
 	if err := asked.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		if errors.Is(err, configwatch.ErrNotReached) {
+		if errors.Is(err, configwatch.ErrUnavailable) {
 			os.Exit(exitNotReached)
 		}
 		os.Exit(exitRefused)
--- a/cmd/quartzconfig/serve.go
+++ b/cmd/quartzconfig/serve.go
@@ -33,20 +33,20 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hub := configserve.NewHub()
+	hub := configserve.NewReplica()
 	own, members, sessions := membersOf(stated)
 	listener, err := net.Listen("tcp", own.Sessions)
 	if err != nil {
 		return fmt.Errorf("sessions: %w", err)
 	}
 	node, err := raftlog.Start(raftlog.Options{
-		Name: stated.Name, Dir: filepath.Join(stated.Data, "log"), Members: members, Keys: keys, Machine: hub, Logger: log,
+		Name: stated.Name, Dir: filepath.Join(stated.Data, "log"), Members: members, Keys: keys, StateMachine: hub, Logger: log,
 	})
 	if err != nil {
 		return errors.Join(err, listener.Close())
 	}
 	defer func() { err = errors.Join(err, node.Close()) }()
-	server := &configserve.Server{Name: stated.Name, Address: sessions, Keys: keys, Hub: hub, Log: node, Logger: log}
+	server := &configserve.Server{Name: stated.Name, SessionAddresses: sessions, Keys: keys, Replica: hub, Log: node, Logger: log}
 	log.Info("serving", "name", stated.Name, "sessions", own.Sessions, "replication", own.Replication, "machines", len(members),
 		"pid", os.Getpid())
 	return server.Serve(ctx, listener)
@@ -59,7 +59,7 @@
 		if m.Name == stated.Name {
 			own = m
 		}
-		members = append(members, raftlog.Member{Name: m.Name, Address: m.Replication, Reach: m.Reach})
+		members = append(members, raftlog.Member{Name: m.Name, Address: m.Replication, DialAddress: m.Reach})
 		sessions[m.Name] = m.Sessions
 	}
 	return own, members, sessions
--- a/cmd/quartzconfig/status.go
+++ b/cmd/quartzconfig/status.go
@@ -31,7 +31,7 @@
 	P99      time.Duration               `json:"lag_p99_ns"`
 	Worst    time.Duration               `json:"lag_worst_ns"`
 	Reports  int                         `json:"reports"` // that the lags are of
-	Machines []configwatch.MachineStatus `json:"machines"`
+	Machines []configwatch.ReplicaStatus `json:"machines"`
 	Silent   []string                    `json:"silent"` // machines that did not answer
 }
 
@@ -46,7 +46,7 @@
 	all := standing{}
 	var lags []time.Duration
 	for _, m := range stated.Machines {
-		status, err := configwatch.AskStatus(ctx, m.Sessions, keys)
+		status, err := configwatch.FetchStatus(ctx, m.Sessions, keys)
 		if err != nil {
 			all.Silent = append(all.Silent, fmt.Sprintf("%s: %v", m.Name, err))
 			continue
@@ -54,12 +54,12 @@
 		all.Leader = cmp.Or(all.Leader, status.Leader)
 		all.Version = max(all.Version, status.Version)
 		all.Watchers += status.Watchers
-		lags = append(lags, status.Lags...)
-		status.Lags = nil
+		lags = append(lags, status.PropagationDelays...)
+		status.PropagationDelays = nil
 		all.Machines = append(all.Machines, status)
 	}
 	if len(all.Machines) == 0 {
-		return fmt.Errorf("%w: %v", configwatch.ErrNotReached, all.Silent)
+		return fmt.Errorf("%w: %v", configwatch.ErrUnavailable, all.Silent)
 	}
 	all.take(lags)
 	if cmd.JSON {
@@ -102,9 +102,9 @@
 		fmt.Println("no answer:", name)
 	}
 	for _, m := range s.Machines {
-		for _, b := range m.Behind {
+		for _, b := range m.Lagging {
 			fmt.Printf("behind: %s (zone %s) at version %d, for %v %s\n", b.Name, cmp.Or(b.Zone, "unknown"), b.Version,
-				b.Since.Round(time.Millisecond), b.Fault)
+				b.BehindFor.Round(time.Millisecond), b.Reason)
 		}
 	}
 	return nil
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -63,15 +63,15 @@
 		name = stated.Name
 	}
 	w := &configwatch.Watcher{
-		Name: name, Zone: stated.Zone, Keys: keys, Document: document, Apply: k.apply, Seed: seed ^ int64(os.Getpid()), Log: log,
+		Name: name, Zone: stated.Zone, Keys: keys, Document: document, Apply: k.apply, Seed: seed ^ int64(os.Getpid()), Logger: log,
 	}
 	if k.disk != nil {
-		w.Disk = k.disk
+		w.Store = k.disk
 	}
 	for _, m := range stated.Machines {
-		w.Machines = append(w.Machines, configwatch.Machine{Zone: m.Zone, Address: m.Address})
+		w.Endpoints = append(w.Endpoints, configwatch.Endpoint{Zone: m.Zone, Address: m.Address})
 	}
-	log.Info("configuration: followed", "name", name, "zone", stated.Zone, "machines", len(w.Machines), "version", document.Version)
+	log.Info("configuration: followed", "name", name, "zone", stated.Zone, "machines", len(w.Endpoints), "version", document.Version)
 	return w, k, nil
 }
 
@@ -166,7 +166,7 @@
 
 // Run asks once.
 func (cmd *configurationShow) Run() error {
-	var standing configwatch.Standing
+	var standing configwatch.WatcherStatus
 	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askConfiguration}, &standing); err != nil {
 		return err
 	}
@@ -174,8 +174,8 @@
 		return printJSON(os.Stdout, standing)
 	}
 	heard := "never"
-	if standing.Silent >= 0 {
-		heard = standing.Silent.Round(time.Millisecond).String() + " ago"
+	if standing.SinceContact >= 0 {
+		heard = standing.SinceContact.Round(time.Millisecond).String() + " ago"
 	}
 	fmt.Printf("version %d, connected %t, service last heard of %s\n", standing.Version, standing.Connected, heard)
 	return nil
--- a/cmd/quartzpoint/control.go
+++ b/cmd/quartzpoint/control.go
@@ -48,7 +48,7 @@
 	case q.Ask == askLease && a.keeper != nil:
 		return a.keeper.Holdings(), nil
 	case q.Ask == askConfiguration && a.watcher != nil:
-		return a.watcher.Standing(), nil
+		return a.watcher.Status(), nil
 	case q.Ask == askDependencies && a.composer != nil:
 		return a.dependencies()
 	case q.Ask == askLease || q.Ask == askConfiguration || q.Ask == askDependencies:
--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -32,35 +32,35 @@
 
 // localLog is a log of this machine alone.
 type localLog struct {
-	hub      *Hub
-	leads    atomic.Bool
+	replica  *Replica
+	isLeader atomic.Bool
 	leader   atomic.Value
 	proposed atomic.Int64
 }
 
 func (l *localLog) Propose(entry []byte, _ time.Duration) (any, error) {
 	l.proposed.Add(1)
-	return l.hub.Apply(entry, time.Now()), nil
+	return l.replica.Apply(entry, time.Now()), nil
 }
 
-func (l *localLog) Leads() (bool, string) { return l.leads.Load(), l.leader.Load().(string) }
+func (l *localLog) Leads() (bool, string) { return l.isLeader.Load(), l.leader.Load().(string) }
 
-// machine is a control machine.
-type machine struct {
-	hub     *Hub
+// controlMachine is a control machine.
+type controlMachine struct {
+	replica *Replica
 	log     *localLog
 	address string
 }
 
-func newMachine(t *testing.T) *machine {
+func newMachine(t *testing.T) *controlMachine {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &machine{hub: NewHub(), address: listener.Addr().String()}
-	m.log = &localLog{hub: m.hub}
-	m.log.leads.Store(true)
+	m := &controlMachine{replica: NewReplica(), address: listener.Addr().String()}
+	m.log = &localLog{replica: m.replica}
+	m.log.isLeader.Store(true)
 	m.log.leader.Store("one")
-	server := &Server{Name: "one", Address: map[string]string{}, Keys: keys, Hub: m.hub, Log: m.log, Logger: quiet()}
+	server := &Server{Name: "one", SessionAddresses: map[string]string{}, Keys: keys, Replica: m.replica, Log: m.log, Logger: quiet()}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(ctx, listener) }()
@@ -73,7 +73,7 @@
 
 func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func (m *machine) accept(t *testing.T, change configuration.Change) uint64 {
+func (m *controlMachine) accept(t *testing.T, change configuration.Change) uint64 {
 	t.Helper()
 	version, err := configwatch.Propose(t.Context(), []string{m.address}, keys, change)
 	require.NoError(t, err)
@@ -95,12 +95,12 @@
 	fault    atomic.Pointer[string]
 }
 
-func follow(t *testing.T, name string, at configwatch.Machine, others ...configwatch.Machine) *follower {
+func follow(t *testing.T, name string, at configwatch.Endpoint, others ...configwatch.Endpoint) *follower {
 	t.Helper()
 	f := &follower{document: configuration.NewDocument()}
 	f.Watcher = &configwatch.Watcher{
-		Name: name, Zone: "a", Machines: append([]configwatch.Machine{at}, others...), Keys: keys,
-		Document: configuration.NewDocument(), Log: quiet(), Seed: 1,
+		Name: name, Zone: "a", Endpoints: append([]configwatch.Endpoint{at}, others...), Keys: keys,
+		Document: configuration.NewDocument(), Logger: quiet(), Seed: 1,
 		Apply: func(_ context.Context, delta configuration.Delta, to *configuration.Document) error {
 			if fault := f.fault.Load(); fault != nil {
 				return errors.New(*fault)
@@ -119,15 +119,15 @@
 	return f
 }
 
-func (f *follower) reaches(t *testing.T, m *machine, version uint64) {
+func (f *follower) reaches(t *testing.T, m *controlMachine, version uint64) {
 	t.Helper()
-	require.Eventually(t, func() bool { return f.Standing().Version == version }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return f.Status().Version == version }, patience, time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m.hub.mu.Lock()
-	defer m.hub.mu.Unlock()
-	if version == m.hub.history.Document.Version {
-		assert.Equal(t, m.hub.history.Document, f.document)
+	m.replica.mu.Lock()
+	defer m.replica.mu.Unlock()
+	if version == m.replica.history.Document.Version {
+		assert.Equal(t, m.replica.history.Document, f.document)
 	}
 }
 
@@ -135,7 +135,7 @@
 // machine has waits for it. The status tells who is behind, and by how much the others were.
 func TestWatch(t *testing.T) {
 	m := newMachine(t)
-	early := follow(t, "early", configwatch.Machine{Address: m.address})
+	early := follow(t, "early", configwatch.Endpoint{Address: m.address})
 	for i := range int64(20) {
 		require.Equal(t, uint64(i+1), m.accept(t, deadline(i+1)))
 	}
@@ -143,12 +143,12 @@
 	for i, version := range early.versions {
 		assert.Equal(t, uint64(i+1), version, "each, in order")
 	}
-	late := follow(t, "late", configwatch.Machine{Address: m.address})
+	late := follow(t, "late", configwatch.Endpoint{Address: m.address})
 	late.reaches(t, m, 20)
 	require.Eventually(t, func() bool {
-		status, err := configwatch.AskStatus(t.Context(), m.address, keys)
+		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
 		// Changes that come close together are reported together, so there may be fewer lags than changes at watchers.
-		return err == nil && status.Watchers == 2 && len(status.Behind) == 0 && len(status.Lags) >= 2 && len(status.Lags) <= 21
+		return err == nil && status.Watchers == 2 && len(status.Lagging) == 0 && len(status.PropagationDelays) >= 2 && len(status.PropagationDelays) <= 21
 	}, patience, time.Millisecond)
 
 	full := "no room"
@@ -156,11 +156,11 @@
 	m.accept(t, deadline(21))
 	early.reaches(t, m, 21)
 	require.Eventually(t, func() bool {
-		status, err := configwatch.AskStatus(t.Context(), m.address, keys)
-		return err == nil && len(status.Behind) == 1 && status.Behind[0].Name == "late" && status.Behind[0].Fault == full &&
-			status.Behind[0].Version == 20 && status.Behind[0].Since > 0
+		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
+		return err == nil && len(status.Lagging) == 1 && status.Lagging[0].Name == "late" && status.Lagging[0].Reason == full &&
+			status.Lagging[0].Version == 20 && status.Lagging[0].BehindFor > 0
 	}, patience, time.Millisecond)
-	assert.Equal(t, uint64(20), late.Standing().Version, "what was in force stays")
+	assert.Equal(t, uint64(20), late.Status().Version, "what was in force stays")
 	late.fault.Store(nil)
 	late.reaches(t, m, 21)
 }
@@ -171,16 +171,16 @@
 	for i := range int64(5000) {
 		raw, err := json.Marshal(deadline(i + 1))
 		require.NoError(t, err)
-		require.NoError(t, m.hub.Apply(raw, time.Now()).(Result).Err)
+		require.NoError(t, m.replica.Apply(raw, time.Now()).(Result).Err)
 	}
-	f := follow(t, "one", configwatch.Machine{Address: m.address})
+	f := follow(t, "one", configwatch.Endpoint{Address: m.address})
 	f.reaches(t, m, 5000)
 	assert.Equal(t, []uint64{5000}, f.versions)
 	m.accept(t, deadline(1))
 	f.reaches(t, m, 5001)
-	again := NewHub()
-	require.NoError(t, again.Restore(m.hub.Snapshot()))
-	assert.Equal(t, m.hub.Snapshot(), again.Snapshot(), "a restored machine holds the same")
+	again := NewReplica()
+	require.NoError(t, again.Restore(m.replica.Snapshot()))
+	assert.Equal(t, m.replica.Snapshot(), again.Snapshot(), "a restored machine holds the same")
 }
 
 // A change with faults is refused with all of them and never gets into the log; one that comes twice is accepted once;
@@ -204,7 +204,7 @@
 	assert.ErrorContains(t, err, "base = 0: is not the newest version, which is 1")
 
 	other := newMachine(t)
-	other.log.leads.Store(false)
+	other.log.isLeader.Store(false)
 	other.log.leader.Store("nobody knows where")
 	version, err := configwatch.Propose(t.Context(), []string{other.address, m.address}, keys, deadline(3))
 	require.NoError(t, err)
@@ -212,19 +212,19 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	_, err = configwatch.Propose(ctx, []string{other.address, "127.0.0.1:1"}, keys, deadline(4))
-	assert.ErrorIs(t, err, configwatch.ErrNotReached)
+	assert.ErrorIs(t, err, configwatch.ErrUnavailable)
 }
 
 // A wrong key gets no answer but a refusal: no watch, no status, no change.
 func TestWrongKey(t *testing.T) {
 	m := newMachine(t)
 	for name, wrong := range map[string]peersync.Keys{"another": {bytes.Repeat([]byte{6}, 16)}, "none": nil} {
-		_, err := configwatch.AskStatus(t.Context(), m.address, wrong)
+		_, err := configwatch.FetchStatus(t.Context(), m.address, wrong)
 		var refused *peersync.RejectedError
 		assert.ErrorAs(t, err, &refused, name)
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		_, err = configwatch.Propose(ctx, []string{m.address}, wrong, deadline(1))
-		assert.ErrorIs(t, err, configwatch.ErrNotReached, name)
+		assert.ErrorIs(t, err, configwatch.ErrUnavailable, name)
 		cancel()
 	}
 	assert.Zero(t, m.log.proposed.Load())
@@ -234,12 +234,12 @@
 // force stays.
 func TestCutOffMachineLetsItsWatchersGo(t *testing.T) {
 	cut, whole := newMachine(t), newMachine(t)
-	for _, m := range []*machine{cut, whole} {
+	for _, m := range []*controlMachine{cut, whole} {
 		m.accept(t, deadline(1))
 	}
-	f := follow(t, "one", configwatch.Machine{Zone: "a", Address: cut.address}, configwatch.Machine{Zone: "b", Address: whole.address})
+	f := follow(t, "one", configwatch.Endpoint{Zone: "a", Address: cut.address}, configwatch.Endpoint{Zone: "b", Address: whole.address})
 	f.reaches(t, cut, 1)
-	cut.log.leads.Store(false)
+	cut.log.isLeader.Store(false)
 	cut.log.leader.Store("")
 	whole.accept(t, deadline(2))
 	f.reaches(t, whole, 2)
@@ -252,7 +252,7 @@
 	way, err := faultnet.New(m.address)
 	require.NoError(t, err)
 	defer way.Close()
-	f := follow(t, "one", configwatch.Machine{Address: way.Addr()})
+	f := follow(t, "one", configwatch.Endpoint{Address: way.Addr()})
 	version := m.accept(t, deadline(1))
 	f.reaches(t, m, version)
 	for _, fault := range []string{"cut", "drop up", "drop down", "stall down"} {
@@ -273,7 +273,7 @@
 	m.accept(t, large)
 	for at := 150; at < 4000; at += 350 {
 		way := newFlipper(t, m.address, at)
-		f := follow(t, fmt.Sprint("at ", at), configwatch.Machine{Address: way})
+		f := follow(t, fmt.Sprint("at ", at), configwatch.Endpoint{Address: way})
 		f.reaches(t, m, 1)
 	}
 }
@@ -326,8 +326,8 @@
 	session, err := peersync.Open(t.Context(), m.address, keys)
 	require.NoError(t, err)
 	defer session.Close()
-	require.NoError(t, session.Send(configwatch.Encode(configwatch.Request{Watch: &configwatch.Watch{Name: "slow"}})))
-	f := follow(t, "quick", configwatch.Machine{Address: m.address})
+	require.NoError(t, session.Send(configwatch.Encode(configwatch.Request{Watch: &configwatch.WatchRequest{Name: "slow"}})))
+	f := follow(t, "quick", configwatch.Endpoint{Address: m.address})
 	large := configuration.Change{Routes: map[string]*configuration.Route{}}
 	for i := range 4000 {
 		large.Routes[fmt.Sprintf("route-%0100d", i)] = &configuration.Route{LatencyTarget: 1, Deadline: 1, Idempotency: configuration.Retryable}
@@ -341,7 +341,7 @@
 	}
 	f.reaches(t, m, version)
 	require.Eventually(t, func() bool {
-		status, err := configwatch.AskStatus(t.Context(), m.address, keys)
+		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
 		return err == nil && status.Watchers == 1
 	}, patience, 10*time.Millisecond, "the one that does not read is let go")
 }
--- a/internal/configserve/hub.go
+++ b/internal/configserve/hub.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	maxLags   = 4096 // of the latest reports
-	maxBehind = 1024 // told in a status
-	maxTimes  = 4096 // versions whose acceptance is remembered
-	batch     = 256 << 10
+	maxDelays      = 4096 // of the latest reports
+	maxLagging     = 1024 // told in a status
+	maxAcceptTimes = 4096 // versions whose acceptance is remembered
+	maxBatchBytes  = 256 << 10
 )
 
-// Hub holds the history on one machine and who watches it. The replicated log applies entries to it; it implements
+// Replica holds the history on one machine and who watches it. The replicated log applies entries to it; it implements
 // raftlog.Machine.
-type Hub struct {
-	mu       sync.Mutex
-	history  *configuration.History
-	snapshot []byte // of the document, made when first wanted
-	changed  chan struct{}
-	accepted map[uint64]time.Time
-	watchers map[*watcher]bool
-	faults   map[string]fault // by name, until the watcher has a later version in force; it may be away meanwhile
-	lags     []time.Duration
-	nextLag  int // the place of the oldest, once all are taken
+type Replica struct {
+	mu          sync.Mutex
+	history     *configuration.History
+	snapshot    []byte // of the document, made when first wanted
+	changed     chan struct{}
+	acceptedAt  map[uint64]time.Time
+	watchers    map[*watcher]bool
+	rejections  map[string]rejection // by name, until the watcher has a later version in force; it may be away meanwhile
+	delays      []time.Duration
+	oldestDelay int // the place of the oldest, once all are taken
 }
 
 // watcher is one that holds a session.
@@ -40,18 +40,18 @@
 	inForce    uint64
 }
 
-// fault is why a watcher could not bring a version into force.
-type fault struct {
+// rejection is why a watcher could not bring a version into force.
+type rejection struct {
 	zone    string
 	inForce uint64
-	words   string
+	reason  string
 }
 
-// NewHub begins with a history of nothing.
-func NewHub() *Hub {
-	return &Hub{
+// NewReplica begins with a history of nothing.
+func NewReplica() *Replica {
+	return &Replica{
 		history: configuration.NewHistory(configuration.NewDocument()), changed: make(chan struct{}),
-		accepted: map[uint64]time.Time{}, watchers: map[*watcher]bool{}, faults: map[string]fault{},
+		acceptedAt: map[uint64]time.Time{}, watchers: map[*watcher]bool{}, rejections: map[string]rejection{},
 	}
 }
 
@@ -62,172 +62,172 @@
 }
 
 // Apply takes the next entry of the log, which the leader appended at a moment.
-func (h *Hub) Apply(entry []byte, at time.Time) any {
+func (r *Replica) Apply(entry []byte, at time.Time) any {
 	var change configuration.Change
 	if err := json.Unmarshal(entry, &change); err != nil {
-		return Result{Err: unreadable(err)}
+		return Result{Err: unreadableChange(err)}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	before := h.history.Document.Version
-	version, err := h.history.Accept(change)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	before := r.history.Document.Version
+	version, err := r.history.Accept(change)
 	if version > before {
-		h.accepted[version] = at
-		delete(h.accepted, version-maxTimes)
-		h.tell()
+		r.acceptedAt[version] = at
+		delete(r.acceptedAt, version-maxAcceptTimes)
+		r.notify()
 	}
 	return Result{Version: version, Err: err}
 }
 
-func unreadable(err error) *configuration.ValidationError {
+func unreadableChange(err error) *configuration.ValidationError {
 	return &configuration.ValidationError{Violations: []configuration.Violation{{Key: "change", Allowed: "is not readable: " + err.Error()}}}
 }
 
-// tell wakes all watchers.
-func (h *Hub) tell() {
-	h.snapshot = nil
-	close(h.changed)
-	h.changed = make(chan struct{})
+// notify wakes all watchers.
+func (r *Replica) notify() {
+	r.snapshot = nil
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // Snapshot is the whole history.
-func (h *Hub) Snapshot() []byte {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.history.Encode()
+func (r *Replica) Snapshot() []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.history.Encode()
 }
 
 // Restore takes a whole history in the place of what was there.
-func (h *Hub) Restore(raw []byte) error {
+func (r *Replica) Restore(raw []byte) error {
 	history, err := configuration.DecodeHistory(raw)
 	if err != nil {
 		return err
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.history = history
-	h.tell()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.history = history
+	r.notify()
 	return nil
 }
 
-// Check tells what would keep a change from being accepted now, so that one with a fault never gets into the log. The log
+// Validate tells what would keep a change from being accepted now, so that one with a fault never gets into the log. The log
 // decides: another change may come first.
-func (h *Hub) Check(entry []byte) (version uint64, err error) {
+func (r *Replica) Validate(entry []byte) (version uint64, err error) {
 	var change configuration.Change
 	if err := json.Unmarshal(entry, &change); err != nil {
-		return 0, unreadable(err)
+		return 0, unreadableChange(err)
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if version, known := h.history.VersionOf(change.ID); known {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if version, accepted := r.history.VersionOf(change.ID); accepted {
 		return version, nil
 	}
-	return 0, h.history.Document.Validate(change)
+	return 0, r.history.Document.Validate(change)
 }
 
-// position is how far a watcher was told.
-type position struct {
+// cursor is how far a watcher was told.
+type cursor struct {
 	version uint64
 	digest  configuration.Digest
-	any     bool // something was told in this session
+	sent    bool // something was told in this session
 }
 
-// lacks is the next message for a watcher: deltas of a bounded size or a whole snapshot, nothing where it has all; and
+// nextUpdate is the next message for a watcher: deltas of a bounded size or a whole snapshot, nothing where it has all; and
 // what is closed once there is more.
-func (h *Hub) lacks(at position) (update configwatch.Update, then position, changed <-chan struct{}) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	document := h.history.Document
-	update.Newest, changed = document.Version, h.changed
+func (r *Replica) nextUpdate(at cursor) (update configwatch.Update, then cursor, changed <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	document := r.history.Document
+	update.Latest, changed = document.Version, r.changed
 	if at.version > document.Version { // this machine is behind the one that was watched before
 		return update, at, changed
 	}
-	deltas, whole := h.history.Since(at.version)
-	forked := !at.any && at.version == document.Version && at.digest != document.Digest
+	deltas, whole := r.history.Since(at.version)
+	forked := !at.sent && at.version == document.Version && at.digest != document.Digest
 	if whole || forked {
-		if h.snapshot == nil {
-			h.snapshot = document.Snapshot()
+		if r.snapshot == nil {
+			r.snapshot = document.Snapshot()
 		}
-		update.Snapshot = h.snapshot
-		return update, position{version: document.Version, any: true}, changed
+		update.Snapshot = r.snapshot
+		return update, cursor{version: document.Version, sent: true}, changed
 	}
 	size := 0
 	for i, delta := range deltas {
-		if size += len(delta); i > 0 && size > batch {
+		if size += len(delta); i > 0 && size > maxBatchBytes {
 			break
 		}
 		update.Deltas = append(update.Deltas, delta)
 	}
-	return update, position{version: at.version + uint64(len(update.Deltas)), any: true}, changed
+	return update, cursor{version: at.version + uint64(len(update.Deltas)), sent: true}, changed
 }
 
-// join adds a watcher.
-func (h *Hub) join(ask configwatch.Watch) *watcher {
+// addWatcher adds a watcher.
+func (r *Replica) addWatcher(ask configwatch.WatchRequest) *watcher {
 	w := &watcher{name: ask.Name, zone: ask.Zone, inForce: ask.Version}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.watchers[w] = true
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.watchers[w] = true
 	return w
 }
 
-func (h *Hub) leave(w *watcher) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.watchers, w)
+func (r *Replica) removeWatcher(w *watcher) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.watchers, w)
 }
 
-// report takes a watcher's word on what is in force there.
-func (h *Hub) report(w *watcher, report configwatch.Report, now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if at, known := h.accepted[report.Version]; known && report.Version > w.inForce {
-		h.lag(max(now.Sub(at), 0))
+// recordReport takes a watcher's word on what is in force there.
+func (r *Replica) recordReport(w *watcher, report configwatch.Report, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if at, known := r.acceptedAt[report.Version]; known && report.Version > w.inForce {
+		r.recordDelay(max(now.Sub(at), 0))
 	}
 	w.inForce = report.Version
-	delete(h.faults, w.name)
-	if report.Fault != "" && len(h.faults) < maxBehind {
-		h.faults[w.name] = fault{w.zone, report.Version, report.Fault}
+	delete(r.rejections, w.name)
+	if report.Reason != "" && len(r.rejections) < maxLagging {
+		r.rejections[w.name] = rejection{w.zone, report.Version, report.Reason}
 	}
 }
 
-func (h *Hub) lag(lag time.Duration) {
-	if len(h.lags) < maxLags {
-		h.lags = append(h.lags, lag)
+func (r *Replica) recordDelay(lag time.Duration) {
+	if len(r.delays) < maxDelays {
+		r.delays = append(r.delays, lag)
 		return
 	}
-	h.lags[h.nextLag] = lag
-	h.nextLag = (h.nextLag + 1) % maxLags
+	r.delays[r.oldestDelay] = lag
+	r.oldestDelay = (r.oldestDelay + 1) % maxDelays
 }
 
 // Status is how the machine and its watchers stand.
-func (h *Hub) Status(name, leader string, now time.Time) configwatch.MachineStatus {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	document := h.history.Document
-	status := configwatch.MachineStatus{
-		Name: name, Leader: leader, Version: document.Version, Digest: document.Digest, Watchers: len(h.watchers),
-		Lags: slices.Clone(h.lags),
-	}
-	for name, f := range h.faults {
-		status.Behind = append(status.Behind, h.behind(name, f.zone, f.inForce, f.words, now))
-	}
-	for w := range h.watchers {
-		if _, told := h.faults[w.name]; !told && w.inForce != document.Version {
-			status.Behind = append(status.Behind, h.behind(w.name, w.zone, w.inForce, "", now))
+func (r *Replica) Status(name, leader string, now time.Time) configwatch.ReplicaStatus {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	document := r.history.Document
+	status := configwatch.ReplicaStatus{
+		Name: name, Leader: leader, Version: document.Version, Digest: document.Digest, Watchers: len(r.watchers),
+		PropagationDelays: slices.Clone(r.delays),
+	}
+	for name, f := range r.rejections {
+		status.Lagging = append(status.Lagging, r.laggingWatcher(name, f.zone, f.inForce, f.reason, now))
+	}
+	for w := range r.watchers {
+		if _, told := r.rejections[w.name]; !told && w.inForce != document.Version {
+			status.Lagging = append(status.Lagging, r.laggingWatcher(w.name, w.zone, w.inForce, "", now))
 		}
 	}
-	slices.SortFunc(status.Behind, func(a, b configwatch.Straggler) int {
+	slices.SortFunc(status.Lagging, func(a, b configwatch.LaggingWatcher) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Name, b.Name))
 	})
-	status.Behind = status.Behind[:min(len(status.Behind), maxBehind)]
+	status.Lagging = status.Lagging[:min(len(status.Lagging), maxLagging)]
 	return status
 }
 
-// behind is a watcher that does not have the newest version in force.
-func (h *Hub) behind(name, zone string, inForce uint64, words string, now time.Time) configwatch.Straggler {
-	behind := configwatch.Straggler{Name: name, Zone: zone, Version: inForce, Fault: words}
-	if at, known := h.accepted[inForce+1]; known {
-		behind.Since = max(now.Sub(at), 0)
+// laggingWatcher is a watcher that does not have the newest version in force.
+func (r *Replica) laggingWatcher(name, zone string, inForce uint64, words string, now time.Time) configwatch.LaggingWatcher {
+	behind := configwatch.LaggingWatcher{Name: name, Zone: zone, Version: inForce, Reason: words}
+	if at, known := r.acceptedAt[inForce+1]; known {
+		behind.BehindFor = max(now.Sub(at), 0)
 	}
 	return behind
 }
--- a/internal/configserve/server.go
+++ b/internal/configserve/server.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	maxSessions  = 4096 // open at once
-	maxSnapshots = 8    // being sent at once
-	requestWait  = 5 * time.Second
-	proposeWait  = 5 * time.Second
-	acceptPause  = 50 * time.Millisecond // after a failed accept, as when descriptors ran out
+	maxSessions    = 4096 // open at once
+	maxSnapshots   = 8    // being sent at once
+	requestTimeout = 5 * time.Second
+	proposeTimeout = 5 * time.Second
+	acceptPause    = 50 * time.Millisecond // after a failed accept, as when descriptors ran out
 )
 
 // Log is the replicated log that changes go through.
@@ -31,23 +31,23 @@
 
 // Server answers sessions of watchers and operators.
 type Server struct {
-	Name    string
-	Address map[string]string // of each machine for sessions, by its name
-	Keys    peersync.Keys
-	Hub     *Hub
-	Log     Log
-	Logger  *slog.Logger
+	Name             string
+	SessionAddresses map[string]string // of each machine for sessions, by its name
+	Keys             peersync.Keys
+	Replica          *Replica
+	Log              Log
+	Logger           *slog.Logger
 
-	slots     chan struct{}
-	snapshots chan struct{}
-	over      sync.WaitGroup
+	connSlots     chan struct{}
+	snapshotSlots chan struct{}
+	sessions      sync.WaitGroup
 }
 
 // Serve answers until the context ends, and then closes the listener and all sessions.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
-	s.slots, s.snapshots = make(chan struct{}, maxSessions), make(chan struct{}, maxSnapshots)
+	s.connSlots, s.snapshotSlots = make(chan struct{}, maxSessions), make(chan struct{}, maxSnapshots)
 	ctx, cancel := context.WithCancel(ctx)
-	defer s.over.Wait()
+	defer s.sessions.Wait()
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	for {
@@ -63,13 +63,13 @@
 			continue
 		}
 		select {
-		case s.slots <- struct{}{}:
+		case s.connSlots <- struct{}{}:
 		default:
 			conn.Close() // whoever is there tries another machine
 			continue
 		}
-		s.over.Go(func() {
-			defer func() { <-s.slots }()
+		s.sessions.Go(func() {
+			defer func() { <-s.connSlots }()
 			defer conn.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
 			s.serve(ctx, conn)
@@ -84,7 +84,7 @@
 		s.Logger.Warn("configuration: no session", "from", conn.RemoteAddr(), "error", err)
 		return
 	}
-	raw, err := session.Receive(configwatch.MaxRequest, requestWait)
+	raw, err := session.Receive(configwatch.MaxRequestBytes, requestTimeout)
 	if err != nil {
 		return
 	}
@@ -95,7 +95,7 @@
 	}
 	switch {
 	case request.Watch != nil:
-		if err := request.Watch.Check(); err != nil {
+		if err := request.Watch.Validate(); err != nil {
 			s.Logger.Warn("configuration: watch refused", "from", conn.RemoteAddr(), "error", err)
 			return
 		}
@@ -104,48 +104,48 @@
 		_ = session.Send(configwatch.Encode(s.propose(request.Change))) // one that is gone asks again
 	case request.Status != nil:
 		_, leader := s.Log.Leads()
-		_ = session.Send(configwatch.Encode(s.Hub.Status(s.Name, leader, time.Now()))) // the same
+		_ = session.Send(configwatch.Encode(s.Replica.Status(s.Name, leader, time.Now()))) // the same
 	}
 }
 
 // propose has a change go through the log.
-func (s *Server) propose(entry []byte) (outcome configwatch.Outcome) {
+func (s *Server) propose(entry []byte) (outcome configwatch.ChangeResponse) {
 	leads, leader := s.Log.Leads()
 	if !leads {
-		return configwatch.Outcome{Leader: s.Address[leader], Failed: "this machine does not lead"}
+		return configwatch.ChangeResponse{Leader: s.SessionAddresses[leader], Error: "this machine does not lead"}
 	}
 	result := Result{}
-	if result.Version, result.Err = s.Hub.Check(entry); result.Version == 0 && result.Err == nil {
-		came, err := s.Log.Propose(entry, proposeWait)
+	if result.Version, result.Err = s.Replica.Validate(entry); result.Version == 0 && result.Err == nil {
+		came, err := s.Log.Propose(entry, proposeTimeout)
 		if err != nil {
-			return configwatch.Outcome{Failed: err.Error()}
+			return configwatch.ChangeResponse{Error: err.Error()}
 		}
 		result = came.(Result) // what Hub.Apply gives
 	}
 	var refusal *configuration.ValidationError
 	if errors.As(result.Err, &refusal) {
-		return configwatch.Outcome{Faults: refusal.Violations}
+		return configwatch.ChangeResponse{Violations: refusal.Violations}
 	}
 	s.Logger.Info("configuration: accepted", "version", result.Version)
-	return configwatch.Outcome{Version: result.Version}
+	return configwatch.ChangeResponse{Version: result.Version}
 }
 
 // watch tells a watcher what it lacks until the session fails. It holds no queue: what a slow watcher lacks is read from
 // the history when it can be sent, and is a snapshot once that is less.
-func (s *Server) watch(ctx context.Context, session *peersync.Session, ask configwatch.Watch) {
-	w := s.Hub.join(ask)
-	defer s.Hub.leave(w)
+func (s *Server) watch(ctx context.Context, session *peersync.Session, ask configwatch.WatchRequest) {
+	w := s.Replica.addWatcher(ask)
+	defer s.Replica.removeWatcher(w)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.over.Go(func() {
+	s.sessions.Go(func() {
 		defer cancel()
-		s.reports(session, w)
+		s.receiveReports(session, w)
 	})
 	ticker := time.NewTicker(configwatch.Heartbeat)
 	defer ticker.Stop()
-	at := position{version: ask.Version, digest: ask.Digest}
+	at := cursor{version: ask.Version, digest: ask.Digest}
 	for greeted := false; ; greeted = true {
-		update, then, changed := s.Hub.lacks(at)
+		update, then, changed := s.Replica.nextUpdate(at)
 		if greeted && len(update.Deltas) == 0 && update.Snapshot == nil {
 			select {
 			case <-ctx.Done():
@@ -178,20 +178,20 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			if err := session.Send(configwatch.Encode(configwatch.Update{Newest: update.Newest})); err != nil {
+			if err := session.Send(configwatch.Encode(configwatch.Update{Latest: update.Latest})); err != nil {
 				return err
 			}
-		case s.snapshots <- struct{}{}:
-			defer func() { <-s.snapshots }()
+		case s.snapshotSlots <- struct{}{}:
+			defer func() { <-s.snapshotSlots }()
 			return session.Send(configwatch.Encode(update))
 		}
 	}
 }
 
-// reports takes a watcher's reports until the session fails.
-func (s *Server) reports(session *peersync.Session, w *watcher) {
+// receiveReports takes a watcher's reports until the session fails.
+func (s *Server) receiveReports(session *peersync.Session, w *watcher) {
 	for {
-		raw, err := session.Receive(configwatch.MaxReport, 0)
+		raw, err := session.Receive(configwatch.MaxReportBytes, 0)
 		if err != nil {
 			return
 		}
@@ -200,9 +200,9 @@
 			session.Close()
 			return
 		}
-		if report.Fault != "" {
-			s.Logger.Warn("configuration: cannot come into force", "at", w.name, "version", report.Refused, "fault", report.Fault)
+		if report.Reason != "" {
+			s.Logger.Warn("configuration: cannot come into force", "at", w.name, "version", report.Rejected, "fault", report.Reason)
 		}
-		s.Hub.report(w, report, time.Now())
+		s.Replica.recordReport(w, report, time.Now())
 	}
 }
--- a/internal/configwatch/protocol.go
+++ b/internal/configwatch/protocol.go
@@ -14,12 +14,12 @@
 
 // Bounds of messages, in bytes.
 const (
-	MaxRequest = configuration.MaxChangeBytes + 4<<10
-	MaxUpdate  = 64 << 20 // a snapshot of the largest tables
-	MaxReport  = 16 << 10
-	MaxAnswer  = 1 << 20
-	maxName    = 128 // of a watcher or a zone
-	maxWhy     = 8 << 10
+	MaxRequestBytes  = configuration.MaxChangeBytes + 4<<10
+	MaxUpdateBytes   = 64 << 20 // a snapshot of the largest tables
+	MaxReportBytes   = 16 << 10
+	MaxResponseBytes = 1 << 20
+	maxNameBytes     = 128 // of a watcher or a zone
+	maxReasonBytes   = 8 << 10
 )
 
 // Heartbeat is the time between messages of a control machine that has nothing else to tell. A watcher that hears
@@ -28,68 +28,68 @@
 
 // Request is the first message of a session; one of its fields is set.
 type Request struct {
-	Watch  *Watch  `cbor:"1,keyasint,omitempty"`
-	Change []byte  `cbor:"2,keyasint,omitempty"` // a configuration.Change as JSON
-	Status *Status `cbor:"3,keyasint,omitempty"`
+	Watch  *WatchRequest  `cbor:"1,keyasint,omitempty"`
+	Change []byte         `cbor:"2,keyasint,omitempty"` // a configuration.Change as JSON
+	Status *StatusRequest `cbor:"3,keyasint,omitempty"`
 }
 
-// Watch asks for all that is behind a version, from now on.
-type Watch struct {
+// WatchRequest asks for all that is behind a version, from now on.
+type WatchRequest struct {
 	Name    string               `cbor:"1,keyasint"`
 	Zone    string               `cbor:"2,keyasint,omitempty"`
 	Version uint64               `cbor:"3,keyasint"`
 	Digest  configuration.Digest `cbor:"4,keyasint"`
 }
 
-// Status asks how a control machine and its watchers stand. It is empty.
-type Status struct{}
+// StatusRequest asks how a control machine and its watchers stand. It is empty.
+type StatusRequest struct{}
 
 // Update tells a watcher what it lacks, or, without anything, that the machine is there.
 type Update struct {
 	Deltas   [][]byte `cbor:"1,keyasint,omitempty"`
 	Snapshot []byte   `cbor:"2,keyasint,omitempty"`
-	Newest   uint64   `cbor:"3,keyasint"`
+	Latest   uint64   `cbor:"3,keyasint"`
 }
 
 // Report tells a control machine which version is in force at a watcher, and, where one could not be, why.
 type Report struct {
-	Version uint64               `cbor:"1,keyasint"`
-	Digest  configuration.Digest `cbor:"2,keyasint"`
-	Refused uint64               `cbor:"3,keyasint,omitempty"` // the version that could not come into force
-	Fault   string               `cbor:"4,keyasint,omitempty"`
+	Version  uint64               `cbor:"1,keyasint"`
+	Digest   configuration.Digest `cbor:"2,keyasint"`
+	Rejected uint64               `cbor:"3,keyasint,omitempty"` // the version that could not come into force
+	Reason   string               `cbor:"4,keyasint,omitempty"`
 }
 
-// Outcome answers a change.
-type Outcome struct {
-	Version uint64                    `cbor:"1,keyasint,omitempty"` // as which it was accepted
-	Faults  []configuration.Violation `cbor:"2,keyasint,omitempty"` // why it was refused
-	Leader  string                    `cbor:"3,keyasint,omitempty"` // where to ask instead; empty where nobody knows
-	Failed  string                    `cbor:"4,keyasint,omitempty"` // why it is not known what became of it
+// ChangeResponse answers a change.
+type ChangeResponse struct {
+	Version    uint64                    `cbor:"1,keyasint,omitempty"` // as which it was accepted
+	Violations []configuration.Violation `cbor:"2,keyasint,omitempty"` // why it was refused
+	Leader     string                    `cbor:"3,keyasint,omitempty"` // where to ask instead; empty where nobody knows
+	Error      string                    `cbor:"4,keyasint,omitempty"` // why it is not known what became of it
 }
 
-// MachineStatus answers a Status.
-type MachineStatus struct {
-	Name     string               `cbor:"1,keyasint" json:"name"`
-	Leader   string               `cbor:"2,keyasint" json:"leader"` // by its name; empty where none is known
-	Version  uint64               `cbor:"3,keyasint" json:"version"`
-	Digest   configuration.Digest `cbor:"4,keyasint" json:"digest"`
-	Watchers int                  `cbor:"5,keyasint" json:"watchers"`
-	Lags     []time.Duration      `cbor:"6,keyasint" json:"lags_ns"` // of the latest reports, from the acceptance on
-	Behind   []Straggler          `cbor:"7,keyasint" json:"behind"`
+// ReplicaStatus answers a Status.
+type ReplicaStatus struct {
+	Name              string               `cbor:"1,keyasint" json:"name"`
+	Leader            string               `cbor:"2,keyasint" json:"leader"` // by its name; empty where none is known
+	Version           uint64               `cbor:"3,keyasint" json:"version"`
+	Digest            configuration.Digest `cbor:"4,keyasint" json:"digest"`
+	Watchers          int                  `cbor:"5,keyasint" json:"watchers"`
+	PropagationDelays []time.Duration      `cbor:"6,keyasint" json:"lags_ns"` // of the latest reports, from the acceptance on
+	Lagging           []LaggingWatcher     `cbor:"7,keyasint" json:"behind"`
 }
 
-// Straggler is a watcher that does not have the newest version in force.
-type Straggler struct {
-	Name    string        `cbor:"1,keyasint" json:"name"`
-	Zone    string        `cbor:"2,keyasint" json:"zone"`
-	Version uint64        `cbor:"3,keyasint" json:"version"`
-	Since   time.Duration `cbor:"4,keyasint" json:"since_ns"` // that the version behind its own was accepted
-	Fault   string        `cbor:"5,keyasint" json:"fault,omitempty"`
+// LaggingWatcher is a watcher that does not have the newest version in force.
+type LaggingWatcher struct {
+	Name      string        `cbor:"1,keyasint" json:"name"`
+	Zone      string        `cbor:"2,keyasint" json:"zone"`
+	Version   uint64        `cbor:"3,keyasint" json:"version"`
+	BehindFor time.Duration `cbor:"4,keyasint" json:"since_ns"` // that the version behind its own was accepted
+	Reason    string        `cbor:"5,keyasint" json:"fault,omitempty"`
 }
 
-// decoding bounds what a message may make of the memory of its reader; the bytes in it are read by package
+// decMode bounds what a message may make of the memory of its reader; the bytes in it are read by package
 // configuration, under bounds of its own.
-var decoding = func() cbor.DecMode {
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
 		MaxNestedLevels: 6, MaxArrayElements: 1 << 13, MaxMapPairs: 64,
@@ -111,16 +111,16 @@
 
 // Decode reads a message that was sent.
 func Decode(raw []byte, message any) error {
-	if err := decoding.Unmarshal(raw, message); err != nil {
+	if err := decMode.Unmarshal(raw, message); err != nil {
 		return fmt.Errorf("message: %w", err)
 	}
 	return nil
 }
 
-// Check tells what is wrong with a watch that was asked for.
-func (w *Watch) Check() error {
-	if w.Name == "" || len(w.Name) > maxName || len(w.Zone) > maxName {
-		return fmt.Errorf("a name of 1 to %d bytes, and a zone of no more, are needed", maxName)
+// Validate tells what is wrong with a watch that was asked for.
+func (w *WatchRequest) Validate() error {
+	if w.Name == "" || len(w.Name) > maxNameBytes || len(w.Zone) > maxNameBytes {
+		return fmt.Errorf("a name of 1 to %d bytes, and a zone of no more, are needed", maxNameBytes)
 	}
 	return nil
 }
--- a/internal/raftlog/layer.go
+++ b/internal/raftlog/layer.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	maxOpening  = 64 // connections that have not proven themselves yet
-	acceptPause = 50 * time.Millisecond
+	maxHandshakes = 64 // connections that have not proven themselves yet
+	acceptPause   = 50 * time.Millisecond
 )
 
-// layer carries the library's connections, each opened by a session that both sides prove.
-type layer struct {
-	listener net.Listener
-	keys     peersync.Keys
-	reach    map[string]string // where an address is dialled
-	log      *slog.Logger
-	proven   chan net.Conn
-	quit     chan struct{}
-	once     sync.Once
-	over     sync.WaitGroup
+// streamLayer carries the library's connections, each opened by a session that both sides prove.
+type streamLayer struct {
+	listener      net.Listener
+	keys          peersync.Keys
+	dialAddresses map[string]string // where an address is dialled
+	log           *slog.Logger
+	authenticated chan net.Conn
+	closing       chan struct{}
+	closeOnce     sync.Once
+	wg            sync.WaitGroup
 }
 
-func listenLayer(address string, reach map[string]string, keys peersync.Keys, log *slog.Logger) (*layer, error) {
+func listenStream(address string, reach map[string]string, keys peersync.Keys, log *slog.Logger) (*streamLayer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("replicated log: %w", err)
 	}
-	l := &layer{listener: listener, keys: keys, reach: reach, log: log, proven: make(chan net.Conn), quit: make(chan struct{})}
-	l.over.Go(l.accept)
+	l := &streamLayer{listener: listener, keys: keys, dialAddresses: reach, log: log, authenticated: make(chan net.Conn), closing: make(chan struct{})}
+	l.wg.Go(l.accept)
 	return l, nil
 }
 
 // accept opens sessions beside each other, as one that does not speak must not keep out the rest.
-func (l *layer) accept() {
-	opening := make(chan struct{}, maxOpening)
+func (l *streamLayer) accept() {
+	opening := make(chan struct{}, maxHandshakes)
 	for {
 		conn, err := l.listener.Accept()
 		switch {
@@ -60,7 +60,7 @@
 			conn.Close()
 			continue
 		}
-		l.over.Go(func() {
+		l.wg.Go(func() {
 			defer func() { <-opening }()
 			if _, err := peersync.Accept(conn, l.keys); err != nil {
 				l.log.Warn("replicated log: connection refused", "from", conn.RemoteAddr(), "error", err)
@@ -68,8 +68,8 @@
 				return
 			}
 			select {
-			case l.proven <- conn:
-			case <-l.quit:
+			case l.authenticated <- conn:
+			case <-l.closing:
 				conn.Close()
 			}
 		})
@@ -77,33 +77,33 @@
 }
 
 // Accept implements net.Listener, as do Close and Addr.
-func (l *layer) Accept() (net.Conn, error) {
+func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case conn := <-l.proven:
+	case conn := <-l.authenticated:
 		return conn, nil
-	case <-l.quit:
+	case <-l.closing:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close ends the listener and waits for what it opened.
-func (l *layer) Close() (err error) {
-	l.once.Do(func() {
-		close(l.quit)
+func (l *streamLayer) Close() (err error) {
+	l.closeOnce.Do(func() {
+		close(l.closing)
 		err = l.listener.Close()
-		l.over.Wait()
+		l.wg.Wait()
 	})
 	return err
 }
 
 // Addr is where others find this machine.
-func (l *layer) Addr() net.Addr { return l.listener.Addr() }
+func (l *streamLayer) Addr() net.Addr { return l.listener.Addr() }
 
 // Dial implements raft.StreamLayer.
-func (l *layer) Dial(address raft.ServerAddress, wait time.Duration) (net.Conn, error) {
+func (l *streamLayer) Dial(address raft.ServerAddress, wait time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	to, known := l.reach[string(address)]
+	to, known := l.dialAddresses[string(address)]
 	if !known {
 		return nil, fmt.Errorf("replicated log: %s is none of its members", address)
 	}
--- a/internal/raftlog/raftlog.go
+++ b/internal/raftlog/raftlog.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	maxPool         = 3
-	transportWait   = 5 * time.Second
-	keptSnapshots   = 2
-	snapshotEntries = 2048 // appended since the last snapshot
-	trailingEntries = 1024 // kept behind one, so that a machine that was away for a while needs no snapshot
-	electionTime    = time.Second
-	leaseTime       = 500 * time.Millisecond
-	commitTime      = 20 * time.Millisecond
+	maxPooledConns     = 3
+	transportTimeout   = 5 * time.Second
+	retainedSnapshots  = 2
+	snapshotEntries    = 2048 // appended since the last snapshot
+	trailingEntries    = 1024 // kept behind one, so that a machine that was away for a while needs no snapshot
+	electionTimeout    = time.Second
+	leaderLeaseTimeout = 500 * time.Millisecond
+	commitTimeout      = 20 * time.Millisecond
 )
 
-// Machine is what entries are applied to, one at a time and in the same order everywhere. The same entries must come to
+// StateMachine is what entries are applied to, one at a time and in the same order everywhere. The same entries must come to
 // the same.
-type Machine interface {
+type StateMachine interface {
 	// Apply takes an entry, which the leader appended at a moment of its clock.
 	Apply(entry []byte, at time.Time) any
 	// Snapshot is all that the entries so far came to.
@@ -42,26 +42,26 @@
 
 // Member is one machine of the log.
 type Member struct {
-	Name    string
-	Address string // by which all know it
-	Reach   string // at which this machine dials it, where that differs
+	Name        string
+	Address     string // by which all know it
+	DialAddress string // at which this machine dials it, where that differs
 }
 
 // Options are what a node is started with. All members state the same members.
 type Options struct {
-	Name    string
-	Dir     string
-	Members []Member
-	Keys    peersync.Keys
-	Machine Machine
-	Logger  *slog.Logger
+	Name         string
+	Dir          string
+	Members      []Member
+	Keys         peersync.Keys
+	StateMachine StateMachine
+	Logger       *slog.Logger
 }
 
 // Node is this machine's part in the log.
 type Node struct {
 	raft  *raft.Raft
 	store *raftboltdb.BoltStore
-	layer *layer
+	layer *streamLayer
 }
 
 // Start begins, or goes on with what the folder holds.
@@ -73,8 +73,8 @@
 			listen = m.Address
 		}
 		reach[m.Address] = m.Address
-		if m.Reach != "" {
-			reach[m.Address] = m.Reach
+		if m.DialAddress != "" {
+			reach[m.Address] = m.DialAddress
 		}
 		servers = append(servers, raft.Server{ID: raft.ServerID(m.Name), Address: raft.ServerAddress(m.Address)})
 	}
@@ -88,26 +88,26 @@
 	n = &Node{}
 	defer func() {
 		if err != nil {
-			n.closeFiles()
+			n.release()
 		}
 	}()
 	if n.store, err = raftboltdb.New(raftboltdb.Options{Path: filepath.Join(o.Dir, "log.bolt")}); err != nil {
 		return n, fmt.Errorf("replicated log: %w", err)
 	}
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(o.Dir, keptSnapshots, logger)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(o.Dir, retainedSnapshots, logger)
 	if err != nil {
 		return n, fmt.Errorf("replicated log: %w", err)
 	}
-	if n.layer, err = listenLayer(listen, reach, o.Keys, o.Logger); err != nil {
+	if n.layer, err = listenStream(listen, reach, o.Keys, o.Logger); err != nil {
 		return n, err
 	}
 	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: n.layer, MaxPool: maxPool, Timeout: transportWait, Logger: logger,
+		Stream: n.layer, MaxPool: maxPooledConns, Timeout: transportTimeout, Logger: logger,
 	})
 	config := raft.DefaultConfig()
 	config.LocalID, config.Logger = raft.ServerID(o.Name), logger
-	config.HeartbeatTimeout, config.ElectionTimeout = electionTime, electionTime
-	config.LeaderLeaseTimeout, config.CommitTimeout = leaseTime, commitTime
+	config.HeartbeatTimeout, config.ElectionTimeout = electionTimeout, electionTimeout
+	config.LeaderLeaseTimeout, config.CommitTimeout = leaderLeaseTimeout, commitTimeout
 	config.SnapshotThreshold, config.TrailingLogs = snapshotEntries, trailingEntries
 	begun, err := raft.HasExistingState(n.store, n.store, snapshots)
 	if err == nil && !begun {
@@ -116,7 +116,7 @@
 	if err != nil {
 		return n, fmt.Errorf("replicated log: %w", err)
 	}
-	if n.raft, err = raft.NewRaft(config, machine{o.Machine}, n.store, n.store, snapshots, transport); err != nil {
+	if n.raft, err = raft.NewRaft(config, fsm{o.StateMachine}, n.store, n.store, snapshots, transport); err != nil {
 		return n, fmt.Errorf("replicated log: %w", err)
 	}
 	return n, nil
@@ -147,10 +147,10 @@
 // Close ends this machine's part and waits for it.
 func (n *Node) Close() error {
 	err := n.raft.Shutdown().Error()
-	return errors.Join(err, n.closeFiles())
+	return errors.Join(err, n.release())
 }
 
-func (n *Node) closeFiles() (err error) {
+func (n *Node) release() (err error) {
 	if n.layer != nil {
 		err = n.layer.Close()
 	}
@@ -160,33 +160,33 @@
 	return err
 }
 
-// machine is a Machine as the library knows it.
-type machine struct{ Machine }
+// fsm is a Machine as the library knows it.
+type fsm struct{ StateMachine }
 
 // Apply implements raft.FSM, as do the methods below it.
-func (m machine) Apply(entry *raft.Log) any { return m.Machine.Apply(entry.Data, entry.AppendedAt) }
+func (m fsm) Apply(entry *raft.Log) any { return m.StateMachine.Apply(entry.Data, entry.AppendedAt) }
 
 // Snapshot takes the state as it is; writing it may go on beside further entries.
-func (m machine) Snapshot() (raft.FSMSnapshot, error) { return taken(m.Machine.Snapshot()), nil }
+func (m fsm) Snapshot() (raft.FSMSnapshot, error) { return fsmSnapshot(m.StateMachine.Snapshot()), nil }
 
-// maxSnapshot bounds what is read of a snapshot.
-const maxSnapshot = 256 << 20
+// maxSnapshotBytes bounds what is read of a snapshot.
+const maxSnapshotBytes = 256 << 20
 
 // Restore reads a snapshot whole.
-func (m machine) Restore(from io.ReadCloser) error {
+func (m fsm) Restore(from io.ReadCloser) error {
 	defer from.Close()
-	raw, err := io.ReadAll(io.LimitReader(from, maxSnapshot))
+	raw, err := io.ReadAll(io.LimitReader(from, maxSnapshotBytes))
 	if err != nil {
 		return fmt.Errorf("replicated log: snapshot: %w", err)
 	}
-	return m.Machine.Restore(raw)
+	return m.StateMachine.Restore(raw)
 }
 
-// taken is a snapshot that was taken.
-type taken []byte
+// fsmSnapshot is a snapshot that was taken.
+type fsmSnapshot []byte
 
 // Persist implements raft.FSMSnapshot, as does Release.
-func (t taken) Persist(sink raft.SnapshotSink) error {
+func (t fsmSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(t); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
@@ -194,13 +194,13 @@
 }
 
 // Release has nothing to let go of.
-func (taken) Release() {}
+func (fsmSnapshot) Release() {}
 
 // logWriter puts the library's lines into the program's log.
-type logWriter struct{ to *slog.Logger }
+type logWriter struct{ logger *slog.Logger }
 
 // Write takes one line.
 func (w logWriter) Write(line []byte) (int, error) {
-	w.to.Warn("replicated log", "said", string(line[:max(len(line)-1, 0)]))
+	w.logger.Warn("replicated log", "said", string(line[:max(len(line)-1, 0)]))
 	return len(line), nil
 }
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/raftlog_test.go
@@ -20,13 +20,13 @@
 
 const patience = 20 * time.Second
 
-// list is a machine that keeps all entries.
-type list struct {
+// recordingMachine is a machine that keeps all entries.
+type recordingMachine struct {
 	mu      sync.Mutex
 	entries []string
 }
 
-func (l *list) Apply(entry []byte, at time.Time) any {
+func (l *recordingMachine) Apply(entry []byte, at time.Time) any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at.IsZero() {
@@ -36,20 +36,20 @@
 	return len(l.entries)
 }
 
-func (l *list) Snapshot() []byte {
+func (l *recordingMachine) Snapshot() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	raw, _ := json.Marshal(l.entries) // strings always have a form
 	return raw
 }
 
-func (l *list) Restore(raw []byte) error {
+func (l *recordingMachine) Restore(raw []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return json.Unmarshal(raw, &l.entries)
 }
 
-func (l *list) all() []string {
+func (l *recordingMachine) all() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string{}, l.entries...)
@@ -57,9 +57,9 @@
 
 // cluster is a log over three machines.
 type cluster struct {
-	options []Options
-	lists   []*list
-	nodes   []*Node
+	options  []Options
+	machines []*recordingMachine
+	nodes    []*Node
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -72,9 +72,9 @@
 		free.Close()
 	}
 	for i := range members {
-		c.lists = append(c.lists, &list{})
+		c.machines = append(c.machines, &recordingMachine{})
 		c.options = append(c.options, Options{
-			Name: members[i].Name, Dir: filepath.Join(t.TempDir(), "log"), Members: members, Machine: c.lists[i],
+			Name: members[i].Name, Dir: filepath.Join(t.TempDir(), "log"), Members: members, StateMachine: c.machines[i],
 			Keys: peersync.Keys{bytes.Repeat([]byte{3}, 16)}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
 		c.nodes = append(c.nodes, nil)
@@ -101,7 +101,7 @@
 	t.Helper()
 	require.NoError(t, c.nodes[i].Close())
 	c.nodes[i] = nil
-	*c.lists[i] = list{} // what is in memory is gone
+	*c.machines[i] = recordingMachine{} // what is in memory is gone
 }
 
 // leader waits for one.
@@ -135,7 +135,7 @@
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for i, n := range c.nodes {
-			if n != nil && !assert.ObjectsAreEqual(want, c.lists[i].all()) {
+			if n != nil && !assert.ObjectsAreEqual(want, c.machines[i].all()) {
 				return false
 			}
 		}
@@ -199,7 +199,7 @@
 	c.options[away].Keys = peersync.Keys{bytes.Repeat([]byte{4}, 16)}
 	c.start(t, away)
 	c.propose(t, "b")
-	assert.Never(t, func() bool { return len(c.lists[away].all()) > 1 }, 300*time.Millisecond, 10*time.Millisecond)
+	assert.Never(t, func() bool { return len(c.machines[away].all()) > 1 }, 300*time.Millisecond, 10*time.Millisecond)
 	nobody := c.options[leader]
 	nobody.Name = "nobody"
 	_, err := Start(nobody)
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -86,13 +86,13 @@
 
 // record follows the service from version 0 without faults, as the history of what was.
 func (r *configurationRun) record(ctx context.Context) {
-	machines := []configwatch.Machine{}
+	machines := []configwatch.Endpoint{}
 	for _, address := range r.service.sessions {
-		machines = append(machines, configwatch.Machine{Address: address})
+		machines = append(machines, configwatch.Endpoint{Address: address})
 	}
 	marker := 0.0
 	r.recorder = &configwatch.Watcher{
-		Name: "recorder", Machines: machines, Keys: r.service.keys, Document: configuration.NewDocument(), Seed: r.Seed, Log: discard,
+		Name: "recorder", Endpoints: machines, Keys: r.service.keys, Document: configuration.NewDocument(), Seed: r.Seed, Logger: discard,
 		Apply: func(_ context.Context, delta configuration.Delta, _ *configuration.Document) error {
 			if stated := delta.Tenants[markerTenant]; stated != nil {
 				marker = stated.QuotaRPS
--- a/internal/testkit/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -153,12 +153,12 @@
 }
 
 // Watched are the machines as a server of a side knows them.
-func (s *Service) Watched(from side) (machines []configwatch.Machine) {
+func (s *Service) Watched(from side) (machines []configwatch.Endpoint) {
 	for i, address := range s.sessions {
 		if sideOf(i) != from {
 			address = s.crossing[address]
 		}
-		machines = append(machines, configwatch.Machine{Zone: string(sideOf(i)), Address: address})
+		machines = append(machines, configwatch.Endpoint{Zone: string(sideOf(i)), Address: address})
 	}
 	return machines
 }
@@ -172,7 +172,7 @@
 			if s.cmds[i] == nil || !among(i) {
 				continue
 			}
-			status, err := configwatch.AskStatus(ctx, address, s.keys)
+			status, err := configwatch.FetchStatus(ctx, address, s.keys)
 			if err == nil && status.Leader == s.names[i] {
 				return i, nil
 			}
--- a/internal/testkit/scale/watchers.go
+++ b/internal/testkit/scale/watchers.go
@@ -23,7 +23,7 @@
 type WatcherSpec struct {
 	First, Count int
 	Zone         string
-	Machines     []configwatch.Machine
+	Machines     []configwatch.Endpoint
 	Key          string // hexadecimal
 	Seed         int64
 }
@@ -134,9 +134,9 @@
 		writer.write(watcherLine{Event: &e})
 	}
 	w := &configwatch.Watcher{
-		Name: fmt.Sprintf("hollow-%d", h.place), Zone: spec.Zone, Machines: spec.Machines, Keys: keys,
+		Name: fmt.Sprintf("hollow-%d", h.place), Zone: spec.Zone, Endpoints: spec.Machines, Keys: keys,
 		Document: configuration.NewDocument(), Seed: spec.Seed*1_000_003 + time.Now().UnixNano() + int64(h.place),
-		Log: discard,
+		Logger: discard,
 		Apply: func(_ context.Context, delta configuration.Delta, _ *configuration.Document) error {
 			event(watcherEvent{Version: delta.Version, Digest: delta.Digest})
 			return nil
