--- a/cmd/quartzconfig/apply.go
+++ b/cmd/quartzconfig/apply.go
@@ -14,9 +14,9 @@
 	"quartzpoint/internal/configwatch"
 )
 
-// applying is the command that has a change accepted.
-type applying struct {
-	service
+// applyCommand is the command that has a change accepted.
+type applyCommand struct {
+	serviceFile
 	File string        `arg:"" help:"The change (JSON), or a platform configuration, whose routes and tenants are then all; - for standard input."`
 	ID   string        `name:"id" help:"Under which the change is accepted once, however often it is applied; drawn where it is not stated."`
 	Base *uint64       `help:"The version it was made on: refused where that is not the newest. Wins over the file's."`
@@ -24,7 +24,7 @@
 }
 
 // Run prints the version.
-func (cmd *applying) Run() error {
+func (cmd *applyCommand) Run() error {
 	stated, keys, err := cmd.read()
 	if err != nil {
 		return err
@@ -35,7 +35,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Wait)
 	defer cancel()
-	version, err := configwatch.Propose(ctx, sessionsOf(stated), keys, change)
+	version, err := configwatch.Propose(ctx, sessionAddresses(stated), keys, change)
 	if err != nil {
 		return fmt.Errorf("%w\nid of the change: %s", err, change.ID)
 	}
@@ -44,7 +44,7 @@
 }
 
 // change is what the file holds, with what the command line says of it.
-func (cmd *applying) change() (change configuration.Change, err error) {
+func (cmd *applyCommand) change() (change configuration.Change, err error) {
 	raw := []byte(nil)
 	if cmd.File == "-" {
 		raw, err = io.ReadAll(io.LimitReader(os.Stdin, configuration.MaxChangeBytes+1))
@@ -71,7 +71,7 @@
 	return change, nil
 }
 
-func sessionsOf(stated *config.Service) (addresses []string) {
+func sessionAddresses(stated *config.ControlService) (addresses []string) {
 	for _, m := range stated.Machines {
 		addresses = append(addresses, m.Sessions)
 	}
--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -38,8 +38,8 @@
 	os.Exit(code)
 }
 
-// fleet is three control machines of the real program.
-type fleet struct {
+// cluster is three control machines of the real program.
+type cluster struct {
 	folder   string
 	sessions []string
 	replicas []string
@@ -48,8 +48,8 @@
 	logs     []*harness.LogText
 }
 
-func newFleet(t *testing.T) *fleet {
-	f := &fleet{folder: t.TempDir()}
+func newFleet(t *testing.T) *cluster {
+	f := &cluster{folder: t.TempDir()}
 	f.keyFile = f.write(t, "keys", strings.Repeat("5e", 16)+"\n")
 	for range 3 {
 		for _, list := range []*[]string{&f.sessions, &f.replicas} {
@@ -70,7 +70,7 @@
 	return f
 }
 
-func (f *fleet) write(t *testing.T, name, text string) string {
+func (f *cluster) write(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(f.folder, name)
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -78,7 +78,7 @@
 }
 
 // file is the service's configuration; name and data are left out where it is only read to ask.
-func (f *fleet) file(t *testing.T, name, head string) string {
+func (f *cluster) file(t *testing.T, name, head string) string {
 	text := head + fmt.Sprintf("key-file = %q\n", f.keyFile)
 	for i := range f.sessions {
 		text += fmt.Sprintf("[[machine]]\nname = \"c%d\"\nzone = \"z%d\"\nreplication = %q\nsessions = %q\n", i, i, f.replicas[i], f.sessions[i])
@@ -86,7 +86,7 @@
 	return f.write(t, name, text)
 }
 
-func (f *fleet) start(t *testing.T, i int) {
+func (f *cluster) start(t *testing.T, i int) {
 	t.Helper()
 	head := fmt.Sprintf("name = \"c%d\"\ndata = %q\n", i, filepath.Join(f.folder, fmt.Sprint("data", i)))
 	cmd := exec.Command(filepath.Join(programs, "quartzconfig"), "serve", "--config", f.file(t, fmt.Sprintf("c%d.toml", i), head))
@@ -97,7 +97,7 @@
 	require.Eventually(t, func() bool { return strings.Contains(f.logs[i].String(), "msg=serving") }, patience, time.Millisecond, f.logs[i].String())
 }
 
-func (f *fleet) kill(i int) {
+func (f *cluster) kill(i int) {
 	if cmd := f.running[i]; cmd != nil {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
@@ -106,7 +106,7 @@
 }
 
 // run asks the command line, and gives what it printed and its exit code.
-func (f *fleet) run(t *testing.T, args ...string) (out string, code int) {
+func (f *cluster) run(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
 	cmd := exec.Command(filepath.Join(programs, "quartzconfig"), append(args, "--config", f.file(t, "ask.toml", ""))...)
 	var all bytes.Buffer
@@ -121,7 +121,7 @@
 }
 
 // apply has a change accepted and gives its version.
-func (f *fleet) apply(t *testing.T, change string) int {
+func (f *cluster) apply(t *testing.T, change string) int {
 	t.Helper()
 	out, code := f.run(t, "apply", f.write(t, "change.json", change))
 	require.Zero(t, code, out)
@@ -131,7 +131,7 @@
 }
 
 // server starts an app server that follows the fleet.
-func (f *fleet) server(t *testing.T) *harness.Daemon {
+func (f *cluster) server(t *testing.T) *harness.Daemon {
 	t.Helper()
 	own := fmt.Sprintf("[configuration]\nname = \"app\"\nzone = \"z1\"\ndir = %q\nkey-file = %q\n", filepath.Join(f.folder, "kept"), f.keyFile)
 	for i, address := range f.sessions {
@@ -163,8 +163,8 @@
 }
 
 const (
-	honoured  = 20
-	dismissed = 50
+	codeServed   = 20
+	codeRejected = 50
 )
 
 func routes(names ...string) string {
@@ -180,22 +180,22 @@
 func TestRealPrograms(t *testing.T) {
 	f := newFleet(t)
 	d := f.server(t)
-	require.Equal(t, byte(honoured), codes(t, d, "base"))
-	require.Equal(t, byte(dismissed), codes(t, d, "quote"))
+	require.Equal(t, byte(codeServed), codes(t, d, "base"))
+	require.Equal(t, byte(codeRejected), codes(t, d, "quote"))
 	require.Equal(t, 1, f.apply(t, routes("base", "quote")))
 	inForce(t, d, 1)
-	assert.Equal(t, byte(honoured), codes(t, d, "quote"), "added")
+	assert.Equal(t, byte(codeServed), codes(t, d, "quote"), "added")
 	require.Equal(t, 2, f.apply(t, `{"routes":{"base":null}}`))
 	inForce(t, d, 2)
-	assert.Equal(t, byte(dismissed), codes(t, d, "base"), "removed")
+	assert.Equal(t, byte(codeRejected), codes(t, d, "base"), "removed")
 
 	out, code := f.run(t, "apply", f.write(t, "bad.json", `{"base":1,"routes":{"x":{"deadline":-1}},"tenants":{"nobody":null}}`))
-	assert.Equal(t, exitRefused, code)
+	assert.Equal(t, exitRejected, code)
 	for _, key := range []string{"base = 1", "routes.x.deadline = -1", "routes.x.goal-time = 0", "routes.x.idempotency", "tenants.nobody"} {
 		assert.Contains(t, out, key)
 	}
 	out, code = f.run(t, "apply", f.write(t, "typo.json", `{"rutes":{}}`))
-	assert.Equal(t, exitRefused, code)
+	assert.Equal(t, exitRejected, code)
 	assert.Contains(t, out, "rutes")
 	_, code = f.run(t, "apply")
 	assert.Equal(t, exitUsage, code)
@@ -212,26 +212,26 @@
 	for i := range f.running {
 		f.kill(i)
 	}
-	require.Equal(t, byte(honoured), codes(t, d, "late"), "serves on with what is in force")
+	require.Equal(t, byte(codeServed), codes(t, d, "late"), "serves on with what is in force")
 	out, code = f.run(t, "apply", "--wait", "300ms", f.write(t, "change.json", routes("later")))
-	assert.Equal(t, exitNotReached, code, out)
+	assert.Equal(t, exitUnavailable, code, out)
 	out, code = f.run(t, "status", "--wait", "300ms")
-	assert.Equal(t, exitNotReached, code, out)
+	assert.Equal(t, exitUnavailable, code, out)
 	require.NoError(t, d.Kill())
 	d = f.server(t)
 	assert.Contains(t, d.Log(), `msg="configuration: kept on disk, in force" version=3 age=`)
-	assert.Equal(t, byte(honoured), codes(t, d, "late"), "as it was kept")
-	assert.Equal(t, byte(dismissed), codes(t, d, "base"), "and not as the platform's configuration says")
+	assert.Equal(t, byte(codeServed), codes(t, d, "late"), "as it was kept")
+	assert.Equal(t, byte(codeRejected), codes(t, d, "base"), "and not as the platform's configuration says")
 	for i := range f.running {
 		f.start(t, i)
 	}
 	require.Equal(t, 4, f.apply(t, `{"routes":{"quote":null}}`))
 	inForce(t, d, 4)
-	assert.Equal(t, byte(dismissed), codes(t, d, "quote"))
+	assert.Equal(t, byte(codeRejected), codes(t, d, "quote"))
 }
 
 // leader waits for a status that names one.
-func (f *fleet) leader(t *testing.T) (leader int) {
+func (f *cluster) leader(t *testing.T) (leader int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		out, _ := f.run(t, "status")
--- a/cmd/quartzconfig/serve.go
+++ b/cmd/quartzconfig/serve.go
@@ -16,11 +16,11 @@
 	"quartzpoint/internal/raftlog"
 )
 
-// serving is the command that serves.
-type serving struct{ service }
+// serveCommand is the command that serves.
+type serveCommand struct{ serviceFile }
 
 // Run serves until the notice to leave.
-func (cmd *serving) Run(log *slog.Logger) (err error) {
+func (cmd *serveCommand) Run(log *slog.Logger) (err error) {
 	stated, keys, err := cmd.read()
 	if err != nil {
 		return err
@@ -34,7 +34,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hub := configserve.NewReplica()
-	own, members, sessions := membersOf(stated)
+	own, members, sessions := clusterMembers(stated)
 	listener, err := net.Listen("tcp", own.Sessions)
 	if err != nil {
 		return fmt.Errorf("sessions: %w", err)
@@ -52,14 +52,14 @@
 	return server.Serve(ctx, listener)
 }
 
-// membersOf gives this machine, all of them as the log knows them, and their addresses for sessions by name.
-func membersOf(stated *config.Service) (own config.ControlMachine, members []raftlog.Member, sessions map[string]string) {
+// clusterMembers gives this machine, all of them as the log knows them, and their addresses for sessions by name.
+func clusterMembers(stated *config.ControlService) (own config.ControlNode, members []raftlog.Member, sessions map[string]string) {
 	sessions = map[string]string{}
 	for _, m := range stated.Machines {
 		if m.Name == stated.Name {
 			own = m
 		}
-		members = append(members, raftlog.Member{Name: m.Name, Address: m.Replication, DialAddress: m.Reach})
+		members = append(members, raftlog.Member{Name: m.Name, Address: m.Replication, DialAddress: m.DialAddress})
 		sessions[m.Name] = m.Sessions
 	}
 	return own, members, sessions
--- a/cmd/quartzconfig/status.go
+++ b/cmd/quartzconfig/status.go
@@ -15,40 +15,40 @@
 	"quartzpoint/internal/configwatch"
 )
 
-// asking is the command that tells how the service and the fleet stand.
-type asking struct {
-	service
+// statusCommand is the command that tells how the service and the fleet stand.
+type statusCommand struct {
+	serviceFile
 	JSON bool          `name:"json" help:"Print it as JSON; times in nanoseconds."`
 	Wait time.Duration `default:"5s" help:"How long to try."`
 }
 
-// standing is what all machines that answered say together.
-type standing struct {
-	Leader   string                      `json:"leader"`
-	Version  uint64                      `json:"version"`
-	Watchers int                         `json:"watchers"`
-	P50      time.Duration               `json:"lag_p50_ns"` // from the acceptance of a change to its being in force
-	P99      time.Duration               `json:"lag_p99_ns"`
-	Worst    time.Duration               `json:"lag_worst_ns"`
-	Reports  int                         `json:"reports"` // that the lags are of
-	Machines []configwatch.ReplicaStatus `json:"machines"`
-	Silent   []string                    `json:"silent"` // machines that did not answer
+// fleetStatus is what all machines that answered say together.
+type fleetStatus struct {
+	Leader      string                      `json:"leader"`
+	Version     uint64                      `json:"version"`
+	Watchers    int                         `json:"watchers"`
+	P50         time.Duration               `json:"lag_p50_ns"` // from the acceptance of a change to its being in force
+	P99         time.Duration               `json:"lag_p99_ns"`
+	Worst       time.Duration               `json:"lag_worst_ns"`
+	Reports     int                         `json:"reports"` // that the lags are of
+	Replicas    []configwatch.ReplicaStatus `json:"machines"`
+	Unreachable []string                    `json:"silent"` // machines that did not answer
 }
 
 // Run prints it.
-func (cmd *asking) Run() error {
+func (cmd *statusCommand) Run() error {
 	stated, keys, err := cmd.read()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Wait)
 	defer cancel()
-	all := standing{}
+	all := fleetStatus{}
 	var lags []time.Duration
 	for _, m := range stated.Machines {
 		status, err := configwatch.FetchStatus(ctx, m.Sessions, keys)
 		if err != nil {
-			all.Silent = append(all.Silent, fmt.Sprintf("%s: %v", m.Name, err))
+			all.Unreachable = append(all.Unreachable, fmt.Sprintf("%s: %v", m.Name, err))
 			continue
 		}
 		all.Leader = cmp.Or(all.Leader, status.Leader)
@@ -56,12 +56,12 @@
 		all.Watchers += status.Watchers
 		lags = append(lags, status.PropagationDelays...)
 		status.PropagationDelays = nil
-		all.Machines = append(all.Machines, status)
+		all.Replicas = append(all.Replicas, status)
 	}
-	if len(all.Machines) == 0 {
-		return fmt.Errorf("%w: %v", configwatch.ErrUnavailable, all.Silent)
+	if len(all.Replicas) == 0 {
+		return fmt.Errorf("%w: %v", configwatch.ErrUnavailable, all.Unreachable)
 	}
-	all.take(lags)
+	all.setDelays(lags)
 	if cmd.JSON {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
@@ -70,7 +70,7 @@
 	return all.print()
 }
 
-func (s *standing) take(lags []time.Duration) {
+func (s *fleetStatus) setDelays(lags []time.Duration) {
 	if s.Reports = len(lags); s.Reports == 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 	s.P50, s.P99, s.Worst = at(0.5), at(0.99), at(1)
 }
 
-func (s *standing) print() error {
+func (s *fleetStatus) print() error {
 	fmt.Printf("leader %s, version %d, %d watchers\n", cmp.Or(s.Leader, "unknown"), s.Version, s.Watchers)
 	if s.Reports > 0 {
 		round := func(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
@@ -92,16 +92,16 @@
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "machine\tversion\twatchers\tleader as it knows\t")
-	for _, m := range s.Machines {
+	for _, m := range s.Replicas {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%s\t\n", m.Name, m.Version, m.Watchers, cmp.Or(m.Leader, "unknown"))
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, name := range s.Silent {
+	for _, name := range s.Unreachable {
 		fmt.Println("no answer:", name)
 	}
-	for _, m := range s.Machines {
+	for _, m := range s.Replicas {
 		for _, b := range m.Lagging {
 			fmt.Printf("behind: %s (zone %s) at version %d, for %v %s\n", b.Name, cmp.Or(b.Zone, "unknown"), b.Version,
 				b.BehindFor.Round(time.Millisecond), b.Reason)
--- a/cmd/quartzpoint-bench/flat.go
+++ b/cmd/quartzpoint-bench/flat.go
@@ -78,13 +78,13 @@
 	defer cancel()
 	link := workerlink.New(s.Pool, 1<<20, log, counts.Saw, owner.Nudge)
 	owner.Serve(link, routers)
-	f := &flatComposer{owner: owner, types: map[string]config.Type{}, tasks: map[string]*flatTask{}, open: map[*fanout.Sent]flatCall{}}
+	f := &flatComposer{owner: owner, types: map[string]config.RoutePlan{}, tasks: map[string]*flatTask{}, open: map[*fanout.Sent]flatCall{}}
 	var over sync.WaitGroup
 	for i, d := range ours.Dependencies {
 		way := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Saw, owner.Nudge, &over)
 		f.ways = append(f.ways, way)
 	}
-	for _, t := range ours.Types {
+	for _, t := range ours.Routes {
 		f.types[t.Name] = t
 	}
 	owner.Compose(f)
@@ -101,7 +101,7 @@
 
 type flatTask struct {
 	id      string
-	kind    config.Type
+	kind    config.RoutePlan
 	body    []byte
 	settled []bool
 	good    []bool
@@ -118,7 +118,7 @@
 // flatComposer makes every call whose predecessors are settled, waits for each the same time, and tries again.
 type flatComposer struct {
 	owner *server.Server
-	types map[string]config.Type
+	types map[string]config.RoutePlan
 	ways  []fanout.Transport
 	tasks map[string]*flatTask
 	open  map[*fanout.Sent]flatCall
--- a/cmd/quartzpoint/check.go
+++ b/cmd/quartzpoint/check.go
@@ -33,7 +33,7 @@
 		if err == nil && whole != nil {
 			_, err := plans(ours, whole)
 			faults = append(faults, err)
-			for _, t := range ours.Types {
+			for _, t := range ours.Routes {
 				if time, known := whole[t.Name]; known && err == nil {
 					faults = append(faults, timeLine(os.Stdout, t, ours.Dependencies, time))
 				}
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	routeBytes  = 2 << 10 // that a route takes at the most, its names, rings and copy in the document
-	tenantBytes = 1 << 10
-	tableShare  = 2 // part of the memory, as a divisor, that routes and tenants may take
+	maxRouteBytes         = 2 << 10 // that a route takes at the most, its names, rings and copy in the document
+	maxTenantBytes        = 1 << 10
+	maxTableMemoryDivisor = 2 // part of the memory, as a divisor, that routes and tenants may take
 )
 
-// tableKeeper brings the configuration service's tables into force in this server.
-type tableKeeper struct {
-	owner  *server.Server
-	memory int
-	disk   *store.Configurations // nil where nothing is kept
+// tableUpdater brings the configuration service's tables into force in this server.
+type tableUpdater struct {
+	server      *server.Server
+	memoryBytes int
+	store       *store.Configurations // nil where nothing is kept
 
 	// The tables that the platform's configuration stated, until those of the service take their place for good.
 	baseRoutes  map[string]admission.Route
 	baseTenants map[string]float64
 }
 
-// follow has the server take its routes and tenants from the configuration service, where one is stated. What was kept
+// newConfigWatcher has the server take its routes and tenants from the configuration service, where one is stated. What was kept
 // on disk is in force before the server takes its first request. It gives nil where none is stated.
-func follow(
-	stated *config.Configuration, name string, memory int, owner *server.Server, seed int64, log *slog.Logger,
-) (*configwatch.Watcher, *tableKeeper, error) {
+func newConfigWatcher(
+	stated *config.ConfigSource, name string, memory int, owner *server.Server, seed int64, log *slog.Logger,
+) (*configwatch.Watcher, *tableUpdater, error) {
 	if stated == nil {
 		return nil, nil, nil
 	}
@@ -47,11 +47,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	k := &tableKeeper{owner: owner, memory: memory}
+	k := &tableUpdater{server: owner, memoryBytes: memory}
 	k.baseRoutes, k.baseTenants = owner.Tables()
 	document := configuration.NewDocument()
 	if stated.Dir != "" {
-		kept, err := k.open(stated.Dir, log)
+		kept, err := k.loadStored(stated.Dir, log)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -65,8 +65,8 @@
 	w := &configwatch.Watcher{
 		Name: name, Zone: stated.Zone, Keys: keys, Document: document, Apply: k.apply, Seed: seed ^ int64(os.Getpid()), Logger: log,
 	}
-	if k.disk != nil {
-		w.Store = k.disk
+	if k.store != nil {
+		w.Store = k.store
 	}
 	for _, m := range stated.Machines {
 		w.Endpoints = append(w.Endpoints, configwatch.Endpoint{Zone: m.Zone, Address: m.Address})
@@ -75,8 +75,8 @@
 	return w, k, nil
 }
 
-// open reads what was kept, and has it in force before the start.
-func (k *tableKeeper) open(dir string, log *slog.Logger) (*configuration.Document, error) {
+// loadStored reads what was kept, and has it in force before the start.
+func (u *tableUpdater) loadStored(dir string, log *slog.Logger) (*configuration.Document, error) {
 	disk, err := datadir.OpenDisk(dir, false)
 	if err != nil {
 		return nil, fmt.Errorf("configuration.dir: %w", err)
@@ -85,38 +85,38 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration.dir: %w", err)
 	}
-	k.disk = kept
+	u.store = kept
 	for _, why := range had.Passed {
 		log.Warn("configuration: kept file not used", "why", why)
 	}
 	if had.Document == nil {
 		return nil, nil
 	}
-	if err := k.fits(had.Document); err != nil {
+	if err := u.checkMemory(had.Document); err != nil {
 		return nil, fmt.Errorf("configuration.dir %s: %w", dir, err)
 	}
-	k.owner.SetTables(k.change(configuration.Diff(configuration.NewDocument(), had.Document)))
+	u.server.SetTables(u.tableChange(configuration.Diff(configuration.NewDocument(), had.Document)))
 	log.Info("configuration: kept on disk, in force", "version", had.Document.Version,
 		"age", time.Since(had.Written).Round(time.Second), "routes", len(had.Document.Routes), "tenants", len(had.Document.Tenants))
 	return had.Document, nil
 }
 
 // close lets the folder go.
-func (k *tableKeeper) close() {
-	if k != nil && k.disk != nil {
-		_ = k.disk.Close() // what was kept was synced
+func (u *tableUpdater) close() {
+	if u != nil && u.store != nil {
+		_ = u.store.Close() // what was kept was synced
 	}
 }
 
 // apply has a delta, which leads to a document, come into force, or says why it cannot.
-func (k *tableKeeper) apply(ctx context.Context, delta configuration.Delta, to *configuration.Document) error {
-	if err := k.fits(to); err != nil {
+func (u *tableUpdater) apply(ctx context.Context, delta configuration.Delta, to *configuration.Document) error {
+	if err := u.checkMemory(to); err != nil {
 		return err
 	}
 	done := make(chan struct{})
-	change := k.change(delta)
+	change := u.tableChange(delta)
 	change.Done = func() { close(done) }
-	k.owner.ChangeTables(change)
+	u.server.ChangeTables(change)
 	select {
 	case <-done:
 		return nil
@@ -125,49 +125,49 @@
 	}
 }
 
-// fits tells whether a document's tables leave room for requests.
-func (k *tableKeeper) fits(d *configuration.Document) error {
-	need := len(d.Routes)*routeBytes + len(d.Tenants)*tenantBytes
-	if most := k.memory / tableShare; need > most {
+// checkMemory tells whether a document's tables leave room for requests.
+func (u *tableUpdater) checkMemory(d *configuration.Document) error {
+	need := len(d.Routes)*maxRouteBytes + len(d.Tenants)*maxTenantBytes
+	if most := u.memoryBytes / maxTableMemoryDivisor; need > most {
 		return fmt.Errorf("limits.memory_mb: %d routes and %d tenants may take %d MB, %d MB at most are allowed",
 			len(d.Routes), len(d.Tenants), need>>20, most>>20)
 	}
 	return nil
 }
 
-// change is what a delta makes different. The first one holds all of the service's tables, and what the platform's
+// tableChange is what a delta makes different. The first one holds all of the service's tables, and what the platform's
 // configuration stated beside them goes.
-func (k *tableKeeper) change(delta configuration.Delta) (change server.TableChange) {
+func (u *tableUpdater) tableChange(delta configuration.Delta) (change server.TableChange) {
 	change.Routes, change.Tenants = settings.Changes(delta)
-	for name := range k.baseRoutes {
+	for name := range u.baseRoutes {
 		if delta.Routes[name] == nil {
 			change.Routes = append(change.Routes, settings.RouteChange{Name: name})
 		}
 	}
-	for name := range k.baseTenants {
+	for name := range u.baseTenants {
 		if delta.Tenants[name] == nil {
 			change.Tenants = append(change.Tenants, settings.TenantChange{Name: name, Removed: true})
 		}
 	}
-	k.baseRoutes, k.baseTenants = nil, nil
+	u.baseRoutes, u.baseTenants = nil, nil
 	return change
 }
 
-// configurations are the commands about a server's watch of the configuration service.
-type configurations struct {
-	Show configurationShow `cmd:"" help:"Print which version is in force at a running server, and when the service was last heard of."`
+// configurationCommands are the commands about a server's watch of the configuration service.
+type configurationCommands struct {
+	Show configurationShowCommand `cmd:"" help:"Print which version is in force at a running server, and when the service was last heard of."`
 }
 
-// configurationShow is the command that prints how a server's watch stands.
-type configurationShow struct {
+// configurationShowCommand is the command that prints how a server's watch stands.
+type configurationShowCommand struct {
 	Socket string `arg:"" help:"The server's control socket, as in its [control] socket."`
 	JSON   bool   `name:"json" help:"Print it as JSON; times in nanoseconds."`
 }
 
 // Run asks once.
-func (cmd *configurationShow) Run() error {
+func (cmd *configurationShowCommand) Run() error {
 	var standing configwatch.WatcherStatus
-	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askConfiguration}, &standing); err != nil {
+	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askConfiguration}, &standing); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/configuration_test.go
+++ b/cmd/quartzpoint/configuration_test.go
@@ -20,7 +20,7 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-func newOwner(t *testing.T) *server.Server {
+func newTestServer(t *testing.T) *server.Server {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	agreed, err := settings.FromJSON([]byte(fake.Site))
@@ -30,8 +30,8 @@
 	return owner
 }
 
-// keepDocument leaves a document in a folder, as a server before this one did.
-func keepDocument(t *testing.T, dir string, d *configuration.Document) {
+// storeDocument leaves a document in a folder, as a server before this one did.
+func storeDocument(t *testing.T, dir string, d *configuration.Document) {
 	t.Helper()
 	disk, err := datadir.OpenDisk(dir, false)
 	require.NoError(t, err)
@@ -41,7 +41,7 @@
 	require.NoError(t, kept.Close())
 }
 
-func documentOf(routes, tenants int) *configuration.Document {
+func newDocument(routes, tenants int) *configuration.Document {
 	change := configuration.Change{Routes: map[string]*configuration.Route{}, Tenants: map[string]*configuration.Tenant{}}
 	for i := range routes {
 		change.Routes[fmt.Sprint("route", i)] = &configuration.Route{LatencyTarget: 1e6, Deadline: 2e6, Value: 3, Idempotency: configuration.Keyed, DedupWindow: 5}
@@ -57,10 +57,10 @@
 // What was kept is in force before the start, in the place of all that the platform's configuration states.
 func TestStartsWithWhatWasKept(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
-	keepDocument(t, dir, documentOf(3, 2))
-	owner := newOwner(t)
-	stated := &config.Configuration{Dir: dir, Machines: []config.WatchedMachine{{Address: "127.0.0.1:1"}}}
-	watcher, tables, err := follow(stated, "one", 96<<20, owner, 1, slog.New(slog.DiscardHandler))
+	storeDocument(t, dir, newDocument(3, 2))
+	owner := newTestServer(t)
+	stated := &config.ConfigSource{Dir: dir, Machines: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
+	watcher, tables, err := newConfigWatcher(stated, "one", 96<<20, owner, 1, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer tables.close()
 	routes, tenants := owner.Tables()
@@ -76,24 +76,24 @@
 // is in force then.
 func TestTablesBeyondTheMemory(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
-	large := documentOf(100, 20_000)
-	keepDocument(t, dir, large)
-	owner := newOwner(t)
+	large := newDocument(100, 20_000)
+	storeDocument(t, dir, large)
+	owner := newTestServer(t)
 	before, _ := owner.Tables()
-	stated := &config.Configuration{Dir: dir, Machines: []config.WatchedMachine{{Address: "127.0.0.1:1"}}}
-	_, _, err := follow(stated, "one", 16<<20, owner, 1, slog.New(slog.DiscardHandler))
+	stated := &config.ConfigSource{Dir: dir, Machines: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
+	_, _, err := newConfigWatcher(stated, "one", 16<<20, owner, 1, slog.New(slog.DiscardHandler))
 	assert.ErrorContains(t, err, "configuration.dir "+dir+": limits.memory_mb: 100 routes and 20000 tenants may take 19 MB, 8 MB at most")
 	after, _ := owner.Tables()
 	assert.Equal(t, before, after)
 
-	k := &tableKeeper{owner: owner, memory: 16 << 20}
+	k := &tableUpdater{server: owner, memoryBytes: 16 << 20}
 	err = k.apply(t.Context(), configuration.Diff(configuration.NewDocument(), large), large)
 	assert.ErrorContains(t, err, "limits.memory_mb")
 }
 
 // Without the section nothing is followed.
 func TestNotFollowed(t *testing.T) {
-	watcher, tables, err := follow(nil, "one", 0, nil, 1, nil)
+	watcher, tables, err := newConfigWatcher(nil, "one", 0, nil, 1, nil)
 	require.NoError(t, err)
 	assert.Nil(t, watcher)
 	tables.close()
--- a/cmd/quartzpoint/control.go
+++ b/cmd/quartzpoint/control.go
@@ -43,18 +43,18 @@
 	return nil
 }
 
-func (a operatorAnswers) answer(q adminsocket.Question) (any, error) {
+func (a operatorAnswers) answer(q adminsocket.Request) (any, error) {
 	switch {
-	case q.Ask == askLease && a.keeper != nil:
+	case q.Query == askLease && a.keeper != nil:
 		return a.keeper.Holdings(), nil
-	case q.Ask == askConfiguration && a.watcher != nil:
+	case q.Query == askConfiguration && a.watcher != nil:
 		return a.watcher.Status(), nil
-	case q.Ask == askDependencies && a.composer != nil:
+	case q.Query == askDependencies && a.composer != nil:
 		return a.dependencies()
-	case q.Ask == askLease || q.Ask == askConfiguration || q.Ask == askDependencies:
-		return nil, fmt.Errorf("this server has no [%s]", q.Ask)
+	case q.Query == askLease || q.Query == askConfiguration || q.Query == askDependencies:
+		return nil, fmt.Errorf("this server has no [%s]", q.Query)
 	}
-	return nil, fmt.Errorf("unknown question %q", q.Ask)
+	return nil, fmt.Errorf("unknown question %q", q.Query)
 }
 
 // dependencies are told in the owner's turn, which has them.
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -22,7 +22,7 @@
 func composing(
 	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counts, log *slog.Logger,
 ) (*fanout.Composer, error) {
-	if len(ours.Types) == 0 {
+	if len(ours.Routes) == 0 {
 		return nil, nil
 	}
 	types, err := plans(ours, owner.Types())
@@ -42,7 +42,7 @@
 // plans are the types' plans, checked against the time that the platform's configuration gives a task of each.
 func plans(ours *config.Config, whole map[string]time.Duration) (types []fanout.Type, err error) {
 	var faults []error
-	for _, t := range ours.Types {
+	for _, t := range ours.Routes {
 		plan := t.Plan()
 		time, known := whole[t.Name]
 		if !known {
@@ -54,7 +54,7 @@
 		}
 		made := fanout.Type{Plan: plan}
 		for _, c := range t.Calls {
-			made.Calls = append(made.Calls, fanout.Call{Op: c.Op, Keep: c.Keep, Default: c.Default})
+			made.Calls = append(made.Calls, fanout.Call{Op: c.Op, Keep: c.MaxStale, Default: c.Default})
 		}
 		types = append(types, made)
 	}
@@ -62,7 +62,7 @@
 }
 
 // timeLine prints a plan for its operators.
-func timeLine(to io.Writer, t config.Type, dependencies []config.Dependency, whole time.Duration) error {
+func timeLine(to io.Writer, t config.RoutePlan, dependencies []config.Dependency, whole time.Duration) error {
 	plan := t.Plan()
 	if err := plan.Check(len(dependencies), whole); err != nil {
 		return fmt.Errorf("types.%s: %w", t.Name, err)
@@ -94,7 +94,7 @@
 // Run asks once.
 func (cmd *asking) Run() error {
 	var states []budget.State
-	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askDependencies}, &states); err != nil {
+	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askDependencies}, &states); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/lease.go
+++ b/cmd/quartzpoint/lease.go
@@ -23,7 +23,7 @@
 		return nil, err
 	}
 	keeper, err := leasing.New(leasing.Options{
-		Name: ours.Peers.Listen, Duties: ours.Lease.Duties, Config: ours.Lease.Config, Peers: ours.Peers.Ask,
+		Name: ours.Peers.Listen, Duties: ours.Lease.Duties, Config: ours.Lease.Config, Peers: ours.Peers.Addresses,
 		Keys: keys, Seed: seed, Log: log,
 	})
 	if err != nil {
@@ -48,7 +48,7 @@
 // Run asks once.
 func (cmd *leaseShowing) Run() error {
 	var holdings []leasing.Holding
-	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askLease}, &holdings); err != nil {
+	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askLease}, &holdings); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -63,9 +63,9 @@
 			e.server.Publish(snapshot, at)
 		}
 	})
-	if len(stated.Ask) > 0 {
+	if len(stated.Addresses) > 0 {
 		asker := &peersync.Client{
-			Peers: stated.Ask, Keys: keys, Total: stated.Total, Schema: k.frame, Stored: k.view, Seed: seed,
+			Peers: stated.Addresses, Keys: keys, Total: stated.Timeout, Schema: k.frame, Stored: k.view, Seed: seed,
 			Cold: func() bool { return !warm.Load() }, Take: owner.UsePeerEstimates, Counts: counts, Log: log,
 		}
 		go asker.Run(ctx)
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -89,13 +89,13 @@
 	if err != nil {
 		return err
 	}
-	watcher, tables, err := follow(ours.Configuration, s.Name, s.Limits.memory(), owner, seed, log)
+	watcher, tables, err := newConfigWatcher(ours.Configuration, s.Name, s.Limits.memory(), owner, seed, log)
 	if err != nil {
 		return fmt.Errorf("configuration file %s: %w", cmd.Config, err)
 	}
 	defer tables.close()
 	told := operatorAnswers{owner: owner, composer: composer, keeper: keeper, watcher: watcher}
-	if err := told.listen(ctx, ours.Control); err != nil {
+	if err := told.listen(ctx, ours.ControlSocket); err != nil {
 		return err
 	}
 	var kept *keeping
--- a/cmd/quartzpoint/state.go
+++ b/cmd/quartzpoint/state.go
@@ -41,14 +41,14 @@
 	}
 	kept, had, err := store.New(store.Terms{
 		Open: datadir.Opener(stated.Dir), Clock: store.SystemClock(), ID: store.DrawID, Site: stated.Site, Frame: k.frame,
-		Most: stated.Most, Commit: stated.Commit, Numbers: stated.Numbers, Counts: counts, Log: log, Nudge: owner.Nudge,
+		Most: stated.MaxBytes, Commit: stated.CommitInterval, Numbers: stated.IdempotencyKeys, Counts: counts, Log: log, Nudge: owner.Nudge,
 		Late: func(r store.Recovered) { store.ResumeLate(owner, r) },
 	})
 	if err != nil {
 		return nil, err
 	}
 	store.Resume(owner, had)
-	if stated.Numbers {
+	if stated.IdempotencyKeys {
 		owner.Keep(kept)
 	}
 	k.state, k.view = kept, had.View
--- a/internal/adminsocket/control.go
+++ b/internal/adminsocket/control.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	mostAsk    = 4 << 10 // bytes of a question
-	mostAnswer = 1 << 20
-	wait       = time.Second // for a question, and for the reading of its answer
+	maxRequestBytes  = 4 << 10 // bytes of a question
+	maxResponseBytes = 1 << 20
+	ioTimeout        = time.Second // for a question, and for the reading of its answer
 )
 
-// Question is what is asked.
-type Question struct {
-	Ask string `json:"ask"`
+// Request is what is asked.
+type Request struct {
+	Query string `json:"ask"`
 }
 
-// reply is what is answered.
-type reply struct {
+// response is what is answered.
+type response struct {
 	Error  string          `json:"error,omitempty"`
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// Answerer gives the answer to a question, to be written as JSON. It is called from the socket's goroutine, for
+// Handler gives the answer to a question, to be written as JSON. It is called from the socket's goroutine, for
 // one question at a time.
-type Answerer func(q Question) (any, error)
+type Handler func(q Request) (any, error)
 
-// Socket answers until it is closed.
-type Socket struct {
+// Server answers until it is closed.
+type Server struct {
 	path     string
 	listener net.Listener
-	answer   Answerer
-	over     sync.WaitGroup
+	handler  Handler
+	wg       sync.WaitGroup
 }
 
 // Listen takes the path. One that a dead server left is taken over; one that is answered is not.
-func Listen(path string, answer Answerer) (*Socket, error) {
+func Listen(path string, answer Handler) (*Server, error) {
 	if about, err := os.Lstat(path); err == nil {
 		if about.Mode()&fs.ModeSocket == 0 {
 			return nil, fmt.Errorf("control socket %s: something else stands there", path)
 		}
-		if alive, err := net.DialTimeout("unix", path, wait); err == nil {
+		if alive, err := net.DialTimeout("unix", path, ioTimeout); err == nil {
 			alive.Close()
 			return nil, fmt.Errorf("control socket %s: another server answers there", path)
 		}
@@ -64,10 +64,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("control socket: %w", err)
 	}
-	s := &Socket{path: path, listener: listener, answer: answer}
-	s.over.Add(1)
+	s := &Server{path: path, listener: listener, handler: answer}
+	s.wg.Add(1)
 	go func() {
-		defer s.over.Done()
+		defer s.wg.Done()
 		for {
 			link, err := listener.Accept()
 			if errors.Is(err, net.ErrClosed) {
@@ -82,55 +82,55 @@
 }
 
 // Close ends the socket and removes it.
-func (s *Socket) Close() {
+func (s *Server) Close() {
 	s.listener.Close()
-	s.over.Wait()
+	s.wg.Wait()
 }
 
-func (s *Socket) serve(link net.Conn) {
+func (s *Server) serve(link net.Conn) {
 	defer link.Close()
-	if link.SetDeadline(time.Now().Add(wait)) != nil {
+	if link.SetDeadline(time.Now().Add(ioTimeout)) != nil {
 		return
 	}
 	in := bufio.NewScanner(link)
-	in.Buffer(make([]byte, 0, mostAsk), mostAsk)
+	in.Buffer(make([]byte, 0, maxRequestBytes), maxRequestBytes)
 	if !in.Scan() {
 		return
 	}
-	var q Question
-	var r reply
+	var q Request
+	var r response
 	err := json.Unmarshal(in.Bytes(), &q)
 	if err == nil {
 		var answer any
-		if answer, err = s.answer(q); err == nil {
+		if answer, err = s.handler(q); err == nil {
 			r.Answer, err = json.Marshal(answer)
 		}
 	}
 	if err != nil {
-		r = reply{Error: err.Error()}
+		r = response{Error: err.Error()}
 	}
 	_ = json.NewEncoder(link).Encode(r) // whoever asked is gone, or reads too little; nothing follows from it
 }
 
-// Ask puts a question to a running server and reads its answer into one.
-func Ask(path string, q Question, into any) error {
-	link, err := net.DialTimeout("unix", path, wait)
+// Query puts a question to a running server and reads its answer into one.
+func Query(path string, q Request, into any) error {
+	link, err := net.DialTimeout("unix", path, ioTimeout)
 	if err != nil {
 		return fmt.Errorf("no server answers at %s: %w", path, err)
 	}
 	defer link.Close()
-	if err := link.SetDeadline(time.Now().Add(2 * wait)); err != nil {
+	if err := link.SetDeadline(time.Now().Add(2 * ioTimeout)); err != nil {
 		return fmt.Errorf("control socket: %w", err)
 	}
 	if err := json.NewEncoder(link).Encode(q); err != nil {
 		return fmt.Errorf("control socket: %w", err)
 	}
 	in := bufio.NewScanner(link)
-	in.Buffer(nil, mostAnswer)
+	in.Buffer(nil, maxResponseBytes)
 	if !in.Scan() {
 		return fmt.Errorf("control socket %s: no answer", path)
 	}
-	var r reply
+	var r response
 	if err := json.Unmarshal(in.Bytes(), &r); err != nil {
 		return fmt.Errorf("control socket %s: %w", path, err)
 	}
--- a/internal/adminsocket/control_test.go
+++ b/internal/adminsocket/control_test.go
@@ -18,18 +18,18 @@
 
 func TestAsk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	s, err := Listen(path, func(q Question) (any, error) {
-		if q.Ask != "known" {
+	s, err := Listen(path, func(q Request) (any, error) {
+		if q.Query != "known" {
 			return nil, errors.New("unknown question")
 		}
 		return []int{1, 2}, nil
 	})
 	require.NoError(t, err)
 	var got []int
-	require.NoError(t, Ask(path, Question{Ask: "known"}, &got))
+	require.NoError(t, Query(path, Request{Query: "known"}, &got))
 	assert.Equal(t, []int{1, 2}, got)
-	assert.EqualError(t, Ask(path, Question{Ask: "other"}, &got), "unknown question")
-	for _, bad := range []string{"no JSON\n", strings.Repeat("x", 2*mostAsk) + "\n"} {
+	assert.EqualError(t, Query(path, Request{Query: "other"}, &got), "unknown question")
+	for _, bad := range []string{"no JSON\n", strings.Repeat("x", 2*maxRequestBytes) + "\n"} {
 		link, err := net.Dial("unix", path)
 		require.NoError(t, err)
 		_, _ = link.Write([]byte(bad))
@@ -39,12 +39,12 @@
 	require.NoError(t, err)
 	defer silent.Close()
 	began := time.Now()
-	require.NoError(t, Ask(path, Question{Ask: "known"}, &got))
-	assert.Less(t, time.Since(began), 2*wait)
+	require.NoError(t, Query(path, Request{Query: "known"}, &got))
+	assert.Less(t, time.Since(began), 2*ioTimeout)
 	_, err = Listen(path, nil)
 	assert.ErrorContains(t, err, "another server")
 	s.Close()
-	assert.ErrorContains(t, Ask(path, Question{}, &got), "no server answers")
+	assert.ErrorContains(t, Query(path, Request{}, &got), "no server answers")
 }
 
 func TestWhatStandsThere(t *testing.T) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,23 +19,23 @@
 	"quartzpoint/classpool"
 )
 
-const mostFile = 1 << 20 // bytes; a larger one is not what was meant
+const maxFileBytes = 1 << 20 // bytes; a larger one is not what was meant
 
 // Config is what the file states.
 type Config struct {
-	Peers        *Peers // nil: no exchange of knowledge
-	Control      string // path of the socket that operators ask; empty: none
-	Dependencies []Dependency
-	Types        []Type              // traffic types that are made of calls
-	State        *State              // nil: nothing is kept for the server after this one
-	Pools        []classpool.Options // empty: no pools; read and checked, not yet used in decisions
-	Lease        *Lease              // nil: no duty is held by lease
+	Peers         *Peers // nil: no exchange of knowledge
+	ControlSocket string // path of the socket that operators ask; empty: none
+	Dependencies  []Dependency
+	Routes        []RoutePlan         // traffic types that are made of calls
+	State         *State              // nil: nothing is kept for the server after this one
+	Pools         []classpool.Options // empty: no pools; read and checked, not yet used in decisions
+	Lease         *Lease              // nil: no duty is held by lease
 	// Configuration is nil where routes and tenants are those of the platform's configuration for good.
-	Configuration *Configuration
+	Configuration *ConfigSource
 }
 
-// Fault is one thing that is wrong in a file.
-type Fault struct {
+// FieldError is one thing that is wrong in a file.
+type FieldError struct {
 	File    string
 	Line    int // 0 where it is the absence of something
 	Key     string
@@ -43,7 +43,7 @@
 	Allowed string
 }
 
-func (f *Fault) Error() string {
+func (f *FieldError) Error() string {
 	at := f.File
 	if f.Line > 0 {
 		at = fmt.Sprintf("%s:%d", f.File, f.Line)
@@ -78,8 +78,8 @@
 	if err != nil {
 		return fmt.Errorf("configuration file: %w", err)
 	}
-	if about.Size() > mostFile {
-		return fmt.Errorf("configuration file %s: %d bytes, %d at most", path, about.Size(), mostFile)
+	if about.Size() > maxFileBytes {
+		return fmt.Errorf("configuration file %s: %d bytes, %d at most", path, about.Size(), maxFileBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -95,15 +95,15 @@
 		var at *toml.DecodeError
 		if errors.As(err, &at) { // where the text itself is broken there is no telling what else is wrong
 			line, column := at.Position()
-			return &Fault{File: path, Line: line, Key: fmt.Sprintf("column %d", column), Allowed: at.Error()}
+			return &FieldError{File: path, Line: line, Key: fmt.Sprintf("column %d", column), Allowed: at.Error()}
 		}
 		return fmt.Errorf("configuration file %s: %w", path, err)
 	}
-	r := &reader{file: path, lines: lines(raw)}
+	r := &parser{file: path, lines: lineIndex(raw)}
 	read(r.section("", values))
-	slices.SortStableFunc(r.faults, func(a, b *Fault) int { return a.Line - b.Line })
-	all := make([]error, len(r.faults))
-	for i, f := range r.faults {
+	slices.SortStableFunc(r.errs, func(a, b *FieldError) int { return a.Line - b.Line })
+	all := make([]error, len(r.errs))
+	for i, f := range r.errs {
 		all[i] = f
 	}
 	return errors.Join(all...)
@@ -111,36 +111,36 @@
 
 // read takes the sections.
 func (c *Config) read(top *section) {
-	if peers := top.below("peers"); peers != nil {
+	if peers := top.subsection("peers"); peers != nil {
 		c.Peers = readPeers(peers)
 	}
-	if control := top.below("control"); control != nil {
-		c.Control = control.text("socket", "", "a path is allowed", notEmpty)
-		control.end()
+	if control := top.subsection("control"); control != nil {
+		c.ControlSocket = control.stringValue("socket", "", "a path is allowed", isNotEmpty)
+		control.rejectUnknown()
 	}
-	if dependencies := top.below("dependencies"); dependencies != nil {
+	if dependencies := top.subsection("dependencies"); dependencies != nil {
 		c.Dependencies = readDependencies(dependencies)
 	}
-	if types := top.below("types"); types != nil {
-		c.Types = readTypes(types, c.Dependencies)
+	if types := top.subsection("types"); types != nil {
+		c.Routes = readRoutes(types, c.Dependencies)
 	}
-	if state := top.below("state"); state != nil {
+	if state := top.subsection("state"); state != nil {
 		c.State = readState(state)
 	}
-	if pools := top.below("pools"); pools != nil {
+	if pools := top.subsection("pools"); pools != nil {
 		c.Pools = readPools(pools)
 	}
-	if lease := top.below("lease"); lease != nil {
+	if lease := top.subsection("lease"); lease != nil {
 		c.Lease = readLease(lease, c.Peers)
 	}
-	if configuration := top.below("configuration"); configuration != nil {
-		c.Configuration = readConfiguration(configuration)
+	if configuration := top.subsection("configuration"); configuration != nil {
+		c.Configuration = readConfigSource(configuration)
 	}
-	top.end()
+	top.rejectUnknown()
 }
 
-// lines finds the line of each key and table.
-func lines(raw []byte) map[string]int {
+// lineIndex finds the line of each key and table.
+func lineIndex(raw []byte) map[string]int {
 	found := map[string]int{}
 	p := unstable.Parser{}
 	p.Reset(raw)
@@ -180,34 +180,34 @@
 	return found
 }
 
-type reader struct {
-	file   string
-	lines  map[string]int
-	faults []*Fault
+type parser struct {
+	file  string
+	lines map[string]int
+	errs  []*FieldError
 }
 
 // section is a table of the file; its keys are asked for one by one, and those that nobody asked for are faults.
 type section struct {
-	*reader
+	*parser
 	path   string
-	named  string // its own part of the path, which may hold points
+	name   string // its own part of the path, which may hold points
 	values map[string]any
-	asked  []string
+	known  []string
 }
 
-func (r *reader) section(path string, values map[string]any) *section {
-	return &section{reader: r, path: path, values: values}
+func (r *parser) section(path string, values map[string]any) *section {
+	return &section{parser: r, path: path, values: values}
 }
 
-func (s *section) at(key string) string {
+func (s *section) keyPath(key string) string {
 	if s.path == "" || key == "" { // no key: the section as a whole
 		return s.path + key
 	}
 	return s.path + "." + key
 }
 
-func (s *section) fault(key string, value any, allowed string) {
-	f := &Fault{File: s.file, Line: s.lines[s.at(key)], Key: s.at(key), Allowed: allowed}
+func (s *section) addError(key string, value any, allowed string) {
+	f := &FieldError{File: s.file, Line: s.lines[s.keyPath(key)], Key: s.keyPath(key), Allowed: allowed}
 	if f.Line == 0 {
 		f.Line = s.lines[s.path]
 	}
@@ -220,63 +220,63 @@
 	default:
 		f.Value = fmt.Sprint(v)
 	}
-	s.faults = append(s.faults, f)
+	s.errs = append(s.errs, f)
 }
 
-func (s *section) ask(key string) (any, bool) {
-	s.asked = append(s.asked, key)
-	v, stated := s.values[key]
-	return v, stated
+func (s *section) lookup(key string) (any, bool) {
+	s.known = append(s.known, key)
+	v, present := s.values[key]
+	return v, present
 }
 
-// below is a section inside this one, nil where it is absent.
-func (s *section) below(key string) *section {
-	v, stated := s.ask(key)
-	if !stated {
+// subsection is a section inside this one, nil where it is absent.
+func (s *section) subsection(key string) *section {
+	v, present := s.lookup(key)
+	if !present {
 		return nil
 	}
-	table, is := v.(map[string]any)
-	if !is {
-		s.fault(key, v, "a section, as ["+s.at(key)+"], is allowed")
+	table, ok := v.(map[string]any)
+	if !ok {
+		s.addError(key, v, "a section, as ["+s.keyPath(key)+"], is allowed")
 		return nil
 	}
-	one := s.section(s.at(key), table)
-	one.named = key
+	one := s.section(s.keyPath(key), table)
+	one.name = key
 	return one
 }
 
-// text is a string that fits, or the one that holds where none is stated.
-func (s *section) text(key, otherwise, allowed string, fits func(string) bool) string {
-	v, stated := s.ask(key)
-	if !stated {
-		return otherwise
+// stringValue is a string that fits, or the one that holds where none is stated.
+func (s *section) stringValue(key, fallback, allowed string, valid func(string) bool) string {
+	v, present := s.lookup(key)
+	if !present {
+		return fallback
 	}
-	t, is := v.(string)
-	if !is || !fits(t) {
-		s.fault(key, v, allowed)
-		return otherwise
+	t, ok := v.(string)
+	if !ok || !valid(t) {
+		s.addError(key, v, allowed)
+		return fallback
 	}
 	return t
 }
 
-// texts is a list of different strings that fit.
-func (s *section) texts(key string, most int, allowed string, fits func(string) bool) (all []string) {
-	v, stated := s.ask(key)
-	if !stated {
+// stringList is a list of different strings that fit.
+func (s *section) stringList(key string, limit int, allowed string, valid func(string) bool) (all []string) {
+	v, present := s.lookup(key)
+	if !present {
 		return nil
 	}
-	list, is := v.([]any)
-	if !is || len(list) > most {
-		s.fault(key, v, fmt.Sprintf("a list of %d at most, each %s, is allowed", most, allowed))
+	list, ok := v.([]any)
+	if !ok || len(list) > limit {
+		s.addError(key, v, fmt.Sprintf("a list of %d at most, each %s, is allowed", limit, allowed))
 		return nil
 	}
 	for _, item := range list {
-		t, is := item.(string)
+		t, ok := item.(string)
 		switch {
-		case !is || !fits(t):
-			s.fault(key, item, "in the list, "+allowed+" is allowed")
+		case !ok || !valid(t):
+			s.addError(key, item, "in the list, "+allowed+" is allowed")
 		case slices.Contains(all, t):
-			s.fault(key, item, "stands twice in the list")
+			s.addError(key, item, "stands twice in the list")
 		default:
 			all = append(all, t)
 		}
@@ -284,115 +284,115 @@
 	return all
 }
 
-// span is a time between two bounds.
-func (s *section) span(key string, otherwise, least, most time.Duration) time.Duration {
-	v, stated := s.ask(key)
-	if !stated {
-		return otherwise
+// duration is a time between two bounds.
+func (s *section) duration(key string, fallback, lowest, highest time.Duration) time.Duration {
+	v, present := s.lookup(key)
+	if !present {
+		return fallback
 	}
-	t, is := v.(string)
+	t, ok := v.(string)
 	d, err := time.ParseDuration(t)
-	if !is || err != nil || d < least || d > most {
-		s.fault(key, v, fmt.Sprintf("a time from %q to %q is allowed", least, most))
-		return otherwise
+	if !ok || err != nil || d < lowest || d > highest {
+		s.addError(key, v, fmt.Sprintf("a time from %q to %q is allowed", lowest, highest))
+		return fallback
 	}
 	return d
 }
 
-// number is one between two bounds.
-func (s *section) number(key string, otherwise, least, most float64) float64 {
-	v, stated := s.ask(key)
-	if !stated {
-		return otherwise
+// float is one between two bounds.
+func (s *section) float(key string, fallback, lowest, highest float64) float64 {
+	v, present := s.lookup(key)
+	if !present {
+		return fallback
 	}
-	n, is := v.(float64)
+	n, ok := v.(float64)
 	if whole, also := v.(int64); also {
-		n, is = float64(whole), true
+		n, ok = float64(whole), true
 	}
-	if !is || !(n >= least && n <= most) {
-		s.fault(key, v, fmt.Sprintf("a number from %g to %g is allowed", least, most))
-		return otherwise
+	if !ok || !(n >= lowest && n <= highest) {
+		s.addError(key, v, fmt.Sprintf("a number from %g to %g is allowed", lowest, highest))
+		return fallback
 	}
 	return n
 }
 
-// whole is a whole number between two bounds.
-func (s *section) whole(key string, otherwise, least, most int) int {
-	v, stated := s.ask(key)
-	if !stated {
-		return otherwise
+// integer is a whole number between two bounds.
+func (s *section) integer(key string, fallback, lowest, highest int) int {
+	v, present := s.lookup(key)
+	if !present {
+		return fallback
 	}
-	n, is := v.(int64)
-	if !is || n < int64(least) || n > int64(most) {
-		s.fault(key, v, fmt.Sprintf("a whole number from %d to %d is allowed", least, most))
-		return otherwise
+	n, ok := v.(int64)
+	if !ok || n < int64(lowest) || n > int64(highest) {
+		s.addError(key, v, fmt.Sprintf("a whole number from %d to %d is allowed", lowest, highest))
+		return fallback
 	}
 	return int(n)
 }
 
-func (s *section) flag(key string) bool {
-	v, stated := s.ask(key)
-	set, is := v.(bool)
-	if stated && !is {
-		s.fault(key, v, "true or false is allowed")
+func (s *section) boolean(key string) bool {
+	v, present := s.lookup(key)
+	set, ok := v.(bool)
+	if present && !ok {
+		s.addError(key, v, "true or false is allowed")
 	}
 	return set
 }
 
-// all are the sections inside this one, by name.
-func (s *section) all(most int) (below []*section) {
+// subsections are the sections inside this one, by name.
+func (s *section) subsections(limit int) (below []*section) {
 	for _, name := range slices.Sorted(maps.Keys(s.values)) {
-		if len(below) == most {
-			s.fault(name, nil, fmt.Sprintf("%d at most are allowed", most))
+		if len(below) == limit {
+			s.addError(name, nil, fmt.Sprintf("%d at most are allowed", limit))
 			return below
 		}
-		if one := s.below(name); one != nil {
+		if one := s.subsection(name); one != nil {
 			below = append(below, one)
 		}
 	}
 	return below
 }
 
-// list are the sections of a list of tables.
-func (s *section) list(key string, most int) (items []*section) {
-	v, stated := s.ask(key)
-	if !stated {
+// tables are the sections of a list of tables.
+func (s *section) tables(key string, limit int) (items []*section) {
+	v, present := s.lookup(key)
+	if !present {
 		return nil
 	}
-	tables, is := v.([]any)
-	if !is || len(tables) > most {
-		s.fault(key, v, fmt.Sprintf("a list of %d at most, each as [[%s]], is allowed", most, s.at(key)))
+	tables, ok := v.([]any)
+	if !ok || len(tables) > limit {
+		s.addError(key, v, fmt.Sprintf("a list of %d at most, each as [[%s]], is allowed", limit, s.keyPath(key)))
 		return nil
 	}
 	for i, t := range tables {
-		table, is := t.(map[string]any)
-		if !is {
-			s.fault(key, t, "in the list, a table is allowed")
+		table, ok := t.(map[string]any)
+		if !ok {
+			s.addError(key, t, "in the list, a table is allowed")
 			continue
 		}
-		items = append(items, s.section(fmt.Sprintf("%s.%d", s.at(key), i), table))
+		items = append(items, s.section(fmt.Sprintf("%s.%d", s.keyPath(key), i), table))
 	}
 	return items
 }
 
-// end makes faults of the keys that nobody asked for.
-func (s *section) end() {
+// rejectUnknown makes faults of the keys that nobody asked for.
+func (s *section) rejectUnknown() {
 	for _, key := range slices.Sorted(maps.Keys(s.values)) {
-		if !slices.Contains(s.asked, key) {
-			slices.Sort(s.asked)
-			s.fault(key, s.values[key], "unknown; allowed are "+strings.Join(s.asked, ", "))
+		if !slices.Contains(s.known, key) {
+			slices.Sort(s.known)
+			s.addError(key, s.values[key], "unknown; allowed are "+strings.Join(s.known, ", "))
 		}
 	}
 }
 
-// address tells whether a text is an address and a port that need no look-up of names.
-func address(text string) bool {
+// isAddress tells whether a text is an address and a port that need no look-up of names.
+func isAddress(text string) bool {
 	a, err := netip.ParseAddrPort(text)
 	return err == nil && a.Port() > 0
 }
 
-// loopback tells whether an address can be reached from this machine alone.
-func loopback(text string) bool {
+// isLoopback tells whether an address can be reached from this machine alone.
+func isLoopback(text string) bool {
 	a, err := netip.ParseAddrPort(text)
 	return err == nil && a.Addr().IsLoopback()
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,11 +24,11 @@
 `))
 	require.NoError(t, err)
 	assert.Equal(t, &Peers{
-		Listen: "127.0.0.1:7400", Ask: []string{"127.0.0.1:7401", "[::1]:7402"}, Total: time.Second,
+		Listen: "127.0.0.1:7400", Addresses: []string{"127.0.0.1:7401", "[::1]:7402"}, Timeout: time.Second,
 	}, got.Peers)
 	got, err = Parse("x.toml", []byte("[peers]\nlisten = \"10.0.0.4:7400\"\nkey-file = \"k\""))
 	require.NoError(t, err)
-	assert.Equal(t, totalDefault, got.Peers.Total)
+	assert.Equal(t, defaultPeerTimeout, got.Peers.Timeout)
 	got, err = Parse("x.toml", nil)
 	require.NoError(t, err)
 	assert.Nil(t, got.Peers, "absent is off")
@@ -43,17 +43,17 @@
 	got, err := Parse("x.toml", []byte("[peers]\nlisten = \"127.0.0.1:7400\"\nask = ["+strings.Join(ask, ",")+
 		"]\n[lease]\nduties = [\"compact\"]"))
 	require.NoError(t, err)
-	assert.Len(t, got.Peers.Ask, 1024)
+	assert.Len(t, got.Peers.Addresses, 1024)
 	assert.Equal(t, 1025, got.Lease.Config.Voters)
 }
 
 func TestState(t *testing.T) {
 	got, err := Parse("x.toml", []byte("[state]\ndir = \"d\"\nsite = \"s\"\nnumbers = true\ncommit = \"0s\"\nmost-mb = 8"))
 	require.NoError(t, err)
-	assert.Equal(t, &State{Dir: "d", Site: "s", Numbers: true, Most: 8 << 20}, got.State)
+	assert.Equal(t, &State{Dir: "d", Site: "s", IdempotencyKeys: true, MaxBytes: 8 << 20}, got.State)
 	got, err = Parse("x.toml", []byte("[state]\ndir = \"d\""))
 	require.NoError(t, err)
-	assert.Equal(t, &State{Dir: "d", Commit: commitDefault, Most: mostStateMB << 20}, got.State)
+	assert.Equal(t, &State{Dir: "d", CommitInterval: defaultCommitInterval, MaxBytes: defaultStateMB << 20}, got.State)
 }
 
 func TestLease(t *testing.T) {
@@ -159,7 +159,7 @@
 	_, err := Read("/nowhere.toml")
 	assert.ErrorContains(t, err, "/nowhere.toml")
 	path := filepath.Join(t.TempDir(), "big.toml")
-	require.NoError(t, os.WriteFile(path, make([]byte, mostFile+1), 0o600))
+	require.NoError(t, os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600))
 	_, err = Read(path)
 	assert.ErrorContains(t, err, "at most")
 	_, err = Read("../../deploy/quartzpoint.toml")
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Service is what the configuration file of the configuration service states.
-type Service struct {
+// ControlService is what the configuration file of the configuration service states.
+type ControlService struct {
 	Name     string // of this machine; empty where the file is only read to ask the others
 	Data     string // folder of the replicated log
 	KeyFile  string // shared secrets; empty: loopback addresses only
-	Machines []ControlMachine
+	Machines []ControlNode
 }
 
-// ControlMachine is one machine of the configuration service.
-type ControlMachine struct {
+// ControlNode is one machine of the configuration service.
+type ControlNode struct {
 	Name        string
 	Zone        string
 	Replication string // address by which the machines reach each other
 	Sessions    string // address that watchers and operators ask
-	Reach       string // at which this machine dials the other's replication, where that differs
+	DialAddress string // at which this machine dials the other's replication, where that differs
 }
 
-// maxControlMachines bounds the list alone; a few machines agree on a change quickest, and five outlast two losses.
-const maxControlMachines = 1024
+// maxControlNodes bounds the list alone; a few machines agree on a change quickest, and five outlast two losses.
+const maxControlNodes = 1024
 
-// ReadService reads the file whole. The error joins all faults.
-func ReadService(path string) (*Service, error) {
-	service := &Service{}
+// ReadControlService reads the file whole. The error joins all faults.
+func ReadControlService(path string) (*ControlService, error) {
+	service := &ControlService{}
 	err := readFile(path, func(top *section) { service.read(top) })
 	if err != nil {
 		return nil, err
@@ -35,41 +35,41 @@
 	return service, nil
 }
 
-func notEmpty(text string) bool { return text != "" }
+func isNotEmpty(text string) bool { return text != "" }
 
-func (v *Service) read(top *section) {
+func (c *ControlService) read(top *section) {
 	const anAddress = "an address and port without a name, as \"127.0.0.1:7500\", is allowed"
-	v.Name = top.text("name", "", "the name of one of the machines is allowed", notEmpty)
-	v.Data = top.text("data", "", "a path is allowed", notEmpty)
-	v.KeyFile = top.text("key-file", "", "a path is allowed", notEmpty)
+	c.Name = top.stringValue("name", "", "the name of one of the machines is allowed", isNotEmpty)
+	c.Data = top.stringValue("data", "", "a path is allowed", isNotEmpty)
+	c.KeyFile = top.stringValue("key-file", "", "a path is allowed", isNotEmpty)
 	var names []string
-	for _, one := range top.list("machine", maxControlMachines) {
-		m := ControlMachine{
-			Name:        one.text("name", "", "a name is allowed", notEmpty),
-			Zone:        one.text("zone", "", "a name is allowed", notEmpty),
-			Replication: one.text("replication", "", anAddress, address),
-			Sessions:    one.text("sessions", "", anAddress, address),
-			Reach:       one.text("reach", "", anAddress, address),
+	for _, one := range top.tables("machine", maxControlNodes) {
+		m := ControlNode{
+			Name:        one.stringValue("name", "", "a name is allowed", isNotEmpty),
+			Zone:        one.stringValue("zone", "", "a name is allowed", isNotEmpty),
+			Replication: one.stringValue("replication", "", anAddress, isAddress),
+			Sessions:    one.stringValue("sessions", "", anAddress, isAddress),
+			DialAddress: one.stringValue("reach", "", anAddress, isAddress),
 		}
 		for key, value := range map[string]string{"name": m.Name, "replication": m.Replication, "sessions": m.Sessions} {
-			if _, stated := one.values[key]; !stated {
-				one.fault(key, nil, "is needed")
-			} else if key != "name" && value != "" && v.KeyFile == "" && !loopback(value) {
-				one.fault(key, value, "without key-file only a loopback address is allowed")
+			if _, present := one.values[key]; !present {
+				one.addError(key, nil, "is needed")
+			} else if key != "name" && value != "" && c.KeyFile == "" && !isLoopback(value) {
+				one.addError(key, value, "without key-file only a loopback address is allowed")
 			}
 		}
 		if slices.Contains(names, m.Name) {
-			one.fault("name", m.Name, "is the name of another machine")
+			one.addError("name", m.Name, "is the name of another machine")
 		}
-		one.end()
+		one.rejectUnknown()
 		names = append(names, m.Name)
-		v.Machines = append(v.Machines, m)
+		c.Machines = append(c.Machines, m)
 	}
-	if len(v.Machines) == 0 {
-		top.fault("machine", nil, "at least one [[machine]] is needed")
+	if len(c.Machines) == 0 {
+		top.addError("machine", nil, "at least one [[machine]] is needed")
 	}
-	if v.Name != "" && !slices.Contains(names, v.Name) {
-		top.fault("name", v.Name, fmt.Sprintf("is none of the machines, which are %v", names))
+	if c.Name != "" && !slices.Contains(names, c.Name) {
+		top.addError("name", c.Name, fmt.Sprintf("is none of the machines, which are %v", names))
 	}
-	top.end()
+	top.rejectUnknown()
 }
