--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -25,7 +25,7 @@
 	return &Route{LatencyTarget: 1000, Deadline: deadline, Value: 1, Idempotency: Retryable}
 }
 
-// drawChange is a change that a document may accept, of a few names, so that they come again.
+// drawChange draws a valid change of a document. It uses few names, so that entries are changed and removed again.
 func drawChange(t *rapid.T, d *Document) Change {
 	change := Change{ReplaceAll: rapid.Float64Range(0, 1).Draw(t, "whole") > 0.9, Routes: map[string]*Route{"always": route(1)}, Tenants: map[string]*Tenant{}}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 6, rapid.ID).Draw(t, "names") {
@@ -44,9 +44,9 @@
 	return change
 }
 
-// A snapshot of any version with the deltas behind it is the whole, in content, digest and bytes; a history that was
-// kept and read again gives the same; and what a watcher of any version lacks takes it to the newest.
-func TestSnapshotAndDeltasAreTheWhole(t *testing.T) {
+// A watcher may be at any version when it connects. The snapshot of that version and the deltas after it must lead to the
+// latest document, equal in content, digest and bytes, also after the history was encoded and decoded.
+func TestSnapshotAndDeltasReachTheDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHistory(NewDocument())
 		snapshots := [][]byte{h.Document.Snapshot()}
@@ -57,37 +57,37 @@
 			require.Equal(t, uint64(i+1), version)
 			snapshots = append(snapshots, h.Document.Snapshot())
 		}
-		kept, err := DecodeHistory(h.Encode())
+		decoded, err := DecodeHistory(h.Encode())
 		require.NoError(t, err)
-		assert.Equal(t, h.Encode(), kept.Encode())
+		assert.Equal(t, h.Encode(), decoded.Encode())
 		for version, raw := range snapshots {
 			d, err := DecodeSnapshot(raw)
 			require.NoError(t, err)
-			straight := d.Clone()
-			require.NoError(t, straight.applyFromAnyVersion(Diff(d, h.Document)))
-			deltas, whole := kept.Since(uint64(version))
-			require.False(t, whole)
+			direct := d.Clone()
+			require.NoError(t, direct.applyFromAnyVersion(Diff(d, h.Document)))
+			deltas, needsSnapshot := decoded.Since(uint64(version))
+			require.False(t, needsSnapshot)
 			for _, raw := range deltas {
 				delta, err := DecodeDelta(raw)
 				require.NoError(t, err)
 				require.NoError(t, d.Apply(delta))
 			}
 			assert.Equal(t, h.Document, d)
-			assert.Equal(t, h.Document, straight)
+			assert.Equal(t, h.Document, direct)
 			assert.Equal(t, h.Document.Snapshot(), d.Snapshot())
 		}
 	})
 }
 
-// applyFromAnyVersion takes a delta of any two versions.
+// applyFromAnyVersion applies a delta between any two versions.
 func (d *Document) applyFromAnyVersion(delta Delta) error {
 	d.Version = delta.Version - 1
 	return d.Apply(delta)
 }
 
-// A delta that does not follow, or of which a part is another, changes nothing; nor does a snapshot with any byte wrong
-// pass for one, unless its content is the same.
-func TestDamageIsDroppedWhole(t *testing.T) {
+// Deltas and snapshots can be damaged on the network or on disk, or arrive out of order. A delta that does not follow or
+// was altered must change nothing, and a snapshot with a flipped bit must be rejected unless its content is the same.
+func TestCorruptContentIsRejected(t *testing.T) {
 	h := NewHistory(NewDocument())
 	for i := range 3 {
 		_, err := h.Accept(Change{Routes: map[string]*Route{fmt.Sprint("r", i): route(1)}, Tenants: map[string]*Tenant{"t": {QuotaRPS: float64(i)}}})
@@ -112,22 +112,22 @@
 	assert.ErrorIs(t, d.Apply(second), ErrCorrupt)
 	assert.Equal(t, before, d)
 
-	whole := h.Document.Snapshot()
-	for i := range whole {
+	snapshot := h.Document.Snapshot()
+	for i := range snapshot {
 		for _, bit := range []byte{1, 0x80} {
-			bad := slices.Clone(whole)
+			bad := slices.Clone(snapshot)
 			bad[i] ^= bit
 			if got, err := DecodeSnapshot(bad); err == nil {
-				got.Version = h.Document.Version // the version is not content; who asks for one sees to it
+				got.Version = h.Document.Version // the version is not part of the digest; Document.Apply checks it
 				assert.Equal(t, h.Document, got, "byte %d", i)
 			}
 		}
-		_, err := DecodeSnapshot(whole[:i])
+		_, err := DecodeSnapshot(snapshot[:i])
 		assert.ErrorIs(t, err, ErrCorrupt, "cut at %d", i)
 	}
 }
 
-// Every fault of a change is told at once, by key, and nothing is taken of it.
+// An operator gets all violations of a change at once, by key, and none of the change is applied.
 func TestFaults(t *testing.T) {
 	h := NewHistory(NewDocument())
 	_, err := h.Accept(Change{ID: "first", Routes: map[string]*Route{"pay": route(9)}, Tenants: map[string]*Tenant{"north": {QuotaRPS: 1}}})
@@ -139,10 +139,10 @@
 "key":{"goal-time":1,"deadline":1,"idempotency":"dedup"},"gone":null,"pay":null},
 "tenants":{"south":{"quota-rps":-1,"fraction":3},"west":null}}`), &change))
 	_, err = h.Accept(change)
-	var refusal *ValidationError
-	require.ErrorAs(t, err, &refusal)
+	var validationErr *ValidationError
+	require.ErrorAs(t, err, &validationErr)
 	var keys []string
-	for _, f := range refusal.Violations {
+	for _, f := range validationErr.Violations {
 		keys = append(keys, f.Key)
 	}
 	assert.Equal(t, []string{
@@ -161,14 +161,15 @@
 		"a rate of no size": {Tenants: map[string]*Tenant{"north": {QuotaRPS: nan()}}},
 	} {
 		_, err := h.Accept(c)
-		assert.ErrorAs(t, err, &refusal, name)
+		assert.ErrorAs(t, err, &validationErr, name)
 		assert.Equal(t, before, h.Document, name)
 	}
 }
 
 func nan() float64 { zero := 0.0; return zero / zero }
 
-// The same change sent twice is accepted once, and a change made on an older version not at all.
+// The response to a change may be lost, so the operator proposes it again: the same ID is accepted once, also after a
+// restart. A change that was made on an older version is rejected.
 func TestOnceAndInOrder(t *testing.T) {
 	h := NewHistory(NewDocument())
 	change := Change{ID: "a", Routes: map[string]*Route{"pay": route(1)}}
@@ -186,26 +187,26 @@
 	require.NoError(t, err)
 	version, err := again.Accept(change)
 	require.NoError(t, err)
-	assert.Equal(t, uint64(1), version, "ids outlast a restart")
+	assert.Equal(t, uint64(1), version, "IDs survive a restart")
 }
 
-// What is kept for watchers is bounded; one that is too far behind, or ahead of this history, wants a snapshot.
+// The stored deltas are bounded. A watcher that is too far behind, or ahead of this history, needs a snapshot.
 func TestSince(t *testing.T) {
 	h := NewHistory(NewDocument())
 	for i := range maxDeltas + 10 {
 		_, err := h.Accept(Change{ID: fmt.Sprint(i), Routes: map[string]*Route{"pay": route(int64(i%2 + 1))}})
 		require.NoError(t, err)
 	}
-	newest := h.Document.Version
-	deltas, whole := h.Since(newest)
+	latest := h.Document.Version
+	deltas, needsSnapshot := h.Since(latest)
 	assert.Empty(t, deltas)
-	assert.False(t, whole)
-	deltas, whole = h.Since(newest - maxDeltas)
+	assert.False(t, needsSnapshot)
+	deltas, needsSnapshot = h.Since(latest - maxDeltas)
 	assert.Len(t, deltas, maxDeltas)
-	assert.False(t, whole)
-	for _, version := range []uint64{0, newest - maxDeltas - 1, newest + 1} {
-		_, whole = h.Since(version)
-		assert.True(t, whole, version)
+	assert.False(t, needsSnapshot)
+	for _, version := range []uint64{0, latest - maxDeltas - 1, latest + 1} {
+		_, needsSnapshot = h.Since(version)
+		assert.True(t, needsSnapshot, version)
 	}
 	assert.Len(t, h.versionByID, maxIDs)
 	assert.Len(t, slices.Collect(maps.Keys(h.versionByID)), maxIDs)
--- a/configuration/history.go
+++ b/configuration/history.go
@@ -1,33 +1,32 @@
 package configuration
 
-import "fmt"
-
 const (
-	maxDeltaBytes = 8 << 20 // of the deltas that a History keeps for watchers
-	maxDeltas     = 4096    // of them
-	maxIDs        = 1024    // of changes that are remembered, so that one sent again while its answer is on the way is known
+	maxDeltaBytes = 8 << 20 // of all stored deltas
+	maxDeltas     = 4096
+	maxIDs        = 1024 // enough to recognize a change that is proposed again because its response was lost
 )
 
-// History is a document with the latest deltas that led to it, and the ids of the latest changes.
+// History is a document with the latest deltas that led to it and the IDs of the latest changes. It is not safe for
+// concurrent use.
 type History struct {
 	Document    *Document
-	deltas      [][]byte // the last one leads to the document's version
+	deltas      [][]byte // encoded, consecutive; the last one leads to the document's version
 	deltaBytes  int
 	versionByID map[string]uint64
-	idOrder     []string // of the ids, oldest first
+	idOrder     []string // oldest first
 }
 
-// NewHistory begins at a document.
+// NewHistory returns a history that begins at a document.
 func NewHistory(d *Document) *History { return &History{Document: d, versionByID: map[string]uint64{}} }
 
-// VersionOf is the version that a change with the id became, if it is remembered.
+// VersionOf returns the version that the change with an ID became, if the ID is still remembered.
 func (h *History) VersionOf(id string) (version uint64, known bool) {
 	version, known = h.versionByID[id]
 	return version, known && id != ""
 }
 
-// Accept checks a change and takes it. A change whose id was accepted before is not taken again: its version is given
-// once more.
+// Accept validates and applies a change, and returns its version. For an ID that was accepted before it only returns the
+// version of then. The error is a *ValidationError.
 func (h *History) Accept(change Change) (version uint64, err error) {
 	if version, known := h.VersionOf(change.ID); known {
 		return version, nil
@@ -45,7 +44,7 @@
 	h.deltas, h.deltaBytes = append(h.deltas, raw), h.deltaBytes+len(raw)
 	for len(h.deltas) > maxDeltas || h.deltaBytes > maxDeltaBytes {
 		h.deltaBytes -= len(h.deltas[0])
-		h.deltas[0] = nil
+		h.deltas[0] = nil // the array outlives the slice; the bytes need not
 		h.deltas = h.deltas[1:]
 	}
 }
@@ -62,45 +61,12 @@
 	h.idOrder = append(h.idOrder, id)
 }
 
-// Since gives the deltas, as bytes, that a watcher at a version lacks. Where they are not all kept, or the version is not
-// one of this history, whole is true: the watcher wants a snapshot.
+// Since returns the encoded deltas after a version. needsSnapshot is true where they are no longer stored or the version
+// is not one of this history: then only a snapshot leads to the latest version.
 func (h *History) Since(version uint64) (deltas [][]byte, needsSnapshot bool) {
-	newest := h.Document.Version
-	if version > newest || newest-version > uint64(len(h.deltas)) {
+	latest := h.Document.Version
+	if version > latest || latest-version > uint64(len(h.deltas)) {
 		return nil, true
 	}
-	return h.deltas[uint64(len(h.deltas))-(newest-version):], false
-}
-
-// historyRecord is the form of a history on disk.
-type historyRecord struct {
-	Document []byte            `cbor:"1,keyasint"`
-	Deltas   [][]byte          `cbor:"2,keyasint,omitempty"`
-	IDs      map[string]uint64 `cbor:"3,keyasint,omitempty"`
-	Order    []string          `cbor:"4,keyasint,omitempty"`
-}
-
-// Encode is the whole history as it is kept.
-func (h *History) Encode() []byte {
-	return encode(historyRecord{h.Document.Snapshot(), h.deltas, h.versionByID, h.idOrder})
-}
-
-// DecodeHistory takes a history that was kept, or nothing of it.
-func DecodeHistory(raw []byte) (*History, error) {
-	var k historyRecord
-	if err := decMode.Unmarshal(raw, &k); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
-	}
-	d, err := DecodeSnapshot(k.Document)
-	if err != nil {
-		return nil, err
-	}
-	h := NewHistory(d)
-	for _, delta := range k.Deltas {
-		h.appendDelta(delta)
-	}
-	for _, id := range k.Order {
-		h.recordID(id, k.IDs[id])
-	}
-	return h, nil
+	return h.deltas[uint64(len(h.deltas))-(latest-version):], false
 }
--- a/configuration/file.go
+++ b/configuration/parse.go
@@ -8,8 +8,8 @@
 	"io"
 )
 
-// ParseChange takes the text of a file: a Change as JSON, or a platform configuration, whose routes and tenants are then
-// all that there are to be. Keys that a change does not have are faults.
+// ParseChange parses a file: either a Change as JSON, where unknown keys are an error, or a platform configuration (an
+// object with "settings"), which becomes the change that replaces all routes and tenants by its own.
 func ParseChange(raw []byte) (Change, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil {
@@ -30,7 +30,7 @@
 	return change, nil
 }
 
-// platformConfig are the parts of the platform's settings that a document holds.
+// platformConfig is the part of the platform's settings that a document holds.
 type platformConfig struct {
 	Services []struct {
 		Name string `json:"name"`
@@ -41,12 +41,12 @@
 		Tenant
 	} `json:"tenants"`
 	Extra struct {
-		Calls []bool    `json:"calls-by-class"`
-		Skips []float64 `json:"class-skip-worth"`
+		CallsDependency []bool    `json:"calls-by-class"`   // by the index of the service
+		SkipValueShares []float64 `json:"class-skip-worth"` // likewise
 	} `json:"extra"`
 }
 
-// parsePlatform makes the change that has exactly what a platform configuration states.
+// parsePlatform returns the change that replaces everything by the routes and tenants of a platform configuration.
 func parsePlatform(raw []byte) (Change, error) {
 	var settings platformConfig
 	if err := json.Unmarshal(raw, &settings); err != nil {
@@ -55,11 +55,11 @@
 	change := Change{ReplaceAll: true, Routes: map[string]*Route{}, Tenants: map[string]*Tenant{}}
 	for i, service := range settings.Services {
 		route := service.Route
-		if i < len(settings.Extra.Calls) {
-			route.CallsDependency = settings.Extra.Calls[i]
+		if i < len(settings.Extra.CallsDependency) {
+			route.CallsDependency = settings.Extra.CallsDependency[i]
 		}
-		if i < len(settings.Extra.Skips) {
-			route.SkipValueShare = settings.Extra.Skips[i]
+		if i < len(settings.Extra.SkipValueShares) {
+			route.SkipValueShare = settings.Extra.SkipValueShares[i]
 		}
 		if change.Routes[service.Name] != nil {
 			return Change{}, fmt.Errorf("settings: services.%d.name: %q stands twice", i, service.Name)
