--- a/cmd/quartzconfig/serve.go
+++ b/cmd/quartzconfig/serve.go
@@ -53,7 +53,7 @@
 }
 
 // clusterMembers gives this machine, all of them as the log knows them, and their addresses for sessions by name.
-func clusterMembers(stated *config.ControlService) (own config.ControlNode, members []raftlog.Member, sessions map[string]string) {
+func clusterMembers(stated *config.ControlService) (own config.ControlMachine, members []raftlog.Member, sessions map[string]string) {
 	sessions = map[string]string{}
 	for _, m := range stated.Machines {
 		if m.Name == stated.Name {
--- a/configuration/change.go
+++ b/configuration/change.go
@@ -39,8 +39,8 @@
 
 // Tenant is the configuration of a tenant.
 type Tenant struct {
-	QuotaRPS  float64 `json:"quota-rps" cbor:"1,keyasint"` // requests per second over the whole fleet
-	WorkShare float64 `json:"fraction" cbor:"2,keyasint,omitempty"`
+	QuotaRPS     float64 `json:"quota-rps" cbor:"1,keyasint"` // requests per second over the whole fleet
+	TrafficShare float64 `json:"fraction" cbor:"2,keyasint,omitempty"`
 }
 
 // Change is a proposed change. A route or tenant with a nil value (JSON null) is removed; any other value replaces the
--- a/configuration/validate.go
+++ b/configuration/validate.go
@@ -157,5 +157,5 @@
 		return
 	}
 	v.checkRange(prefix+"quota-rps", tenant.QuotaRPS, 0, maxQuotaRPS)
-	v.checkRange(prefix+"fraction", tenant.WorkShare, 0, 1)
+	v.checkRange(prefix+"fraction", tenant.TrafficShare, 0, 1)
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -10,11 +10,11 @@
 	Name     string // of this machine; empty where the file is only read to ask the others
 	Data     string // folder of the replicated log
 	KeyFile  string // shared secrets; empty: loopback addresses only
-	Machines []ControlNode
+	Machines []ControlMachine
 }
 
-// ControlNode is one machine of the configuration service.
-type ControlNode struct {
+// ControlMachine is one machine of the configuration service.
+type ControlMachine struct {
 	Name        string
 	Zone        string
 	Replication string // address by which the machines reach each other
@@ -22,8 +22,8 @@
 	DialAddress string // at which this machine dials the other's replication, where that differs
 }
 
-// maxControlNodes bounds the list alone; a few machines agree on a change quickest, and five outlast two losses.
-const maxControlNodes = 1024
+// maxControlMachines bounds the list alone; a few machines agree on a change quickest, and five outlast two losses.
+const maxControlMachines = 1024
 
 // ReadControlService reads the file whole. The error joins all faults.
 func ReadControlService(path string) (*ControlService, error) {
@@ -43,8 +43,8 @@
 	c.Data = top.stringValue("data", "", "a path is allowed", isNotEmpty)
 	c.KeyFile = top.stringValue("key-file", "", "a path is allowed", isNotEmpty)
 	var names []string
-	for _, one := range top.tables("machine", maxControlNodes) {
-		m := ControlNode{
+	for _, one := range top.tables("machine", maxControlMachines) {
+		m := ControlMachine{
 			Name:        one.stringValue("name", "", "a name is allowed", isNotEmpty),
 			Zone:        one.stringValue("zone", "", "a name is allowed", isNotEmpty),
 			Replication: one.stringValue("replication", "", anAddress, isAddress),
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -11,35 +11,15 @@
 	"quartzpoint/internal/peersync"
 )
 
-// ErrUnavailable tells that no control machine said what became of a change. It may have been accepted all the same; the
-// same change with the same id may be proposed again.
+// ErrUnavailable says that no control machine reported the outcome of a request. A proposed change may have been accepted
+// all the same; it is safe to propose it again under the same ID.
 var ErrUnavailable = errors.New("configuration service not reached")
 
-// responseTimeout is how long a machine may take to answer.
 const responseTimeout = 10 * time.Second
 
-// call has one talk with a machine.
-func call(ctx context.Context, address string, keys peersync.Keys, request Request, answer any) error {
-	opening, cancel := context.WithTimeout(ctx, dialTimeout)
-	defer cancel()
-	session, err := peersync.Open(opening, address, keys)
-	if err != nil {
-		return err
-	}
-	defer session.Close()
-	defer context.AfterFunc(ctx, func() { session.Close() })()
-	if err := session.Send(Encode(request)); err != nil {
-		return err
-	}
-	raw, err := session.Receive(MaxResponseBytes, responseTimeout)
-	if err != nil {
-		return err
-	}
-	return Decode(raw, answer)
-}
-
-// Propose asks the machines, one after the other until the context ends, to accept a change, and gives the version that
-// it became. The error is a *configuration.Refusal where it was refused, and ErrUnavailable where nobody could tell.
+// Propose proposes a change to the control machines, one after the other until the context ends, and returns the version
+// that it became. The error is a *configuration.ValidationError where the change was rejected, and wraps ErrUnavailable
+// where the outcome is unknown.
 func Propose(ctx context.Context, addresses []string, keys peersync.Keys, change configuration.Change) (uint64, error) {
 	raw, err := json.Marshal(change)
 	if err != nil {
@@ -50,36 +30,82 @@
 			Key: "change", Value: fmt.Sprintf("%d bytes", len(raw)), Allowed: fmt.Sprintf("%d bytes at most are allowed", configuration.MaxChangeBytes),
 		}}}
 	}
-	failed := []error{ErrUnavailable}
+	failures := []error{ErrUnavailable} // and the first failure of each address
 	leader := ""
-	for tries := 0; ; tries++ {
-		address := addresses[tries%len(addresses)]
+	for attempt := 0; ; attempt++ {
+		address := addresses[attempt%len(addresses)]
 		if leader != "" {
 			address, leader = leader, ""
 		}
-		var outcome ChangeResponse
-		switch err := call(ctx, address, keys, Request{Change: raw}, &outcome); {
+		var response ChangeResponse
+		switch err := call(ctx, address, keys, Request{Change: raw}, &response); {
 		case err != nil:
-			failed = append(failed, err)
-		case outcome.Version > 0:
-			return outcome.Version, nil
-		case len(outcome.Violations) > 0:
-			return 0, &configuration.ValidationError{Violations: outcome.Violations}
-		case outcome.Leader != "" && outcome.Leader != address:
-			leader = outcome.Leader
-			tries--
+			failures = append(failures, err)
+		case response.Version > 0:
+			return response.Version, nil
+		case len(response.Violations) > 0:
+			return 0, &configuration.ValidationError{Violations: response.Violations}
+		case response.Leader != "" && response.Leader != address:
+			leader = response.Leader
+			attempt-- // the redirect is no attempt of its own
 		default:
-			failed = append(failed, fmt.Errorf("%s: %s", address, outcome.Error))
+			failures = append(failures, fmt.Errorf("%s: %s", address, response.Error))
 		}
-		failed = failed[:min(len(failed), 1+len(addresses))]
-		if wait := tries >= len(addresses)-1 && leader == ""; wait && !sleep(ctx, minBackoff) || ctx.Err() != nil {
-			return 0, errors.Join(append(failed, ctx.Err())...)
+		failures = failures[:min(len(failures), 1+len(addresses))]
+		allTried := attempt >= len(addresses)-1 && leader == ""
+		if allTried && !sleep(ctx, minBackoff) || ctx.Err() != nil {
+			return 0, errors.Join(append(failures, ctx.Err())...)
 		}
 	}
 }
 
-// FetchStatus asks one machine how it and its watchers stand.
-func FetchStatus(ctx context.Context, address string, keys peersync.Keys) (status ReplicaStatus, err error) {
-	err = call(ctx, address, keys, Request{Status: &StatusRequest{}}, &status)
+// FetchStatus asks one control machine for its status.
+func FetchStatus(ctx context.Context, address string, keys peersync.Keys) (ReplicaStatus, error) {
+	var status ReplicaStatus
+	err := call(ctx, address, keys, Request{Status: &StatusRequest{}}, &status)
 	return status, err
 }
+
+// call sends one request in a session of its own, and decodes the response.
+func call(ctx context.Context, address string, keys peersync.Keys, request Request, response any) error {
+	session, closeSession, err := openSession(ctx, address, keys)
+	if err != nil {
+		return err
+	}
+	defer closeSession()
+	if err := session.Send(Encode(request)); err != nil {
+		return err
+	}
+	raw, err := session.Receive(MaxResponseBytes, responseTimeout)
+	if err != nil {
+		return err
+	}
+	return Decode(raw, response)
+}
+
+// openSession opens a session that is also closed when the context ends, so that a blocked Send or Receive returns. The
+// caller calls closeSession when it is done.
+func openSession(ctx context.Context, address string, keys peersync.Keys) (session *peersync.Session, closeSession func(), err error) {
+	opening, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	if session, err = peersync.Open(opening, address, keys); err != nil {
+		return nil, nil, err
+	}
+	stop := context.AfterFunc(ctx, func() { _ = session.Close() })
+	return session, func() {
+		stop()
+		_ = session.Close()
+	}, nil
+}
+
+// sleep waits, and returns false as soon as the context ends.
+func sleep(ctx context.Context, wait time.Duration) bool {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -1,3 +1,6 @@
+// Package configwatch is the app server's client of the configuration service. A Watcher holds a session with one of the
+// control machines, receives the deltas or snapshots that the server lacks, applies them in order, reports the version in
+// force, and stores it for the next start. The package also defines the service's messages, for both of its sides.
 package configwatch
 
 import (
@@ -15,121 +18,112 @@
 )
 
 const (
-	contactTimeout  = 3 * Heartbeat          // after which a control machine is taken for lost
-	dialTimeout     = time.Second            // for the opening of a session
-	minBackoff      = 100 * time.Millisecond // before the next machine is tried, on the mean; doubled up to the longest
+	contactTimeout  = 3 * Heartbeat // without a message, after which the machine is considered lost
+	dialTimeout     = time.Second
+	minBackoff      = 100 * time.Millisecond // mean wait before the next attempt; doubled up to maxBackoff
 	maxBackoff      = 2 * time.Second
-	maxRetryAfter   = 4 * time.Second // that a machine may ask a watcher to stay away
-	reconnectSpread = time.Second     // reconnects of a fleet whose machine is lost come over this time
+	maxRetryAfter   = 4 * time.Second // bound of the Retry-After of a machine
+	reconnectSpread = time.Second     // over which the watchers of a lost machine reconnect
 )
 
-// Endpoint is a control machine.
+// Endpoint is where a control machine is reached.
 type Endpoint struct {
 	Zone    string
 	Address string
 }
 
-// Store keeps the version in force for the next start. It is called by one goroutine.
+// Store stores the version in force for the next start. It is called by one goroutine.
 type Store interface {
-	// Replace keeps a whole document, in the place of all that was kept.
+	// Replace stores a whole document in place of everything before it.
 	Replace(d *configuration.Document) error
-	// Append keeps a delta behind what is kept.
+	// Append stores the delta that led to the document d.
 	Append(delta configuration.Delta, d *configuration.Document) error
 }
 
-// Watcher has a server follow the configuration service. All fields but Document are needed before Run.
+// Watcher keeps a server's configuration at the latest version of the service. The exported fields are set before Run
+// and not changed after; Run owns Document.
 type Watcher struct {
-	Name      string // that operators know the server by
-	Zone      string // its own: machines of it are tried first
-	Endpoints []Endpoint
+	Name      string     // of the server, in the status of the service
+	Zone      string     // of the server; endpoints of it are tried first
+	Endpoints []Endpoint // at least one
 	Keys      peersync.Keys
-	Document  *configuration.Document // in force now; the watcher's own from Run on
-	// Apply has a delta, which leads to a document, come into force and returns once it is, or why it cannot; then nothing
-	// of it is in force. It keeps nothing of the document.
+	Document  *configuration.Document // in force
+	// Apply applies a delta, which leads to the document to, and returns once it is in force. Where it returns an error
+	// nothing of the delta is in force. It must not retain the document.
 	Apply  func(ctx context.Context, delta configuration.Delta, to *configuration.Document) error
-	Store  Store // nil where nothing is kept
-	Seed   int64
+	Store  Store // nil where nothing is stored
+	Seed   int64 // of the backoff and of the order of endpoints
 	Logger *slog.Logger
 
-	attempted   map[string]bool // addresses of machines that were lost or not reached since all were tried
+	attempted   map[string]bool // addresses that were tried since all were
 	version     atomic.Uint64
 	connected   atomic.Bool
-	lastContact atomic.Int64 // when a machine was last heard of, in Unix nanoseconds; 0 for never
+	lastContact atomic.Int64 // Unix nanoseconds of the last message; 0 for never
 }
 
-// WatcherStatus is how a watch stands.
+// WatcherStatus is the state of a Watcher.
 type WatcherStatus struct {
 	Version      uint64        `json:"version"`   // in force
 	Connected    bool          `json:"connected"` // to a control machine
-	SinceContact time.Duration `json:"silent_ns"` // since a control machine was last heard of; negative for never
+	SinceContact time.Duration `json:"silent_ns"` // since the last message of a control machine; negative for never
 }
 
-// Status may be asked for by any goroutine.
+// Status returns the present state. It is safe for concurrent use.
 func (w *Watcher) Status() WatcherStatus {
-	s := WatcherStatus{Version: w.version.Load(), Connected: w.connected.Load(), SinceContact: -1}
-	if heard := w.lastContact.Load(); heard > 0 {
-		s.SinceContact = time.Since(time.Unix(0, heard))
+	status := WatcherStatus{Version: w.version.Load(), Connected: w.connected.Load(), SinceContact: -1}
+	if last := w.lastContact.Load(); last > 0 {
+		status.SinceContact = time.Since(time.Unix(0, last))
 	}
-	return s
+	return status
 }
 
-// Run follows the service until the context ends.
+// Run watches the service, and reconnects with backoff, until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	w.version.Store(w.Document.Version)
-	chance := rand.New(rand.NewSource(w.Seed))
-	pause := minBackoff
+	random := rand.New(rand.NewSource(w.Seed))
+	backoff := minBackoff
 	for {
-		machine := w.nextEndpoint(chance)
-		began := time.Now()
-		err := w.runSession(ctx, machine)
+		endpoint := w.nextEndpoint(random)
+		started := time.Now()
+		err := w.runSession(ctx, endpoint)
 		w.connected.Store(false)
 		if ctx.Err() != nil {
 			return
 		}
-		held := time.Since(began) > contactTimeout
-		if held { // the machine was there: all its watchers come at once
-			pause = minBackoff
-		}
-		w.Logger.Warn("configuration: no word of the control machine", "machine", machine.Address, "error", err,
+		w.Logger.Warn("configuration: session with control machine ended", "machine", endpoint.Address, "error", err,
 			"version", w.Document.Version)
-		wait := time.Duration(chance.Int63n(int64(2 * pause)))
-		if held {
-			wait = time.Duration(chance.Int63n(int64(reconnectSpread)))
+		// A machine that served for a while and is lost loses all its watchers at once; they reconnect spread out.
+		served := time.Since(started) > contactTimeout
+		if served {
+			backoff = minBackoff
+		}
+		wait := time.Duration(random.Int63n(int64(2 * backoff)))
+		if served {
+			wait = time.Duration(random.Int63n(int64(reconnectSpread)))
 		}
-		var refused *peersync.RejectedError
-		if errors.As(err, &refused) {
-			wait += min(refused.RetryAfter, maxRetryAfter)
+		var rejected *peersync.RejectedError
+		if errors.As(err, &rejected) {
+			wait += min(rejected.RetryAfter, maxRetryAfter)
 		}
-		if pause = min(2*pause, maxBackoff); !sleep(ctx, wait) {
+		backoff = min(2*backoff, maxBackoff)
+		if !sleep(ctx, wait) {
 			return
 		}
 	}
 }
 
-func sleep(ctx context.Context, wait time.Duration) bool {
-	timer := time.NewTimer(wait)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
-
-// nextEndpoint is the machine to be tried: one that was not tried since all were, of the server's own zone where there is one,
-// drawn among equals.
-func (w *Watcher) nextEndpoint(chance *rand.Rand) Endpoint {
+// nextEndpoint returns a random endpoint among those not tried since all were, in the server's own zone if there is one.
+func (w *Watcher) nextEndpoint(random *rand.Rand) Endpoint {
 	if len(w.attempted) >= len(w.Endpoints) || w.attempted == nil {
 		w.attempted = map[string]bool{}
 	}
 	order := slices.Clone(w.Endpoints)
-	chance.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	rank := func(m Endpoint) int {
+	random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
+	rank := func(e Endpoint) int {
 		switch {
-		case w.attempted[m.Address]:
+		case w.attempted[e.Address]:
 			return 2
-		case m.Zone != w.Zone:
+		case e.Zone != w.Zone:
 			return 1
 		}
 		return 0
@@ -139,18 +133,15 @@
 	return order[0]
 }
 
-// runSession holds a session with a machine until it fails.
-func (w *Watcher) runSession(ctx context.Context, machine Endpoint) error {
-	opening, cancel := context.WithTimeout(ctx, dialTimeout)
-	defer cancel()
-	session, err := peersync.Open(opening, machine.Address, w.Keys)
+// runSession watches one control machine until the session fails.
+func (w *Watcher) runSession(ctx context.Context, endpoint Endpoint) error {
+	session, closeSession, err := openSession(ctx, endpoint.Address, w.Keys)
 	if err != nil {
 		return err
 	}
-	defer session.Close()
-	defer context.AfterFunc(ctx, func() { session.Close() })()
-	ask := WatchRequest{Name: w.Name, Zone: w.Zone, Version: w.Document.Version, Digest: w.Document.Digest}
-	if err := session.Send(Encode(Request{Watch: &ask})); err != nil {
+	defer closeSession()
+	watch := WatchRequest{Name: w.Name, Zone: w.Zone, Version: w.Document.Version, Digest: w.Document.Digest}
+	if err := session.Send(Encode(Request{Watch: &watch})); err != nil {
 		return err
 	}
 	for {
@@ -163,40 +154,39 @@
 			return err
 		}
 		if !w.connected.Swap(true) {
-			w.Logger.Info("configuration: watching", "machine", machine.Address, "version", w.Document.Version, "newest", update.Latest)
+			w.Logger.Info("configuration: watching", "machine", endpoint.Address, "version", w.Document.Version, "latest", update.Latest)
 		}
 		w.lastContact.Store(time.Now().UnixNano())
 		if len(update.Deltas) == 0 && update.Snapshot == nil {
 			continue
 		}
-		fault := w.applyUpdate(ctx, update)
-		if errors.Is(fault, configuration.ErrCorrupt) {
-			return fault // dropped whole, and had from another machine
-		}
-		report := Report{Version: w.Document.Version, Digest: w.Document.Digest}
-		if fault != nil {
-			report.Rejected, report.Reason = update.Latest, fault.Error()[:min(len(fault.Error()), maxReasonBytes)]
-		}
-		if err := errors.Join(session.Send(Encode(report)), fault); err != nil {
+		if err := w.applyAndReport(ctx, session, update); err != nil {
 			return err
 		}
 	}
 }
 
-// applyUpdate has an update come into force. What was in force stays where it cannot.
+// applyAndReport applies an update and reports the version in force. Any error ends the session: a corrupt update is
+// requested again from another machine, and one that could not be applied is tried again after the backoff.
+func (w *Watcher) applyAndReport(ctx context.Context, session *peersync.Session, update Update) error {
+	applyErr := w.applyUpdate(ctx, update)
+	if errors.Is(applyErr, configuration.ErrCorrupt) {
+		return applyErr
+	}
+	report := Report{Version: w.Document.Version, Digest: w.Document.Digest}
+	if applyErr != nil {
+		reason := applyErr.Error()
+		report.Rejected, report.Reason = update.Latest, reason[:min(len(reason), maxReasonBytes)]
+	}
+	return errors.Join(session.Send(Encode(report)), applyErr)
+}
+
+// applyUpdate applies an update's snapshot or deltas. What was in force before the failing one stays in force.
 func (w *Watcher) applyUpdate(ctx context.Context, update Update) error {
 	if update.Snapshot != nil {
-		to, err := configuration.DecodeSnapshot(update.Snapshot)
-		if err != nil {
-			return err
-		}
-		if to.Version < w.Document.Version {
-			return fmt.Errorf("%w: a snapshot of version %d, and %d is in force", configuration.ErrCorrupt, to.Version, w.Document.Version)
-		}
-		if err := w.applyDiff(ctx, configuration.Diff(w.Document, to), to); err != nil {
+		if err := w.applySnapshot(ctx, update.Snapshot); err != nil {
 			return err
 		}
-		w.persist(func() error { return w.Store.Replace(w.Document) })
 	}
 	for _, raw := range update.Deltas {
 		delta, err := configuration.DecodeDelta(raw)
@@ -210,28 +200,34 @@
 	return nil
 }
 
-// applyDelta has one delta come into force.
-func (w *Watcher) applyDelta(ctx context.Context, delta configuration.Delta) error {
-	undo := w.Document.Inverse(delta)
-	if err := w.Document.Apply(delta); err != nil {
+func (w *Watcher) applySnapshot(ctx context.Context, raw []byte) error {
+	to, err := configuration.DecodeSnapshot(raw)
+	if err != nil {
 		return err
 	}
-	if err := w.Apply(ctx, delta, w.Document); err != nil {
-		w.Document.Revert(undo)
+	if to.Version < w.Document.Version {
+		return fmt.Errorf("%w: a snapshot of version %d, and %d is in force", configuration.ErrCorrupt, to.Version, w.Document.Version)
+	}
+	if err := w.Apply(ctx, configuration.Diff(w.Document, to), to); err != nil {
 		return err
 	}
+	w.Document = to
 	w.markInForce()
-	w.persist(func() error { return w.Store.Append(delta, w.Document) })
+	w.persist(func() error { return w.Store.Replace(w.Document) })
 	return nil
 }
 
-// applyDiff has a whole document come into force by what differs.
-func (w *Watcher) applyDiff(ctx context.Context, delta configuration.Delta, to *configuration.Document) error {
-	if err := w.Apply(ctx, delta, to); err != nil {
+func (w *Watcher) applyDelta(ctx context.Context, delta configuration.Delta) error {
+	inverse := w.Document.Inverse(delta)
+	if err := w.Document.Apply(delta); err != nil {
+		return err
+	}
+	if err := w.Apply(ctx, delta, w.Document); err != nil {
+		w.Document.Revert(inverse)
 		return err
 	}
-	w.Document = to
 	w.markInForce()
+	w.persist(func() error { return w.Store.Append(delta, w.Document) })
 	return nil
 }
 
@@ -241,12 +237,12 @@
 		"routes", len(w.Document.Routes), "tenants", len(w.Document.Tenants))
 }
 
-// persist puts what is in force on disk. A disk that fails costs the next start its configuration, and not this server.
-func (w *Watcher) persist(put func() error) {
+// persist stores the version in force. A failing disk leaves the next start with an older version; this server goes on.
+func (w *Watcher) persist(write func() error) {
 	if w.Store == nil {
 		return
 	}
-	if err := put(); err != nil {
-		w.Logger.Error("configuration: not kept on disk", "version", w.Document.Version, "error", err)
+	if err := write(); err != nil {
+		w.Logger.Error("configuration: version in force not stored", "version", w.Document.Version, "error", err)
 	}
 }
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -13,22 +13,22 @@
 	"quartzpoint/configuration"
 )
 
-// Machines of the own zone are tried first, each once before any is tried again.
-func TestNextMachine(t *testing.T) {
+// Endpoints of the own zone are tried first, and each endpoint once before any is tried again.
+func TestNextEndpoint(t *testing.T) {
 	w := &Watcher{Zone: "a", Endpoints: []Endpoint{{"b", "1"}, {"a", "2"}, {"b", "3"}, {"a", "4"}, {"c", "5"}}}
-	chance := rand.New(rand.NewSource(1))
+	random := rand.New(rand.NewSource(1))
 	for round := range 20 {
 		seen := map[string]bool{}
 		for i := range w.Endpoints {
-			m := w.nextEndpoint(chance)
-			assert.Equal(t, i < 2, m.Zone == "a", "round %d", round)
-			seen[m.Address] = true
+			endpoint := w.nextEndpoint(random)
+			assert.Equal(t, i < 2, endpoint.Zone == "a", "round %d", round)
+			seen[endpoint.Address] = true
 		}
 		assert.Len(t, seen, len(w.Endpoints), "round %d", round)
 	}
 }
 
-// failingStore is a disk that takes nothing.
+// failingStore fails all writes.
 type failingStore struct{ err error }
 
 func (f failingStore) Replace(*configuration.Document) error                     { return f.err }
@@ -43,15 +43,15 @@
 	return all, d
 }
 
-// What cannot come into force leaves all as it was; a disk that fails costs the server nothing; and an older snapshot is
-// never taken.
-func TestTake(t *testing.T) {
-	all, newest := deltas(t, 3)
-	refuse := false
+// An update that cannot be applied, as for want of memory, leaves the version in force as it was. A full disk does not
+// keep a version from coming into force. A machine that is behind may send an older snapshot, which is never applied.
+func TestApplyUpdate(t *testing.T) {
+	all, latest := deltas(t, 3)
+	reject := false
 	w := &Watcher{
 		Document: configuration.NewDocument(), Logger: slog.New(slog.DiscardHandler), Store: failingStore{errors.New("full")},
 		Apply: func(context.Context, configuration.Delta, *configuration.Document) error {
-			if refuse {
+			if reject {
 				return errors.New("no room")
 			}
 			return nil
@@ -59,16 +59,16 @@
 	}
 	require.NoError(t, w.applyUpdate(t.Context(), Update{Deltas: [][]byte{all[0].Encode()}}))
 	before := w.Document.Clone()
-	refuse = true
+	reject = true
 	assert.ErrorContains(t, w.applyUpdate(t.Context(), Update{Deltas: [][]byte{all[1].Encode()}}), "no room")
-	assert.ErrorContains(t, w.applyUpdate(t.Context(), Update{Snapshot: newest.Snapshot()}), "no room")
+	assert.ErrorContains(t, w.applyUpdate(t.Context(), Update{Snapshot: latest.Snapshot()}), "no room")
 	assert.Equal(t, before, w.Document)
-	refuse = false
+	reject = false
 	assert.ErrorIs(t, w.applyUpdate(t.Context(), Update{Deltas: [][]byte{all[2].Encode()}}), configuration.ErrCorrupt)
-	assert.ErrorIs(t, w.applyUpdate(t.Context(), Update{Snapshot: newest.Snapshot()[1:]}), configuration.ErrCorrupt)
+	assert.ErrorIs(t, w.applyUpdate(t.Context(), Update{Snapshot: latest.Snapshot()[1:]}), configuration.ErrCorrupt)
 	assert.Equal(t, before, w.Document)
-	require.NoError(t, w.applyUpdate(t.Context(), Update{Snapshot: newest.Snapshot()}))
-	assert.Equal(t, newest, w.Document)
+	require.NoError(t, w.applyUpdate(t.Context(), Update{Snapshot: latest.Snapshot()}))
+	assert.Equal(t, latest, w.Document)
 	assert.ErrorIs(t, w.applyUpdate(t.Context(), Update{Snapshot: before.Snapshot()}), configuration.ErrCorrupt)
 	assert.Equal(t, WatcherStatus{Version: 3, SinceContact: -1}, w.Status())
 }
