--- /dev/null
+++ b/internal/acceptloop/acceptloop.go
@@ -0,0 +1,52 @@
+// Package acceptloop accepts connections of a listener and serves a bounded number of them at a time.
+package acceptloop
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"time"
+)
+
+// errorPause is the wait after a failed Accept. Out of file descriptors, Accept fails at once, time after time, while the
+// connection stays in the kernel's queue: without a pause the loop would use a core until one is free.
+const errorPause = 50 * time.Millisecond
+
+// Loop is the settings of an accept loop.
+type Loop struct {
+	// MaxConns bounds the connections that are served at once. One beyond it is closed.
+	MaxConns int
+	// Serve serves a connection in a goroutine of its own, and closes it.
+	Serve func(conn net.Conn)
+	// OnError is called with the error of an Accept that failed while the listener is open.
+	OnError func(err error)
+}
+
+// Run accepts connections until the listener is closed, waits until all calls of Serve have returned, and returns the
+// error of the last Accept, which wraps net.ErrClosed.
+func (l Loop) Run(listener net.Listener) error {
+	var conns sync.WaitGroup
+	defer conns.Wait()
+	slots := make(chan struct{}, l.MaxConns)
+	for {
+		conn, err := listener.Accept()
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return err
+		case err != nil:
+			l.OnError(err)
+			time.Sleep(errorPause)
+			continue
+		}
+		select {
+		case slots <- struct{}{}:
+		default:
+			_ = conn.Close()
+			continue
+		}
+		conns.Go(func() {
+			defer func() { <-slots }()
+			l.Serve(conn)
+		})
+	}
+}
--- /dev/null
+++ b/internal/acceptloop/acceptloop_test.go
@@ -0,0 +1,86 @@
+package acceptloop
+
+import (
+	"errors"
+	"io"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+const patience = 20 * time.Second
+
+// failingOnce is a listener whose first Accept fails, as when the process is out of file descriptors.
+type failingOnce struct {
+	net.Listener
+	failed atomic.Bool
+}
+
+func (f *failingOnce) Accept() (net.Conn, error) {
+	if !f.failed.Swap(true) {
+		return nil, errors.New("too many open files")
+	}
+	return f.Listener.Accept()
+}
+
+// A failed Accept must not end the loop; a connection beyond the bound is closed while those served go on; a served
+// connection that ends makes place for another; and Run returns only after the last Serve.
+func TestLoop(t *testing.T) {
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	var reported atomic.Int64
+	var serving atomic.Int64
+	loop := Loop{
+		MaxConns: 1,
+		Serve: func(conn net.Conn) {
+			serving.Add(1)
+			defer serving.Add(-1)
+			defer func() { _ = conn.Close() }()
+			_, _ = io.Copy(conn, conn)
+		},
+		OnError: func(error) { reported.Add(1) },
+	}
+	done := make(chan error, 1)
+	go func() { done <- loop.Run(&failingOnce{Listener: inner}) }()
+	dial := func() net.Conn {
+		conn, err := net.Dial("tcp", inner.Addr().String())
+		require.NoError(t, err)
+		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+		return conn
+	}
+	echoes := func(conn net.Conn) bool {
+		buffer := make([]byte, 1)
+		_, failed := conn.Write([]byte{7})
+		_, err := io.ReadFull(conn, buffer)
+		return failed == nil && err == nil && buffer[0] == 7
+	}
+
+	first := dial()
+	assert.True(t, echoes(first))
+	assert.Equal(t, int64(1), reported.Load())
+	beyond := dial()
+	assert.False(t, echoes(beyond), "closed")
+	_ = beyond.Close()
+	assert.True(t, echoes(first), "goes on")
+	require.NoError(t, first.Close())
+	require.Eventually(t, func() bool { return serving.Load() == 0 }, patience, time.Millisecond)
+	var last net.Conn
+	require.Eventually(t, func() bool { last = dial(); return echoes(last) || last.Close() != nil }, patience, time.Millisecond)
+
+	require.NoError(t, inner.Close())
+	select {
+	case <-done:
+		t.Fatal("returned before the last connection was served")
+	case <-time.After(50 * time.Millisecond):
+	}
+	require.NoError(t, last.Close())
+	assert.ErrorIs(t, <-done, net.ErrClosed)
+	assert.Zero(t, serving.Load())
+}
--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -21,6 +21,7 @@
 	"quartzpoint/configuration"
 	"quartzpoint/internal/configwatch"
 	"quartzpoint/internal/peersync"
+	"quartzpoint/internal/raftlog"
 	"quartzpoint/internal/testkit/faultnet"
 )
 
@@ -30,20 +31,19 @@
 
 var keys = peersync.Keys{bytes.Repeat([]byte{5}, 16)}
 
-// localLog is a log of this machine alone.
+// localLog is a log of one member, which applies entries at once.
 type localLog struct {
-	replica  *Replica
-	isLeader atomic.Bool
-	leader   atomic.Value
-	proposed atomic.Int64
+	replica    *Replica
+	leadership atomic.Pointer[raftlog.Leadership]
+	proposed   atomic.Int64
 }
 
-func (l *localLog) Propose(entry []byte, _ time.Duration) (any, error) {
+func (l *localLog) Propose(_ context.Context, entry []byte) (any, error) {
 	l.proposed.Add(1)
 	return l.replica.Apply(entry, time.Now()), nil
 }
 
-func (l *localLog) Leads() (bool, string) { return l.isLeader.Load(), l.leader.Load().(string) }
+func (l *localLog) Leadership() raftlog.Leadership { return *l.leadership.Load() }
 
 // controlMachine is a control machine.
 type controlMachine struct {
@@ -58,8 +58,7 @@
 	require.NoError(t, err)
 	m := &controlMachine{replica: NewReplica(), address: listener.Addr().String()}
 	m.log = &localLog{replica: m.replica}
-	m.log.isLeader.Store(true)
-	m.log.leader.Store("one")
+	m.log.leadership.Store(&raftlog.Leadership{Leader: "one", IsLeader: true})
 	server := &Server{Name: "one", SessionAddresses: map[string]string{}, Keys: keys, Replica: m.replica, Log: m.log, Logger: quiet()}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -86,7 +85,7 @@
 	}}
 }
 
-// follower is a watcher that keeps what came into force.
+// follower is a watcher that records what came into force.
 type follower struct {
 	*configwatch.Watcher
 	mu       sync.Mutex
@@ -131,8 +130,8 @@
 	}
 }
 
-// A watcher gets each change in its order, one that comes late gets what it lacks, and one that was told more than the
-// machine has waits for it. The status tells who is behind, and by how much the others were.
+// A watcher gets each change in order, and one that connects late gets what it lacks. A watcher that cannot apply a version
+// keeps the one in force and is listed as lagging, with the reason, until it can.
 func TestWatch(t *testing.T) {
 	m := newMachine(t)
 	early := follow(t, "early", configwatch.Endpoint{Address: m.address})
@@ -147,7 +146,7 @@
 	late.reaches(t, m, 20)
 	require.Eventually(t, func() bool {
 		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
-		// Changes that come close together are reported together, so there may be fewer lags than changes at watchers.
+		// Changes in quick succession share a report, so there may be fewer delays than changes times watchers.
 		return err == nil && status.Watchers == 2 && len(status.Lagging) == 0 && len(status.PropagationDelays) >= 2 && len(status.PropagationDelays) <= 21
 	}, patience, time.Millisecond)
 
@@ -160,12 +159,13 @@
 		return err == nil && len(status.Lagging) == 1 && status.Lagging[0].Name == "late" && status.Lagging[0].Reason == full &&
 			status.Lagging[0].Version == 20 && status.Lagging[0].BehindFor > 0
 	}, patience, time.Millisecond)
-	assert.Equal(t, uint64(20), late.Status().Version, "what was in force stays")
+	assert.Equal(t, uint64(20), late.Status().Version, "the version in force stays")
 	late.fault.Store(nil)
 	late.reaches(t, m, 21)
 }
 
-// A watcher too far behind gets a snapshot in the place of what is no longer kept.
+// A watcher may be further behind than the stored deltas reach: it gets a snapshot, and deltas again from there. A machine
+// that was restored from a snapshot of the log holds the same history.
 func TestSnapshotWhereDeltasAreGone(t *testing.T) {
 	m := newMachine(t)
 	for i := range int64(5000) {
@@ -183,15 +183,15 @@
 	assert.Equal(t, m.replica.Snapshot(), again.Snapshot(), "a restored machine holds the same")
 }
 
-// A change with faults is refused with all of them and never gets into the log; one that comes twice is accepted once;
-// one made on an older version is refused; and of a machine that does not lead another is asked.
+// An invalid change is rejected with all its violations and never gets into the log; one that is proposed twice is accepted
+// once; one made on an older version is rejected; and a client whose machine is not the leader asks another one.
 func TestPropose(t *testing.T) {
 	m := newMachine(t)
 	bad := configuration.Change{Routes: map[string]*configuration.Route{"pay": {Idempotency: "often"}, "gone": nil}}
 	_, err := configwatch.Propose(t.Context(), []string{m.address}, keys, bad)
-	var refusal *configuration.ValidationError
-	require.ErrorAs(t, err, &refusal)
-	assert.Len(t, refusal.Violations, 4)
+	var validationErr *configuration.ValidationError
+	require.ErrorAs(t, err, &validationErr)
+	assert.Len(t, validationErr.Violations, 4)
 	assert.Zero(t, m.log.proposed.Load())
 	change := deadline(1)
 	change.ID = "once"
@@ -204,8 +204,7 @@
 	assert.ErrorContains(t, err, "base = 0: is not the newest version, which is 1")
 
 	other := newMachine(t)
-	other.log.isLeader.Store(false)
-	other.log.leader.Store("nobody knows where")
+	other.log.leadership.Store(&raftlog.Leadership{Leader: "nobody knows where"})
 	version, err := configwatch.Propose(t.Context(), []string{other.address, m.address}, keys, deadline(3))
 	require.NoError(t, err)
 	assert.Equal(t, uint64(2), version)
@@ -215,13 +214,13 @@
 	assert.ErrorIs(t, err, configwatch.ErrUnavailable)
 }
 
-// A wrong key gets no answer but a refusal: no watch, no status, no change.
+// A client with a wrong key, or none, is rejected in the handshake: it gets no watch and no status, and cannot change anything.
 func TestWrongKey(t *testing.T) {
 	m := newMachine(t)
 	for name, wrong := range map[string]peersync.Keys{"another": {bytes.Repeat([]byte{6}, 16)}, "none": nil} {
 		_, err := configwatch.FetchStatus(t.Context(), m.address, wrong)
-		var refused *peersync.RejectedError
-		assert.ErrorAs(t, err, &refused, name)
+		var rejected *peersync.RejectedError
+		assert.ErrorAs(t, err, &rejected, name)
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		_, err = configwatch.Propose(ctx, []string{m.address}, wrong, deadline(1))
 		assert.ErrorIs(t, err, configwatch.ErrUnavailable, name)
@@ -230,28 +229,27 @@
 	assert.Zero(t, m.log.proposed.Load())
 }
 
-// A machine whose log knows no leader lets its watchers go, so that they find one that is not cut off; what they have in
-// force stays.
-func TestCutOffMachineLetsItsWatchersGo(t *testing.T) {
+// A machine that is cut off from the other control machines, but not from its watchers, would keep them at an old version
+// without a sign. It knows no leader, and so disconnects them; they find a machine that is not cut off.
+func TestCutOffMachineDisconnectsItsWatchers(t *testing.T) {
 	cut, whole := newMachine(t), newMachine(t)
 	for _, m := range []*controlMachine{cut, whole} {
 		m.accept(t, deadline(1))
 	}
 	f := follow(t, "one", configwatch.Endpoint{Zone: "a", Address: cut.address}, configwatch.Endpoint{Zone: "b", Address: whole.address})
 	f.reaches(t, cut, 1)
-	cut.log.isLeader.Store(false)
-	cut.log.leader.Store("")
+	cut.log.leadership.Store(&raftlog.Leadership{})
 	whole.accept(t, deadline(2))
 	f.reaches(t, whole, 2)
 }
 
-// The way to a machine is cut, stalls, and drops what goes either way: each time the watcher keeps what it has and is at
-// the newest once it is healed.
+// The connection to a machine is cut, stalls, or loses what goes one way: each time the watcher keeps the version in force,
+// and reaches the latest one once the connection is healed.
 func TestWatchAcrossFaults(t *testing.T) {
 	m := newMachine(t)
 	way, err := faultnet.New(m.address)
 	require.NoError(t, err)
-	defer way.Close()
+	defer func() { _ = way.Close() }()
 	f := follow(t, "one", configwatch.Endpoint{Address: way.Addr()})
 	version := m.accept(t, deadline(1))
 	f.reaches(t, m, version)
@@ -263,7 +261,8 @@
 	}
 }
 
-// A snapshot or delta that is damaged on the way never comes into force; the watcher gets it anew.
+// One byte of a snapshot or delta is altered on the network. It must never come into force; the watcher gets it again in
+// another session.
 func TestDamagedOnTheWay(t *testing.T) {
 	m := newMachine(t)
 	large := configuration.Change{Routes: map[string]*configuration.Route{}}
@@ -278,13 +277,13 @@
 	}
 }
 
-// newFlipper carries connections to a target; of the first, one byte of what comes back is changed.
+// newFlipper proxies connections to a target; on the first, it alters one byte of what the target sends.
 func newFlipper(t *testing.T, target string, at int) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var over sync.WaitGroup
-	t.Cleanup(func() { listener.Close(); over.Wait() })
-	over.Go(func() {
+	var wg sync.WaitGroup
+	t.Cleanup(func() { _ = listener.Close(); wg.Wait() })
+	wg.Go(func() {
 		for first := true; ; first = false {
 			in, err := listener.Accept()
 			if err != nil {
@@ -292,15 +291,15 @@
 			}
 			out, err := net.Dial("tcp", target)
 			if err != nil {
-				in.Close()
+				_ = in.Close()
 				continue
 			}
 			flip := -1
 			if first {
 				flip = at
 			}
-			over.Go(func() { defer out.Close(); _, _ = io.Copy(out, in) })
-			over.Go(func() { defer in.Close(); carry(in, out, flip) })
+			wg.Go(func() { defer func() { _ = out.Close() }(); _, _ = io.Copy(out, in) })
+			wg.Go(func() { defer func() { _ = in.Close() }(); carry(in, out, flip) })
 		}
 	})
 	return listener.Addr().String()
@@ -320,12 +319,13 @@
 	}
 }
 
-// Watchers of one machine cost it no queue: one that does not read is let go, and the others get every change meanwhile.
+// A watcher that does not read must not cost the machine memory or hold up others: it is disconnected once a write times
+// out, and the others get every change meanwhile.
 func TestSlowWatcher(t *testing.T) {
 	m := newMachine(t)
 	session, err := peersync.Open(t.Context(), m.address, keys)
 	require.NoError(t, err)
-	defer session.Close()
+	defer func() { _ = session.Close() }()
 	require.NoError(t, session.Send(configwatch.Encode(configwatch.Request{Watch: &configwatch.WatchRequest{Name: "slow"}})))
 	f := follow(t, "quick", configwatch.Endpoint{Address: m.address})
 	large := configuration.Change{Routes: map[string]*configuration.Route{}}
@@ -343,5 +343,5 @@
 	require.Eventually(t, func() bool {
 		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
 		return err == nil && status.Watchers == 1
-	}, patience, 10*time.Millisecond, "the one that does not read is let go")
+	}, patience, 10*time.Millisecond, "the one that does not read is disconnected")
 }
--- /dev/null
+++ b/internal/raftlog/fsm.go
@@ -0,0 +1,68 @@
+package raftlog
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// maxSnapshotBytes bounds what is read of a snapshot.
+const maxSnapshotBytes = 256 << 20
+
+// StateMachine is what the entries of the log are applied to: one at a time, and in the same order on every member.
+// Apply must be deterministic.
+type StateMachine interface {
+	// Apply applies an entry and returns its result, which Node.Propose returns on the leader. appendedAt is the time at
+	// which the leader appended the entry, by its clock.
+	Apply(entry []byte, appendedAt time.Time) any
+	// Snapshot encodes the state after all entries so far.
+	Snapshot() []byte
+	// Restore replaces the state by that of a snapshot.
+	Restore(snapshot []byte) error
+}
+
+// fsm adapts a StateMachine to raft.FSM.
+type fsm struct{ stateMachine StateMachine }
+
+// Apply implements raft.FSM.
+func (f fsm) Apply(entry *raft.Log) any { return f.stateMachine.Apply(entry.Data, entry.AppendedAt) }
+
+// Snapshot implements raft.FSM. The state is encoded here, so that the library can write it while entries are applied.
+func (f fsm) Snapshot() (raft.FSMSnapshot, error) { return fsmSnapshot(f.stateMachine.Snapshot()), nil }
+
+// Restore implements raft.FSM.
+func (f fsm) Restore(from io.ReadCloser) error {
+	defer func() { _ = from.Close() }() // only read from
+	snapshot, err := io.ReadAll(io.LimitReader(from, maxSnapshotBytes))
+	if err != nil {
+		return fmt.Errorf("replicated log: snapshot: %w", err)
+	}
+	return f.stateMachine.Restore(snapshot)
+}
+
+// fsmSnapshot implements raft.FSMSnapshot for an encoded state.
+type fsmSnapshot []byte
+
+// Persist implements raft.FSMSnapshot.
+func (s fsmSnapshot) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
+		return errors.Join(err, sink.Cancel())
+	}
+	return sink.Close()
+}
+
+// Release implements raft.FSMSnapshot. There is nothing to release.
+func (fsmSnapshot) Release() {}
+
+// logWriter writes the library's log lines to the program's log.
+type logWriter struct{ logger *slog.Logger }
+
+// Write writes one line.
+func (w logWriter) Write(line []byte) (int, error) {
+	w.logger.Warn("replicated log", "message", string(line[:max(len(line)-1, 0)]))
+	return len(line), nil
+}
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/node_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -20,7 +21,7 @@
 
 const patience = 20 * time.Second
 
-// recordingMachine is a machine that keeps all entries.
+// recordingMachine is a state machine that records all entries.
 type recordingMachine struct {
 	mu      sync.Mutex
 	entries []string
@@ -30,7 +31,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at.IsZero() {
-		panic("an entry without its moment")
+		panic("an entry without a time")
 	}
 	l.entries = append(l.entries, string(entry))
 	return len(l.entries)
@@ -39,7 +40,7 @@
 func (l *recordingMachine) Snapshot() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	raw, _ := json.Marshal(l.entries) // strings always have a form
+	raw, _ := json.Marshal(l.entries) // strings can always be encoded
 	return raw
 }
 
@@ -55,7 +56,7 @@
 	return append([]string{}, l.entries...)
 }
 
-// cluster is a log over three machines.
+// cluster is a log over three members.
 type cluster struct {
 	options  []Options
 	machines []*recordingMachine
@@ -69,7 +70,7 @@
 		free, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		members = append(members, Member{Name: fmt.Sprint("m", i), Address: free.Addr().String()})
-		free.Close()
+		require.NoError(t, free.Close())
 	}
 	for i := range members {
 		c.machines = append(c.machines, &recordingMachine{})
@@ -101,10 +102,10 @@
 	t.Helper()
 	require.NoError(t, c.nodes[i].Close())
 	c.nodes[i] = nil
-	*c.machines[i] = recordingMachine{} // what is in memory is gone
+	*c.machines[i] = recordingMachine{} // a restart loses the state in memory
 }
 
-// leader waits for one.
+// leader waits until a member leads, and returns its index.
 func (c *cluster) leader(t *testing.T) (leader int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -112,7 +113,7 @@
 			if n == nil {
 				continue
 			}
-			if leads, _ := n.Leads(); leads {
+			if n.Leadership().IsLeader {
 				leader = i
 				return true
 			}
@@ -125,12 +126,20 @@
 func (c *cluster) propose(t *testing.T, entry string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		_, err := c.nodes[c.leader(t)].Propose([]byte(entry), time.Second)
-		return err == nil
+		return propose(t, c.nodes[c.leader(t)], entry, time.Second) == nil
 	}, patience, time.Millisecond)
 }
 
-// agree waits until all that run hold the same entries.
+// propose proposes an entry, with a bound of the wait for a place in the leader's queue.
+func propose(t *testing.T, node *Node, entry string, timeout time.Duration) error {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
+	defer cancel()
+	_, err := node.Propose(ctx, []byte(entry))
+	return err
+}
+
+// agree waits until all running members have applied the same entries.
 func (c *cluster) agree(t *testing.T, want []string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -143,7 +152,8 @@
 	}, patience, time.Millisecond)
 }
 
-// Entries are the same everywhere, through the loss of the leader, restarts of one and of all machines, and a snapshot.
+// The leader is lost, a member restarts after a snapshot was taken, and then all members restart. After each of these all
+// members must have applied the same entries in the same order.
 func TestLogAcrossLosses(t *testing.T) {
 	c := newCluster(t)
 	var want []string
@@ -156,8 +166,7 @@
 	c.agree(t, want)
 	lost := c.leader(t)
 	follower := (lost + 1) % 3
-	_, err := c.nodes[follower].Propose([]byte("x"), time.Second)
-	assert.ErrorIs(t, err, ErrNotLeader)
+	assert.ErrorIs(t, propose(t, c.nodes[follower], "x", time.Second), ErrNotLeader)
 	c.stop(t, lost)
 	put("c")
 	require.NoError(t, c.nodes[c.leader(t)].raft.Snapshot().Error())
@@ -174,7 +183,8 @@
 	c.agree(t, want)
 }
 
-// Without a majority nothing is accepted, and the machine that is left knows no leader.
+// Two of three members are lost. The one that is left must step down and commit nothing, as the others may come back with
+// a log of their own.
 func TestNoMajority(t *testing.T) {
 	c := newCluster(t)
 	c.propose(t, "a")
@@ -182,14 +192,12 @@
 	c.stop(t, (leader+1)%3)
 	c.stop(t, (leader+2)%3)
 	require.Eventually(t, func() bool {
-		_, name := c.nodes[leader].Leads()
-		return name == ""
+		return c.nodes[leader].Leadership().Leader == ""
 	}, patience, time.Millisecond)
-	_, err := c.nodes[leader].Propose([]byte("b"), 200*time.Millisecond)
-	assert.Error(t, err)
+	assert.Error(t, propose(t, c.nodes[leader], "b", 200*time.Millisecond))
 }
 
-// Whoever does not have the key is no part of the log; nor is a machine that the members do not name.
+// A member with another key must not receive entries. A machine that is not among the members must not start.
 func TestAnotherKey(t *testing.T) {
 	c := newCluster(t)
 	c.propose(t, "a")
