--- a/internal/acceptloop/acceptloop.go
+++ b/internal/acceptloop/acceptloop.go
@@ -1,4 +1,4 @@
-// Package acceptloop accepts connections of a listener and serves a bounded number of them at a time.
+// Package acceptloop accepts connections of a listener and serves a bounded number of them at once.
 package acceptloop
 
 import (
@@ -14,9 +14,10 @@
 
 // Loop is the settings of an accept loop.
 type Loop struct {
-	// MaxConns bounds the connections that are served at once. One beyond it is closed.
+	// MaxConns bounds the connections that are served at once, each in a goroutine of its own. One beyond it is closed.
+	// With 0, connections are served one after the other, and those to come wait in the kernel's queue.
 	MaxConns int
-	// Serve serves a connection in a goroutine of its own, and closes it.
+	// Serve serves a connection and closes it.
 	Serve func(conn net.Conn)
 	// OnError is called with the error of an Accept that failed while the listener is open.
 	OnError func(err error)
@@ -38,6 +39,10 @@
 			time.Sleep(errorPause)
 			continue
 		}
+		if l.MaxConns == 0 {
+			l.Serve(conn)
+			continue
+		}
 		select {
 		case slots <- struct{}{}:
 		default:
--- a/internal/acceptloop/acceptloop_test.go
+++ b/internal/acceptloop/acceptloop_test.go
@@ -84,3 +84,37 @@
 	assert.ErrorIs(t, <-done, net.ErrClosed)
 	assert.Zero(t, serving.Load())
 }
+
+// With MaxConns 0 a second connection waits for the first one instead of being closed.
+func TestSequential(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	var serving, most atomic.Int64
+	release := make(chan struct{})
+	loop := Loop{Serve: func(conn net.Conn) {
+		most.Store(max(most.Load(), serving.Add(1)))
+		<-release
+		_, _ = conn.Write([]byte{1})
+		_ = conn.Close()
+		serving.Add(-1)
+	}}
+	done := make(chan error, 1)
+	go func() { done <- loop.Run(listener) }()
+	var conns []net.Conn
+	for range 3 {
+		conn, err := net.Dial("tcp", listener.Addr().String())
+		require.NoError(t, err)
+		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+		conns = append(conns, conn)
+	}
+	close(release)
+	for i, conn := range conns {
+		answer, err := io.ReadAll(conn)
+		require.NoError(t, err, i)
+		assert.Equal(t, []byte{1}, answer, i)
+		require.NoError(t, conn.Close())
+	}
+	assert.Equal(t, int64(1), most.Load())
+	require.NoError(t, listener.Close())
+	assert.ErrorIs(t, <-done, net.ErrClosed)
+}
--- /dev/null
+++ b/internal/adminsocket/adminsocket.go
@@ -0,0 +1,157 @@
+// Package adminsocket is the Unix socket by which operators on the same machine query a running server: one JSON line
+// with the request, and one with the response. Only the server's own user can open it.
+package adminsocket
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"net"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+
+	"quartzpoint/internal/acceptloop"
+)
+
+const (
+	maxRequestBytes  = 4 << 10
+	maxResponseBytes = 1 << 20
+	// ioTimeout is the time a client has to send its request and read the response.
+	ioTimeout = time.Second
+	// clientTimeout is longer, as another client may be served first.
+	clientTimeout = 2 * ioTimeout
+
+	ownerOnlyUmask = 0o177 // leaves read and write for the server's user
+)
+
+// Request is a query of an operator.
+type Request struct {
+	Query string `json:"ask"` // its name
+}
+
+// response is either an error or an answer.
+type response struct {
+	Error  string          `json:"error,omitempty"`
+	Answer json.RawMessage `json:"answer,omitempty"`
+}
+
+// Handler returns the answer to a request, to be encoded as JSON. It is called for one request at a time.
+type Handler func(request Request) (any, error)
+
+// Server answers requests, one at a time, until it is closed.
+type Server struct {
+	listener net.Listener
+	handler  Handler
+	wg       sync.WaitGroup
+}
+
+// Listen serves at a path. A socket file of a dead server is replaced; a path of a running server, or of another file, is
+// an error. The caller closes the server.
+func Listen(path string, handler Handler) (*Server, error) {
+	if err := removeStale(path); err != nil {
+		return nil, err
+	}
+	// The umask holds for the whole process, which is safe only because nothing else creates files while the server
+	// starts. A chmod after Listen would leave a moment in which others can connect.
+	umask := syscall.Umask(ownerOnlyUmask)
+	listener, err := net.Listen("unix", path)
+	syscall.Umask(umask)
+	if err != nil {
+		return nil, fmt.Errorf("control socket: %w", err)
+	}
+	s := &Server{listener: listener, handler: handler}
+	loop := acceptloop.Loop{
+		Serve:   s.serve,
+		OnError: func(error) {}, // the client sees that nobody answers
+	}
+	s.wg.Go(func() { _ = loop.Run(listener) }) // ends with the listener
+	return s, nil
+}
+
+// removeStale removes the socket file that a dead server left at a path.
+func removeStale(path string) error {
+	info, err := os.Lstat(path)
+	if err != nil {
+		return nil // there is none; any other fault shows when listening
+	}
+	if info.Mode()&fs.ModeSocket == 0 {
+		return fmt.Errorf("control socket %s: something else stands there", path)
+	}
+	if conn, err := net.DialTimeout("unix", path, ioTimeout); err == nil {
+		_ = conn.Close()
+		return fmt.Errorf("control socket %s: another server answers there", path)
+	}
+	if err := os.Remove(path); err != nil {
+		return fmt.Errorf("control socket: %w", err)
+	}
+	return nil
+}
+
+// Close stops the server, waits for the request in progress, and removes the socket file.
+func (s *Server) Close() {
+	_ = s.listener.Close() // fails only where it was closed before
+	s.wg.Wait()
+}
+
+// serve answers the one request of a connection.
+func (s *Server) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	if conn.SetDeadline(time.Now().Add(ioTimeout)) != nil {
+		return
+	}
+	lines := bufio.NewScanner(conn)
+	lines.Buffer(make([]byte, 0, maxRequestBytes), maxRequestBytes)
+	if !lines.Scan() {
+		return
+	}
+	_ = json.NewEncoder(conn).Encode(s.respond(lines.Bytes())) // a client that is gone needs no response
+}
+
+func (s *Server) respond(line []byte) response {
+	var request Request
+	if err := json.Unmarshal(line, &request); err != nil {
+		return response{Error: err.Error()}
+	}
+	answer, err := s.handler(request)
+	if err != nil {
+		return response{Error: err.Error()}
+	}
+	raw, err := json.Marshal(answer)
+	if err != nil {
+		return response{Error: err.Error()}
+	}
+	return response{Answer: raw}
+}
+
+// Query sends a request to a running server and decodes the answer into a value. An error that the server's handler
+// returned has the same text here.
+func Query(path string, request Request, answer any) error {
+	conn, err := net.DialTimeout("unix", path, ioTimeout)
+	if err != nil {
+		return fmt.Errorf("no server answers at %s: %w", path, err)
+	}
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
+		return fmt.Errorf("control socket: %w", err)
+	}
+	if err := json.NewEncoder(conn).Encode(request); err != nil {
+		return fmt.Errorf("control socket: %w", err)
+	}
+	lines := bufio.NewScanner(conn)
+	lines.Buffer(nil, maxResponseBytes)
+	if !lines.Scan() {
+		return fmt.Errorf("control socket %s: no answer", path)
+	}
+	var r response
+	if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
+		return fmt.Errorf("control socket %s: %w", path, err)
+	}
+	if r.Error != "" {
+		return errors.New(r.Error)
+	}
+	return json.Unmarshal(r.Answer, answer)
+}
--- a/internal/adminsocket/control_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -16,7 +16,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestAsk(t *testing.T) {
+// Requests are answered, also after clients that send garbage, too much or nothing: one that sends nothing holds others up
+// for a second at most.
+func TestQuery(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	s, err := Listen(path, func(q Request) (any, error) {
 		if q.Query != "known" {
@@ -30,24 +32,26 @@
 	assert.Equal(t, []int{1, 2}, got)
 	assert.EqualError(t, Query(path, Request{Query: "other"}, &got), "unknown question")
 	for _, bad := range []string{"no JSON\n", strings.Repeat("x", 2*maxRequestBytes) + "\n"} {
-		link, err := net.Dial("unix", path)
+		conn, err := net.Dial("unix", path)
 		require.NoError(t, err)
-		_, _ = link.Write([]byte(bad))
-		link.Close()
+		_, _ = conn.Write([]byte(bad))
+		_ = conn.Close()
 	}
-	silent, err := net.Dial("unix", path) // holds others up for a second at the most
+	silent, err := net.Dial("unix", path) // until its timeout
 	require.NoError(t, err)
-	defer silent.Close()
-	began := time.Now()
+	defer func() { _ = silent.Close() }()
+	started := time.Now()
 	require.NoError(t, Query(path, Request{Query: "known"}, &got))
-	assert.Less(t, time.Since(began), 2*ioTimeout)
+	assert.Less(t, time.Since(started), 2*ioTimeout)
 	_, err = Listen(path, nil)
 	assert.ErrorContains(t, err, "another server")
 	s.Close()
 	assert.ErrorContains(t, Query(path, Request{}, &got), "no server answers")
 }
 
-func TestWhatStandsThere(t *testing.T) {
+// A server that was killed leaves its socket file, which the next one replaces, with the mode of its own. Any other file at
+// the path is left alone.
+func TestExistingFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	_, err := Listen(path, nil)
@@ -57,11 +61,11 @@
 	dead, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	require.NoError(t, err)
 	dead.SetUnlinkOnClose(false)
-	dead.Close()
+	require.NoError(t, dead.Close())
 	s, err := Listen(path, nil)
-	require.NoError(t, err, "what a dead server left is taken over")
-	about, err := os.Stat(path)
+	require.NoError(t, err, "the socket file of a dead server is replaced")
+	info, err := os.Stat(path)
 	require.NoError(t, err)
-	assert.Equal(t, os.FileMode(0o600), about.Mode().Perm())
+	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 	s.Close()
 }
