--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -38,7 +38,7 @@
 // newConfigWatcher has the server take its routes and tenants from the configuration service, where one is stated. What was kept
 // on disk is in force before the server takes its first request. It gives nil where none is stated.
 func newConfigWatcher(
-	stated *config.ConfigSource, name string, memory int, owner *server.Server, seed int64, log *slog.Logger,
+	stated *config.Source, name string, memory int, owner *server.Server, seed int64, log *slog.Logger,
 ) (*configwatch.Watcher, *tableUpdater, error) {
 	if stated == nil {
 		return nil, nil, nil
@@ -68,7 +68,7 @@
 	if k.store != nil {
 		w.Store = k.store
 	}
-	for _, m := range stated.Machines {
+	for _, m := range stated.Endpoints {
 		w.Endpoints = append(w.Endpoints, configwatch.Endpoint{Zone: m.Zone, Address: m.Address})
 	}
 	log.Info("configuration: followed", "name", name, "zone", stated.Zone, "machines", len(w.Endpoints), "version", document.Version)
--- a/cmd/quartzpoint/configuration_test.go
+++ b/cmd/quartzpoint/configuration_test.go
@@ -59,7 +59,7 @@
 	dir := filepath.Join(t.TempDir(), "kept")
 	storeDocument(t, dir, newDocument(3, 2))
 	owner := newTestServer(t)
-	stated := &config.ConfigSource{Dir: dir, Machines: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
+	stated := &config.Source{Dir: dir, Endpoints: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
 	watcher, tables, err := newConfigWatcher(stated, "one", 96<<20, owner, 1, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer tables.close()
@@ -80,7 +80,7 @@
 	storeDocument(t, dir, large)
 	owner := newTestServer(t)
 	before, _ := owner.Tables()
-	stated := &config.ConfigSource{Dir: dir, Machines: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
+	stated := &config.Source{Dir: dir, Endpoints: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
 	_, _, err := newConfigWatcher(stated, "one", 16<<20, owner, 1, slog.New(slog.DiscardHandler))
 	assert.ErrorContains(t, err, "configuration.dir "+dir+": limits.memory_mb: 100 routes and 20000 tenants may take 19 MB, 8 MB at most")
 	after, _ := owner.Tables()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,6 +15,7 @@
 	"quartzpoint/lease"
 )
 
+// The [peers] section with and without its defaults; without the section the exchange is off.
 func TestPeers(t *testing.T) {
 	got, err := Parse("x.toml", []byte(`
 [peers]
@@ -34,7 +35,7 @@
 	assert.Nil(t, got.Peers, "absent is off")
 }
 
-// A thousand servers are no more than a large fleet, with a lease among them.
+// The bounds allow the largest planned fleet, also with a lease.
 func TestAThousandPeers(t *testing.T) {
 	var ask []string
 	for i := range 1024 {
@@ -47,6 +48,7 @@
 	assert.Equal(t, 1025, got.Lease.Config.Voters)
 }
 
+// The [state] section with all keys, and with the defaults.
 func TestState(t *testing.T) {
 	got, err := Parse("x.toml", []byte("[state]\ndir = \"d\"\nsite = \"s\"\nnumbers = true\ncommit = \"0s\"\nmost-mb = 8"))
 	require.NoError(t, err)
@@ -56,6 +58,7 @@
 	assert.Equal(t, &State{Dir: "d", CommitInterval: defaultCommitInterval, MaxBytes: defaultStateMB << 20}, got.State)
 }
 
+// A lease needs voters, and clocks and durations within its bounds; each error names the key.
 func TestLease(t *testing.T) {
 	peers := "[peers]\nlisten = \"127.0.0.1:7401\"\nask = [\"127.0.0.1:7402\", \"127.0.0.1:7403\"]\n"
 	got, err := Parse("x.toml", []byte(peers+"[lease]\nduties = [\"compact\"]\nlease = \"3s\"\ndrift = 0.02"))
@@ -75,6 +78,7 @@
 	}
 }
 
+// The tree of pools, and errors of single pools and of the tree.
 func TestPools(t *testing.T) {
 	got, err := Parse("x.toml", []byte(`
 [pools.booking]
@@ -108,7 +112,7 @@
 	}
 }
 
-// Each fault alone, told with file, line, key, value and what is allowed.
+// Each kind of error alone is reported on one line with file, line, key, value and what is allowed.
 func TestFaults(t *testing.T) {
 	cases := []struct{ name, text, want string }{
 		{"unknown section", "\n[pears]\n", `x.toml:2: pears = a table: unknown; allowed are configuration, control, dependencies, lease, peers, pools, state, types`},
@@ -145,6 +149,7 @@
 	}
 }
 
+// An operator who fixes a file must see all its errors at once, by line.
 func TestAllFaultsAtOnce(t *testing.T) {
 	_, err := Parse("x.toml", []byte("[peers]\ntotal = 1\nlisten = 2\nask = 3\nother = 4\n[more]\n"))
 	require.Error(t, err)
@@ -155,6 +160,7 @@
 	}
 }
 
+// A missing or oversized file is an error; the sample that is shipped is valid.
 func TestRead(t *testing.T) {
 	_, err := Read("/nowhere.toml")
 	assert.ErrorContains(t, err, "/nowhere.toml")
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -10,30 +10,29 @@
 	defaultPeerTimeout = 300 * time.Millisecond
 )
 
-// Peers says with which servers knowledge is exchanged.
+// Peers are the servers with which estimates are exchanged.
 type Peers struct {
-	Listen    string        // where others may ask; empty: nobody may
-	Addresses []string      // whom this server asks at its start
-	Timeout   time.Duration // for which it waits for all of them
+	Listen    string        // where peers poll this server; empty: nowhere
+	Addresses []string      // of the peers that this server polls when it starts
+	Timeout   time.Duration // of polling all of them
 	KeyFile   string        // shared secrets; empty: loopback addresses only
 }
 
 func readPeers(s *section) *Peers {
-	const anAddress = "an address and port without a name, as \"127.0.0.1:7400\","
+	const allowed = "an address and port without a name, as \"127.0.0.1:7400\","
 	p := &Peers{
-		Listen:    s.stringValue("listen", "", anAddress+" is allowed", isAddress),
-		Addresses: s.stringList("ask", maxPeers, anAddress, isAddress),
+		Listen:    s.stringValue("listen", "", allowed+" is allowed", isAddress),
+		Addresses: s.stringList("ask", maxPeers, allowed, isAddress),
 		Timeout:   s.duration("total", defaultPeerTimeout, 10*time.Millisecond, 10*time.Second),
-		KeyFile:   s.stringValue("key-file", "", "a path is allowed", func(t string) bool { return t != "" }),
+		KeyFile:   s.stringValue("key-file", "", "a path is allowed", isNotEmpty),
 	}
 	if p.KeyFile == "" {
-		const only = "without key-file only a loopback address is allowed"
 		if p.Listen != "" && !isLoopback(p.Listen) {
-			s.addError("listen", p.Listen, only)
+			s.addError("listen", p.Listen, needsKeyFile)
 		}
-		for _, a := range p.Addresses {
-			if !isLoopback(a) {
-				s.addError("ask", a, only)
+		for _, address := range p.Addresses {
+			if !isLoopback(address) {
+				s.addError("ask", address, needsKeyFile)
 			}
 		}
 	}
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -2,28 +2,33 @@
 
 import "quartzpoint/classpool"
 
-const maxPools = 256
+const (
+	maxPools      = 256
+	maxPoolWeight = 1e6
+)
 
-// readPools reads the tree of pools that parts the one limit of tasks in flight among classes of work, a
-// [pools.NAME] table for each: its parent (none at the top), floor and ceiling as parts of the parent's room,
-// and the weight by which what is left is parted. The tree is checked whole by classpool, as it will be used.
-func readPools(s *section) (all []classpool.Options) {
+// readPools reads the tree of pools that divides the limit of requests in flight among classes of work. Each is a
+// [pools.NAME] table with its parent (none for a root), floor and ceiling as parts of the parent's capacity, and the
+// weight by which the rest is divided. The tree itself is validated by classpool.
+func readPools(s *section) []classpool.Options {
+	var all []classpool.Options
 	before := len(s.errs)
-	for _, one := range s.subsections(maxPools) {
+	for _, sub := range s.subsections(maxPools) {
 		all = append(all, classpool.Options{
-			Name:    one.name,
-			Parent:  one.stringValue("parent", "", "the name of another pool is allowed", func(n string) bool { return n != "" }),
-			Floor:   one.float("floor", 0, 0, 1),
-			Ceiling: one.float("ceiling", 1, 0, 1),
-			Weight:  one.float("weight", 1, 0, 1e6),
+			Name:    sub.name,
+			Parent:  sub.stringValue("parent", "", "the name of another pool is allowed", isNotEmpty),
+			Floor:   sub.float("floor", 0, 1),
+			Ceiling: sub.float("ceiling", 1, 1),
+			Weight:  sub.float("weight", 1, maxPoolWeight),
 		})
-		one.rejectUnknown()
+		sub.rejectUnknown()
 	}
-	if len(s.errs) == before { // else the tree is wrong already, and more would be said of the same
-		if _, err := classpool.NewTree(all); err != nil {
-			for _, e := range splitJoined(err) {
-				s.addError("", nil, e.Error())
-			}
+	if len(s.errs) > before { // the tree would repeat the errors of its pools
+		return all
+	}
+	if _, err := classpool.NewTree(all); err != nil {
+		for _, poolErr := range splitJoined(err) {
+			s.addError("", nil, poolErr.Error())
 		}
 	}
 	return all
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -7,25 +7,25 @@
 	defaultStateMB        = 64
 )
 
-// State says where what a server knows is kept for the one after it.
+// State is where a server stores what the next one at its place continues with.
 type State struct {
-	Dir             string        // a folder of this server alone; its last part is made where it is missing
-	Site            string        // label; files of another are not used
-	MaxBytes        int64         // bytes of all files
-	CommitInterval  time.Duration // for which records of numbers are gathered before they are written
-	IdempotencyKeys bool          // the table of numbered tasks is kept too
+	Dir             string        // of this server alone; its last part is created where it does not exist
+	Site            string        // label; files of another site are not used
+	MaxBytes        int64         // of all files
+	CommitInterval  time.Duration // over which records of idempotency keys are batched before they are written
+	IdempotencyKeys bool          // whether the table of idempotency keys is stored too
 }
 
 func readState(s *section) *State {
-	any := func(string) bool { return true }
+	anyText := func(string) bool { return true }
 	state := &State{
-		Dir:             s.stringValue("dir", "", "the path of a folder is allowed", func(t string) bool { return t != "" }),
-		Site:            s.stringValue("site", "", "a text is allowed", any),
+		Dir:             s.stringValue("dir", "", "the path of a folder is allowed", isNotEmpty),
+		Site:            s.stringValue("site", "", "a text is allowed", anyText),
 		MaxBytes:        int64(s.integer("most-mb", defaultStateMB, 8, 4096)) << 20,
 		CommitInterval:  s.duration("commit", defaultCommitInterval, 0, time.Second),
 		IdempotencyKeys: s.boolean("numbers"),
 	}
-	if _, present := s.values["dir"]; !present {
+	if !s.has("dir") {
 		s.addError("dir", nil, "the path of a folder is needed")
 	}
 	s.rejectUnknown()
