--- a/cmd/quartzconfig/apply.go
+++ b/cmd/quartzconfig/apply.go
@@ -14,7 +14,10 @@
 	"quartzpoint/internal/configwatch"
 )
 
-// applyCommand is the command that has a change accepted.
+// idBytes is the size of a random ID of a change.
+const idBytes = 16
+
+// applyCommand proposes a change.
 type applyCommand struct {
 	serviceFile
 	File string        `arg:"" help:"The change (JSON), or a platform configuration, whose routes and tenants are then all; - for standard input."`
@@ -23,9 +26,9 @@
 	Wait time.Duration `default:"15s" help:"How long to try."`
 }
 
-// Run prints the version.
+// Run proposes the change and prints the version that it became.
 func (cmd *applyCommand) Run() error {
-	stated, keys, err := cmd.read()
+	service, keys, err := cmd.read()
 	if err != nil {
 		return err
 	}
@@ -35,7 +38,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Wait)
 	defer cancel()
-	version, err := configwatch.Propose(ctx, sessionAddresses(stated), keys, change)
+	version, err := configwatch.Propose(ctx, sessionAddresses(service), keys, change)
 	if err != nil {
 		return fmt.Errorf("%w\nid of the change: %s", err, change.ID)
 	}
@@ -43,27 +46,23 @@
 	return nil
 }
 
-// change is what the file holds, with what the command line says of it.
-func (cmd *applyCommand) change() (change configuration.Change, err error) {
-	raw := []byte(nil)
-	if cmd.File == "-" {
-		raw, err = io.ReadAll(io.LimitReader(os.Stdin, configuration.MaxChangeBytes+1))
-	} else {
-		raw, err = os.ReadFile(cmd.File)
-	}
+// change is the change in the file, with the ID and base of the command line.
+func (cmd *applyCommand) change() (configuration.Change, error) {
+	raw, err := cmd.readFile()
 	if err != nil {
-		return change, fmt.Errorf("change: %w", err)
+		return configuration.Change{}, fmt.Errorf("change: %w", err)
 	}
-	if change, err = configuration.ParseChange(raw); err != nil {
-		return change, err
+	change, err := configuration.ParseChange(raw)
+	if err != nil {
+		return configuration.Change{}, err
 	}
 	if cmd.ID != "" {
 		change.ID = cmd.ID
 	}
 	if change.ID == "" {
-		var drawn [16]byte
-		_, _ = rand.Read(drawn[:]) // never fails
-		change.ID = hex.EncodeToString(drawn[:])
+		var id [idBytes]byte
+		_, _ = rand.Read(id[:]) // never fails
+		change.ID = hex.EncodeToString(id[:])
 	}
 	if cmd.Base != nil {
 		change.Base = cmd.Base
@@ -71,8 +70,16 @@
 	return change, nil
 }
 
-func sessionAddresses(stated *config.ControlService) (addresses []string) {
-	for _, m := range stated.Machines {
+func (cmd *applyCommand) readFile() ([]byte, error) {
+	if cmd.File == "-" {
+		return io.ReadAll(io.LimitReader(os.Stdin, configuration.MaxChangeBytes+1)) // Propose rejects one byte too many
+	}
+	return os.ReadFile(cmd.File)
+}
+
+func sessionAddresses(service *config.ControlService) []string {
+	var addresses []string
+	for _, m := range service.Machines {
 		addresses = append(addresses, m.Sessions)
 	}
 	return addresses
--- a/cmd/quartzconfig/main.go
+++ b/cmd/quartzconfig/main.go
@@ -1,5 +1,5 @@
 // Command quartzconfig is the configuration service: on each control machine it serves a replica of the versioned
-// routes and tenants, and it applies changes and tells how the fleet stands.
+// routes and tenants; for operators it applies changes and prints the status of the service and the fleet.
 package main
 
 import (
@@ -17,9 +17,9 @@
 
 // The exit codes.
 const (
-	exitRejected    = 1  // the change or a file has faults, or it could not be done
-	exitUnavailable = 2  // nobody could tell what became of it
-	exitUsage       = 80 // the command line itself is wrong
+	exitRejected    = 1  // the change or a file is invalid, or any other error
+	exitUnavailable = 2  // the outcome is unknown
+	exitUsage       = 80 // the command line is invalid
 )
 
 const description = `The configuration service of a fleet: versioned changes of routes and tenants.
@@ -27,40 +27,40 @@
 Exit codes: 0 done; 1 refused, and the last lines say why, each fault by its key; 2 not reached: the change may have
 been accepted all the same, and may be applied again under the same --id; 80 wrong usage.`
 
-// command is what may be asked.
-type command struct {
+// commands are the commands of the command line.
+type commands struct {
 	Serve  serveCommand  `cmd:"" help:"Serve on this machine, which the file names."`
 	Apply  applyCommand  `cmd:"" help:"Have a change accepted, and print the version that it became."`
 	Status statusCommand `cmd:"" help:"Print leader, version, and how far the fleet is behind."`
 }
 
-// serviceFile is the file that says which machines there are.
+// serviceFile is the option that names the service's configuration file.
 type serviceFile struct {
 	Config string `required:"" placeholder:"FILE" help:"The service's configuration file (TOML)."`
 }
 
-// read reads the file and the keys that it names.
-func (s *serviceFile) read() (*config.ControlService, peersync.Keys, error) {
-	stated, err := config.ReadControlService(s.Config)
-	if err != nil || stated.KeyFile == "" {
-		return stated, nil, err
+// read reads the file and the keys of its key file, if it names one.
+func (f *serviceFile) read() (*config.ControlService, peersync.Keys, error) {
+	service, err := config.ReadControlService(f.Config)
+	if err != nil || service.KeyFile == "" {
+		return service, nil, err
 	}
-	keys, err := peersync.ReadKeys(stated.KeyFile)
-	return stated, keys, err
+	keys, err := peersync.ReadKeys(service.KeyFile)
+	return service, keys, err
 }
 
 func main() {
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	parser, err := kong.New(&command{}, kong.Name("quartzconfig"), kong.Description(description), kong.UsageOnError(), kong.Bind(log))
+	logger := slog.New(slog.NewTextHandler(os.Stderr, nil))
+	parser, err := kong.New(&commands{}, kong.Name("quartzconfig"), kong.Description(description), kong.UsageOnError(), kong.Bind(logger))
 	if err != nil {
-		panic(fmt.Errorf("command line: %w", err))
+		panic(fmt.Errorf("command line: %w", err)) // the commands are constant
 	}
-	asked, err := parser.Parse(os.Args[1:])
+	command, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "quartzconfig: %v; see quartzconfig --help\n", err)
 		os.Exit(exitUsage)
 	}
-	if err := asked.Run(); err != nil {
+	if err := command.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		if errors.Is(err, configwatch.ErrUnavailable) {
 			os.Exit(exitUnavailable)
--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -20,7 +20,7 @@
 
 const patience = 30 * time.Second
 
-// programs is the folder of the two programs, built once.
+// programs is the directory of the two programs, built once.
 var programs string
 
 func TestMain(m *testing.M) {
@@ -34,11 +34,11 @@
 	if programs = folder; build.Run() == nil {
 		code = m.Run()
 	}
-	os.RemoveAll(folder)
+	_ = os.RemoveAll(folder)
 	os.Exit(code)
 }
 
-// cluster is three control machines of the real program.
+// cluster is three control machines, each a process of the real program.
 type cluster struct {
 	folder   string
 	sessions []string
@@ -48,7 +48,7 @@
 	logs     []*harness.LogText
 }
 
-func newFleet(t *testing.T) *cluster {
+func newCluster(t *testing.T) *cluster {
 	f := &cluster{folder: t.TempDir()}
 	f.keyFile = f.write(t, "keys", strings.Repeat("5e", 16)+"\n")
 	for range 3 {
@@ -77,7 +77,7 @@
 	return path
 }
 
-// file is the service's configuration; name and data are left out where it is only read to ask.
+// file writes the service's configuration file; a file that is only read to reach the machines has no head.
 func (f *cluster) file(t *testing.T, name, head string) string {
 	text := head + fmt.Sprintf("key-file = %q\n", f.keyFile)
 	for i := range f.sessions {
@@ -105,10 +105,10 @@
 	}
 }
 
-// run asks the command line, and gives what it printed and its exit code.
+// run runs a command and returns its output and exit code.
 func (f *cluster) run(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
-	cmd := exec.Command(filepath.Join(programs, "quartzconfig"), append(args, "--config", f.file(t, "ask.toml", ""))...)
+	cmd := exec.Command(filepath.Join(programs, "quartzconfig"), append(args, "--config", f.file(t, "client.toml", ""))...)
 	var all bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &all, &all
 	var exit *exec.ExitError
@@ -120,7 +120,7 @@
 	return all.String(), code
 }
 
-// apply has a change accepted and gives its version.
+// apply applies a change and returns its version.
 func (f *cluster) apply(t *testing.T, change string) int {
 	t.Helper()
 	out, code := f.run(t, "apply", f.write(t, "change.json", change))
@@ -130,10 +130,10 @@
 	return version
 }
 
-// server starts an app server that follows the fleet.
+// server starts an app server that watches the service.
 func (f *cluster) server(t *testing.T) *harness.Daemon {
 	t.Helper()
-	own := fmt.Sprintf("[configuration]\nname = \"app\"\nzone = \"z1\"\ndir = %q\nkey-file = %q\n", filepath.Join(f.folder, "kept"), f.keyFile)
+	own := fmt.Sprintf("[configuration]\nname = \"app\"\nzone = \"z1\"\ndir = %q\nkey-file = %q\n", filepath.Join(f.folder, "stored"), f.keyFile)
 	for i, address := range f.sessions {
 		own += fmt.Sprintf("[[configuration.machine]]\nzone = \"z%d\"\naddress = %q\n", i, address)
 	}
@@ -150,7 +150,7 @@
 	require.Eventually(t, func() bool { return strings.Contains(d.Log(), want) }, patience, time.Millisecond, d.Log())
 }
 
-// codes sends one request of a route and gives the code of its answer.
+// codes sends one request of a route and returns the code of its response.
 func codes(t *testing.T, d *harness.Daemon, route string) (code byte) {
 	t.Helper()
 	types := []harness.Route{{Name: route, LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
@@ -175,10 +175,11 @@
 	return `{"routes":{` + strings.Join(all, ",") + `}}`
 }
 
-// The real programs: a change is in force at a running server without a restart, survives the leader's kill and a restart
-// of the server while no control machine answers, and what is wrong is said with its exit code.
+// The real programs: a change comes into force at a running server without a restart. The leader is killed, and changes
+// go on; all control machines are killed, and the server goes on, also through a restart, with the version that it stored.
+// Each error has its exit code.
 func TestRealPrograms(t *testing.T) {
-	f := newFleet(t)
+	f := newCluster(t)
 	d := f.server(t)
 	require.Equal(t, byte(codeServed), codes(t, d, "base"))
 	require.Equal(t, byte(codeRejected), codes(t, d, "quote"))
@@ -212,15 +213,15 @@
 	for i := range f.running {
 		f.kill(i)
 	}
-	require.Equal(t, byte(codeServed), codes(t, d, "late"), "serves on with what is in force")
+	require.Equal(t, byte(codeServed), codes(t, d, "late"), "goes on with the version in force")
 	out, code = f.run(t, "apply", "--wait", "300ms", f.write(t, "change.json", routes("later")))
 	assert.Equal(t, exitUnavailable, code, out)
 	out, code = f.run(t, "status", "--wait", "300ms")
 	assert.Equal(t, exitUnavailable, code, out)
 	require.NoError(t, d.Kill())
 	d = f.server(t)
-	assert.Contains(t, d.Log(), `msg="configuration: kept on disk, in force" version=3 age=`)
-	assert.Equal(t, byte(codeServed), codes(t, d, "late"), "as it was kept")
+	assert.Contains(t, d.Log(), `msg="configuration: stored version in force" version=3 age=`)
+	assert.Equal(t, byte(codeServed), codes(t, d, "late"), "as it was stored")
 	assert.Equal(t, byte(codeRejected), codes(t, d, "base"), "and not as the platform's configuration says")
 	for i := range f.running {
 		f.start(t, i)
@@ -230,7 +231,7 @@
 	assert.Equal(t, byte(codeRejected), codes(t, d, "quote"))
 }
 
-// leader waits for a status that names one.
+// leader waits until the status names a leader, and returns its index.
 func (f *cluster) leader(t *testing.T) (leader int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -241,7 +242,7 @@
 	return leader
 }
 
-// A file with faults is told whole, by file, line and key, and nothing starts.
+// An invalid file is reported with all its errors, by file, line and key, and nothing starts.
 func TestFaultyFile(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "c.toml")
--- a/cmd/quartzconfig/serve.go
+++ b/cmd/quartzconfig/serve.go
@@ -16,51 +16,63 @@
 	"quartzpoint/internal/raftlog"
 )
 
-// serveCommand is the command that serves.
+// logDir is the directory of the replicated log inside the data directory.
+const logDir = "log"
+
+// serveCommand serves on a control machine.
 type serveCommand struct{ serviceFile }
 
-// Run serves until the notice to leave.
-func (cmd *serveCommand) Run(log *slog.Logger) (err error) {
-	stated, keys, err := cmd.read()
+// Run serves until SIGTERM or SIGINT.
+func (cmd *serveCommand) Run(logger *slog.Logger) (err error) {
+	service, keys, err := cmd.read()
 	if err != nil {
 		return err
 	}
-	if stated.Name == "" || stated.Data == "" {
+	if service.Name == "" || service.Data == "" {
 		return fmt.Errorf("%s: name and data are needed to serve", cmd.Config)
 	}
 	if len(keys) == 0 {
-		log.Warn("configuration service without a key", "key-file", "", "so", "loopback addresses only")
+		logger.Warn("configuration service without a key: loopback addresses only")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hub := configserve.NewReplica()
-	own, members, sessions := clusterMembers(stated)
-	listener, err := net.Listen("tcp", own.Sessions)
+	replica := configserve.NewReplica()
+	view := newClusterView(service)
+	listener, err := net.Listen("tcp", view.machine.Sessions)
 	if err != nil {
 		return fmt.Errorf("sessions: %w", err)
 	}
 	node, err := raftlog.Start(raftlog.Options{
-		Name: stated.Name, Dir: filepath.Join(stated.Data, "log"), Members: members, Keys: keys, StateMachine: hub, Logger: log,
+		Name: service.Name, Dir: filepath.Join(service.Data, logDir), Members: view.members, Keys: keys,
+		StateMachine: replica, Logger: logger,
 	})
 	if err != nil {
 		return errors.Join(err, listener.Close())
 	}
 	defer func() { err = errors.Join(err, node.Close()) }()
-	server := &configserve.Server{Name: stated.Name, SessionAddresses: sessions, Keys: keys, Replica: hub, Log: node, Logger: log}
-	log.Info("serving", "name", stated.Name, "sessions", own.Sessions, "replication", own.Replication, "machines", len(members),
-		"pid", os.Getpid())
+	server := &configserve.Server{
+		Name: service.Name, SessionAddresses: view.sessionAddresses, Keys: keys, Replica: replica, Log: node, Logger: logger,
+	}
+	logger.Info("serving", "name", service.Name, "sessions", view.machine.Sessions, "replication", view.machine.Replication,
+		"machines", len(view.members), "pid", os.Getpid())
 	return server.Serve(ctx, listener)
 }
 
-// clusterMembers gives this machine, all of them as the log knows them, and their addresses for sessions by name.
-func clusterMembers(stated *config.ControlService) (own config.ControlMachine, members []raftlog.Member, sessions map[string]string) {
-	sessions = map[string]string{}
-	for _, m := range stated.Machines {
-		if m.Name == stated.Name {
-			own = m
+// clusterView is the control machines as one of them sees them.
+type clusterView struct {
+	machine          config.ControlMachine // this one
+	members          []raftlog.Member
+	sessionAddresses map[string]string // by the name of the machine
+}
+
+func newClusterView(service *config.ControlService) clusterView {
+	view := clusterView{sessionAddresses: map[string]string{}}
+	for _, m := range service.Machines {
+		if m.Name == service.Name {
+			view.machine = m
 		}
-		members = append(members, raftlog.Member{Name: m.Name, Address: m.Replication, DialAddress: m.DialAddress})
-		sessions[m.Name] = m.Sessions
+		view.members = append(view.members, raftlog.Member{Name: m.Name, Address: m.Replication, DialAddress: m.DialAddress})
+		view.sessionAddresses[m.Name] = m.Sessions
 	}
-	return own, members, sessions
+	return view
 }
--- a/cmd/quartzconfig/status.go
+++ b/cmd/quartzconfig/status.go
@@ -12,99 +12,115 @@
 
 	"gonum.org/v1/gonum/stat"
 
+	"quartzpoint/internal/config"
 	"quartzpoint/internal/configwatch"
+	"quartzpoint/internal/peersync"
 )
 
-// statusCommand is the command that tells how the service and the fleet stand.
+const (
+	delayPrecision = 100 * time.Microsecond
+	unknown        = "unknown"
+)
+
+// statusCommand prints the status of the service and of the fleet.
 type statusCommand struct {
 	serviceFile
 	JSON bool          `name:"json" help:"Print it as JSON; times in nanoseconds."`
 	Wait time.Duration `default:"5s" help:"How long to try."`
 }
 
-// fleetStatus is what all machines that answered say together.
+// fleetStatus is the status of the service and of its watchers, from all control machines that answered.
 type fleetStatus struct {
 	Leader      string                      `json:"leader"`
 	Version     uint64                      `json:"version"`
 	Watchers    int                         `json:"watchers"`
-	P50         time.Duration               `json:"lag_p50_ns"` // from the acceptance of a change to its being in force
+	P50         time.Duration               `json:"lag_p50_ns"` // of the time from acceptance to in force
 	P99         time.Duration               `json:"lag_p99_ns"`
 	Worst       time.Duration               `json:"lag_worst_ns"`
-	Reports     int                         `json:"reports"` // that the lags are of
+	Reports     int                         `json:"reports"` // number of these times
 	Replicas    []configwatch.ReplicaStatus `json:"machines"`
-	Unreachable []string                    `json:"silent"` // machines that did not answer
+	Unreachable []string                    `json:"silent"` // name and error of the machines that did not answer
 }
 
-// Run prints it.
+// Run asks all control machines and prints what they answer.
 func (cmd *statusCommand) Run() error {
-	stated, keys, err := cmd.read()
+	service, keys, err := cmd.read()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Wait)
 	defer cancel()
-	all := fleetStatus{}
-	var lags []time.Duration
-	for _, m := range stated.Machines {
-		status, err := configwatch.FetchStatus(ctx, m.Sessions, keys)
-		if err != nil {
-			all.Unreachable = append(all.Unreachable, fmt.Sprintf("%s: %v", m.Name, err))
-			continue
-		}
-		all.Leader = cmp.Or(all.Leader, status.Leader)
-		all.Version = max(all.Version, status.Version)
-		all.Watchers += status.Watchers
-		lags = append(lags, status.PropagationDelays...)
-		status.PropagationDelays = nil
-		all.Replicas = append(all.Replicas, status)
-	}
-	if len(all.Replicas) == 0 {
-		return fmt.Errorf("%w: %v", configwatch.ErrUnavailable, all.Unreachable)
+	status, err := fetchFleetStatus(ctx, service, keys)
+	if err != nil {
+		return err
 	}
-	all.setDelays(lags)
 	if cmd.JSON {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
-		return encoder.Encode(all)
+		return encoder.Encode(status)
+	}
+	return status.print()
+}
+
+func fetchFleetStatus(ctx context.Context, service *config.ControlService, keys peersync.Keys) (*fleetStatus, error) {
+	status := &fleetStatus{}
+	var delays []time.Duration
+	for _, m := range service.Machines {
+		replica, err := configwatch.FetchStatus(ctx, m.Sessions, keys)
+		if err != nil {
+			status.Unreachable = append(status.Unreachable, fmt.Sprintf("%s: %v", m.Name, err))
+			continue
+		}
+		status.Leader = cmp.Or(status.Leader, replica.Leader)
+		status.Version = max(status.Version, replica.Version)
+		status.Watchers += replica.Watchers
+		delays = append(delays, replica.PropagationDelays...)
+		replica.PropagationDelays = nil // summed up below
+		status.Replicas = append(status.Replicas, replica)
+	}
+	if len(status.Replicas) == 0 {
+		return nil, fmt.Errorf("%w: %v", configwatch.ErrUnavailable, status.Unreachable)
 	}
-	return all.print()
+	status.setDelays(delays)
+	return status, nil
 }
 
-func (s *fleetStatus) setDelays(lags []time.Duration) {
-	if s.Reports = len(lags); s.Reports == 0 {
+func (s *fleetStatus) setDelays(delays []time.Duration) {
+	s.Reports = len(delays)
+	if s.Reports == 0 {
 		return
 	}
-	seconds := make([]float64, len(lags))
-	for i, lag := range slices.Sorted(slices.Values(lags)) {
-		seconds[i] = lag.Seconds()
+	seconds := make([]float64, len(delays))
+	for i, delay := range slices.Sorted(slices.Values(delays)) {
+		seconds[i] = delay.Seconds()
 	}
-	at := func(p float64) time.Duration {
+	quantile := func(p float64) time.Duration {
 		return time.Duration(stat.Quantile(p, stat.Empirical, seconds, nil) * float64(time.Second))
 	}
-	s.P50, s.P99, s.Worst = at(0.5), at(0.99), at(1)
+	s.P50, s.P99, s.Worst = quantile(0.5), quantile(0.99), quantile(1)
 }
 
 func (s *fleetStatus) print() error {
-	fmt.Printf("leader %s, version %d, %d watchers\n", cmp.Or(s.Leader, "unknown"), s.Version, s.Watchers)
+	fmt.Printf("leader %s, version %d, %d watchers\n", cmp.Or(s.Leader, unknown), s.Version, s.Watchers)
 	if s.Reports > 0 {
-		round := func(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
-		fmt.Printf("in force after p50 %v, p99 %v, worst %v, of %d reports\n", round(s.P50), round(s.P99), round(s.Worst), s.Reports)
+		fmt.Printf("in force after p50 %v, p99 %v, worst %v, of %d reports\n",
+			s.P50.Round(delayPrecision), s.P99.Round(delayPrecision), s.Worst.Round(delayPrecision), s.Reports)
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "machine\tversion\twatchers\tleader as it knows\t")
-	for _, m := range s.Replicas {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%s\t\n", m.Name, m.Version, m.Watchers, cmp.Or(m.Leader, "unknown"))
+	for _, replica := range s.Replicas {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%s\t\n", replica.Name, replica.Version, replica.Watchers, cmp.Or(replica.Leader, unknown))
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, name := range s.Unreachable {
-		fmt.Println("no answer:", name)
+	for _, machine := range s.Unreachable {
+		fmt.Println("no answer:", machine)
 	}
-	for _, m := range s.Replicas {
-		for _, b := range m.Lagging {
-			fmt.Printf("behind: %s (zone %s) at version %d, for %v %s\n", b.Name, cmp.Or(b.Zone, "unknown"), b.Version,
-				b.BehindFor.Round(time.Millisecond), b.Reason)
+	for _, replica := range s.Replicas {
+		for _, w := range replica.Lagging {
+			fmt.Printf("behind: %s (zone %s) at version %d, for %v %s\n", w.Name, cmp.Or(w.Zone, unknown), w.Version,
+				w.BehindFor.Round(time.Millisecond), w.Reason)
 		}
 	}
 	return nil
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -9,7 +9,6 @@
 
 	"quartzpoint/admission"
 	"quartzpoint/configuration"
-	"quartzpoint/internal/adminsocket"
 	"quartzpoint/internal/config"
 	"quartzpoint/internal/configwatch"
 	"quartzpoint/internal/datadir"
@@ -19,96 +18,99 @@
 )
 
 const (
-	maxRouteBytes         = 2 << 10 // that a route takes at the most, its names, rings and copy in the document
+	maxRouteBytes         = 2 << 10 // memory of a route with its names, statistics and copy in the document
 	maxTenantBytes        = 1 << 10
-	maxTableMemoryDivisor = 2 // part of the memory, as a divisor, that routes and tenants may take
+	maxTableMemoryDivisor = 2 // routes and tenants may take half of the memory
 )
 
-// tableUpdater brings the configuration service's tables into force in this server.
+// tableUpdater applies the configuration service's routes and tenants to this server.
 type tableUpdater struct {
 	server      *server.Server
 	memoryBytes int
-	store       *store.Configurations // nil where nothing is kept
+	store       *store.Configurations // nil where nothing is stored
 
-	// The tables that the platform's configuration stated, until those of the service take their place for good.
+	// The tables of the platform's configuration, until those of the service replace them; nil from then on.
 	baseRoutes  map[string]admission.Route
 	baseTenants map[string]float64
 }
 
-// newConfigWatcher has the server take its routes and tenants from the configuration service, where one is stated. What was kept
-// on disk is in force before the server takes its first request. It gives nil where none is stated.
+// newConfigWatcher returns a watcher of the configuration service that a source names, for the caller to run, and the
+// updater of the server's tables, for the caller to close; nil for both without a source. A stored version comes into
+// force here, before the server accepts its first request. name is that of the platform's configuration; memory is in
+// bytes.
 func newConfigWatcher(
-	stated *config.Source, name string, memory int, owner *server.Server, seed int64, log *slog.Logger,
+	source *config.Source, name string, memory int, owner *server.Server, seed int64, log *slog.Logger,
 ) (*configwatch.Watcher, *tableUpdater, error) {
-	if stated == nil {
+	if source == nil {
 		return nil, nil, nil
 	}
-	keys, err := keysOf(stated.KeyFile)
+	keys, err := keysOf(source.KeyFile)
 	if err != nil {
 		return nil, nil, err
 	}
-	k := &tableUpdater{server: owner, memoryBytes: memory}
-	k.baseRoutes, k.baseTenants = owner.Tables()
-	document := configuration.NewDocument()
-	if stated.Dir != "" {
-		kept, err := k.loadStored(stated.Dir, log)
-		if err != nil {
-			return nil, nil, err
-		}
-		if kept != nil {
-			document = kept
-		}
+	updater := &tableUpdater{server: owner, memoryBytes: memory}
+	updater.baseRoutes, updater.baseTenants = owner.Tables()
+	document, err := updater.loadStored(source.Dir, log)
+	if err != nil {
+		updater.close()
+		return nil, nil, err
 	}
-	if stated.Name != "" {
-		name = stated.Name
+	if source.Name != "" {
+		name = source.Name
 	}
-	w := &configwatch.Watcher{
-		Name: name, Zone: stated.Zone, Keys: keys, Document: document, Apply: k.apply, Seed: seed ^ int64(os.Getpid()), Logger: log,
+	watcher := &configwatch.Watcher{
+		Name: name, Zone: source.Zone, Keys: keys, Document: document, Apply: updater.apply,
+		Seed: seed ^ int64(os.Getpid()), Logger: log, // servers with the same seed must not reconnect at the same moments
 	}
-	if k.store != nil {
-		w.Store = k.store
+	if updater.store != nil {
+		watcher.Store = updater.store
 	}
-	for _, m := range stated.Endpoints {
-		w.Endpoints = append(w.Endpoints, configwatch.Endpoint{Zone: m.Zone, Address: m.Address})
+	for _, endpoint := range source.Endpoints {
+		watcher.Endpoints = append(watcher.Endpoints, configwatch.Endpoint(endpoint))
 	}
-	log.Info("configuration: followed", "name", name, "zone", stated.Zone, "machines", len(w.Endpoints), "version", document.Version)
-	return w, k, nil
+	log.Info("configuration: service configured", "name", name, "zone", source.Zone, "machines", len(watcher.Endpoints),
+		"version", document.Version)
+	return watcher, updater, nil
 }
 
-// loadStored reads what was kept, and has it in force before the start.
+// loadStored opens the store in a directory and applies the version that it holds. It returns the document in force: the
+// empty one where nothing is stored or the directory is empty ("").
 func (u *tableUpdater) loadStored(dir string, log *slog.Logger) (*configuration.Document, error) {
+	if dir == "" {
+		return configuration.NewDocument(), nil
+	}
 	disk, err := datadir.OpenDisk(dir, false)
 	if err != nil {
 		return nil, fmt.Errorf("configuration.dir: %w", err)
 	}
-	kept, had, err := store.OpenConfigurations(disk)
+	opened, stored, err := store.OpenConfigurations(disk)
 	if err != nil {
 		return nil, fmt.Errorf("configuration.dir: %w", err)
 	}
-	u.store = kept
-	for _, why := range had.Passed {
-		log.Warn("configuration: kept file not used", "why", why)
+	u.store = opened
+	for _, reason := range stored.Passed {
+		log.Warn("configuration: stored file not used", "reason", reason)
 	}
-	if had.Document == nil {
-		return nil, nil
+	if stored.Document == nil {
+		return configuration.NewDocument(), nil
 	}
-	if err := u.checkMemory(had.Document); err != nil {
+	if err := u.checkMemory(stored.Document); err != nil {
 		return nil, fmt.Errorf("configuration.dir %s: %w", dir, err)
 	}
-	u.server.SetTables(u.tableChange(configuration.Diff(configuration.NewDocument(), had.Document)))
-	log.Info("configuration: kept on disk, in force", "version", had.Document.Version,
-		"age", time.Since(had.Written).Round(time.Second), "routes", len(had.Document.Routes), "tenants", len(had.Document.Tenants))
-	return had.Document, nil
+	u.server.SetTables(u.tableChange(configuration.Diff(configuration.NewDocument(), stored.Document)))
+	log.Info("configuration: stored version in force", "version", stored.Document.Version,
+		"age", time.Since(stored.Written).Round(time.Second), "routes", len(stored.Document.Routes), "tenants", len(stored.Document.Tenants))
+	return stored.Document, nil
 }
 
-// close lets the folder go.
+// close closes the store. A nil updater has none.
 func (u *tableUpdater) close() {
 	if u != nil && u.store != nil {
-		_ = u.store.Close() // what was kept was synced
+		_ = u.store.Close() // every write was synced before
 	}
 }
 
-// apply has a delta, which leads to a document, come into force, or says why it cannot.
+// apply applies a delta, which leads to the document to, and returns once it is in force. It is configwatch.Watcher.Apply.
 func (u *tableUpdater) apply(ctx context.Context, delta configuration.Delta, to *configuration.Document) error {
 	if err := u.checkMemory(to); err != nil {
 		return err
@@ -125,19 +127,20 @@
 	}
 }
 
-// checkMemory tells whether a document's tables leave room for requests.
+// checkMemory returns an error where a document's tables would leave too little memory for requests.
 func (u *tableUpdater) checkMemory(d *configuration.Document) error {
 	need := len(d.Routes)*maxRouteBytes + len(d.Tenants)*maxTenantBytes
-	if most := u.memoryBytes / maxTableMemoryDivisor; need > most {
+	if limit := u.memoryBytes / maxTableMemoryDivisor; need > limit {
 		return fmt.Errorf("limits.memory_mb: %d routes and %d tenants may take %d MB, %d MB at most are allowed",
-			len(d.Routes), len(d.Tenants), need>>20, most>>20)
+			len(d.Routes), len(d.Tenants), need>>20, limit>>20)
 	}
 	return nil
 }
 
-// tableChange is what a delta makes different. The first one holds all of the service's tables, and what the platform's
-// configuration stated beside them goes.
-func (u *tableUpdater) tableChange(delta configuration.Delta) (change server.TableChange) {
+// tableChange converts a delta. The first one also removes the routes and tenants of the platform's configuration that
+// the service does not have.
+func (u *tableUpdater) tableChange(delta configuration.Delta) server.TableChange {
+	var change server.TableChange
 	change.Routes, change.Tenants = settings.Changes(delta)
 	for name := range u.baseRoutes {
 		if delta.Routes[name] == nil {
@@ -152,31 +155,3 @@
 	u.baseRoutes, u.baseTenants = nil, nil
 	return change
 }
-
-// configurationCommands are the commands about a server's watch of the configuration service.
-type configurationCommands struct {
-	Show configurationShowCommand `cmd:"" help:"Print which version is in force at a running server, and when the service was last heard of."`
-}
-
-// configurationShowCommand is the command that prints how a server's watch stands.
-type configurationShowCommand struct {
-	Socket string `arg:"" help:"The server's control socket, as in its [control] socket."`
-	JSON   bool   `name:"json" help:"Print it as JSON; times in nanoseconds."`
-}
-
-// Run asks once.
-func (cmd *configurationShowCommand) Run() error {
-	var standing configwatch.WatcherStatus
-	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askConfiguration}, &standing); err != nil {
-		return err
-	}
-	if cmd.JSON {
-		return printJSON(os.Stdout, standing)
-	}
-	heard := "never"
-	if standing.SinceContact >= 0 {
-		heard = standing.SinceContact.Round(time.Millisecond).String() + " ago"
-	}
-	fmt.Printf("version %d, connected %t, service last heard of %s\n", standing.Version, standing.Connected, heard)
-	return nil
-}
--- a/cmd/quartzpoint/configuration_test.go
+++ b/cmd/quartzpoint/configuration_test.go
@@ -30,15 +30,15 @@
 	return owner
 }
 
-// storeDocument leaves a document in a folder, as a server before this one did.
+// storeDocument stores a document in a directory, as an earlier run of the server would.
 func storeDocument(t *testing.T, dir string, d *configuration.Document) {
 	t.Helper()
 	disk, err := datadir.OpenDisk(dir, false)
 	require.NoError(t, err)
-	kept, _, err := store.OpenConfigurations(disk)
+	stored, _, err := store.OpenConfigurations(disk)
 	require.NoError(t, err)
-	require.NoError(t, kept.Replace(d))
-	require.NoError(t, kept.Close())
+	require.NoError(t, stored.Replace(d))
+	require.NoError(t, stored.Close())
 }
 
 func newDocument(routes, tenants int) *configuration.Document {
@@ -54,13 +54,14 @@
 	return d
 }
 
-// What was kept is in force before the start, in the place of all that the platform's configuration states.
-func TestStartsWithWhatWasKept(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "kept")
+// A server that starts while the service is down must not fall back to the platform's configuration: the stored version is
+// in force before it accepts requests, in place of everything that the platform's configuration names.
+func TestStartsWithStoredVersion(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "stored")
 	storeDocument(t, dir, newDocument(3, 2))
 	owner := newTestServer(t)
-	stated := &config.Source{Dir: dir, Endpoints: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
-	watcher, tables, err := newConfigWatcher(stated, "one", 96<<20, owner, 1, slog.New(slog.DiscardHandler))
+	source := &config.Source{Dir: dir, Endpoints: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
+	watcher, tables, err := newConfigWatcher(source, "one", 96<<20, owner, 1, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer tables.close()
 	routes, tenants := owner.Tables()
@@ -72,27 +73,27 @@
 	assert.Equal(t, uint64(1), watcher.Document.Version)
 }
 
-// Tables that leave no room for requests are a fault that names the limit, at the start and in service; nothing of them
-// is in force then.
+// Tables that would leave too little memory for requests are rejected with an error that names the limit, at the start and
+// in service, and nothing of them comes into force.
 func TestTablesBeyondTheMemory(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "kept")
+	dir := filepath.Join(t.TempDir(), "stored")
 	large := newDocument(100, 20_000)
 	storeDocument(t, dir, large)
 	owner := newTestServer(t)
 	before, _ := owner.Tables()
-	stated := &config.Source{Dir: dir, Endpoints: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
-	_, _, err := newConfigWatcher(stated, "one", 16<<20, owner, 1, slog.New(slog.DiscardHandler))
+	source := &config.Source{Dir: dir, Endpoints: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
+	_, _, err := newConfigWatcher(source, "one", 16<<20, owner, 1, slog.New(slog.DiscardHandler))
 	assert.ErrorContains(t, err, "configuration.dir "+dir+": limits.memory_mb: 100 routes and 20000 tenants may take 19 MB, 8 MB at most")
 	after, _ := owner.Tables()
 	assert.Equal(t, before, after)
 
-	k := &tableUpdater{server: owner, memoryBytes: 16 << 20}
-	err = k.apply(t.Context(), configuration.Diff(configuration.NewDocument(), large), large)
+	updater := &tableUpdater{server: owner, memoryBytes: 16 << 20}
+	err = updater.apply(t.Context(), configuration.Diff(configuration.NewDocument(), large), large)
 	assert.ErrorContains(t, err, "limits.memory_mb")
 }
 
-// Without the section nothing is followed.
-func TestNotFollowed(t *testing.T) {
+// Without the section the server watches nothing.
+func TestNotWatched(t *testing.T) {
 	watcher, tables, err := newConfigWatcher(nil, "one", 0, nil, 1, nil)
 	require.NoError(t, err)
 	assert.Nil(t, watcher)
--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -232,15 +232,15 @@
 // A machine that is cut off from the other control machines, but not from its watchers, would keep them at an old version
 // without a sign. It knows no leader, and so disconnects them; they find a machine that is not cut off.
 func TestCutOffMachineDisconnectsItsWatchers(t *testing.T) {
-	cut, whole := newMachine(t), newMachine(t)
-	for _, m := range []*controlMachine{cut, whole} {
+	cut, connected := newMachine(t), newMachine(t)
+	for _, m := range []*controlMachine{cut, connected} {
 		m.accept(t, deadline(1))
 	}
-	f := follow(t, "one", configwatch.Endpoint{Zone: "a", Address: cut.address}, configwatch.Endpoint{Zone: "b", Address: whole.address})
+	f := follow(t, "one", configwatch.Endpoint{Zone: "a", Address: cut.address}, configwatch.Endpoint{Zone: "b", Address: connected.address})
 	f.reaches(t, cut, 1)
 	cut.log.leadership.Store(&raftlog.Leadership{})
-	whole.accept(t, deadline(2))
-	f.reaches(t, whole, 2)
+	connected.accept(t, deadline(2))
+	f.reaches(t, connected, 2)
 }
 
 // The connection to a machine is cut, stalls, or loses what goes one way: each time the watcher keeps the version in force,
