--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -133,7 +133,7 @@
 // server starts an app server that watches the service.
 func (f *cluster) server(t *testing.T) *harness.Daemon {
 	t.Helper()
-	own := fmt.Sprintf("[configuration]\nname = \"app\"\nzone = \"z1\"\ndir = %q\nkey-file = %q\n", filepath.Join(f.folder, "stored"), f.keyFile)
+	own := fmt.Sprintf("[configuration]\nname = \"app\"\nzone = \"z1\"\ndir = %q\nkey-file = %q\n", filepath.Join(f.folder, "kept"), f.keyFile)
 	for i, address := range f.sessions {
 		own += fmt.Sprintf("[[configuration.machine]]\nzone = \"z%d\"\naddress = %q\n", i, address)
 	}
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -154,7 +154,7 @@
 			return err
 		}
 		if !w.connected.Swap(true) {
-			w.Logger.Info("configuration: watching", "machine", endpoint.Address, "version", w.Document.Version, "latest", update.Latest)
+			w.Logger.Info("configuration: watching", "machine", endpoint.Address, "version", w.Document.Version, "newest", update.Latest)
 		}
 		w.lastContact.Store(time.Now().UnixNano())
 		if len(update.Deltas) == 0 && update.Snapshot == nil {
