--- a/internal/raftlog/node_test.go
+++ b/internal/raftlog/node_test.go
@@ -8,6 +8,7 @@
 	"io"
 	"log/slog"
 	"net"
+	"os"
 	"path/filepath"
 	"sync"
 	"testing"
@@ -15,6 +16,7 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
 
 	"quartzpoint/internal/peersync"
 )
@@ -213,3 +215,30 @@
 	_, err := Start(nobody)
 	assert.ErrorContains(t, err, "none of its members")
 }
+
+// A start that fails halfway, here for a file in place of the snapshots, must release what it opened: the address would
+// stay taken, and the goroutine that accepts connections would run on.
+func TestFailedStartReleasesEverything(t *testing.T) {
+	before := goleak.IgnoreCurrent()
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	address := free.Addr().String()
+	require.NoError(t, free.Close())
+	dir := t.TempDir()
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "snapshots"), nil, 0o600))
+	options := Options{
+		Name: "m", Dir: dir, Members: []Member{{Name: "m", Address: address}}, StateMachine: &recordingMachine{},
+		Logger: slog.New(slog.DiscardHandler),
+	}
+	_, err = Start(options)
+	require.Error(t, err)
+	again, err := net.Listen("tcp", address)
+	require.NoError(t, err, "the address is free again")
+	require.NoError(t, again.Close())
+	goleak.VerifyNone(t, before)
+
+	require.NoError(t, os.Remove(filepath.Join(dir, "snapshots")))
+	node, err := Start(options) // the log's file is not locked any more
+	require.NoError(t, err)
+	require.NoError(t, node.Close())
+}
