--- a/cmd/quartzpoint/state.go
+++ b/cmd/quartzpoint/state.go
@@ -32,8 +32,8 @@
 		return p, nil
 	}
 	opened, recovered, err := store.Attach(owner, store.Options{
-		OpenDir: datadir.Opener(stated.Dir), Site: stated.Site, Schema: p.schema, MaxBytes: stated.Most,
-		CommitInterval: stated.Commit, PersistKeys: stated.Numbers, Counts: counts, Log: log,
+		OpenDir: datadir.Opener(stated.Dir), Site: stated.Site, Schema: p.schema, MaxBytes: stated.MaxBytes,
+		CommitInterval: stated.CommitInterval, PersistKeys: stated.IdempotencyKeys, Counts: counts, Log: log,
 	})
 	if err != nil {
 		return nil, err
--- a/configuration/file.go
+++ b/configuration/parse.go
@@ -8,15 +8,15 @@
 	"io"
 )
 
-// ReadChange takes the text of a file: a Change as JSON, or a platform configuration, whose routes and tenants are then
-// all that there are to be. Keys that a change does not have are faults.
-func ReadChange(raw []byte) (Change, error) {
-	var keys map[string]json.RawMessage
-	if err := json.Unmarshal(raw, &keys); err != nil {
+// ParseChange parses a file: either a Change as JSON, where unknown keys are an error, or a platform configuration (an
+// object with "settings"), which becomes the change that replaces all routes and tenants by its own.
+func ParseChange(raw []byte) (Change, error) {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(raw, &fields); err != nil {
 		return Change{}, fmt.Errorf("change: %w", err)
 	}
-	if settings, platform := keys["settings"]; platform {
-		return readPlatform(settings)
+	if settings, isPlatform := fields["settings"]; isPlatform {
+		return parsePlatform(settings)
 	}
 	var change Change
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -30,8 +30,8 @@
 	return change, nil
 }
 
-// platformSettings are the parts of the platform's settings that a document holds.
-type platformSettings struct {
+// platformConfig is the part of the platform's settings that a document holds.
+type platformConfig struct {
 	Services []struct {
 		Name string `json:"name"`
 		Route
@@ -41,25 +41,25 @@
 		Tenant
 	} `json:"tenants"`
 	Extra struct {
-		Calls []bool    `json:"calls-by-class"`
-		Skips []float64 `json:"class-skip-worth"`
+		CallsDependency []bool    `json:"calls-by-class"`   // by the index of the service
+		SkipValueShares []float64 `json:"class-skip-worth"` // likewise
 	} `json:"extra"`
 }
 
-// readPlatform makes the change that has exactly what a platform configuration states.
-func readPlatform(raw []byte) (Change, error) {
-	var settings platformSettings
+// parsePlatform returns the change that replaces everything by the routes and tenants of a platform configuration.
+func parsePlatform(raw []byte) (Change, error) {
+	var settings platformConfig
 	if err := json.Unmarshal(raw, &settings); err != nil {
 		return Change{}, fmt.Errorf("settings: %w", err)
 	}
-	change := Change{Whole: true, Routes: map[string]*Route{}, Tenants: map[string]*Tenant{}}
+	change := Change{ReplaceAll: true, Routes: map[string]*Route{}, Tenants: map[string]*Tenant{}}
 	for i, service := range settings.Services {
 		route := service.Route
-		if i < len(settings.Extra.Calls) {
-			route.Calls = settings.Extra.Calls[i]
+		if i < len(settings.Extra.CallsDependency) {
+			route.CallsDependency = settings.Extra.CallsDependency[i]
 		}
-		if i < len(settings.Extra.Skips) {
-			route.SkipValue = settings.Extra.Skips[i]
+		if i < len(settings.Extra.SkipValueShares) {
+			route.SkipValueShare = settings.Extra.SkipValueShares[i]
 		}
 		if change.Routes[service.Name] != nil {
 			return Change{}, fmt.Errorf("settings: services.%d.name: %q stands twice", i, service.Name)
--- a/internal/store/configuration_store.go
+++ b/internal/store/configuration_store.go
@@ -113,7 +113,7 @@
 // applyItem reads a document, or applies a delta to the one before it. A delta that does not fit leaves that unchanged.
 func applyItem(document *configuration.Document, item []byte, isDelta bool) (*configuration.Document, error) {
 	if !isDelta {
-		next, err := configuration.ReadSnapshot(item)
+		next, err := configuration.DecodeSnapshot(item)
 		if err != nil {
 			return document, err
 		}
@@ -122,7 +122,7 @@
 	if document == nil {
 		return nil, errNoDocument
 	}
-	delta, err := configuration.ReadDelta(item)
+	delta, err := configuration.DecodeDelta(item)
 	if err != nil {
 		return document, err
 	}
@@ -185,7 +185,7 @@
 	if c.file == nil || c.deltaBytes > max(c.documentBytes, minRetainedDeltaBytes) {
 		return c.Replace(document)
 	}
-	raw := c.appendItem(nil, delta.Bytes(), true)
+	raw := c.appendItem(nil, delta.Encode(), true)
 	c.deltaBytes += len(raw)
 	_, err := c.file.Write(raw)
 	if err == nil {
