--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -21,53 +21,53 @@
 
 const ms = time.Millisecond
 
-// hand carries decisions out by keeping them.
-type hand struct {
-	said  []string
-	falls map[int]bool // calls that have something to fall back on
-	sent  []sentCall
-	over  map[*Execution]Verdict
-	parts map[*Execution][]PartStatus
+// recorder carries decisions out by keeping them.
+type recorder struct {
+	log       []string
+	fallbacks map[int]bool // calls that have something to fall back on
+	sent      []sentCall
+	verdicts  map[*Execution]Verdict
+	parts     map[*Execution][]PartStatus
 }
 
 type sentCall struct {
-	flight        *Execution
+	execution     *Execution
 	call, attempt int
-	within        time.Duration
+	timeout       time.Duration
 }
 
-func (h *hand) Send(f *Execution, call, attempt int, within time.Duration) {
-	h.said = append(h.said, fmt.Sprintf("send %s/%d", f.plan.Calls[call].Name, attempt))
-	h.sent = append(h.sent, sentCall{f, call, attempt, within})
+func (h *recorder) Send(execution *Execution, call, attempt int, within time.Duration) {
+	h.log = append(h.log, fmt.Sprintf("send %s/%d", execution.plan.Calls[call].Name, attempt))
+	h.sent = append(h.sent, sentCall{execution, call, attempt, within})
 }
 
-func (h *hand) Cancel(f *Execution, call, attempt int) {
-	h.said = append(h.said, fmt.Sprintf("cancel %s/%d", f.plan.Calls[call].Name, attempt))
+func (h *recorder) Cancel(execution *Execution, call, attempt int) {
+	h.log = append(h.log, fmt.Sprintf("cancel %s/%d", execution.plan.Calls[call].Name, attempt))
 }
-func (h *hand) Fallback(_ *Execution, call int) bool { return h.falls[call] }
-func (h *hand) Finish(f *Execution, v Verdict) {
-	h.said = append(h.said, fmt.Sprintf("finish %d", v))
-	h.over[f] = v
+func (h *recorder) Fallback(_ *Execution, call int) bool { return h.fallbacks[call] }
+func (h *recorder) Finish(execution *Execution, v Verdict) {
+	h.log = append(h.log, fmt.Sprintf("finish %d", v))
+	h.verdicts[execution] = v
 	var whys []PartStatus
-	for i := range f.plan.Calls {
-		_, why := f.PartStatus(i)
+	for i := range execution.plan.Calls {
+		_, why := execution.PartStatus(i)
 		whys = append(whys, why)
 	}
-	h.parts[f] = whys
+	h.parts[execution] = whys
 }
 
-func newHand() *hand {
-	return &hand{falls: map[int]bool{}, over: map[*Execution]Verdict{}, parts: map[*Execution][]PartStatus{}}
+func newRecorder() *recorder {
+	return &recorder{fallbacks: map[int]bool{}, verdicts: map[*Execution]Verdict{}, parts: map[*Execution][]PartStatus{}}
 }
 
-func (h *hand) take() (said []string) { said, h.said = h.said, nil; return said }
+func (h *recorder) takeLog() (said []string) { said, h.log = h.log, nil; return said }
 
-func terms(share int) Options {
-	return Options{Name: "d", Share: share, QueueLimit: 4, Linger: time.Second, RetryRatio: 0.1}
+func testOptions(share int) Options {
+	return Options{Name: "d", MaxInFlight: share, QueueLimit: 4, CancelledTimeout: time.Second, RetryRatio: 0.1}
 }
 
-// plan is a needed read, an optional one beside it, and a needed at-most-once call behind the first.
-func plan(t require.TestingT, change func(*Plan)) *Plan {
+// testPlan is a needed read, an optional one beside it, and a needed at-most-once call behind the first.
+func testPlan(t require.TestingT, change func(*Plan)) *Plan {
 	p := &Plan{Route: "t", Reserve: 10 * ms, Calls: []Call{
 		{Name: "a", Required: true, Value: 2, Expected: 20 * ms, Retry: true},
 		{Name: "b", Value: 1, Expected: 20 * ms},
@@ -76,12 +76,12 @@
 	if change != nil {
 		change(p)
 	}
-	require.NoError(t, p.Check(1, time.Minute))
+	require.NoError(t, p.Validate(1, time.Minute))
 	return p
 }
 
-func book(h *hand, share int) (*Scheduler, *Dependency) {
-	d := NewDependency(terms(share), 1)
+func newTestScheduler(h *recorder, share int) (*Scheduler, *Dependency) {
+	d := NewDependency(testOptions(share), 1)
 	d.limit = float64(share)
 	return NewScheduler([]*Dependency{d}, h, 1), d
 }
@@ -109,17 +109,17 @@
 		{"no expected time", []Call{{Name: "a", Required: true}}, time.Second, "above 0"},
 	}
 	for _, c := range cases {
-		err := (&Plan{Calls: c.calls}).Check(1, c.whole)
+		err := (&Plan{Calls: c.calls}).Validate(1, c.whole)
 		assert.ErrorContains(t, err, c.want, c.name)
 	}
-	spans := plan(t, nil).Spans(400*ms, []string{"d"})
+	spans := testPlan(t, nil).Spans(400*ms, []string{"d"})
 	assert.Equal(t, Span{"c", 20 * ms, 60 * ms, 370 * ms, true, "d"}, spans[2])
 }
 
 func TestFlight(t *testing.T) {
 	type step struct {
 		at   time.Duration
-		do   func(b *Scheduler, h *hand)
+		do   func(b *Scheduler, h *recorder)
 		says []string
 	}
 	cases := []struct {
@@ -130,56 +130,56 @@
 	}{
 		{"whole", nil, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, Succeeded, 10*ms) }, []string{"send c/0"}},
-			{20 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 1, 0, Succeeded, 20*ms) }, nil},
-			{30 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 2, 0, Succeeded, 30*ms) }, []string{"finish 0"}},
+			{10 * ms, func(b *Scheduler, h *recorder) { b.CallEnded(h.sent[0].execution, 0, 0, Succeeded, 10*ms) }, []string{"send c/0"}},
+			{20 * ms, func(b *Scheduler, h *recorder) { b.CallEnded(h.sent[0].execution, 1, 0, Succeeded, 20*ms) }, nil},
+			{30 * ms, func(b *Scheduler, h *recorder) { b.CallEnded(h.sent[0].execution, 2, 0, Succeeded, 30*ms) }, []string{"finish 0"}},
 		}},
 		{"the optional one late: partial, with what is there", nil, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, Succeeded, 10*ms) }, []string{"send c/0"}},
-			{30 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 2, 0, Succeeded, 30*ms) }, nil},
+			{10 * ms, func(b *Scheduler, h *recorder) { b.CallEnded(h.sent[0].execution, 0, 0, Succeeded, 10*ms) }, []string{"send c/0"}},
+			{30 * ms, func(b *Scheduler, h *recorder) { b.CallEnded(h.sent[0].execution, 2, 0, Succeeded, 30*ms) }, nil},
 			{80 * ms, nil, []string{"cancel b/0", "finish 1"}},
 		}},
 		{"a needed one failed: given up at once", func(p *Plan) { p.Calls[0].Retry = false }, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, Failed, 10*ms) }, []string{"cancel b/0", "finish 2"}},
+			{10 * ms, func(b *Scheduler, h *recorder) { b.CallEnded(h.sent[0].execution, 0, 0, Failed, 10*ms) }, []string{"cancel b/0", "finish 2"}},
 		}},
 		{"it falls back", func(p *Plan) { p.Calls[0].Retry, p.Calls[0].Fallback = false, true }, []int{0}, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, Failed, 10*ms) }, []string{"send c/0"}},
+			{10 * ms, func(b *Scheduler, h *recorder) { b.CallEnded(h.sent[0].execution, 0, 0, Failed, 10*ms) }, []string{"send c/0"}},
 		}},
 		{"no second attempt that was not earned", nil, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, NotSent, 10*ms) }, []string{"cancel b/0", "finish 2"}},
+			{10 * ms, func(b *Scheduler, h *recorder) { b.CallEnded(h.sent[0].execution, 0, 0, NotSent, 10*ms) }, []string{"cancel b/0", "finish 2"}},
 		}},
 		{"an unclear at-most-once call", nil, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 0, 0, Succeeded, 10*ms) }, []string{"send c/0"}},
-			{20 * ms, func(b *Scheduler, h *hand) { b.CallEnded(h.sent[0].flight, 2, 0, Lost, 20*ms) }, []string{"cancel b/0", "finish 2"}},
-			{25 * ms, func(b *Scheduler, h *hand) { b.Late(0, 25*ms) }, nil},
+			{10 * ms, func(b *Scheduler, h *recorder) { b.CallEnded(h.sent[0].execution, 0, 0, Succeeded, 10*ms) }, []string{"send c/0"}},
+			{20 * ms, func(b *Scheduler, h *recorder) { b.CallEnded(h.sent[0].execution, 2, 0, Lost, 20*ms) }, []string{"cancel b/0", "finish 2"}},
+			{25 * ms, func(b *Scheduler, h *recorder) { b.CancelledCallEnded(0, 25*ms) }, nil},
 		}},
 		{"the caller gone", nil, nil, []step{
 			{0, nil, []string{"send a/0", "send b/0"}},
-			{10 * ms, func(b *Scheduler, h *hand) { b.Abandon(h.sent[0].flight, 10*ms) }, []string{"cancel a/0", "cancel b/0"}},
+			{10 * ms, func(b *Scheduler, h *recorder) { b.Cancel(h.sent[0].execution, 10*ms) }, []string{"cancel a/0", "cancel b/0"}},
 			{time.Second, nil, nil},
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHand()
+			h := newRecorder()
 			for _, i := range c.falls {
-				h.falls[i] = true
+				h.fallbacks[i] = true
 			}
-			b, _ := book(h, 10)
-			p := plan(t, c.change)
-			f := b.Begin(p, 0, 300*ms, nil)
-			require.NotNil(t, f)
+			b, _ := newTestScheduler(h, 10)
+			p := testPlan(t, c.change)
+			execution := b.Start(p, 0, 300*ms, nil)
+			require.NotNil(t, execution)
 			for _, s := range c.steps {
 				if s.do != nil {
 					s.do(b, h)
 				}
 				b.Advance(s.at)
-				assert.Equal(t, s.says, h.take(), "at %v", s.at)
+				assert.Equal(t, s.says, h.takeLog(), "at %v", s.at)
 			}
 		})
 	}
@@ -187,52 +187,52 @@
 
 // A task that is short of time leaves out the optional call of least importance for its time.
 func TestShed(t *testing.T) {
-	h := newHand()
-	b, _ := book(h, 10)
+	h := newRecorder()
+	b, _ := newTestScheduler(h, 10)
 	p := &Plan{Route: "t", Calls: []Call{
 		{Name: "cheap", Value: 1, Expected: 100 * ms},
 		{Name: "dear", Value: 5, Expected: 100 * ms},
 		{Name: "last", Required: true, Expected: 100 * ms, After: []int{0, 1}},
 	}}
-	require.NoError(t, p.Check(1, time.Minute))
+	require.NoError(t, p.Validate(1, time.Minute))
 	p.Calls[0].Expected = 150 * ms
-	b.Begin(p, 0, 220*ms, nil)
-	assert.Equal(t, []string{"send dear/0"}, h.take())
-	b.Begin(p, 0, 150*ms, nil)
-	assert.Equal(t, []string{"send last/0"}, h.take())
+	b.Start(p, 0, 220*ms, nil)
+	assert.Equal(t, []string{"send dear/0"}, h.takeLog())
+	b.Start(p, 0, 150*ms, nil)
+	assert.Equal(t, []string{"send last/0"}, h.takeLog())
 }
 
 // The wait for room is bounded, by due time.
 func TestWaiting(t *testing.T) {
-	h := newHand()
-	b, d := book(h, 1)
+	h := newRecorder()
+	b, d := newTestScheduler(h, 1)
 	p := &Plan{Route: "t", Calls: []Call{{Name: "a", Required: true, Expected: 10 * ms}}}
-	require.NoError(t, p.Check(1, time.Minute))
-	first := b.Begin(p, 0, time.Second, nil)
-	late := b.Begin(p, 0, 900*ms, nil)
+	require.NoError(t, p.Validate(1, time.Minute))
+	first := b.Start(p, 0, time.Second, nil)
+	late := b.Start(p, 0, 900*ms, nil)
 	for i := range 3 {
-		b.Begin(p, 0, time.Duration(500+i)*ms, nil)
+		b.Start(p, 0, time.Duration(500+i)*ms, nil)
 	}
-	soon := b.Begin(p, 0, 400*ms, nil) // the fifth: the one due last has no room
-	assert.Equal(t, []string{"send a/0", "finish 2"}, h.take())
-	assert.Equal(t, Aborted, h.over[late])
+	soon := b.Start(p, 0, 400*ms, nil) // the fifth: the one due last has no room
+	assert.Equal(t, []string{"send a/0", "finish 2"}, h.takeLog())
+	assert.Equal(t, Aborted, h.verdicts[late])
 	assert.Equal(t, []PartStatus{OverLimit}, h.parts[late])
 	b.CallEnded(first, 0, 0, Succeeded, 5*ms)
-	assert.Equal(t, []string{"finish 0", "send a/0"}, h.take())
-	assert.Same(t, soon, h.sent[1].flight)
-	assert.Len(t, d.waiting, 3)
+	assert.Equal(t, []string{"finish 0", "send a/0"}, h.takeLog())
+	assert.Same(t, soon, h.sent[1].execution)
+	assert.Len(t, d.queue, 3)
 	b.Advance(700 * ms)
-	assert.Empty(t, d.waiting, "waiting has an end")
-	assert.Zero(t, b.Open())
+	assert.Empty(t, d.queue, "waiting has an end")
+	assert.Zero(t, b.InFlight())
 }
 
 func TestLimitAndBreaker(t *testing.T) {
-	d := NewDependency(terms(8), 1)
+	d := NewDependency(testOptions(8), 1)
 	now := time.Duration(0)
 	call := func(how Outcome, took time.Duration) (sent bool) {
 		admitted, _ := d.Admit(now)
 		if admitted {
-			d.Ended(how, took, true, now+took)
+			d.CallEnded(how, took, true, now+took)
 		}
 		return admitted
 	}
@@ -241,15 +241,15 @@
 		now += 25 * ms
 	}
 	assert.Equal(t, 4.0, d.limit, "nobody waited")
-	d.wanted = true
-	now += period
+	d.limitReached = true
+	now += limitInterval
 	d.Tick(now)
 	assert.Equal(t, 5.0, d.limit)
 	for range 10 { // slower, though none fails
 		call(Succeeded, 60*ms)
 		now += 25 * ms
 	}
-	now += period - 250*ms
+	now += limitInterval - 250*ms
 	d.Tick(now)
 	assert.InDelta(t, 3.75, d.limit, 1e-9, "a backoff event")
 	assert.False(t, d.TakeRetryToken(now), "degraded, whatever was earned")
@@ -263,13 +263,13 @@
 		now += 10 * ms
 	}
 	assert.Less(t, sent, 20, "the breaker keeps calls away")
-	assert.Positive(t, d.Opened)
-	now += mostOpen * 2
+	assert.Positive(t, d.BreakerOpened)
+	now += maxOpenDuration * 2
 	admitted, broken := d.Admit(now)
 	assert.True(t, admitted && !broken, "a probe")
 	_, broken = d.Admit(now)
 	assert.True(t, broken, "one at a time")
-	d.Ended(Succeeded, 5*ms, true, now)
+	d.CallEnded(Succeeded, 5*ms, true, now)
 	assert.Equal(t, HalfOpen, d.breaker)
 	call(Succeeded, 5*ms)
 	assert.Equal(t, Closed, d.breaker)
@@ -278,36 +278,36 @@
 
 // Abandoned calls are load until they are told to have ended, or linger out.
 func TestLingering(t *testing.T) {
-	h := newHand()
-	b, d := book(h, 2)
+	h := newRecorder()
+	b, d := newTestScheduler(h, 2)
 	p := &Plan{Route: "t", Calls: []Call{{Name: "a", Required: true, Expected: 10 * ms}}}
-	require.NoError(t, p.Check(1, time.Minute))
+	require.NoError(t, p.Validate(1, time.Minute))
 	for range 2 {
-		b.Abandon(b.Begin(p, 0, time.Second, nil), ms)
+		b.Cancel(b.Start(p, 0, time.Second, nil), ms)
 	}
-	h.take()
-	b.Begin(p, 2*ms, 300*ms, nil)
-	assert.Empty(t, h.take(), "both slots are still taken")
-	b.Late(0, 10*ms)
-	assert.Equal(t, []string{"send a/0"}, h.take())
+	h.takeLog()
+	b.Start(p, 2*ms, 300*ms, nil)
+	assert.Empty(t, h.takeLog(), "both slots are still taken")
+	b.CancelledCallEnded(0, 10*ms)
+	assert.Equal(t, []string{"send a/0"}, h.takeLog())
 	b.Advance(1100 * ms)
-	assert.LessOrEqual(t, d.taken(), 2)
-	assert.Equal(t, 1, d.Late)
+	assert.LessOrEqual(t, d.slotsInUse(), 2)
+	assert.Equal(t, 1, d.LateResponses)
 }
 
 // A dependency that fails for long has hardly any second attempts; each is earned by ten first ones.
 func TestBudgetOfSecondAttempts(t *testing.T) {
-	h := newHand()
-	b, d := book(h, 100)
+	h := newRecorder()
+	b, d := newTestScheduler(h, 100)
 	p := &Plan{Route: "t", Calls: []Call{{Name: "a", Required: true, Expected: ms, Retry: true, Hedge: true}}}
-	require.NoError(t, p.Check(1, time.Minute))
+	require.NoError(t, p.Validate(1, time.Minute))
 	now := time.Duration(0)
 	at := 0
 	round := func(how Outcome) {
-		b.Begin(p, now, now+time.Second, nil)
+		b.Start(p, now, now+time.Second, nil)
 		for ; at < len(h.sent); at++ {
 			s := h.sent[at]
-			b.CallEnded(s.flight, s.call, s.attempt, how, now+ms)
+			b.CallEnded(s.execution, s.call, s.attempt, how, now+ms)
 		}
 		now += 5 * ms
 		b.Advance(now)
@@ -315,11 +315,11 @@
 	for range 400 {
 		round(Succeeded)
 	}
-	assert.Equal(t, mostTokens, d.tokens)
+	assert.Equal(t, maxRetryTokens, d.retryTokens)
 	for range 2000 {
 		round(Failed)
 	}
-	assert.LessOrEqual(t, float64(d.Retries), mostTokens)
+	assert.LessOrEqual(t, float64(d.ExtraAttempts), maxRetryTokens)
 	assert.Less(t, len(h.sent), 600, "and few first ones")
 }
 
@@ -342,22 +342,22 @@
 		}
 		p.Calls = append(p.Calls, c)
 	}
-	require.NoError(t, p.Check(2, time.Hour))
+	require.NoError(t, p.Validate(2, time.Hour))
 	return p
 }
 
-// watcher sees to what must hold whatever comes back and when.
-type watcher struct {
-	*hand
-	t    *rapid.T
-	now  time.Duration
-	ends map[*Execution]time.Duration
+// invariantChecker sees to what must hold whatever comes back and when.
+type invariantChecker struct {
+	*recorder
+	t         *rapid.T
+	now       time.Duration
+	deadlines map[*Execution]time.Duration
 }
 
-func (w *watcher) Send(f *Execution, call, attempt int, within time.Duration) {
-	w.hand.Send(f, call, attempt, within)
-	c := f.plan.Calls[call]
-	assert.LessOrEqual(w.t, w.now+within, w.ends[f.Ref.(*Execution)], "a call outlasts its task")
+func (w *invariantChecker) Send(execution *Execution, call, attempt int, within time.Duration) {
+	w.recorder.Send(execution, call, attempt, within)
+	c := execution.plan.Calls[call]
+	assert.LessOrEqual(w.t, w.now+within, w.deadlines[execution.Ref.(*Execution)], "a call outlasts its task")
 	if c.Effect == AtMostOnce {
 		assert.Zero(w.t, attempt, "an at-most-once call was sent again")
 	}
@@ -367,9 +367,9 @@
 // twice or later than its time, and nothing is left over.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &watcher{hand: newHand(), t: t, ends: map[*Execution]time.Duration{}}
+		w := &invariantChecker{recorder: newRecorder(), t: t, deadlines: map[*Execution]time.Duration{}}
 		share := rapid.IntRange(1, 6).Draw(t, "share")
-		deps := []*Dependency{NewDependency(terms(share), 1), NewDependency(terms(share), 2)}
+		deps := []*Dependency{NewDependency(testOptions(share), 1), NewDependency(testOptions(share), 2)}
 		b := NewScheduler(deps, w, 3)
 		p := drawnPlan(t)
 		begun, abandoned := 0, 0
@@ -377,52 +377,52 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			w.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "passes")) * ms
 			b.Advance(w.now)
-			for _, f := range b.flights {
-				assert.Less(t, w.now, f.until, "a task outlasts its time")
+			for _, execution := range b.executions {
+				assert.Less(t, w.now, execution.deadline, "a task outlasts its time")
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				mark := &Execution{}
 				until := w.now + time.Duration(rapid.IntRange(1, 500).Draw(t, "time"))*ms
-				w.ends[mark], latest = until, max(latest, until)
+				w.deadlines[mark], latest = until, max(latest, until)
 				begun++
-				b.Begin(p, w.now, until, mark)
+				b.Start(p, w.now, until, mark)
 			default:
 				var open []sentCall
 				for _, s := range w.sent {
-					if !s.flight.done && s.flight.Ref != nil && s.flight.calls[s.call].live[s.attempt] {
+					if !s.execution.finished && s.execution.Ref != nil && s.execution.calls[s.call].inFlight[s.attempt] {
 						open = append(open, s)
 					}
 				}
 				if len(open) > 0 {
 					s := rapid.SampledFrom(open).Draw(t, "ends")
-					b.CallEnded(s.flight, s.call, s.attempt, Outcome(rapid.IntRange(0, 4).Draw(t, "how")), w.now)
-				} else if len(b.flights) > 0 && rapid.Bool().Draw(t, "abandon") {
+					b.CallEnded(s.execution, s.call, s.attempt, Outcome(rapid.IntRange(0, 4).Draw(t, "how")), w.now)
+				} else if len(b.executions) > 0 && rapid.Bool().Draw(t, "abandon") {
 					abandoned++
-					b.Abandon(b.flights[0], w.now)
+					b.Cancel(b.executions[0], w.now)
 				}
 			}
 			for _, d := range deps {
 				assert.GreaterOrEqual(t, d.limit, 1.0)
 				assert.LessOrEqual(t, d.limit, float64(share))
-				assert.LessOrEqual(t, d.taken(), share)
+				assert.LessOrEqual(t, d.slotsInUse(), share)
 				assert.GreaterOrEqual(t, d.inFlight, 0)
-				assert.LessOrEqual(t, len(d.waiting), d.options.QueueLimit)
+				assert.LessOrEqual(t, len(d.queue), d.options.QueueLimit)
 			}
 		}
 		b.Advance(latest + time.Second)
 		b.Advance(latest + 5*time.Second)
-		assert.Zero(t, b.Open())
+		assert.Zero(t, b.InFlight())
 		finished := 0
-		for _, s := range w.said {
+		for _, s := range w.log {
 			if len(s) > 6 && s[:6] == "finish" {
 				finished++
 			}
 		}
 		assert.Equal(t, begun, finished+abandoned, "each task is finished once")
 		for _, d := range deps {
-			assert.Zero(t, d.taken(), "a slot is lost")
-			assert.Empty(t, d.waiting)
+			assert.Zero(t, d.slotsInUse(), "a slot is lost")
+			assert.Empty(t, d.queue)
 		}
 	})
 }
@@ -433,41 +433,41 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawnPlan(t)
 		until := time.Duration(rapid.IntRange(30, 2000).Draw(t, "time")) * ms
-		b := NewScheduler([]*Dependency{NewDependency(terms(50), 1), NewDependency(terms(50), 2)}, newHand(), 1)
-		f := &Execution{plan: p, until: until}
+		b := NewScheduler([]*Dependency{NewDependency(testOptions(50), 1), NewDependency(testOptions(50), 2)}, newRecorder(), 1)
+		execution := &Execution{plan: p, deadline: until}
 		var ends [MaxCalls]time.Duration
 		for _, i := range p.order {
 			begins := time.Duration(0)
 			for a := range p.Calls {
-				if p.before[i][a] {
+				if p.dependsOn[i][a] {
 					begins = max(begins, ends[a])
 				}
 			}
-			ends[i] = begins + b.allowed(f, i, begins)
+			ends[i] = begins + b.callTimeout(execution, i, begins)
 			assert.LessOrEqual(t, ends[i], until+time.Microsecond)
 		}
 	})
 }
 
-type silent struct{ last *Execution }
+type discardExecutor struct{ last *Execution }
 
-func (s *silent) Send(f *Execution, _, _ int, _ time.Duration) { s.last = f }
-func (*silent) Cancel(*Execution, int, int)                    {}
-func (*silent) Fallback(*Execution, int) bool                  { return false }
-func (*silent) Finish(*Execution, Verdict)                     {}
+func (s *discardExecutor) Send(execution *Execution, _, _ int, _ time.Duration) { s.last = execution }
+func (*discardExecutor) Cancel(*Execution, int, int)                            {}
+func (*discardExecutor) Fallback(*Execution, int) bool                          { return false }
+func (*discardExecutor) Finish(*Execution, Verdict)                             {}
 
 // BenchmarkCall is one decision of a task of three calls: its begin, each end, and its finish make four.
 func BenchmarkCall(b *testing.B) {
-	s := &silent{}
-	deps := []*Dependency{NewDependency(terms(100), 1)}
+	s := &discardExecutor{}
+	deps := []*Dependency{NewDependency(testOptions(100), 1)}
 	deps[0].limit = 100
 	k := NewScheduler(deps, s, 1)
-	p := plan(b, nil)
+	p := testPlan(b, nil)
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += ms
-		k.Begin(p, now, now+time.Second, nil)
+		k.Start(p, now, now+time.Second, nil)
 		for i := range 3 {
 			k.CallEnded(s.last, i, 0, Succeeded, now+ms)
 		}
@@ -477,6 +477,6 @@
 
 // A wide share and a long queue cost nothing until they are used.
 func TestNothingIsLaidOutForABound(t *testing.T) {
-	d := NewDependency(Options{Share: 1000, QueueLimit: 4096}, 1)
-	assert.Zero(t, cap(d.waiting)+cap(d.lingering))
+	d := NewDependency(Options{MaxInFlight: 1000, QueueLimit: 4096}, 1)
+	assert.Zero(t, cap(d.queue)+cap(d.cancelledUntil))
 }
--- a/budget/flight.go
+++ b/budget/flight.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	attemptsMost  = 2
-	optionalTimes = 4                     // times what it is stated to take that an optional call is waited for
-	neededTimes   = 12                    // times what it takes, as stated and as seen, that a needed one is: beyond that it is most likely lost
-	hopeless      = 4                     // a needed call is not begun in less than this part of what it takes
-	retryWait     = 40 * time.Millisecond // most that a second attempt waits, with full jitter
+	maxAttempts           = 2
+	optionalTimeoutFactor = 4                     // times what it is stated to take that an optional call is waited for
+	requiredTimeoutFactor = 12                    // times what it takes, as stated and as seen, that a needed one is: beyond that it is most likely lost
+	minTimeDivisor        = 4                     // a needed call is not begun in less than this part of what it takes
+	maxRetryDelay         = 40 * time.Millisecond // most that a second attempt waits, with full jitter
 )
 
 // Verdict is how a task made of calls is answered.
@@ -27,66 +27,66 @@
 // PartStatus says what became of a call's part.
 type PartStatus int
 
-// The reasons. FellBack has a part all the same; Unclear is an effect that may or may not have happened.
+// The reasons. UsedFallback has a part all the same; Unclear is an effect that may or may not have happened.
 const (
 	Fresh PartStatus = iota
-	FellBack
+	UsedFallback
 	DeadlineTooClose
 	OverLimit
-	Broken
-	NotRun
-	TooLate
-	Unclear
+	BreakerOpen
+	CallFailed
+	TimedOut
+	EffectUnknown
 )
 
-func (w PartStatus) String() string {
-	return [...]string{"fresh", "fell back", "no time", "no room", "breaker open", "failed", "late", "unclear"}[w]
+func (p PartStatus) String() string {
+	return [...]string{"fresh", "fell back", "no time", "no room", "breaker open", "failed", "late", "unclear"}[p]
 }
 
 type phase int
 
 const (
-	idle phase = iota
-	waits
-	open
-	pausing // before a second attempt
-	settled
+	phasePending phase = iota
+	phaseQueued
+	phaseInFlight
+	phaseRetryBackoff // before a second attempt
+	phaseSettled
 )
 
 type callState struct {
-	phase    phase
-	good     bool
-	why      PartStatus
-	attempts int
-	live     [attemptsMost]bool
-	began    [attemptsMost]time.Duration
-	deadline time.Duration // of what is open, or of the wait
-	next     time.Duration // of a hedge or of a second attempt; 0 without one
+	phase          phase
+	available      bool
+	status         PartStatus
+	attempts       int
+	inFlight       [maxAttempts]bool
+	startedAt      [maxAttempts]time.Duration
+	deadline       time.Duration // of what is open, or of the wait
+	retryOrHedgeAt time.Duration // of a hedge or of a second attempt; 0 without one
 }
 
 // Execution is one task under way.
 type Execution struct {
-	Ref   any // what the Writer keeps with it
-	plan  *Plan
-	until time.Duration
-	calls [MaxCalls]callState
-	done  bool
+	Ref      any // what the Writer keeps with it
+	plan     *Plan
+	deadline time.Duration
+	calls    [MaxCalls]callState
+	finished bool
 }
 
 // Plan is that of the task.
-func (f *Execution) Plan() *Plan { return f.plan }
+func (e *Execution) Plan() *Plan { return e.plan }
 
 // PartStatus tells what became of a call.
-func (f *Execution) PartStatus(call int) (good bool, why PartStatus) {
-	return f.calls[call].good, f.calls[call].why
+func (e *Execution) PartStatus(call int) (good bool, why PartStatus) {
+	return e.calls[call].available, e.calls[call].status
 }
 
 // Value is the importance of the parts that are there, as a share of all.
-func (f *Execution) Value() float64 {
+func (e *Execution) Value() float64 {
 	has, all := 0.0, 0.0
-	for i, c := range f.plan.Calls {
+	for i, c := range e.plan.Calls {
 		all += c.Value
-		if f.calls[i].good {
+		if e.calls[i].available {
 			has += c.Value
 		}
 	}
@@ -99,464 +99,464 @@
 // Executor carries out what is decided. None of its methods may call back.
 type Executor interface {
 	// Send makes a call; attempt is 0, or 1 for a second one of the same call, which carries the same number.
-	Send(f *Execution, call, attempt int, within time.Duration)
+	Send(execution *Execution, call, attempt int, within time.Duration)
 	// Cancel tells that nobody waits for an attempt any more. Its end, if it is ever told, goes to Late.
-	Cancel(f *Execution, call, attempt int)
+	Cancel(execution *Execution, call, attempt int)
 	// Fallback puts a last good result or a constant in the place of a part, and tells whether there is one.
-	Fallback(f *Execution, call int) bool
+	Fallback(execution *Execution, call int) bool
 	// Finish answers the task. The flight is used again after it.
-	Finish(f *Execution, v Verdict)
+	Finish(execution *Execution, v Verdict)
 }
 
-type waiter struct {
-	flight *Execution
-	call   int
-	due    time.Duration
+type queuedCall struct {
+	execution *Execution
+	call      int
+	deadline  time.Duration
 }
 
 // Scheduler holds the dependencies and all tasks under way. Its methods are for one caller at a time.
 type Scheduler struct {
-	deps    []*Dependency
-	writer  Executor
-	rng     *rand.Rand
-	flights []*Execution
-	free    []*Execution
-	over    bool // some of them are finished, and not collected yet
-	next    time.Duration
+	dependencies []*Dependency
+	executor     Executor
+	rng          *rand.Rand
+	executions   []*Execution
+	free         []*Execution
+	anyFinished  bool // some of them are finished, and not collected yet
+	nextTimer    time.Duration
 }
 
 // NewScheduler begins with dependencies in the order in which plans name them.
 func NewScheduler(deps []*Dependency, w Executor, seed int64) *Scheduler {
-	return &Scheduler{deps: deps, writer: w, rng: rand.New(rand.NewSource(seed)), next: never}
+	return &Scheduler{dependencies: deps, executor: w, rng: rand.New(rand.NewSource(seed)), nextTimer: never}
 }
 
 const never = time.Duration(1<<63 - 1)
 
-// Open is the number of tasks under way.
-func (b *Scheduler) Open() int { return len(b.flights) }
+// InFlight is the number of tasks under way.
+func (s *Scheduler) InFlight() int { return len(s.executions) }
 
-// Next is the moment of the earliest timer.
-func (b *Scheduler) Next() time.Duration { return b.next }
+// NextTimer is the moment of the earliest timer.
+func (s *Scheduler) NextTimer() time.Duration { return s.nextTimer }
 
-// Begin starts a task that is to be answered by a moment. It gives none where the task was finished at once.
-func (b *Scheduler) Begin(p *Plan, now, until time.Duration, ref any) *Execution {
-	var f *Execution
-	if n := len(b.free); n > 0 {
-		f, b.free = b.free[n-1], b.free[:n-1]
-		*f = Execution{}
+// Start starts a task that is to be answered by a moment. It gives none where the task was finished at once.
+func (s *Scheduler) Start(p *Plan, now, until time.Duration, ref any) *Execution {
+	var execution *Execution
+	if n := len(s.free); n > 0 {
+		execution, s.free = s.free[n-1], s.free[:n-1]
+		*execution = Execution{}
 	} else {
-		f = &Execution{}
-	}
-	f.Ref, f.plan, f.until = ref, p, until-p.Reserve
-	b.flights = append(b.flights, f)
-	b.next = min(b.next, f.until)
-	b.shed(f, now)
-	b.advance(f, now)
-	done := f.done
-	b.collect()
+		execution = &Execution{}
+	}
+	execution.Ref, execution.plan, execution.deadline = ref, p, until-p.Reserve
+	s.executions = append(s.executions, execution)
+	s.nextTimer = min(s.nextTimer, execution.deadline)
+	s.skipOptional(execution, now)
+	s.startReadyCalls(execution, now)
+	done := execution.finished
+	s.recycle()
 	if done {
 		return nil
 	}
-	return f
+	return execution
 }
 
 // CallEnded takes the end of an attempt that was not cancelled.
-func (b *Scheduler) CallEnded(f *Execution, call, attempt int, how Outcome, now time.Duration) {
-	s, c := &f.calls[call], &f.plan.Calls[call]
-	d := b.deps[c.Dependency]
-	if f.done || !s.live[attempt] {
+func (s *Scheduler) CallEnded(execution *Execution, call, attempt int, how Outcome, now time.Duration) {
+	state, c := &execution.calls[call], &execution.plan.Calls[call]
+	d := s.dependencies[c.Dependency]
+	if execution.finished || !state.inFlight[attempt] {
 		return
 	}
-	s.live[attempt] = false
+	state.inFlight[attempt] = false
 	d.Tick(now)
-	d.Ended(how, now-s.began[attempt], attempt == 0, now)
+	d.CallEnded(how, now-state.startedAt[attempt], attempt == 0, now)
 	switch {
 	case how == Succeeded:
-		b.drop(f, call, false, now)
-		b.settle(f, call, true, Fresh, now)
-	case s.live[1-attempt]: // the other may still come back
-	case !b.again(f, call, how, now):
-		b.settle(f, call, false, failedAs(c, how), now)
+		s.cancelAttempts(execution, call, false, now)
+		s.settle(execution, call, true, Fresh, now)
+	case state.inFlight[1-attempt]: // the other may still come back
+	case !s.scheduleRetry(execution, call, how, now):
+		s.settle(execution, call, false, failedStatus(c, how), now)
 	}
-	b.admitWaiting(c.Dependency, now)
-	b.collect()
+	s.admitWaiting(c.Dependency, now)
+	s.recycle()
 }
 
-func failedAs(c *Call, how Outcome) PartStatus {
+func failedStatus(c *Call, how Outcome) PartStatus {
 	if c.Effect == AtMostOnce && how == Lost {
-		return Unclear
+		return EffectUnknown
 	}
-	return NotRun
+	return CallFailed
 }
 
-// Late takes the end of an attempt that was cancelled: its slot is free, and nothing else changes.
-func (b *Scheduler) Late(dependency int, now time.Duration) {
-	b.deps[dependency].LateEnd(now)
-	b.admitWaiting(dependency, now)
-	b.collect()
+// CancelledCallEnded takes the end of an attempt that was cancelled: its slot is free, and nothing else changes.
+func (s *Scheduler) CancelledCallEnded(dependency int, now time.Duration) {
+	s.dependencies[dependency].CancelledCallEnded(now)
+	s.admitWaiting(dependency, now)
+	s.recycle()
 }
 
-// Abandon ends a task without an answer: somebody else has given it up, or its caller is gone.
-func (b *Scheduler) Abandon(f *Execution, now time.Duration) {
-	if f.done {
+// Cancel ends a task without an answer: somebody else has given it up, or its caller is gone.
+func (s *Scheduler) Cancel(execution *Execution, now time.Duration) {
+	if execution.finished {
 		return
 	}
-	b.close(f, now)
-	b.collect()
+	s.release(execution, now)
+	s.recycle()
 }
 
 // Advance does what is due.
-func (b *Scheduler) Advance(now time.Duration) {
-	for i := range b.deps {
-		b.admitWaiting(i, now) // limits move and slots linger out with time
+func (s *Scheduler) Advance(now time.Duration) {
+	for i := range s.dependencies {
+		s.admitWaiting(i, now) // limits move and slots linger out with time
 	}
-	b.collect()
-	if now < b.next {
+	s.recycle()
+	if now < s.nextTimer {
 		return
 	}
-	for i := 0; i < len(b.flights); i++ { // those that begin meanwhile stand behind
-		b.timers(b.flights[i], now)
-	}
-	b.collect()
-	b.next = never
-	for _, f := range b.flights {
-		b.next = min(b.next, f.until)
-		for i := range f.plan.Calls {
-			if s := &f.calls[i]; s.phase != idle && s.phase != settled {
-				if s.phase != pausing {
-					b.next = min(b.next, s.deadline)
+	for i := 0; i < len(s.executions); i++ { // those that begin meanwhile stand behind
+		s.runTimers(s.executions[i], now)
+	}
+	s.recycle()
+	s.nextTimer = never
+	for _, execution := range s.executions {
+		s.nextTimer = min(s.nextTimer, execution.deadline)
+		for i := range execution.plan.Calls {
+			if state := &execution.calls[i]; state.phase != phasePending && state.phase != phaseSettled {
+				if state.phase != phaseRetryBackoff {
+					s.nextTimer = min(s.nextTimer, state.deadline)
 				}
-				if s.next > 0 {
-					b.next = min(b.next, s.next)
+				if state.retryOrHedgeAt > 0 {
+					s.nextTimer = min(s.nextTimer, state.retryOrHedgeAt)
 				}
 			}
 		}
 	}
 }
 
-func (b *Scheduler) timers(f *Execution, now time.Duration) {
-	if f.done {
+func (s *Scheduler) runTimers(execution *Execution, now time.Duration) {
+	if execution.finished {
 		return
 	}
-	if now >= f.until {
-		b.timeUp(f, now)
+	if now >= execution.deadline {
+		s.finishAtDeadline(execution, now)
 		return
 	}
-	for i := range f.plan.Calls {
-		s, c := &f.calls[i], &f.plan.Calls[i]
+	for i := range execution.plan.Calls {
+		state, c := &execution.calls[i], &execution.plan.Calls[i]
 		switch {
-		case f.done:
+		case execution.finished:
 			return
-		case s.phase == waits && now >= s.deadline:
-			b.unwait(f, i)
-			b.settle(f, i, false, OverLimit, now)
-		case s.phase == pausing && now >= s.next:
-			s.next = 0
-			if admitted, _ := b.deps[c.Dependency].Admit(now); admitted {
-				b.send(f, i, now)
+		case state.phase == phaseQueued && now >= state.deadline:
+			s.dequeue(execution, i)
+			s.settle(execution, i, false, OverLimit, now)
+		case state.phase == phaseRetryBackoff && now >= state.retryOrHedgeAt:
+			state.retryOrHedgeAt = 0
+			if admitted, _ := s.dependencies[c.Dependency].Admit(now); admitted {
+				s.send(execution, i, now)
 			} else {
-				b.settle(f, i, false, OverLimit, now)
+				s.settle(execution, i, false, OverLimit, now)
 			}
-		case s.phase == open && now >= s.deadline:
-			b.drop(f, i, true, now)
-			b.settle(f, i, false, lateAs(c), now)
-		case s.phase == open && s.next > 0 && now >= s.next:
-			s.next = 0
-			b.hedge(f, i, now)
+		case state.phase == phaseInFlight && now >= state.deadline:
+			s.cancelAttempts(execution, i, true, now)
+			s.settle(execution, i, false, timedOutStatus(c), now)
+		case state.phase == phaseInFlight && state.retryOrHedgeAt > 0 && now >= state.retryOrHedgeAt:
+			state.retryOrHedgeAt = 0
+			s.hedge(execution, i, now)
 		}
 	}
 }
 
-func lateAs(c *Call) PartStatus {
+func timedOutStatus(c *Call) PartStatus {
 	if c.Effect == AtMostOnce {
-		return Unclear
+		return EffectUnknown
 	}
-	return TooLate
+	return TimedOut
 }
 
-// timeUp answers with what is there.
-func (b *Scheduler) timeUp(f *Execution, now time.Duration) {
-	for i := range f.plan.Calls {
-		s, c := &f.calls[i], &f.plan.Calls[i]
-		if s.phase == settled {
+// finishAtDeadline answers with what is there.
+func (s *Scheduler) finishAtDeadline(execution *Execution, now time.Duration) {
+	for i := range execution.plan.Calls {
+		state, c := &execution.calls[i], &execution.plan.Calls[i]
+		if state.phase == phaseSettled {
 			continue
 		}
 		why := DeadlineTooClose
-		switch s.phase {
-		case open:
-			b.drop(f, i, true, now)
-			why = lateAs(c)
-		case waits:
-			b.unwait(f, i)
+		switch state.phase {
+		case phaseInFlight:
+			s.cancelAttempts(execution, i, true, now)
+			why = timedOutStatus(c)
+		case phaseQueued:
+			s.dequeue(execution, i)
 			why = OverLimit
 		}
-		s.phase, s.why = settled, why
-		if c.Fallback && b.writer.Fallback(f, i) {
-			s.good, s.why = true, FellBack
+		state.phase, state.status = phaseSettled, why
+		if c.Fallback && s.executor.Fallback(execution, i) {
+			state.available, state.status = true, UsedFallback
 		}
 	}
-	b.finish(f, now)
+	s.finish(execution, now)
 }
 
 // settle ends a call. Without one that is needed the task is given up at once: waiting for the rest would only
 // hold up whoever asked.
-func (b *Scheduler) settle(f *Execution, i int, good bool, why PartStatus, now time.Duration) {
-	s, c := &f.calls[i], &f.plan.Calls[i]
-	if f.done || s.phase == settled {
+func (s *Scheduler) settle(execution *Execution, i int, good bool, why PartStatus, now time.Duration) {
+	state, c := &execution.calls[i], &execution.plan.Calls[i]
+	if execution.finished || state.phase == phaseSettled {
 		return
 	}
-	s.phase, s.good, s.why, s.next = settled, good, why, 0
-	if !good && c.Fallback && b.writer.Fallback(f, i) {
-		s.good, s.why = true, FellBack
+	state.phase, state.available, state.status, state.retryOrHedgeAt = phaseSettled, good, why, 0
+	if !good && c.Fallback && s.executor.Fallback(execution, i) {
+		state.available, state.status = true, UsedFallback
 	}
-	if c.Required && !s.good {
-		b.finish(f, now)
+	if c.Required && !state.available {
+		s.finish(execution, now)
 		return
 	}
-	b.advance(f, now)
+	s.startReadyCalls(execution, now)
 }
 
-// advance begins all calls that wait for nothing any more, side by side, and finishes a task without any left.
-func (b *Scheduler) advance(f *Execution, now time.Duration) {
+// startReadyCalls begins all calls that wait for nothing any more, side by side, and finishes a task without any left.
+func (s *Scheduler) startReadyCalls(execution *Execution, now time.Duration) {
 	left := false
-	for _, i := range f.plan.order {
-		if f.done {
+	for _, i := range execution.plan.order {
+		if execution.finished {
 			return
 		}
-		if f.calls[i].phase == settled {
+		if execution.calls[i].phase == phaseSettled {
 			continue
 		}
 		left = true
-		if f.calls[i].phase != idle {
+		if execution.calls[i].phase != phasePending {
 			continue
 		}
 		ready := true
-		for a := range f.plan.Calls {
-			ready = ready && (!f.plan.before[i][a] || f.calls[a].phase == settled)
+		for a := range execution.plan.Calls {
+			ready = ready && (!execution.plan.dependsOn[i][a] || execution.calls[a].phase == phaseSettled)
 		}
 		if ready {
-			b.begin(f, i, now) // may settle, and so come here again
+			s.startCall(execution, i, now) // may settle, and so come here again
 		}
 	}
-	if !left && !f.done {
-		b.finish(f, now)
+	if !left && !execution.finished {
+		s.finish(execution, now)
 	}
 }
 
-func (b *Scheduler) begin(f *Execution, i int, now time.Duration) {
-	s, c := &f.calls[i], &f.plan.Calls[i]
-	d := b.deps[c.Dependency]
-	may, takes := b.allowed(f, i, now), d.Expected(c.Expected)
+func (s *Scheduler) startCall(execution *Execution, i int, now time.Duration) {
+	state, c := &execution.calls[i], &execution.plan.Calls[i]
+	d := s.dependencies[c.Dependency]
+	may, takes := s.callTimeout(execution, i, now), d.ExpectedDuration(c.Expected)
 	// An optional call is begun although it is seen to take longer than it may: else a dependency that was slow would
 	// never be seen to be quick again. The breaker keeps that to a few.
-	if left := f.until - now; may <= 0 || !c.Required && left < takes || may < takes/hopeless && c.Required {
-		b.settle(f, i, false, DeadlineTooClose, now)
+	if left := execution.deadline - now; may <= 0 || !c.Required && left < takes || may < takes/minTimeDivisor && c.Required {
+		s.settle(execution, i, false, DeadlineTooClose, now)
 		return
 	}
 	admitted, broken := d.Admit(now)
 	switch {
 	case broken:
-		b.settle(f, i, false, Broken, now)
+		s.settle(execution, i, false, BreakerOpen, now)
 	case admitted:
-		b.send(f, i, now)
+		s.send(execution, i, now)
 	default:
-		s.phase, s.deadline = waits, now+max(may-takes, 0)
-		b.next = min(b.next, s.deadline)
-		b.wait(waiter{f, i, f.until}, now)
+		state.phase, state.deadline = phaseQueued, now+max(may-takes, 0)
+		s.nextTimer = min(s.nextTimer, state.deadline)
+		s.enqueue(queuedCall{execution, i, execution.deadline}, now)
 	}
 }
 
-// wait puts a call behind those that are due sooner. Past the bound the one due last goes.
-func (b *Scheduler) wait(w waiter, now time.Duration) {
-	d := b.deps[w.flight.plan.Calls[w.call].Dependency]
-	at := len(d.waiting)
-	for at > 0 && d.waiting[at-1].due > w.due {
+// enqueue puts a call behind those that are due sooner. Past the bound the one due last goes.
+func (s *Scheduler) enqueue(w queuedCall, now time.Duration) {
+	d := s.dependencies[w.execution.plan.Calls[w.call].Dependency]
+	at := len(d.queue)
+	for at > 0 && d.queue[at-1].deadline > w.deadline {
 		at--
 	}
-	if len(d.waiting) < d.options.QueueLimit {
-		d.waiting = slices.Insert(d.waiting, at, w)
+	if len(d.queue) < d.options.QueueLimit {
+		d.queue = slices.Insert(d.queue, at, w)
 		return
 	}
 	last := w
-	if at < len(d.waiting) {
-		last = d.waiting[len(d.waiting)-1]
-		copy(d.waiting[at+1:], d.waiting[at:len(d.waiting)-1])
-		d.waiting[at] = w
+	if at < len(d.queue) {
+		last = d.queue[len(d.queue)-1]
+		copy(d.queue[at+1:], d.queue[at:len(d.queue)-1])
+		d.queue[at] = w
 	}
-	b.settle(last.flight, last.call, false, OverLimit, now)
+	s.settle(last.execution, last.call, false, OverLimit, now)
 }
 
-func (b *Scheduler) unwait(f *Execution, i int) {
-	d := b.deps[f.plan.Calls[i].Dependency]
-	d.waiting = slices.DeleteFunc(d.waiting, func(w waiter) bool { return w.flight == f && w.call == i })
+func (s *Scheduler) dequeue(execution *Execution, i int) {
+	d := s.dependencies[execution.plan.Calls[i].Dependency]
+	d.queue = slices.DeleteFunc(d.queue, func(w queuedCall) bool { return w.execution == execution && w.call == i })
 }
 
 // admitWaiting gives free room to those that wait, by due time.
-func (b *Scheduler) admitWaiting(dependency int, now time.Duration) {
-	d := b.deps[dependency]
-	for len(d.waiting) > 0 {
-		w := d.waiting[0]
-		if now >= w.flight.until { // its time is up, and the timers have not come to it yet
-			d.waiting = d.waiting[:copy(d.waiting, d.waiting[1:])]
-			b.settle(w.flight, w.call, false, OverLimit, now)
+func (s *Scheduler) admitWaiting(dependency int, now time.Duration) {
+	d := s.dependencies[dependency]
+	for len(d.queue) > 0 {
+		w := d.queue[0]
+		if now >= w.execution.deadline { // its time is up, and the timers have not come to it yet
+			d.queue = d.queue[:copy(d.queue, d.queue[1:])]
+			s.settle(w.execution, w.call, false, OverLimit, now)
 			continue
 		}
 		admitted, broken := d.Admit(now)
 		if !admitted && !broken {
 			return
 		}
-		d.waiting = d.waiting[:copy(d.waiting, d.waiting[1:])]
+		d.queue = d.queue[:copy(d.queue, d.queue[1:])]
 		if broken {
-			b.settle(w.flight, w.call, false, Broken, now)
+			s.settle(w.execution, w.call, false, BreakerOpen, now)
 			continue
 		}
-		b.send(w.flight, w.call, now)
+		s.send(w.execution, w.call, now)
 	}
 	d.Tick(now)
 }
 
 // send makes an attempt for which a slot was taken.
-func (b *Scheduler) send(f *Execution, i int, now time.Duration) {
-	s, c := &f.calls[i], &f.plan.Calls[i]
-	d := b.deps[c.Dependency]
-	attempt := s.attempts
-	s.attempts++
-	s.phase, s.live[attempt], s.began[attempt] = open, true, now
+func (s *Scheduler) send(execution *Execution, i int, now time.Duration) {
+	state, c := &execution.calls[i], &execution.plan.Calls[i]
+	d := s.dependencies[c.Dependency]
+	attempt := state.attempts
+	state.attempts++
+	state.phase, state.inFlight[attempt], state.startedAt[attempt] = phaseInFlight, true, now
 	if attempt == 0 {
-		d.Firsts++
-		s.deadline = now + b.allowed(f, i, now)
-		if s.next = 0; c.Hedge && d.hedge > 0 && now+d.hedge < s.deadline {
-			s.next = now + d.hedge
-			b.next = min(b.next, s.next)
+		d.FirstAttempts++
+		state.deadline = now + s.callTimeout(execution, i, now)
+		if state.retryOrHedgeAt = 0; c.Hedge && d.hedgeDelay > 0 && now+d.hedgeDelay < state.deadline {
+			state.retryOrHedgeAt = now + d.hedgeDelay
+			s.nextTimer = min(s.nextTimer, state.retryOrHedgeAt)
 		}
 	}
-	b.next = min(b.next, s.deadline)
-	b.writer.Send(f, i, attempt, max(s.deadline-now, 0))
+	s.nextTimer = min(s.nextTimer, state.deadline)
+	s.executor.Send(execution, i, attempt, max(state.deadline-now, 0))
 }
 
-// again makes ready a second attempt, where the plan, the time, the budget and the effect allow one. An
+// scheduleRetry makes ready a second attempt, where the plan, the time, the budget and the effect allow one. An
 // at-most-once call never has one, whatever is said of its first: plans that state one are refused.
-func (b *Scheduler) again(f *Execution, i int, how Outcome, now time.Duration) bool {
-	s, c := &f.calls[i], &f.plan.Calls[i]
-	d := b.deps[c.Dependency]
-	wait := time.Duration(b.rng.Int63n(int64(retryWait)))
-	if !c.Retry || c.Effect == AtMostOnce || s.attempts >= attemptsMost ||
-		now+wait+d.Expected(c.Expected) > s.deadline || !d.TakeRetryToken(now) {
+func (s *Scheduler) scheduleRetry(execution *Execution, i int, how Outcome, now time.Duration) bool {
+	state, c := &execution.calls[i], &execution.plan.Calls[i]
+	d := s.dependencies[c.Dependency]
+	wait := time.Duration(s.rng.Int63n(int64(maxRetryDelay)))
+	if !c.Retry || c.Effect == AtMostOnce || state.attempts >= maxAttempts ||
+		now+wait+d.ExpectedDuration(c.Expected) > state.deadline || !d.TakeRetryToken(now) {
 		return false
 	}
-	s.phase, s.next = pausing, now+wait
-	b.next = min(b.next, s.next)
+	state.phase, state.retryOrHedgeAt = phaseRetryBackoff, now+wait
+	s.nextTimer = min(s.nextTimer, state.retryOrHedgeAt)
 	return true
 }
 
 // hedge makes a second attempt beside a slow first one, from the same budget as any other.
-func (b *Scheduler) hedge(f *Execution, i int, now time.Duration) {
-	s, c := &f.calls[i], &f.plan.Calls[i]
-	d := b.deps[c.Dependency]
-	if c.Effect != Read || s.attempts >= attemptsMost || d.taken() >= int(d.limit) || !d.TakeRetryToken(now) {
+func (s *Scheduler) hedge(execution *Execution, i int, now time.Duration) {
+	state, c := &execution.calls[i], &execution.plan.Calls[i]
+	d := s.dependencies[c.Dependency]
+	if c.Effect != Read || state.attempts >= maxAttempts || d.slotsInUse() >= int(d.limit) || !d.TakeRetryToken(now) {
 		return
 	}
 	if admitted, _ := d.Admit(now); admitted {
-		b.send(f, i, now)
+		s.send(execution, i, now)
 	}
 }
 
-// drop cancels the attempts of a call that are still open.
-func (b *Scheduler) drop(f *Execution, i int, failed bool, now time.Duration) {
-	s := &f.calls[i]
-	for attempt := range s.live {
-		if s.live[attempt] {
-			s.live[attempt] = false
-			b.deps[f.plan.Calls[i].Dependency].Abandoned(now-s.began[attempt], failed, now)
-			b.writer.Cancel(f, i, attempt)
+// cancelAttempts cancels the attempts of a call that are still open.
+func (s *Scheduler) cancelAttempts(execution *Execution, i int, failed bool, now time.Duration) {
+	state := &execution.calls[i]
+	for attempt := range state.inFlight {
+		if state.inFlight[attempt] {
+			state.inFlight[attempt] = false
+			s.dependencies[execution.plan.Calls[i].Dependency].CallCancelled(now-state.startedAt[attempt], failed, now)
+			s.executor.Cancel(execution, i, attempt)
 		}
 	}
 }
 
 // finish answers a task by what its calls came to.
-func (b *Scheduler) finish(f *Execution, now time.Duration) {
+func (s *Scheduler) finish(execution *Execution, now time.Duration) {
 	v := Complete
-	for i, c := range f.plan.Calls {
-		if s := &f.calls[i]; !s.good && c.Required {
+	for i, c := range execution.plan.Calls {
+		if state := &execution.calls[i]; !state.available && c.Required {
 			v = Aborted
 			break
-		} else if !s.good || s.why != Fresh {
+		} else if !state.available || state.status != Fresh {
 			v = Partial
 		}
 	}
-	b.close(f, now)
-	b.writer.Finish(f, v)
-}
-
-// close lets go of all that a task holds.
-func (b *Scheduler) close(f *Execution, now time.Duration) {
-	f.done, b.over = true, true
-	for i := range f.plan.Calls {
-		switch f.calls[i].phase {
-		case waits:
-			b.unwait(f, i)
-		case open:
-			b.drop(f, i, false, now)
-			if f.plan.Calls[i].Effect == AtMostOnce {
-				f.calls[i].why = Unclear
+	s.release(execution, now)
+	s.executor.Finish(execution, v)
+}
+
+// release lets go of all that a task holds.
+func (s *Scheduler) release(execution *Execution, now time.Duration) {
+	execution.finished, s.anyFinished = true, true
+	for i := range execution.plan.Calls {
+		switch execution.calls[i].phase {
+		case phaseQueued:
+			s.dequeue(execution, i)
+		case phaseInFlight:
+			s.cancelAttempts(execution, i, false, now)
+			if execution.plan.Calls[i].Effect == AtMostOnce {
+				execution.calls[i].status = EffectUnknown
 			}
 		}
 	}
 }
 
-// collect keeps finished flights for the next tasks.
-func (b *Scheduler) collect() {
-	if !b.over {
+// recycle keeps finished flights for the next tasks.
+func (s *Scheduler) recycle() {
+	if !s.anyFinished {
 		return
 	}
-	b.over = false
-	left := b.flights[:0]
-	for _, f := range b.flights {
-		if f.done {
-			f.Ref = nil
-			b.free = append(b.free, f)
+	s.anyFinished = false
+	left := s.executions[:0]
+	for _, execution := range s.executions {
+		if execution.finished {
+			execution.Ref = nil
+			s.free = append(s.free, execution)
 		} else {
-			left = append(left, f)
+			left = append(left, execution)
 		}
 	}
-	clear(b.flights[len(left):])
-	b.flights = left
+	clear(s.executions[len(left):])
+	s.executions = left
 }
 
-// allowed is how much time a call may use: of what is left, the part that it has in the longest expected way from
+// callTimeout is how much time a call may use: of what is left, the part that it has in the longest expected way from
 // it to the end. So the parts along any way never add up to more than the time left, and a call that is done
 // sooner leaves the rest to those behind it. One that is not needed gets a few times what it is stated to take and
 // no more: while a task waits for it, it takes room in flight from tasks that need nothing of that dependency.
-func (b *Scheduler) allowed(f *Execution, i int, now time.Duration) time.Duration {
-	left := f.until - now
+func (s *Scheduler) callTimeout(execution *Execution, i int, now time.Duration) time.Duration {
+	left := execution.deadline - now
 	if left <= 0 {
 		return 0
 	}
-	own := b.takes(f, i)
-	way := own + b.tails(f)[i]
+	own := s.expectedDuration(execution, i)
+	way := own + s.remainingPaths(execution)[i]
 	may := time.Duration(float64(left) * float64(own) / float64(way))
-	if c := &f.plan.Calls[i]; !c.Required {
-		return min(may, optionalTimes*c.Expected)
+	if c := &execution.plan.Calls[i]; !c.Required {
+		return min(may, optionalTimeoutFactor*c.Expected)
 	}
-	return min(may, neededTimes*max(own, f.plan.Calls[i].Expected))
+	return min(may, requiredTimeoutFactor*max(own, execution.plan.Calls[i].Expected))
 }
 
-func (b *Scheduler) takes(f *Execution, i int) time.Duration {
-	c := &f.plan.Calls[i]
-	return max(b.deps[c.Dependency].Expected(c.Expected), time.Microsecond)
+func (s *Scheduler) expectedDuration(execution *Execution, i int) time.Duration {
+	c := &execution.plan.Calls[i]
+	return max(s.dependencies[c.Dependency].ExpectedDuration(c.Expected), time.Microsecond)
 }
 
-// tails are the longest expected ways behind each call.
-func (b *Scheduler) tails(f *Execution) (tails [MaxCalls]time.Duration) {
-	order := f.plan.order
+// remainingPaths are the longest expected ways behind each call.
+func (s *Scheduler) remainingPaths(execution *Execution) (tails [MaxCalls]time.Duration) {
+	order := execution.plan.order
 	for at := len(order) - 1; at >= 0; at-- {
 		j := order[at]
-		if f.calls[j].phase == settled {
+		if execution.calls[j].phase == phaseSettled {
 			continue
 		}
-		through := b.takes(f, j) + tails[j]
-		for i := range f.plan.Calls {
-			if f.plan.before[j][i] {
+		through := s.expectedDuration(execution, j) + tails[j]
+		for i := range execution.plan.Calls {
+			if execution.plan.dependsOn[j][i] {
 				tails[i] = max(tails[i], through)
 			}
 		}
@@ -564,25 +564,25 @@
 	return tails
 }
 
-// shed leaves out optional calls while the longest expected way takes more than is left: the one of least
+// skipOptional leaves out optional calls while the longest expected way takes more than is left: the one of least
 // importance for its time first.
-func (b *Scheduler) shed(f *Execution, now time.Duration) {
+func (s *Scheduler) skipOptional(execution *Execution, now time.Duration) {
 	for {
-		tails := b.tails(f)
+		tails := s.remainingPaths(execution)
 		var heads [MaxCalls]time.Duration
 		least, worth := -1, 0.0
-		for _, i := range f.plan.order {
-			if f.calls[i].phase == settled {
+		for _, i := range execution.plan.order {
+			if execution.calls[i].phase == phaseSettled {
 				continue
 			}
-			takes := b.takes(f, i)
-			for j := range f.plan.Calls {
-				if f.plan.before[j][i] {
+			takes := s.expectedDuration(execution, i)
+			for j := range execution.plan.Calls {
+				if execution.plan.dependsOn[j][i] {
 					heads[j] = max(heads[j], heads[i]+takes)
 				}
 			}
-			c := &f.plan.Calls[i]
-			if c.Required || heads[i]+takes+tails[i] <= f.until-now {
+			c := &execution.plan.Calls[i]
+			if c.Required || heads[i]+takes+tails[i] <= execution.deadline-now {
 				continue
 			}
 			if w := c.Value / takes.Seconds(); least < 0 || w < worth {
@@ -592,10 +592,10 @@
 		if least < 0 {
 			return
 		}
-		s := &f.calls[least]
-		s.phase, s.why = settled, DeadlineTooClose
-		if f.plan.Calls[least].Fallback && b.writer.Fallback(f, least) {
-			s.good, s.why = true, FellBack
+		state := &execution.calls[least]
+		state.phase, state.status = phaseSettled, DeadlineTooClose
+		if execution.plan.Calls[least].Fallback && s.executor.Fallback(execution, least) {
+			state.available, state.status = true, UsedFallback
 		}
 	}
 }
--- a/budget/plan.go
+++ b/budget/plan.go
@@ -43,13 +43,13 @@
 	Calls   []Call
 	Reserve time.Duration // of the time, for composing and answering
 
-	order  []int // so that each call comes behind those it waits for
-	before [MaxCalls][MaxCalls]bool
+	order     []int // so that each call comes behind those it waits for
+	dependsOn [MaxCalls][MaxCalls]bool
 }
 
-// Check makes a plan fit for use, or tells all that is wrong with it. whole is the time that a task has, from its
+// Validate makes a plan fit for use, or tells all that is wrong with it. whole is the time that a task has, from its
 // arrival, for everything.
-func (p *Plan) Check(dependencies int, whole time.Duration) error {
+func (p *Plan) Validate(dependencies int, whole time.Duration) error {
 	var faults []error
 	fault := func(words string, of ...any) { faults = append(faults, fmt.Errorf(words, of...)) }
 	if len(p.Calls) == 0 || len(p.Calls) > MaxCalls {
@@ -79,7 +79,7 @@
 				fault("call %q: waits for a call that is not there", c.Name)
 				continue
 			}
-			p.before[i][a] = true
+			p.dependsOn[i][a] = true
 		}
 	}
 	if !needed {
@@ -91,7 +91,7 @@
 	if err := p.sort(); err != nil {
 		return err
 	}
-	if path := p.path(func(i int) time.Duration { return p.Calls[i].Expected }, true); path+p.Reserve > whole {
+	if path := p.longestPath(func(i int) time.Duration { return p.Calls[i].Expected }, true); path+p.Reserve > whole {
 		return fmt.Errorf("needed calls take %v on their longest way and %v is kept back, of %v in all", path, p.Reserve, whole)
 	}
 	return nil
@@ -106,7 +106,7 @@
 		for i := range p.Calls {
 			ready := !laid[i]
 			for a := range p.Calls {
-				ready = ready && (!p.before[i][a] || laid[a])
+				ready = ready && (!p.dependsOn[i][a] || laid[a])
 			}
 			if ready {
 				laid[i] = true
@@ -126,12 +126,12 @@
 	return nil
 }
 
-// path is the longest way through the plan, of needed calls alone or of all.
-func (p *Plan) path(takes func(int) time.Duration, needed bool) (longest time.Duration) {
+// longestPath is the longest way through the plan, of needed calls alone or of all.
+func (p *Plan) longestPath(takes func(int) time.Duration, needed bool) (longest time.Duration) {
 	var ends [MaxCalls]time.Duration
 	for _, i := range p.order {
 		for a := range p.Calls {
-			if p.before[i][a] {
+			if p.dependsOn[i][a] {
 				ends[i] = max(ends[i], ends[a])
 			}
 		}
@@ -145,36 +145,36 @@
 
 // Span is when a call is expected to run and how long it may, from the beginning of a task that has all its time.
 type Span struct {
-	Name           string
-	Begins, Ends   time.Duration
-	MayTake        time.Duration
-	Needed         bool
-	DependencyName string
+	Name       string
+	Start, End time.Duration
+	Timeout    time.Duration
+	Required   bool
+	Dependency string
 }
 
 // Spans lays the plan out on a time line for its operators.
 func (p *Plan) Spans(whole time.Duration, names []string) (spans []Span) {
 	var ends [MaxCalls]time.Duration
-	f := Execution{plan: p, until: whole - p.Reserve}
-	book := &Scheduler{deps: make([]*Dependency, len(names))}
+	f := Execution{plan: p, deadline: whole - p.Reserve}
+	book := &Scheduler{dependencies: make([]*Dependency, len(names))}
 	for i := range names {
-		book.deps[i] = NewDependency(Options{Share: 1, QueueLimit: 1}, 0)
+		book.dependencies[i] = NewDependency(Options{MaxInFlight: 1, QueueLimit: 1}, 0)
 	}
 	for _, i := range p.order {
 		begins := time.Duration(0)
 		for a := range p.Calls {
-			if p.before[i][a] {
+			if p.dependsOn[i][a] {
 				begins = max(begins, ends[a])
 			}
 		}
 		c := p.Calls[i]
 		ends[i] = begins + c.Expected
-		spans = append(spans, Span{c.Name, begins, ends[i], book.allowed(&f, i, begins), c.Required, names[c.Dependency]})
+		spans = append(spans, Span{c.Name, begins, ends[i], book.callTimeout(&f, i, begins), c.Required, names[c.Dependency]})
 	}
 	return spans
 }
 
-// NeededPath is how long the needed calls are expected to take on their longest way, and the answering.
-func (p *Plan) NeededPath() time.Duration {
-	return p.path(func(i int) time.Duration { return p.Calls[i].Expected }, true) + p.Reserve
+// RequiredPath is how long the needed calls are expected to take on their longest way, and the answering.
+func (p *Plan) RequiredPath() time.Duration {
+	return p.longestPath(func(i int) time.Duration { return p.Calls[i].Expected }, true) + p.Reserve
 }
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -49,7 +49,7 @@
 			faults = append(faults, fmt.Errorf("types.%s: the platform's configuration names no such traffic type", t.Name))
 			continue
 		}
-		if err := plan.Check(len(ours.Dependencies), time); err != nil {
+		if err := plan.Validate(len(ours.Dependencies), time); err != nil {
 			faults = append(faults, fmt.Errorf("types.%s: %w", t.Name, err))
 		}
 		made := fanout.Type{Plan: plan}
@@ -64,7 +64,7 @@
 // timeLine prints a plan for its operators.
 func timeLine(to io.Writer, t config.Type, dependencies []config.Dependency, whole time.Duration) error {
 	plan := t.Plan()
-	if err := plan.Check(len(dependencies), whole); err != nil {
+	if err := plan.Validate(len(dependencies), whole); err != nil {
 		return fmt.Errorf("types.%s: %w", t.Name, err)
 	}
 	var names []string
@@ -76,11 +76,11 @@
 	fmt.Fprintln(table, "  call\tdependency\tbegins\tends\tmay take\t")
 	for _, s := range plan.Spans(whole, names) {
 		kind := ""
-		if s.Needed {
+		if s.Required {
 			kind = "needed"
 		}
-		fmt.Fprintf(table, "  %s\t%s\t%v\t%v\t%v\t%s\n", s.Name, s.DependencyName, s.Begins, s.Ends,
-			s.MayTake.Round(time.Millisecond), kind)
+		fmt.Fprintf(table, "  %s\t%s\t%v\t%v\t%v\t%s\n", s.Name, s.Dependency, s.Start, s.End,
+			s.Timeout.Round(time.Millisecond), kind)
 	}
 	return table.Flush()
 }
@@ -105,8 +105,8 @@
 	for _, s := range states {
 		q := s.QuantilesInMillis
 		fmt.Fprintf(table, "%s\t%.1f\t%d\t%d\t%d\t%d\t%s\t%t\t%d\t%d\t%.1f\t%d\t%.1f\t%.1f\t%.1f\t\n",
-			s.Name, s.Limit, s.Share, s.InFlight, s.Lingering, s.Waiting, s.Breaker, s.Degraded,
-			s.Firsts, s.Seconds, s.Earned, s.Late, q[0], q[1], q[2])
+			s.Name, s.Limit, s.MaxInFlight, s.InFlight, s.CancelledInFlight, s.Queued, s.Breaker, s.Degraded,
+			s.FirstAttempts, s.ExtraAttempts, s.RetryTokens, s.LateResponses, q[0], q[1], q[2])
 	}
 	return table.Flush()
 }
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -86,7 +86,7 @@
 	require.NoError(t, json.Unmarshal([]byte(out), &states))
 	require.Len(t, states, 2)
 	assert.Equal(t, "bank", states[0].Name)
-	assert.Equal(t, c.bank.Seen().Calls, states[0].Firsts)
+	assert.Equal(t, c.bank.Seen().Calls, states[0].FirstAttempts)
 	assert.Zero(t, states[0].InFlight)
 	assert.Greater(t, states[0].QuantilesInMillis[0], 4.0)
 	require.NoError(t, c.daemon.Stop())
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -10,13 +10,13 @@
 // composer is a server's part that makes tasks of calls to several dependencies, by package budget, as internal/fanout
 // does. Such tasks take no core.
 type composer struct {
-	server    *server
-	life      uint64
-	deps      []*budget.Dependency
-	ways      []*dependency
-	scheduler *budget.Scheduler
-	timer     uint64
-	ended     []composedEnd
+	server       *server
+	life         uint64
+	dependencies []*budget.Dependency
+	ways         []*dependency
+	scheduler    *budget.Scheduler
+	timer        uint64
+	ended        []composedEnd
 }
 
 type composedEnd struct {
@@ -27,7 +27,7 @@
 
 // attempt is one in a dependency's hands.
 type attempt struct {
-	flight       *budget.Execution
+	execution    *budget.Execution
 	call, number int
 	dependency   int
 	cancelled    bool
@@ -41,27 +41,27 @@
 	c := &composer{server: s, life: s.life}
 	for i, d := range w.fleet.Dependencies {
 		share := shareOf(d.Slots, w.fleet.Servers)
-		c.deps = append(c.deps, budget.NewDependency(budget.Options{
-			Name: d.Name, Share: share, QueueLimit: 4 * share, Linger: 5 * time.Second, RetryRatio: 0.1,
+		c.dependencies = append(c.dependencies, budget.NewDependency(budget.Options{
+			Name: d.Name, MaxInFlight: share, QueueLimit: 4 * share, CancelledTimeout: 5 * time.Second, RetryRatio: 0.1,
 		}, w.seed+int64(100*s.number+i)))
 		c.ways = append(c.ways, w.dependencies[d.Name])
 	}
-	c.scheduler = budget.NewScheduler(c.deps, c, w.seed+int64(s.number))
+	c.scheduler = budget.NewScheduler(c.dependencies, c, w.seed+int64(s.number))
 	return c
 }
 
 // begin begins the calls of a task.
 func (c *composer) begin(t *try, until time.Duration) {
 	t.attempts = &[budget.MaxCalls][2]*attempt{}
-	t.flight = c.scheduler.Begin(c.server.world.fleet.Plans[c.server.world.fleet.Routes[t.of.kind].Name], c.server.world.now, until, t)
+	t.execution = c.scheduler.Start(c.server.world.fleet.Plans[c.server.world.fleet.Routes[t.of.kind].Name], c.server.world.now, until, t)
 	c.settle()
 }
 
 // abandon ends the calls of a task that nobody waits for.
 func (c *composer) abandon(t *try) {
-	if t.flight != nil {
-		c.scheduler.Abandon(t.flight, c.server.world.now)
-		t.flight = nil
+	if t.execution != nil {
+		c.scheduler.Cancel(t.execution, c.server.world.now)
+		t.execution = nil
 	}
 	c.ended = append(c.ended, composedEnd{t, budget.Aborted, 0})
 	c.settle()
@@ -73,7 +73,7 @@
 	w := c.server.world
 	c.timer++
 	mine := c.timer
-	next := c.scheduler.Next()
+	next := c.scheduler.NextTimer()
 	if len(c.ended) > 0 {
 		next = w.now
 	}
@@ -97,29 +97,29 @@
 }
 
 // Send implements budget.Writer, as do the methods below it.
-func (c *composer) Send(f *budget.Execution, call, number int, within time.Duration) {
-	w, t := c.server.world, f.Ref.(*try)
-	a := &attempt{flight: f, call: call, number: number, dependency: f.Plan().Calls[call].Dependency}
+func (c *composer) Send(execution *budget.Execution, call, number int, within time.Duration) {
+	w, t := c.server.world, execution.Ref.(*try)
+	a := &attempt{execution: execution, call: call, number: number, dependency: execution.Plan().Calls[call].Dependency}
 	t.attempts[call][number] = a
 	c.ways[a.dependency].take(within, func(outcome admission.Outcome, _ time.Duration) {
 		c.server.when(c.life, func() {
 			if a.cancelled {
-				c.scheduler.Late(a.dependency, w.now)
+				c.scheduler.CancelledCallEnded(a.dependency, w.now)
 			} else {
 				how := map[admission.Outcome]budget.Outcome{admission.Succeeded: budget.Succeeded, admission.NotRun: budget.Rejected}[outcome]
 				if outcome == admission.Unknown {
 					how = budget.Lost
 				}
 				t.attempts[call][number] = nil
-				c.scheduler.CallEnded(f, call, number, how, w.now)
+				c.scheduler.CallEnded(execution, call, number, how, w.now)
 			}
 			c.settle()
 		})
 	})
 }
 
-func (c *composer) Cancel(f *budget.Execution, call, number int) {
-	t := f.Ref.(*try)
+func (c *composer) Cancel(execution *budget.Execution, call, number int) {
+	t := execution.Ref.(*try)
 	if a := t.attempts[call][number]; a != nil {
 		a.cancelled = true
 		t.attempts[call][number] = nil
@@ -128,10 +128,10 @@
 
 func (c *composer) Fallback(*budget.Execution, int) bool { return false }
 
-func (c *composer) Finish(f *budget.Execution, v budget.Verdict) {
-	t := f.Ref.(*try)
-	t.flight = nil
-	c.ended = append(c.ended, composedEnd{t, v, f.Value()})
+func (c *composer) Finish(execution *budget.Execution, v budget.Verdict) {
+	t := execution.Ref.(*try)
+	t.execution = nil
+	c.ended = append(c.ended, composedEnd{t, v, execution.Value()})
 }
 
 // composedEnded takes the end of a task made of calls.
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -44,9 +44,9 @@
 	call  bool    // its call is yet to come
 	worth float64 // of its importance: less where it went on without a call, or lacks parts
 
-	composed bool
-	flight   *budget.Execution
-	attempts *[budget.MaxCalls][2]*attempt // nil until its calls begin
+	composed  bool
+	execution *budget.Execution
+	attempts  *[budget.MaxCalls][2]*attempt // nil until its calls begin
 
 	reached, answered, started, active bool
 }
@@ -95,7 +95,7 @@
 	s.parts, s.atCall = newComposer(s), nil
 	for i, t := range w.fleet.Routes {
 		if plan := w.fleet.Plans[t.Name]; plan != nil {
-			s.types[i].CallWait = plan.NeededPath()
+			s.types[i].CallWait = plan.RequiredPath()
 		}
 	}
 	if controller, own := s.policy.(*admission.Controller); own && w.fleet.Peers {
@@ -232,7 +232,7 @@
 		s.world.result.Starts++
 	}
 	if t.composed {
-		if t.flight == nil {
+		if t.execution == nil {
 			s.atCall = append(s.atCall, c)
 		}
 		return
--- a/internal/config/dependencies.go
+++ b/internal/config/dependencies.go
@@ -54,11 +54,11 @@
 	for _, one := range s.all(mostDependencies) {
 		d := Dependency{
 			Options: budget.Options{
-				Name:       one.named,
-				Share:      one.whole("share", 8, 1, mostShare),
-				QueueLimit: one.whole("waiting", 64, 0, mostWaiting),
-				Linger:     one.span("linger", 2*time.Second, 10*time.Millisecond, time.Minute),
-				RetryRatio: one.number("second-attempts", 0.1, 0, 0.5),
+				Name:             one.named,
+				MaxInFlight:      one.whole("share", 8, 1, mostShare),
+				QueueLimit:       one.whole("waiting", 64, 0, mostWaiting),
+				CancelledTimeout: one.span("linger", 2*time.Second, 10*time.Millisecond, time.Minute),
+				RetryRatio:       one.number("second-attempts", 0.1, 0, 0.5),
 			},
 			Address: one.text("address", "", "an address and port without a name, as \"127.0.0.1:9501\", is allowed",
 				address),
@@ -93,7 +93,7 @@
 		if len(items) == 0 {
 			one.fault("calls", nil, "a type that is made of calls needs some, each as [["+one.at("calls")+"]]")
 		} else if len(s.faults) == before { // else the plan is wrong already, and more would be said of the same
-			for _, err := range parts(t.Plan().Check(len(dependencies), 24*time.Hour)) {
+			for _, err := range parts(t.Plan().Validate(len(dependencies), 24*time.Hour)) {
 				one.fault("calls", nil, err.Error())
 			}
 		}
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -42,7 +42,7 @@
 
 func dependency(name, address string) Dependency {
 	return Dependency{
-		Options: budget.Options{Name: name, Share: 8, QueueLimit: 8, Linger: 300 * ms, RetryRatio: 0.5},
+		Options: budget.Options{Name: name, MaxInFlight: 8, QueueLimit: 8, CancelledTimeout: 300 * ms, RetryRatio: 0.5},
 		Address: address, Connections: 2, Silence: 500 * ms,
 	}
 }
@@ -56,7 +56,7 @@
 	woken := make(chan struct{}, 1)
 	now := func() time.Duration { return time.Hour + time.Since(b.began) }
 	for _, typ := range types {
-		require.NoError(t, typ.Plan.Check(len(dependencies), time.Minute))
+		require.NoError(t, typ.Plan.Validate(len(dependencies), time.Minute))
 	}
 	b.Composer = New(ctx, dependencies, types, memory, 1, now, b.counts, slog.New(slog.DiscardHandler), func() {
 		select {
@@ -234,7 +234,7 @@
 	assert.Equal(t, "unclear", a.Parts[1].Why)
 	state := func() (late int) {
 		told := make(chan int, 1)
-		b.posted <- func() { told <- b.States(b.now())[1].Late }
+		b.posted <- func() { told <- b.States(b.now())[1].LateResponses }
 		return <-told
 	}
 	require.Eventually(t, func() bool { return state() == 1 }, patience, 10*ms, "the late answer")
@@ -296,7 +296,7 @@
 	b.posted <- func() {
 		for range 2 { // a second attempt is earned
 			_, _ = b.deps[0].Admit(b.now())
-			b.deps[0].Ended(budget.Succeeded, ms, true, b.now())
+			b.deps[0].CallEnded(budget.Succeeded, ms, true, b.now())
 		}
 	}
 	b.ask("confirm", "x", 2*time.Second)
@@ -366,8 +366,8 @@
 	assert.Zero(t, <-held)
 
 	plan := kinds(nil)[0].Plan
-	require.NoError(t, plan.Check(2, time.Minute))
-	d := []*budget.Dependency{budget.NewDependency(budget.Options{Share: 4}, 1), budget.NewDependency(budget.Options{Share: 4}, 1)}
+	require.NoError(t, plan.Validate(2, time.Minute))
+	d := []*budget.Dependency{budget.NewDependency(budget.Options{MaxInFlight: 4}, 1), budget.NewDependency(budget.Options{MaxInFlight: 4}, 1)}
 	for _, c := range []struct {
 		sizes     [2]int
 		cut, fits bool
@@ -377,16 +377,16 @@
 		k := &keeper{}
 		book := budget.NewScheduler(d, k, 1)
 		tk := &task{kind: &Type{Plan: plan, Calls: make([]Call, 2)}}
-		f := book.Begin(plan, time.Hour, time.Hour+time.Second, tk)
+		execution := book.Start(plan, time.Hour, time.Hour+time.Second, tk)
 		for i, size := range c.sizes {
 			tk.parts[i] = []byte(strings.Repeat("x", size))
 			k.at = func() {
-				raw, cut, fits := tk.answer(f, budget.Complete)
+				raw, cut, fits := tk.answer(execution, budget.Complete)
 				assert.Equal(t, c.cut, cut)
 				assert.Equal(t, c.fits, fits)
 				assert.LessOrEqual(t, len(raw), mostAnswer)
 			}
-			book.CallEnded(f, i, 0, budget.Succeeded, time.Hour+ms)
+			book.CallEnded(execution, i, 0, budget.Succeeded, time.Hour+ms)
 		}
 		assert.True(t, k.finished)
 	}
@@ -415,7 +415,7 @@
 	time.Sleep(150 * ms)
 	assert.Zero(t, deposit.Seen().Calls)
 	left := make(chan int, 1)
-	b.posted <- func() { left <- len(b.tasks) + b.scheduler.Open() }
+	b.posted <- func() { left <- len(b.tasks) + b.scheduler.InFlight() }
 	assert.Zero(t, <-left)
 	b.posted <- func() { assert.False(t, b.Pause(id)) }
 }
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -72,15 +72,15 @@
 
 // task is one that is under way.
 type task struct {
-	id     string
-	kind   *Type
-	body   []byte
-	flight *budget.Execution
-	began  time.Duration
-	parts  [budget.MaxCalls][]byte
-	held   int                            // bytes of them that are the program's own
-	ages   [budget.MaxCalls]time.Duration // of last good results
-	sent   [budget.MaxCalls][2]*Sent
+	id        string
+	kind      *Type
+	body      []byte
+	execution *budget.Execution
+	began     time.Duration
+	parts     [budget.MaxCalls][]byte
+	held      int                            // bytes of them that are the program's own
+	ages      [budget.MaxCalls]time.Duration // of last good results
+	sent      [budget.MaxCalls][2]*Sent
 }
 
 // good is a last good result.
@@ -120,7 +120,7 @@
 func (c *Composer) Composes(kind string) bool { return c.types[kind] != nil }
 
 // Waits is how long the needed calls of a type are expected to take, one behind the other, and the answering.
-func (c *Composer) Waits(kind string) time.Duration { return c.types[kind].Plan.NeededPath() }
+func (c *Composer) Waits(kind string) time.Duration { return c.types[kind].Plan.RequiredPath() }
 
 // Start begins the calls of a task.
 func (c *Composer) Start(r workerapi.Run) bool {
@@ -131,7 +131,7 @@
 	}
 	t := &task{id: r.ID, kind: kind, body: r.Body, began: c.now()}
 	c.tasks[r.ID] = t
-	t.flight = c.scheduler.Begin(kind.Plan, t.began, r.Deadline, t)
+	t.execution = c.scheduler.Start(kind.Plan, t.began, r.Deadline, t)
 	return true
 }
 
@@ -142,8 +142,8 @@
 	if t == nil {
 		return false
 	}
-	if t.flight != nil {
-		c.scheduler.Abandon(t.flight, c.now())
+	if t.execution != nil {
+		c.scheduler.Cancel(t.execution, c.now())
 	}
 	c.end(t, "interrupted", nil)
 	return true
@@ -173,7 +173,7 @@
 	if len(c.unsent)+len(c.ended) > 0 {
 		return 0
 	}
-	next := c.scheduler.Next()
+	next := c.scheduler.NextTimer()
 	if len(c.tasks) > 0 {
 		next = min(next, c.looked+lookEvery)
 	}
@@ -184,7 +184,7 @@
 func (c *Composer) Turn(now time.Duration) {
 	for _, s := range c.unsent {
 		if s.cancelled {
-			c.scheduler.Late(s.dependency, now)
+			c.scheduler.CancelledCallEnded(s.dependency, now)
 		} else {
 			c.returned(Back{Sent: s, How: budget.NotSent}, now)
 		}
@@ -198,7 +198,7 @@
 	slices.SortStableFunc(c.backs, func(a, b Back) int { return a.Sent.at.Compare(b.Sent.at) })
 	for _, b := range c.backs {
 		if b.Sent.cancelled {
-			c.scheduler.Late(b.Sent.dependency, now)
+			c.scheduler.CancelledCallEnded(b.Sent.dependency, now)
 			continue
 		}
 		c.returned(b, now)
@@ -215,7 +215,7 @@
 
 func (c *Composer) returned(b Back, now time.Duration) {
 	s := b.Sent
-	t := s.flight.Ref.(*task)
+	t := s.execution.Ref.(*task)
 	t.sent[s.call][s.attempt] = nil
 	if b.How == budget.Succeeded {
 		if c.holds+len(b.Body) > c.mayHold {
@@ -228,7 +228,7 @@
 			c.keep(t, s.call, b.Body, now)
 		}
 	}
-	c.scheduler.CallEnded(s.flight, s.call, s.attempt, b.How, now)
+	c.scheduler.CallEnded(s.execution, s.call, s.attempt, b.How, now)
 }
 
 // key finds last good results: the same call of the same type with the same body. A body may be 2 KiB; it counts
@@ -251,12 +251,12 @@
 }
 
 // Send makes an attempt; like the methods below it carries out what package budget decides.
-func (c *Composer) Send(f *budget.Execution, call, attempt int, within time.Duration) {
-	t := f.Ref.(*task)
+func (c *Composer) Send(execution *budget.Execution, call, attempt int, within time.Duration) {
+	t := execution.Ref.(*task)
 	planned := &t.kind.Plan.Calls[call]
 	s := &Sent{
 		Op: t.kind.Calls[call].Op, Body: t.body, Within: within,
-		flight: f, call: call, attempt: attempt, dependency: planned.Dependency,
+		execution: execution, call: call, attempt: attempt, dependency: planned.Dependency,
 	}
 	if planned.Effect != budget.Read {
 		s.Number = t.id + "/" + planned.Name
@@ -268,8 +268,8 @@
 }
 
 // Cancel lets go of an attempt. A call with an effect is not taken back: it may have begun.
-func (c *Composer) Cancel(f *budget.Execution, call, attempt int) {
-	t := f.Ref.(*task)
+func (c *Composer) Cancel(execution *budget.Execution, call, attempt int) {
+	t := execution.Ref.(*task)
 	s := t.sent[call][attempt]
 	t.sent[call][attempt] = nil
 	s.cancelled = true
@@ -279,8 +279,8 @@
 }
 
 // Fallback puts a last good result, or else the stated constant, in the place of a part.
-func (c *Composer) Fallback(f *budget.Execution, call int) bool {
-	t := f.Ref.(*task)
+func (c *Composer) Fallback(execution *budget.Execution, call int) bool {
+	t := execution.Ref.(*task)
 	how := t.kind.Calls[call]
 	if how.Keep > 0 {
 		g, known := c.kept.Get(key(t, call))
@@ -297,9 +297,9 @@
 }
 
 // Finish answers a task.
-func (c *Composer) Finish(f *budget.Execution, v budget.Verdict) {
-	t := f.Ref.(*task)
-	result, cut, fits := t.answer(f, v)
+func (c *Composer) Finish(execution *budget.Execution, v budget.Verdict) {
+	t := execution.Ref.(*task)
+	result, cut, fits := t.answer(execution, v)
 	if cut {
 		c.counts.Saw("composed answer too long, parts left out")
 	}
@@ -334,18 +334,18 @@
 
 // answer composes what is there. Where it would be too long the largest parts are left out, optional ones first;
 // without one that is needed it does not fit.
-func (t *task) answer(f *budget.Execution, v budget.Verdict) (raw []byte, cut, fits bool) {
-	a := Answer{Whole: v == budget.Complete, Worth: f.Value()}
+func (t *task) answer(execution *budget.Execution, v budget.Verdict) (raw []byte, cut, fits bool) {
+	a := Answer{Whole: v == budget.Complete, Worth: execution.Value()}
 	size := 64
 	for i, c := range t.kind.Plan.Calls {
 		p := Part{Name: c.Name, State: "fresh"}
-		has, why := f.PartStatus(i)
+		has, why := execution.PartStatus(i)
 		switch {
 		case !has:
 			p.State, p.Why = "missing", why.String()
-		case why == budget.FellBack && t.ages[i] > 0:
+		case why == budget.UsedFallback && t.ages[i] > 0:
 			p.State, p.AgeMS, p.Why = "old", (t.ages[i] + time.Millisecond - 1).Milliseconds(), why.String()
-		case why == budget.FellBack:
+		case why == budget.UsedFallback:
 			p.State, p.Why = "default", why.String()
 		}
 		if has {
--- a/internal/fanout/frames.go
+++ b/internal/fanout/frames.go
@@ -34,7 +34,7 @@
 	Body   []byte
 	Within time.Duration
 
-	flight        *budget.Execution
+	execution     *budget.Execution
 	call, attempt int
 	dependency    int
 	cancelled     bool
@@ -101,7 +101,7 @@
 	ctx context.Context, d Dependency, seed int64, log *slog.Logger, saw func(string), wake func(), over *sync.WaitGroup,
 ) Transport {
 	f := &frames{
-		name: d.Name, address: d.Address, silence: d.Silence, linger: d.Linger, log: log, saw: saw, wake: wake,
+		name: d.Name, address: d.Address, silence: d.Silence, linger: d.CancelledTimeout, log: log, saw: saw, wake: wake,
 		rng: rand.New(rand.NewSource(seed)),
 	}
 	f.taken.L = &f.mu
--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -383,7 +383,7 @@
 		})
 	}
 	t := d.Fleet.Routes[kind]
-	if err := plan.Check(len(d.Fleet.Dependencies), min(t.LatencyTarget, t.Deadline)); err != nil {
+	if err := plan.Validate(len(d.Fleet.Dependencies), min(t.LatencyTarget, t.Deadline)); err != nil {
 		r.fault(s.Pos, "%v", err)
 		return
 	}
