--- /dev/null
+++ b/budget/dependency_test.go
@@ -0,0 +1,116 @@
+package budget
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// A dependency is slow for a while, which lowers the limit, and then fails all calls, which opens the breaker. Probes close
+// it, and the limit starts again from less than before.
+func TestLimitAndBreaker(t *testing.T) {
+	d := NewDependency(testOptions(8), 1)
+	now := time.Duration(0)
+	call := func(outcome Outcome, took time.Duration) (sent bool) {
+		admitted, _ := d.Admit(now)
+		if admitted {
+			d.CallEnded(outcome, took, true, now+took)
+		}
+		return admitted
+	}
+	for range 40 {
+		require.True(t, call(Succeeded, 10*ms))
+		now += 25 * ms
+	}
+	assert.Equal(t, 4.0, d.limit, "nobody waited")
+	d.limitReached = true
+	now += limitInterval
+	d.Tick(now)
+	assert.Equal(t, 5.0, d.limit)
+	for range 10 { // slower, though none fails
+		call(Succeeded, 60*ms)
+		now += 25 * ms
+	}
+	now += limitInterval - 250*ms
+	d.Tick(now)
+	assert.InDelta(t, 3.75, d.limit, 1e-9, "a backoff event")
+	assert.False(t, d.TakeRetryToken(now), "degraded, whatever was earned")
+
+	now += 5 * time.Second
+	sent := 0
+	for range 100 {
+		if call(Failed, ms) {
+			sent++
+		}
+		now += 10 * ms
+	}
+	assert.Less(t, sent, 20, "the breaker keeps calls away")
+	assert.Positive(t, d.BreakerOpened)
+	now += maxOpenDuration * 2
+	admitted, broken := d.Admit(now)
+	assert.True(t, admitted && !broken, "a probe")
+	_, broken = d.Admit(now)
+	assert.True(t, broken, "one at a time")
+	d.CallEnded(Succeeded, 5*ms, true, now)
+	assert.Equal(t, HalfOpen, d.breaker)
+	call(Succeeded, 5*ms)
+	assert.Equal(t, Closed, d.breaker)
+	assert.Less(t, d.limit, 3.0, "slow start")
+}
+
+// A dependency still works on calls that were cancelled. They hold their slots until they have ended or their timeout has
+// passed, so that it never has more calls than its limit.
+func TestCancelledCallsHoldSlots(t *testing.T) {
+	executor := newRecorder()
+	scheduler, d := newTestScheduler(executor, 2)
+	plan := &Plan{Route: "t", Calls: []Call{{Name: "a", Required: true, Expected: 10 * ms}}}
+	require.NoError(t, plan.Validate(1, time.Minute))
+	for range 2 {
+		scheduler.Cancel(scheduler.Start(plan, 0, time.Second, nil), ms)
+	}
+	executor.takeLog()
+	scheduler.Start(plan, 2*ms, 300*ms, nil)
+	assert.Empty(t, executor.takeLog(), "both slots are still taken")
+	scheduler.CancelledCallEnded(0, 10*ms)
+	assert.Equal(t, []string{"send a/0"}, executor.takeLog())
+	scheduler.Advance(1100 * ms)
+	assert.LessOrEqual(t, d.slotsInUse(), 2)
+	assert.Equal(t, 1, d.LateResponses)
+}
+
+// A dependency fails for long. Retries and hedged requests stay under what was saved up before, as each is earned by ten
+// successful first attempts: they do not multiply its load.
+func TestRetryBudget(t *testing.T) {
+	executor := newRecorder()
+	scheduler, d := newTestScheduler(executor, 100)
+	plan := &Plan{Route: "t", Calls: []Call{{Name: "a", Required: true, Expected: ms, Retry: true, Hedge: true}}}
+	require.NoError(t, plan.Validate(1, time.Minute))
+	now := time.Duration(0)
+	next := 0
+	round := func(outcome Outcome) {
+		scheduler.Start(plan, now, now+time.Second, nil)
+		for ; next < len(executor.sent); next++ {
+			s := executor.sent[next]
+			scheduler.CallEnded(s.execution, s.call, s.attempt, outcome, now+ms)
+		}
+		now += 5 * ms
+		scheduler.Advance(now)
+	}
+	for range 400 {
+		round(Succeeded)
+	}
+	assert.Equal(t, maxRetryTokens, d.retryTokens)
+	for range 2000 {
+		round(Failed)
+	}
+	assert.LessOrEqual(t, float64(d.ExtraAttempts), maxRetryTokens)
+	assert.Less(t, len(executor.sent), 600, "and few first ones")
+}
+
+// Large bounds allocate nothing before they are used.
+func TestNothingIsLaidOutForABound(t *testing.T) {
+	d := NewDependency(Options{MaxInFlight: 1000, QueueLimit: 4096}, 1)
+	assert.Zero(t, cap(d.queue)+cap(d.cancelledUntil))
+}
