--- a/cmd/quartzpoint-bench/flat.go
+++ b/cmd/quartzpoint-bench/flat.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	flatWait    = 500 * time.Millisecond // for every attempt, whatever time is left
+	flatTimeout = 500 * time.Millisecond // for every attempt, whatever time is left
 	flatRetries = 3                      // behind every first attempt that failed
 )
 
@@ -78,14 +78,14 @@
 	defer cancel()
 	link := workerlink.New(s.Pool, 1<<20, log, counts.Saw, owner.Nudge)
 	owner.Serve(link, routers)
-	f := &flatComposer{owner: owner, types: map[string]config.Type{}, tasks: map[string]*flatTask{}, open: map[*fanout.Sent]flatCall{}}
+	f := &flatComposer{owner: owner, routes: map[string]config.Type{}, requests: map[string]*flatRequest{}, inFlight: map[*fanout.Attempt]flatAttempt{}}
 	var over sync.WaitGroup
 	for i, d := range ours.Dependencies {
 		way := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Saw, owner.Nudge, &over)
-		f.ways = append(f.ways, way)
+		f.transports = append(f.transports, way)
 	}
 	for _, t := range ours.Types {
-		f.types[t.Name] = t
+		f.routes[t.Name] = t
 	}
 	owner.Compose(f)
 	go link.Run(ctx)
@@ -99,97 +99,97 @@
 	return nil
 }
 
-type flatTask struct {
-	id      string
-	kind    config.Type
-	body    []byte
-	settled []bool
-	good    []bool
-	tries   []int
-	done    bool
+type flatRequest struct {
+	id        string
+	route     config.Type
+	body      []byte
+	settled   []bool
+	available []bool
+	attempts  []int
+	finished  bool
 }
 
-type flatCall struct {
-	task  *flatTask
-	call  int
-	until time.Duration
+type flatAttempt struct {
+	request  *flatRequest
+	call     int
+	deadline time.Duration
 }
 
 // flatComposer makes every call whose predecessors are settled, waits for each the same time, and tries again.
 type flatComposer struct {
-	owner *server.Server
-	types map[string]config.Type
-	ways  []fanout.Transport
-	tasks map[string]*flatTask
-	open  map[*fanout.Sent]flatCall
-	retry []flatCall
-	ended []workerapi.Notice
+	owner      *server.Server
+	routes     map[string]config.Type
+	transports []fanout.Transport
+	requests   map[string]*flatRequest
+	inFlight   map[*fanout.Attempt]flatAttempt
+	unsent     []flatAttempt
+	notices    []workerapi.Notice
 }
 
-func (f *flatComposer) Composes(kind string) bool  { _, is := f.types[kind]; return is }
-func (f *flatComposer) Waits(string) time.Duration { return 0 }
-func (f *flatComposer) GoOn(string) bool           { return false }
+func (f *flatComposer) Handles(kind string) bool          { _, is := f.routes[kind]; return is }
+func (f *flatComposer) ExpectedWait(string) time.Duration { return 0 }
+func (f *flatComposer) GoOn(string) bool                  { return false }
 func (f *flatComposer) Take(into []workerapi.Notice) []workerapi.Notice {
-	into = append(into, f.ended...)
-	f.ended = f.ended[:0]
+	into = append(into, f.notices...)
+	f.notices = f.notices[:0]
 	return into
 }
 
 func (f *flatComposer) Flush() {
-	for _, w := range f.ways {
+	for _, w := range f.transports {
 		w.Flush()
 	}
 }
 
-func (f *flatComposer) Due() time.Duration {
-	if len(f.ended)+len(f.retry) > 0 {
+func (f *flatComposer) NextTimer() time.Duration {
+	if len(f.notices)+len(f.unsent) > 0 {
 		return 0
 	}
-	if len(f.open) > 0 {
+	if len(f.inFlight) > 0 {
 		return f.owner.Now() + 5*time.Millisecond
 	}
 	return 1<<63 - 1
 }
 
 func (f *flatComposer) Start(r workerapi.Run) bool {
-	kind := f.types[r.Route]
+	kind := f.routes[r.Route]
 	n := len(kind.Calls)
-	t := &flatTask{id: r.ID, kind: kind, body: r.Body, settled: make([]bool, n), good: make([]bool, n), tries: make([]int, n)}
-	f.tasks[r.ID] = t
+	t := &flatRequest{id: r.ID, route: kind, body: r.Body, settled: make([]bool, n), available: make([]bool, n), attempts: make([]int, n)}
+	f.requests[r.ID] = t
 	f.advance(t)
 	return true
 }
 
 func (f *flatComposer) Pause(id string) bool {
-	if t := f.tasks[id]; t != nil {
-		f.end(t, "interrupted", nil)
+	if t := f.requests[id]; t != nil {
+		f.finish(t, "interrupted", nil)
 	}
 	return true
 }
 
-func (f *flatComposer) end(t *flatTask, outcome string, result []byte) {
-	if !t.done {
-		t.done = true
-		delete(f.tasks, t.id)
-		f.ended = append(f.ended, workerapi.Notice{Kind: workerapi.RunFinished, RequestID: t.id, Outcome: outcome, Result: result})
+func (f *flatComposer) finish(t *flatRequest, outcome string, result []byte) {
+	if !t.finished {
+		t.finished = true
+		delete(f.requests, t.id)
+		f.notices = append(f.notices, workerapi.Notice{Kind: workerapi.RunFinished, RequestID: t.id, Outcome: outcome, Result: result})
 	}
 }
 
-func (f *flatComposer) advance(t *flatTask) {
+func (f *flatComposer) advance(t *flatRequest) {
 	all, worth, has, whole := true, 0.0, 0.0, true
-	for i, c := range t.kind.Calls {
+	for i, c := range t.route.Calls {
 		worth += c.Value
 		if t.settled[i] {
-			if t.good[i] {
+			if t.available[i] {
 				has += c.Value
 			} else if whole = false; c.Required {
-				f.end(t, "interrupted", nil)
+				f.finish(t, "interrupted", nil)
 				return
 			}
 			continue
 		}
 		all = false
-		ready := t.tries[i] == 0
+		ready := t.attempts[i] == 0
 		for _, a := range c.After {
 			ready = ready && t.settled[a]
 		}
@@ -200,68 +200,68 @@
 	if all {
 		raw, err := json.Marshal(map[string]any{"whole": whole, "worth": has / worth})
 		if err == nil {
-			f.end(t, "success", raw)
+			f.finish(t, "success", raw)
 		}
 	}
 }
 
-func (f *flatComposer) send(t *flatTask, i int) {
-	c := t.kind.Calls[i]
-	t.tries[i]++
-	s := &fanout.Sent{Op: c.Op, Body: t.body, Within: flatWait}
+func (f *flatComposer) send(t *flatRequest, i int) {
+	c := t.route.Calls[i]
+	t.attempts[i]++
+	s := &fanout.Attempt{Op: c.Op, Body: t.body, Timeout: flatTimeout}
 	if c.Effect != budget.Read {
-		s.Number = fmt.Sprintf("%s/%s", t.id, c.Name)
+		s.IdempotencyKey = fmt.Sprintf("%s/%s", t.id, c.Name)
 	}
-	call := flatCall{t, i, f.owner.Now() + flatWait}
-	if f.ways[c.Dependency].Send(s) {
-		f.open[s] = call
+	call := flatAttempt{t, i, f.owner.Now() + flatTimeout}
+	if f.transports[c.Dependency].Send(s) {
+		f.inFlight[s] = call
 	} else {
-		f.retry = append(f.retry, call)
+		f.unsent = append(f.unsent, call)
 	}
 }
 
-func (f *flatComposer) failed(c flatCall) {
-	if c.task.done {
+func (f *flatComposer) attemptFailed(c flatAttempt) {
+	if c.request.finished {
 		return
 	}
 	// Client libraries repeat whatever timed out; but one that repeats at-most-once calls would break a rule here.
-	if c.task.tries[c.call] <= flatRetries && c.task.kind.Calls[c.call].Effect != budget.AtMostOnce {
-		f.send(c.task, c.call)
+	if c.request.attempts[c.call] <= flatRetries && c.request.route.Calls[c.call].Effect != budget.AtMostOnce {
+		f.send(c.request, c.call)
 		return
 	}
-	c.task.settled[c.call] = true
-	f.advance(c.task)
+	c.request.settled[c.call] = true
+	f.advance(c.request)
 }
 
-func (f *flatComposer) Turn(now time.Duration) {
-	again := f.retry
-	f.retry = nil
+func (f *flatComposer) Advance(now time.Duration) {
+	again := f.unsent
+	f.unsent = nil
 	for _, c := range again {
-		if now >= c.until-flatWait+10*time.Millisecond { // no way: not in a spin
-			f.failed(c)
+		if now >= c.deadline-flatTimeout+10*time.Millisecond { // no way: not in a spin
+			f.attemptFailed(c)
 		} else {
-			f.retry = append(f.retry, c)
+			f.unsent = append(f.unsent, c)
 		}
 	}
-	for _, w := range f.ways {
-		for _, b := range w.Take(nil) {
-			c, open := f.open[b.Sent]
-			delete(f.open, b.Sent)
+	for _, w := range f.transports {
+		for _, b := range w.Receive(nil) {
+			c, open := f.inFlight[b.Attempt]
+			delete(f.inFlight, b.Attempt)
 			switch {
-			case !open || c.task.done:
-			case b.How == budget.Succeeded:
-				c.task.settled[c.call], c.task.good[c.call] = true, true
-				f.advance(c.task)
+			case !open || c.request.finished:
+			case b.Outcome == budget.Succeeded:
+				c.request.settled[c.call], c.request.available[c.call] = true, true
+				f.advance(c.request)
 			default:
-				f.failed(c)
+				f.attemptFailed(c)
 			}
 		}
-		w.Turn(time.Now())
+		w.CheckConnections(time.Now())
 	}
-	for s, c := range f.open {
-		if now >= c.until {
-			delete(f.open, s)
-			f.failed(c)
+	for s, c := range f.inFlight {
+		if now >= c.deadline {
+			delete(f.inFlight, s)
+			f.attemptFailed(c)
 		}
 	}
 }
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -40,7 +40,7 @@
 }
 
 // plans are the types' plans, checked against the time that the platform's configuration gives a task of each.
-func plans(ours *config.Config, whole map[string]time.Duration) (types []fanout.Type, err error) {
+func plans(ours *config.Config, whole map[string]time.Duration) (types []fanout.Route, err error) {
 	var faults []error
 	for _, t := range ours.Types {
 		plan := t.Plan()
@@ -52,9 +52,9 @@
 		if err := plan.Validate(len(ours.Dependencies), time); err != nil {
 			faults = append(faults, fmt.Errorf("types.%s: %w", t.Name, err))
 		}
-		made := fanout.Type{Plan: plan}
+		made := fanout.Route{Plan: plan}
 		for _, c := range t.Calls {
-			made.Calls = append(made.Calls, fanout.Call{Op: c.Op, Keep: c.Keep, Default: c.Default})
+			made.Calls = append(made.Calls, fanout.Call{Op: c.Op, MaxStaleness: c.Keep, Default: c.Default})
 		}
 		types = append(types, made)
 	}
--- a/internal/config/dependencies.go
+++ b/internal/config/dependencies.go
@@ -21,9 +21,9 @@
 // Dependency is one that tasks call.
 type Dependency struct {
 	budget.Options
-	Address     string
-	Connections int
-	Silence     time.Duration // after which a connection that owes answers and says nothing is dead
+	Address        string
+	Connections    int
+	SilenceTimeout time.Duration // after which a connection that owes answers and says nothing is dead
 }
 
 // Type is a traffic type that is made of calls.
@@ -62,8 +62,8 @@
 			},
 			Address: one.text("address", "", "an address and port without a name, as \"127.0.0.1:9501\", is allowed",
 				address),
-			Connections: one.whole("connections", 2, 1, mostConnections),
-			Silence:     one.span("silence", 2*time.Second, 100*time.Millisecond, time.Minute),
+			Connections:    one.whole("connections", 2, 1, mostConnections),
+			SilenceTimeout: one.span("silence", 2*time.Second, 100*time.Millisecond, time.Minute),
 		}
 		if _, stated := one.values["address"]; !stated {
 			one.fault("address", nil, "is missing")
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -226,8 +226,8 @@
 func (s *Server) Compose(c Composer) {
 	s.parts = c
 	for name, t := range s.routes { // each by itself
-		if c.Composes(name) {
-			t.CallWait = c.Waits(name)
+		if c.Handles(name) {
+			t.CallWait = c.ExpectedWait(name)
 			delete(s.unserved, name)
 		}
 	}
@@ -346,7 +346,7 @@
 			for _, f := range batch {
 				f()
 			}
-			s.parts.Turn(s.Now())
+			s.parts.Advance(s.Now())
 			s.entered()
 			s.notices = s.parts.Take(s.link.Take(s.notices[:0]))
 			for i := range s.notices {
@@ -400,7 +400,7 @@
 	if s.touched { // by what the round itself came to
 		return 0
 	}
-	first := min(now+time.Second, s.parts.Due())
+	first := min(now+time.Second, s.parts.NextTimer())
 	for _, at := range s.alarms {
 		first = min(first, at)
 	}
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -88,9 +88,9 @@
 		return
 	}
 	stated := *change.Route
-	composed := s.parts.Composes(name)
+	composed := s.parts.Handles(name)
 	if composed {
-		stated.CallWait = s.parts.Waits(name)
+		stated.CallWait = s.parts.ExpectedWait(name)
 	}
 	s.routes[name] = s.controller.PutRoute(was, stated)
 	delete(s.unserved, name)
--- a/internal/server/tasks.go
+++ b/internal/server/tasks.go
@@ -166,7 +166,7 @@
 			// take part of the memory for as long.
 			request.Deadline = request.Arrived + min(a.Patience, kind.Deadline)
 		}
-		request.composed = s.parts.Composes(request.route)
+		request.composed = s.parts.Handles(request.route)
 		s.attachKey(request, a)
 		s.requests[request.id], s.owner[&request.Request] = request, request
 		s.round.Arrived = append(s.round.Arrived, &request.Request)
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -54,13 +54,13 @@
 // decisions hear of them as being at a call: they begin once the decisions let that go, and must end by Until.
 type Composer interface {
 	Workers
-	// Composes tells whether tasks of a type are made of calls.
-	Composes(kind string) bool
-	// Waits is how long the calls that such a task can't do without are expected to take.
-	Waits(kind string) time.Duration
-	// Turn does what is due at a moment, and Due is when the next is.
-	Turn(now time.Duration)
-	Due() time.Duration
+	// Handles reports whether requests of a route are made of calls.
+	Handles(kind string) bool
+	// ExpectedWait is how long the calls that such a task can't do without are expected to take.
+	ExpectedWait(kind string) time.Duration
+	// Advance does what is due at a moment, and NextTimer is when the next is.
+	Advance(now time.Duration)
+	NextTimer() time.Duration
 }
 
 // nothing stands where nothing is composed.
@@ -71,7 +71,7 @@
 func (nothing) GoOn(string) bool                                { return false }
 func (nothing) Take(into []workerapi.Notice) []workerapi.Notice { return into }
 func (nothing) Flush()                                          {}
-func (nothing) Composes(string) bool                            { return false }
-func (nothing) Waits(string) time.Duration                      { return 0 }
-func (nothing) Turn(time.Duration)                              {}
-func (nothing) Due() time.Duration                              { return 1<<63 - 1 }
+func (nothing) Handles(string) bool                             { return false }
+func (nothing) ExpectedWait(string) time.Duration               { return 0 }
+func (nothing) Advance(time.Duration)                           {}
+func (nothing) NextTimer() time.Duration                        { return 1<<63 - 1 }
