--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -1,150 +1,18 @@
 package fanout
 
 import (
-	"context"
-	"encoding/json"
-	"fmt"
-	"log/slog"
-	"net"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-	"go.uber.org/goleak"
 
 	"quartzpoint/budget"
-	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/testkit/harness"
-	"quartzpoint/internal/workerapi"
 )
 
-const (
-	patience = 20 * time.Second
-	ms       = time.Millisecond
-)
-
-func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
-
-// testServer is a composer with an owner's loop round it.
-type testServer struct {
-	*Composer
-	t         *testing.T
-	counts    *invariant.Counts
-	startedAt time.Time
-	notices   chan workerapi.Notice
-	posted    chan func()
-	number    atomic.Int32
-}
-
-func dependency(name, address string) Dependency {
-	return Dependency{
-		Options: budget.Options{Name: name, MaxInFlight: 8, QueueLimit: 8, CancelledTimeout: 300 * ms, RetryRatio: 0.5},
-		Address: address, Connections: 2, SilenceTimeout: 500 * ms,
-	}
-}
-
-func newTestServer(t *testing.T, memory int, types []Route, dependencies ...Dependency) *testServer {
-	server := &testServer{
-		t: t, counts: invariant.New(slog.New(slog.DiscardHandler)), startedAt: time.Now(),
-		notices: make(chan workerapi.Notice, 100), posted: make(chan func(), 100),
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	woken := make(chan struct{}, 1)
-	now := func() time.Duration { return time.Hour + time.Since(server.startedAt) }
-	for _, typ := range types {
-		require.NoError(t, typ.Plan.Validate(len(dependencies), time.Minute))
-	}
-	server.Composer = New(ctx, dependencies, types, memory, 1, now, server.counts, slog.New(slog.DiscardHandler), func() {
-		select {
-		case woken <- struct{}{}:
-		default:
-		}
-	})
-	over := make(chan struct{})
-	go func() {
-		defer close(over)
-		for {
-			server.Advance(now())
-			for _, n := range server.Take(nil) {
-				server.notices <- n
-			}
-			server.Flush()
-			select {
-			case <-ctx.Done():
-				return
-			case f := <-server.posted:
-				f()
-			case <-woken:
-			case <-time.After(min(max(server.NextTimer()-now(), 0), 20*ms)):
-			}
-		}
-	}()
-	t.Cleanup(func() {
-		cancel()
-		<-over
-		server.Wait()
-	})
-	for i := range dependencies {
-		require.Eventually(t, func() bool { return server.transports[i].Available() > 0 || dependencies[i].Name == "down" }, patience, ms)
-	}
-	return server
-}
-
-// start starts a task and returns its id.
-func (s *testServer) start(kind, body string, within time.Duration) string {
-	id := fmt.Sprintf("%016x", s.number.Add(1))
-	s.posted <- func() { s.Start(workerapi.Run{ID: id, Route: kind, Body: []byte(body), Deadline: s.now() + within}) }
-	return id
-}
-
-func (s *testServer) next() (outcome string, a Answer) {
-	s.t.Helper()
-	select {
-	case n := <-s.notices:
-		if len(n.Result) > 0 {
-			require.NoError(s.t, json.Unmarshal(n.Result, &a))
-			assert.LessOrEqual(s.t, len(n.Result), maxAnswer)
-		}
-		return n.Outcome, a
-	case <-time.After(patience):
-		require.FailNow(s.t, "no end")
-	}
-	return "", a
-}
-
-func states(a Answer) (all []string) {
-	for _, p := range a.Parts {
-		all = append(all, p.State)
-	}
-	return all
-}
-
-func startDependency(t *testing.T, mean time.Duration, script harness.Script) *harness.Dependency {
-	d, err := harness.NewDependency(4, mean, 0, 1, script)
-	require.NoError(t, err)
-	t.Cleanup(d.Close)
-	return d
-}
-
-// readRoute is a type with a needed read of the first dependency, and one of the second that it can do without.
-func readRoute(change func(*Route)) []Route {
-	t := Route{
-		Plan: &budget.Plan{Route: "look", Reserve: 10 * ms, Calls: []budget.Call{
-			{Name: "map", Required: true, Value: 3, Expected: 20 * ms, Retry: true},
-			{Name: "guest", Dependency: 1, Value: 1, Expected: 20 * ms},
-		}},
-		Calls: []Call{{Op: "read-map"}, {Op: "read-guest"}},
-	}
-	if change != nil {
-		change(&t)
-	}
-	return []Route{t}
-}
-
 func TestParts(t *testing.T) {
 	broken := func(time.Duration) harness.Mood { return harness.Mood{Errors: true} }
 	slow := func(time.Duration) harness.Mood { return harness.Mood{Slow: 100} }
@@ -184,7 +52,8 @@
 	}
 }
 
-// A last good result takes the place of one that fails, for the same body, up to its age and no longer.
+// A dependency fails after it has answered once. The stored result replaces its part, for the same request body, up to the
+// configured age and no longer.
 func TestLastGood(t *testing.T) {
 	var failing atomic.Bool
 	other := startDependency(t, ms, func(time.Duration) harness.Mood { return harness.Mood{Errors: failing.Load()} })
@@ -210,19 +79,8 @@
 	assert.Equal(t, "missing", a.Parts[1].State, "too old")
 }
 
-// confirmRoute is a needed hold with a number and a deposit that must not run twice behind it.
-func confirmRoute() []Route {
-	return []Route{{
-		Plan: &budget.Plan{Route: "confirm", Reserve: 10 * ms, Calls: []budget.Call{
-			{Name: "hold", Required: true, Value: 1, Expected: 20 * ms, Effect: budget.Keyed, Retry: true},
-			{Name: "deposit", Dependency: 1, Required: true, Value: 1, Expected: 20 * ms, Effect: budget.AtMostOnce, After: []int{0}},
-		}},
-		Calls: []Call{{Op: "hold"}, {Op: "deposit"}},
-	}}
-}
-
-// The deposit was written and its answer comes too late: given up at once with what is known, never sent again; the
-// late answer is counted and changes nothing.
+// The deposit was sent and its response comes after the deadline. The request is aborted with what is known, and the deposit
+// never sent again; the late response is counted and changes nothing.
 func TestUnclearDeposit(t *testing.T) {
 	hold := startDependency(t, ms, nil)
 	deposit := startDependency(t, ms, func(time.Duration) harness.Mood { return harness.Mood{Late: 400 * ms} })
@@ -242,59 +100,13 @@
 	assert.Equal(t, harness.Seen{Calls: 1, Effects: 1, Numbers: 1, Most: 1}, deposit.Seen())
 }
 
-// startCutProxy is a way to a dependency that breaks once, behind the first call it passes on.
-func startCutProxy(t *testing.T, to string) string {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	var over sync.WaitGroup
-	var broke atomic.Bool
-	over.Add(1)
-	go func() {
-		defer over.Done()
-		for {
-			from, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			into, err := net.Dial("tcp", to)
-			if err != nil {
-				from.Close()
-				continue
-			}
-			pass := func(a, b net.Conn, up bool) {
-				defer over.Done()
-				defer a.Close()
-				defer b.Close()
-				buffer := make([]byte, 4096)
-				for {
-					n, err := b.Read(buffer)
-					if err != nil {
-						return
-					}
-					if !up && broke.CompareAndSwap(false, true) {
-						return // the answer is lost: the call has run
-					}
-					if _, err := a.Write(buffer[:n]); err != nil {
-						return
-					}
-				}
-			}
-			over.Add(2)
-			go pass(into, from, true)
-			go pass(from, into, false)
-		}
-	}()
-	t.Cleanup(func() { listener.Close(); over.Wait() })
-	return listener.Addr().String()
-}
-
-// The connection breaks behind a call that ran: a numbered one is repeated with its number and answered from the
-// first; an at-most-once one is given up.
+// A call runs and the connection breaks before its response. One with an idempotency key is retried with the same key, and
+// answered from the first run; an at-most-once one aborts the request.
 func TestConnectionBreaks(t *testing.T) {
 	hold, deposit := startDependency(t, 5*ms, nil), startDependency(t, 5*ms, nil)
 	server := newTestServer(t, 64<<20, confirmRoute(), dependency("hold", startCutProxy(t, hold.Address)), dependency("deposit", deposit.Address))
 	server.posted <- func() {
-		for range 2 { // a second attempt is earned
+		for range 2 { // a retry token is earned
 			_, _ = server.dependencies[0].Admit(server.now())
 			server.dependencies[0].CallEnded(budget.Succeeded, ms, true, server.now())
 		}
@@ -315,7 +127,8 @@
 	assert.Equal(t, 1, deposit.Seen().Calls)
 }
 
-// What a dependency may do to its connections: each is dialled anew, and calls go on as soon as it is back.
+// A dependency is silent, sends garbage, goes down or refuses connections for a while. The connections are dialled again,
+// and calls succeed once it has recovered.
 func TestComesBack(t *testing.T) {
 	cases := map[string]harness.Mood{
 		"silent": {Silent: true}, "garbage": {Garbage: true}, "down": {Down: true}, "refuses": {Refuses: true},
@@ -353,8 +166,8 @@
 	}
 }
 
-// Results take no more of the memory than their share, and an answer no more than a router can be sent.
-func TestBounds(t *testing.T) {
+// A result is longer than the memory for results. The call fails, and no bytes stay counted.
+func TestResultMemory(t *testing.T) {
 	one, other := startDependency(t, ms, nil), startDependency(t, ms, nil)
 	server := newTestServer(t, 4*resultMemoryDivisor, readRoute(nil), dependency("one", one.Address), dependency("other", other.Address))
 	server.start("look", "x", 200*ms)
@@ -364,35 +177,39 @@
 	held := make(chan int, 1)
 	server.posted <- func() { held <- server.resultBytes }
 	assert.Zero(t, <-held)
+}
 
+// Results are together longer than an answer may be. The longest optional part is left out; without a required one the
+// answer is incomplete.
+func TestAnswerSize(t *testing.T) {
 	plan := readRoute(nil)[0].Plan
 	require.NoError(t, plan.Validate(2, time.Minute))
 	d := []*budget.Dependency{budget.NewDependency(budget.Options{MaxInFlight: 4}, 1), budget.NewDependency(budget.Options{MaxInFlight: 4}, 1)}
 	for _, c := range []struct {
-		sizes     [2]int
-		cut, fits bool
+		sizes               [2]int
+		truncated, complete bool
 	}{
 		{[2]int{100, 100}, false, true}, {[2]int{2000, 2000}, true, true}, {[2]int{4000, 10}, true, false},
 	} {
-		k := &finishRecorder{}
-		book := budget.NewScheduler(d, k, 1)
-		tk := &request{route: &Route{Plan: plan, Calls: make([]Call, 2)}}
-		execution := book.Start(plan, time.Hour, time.Hour+time.Second, tk)
+		recorder := &finishRecorder{}
+		scheduler := budget.NewScheduler(d, recorder, 1)
+		r := &request{route: &Route{Plan: plan, Calls: make([]Call, 2)}}
+		execution := scheduler.Start(plan, time.Hour, time.Hour+time.Second, r)
 		for i, size := range c.sizes {
-			tk.parts[i] = []byte(strings.Repeat("x", size))
-			k.onFinish = func() {
-				raw, cut, fits := tk.compose(execution, budget.Complete)
-				assert.Equal(t, c.cut, cut)
-				assert.Equal(t, c.fits, fits)
-				assert.LessOrEqual(t, len(raw), maxAnswer)
+			r.parts[i] = []byte(strings.Repeat("x", size))
+			recorder.onFinish = func() {
+				encoded, truncated, complete := r.compose(execution, budget.Complete)
+				assert.Equal(t, c.truncated, truncated)
+				assert.Equal(t, c.complete, complete)
+				assert.LessOrEqual(t, len(encoded), maxAnswer)
 			}
-			book.CallEnded(execution, i, 0, budget.Succeeded, time.Hour+ms)
+			scheduler.CallEnded(execution, i, 0, budget.Succeeded, time.Hour+ms)
 		}
-		assert.True(t, k.finished)
+		assert.True(t, recorder.finished)
 	}
 }
 
-// finishRecorder looks at a flight as it is finished.
+// finishRecorder looks at an execution as it is finished.
 type finishRecorder struct {
 	onFinish func()
 	finished bool
@@ -400,10 +217,12 @@
 
 func (*finishRecorder) Send(*budget.Execution, int, int, time.Duration) {}
 func (*finishRecorder) Cancel(*budget.Execution, int, int)              {}
-func (*finishRecorder) Fallback(*budget.Execution, int) bool            { return false }
-func (r *finishRecorder) Finish(*budget.Execution, budget.Verdict)      { r.finished = true; r.onFinish() }
 
-// The caller is gone, or somebody else gave the task up: nothing more is called, and nothing is left.
+func (*finishRecorder) Fallback(*budget.Execution, int) bool { return false }
+
+func (r *finishRecorder) Finish(*budget.Execution, budget.Verdict) { r.finished = true; r.onFinish() }
+
+// The caller is gone, or the request was aborted elsewhere. No more calls are sent, and nothing of the request is left.
 func TestPause(t *testing.T) {
 	hold, deposit := startDependency(t, 50*ms, nil), startDependency(t, ms, nil)
 	server := newTestServer(t, 64<<20, confirmRoute(), dependency("hold", hold.Address), dependency("deposit", deposit.Address))
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -1,113 +1,106 @@
-// Package fanout carries tasks that are made of calls to several dependencies: the calls out, their answers in,
-// and one answer made of them. What is called when, for how long and how often is package budget's to decide.
+// Package fanout runs requests that are made of calls to several dependencies: it sends the calls, receives their
+// responses and composes one answer of them. Package budget decides which call is sent when, with which timeout and how
+// often.
 package fanout
 
 import (
 	"context"
-	"encoding/base64"
-	"encoding/json"
 	"log/slog"
 	"slices"
 	"sync"
 	"time"
 
-	"github.com/hashicorp/golang-lru/v2/simplelru"
-
 	"quartzpoint/budget"
 	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/workerapi"
 )
 
 const (
-	maxPartOverhead         = 96      // bytes of a part beside its name and result
-	maxAnswer               = 4 << 10 // bytes of a composed answer, as the routers' protocol has it
-	maxCacheEntries         = 65536   // last good results, whatever their size
-	connectionCheckInterval = 250 * time.Millisecond
-	resultMemoryDivisor     = 16 // part of the program's memory, as a divisor, that results under way may take
-	cacheMemoryDivisor      = 16 // the same, for last good results
+	connectionCheckInterval = 250 * time.Millisecond // while requests are in progress
+	resultMemoryDivisor     = 16                     // of the process's memory: results of requests in progress
+	cacheMemoryDivisor      = 16                     // of the process's memory: stored results
+)
+
+// The outcomes of a run, as package workerapi's notices name them.
+const (
+	runSucceeded   = "success"
+	runInterrupted = "interrupted"
 )
 
-// Dependency is one that is called.
+// Dependency configures a dependency and the connections to it.
 type Dependency struct {
 	budget.Options
-	Address        string
+	Address        string // TCP, host:port
 	Connections    int
-	SilenceTimeout time.Duration // after which a connection that owes an answer and says nothing is dead
+	SilenceTimeout time.Duration // a connection that owes a response and reads nothing for so long is closed
 }
 
-// Call says how a call of a plan is carried.
+// Call is what package budget need not know of a call.
 type Call struct {
-	Op           string
-	MaxStaleness time.Duration // age up to which a last good result may take its place; 0: none
-	Default      []byte        // what takes its place else; nil: nothing does
+	Op           string        // name of the operation at the dependency
+	MaxStaleness time.Duration // up to this age a stored result may replace its part; 0: none may
+	Default      []byte        // constant that replaces its part otherwise; nil: none does
 }
 
-// Route is a traffic type that is made of calls; Calls stand as in its plan.
+// Route is a route whose requests are made of calls. Calls and Plan.Calls have the same indexes.
 type Route struct {
 	Plan  *budget.Plan
 	Calls []Call
 }
 
-// Composer makes tasks of calls. All of it belongs to the owner of decisions, but for what its transports read.
+// Composer runs composed requests. It implements server.Composer, and budget.Executor for its own scheduler. All its
+// methods but Wait belong to the decision loop.
 type Composer struct {
 	counts       *invariant.Counts
 	now          func() time.Duration
 	routes       map[string]*Route
-	transports   []Transport
+	transports   []Transport // by dependency, as are dependencies
 	dependencies []*budget.Dependency
 	scheduler    *budget.Scheduler
 	connections  sync.WaitGroup
 
-	requests       map[string]*request
-	notices        []workerapi.Notice
-	unsent         []*Attempt // for which there was no way
-	responses      []Response
-	checkedAt      time.Duration
-	resultBytes    int // bytes of results under way
+	requests       map[string]*request // in progress, by id
+	notices        []workerapi.Notice  // not taken yet
+	unsent         []*Attempt          // that no connection took
+	responses      []Response          // scratch of Advance
+	checkedAt      time.Duration       // connections
+	resultBytes    int                 // of requests in progress
 	maxResultBytes int
-	cache          *simplelru.LRU[string, good]
-	keeps          int
-	mayKeep        int
+	cache          *resultCache
 }
 
-// request is one that is under way.
+// request is one in progress.
 type request struct {
 	id          string
 	route       *Route
 	body        []byte
-	execution   *budget.Execution
-	startedAt   time.Duration
+	execution   *budget.Execution // nil until its first calls are sent
 	parts       [budget.MaxCalls][]byte
-	resultBytes int                            // bytes of them that are the program's own
-	ages        [budget.MaxCalls]time.Duration // of last good results
-	attempts    [budget.MaxCalls][2]*Attempt
+	resultBytes int                            // of parts that are not constants or stored
+	ages        [budget.MaxCalls]time.Duration // of stored results; 0 without one
+	attempts    [budget.MaxCalls][2]*Attempt   // in flight
 }
 
-// good is a last good result.
-type good struct {
-	body []byte
-	at   time.Duration
-}
-
-// New starts a composer whose connections live until the context ends. now is the clock of rounds; wake is called
-// when there is something to take. The types' plans must have been checked.
+// New returns a composer whose connections live until the context ends; Wait then waits for them. memory is that of the
+// process, in bytes. now is the clock of decisions; wake is called, from any goroutine, when Advance has something to do.
+// The routes' plans must be valid. seed makes all jitter repeatable.
 func New(
-	ctx context.Context, dependencies []Dependency, types []Route, memory int, seed int64, now func() time.Duration,
+	ctx context.Context, dependencies []Dependency, routes []Route, memory int, seed int64, now func() time.Duration,
 	counts *invariant.Counts, log *slog.Logger, wake func(),
 ) *Composer {
 	c := &Composer{
 		counts: counts, now: now, routes: map[string]*Route{}, requests: map[string]*request{},
-		maxResultBytes: memory / resultMemoryDivisor, mayKeep: memory / cacheMemoryDivisor,
+		maxResultBytes: memory / resultMemoryDivisor,
 	}
 	var err error
-	c.cache, err = simplelru.NewLRU(maxCacheEntries, func(key string, g good) { c.keeps -= len(key) + len(g.body) })
+	c.cache, err = newResultCache(memory / cacheMemoryDivisor)
 	counts.That(err == nil, "no table of last good results")
 	for i, d := range dependencies {
 		c.dependencies = append(c.dependencies, budget.NewDependency(d.Options, seed+int64(i)))
 		c.transports = append(c.transports, Dial(ctx, d, seed+int64(i), log, counts.Saw, wake, &c.connections))
 	}
-	for _, t := range types {
-		c.routes[t.Plan.Route] = &t
+	for _, route := range routes {
+		c.routes[route.Plan.Route] = &route
 	}
 	c.scheduler = budget.NewScheduler(c.dependencies, c, seed)
 	return c
@@ -116,59 +109,64 @@
 // Wait returns once all connections have ended, after the context has.
 func (c *Composer) Wait() { c.connections.Wait() }
 
-// Handles tells whether tasks of a type are made of calls.
-func (c *Composer) Handles(kind string) bool { return c.routes[kind] != nil }
+// Handles reports whether requests of a route are composed.
+func (c *Composer) Handles(route string) bool { return c.routes[route] != nil }
 
-// ExpectedWait is how long the needed calls of a type are expected to take, one behind the other, and the answering.
-func (c *Composer) ExpectedWait(kind string) time.Duration { return c.routes[kind].Plan.RequiredPath() }
+// ExpectedWait is how long the required calls of a composed route are expected to take on their longest path, with the
+// time kept for the answer.
+func (c *Composer) ExpectedWait(route string) time.Duration {
+	return c.routes[route].Plan.RequiredPath()
+}
 
-// Start begins the calls of a task.
-func (c *Composer) Start(r workerapi.Run) bool {
-	kind := c.routes[r.Route]
-	c.counts.That(kind != nil && c.requests[r.ID] == nil, "a task was composed twice, or has no plan")
-	if kind == nil || c.requests[r.ID] != nil {
+// Start sends the first calls of a request. false means that it was not started: its route is not composed, or it is in
+// progress already.
+func (c *Composer) Start(run workerapi.Run) bool {
+	route := c.routes[run.Route]
+	valid := route != nil && c.requests[run.ID] == nil
+	c.counts.That(valid, "a task was composed twice, or has no plan")
+	if !valid {
 		return false
 	}
-	t := &request{id: r.ID, route: kind, body: r.Body, startedAt: c.now()}
-	c.requests[r.ID] = t
-	t.execution = c.scheduler.Start(kind.Plan, t.startedAt, r.Deadline, t)
+	r := &request{id: run.ID, route: route, body: run.Body}
+	c.requests[run.ID] = r
+	r.execution = c.scheduler.Start(route.Plan, c.now(), run.Deadline, r)
 	return true
 }
 
-// Pause ends a task that nobody waits for any more. Calls with an effect that are under way go on at their
-// dependencies; nothing is called behind them.
+// Pause ends a request whose answer is not awaited any more. Calls with an effect that are in flight go on at their
+// dependencies; no more calls are sent.
 func (c *Composer) Pause(id string) bool {
-	t := c.requests[id]
-	if t == nil {
+	r := c.requests[id]
+	if r == nil {
 		return false
 	}
-	if t.execution != nil {
-		c.scheduler.Cancel(t.execution, c.now())
+	if r.execution != nil {
+		c.scheduler.Cancel(r.execution, c.now())
 	}
-	c.notify(t, "interrupted", nil)
+	c.finish(r, runInterrupted, nil)
 	return true
 }
 
-// GoOn does nothing: what was paused is over.
+// GoOn refuses: Pause has ended the request.
 func (c *Composer) GoOn(string) bool { return false }
 
-// Take gives the ends of tasks.
-func (c *Composer) Take(into []workerapi.Notice) []workerapi.Notice {
-	into = append(into, c.notices...)
+// Take appends the notices of requests that ended.
+func (c *Composer) Take(notices []workerapi.Notice) []workerapi.Notice {
+	notices = append(notices, c.notices...)
 	clear(c.notices)
 	c.notices = c.notices[:0]
-	return into
+	return notices
 }
 
-// Flush writes what was called.
+// Flush writes the calls that were sent.
 func (c *Composer) Flush() {
-	for _, w := range c.transports {
-		w.Flush()
+	for _, transport := range c.transports {
+		transport.Flush()
 	}
 }
 
-// NextTimer is when something is to be done next: at once where a call found no way or a task ended, as both are told only
-// in a later turn.
+// NextTimer is when Advance must be called next: at once where an attempt was not sent or a request ended, since both are
+// handled in a later round only.
 func (c *Composer) NextTimer() time.Duration {
 	if len(c.unsent)+len(c.notices) > 0 {
 		return 0
@@ -180,209 +178,68 @@
 	return next
 }
 
-// Advance takes in what came and does what is due.
+// Advance takes the responses that have come and runs the timers that are due.
 func (c *Composer) Advance(now time.Duration) {
-	for _, s := range c.unsent {
-		if s.cancelled {
-			c.scheduler.CancelledCallEnded(s.dependency, now)
-		} else {
-			c.attemptEnded(Response{Attempt: s, Outcome: budget.NotSent}, now)
-		}
+	for _, attempt := range c.unsent {
+		c.receive(Response{Attempt: attempt, Outcome: budget.NotSent}, now)
 	}
 	clear(c.unsent)
 	c.unsent = c.unsent[:0]
 	c.responses = c.responses[:0]
-	for _, w := range c.transports {
-		c.responses = w.Receive(c.responses)
+	for _, transport := range c.transports {
+		c.responses = transport.Receive(c.responses)
 	}
+	// In the order in which they were sent: that of the transports' maps differs from run to run.
 	slices.SortStableFunc(c.responses, func(a, b Response) int { return a.Attempt.sentAt.Compare(b.Attempt.sentAt) })
-	for _, b := range c.responses {
-		if b.Attempt.cancelled {
-			c.scheduler.CancelledCallEnded(b.Attempt.dependency, now)
-			continue
-		}
-		c.attemptEnded(b, now)
+	for _, response := range c.responses {
+		c.receive(response, now)
 	}
 	clear(c.responses)
 	c.scheduler.Advance(now)
 	if now >= c.checkedAt+connectionCheckInterval {
 		c.checkedAt = now
-		for _, w := range c.transports {
-			w.CheckConnections(time.Now())
-		}
-	}
-}
-
-func (c *Composer) attemptEnded(b Response, now time.Duration) {
-	s := b.Attempt
-	t := s.execution.Ref.(*request)
-	t.attempts[s.call][s.number] = nil
-	if b.Outcome == budget.Succeeded {
-		if c.resultBytes+len(b.Body) > c.maxResultBytes {
-			c.counts.Saw("result of a call beyond the program's own memory")
-			b.Outcome = budget.Failed
-		} else {
-			c.resultBytes += len(b.Body)
-			t.resultBytes += len(b.Body)
-			t.parts[s.call] = b.Body
-			c.keep(t, s.call, b.Body, now)
+		for _, transport := range c.transports {
+			transport.CheckConnections(time.Now())
 		}
 	}
-	c.scheduler.CallEnded(s.execution, s.call, s.number, b.Outcome, now)
 }
 
-// cacheKey finds last good results: the same call of the same type with the same body. A body may be 2 KiB; it counts
-// against the bound as the result does.
-func cacheKey(t *request, call int) string {
-	return t.route.Plan.Route + "\x00" + t.route.Plan.Calls[call].Name + "\x00" + string(t.body)
-}
-
-// keep puts a result into the table of last good ones, within its bound in bytes; the ones longest unused go first.
-func (c *Composer) keep(t *request, call int, body []byte, now time.Duration) {
-	if t.route.Calls[call].MaxStaleness == 0 {
+// receive hands a response to the scheduler, with its result stored where it succeeded.
+func (c *Composer) receive(response Response, now time.Duration) {
+	attempt, outcome := response.Attempt, response.Outcome
+	if attempt.cancelled {
+		c.scheduler.CancelledCallEnded(attempt.dependency, now)
 		return
 	}
-	k := cacheKey(t, call)
-	c.cache.Remove(k)
-	c.cache.Add(k, good{body, now})
-	for c.keeps += len(k) + len(body); c.keeps > c.mayKeep; {
-		c.cache.RemoveOldest()
-	}
-}
-
-// Send makes an attempt; like the methods below it carries out what package budget decides.
-func (c *Composer) Send(execution *budget.Execution, call, attempt int, within time.Duration) {
-	t := execution.Ref.(*request)
-	planned := &t.route.Plan.Calls[call]
-	s := &Attempt{
-		Op: t.route.Calls[call].Op, Body: t.body, Timeout: within,
-		execution: execution, call: call, number: attempt, dependency: planned.Dependency,
-	}
-	if planned.Effect != budget.Read {
-		s.IdempotencyKey = t.id + "/" + planned.Name
-	}
-	t.attempts[call][attempt] = s
-	if !c.transports[s.dependency].Send(s) {
-		c.unsent = append(c.unsent, s)
-	}
-}
-
-// Cancel lets go of an attempt. A call with an effect is not taken back: it may have begun.
-func (c *Composer) Cancel(execution *budget.Execution, call, attempt int) {
-	t := execution.Ref.(*request)
-	s := t.attempts[call][attempt]
-	t.attempts[call][attempt] = nil
-	s.cancelled = true
-	if s.IdempotencyKey == "" {
-		c.transports[s.dependency].Cancel(s)
-	}
-}
-
-// Fallback puts a last good result, or else the stated constant, in the place of a part.
-func (c *Composer) Fallback(execution *budget.Execution, call int) bool {
-	t := execution.Ref.(*request)
-	how := t.route.Calls[call]
-	if how.MaxStaleness > 0 {
-		g, known := c.cache.Get(cacheKey(t, call))
-		if age := c.now() - g.at; known && age <= how.MaxStaleness {
-			t.parts[call], t.ages[call] = g.body, max(age, 1)
-			return true
+	r := attempt.execution.Ref.(*request)
+	r.attempts[attempt.call][attempt.number] = nil
+	if outcome == budget.Succeeded {
+		if c.resultBytes+len(response.Body) > c.maxResultBytes {
+			c.counts.Saw("result of a call beyond the program's own memory")
+			outcome = budget.Failed
+		} else {
+			c.resultBytes += len(response.Body)
+			r.resultBytes += len(response.Body)
+			r.parts[attempt.call] = response.Body
+			if r.route.Calls[attempt.call].MaxStaleness > 0 {
+				c.cache.store(r.cacheKey(attempt.call), response.Body, now)
+			}
 		}
 	}
-	if how.Default != nil {
-		t.parts[call] = how.Default
-		return true
-	}
-	return false
-}
-
-// Finish answers a task.
-func (c *Composer) Finish(execution *budget.Execution, v budget.Verdict) {
-	t := execution.Ref.(*request)
-	result, cut, fits := t.compose(execution, v)
-	if cut {
-		c.counts.Saw("composed answer too long, parts left out")
-	}
-	if v == budget.Aborted || !fits {
-		c.notify(t, "interrupted", result)
-	} else {
-		c.notify(t, "success", result)
-	}
-}
-
-func (c *Composer) notify(t *request, outcome string, result []byte) {
-	c.resultBytes -= t.resultBytes
-	delete(c.requests, t.id)
-	c.notices = append(c.notices, workerapi.Notice{Kind: workerapi.RunFinished, RequestID: t.id, Outcome: outcome, Result: result})
+	c.scheduler.CallEnded(attempt.execution, attempt.call, attempt.number, outcome, now)
 }
 
-// Answer is the form of a composed answer.
-type Answer struct {
-	Complete bool    `json:"whole"` // all parts are there and fresh
-	Value    float64 `json:"worth"` // importance of the parts that are there, over that of all
-	Parts    []Part  `json:"parts"`
-}
-
-// Part is what became of one call.
-type Part struct {
-	Name   string `json:"name"`
-	State  string `json:"state"`            // fresh, old, default or missing
-	Reason string `json:"why,omitempty"`    // it is not fresh
-	AgeMS  int64  `json:"age_ms,omitempty"` // of an old one
-	Result string `json:"result,omitempty"` // base64
-}
-
-// compose composes what is there. Where it would be too long the largest parts are left out, optional ones first;
-// without one that is needed it does not fit.
-func (r *request) compose(execution *budget.Execution, v budget.Verdict) (raw []byte, cut, fits bool) {
-	a := Answer{Complete: v == budget.Complete, Value: execution.Value()}
-	size := 64
-	for i, c := range r.route.Plan.Calls {
-		p := Part{Name: c.Name, State: "fresh"}
-		has, why := execution.PartStatus(i)
-		switch {
-		case !has:
-			p.State, p.Reason = "missing", why.String()
-		case why == budget.UsedFallback && r.ages[i] > 0:
-			p.State, p.AgeMS, p.Reason = "old", (r.ages[i] + time.Millisecond - 1).Milliseconds(), why.String()
-		case why == budget.UsedFallback:
-			p.State, p.Reason = "default", why.String()
-		}
-		if has {
-			p.Result = base64.StdEncoding.EncodeToString(r.parts[i])
-		}
-		size += len(p.Result) + len(p.Name) + maxPartOverhead
-		a.Parts = append(a.Parts, p)
-	}
-	fits = true
-	for size > maxAnswer {
-		largest := 0
-		for i, c := range r.route.Plan.Calls {
-			than := r.route.Plan.Calls[largest].Required
-			if p := &a.Parts[i]; p.Result != "" && (a.Parts[largest].Result == "" || than && !c.Required ||
-				than == c.Required && len(p.Result) > len(a.Parts[largest].Result)) {
-				largest = i
-			}
-		}
-		p, c := &a.Parts[largest], &r.route.Plan.Calls[largest]
-		if p.Result == "" {
-			break
-		}
-		size -= len(p.Result)
-		*p = Part{Name: p.Name, State: "missing", Reason: "answer too long"}
-		a.Complete, cut, fits = false, true, fits && !c.Required
-	}
-	raw, err := json.Marshal(a)
-	if err != nil || len(raw) > maxAnswer {
-		return nil, true, false // names alone are too long
-	}
-	return raw, cut, fits
+// finish ends a request with a notice.
+func (c *Composer) finish(r *request, outcome string, answer []byte) {
+	c.resultBytes -= r.resultBytes
+	delete(c.requests, r.id)
+	c.notices = append(c.notices, workerapi.Notice{Kind: workerapi.RunFinished, RequestID: r.id, Outcome: outcome, Result: answer})
 }
 
-// States tells how the dependencies stand.
-func (c *Composer) States(now time.Duration) (all []budget.State) {
+// States returns a snapshot of each dependency.
+func (c *Composer) States(now time.Duration) (states []budget.State) {
 	for _, d := range c.dependencies {
-		all = append(all, d.State(now))
+		states = append(states, d.State(now))
 	}
-	return all
+	return states
 }
--- /dev/null
+++ b/internal/fanout/frametransport.go
@@ -0,0 +1,187 @@
+package fanout
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math/rand"
+	"strconv"
+	"sync"
+	"time"
+
+	"quartzpoint/budget"
+	"quartzpoint/internal/frame"
+)
+
+// maxInbox is the number of responses that are read ahead of the decision loop. With more, reading stops, and TCP holds
+// the dependency back.
+const maxInbox = 1024
+
+// frameTransport carries calls in the routers' frames over a few connections, each with many calls in flight. One
+// goroutine a connection dials and reads; writes happen on the decision loop, in Flush.
+type frameTransport struct {
+	name             string
+	address          string
+	silenceTimeout   time.Duration
+	cancelledTimeout time.Duration
+	log              *slog.Logger
+	count            func(event string)
+	wake             func()
+
+	mu           sync.Mutex // for all below, and for the connections' fields
+	rng          *rand.Rand
+	inboxEmptied sync.Cond
+	closed       bool
+	connections  []*connection
+	inbox        []Response
+}
+
+// Dial keeps d.Connections connections to a dependency until the context ends. running counts their goroutines. count is
+// called with each event that operators should see counted, and wake when there are responses; both from any goroutine.
+func Dial(
+	ctx context.Context, d Dependency, seed int64, log *slog.Logger, count func(string), wake func(), running *sync.WaitGroup,
+) Transport {
+	t := &frameTransport{
+		name: d.Name, address: d.Address, silenceTimeout: d.SilenceTimeout, cancelledTimeout: d.CancelledTimeout,
+		log: log, count: count, wake: wake, rng: rand.New(rand.NewSource(seed)),
+	}
+	t.inboxEmptied.L = &t.mu
+	for range d.Connections {
+		c := &connection{transport: t}
+		t.connections = append(t.connections, c)
+		running.Add(1)
+		go func() {
+			defer running.Done()
+			c.run(ctx)
+		}()
+	}
+	context.AfterFunc(ctx, t.close)
+	return t
+}
+
+// close ends the connections' goroutines, whether they read or wait for the inbox.
+func (t *frameTransport) close() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closed = true
+	for _, c := range t.connections {
+		if c.socket != nil {
+			_ = c.socket.Close()
+		}
+	}
+	t.inboxEmptied.Broadcast()
+}
+
+// Send puts an attempt on the connection with the fewest calls in flight.
+func (t *frameTransport) Send(attempt *Attempt) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var least *connection
+	for _, c := range t.connections {
+		if c.available() && (least == nil || len(c.inFlight) < len(least.inFlight)) {
+			least = c
+		}
+	}
+	if least == nil {
+		return false
+	}
+	attempt.sentAt = time.Now()
+	ms := max(attempt.Timeout.Milliseconds(), 1)
+	fields := []frame.Field{
+		{Name: "op", Value: attempt.Op}, {Name: "call", Value: fmt.Sprintf("%016x", t.rng.Uint64())},
+		{Name: "recv", Value: strconv.FormatInt(attempt.sentAt.UnixMilli(), 10)},
+		{Name: "ttl", Value: strconv.FormatInt(ms, 10)}, {Name: "heap", Value: "1"},
+	}
+	if attempt.IdempotencyKey != "" {
+		fields = append(fields, frame.Field{Name: "num", Value: attempt.IdempotencyKey})
+	}
+	head := frame.Begin(nil, frame.Task, least.lastStream+1, 0, fields, len(attempt.Body))
+	if least.writes.Add(head, attempt.Body) != nil {
+		// The dependency does not read, and the queue is full. Calls written before are lost; this one was not sent.
+		_ = least.socket.Close()
+		return false
+	}
+	least.lastStream++
+	least.inFlight[least.lastStream], least.streams[attempt] = attempt, least.lastStream
+	return true
+}
+
+// Cancel sends a cancel frame for an attempt that is in flight.
+func (t *frameTransport) Cancel(attempt *Attempt) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.connections {
+		if stream, is := c.streams[attempt]; is {
+			_ = c.writes.Add(frame.Begin(nil, frame.Cancel, stream, 0, nil, 0)) // a full queue closes the connection at the next Send
+			return
+		}
+	}
+}
+
+// Receive appends the responses that were read since the last call.
+func (t *frameTransport) Receive(responses []Response) []Response {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	responses = append(responses, t.inbox...)
+	clear(t.inbox)
+	t.inbox = t.inbox[:0]
+	t.inboxEmptied.Broadcast()
+	return responses
+}
+
+// CheckConnections forgets attempts that were cancelled long ago, and closes connections on which a response is owed and
+// nothing was read for silenceTimeout.
+func (t *frameTransport) CheckConnections(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.connections {
+		if c.socket == nil {
+			continue
+		}
+		oldest := time.Duration(0)
+		for stream, attempt := range c.inFlight { // in any order: each is judged by itself
+			age := now.Sub(attempt.sentAt)
+			if attempt.cancelled && age > t.cancelledTimeout+t.silenceTimeout {
+				delete(c.inFlight, stream)
+				delete(c.streams, attempt)
+				continue
+			}
+			oldest = max(oldest, age)
+		}
+		if min(oldest, now.Sub(c.readAt)) > t.silenceTimeout {
+			t.count("dependency connection silent, dialled anew")
+			_ = c.socket.Close()
+		}
+	}
+}
+
+// Flush writes what is queued, as far as the dependency reads.
+func (t *frameTransport) Flush() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.connections {
+		if c.socket == nil || c.writes.Empty() {
+			continue
+		}
+		if c.writes.FlushTo(c.raw) != nil {
+			_ = c.socket.Close()
+		}
+	}
+}
+
+// Available is the number of connections that take attempts.
+func (t *frameTransport) Available() (n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.connections {
+		if c.available() {
+			n++
+		}
+	}
+	return n
+}
+
+// respond puts a response into the inbox. t.mu must be held.
+func (t *frameTransport) respond(attempt *Attempt, outcome budget.Outcome, body []byte) {
+	t.inbox = append(t.inbox, Response{Attempt: attempt, Outcome: outcome, Body: body})
+}
--- /dev/null
+++ b/internal/fanout/testserver_test.go
@@ -0,0 +1,205 @@
+package fanout
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
+
+	"quartzpoint/budget"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/testkit/harness"
+	"quartzpoint/internal/workerapi"
+)
+
+const (
+	patience = 20 * time.Second
+	ms       = time.Millisecond
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testServer is a composer with a decision loop.
+type testServer struct {
+	*Composer
+	t         *testing.T
+	counts    *invariant.Counts
+	startedAt time.Time
+	notices   chan workerapi.Notice
+	posted    chan func()
+	number    atomic.Int32
+}
+
+func dependency(name, address string) Dependency {
+	return Dependency{
+		Options: budget.Options{Name: name, MaxInFlight: 8, QueueLimit: 8, CancelledTimeout: 300 * ms, RetryRatio: 0.5},
+		Address: address, Connections: 2, SilenceTimeout: 500 * ms,
+	}
+}
+
+func newTestServer(t *testing.T, memory int, routes []Route, dependencies ...Dependency) *testServer {
+	server := &testServer{
+		t: t, counts: invariant.New(slog.New(slog.DiscardHandler)), startedAt: time.Now(),
+		notices: make(chan workerapi.Notice, 100), posted: make(chan func(), 100),
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	woken := make(chan struct{}, 1)
+	now := func() time.Duration { return time.Hour + time.Since(server.startedAt) }
+	for _, route := range routes {
+		require.NoError(t, route.Plan.Validate(len(dependencies), time.Minute))
+	}
+	server.Composer = New(ctx, dependencies, routes, memory, 1, now, server.counts, slog.New(slog.DiscardHandler), func() {
+		select {
+		case woken <- struct{}{}:
+		default:
+		}
+	})
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		for {
+			server.Advance(now())
+			for _, n := range server.Take(nil) {
+				server.notices <- n
+			}
+			server.Flush()
+			select {
+			case <-ctx.Done():
+				return
+			case f := <-server.posted:
+				f()
+			case <-woken:
+			case <-time.After(min(max(server.NextTimer()-now(), 0), 20*ms)):
+			}
+		}
+	}()
+	t.Cleanup(func() {
+		cancel()
+		<-ended
+		server.Wait()
+	})
+	for i := range dependencies {
+		require.Eventually(t, func() bool { return server.transports[i].Available() > 0 || dependencies[i].Name == "down" }, patience, ms)
+	}
+	return server
+}
+
+// start starts a request and returns its id.
+func (s *testServer) start(route, body string, timeout time.Duration) string {
+	id := fmt.Sprintf("%016x", s.number.Add(1))
+	s.posted <- func() { s.Start(workerapi.Run{ID: id, Route: route, Body: []byte(body), Deadline: s.now() + timeout}) }
+	return id
+}
+
+func (s *testServer) next() (outcome string, a Answer) {
+	s.t.Helper()
+	select {
+	case n := <-s.notices:
+		if len(n.Result) > 0 {
+			require.NoError(s.t, json.Unmarshal(n.Result, &a))
+			assert.LessOrEqual(s.t, len(n.Result), maxAnswer)
+		}
+		return n.Outcome, a
+	case <-time.After(patience):
+		require.FailNow(s.t, "no end")
+	}
+	return "", a
+}
+
+func states(a Answer) (all []string) {
+	for _, p := range a.Parts {
+		all = append(all, p.State)
+	}
+	return all
+}
+
+func startDependency(t *testing.T, mean time.Duration, script harness.Script) *harness.Dependency {
+	d, err := harness.NewDependency(4, mean, 0, 1, script)
+	require.NoError(t, err)
+	t.Cleanup(d.Close)
+	return d
+}
+
+// readRoute has a required read of the first dependency and an optional one of the second.
+func readRoute(change func(*Route)) []Route {
+	t := Route{
+		Plan: &budget.Plan{Route: "look", Reserve: 10 * ms, Calls: []budget.Call{
+			{Name: "map", Required: true, Value: 3, Expected: 20 * ms, Retry: true},
+			{Name: "guest", Dependency: 1, Value: 1, Expected: 20 * ms},
+		}},
+		Calls: []Call{{Op: "read-map"}, {Op: "read-guest"}},
+	}
+	if change != nil {
+		change(&t)
+	}
+	return []Route{t}
+}
+
+// confirmRoute has a required hold with an idempotency key, and behind it a deposit that must not run twice.
+func confirmRoute() []Route {
+	return []Route{{
+		Plan: &budget.Plan{Route: "confirm", Reserve: 10 * ms, Calls: []budget.Call{
+			{Name: "hold", Required: true, Value: 1, Expected: 20 * ms, Effect: budget.Keyed, Retry: true},
+			{Name: "deposit", Dependency: 1, Required: true, Value: 1, Expected: 20 * ms, Effect: budget.AtMostOnce, After: []int{0}},
+		}},
+		Calls: []Call{{Op: "hold"}, {Op: "deposit"}},
+	}}
+}
+
+// startCutProxy is a proxy to a dependency that breaks the connection once, in place of the first response.
+func startCutProxy(t *testing.T, to string) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	var over sync.WaitGroup
+	var broke atomic.Bool
+	over.Add(1)
+	go func() {
+		defer over.Done()
+		for {
+			from, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			into, err := net.Dial("tcp", to)
+			if err != nil {
+				_ = from.Close()
+				continue
+			}
+			pass := func(a, b net.Conn, up bool) {
+				defer over.Done()
+				defer func() { _ = a.Close() }()
+				defer func() { _ = b.Close() }()
+				buffer := make([]byte, 4096)
+				for {
+					n, err := b.Read(buffer)
+					if err != nil {
+						return
+					}
+					if !up && broke.CompareAndSwap(false, true) {
+						return // the answer is lost: the call has run
+					}
+					if _, err := a.Write(buffer[:n]); err != nil {
+						return
+					}
+				}
+			}
+			over.Add(2)
+			go pass(into, from, true)
+			go pass(from, into, false)
+		}
+	}()
+	t.Cleanup(func() {
+		_ = listener.Close()
+		over.Wait()
+	})
+	return listener.Addr().String()
+}
