--- a/classpool/classpool_test.go
+++ b/classpool/classpool_test.go
@@ -40,7 +40,7 @@
 	}
 	tree, err := NewTree([]Options{{Name: "b", Parent: "a", Floor: 0.8}, {Name: "a"}, {Name: "c", Parent: "a", Floor: 0.7}})
 	require.NoError(t, err, "in any order")
-	assert.Equal(t, []string{"a"}, tree.Crowded())
+	assert.Equal(t, []string{"a"}, tree.Overcommitted())
 	_, is := tree.Leaf("a")
 	assert.False(t, is, "it has others inside")
 	_, is = tree.Leaf("c")
@@ -63,7 +63,7 @@
 		{"nobody asks: lent by weight", []float64{0, 0, 0}, []float64{0.5, 0, 0}, one, []float64{2, 1, 1}, []float64{0.5, 0.25, 0.25}},
 	}
 	for _, c := range cases {
-		assert.InDeltaSlice(t, c.want, part(1, c.asks, c.floors, c.ceilings, c.weight), 1e-9, c.name)
+		assert.InDeltaSlice(t, c.want, allocate(1, c.asks, c.floors, c.ceilings, c.weight), 1e-9, c.name)
 	}
 }
 
@@ -78,7 +78,7 @@
 		}
 		asks, floors, ceilings, weights := draw("asks", 0, 2), draw("floors", 0, 0.5), draw("ceilings", 0.5, 1), draw("weights", 0.1, 10)
 		room := rapid.Float64Range(0.1, 1).Draw(t, "room")
-		got := part(room, asks, floors, ceilings, weights)
+		got := allocate(room, asks, floors, ceilings, weights)
 		sum, could, floorSum := 0.0, 0.0, 0.0
 		for i := range got {
 			sum += got[i]
@@ -106,9 +106,9 @@
 	to   time.Duration
 }
 
-// played plays classes on cores for a while: tasks are held, started as the pools say while a core is free, and run for their
+// simulate plays classes on cores for a while: tasks are held, started as the pools say while a core is free, and run for their
 // cost. It gives the core time of each, and the longest that a task of each waited.
-func played(p *Pools, cores int, span time.Duration, classes []class, costAt func(c class, now time.Duration) float64) (used []float64, waited []time.Duration, idle time.Duration) {
+func simulate(p *Pools, cores int, span time.Duration, classes []class, costAt func(c class, now time.Duration) float64) (used []float64, waited []time.Duration, idle time.Duration) {
 	rng := rand.New(rand.NewSource(1))
 	type run struct {
 		ticket Ticket
@@ -127,7 +127,7 @@
 		for i, c := range classes {
 			if now >= c.from && (c.to == 0 || now < c.to) && rng.Float64() < c.rate*step.Seconds() {
 				held[i] = append(held[i], now)
-				p.Arrived(leaves[i], 0)
+				p.Enqueued(leaves[i], 0)
 			}
 			for len(held[i]) > 0 && now-held[i][0] > 2*time.Second { // given up by who holds them
 				held[i] = held[i][1:]
@@ -205,7 +205,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPools(t, 4, c.terms...)
-			used, _, _ := played(p, 4, span, c.classes, nil)
+			used, _, _ := simulate(p, 4, span, c.classes, nil)
 			for i := range used {
 				assert.InDelta(t, c.want[i], used[i]/(4*span.Seconds()), 0.04, c.classes[i].name)
 			}
@@ -218,12 +218,12 @@
 func TestVanishesAndComesBack(t *testing.T) {
 	p := newPools(t, 4, Options{Name: "a", Floor: 0.5}, Options{Name: "b"})
 	classes := []class{{"a", 400, 0.02, 0, 10 * time.Second}, {"b", 800, 0.02, 0, 0}}
-	used, _, _ := played(p, 4, 20*time.Second, classes, nil)
+	used, _, _ := simulate(p, 4, 20*time.Second, classes, nil)
 	assert.InDelta(t, 4*20, used[0]+used[1], 2, "no core stood idle")
 
 	p = newPools(t, 4, Options{Name: "a"}, Options{Name: "b"})
 	back := []class{{"a", 400, 0.02, 20 * time.Second, 0}, {"b", 800, 0.02, 0, 0}}
-	used, waited, _ := played(p, 4, 24*time.Second, back, nil)
+	used, waited, _ := simulate(p, 4, 24*time.Second, back, nil)
 	assert.InDelta(t, 0.5*4*4, used[0], 3, "half of what there was since it came back")
 	assert.Less(t, waited[1], 2*time.Second+time.Millisecond)
 	assert.Greater(t, used[1], 4*20+0.35*4*4, "and the other goes on meanwhile")
@@ -234,15 +234,15 @@
 	terms := []Options{{Name: "look", Weight: 0.01}, {Name: "book"}, {Name: "refresh"}}
 	classes := []class{{"look", 100, 0.001, 0, 0}, {"book", 100, 0.04, 0, 0}, {"refresh", 100, 0.06, 0, 0}}
 	without := newPools(t, 4, terms...)
-	_, before, _ := played(without, 4, 20*time.Second, classes, nil)
+	_, before, _ := simulate(without, 4, 20*time.Second, classes, nil)
 	with := newPools(t, 4, terms...)
 	with.Reserve = NewReserve(0.05, 0.2)
-	_, after, _ := played(with, 4, 20*time.Second, classes, nil)
+	_, after, _ := simulate(with, 4, 20*time.Second, classes, nil)
 	assert.Less(t, after[0], before[0])
 
 	farmed := newPools(t, 4, terms...)
 	farmed.Reserve = NewReserve(0.05, 0.2)
-	used, _, _ := played(farmed, 4, 30*time.Second, classes, func(c class, now time.Duration) float64 {
+	used, _, _ := simulate(farmed, 4, 30*time.Second, classes, func(c class, now time.Duration) float64 {
 		if c.name == "look" && now > 5*time.Second {
 			return 0.05 // called cheap, and as dear as the others
 		}
@@ -255,7 +255,7 @@
 func TestCostDrifts(t *testing.T) {
 	p := newPools(t, 4, Options{Name: "a"}, Options{Name: "b"})
 	classes := []class{{"a", 400, 0.02, 0, 0}, {"b", 400, 0.02, 0, 0}}
-	used, _, _ := played(p, 4, 40*time.Second, classes, func(c class, now time.Duration) float64 {
+	used, _, _ := simulate(p, 4, 40*time.Second, classes, func(c class, now time.Duration) float64 {
 		if c.name == "a" {
 			return c.cost * (1 + now.Seconds()/40)
 		}
@@ -277,7 +277,7 @@
 			classes = append(classes, class{name: names[i], rate: rapid.Float64Range(20, 300).Draw(t, "rate"), cost: rapid.Float64Range(0.002, 0.05).Draw(t, "cost")})
 		}
 		p := newPools(t, 2, terms...)
-		used, _, _ := played(p, 2, 8*time.Second, classes, nil)
+		used, _, _ := simulate(p, 2, 8*time.Second, classes, nil)
 		for i := range used {
 			assert.Positive(t, used[i], names[i])
 		}
@@ -286,13 +286,13 @@
 
 // One caller of ten thousand that takes half is seen; none of the others is taken for one.
 func TestCallers(t *testing.T) {
-	c := NewCallers(7)
+	c := NewUsageSketch(7)
 	rng := rand.New(rand.NewSource(2))
 	now := time.Duration(0)
 	for range 100_000 {
 		now += 100 * time.Microsecond
-		c.Used(uint64(rng.Intn(10_000)), 0.001, now)
-		c.Used(99_999, 0.001, now)
+		c.Add(uint64(rng.Intn(10_000)), 0.001, now)
+		c.Add(99_999, 0.001, now)
 	}
 	assert.InDelta(t, 0.5, c.Share(99_999), 0.02)
 	most := 0.0
@@ -300,7 +300,7 @@
 		most = max(most, c.Share(caller))
 	}
 	assert.Less(t, most, 0.05)
-	c.Used(1, 0, now+10*forget)
-	assert.LessOrEqual(t, c.all, 1e-2, "what was is forgotten")
-	assert.Zero(t, NewCallers(1).Share(5))
+	c.Add(1, 0, now+10*useWindow)
+	assert.LessOrEqual(t, c.total, 1e-2, "what was is forgotten")
+	assert.Zero(t, NewUsageSketch(1).Share(5))
 }
--- a/classpool/pools.go
+++ b/classpool/pools.go
@@ -6,49 +6,49 @@
 )
 
 const (
-	demandSpan = 2 * time.Second // over which demand is measured: its decay
-	follow     = 0.3             // of the way to its target that a share goes in a turn
-	still      = 0.02            // of all, under which a target that moves is not followed: hysteresis
-	saved      = 0.5             // seconds of its share that a pool which asked for nothing may have saved up
-	costMemory = 100.0           // runs that a pool's mean cost looks back over: a drift is followed within twice as many
-	leastCost  = 1e-6            // seconds of a core
-	turnEach   = 100 * time.Millisecond
+	demandWindow    = 2 * time.Second // over which demand is measured: its decay
+	followRatio     = 0.3             // of the way to its target that a share goes in a turn
+	minShareChange  = 0.02            // of all, under which a target that moves is not followed: hysteresis
+	maxSavedSeconds = 0.5             // seconds of its share that a pool which asked for nothing may have saved up
+	maxCostSamples  = 100.0           // runs that a pool's mean cost looks back over: a drift is followed within twice as many
+	minCost         = 1e-6            // seconds of a core
+	updateInterval  = 100 * time.Millisecond
 )
 
 // account is what a leaf has used and asked for.
 type account struct {
-	used    float64 // virtual time: core seconds used over its share
-	cost    float64 // mean core seconds of a run
-	runs    float64
-	asked   float64 // core seconds asked for, decaying
-	running int
-	held    int
+	virtualTime float64 // virtual time: core seconds used over its share
+	cost        float64 // mean core seconds of a run
+	costSamples float64
+	requested   float64 // core seconds asked for, decaying
+	running     int
+	queued      int
 }
 
 // Pools part the room of one server. Their methods are for one owner.
 type Pools struct {
-	tree    *Tree
-	cores   float64
-	leaves  []int // places in the tree
-	at      map[int]int
-	of      []account
-	now     time.Duration
-	turned  time.Duration
-	system  float64 // virtual time that the one served last had
-	Reserve *Reserve
+	tree        *Tree
+	cores       float64
+	leaves      []int // places in the tree
+	leafIndex   map[int]int
+	accounts    []account
+	now         time.Duration
+	updatedAt   time.Duration
+	virtualTime float64 // virtual time that the one served last had
+	Reserve     *Reserve
 }
 
 // New makes the pools of a server with so many cores. Without anything known each leaf has its share by floor and weight.
 func New(tree *Tree, cores float64, now time.Duration) *Pools {
-	p := &Pools{tree: tree, cores: cores, at: map[int]int{}, now: now, turned: now}
+	p := &Pools{tree: tree, cores: cores, leafIndex: map[int]int{}, now: now, updatedAt: now}
 	for i := range tree.pools {
 		if len(tree.pools[i].children) == 0 {
-			p.at[i] = len(p.leaves)
+			p.leafIndex[i] = len(p.leaves)
 			p.leaves = append(p.leaves, i)
 		}
 	}
-	p.of = make([]account, len(p.leaves))
-	tree.work(cores)
+	p.accounts = make([]account, len(p.leaves))
+	tree.updateTargets(cores)
 	for i := range tree.pools {
 		tree.pools[i].share = tree.pools[i].target
 	}
@@ -61,41 +61,41 @@
 	if !is {
 		return 0, false
 	}
-	return p.at[place], true
+	return p.leafIndex[place], true
 }
 
-// Arrived takes a task that is held, with the core seconds that it is expected to need; 0 where that is not known.
-func (p *Pools) Arrived(leaf int, expected float64) {
-	a := &p.of[leaf]
-	if a.held+a.running == 0 {
+// Enqueued takes a task that is held, with the core seconds that it is expected to need; 0 where that is not known.
+func (p *Pools) Enqueued(leaf int, expected float64) {
+	a := &p.accounts[leaf]
+	if a.queued+a.running == 0 {
 		// One that asked for nothing for a while has not saved up all of that: it begins a little behind the others, and
 		// they are not kept out while it makes up for it.
-		a.used = max(a.used, p.system-saved)
+		a.virtualTime = max(a.virtualTime, p.virtualTime-maxSavedSeconds)
 	}
-	a.held++
-	a.asked += p.need(a, expected)
+	a.queued++
+	a.requested += p.expectedCost(a, expected)
 }
 
-func (p *Pools) need(a *account, expected float64) float64 {
+func (p *Pools) expectedCost(a *account, expected float64) float64 {
 	switch {
-	case a.runs >= 5 && a.cost > 0:
+	case a.costSamples >= 5 && a.cost > 0:
 		return a.cost
 	case expected > 0:
 		return expected
 	case a.cost > 0:
 		return a.cost
 	}
-	return leastCost
+	return minCost
 }
 
 // Dropped takes that a held task is gone without a run.
-func (p *Pools) Dropped(leaf int) { p.of[leaf].held-- }
+func (p *Pools) Dropped(leaf int) { p.accounts[leaf].queued-- }
 
 // Next names the leaf whose task is to start, of those for which wants says that they have one: the one that has used least
 // core time for its share. Leaves at their ceilings come only after all others, so that no core stays idle for them; none is
 // named where nobody wants. The reserve's come first while it has room.
 func (p *Pools) Next(now time.Duration, wants func(leaf int) bool) (leaf int, reserved, some bool) {
-	p.turn(now)
+	p.update(now)
 	if p.Reserve != nil {
 		if leaf, some := p.Reserve.next(p, now, wants); some {
 			return leaf, true, true
@@ -103,26 +103,26 @@
 	}
 	leaf = -1
 	full := true // the best so far is at its ceiling
-	for i := range p.of {
+	for i := range p.accounts {
 		if !wants(i) {
 			continue
 		}
-		at := p.ceiling(i)
-		if leaf < 0 || full && !at || full == at && p.of[i].used < p.of[leaf].used {
+		at := p.atCeiling(i)
+		if leaf < 0 || full && !at || full == at && p.accounts[i].virtualTime < p.accounts[leaf].virtualTime {
 			leaf, full = i, at
 		}
 	}
 	return leaf, false, leaf >= 0
 }
 
-// ceiling tells whether a leaf has its ceiling's part of the cores already.
-func (p *Pools) ceiling(leaf int) bool {
+// atCeiling tells whether a leaf has its ceiling's part of the cores already.
+func (p *Pools) atCeiling(leaf int) bool {
 	t := &p.tree.pools[p.leaves[leaf]]
 	whole := 1.0
 	if t.parent >= 0 {
 		whole = p.tree.pools[t.parent].share
 	}
-	return t.Ceiling < 1 && float64(p.of[leaf].running) >= math.Max(1, t.Ceiling*whole*p.cores)
+	return t.Ceiling < 1 && float64(p.accounts[leaf].running) >= math.Max(1, t.Ceiling*whole*p.cores)
 }
 
 // Ticket is a run of a leaf, from its start to its end.
@@ -134,63 +134,63 @@
 
 // Started charges a run for what it is expected to need. What it did need is put right at its end. reserved is as Next told.
 func (p *Pools) Started(leaf int, expected float64, reserved bool) Ticket {
-	a := &p.of[leaf]
-	a.held--
+	a := &p.accounts[leaf]
+	a.queued--
 	a.running++
-	t := Ticket{leaf, p.need(a, expected), reserved}
+	t := Ticket{leaf, p.expectedCost(a, expected), reserved}
 	p.charge(t, t.charged)
 	return t
 }
 
 // Ended takes the end of a run, with the core seconds that it took. Deficits carry over.
 func (p *Pools) Ended(t Ticket, took float64) {
-	a := &p.of[t.leaf]
+	a := &p.accounts[t.leaf]
 	a.running--
-	took = max(took, leastCost)
-	a.runs = min(a.runs+1, costMemory)
-	a.cost += (took - a.cost) / a.runs
+	took = max(took, minCost)
+	a.costSamples = min(a.costSamples+1, maxCostSamples)
+	a.cost += (took - a.cost) / a.costSamples
 	p.charge(t, took-t.charged)
 }
 
 func (p *Pools) charge(t Ticket, seconds float64) {
 	if t.reserved && p.Reserve != nil {
-		p.Reserve.room -= seconds
+		p.Reserve.balance -= seconds
 	}
-	a := &p.of[t.leaf]
+	a := &p.accounts[t.leaf]
 	share := max(p.tree.pools[p.leaves[t.leaf]].share, 1e-3) // one without a share still goes on, slowly: no starvation
-	a.used += seconds / (share * p.cores)
-	if p.system = a.used; a.held == 0 && a.running == 0 {
+	a.virtualTime += seconds / (share * p.cores)
+	if p.virtualTime = a.virtualTime; a.queued == 0 && a.running == 0 {
 		return
 	}
-	for i := range p.of { // the system's time is the least of those that ask
-		if b := &p.of[i]; b.held+b.running > 0 {
-			p.system = min(p.system, b.used)
+	for i := range p.accounts { // the system's time is the least of those that ask
+		if b := &p.accounts[i]; b.queued+b.running > 0 {
+			p.virtualTime = min(p.virtualTime, b.virtualTime)
 		}
 	}
 }
 
-// turn moves demands and shares on with time.
-func (p *Pools) turn(now time.Duration) {
+// update moves demands and shares on with time.
+func (p *Pools) update(now time.Duration) {
 	p.now = max(p.now, now)
-	passed := p.now - p.turned
-	if passed < turnEach {
+	passed := p.now - p.updatedAt
+	if passed < updateInterval {
 		return
 	}
-	p.turned = p.now
-	decay := math.Exp(-float64(passed) / float64(demandSpan))
-	for i := range p.of {
-		a := &p.of[i]
-		a.asked *= decay
+	p.updatedAt = p.now
+	decay := math.Exp(-float64(passed) / float64(demandWindow))
+	for i := range p.accounts {
+		a := &p.accounts[i]
+		a.requested *= decay
 		// A backlog is demand as well, however long ago it came.
-		p.tree.pools[p.leaves[i]].demand = a.asked/demandSpan.Seconds() + float64(a.held)*a.cost/demandSpan.Seconds()
+		p.tree.pools[p.leaves[i]].demand = a.requested/demandWindow.Seconds() + float64(a.queued)*a.cost/demandWindow.Seconds()
 	}
-	p.tree.work(p.cores)
+	p.tree.updateTargets(p.cores)
 	for i := range p.tree.pools {
 		t := &p.tree.pools[i]
-		if math.Abs(t.target-t.share) < still && t.share > 0 {
+		if math.Abs(t.target-t.share) < minShareChange && t.share > 0 {
 			continue
 		}
-		t.share += (t.target - t.share) * follow
+		t.share += (t.target - t.share) * followRatio
 		// Never under the floor of one that asks: that part does not wait for the share to follow.
 		whole := 1.0
 		if t.parent >= 0 {
@@ -213,16 +213,16 @@
 // States are those of all leaves.
 func (p *Pools) States() (all []State) {
 	most := 0.0
-	for _, a := range p.of {
-		if a.held+a.running > 0 {
-			most = max(most, a.used)
+	for _, a := range p.accounts {
+		if a.queued+a.running > 0 {
+			most = max(most, a.virtualTime)
 		}
 	}
-	for i, a := range p.of {
+	for i, a := range p.accounts {
 		t := &p.tree.pools[p.leaves[i]]
-		s := State{Name: t.Name, Share: t.share, Asks: t.demand, CostMillis: 1e3 * a.cost, Held: a.held, Running: a.running}
-		if a.held+a.running > 0 {
-			s.Behind = most - a.used
+		s := State{Name: t.Name, Share: t.share, Asks: t.demand, CostMillis: 1e3 * a.cost, Held: a.queued, Running: a.running}
+		if a.queued+a.running > 0 {
+			s.Behind = most - a.virtualTime
 		}
 		all = append(all, s)
 	}
--- a/classpool/tree.go
+++ b/classpool/tree.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	mostPools = 256
-	mostDepth = 4
+	maxPools = 256
+	maxDepth = 4
 )
 
 // Options state one pool. Shares are of its parent's room.
@@ -37,8 +37,8 @@
 // Tree is a tree of pools that Check has passed.
 type Tree struct {
 	pools []pool // parents before their children
-	tops  []int
-	place map[string]int
+	roots []int
+	index map[string]int
 }
 
 // NewTree makes a tree. The error joins all that is wrong. Floors that add up to more than there is are no fault: each then
@@ -46,8 +46,8 @@
 func NewTree(all []Options) (*Tree, error) {
 	var faults []error
 	fault := func(words string, of ...any) { faults = append(faults, fmt.Errorf(words, of...)) }
-	if len(all) == 0 || len(all) > mostPools {
-		return nil, fmt.Errorf("%d pools; 1 to %d are allowed", len(all), mostPools)
+	if len(all) == 0 || len(all) > maxPools {
+		return nil, fmt.Errorf("%d pools; 1 to %d are allowed", len(all), maxPools)
 	}
 	stated := map[string]Options{}
 	for _, t := range all {
@@ -75,7 +75,7 @@
 	}
 	for _, t := range all {
 		depth := 1
-		for up := t.Parent; up != "" && depth <= mostDepth; depth++ {
+		for up := t.Parent; up != "" && depth <= maxDepth; depth++ {
 			parent, known := stated[up]
 			if !known {
 				fault("pool %q: no pool %q", t.Name, up)
@@ -83,18 +83,18 @@
 			}
 			up = parent.Parent
 		}
-		if depth > mostDepth {
-			fault("pool %q: more than %d pools one inside the other, or a ring", t.Name, mostDepth)
+		if depth > maxDepth {
+			fault("pool %q: more than %d pools one inside the other, or a ring", t.Name, maxDepth)
 		}
 	}
 	if err := errors.Join(faults...); err != nil {
 		return nil, err
 	}
-	t := &Tree{place: map[string]int{}}
+	t := &Tree{index: map[string]int{}}
 	for len(t.pools) < len(all) { // those whose parent is there, in the order in which they were stated
 		for _, one := range all {
-			parent, there := t.place[one.Parent]
-			if _, done := t.place[one.Name]; done || one.Parent != "" && !there {
+			parent, there := t.index[one.Parent]
+			if _, done := t.index[one.Name]; done || one.Parent != "" && !there {
 				continue
 			}
 			if one.Ceiling == 0 {
@@ -104,13 +104,13 @@
 				one.Weight = 1
 			}
 			at := len(t.pools)
-			t.place[one.Name] = at
+			t.index[one.Name] = at
 			p := pool{Options: one, parent: -1}
 			if one.Parent != "" {
 				p.parent = parent
 				t.pools[parent].children = append(t.pools[parent].children, at)
 			} else {
-				t.tops = append(t.tops, at)
+				t.roots = append(t.roots, at)
 			}
 			t.pools = append(t.pools, p)
 		}
@@ -118,15 +118,15 @@
 	return t, nil
 }
 
-// Crowded names the parents, "" for the top, whose pools' floors add up to more than there is.
-func (t *Tree) Crowded() (names []string) {
+// Overcommitted names the parents, "" for the top, whose pools' floors add up to more than there is.
+func (t *Tree) Overcommitted() (names []string) {
 	sum := func(of []int) (floors float64) {
 		for _, i := range of {
 			floors += t.pools[i].Floor
 		}
 		return floors
 	}
-	if sum(t.tops) > 1+1e-9 {
+	if sum(t.roots) > 1+1e-9 {
 		names = append(names, "")
 	}
 	for i := range t.pools {
@@ -139,11 +139,11 @@
 
 // Leaf finds a pool that tasks can be in: one without others inside it.
 func (t *Tree) Leaf(name string) (place int, is bool) {
-	place, known := t.place[name]
+	place, known := t.index[name]
 	return place, known && len(t.pools[place].children) == 0
 }
 
-// part parts a room among siblings: weighted max-min with floors and ceilings.
+// allocate parts a room among siblings: weighted max-min with floors and ceilings.
 //
 //   - Each gets its floor, or what it asks for if that is less; floors that are too many are scaled.
 //   - What is left goes to those that ask for more, by weight, up to what they ask for and to their ceilings.
@@ -151,7 +151,7 @@
 //
 // The first two are the max-min fair allocation (D. Bertsekas, R. Gallager, Data Networks, 6.5.2) above the floors: it ends
 // after as many passes as there are siblings, as each pass fills at least one.
-func part(room float64, asks, floors, ceilings, weights []float64) []float64 {
+func allocate(room float64, asks, floors, ceilings, weights []float64) []float64 {
 	n := len(asks)
 	got := make([]float64, n)
 	sum := 0.0
@@ -189,8 +189,8 @@
 	return got
 }
 
-// work works out the targets of all pools from the demands of the leaves, of a whole of 1.
-func (t *Tree) work(cores float64) {
+// updateTargets works out the targets of all pools from the demands of the leaves, of a whole of 1.
+func (t *Tree) updateTargets(cores float64) {
 	for i := len(t.pools) - 1; i >= 0; i-- { // children stand behind their parents
 		p := &t.pools[i]
 		if len(p.children) == 0 {
@@ -201,15 +201,15 @@
 			p.demand += t.pools[c].demand
 		}
 	}
-	t.partAmong(t.tops, 1, cores)
+	t.allocateAmong(t.roots, 1, cores)
 	for i := range t.pools {
 		if p := &t.pools[i]; len(p.children) > 0 {
-			t.partAmong(p.children, p.target, cores)
+			t.allocateAmong(p.children, p.target, cores)
 		}
 	}
 }
 
-func (t *Tree) partAmong(siblings []int, room, cores float64) {
+func (t *Tree) allocateAmong(siblings []int, room, cores float64) {
 	n := len(siblings)
 	asks, floors, ceilings, weights := make([]float64, n), make([]float64, n), make([]float64, n), make([]float64, n)
 	for i, s := range siblings {
@@ -219,7 +219,7 @@
 			asks[i] = 0
 		}
 	}
-	for i, got := range part(room, asks, floors, ceilings, weights) {
+	for i, got := range allocate(room, asks, floors, ceilings, weights) {
 		t.pools[siblings[i]].target = got
 	}
 }
--- a/cmd/quartzpoint/start.go
+++ b/cmd/quartzpoint/start.go
@@ -264,7 +264,7 @@
 	index := s.Index
 	if calls != nil && n.Index != "" && n.Index != index {
 		index = n.Index
-		calls.Move(index)
+		calls.SetAddress(index)
 	}
 	var change settings.Change
 	if n.sum != s.sum {
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -23,39 +23,39 @@
 )
 
 const (
-	path     = "/lookup"
-	maxReply = 16 << 10 // bytes of a reply's body; the pool takes 4 KiB
-	maxHead  = 16 << 10 // and of what stands before it
-	maxHeads = 4        // of a reply; all but the last only say that it will come
-	dialWait = time.Second
-	idleWait = 5 * time.Second // that a connection is kept without a call
+	path           = "/lookup"
+	maxBodyBytes   = 16 << 10 // bytes of a reply's body; the pool takes 4 KiB
+	maxHeaderBytes = 16 << 10 // and of what stands before it
+	maxResponses   = 4        // of a reply; all but the last only say that it will come
+	dialTimeout    = time.Second
+	idleTimeout    = 5 * time.Second // that a connection is kept without a call
 )
 
 // Caller makes calls over connections that are opened as they are needed, one call at a time on each. Its methods
 // never wait.
 type Caller struct {
-	max  int
-	log  *slog.Logger
-	saw  func(what string)
-	tell func(end workerapi.CallEnd)
+	maxConnections int
+	log            *slog.Logger
+	count          func(what string)
+	report         func(end workerapi.CallEnd)
 
-	mu      sync.Mutex
-	address string
-	idle    []*link // the one used last at the end
-	busy    map[uint64]*link
-	failing bool // the last connection could not be opened
+	mu          sync.Mutex
+	address     string
+	idle        []*connection // the one used last at the end
+	busy        map[uint64]*connection
+	unreachable bool // the last connection could not be opened
 }
 
-// link is one connection. Its goroutine makes call after call until it has been idle for long.
-type link struct {
+// connection is one connection. Its goroutine makes call after call until it has been idle for long.
+type connection struct {
 	caller *Caller
 	calls  chan call          // one at a time; closed where no more is to come
 	cancel context.CancelFunc // of the call in hand
 
 	address string
 	conn    net.Conn
-	head    io.LimitedReader
-	in      *bufio.Reader
+	limited io.LimitedReader
+	reader  *bufio.Reader
 }
 
 // call is one with the end of its time.
@@ -66,43 +66,43 @@
 
 // New makes a caller that holds at most max connections to an address. It gives tell how each call ended, once, from any
 // goroutine, and saw what is to be counted; neither may call it back.
-func New(address string, max int, log *slog.Logger, saw func(string), tell func(workerapi.CallEnd)) *Caller {
-	return &Caller{address: address, max: max, log: log, saw: saw, tell: tell, busy: map[uint64]*link{}}
+func New(address string, maxConnections int, log *slog.Logger, count func(string), report func(workerapi.CallEnd)) *Caller {
+	return &Caller{address: address, maxConnections: maxConnections, log: log, count: count, report: report, busy: map[uint64]*connection{}}
 }
 
 // Call makes a call, or ends it at once as never made where all connections are in use.
-func (c *Caller) Call(asked workerapi.Call) {
+func (c *Caller) Call(request workerapi.Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var l *link
+	var l *connection
 	switch last := len(c.idle) - 1; {
 	case last >= 0:
 		l, c.idle = c.idle[last], c.idle[:last]
-	case len(c.busy) < c.max:
-		l = &link{caller: c, calls: make(chan call, 1)}
+	case len(c.busy) < c.maxConnections:
+		l = &connection{caller: c, calls: make(chan call, 1)}
 		go l.run()
 	default:
-		c.saw("call without a free connection")
-		c.tell(workerapi.CallEnd{Call: asked, Outcome: admission.NotRun})
+		c.count("call without a free connection")
+		c.report(workerapi.CallEnd{Call: request, Outcome: admission.NotRun})
 		return
 	}
-	c.busy[asked.CallID] = l
-	ctx, cancel := context.WithTimeout(context.Background(), asked.Within)
+	c.busy[request.CallID] = l
+	ctx, cancel := context.WithTimeout(context.Background(), request.Within)
 	l.cancel = cancel
-	l.calls <- call{asked, ctx}
+	l.calls <- call{request, ctx}
 }
 
-// Abandon ends a call that nobody waits for any more; its end is still told.
-func (c *Caller) Abandon(number uint64) {
+// Cancel ends a call that nobody waits for any more; its end is still told.
+func (c *Caller) Cancel(callID uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if l := c.busy[number]; l != nil {
+	if l := c.busy[callID]; l != nil {
 		l.cancel()
 	}
 }
 
-// Move has all further calls go to another address. Those under way end where they began.
-func (c *Caller) Move(address string) {
+// SetAddress has all further calls go to another address. Those under way end where they began.
+func (c *Caller) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.address = address
@@ -113,8 +113,8 @@
 }
 
 // run makes the calls of a connection.
-func (l *link) run() {
-	idle := time.NewTimer(idleWait)
+func (l *connection) run() {
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
 		select {
@@ -124,22 +124,22 @@
 				return
 			}
 			begin := time.Now()
-			outcome, result := l.make(call)
-			l.caller.ended(l, call.CallID)
-			l.caller.tell(workerapi.CallEnd{Call: call.Call, Outcome: outcome, Took: time.Since(begin), Result: result})
-			idle.Reset(idleWait)
+			outcome, result := l.perform(call)
+			l.caller.release(l, call.CallID)
+			l.caller.report(workerapi.CallEnd{Call: call.Call, Outcome: outcome, Took: time.Since(begin), Result: result})
+			idle.Reset(idleTimeout)
 		case <-idle.C:
-			l.caller.retire(l)
+			l.caller.closeIdle(l)
 		}
 	}
 }
 
-// ended books that a link is free, and has it end where it leads to an address that is no longer in force.
-func (c *Caller) ended(l *link, number uint64) {
+// release books that a link is free, and has it end where it leads to an address that is no longer in force.
+func (c *Caller) release(l *connection, callID uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l.cancel()
-	delete(c.busy, number)
+	delete(c.busy, callID)
 	if l.conn != nil && l.address != c.address {
 		close(l.calls)
 		return
@@ -147,8 +147,8 @@
 	c.idle = append(c.idle, l)
 }
 
-// retire ends a link that is still idle.
-func (c *Caller) retire(l *link) {
+// closeIdle ends a link that is still idle.
+func (c *Caller) closeIdle(l *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, other := range c.idle {
@@ -160,9 +160,9 @@
 	}
 }
 
-// make makes a call. It never ran where no connection could be opened for it, or where the dependency says so; where it
+// perform makes a call. It never ran where no connection could be opened for it, or where the dependency says so; where it
 // was written and nothing came back in time, that is not known.
-func (l *link) make(call call) (admission.Outcome, []byte) {
+func (l *connection) perform(call call) (admission.Outcome, []byte) {
 	if l.conn != nil && l.stale() {
 		l.close()
 	}
@@ -181,32 +181,32 @@
 }
 
 // dial opens the connection.
-func (l *link) dial(ctx context.Context) error {
+func (l *connection) dial(ctx context.Context) error {
 	c := l.caller
 	c.mu.Lock()
 	l.address = c.address
 	c.mu.Unlock()
-	dialer := net.Dialer{Timeout: dialWait}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", l.address)
 	c.mu.Lock()
 	failed := err != nil && ctx.Err() == nil
-	if turned := failed != c.failing; turned && (failed || err == nil) {
-		c.failing = failed // once for each loss, not for each call
+	if turned := failed != c.unreachable; turned && (failed || err == nil) {
+		c.unreachable = failed // once for each loss, not for each call
 		c.log.Warn("dependency", "reached", !failed, "address", l.address, "error", err)
 	}
 	c.mu.Unlock()
 	if err != nil {
-		c.saw("dependency not reached")
+		c.count("dependency not reached")
 		return fmt.Errorf("dependency: %w", err)
 	}
 	l.conn = conn
-	l.head = io.LimitedReader{R: conn}
-	l.in = bufio.NewReader(&l.head)
+	l.limited = io.LimitedReader{R: conn}
+	l.reader = bufio.NewReader(&l.limited)
 	return nil
 }
 
 // stale tells whether an idle connection has ended, or says what nobody asked.
-func (l *link) stale() bool {
+func (l *connection) stale() bool {
 	raw, err := l.conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return true
@@ -222,7 +222,7 @@
 }
 
 // exchange writes a call and reads its reply. keep tells whether the connection can carry another.
-func (l *link) exchange(call call) (outcome admission.Outcome, result []byte, keep bool) {
+func (l *connection) exchange(call call) (outcome admission.Outcome, result []byte, keep bool) {
 	c := l.caller
 	left := time.Millisecond
 	if until, stated := call.ctx.Deadline(); stated {
@@ -233,13 +233,13 @@
 	if _, err := l.conn.Write(append(text, call.Body...)); err != nil {
 		return admission.Unknown, nil, false
 	}
-	l.head.N = maxHead + maxReply
+	l.limited.N = maxHeaderBytes + maxBodyBytes
 	var reply *http.Response
-	for range maxHeads {
+	for range maxResponses {
 		var err error
-		if reply, err = http.ReadResponse(l.in, nil); err != nil {
+		if reply, err = http.ReadResponse(l.reader, nil); err != nil {
 			if call.ctx.Err() == nil {
-				c.saw("call broken off")
+				c.count("call broken off")
 			}
 			return admission.Unknown, nil, false
 		}
@@ -248,15 +248,15 @@
 		}
 	}
 	defer reply.Body.Close()
-	result, err := io.ReadAll(io.LimitReader(reply.Body, maxReply+1))
+	result, err := io.ReadAll(io.LimitReader(reply.Body, maxBodyBytes+1))
 	switch {
 	case err != nil:
 		return admission.Unknown, nil, false
-	case len(result) > maxReply:
-		c.saw("reply of a call too long")
+	case len(result) > maxBodyBytes:
+		c.count("reply of a call too long")
 		return admission.Failed, nil, false
 	}
-	return outcomeOf(reply), result, !reply.Close && l.in.Buffered() == 0
+	return outcomeOf(reply), result, !reply.Close && l.reader.Buffered() == 0
 }
 
 // outcomeOf reads a reply's head. What is turned away unseen says so by a header of its own, whatever its status is.
@@ -274,7 +274,7 @@
 	return admission.Failed
 }
 
-func (l *link) close() {
+func (l *connection) close() {
 	if l.conn != nil {
 		_ = l.conn.Close()
 		l.conn = nil
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -22,22 +22,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// index is a dependency that answers each call as a test says, by its own bytes.
-type index struct {
-	address string
-	asked   chan *http.Request
-	bodies  chan string
-	opened  chan net.Conn
+// testDependency is a dependency that answers each call as a test says, by its own bytes.
+type testDependency struct {
+	address     string
+	requests    chan *http.Request
+	bodies      chan string
+	connections chan net.Conn
 }
 
-// newIndex answers call number n, from 0 on, with answer(n); an empty answer is none, and one that ends in "\x00" is
+// newTestDependency answers call number n, from 0 on, with answer(n); an empty answer is none, and one that ends in "\x00" is
 // followed by the end of the connection.
-func newIndex(t *testing.T, answer func(n int) string) *index {
+func newTestDependency(t *testing.T, answer func(n int) string) *testDependency {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	x := &index{
-		address: listener.Addr().String(), asked: make(chan *http.Request, 64), bodies: make(chan string, 64),
-		opened: make(chan net.Conn, 64),
+	x := &testDependency{
+		address: listener.Addr().String(), requests: make(chan *http.Request, 64), bodies: make(chan string, 64),
+		connections: make(chan net.Conn, 64),
 	}
 	var mu sync.Mutex
 	var over sync.WaitGroup
@@ -56,7 +56,7 @@
 			text := answer(n)
 			n++
 			mu.Unlock()
-			x.asked <- r
+			x.requests <- r
 			x.bodies <- string(body)
 			last := len(text) > 0 && text[len(text)-1] == 0
 			if last {
@@ -76,36 +76,36 @@
 			if err != nil {
 				return
 			}
-			x.opened <- link
+			x.connections <- link
 			over.Add(1)
 			go serve(link)
 		}
 	}()
 	t.Cleanup(func() {
 		listener.Close()
-		for len(x.opened) > 0 {
-			(<-x.opened).Close()
+		for len(x.connections) > 0 {
+			(<-x.connections).Close()
 		}
 		over.Wait()
 	})
 	return x
 }
 
-// asking is a caller under test with what it tells.
-type asking struct {
+// testCaller is a caller under test with what it tells.
+type testCaller struct {
 	*Caller
 	ends chan workerapi.CallEnd
 }
 
-func newAsking(t *testing.T, address string, max int) *asking {
-	a := &asking{ends: make(chan workerapi.CallEnd, 64)}
-	a.Caller = New(address, max, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {},
+func newTestCaller(t *testing.T, address string, maxConnections int) *testCaller {
+	a := &testCaller{ends: make(chan workerapi.CallEnd, 64)}
+	a.Caller = New(address, maxConnections, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {},
 		func(e workerapi.CallEnd) { a.ends <- e })
-	t.Cleanup(func() { a.Move("127.0.0.1:1") }) // ends what is idle
+	t.Cleanup(func() { a.SetAddress("127.0.0.1:1") }) // ends what is idle
 	return a
 }
 
-func (a *asking) next(t *testing.T) workerapi.CallEnd {
+func (a *testCaller) next(t *testing.T) workerapi.CallEnd {
 	t.Helper()
 	select {
 	case e := <-a.ends:
@@ -116,7 +116,7 @@
 	}
 }
 
-func asked(n uint64, within time.Duration) workerapi.Call {
+func testCall(n uint64, within time.Duration) workerapi.Call {
 	return workerapi.Call{CallID: n, RequestID: "9b1f03aa5c7e2d41", Body: []byte("\x00 what\r\n"), Within: within}
 }
 
@@ -147,26 +147,26 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			x := newIndex(t, func(n int) string {
+			x := newTestDependency(t, func(n int) string {
 				if n == 0 {
 					return c.answer
 				}
 				return good
 			})
-			a := newAsking(t, x.address, 1)
-			a.Call(asked(1, time.Second))
+			a := newTestCaller(t, x.address, 1)
+			a.Call(testCall(1, time.Second))
 			e := a.next(t)
 			assert.Equal(t, c.outcome, e.Outcome)
 			if c.outcome == admission.Succeeded {
 				assert.Equal(t, c.result, string(e.Result))
 			}
-			r := <-x.asked
+			r := <-x.requests
 			assert.Equal(t, "POST /lookup", r.Method+" "+r.URL.Path)
 			assert.Equal(t, "9b1f03aa5c7e2d41", r.Header.Get("X-Parent-Id"))
 			assert.Regexp(t, `^(9\d\d|1000)$`, r.Header.Get("X-Budget-Ms"))
 			assert.Equal(t, "\x00 what\r\n", <-x.bodies)
 
-			a.Call(asked(2, fake.Patience))
+			a.Call(testCall(2, fake.Patience))
 			e = a.next(t)
 			assert.Equal(t, admission.Succeeded, e.Outcome, "the next call is none the worse")
 			assert.Equal(t, "reply", string(e.Result))
@@ -176,72 +176,72 @@
 
 func TestConnections(t *testing.T) {
 	t.Run("one carries call after call", func(t *testing.T) {
-		x := newIndex(t, func(int) string { return good })
-		a := newAsking(t, x.address, 4)
+		x := newTestDependency(t, func(int) string { return good })
+		a := newTestCaller(t, x.address, 4)
 		for n := range uint64(5) {
-			a.Call(asked(n+1, fake.Patience))
+			a.Call(testCall(n+1, fake.Patience))
 			assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
 		}
-		assert.Len(t, x.opened, 1)
+		assert.Len(t, x.connections, 1)
 	})
 	t.Run("one that was closed while idle is opened anew", func(t *testing.T) {
-		x := newIndex(t, func(int) string { return good })
-		a := newAsking(t, x.address, 4)
-		a.Call(asked(1, fake.Patience))
+		x := newTestDependency(t, func(int) string { return good })
+		a := newTestCaller(t, x.address, 4)
+		a.Call(testCall(1, fake.Patience))
 		a.next(t)
-		link := <-x.opened
+		link := <-x.connections
 		link.Close()
 		require.Eventually(t, func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			return a.idle[0].stale()
 		}, fake.Patience, time.Millisecond)
-		a.Call(asked(2, fake.Patience))
+		a.Call(testCall(2, fake.Patience))
 		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
 	})
 	t.Run("no more than allowed", func(t *testing.T) {
-		x := newIndex(t, func(int) string { return "" })
-		a := newAsking(t, x.address, 2)
+		x := newTestDependency(t, func(int) string { return "" })
+		a := newTestCaller(t, x.address, 2)
 		for n := range uint64(3) {
-			a.Call(asked(n+1, fake.Patience))
+			a.Call(testCall(n+1, fake.Patience))
 		}
 		e := a.next(t)
 		assert.Equal(t, admission.NotRun, e.Outcome)
 		assert.Equal(t, uint64(3), e.CallID)
-		<-x.asked
-		<-x.asked
-		a.Abandon(1)
-		a.Abandon(2)
-		a.Abandon(3) // not in hand: no harm
+		<-x.requests
+		<-x.requests
+		a.Cancel(1)
+		a.Cancel(2)
+		a.Cancel(3) // not in hand: no harm
 		assert.Equal(t, admission.Unknown, a.next(t).Outcome)
 		assert.Equal(t, admission.Unknown, a.next(t).Outcome)
 	})
 	t.Run("nobody there, and then somebody", func(t *testing.T) {
-		a := newAsking(t, "127.0.0.1:1", 2)
-		a.Call(asked(1, fake.Patience))
+		a := newTestCaller(t, "127.0.0.1:1", 2)
+		a.Call(testCall(1, fake.Patience))
 		assert.Equal(t, admission.NotRun, a.next(t).Outcome)
-		x := newIndex(t, func(int) string { return good })
-		a.Move(x.address)
-		a.Call(asked(2, fake.Patience))
+		x := newTestDependency(t, func(int) string { return good })
+		a.SetAddress(x.address)
+		a.Call(testCall(2, fake.Patience))
 		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
 	})
 	t.Run("a move lets what is under way end", func(t *testing.T) {
 		release := make(chan bool)
-		old := newIndex(t, func(int) string { <-release; return good })
-		x := newIndex(t, func(int) string { return good })
-		a := newAsking(t, old.address, 2)
-		a.Call(asked(1, fake.Patience))
-		<-old.opened
-		a.Move(x.address)
-		a.Call(asked(2, fake.Patience))
+		old := newTestDependency(t, func(int) string { <-release; return good })
+		x := newTestDependency(t, func(int) string { return good })
+		a := newTestCaller(t, old.address, 2)
+		a.Call(testCall(1, fake.Patience))
+		<-old.connections
+		a.SetAddress(x.address)
+		a.Call(testCall(2, fake.Patience))
 		assert.Equal(t, uint64(2), a.next(t).CallID)
 		close(release)
 		e := a.next(t)
 		assert.Equal(t, uint64(1), e.CallID)
 		assert.Equal(t, admission.Succeeded, e.Outcome)
-		a.Call(asked(3, fake.Patience))
+		a.Call(testCall(3, fake.Patience))
 		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
-		assert.Len(t, old.asked, 1)
-		assert.Len(t, x.asked, 2)
+		assert.Len(t, old.requests, 1)
+		assert.Len(t, x.requests, 2)
 	})
 }
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -20,7 +20,7 @@
 }
 
 func (d *askedOf) Call(c workerapi.Call) { d.calls <- c }
-func (d *askedOf) Abandon(number uint64) { d.abandoned <- number }
+func (d *askedOf) Cancel(number uint64)  { d.abandoned <- number }
 
 func (d *askedOf) next(t *testing.T) workerapi.Call {
 	t.Helper()
--- a/internal/server/reconcile.go
+++ b/internal/server/reconcile.go
@@ -74,11 +74,11 @@
 	if !complete || !stated {
 		return r, false
 	}
-	r = reconcile.Readings{OnCores: onCores, MemoryKB: share * memoryKB}
+	r = reconcile.Readings{Runnable: onCores, MemoryKB: share * memoryKB}
 	now := s.Now()
 	for _, request := range s.requests {
 		if !request.active && !request.answered && now > request.readAt+heldAfter {
-			r.HeldKB += request.HeldKB
+			r.WaitingKB += request.HeldKB
 		}
 	}
 	return r, true
@@ -96,7 +96,7 @@
 	slices.SortFunc(begun, func(a, b *Request) int { return cmp.Or(cmp.Compare(a.readAt, b.readAt), cmp.Compare(a.id, b.id)) })
 	for _, request := range begun {
 		books = append(books, reconcile.Run{
-			ID: request.id, MemoryKB: request.HeldKB * factor, OnCores: !request.atCall && request.doubt != paused, Doubtful: request.doubtful,
+			ID: request.id, MemoryKB: request.HeldKB * factor, Runnable: !request.atCall && request.doubt != paused, MayHaveEnded: request.doubtful,
 		})
 	}
 	return books
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -77,7 +77,7 @@
 func (s *Server) end(request *Request, outcome admission.Outcome, took time.Duration, result []byte) {
 	request.active, request.atCall, request.supplied = false, false, nil
 	if request.call > 0 {
-		s.dependency.Abandon(request.call)
+		s.dependency.Cancel(request.call)
 	}
 	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &request.Request, Outcome: outcome, Took: took})
 	s.touched = true
--- a/internal/server/tasks.go
+++ b/internal/server/tasks.go
@@ -239,7 +239,7 @@
 		s.parts.Pause(request.id)
 	}
 	if request.call > 0 {
-		s.dependency.Abandon(request.call)
+		s.dependency.Cancel(request.call)
 	}
 }
 
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -46,8 +46,8 @@
 // may wait: how each call ended comes by CallEnded, once.
 type Dependency interface {
 	Call(c workerapi.Call)
-	// Abandon ends a call whose reply is of no use any more.
-	Abandon(number uint64)
+	// Cancel ends a call whose reply is of no use any more.
+	Cancel(callID uint64)
 }
 
 // Composer runs tasks that are made of calls to dependencies. They take no core while they wait, so the
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -11,61 +11,61 @@
 package reconcile
 
 const (
-	// proofsNeeded is the number of readings in a row that must leave no room for a run. One would do if all were exact;
+	// minReadings is the number of readings in a row that must leave no room for a run. One would do if all were exact;
 	// they are rounded, and told by another program.
-	proofsNeeded = 3
-	// leastGap is the part of a run's memory by which the books must be over the reading, which is rounded.
-	leastGap = 0.5
+	minReadings = 3
+	// minMemoryGap is the part of a run's memory by which the books must be over the reading, which is rounded.
+	minMemoryGap = 0.5
 )
 
 // Run is one on the books at the moment of a reading: begun before, and not reported to have ended by then.
 type Run struct {
-	ID       string
-	MemoryKB float64 // that it holds unless it is over
-	OnCores  bool    // it wants a core unless it is over, or waits for a disk
-	Doubtful bool    // its end is overdue or its beginning not known, so it may be over
+	ID           string
+	MemoryKB     float64 // that it holds unless it is over
+	Runnable     bool    // it wants a core unless it is over, or waits for a disk
+	MayHaveEnded bool    // its end is overdue or its beginning not known, so it may be over
 }
 
 // Readings are those of the machine.
 type Readings struct {
-	OnCores  float64 // all that wants a core: runs and other work
-	MemoryKB float64 // in use by all requests
-	HeldKB   float64 // of that, what requests that do not run take at the least
+	Runnable  float64 // all that wants a core: runs and other work
+	MemoryKB  float64 // in use by all requests
+	WaitingKB float64 // of that, what requests that do not run take at the least
 }
 
 // Reviewer remembers which runs the latest readings left no room for. The zero value is ready for use.
 type Reviewer struct {
-	proofs map[string]int // by run, how many readings in a row
+	evidence map[string]int // by run, how many readings in a row
 }
 
 // Review takes a reading with the books of its moment, the oldest run first, and gives the runs that are proven to be
 // over. They are to be taken off the books.
-func (r *Reviewer) Review(readings Readings, books []Run) (over []string) {
-	cores, memory := gaps(readings, books)
-	proofs := map[string]int{}
-	for _, run := range books {
-		if !run.Doubtful || run.OnCores && cores < 1 || memory < leastGap*run.MemoryKB {
+func (r *Reviewer) Review(readings Readings, tracked []Run) (ended []string) {
+	cores, memory := excess(readings, tracked)
+	evidence := map[string]int{}
+	for _, run := range tracked {
+		if !run.MayHaveEnded || run.Runnable && cores < 1 || memory < minMemoryGap*run.MemoryKB {
 			continue
 		}
-		if run.OnCores {
+		if run.Runnable {
 			cores--
 		}
 		memory -= run.MemoryKB
-		if seen := r.proofs[run.ID] + 1; seen < proofsNeeded {
-			proofs[run.ID] = seen
+		if seen := r.evidence[run.ID] + 1; seen < minReadings {
+			evidence[run.ID] = seen
 		} else {
-			over = append(over, run.ID)
+			ended = append(ended, run.ID)
 		}
 	}
-	r.proofs = proofs
-	return over
+	r.evidence = evidence
+	return ended
 }
 
-// gaps are by how much the books are over the readings, in runs on the cores and in memory.
-func gaps(readings Readings, books []Run) (cores, memoryKB float64) {
-	cores, memoryKB = -readings.OnCores, -max(readings.MemoryKB-readings.HeldKB, 0)
-	for _, run := range books {
-		if run.OnCores {
+// excess are by how much the books are over the readings, in runs on the cores and in memory.
+func excess(readings Readings, tracked []Run) (cores, memoryKB float64) {
+	cores, memoryKB = -readings.Runnable, -max(readings.MemoryKB-readings.WaitingKB, 0)
+	for _, run := range tracked {
+		if run.Runnable {
 			cores++
 		}
 		memoryKB += run.MemoryKB
--- a/wallclock/stamp.go
+++ b/wallclock/stamp.go
@@ -16,7 +16,7 @@
 const (
 	maxAge     = 10 * time.Minute       // of a stamp when it is read; more is another offset
 	rounding   = 5 * time.Millisecond   // by which a stamp may lie ahead of the clock
-	leastStep  = 100 * time.Millisecond // of the wall clock; less is drift, which its offset follows
+	minStep    = 100 * time.Millisecond // of the wall clock; less is drift, which its offset follows
 	maxOffsets = 8                      // remembered of each kind
 	// maxStep is the most that a wall clock is stepped by: an hour, and as much again.
 	maxStep = 2 * time.Hour
@@ -24,17 +24,17 @@
 
 // Mapper maps stamps. The zero value is ready for use.
 type Mapper struct {
-	own     []time.Duration // offsets of this process's wall clock, the newest last
-	learned []time.Duration // offsets of stamps that no other explained, the newest last
+	observed []time.Duration // offsets of this process's wall clock, the newest last
+	learned  []time.Duration // offsets of stamps that no other explained, the newest last
 }
 
 // Observe takes by how much this process's wall clock is ahead of the clock that never steps.
 func (m *Mapper) Observe(offset time.Duration) {
-	if last := len(m.own) - 1; last >= 0 && (offset-m.own[last]).Abs() < leastStep {
-		m.own[last] = offset
+	if last := len(m.observed) - 1; last >= 0 && (offset-m.observed[last]).Abs() < minStep {
+		m.observed[last] = offset
 		return
 	}
-	m.own = remember(m.own, offset)
+	m.observed = remember(m.observed, offset)
 }
 
 // Plausible tells whether a stamp is one that a stepped clock may have written, at a moment of this process's wall clock.
@@ -43,7 +43,7 @@
 // Arrival is the moment of a stamp by the clock that never steps; it is not after now.
 func (m *Mapper) Arrival(stamp, now time.Duration) time.Duration {
 	latest, found := time.Duration(0), false
-	for _, offsets := range [][]time.Duration{m.own, m.learned} {
+	for _, offsets := range [][]time.Duration{m.observed, m.learned} {
 		for _, offset := range offsets {
 			moment := stamp - offset
 			if moment > now+rounding || moment < now-maxAge || found && moment <= latest {
--- a/wallclock/stamp_test.go
+++ b/wallclock/stamp_test.go
@@ -65,7 +65,7 @@
 	for drift := range 1000 {
 		m.Observe(time.Duration(drift) * ms)
 	}
-	assert.Equal(t, []time.Duration{999 * ms}, m.own)
+	assert.Equal(t, []time.Duration{999 * ms}, m.observed)
 }
 
 func TestRoundingIsNoStep(t *testing.T) {
