--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/caller_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testDependency is a dependency that answers each call as a test says, by its own bytes.
+// testDependency answers each call with the bytes that a test gives.
 type testDependency struct {
 	address     string
 	requests    chan *http.Request
@@ -40,14 +40,14 @@
 		connections: make(chan net.Conn, 64),
 	}
 	var mu sync.Mutex
-	var over sync.WaitGroup
+	var running sync.WaitGroup
 	n := 0
-	serve := func(link net.Conn) {
-		defer over.Done()
-		defer link.Close()
-		in := bufio.NewReader(link)
+	serve := func(conn net.Conn) {
+		defer running.Done()
+		defer func() { _ = conn.Close() }()
+		reader := bufio.NewReader(conn)
 		for {
-			r, err := http.ReadRequest(in)
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
@@ -62,53 +62,53 @@
 			if last {
 				text = text[:len(text)-1]
 			}
-			_, _ = io.WriteString(link, text)
+			_, _ = io.WriteString(conn, text)
 			if last {
 				return
 			}
 		}
 	}
-	over.Add(1)
+	running.Add(1)
 	go func() {
-		defer over.Done()
+		defer running.Done()
 		for {
-			link, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			x.connections <- link
-			over.Add(1)
-			go serve(link)
+			x.connections <- conn
+			running.Add(1)
+			go serve(conn)
 		}
 	}()
 	t.Cleanup(func() {
-		listener.Close()
+		_ = listener.Close()
 		for len(x.connections) > 0 {
-			(<-x.connections).Close()
+			_ = (<-x.connections).Close()
 		}
-		over.Wait()
+		running.Wait()
 	})
 	return x
 }
 
-// testCaller is a caller under test with what it tells.
+// testCaller is a caller under test with its reports.
 type testCaller struct {
 	*Caller
 	ends chan workerapi.CallEnd
 }
 
 func newTestCaller(t *testing.T, address string, maxConnections int) *testCaller {
-	a := &testCaller{ends: make(chan workerapi.CallEnd, 64)}
-	a.Caller = New(address, maxConnections, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {},
-		func(e workerapi.CallEnd) { a.ends <- e })
-	t.Cleanup(func() { a.SetAddress("127.0.0.1:1") }) // ends what is idle
-	return a
+	caller := &testCaller{ends: make(chan workerapi.CallEnd, 64)}
+	caller.Caller = New(address, maxConnections, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {},
+		func(e workerapi.CallEnd) { caller.ends <- e })
+	t.Cleanup(func() { caller.SetAddress("127.0.0.1:1") }) // closes idle connections
+	return caller
 }
 
-func (a *testCaller) next(t *testing.T) workerapi.CallEnd {
+func (c *testCaller) next(t *testing.T) workerapi.CallEnd {
 	t.Helper()
 	select {
-	case e := <-a.ends:
+	case e := <-c.ends:
 		return e
 	case <-time.After(fake.Patience):
 		require.FailNow(t, "a call does not end")
@@ -122,6 +122,7 @@
 
 const good = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
 
+// Every reply, and every way in which none comes, has one outcome; and the next call succeeds.
 func TestEndsOfACall(t *testing.T) {
 	cases := map[string]struct {
 		answer  string
@@ -134,7 +135,7 @@
 		"good, and closes":      {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nreply\x00", admission.Succeeded, "reply"},
 		"good, and empty":       {"HTTP/1.1 204 No Content\r\n\r\n", admission.Succeeded, ""},
 		"good, said beforehand": {"HTTP/1.1 102 Processing\r\n\r\n" + good, admission.Succeeded, "reply"},
-		"turned away unseen":    {"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n", admission.NotRun, ""},
+		"shed":                  {"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n", admission.NotRun, ""},
 		"failed":                {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
 		"failed, not shed":      {"HTTP/1.1 503 Busy\r\nX-Shed: 0\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
 		"too late there":        {"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", admission.Unknown, ""},
@@ -153,9 +154,9 @@
 				}
 				return good
 			})
-			a := newTestCaller(t, x.address, 1)
-			a.Call(testCall(1, time.Second))
-			e := a.next(t)
+			caller := newTestCaller(t, x.address, 1)
+			caller.Call(testCall(1, time.Second))
+			e := caller.next(t)
 			assert.Equal(t, c.outcome, e.Outcome)
 			if c.outcome == admission.Succeeded {
 				assert.Equal(t, c.result, string(e.Result))
@@ -166,8 +167,8 @@
 			assert.Regexp(t, `^(9\d\d|1000)$`, r.Header.Get("X-Budget-Ms"))
 			assert.Equal(t, "\x00 what\r\n", <-x.bodies)
 
-			a.Call(testCall(2, fake.Patience))
-			e = a.next(t)
+			caller.Call(testCall(2, fake.Patience))
+			e = caller.next(t)
 			assert.Equal(t, admission.Succeeded, e.Outcome, "the next call is none the worse")
 			assert.Equal(t, "reply", string(e.Result))
 		})
@@ -177,70 +178,74 @@
 func TestConnections(t *testing.T) {
 	t.Run("one carries call after call", func(t *testing.T) {
 		x := newTestDependency(t, func(int) string { return good })
-		a := newTestCaller(t, x.address, 4)
+		caller := newTestCaller(t, x.address, 4)
 		for n := range uint64(5) {
-			a.Call(testCall(n+1, fake.Patience))
-			assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
+			caller.Call(testCall(n+1, fake.Patience))
+			assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 		}
 		assert.Len(t, x.connections, 1)
 	})
 	t.Run("one that was closed while idle is opened anew", func(t *testing.T) {
 		x := newTestDependency(t, func(int) string { return good })
-		a := newTestCaller(t, x.address, 4)
-		a.Call(testCall(1, fake.Patience))
-		a.next(t)
-		link := <-x.connections
-		link.Close()
+		caller := newTestCaller(t, x.address, 4)
+		caller.Call(testCall(1, fake.Patience))
+		caller.next(t)
+		conn := <-x.connections
+		_ = conn.Close()
 		require.Eventually(t, func() bool {
-			a.mu.Lock()
-			defer a.mu.Unlock()
-			return a.idle[0].stale()
+			caller.mu.Lock()
+			defer caller.mu.Unlock()
+			return caller.idle[0].stale()
 		}, fake.Patience, time.Millisecond)
-		a.Call(testCall(2, fake.Patience))
-		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
+		caller.Call(testCall(2, fake.Patience))
+		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 	})
 	t.Run("no more than allowed", func(t *testing.T) {
 		x := newTestDependency(t, func(int) string { return "" })
-		a := newTestCaller(t, x.address, 2)
+		caller := newTestCaller(t, x.address, 2)
 		for n := range uint64(3) {
-			a.Call(testCall(n+1, fake.Patience))
+			caller.Call(testCall(n+1, fake.Patience))
 		}
-		e := a.next(t)
+		e := caller.next(t)
 		assert.Equal(t, admission.NotRun, e.Outcome)
 		assert.Equal(t, uint64(3), e.CallID)
 		<-x.requests
 		<-x.requests
-		a.Cancel(1)
-		a.Cancel(2)
-		a.Cancel(3) // not in hand: no harm
-		assert.Equal(t, admission.Unknown, a.next(t).Outcome)
-		assert.Equal(t, admission.Unknown, a.next(t).Outcome)
+		caller.Cancel(1)
+		caller.Cancel(2)
+		caller.Cancel(3) // not in flight: ignored
+		assert.Equal(t, admission.Unknown, caller.next(t).Outcome)
+		assert.Equal(t, admission.Unknown, caller.next(t).Outcome)
 	})
+}
+
+// The dependency moves to another address: further calls go there, also where nobody was before.
+func TestSetAddress(t *testing.T) {
 	t.Run("nobody there, and then somebody", func(t *testing.T) {
-		a := newTestCaller(t, "127.0.0.1:1", 2)
-		a.Call(testCall(1, fake.Patience))
-		assert.Equal(t, admission.NotRun, a.next(t).Outcome)
+		caller := newTestCaller(t, "127.0.0.1:1", 2)
+		caller.Call(testCall(1, fake.Patience))
+		assert.Equal(t, admission.NotRun, caller.next(t).Outcome)
 		x := newTestDependency(t, func(int) string { return good })
-		a.SetAddress(x.address)
-		a.Call(testCall(2, fake.Patience))
-		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
+		caller.SetAddress(x.address)
+		caller.Call(testCall(2, fake.Patience))
+		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 	})
-	t.Run("a move lets what is under way end", func(t *testing.T) {
+	t.Run("calls in flight end where they began", func(t *testing.T) {
 		release := make(chan bool)
 		old := newTestDependency(t, func(int) string { <-release; return good })
 		x := newTestDependency(t, func(int) string { return good })
-		a := newTestCaller(t, old.address, 2)
-		a.Call(testCall(1, fake.Patience))
+		caller := newTestCaller(t, old.address, 2)
+		caller.Call(testCall(1, fake.Patience))
 		<-old.connections
-		a.SetAddress(x.address)
-		a.Call(testCall(2, fake.Patience))
-		assert.Equal(t, uint64(2), a.next(t).CallID)
+		caller.SetAddress(x.address)
+		caller.Call(testCall(2, fake.Patience))
+		assert.Equal(t, uint64(2), caller.next(t).CallID)
 		close(release)
-		e := a.next(t)
+		e := caller.next(t)
 		assert.Equal(t, uint64(1), e.CallID)
 		assert.Equal(t, admission.Succeeded, e.Outcome)
-		a.Call(testCall(3, fake.Patience))
-		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
+		caller.Call(testCall(3, fake.Patience))
+		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 		assert.Len(t, old.requests, 1)
 		assert.Len(t, x.requests, 2)
 	})
