--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -10,7 +10,7 @@
 
 const runKB = 100.0
 
-// mayHaveEnded are runs on the cores that may be over.
+// mayHaveEnded returns runnable runs that may have ended.
 func mayHaveEnded(ids ...string) (tracked []Run) {
 	for _, id := range ids {
 		tracked = append(tracked, Run{ID: id, MemoryKB: runKB, Runnable: true, MayHaveEnded: true})
@@ -18,23 +18,24 @@
 	return tracked
 }
 
-// reviewRepeatedly gives what a row of equal readings proves.
-func reviewRepeatedly(times int, readings Readings, books []Run) (over []string) {
+// reviewRepeatedly returns what a number of equal readings proves.
+func reviewRepeatedly(times int, readings Readings, tracked []Run) (ended []string) {
 	var r Reviewer
 	for range times {
-		over = append(over, r.Review(readings, books)...)
+		ended = append(ended, r.Review(readings, tracked)...)
 	}
-	return over
+	return ended
 }
 
+// A run may have ended without a report. It is taken to have ended only where the readings prove it, several in a row.
 func TestRunsAreOverOnlyWhereTheReadingsLeaveThemNoRoom(t *testing.T) {
 	sure := Run{ID: "sure", MemoryKB: runKB, Runnable: true}
 	atCall := Run{ID: "at call", MemoryKB: runKB, MayHaveEnded: true}
 	cases := []struct {
 		name     string
 		readings Readings
-		books    []Run
-		over     []string
+		tracked  []Run
+		ended    []string
 	}{
 		{"an idle machine", Readings{}, mayHaveEnded("a", "b"), []string{"a", "b"}},
 		{"both still want a core", Readings{Runnable: 2, MemoryKB: 2 * runKB}, mayHaveEnded("a", "b"), nil},
@@ -49,11 +50,12 @@
 		{"readings that are rounded", Readings{Runnable: 1, MemoryKB: 1.04 * runKB}, mayHaveEnded("a", "b"), []string{"a"}},
 	}
 	for _, c := range cases {
-		assert.Equal(t, c.over, reviewRepeatedly(minReadings, c.readings, c.books), c.name)
-		assert.Empty(t, reviewRepeatedly(minReadings-1, c.readings, c.books), c.name)
+		assert.Equal(t, c.ended, reviewRepeatedly(minReadings, c.readings, c.tracked), c.name)
+		assert.Empty(t, reviewRepeatedly(minReadings-1, c.readings, c.tracked), c.name)
 	}
 }
 
+// A reading that leaves room for a run comes between others that do not. The evidence against the run starts again.
 func TestAReadingThatLeavesRoomBeginsAnew(t *testing.T) {
 	var r Reviewer
 	for range 5 {
@@ -63,43 +65,43 @@
 		assert.Empty(t, r.Review(Readings{Runnable: 1, MemoryKB: runKB}, mayHaveEnded("a")))
 	}
 	assert.Empty(t, r.Review(Readings{}, nil))
-	assert.Empty(t, r.evidence, "a run that left the books is remembered")
+	assert.Empty(t, r.evidence, "a run that is not tracked any more is remembered")
 }
 
-// Machines with runs on cores, at disks, held requests and other work, and books that know some runs which are over: as
-// many runs stay on the books as there are, and on an idle machine nothing else does.
+// Machines have runs on cores and at disks, waiting requests and other work; some tracked runs have ended unseen. At least as
+// many runs stay tracked as there are, and on an idle machine no run that may have ended does.
 func TestTheBooksNeverFallBelowTheMachine(t *testing.T) {
 	for seed := range int64(300) {
 		rng := rand.New(rand.NewSource(seed))
 		var r Reviewer
-		live, books := rng.Intn(8), []Run(nil)
+		live, tracked := rng.Intn(8), []Run(nil)
 		for i := range live + rng.Intn(6) {
-			books = append(books, Run{ID: fmt.Sprint(i), MemoryKB: runKB, Runnable: true, MayHaveEnded: rng.Float64() < 0.7})
+			tracked = append(tracked, Run{ID: fmt.Sprint(i), MemoryKB: runKB, Runnable: true, MayHaveEnded: rng.Float64() < 0.7})
 		}
-		rng.Shuffle(len(books), func(i, j int) { books[i], books[j] = books[j], books[i] })
+		rng.Shuffle(len(tracked), func(i, j int) { tracked[i], tracked[j] = tracked[j], tracked[i] })
 		for range 50 {
 			atDisk := rng.Intn(live + 1)
 			heldKB := rng.Float64() * 300
-			over := r.Review(Readings{
+			ended := r.Review(Readings{
 				Runnable: float64(live-atDisk) + rng.Float64()*2,
 				MemoryKB: float64(live)*runKB + heldKB, WaitingKB: heldKB * rng.Float64(),
-			}, books)
-			books = without(books, over)
-			assert.GreaterOrEqual(t, len(books), live, "seed %d", seed)
+			}, tracked)
+			tracked = without(tracked, ended)
+			assert.GreaterOrEqual(t, len(tracked), live, "seed %d", seed)
 		}
 		for range minReadings {
-			books = without(books, r.Review(Readings{}, books))
+			tracked = without(tracked, r.Review(Readings{}, tracked))
 		}
-		for _, run := range books {
+		for _, run := range tracked {
 			assert.False(t, run.MayHaveEnded, "seed %d", seed)
 		}
 	}
 }
 
-func without(books []Run, over []string) (left []Run) {
-	for _, run := range books {
+func without(tracked []Run, ended []string) (left []Run) {
+	for _, run := range tracked {
 		found := false
-		for _, id := range over {
+		for _, id := range ended {
 			found = found || id == run.ID
 		}
 		if !found {
--- a/wallclock/stamp.go
+++ b/wallclock/stamp.go
@@ -1,11 +1,11 @@
-// Package wallclock maps stamps of a wall clock, which may be stepped, to a clock that never is.
+// Package wallclock maps timestamps of a wall clock, which may be stepped, to a monotonic clock.
 //
-// A stamp was written by the machine's wall clock, before or behind a step of it, or by one that this process does not
-// see. The offsets between the two clocks that were seen lately explain it, or it explains itself: of the moments that
-// they give, the latest that is not in the future is taken. A process that was merely stopped reads old stamps too, and
-// those are old: its clocks still have the same offset.
+// A timestamp was written by this machine's wall clock, before or after a step, or by one whose steps this process does not
+// see. Each offset between the two clocks that was seen lately explains it as some moment; of those, the latest that is
+// not in the future is taken. Where no offset explains it, it is taken as written now, and its offset is remembered. A
+// process that was merely stopped reads old timestamps too: its offset has not changed, so they stay old.
 //
-// It decides only: no I/O and no clock.
+// It decides only: no I/O and no clock. All moments are durations since any fixed origin.
 package wallclock
 
 import (
@@ -14,21 +14,20 @@
 )
 
 const (
-	maxAge     = 10 * time.Minute       // of a stamp when it is read; more is another offset
-	rounding   = 5 * time.Millisecond   // by which a stamp may lie ahead of the clock
+	maxAge     = 10 * time.Minute       // of a timestamp when it is read; an older one was written at another offset
+	rounding   = 5 * time.Millisecond   // by which a timestamp may be ahead of the clock
 	minStep    = 100 * time.Millisecond // of the wall clock; less is drift, which its offset follows
+	maxStep    = 2 * time.Hour          // of the wall clock: a change of the hour, twice
 	maxOffsets = 8                      // remembered of each kind
-	// maxStep is the most that a wall clock is stepped by: an hour, and as much again.
-	maxStep = 2 * time.Hour
 )
 
-// Mapper maps stamps. The zero value is ready for use.
+// Mapper maps timestamps. The zero value is ready for use.
 type Mapper struct {
-	observed []time.Duration // offsets of this process's wall clock, the newest last
-	learned  []time.Duration // offsets of stamps that no other explained, the newest last
+	observed []time.Duration // offsets of this process's wall clock, newest last
+	learned  []time.Duration // offsets of timestamps that no other explained, newest last
 }
 
-// Observe takes by how much this process's wall clock is ahead of the clock that never steps.
+// Observe takes the offset by which this process's wall clock is ahead of the monotonic clock. To be called now and then.
 func (m *Mapper) Observe(offset time.Duration) {
 	if last := len(m.observed) - 1; last >= 0 && (offset-m.observed[last]).Abs() < minStep {
 		m.observed[last] = offset
@@ -37,29 +36,29 @@
 	m.observed = remember(m.observed, offset)
 }
 
-// Plausible tells whether a stamp is one that a stepped clock may have written, at a moment of this process's wall clock.
-func Plausible(stamp, wall time.Duration) bool { return (wall - stamp).Abs() <= maxStep }
+// Plausible reports whether a stepped clock may have written a timestamp, when this process's wall clock shows wall.
+func Plausible(timestamp, wall time.Duration) bool { return (wall - timestamp).Abs() <= maxStep }
 
-// Arrival is the moment of a stamp by the clock that never steps; it is not after now.
-func (m *Mapper) Arrival(stamp, now time.Duration) time.Duration {
+// Arrival is the moment of a timestamp by the monotonic clock; it is not after now.
+func (m *Mapper) Arrival(timestamp, now time.Duration) time.Duration {
 	latest, found := time.Duration(0), false
 	for _, offsets := range [][]time.Duration{m.observed, m.learned} {
 		for _, offset := range offsets {
-			moment := stamp - offset
+			moment := timestamp - offset
 			if moment > now+rounding || moment < now-maxAge || found && moment <= latest {
 				continue
 			}
 			latest, found = moment, true
 		}
 	}
-	if !found { // taken as just come: a clock that is wrong must not make it hopeless
-		m.learned = remember(m.learned, stamp-now)
+	if !found { // as of now: a wrong clock must not let its request miss its deadline at once
+		m.learned = remember(m.learned, timestamp-now)
 		return now
 	}
 	return min(latest, now)
 }
 
-// remember puts the newest offset behind the others, and lets go of the oldest where there are too many.
+// remember appends the newest offset, and drops the oldest where there are too many.
 func remember(offsets []time.Duration, newest time.Duration) []time.Duration {
 	offsets = slices.DeleteFunc(offsets, func(o time.Duration) bool { return o == newest })
 	if len(offsets) >= maxOffsets {
--- a/wallclock/stamp_test.go
+++ b/wallclock/stamp_test.go
@@ -9,10 +9,10 @@
 
 const (
 	ms  = time.Millisecond
-	now = 100 * time.Hour // of the clock that never steps
+	now = 100 * time.Hour // by the monotonic clock
 )
 
-// stepped is a mapper of a process that saw its wall clock step by so much in turn.
+// stepped is a mapper of a process that saw its wall clock step, in turn, by steps.
 func stepped(steps ...time.Duration) (m *Mapper, wallAhead time.Duration) {
 	m = &Mapper{}
 	m.Observe(0)
@@ -23,9 +23,10 @@
 	return m, wallAhead
 }
 
+// The wall clock steps. Timestamps from before and from after the step are mapped to the moment at which they were written.
 func TestArrivalsAcrossSteps(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
-		for name, stamped := range map[string]time.Duration{"before the step": 0, "behind it": step} {
+		for name, stamped := range map[string]time.Duration{"before the step": 0, "after it": step} {
 			m, _ := stepped(step)
 			for _, age := range []time.Duration{0, 30 * ms, 700 * ms} {
 				assert.Equal(t, now-age, m.Arrival(now+stamped-age, now), "%v, stamped %s, %v old", step, name, age)
@@ -34,6 +35,7 @@
 	}
 }
 
+// The process was stopped for a while and reads timestamps late. They keep their age.
 func TestAProcessThatWasStoppedReadsOldStamps(t *testing.T) {
 	m, _ := stepped()
 	assert.Equal(t, now-3*time.Second, m.Arrival(now-3*time.Second, now))
@@ -41,8 +43,8 @@
 	assert.Equal(t, now-3*time.Second, m.Arrival(now+ahead-3*time.Second, now))
 }
 
-// Only the clock of those who stamp stepped, or this process started behind a step: the first stamp is taken as just
-// come, and the others by it.
+// Only the writers' clock stepped, or this process started after the step. The first timestamp is taken as of now, and the
+// others by its offset.
 func TestOffsetsThatTheProcessDoesNotSee(t *testing.T) {
 	for _, offset := range []time.Duration{2 * time.Second, time.Hour, -time.Hour} {
 		m, _ := stepped()
@@ -74,7 +76,7 @@
 	assert.Empty(t, m.learned)
 }
 
-// Stamps that are invented move nobody else's arrival, and are remembered up to a bound.
+// A client invents timestamps. They do not move the arrival of any other, and are remembered up to a bound.
 func TestInventedStampsHarmNobody(t *testing.T) {
 	m, _ := stepped(2 * time.Second)
 	for i := range 100 {
