--- /dev/null
+++ b/classpool/allocate.go
@@ -0,0 +1,55 @@
+package classpool
+
+// insignificant is the share, or the part of one, under which allocate stops dividing.
+const insignificant = 1e-12
+
+// claim is what one of several siblings may get of a share. Floor and ceiling are parts of the share; demand is absolute.
+type claim struct {
+	demand, floor, ceiling, weight float64
+}
+
+// allocate divides a share among siblings: weighted max-min fairness with floors and ceilings.
+//
+//   - Each gets its floor, or its demand if that is less; floors that add up to more than the share are scaled.
+//   - What is left goes to those with more demand, by weight, up to their demand and ceilings.
+//   - What nobody demands is lent by weight, up to the ceilings, so that new work finds capacity at once.
+//
+// The first two are the max-min fair allocation above the floors (D. Bertsekas, R. Gallager, Data Networks, 6.5.2).
+func allocate(share float64, claims []claim) []float64 {
+	allocated := make([]float64, len(claims))
+	sum := 0.0
+	for i, c := range claims {
+		allocated[i] = min(c.floor*share, c.demand, c.ceiling*share)
+		sum += allocated[i]
+	}
+	if sum > share && sum > 0 {
+		for i := range allocated {
+			allocated[i] *= share / sum
+		}
+	}
+	fill(share, claims, allocated, func(c claim) float64 { return min(c.demand, c.ceiling*share) })
+	fill(share, claims, allocated, func(c claim) float64 { return c.ceiling * share })
+	return allocated
+}
+
+// fill divides what is left of a share, by weight, among the claims that are under their limit. Each pass brings at least
+// one to its limit, so there are as many passes as claims at the most.
+func fill(share float64, claims []claim, allocated []float64, limit func(claim) float64) {
+	for range claims {
+		left, weight := share, 0.0
+		for i, c := range claims {
+			left -= allocated[i]
+			if allocated[i] < limit(c)-insignificant {
+				weight += c.weight
+			}
+		}
+		if left <= insignificant*max(share, 1) || weight == 0 {
+			return
+		}
+		for i, c := range claims {
+			if allocated[i] < limit(c)-insignificant {
+				allocated[i] = min(allocated[i]+left*c.weight/weight, limit(c))
+			}
+		}
+	}
+}
--- a/classpool/reserve.go
+++ b/classpool/reserve.go
@@ -2,23 +2,26 @@
 
 import "time"
 
-const maxReserveSeconds = 0.5 // seconds of its share that the reserve may have saved up
+// maxReserveSeconds of its share are the most that the reserve saves up.
+const maxReserveSeconds = 0.5
 
-// Reserve keeps the cheapest work alive under any load: a share of core time, for leaves whose measured cost is under a part
-// of the mean. A class that grows dear loses its place by what it was measured to cost, and what it overspends is owed first;
-// so calling dear work cheap gains nothing that lasts.
+// Reserve keeps the cheapest work going under any load: a share of core time for leaves whose measured mean cost is far under
+// the others'. A leaf that becomes expensive loses its place by its measured cost, and what it overspent is made up for
+// before the reserve serves again; so declaring expensive work as cheap gains nothing that lasts.
 type Reserve struct {
 	share        float64 // of the cores
-	maxCostRatio float64 // of the mean cost of all runs
-	balance      float64 // core seconds
+	maxCostRatio float64 // of the mean of the leaves' costs
+	balance      float64 // core seconds; negative while overspent
 	updatedAt    time.Duration
 }
 
-// NewReserve makes a reserve of a share of the cores, for leaves that cost less than a part of the mean.
-func NewReserve(share, under float64) *Reserve { return &Reserve{share: share, maxCostRatio: under} }
+// NewReserve returns a reserve of a share of the cores, for leaves whose cost is under maxCostRatio of the mean.
+func NewReserve(share, maxCostRatio float64) *Reserve {
+	return &Reserve{share: share, maxCostRatio: maxCostRatio}
+}
 
-// next names the leaf that the reserve serves, of those that want: the cheapest.
-func (r *Reserve) next(p *Pools, now time.Duration, wants func(leaf int) bool) (leaf int, some bool) {
+// next is the cheapest eligible leaf that wants a run, while there is a balance.
+func (r *Reserve) next(p *Pools, now time.Duration, wants func(leaf int) bool) (leaf int, found bool) {
 	passed := max(now-r.updatedAt, 0).Seconds()
 	r.updatedAt = max(now, r.updatedAt)
 	r.balance = min(r.balance+passed*r.share*p.cores, maxReserveSeconds*r.share*p.cores)
@@ -34,14 +37,14 @@
 	return leaf, leaf >= 0
 }
 
-// eligible tells whether a leaf has a place in the reserve. One of which little is known has none: its cost is not measured.
+// eligible reports whether a leaf's measured cost is low enough. Without a measured cost it is not.
 func (r *Reserve) eligible(p *Pools, leaf int) bool {
-	mean, n := 0.0, 0.0
+	sum, measured := 0.0, 0.0
 	for _, a := range p.accounts {
-		if a.costSamples >= 5 {
-			mean, n = mean+a.cost, n+1
+		if a.costSamples >= minCostSamples {
+			sum, measured = sum+a.cost, measured+1
 		}
 	}
 	a := p.accounts[leaf]
-	return n > 1 && a.costSamples >= 5 && a.cost < r.maxCostRatio*mean/n
+	return measured > 1 && a.costSamples >= minCostSamples && a.cost < r.maxCostRatio*sum/measured
 }
--- a/classpool/tree.go
+++ b/classpool/tree.go
@@ -1,6 +1,6 @@
-// Package classpool parts the one limit of tasks in flight among classes of work: a tree of pools with floors, ceilings and
-// weights, by measured demand and core time. It does not replace the limit, stops nothing that runs, and leaves no room
-// unused while anything is held. It does no I/O and reads no clock.
+// Package classpool divides the server's one limit of requests in flight among classes of work: a tree of pools with
+// floors, ceilings and weights, by measured demand and core time. It does not change the limit, preempts nothing, and is
+// work-conserving: no core stays idle while a request is queued. It does no I/O and reads no clock.
 package classpool
 
 import (
@@ -10,195 +10,180 @@
 )
 
 const (
-	maxPools = 256
-	maxDepth = 4
+	maxPools  = 256
+	maxDepth  = 4
+	maxWeight = 1e6
+	epsilon   = 1e-9 // by which sums of floors may exceed 1 through rounding
 )
 
-// Options state one pool. Shares are of its parent's room.
+// Options configure a pool. Floor and Ceiling are parts of its parent's share.
 type Options struct {
 	Name    string
-	Parent  string  // empty at the top
-	Floor   float64 // that it gets whatever others ask, while it asks for it; 0 to 1
-	Ceiling float64 // that it never gets more than while others wait; 0 is 1
-	Weight  float64 // by which what is left is parted; 0 is 1
+	Parent  string  // empty for a root
+	Floor   float64 // guaranteed as far as there is demand; 0 to 1
+	Ceiling float64 // not exceeded while other pools have demand; 0 to 1, and 0 means 1
+	Weight  float64 // of its part in what floors leave; 0 means 1
 }
 
 // pool is one of the tree.
 type pool struct {
 	Options
-	parent   int // -1 at the top
+	parent   int // -1 for a root
 	children []int
 
-	demand float64 // core seconds a second that its tasks ask for, all below it included
-	target float64 // share of all core time that is worked out for it
-	share  float64 // that it has; follows the target
+	demand float64 // core seconds per second that its requests need, with all below it
+	target float64 // share of all core time that updateTargets gave it
+	share  float64 // share of all core time that it has; follows target
 }
 
-// Tree is a tree of pools that Check has passed.
+// Tree is a valid tree of pools.
 type Tree struct {
 	pools []pool // parents before their children
 	roots []int
-	index map[string]int
+	index map[string]int // in pools, by name
 }
 
-// NewTree makes a tree. The error joins all that is wrong. Floors that add up to more than there is are no fault: each then
-// gets its part of what there is, and Crowded names the parent.
+// NewTree validates the options and builds a tree. The error joins all faults. Floors of siblings that add up to more than
+// 1 are allowed: they are scaled, and Overcommitted names their parent.
 func NewTree(all []Options) (*Tree, error) {
-	var faults []error
-	fault := func(words string, of ...any) { faults = append(faults, fmt.Errorf(words, of...)) }
 	if len(all) == 0 || len(all) > maxPools {
 		return nil, fmt.Errorf("%d pools; 1 to %d are allowed", len(all), maxPools)
 	}
-	stated := map[string]Options{}
-	for _, t := range all {
-		if t.Name == "" {
-			fault("a pool without a name")
-		}
-		if _, twice := stated[t.Name]; twice {
-			fault("pool %q stands twice", t.Name)
-		}
-		stated[t.Name] = t
-		if t.Ceiling == 0 {
-			t.Ceiling = 1
-		}
-		for _, of := range []struct {
-			what        string
-			value, most float64
-		}{{"floor", t.Floor, 1}, {"ceiling", t.Ceiling, 1}, {"weight", t.Weight, 1e6}} {
-			if !(of.value >= 0 && of.value <= of.most) {
-				fault("pool %q: %s = %g: 0 to %g is allowed", t.Name, of.what, of.value, of.most)
-			}
+	var faults []error
+	byName := map[string]Options{}
+	for _, options := range all {
+		if options.Name == "" {
+			faults = append(faults, errors.New("a pool without a name"))
 		}
-		if t.Floor > t.Ceiling {
-			fault("pool %q: floor %g over its ceiling %g", t.Name, t.Floor, t.Ceiling)
+		if _, twice := byName[options.Name]; twice {
+			faults = append(faults, fmt.Errorf("pool %q stands twice", options.Name))
 		}
+		byName[options.Name] = options
+		faults = append(faults, options.faults()...)
 	}
-	for _, t := range all {
-		depth := 1
-		for up := t.Parent; up != "" && depth <= maxDepth; depth++ {
-			parent, known := stated[up]
-			if !known {
-				fault("pool %q: no pool %q", t.Name, up)
-				break
-			}
-			up = parent.Parent
-		}
-		if depth > maxDepth {
-			fault("pool %q: more than %d pools one inside the other, or a ring", t.Name, maxDepth)
-		}
+	for _, options := range all {
+		faults = append(faults, options.depthFaults(byName)...)
 	}
 	if err := errors.Join(faults...); err != nil {
 		return nil, err
 	}
+	return buildTree(all), nil
+}
+
+// faults checks the numbers of a pool.
+func (o Options) faults() (faults []error) {
+	if o.Ceiling == 0 {
+		o.Ceiling = 1
+	}
+	for _, option := range []struct {
+		name       string
+		value, max float64
+	}{{"floor", o.Floor, 1}, {"ceiling", o.Ceiling, 1}, {"weight", o.Weight, maxWeight}} {
+		if !(option.value >= 0 && option.value <= option.max) { // so that NaN is a fault, too
+			faults = append(faults, fmt.Errorf("pool %q: %s = %g: 0 to %g is allowed", o.Name, option.name, option.value, option.max))
+		}
+	}
+	if o.Floor > o.Ceiling {
+		faults = append(faults, fmt.Errorf("pool %q: floor %g over its ceiling %g", o.Name, o.Floor, o.Ceiling))
+	}
+	return faults
+}
+
+// depthFaults checks the pools above one. A cycle is too deep.
+func (o Options) depthFaults(byName map[string]Options) (faults []error) {
+	depth := 1
+	for above := o.Parent; above != "" && depth <= maxDepth; depth++ {
+		parent, known := byName[above]
+		if !known {
+			faults = append(faults, fmt.Errorf("pool %q: no pool %q", o.Name, above))
+			break
+		}
+		above = parent.Parent
+	}
+	if depth > maxDepth {
+		faults = append(faults, fmt.Errorf("pool %q: more than %d pools one inside the other, or a ring", o.Name, maxDepth))
+	}
+	return faults
+}
+
+// buildTree adds, as long as there are any left, the pools whose parents were added, in the given order.
+func buildTree(all []Options) *Tree {
 	t := &Tree{index: map[string]int{}}
-	for len(t.pools) < len(all) { // those whose parent is there, in the order in which they were stated
-		for _, one := range all {
-			parent, there := t.index[one.Parent]
-			if _, done := t.index[one.Name]; done || one.Parent != "" && !there {
+	for len(t.pools) < len(all) {
+		for _, options := range all {
+			parent, parentAdded := t.index[options.Parent]
+			if _, added := t.index[options.Name]; added || options.Parent != "" && !parentAdded {
 				continue
 			}
-			if one.Ceiling == 0 {
-				one.Ceiling = 1
-			}
-			if one.Weight == 0 {
-				one.Weight = 1
-			}
-			at := len(t.pools)
-			t.index[one.Name] = at
-			p := pool{Options: one, parent: -1}
-			if one.Parent != "" {
-				p.parent = parent
-				t.pools[parent].children = append(t.pools[parent].children, at)
-			} else {
-				t.roots = append(t.roots, at)
-			}
-			t.pools = append(t.pools, p)
+			t.add(options, parent)
 		}
 	}
-	return t, nil
+	return t
+}
+
+// add appends a pool with its defaults. parent counts only where the options name one.
+func (t *Tree) add(options Options, parent int) {
+	if options.Ceiling == 0 {
+		options.Ceiling = 1
+	}
+	if options.Weight == 0 {
+		options.Weight = 1
+	}
+	index := len(t.pools)
+	t.index[options.Name] = index
+	p := pool{Options: options, parent: -1}
+	if options.Parent != "" {
+		p.parent = parent
+		t.pools[parent].children = append(t.pools[parent].children, index)
+	} else {
+		t.roots = append(t.roots, index)
+	}
+	t.pools = append(t.pools, p)
 }
 
-// Overcommitted names the parents, "" for the top, whose pools' floors add up to more than there is.
+// Overcommitted names the parents whose pools' floors add up to more than 1; "" stands for the roots.
 func (t *Tree) Overcommitted() (names []string) {
-	sum := func(of []int) (floors float64) {
-		for _, i := range of {
+	sum := func(pools []int) (floors float64) {
+		for _, i := range pools {
 			floors += t.pools[i].Floor
 		}
 		return floors
 	}
-	if sum(t.roots) > 1+1e-9 {
+	if sum(t.roots) > 1+epsilon {
 		names = append(names, "")
 	}
 	for i := range t.pools {
-		if sum(t.pools[i].children) > 1+1e-9 {
+		if sum(t.pools[i].children) > 1+epsilon {
 			names = append(names, t.pools[i].Name)
 		}
 	}
 	return names
 }
 
-// Leaf finds a pool that tasks can be in: one without others inside it.
-func (t *Tree) Leaf(name string) (place int, is bool) {
-	place, known := t.index[name]
-	return place, known && len(t.pools[place].children) == 0
+// Leaf returns the index of a pool that requests can be in: one without children.
+func (t *Tree) Leaf(name string) (index int, found bool) {
+	index, known := t.index[name]
+	return index, known && len(t.pools[index].children) == 0
 }
 
-// allocate parts a room among siblings: weighted max-min with floors and ceilings.
-//
-//   - Each gets its floor, or what it asks for if that is less; floors that are too many are scaled.
-//   - What is left goes to those that ask for more, by weight, up to what they ask for and to their ceilings.
-//   - What nobody asks for is lent by weight up to the ceilings, so that work which comes finds room at once.
-//
-// The first two are the max-min fair allocation (D. Bertsekas, R. Gallager, Data Networks, 6.5.2) above the floors: it ends
-// after as many passes as there are siblings, as each pass fills at least one.
-func allocate(room float64, asks, floors, ceilings, weights []float64) []float64 {
-	n := len(asks)
-	got := make([]float64, n)
-	sum := 0.0
-	for i := range n {
-		got[i] = min(floors[i]*room, asks[i], ceilings[i]*room)
-		sum += got[i]
-	}
-	if sum > room && sum > 0 {
-		for i := range got {
-			got[i] *= room / sum
-		}
-		sum = room
-	}
-	fill := func(most func(i int) float64) {
-		for range n {
-			left, weight := room, 0.0
-			for i := range n {
-				left -= got[i]
-				if got[i] < most(i)-1e-12 {
-					weight += weights[i]
-				}
-			}
-			if left <= 1e-12*max(room, 1) || weight == 0 {
-				return
-			}
-			for i := range n {
-				if got[i] < most(i)-1e-12 {
-					got[i] = min(got[i]+left*weights[i]/weight, most(i))
-				}
-			}
-		}
+// parentShare is the share of all core time that a pool's own share is part of.
+func (t *Tree) parentShare(p *pool) float64 {
+	if p.parent < 0 {
+		return 1
 	}
-	fill(func(i int) float64 { return min(asks[i], ceilings[i]*room) })
-	fill(func(i int) float64 { return ceilings[i] * room })
-	return got
+	return t.pools[p.parent].share
 }
 
-// updateTargets works out the targets of all pools from the demands of the leaves, of a whole of 1.
+// updateTargets computes all targets from the demands of the leaves.
 func (t *Tree) updateTargets(cores float64) {
-	for i := len(t.pools) - 1; i >= 0; i-- { // children stand behind their parents
+	for i := len(t.pools) - 1; i >= 0; i-- { // children before their parents
 		p := &t.pools[i]
 		if len(p.children) == 0 {
 			continue
 		}
 		p.demand = 0
-		for _, c := range p.children {
-			p.demand += t.pools[c].demand
+		for _, child := range p.children {
+			p.demand += t.pools[child].demand
 		}
 	}
 	t.allocateAmong(t.roots, 1, cores)
@@ -209,17 +194,30 @@
 	}
 }
 
-func (t *Tree) allocateAmong(siblings []int, room, cores float64) {
-	n := len(siblings)
-	asks, floors, ceilings, weights := make([]float64, n), make([]float64, n), make([]float64, n), make([]float64, n)
+// allocateAmong sets the targets of siblings, which divide a share.
+func (t *Tree) allocateAmong(siblings []int, share, cores float64) {
+	claims := make([]claim, len(siblings))
 	for i, s := range siblings {
 		p := &t.pools[s]
-		asks[i], floors[i], ceilings[i], weights[i] = p.demand/max(cores, 1e-9), p.Floor, p.Ceiling, p.Weight
-		if math.IsNaN(asks[i]) || asks[i] < 0 {
-			asks[i] = 0
+		demand := p.demand / max(cores, epsilon)
+		if math.IsNaN(demand) || demand < 0 {
+			demand = 0
 		}
+		claims[i] = claim{demand, p.Floor, p.Ceiling, p.Weight}
 	}
-	for i, got := range allocate(room, asks, floors, ceilings, weights) {
-		t.pools[siblings[i]].target = got
+	for i, allocated := range allocate(share, claims) {
+		t.pools[siblings[i]].target = allocated
+	}
+}
+
+// followTargets moves all shares towards their targets. A pool with demand gets its floor at once.
+func (t *Tree) followTargets() {
+	for i := range t.pools {
+		p := &t.pools[i]
+		if math.Abs(p.target-p.share) < minShareChange && p.share > 0 {
+			continue
+		}
+		p.share += (p.target - p.share) * followRatio
+		p.share = max(p.share, min(p.target, p.Floor*t.parentShare(p)))
 	}
 }
