--- a/cmd/quartzpoint-bench/dependencies.go
+++ b/cmd/quartzpoint-bench/dependencies.go
@@ -31,18 +31,18 @@
 	waitlist        // by confirm-booking, with effects
 )
 
-// trial is a script for the three dependencies.
-type trial struct {
-	name   string
-	moods  [3]harness.Script
-	small  bool   // workers at 130% by the type that needs no call
-	beside string // the trial that it is compared with; undisturbed where none is named
+// faultScenario is a script for the three dependencies.
+type faultScenario struct {
+	name       string
+	scripts    [3]harness.Script
+	overloaded bool   // workers at 130% by the type that needs no call
+	baseline   string // the trial that it is compared with; undisturbed where none is named
 }
 
 func always(m harness.Mood) harness.Script { return func(time.Duration) harness.Mood { return m } }
 
-// while is a mood between two moments.
-func while(from, to time.Duration, m harness.Mood) harness.Script {
+// between is a mood between two moments.
+func moodBetween(from, to time.Duration, m harness.Mood) harness.Script {
 	return func(at time.Duration) harness.Mood {
 		if at >= from && at < to {
 			return m
@@ -51,29 +51,29 @@
 	}
 }
 
-func drills() []trial {
-	return []trial{
+func faultScenarios() []faultScenario {
+	return []faultScenario{
 		{name: "undisturbed"},
-		{name: "one ten times slower", moods: [3]harness.Script{guests: always(harness.Mood{Slow: 10})}},
-		{name: "total outage of one", moods: [3]harness.Script{guests: always(harness.Mood{Errors: true})}},
-		{name: "one silent for 3 s", moods: [3]harness.Script{guests: while(time.Second, 4*time.Second, harness.Mood{Silent: true})}},
-		{name: "two: silence and errors", moods: [3]harness.Script{guests: while(time.Second, 4*time.Second, harness.Mood{Silent: true}),
-			waitlist: while(time.Second, 4*time.Second, harness.Mood{Errors: true})}},
-		{name: "flaps each second", moods: [3]harness.Script{guests: func(at time.Duration) harness.Mood {
+		{name: "one ten times slower", scripts: [3]harness.Script{guests: always(harness.Mood{Slow: 10})}},
+		{name: "total outage of one", scripts: [3]harness.Script{guests: always(harness.Mood{Errors: true})}},
+		{name: "one silent for 3 s", scripts: [3]harness.Script{guests: moodBetween(time.Second, 4*time.Second, harness.Mood{Silent: true})}},
+		{name: "two: silence and errors", scripts: [3]harness.Script{guests: moodBetween(time.Second, 4*time.Second, harness.Mood{Silent: true}),
+			waitlist: moodBetween(time.Second, 4*time.Second, harness.Mood{Errors: true})}},
+		{name: "flaps each second", scripts: [3]harness.Script{guests: func(at time.Duration) harness.Mood {
 			return harness.Mood{Errors: int(at/time.Second)%2 == 1}
 		}}},
-		{name: "garbage for 2 s", moods: [3]harness.Script{guests: while(time.Second, 3*time.Second, harness.Mood{Garbage: true})}},
-		{name: "effects answered late", moods: [3]harness.Script{waitlist: while(time.Second, 4*time.Second, harness.Mood{Late: 3 * time.Second})}},
-		{name: "restart, slow at first", moods: [3]harness.Script{guests: func(at time.Duration) harness.Mood {
+		{name: "garbage for 2 s", scripts: [3]harness.Script{guests: moodBetween(time.Second, 3*time.Second, harness.Mood{Garbage: true})}},
+		{name: "effects answered late", scripts: [3]harness.Script{waitlist: moodBetween(time.Second, 4*time.Second, harness.Mood{Late: 3 * time.Second})}},
+		{name: "restart, slow at first", scripts: [3]harness.Script{guests: func(at time.Duration) harness.Mood {
 			return harness.Mood{Down: at >= time.Second && at < 2*time.Second, Slow: max(1, 6-2*(at-2*time.Second).Seconds())}
 		}}},
-		{name: "130%, undisturbed", small: true},
-		{name: "130%, outage of one", small: true, beside: "130%, undisturbed",
-			moods: [3]harness.Script{guests: always(harness.Mood{Errors: true})}},
+		{name: "130%, undisturbed", overloaded: true},
+		{name: "130%, outage of one", overloaded: true, baseline: "130%, undisturbed",
+			scripts: [3]harness.Script{guests: always(harness.Mood{Errors: true})}},
 	}
 }
 
-const drillFile = `
+const scenarioConfig = `
 [control]
 socket = %q
 [dependencies.tables]
@@ -122,7 +122,7 @@
 `
 
 // The types of the drills: two are made of calls, one is run by the pool and needs none.
-func drillTypes() []harness.Route {
+func scenarioRoutes() []harness.Route {
 	return []harness.Route{
 		{Name: "slot-check", Value: 1, LatencyTarget: 800 * time.Millisecond, Deadline: 2 * time.Second, Share: 0.6,
 			Work: time.Millisecond, Composed: true},
@@ -133,28 +133,28 @@
 	}
 }
 
-// drillResult is what one run gave.
-type drillResult struct {
+// scenarioResult is what one run gave.
+type scenarioResult struct {
 	harness.Result
 	seen [3]harness.Seen
 	err  error
 }
 
-func (m *measureDependencies) run(folder string, d trial, flat bool, seed int64) (r drillResult) {
-	types := drillTypes()
+func (m *measureDependencies) run(folder string, d faultScenario, flat bool, seed int64) (r scenarioResult) {
+	types := scenarioRoutes()
 	load := harness.Arrivals(types, m.Rate, m.Span, seed)
 	var deps [3]*harness.Dependency
 	slots, means := [3]int{24, 6, 16}, [3]time.Duration{20 * time.Millisecond, 30 * time.Millisecond, 40 * time.Millisecond}
 	for i := range deps {
-		if deps[i], r.err = harness.NewDependency(slots[i], means[i], 0.4, seed*10+int64(i), d.moods[i]); r.err != nil {
+		if deps[i], r.err = harness.NewDependency(slots[i], means[i], 0.4, seed*10+int64(i), d.scripts[i]); r.err != nil {
 			return r
 		}
 		defer deps[i].Close()
 	}
 	name := fmt.Sprintf("%s-%t-%d", strings.ReplaceAll(d.name, " ", "-"), flat, seed)
-	own := fmt.Sprintf(drillFile, folder+"/"+name+".sock", deps[0].Address, deps[1].Address, deps[2].Address)
+	own := fmt.Sprintf(scenarioConfig, folder+"/"+name+".sock", deps[0].Address, deps[1].Address, deps[2].Address)
 	machine := harness.Machine{Cores: 4, Speed: 1, KB: 64000}
-	if d.small {
+	if d.overloaded {
 		machine.Cores, machine.Speed = 2, 0.3
 	}
 	program, args := m.Daemon, []string{"serve"}
@@ -185,13 +185,13 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	all := slices.DeleteFunc(drills(), func(d trial) bool { return m.Only != "" && d.name != m.Only })
-	budgets, flats := make([][]drillResult, len(all)), make([][]drillResult, len(all))
+	all := slices.DeleteFunc(faultScenarios(), func(d faultScenario) bool { return m.Only != "" && d.name != m.Only })
+	budgets, flats := make([][]scenarioResult, len(all)), make([][]scenarioResult, len(all))
 	const together = 3 // scripts at once
 	for first := 0; first < len(all); first += together {
 		var running sync.WaitGroup
 		for i := first; i < min(first+together, len(all)); i++ {
-			budgets[i], flats[i] = make([]drillResult, m.Seeds), make([]drillResult, m.Seeds)
+			budgets[i], flats[i] = make([]scenarioResult, m.Seeds), make([]scenarioResult, m.Seeds)
 			for seed := range m.Seeds {
 				for _, isFlat := range []bool{false, true} {
 					running.Add(1)
@@ -208,10 +208,10 @@
 		}
 		running.Wait()
 	}
-	return m.tell(all, budgets, flats)
+	return m.report(all, budgets, flats)
 }
 
-func median(results []drillResult, of func(int, drillResult) float64) float64 {
+func median(results []scenarioResult, of func(int, scenarioResult) float64) float64 {
 	var v []float64
 	for i, r := range results {
 		v = append(v, of(i, r))
@@ -220,7 +220,7 @@
 	return stat.Quantile(0.5, stat.LinInterp, v, nil)
 }
 
-func (m *measureDependencies) tell(all []trial, budgets, flats [][]drillResult) error {
+func (m *measureDependencies) report(all []faultScenario, budgets, flats [][]scenarioResult) error {
 	var short []error
 	aim := func(holds bool, words string, of ...any) {
 		if !holds {
@@ -234,10 +234,10 @@
 	for i, d := range all {
 		b, f := budgets[i], flats[i]
 		beside := "undisturbed"
-		if d.beside != "" {
-			beside = d.beside
+		if d.baseline != "" {
+			beside = d.baseline
 		}
-		quiet := slices.IndexFunc(all, func(d trial) bool { return d.name == beside })
+		quiet := slices.IndexFunc(all, func(d faultScenario) bool { return d.name == beside })
 		for k := range b {
 			if err := errors.Join(b[k].err, f[k].err); err != nil {
 				return fmt.Errorf("%s: %w", d.name, err)
@@ -248,32 +248,32 @@
 				twice += s.Twice
 			}
 		}
-		honoured := func(_ int, r drillResult) float64 { return r.Honoured / r.Offered }
-		count := func(code byte) func(int, drillResult) float64 {
-			return func(_ int, r drillResult) float64 { return float64(r.Codes[code]) }
+		honoured := func(_ int, r scenarioResult) float64 { return r.Honoured / r.Offered }
+		count := func(code byte) func(int, scenarioResult) float64 {
+			return func(_ int, r scenarioResult) float64 { return float64(r.Codes[code]) }
 		}
-		over := median(b, func(k int, r drillResult) float64 { return r.Honoured / f[k].Honoured })
+		over := median(b, func(k int, r scenarioResult) float64 { return r.Honoured / f[k].Honoured })
 		// Calls of the guests over the slot-checks that were started: each makes one first attempt there at the most.
-		attempts := func(_ int, r drillResult) float64 {
+		attempts := func(_ int, r scenarioResult) float64 {
 			started := float64(r.seen[tables].Calls - r.seen[tables].Numbers)
 			return float64(r.seen[guests].Calls) / max(started, 1)
 		}
-		q := func(p float64) func(int, drillResult) float64 {
-			return func(_ int, r drillResult) float64 {
+		q := func(p float64) func(int, scenarioResult) float64 {
+			return func(_ int, r scenarioResult) float64 {
 				if len(r.Took) == 0 {
 					return 0
 				}
 				return float64(r.Took[int(p*float64(len(r.Took)-1))].Microseconds()) / 1000
 			}
 		}
-		none := func(_ int, r drillResult) float64 { return r.ByType[2] }
+		none := func(_ int, r scenarioResult) float64 { return r.ByType[2] }
 		noneOver := 1.0
 		if quiet >= 0 {
-			noneOver = median(b, func(k int, r drillResult) float64 { return none(k, r) / max(budgets[quiet][k].ByType[2], 1) })
+			noneOver = median(b, func(k int, r scenarioResult) float64 { return none(k, r) / max(budgets[quiet][k].ByType[2], 1) })
 		}
 		fmt.Fprintf(table, "%s\t%.3f / %.3f\t%.2f\t%.0f\t%.0f / %.0f\t%.0f / %.0f\t%d\t%.2f / %.2f\t%.0f / %.0f\t%.0f / %.0f\t%.3f\t\n",
 			d.name, median(b, honoured), median(f, honoured), over,
-			median(b, func(_ int, r drillResult) float64 { return float64(r.Partial) }),
+			median(b, func(_ int, r scenarioResult) float64 { return float64(r.Partial) }),
 			median(b, count(51)), median(f, count(51)), median(b, count(50)), median(f, count(50)),
 			func() (n int) {
 				for _, r := range b {
@@ -287,7 +287,7 @@
 		case "one ten times slower":
 			slowOver = over
 			if quiet >= 0 {
-				slowOf = median(b, func(k int, r drillResult) float64 { return r.Honoured / budgets[quiet][k].Honoured })
+				slowOf = median(b, func(k int, r scenarioResult) float64 { return r.Honoured / budgets[quiet][k].Honoured })
 			}
 			aim(slowOver >= 1.3, "%s: %.2f of the baseline, 1.3 is aimed at", d.name, slowOver)
 			aim(quiet < 0 || slowOf >= 0.9, "%s: %.3f of undisturbed, 0.9 is aimed at", d.name, slowOf)
--- a/cmd/quartzpoint/check.go
+++ b/cmd/quartzpoint/check.go
@@ -31,11 +31,11 @@
 		ours, err := config.Read(cmd.Config)
 		faults = append(faults, err)
 		if err == nil && whole != nil {
-			_, err := plans(ours, whole)
+			_, err := composedRoutes(ours, whole)
 			faults = append(faults, err)
 			for _, t := range ours.Types {
 				if time, known := whole[t.Name]; known && err == nil {
-					faults = append(faults, timeLine(os.Stdout, t, ours.Dependencies, time))
+					faults = append(faults, printTimeline(os.Stdout, t, ours.Dependencies, time))
 				}
 			}
 		}
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -18,14 +18,14 @@
 	"quartzpoint/internal/server"
 )
 
-// composing starts what makes requests of calls, nil where nothing is stated. It ends with the context.
-func composing(
+// startComposer starts what makes requests of calls, nil where nothing is stated. It ends with the context.
+func startComposer(
 	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counts, log *slog.Logger,
 ) (*fanout.Composer, error) {
 	if len(ours.Types) == 0 {
 		return nil, nil
 	}
-	types, err := plans(ours, owner.Types())
+	types, err := composedRoutes(ours, owner.Types())
 	if err != nil {
 		return nil, err
 	}
@@ -39,8 +39,8 @@
 	return composer, nil
 }
 
-// plans are the types' plans, checked against the time that the platform's configuration gives a task of each.
-func plans(ours *config.Config, whole map[string]time.Duration) (types []fanout.Route, err error) {
+// composedRoutes are the types' plans, checked against the time that the platform's configuration gives a task of each.
+func composedRoutes(ours *config.Config, whole map[string]time.Duration) (routes []fanout.Route, err error) {
 	var faults []error
 	for _, t := range ours.Types {
 		plan := t.Plan()
@@ -52,29 +52,29 @@
 		if err := plan.Validate(len(ours.Dependencies), time); err != nil {
 			faults = append(faults, fmt.Errorf("types.%s: %w", t.Name, err))
 		}
-		made := fanout.Route{Plan: plan}
+		route := fanout.Route{Plan: plan}
 		for _, c := range t.Calls {
-			made.Calls = append(made.Calls, fanout.Call{Op: c.Op, MaxStaleness: c.Keep, Default: c.Default})
+			route.Calls = append(route.Calls, fanout.Call{Op: c.Op, MaxStaleness: c.Keep, Default: c.Default})
 		}
-		types = append(types, made)
+		routes = append(routes, route)
 	}
-	return types, errors.Join(faults...)
+	return routes, errors.Join(faults...)
 }
 
-// timeLine prints a plan for its operators.
-func timeLine(to io.Writer, t config.Type, dependencies []config.Dependency, whole time.Duration) error {
+// printTimeline prints a plan for its operators.
+func printTimeline(writer io.Writer, t config.Type, dependencies []config.Dependency, available time.Duration) error {
 	plan := t.Plan()
-	if err := plan.Validate(len(dependencies), whole); err != nil {
+	if err := plan.Validate(len(dependencies), available); err != nil {
 		return fmt.Errorf("types.%s: %w", t.Name, err)
 	}
 	var names []string
 	for _, d := range dependencies {
 		names = append(names, d.Name)
 	}
-	fmt.Fprintf(to, "%s: %v in all, %v of it kept back\n", t.Name, whole, t.Reserve)
-	table := tabwriter.NewWriter(to, 2, 0, 2, ' ', 0)
+	fmt.Fprintf(writer, "%s: %v in all, %v of it kept back\n", t.Name, available, t.Reserve)
+	table := tabwriter.NewWriter(writer, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "  call\tdependency\tbegins\tends\tmay take\t")
-	for _, s := range plan.Spans(whole, names) {
+	for _, s := range plan.Spans(available, names) {
 		kind := ""
 		if s.Required {
 			kind = "needed"
@@ -85,14 +85,14 @@
 	return table.Flush()
 }
 
-// asking is the command that prints how a running server's dependencies stand.
-type asking struct {
+// dependenciesCommand is the command that prints how a running server's dependencies stand.
+type dependenciesCommand struct {
 	Socket string `arg:"" help:"The server's control socket, as in its [control] socket."`
 	JSON   bool   `name:"json" help:"Print it as JSON."`
 }
 
 // Run asks once.
-func (cmd *asking) Run() error {
+func (cmd *dependenciesCommand) Run() error {
 	var states []budget.State
 	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askDependencies}, &states); err != nil {
 		return err
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -38,16 +38,16 @@
 effect = "at-most-once"
 `
 
-// composed is a server with a type made of calls and one that the pool runs.
-type composed struct {
+// composedServer is a server with a type made of calls and one that the pool runs.
+type composedServer struct {
 	daemon       *harness.Daemon
 	tables, bank *harness.Dependency
 	socket, file string
 	types        []harness.Route
 }
 
-func startComposed(t *testing.T, bank harness.Script) *composed {
-	c := &composed{types: []harness.Route{
+func startComposedServer(t *testing.T, bank harness.Script) *composedServer {
+	c := &composedServer{types: []harness.Route{
 		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, Once: true, Share: 0.5,
 			Work: time.Millisecond, Composed: true},
 		{Name: "guest-note", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 0.5, Work: 20 * time.Millisecond},
@@ -68,7 +68,7 @@
 }
 
 func TestComposed(t *testing.T) {
-	c := startComposed(t, nil)
+	c := startComposedServer(t, nil)
 	done, err := harness.Run(c.daemon.Address, c.types, harness.Arrivals(c.types, 60, time.Second, 1), 1)
 	require.NoError(t, err)
 	assert.Equal(t, done.Tasks, done.Codes[20], "all are honoured")
@@ -97,7 +97,7 @@
 // The deposit is written and its answer comes after all time: the task is given up, never dismissed, and the deposit
 // made once. Tasks that need nothing of the bank are as before.
 func TestDepositWithoutAnswer(t *testing.T) {
-	c := startComposed(t, func(time.Duration) harness.Mood { return harness.Mood{Late: 3 * time.Second} })
+	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Late: 3 * time.Second} })
 	load := harness.Arrivals(c.types, 20, time.Second, 1)
 	done, err := harness.Run(c.daemon.Address, c.types, load, 1)
 	require.NoError(t, err)
@@ -118,7 +118,7 @@
 
 // The notice to leave, and the caller's end, while calls are open.
 func TestLeavingWithOpenCalls(t *testing.T) {
-	c := startComposed(t, func(time.Duration) harness.Mood { return harness.Mood{Silent: true} })
+	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Silent: true} })
 	gone := fake.Dial(t, c.daemon.Address)
 	gone.Send(t, fake.Task(1, "confirm-booking", "x"))
 	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 1 }, fake.Patience, time.Millisecond)
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return fmt.Errorf("configuration file %s: %w", cmd.Config, err)
 	}
-	composer, err := composing(ctx, ours, s.Limits.megabytes()<<20, seed, owner, counts, log)
+	composer, err := startComposer(ctx, ours, s.Limits.megabytes()<<20, seed, owner, counts, log)
 	if err != nil {
 		return err
 	}
