--- /dev/null
+++ b/cmd/quartzpoint-bench/dependenciesreport.go
@@ -0,0 +1,184 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"text/tabwriter"
+
+	"gonum.org/v1/gonum/stat"
+)
+
+// The codes of answers, on the routers' wire.
+const (
+	codeRejected = 50
+	codeAborted  = 51
+)
+
+// The objectives, as ratios.
+const (
+	minOverFlat         = 1.3  // value with one dependency slow, over that of the flat baseline
+	minOfUndisturbed    = 0.9  // value with one dependency slow, over that without faults
+	maxAttemptsInOutage = 1.1  // attempts per call
+	minNoCallRoute      = 0.98 // value of the route without calls in an outage, over that without one
+)
+
+// comparison holds the results of a scenario, by seed, with budgets and with the flat baseline.
+type comparison struct {
+	scenario       faultScenario
+	budgeted, flat []scenarioResult
+}
+
+// median of a figure over the seeds.
+func median(results []scenarioResult, figure func(seed int, r scenarioResult) float64) float64 {
+	var values []float64
+	for seed, r := range results {
+		values = append(values, figure(seed, r))
+	}
+	slices.Sort(values)
+	return stat.Quantile(0.5, stat.LinInterp, values, nil)
+}
+
+// dependencyReport collects the figures of the last line, and the objectives that are missed.
+type dependencyReport struct {
+	missed                []error
+	overFlat, ofBaseline  float64 // with one dependency slow
+	attempts              float64 // per call in an outage, the largest
+	effectsTwice, lateAll int
+}
+
+// require notes an objective that does not hold.
+func (d *dependencyReport) require(holds bool, format string, args ...any) {
+	if !holds {
+		d.missed = append(d.missed, fmt.Errorf(format, args...))
+	}
+}
+
+// report prints a row for each scenario and a line of figures. The error joins the objectives that are missed.
+func report(out io.Writer, comparisons []comparison, seeds int) error {
+	for _, c := range comparisons {
+		for seed := range c.budgeted {
+			if err := errors.Join(c.budgeted[seed].err, c.flat[seed].err); err != nil {
+				return fmt.Errorf("%s: %w", c.scenario.name, err)
+			}
+		}
+	}
+	d := &dependencyReport{}
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintf(table, "sockets, emulated, %d seeds; budgets / flat\thonoured\tover flat\tpartial\tgiven up\tdismissed\tlate\tguests' attempts\tp50 ms\tp99 ms\tno-call type\t\n", seeds)
+	for _, c := range comparisons {
+		d.count(c)
+		d.judge(c, c.print(table, comparisons))
+	}
+	if err := table.Flush(); err != nil {
+		return fmt.Errorf("printing the table: %w", err)
+	}
+	d.require(d.effectsTwice == 0, "%d effects run twice", d.effectsTwice)
+	d.require(d.lateAll == 0, "%d late answers", d.lateAll)
+	fmt.Fprintf(out, "measure dependencies: ten times slower %.2f of flat (aim 1.3), %.3f of undisturbed (aim 0.9); attempts a call in an outage %.2f (aim 1.1); effects run twice %d; late answers %d; seeds %d\n",
+		d.overFlat, d.ofBaseline, d.attempts, d.effectsTwice, d.lateAll, seeds)
+	return errors.Join(d.missed...)
+}
+
+// count adds up what must never happen.
+func (d *dependencyReport) count(c comparison) {
+	for seed, r := range c.budgeted {
+		d.require(r.Unanswered+r.Twice == 0, "%s, seed %d: %d unanswered, %d answered twice", c.scenario.name, seed+1, r.Unanswered, r.Twice)
+		d.lateAll += r.Late
+		for _, s := range r.seen {
+			d.effectsTwice += s.Twice
+		}
+	}
+}
+
+// scenarioFigures are those of a scenario that objectives are set for.
+type scenarioFigures struct {
+	overFlat         float64
+	ofBaseline       float64 // of the scenario without faults; 0 without it
+	hasBaseline      bool
+	attempts         float64 // at the guests, per call
+	noCallOfBaseline float64
+}
+
+// judge compares a scenario's figures with the objectives.
+func (d *dependencyReport) judge(c comparison, f scenarioFigures) {
+	switch c.scenario.name {
+	case "one ten times slower":
+		d.overFlat, d.ofBaseline = f.overFlat, f.ofBaseline
+		d.require(f.overFlat >= minOverFlat, "%s: %.2f of the baseline, 1.3 is aimed at", c.scenario.name, f.overFlat)
+		d.require(!f.hasBaseline || f.ofBaseline >= minOfUndisturbed, "%s: %.3f of undisturbed, 0.9 is aimed at", c.scenario.name, f.ofBaseline)
+	case "total outage of one", "130%, outage of one":
+		d.attempts = max(d.attempts, f.attempts)
+		d.require(f.attempts <= maxAttemptsInOutage, "%s: %.2f attempts a call, 1.1 is aimed at", c.scenario.name, f.attempts)
+		d.require(f.noCallOfBaseline >= minNoCallRoute, "%s: the type without calls at %.3f of undisturbed, 0.98 is aimed at", c.scenario.name, f.noCallOfBaseline)
+	}
+}
+
+// baseline are the results, by seed, of the scenario that this one is compared with; nil where it was not run.
+func (c comparison) baseline(comparisons []comparison) []scenarioResult {
+	name := undisturbed
+	if c.scenario.baseline != "" {
+		name = c.scenario.baseline
+	}
+	for _, other := range comparisons {
+		if other.scenario.name == name {
+			return other.budgeted
+		}
+	}
+	return nil
+}
+
+// print prints the row of a scenario.
+func (c comparison) print(table io.Writer, comparisons []comparison) scenarioFigures {
+	f := scenarioFigures{noCallOfBaseline: 1, attempts: median(c.budgeted, guestAttempts)}
+	f.overFlat = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Honoured / c.flat[seed].Honoured })
+	if baseline := c.baseline(comparisons); baseline != nil {
+		f.hasBaseline = true
+		f.ofBaseline = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Honoured / baseline[seed].Honoured })
+		f.noCallOfBaseline = median(c.budgeted, func(seed int, r scenarioResult) float64 {
+			return r.ByType[noCallRoute] / max(baseline[seed].ByType[noCallRoute], 1)
+		})
+	}
+	late := 0
+	for _, r := range c.budgeted {
+		late += r.Late
+	}
+	both := func(figure func(int, scenarioResult) float64) (budgeted, flat float64) {
+		return median(c.budgeted, figure), median(c.flat, figure)
+	}
+	honoured, flatHonoured := both(func(_ int, r scenarioResult) float64 { return r.Honoured / r.Offered })
+	aborted, flatAborted := both(codeCount(codeAborted))
+	rejected, flatRejected := both(codeCount(codeRejected))
+	attempts, flatAttempts := both(guestAttempts)
+	p50, flatP50 := both(quantileMillis(0.5))
+	p99, flatP99 := both(quantileMillis(0.99))
+	fmt.Fprintf(table, "%s\t%.3f / %.3f\t%.2f\t%.0f\t%.0f / %.0f\t%.0f / %.0f\t%d\t%.2f / %.2f\t%.0f / %.0f\t%.0f / %.0f\t%.3f\t\n",
+		c.scenario.name, honoured, flatHonoured, f.overFlat,
+		median(c.budgeted, func(_ int, r scenarioResult) float64 { return float64(r.Partial) }),
+		aborted, flatAborted, rejected, flatRejected, late,
+		attempts, flatAttempts, p50, flatP50, p99, flatP99, f.noCallOfBaseline)
+	return f
+}
+
+// codeCount is the number of answers with a code.
+func codeCount(code byte) func(int, scenarioResult) float64 {
+	return func(_ int, r scenarioResult) float64 { return float64(r.Codes[code]) }
+}
+
+// guestAttempts is the number of attempts at the guests over the slot-checks that were started, each of which makes one
+// first attempt there at the most.
+func guestAttempts(_ int, r scenarioResult) float64 {
+	started := float64(r.seen[tables].Calls - r.seen[tables].Numbers)
+	return float64(r.seen[guests].Calls) / max(started, 1)
+}
+
+// quantileMillis is a quantile of the times of answers that completed.
+func quantileMillis(quantile float64) func(int, scenarioResult) float64 {
+	return func(_ int, r scenarioResult) float64 {
+		if len(r.Took) == 0 {
+			return 0
+		}
+		return float64(r.Took[int(quantile*float64(len(r.Took)-1))].Microseconds()) / 1000
+	}
+}
--- /dev/null
+++ b/cmd/quartzpoint-bench/faultscenarios.go
@@ -0,0 +1,127 @@
+package main
+
+import (
+	"time"
+
+	"quartzpoint/internal/testkit/harness"
+)
+
+// The dependencies of the scenarios.
+const (
+	tables   = iota // required by all composed requests
+	guests          // optional in slot-check
+	waitlist        // required by confirm-booking; its calls have effects
+)
+
+// faultStart is when faults begin that do not last from the start.
+const faultStart = time.Second
+
+// noCallRoute is the index in scenarioRoutes of the route that needs no call.
+const noCallRoute = 2
+
+// faultScenario scripts the behaviour of the three dependencies.
+type faultScenario struct {
+	name       string
+	scripts    [3]harness.Script
+	overloaded bool   // workers at 130 % by the route that needs no call
+	baseline   string // name of the scenario that it is compared with
+}
+
+// always is a mood that lasts from the start.
+func always(m harness.Mood) harness.Script { return func(time.Duration) harness.Mood { return m } }
+
+// until is a mood from faultStart to end.
+func until(end time.Duration, m harness.Mood) harness.Script {
+	return func(at time.Duration) harness.Mood {
+		if at >= faultStart && at < end {
+			return m
+		}
+		return harness.Mood{}
+	}
+}
+
+// undisturbed is the scenario without faults, which others are compared with by default.
+const undisturbed = "undisturbed"
+
+func faultScenarios() []faultScenario {
+	return []faultScenario{
+		{name: undisturbed},
+		{name: "one ten times slower", scripts: [3]harness.Script{guests: always(harness.Mood{Slow: 10})}},
+		{name: "total outage of one", scripts: [3]harness.Script{guests: always(harness.Mood{Errors: true})}},
+		{name: "one silent for 3 s", scripts: [3]harness.Script{guests: until(4*time.Second, harness.Mood{Silent: true})}},
+		{name: "two: silence and errors", scripts: [3]harness.Script{guests: until(4*time.Second, harness.Mood{Silent: true}),
+			waitlist: until(4*time.Second, harness.Mood{Errors: true})}},
+		{name: "flaps each second", scripts: [3]harness.Script{guests: func(at time.Duration) harness.Mood {
+			return harness.Mood{Errors: int(at/time.Second)%2 == 1}
+		}}},
+		{name: "garbage for 2 s", scripts: [3]harness.Script{guests: until(3*time.Second, harness.Mood{Garbage: true})}},
+		{name: "effects answered late", scripts: [3]harness.Script{waitlist: until(4*time.Second, harness.Mood{Late: 3 * time.Second})}},
+		{name: "restart, slow at first", scripts: [3]harness.Script{guests: func(at time.Duration) harness.Mood {
+			return harness.Mood{Down: at >= time.Second && at < 2*time.Second, Slow: max(1, 6-2*(at-2*time.Second).Seconds())}
+		}}},
+		{name: "130%, undisturbed", overloaded: true},
+		{name: "130%, outage of one", overloaded: true, baseline: "130%, undisturbed",
+			scripts: [3]harness.Script{guests: always(harness.Mood{Errors: true})}},
+	}
+}
+
+// scenarioConfig is formatted with the control socket and the three addresses.
+const scenarioConfig = `
+[control]
+socket = %q
+[dependencies.tables]
+address = %q
+share = 24
+[dependencies.guests]
+address = %q
+share = 12
+[dependencies.waitlist]
+address = %q
+share = 16
+[types.slot-check]
+reserve = "30ms"
+[[types.slot-check.calls]]
+name = "table-map"
+dependency = "tables"
+needed = true
+importance = 8
+expected = "20ms"
+second-attempt = true
+hedge = true
+[[types.slot-check.calls]]
+name = "guest-profile"
+dependency = "guests"
+importance = 2
+expected = "30ms"
+second-attempt = true
+[types.confirm-booking]
+reserve = "30ms"
+[[types.confirm-booking.calls]]
+name = "hold"
+dependency = "tables"
+needed = true
+importance = 4
+expected = "20ms"
+effect = "numbered"
+second-attempt = true
+[[types.confirm-booking.calls]]
+name = "deposit"
+dependency = "waitlist"
+after = ["hold"]
+needed = true
+importance = 4
+expected = "40ms"
+effect = "at-most-once"
+`
+
+// scenarioRoutes are two that are composed of calls, and one that the pool runs and that needs none.
+func scenarioRoutes() []harness.Route {
+	return []harness.Route{
+		{Name: "slot-check", Value: 1, LatencyTarget: 800 * time.Millisecond, Deadline: 2 * time.Second, Share: 0.6,
+			Work: time.Millisecond, Composed: true},
+		{Name: "confirm-booking", Value: 4, LatencyTarget: 1500 * time.Millisecond, Deadline: 3 * time.Second, Once: true,
+			Share: 0.15, Work: time.Millisecond, Composed: true},
+		{Name: "guest-note", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 0.25,
+			Work: 40 * time.Millisecond, Spread: 0.5},
+	}
+}
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -18,14 +18,15 @@
 	"quartzpoint/internal/server"
 )
 
-// startComposer starts what makes requests of calls, nil where nothing is stated. It ends with the context.
+// startComposer starts the composer of the routes that the configuration makes of calls; nil without any. It ends with the
+// context. memory is that of the process, in bytes.
 func startComposer(
 	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counts, log *slog.Logger,
 ) (*fanout.Composer, error) {
 	if len(ours.Types) == 0 {
 		return nil, nil
 	}
-	types, err := composedRoutes(ours, owner.Types())
+	routes, err := composedRoutes(ours, owner.Types())
 	if err != nil {
 		return nil, err
 	}
@@ -33,23 +34,24 @@
 	for _, d := range ours.Dependencies {
 		dependencies = append(dependencies, fanout.Dependency(d))
 	}
-	composer := fanout.New(ctx, dependencies, types, memory, seed, owner.Now, counts, log, owner.Nudge)
+	composer := fanout.New(ctx, dependencies, routes, memory, seed, owner.Now, counts, log, owner.Nudge)
 	owner.Compose(composer)
-	log.Info("tasks made of calls", "types", len(types), "dependencies", len(dependencies))
+	log.Info("tasks made of calls", "types", len(routes), "dependencies", len(dependencies))
 	return composer, nil
 }
 
-// composedRoutes are the types' plans, checked against the time that the platform's configuration gives a task of each.
-func composedRoutes(ours *config.Config, whole map[string]time.Duration) (routes []fanout.Route, err error) {
+// composedRoutes are the configured plans, validated against available: the time that the platform's configuration gives
+// requests of each route. The error joins all faults.
+func composedRoutes(ours *config.Config, available map[string]time.Duration) (routes []fanout.Route, err error) {
 	var faults []error
 	for _, t := range ours.Types {
 		plan := t.Plan()
-		time, known := whole[t.Name]
+		deadline, known := available[t.Name]
 		if !known {
 			faults = append(faults, fmt.Errorf("types.%s: the platform's configuration names no such traffic type", t.Name))
 			continue
 		}
-		if err := plan.Validate(len(ours.Dependencies), time); err != nil {
+		if err := plan.Validate(len(ours.Dependencies), deadline); err != nil {
 			faults = append(faults, fmt.Errorf("types.%s: %w", t.Name, err))
 		}
 		route := fanout.Route{Plan: plan}
@@ -61,7 +63,7 @@
 	return routes, errors.Join(faults...)
 }
 
-// printTimeline prints a plan for its operators.
+// printTimeline prints when the calls of a plan are expected to start and end, and their timeouts.
 func printTimeline(writer io.Writer, t config.Type, dependencies []config.Dependency, available time.Duration) error {
 	plan := t.Plan()
 	if err := plan.Validate(len(dependencies), available); err != nil {
@@ -74,24 +76,24 @@
 	fmt.Fprintf(writer, "%s: %v in all, %v of it kept back\n", t.Name, available, t.Reserve)
 	table := tabwriter.NewWriter(writer, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "  call\tdependency\tbegins\tends\tmay take\t")
-	for _, s := range plan.Spans(available, names) {
-		kind := ""
-		if s.Required {
-			kind = "needed"
+	for _, span := range plan.Spans(available, names) {
+		required := ""
+		if span.Required {
+			required = "needed"
 		}
-		fmt.Fprintf(table, "  %s\t%s\t%v\t%v\t%v\t%s\n", s.Name, s.Dependency, s.Start, s.End,
-			s.Timeout.Round(time.Millisecond), kind)
+		fmt.Fprintf(table, "  %s\t%s\t%v\t%v\t%v\t%s\n", span.Name, span.Dependency, span.Start, span.End,
+			span.Timeout.Round(time.Millisecond), required)
 	}
 	return table.Flush()
 }
 
-// dependenciesCommand is the command that prints how a running server's dependencies stand.
+// dependenciesCommand prints the state of a running server's dependencies.
 type dependenciesCommand struct {
 	Socket string `arg:"" help:"The server's control socket, as in its [control] socket."`
 	JSON   bool   `name:"json" help:"Print it as JSON."`
 }
 
-// Run asks once.
+// Run asks the server once.
 func (cmd *dependenciesCommand) Run() error {
 	var states []budget.State
 	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askDependencies}, &states); err != nil {
@@ -103,10 +105,10 @@
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "dependency\tlimit\tof\tin flight\tlingering\twaiting\tbreaker\tdegraded\tfirst\tsecond\tearned\tlate\tp50 ms\tp95\tp99\t")
 	for _, s := range states {
-		q := s.QuantilesInMillis
+		quantiles := s.QuantilesInMillis
 		fmt.Fprintf(table, "%s\t%.1f\t%d\t%d\t%d\t%d\t%s\t%t\t%d\t%d\t%.1f\t%d\t%.1f\t%.1f\t%.1f\t\n",
 			s.Name, s.Limit, s.MaxInFlight, s.InFlight, s.CancelledInFlight, s.Queued, s.Breaker, s.Degraded,
-			s.FirstAttempts, s.ExtraAttempts, s.RetryTokens, s.LateResponses, q[0], q[1], q[2])
+			s.FirstAttempts, s.ExtraAttempts, s.RetryTokens, s.LateResponses, quantiles[0], quantiles[1], quantiles[2])
 	}
 	return table.Flush()
 }
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -38,7 +38,7 @@
 effect = "at-most-once"
 `
 
-// composedServer is a server with a type made of calls and one that the pool runs.
+// composedServer is a server with a route made of calls and one that the pool runs.
 type composedServer struct {
 	daemon       *harness.Daemon
 	tables, bank *harness.Dependency
@@ -67,11 +67,12 @@
 	return c
 }
 
+// Without faults all requests complete, and the control socket reports the dependencies.
 func TestComposed(t *testing.T) {
 	c := startComposedServer(t, nil)
 	done, err := harness.Run(c.daemon.Address, c.types, harness.Arrivals(c.types, 60, time.Second, 1), 1)
 	require.NoError(t, err)
-	assert.Equal(t, done.Tasks, done.Codes[20], "all are honoured")
+	assert.Equal(t, done.Tasks, done.Codes[20], "all complete")
 	assert.Zero(t, done.Partial+done.Late+done.Twice)
 	about, err := os.Stat(c.socket)
 	require.NoError(t, err)
@@ -94,8 +95,8 @@
 	assert.Equal(t, 1, code, out)
 }
 
-// The deposit is written and its answer comes after all time: the task is given up, never dismissed, and the deposit
-// made once. Tasks that need nothing of the bank are as before.
+// The deposit is sent and its response comes after the deadline. The request is aborted, never rejected, and the deposit made
+// once. Requests that do not need the bank are not affected.
 func TestDepositWithoutAnswer(t *testing.T) {
 	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Late: 3 * time.Second} })
 	load := harness.Arrivals(c.types, 20, time.Second, 1)
@@ -111,12 +112,13 @@
 	assert.Positive(t, seen.Effects)
 	assert.Zero(t, seen.Twice)
 	assert.Equal(t, seen.Calls, seen.Numbers, "no attempt was repeated")
-	assert.GreaterOrEqual(t, done.Codes[51], seen.Effects, "what ran is given up, not dismissed")
+	assert.GreaterOrEqual(t, done.Codes[51], seen.Effects, "what ran is aborted, not rejected")
 	require.NoError(t, c.daemon.Stop())
 	assert.NotContains(t, c.daemon.Log(), "check failed")
 }
 
-// The notice to leave, and the caller's end, while calls are open.
+// A caller disconnects, and then the server shuts down, while calls are in flight. The other callers get their answers, and
+// the shutdown ends in time.
 func TestLeavingWithOpenCalls(t *testing.T) {
 	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Silent: true} })
 	gone := fake.Dial(t, c.daemon.Address)
@@ -145,6 +147,7 @@
 	assert.NotContains(t, c.daemon.Log(), "check failed")
 }
 
+// A plan has a fault. The check command names it and fails.
 func TestCheckPlans(t *testing.T) {
 	folder := t.TempDir()
 	site := strings.Replace(fake.Site, `"browse"`, `"confirm-booking"`, 1)
