--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -124,7 +124,7 @@
 	gone := fake.Dial(t, c.daemon.Address)
 	gone.Send(t, fake.Task(1, "confirm-booking", "x"))
 	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 1 }, fake.Patience, time.Millisecond)
-	gone.Close()
+	_ = gone.Close()
 	router := fake.Dial(t, c.daemon.Address)
 	for stream := range uint32(3) {
 		more := []string{"call", "00000000000000a" + string(rune('1'+stream))}
@@ -141,7 +141,7 @@
 			answers++
 		}
 	}
-	router.Close()
+	_ = router.Close()
 	require.NoError(t, <-left)
 	assert.Less(t, time.Since(began), 2500*time.Millisecond)
 	assert.NotContains(t, c.daemon.Log(), "check failed")
