--- a/cmd/quartzpoint/main.go
+++ b/cmd/quartzpoint/main.go
@@ -30,7 +30,7 @@
 	Check         checking              `cmd:"" help:"Read both configurations whole and print every fault."`
 	Peer          peers                 `cmd:"" help:"Ask running servers."`
 	Lease         leases                `cmd:"" help:"Ask running servers about duties held by lease."`
-	Dependencies  asking                `cmd:"" help:"Print how a running server's dependencies stand."`
+	Dependencies  dependenciesCommand   `cmd:"" help:"Print how a running server's dependencies stand."`
 	State         stateCommands         `cmd:"" help:"Read and tidy folders of state."`
 	Configuration configurationCommands `cmd:"" help:"Ask running servers about the configuration service."`
 	Version       version               `cmd:"" help:"Print the version."`
--- a/internal/config/dependencies.go
+++ b/internal/config/dependencies.go
@@ -16,9 +16,9 @@
 // Dependency is a service that requests call.
 type Dependency struct {
 	budget.Options
-	Address     string
-	Connections int
-	Silence     time.Duration // without a byte, after which a connection with calls in flight is considered dead
+	Address        string
+	Connections    int
+	SilenceTimeout time.Duration // after which a connection that owes answers and says nothing is dead
 }
 
 func readDependencies(s *section) []Dependency {
@@ -26,16 +26,16 @@
 	for _, sub := range s.subsections(maxDependencies) {
 		all = append(all, Dependency{
 			Options: budget.Options{
-				Name:       sub.name,
-				Share:      sub.integer("share", 8, 1, maxShare),
-				QueueLimit: sub.integer("waiting", 64, 0, maxQueue),
-				Linger:     sub.duration("linger", 2*time.Second, 10*time.Millisecond, time.Minute),
-				RetryRatio: sub.float("second-attempts", 0.1, 0.5),
+				Name:             sub.name,
+				MaxInFlight:      sub.integer("share", 8, 1, maxShare),
+				QueueLimit:       sub.integer("waiting", 64, 0, maxQueue),
+				CancelledTimeout: sub.duration("linger", 2*time.Second, 10*time.Millisecond, time.Minute),
+				RetryRatio:       sub.float("second-attempts", 0.1, 0.5),
 			},
 			Address: sub.stringValue("address", "", "an address and port without a name, as \"127.0.0.1:9501\", is allowed",
 				isAddress),
-			Connections: sub.integer("connections", 2, 1, maxConnections),
-			Silence:     sub.duration("silence", 2*time.Second, 100*time.Millisecond, time.Minute),
+			Connections:    sub.integer("connections", 2, 1, maxConnections),
+			SilenceTimeout: sub.duration("silence", 2*time.Second, 100*time.Millisecond, time.Minute),
 		})
 		if !sub.has("address") {
 			sub.addError("address", nil, "is missing")
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -64,7 +64,7 @@
 	case len(calls) == 0:
 		s.addError("calls", nil, "a type that is made of calls needs some, each as [["+s.keyPath("calls")+"]]")
 	case len(s.errs) == before: // otherwise the plan would repeat the errors of its calls
-		for _, err := range splitJoined(route.Plan().Check(len(dependencies), maxPlanTime)) {
+		for _, err := range splitJoined(route.Plan().Validate(len(dependencies), maxPlanTime)) {
 			s.addError("calls", nil, err.Error())
 		}
 	}
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/caller_test.go
@@ -22,32 +22,32 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// index is a dependency that answers each call as a test says, by its own bytes.
-type index struct {
-	address string
-	asked   chan *http.Request
-	bodies  chan string
-	opened  chan net.Conn
+// testDependency answers each call with the bytes that a test gives.
+type testDependency struct {
+	address     string
+	requests    chan *http.Request
+	bodies      chan string
+	connections chan net.Conn
 }
 
-// newIndex answers call number n, from 0 on, with answer(n); an empty answer is none, and one that ends in "\x00" is
+// newTestDependency answers call number n, from 0 on, with answer(n); an empty answer is none, and one that ends in "\x00" is
 // followed by the end of the connection.
-func newIndex(t *testing.T, answer func(n int) string) *index {
+func newTestDependency(t *testing.T, answer func(n int) string) *testDependency {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	x := &index{
-		address: listener.Addr().String(), asked: make(chan *http.Request, 64), bodies: make(chan string, 64),
-		opened: make(chan net.Conn, 64),
+	x := &testDependency{
+		address: listener.Addr().String(), requests: make(chan *http.Request, 64), bodies: make(chan string, 64),
+		connections: make(chan net.Conn, 64),
 	}
 	var mu sync.Mutex
-	var over sync.WaitGroup
+	var running sync.WaitGroup
 	n := 0
-	serve := func(link net.Conn) {
-		defer over.Done()
-		defer link.Close()
-		in := bufio.NewReader(link)
+	serve := func(conn net.Conn) {
+		defer running.Done()
+		defer func() { _ = conn.Close() }()
+		reader := bufio.NewReader(conn)
 		for {
-			r, err := http.ReadRequest(in)
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
@@ -56,59 +56,59 @@
 			text := answer(n)
 			n++
 			mu.Unlock()
-			x.asked <- r
+			x.requests <- r
 			x.bodies <- string(body)
 			last := len(text) > 0 && text[len(text)-1] == 0
 			if last {
 				text = text[:len(text)-1]
 			}
-			_, _ = io.WriteString(link, text)
+			_, _ = io.WriteString(conn, text)
 			if last {
 				return
 			}
 		}
 	}
-	over.Add(1)
+	running.Add(1)
 	go func() {
-		defer over.Done()
+		defer running.Done()
 		for {
-			link, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			x.opened <- link
-			over.Add(1)
-			go serve(link)
+			x.connections <- conn
+			running.Add(1)
+			go serve(conn)
 		}
 	}()
 	t.Cleanup(func() {
-		listener.Close()
-		for len(x.opened) > 0 {
-			(<-x.opened).Close()
+		_ = listener.Close()
+		for len(x.connections) > 0 {
+			_ = (<-x.connections).Close()
 		}
-		over.Wait()
+		running.Wait()
 	})
 	return x
 }
 
-// asking is a caller under test with what it tells.
-type asking struct {
+// testCaller is a caller under test with its reports.
+type testCaller struct {
 	*Caller
 	ends chan workerapi.CallEnd
 }
 
-func newAsking(t *testing.T, address string, max int) *asking {
-	a := &asking{ends: make(chan workerapi.CallEnd, 64)}
-	a.Caller = New(address, max, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {},
-		func(e workerapi.CallEnd) { a.ends <- e })
-	t.Cleanup(func() { a.Move("127.0.0.1:1") }) // ends what is idle
-	return a
+func newTestCaller(t *testing.T, address string, maxConnections int) *testCaller {
+	caller := &testCaller{ends: make(chan workerapi.CallEnd, 64)}
+	caller.Caller = New(address, maxConnections, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {},
+		func(e workerapi.CallEnd) { caller.ends <- e })
+	t.Cleanup(func() { caller.SetAddress("127.0.0.1:1") }) // closes idle connections
+	return caller
 }
 
-func (a *asking) next(t *testing.T) workerapi.CallEnd {
+func (c *testCaller) next(t *testing.T) workerapi.CallEnd {
 	t.Helper()
 	select {
-	case e := <-a.ends:
+	case e := <-c.ends:
 		return e
 	case <-time.After(fake.Patience):
 		require.FailNow(t, "a call does not end")
@@ -116,12 +116,13 @@
 	}
 }
 
-func asked(n uint64, within time.Duration) workerapi.Call {
+func testCall(n uint64, within time.Duration) workerapi.Call {
 	return workerapi.Call{CallID: n, RequestID: "9b1f03aa5c7e2d41", Body: []byte("\x00 what\r\n"), Within: within}
 }
 
 const good = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
 
+// Every reply, and every way in which none comes, has one outcome; and the next call succeeds.
 func TestEndsOfACall(t *testing.T) {
 	cases := map[string]struct {
 		answer  string
@@ -134,7 +135,7 @@
 		"good, and closes":      {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nreply\x00", admission.Succeeded, "reply"},
 		"good, and empty":       {"HTTP/1.1 204 No Content\r\n\r\n", admission.Succeeded, ""},
 		"good, said beforehand": {"HTTP/1.1 102 Processing\r\n\r\n" + good, admission.Succeeded, "reply"},
-		"turned away unseen":    {"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n", admission.NotRun, ""},
+		"shed":                  {"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n", admission.NotRun, ""},
 		"failed":                {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
 		"failed, not shed":      {"HTTP/1.1 503 Busy\r\nX-Shed: 0\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
 		"too late there":        {"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", admission.Unknown, ""},
@@ -147,27 +148,27 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			x := newIndex(t, func(n int) string {
+			x := newTestDependency(t, func(n int) string {
 				if n == 0 {
 					return c.answer
 				}
 				return good
 			})
-			a := newAsking(t, x.address, 1)
-			a.Call(asked(1, time.Second))
-			e := a.next(t)
+			caller := newTestCaller(t, x.address, 1)
+			caller.Call(testCall(1, time.Second))
+			e := caller.next(t)
 			assert.Equal(t, c.outcome, e.Outcome)
 			if c.outcome == admission.Succeeded {
 				assert.Equal(t, c.result, string(e.Result))
 			}
-			r := <-x.asked
+			r := <-x.requests
 			assert.Equal(t, "POST /lookup", r.Method+" "+r.URL.Path)
 			assert.Equal(t, "9b1f03aa5c7e2d41", r.Header.Get("X-Parent-Id"))
 			assert.Regexp(t, `^(9\d\d|1000)$`, r.Header.Get("X-Budget-Ms"))
 			assert.Equal(t, "\x00 what\r\n", <-x.bodies)
 
-			a.Call(asked(2, fake.Patience))
-			e = a.next(t)
+			caller.Call(testCall(2, fake.Patience))
+			e = caller.next(t)
 			assert.Equal(t, admission.Succeeded, e.Outcome, "the next call is none the worse")
 			assert.Equal(t, "reply", string(e.Result))
 		})
@@ -176,72 +177,76 @@
 
 func TestConnections(t *testing.T) {
 	t.Run("one carries call after call", func(t *testing.T) {
-		x := newIndex(t, func(int) string { return good })
-		a := newAsking(t, x.address, 4)
+		x := newTestDependency(t, func(int) string { return good })
+		caller := newTestCaller(t, x.address, 4)
 		for n := range uint64(5) {
-			a.Call(asked(n+1, fake.Patience))
-			assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
+			caller.Call(testCall(n+1, fake.Patience))
+			assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 		}
-		assert.Len(t, x.opened, 1)
+		assert.Len(t, x.connections, 1)
 	})
 	t.Run("one that was closed while idle is opened anew", func(t *testing.T) {
-		x := newIndex(t, func(int) string { return good })
-		a := newAsking(t, x.address, 4)
-		a.Call(asked(1, fake.Patience))
-		a.next(t)
-		link := <-x.opened
-		link.Close()
+		x := newTestDependency(t, func(int) string { return good })
+		caller := newTestCaller(t, x.address, 4)
+		caller.Call(testCall(1, fake.Patience))
+		caller.next(t)
+		conn := <-x.connections
+		_ = conn.Close()
 		require.Eventually(t, func() bool {
-			a.mu.Lock()
-			defer a.mu.Unlock()
-			return a.idle[0].stale()
+			caller.mu.Lock()
+			defer caller.mu.Unlock()
+			return caller.idle[0].stale()
 		}, fake.Patience, time.Millisecond)
-		a.Call(asked(2, fake.Patience))
-		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
+		caller.Call(testCall(2, fake.Patience))
+		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 	})
 	t.Run("no more than allowed", func(t *testing.T) {
-		x := newIndex(t, func(int) string { return "" })
-		a := newAsking(t, x.address, 2)
+		x := newTestDependency(t, func(int) string { return "" })
+		caller := newTestCaller(t, x.address, 2)
 		for n := range uint64(3) {
-			a.Call(asked(n+1, fake.Patience))
+			caller.Call(testCall(n+1, fake.Patience))
 		}
-		e := a.next(t)
+		e := caller.next(t)
 		assert.Equal(t, admission.NotRun, e.Outcome)
 		assert.Equal(t, uint64(3), e.CallID)
-		<-x.asked
-		<-x.asked
-		a.Abandon(1)
-		a.Abandon(2)
-		a.Abandon(3) // not in hand: no harm
-		assert.Equal(t, admission.Unknown, a.next(t).Outcome)
-		assert.Equal(t, admission.Unknown, a.next(t).Outcome)
+		<-x.requests
+		<-x.requests
+		caller.Cancel(1)
+		caller.Cancel(2)
+		caller.Cancel(3) // not in flight: ignored
+		assert.Equal(t, admission.Unknown, caller.next(t).Outcome)
+		assert.Equal(t, admission.Unknown, caller.next(t).Outcome)
 	})
+}
+
+// The dependency moves to another address: further calls go there, also where nobody was before.
+func TestSetAddress(t *testing.T) {
 	t.Run("nobody there, and then somebody", func(t *testing.T) {
-		a := newAsking(t, "127.0.0.1:1", 2)
-		a.Call(asked(1, fake.Patience))
-		assert.Equal(t, admission.NotRun, a.next(t).Outcome)
-		x := newIndex(t, func(int) string { return good })
-		a.Move(x.address)
-		a.Call(asked(2, fake.Patience))
-		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
+		caller := newTestCaller(t, "127.0.0.1:1", 2)
+		caller.Call(testCall(1, fake.Patience))
+		assert.Equal(t, admission.NotRun, caller.next(t).Outcome)
+		x := newTestDependency(t, func(int) string { return good })
+		caller.SetAddress(x.address)
+		caller.Call(testCall(2, fake.Patience))
+		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 	})
-	t.Run("a move lets what is under way end", func(t *testing.T) {
+	t.Run("calls in flight end where they began", func(t *testing.T) {
 		release := make(chan bool)
-		old := newIndex(t, func(int) string { <-release; return good })
-		x := newIndex(t, func(int) string { return good })
-		a := newAsking(t, old.address, 2)
-		a.Call(asked(1, fake.Patience))
-		<-old.opened
-		a.Move(x.address)
-		a.Call(asked(2, fake.Patience))
-		assert.Equal(t, uint64(2), a.next(t).CallID)
+		old := newTestDependency(t, func(int) string { <-release; return good })
+		x := newTestDependency(t, func(int) string { return good })
+		caller := newTestCaller(t, old.address, 2)
+		caller.Call(testCall(1, fake.Patience))
+		<-old.connections
+		caller.SetAddress(x.address)
+		caller.Call(testCall(2, fake.Patience))
+		assert.Equal(t, uint64(2), caller.next(t).CallID)
 		close(release)
-		e := a.next(t)
+		e := caller.next(t)
 		assert.Equal(t, uint64(1), e.CallID)
 		assert.Equal(t, admission.Succeeded, e.Outcome)
-		a.Call(asked(3, fake.Patience))
-		assert.Equal(t, admission.Succeeded, a.next(t).Outcome)
-		assert.Len(t, old.asked, 1)
-		assert.Len(t, x.asked, 2)
+		caller.Call(testCall(3, fake.Patience))
+		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
+		assert.Len(t, old.requests, 1)
+		assert.Len(t, x.requests, 2)
 	})
 }
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -1,388 +1,245 @@
-// Package fanout carries tasks that are made of calls to several dependencies: the calls out, their answers in,
-// and one answer made of them. What is called when, for how long and how often is package budget's to decide.
+// Package fanout runs requests that are made of calls to several dependencies: it sends the calls, receives their
+// responses and composes one answer of them. Package budget decides which call is sent when, with which timeout and how
+// often.
 package fanout
 
 import (
 	"context"
-	"encoding/base64"
-	"encoding/json"
 	"log/slog"
 	"slices"
 	"sync"
 	"time"
 
-	"github.com/hashicorp/golang-lru/v2/simplelru"
-
 	"quartzpoint/budget"
 	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/workerapi"
 )
 
 const (
-	mostPartHead = 96      // bytes of a part beside its name and result
-	mostAnswer   = 4 << 10 // bytes of a composed answer, as the routers' protocol has it
-	mostEntries  = 65536   // last good results, whatever their size
-	lookEvery    = 250 * time.Millisecond
-	holdShare    = 16 // part of the program's memory, as a divisor, that results under way may take
-	keepShare    = 16 // the same, for last good results
+	connectionCheckInterval = 250 * time.Millisecond // while requests are in progress
+	resultMemoryDivisor     = 16                     // of the process's memory: results of requests in progress
+	cacheMemoryDivisor      = 16                     // of the process's memory: stored results
+)
+
+// The outcomes of a run, as package workerapi's notices name them.
+const (
+	runSucceeded   = "success"
+	runInterrupted = "interrupted"
 )
 
-// Dependency is one that is called.
+// Dependency configures a dependency and the connections to it.
 type Dependency struct {
 	budget.Options
-	Address     string
-	Connections int
-	Silence     time.Duration // after which a connection that owes an answer and says nothing is dead
+	Address        string // TCP, host:port
+	Connections    int
+	SilenceTimeout time.Duration // a connection that owes a response and reads nothing for so long is closed
 }
 
-// Call says how a call of a plan is carried.
+// Call is what package budget need not know of a call.
 type Call struct {
-	Op      string
-	Keep    time.Duration // age up to which a last good result may take its place; 0: none
-	Default []byte        // what takes its place else; nil: nothing does
+	Op           string        // name of the operation at the dependency
+	MaxStaleness time.Duration // up to this age a stored result may replace its part; 0: none may
+	Default      []byte        // constant that replaces its part otherwise; nil: none does
 }
 
-// Type is a traffic type that is made of calls; Calls stand as in its plan.
-type Type struct {
+// Route is a route whose requests are made of calls. Calls and Plan.Calls have the same indexes.
+type Route struct {
 	Plan  *budget.Plan
 	Calls []Call
 }
 
-// Composer makes tasks of calls. All of it belongs to the owner of decisions, but for what its transports read.
+// Composer runs composed requests. It implements server.Composer, and budget.Executor for its own scheduler. All its
+// methods but Wait belong to the decision loop.
 type Composer struct {
-	counts    *invariant.Counts
-	now       func() time.Duration
-	types     map[string]*Type
-	ways      []Transport
-	deps      []*budget.Dependency
-	scheduler *budget.Scheduler
-	over      sync.WaitGroup
-
-	tasks   map[string]*task
-	ended   []workerapi.Notice
-	unsent  []*Sent // for which there was no way
-	backs   []Back
-	looked  time.Duration
-	holds   int // bytes of results under way
-	mayHold int
-	kept    *simplelru.LRU[string, good]
-	keeps   int
-	mayKeep int
-}
-
-// task is one that is under way.
-type task struct {
-	id     string
-	kind   *Type
-	body   []byte
-	flight *budget.Execution
-	began  time.Duration
-	parts  [budget.MaxCalls][]byte
-	held   int                            // bytes of them that are the program's own
-	ages   [budget.MaxCalls]time.Duration // of last good results
-	sent   [budget.MaxCalls][2]*Sent
-}
-
-// good is a last good result.
-type good struct {
-	body []byte
-	at   time.Duration
-}
-
-// New starts a composer whose connections live until the context ends. now is the clock of rounds; wake is called
-// when there is something to take. The types' plans must have been checked.
+	counts       *invariant.Counts
+	now          func() time.Duration
+	routes       map[string]*Route
+	transports   []Transport // by dependency, as are dependencies
+	dependencies []*budget.Dependency
+	scheduler    *budget.Scheduler
+	connections  sync.WaitGroup
+
+	requests       map[string]*request // in progress, by id
+	notices        []workerapi.Notice  // not taken yet
+	unsent         []*Attempt          // that no connection took
+	responses      []Response          // scratch of Advance
+	checkedAt      time.Duration       // connections
+	resultBytes    int                 // of requests in progress
+	maxResultBytes int
+	cache          *resultCache
+}
+
+// request is one in progress.
+type request struct {
+	id          string
+	route       *Route
+	body        []byte
+	execution   *budget.Execution // nil until its first calls are sent
+	parts       [budget.MaxCalls][]byte
+	resultBytes int                            // of parts that are not constants or stored
+	ages        [budget.MaxCalls]time.Duration // of stored results; 0 without one
+	attempts    [budget.MaxCalls][2]*Attempt   // in flight
+}
+
+// New returns a composer whose connections live until the context ends; Wait then waits for them. memory is that of the
+// process, in bytes. now is the clock of decisions; wake is called, from any goroutine, when Advance has something to do.
+// The routes' plans must be valid. seed makes all jitter repeatable.
 func New(
-	ctx context.Context, dependencies []Dependency, types []Type, memory int, seed int64, now func() time.Duration,
+	ctx context.Context, dependencies []Dependency, routes []Route, memory int, seed int64, now func() time.Duration,
 	counts *invariant.Counts, log *slog.Logger, wake func(),
 ) *Composer {
 	c := &Composer{
-		counts: counts, now: now, types: map[string]*Type{}, tasks: map[string]*task{},
-		mayHold: memory / holdShare, mayKeep: memory / keepShare,
+		counts: counts, now: now, routes: map[string]*Route{}, requests: map[string]*request{},
+		maxResultBytes: memory / resultMemoryDivisor,
 	}
 	var err error
-	c.kept, err = simplelru.NewLRU(mostEntries, func(key string, g good) { c.keeps -= len(key) + len(g.body) })
+	c.cache, err = newResultCache(memory / cacheMemoryDivisor)
 	counts.That(err == nil, "no table of last good results")
 	for i, d := range dependencies {
-		c.deps = append(c.deps, budget.NewDependency(d.Options, seed+int64(i)))
-		c.ways = append(c.ways, Dial(ctx, d, seed+int64(i), log, counts.Saw, wake, &c.over))
+		c.dependencies = append(c.dependencies, budget.NewDependency(d.Options, seed+int64(i)))
+		c.transports = append(c.transports, Dial(ctx, d, seed+int64(i), log, counts.Saw, wake, &c.connections))
 	}
-	for _, t := range types {
-		c.types[t.Plan.Route] = &t
+	for _, route := range routes {
+		c.routes[route.Plan.Route] = &route
 	}
-	c.scheduler = budget.NewScheduler(c.deps, c, seed)
+	c.scheduler = budget.NewScheduler(c.dependencies, c, seed)
 	return c
 }
 
 // Wait returns once all connections have ended, after the context has.
-func (c *Composer) Wait() { c.over.Wait() }
+func (c *Composer) Wait() { c.connections.Wait() }
 
-// Composes tells whether tasks of a type are made of calls.
-func (c *Composer) Composes(kind string) bool { return c.types[kind] != nil }
+// Handles reports whether requests of a route are composed.
+func (c *Composer) Handles(route string) bool { return c.routes[route] != nil }
 
-// Waits is how long the needed calls of a type are expected to take, one behind the other, and the answering.
-func (c *Composer) Waits(kind string) time.Duration { return c.types[kind].Plan.NeededPath() }
+// ExpectedWait is how long the required calls of a composed route are expected to take on their longest path, with the
+// time kept for the answer.
+func (c *Composer) ExpectedWait(route string) time.Duration {
+	return c.routes[route].Plan.RequiredPath()
+}
 
-// Start begins the calls of a task.
-func (c *Composer) Start(r workerapi.Run) bool {
-	kind := c.types[r.Route]
-	c.counts.That(kind != nil && c.tasks[r.ID] == nil, "a task was composed twice, or has no plan")
-	if kind == nil || c.tasks[r.ID] != nil {
+// Start sends the first calls of a request. false means that it was not started: its route is not composed, or it is in
+// progress already.
+func (c *Composer) Start(run workerapi.Run) bool {
+	route := c.routes[run.Route]
+	valid := route != nil && c.requests[run.ID] == nil
+	c.counts.That(valid, "a task was composed twice, or has no plan")
+	if !valid {
 		return false
 	}
-	t := &task{id: r.ID, kind: kind, body: r.Body, began: c.now()}
-	c.tasks[r.ID] = t
-	t.flight = c.scheduler.Begin(kind.Plan, t.began, r.Deadline, t)
+	r := &request{id: run.ID, route: route, body: run.Body}
+	c.requests[run.ID] = r
+	r.execution = c.scheduler.Start(route.Plan, c.now(), run.Deadline, r)
 	return true
 }
 
-// Pause ends a task that nobody waits for any more. Calls with an effect that are under way go on at their
-// dependencies; nothing is called behind them.
+// Pause ends a request whose answer is not awaited any more. Calls with an effect that are in flight go on at their
+// dependencies; no more calls are sent.
 func (c *Composer) Pause(id string) bool {
-	t := c.tasks[id]
-	if t == nil {
+	r := c.requests[id]
+	if r == nil {
 		return false
 	}
-	if t.flight != nil {
-		c.scheduler.Abandon(t.flight, c.now())
+	if r.execution != nil {
+		c.scheduler.Cancel(r.execution, c.now())
 	}
-	c.end(t, "interrupted", nil)
+	c.finish(r, runInterrupted, nil)
 	return true
 }
 
-// GoOn does nothing: what was paused is over.
+// GoOn refuses: Pause has ended the request.
 func (c *Composer) GoOn(string) bool { return false }
 
-// Take gives the ends of tasks.
-func (c *Composer) Take(into []workerapi.Notice) []workerapi.Notice {
-	into = append(into, c.ended...)
-	clear(c.ended)
-	c.ended = c.ended[:0]
-	return into
+// Take appends the notices of requests that ended.
+func (c *Composer) Take(notices []workerapi.Notice) []workerapi.Notice {
+	notices = append(notices, c.notices...)
+	clear(c.notices)
+	c.notices = c.notices[:0]
+	return notices
 }
 
-// Flush writes what was called.
+// Flush writes the calls that were sent.
 func (c *Composer) Flush() {
-	for _, w := range c.ways {
-		w.Flush()
+	for _, transport := range c.transports {
+		transport.Flush()
 	}
 }
 
-// Due is when something is to be done next: at once where a call found no way or a task ended, as both are told only
-// in a later turn.
-func (c *Composer) Due() time.Duration {
-	if len(c.unsent)+len(c.ended) > 0 {
+// NextTimer is when Advance must be called next: at once where an attempt was not sent or a request ended, since both are
+// handled in a later round only.
+func (c *Composer) NextTimer() time.Duration {
+	if len(c.unsent)+len(c.notices) > 0 {
 		return 0
 	}
-	next := c.scheduler.Next()
-	if len(c.tasks) > 0 {
-		next = min(next, c.looked+lookEvery)
+	next := c.scheduler.NextTimer()
+	if len(c.requests) > 0 {
+		next = min(next, c.checkedAt+connectionCheckInterval)
 	}
 	return next
 }
 
-// Turn takes in what came and does what is due.
-func (c *Composer) Turn(now time.Duration) {
-	for _, s := range c.unsent {
-		if s.cancelled {
-			c.scheduler.Late(s.dependency, now)
-		} else {
-			c.returned(Back{Sent: s, How: budget.NotSent}, now)
-		}
+// Advance takes the responses that have come and runs the timers that are due.
+func (c *Composer) Advance(now time.Duration) {
+	for _, attempt := range c.unsent {
+		c.receive(Response{Attempt: attempt, Outcome: budget.NotSent}, now)
 	}
 	clear(c.unsent)
 	c.unsent = c.unsent[:0]
-	c.backs = c.backs[:0]
-	for _, w := range c.ways {
-		c.backs = w.Take(c.backs)
+	c.responses = c.responses[:0]
+	for _, transport := range c.transports {
+		c.responses = transport.Receive(c.responses)
 	}
-	slices.SortStableFunc(c.backs, func(a, b Back) int { return a.Sent.at.Compare(b.Sent.at) })
-	for _, b := range c.backs {
-		if b.Sent.cancelled {
-			c.scheduler.Late(b.Sent.dependency, now)
-			continue
-		}
-		c.returned(b, now)
+	// In the order in which they were sent: that of the transports' maps differs from run to run.
+	slices.SortStableFunc(c.responses, func(a, b Response) int { return a.Attempt.sentAt.Compare(b.Attempt.sentAt) })
+	for _, response := range c.responses {
+		c.receive(response, now)
 	}
-	clear(c.backs)
+	clear(c.responses)
 	c.scheduler.Advance(now)
-	if now >= c.looked+lookEvery {
-		c.looked = now
-		for _, w := range c.ways {
-			w.Turn(time.Now())
-		}
-	}
-}
-
-func (c *Composer) returned(b Back, now time.Duration) {
-	s := b.Sent
-	t := s.flight.Ref.(*task)
-	t.sent[s.call][s.attempt] = nil
-	if b.How == budget.Succeeded {
-		if c.holds+len(b.Body) > c.mayHold {
-			c.counts.Saw("result of a call beyond the program's own memory")
-			b.How = budget.Failed
-		} else {
-			c.holds += len(b.Body)
-			t.held += len(b.Body)
-			t.parts[s.call] = b.Body
-			c.keep(t, s.call, b.Body, now)
+	if now >= c.checkedAt+connectionCheckInterval {
+		c.checkedAt = now
+		for _, transport := range c.transports {
+			transport.CheckConnections(time.Now())
 		}
 	}
-	c.scheduler.CallEnded(s.flight, s.call, s.attempt, b.How, now)
 }
 
-// key finds last good results: the same call of the same type with the same body. A body may be 2 KiB; it counts
-// against the bound as the result does.
-func key(t *task, call int) string {
-	return t.kind.Plan.Route + "\x00" + t.kind.Plan.Calls[call].Name + "\x00" + string(t.body)
-}
-
-// keep puts a result into the table of last good ones, within its bound in bytes; the ones longest unused go first.
-func (c *Composer) keep(t *task, call int, body []byte, now time.Duration) {
-	if t.kind.Calls[call].Keep == 0 {
+// receive hands a response to the scheduler, with its result stored where it succeeded.
+func (c *Composer) receive(response Response, now time.Duration) {
+	attempt, outcome := response.Attempt, response.Outcome
+	if attempt.cancelled {
+		c.scheduler.CancelledCallEnded(attempt.dependency, now)
 		return
 	}
-	k := key(t, call)
-	c.kept.Remove(k)
-	c.kept.Add(k, good{body, now})
-	for c.keeps += len(k) + len(body); c.keeps > c.mayKeep; {
-		c.kept.RemoveOldest()
-	}
-}
-
-// Send makes an attempt; like the methods below it carries out what package budget decides.
-func (c *Composer) Send(f *budget.Execution, call, attempt int, within time.Duration) {
-	t := f.Ref.(*task)
-	planned := &t.kind.Plan.Calls[call]
-	s := &Sent{
-		Op: t.kind.Calls[call].Op, Body: t.body, Within: within,
-		flight: f, call: call, attempt: attempt, dependency: planned.Dependency,
-	}
-	if planned.Effect != budget.Read {
-		s.Number = t.id + "/" + planned.Name
-	}
-	t.sent[call][attempt] = s
-	if !c.ways[s.dependency].Send(s) {
-		c.unsent = append(c.unsent, s)
-	}
-}
-
-// Cancel lets go of an attempt. A call with an effect is not taken back: it may have begun.
-func (c *Composer) Cancel(f *budget.Execution, call, attempt int) {
-	t := f.Ref.(*task)
-	s := t.sent[call][attempt]
-	t.sent[call][attempt] = nil
-	s.cancelled = true
-	if s.Number == "" {
-		c.ways[s.dependency].Cancel(s)
-	}
-}
-
-// Fallback puts a last good result, or else the stated constant, in the place of a part.
-func (c *Composer) Fallback(f *budget.Execution, call int) bool {
-	t := f.Ref.(*task)
-	how := t.kind.Calls[call]
-	if how.Keep > 0 {
-		g, known := c.kept.Get(key(t, call))
-		if age := c.now() - g.at; known && age <= how.Keep {
-			t.parts[call], t.ages[call] = g.body, max(age, 1)
-			return true
+	r := attempt.execution.Ref.(*request)
+	r.attempts[attempt.call][attempt.number] = nil
+	if outcome == budget.Succeeded {
+		if c.resultBytes+len(response.Body) > c.maxResultBytes {
+			c.counts.Saw("result of a call beyond the program's own memory")
+			outcome = budget.Failed
+		} else {
+			c.resultBytes += len(response.Body)
+			r.resultBytes += len(response.Body)
+			r.parts[attempt.call] = response.Body
+			if r.route.Calls[attempt.call].MaxStaleness > 0 {
+				c.cache.store(r.cacheKey(attempt.call), response.Body, now)
+			}
 		}
 	}
-	if how.Default != nil {
-		t.parts[call] = how.Default
-		return true
-	}
-	return false
-}
-
-// Finish answers a task.
-func (c *Composer) Finish(f *budget.Execution, v budget.Verdict) {
-	t := f.Ref.(*task)
-	result, cut, fits := t.answer(f, v)
-	if cut {
-		c.counts.Saw("composed answer too long, parts left out")
-	}
-	if v == budget.Aborted || !fits {
-		c.end(t, "interrupted", result)
-	} else {
-		c.end(t, "success", result)
-	}
+	c.scheduler.CallEnded(attempt.execution, attempt.call, attempt.number, outcome, now)
 }
 
-func (c *Composer) end(t *task, outcome string, result []byte) {
-	c.holds -= t.held
-	delete(c.tasks, t.id)
-	c.ended = append(c.ended, workerapi.Notice{Kind: workerapi.RunFinished, RequestID: t.id, Outcome: outcome, Result: result})
-}
-
-// Answer is the form of a composed answer.
-type Answer struct {
-	Whole bool    `json:"whole"` // all parts are there and fresh
-	Worth float64 `json:"worth"` // importance of the parts that are there, over that of all
-	Parts []Part  `json:"parts"`
-}
-
-// Part is what became of one call.
-type Part struct {
-	Name   string `json:"name"`
-	State  string `json:"state"`            // fresh, old, default or missing
-	Why    string `json:"why,omitempty"`    // it is not fresh
-	AgeMS  int64  `json:"age_ms,omitempty"` // of an old one
-	Result string `json:"result,omitempty"` // base64
-}
-
-// answer composes what is there. Where it would be too long the largest parts are left out, optional ones first;
-// without one that is needed it does not fit.
-func (t *task) answer(f *budget.Execution, v budget.Verdict) (raw []byte, cut, fits bool) {
-	a := Answer{Whole: v == budget.Complete, Worth: f.Value()}
-	size := 64
-	for i, c := range t.kind.Plan.Calls {
-		p := Part{Name: c.Name, State: "fresh"}
-		has, why := f.PartStatus(i)
-		switch {
-		case !has:
-			p.State, p.Why = "missing", why.String()
-		case why == budget.FellBack && t.ages[i] > 0:
-			p.State, p.AgeMS, p.Why = "old", (t.ages[i] + time.Millisecond - 1).Milliseconds(), why.String()
-		case why == budget.FellBack:
-			p.State, p.Why = "default", why.String()
-		}
-		if has {
-			p.Result = base64.StdEncoding.EncodeToString(t.parts[i])
-		}
-		size += len(p.Result) + len(p.Name) + mostPartHead
-		a.Parts = append(a.Parts, p)
-	}
-	fits = true
-	for size > mostAnswer {
-		largest := 0
-		for i, c := range t.kind.Plan.Calls {
-			than := t.kind.Plan.Calls[largest].Required
-			if p := &a.Parts[i]; p.Result != "" && (a.Parts[largest].Result == "" || than && !c.Required ||
-				than == c.Required && len(p.Result) > len(a.Parts[largest].Result)) {
-				largest = i
-			}
-		}
-		p, c := &a.Parts[largest], &t.kind.Plan.Calls[largest]
-		if p.Result == "" {
-			break
-		}
-		size -= len(p.Result)
-		*p = Part{Name: p.Name, State: "missing", Why: "answer too long"}
-		a.Whole, cut, fits = false, true, fits && !c.Required
-	}
-	raw, err := json.Marshal(a)
-	if err != nil || len(raw) > mostAnswer {
-		return nil, true, false // names alone are too long
-	}
-	return raw, cut, fits
+// finish ends a request with a notice.
+func (c *Composer) finish(r *request, outcome string, answer []byte) {
+	c.resultBytes -= r.resultBytes
+	delete(c.requests, r.id)
+	c.notices = append(c.notices, workerapi.Notice{Kind: workerapi.RunFinished, RequestID: r.id, Outcome: outcome, Result: answer})
 }
 
-// States tells how the dependencies stand.
-func (c *Composer) States(now time.Duration) (all []budget.State) {
-	for _, d := range c.deps {
-		all = append(all, d.State(now))
+// States returns a snapshot of each dependency.
+func (c *Composer) States(now time.Duration) (states []budget.State) {
+	for _, d := range c.dependencies {
+		states = append(states, d.State(now))
 	}
-	return all
+	return states
 }
--- a/internal/server/tasks.go
+++ b/internal/server/tasks.go
@@ -166,7 +166,7 @@
 			// take part of the memory for as long.
 			request.Deadline = request.Arrived + min(a.Patience, kind.Deadline)
 		}
-		request.composed = s.parts.Composes(request.route)
+		request.composed = s.parts.Handles(request.route)
 		s.attachKey(request, a)
 		s.requests[request.id], s.owner[&request.Request] = request, request
 		s.round.Arrived = append(s.round.Arrived, &request.Request)
@@ -239,7 +239,7 @@
 		s.parts.Pause(request.id)
 	}
 	if request.call > 0 {
-		s.dependency.Abandon(request.call)
+		s.dependency.Cancel(request.call)
 	}
 }
 
