--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -195,9 +195,9 @@
 	types := harness.BookingRoutes()
 	load := harness.Arrivals(types, harness.Rate(types, fourCores, 1.2), 10*time.Second, seed+100)
 	cold, borrows = play(types, m, load, 2), play(types, m, load, 3)
-	fit, err := borrows.frame.Validate(snapshot)
+	validated, err := borrows.frame.Validate(snapshot)
 	require.NoError(t, err)
-	borrows.module.UsePeerEstimates(borrows.now, fit)
+	borrows.module.UsePeerEstimates(borrows.now, validated)
 	for _, p := range []*played{cold, borrows} {
 		p.until(16 * time.Second)
 		for _, n := range p.answers {
@@ -260,14 +260,14 @@
 func TestBorrowedIsNotLearned(t *testing.T) {
 	snapshot := peerView(harness.BookingRoutes(), fourCores, 1)
 	idle := play(harness.BookingRoutes(), fourCores, nil, 2)
-	fit, err := idle.frame.Validate(snapshot)
+	validated, err := idle.frame.Validate(snapshot)
 	require.NoError(t, err)
-	idle.module.UsePeerEstimates(idle.now, fit)
+	idle.module.UsePeerEstimates(idle.now, validated)
 	idle.until(time.Second)
-	for _, told := range idle.learned().Routes {
-		assert.False(t, told.Core.Known(), "an echo")
+	for _, published := range idle.learned().Routes {
+		assert.False(t, published.Core.Known(), "an echo")
 	}
-	assert.True(t, idle.learned().Cold())
+	assert.True(t, idle.learned().NeedsPeers())
 	idle.until(estimate.MaxAge(estimate.ReturnRatio))
 	load := harness.Arrivals(harness.BookingRoutes(), harness.Rate(harness.BookingRoutes(), fourCores, 1.2), 5*time.Second, 3)
 	later := estimate.MaxAge(estimate.ReturnRatio)
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -253,15 +253,15 @@
 	// What the peer saw, told minutes later to newcomers on slower machines; and one that is asked all the time.
 	played := map[time.Duration]string{}
 	for _, age := range []time.Duration{oldAge, youngAge} {
-		giver, err := peersync.Listen("127.0.0.1:0", nil, func() time.Duration { return time.Hour },
+		peerServer, err := peersync.Listen("127.0.0.1:0", nil, func() time.Duration { return time.Hour },
 			invariant.New(slog.New(slog.DiscardHandler)))
 		if err != nil {
 			return p, err
 		}
-		giver.Publish(snapshot, time.Hour-age)
-		giver.Serve()
-		defer giver.Close()
-		played[age] = giver.Address()
+		peerServer.Publish(snapshot, time.Hour-age)
+		peerServer.Serve()
+		defer peerServer.Close()
+		played[age] = peerServer.Address()
 	}
 	slowGroup := func(name, own string) *group {
 		return &group{name: name, machine: slower, own: own, share: m.Load, seed: seed}
@@ -297,7 +297,7 @@
 	p.twins = slowTwin.honoured() / slowCold.honoured()
 	p.more, p.twinsMore = startedMore(old, slowCold, m.Span), startedMore(slowTwin, slowCold, m.Span)
 	p.asked, p.askedTwins = asked.honoured()/unasked.honoured(), unaskedTwin.honoured()/unasked.honoured()
-	p.askTook, p.asks, p.askBytes = times[len(times)/2], len(times), float64(peersync.Size(snapshot))
+	p.askTook, p.asks, p.askBytes = times[len(times)/2], len(times), float64(peersync.EncodedSize(snapshot))
 	return p, nil
 }
 
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -43,7 +43,7 @@
 	if stated == nil {
 		return nil, nil, nil
 	}
-	keys, err := keysOf(stated.KeyFile)
+	keys, err := readKeyFile(stated.KeyFile)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/cmd/quartzpoint/control.go
+++ b/cmd/quartzpoint/control.go
@@ -24,10 +24,10 @@
 
 // operatorAnswers are what operators may ask a running server about. What the server does not have is nil.
 type operatorAnswers struct {
-	owner    *server.Server
-	composer *fanout.Composer
-	keeper   *leasing.Manager
-	watcher  *configwatch.Watcher
+	owner        *server.Server
+	composer     *fanout.Composer
+	leaseManager *leasing.Manager
+	watcher      *configwatch.Watcher
 }
 
 // listen answers at a path until the context ends. Without a path nothing listens.
@@ -45,8 +45,8 @@
 
 func (a operatorAnswers) answer(q adminsocket.Question) (any, error) {
 	switch {
-	case q.Ask == askLease && a.keeper != nil:
-		return a.keeper.Holdings(), nil
+	case q.Ask == askLease && a.leaseManager != nil:
+		return a.leaseManager.Status(), nil
 	case q.Ask == askConfiguration && a.watcher != nil:
 		return a.watcher.Standing(), nil
 	case q.Ask == askDependencies && a.composer != nil:
--- a/cmd/quartzpoint/lease_test.go
+++ b/cmd/quartzpoint/lease_test.go
@@ -70,31 +70,31 @@
 	return daemons, sockets, links
 }
 
-// holding asks a server how it sees the duty, through the command line as an operator would.
-func holding(t *testing.T, socket string) (leasing.Holding, bool) {
+// leaseStatus asks a server how it sees the duty, through the command line as an operator would.
+func leaseStatus(t *testing.T, socket string) (leasing.Status, bool) {
 	out, code := ask(t, nil, "lease", "show", "--json", socket)
-	var h []leasing.Holding
+	var h []leasing.Status
 	if code != 0 || json.Unmarshal([]byte(out), &h) != nil || len(h) != 1 {
-		return leasing.Holding{}, false
+		return leasing.Status{}, false
 	}
 	return h[0], true
 }
 
-// holder waits until exactly one of the servers that are asked holds the duty, and names it.
-func holder(t *testing.T, sockets []string, among []int) (who int, token uint64) {
+// waitForHolder waits until exactly one of the servers that are asked holds the duty, and names it.
+func waitForHolder(t *testing.T, sockets []string, among []int) (who int, token uint64) {
 	require.Eventually(t, func() bool {
 		who, found := -1, 0
 		for _, i := range among {
-			if h, ok := holding(t, sockets[i]); ok && h.Holds {
-				who, token = i, h.Token
+			if status, ok := leaseStatus(t, sockets[i]); ok && status.Holds {
+				who, token = i, status.Token
 				found++
 			}
 		}
 		return found == 1 && who >= 0
 	}, 30*time.Second, 20*time.Millisecond, "no one holder")
 	for _, i := range among {
-		if h, ok := holding(t, sockets[i]); ok && h.Holds {
-			return i, h.Token
+		if status, ok := leaseStatus(t, sockets[i]); ok && status.Holds {
+			return i, status.Token
 		}
 	}
 	return -1, 0
@@ -113,11 +113,11 @@
 	for _, n := range []int{3, 5} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			daemons, sockets := leaseFleet(t, n)
-			first, token := holder(t, sockets, others(n, -1))
+			first, token := waitForHolder(t, sockets, others(n, -1))
 			assert.Contains(t, daemons[first].Log(), "lease granted")
 			require.NoError(t, daemons[first].Kill())
 			killed := time.Now()
-			second, newer := holder(t, sockets, others(n, first))
+			second, newer := waitForHolder(t, sockets, others(n, first))
 			t.Logf("%d servers: new holder after %v", n, time.Since(killed))
 			assert.NotEqual(t, first, second)
 			assert.Greater(t, newer, token, "the new holder's token is above the killed one's")
@@ -129,18 +129,18 @@
 // token it had is older than the one the fleet granted since, which a fence refuses.
 func TestAStalledHolderWakesWithoutTheDuty(t *testing.T) {
 	daemons, sockets := leaseFleet(t, 3)
-	first, token := holder(t, sockets, others(3, -1))
+	first, token := waitForHolder(t, sockets, others(3, -1))
 	require.NoError(t, daemons[first].Signal(syscall.SIGSTOP))
-	second, newer := holder(t, sockets, others(3, first))
+	second, newer := waitForHolder(t, sockets, others(3, first))
 	require.NoError(t, daemons[first].Signal(syscall.SIGCONT))
 	require.Eventually(t, func() bool {
-		h, ok := holding(t, sockets[first])
-		return ok && !h.Holds
+		status, ok := leaseStatus(t, sockets[first])
+		return ok && !status.Holds
 	}, 10*time.Second, 20*time.Millisecond)
 	assert.Greater(t, newer, token)
-	h, ok := holding(t, sockets[second])
+	status, ok := leaseStatus(t, sockets[second])
 	require.True(t, ok)
-	assert.True(t, h.Holds || h.Token > token, "the duty stays with the newer token")
+	assert.True(t, status.Holds || status.Token > token, "the duty stays with the newer token")
 }
 
 // The holder on the minority side of a cut loses the duty and the majority side grants it anew; healed, the
@@ -155,16 +155,16 @@
 			}
 		}
 	}
-	first, token := holder(t, sockets, others(3, -1))
+	first, token := waitForHolder(t, sockets, others(3, -1))
 	apart(first, (*faultnet.Proxy).Cut)
-	second, newer := holder(t, sockets, others(3, first))
+	second, newer := waitForHolder(t, sockets, others(3, first))
 	require.Eventually(t, func() bool {
-		h, ok := holding(t, sockets[first])
-		return ok && !h.Holds
+		status, ok := leaseStatus(t, sockets[first])
+		return ok && !status.Holds
 	}, 10*time.Second, 20*time.Millisecond, "the minority side still holds")
 	assert.Greater(t, newer, token)
 	apart(first, (*faultnet.Proxy).Heal)
-	again, _ := holder(t, sockets, others(3, -1))
+	again, _ := waitForHolder(t, sockets, others(3, -1))
 	assert.Equal(t, second, again, "the healed old holder took the duty back")
 
 	for j := range links {
@@ -172,11 +172,11 @@
 			links[second][j].Drop(faultnet.Down) // its asks go, no answer comes back
 		}
 	}
-	third, newest := holder(t, sockets, others(3, second))
+	third, newest := waitForHolder(t, sockets, others(3, second))
 	assert.NotEqual(t, second, third)
 	assert.Greater(t, newest, newer)
 	require.Eventually(t, func() bool {
-		h, ok := holding(t, sockets[second])
-		return ok && !h.Holds
+		status, ok := leaseStatus(t, sockets[second])
+		return ok && !status.Holds
 	}, 10*time.Second, 20*time.Millisecond, "the holder cut one way still holds")
 }
--- a/cmd/quartzpoint/main.go
+++ b/cmd/quartzpoint/main.go
@@ -28,8 +28,8 @@
 type command struct {
 	Serve         serving        `cmd:"" default:"withargs" help:"Take tasks from routers and answer each of them (the default)."`
 	Check         checking       `cmd:"" help:"Read both configurations whole and print every fault."`
-	Peer          peers          `cmd:"" help:"Ask running servers."`
-	Lease         leases         `cmd:"" help:"Ask running servers about duties held by lease."`
+	Peer          peerCommands   `cmd:"" help:"Ask running servers."`
+	Lease         leaseCommands  `cmd:"" help:"Ask running servers about duties held by lease."`
 	Dependencies  asking         `cmd:"" help:"Print how a running server's dependencies stand."`
 	State         states         `cmd:"" help:"Read and tidy folders of state."`
 	Configuration configurations `cmd:"" help:"Ask running servers about the configuration service."`
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -18,30 +18,30 @@
 	"quartzpoint/internal/server"
 )
 
-// exchanging is a server's part in the exchange of knowledge; the zero value is none.
-type exchanging struct {
-	stated *config.Peers
+// peerExchange is a server's part in the exchange of knowledge; the zero value is none.
+type peerExchange struct {
+	config *config.Peers
 	server *peersync.Server
 }
 
-// keysOf reads a key file, where one is stated.
-func keysOf(file string) (peersync.Keys, error) {
+// readKeyFile reads a key file, where one is stated.
+func readKeyFile(file string) (peersync.Keys, error) {
 	if file == "" {
 		return nil, nil
 	}
 	return peersync.ReadKeys(file)
 }
 
-// begin takes the part that is stated: it gives where listen is, and asks where peers are. Both end with the
+// startPeerExchange takes the part that is stated: it gives where listen is, and asks where peers are. Both end with the
 // context. What the server learns goes to peers and to kept, which may be nil.
-func begin(
+func startPeerExchange(
 	ctx context.Context, stated *config.Peers, owner *server.Server, k *keeping, seed int64, counts *invariant.Counts, log *slog.Logger,
-) (*exchanging, error) {
-	e := &exchanging{stated: stated}
+) (*peerExchange, error) {
+	e := &peerExchange{config: stated}
 	if stated == nil {
 		return e, nil
 	}
-	keys, err := keysOf(stated.KeyFile)
+	keys, err := readKeyFile(stated.KeyFile)
 	if err != nil {
 		return nil, err
 	}
@@ -58,27 +58,27 @@
 	}
 	var warm atomic.Bool
 	k.share = append(k.share, func(snapshot estimate.Snapshot, at time.Duration) {
-		warm.Store(!snapshot.Cold())
+		warm.Store(!snapshot.NeedsPeers())
 		if e.server != nil {
 			e.server.Publish(snapshot, at)
 		}
 	})
 	if len(stated.Ask) > 0 {
-		asker := &peersync.Client{
-			Peers: stated.Ask, Keys: keys, Total: stated.Total, Schema: k.frame, Stored: k.view, Seed: seed,
-			Cold: func() bool { return !warm.Load() }, Take: owner.UsePeerEstimates, Counts: counts, Log: log,
+		fetcher := &peersync.Fetcher{
+			Peers: stated.Ask, Keys: keys, FirstWait: stated.Total, Schema: k.frame, Recovered: k.view, Seed: seed,
+			NeedsEstimates: func() bool { return !warm.Load() }, Use: owner.UsePeerEstimates, Counts: counts, Log: log,
 		}
-		go asker.Run(ctx)
+		go fetcher.Run(ctx)
 	}
 	return e, nil
 }
 
-// again reads the keys anew; all else of the section changes only with a restart.
-func (e *exchanging) again(log *slog.Logger) {
-	if e.server == nil || e.stated.KeyFile == "" {
+// reloadKeys reads the keys anew; all else of the section changes only with a restart.
+func (e *peerExchange) reloadKeys(log *slog.Logger) {
+	if e.server == nil || e.config.KeyFile == "" {
 		return
 	}
-	keys, err := peersync.ReadKeys(e.stated.KeyFile)
+	keys, err := peersync.ReadKeys(e.config.KeyFile)
 	if err != nil {
 		log.Warn("new keys refused, the old ones stay", "error", err)
 		return
@@ -87,21 +87,21 @@
 	log.Info("new keys", "keys", len(keys))
 }
 
-// peers are the commands about running servers.
-type peers struct {
-	Show showing `cmd:"" help:"Print what a running server has learned, with ages and weights."`
+// peerCommands are the commands about running servers.
+type peerCommands struct {
+	Show peerShow `cmd:"" help:"Print what a running server has learned, with ages and weights."`
 }
 
-// showing is the command that prints a peer's view.
-type showing struct {
+// peerShow is the command that prints a peer's view.
+type peerShow struct {
 	Address string `arg:"" help:"Its address for peers, as in its [peers] listen."`
 	KeyFile string `placeholder:"FILE" help:"The key file that it uses."`
 	JSON    bool   `name:"json" help:"Print it as JSON; times in seconds, ages in nanoseconds."`
 }
 
 // Run asks the peer once.
-func (cmd *showing) Run() error {
-	keys, err := keysOf(cmd.KeyFile)
+func (cmd *peerShow) Run() error {
+	keys, err := readKeyFile(cmd.KeyFile)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	if cmd.JSON {
 		return printJSON(os.Stdout, snapshot)
 	}
-	return show(os.Stdout, snapshot)
+	return printEstimates(os.Stdout, snapshot)
 }
 
 func printJSON(to io.Writer, what any) error {
@@ -121,8 +121,8 @@
 	return encoder.Encode(what)
 }
 
-// show prints a view as a table. A weight is the number of own samples that a newcomer would take it for.
-func show(to io.Writer, snapshot estimate.Snapshot) error {
+// printEstimates prints a view as a table. A weight is the number of own samples that a newcomer would take it for.
+func printEstimates(to io.Writer, snapshot estimate.Snapshot) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "what\tmean\tspread\tsamples\tage\tweight\t\n")
 	row := func(what string, e estimate.Estimate, k estimate.Kind) {
@@ -133,9 +133,9 @@
 		fmt.Fprintf(table, "%s\t%.4g\t%.3g\t%.0f\t%s\t%.1f\t\n",
 			what, e.Mean, e.Spread, e.Samples, e.Age.Round(100*time.Millisecond), e.Weight(k))
 	}
-	for _, t := range snapshot.Routes {
-		row(fmt.Sprintf("%q core s", t.Name), t.Core, estimate.CoreTime)
-		row(fmt.Sprintf("%q run s", t.Name), t.Run, estimate.RunTime)
+	for _, route := range snapshot.Routes {
+		row(fmt.Sprintf("%q core s", route.Name), route.Core, estimate.CoreTime)
+		row(fmt.Sprintf("%q run s", route.Name), route.Run, estimate.RunTime)
 	}
 	row("pace", snapshot.Pace, estimate.Pace)
 	row("calls s", snapshot.Calls, estimate.CallTime)
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -81,7 +81,7 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	keeper, err := leaseKeeper(ours, seed, log)
+	manager, err := newLeaseManager(ours, seed, log)
 	if err != nil {
 		return fmt.Errorf("configuration file %s: %w", cmd.Config, err)
 	}
@@ -94,7 +94,7 @@
 		return fmt.Errorf("configuration file %s: %w", cmd.Config, err)
 	}
 	defer tables.close()
-	told := operatorAnswers{owner: owner, composer: composer, keeper: keeper, watcher: watcher}
+	told := operatorAnswers{owner: owner, composer: composer, leaseManager: manager, watcher: watcher}
 	if err := told.listen(ctx, ours.Control); err != nil {
 		return err
 	}
@@ -105,14 +105,14 @@
 		}
 		defer kept.close()
 	}
-	exchanging, err := begin(ctx, ours.Peers, owner, kept, seed, counts, log)
+	exchanging, err := startPeerExchange(ctx, ours.Peers, owner, kept, seed, counts, log)
 	if err != nil {
 		return err
 	}
 	leaseCtx, giveUp := context.WithCancel(ctx) // at the notice to leave, duties are given up first
-	if keeper != nil {
-		exchanging.server.SetVoteHandler(keeper.Vote)
-		go keeper.Run(leaseCtx)
+	if manager != nil {
+		exchanging.server.SetVoteHandler(manager.HandleVote)
+		go manager.Run(leaseCtx)
 	}
 	if watcher != nil {
 		go watcher.Run(ctx)
@@ -134,7 +134,7 @@
 		for range anew {
 			s = s.again(link, calls, reporter, owner, log)
 			stop.Store(int64(s.Stop))
-			exchanging.again(log)
+			exchanging.reloadKeys(log)
 		}
 	}()
 	ended := make(chan error, 1) // why it left without a notice, nil with one
--- a/cmd/quartzpoint/state.go
+++ b/cmd/quartzpoint/state.go
@@ -132,7 +132,7 @@
 		fmt.Printf("  %s: %d\n", t, byType[t])
 	}
 	if r.Learned != nil {
-		if err := show(os.Stdout, *r.Learned); err != nil {
+		if err := printEstimates(os.Stdout, *r.Learned); err != nil {
 			return err
 		}
 	}
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -108,18 +108,18 @@
 func (s *server) learn(controller *admission.Controller) {
 	w := s.world
 	schema := controller.EstimateSchema(uint64(s.number)<<32|s.life, 0, false)
-	var views []estimate.Snapshot
+	var snapshots []estimate.Snapshot
 	for _, i := range w.chance.Perm(len(w.servers)) {
 		other := w.servers[i]
 		peer, own := other.policy.(*admission.Controller)
-		if other == s || !other.alive || !own || len(views) == 3 {
+		if other == s || !other.alive || !own || len(snapshots) == 3 {
 			continue
 		}
 		if snapshot, err := schema.Validate(peer.Estimates(w.now, peer.EstimateSchema(uint64(other.number)<<32|other.life, 0, false))); err == nil {
-			views = append(views, snapshot)
+			snapshots = append(snapshots, snapshot)
 		}
 	}
-	if merged := estimate.Merge(views); merged.Fresh() {
+	if merged := estimate.Merge(snapshots); merged.HasFresh() {
 		controller.UsePeerEstimates(w.now, merged)
 	}
 }
--- a/estimate/view.go
+++ b/estimate/view.go
@@ -26,12 +26,12 @@
 	// MaxNameBytes bounds the bytes of a traffic type's name.
 	MaxNameBytes = 128
 
-	maxAge         = 24 * time.Hour // a claim of more is no duration that a process counted
-	maxSamples     = 1e9            // a claim of more is no number that a process counted
-	maxSpread      = 100.0          // standard deviation over the mean; work varies, but not by that much
-	deadlineFactor = 4.0            // a mean of more times its outer limit is none of work that anybody waited for
-	minTime        = 1e-7           // seconds; less is below what a run's clock can tell
-	maxTime        = 3600.0         // seconds, where no outer limit is known
+	maxAge              = 24 * time.Hour // a claim of more is no duration that a process counted
+	maxSamples          = 1e9            // a claim of more is no number that a process counted
+	maxSpread           = 100.0          // standard deviation over the mean; work varies, but not by that much
+	maxDeadlineMultiple = 4.0            // a mean of more times its outer limit is none of work that anybody waited for
+	minTime             = 1e-7           // seconds; less is below what a run's clock can tell
+	maxTime             = 3600.0         // seconds, where no outer limit is known
 )
 
 // Estimate is what was seen of one quantity.
@@ -70,25 +70,25 @@
 }
 
 // Aged is the view after more time has passed since it was told.
-func (v Snapshot) Aged(by time.Duration) Snapshot {
+func (s Snapshot) Aged(by time.Duration) Snapshot {
 	by = max(by, 0)
-	v.Routes = slices.Clone(v.Routes)
-	for e := range v.estimates() {
+	s.Routes = slices.Clone(s.Routes)
+	for e := range s.estimates() {
 		e.Age = min(max(e.Age, 0), maxAge) + min(by, maxAge)
 	}
-	return v
+	return s
 }
 
 // estimates goes through all estimates of a view, in place.
-func (v *Snapshot) estimates() func(yield func(*Estimate, Kind) bool) {
+func (s *Snapshot) estimates() func(yield func(*Estimate, Kind) bool) {
 	return func(yield func(*Estimate, Kind) bool) {
-		for i := range v.Routes {
-			if !yield(&v.Routes[i].Core, CoreTime) || !yield(&v.Routes[i].Run, RunTime) {
+		for i := range s.Routes {
+			if !yield(&s.Routes[i].Core, CoreTime) || !yield(&s.Routes[i].Run, RunTime) {
 				return
 			}
 		}
-		_ = yield(&v.Pace, Pace) && yield(&v.Calls, CallTime) && yield(&v.RejectRatio, RejectRatio) &&
-			yield(&v.ReturnRatio, ReturnRatio)
+		_ = yield(&s.Pace, Pace) && yield(&s.Calls, CallTime) && yield(&s.RejectRatio, RejectRatio) &&
+			yield(&s.ReturnRatio, ReturnRatio)
 	}
 }
 
@@ -103,40 +103,40 @@
 
 // Published is the view as it is told to others: only the routes that something is known of, and of more than MaxPublishedRoutes those
 // that the most samples stand behind.
-func (v Snapshot) Published() Snapshot {
-	known := slices.DeleteFunc(slices.Clone(v.Routes), func(t RouteEstimates) bool { return !t.Core.Known() && !t.Run.Known() })
+func (s Snapshot) Published() Snapshot {
+	known := slices.DeleteFunc(slices.Clone(s.Routes), func(route RouteEstimates) bool { return !route.Core.Known() && !route.Run.Known() })
 	if len(known) > MaxPublishedRoutes {
 		slices.SortStableFunc(known, func(a, b RouteEstimates) int { return cmp.Compare(b.samples(), a.samples()) })
 		known = known[:MaxPublishedRoutes]
 	}
-	v.Routes = known
-	return v
+	s.Routes = known
+	return s
 }
 
-func (t RouteEstimates) samples() float64 { return max(t.Core.Samples, t.Run.Samples) }
+func (r RouteEstimates) samples() float64 { return max(r.Core.Samples, r.Run.Samples) }
 
 // Align puts the routes that a view tells of into the order of the frame, with nothing known of the others. A view that
 // tells of a route twice, or of one that is not in the frame and cannot be, is of other terms.
-func (f Schema) Align(snapshot Snapshot) (Snapshot, error) {
-	if len(snapshot.Routes) == len(f.Routes) && !f.Dynamic {
+func (s Schema) Align(snapshot Snapshot) (Snapshot, error) {
+	if len(snapshot.Routes) == len(s.Routes) && !s.Dynamic {
 		return snapshot, nil // Fit sees to the names
 	}
 	places := make(map[string]int, len(snapshot.Routes))
-	for i, t := range snapshot.Routes {
-		if _, again := places[t.Name]; again {
-			return Snapshot{}, fmt.Errorf("view that tells of route %q twice", t.Name)
+	for i, route := range snapshot.Routes {
+		if _, again := places[route.Name]; again {
+			return Snapshot{}, fmt.Errorf("view that tells of route %q twice", route.Name)
 		}
-		places[t.Name] = i
+		places[route.Name] = i
 	}
-	aligned := make([]RouteEstimates, len(f.Routes))
-	for i, name := range f.Routes {
+	aligned := make([]RouteEstimates, len(s.Routes))
+	for i, name := range s.Routes {
 		aligned[i].Name = name
 		if place, told := places[name]; told {
 			aligned[i] = snapshot.Routes[place]
 			delete(places, name)
 		}
 	}
-	if len(places) > 0 && !f.Dynamic {
+	if len(places) > 0 && !s.Dynamic {
 		return Snapshot{}, fmt.Errorf("view that tells of %d routes that are not here", len(places))
 	}
 	snapshot.Routes = aligned
@@ -145,33 +145,33 @@
 
 // Validate returns the view with all that is out of range dropped, or an error that says why it is not used at all.
 // A peer's word is checked here and nowhere later.
-func (f Schema) Validate(snapshot Snapshot) (Snapshot, error) {
+func (s Schema) Validate(snapshot Snapshot) (Snapshot, error) {
 	switch {
-	case snapshot.SettingsDigest != f.SettingsDigest:
-		return Snapshot{}, fmt.Errorf("view of other terms: %016x, and %016x here", snapshot.SettingsDigest, f.SettingsDigest)
-	case snapshot.Origin == f.Origin:
+	case snapshot.SettingsDigest != s.SettingsDigest:
+		return Snapshot{}, fmt.Errorf("view of other terms: %016x, and %016x here", snapshot.SettingsDigest, s.SettingsDigest)
+	case snapshot.Origin == s.Origin:
 		return Snapshot{}, fmt.Errorf("view of this server's own")
-	case len(snapshot.Routes) > MaxRoutes || len(snapshot.Routes) != len(f.Routes):
-		return Snapshot{}, fmt.Errorf("view of %d traffic types, and %d here", len(snapshot.Routes), len(f.Routes))
+	case len(snapshot.Routes) > MaxRoutes || len(snapshot.Routes) != len(s.Routes):
+		return Snapshot{}, fmt.Errorf("view of %d traffic types, and %d here", len(snapshot.Routes), len(s.Routes))
 	}
 	snapshot.Routes = slices.Clone(snapshot.Routes)
 	for i := range snapshot.Routes {
-		if snapshot.Routes[i].Name != f.Routes[i] {
+		if snapshot.Routes[i].Name != s.Routes[i] {
 			return Snapshot{}, fmt.Errorf("view whose traffic type %d is another", i)
 		}
-		most := min(deadlineFactor*f.Deadlines[i].Seconds(), maxTime)
-		snapshot.Routes[i].Core = snapshot.Routes[i].Core.within(minTime, most)
-		snapshot.Routes[i].Run = snapshot.Routes[i].Run.within(minTime, most)
+		most := min(maxDeadlineMultiple*s.Deadlines[i].Seconds(), maxTime)
+		snapshot.Routes[i].Core = snapshot.Routes[i].Core.inRange(minTime, most)
+		snapshot.Routes[i].Run = snapshot.Routes[i].Run.inRange(minTime, most)
 	}
-	snapshot.Pace = snapshot.Pace.within(1e-3, 1e3)
-	snapshot.Calls = snapshot.Calls.within(minTime, maxTime)
-	snapshot.RejectRatio = snapshot.RejectRatio.within(0, 1)
-	snapshot.ReturnRatio = snapshot.ReturnRatio.within(0, 1)
+	snapshot.Pace = snapshot.Pace.inRange(1e-3, 1e3)
+	snapshot.Calls = snapshot.Calls.inRange(minTime, maxTime)
+	snapshot.RejectRatio = snapshot.RejectRatio.inRange(0, 1)
+	snapshot.ReturnRatio = snapshot.ReturnRatio.inRange(0, 1)
 	return snapshot, nil
 }
 
-// within drops an estimate with any figure out of range, as the rest of it is then not worth more.
-func (e Estimate) within(least, most float64) Estimate {
+// inRange drops an estimate with any figure out of range, as the rest of it is then not worth more.
+func (e Estimate) inRange(least, most float64) Estimate {
 	fits := e.Mean >= least && e.Mean <= most && e.Spread >= 0 && e.Spread <= maxSpread*max(e.Mean, minTime) &&
 		e.Samples > 0 && e.Samples <= maxSamples && e.Age >= 0 && e.Age <= 2*maxAge &&
 		!math.IsNaN(e.Mean+e.Spread+e.Samples)
--- a/internal/leasing/leasing.go
+++ b/internal/leasing/leasing.go
@@ -26,24 +26,24 @@
 
 // Options are what a keeper is started with.
 type Options struct {
-	Name   string // this server's own, which no other in the fleet has: its address for peers
-	Duties []string
-	Config lease.Config
-	Peers  []string // the other voters
-	Keys   peersync.Keys
-	Seed   int64
-	Log    *slog.Logger
+	Address string // this server's own, which no other in the fleet has: its address for peers
+	Leases  []string
+	Config  lease.Config
+	Peers   []string // the other voters
+	Keys    peersync.Keys
+	Seed    int64
+	Log     *slog.Logger
 }
 
-// Holding is how one duty stands as this server knows it.
-type Holding struct {
-	Duty   string        `json:"duty"`
-	Holds  bool          `json:"holds"`            // this server may act on it now
-	Token  uint64        `json:"token"`            // under which it acts, or last asked
-	Left   time.Duration `json:"left_ns"`          // of what it holds, on its own clock
-	Holder string        `json:"holder,omitempty"` // as this server's own vote last granted
-	Newest uint64        `json:"newest"`           // token its own vote last granted
-	until  time.Duration
+// Status is how one duty stands as this server knows it.
+type Status struct {
+	Lease        string        `json:"duty"`
+	Holds        bool          `json:"holds"`            // this server may act on it now
+	Token        uint64        `json:"token"`            // under which it acts, or last asked
+	Remaining    time.Duration `json:"left_ns"`          // of what it holds, on its own clock
+	Holder       string        `json:"holder,omitempty"` // as this server's own vote last granted
+	HighestToken uint64        `json:"newest"`           // token its own vote last granted
+	expiry       time.Duration
 }
 
 // ballot is what goes in a vote and in its answer.
@@ -66,7 +66,7 @@
 	woken      chan struct{}
 	talks      chan struct{}   // one of them in each that may be had
 	asks       []chan [][]byte // one a peer, room for one round's ballots
-	shown      atomic.Pointer[[]Holding]
+	shown      atomic.Pointer[[]Status]
 	over       sync.WaitGroup
 }
 
@@ -78,27 +78,27 @@
 	if s.Config.Voters != len(s.Peers)+1 {
 		return nil, fmt.Errorf("lease: %d voters for %d peers and this server", s.Config.Voters, len(s.Peers))
 	}
-	k := &Manager{
-		settings: s, began: time.Now(), grantor: lease.NewVoter(s.Name, s.Config),
-		held: make([]bool, len(s.Duties)), heard: make([]string, len(s.Duties)), woken: make(chan struct{}, 1),
+	manager := &Manager{
+		settings: s, began: time.Now(), grantor: lease.NewVoter(s.Address, s.Config),
+		held: make([]bool, len(s.Leases)), heard: make([]string, len(s.Leases)), woken: make(chan struct{}, 1),
 		talks: make(chan struct{}, mostTalks),
 	}
-	k.grantor.Restarted(k.now())
-	for i, duty := range s.Duties {
-		k.candidates = append(k.candidates, lease.NewCandidate(duty, s.Name, s.Config, s.Seed+int64(i)))
+	manager.grantor.Restart(manager.now())
+	for i, duty := range s.Leases {
+		manager.candidates = append(manager.candidates, lease.NewCandidate(duty, s.Address, s.Config, s.Seed+int64(i)))
 	}
 	for range s.Peers {
-		k.asks = append(k.asks, make(chan [][]byte, 1))
+		manager.asks = append(manager.asks, make(chan [][]byte, 1))
 	}
-	k.show()
-	return k, nil
+	manager.show()
+	return manager, nil
 }
 
 // now is this process's own clock, which only runs forward: the lease's bound on drift is about its rate.
 func (k *Manager) now() time.Duration { return time.Since(k.began) }
 
-// Vote is the giver's Voter: a ballot from a peer is considered in the keeper's turn.
-func (k *Manager) Vote(raw []byte, answer func([]byte)) {
+// HandleVote is the giver's Voter: a ballot from a peer is considered in the keeper's turn.
+func (k *Manager) HandleVote(raw []byte, answer func([]byte)) {
 	var b ballot
 	if err := cbor.Unmarshal(raw, &b); err != nil || b.Ask == nil {
 		return // the talk ends at its time; a peer that sends this is not one of ours
@@ -134,21 +134,21 @@
 	}
 }
 
-// Holdings is how the duties stand, as last shown; any goroutine may ask.
-func (k *Manager) Holdings() []Holding {
+// Status is how the duties stand, as last shown; any goroutine may ask.
+func (k *Manager) Status() []Status {
 	now, shown := k.now(), slices.Clone(*k.shown.Load())
 	for i := range shown {
-		shown[i].Holds = now < shown[i].until
-		shown[i].Left = max(shown[i].until-now, 0)
+		shown[i].Holds = now < shown[i].expiry
+		shown[i].Remaining = max(shown[i].expiry-now, 0)
 	}
 	return shown
 }
 
 // Holds says whether this server may act on duty now, and under which token.
 func (k *Manager) Holds(duty string) (lease.Token, bool) {
-	for _, h := range *k.shown.Load() {
-		if h.Duty == duty && k.now() < h.until {
-			return lease.Token(h.Token), true
+	for _, status := range *k.shown.Load() {
+		if status.Lease == duty && k.now() < status.expiry {
+			return lease.Token(status.Token), true
 		}
 	}
 	return 0, false
@@ -168,8 +168,8 @@
 		case <-ctx.Done():
 			for i, c := range k.candidates {
 				if k.held[i] {
-					k.grantor.Release(c.Duty, c.Name, c.Token(), k.now())
-					k.settings.Log.Info("lease given up", "duty", c.Duty, "token", c.Token(), "why", "leaving")
+					k.grantor.Release(c.Lease, c.ID, c.Token(), k.now())
+					k.settings.Log.Info("lease given up", "duty", c.Lease, "token", c.Token(), "why", "leaving")
 				}
 				c.StepDown()
 			}
@@ -243,7 +243,7 @@
 	}
 	k.post(func() {
 		for _, c := range k.candidates {
-			if c.Duty == b.Answer.Duty {
+			if c.Lease == b.Answer.Lease {
 				k.heardFrom(c, *b.Answer)
 			}
 		}
@@ -253,9 +253,9 @@
 func (k *Manager) heardFrom(c *lease.Candidate, a lease.VoteResponse) {
 	c.HandleResponse(a, k.now())
 	i := slices.Index(k.candidates, c)
-	if !a.Granted && a.Holder != "" && a.Holder != c.Name && a.Holder != k.heard[i] {
+	if !a.Granted && a.Holder != "" && a.Holder != c.ID && a.Holder != k.heard[i] {
 		k.heard[i] = a.Holder
-		k.settings.Log.Info("lease refused", "duty", c.Duty, "by", a.By, "holder", a.Holder, "newest", a.Newest)
+		k.settings.Log.Info("lease refused", "duty", c.Lease, "by", a.Voter, "holder", a.Holder, "newest", a.HighestToken)
 	}
 }
 
@@ -267,9 +267,9 @@
 		switch {
 		case holds && !k.held[i]:
 			k.heard[i] = ""
-			k.settings.Log.Info("lease granted", "duty", c.Duty, "token", c.Token(), "for", c.Until()-now)
+			k.settings.Log.Info("lease granted", "duty", c.Lease, "token", c.Token(), "for", c.Expiry()-now)
 		case !holds && k.held[i]:
-			k.settings.Log.Warn("lease lost", "duty", c.Duty, "token", c.Token(), "why", "not renewed in time")
+			k.settings.Log.Warn("lease lost", "duty", c.Lease, "token", c.Token(), "why", "not renewed in time")
 		}
 		k.held[i] = holds
 	}
@@ -278,14 +278,14 @@
 
 func (k *Manager) show() {
 	now := k.now()
-	shown := make([]Holding, 0, len(k.candidates))
+	shown := make([]Status, 0, len(k.candidates))
 	for _, c := range k.candidates {
-		h := Holding{Duty: c.Duty, Holds: c.Holds(now), Token: uint64(c.Token())}
-		if h.Holds {
-			h.Left, h.until = c.Until()-now, c.Until()
+		status := Status{Lease: c.Lease, Holds: c.Holds(now), Token: uint64(c.Token())}
+		if status.Holds {
+			status.Remaining, status.expiry = c.Expiry()-now, c.Expiry()
 		}
-		h.Holder, h.Newest = k.grantor.Granted(c.Duty)
-		shown = append(shown, h)
+		status.Holder, status.HighestToken = k.grantor.LastGrant(c.Lease)
+		shown = append(shown, status)
 	}
 	k.shown.Store(&shown)
 }
--- a/internal/leasing/leasing_test.go
+++ b/internal/leasing/leasing_test.go
@@ -17,9 +17,9 @@
 // Three keepers on loopback, each with its giver, hold two duties: each duty has one holder, and both are held,
 // so that the asks of one duty do not push out those of another on the way to a peer.
 func TestEveryDutyHasOneHolder(t *testing.T) {
-	terms := lease.Config{Duration: 300 * time.Millisecond, MaxClockDrift: 0.01, Voters: 3}
+	config := lease.Config{Duration: 300 * time.Millisecond, MaxClockDrift: 0.01, Voters: 3}
 	duties := []string{"compact", "announce"}
-	var givers []*peersync.Server
+	var peerServers []*peersync.Server
 	for range 3 {
 		began := time.Now()
 		g, err := peersync.Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) },
@@ -27,34 +27,34 @@
 		require.NoError(t, err)
 		g.Serve()
 		t.Cleanup(g.Close)
-		givers = append(givers, g)
+		peerServers = append(peerServers, g)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var keepers []*Manager
+	var managers []*Manager
 	done := make(chan struct{}, 3)
-	for i, g := range givers {
+	for i, g := range peerServers {
 		var peers []string
-		for j, other := range givers {
+		for j, other := range peerServers {
 			if j != i {
 				peers = append(peers, other.Address())
 			}
 		}
-		k, err := New(Options{Name: g.Address(), Duties: duties, Config: terms, Peers: peers, Seed: int64(i),
+		manager, err := New(Options{Address: g.Address(), Leases: duties, Config: config, Peers: peers, Seed: int64(i),
 			Log: slog.New(slog.DiscardHandler)})
 		require.NoError(t, err)
-		g.SetVoteHandler(k.Vote)
-		keepers = append(keepers, k)
-		go func() { k.Run(ctx); done <- struct{}{} }()
+		g.SetVoteHandler(manager.HandleVote)
+		managers = append(managers, manager)
+		go func() { manager.Run(ctx); done <- struct{}{} }()
 	}
 	defer func() {
 		cancel()
-		for range keepers {
+		for range managers {
 			<-done
 		}
 	}()
 	holders := func(duty string) (n int) {
-		for _, k := range keepers {
-			if _, holds := k.Holds(duty); holds {
+		for _, manager := range managers {
+			if _, holds := manager.Holds(duty); holds {
 				n++
 			}
 		}
@@ -67,25 +67,25 @@
 		assert.LessOrEqual(t, holders("announce"), 1)
 		time.Sleep(10 * time.Millisecond)
 	}
-	_, err := New(Options{Name: "x", Duties: duties, Config: terms, Peers: []string{"a"}})
+	_, err := New(Options{Address: "x", Leases: duties, Config: config, Peers: []string{"a"}})
 	assert.ErrorContains(t, err, "3 voters for 1 peers")
 }
 
 // A thousand voters answer at once, and more than the queue holds come to it: it holds what it says, and no memory for
 // what is not there.
 func TestQueueOfAThousand(t *testing.T) {
-	k, err := New(Options{Name: "a", Duties: []string{"d"}, Config: lease.Config{Duration: time.Second, Voters: 1},
+	manager, err := New(Options{Address: "a", Leases: []string{"d"}, Config: lease.Config{Duration: time.Second, Voters: 1},
 		Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
-	assert.Zero(t, cap(k.posted))
+	assert.Zero(t, cap(manager.posted))
 	done := 0
 	for range 1024 {
-		k.post(func() { done++ })
+		manager.post(func() { done++ })
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
-	k.post(func() { cancel() })
-	go func() { k.Run(ctx); close(over) }()
+	manager.post(func() { cancel() })
+	go func() { manager.Run(ctx); close(over) }()
 	select {
 	case <-over:
 	case <-time.After(10 * time.Second):
@@ -94,9 +94,9 @@
 	}
 	assert.Equal(t, 1024, done)
 	for range mostPosted + 10 {
-		k.post(func() {})
+		manager.post(func() {})
 	}
-	assert.Len(t, k.posted, mostPosted)
-	k.turn()
-	assert.Zero(t, cap(k.posted))
+	assert.Len(t, manager.posted, mostPosted)
+	manager.turn()
+	assert.Zero(t, cap(manager.posted))
 }
--- a/internal/leasing/wire_test.go
+++ b/internal/leasing/wire_test.go
@@ -16,10 +16,10 @@
 // be read as empty on the other side: no vote would count, and no lease be held. The bytes of both messages are
 // therefore stated here.
 func TestBallotBytesStayTheSame(t *testing.T) {
-	request := lease.VoteRequest{Duty: "compact", From: "10.0.0.1:7400", Token: 258}
+	request := lease.VoteRequest{Lease: "compact", Candidate: "10.0.0.1:7400", Token: 258}
 	response := lease.VoteResponse{
-		Duty: "compact", To: "10.0.0.1:7400", By: "10.0.0.2:7400", Token: 258, Granted: true, Newest: 300,
-		Holder: "10.0.0.3:7400", Free: 1500 * time.Millisecond,
+		Lease: "compact", Candidate: "10.0.0.1:7400", Voter: "10.0.0.2:7400", Token: 258, Granted: true, HighestToken: 300,
+		Holder: "10.0.0.3:7400", RetryAfter: 1500 * time.Millisecond,
 	}
 	for want, message := range map[string]ballot{
 		"a101a3644475747967636f6d706163746446726f6d6d31302e302e302e313a3734303065546f6b656e190102":                                                                                                                                   {Ask: &request},
--- a/internal/peersync/asker.go
+++ b/internal/peersync/asker.go
@@ -61,9 +61,9 @@
 // localKey finds the address to dial from in a context.
 type localKey struct{}
 
-// WithLocal has talks of a context begin at an address of this machine: one host then plays many, as each is known by
+// WithLocalAddress has talks of a context begin at an address of this machine: one host then plays many, as each is known by
 // its address.
-func WithLocal(ctx context.Context, address net.Addr) context.Context {
+func WithLocalAddress(ctx context.Context, address net.Addr) context.Context {
 	return context.WithValue(ctx, localKey{}, address)
 }
 
@@ -113,22 +113,22 @@
 	}
 }
 
-// Client asks a newcomer's peers until it has their word or does not need it any more.
-type Client struct {
-	Peers  []string
-	Keys   Keys
-	Total  time.Duration     // for which the first answers are waited for
-	Schema estimate.Schema   // which views can be used
-	Stored estimate.Snapshot // what the server before this one left, a voice among the peers'; empty for none
-	Seed   int64
-	Cold   func() bool                      // whether the newcomer still needs to ask
-	Take   func(snapshot estimate.Snapshot) // what is to be borrowed, in the place of what was before
-	Counts *invariant.Counts
-	Log    *slog.Logger
+// Fetcher asks a newcomer's peers until it has their word or does not need it any more.
+type Fetcher struct {
+	Peers          []string
+	Keys           Keys
+	FirstWait      time.Duration     // for which the first answers are waited for
+	Schema         estimate.Schema   // which views can be used
+	Recovered      estimate.Snapshot // what the server before this one left, a voice among the peers'; empty for none
+	Seed           int64
+	NeedsEstimates func() bool                      // whether the newcomer still needs to ask
+	Use            func(snapshot estimate.Snapshot) // what is to be borrowed, in the place of what was before
+	Counts         *invariant.Counts
+	Log            *slog.Logger
 }
 
 // usable is a peer's view in the order of this server's routes, or why it is not used.
-func (a *Client) usable(snapshot estimate.Snapshot) (estimate.Snapshot, error) {
+func (a *Fetcher) usable(snapshot estimate.Snapshot) (estimate.Snapshot, error) {
 	aligned, err := a.Schema.Align(snapshot)
 	if err != nil {
 		return estimate.Snapshot{}, err
@@ -151,7 +151,7 @@
 
 // Run asks until it is over or the context ends. It serves nobody: tasks are taken meanwhile, and a view that
 // comes late is taken in when it comes.
-func (a *Client) Run(ctx context.Context) {
+func (a *Fetcher) Run(ctx context.Context) {
 	began := time.Now()
 	asking := estimate.NewPollSchedule(len(a.Peers), 0, a.Seed)
 	answers := make(chan answer, len(a.Peers)) // each peer is asked once at a time
@@ -176,8 +176,8 @@
 		settled = true
 		told := 0
 		var usable []estimate.Snapshot
-		if a.Stored.Fresh() {
-			usable = append(usable, a.Stored.Aged(now))
+		if a.Recovered.HasFresh() {
+			usable = append(usable, a.Recovered.Aged(now))
 		}
 		for _, h := range views {
 			if h.ok {
@@ -186,15 +186,15 @@
 			}
 		}
 		merged := estimate.Merge(usable)
-		if told == 0 || !merged.Fresh() { // what was kept alone is borrowed already
+		if told == 0 || !merged.HasFresh() { // what was kept alone is borrowed already
 			return
 		}
 		a.Log.Info("borrowed from peers", "peers", told, "of", len(a.Peers), "after", now)
-		a.Take(merged)
+		a.Use(merged)
 	}
 	for {
 		now := time.Since(began)
-		cold := a.Cold()
+		cold := a.NeedsEstimates()
 		for _, peer := range asking.Due(now, cold) {
 			open++
 			go func() {
@@ -210,15 +210,15 @@
 				answers <- got
 			}()
 		}
-		if !settled && (now >= a.Total || open == 0) {
+		if !settled && (now >= a.FirstWait || open == 0) {
 			take(now)
 		}
-		if open == 0 && asking.Over(now, cold) {
+		if open == 0 && asking.Done(now, cold) {
 			return
 		}
 		wait := min(asking.Next()-now, time.Second) // whether it is still cold is looked at again
 		if !settled {
-			wait = min(wait, a.Total-now)
+			wait = min(wait, a.FirstWait-now)
 		}
 		timer.Reset(max(wait, time.Millisecond))
 		select {
@@ -232,7 +232,7 @@
 			if err == nil {
 				snapshot, err = a.usable(snapshot)
 			}
-			if err == nil && !snapshot.Fresh() {
+			if err == nil && !snapshot.HasFresh() {
 				err = errCold
 			}
 			var refused *RejectedError
@@ -240,7 +240,7 @@
 			if errors.As(err, &refused) {
 				comeBack = refused.RetryAfter
 			}
-			asking.Ended(got.peer, now, err == nil, comeBack)
+			asking.Finished(got.peer, now, err == nil, comeBack)
 			if err != nil {
 				a.Counts.Saw("peer's view dropped, or not had")
 				a.Log.Warn("no view from a peer", "peer", a.Peers[got.peer], "error", err)
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -90,7 +90,7 @@
 				return
 			}
 			require.NoError(t, err)
-			assert.Greater(t, Size(snapshot), 2*mostPart, "several parts")
+			assert.Greater(t, EncodedSize(snapshot), 2*mostPart, "several parts")
 			age := snapshot.Routes[0].Core.Age
 			assert.GreaterOrEqual(t, age, 2*time.Second, "its own age, and that for which it was held")
 			assert.Less(t, age, 2*time.Second+patience)
@@ -204,7 +204,7 @@
 		return err
 	}
 	require.NoError(t, through(1<<20, true))
-	size := Size(seenView(5))
+	size := EncodedSize(seenView(5))
 	for n := range 24 {
 		assert.Error(t, through(n*size/24, false), "answer cut at %d", n*size/24)
 		assert.Error(t, through(n*3, true), "ask cut at %d", n*3)
@@ -390,16 +390,16 @@
 }
 
 // asker is one of a newcomer, with what it took.
-func asker(t *testing.T, peers []string, cold *atomic.Bool) (a *Client, took chan estimate.Snapshot) {
+func asker(t *testing.T, peers []string, cold *atomic.Bool) (a *Fetcher, took chan estimate.Snapshot) {
 	took = make(chan estimate.Snapshot, 16)
 	schema := estimate.Schema{SettingsDigest: 7, Origin: 99}
 	for _, k := range seenView(0).Routes {
 		schema.Routes = append(schema.Routes, k.Name)
 		schema.Deadlines = append(schema.Deadlines, time.Second)
 	}
-	return &Client{
-		Peers: peers, Total: 300 * time.Millisecond, Schema: schema, Seed: 1, Cold: cold.Load,
-		Take: func(snapshot estimate.Snapshot) { took <- snapshot }, Counts: counts(), Log: slog.New(slog.DiscardHandler),
+	return &Fetcher{
+		Peers: peers, FirstWait: 300 * time.Millisecond, Schema: schema, Seed: 1, NeedsEstimates: cold.Load,
+		Use: func(snapshot estimate.Snapshot) { took <- snapshot }, Counts: counts(), Log: slog.New(slog.DiscardHandler),
 	}, took
 }
 
--- a/internal/peersync/giver.go
+++ b/internal/peersync/giver.go
@@ -222,7 +222,7 @@
 
 func (c *conn) join() {
 	c.server.conns = append(c.server.conns, c)
-	if c.let = c.server.giving.Joined(c.host, c.server.now()); !c.let {
+	if c.let = c.server.giving.Connect(c.host, c.server.now()); !c.let {
 		c.fail("peer closed: too many open talks")
 	}
 }
@@ -246,7 +246,7 @@
 	}
 	if c.let {
 		c.let = false
-		c.server.giving.Left(c.host)
+		c.server.giving.Disconnect(c.host)
 	}
 }
 
--- a/internal/peersync/session.go
+++ b/internal/peersync/session.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := Prove(ctx, conn, keys)
+	s, err := OpenOn(ctx, conn, keys)
 	if err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("peer %s: %w", address, err)
@@ -51,8 +51,8 @@
 	return s, nil
 }
 
-// Prove opens a session on a connection that this side dialled. The connection stays the caller's where it fails.
-func Prove(ctx context.Context, conn net.Conn, keys Keys) (*Session, error) {
+// OpenOn opens a session on a connection that this side dialled. The connection stays the caller's where it fails.
+func OpenOn(ctx context.Context, conn net.Conn, keys Keys) (*Session, error) {
 	defer context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Now()) })()
 	_ = conn.SetDeadline(time.Now().Add(sessionWait))
 	asked := newAsks(keys.first())
--- a/internal/peersync/session_test.go
+++ b/internal/peersync/session_test.go
@@ -36,7 +36,7 @@
 	if between != nil {
 		conn = between(conn)
 	}
-	if a, errA = Prove(t.Context(), conn, asker); errA != nil {
+	if a, errA = OpenOn(t.Context(), conn, asker); errA != nil {
 		conn.Close()
 	}
 	<-accepted
--- a/internal/peersync/talk.go
+++ b/internal/peersync/talk.go
@@ -179,8 +179,8 @@
 	return &packed{raw, xxhash.Sum64(raw), taken}, nil
 }
 
-// Size is the number of bytes that a view takes on the way, without its frames.
-func Size(snapshot estimate.Snapshot) int {
+// EncodedSize is the number of bytes that a view takes on the way, without its frames.
+func EncodedSize(snapshot estimate.Snapshot) int {
 	made, err := packView(snapshot, 0)
 	if err != nil {
 		return 0
--- a/internal/peersync/traffic.go
+++ b/internal/peersync/traffic.go
@@ -8,8 +8,8 @@
 // Traffic is what a process has sent and received by this package, talks of both sides together. Bytes are those of
 // frames, without the headers of the network below.
 type Traffic struct {
-	Asked    int64 // talks begun here
-	Answered int64 // talks that others began
+	Started  int64 `json:"Asked"`    // talks begun here
+	Accepted int64 `json:"Answered"` // talks that others began
 	Sent     int64 // bytes
 	Received int64
 }
@@ -17,8 +17,8 @@
 // total is counted over the whole process, as package runtime/metrics does: it decides nothing.
 var total struct{ asked, answered, sent, received atomic.Int64 }
 
-// Total is the traffic of this process so far.
-func Total() Traffic {
+// ProcessTraffic is the traffic of this process so far.
+func ProcessTraffic() Traffic {
 	return Traffic{total.asked.Load(), total.answered.Load(), total.sent.Load(), total.received.Load()}
 }
 
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -70,9 +70,9 @@
 	}
 	samples := func() (n float64) {
 		b.inTurn(func() {
-			for _, told := range b.controller.Estimates(b.Now(), b.schema).Routes {
-				if told.Name == "pay" {
-					n = told.Run.Samples
+			for _, published := range b.controller.Estimates(b.Now(), b.schema).Routes {
+				if published.Name == "pay" {
+					n = published.Run.Samples
 				}
 			}
 		})
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -125,10 +125,10 @@
 			return fmt.Errorf("%q was never given", n.Key)
 		}
 	}
-	if r.view > 0 && !p.View.Fresh() {
+	if r.view > 0 && !p.View.HasFresh() {
 		return errors.New("a view was kept and is lost")
 	}
-	if p.View.Fresh() {
+	if p.View.HasFresh() {
 		n := int((p.View.Routes[0].Core.Mean-0.1)*1e4 + 0.5)
 		if n < r.view || n > r.viewed {
 			return fmt.Errorf("view %d, and %d was kept, %d given", n, r.view, r.viewed)
@@ -288,7 +288,7 @@
 				_, known := p.Table.Get(fmt.Sprint("pay\x00", i))
 				require.True(t, known, "%s bit %d", name, bit)
 			}
-			require.True(t, p.View.Fresh())
+			require.True(t, p.View.HasFresh())
 			flips++
 		}
 		disk.Put(name, raw)
--- a/internal/store/resume.go
+++ b/internal/store/resume.go
@@ -8,7 +8,7 @@
 // does.
 func Resume(s *server.Server, had Recovered) {
 	s.Restore(had.known())
-	if had.View.Fresh() {
+	if had.View.HasFresh() {
 		s.UsePeerEstimates(had.View)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -201,7 +201,7 @@
 
 // add joins what was had with what was had behind it.
 func (r *Recovered) add(more Recovered) {
-	if !r.View.Fresh() {
+	if !r.View.HasFresh() {
 		r.View = more.View
 	}
 	r.Numbers = append(r.Numbers, more.Numbers...)
@@ -290,7 +290,7 @@
 // heal tries the folder again.
 func (s *Store) heal() {
 	had, err := s.open()
-	if s.terms.Late != nil && (len(had.Numbers) > 0 || had.View.Fresh()) {
+	if s.terms.Late != nil && (len(had.Numbers) > 0 || had.View.HasFresh()) {
 		s.terms.Late(had)
 	}
 	if err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -208,7 +208,7 @@
 		s, had, err := New(h.Terms)
 		require.NoError(t, err)
 		assert.Len(t, had.Numbers, 1)
-		assert.True(t, had.View.Fresh())
+		assert.True(t, had.View.HasFresh())
 		assert.Equal(t, uint64(math.MaxUint64), s.Safe())
 		s.Close()
 	}
--- a/internal/testkit/scale/fleet.go
+++ b/internal/testkit/scale/fleet.go
@@ -196,8 +196,8 @@
 			continue
 		}
 		u.others.Cold += state.Cold
-		u.others.Traffic.Asked += state.Traffic.Asked
-		u.others.Traffic.Answered += state.Traffic.Answered
+		u.others.Traffic.Started += state.Traffic.Started
+		u.others.Traffic.Accepted += state.Traffic.Accepted
 		u.others.Traffic.Sent += state.Traffic.Sent
 		u.others.Traffic.Received += state.Traffic.Received
 		u.othersCPU += spent
@@ -236,8 +236,8 @@
 		if err != nil {
 			return err
 		}
-		if u.others.Traffic.Asked != asked {
-			asked, since = u.others.Traffic.Asked, time.Now()
+		if u.others.Traffic.Started != asked {
+			asked, since = u.others.Traffic.Started, time.Now()
 		}
 		if time.Since(began) > warmWait || ctx.Err() != nil {
 			return fmt.Errorf("hollow: servers still ask after %v", warmWait)
@@ -262,7 +262,7 @@
 	u.memberMessages = float64(b.memberMsg-a.memberMsg) / all
 	u.memberBytes = float64(b.memberBytes-a.memberBytes) / all
 	bytes := func(s HollowState) float64 { return float64(s.Traffic.Sent + s.Traffic.Received) }
-	talks := func(s HollowState) float64 { return float64(s.Traffic.Asked + s.Traffic.Answered) }
+	talks := func(s HollowState) float64 { return float64(s.Traffic.Started + s.Traffic.Accepted) }
 	u.serverBytes = (bytes(b.others) - bytes(a.others)) / rest
 	u.serverTalks = (talks(b.others) - talks(a.others)) / rest
 	u.serverCore = 100 * (b.othersCPU - a.othersCPU).Seconds() / rest
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -63,13 +63,13 @@
 // hollowServer is one server's control code without a request path: it reports to the membership service, answers and
 // asks peers, and votes on leases where it is a voter.
 type hollowServer struct {
-	spec       *HollowSpec
-	place      int
-	cancel     context.CancelFunc
-	peerServer *peersync.Server
-	keeper     *leasing.Manager
-	warm       atomic.Bool
-	over       sync.WaitGroup
+	spec         *HollowSpec
+	place        int
+	cancel       context.CancelFunc
+	peerServer   *peersync.Server
+	leaseManager *leasing.Manager
+	warm         atomic.Bool
+	over         sync.WaitGroup
 }
 
 // RunHollow holds a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec.
@@ -119,17 +119,17 @@
 }
 
 func stateOf(servers []*hollowServer) HollowState {
-	state := HollowState{Traffic: peersync.Total(), Holders: map[string][]string{}}
+	state := HollowState{Traffic: peersync.ProcessTraffic(), Holders: map[string][]string{}}
 	for _, s := range servers {
 		if !s.warm.Load() {
 			state.Cold++
 		}
-		if s.keeper == nil {
+		if s.leaseManager == nil {
 			continue
 		}
-		for _, h := range s.keeper.Holdings() {
-			if h.Holds {
-				state.Holders[h.Duty] = append(state.Holders[h.Duty], s.address())
+		for _, status := range s.leaseManager.Status() {
+			if status.Holds {
+				state.Holders[status.Lease] = append(state.Holders[status.Lease], s.address())
 			}
 		}
 	}
@@ -144,36 +144,36 @@
 	counts := invariant.New(log)
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	giver, err := peersync.Listen(s.address(), nil, now, counts)
+	peerServer, err := peersync.Listen(s.address(), nil, now, counts)
 	if err != nil {
 		return err
 	}
-	giver.Serve()
-	s.peerServer = giver
+	peerServer.Serve()
+	s.peerServer = peerServer
 	s.warm.Store(false)
 	ctx, cancel := context.WithCancel(s.dialedFrom(context.Background()))
 	s.cancel = cancel
 	reporter := registration.New(fmt.Sprintf("hollow-%d", s.place), s.spec.Members, log)
 	s.over.Go(func() { reporter.Run(ctx, registration.Period) })
-	s.over.Go(func() { s.share(ctx, giver, now) })
-	asker := &peersync.Client{
-		Peers: s.peers(), Total: askTotal, Schema: s.frame(), Seed: s.spec.Seed + int64(s.place),
-		Cold: func() bool { return !s.warm.Load() }, Take: func(estimate.Snapshot) { s.warm.Store(true) },
+	s.over.Go(func() { s.share(ctx, peerServer, now) })
+	fetcher := &peersync.Fetcher{
+		Peers: s.peers(), FirstWait: askTotal, Schema: s.frame(), Seed: s.spec.Seed + int64(s.place),
+		NeedsEstimates: func() bool { return !s.warm.Load() }, Use: func(estimate.Snapshot) { s.warm.Store(true) },
 		Counts: counts, Log: log,
 	}
-	s.over.Go(func() { asker.Run(ctx) })
+	s.over.Go(func() { fetcher.Run(ctx) })
 	return s.vote(ctx, log)
 }
 
 // dialedFrom has the server's talks begin at its own host, as those of a machine of its own would.
 func (s *hollowServer) dialedFrom(ctx context.Context) context.Context {
 	own := netip.MustParseAddrPort(s.address())
-	return peersync.WithLocal(ctx, &net.TCPAddr{IP: own.Addr().AsSlice()})
+	return peersync.WithLocalAddress(ctx, &net.TCPAddr{IP: own.Addr().AsSlice()})
 }
 
 // vote makes the server a voter where the spec says so.
 func (s *hollowServer) vote(ctx context.Context, log *slog.Logger) error {
-	s.keeper = nil
+	s.leaseManager = nil
 	if s.place >= s.spec.Voters {
 		return nil
 	}
@@ -186,16 +186,16 @@
 	for i := range s.spec.Duties {
 		duties = append(duties, fmt.Sprintf("duty-%d", i))
 	}
-	keeper, err := leasing.New(leasing.Options{
-		Name: s.address(), Duties: duties, Peers: others, Seed: s.spec.Seed + int64(s.place), Log: log,
+	manager, err := leasing.New(leasing.Options{
+		Address: s.address(), Leases: duties, Peers: others, Seed: s.spec.Seed + int64(s.place), Log: log,
 		Config: lease.Config{Duration: s.spec.Lease, MaxClockDrift: hollowDrift, Voters: s.spec.Voters},
 	})
 	if err != nil {
 		return err
 	}
-	s.keeper = keeper
-	s.peerServer.SetVoteHandler(keeper.Vote)
-	s.over.Go(func() { keeper.Run(ctx) })
+	s.leaseManager = manager
+	s.peerServer.SetVoteHandler(manager.HandleVote)
+	s.over.Go(func() { manager.Run(ctx) })
 	return nil
 }
 
@@ -237,7 +237,7 @@
 }
 
 // share leaves a view for others once a second, from the moment on at which the server has seen enough.
-func (s *hollowServer) share(ctx context.Context, giver *peersync.Server, now func() time.Duration) {
+func (s *hollowServer) share(ctx context.Context, peerServer *peersync.Server, now func() time.Duration) {
 	schema := s.frame()
 	snapshot := estimate.Snapshot{Origin: schema.Origin, SettingsDigest: schema.SettingsDigest}
 	seen := estimate.Estimate{Mean: viewMean, Spread: viewMean / 2, Samples: viewSamples}
@@ -256,7 +256,7 @@
 			s.warm.Store(true)
 		}
 		if s.warm.Load() {
-			giver.Publish(snapshot, now())
+			peerServer.Publish(snapshot, now())
 		}
 	}
 }
--- a/internal/testkit/scale/watchers.go
+++ b/internal/testkit/scale/watchers.go
@@ -119,7 +119,7 @@
 		for _, i := range chosen {
 			watchers[i].start(spec, peersync.Keys{key}, writer)
 		}
-		used := peersync.Total()
+		used := peersync.ProcessTraffic()
 		writer.write(watcherLine{Answer: &used})
 	}
 	return lines.Err()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -14,12 +14,12 @@
 
 // process is one app server in a simulated fleet: its clock runs at its own rate from its own offset.
 type process struct {
-	name    string
-	rate    float64
-	offset  time.Duration
-	grantor *Voter
-	cand    *Candidate
-	stalled time.Duration // stands still until then, in true time
+	name         string
+	rate         float64
+	offset       time.Duration
+	voter        *Voter
+	candidate    *Candidate
+	stalledUntil time.Duration // stands still until then, in true time
 }
 
 func (p *process) clock(at time.Duration) time.Duration {
@@ -28,34 +28,34 @@
 
 // message is an ask or an answer on its way, to arrive at true time at.
 type message struct {
-	at     time.Duration
-	to     int
-	ask    *VoteRequest
-	answer *VoteResponse
+	at       time.Duration
+	to       int
+	request  *VoteRequest
+	response *VoteResponse
 }
 
 // fleet plays processes that all want one duty, over links that lose and delay, in steps of a millisecond.
 type fleet struct {
-	rng      *rand.Rand
-	terms    Config
-	procs    []*process
-	wire     []message
-	fence    *Fence
-	history  []FencedOperation
-	overlaps int // moments at which two believed they held
-	acts     int
+	rng        *rand.Rand
+	config     Config
+	processes  []*process
+	inFlight   []message
+	fence      *Fence
+	history    []FencedOperation
+	overlaps   int // moments at which two believed they held
+	operations int
 }
 
 func newFleet(seed int64, n int, drift float64) *fleet {
 	f := &fleet{rng: rand.New(rand.NewSource(seed)), fence: NewFence()}
-	f.terms = Config{Duration: 500 * ms, MaxClockDrift: drift, Voters: n}
+	f.config = Config{Duration: 500 * ms, MaxClockDrift: drift, Voters: n}
 	for i := range n {
 		name := string(rune('a' + i))
 		// Rates within half the allowance on either side, so any two differ by the allowance at most.
 		rate := 1 + (f.rng.Float64()-0.5)*drift
 		p := &process{name: name, rate: rate, offset: time.Duration(f.rng.Int63n(int64(time.Hour)))}
-		p.grantor, p.cand = NewVoter(name, f.terms), NewCandidate("compact", name, f.terms, seed*10+int64(i))
-		f.procs = append(f.procs, p)
+		p.voter, p.candidate = NewVoter(name, f.config), NewCandidate("compact", name, f.config, seed*10+int64(i))
+		f.processes = append(f.processes, p)
 	}
 	return f
 }
@@ -65,49 +65,49 @@
 		return // lost
 	}
 	m.at, m.to = at+time.Duration(f.rng.Int63n(int64(40*ms))), to
-	f.wire = append(f.wire, m)
+	f.inFlight = append(f.inFlight, m)
 }
 
 // step plays one millisecond of true time at at.
 func (f *fleet) step(at time.Duration) {
-	sort.SliceStable(f.wire, func(i, j int) bool { return f.wire[i].at < f.wire[j].at })
-	for len(f.wire) > 0 && f.wire[0].at <= at {
-		m := f.wire[0]
-		f.wire = f.wire[1:]
-		p := f.procs[m.to]
-		if at < p.stalled {
-			m.at = p.stalled // read once it wakes
-			f.wire = append(f.wire, m)
+	sort.SliceStable(f.inFlight, func(i, j int) bool { return f.inFlight[i].at < f.inFlight[j].at })
+	for len(f.inFlight) > 0 && f.inFlight[0].at <= at {
+		m := f.inFlight[0]
+		f.inFlight = f.inFlight[1:]
+		p := f.processes[m.to]
+		if at < p.stalledUntil {
+			m.at = p.stalledUntil // read once it wakes
+			f.inFlight = append(f.inFlight, m)
 			continue
 		}
-		if m.ask != nil {
-			answer := p.grantor.HandleRequest(*m.ask, p.clock(at))
-			f.send(at, f.index(m.ask.From), message{answer: &answer})
+		if m.request != nil {
+			response := p.voter.HandleRequest(*m.request, p.clock(at))
+			f.send(at, f.index(m.request.Candidate), message{response: &response})
 		} else {
-			p.cand.HandleResponse(*m.answer, p.clock(at))
+			p.candidate.HandleResponse(*m.response, p.clock(at))
 		}
 	}
 	holders := 0
-	for i, p := range f.procs {
-		if at < p.stalled {
+	for i, p := range f.processes {
+		if at < p.stalledUntil {
 			continue
 		}
 		now := p.clock(at)
-		if p.cand.Holds(now) {
+		if p.candidate.Holds(now) {
 			holders++
 			if f.rng.Float64() < 0.05 { // acts now and then, showing its token
-				f.act(p, at)
+				f.operate(p, at)
 			}
 		}
-		if p.cand.Holds(now) && p.cand.Until()-now > f.terms.Duration/2 {
+		if p.candidate.Holds(now) && p.candidate.Expiry()-now > f.config.Duration/2 {
 			continue // renews in the second half of its lease
 		}
 		if at%(20*ms) != time.Duration(i)*ms {
 			continue // each asks at its own moments, a round in 20 ms at the most
 		}
-		if ask, ok := p.cand.NextRequest(now); ok {
-			for to := range f.procs {
-				f.send(at, to, message{ask: &ask})
+		if request, ok := p.candidate.NextRequest(now); ok {
+			for to := range f.processes {
+				f.send(at, to, message{request: &request})
 			}
 		}
 	}
@@ -116,9 +116,9 @@
 	}
 }
 
-func (f *fleet) act(p *process, at time.Duration) {
-	f.acts++
-	token := p.cand.Token()
+func (f *fleet) operate(p *process, at time.Duration) {
+	f.operations++
+	token := p.candidate.Token()
 	f.history = append(f.history, FencedOperation{"compact", p.name, token, f.fence.Admit("compact", token), int64(at)})
 }
 
@@ -136,15 +136,15 @@
 				f := newFleet(seed, c.n, c.drift)
 				for at := time.Duration(0); at < 8*time.Second; at += ms {
 					if at%(2*time.Second) == 300*ms { // one stalls past its lease, as under SIGSTOP
-						f.procs[f.rng.Intn(c.n)].stalled = at + 700*ms
+						f.processes[f.rng.Intn(c.n)].stalledUntil = at + 700*ms
 					}
 					if at == 4*time.Second { // one grantor loses all it granted
-						p := f.procs[f.rng.Intn(c.n)]
-						p.grantor.Restarted(p.clock(at))
+						p := f.processes[f.rng.Intn(c.n)]
+						p.voter.Restart(p.clock(at))
 					}
 					f.step(at)
-					for _, p := range f.procs {
-						if p.cand.Holds(p.clock(at)) {
+					for _, p := range f.processes {
+						if p.candidate.Holds(p.clock(at)) {
 							held++
 							break
 						}
@@ -152,7 +152,7 @@
 				}
 				require.Zero(t, f.overlaps, "seed %d: two held at once", seed)
 				require.NoError(t, CheckHistory(f.history), "seed %d", seed)
-				acts += f.acts
+				acts += f.operations
 			}
 			assert.Positive(t, acts, "holders acted")
 			t.Logf("held %.0f%% of the time", 100*float64(held)/(40*8000))
@@ -167,30 +167,30 @@
 // the token is what refuses its acts then.
 // round sends c's asks to every voter at once, read at voters' time at and the candidate's own, if it may ask.
 func round(c *Candidate, voters []*Voter, at, own time.Duration) bool {
-	ask, ok := c.NextRequest(own)
-	for _, g := range voters {
+	request, ok := c.NextRequest(own)
+	for _, voter := range voters {
 		if ok {
-			c.HandleResponse(g.HandleRequest(ask, at), own)
+			c.HandleResponse(voter.HandleRequest(request, at), own)
 		}
 	}
 	return ok
 }
 
 func TestAStaleHolderIsRefusedByItsToken(t *testing.T) {
-	terms := Config{Duration: 500 * ms, Voters: 3}
-	grantors := []*Voter{NewVoter("a", terms), NewVoter("b", terms), NewVoter("c", terms)}
-	old, next := NewCandidate("d", "old", terms, 1), NewCandidate("d", "next", terms, 2)
-	win := func(c *Candidate, now time.Duration) { require.True(t, round(c, grantors, now, now)) }
+	config := Config{Duration: 500 * ms, Voters: 3}
+	voters := []*Voter{NewVoter("a", config), NewVoter("b", config), NewVoter("c", config)}
+	old, next := NewCandidate("d", "old", config, 1), NewCandidate("d", "next", config, 2)
+	win := func(c *Candidate, now time.Duration) { require.True(t, round(c, voters, now, now)) }
 	fence := NewFence()
 	win(old, 0)
 	require.True(t, old.Holds(0))
 	assert.True(t, fence.Admit("d", old.Token()))
-	ask, _ := next.NextRequest(100 * ms)
-	for _, g := range grantors {
-		answer := g.HandleRequest(ask, 100*ms)
-		assert.False(t, answer.Granted, "no grant while a lease runs")
-		assert.Equal(t, 400*ms, answer.Free)
-		next.HandleResponse(answer, 100*ms)
+	request, _ := next.NextRequest(100 * ms)
+	for _, voter := range voters {
+		response := voter.HandleRequest(request, 100*ms)
+		assert.False(t, response.Granted, "no grant while a lease runs")
+		assert.Equal(t, 400*ms, response.RetryAfter)
+		next.HandleResponse(response, 100*ms)
 	}
 	win(next, 800*ms) // after the lease and the wait drawn on refusal
 	require.True(t, next.Holds(800*ms))
@@ -220,23 +220,23 @@
 }
 
 func TestARestartedGrantorWaitsOutWhatItMayHaveGranted(t *testing.T) {
-	terms := Config{Duration: time.Second, MaxClockDrift: 0.1, Voters: 1}
-	g := NewVoter("a", terms)
-	assert.True(t, g.HandleRequest(VoteRequest{"d", "x", 1}, 0).Granted)
-	g.Restarted(500 * ms)
-	answer := g.HandleRequest(VoteRequest{"d", "y", 2}, 600*ms)
-	assert.False(t, answer.Granted)
-	assert.Equal(t, 1100*ms, answer.Free, "lease and twice the allowance from the restart")
-	assert.True(t, g.HandleRequest(VoteRequest{"d", "y", 2}, 1700*ms).Granted)
+	config := Config{Duration: time.Second, MaxClockDrift: 0.1, Voters: 1}
+	voter := NewVoter("a", config)
+	assert.True(t, voter.HandleRequest(VoteRequest{"d", "x", 1}, 0).Granted)
+	voter.Restart(500 * ms)
+	response := voter.HandleRequest(VoteRequest{"d", "y", 2}, 600*ms)
+	assert.False(t, response.Granted)
+	assert.Equal(t, 1100*ms, response.RetryAfter, "lease and twice the allowance from the restart")
+	assert.True(t, voter.HandleRequest(VoteRequest{"d", "y", 2}, 1700*ms).Granted)
 }
 
 func TestTermsNameTheirKey(t *testing.T) {
-	for key, terms := range map[string]Config{
+	for key, config := range map[string]Config{
 		"lease.lease":  {MaxClockDrift: 0.01, Voters: 3},
 		"lease.drift":  {Duration: time.Second, MaxClockDrift: 0.5, Voters: 3},
 		"lease.voters": {Duration: time.Second},
 	} {
-		assert.ErrorContains(t, terms.Validate(), key)
+		assert.ErrorContains(t, config.Validate(), key)
 	}
 	assert.NoError(t, Config{Duration: time.Second, MaxClockDrift: 0.01, Voters: 3}.Validate())
 }
@@ -245,21 +245,21 @@
 // ends before any voter frees the duty; past it, another is granted while it still believes, and only the
 // token keeps its acts out.
 func TestTheDriftBoundAndWhatBreaksPastIt(t *testing.T) {
-	terms := Config{Duration: time.Second, MaxClockDrift: 0.1, Voters: 3}
+	config := Config{Duration: time.Second, MaxClockDrift: 0.1, Voters: 3}
 	for _, c := range []struct {
 		name    string
 		rate    float64 // of the holder's clock against the voters'
 		overlap bool
 	}{{"at the bound", 0.9, false}, {"fast", 1.1, false}, {"past the bound", 0.7, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			voters := []*Voter{NewVoter("a", terms), NewVoter("b", terms), NewVoter("c", terms)}
-			old, next := NewCandidate("d", "old", terms, 1), NewCandidate("d", "next", terms, 2)
+			voters := []*Voter{NewVoter("a", config), NewVoter("b", config), NewVoter("c", config)}
+			old, next := NewCandidate("d", "old", config, 1), NewCandidate("d", "next", config, 2)
 			own := func(true time.Duration) time.Duration { return time.Duration(c.rate * float64(true)) }
 			round(old, voters, 0, own(0))
 			require.True(t, old.Holds(own(0)))
 			// next asks every millisecond of true time from the moment the voters free the duty
 			granted := time.Duration(0)
-			for at := terms.Duration + terms.margin(); granted == 0 && at < 2*terms.Duration; at += ms {
+			for at := config.Duration + config.margin(); granted == 0 && at < 2*config.Duration; at += ms {
 				if round(next, voters, at, at); next.Holds(at) {
 					granted = at
 				}
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -168,19 +168,19 @@
 			continue
 		}
 		// Frame.Fit is a peer's gate, and a file's: what it lets through can be acted on.
-		fit, err := here.Frame.Align(*f.View)
+		validated, err := here.Frame.Align(*f.View)
 		if err == nil {
-			fit, err = here.Frame.Validate(fit)
+			validated, err = here.Frame.Validate(validated)
 		}
 		if err != nil {
 			p.note(f.Name, err.Error())
 			continue
 		}
-		if fit = fit.Aged(age); !fit.Fresh() {
+		if validated = validated.Aged(age); !validated.HasFresh() {
 			p.note(f.Name, "old")
 			continue
 		}
-		p.View, p.ViewFrom = fit, f.Name
+		p.View, p.ViewFrom = validated, f.Name
 		return
 	}
 }
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -117,7 +117,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := Decide(c.found, Here{Now: now, Site: "s", Frame: frame})
-			if assert.Equal(t, c.mean > 0, p.View.Fresh()); c.mean > 0 {
+			if assert.Equal(t, c.mean > 0, p.View.HasFresh()); c.mean > 0 {
 				assert.Equal(t, c.mean, p.View.Routes[0].Core.Mean)
 				assert.Equal(t, time.Second, p.View.Routes[0].Core.Age)
 			}
--- a/recovery/worth.go
+++ b/recovery/worth.go
@@ -11,14 +11,14 @@
 // all by its second start. One that has seen nothing new since is not written again either: what was written ages by
 // itself.
 func Worth(snapshot, before estimate.Snapshot, since time.Duration) bool {
-	if snapshot.Cold() {
+	if snapshot.NeedsPeers() {
 		return false
 	}
 	if len(before.Routes) != len(snapshot.Routes) {
 		return true
 	}
-	for i, t := range snapshot.Routes {
-		if t.Core.Known() && t.Core.Age < before.Routes[i].Core.Age+since {
+	for i, route := range snapshot.Routes {
+		if route.Core.Known() && route.Core.Age < before.Routes[i].Core.Age+since {
 			return true
 		}
 	}
