--- a/cmd/quartzpoint/lease.go
+++ b/cmd/quartzpoint/lease.go
@@ -12,40 +12,40 @@
 	"quartzpoint/internal/leasing"
 )
 
-// newLeaseManager makes the keeper of the duties that [lease] names, or none where it names none. Its name in the
-// fleet is its address for peers, which no other server has.
-func newLeaseManager(ours *config.Config, seed int64, log *slog.Logger) (*leasing.Manager, error) {
-	if ours.Lease == nil {
+// newLeaseManager returns the manager of the leases that the configuration file names in [lease], or nil without that section.
+// The fleet knows this server by its address for peers, as no other server has the same.
+func newLeaseManager(file *config.Config, seed int64, log *slog.Logger) (*leasing.Manager, error) {
+	if file.Lease == nil {
 		return nil, nil
 	}
-	keys, err := readKeyFile(ours.Peers.KeyFile)
+	keys, err := readKeyFile(file.Peers.KeyFile)
 	if err != nil {
 		return nil, err
 	}
 	manager, err := leasing.New(leasing.Options{
-		Address: ours.Peers.Listen, Leases: ours.Lease.Duties, Config: ours.Lease.Config, Peers: ours.Peers.Ask,
+		Address: file.Peers.Listen, Leases: file.Lease.Duties, Config: file.Lease.Config, Peers: file.Peers.Ask,
 		Keys: keys, Seed: seed, Log: log,
 	})
 	if err != nil {
 		return nil, err
 	}
-	log.Info("duties held by lease", "duties", len(ours.Lease.Duties), "voters", ours.Lease.Config.Voters,
-		"lease", ours.Lease.Config.Duration, "drift", ours.Lease.Config.MaxClockDrift)
+	log.Info("leases configured", "leases", len(file.Lease.Duties), "voters", file.Lease.Config.Voters,
+		"duration", file.Lease.Config.Duration, "max_clock_drift", file.Lease.Config.MaxClockDrift)
 	return manager, nil
 }
 
-// leaseCommands are the commands about duties held by lease.
+// leaseCommands are the commands about leases.
 type leaseCommands struct {
-	Show leaseShow `cmd:"" help:"Print how a running server sees its duties: whether it holds each, token, time left."`
+	Show leaseShow `cmd:"" help:"Print a running server's leases: whether it holds each, token, time remaining."`
 }
 
-// leaseShow is the command that prints a server's duties.
+// leaseShow is the command that prints the status of a server's leases.
 type leaseShow struct {
 	Socket string `arg:"" help:"The server's control socket, as in its [control] socket."`
 	JSON   bool   `name:"json" help:"Print it as JSON; times in nanoseconds."`
 }
 
-// Run asks once.
+// Run asks the server once and prints its answer.
 func (cmd *leaseShow) Run() error {
 	var statuses []leasing.Status
 	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askLease}, &statuses); err != nil {
@@ -55,7 +55,7 @@
 		return printJSON(os.Stdout, statuses)
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "duty\tholds\ttoken\tleft\tits vote went to\tunder\t")
+	fmt.Fprintln(table, "lease\tholds\ttoken\tremaining\tlast vote for\tits token\t")
 	for _, status := range statuses {
 		holds := "no"
 		if status.Holds {
--- /dev/null
+++ b/internal/leasing/manager.go
@@ -0,0 +1,201 @@
+// Package leasing obtains leases among the servers of a fleet. It runs one server's voter and candidates of package lease,
+// which decides who holds a lease, and carries their messages over package peersync.
+package leasing
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"quartzpoint/internal/peersync"
+	"quartzpoint/lease"
+)
+
+const (
+	maxPosted      = 4096 // calls that wait for the manager's goroutine; one too many is dropped, as a lost message would be
+	maxExchanges   = 16   // with peers at a time, as each takes a descriptor
+	roundsPerLease = 4    // so that a holder tries three times to renew before its lease ends
+)
+
+// Options configure a Manager.
+type Options struct {
+	Address string   // of this server for its peers, by which the fleet knows it
+	Leases  []string // names of those that this server wants
+	Config  lease.Config
+	Peers   []string // addresses of the other voters
+	Keys    peersync.Keys
+	Seed    int64 // of the candidates' backoff
+	Log     *slog.Logger
+}
+
+// managedLease is one lease that this server wants.
+type managedLease struct {
+	candidate *lease.Candidate
+	held      bool   // as last logged
+	refusedBy string // holder named in the last refusal that was logged
+}
+
+// Manager votes on leases and holds those that this server was granted. The goroutine that calls Run owns the voter and the
+// candidates; other goroutines post calls to it. HandleVote, Status and Holds are safe for concurrent use.
+type Manager struct {
+	options   Options
+	started   time.Time
+	voter     *lease.Voter
+	leases    []*managedLease
+	requests  []chan [][]byte // one for each peer, with room for the requests of one round
+	exchanges chan struct{}   // holds an element for each exchange with a peer that is under way
+	status    atomic.Pointer[[]Status]
+	senders   sync.WaitGroup
+
+	mu     sync.Mutex
+	posted []func()
+	wake   chan struct{}
+}
+
+// New returns a manager whose voter grants nothing until all grants that it could have made before a restart have expired.
+func New(options Options) (*Manager, error) {
+	if err := options.Config.Validate(); err != nil {
+		return nil, err
+	}
+	if options.Config.Voters != len(options.Peers)+1 {
+		return nil, fmt.Errorf("lease: %d voters for %d peers and this server", options.Config.Voters, len(options.Peers))
+	}
+	m := &Manager{
+		options: options, started: time.Now(), voter: lease.NewVoter(options.Address, options.Config),
+		wake: make(chan struct{}, 1), exchanges: make(chan struct{}, maxExchanges),
+	}
+	m.voter.Restart(m.now())
+	for i, name := range options.Leases {
+		candidate := lease.NewCandidate(name, options.Address, options.Config, options.Seed+int64(i))
+		m.leases = append(m.leases, &managedLease{candidate: candidate})
+	}
+	for range options.Peers {
+		m.requests = append(m.requests, make(chan [][]byte, 1))
+	}
+	m.publishStatus()
+	return m, nil
+}
+
+// now is the time since the start on the monotonic clock: a lease rests on the rate of this clock, and a change of the wall
+// clock must not move it.
+func (m *Manager) now() time.Duration { return time.Since(m.started) }
+
+// post has Run's goroutine call f.
+func (m *Manager) post(f func()) {
+	m.mu.Lock()
+	if len(m.posted) < maxPosted {
+		m.posted = append(m.posted, f)
+	}
+	m.mu.Unlock()
+	select {
+	case m.wake <- struct{}{}:
+	default:
+	}
+}
+
+// runPosted makes the calls that were posted.
+func (m *Manager) runPosted() {
+	m.mu.Lock()
+	batch := m.posted
+	m.posted = nil // a new slice, so that a queue that was long once does not keep its memory
+	m.mu.Unlock()
+	for _, f := range batch {
+		f()
+	}
+}
+
+// Run keeps the leases until the context ends, then releases them and returns once all its goroutines have ended.
+func (m *Manager) Run(ctx context.Context) {
+	for i, address := range m.options.Peers {
+		m.senders.Go(func() { m.sendRequests(ctx, address, m.requests[i]) })
+	}
+	defer m.senders.Wait()
+	ticker := time.NewTicker(m.options.Config.Duration / roundsPerLease)
+	defer ticker.Stop()
+	m.startRound()
+	for {
+		select {
+		case <-ctx.Done():
+			m.release()
+			return
+		case <-m.wake:
+			m.runPosted()
+			m.logChanges()
+		case <-ticker.C:
+			m.startRound()
+		}
+	}
+}
+
+// startRound has every voter asked for each lease, this server's own at once.
+func (m *Manager) startRound() {
+	now := m.now()
+	var batch [][]byte
+	for _, l := range m.leases {
+		request, ok := l.candidate.NextRequest(now)
+		if !ok {
+			continue
+		}
+		m.handleResponse(l, m.voter.HandleRequest(request, now))
+		if raw, err := cbor.Marshal(ballot{Request: &request}); err == nil {
+			batch = append(batch, raw)
+		}
+	}
+	for _, requests := range m.requests {
+		select {
+		case <-requests: // of an earlier round that were not sent: their responses would be ignored
+		default:
+		}
+		if len(batch) > 0 {
+			requests <- batch // does not block: it was emptied, and no other goroutine sends on it
+		}
+	}
+	m.logChanges()
+}
+
+// handleResponse passes a response to the candidate. A refusal is logged when it names another holder than the last one.
+func (m *Manager) handleResponse(l *managedLease, response lease.VoteResponse) {
+	l.candidate.HandleResponse(response, m.now())
+	other := response.Holder != "" && response.Holder != l.candidate.ID
+	if !response.Granted && other && response.Holder != l.refusedBy {
+		l.refusedBy = response.Holder
+		m.options.Log.Info("lease refused", "lease", l.candidate.Lease, "voter", response.Voter, "holder", response.Holder,
+			"highest_token", response.HighestToken)
+	}
+}
+
+// logChanges logs each lease that was granted or lost since the last call, and publishes the status.
+func (m *Manager) logChanges() {
+	now := m.now()
+	for _, l := range m.leases {
+		c := l.candidate
+		holds := c.Holds(now)
+		switch {
+		case holds && !l.held:
+			l.refusedBy = ""
+			m.options.Log.Info("lease granted", "lease", c.Lease, "token", c.Token(), "remaining", c.Expiry()-now)
+		case !holds && l.held:
+			m.options.Log.Warn("lease lost", "lease", c.Lease, "token", c.Token(), "reason", "not renewed in time")
+		}
+		l.held = holds
+	}
+	m.publishStatus()
+}
+
+// release ends all leases on this side and in this server's own vote. The other voters' grants expire by themselves.
+func (m *Manager) release() {
+	for _, l := range m.leases {
+		c := l.candidate
+		if l.held {
+			m.voter.Release(c.Lease, c.ID, c.Token(), m.now())
+			m.options.Log.Info("lease released", "lease", c.Lease, "token", c.Token(), "reason", "draining")
+		}
+		c.StepDown()
+	}
+	m.publishStatus()
+}
