--- /dev/null
+++ b/estimate/limiter_test.go
@@ -0,0 +1,69 @@
+package estimate
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// A client that asks without end, or for more than its share, must be held to its rates, and others must still be answered.
+func TestServeLimiter(t *testing.T) {
+	limiter := NewServeLimiter(0)
+	for range maxConnsPerAddress {
+		assert.True(t, limiter.Connect("a", 0))
+	}
+	assert.False(t, limiter.Connect("a", 0), "of one address")
+	for i := range maxConns - maxConnsPerAddress {
+		assert.True(t, limiter.Connect(string(rune('b'+i)), 0))
+	}
+	assert.False(t, limiter.Connect("z", 0), "in all")
+	limiter.Disconnect("a")
+	assert.True(t, limiter.Connect("z", 0))
+
+	given := 0
+	for range 1000 {
+		if ok, retryAfter := limiter.Allow("a", 100, 0); ok {
+			given++
+		} else {
+			assert.Positive(t, retryAfter)
+		}
+	}
+	assert.Equal(t, int(requestsPerAddress*burstSeconds), given)
+	ok, _ := limiter.Allow("b", 100, 0)
+	assert.True(t, ok, "a client that asks without end keeps nobody out")
+	ok, _ = limiter.Allow("a", 100, time.Second/time.Duration(requestsPerAddress))
+	assert.True(t, ok)
+	ok, _ = limiter.Allow("c", bytesPerAddress*2, 0)
+	assert.False(t, ok, "more bytes than one address is given")
+
+	limiter = NewServeLimiter(0)
+	for i := range 10 * maxAddresses {
+		name := string(rune('A' + i))
+		require.True(t, limiter.Connect(name, time.Duration(i)))
+		limiter.Disconnect(name)
+	}
+	assert.LessOrEqual(t, len(limiter.addresses), maxAddresses)
+}
+
+// A thousand servers ask in turn. If one were forgotten meanwhile, it would get its whole burst anew each time.
+func TestServeLimiterRemembersALargeFleet(t *testing.T) {
+	limiter := NewServeLimiter(0)
+	name := func(i int) string { return "10.0." + string(rune('A'+i)) }
+	now := time.Duration(0)
+	for i := range 1024 {
+		now += time.Second // in which the total rate refills
+		require.True(t, limiter.Connect(name(i), now))
+		for range int(requestsPerAddress * burstSeconds) {
+			given, _ := limiter.Allow(name(i), 1, now)
+			require.True(t, given)
+		}
+		limiter.Disconnect(name(i))
+	}
+	for i := range 1024 { // no time passes
+		of := limiter.addresses[name(i)]
+		require.NotNil(t, of, "%d is forgotten, and would be given all anew", i)
+		assert.Less(t, of.requests, 1.0)
+	}
+}
--- /dev/null
+++ b/estimate/merge.go
@@ -0,0 +1,146 @@
+package estimate
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+const (
+	maxDisagreement = 3.0 // times by which two means may differ for both to be used
+	maxPaceRatio    = 4.0 // by which times are scaled for the difference between two machines
+)
+
+// Merge makes one snapshot of several that Schema.Validate has passed; their order does not matter. Each estimate is merged
+// by itself:
+//
+//   - snapshots of one origin count as one, so an echo adds nothing;
+//   - of three or more origins the median of mean, spread, samples and age each is used, so a single one that is wrong can at
+//     most choose between two values of others;
+//   - of two there is no majority: where they differ by more than three times neither is used, else the larger mean, the
+//     fewer samples and the greater age;
+//   - core and run times are first scaled to the median pace, where all snapshots have one.
+func Merge(snapshots []Snapshot) Snapshot {
+	if len(snapshots) == 0 {
+		return Snapshot{}
+	}
+	snapshots = slices.Clone(snapshots)
+	slices.SortStableFunc(snapshots, func(a, b Snapshot) int { return cmp.Compare(a.Origin, b.Origin) })
+	normalizePace(snapshots)
+	first := snapshots[0]
+	merged := Snapshot{SettingsDigest: first.SettingsDigest, Routes: make([]RouteEstimates, len(first.Routes))}
+	for i := range merged.Routes {
+		merged.Routes[i].Name = first.Routes[i].Name
+		merged.Routes[i].Core = mergeEstimates(snapshots, CoreTime, func(s *Snapshot) Estimate { return s.Routes[i].Core })
+		merged.Routes[i].Run = mergeEstimates(snapshots, RunTime, func(s *Snapshot) Estimate { return s.Routes[i].Run })
+	}
+	merged.Pace = mergeEstimates(snapshots, Pace, func(s *Snapshot) Estimate { return s.Pace })
+	merged.Calls = mergeEstimates(snapshots, CallTime, func(s *Snapshot) Estimate { return s.Calls })
+	merged.RejectRatio = mergeEstimates(snapshots, RejectRatio, func(s *Snapshot) Estimate { return s.RejectRatio })
+	merged.ReturnRatio = mergeEstimates(snapshots, ReturnRatio, func(s *Snapshot) Estimate { return s.ReturnRatio })
+	return merged
+}
+
+// mergeEstimates merges one estimate of snapshots that are sorted by origin.
+func mergeEstimates(snapshots []Snapshot, kind Kind, get func(*Snapshot) Estimate) Estimate {
+	var origins []Estimate
+	for from := 0; from < len(snapshots); {
+		to := from
+		var same []Estimate
+		for ; to < len(snapshots) && snapshots[to].Origin == snapshots[from].Origin; to++ {
+			if e := get(&snapshots[to]); e.Weight(kind) > 0 {
+				same = append(same, e)
+			}
+		}
+		if e := mergeOrigin(same); e.Known() {
+			origins = append(origins, e)
+		}
+		from = to
+	}
+	return mergeOrigins(origins)
+}
+
+// normalizePace scales core and run times to the median pace of all origins. Without a pace from each, machines are taken to
+// be alike, and own samples correct what is wrong in that. The snapshots are sorted by origin.
+func normalizePace(snapshots []Snapshot) {
+	var paces []float64
+	for i, snapshot := range snapshots {
+		switch {
+		case snapshot.Pace.Weight(Pace) == 0:
+			return
+		case i > 0 && snapshots[i-1].Origin == snapshot.Origin:
+			paces[len(paces)-1] = max(paces[len(paces)-1], snapshot.Pace.Mean)
+		default:
+			paces = append(paces, snapshot.Pace.Mean)
+		}
+	}
+	slices.Sort(paces)
+	median := paces[len(paces)/2]
+	for i := range snapshots {
+		ratio := min(max(median/snapshots[i].Pace.Mean, 1/maxPaceRatio), maxPaceRatio)
+		snapshots[i].Routes = slices.Clone(snapshots[i].Routes)
+		for j := range snapshots[i].Routes {
+			route := &snapshots[i].Routes[j]
+			route.Core.Mean, route.Core.Spread = route.Core.Mean*ratio, route.Core.Spread*ratio
+			route.Run.Mean, route.Run.Spread = route.Run.Mean*ratio, route.Run.Spread*ratio
+		}
+	}
+}
+
+// mergeOrigin merges estimates with the same origin. Copies count as one. Where they contradict each other none is used, as
+// one of them is not of the origin that it states.
+func mergeOrigin(same []Estimate) Estimate {
+	if len(same) < 2 {
+		return mergeOrigins(same)
+	}
+	smallest, largest := same[0].Mean, same[0].Mean
+	merged := same[0]
+	for _, e := range same[1:] {
+		smallest, largest = min(smallest, e.Mean), max(largest, e.Mean)
+		merged = pessimistic(merged, e)
+	}
+	if largest > maxDisagreement*smallest {
+		return Estimate{}
+	}
+	return merged
+}
+
+// pessimistic takes of two estimates the larger mean, spread and age and the fewer samples.
+func pessimistic(a, b Estimate) Estimate {
+	return Estimate{
+		Mean: max(a.Mean, b.Mean), Spread: max(a.Spread, b.Spread), Samples: min(a.Samples, b.Samples),
+		Age: max(a.Age, b.Age),
+	}
+}
+
+// mergeOrigins merges estimates of different origins.
+func mergeOrigins(origins []Estimate) Estimate {
+	switch len(origins) {
+	case 0:
+		return Estimate{}
+	case 1:
+		return origins[0]
+	case 2:
+		a, b := origins[0], origins[1]
+		if max(a.Mean, b.Mean) > maxDisagreement*min(a.Mean, b.Mean) {
+			return Estimate{}
+		}
+		return pessimistic(a, b)
+	}
+	return Estimate{
+		Mean:    upperMedian(origins, func(e Estimate) float64 { return e.Mean }),
+		Spread:  upperMedian(origins, func(e Estimate) float64 { return e.Spread }),
+		Samples: -upperMedian(origins, func(e Estimate) float64 { return -e.Samples }),
+		Age:     time.Duration(upperMedian(origins, func(e Estimate) float64 { return float64(e.Age) })),
+	}
+}
+
+// upperMedian is the median, and of an even number the larger of the middle two: means and ages err upwards.
+func upperMedian(estimates []Estimate, get func(Estimate) float64) float64 {
+	values := make([]float64, len(estimates))
+	for i, e := range estimates {
+		values[i] = get(e)
+	}
+	slices.Sort(values)
+	return values[len(values)/2]
+}
--- /dev/null
+++ b/estimate/merge_test.go
@@ -0,0 +1,89 @@
+package estimate
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"pgregory.net/rapid"
+)
+
+// One of several peers is wrong, echoes another or poses as another. Its estimates must not decide.
+func TestMerge(t *testing.T) {
+	cases := []struct {
+		name  string
+		views []Snapshot
+		mean  float64 // 0: not believed
+	}{
+		{"one", []Snapshot{snapshotOf(1, 0.1)}, 0.1},
+		{"two that agree: the larger need", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.2)}, 0.2},
+		{"two that don't", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.4)}, 0},
+		{"a liar among three, far up", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.12), snapshotOf(3, 100)}, 0.12},
+		{"a liar among three, far down", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.12), snapshotOf(3, 1e-6)}, 0.1},
+		{"a liar under another's name", []Snapshot{snapshotOf(1, 0.1), snapshotOf(1, 50), snapshotOf(3, 0.12)}, 0.12},
+		{"an echo of the lie", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.12), snapshotOf(3, 5), snapshotOf(3, 5), snapshotOf(3, 5)}, 0.12},
+		{"an old one has no vote", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 9).Aged(time.Hour)}, 0.1},
+	}
+	for _, c := range cases {
+		got := Merge(c.views).Routes[0].Core
+		assert.InDelta(t, c.mean, got.Mean, 1e-9, c.name)
+	}
+	fast, slow := snapshotOf(1, 0.1), snapshotOf(2, 0.2)
+	slow.Pace.Mean = 2
+	assert.InDelta(t, 0.2, Merge([]Snapshot{fast, slow}).Routes[0].Core.Mean, 1e-9, "the same work on a machine of half the speed")
+	assert.Empty(t, Merge(nil))
+}
+
+// drawSnapshot is a snapshot of any origin with figures in range.
+func drawSnapshot(t *rapid.T) Snapshot {
+	e := func(most float64) Estimate {
+		return Estimate{
+			Mean: rapid.Float64Range(1e-4, most).Draw(t, "mean"), Samples: rapid.Float64Range(0, 50).Draw(t, "samples"),
+			Age: time.Duration(rapid.Int64Range(0, int64(2*time.Minute)).Draw(t, "age")),
+		}
+	}
+	snapshot := Snapshot{Origin: rapid.Uint64Range(1, 5).Draw(t, "origin"), SettingsDigest: 7}
+	for _, name := range testSchema.Routes {
+		snapshot.Routes = append(snapshot.Routes, RouteEstimates{Name: name, Core: e(4), Run: e(4)})
+	}
+	snapshot.Pace = e(3)
+	return snapshot
+}
+
+// Whatever snapshots come: their order, an echo and more time must never add weight.
+func TestMergeProperties(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		snapshots := rapid.SliceOfN(rapid.Custom(drawSnapshot), 1, 6).Draw(t, "views")
+		merged := Merge(snapshots)
+		assert.Equal(t, merged, Merge(rapid.Permutation(snapshots).Draw(t, "order")), "order decides")
+
+		echoed := append(append([]Snapshot{}, snapshots...), rapid.SampledFrom(snapshots).Draw(t, "echo"))
+		assert.Equal(t, merged, Merge(echoed), "an echo adds to it")
+		assert.Equal(t, merged.Aged(0), merged)
+
+		for i := range merged.Routes {
+			most, heaviest := 0.0, 0.0
+			for _, snapshot := range snapshots {
+				most = max(most, snapshot.Routes[i].Core.Mean*maxPaceRatio)
+				heaviest = max(heaviest, snapshot.Routes[i].Core.Weight(CoreTime))
+			}
+			assert.LessOrEqual(t, merged.Routes[i].Core.Mean, most)
+			assert.LessOrEqual(t, merged.Routes[i].Core.Weight(CoreTime), heaviest, "weighs more than any of them")
+			older := merged.Aged(time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "later")))
+			assert.LessOrEqual(t, older.Routes[i].Core.Weight(CoreTime), merged.Routes[i].Core.Weight(CoreTime))
+		}
+	})
+}
+
+// One of three peers may be wrong in every figure. The result must stay between those of the other two.
+func TestOneOfThreeLies(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		a, b := rapid.Float64Range(0.01, 1).Draw(t, "a"), rapid.Float64Range(0.01, 1).Draw(t, "b")
+		lie := drawSnapshot(t)
+		lie.Origin, lie.Pace = 3, estimateOf(1)
+		lie.Routes[0].Core.Samples, lie.Routes[0].Core.Age = 1, 0
+		got := Merge([]Snapshot{snapshotOf(1, a), snapshotOf(2, b), lie}).Routes[0].Core
+		assert.GreaterOrEqual(t, got.Mean, min(a, b)-1e-12)
+		assert.LessOrEqual(t, got.Mean, max(a, b)+1e-12)
+	})
+}
--- /dev/null
+++ b/estimate/weight_test.go
@@ -0,0 +1,23 @@
+package estimate
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// An estimate that is old or claims many samples must not outweigh what a server sees itself.
+func TestWeight(t *testing.T) {
+	e := estimateOf(1)
+	e.Age = 0
+	assert.Equal(t, maxWeight, e.Weight(CoreTime), "no claim of samples counts for more")
+	e.Age = halfLives[CoreTime]
+	assert.InDelta(t, maxWeight/2, e.Weight(CoreTime), 1e-9)
+	e.Age = MaxAge(CoreTime)
+	assert.Zero(t, e.Weight(CoreTime))
+	assert.Zero(t, Estimate{}.Weight(Pace))
+	assert.True(t, snapshotOf(1, 1).HasFresh())
+	assert.False(t, snapshotOf(1, 1).Aged(MaxAge(ReturnRatio)).HasFresh())
+	assert.True(t, Snapshot{}.NeedsPeers())
+	assert.False(t, snapshotOf(1, 1).NeedsPeers())
+}
