--- a/estimate/schema.go
+++ b/estimate/schema.go
@@ -73,7 +73,7 @@
 		return Snapshot{}, fmt.Errorf("%w: %016x, and %016x here", ErrOtherSettings, snapshot.SettingsDigest, s.SettingsDigest)
 	case snapshot.Origin == s.Origin:
 		return Snapshot{}, ErrOwnSnapshot
-	case len(snapshot.Routes) > MaxRoutes || len(snapshot.Routes) != len(s.Routes):
+	case len(snapshot.Routes) > maxRoutes || len(snapshot.Routes) != len(s.Routes):
 		return Snapshot{}, fmt.Errorf("%w: %d routes, and %d here", ErrOtherRoutes, len(snapshot.Routes), len(s.Routes))
 	}
 	snapshot.Routes = slices.Clone(snapshot.Routes)
--- a/estimate/schema_test.go
+++ b/estimate/schema_test.go
@@ -16,31 +16,33 @@
 	cases := []struct {
 		name   string
 		change func(*Snapshot)
-		err    string
+		err    error
+		text   string // of the error
 		known  bool // the first route's core time
 	}{
-		{"as it is", func(*Snapshot) {}, "", true},
-		{"other settings", func(s *Snapshot) { s.SettingsDigest = 8 }, "other terms", false},
-		{"its own", func(s *Snapshot) { s.Origin = 99 }, "own", false},
-		{"a route too few", func(s *Snapshot) { s.Routes = s.Routes[:1] }, "1 routes", false},
-		{"another route", func(s *Snapshot) { s.Routes[1].Name = "x" }, "route 1 is another", false},
-		{"not a number", func(s *Snapshot) { s.Routes[0].Core.Mean = math.NaN() }, "", false},
-		{"spread not a number", func(s *Snapshot) { s.Routes[0].Core.Spread = math.NaN() }, "", false},
-		{"no end", func(s *Snapshot) { s.Routes[0].Core.Mean = math.Inf(1) }, "", false},
-		{"negative", func(s *Snapshot) { s.Routes[0].Core.Mean = -1 }, "", false},
-		{"nothing", func(s *Snapshot) { s.Routes[0].Core.Mean = 0 }, "", false},
-		{"past four deadlines", func(s *Snapshot) { s.Routes[0].Core.Mean = 8.1 }, "", false},
-		{"from the future", func(s *Snapshot) { s.Routes[0].Core.Age = -1 }, "", false},
-		{"of last week", func(s *Snapshot) { s.Routes[0].Core.Age = 7 * 24 * time.Hour }, "", false},
-		{"more samples than can be", func(s *Snapshot) { s.Routes[0].Core.Samples = 1e12 }, "", false},
+		{"as it is", func(*Snapshot) {}, nil, "", true},
+		{"other settings", func(s *Snapshot) { s.SettingsDigest = 8 }, ErrOtherSettings, "other terms", false},
+		{"its own", func(s *Snapshot) { s.Origin = 99 }, ErrOwnSnapshot, "own", false},
+		{"a route too few", func(s *Snapshot) { s.Routes = s.Routes[:1] }, ErrOtherRoutes, "1 routes", false},
+		{"another route", func(s *Snapshot) { s.Routes[1].Name = "x" }, ErrOtherRoutes, "route 1 is another", false},
+		{"not a number", func(s *Snapshot) { s.Routes[0].Core.Mean = math.NaN() }, nil, "", false},
+		{"spread not a number", func(s *Snapshot) { s.Routes[0].Core.Spread = math.NaN() }, nil, "", false},
+		{"no end", func(s *Snapshot) { s.Routes[0].Core.Mean = math.Inf(1) }, nil, "", false},
+		{"negative", func(s *Snapshot) { s.Routes[0].Core.Mean = -1 }, nil, "", false},
+		{"nothing", func(s *Snapshot) { s.Routes[0].Core.Mean = 0 }, nil, "", false},
+		{"past four deadlines", func(s *Snapshot) { s.Routes[0].Core.Mean = 8.1 }, nil, "", false},
+		{"from the future", func(s *Snapshot) { s.Routes[0].Core.Age = -1 }, nil, "", false},
+		{"of last week", func(s *Snapshot) { s.Routes[0].Core.Age = 7 * 24 * time.Hour }, nil, "", false},
+		{"more samples than can be", func(s *Snapshot) { s.Routes[0].Core.Samples = 1e12 }, nil, "", false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			snapshot := snapshotOf(1, 0.1)
 			c.change(&snapshot)
 			validated, err := testSchema.Validate(snapshot)
-			if c.err != "" {
-				assert.ErrorContains(t, err, c.err)
+			if c.err != nil {
+				assert.ErrorIs(t, err, c.err)
+				assert.ErrorContains(t, err, c.text)
 				return
 			}
 			require.NoError(t, err)
@@ -85,5 +87,6 @@
 		change(&bad)
 		_, err := schema.Align(bad)
 		assert.ErrorContains(t, err, why)
+		assert.ErrorIs(t, err, ErrOtherRoutes)
 	}
 }
--- a/estimate/snapshot.go
+++ b/estimate/snapshot.go
@@ -17,8 +17,8 @@
 	// MaxPublishedRoutes is the number of routes in a snapshot for other servers: a new server needs those that carry the
 	// load, and a peer's snapshot must not fill its memory.
 	MaxPublishedRoutes = 256
-	// MaxRoutes is the number of routes of a server whose snapshots are used.
-	MaxRoutes = 1 << 14
+	// maxRoutes is the number of routes of a server whose snapshots are used.
+	maxRoutes = 1 << 14
 )
 
 // Estimate is what was observed of one quantity.
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -79,6 +79,7 @@
 			snapshot, err := Fetch(t.Context(), g.Address(), c.client)
 			if c.err != "" {
 				assert.ErrorContains(t, err, c.err)
+				assert.ErrorIs(t, err, ErrIncomplete)
 				assert.Empty(t, snapshot)
 				assert.Equal(t, 1, saw.Times("peer connection closed: not authenticated, or unexpected message"))
 				return
@@ -173,6 +174,7 @@
 		_, _ = io.Copy(io.Discard, c)
 	}), Keys{keyA})
 	assert.ErrorContains(t, err, "proof is wrong")
+	assert.ErrorIs(t, err, ErrBadProof)
 
 	g, saw := startServer(t, Keys{keyA})
 	link, err := net.Dial("tcp", g.Address())
@@ -231,6 +233,7 @@
 	assert.Error(t, err, "a ballot under a key that the server does not know")
 	_, err = RequestVote(ctx, g.Address(), keys, make([]byte, maxBallot+1))
 	assert.ErrorContains(t, err, "ballot of")
+	assert.ErrorIs(t, err, ErrOutOfBounds)
 	g.SetVoteHandler(func([]byte, func([]byte)) {}) // never responds: the exchange times out
 	short, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 	defer cancel()
--- a/internal/peersync/hostile_test.go
+++ b/internal/peersync/hostile_test.go
@@ -116,7 +116,7 @@
 	}
 	snapshot, err := encodeSnapshot(testSnapshot(5), 0)
 	require.NoError(t, err)
-	other, err := cbor.Marshal(map[int]any{1: Version + 1, 2: 2, 3: bytes.Repeat([]byte{9}, nonceSize)})
+	other, err := cbor.Marshal(map[int]any{1: protocolVersion + 1, 2: 2, 3: bytes.Repeat([]byte{9}, nonceSize)})
 	require.NoError(t, err)
 	begin := func(more ...[]byte) func(net.Conn) {
 		return func(c net.Conn) {
--- a/internal/peersync/message.go
+++ b/internal/peersync/message.go
@@ -27,9 +27,9 @@
 	"quartzpoint/internal/strictcbor"
 )
 
-// Version is that of the protocol. Fields may be added to a version, as those that don't know them skip them. A change that
+// protocolVersion is that of the protocol. Fields may be added to a version, as those that don't know them skip them. A change that
 // an older server would misread needs a new version.
-const Version = 1
+const protocolVersion = 1
 
 // Bounds of the protocol, in bytes.
 const (
@@ -128,7 +128,7 @@
 
 // encodeFrame returns a message as a frame.
 func encodeFrame(m message) []byte {
-	m.Version = Version
+	m.Version = protocolVersion
 	raw, err := cbor.Marshal(m)
 	if err != nil {
 		panic(fmt.Errorf("cbor: %w", err)) // a message always has an encoding
@@ -161,8 +161,8 @@
 	if err := decoder.Unmarshal(read[frameHeader:frameHeader+size], &m); err != nil {
 		return m, read, false, fmt.Errorf("message: %w", err)
 	}
-	if m.Version != Version {
-		return m, read, false, fmt.Errorf("version %d of the protocol, and %d here", m.Version, Version)
+	if m.Version != protocolVersion {
+		return m, read, false, fmt.Errorf("version %d of the protocol, and %d here", m.Version, protocolVersion)
 	}
 	return m, read[frameHeader+size:], true, nil
 }
--- a/internal/peersync/session.go
+++ b/internal/peersync/session.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := OpenOn(ctx, conn, keys)
+	s, err := openOn(ctx, conn, keys)
 	if err != nil {
 		_ = conn.Close()
 		return nil, fmt.Errorf("open session with peer %s: %w", address, err)
@@ -51,8 +51,8 @@
 	return s, nil
 }
 
-// OpenOn opens a session on a connection that this side dialled. Where it fails, the caller has to close the connection.
-func OpenOn(ctx context.Context, conn net.Conn, keys Keys) (*Session, error) {
+// openOn opens a session on a connection that this side dialled. Where it fails, the caller has to close the connection.
+func openOn(ctx context.Context, conn net.Conn, keys Keys) (*Session, error) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Now()) })
 	defer stop()
 	_ = conn.SetDeadline(time.Now().Add(sessionTimeout))
--- a/internal/peersync/session_test.go
+++ b/internal/peersync/session_test.go
@@ -36,7 +36,7 @@
 	if between != nil {
 		conn = between(conn)
 	}
-	if a, errA = OpenOn(t.Context(), conn, clientKeys); errA != nil {
+	if a, errA = openOn(t.Context(), conn, clientKeys); errA != nil {
 		_ = conn.Close()
 	}
 	<-accepted
@@ -81,6 +81,7 @@
 	require.NoError(t, a.Send(make([]byte, 100)))
 	_, err := b.Receive(99, testTimeout)
 	assert.ErrorContains(t, err, "over 99 bytes")
+	assert.ErrorIs(t, err, ErrOutOfBounds)
 }
 
 // Whoever has another key, or none, must get a refusal and nothing else; and a session must not be opened with a peer that does
@@ -92,6 +93,7 @@
 		var refused *RejectedError
 		assert.ErrorAs(t, errA, &refused, name)
 		assert.ErrorContains(t, errB, "key is not known", name)
+		assert.ErrorIs(t, errB, ErrUnknownKey, name)
 	}
 	_, _, errA, errB := sessions(t, sessionKey, nil, nil)
 	assert.Error(t, errA)
@@ -148,6 +150,7 @@
 	require.NoError(t, a.Send([]byte("once")))
 	_, err = b.Receive(1<<10, testTimeout)
 	assert.ErrorContains(t, err, "payload: proof is wrong")
+	assert.ErrorIs(t, err, ErrBadProof)
 }
 
 // A peer accepts the connection and sends nothing. The context must end the opening.
--- a/lease/candidate.go
+++ b/lease/candidate.go
@@ -55,7 +55,7 @@
 		return
 	}
 	c.votes[response.Voter] = true
-	if len(c.votes) >= c.config.Majority() {
+	if len(c.votes) >= c.config.majority() {
 		c.expiry = c.requestedAt + c.config.Duration - c.config.margin()
 	}
 }
--- a/lease/config.go
+++ b/lease/config.go
@@ -46,5 +46,5 @@
 // margin is how far two clocks may drift apart during one lease. Voters wait longer by it, and the holder stops earlier.
 func (c Config) margin() time.Duration { return time.Duration(c.MaxClockDrift * float64(c.Duration)) }
 
-// Majority is the number of grants that make a candidate the holder.
-func (c Config) Majority() int { return c.Voters/2 + 1 }
+// majority is the number of grants that make a candidate the holder.
+func (c Config) majority() int { return c.Voters/2 + 1 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -42,7 +42,7 @@
 	inFlight   []message
 	fence      *Fence
 	history    []fencedOperation
-	overlaps   int // moments at which two believed they held
+	overlaps   int // steps at which two processes believed that they held the lease
 	operations int
 }
 
