--- a/estimate/schema_test.go
+++ b/estimate/schema_test.go
@@ -18,7 +18,7 @@
 		change func(*Snapshot)
 		err    error
 		text   string // of the error
-		known  bool // the first route's core time
+		known  bool   // the first route's core time
 	}{
 		{"as it is", func(*Snapshot) {}, nil, "", true},
 		{"other settings", func(s *Snapshot) { s.SettingsDigest = 8 }, ErrOtherSettings, "other terms", false},
--- a/internal/leasing/manager_test.go
+++ b/internal/leasing/manager_test.go
@@ -22,27 +22,27 @@
 	var peerServers []*peersync.Server
 	for range 3 {
 		began := time.Now()
-		g, err := peersync.Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) },
+		server, err := peersync.Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) },
 			invariant.New(slog.New(slog.DiscardHandler)))
 		require.NoError(t, err)
-		g.Serve()
-		t.Cleanup(g.Close)
-		peerServers = append(peerServers, g)
+		server.Serve()
+		t.Cleanup(server.Close)
+		peerServers = append(peerServers, server)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var managers []*Manager
 	done := make(chan struct{}, 3)
-	for i, g := range peerServers {
+	for i, server := range peerServers {
 		var peers []string
 		for j, other := range peerServers {
 			if j != i {
 				peers = append(peers, other.Address())
 			}
 		}
-		manager, err := New(Options{Address: g.Address(), Leases: leases, Config: config, Peers: peers, Seed: int64(i),
+		manager, err := New(Options{Address: server.Address(), Leases: leases, Config: config, Peers: peers, Seed: int64(i),
 			Log: slog.New(slog.DiscardHandler)})
 		require.NoError(t, err)
-		g.SetVoteHandler(manager.HandleVote)
+		server.SetVoteHandler(manager.HandleVote)
 		managers = append(managers, manager)
 		go func() { manager.Run(ctx); done <- struct{}{} }()
 	}
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -21,12 +21,12 @@
 
 // netpoll keeps its pollers for as long as the process runs.
 
-var pollers = []goleak.Option{
+var ignoredGoroutines = []goleak.Option{
 	goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait"),
 	goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*manager).Run"),
 }
 
-func TestMain(m *testing.M) { goleak.VerifyTestMain(m, pollers...) }
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m, ignoredGoroutines...) }
 
 var (
 	keyA = bytes.Repeat([]byte{1}, minKeySize)
@@ -44,19 +44,19 @@
 	return snapshot
 }
 
-func counts() *invariant.Counts { return invariant.New(slog.New(slog.DiscardHandler)) }
+func newCounts() *invariant.Counts { return invariant.New(slog.New(slog.DiscardHandler)) }
 
 // startServer starts a server whose snapshot is a second old when it is published.
 
 func startServer(t testing.TB, keys Keys) (*Server, *invariant.Counts) {
-	c := counts()
+	c := newCounts()
 	began := time.Now()
-	g, err := Listen("127.0.0.1:0", keys, func() time.Duration { return time.Hour + time.Since(began) }, c)
+	server, err := Listen("127.0.0.1:0", keys, func() time.Duration { return time.Hour + time.Since(began) }, c)
 	require.NoError(t, err)
-	g.Publish(testSnapshot(5), time.Hour-time.Second)
-	g.Serve()
-	t.Cleanup(g.Close)
-	return g, c
+	server.Publish(testSnapshot(5), time.Hour-time.Second)
+	server.Serve()
+	t.Cleanup(server.Close)
+	return server, c
 }
 
 // A snapshot must come through only where both sides have the same key; without one it must never be taken from a peer.
@@ -75,13 +75,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g, saw := startServer(t, c.server)
-			snapshot, err := Fetch(t.Context(), g.Address(), c.client)
+			server, counts := startServer(t, c.server)
+			snapshot, err := Fetch(t.Context(), server.Address(), c.client)
 			if c.err != "" {
 				assert.ErrorContains(t, err, c.err)
 				assert.ErrorIs(t, err, ErrIncomplete)
 				assert.Empty(t, snapshot)
-				assert.Equal(t, 1, saw.Times("peer connection closed: not authenticated, or unexpected message"))
+				assert.Equal(t, 1, counts.Times("peer connection closed: not authenticated, or unexpected message"))
 				return
 			}
 			require.NoError(t, err)
@@ -125,14 +125,14 @@
 
 // feed passes bytes to a client and returns the snapshot, an error, or neither where it waits for more.
 
-func feed(a *snapshotRequest, raw []byte) (*estimate.Snapshot, error) {
+func feed(request *snapshotRequest, raw []byte) (*estimate.Snapshot, error) {
 	for {
 		m, rest, ok, err := decodeFrame(raw)
 		if err != nil || !ok {
 			return nil, err
 		}
 		raw = rest
-		_, snapshot, err := a.handle(m)
+		_, snapshot, err := request.handle(m)
 		if err != nil || snapshot != nil {
 			return snapshot, err
 		}
@@ -169,25 +169,25 @@
 func TestReplay(t *testing.T) {
 	client := newTestRequest(keyA, bytes.Repeat([]byte{3}, nonceSize))
 	old := bytes.Join(recordedAnswers(t, keyA, bytes.Repeat([]byte{9}, nonceSize), client), nil)
-	_, err := Fetch(t.Context(), peer(t, func(c net.Conn) {
+	_, err := Fetch(t.Context(), startPeer(t, func(c net.Conn) {
 		_, _ = c.Write(old)
 		_, _ = io.Copy(io.Discard, c)
 	}), Keys{keyA})
 	assert.ErrorContains(t, err, "proof is wrong")
 	assert.ErrorIs(t, err, ErrBadProof)
 
-	g, saw := startServer(t, Keys{keyA})
-	link, err := net.Dial("tcp", g.Address())
+	server, counts := startServer(t, Keys{keyA})
+	link, err := net.Dial("tcp", server.Address())
 	require.NoError(t, err)
 	defer func() { _ = link.Close() }()
-	a := newTestRequest(keyA, bytes.Repeat([]byte{3}, nonceSize))
-	recordedAsk := encodeFrame(message{Kind: kindAsk, Proof: sign(keyA, "asker", bytes.Repeat([]byte{9}, nonceSize), a.clientNonce)})
-	_, err = link.Write(append(a.hello(), recordedAsk...))
+	request := newTestRequest(keyA, bytes.Repeat([]byte{3}, nonceSize))
+	recordedAsk := encodeFrame(message{Kind: kindAsk, Proof: sign(keyA, "asker", bytes.Repeat([]byte{9}, nonceSize), request.clientNonce)})
+	_, err = link.Write(append(request.hello(), recordedAsk...))
 	require.NoError(t, err)
 	require.NoError(t, link.SetDeadline(time.Now().Add(testTimeout)))
 	all, _ := io.ReadAll(link)
 	assert.Less(t, len(all), 200, "the challenge, and nothing of the snapshot")
-	assert.Equal(t, 1, saw.Times("peer connection closed: not authenticated, or unexpected message"))
+	assert.Equal(t, 1, counts.Times("peer connection closed: not authenticated, or unexpected message"))
 }
 
 // Whatever bytes a peer sends, neither side may panic, and a snapshot comes with no error.
@@ -196,8 +196,8 @@
 	f.Add(bytes.Join(recordedAnswers(f, nil, nonce, newTestRequest(nil, nonce)), nil))
 	f.Add([]byte{0, 0, 0, 1, 0xa0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		a := newTestRequest(nil, nonce)
-		snapshot, err := feed(a, raw)
+		request := newTestRequest(nil, nonce)
+		snapshot, err := feed(request, raw)
 		if snapshot != nil {
 			assert.NoError(t, err)
 			_, _ = estimate.Schema{SettingsDigest: 7}.Validate(*snapshot)
@@ -220,23 +220,23 @@
 // key of the server, within their bound, and where there is a handler.
 func TestVote(t *testing.T) {
 	keys := Keys{[]byte("a shared secret of the fleet....")}
-	g, _ := startServer(t, keys)
+	server, _ := startServer(t, keys)
 	ctx := context.Background()
 	var refused *RejectedError
-	_, err := RequestVote(ctx, g.Address(), keys, []byte("ballot"))
+	_, err := RequestVote(ctx, server.Address(), keys, []byte("ballot"))
 	require.ErrorAs(t, err, &refused, "a server without a vote handler refuses")
-	g.SetVoteHandler(func(ballot []byte, answer func([]byte)) { answer(append([]byte("seen "), ballot...)) })
-	got, err := RequestVote(ctx, g.Address(), keys, []byte("ballot"))
+	server.SetVoteHandler(func(ballot []byte, answer func([]byte)) { answer(append([]byte("seen "), ballot...)) })
+	got, err := RequestVote(ctx, server.Address(), keys, []byte("ballot"))
 	require.NoError(t, err)
 	assert.Equal(t, "seen ballot", string(got))
-	_, err = RequestVote(ctx, g.Address(), Keys{[]byte("another secret, not the fleet's.")}, []byte("ballot"))
+	_, err = RequestVote(ctx, server.Address(), Keys{[]byte("another secret, not the fleet's.")}, []byte("ballot"))
 	assert.Error(t, err, "a ballot under a key that the server does not know")
-	_, err = RequestVote(ctx, g.Address(), keys, make([]byte, maxBallot+1))
+	_, err = RequestVote(ctx, server.Address(), keys, make([]byte, maxBallot+1))
 	assert.ErrorContains(t, err, "ballot of")
 	assert.ErrorIs(t, err, ErrOutOfBounds)
-	g.SetVoteHandler(func([]byte, func([]byte)) {}) // never responds: the exchange times out
+	server.SetVoteHandler(func([]byte, func([]byte)) {}) // never responds: the exchange times out
 	short, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 	defer cancel()
-	_, err = RequestVote(short, g.Address(), keys, []byte("ballot"))
+	_, err = RequestVote(short, server.Address(), keys, []byte("ballot"))
 	assert.Error(t, err)
 }
--- a/internal/peersync/fetcher_test.go
+++ b/internal/peersync/fetcher_test.go
@@ -27,7 +27,7 @@
 	}
 	return &Fetcher{
 		Peers: peers, FirstWait: 300 * time.Millisecond, Schema: schema, Seed: 1, NeedsEstimates: needed.Load,
-		Use: func(snapshot estimate.Snapshot) { used <- snapshot }, Counts: counts(), Log: slog.New(slog.DiscardHandler),
+		Use: func(snapshot estimate.Snapshot) { used <- snapshot }, Counts: newCounts(), Log: slog.New(slog.DiscardHandler),
 	}, used
 }
 
@@ -43,7 +43,7 @@
 	require.NoError(t, err)
 	down := downListener.Addr().String()
 	_ = downListener.Close()
-	silent := peer(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
+	silent := startPeer(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
 
 	var needed atomic.Bool
 	needed.Store(true)
@@ -57,7 +57,7 @@
 	assert.True(t, snapshot.Routes[0].Core.Known())
 
 	// The one that was down comes up.
-	late, err := Listen(down, nil, func() time.Duration { return time.Hour }, counts())
+	late, err := Listen(down, nil, func() time.Duration { return time.Hour }, newCounts())
 	require.NoError(t, err)
 	late.Publish(testSnapshot(11), time.Hour)
 	late.Serve()
@@ -139,8 +139,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	var over sync.WaitGroup
-	for _, g := range []*Server{a, b} {
-		fetcher, used := newTestFetcher([]string{g.Address()}, &needed)
+	for _, server := range []*Server{a, b} {
+		fetcher, used := newTestFetcher([]string{server.Address()}, &needed)
 		over.Add(1)
 		go func() {
 			defer over.Done()
--- a/internal/peersync/hostile_test.go
+++ b/internal/peersync/hostile_test.go
@@ -25,7 +25,7 @@
 // Connections end at all stages of an exchange, in both directions. The client must get an error, no goroutine and no
 // connection may be left, and the server must go on.
 func TestCutOnSockets(t *testing.T) {
-	g, _ := startServer(t, Keys{keyA})
+	server, _ := startServer(t, Keys{keyA})
 	through := func(cutAt int, upwards bool) error {
 		between, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -37,7 +37,7 @@
 			if err != nil {
 				return
 			}
-			to, err := net.Dial("tcp", g.Address())
+			to, err := net.Dial("tcp", server.Address())
 			if err != nil {
 				_ = from.Close()
 				return
@@ -70,12 +70,12 @@
 		assert.Error(t, through(n*3, true), "ask cut at %d", n*3)
 		time.Sleep(110 * time.Millisecond) // the rate that one address may ask at
 	}
-	_, err := Fetch(t.Context(), g.Address(), Keys{keyA})
+	_, err := Fetch(t.Context(), server.Address(), Keys{keyA})
 	assert.NoError(t, err)
 }
 
-// peer listens and answers each connection by a script.
-func peer(t *testing.T, script func(net.Conn)) string {
+// startPeer listens and answers each connection by a script.
+func startPeer(t *testing.T, script func(net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var over sync.WaitGroup
@@ -102,97 +102,103 @@
 	return listener.Addr().String()
 }
 
-// framed puts a header before raw bytes.
-func framed(raw []byte) []byte {
+// frame puts a header before raw bytes.
+func frame(raw []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(raw))), raw...)
 }
 
+// challengeFrame is the challenge of a server without a key.
+func challengeFrame() []byte {
+	return encodeFrame(message{Kind: kindChallenge, Nonce: bytes.Repeat([]byte{9}, nonceSize)})
+}
+
+// send is a peer's script: it sends frames and then reads what the client sends.
+func send(frames ...[]byte) func(net.Conn) {
+	return func(conn net.Conn) {
+		for _, raw := range frames {
+			_, _ = conn.Write(raw)
+		}
+		_, _ = io.Copy(io.Discard, conn)
+	}
+}
+
+// challengeAndSend is the same, with a challenge first.
+func challengeAndSend(frames ...[]byte) func(net.Conn) {
+	return send(append([][]byte{challengeFrame()}, frames...)...)
+}
+
+// sendSlowly is a peer's script: it sends a challenge, a byte a second.
+func sendSlowly(conn net.Conn) {
+	for _, b := range challengeFrame() {
+		if _, err := conn.Write([]byte{b}); err != nil {
+			return
+		}
+		time.Sleep(time.Second)
+	}
+}
+
+// halfClose is a peer's script: it closes its side of the connection and goes on reading.
+func halfClose(conn net.Conn) {
+	_ = conn.(*net.TCPConn).CloseWrite()
+	_, _ = io.Copy(io.Discard, conn)
+}
+
+// tooManyParts is more than a snapshot may have.
+func tooManyParts() (frames [][]byte) {
+	for i := range 2 * maxSnapshot / maxPart {
+		frames = append(frames, encodeFrame(message{Kind: kindPart, Number: i + 1, Bytes: make([]byte, maxPart)}))
+	}
+	return frames
+}
+
 // A peer is silent, slow, damaged or sends what it should not. The client must end with an error that says which, within its
 // timeout, and take no snapshot.
 func TestBadPeers(t *testing.T) {
-	challengeOf := func(m message) []byte {
-		m.Kind, m.Nonce = kindChallenge, bytes.Repeat([]byte{9}, nonceSize)
-		return encodeFrame(m)
-	}
 	snapshot, err := encodeSnapshot(testSnapshot(5), 0)
 	require.NoError(t, err)
-	other, err := cbor.Marshal(map[int]any{1: protocolVersion + 1, 2: 2, 3: bytes.Repeat([]byte{9}, nonceSize)})
+	nextVersion, err := cbor.Marshal(map[int]any{1: protocolVersion + 1, 2: 2, 3: bytes.Repeat([]byte{9}, nonceSize)})
 	require.NoError(t, err)
-	begin := func(more ...[]byte) func(net.Conn) {
-		return func(c net.Conn) {
-			_, _ = c.Write(challengeOf(message{}))
-			for _, m := range more {
-				_, _ = c.Write(m)
-			}
-			_, _ = io.Copy(io.Discard, c)
-		}
-	}
-	say := func(raw ...[]byte) func(net.Conn) {
-		return func(c net.Conn) {
-			for _, r := range raw {
-				_, _ = c.Write(r)
-			}
-			_, _ = io.Copy(io.Discard, c)
-		}
-	}
-	one := encodeFrame(message{Kind: kindPart, Number: 1, Bytes: snapshot.bytes[:100]})
-	bomb := framed(append(bytes.Repeat([]byte{0x81}, 4000), 0x01))
-	endless := begin(func() (all [][]byte) {
-		for i := range 2 * maxSnapshot / maxPart {
-			all = append(all, encodeFrame(message{Kind: kindPart, Number: i + 1, Bytes: make([]byte, maxPart)}))
-		}
-		return all
-	}()...)
-	deep, err := encodeSnapshot(testSnapshot(5), 0)
-	require.NoError(t, err)
-	deep.bytes = append(bytes.Repeat([]byte{0x81}, 3000), 0x01)
-	sumOf := func(raw []byte, sum uint64) []byte {
-		return encodeFrame(message{Kind: kindEnd, Size: len(raw), Checksum: sum})
+	part := encodeFrame(message{Kind: kindPart, Number: 1, Bytes: snapshot.bytes[:100]})
+	endOf := func(raw []byte, checksum uint64) []byte {
+		return encodeFrame(message{Kind: kindEnd, Size: len(raw), Checksum: checksum})
 	}
 	cases := []struct {
 		name   string
 		script func(net.Conn)
 		err    string
 	}{
-		{"silent", func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, "deadline"},
-		{"half-open: closes its side only", func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite(); _, _ = io.Copy(io.Discard, c) }, "EOF"},
-		{"a byte now and then", func(c net.Conn) {
-			for _, b := range challengeOf(message{}) {
-				if _, err := c.Write([]byte{b}); err != nil {
-					return
-				}
-				time.Sleep(time.Second)
-			}
-		}, "deadline"},
-		{"a length without end", say([]byte{0xff, 0xff, 0xff, 0xff}), "frame of"},
-		{"no length", say([]byte{0, 0, 0, 0}), "frame of 0"},
-		{"no CBOR", say(framed([]byte("\xff\xff\xff"))), "message"},
-		{"a nesting bomb", say(bomb), "nested"},
-		{"another version", say(framed(other)), "version 2"},
-		{"a part before the challenge", say(one), "unexpected message"},
-		{"a part left out", begin(encodeFrame(message{Kind: kindPart, Number: 2, Bytes: []byte{1}})), "unexpected message"},
-		{"a part twice", begin(one, one), "unexpected message"},
-		{"an end too soon", begin(one, sumOf(snapshot.bytes, snapshot.checksum)), "stated"},
-		{"a checksum that lies", begin(one, sumOf(snapshot.bytes[:100], 1)), "checksum of the snapshot"},
-		{"more than a snapshot may be", endless, "over"},
-		{"a refusal", say(refusal("no", time.Second)), "rejected"},
+		{"silent", send(), "deadline"},
+		{"half-open: closes its side only", halfClose, "EOF"},
+		{"a byte now and then", sendSlowly, "deadline"},
+		{"a length without end", send([]byte{0xff, 0xff, 0xff, 0xff}), "frame of"},
+		{"no length", send([]byte{0, 0, 0, 0}), "frame of 0"},
+		{"no CBOR", send(frame([]byte("\xff\xff\xff"))), "message: "},
+		{"a nesting bomb", send(frame(append(bytes.Repeat([]byte{0x81}, 4000), 0x01))), "nested"},
+		{"another version", send(frame(nextVersion)), "version 2"},
+		{"a part before the challenge", send(part), "unexpected message"},
+		{"a part left out", challengeAndSend(encodeFrame(message{Kind: kindPart, Number: 2, Bytes: []byte{1}})), "unexpected message"},
+		{"a part twice", challengeAndSend(part, part), "unexpected message"},
+		{"an end too soon", challengeAndSend(part, endOf(snapshot.bytes, snapshot.checksum)), "stated"},
+		{"a checksum that lies", challengeAndSend(part, endOf(snapshot.bytes[:100], 1)), "checksum of the snapshot"},
+		{"more than a snapshot may be", challengeAndSend(tooManyParts()...), "over"},
+		{"a refusal", send(refusal("no", time.Second)), "rejected"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			got, err := Fetch(t.Context(), peer(t, c.script), nil)
+			got, err := Fetch(t.Context(), startPeer(t, c.script), nil)
 			assert.ErrorContains(t, err, c.err)
 			assert.Empty(t, got)
 		})
 	}
-	_, err = decodeSnapshot(deep.bytes)
+	_, err = decodeSnapshot(append(bytes.Repeat([]byte{0x81}, 3000), 0x01))
 	assert.ErrorContains(t, err, "nested")
 }
 
 // One client asks and does not read, one sends nothing, and one floods the server. They must cost themselves their connections,
 // and others must be answered meanwhile.
 func TestBadClients(t *testing.T) {
-	g, saw := startServer(t, nil)
+	server, counts := startServer(t, nil)
 	var links []net.Conn
 	defer func() {
 		for _, l := range links {
@@ -200,21 +206,21 @@
 		}
 	}()
 	for _, first := range [][]byte{nil, {0}, newTestRequest(nil, make([]byte, nonceSize)).hello()} {
-		link, err := net.Dial("tcp", g.Address())
+		link, err := net.Dial("tcp", server.Address())
 		require.NoError(t, err)
 		_, _ = link.Write(first)
 		links = append(links, link)
 	}
-	_, err := Fetch(t.Context(), g.Address(), nil)
+	_, err := Fetch(t.Context(), server.Address(), nil)
 	require.NoError(t, err)
 	for _, l := range links {
 		require.NoError(t, l.SetDeadline(time.Now().Add(testTimeout)))
 		_, err := io.Copy(io.Discard, l)
 		assert.False(t, errors.Is(err, os.ErrDeadlineExceeded), "the server closes it")
 	}
-	assert.Equal(t, 3, saw.Times("peer connection closed: exchange took too long"))
+	assert.Equal(t, 3, counts.Times("peer connection closed: exchange took too long"))
 
-	flood, err := net.Dial("tcp", g.Address())
+	flood, err := net.Dial("tcp", server.Address())
 	require.NoError(t, err)
 	defer func() { _ = flood.Close() }()
 	_, _ = flood.Write(make([]byte, 1<<20))
@@ -225,7 +231,7 @@
 	refused := 0
 	for range 30 {
 		var no *RejectedError
-		if _, err := Fetch(t.Context(), g.Address(), nil); errors.As(err, &no) {
+		if _, err := Fetch(t.Context(), server.Address(), nil); errors.As(err, &no) {
 			refused++
 			assert.Equal(t, time.Second, no.RetryAfter)
 		}
@@ -238,29 +244,29 @@
 // connection that its poller does not know, and where the close came a moment later the process ended with a nil pointer
 // (seen once, in a fleet of 250 simulated servers). The test holds up netpoll at that moment each time.
 func TestCrowdOfPeers(t *testing.T) {
-	var complaints logged
+	var complaints logText
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&complaints, nil)))
 	defer slog.SetDefault(before)
 	began := time.Now()
-	g, err := Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) }, invariant.New(slog.New(slog.DiscardHandler)))
+	server, err := Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) }, invariant.New(slog.New(slog.DiscardHandler)))
 	require.NoError(t, err)
 	prepare := func(link netpoll.Connection) context.Context {
-		ctx := g.prepare(link)
+		ctx := server.prepare(link)
 		turn := make(chan struct{})
-		g.Post(func() { close(turn) })
+		server.Post(func() { close(turn) })
 		<-turn
 		return ctx
 	}
-	g.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(prepare), poller.OnTaken(closingOf))
+	server.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(prepare), poller.OnTaken(closingOf))
 	require.NoError(t, err)
-	g.Serve()
-	t.Cleanup(g.Close)
-	g.Publish(testSnapshot(0), 0)
+	server.Serve()
+	t.Cleanup(server.Close)
+	server.Publish(testSnapshot(0), 0)
 	var over sync.WaitGroup
 	for range 100 {
 		over.Go(func() {
-			c, err := net.Dial("tcp", g.Address())
+			c, err := net.Dial("tcp", server.Address())
 			if err != nil {
 				return
 			}
@@ -271,25 +277,25 @@
 	}
 	over.Wait()
 	require.Eventually(t, func() bool {
-		_, err := Fetch(t.Context(), g.Address(), nil)
+		_, err := Fetch(t.Context(), server.Address(), nil)
 		return err == nil
 	}, testTimeout, 10*time.Millisecond, "peers are answered again")
 	assert.NotContains(t, complaints.String(), "detach operator failed")
 }
 
-// logged is the text of a log that several goroutines write.
-type logged struct {
+// logText is the text of a log that several goroutines write.
+type logText struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logged) Write(line []byte) (int, error) {
+func (l *logText) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *logged) String() string {
+func (l *logText) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
--- a/internal/peersync/session_test.go
+++ b/internal/peersync/session_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sessions opens both ends of one, and returns each with the error of its opening.
-func sessions(t *testing.T, clientKeys, serverKeys Keys, between func(net.Conn) net.Conn) (a, b *Session, errA, errB error) {
+// openSessions opens both ends of one, and returns each with the error of its opening.
+func openSessions(t *testing.T, clientKeys, serverKeys Keys, between func(net.Conn) net.Conn) (a, b *Session, errA, errB error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 // Payloads of any size must go both ways, complete and in order, while the other direction is in use; and one over the limit
 // must be refused.
 func TestSession(t *testing.T) {
-	a, b, errA, errB := sessions(t, sessionKey, Keys{bytes.Repeat([]byte{1}, minKeySize), sessionKey[0]}, nil)
+	a, b, errA, errB := openSessions(t, sessionKey, Keys{bytes.Repeat([]byte{1}, minKeySize), sessionKey[0]}, nil)
 	require.NoError(t, errors.Join(errA, errB))
 	var sent [][]byte
 	for _, size := range []int{0, 1, maxPart - 1, maxPart, maxPart + 1, 300 << 10} {
@@ -89,24 +89,24 @@
 func TestSessionOfAnotherKey(t *testing.T) {
 	other := Keys{bytes.Repeat([]byte{9}, minKeySize)}
 	for name, keys := range map[string]Keys{"another": other, "none": nil} {
-		_, _, errA, errB := sessions(t, keys, sessionKey, nil)
+		_, _, errA, errB := openSessions(t, keys, sessionKey, nil)
 		var refused *RejectedError
 		assert.ErrorAs(t, errA, &refused, name)
 		assert.ErrorContains(t, errB, "key is not known", name)
 		assert.ErrorIs(t, errB, ErrUnknownKey, name)
 	}
-	_, _, errA, errB := sessions(t, sessionKey, nil, nil)
+	_, _, errA, errB := openSessions(t, sessionKey, nil, nil)
 	assert.Error(t, errA)
 	assert.Error(t, errB)
 }
 
-// flipped changes one byte of what is read.
-type flipped struct {
+// damagingConn changes one byte of what is read.
+type damagingConn struct {
 	net.Conn
 	at, seen int
 }
 
-func (f *flipped) Read(p []byte) (int, error) {
+func (f *damagingConn) Read(p []byte) (int, error) {
 	n, err := f.Conn.Read(p)
 	if place := f.at - f.seen; place >= 0 && place < n {
 		p[place] ^= 0x20
@@ -119,9 +119,9 @@
 func TestSessionDamaged(t *testing.T) {
 	payload := bytes.Repeat([]byte("a change "), 40)
 	for at := 0; ; at += 7 {
-		var conn *flipped
-		a, b, errA, errB := sessions(t, sessionKey, sessionKey, func(c net.Conn) net.Conn {
-			conn = &flipped{Conn: c, at: at}
+		var conn *damagingConn
+		a, b, errA, errB := openSessions(t, sessionKey, sessionKey, func(c net.Conn) net.Conn {
+			conn = &damagingConn{Conn: c, at: at}
 			return conn
 		})
 		if errA != nil || errB != nil {
@@ -141,7 +141,7 @@
 
 // An attacker repeats a payload, or sends one of another session. It must not be taken.
 func TestSessionReplayed(t *testing.T) {
-	a, b, errA, errB := sessions(t, sessionKey, sessionKey, nil)
+	a, b, errA, errB := openSessions(t, sessionKey, sessionKey, nil)
 	require.NoError(t, errors.Join(errA, errB))
 	require.NoError(t, a.Send([]byte("once")))
 	_, err := b.Receive(1<<10, testTimeout)
--- a/internal/peersync/wire_test.go
+++ b/internal/peersync/wire_test.go
@@ -79,14 +79,14 @@
 	assert.Equal(t, "a320abb1b809a6b27350415228e9fa352cf8254b53f8cf137ad1186070e03e6d", digest(server.voted([]byte("answer"))))
 }
 
-// captured keeps what is written to a connection.
-type captured struct {
+// capturingConn keeps what is written to a connection.
+type capturingConn struct {
 	net.Conn
 	written bytes.Buffer
 }
 
-func (c *captured) Write(p []byte) (int, error)      { return c.written.Write(p) }
-func (c *captured) SetWriteDeadline(time.Time) error { return nil }
+func (c *capturingConn) Write(p []byte) (int, error)      { return c.written.Write(p) }
+func (c *capturingConn) SetWriteDeadline(time.Time) error { return nil }
 
 // The same for the payloads of a session, in both directions.
 func TestSessionBytesStayTheSame(t *testing.T) {
@@ -95,7 +95,7 @@
 		client bool
 		want   string
 	}{{true, "8d818f957be68267bdc692eff7aa4dd1ae9e12e38e4025dbc17986330fbaec07"}, {false, "8ae913630eff4cc14d978b2eef69c8056cba2b7b6b618c7b7dd889a6b6a4e007"}} {
-		conn := &captured{}
+		conn := &capturingConn{}
 		s := Session{
 			conn: conn, key: keyA, clientNonce: bytes.Repeat([]byte{3}, nonceSize), serverNonce: bytes.Repeat([]byte{9}, nonceSize),
 			client: c.client,
