--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -44,7 +44,7 @@
 	if source == nil {
 		return nil, nil, nil
 	}
-	keys, err := keysOf(source.KeyFile)
+	keys, err := readKeyFile(source.KeyFile)
 	if err != nil {
 		return nil, nil, err
 	}
--- /dev/null
+++ b/internal/leasing/manager_test.go
@@ -0,0 +1,102 @@
+package leasing
+
+import (
+	"context"
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/peersync"
+	"quartzpoint/lease"
+)
+
+// Three managers on loopback want two leases. If the requests for one lease pushed out those for the
+// other on the way to a peer, one of them would not be granted: each must get one holder, and never two.
+func TestEveryLeaseHasOneHolder(t *testing.T) {
+	config := lease.Config{Duration: 300 * time.Millisecond, MaxClockDrift: 0.01, Voters: 3}
+	leases := []string{"compact", "announce"}
+	var peerServers []*peersync.Server
+	for range 3 {
+		began := time.Now()
+		server, err := peersync.Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) },
+			invariant.New(slog.New(slog.DiscardHandler)))
+		require.NoError(t, err)
+		server.Serve()
+		t.Cleanup(server.Close)
+		peerServers = append(peerServers, server)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	var managers []*Manager
+	done := make(chan struct{}, 3)
+	for i, server := range peerServers {
+		var peers []string
+		for j, other := range peerServers {
+			if j != i {
+				peers = append(peers, other.Address())
+			}
+		}
+		manager, err := New(Options{Address: server.Address(), Leases: leases, Config: config, Peers: peers, Seed: int64(i),
+			Log: slog.New(slog.DiscardHandler)})
+		require.NoError(t, err)
+		server.SetVoteHandler(manager.HandleVote)
+		managers = append(managers, manager)
+		go func() { manager.Run(ctx); done <- struct{}{} }()
+	}
+	defer func() {
+		cancel()
+		for range managers {
+			<-done
+		}
+	}()
+	holders := func(name string) (n int) {
+		for _, manager := range managers {
+			if _, holds := manager.Holds(name); holds {
+				n++
+			}
+		}
+		return n
+	}
+	require.Eventually(t, func() bool { return holders("compact") == 1 && holders("announce") == 1 },
+		10*time.Second, 5*time.Millisecond)
+	for range 50 { // and never two, while they renew
+		assert.LessOrEqual(t, holders("compact"), 1)
+		assert.LessOrEqual(t, holders("announce"), 1)
+		time.Sleep(10 * time.Millisecond)
+	}
+	_, err := New(Options{Address: "x", Leases: leases, Config: config, Peers: []string{"a"}})
+	assert.ErrorContains(t, err, "3 voters for 1 peers")
+}
+
+// A thousand voters respond at once, and then more than the queue has room for. None of the thousand may be lost, the rest
+// must be dropped, and the queue must not keep the memory of what it held.
+func TestQueueOfAThousand(t *testing.T) {
+	manager, err := New(Options{Address: "a", Leases: []string{"d"}, Config: lease.Config{Duration: time.Second, Voters: 1},
+		Log: slog.New(slog.DiscardHandler)})
+	require.NoError(t, err)
+	assert.Zero(t, cap(manager.posted))
+	done := 0
+	for range 1024 {
+		manager.post(func() { done++ })
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	over := make(chan struct{})
+	manager.post(func() { cancel() })
+	go func() { manager.Run(ctx); close(over) }()
+	select {
+	case <-over:
+	case <-time.After(10 * time.Second):
+		cancel()
+		<-over
+	}
+	assert.Equal(t, 1024, done)
+	for range maxPosted + 10 {
+		manager.post(func() {})
+	}
+	assert.Len(t, manager.posted, maxPosted)
+	manager.runPosted()
+	assert.Zero(t, cap(manager.posted))
+}
--- a/internal/store/attach.go
+++ b/internal/store/attach.go
@@ -27,7 +27,7 @@
 // restore gives a server that does not run yet what was recovered. The estimates count for as much as a peer's.
 func restore(owner *server.Server, recovered Recovered) {
 	owner.Restore(recovered.keyRecords())
-	if recovered.Estimates.Fresh() {
+	if recovered.Estimates.HasFresh() {
 		owner.UsePeerEstimates(recovered.Estimates)
 	}
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -121,7 +121,7 @@
 				_, known := p.Keys.Get(fmt.Sprint("pay\x00", i))
 				require.True(t, known, "%s bit %d", name, bit)
 			}
-			require.True(t, p.Estimates.Fresh())
+			require.True(t, p.Estimates.HasFresh())
 			flips++
 		}
 		disk.Put(name, raw)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -98,7 +98,7 @@
 // retry opens the directory again after a failure.
 func (s *Store) retry() {
 	recovered, err := s.open()
-	if s.options.OnLateRecovery != nil && (len(recovered.Keys) > 0 || recovered.Estimates.Fresh()) {
+	if s.options.OnLateRecovery != nil && (len(recovered.Keys) > 0 || recovered.Estimates.HasFresh()) {
 		s.options.OnLateRecovery(recovered)
 	}
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -60,7 +60,7 @@
 
 // merge adds what was read later. Of two snapshots of the estimates the first is kept.
 func (r *Recovered) merge(later Recovered) {
-	if !r.Estimates.Fresh() {
+	if !r.Estimates.HasFresh() {
 		r.Estimates = later.Estimates
 	}
 	r.Keys = append(r.Keys, later.Keys...)
--- a/recovery/estimates.go
+++ b/recovery/estimates.go
@@ -31,7 +31,7 @@
 			p.addFinding(f.Name, err.Error())
 			continue
 		}
-		if aligned = aligned.Aged(age); !aligned.Fresh() {
+		if aligned = aligned.Aged(age); !aligned.HasFresh() {
 			p.addFinding(f.Name, "old")
 			continue
 		}
@@ -46,7 +46,7 @@
 // otherwise lose everything with its second start. A snapshot in which nothing is newer is not written either, as the
 // persisted one ages by itself.
 func ShouldPersist(snapshot, persisted estimate.Snapshot, sincePersisted time.Duration) bool {
-	if snapshot.Cold() {
+	if snapshot.NeedsPeers() {
 		return false
 	}
 	if len(persisted.Routes) != len(snapshot.Routes) {
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -121,7 +121,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			plan := NewPlan(c.files, Environment{Now: now, Site: "s", Schema: testSchema})
-			if assert.Equal(t, c.mean > 0, plan.Estimates.Fresh()); c.mean > 0 {
+			if assert.Equal(t, c.mean > 0, plan.Estimates.HasFresh()); c.mean > 0 {
 				assert.Equal(t, c.mean, plan.Estimates.Routes[0].Core.Mean)
 				assert.Equal(t, time.Second, plan.Estimates.Routes[0].Core.Age)
 			}
