--- /dev/null
+++ b/cmd/quartzpoint/stored_test.go
@@ -0,0 +1,140 @@
+package main
+
+import (
+	"encoding/binary"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"quartzpoint/internal/testkit/harness"
+)
+
+// The folders below testdata were written by the program of f1daac1, killed while it served; state-torn has lost the last
+// five bytes of its log. The machine that wrote them is another, so their windows count in full, whenever the test runs.
+
+// storedFolder is a folder of testdata, copied to where it may be changed.
+func storedFolder(t *testing.T, name string) string {
+	t.Helper()
+	to := filepath.Join(t.TempDir(), name)
+	require.NoError(t, os.CopyFS(to, os.DirFS(filepath.Join("testdata", "f1daac1", name))))
+	return to
+}
+
+// launchStored starts the program with the settings that the recorded one had.
+func launchStored(t *testing.T, own string) *harness.Daemon {
+	t.Helper()
+	site, err := os.ReadFile(filepath.Join("testdata", "f1daac1", "settings.json"))
+	require.NoError(t, err)
+	machine := harness.Machine{Cores: 4, Speed: 1, KB: 64000}
+	d, err := harness.Launch(builds["release"], []string{"serve"}, t.TempDir(), "n1", machine, own,
+		func(listen, pool, members string) ([]byte, error) {
+			return fmt.Appendf(nil, `{"name":"n1","listen":%q,"pool":%q,"members":%q,"seed":"5eed","stop_ms":3000,`+
+				`"limits":{"cores":1.0,"memory_mb":128,"sockets":512},"settings":%s}`, listen, pool, members, site), nil
+		})
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = d.Stop() })
+	return d
+}
+
+// askStored sends a request and gives the code and the result of its answer. work is what its run takes; a repeat asks
+// for the same.
+func askStored(t *testing.T, d *harness.Daemon, route, tenant, key string, work time.Duration) (code byte, result string) {
+	t.Helper()
+	link, err := net.Dial("tcp", d.Address)
+	require.NoError(t, err)
+	defer func() { _ = link.Close() }()
+	require.NoError(t, link.SetDeadline(time.Now().Add(30*time.Second)))
+	now := time.Now()
+	fields := []string{
+		"op", route, "call", fmt.Sprintf("%016x", uint64(now.UnixNano())), "recv", strconv.FormatInt(now.UnixMilli(), 10), "src", "1",
+		"ttl", "25000", "heap", "20.0", "crit", "0.9",
+	}
+	if key != "" {
+		fields = append(fields, "org", tenant, "dedupe", key)
+	}
+	_, err = link.Write(harness.Frame(10, 1, string(binary.BigEndian.AppendUint64(nil, uint64(work.Microseconds()))), fields...))
+	require.NoError(t, err)
+	for {
+		reply, err := harness.ReadReply(link)
+		require.NoError(t, err)
+		if reply.Type == 11 {
+			return reply.Code, reply.Body
+		}
+	}
+}
+
+const (
+	storedHonoured = 20
+	storedRefused  = 50
+	storedFailed   = 51
+)
+
+// Repeats of requests that the recorded program had run are answered from its folder and run nowhere; one that it had
+// begun and not ended is given up on, and not run; what it did not know is run.
+func TestGoesOnFromAStoredState(t *testing.T) {
+	for _, name := range []string{"state", "state-torn"} {
+		t.Run(name, func(t *testing.T) {
+			d := launchStored(t, fmt.Sprintf("[state]\ndir = %q\nsite = \"here\"\nnumbers = true\n", storedFolder(t, name)))
+			known, unknown := 6, 2
+			if name == "state-torn" { // the beginning of the last request is not in it
+				known, unknown = 5, 1
+			}
+			assert.Contains(t, d.Log(), fmt.Sprintf("keys=%d unknown_outcomes=%d", known, unknown))
+			for _, of := range [][2]string{{"north", "k1"}, {"north", "k2"}, {"north", "k3"}, {"south", "k1"}} {
+				code, result := askStored(t, d, "charge", of[0], of[1], 20*time.Millisecond)
+				assert.Equal(t, []any{byte(storedHonoured), "done"}, []any{code, result}, of)
+			}
+			code, _ := askStored(t, d, "charge", "north", "hangs", 20*time.Second)
+			assert.Equal(t, byte(storedFailed), code, "begun, and its end is not known")
+			code, _ = askStored(t, d, "charge", "north", "k1", 30*time.Millisecond)
+			assert.Equal(t, byte(storedFailed), code, "the key of a request that asks for something else")
+			if unknown == 2 {
+				code, _ = askStored(t, d, "charge", "south", "hangs", 20*time.Second)
+				assert.Equal(t, byte(storedFailed), code)
+			}
+			assert.Empty(t, d.Workers.Runs(), "nothing of it has run here")
+			for _, of := range [][2]string{{"south", "k2"}, {"north", "new"}} {
+				code, result := askStored(t, d, "charge", of[0], of[1], 20*time.Millisecond)
+				assert.Equal(t, []any{byte(storedHonoured), "done"}, []any{code, result}, of)
+			}
+			assert.Len(t, d.Workers.Runs(), 2)
+		})
+	}
+}
+
+// A server that can't reach the configuration service serves by the configuration that the recorded program had kept: its
+// routes, and none of those that the platform's configuration states.
+func TestServesByAStoredConfiguration(t *testing.T) {
+	nobody, err := harness.FreeAddress()
+	require.NoError(t, err)
+	d := launchStored(t, fmt.Sprintf("[configuration]\nname = \"app\"\ndir = %q\n[[configuration.machine]]\naddress = %q\n",
+		storedFolder(t, "configuration"), nobody))
+	assert.True(t, strings.Contains(d.Log(), `msg="configuration: stored version in force" version=4 age=`) &&
+		strings.Contains(d.Log(), "routes=4 tenants=2"), d.Log())
+	for _, c := range []struct {
+		route, key string
+		code       byte
+		runs       int // so far
+	}{
+		{"base", "", storedHonoured, 1},
+		{"order", "", storedHonoured, 2},
+		{"charge", "k1", storedHonoured, 3},
+		{"charge", "k1", storedHonoured, 3}, // a repeat
+		{"charge", "", storedRefused, 3},    // it needs a key
+		{"calls", "", storedRefused, 3},     // there is no dependency
+		{"gone", "", storedRefused, 3},
+		{"look-up", "", storedRefused, 3}, // the platform's
+	} {
+		code, _ := askStored(t, d, c.route, "north", c.key, 5*time.Millisecond)
+		assert.Equal(t, c.code, code, c)
+		assert.Len(t, d.Workers.Runs(), c.runs, c)
+	}
+}
--- /dev/null
+++ b/internal/raftlog/stored_test.go
@@ -0,0 +1,111 @@
+package raftlog_test
+
+import (
+	"bytes"
+	"compress/gzip"
+	"context"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"quartzpoint/internal/peersync"
+	"quartzpoint/internal/raftlog"
+	"quartzpoint/internal/testkit/harness"
+)
+
+// keeper is a machine that keeps what it is told.
+type keeper struct {
+	mu       sync.Mutex
+	snapshot []byte
+	entries  []string
+	moments  []int64
+}
+
+func (k *keeper) Apply(entry []byte, at time.Time) any {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.entries, k.moments = append(k.entries, string(entry)), append(k.moments, at.UnixMilli())
+	return len(k.entries)
+}
+
+func (k *keeper) Snapshot() []byte { return nil }
+
+func (k *keeper) Restore(raw []byte) error {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.snapshot, k.entries, k.moments = bytes.Clone(raw), nil, nil
+	return nil
+}
+
+func (k *keeper) told() (snapshot []byte, entries []string, moments []int64) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.snapshot, append([]string{}, k.entries...), append([]int64{}, k.moments...)
+}
+
+// storedLog is the folder of a log of f1daac1, copied to where it may be changed: five entries, of which the first three
+// are in a snapshot, by the one machine c0 of quartzconfig, killed.
+func storedLog(t *testing.T) string {
+	t.Helper()
+	to := filepath.Join(t.TempDir(), "log")
+	require.NoError(t, os.CopyFS(to, os.DirFS(filepath.Join("testdata", "f1daac1", "log"))))
+	packed, err := os.Open(filepath.Join(to, "log.bolt.gz"))
+	require.NoError(t, err)
+	defer func() { _ = packed.Close() }()
+	from, err := gzip.NewReader(packed)
+	require.NoError(t, err)
+	raw, err := io.ReadAll(from)
+	require.NoError(t, err)
+	require.NoError(t, os.WriteFile(filepath.Join(to, "log.bolt"), raw, 0o600))
+	return to
+}
+
+// A folder that the recorded code wrote is gone on from: the snapshot and the entries behind it, byte for byte, and what
+// is proposed then.
+func TestStoredLogIsRead(t *testing.T) {
+	dir := storedLog(t)
+	snapshots, err := filepath.Glob(filepath.Join("testdata", "f1daac1", "log", "snapshots", "*", "state.bin"))
+	require.NoError(t, err)
+	require.Len(t, snapshots, 1)
+	snapshot, err := os.ReadFile(snapshots[0])
+	require.NoError(t, err)
+	want := []string{
+		`{"id":"1d840d2b9bef7a93e8285d49b6512546","routes":{"calls":{"goal-time":700000,"deadline":1500000,` +
+			`"gain":2,"late-value":0,"idempotency":"retryable","dedup-window":0,"calls":true,"skip-worth":0.5}}}`,
+		`{"id":"fifth","routes":{"base":{"goal-time":800000,"deadline":2000000,"gain":1.5,"late-value":0,` +
+			`"idempotency":"retryable","dedup-window":0,"calls":false,"skip-worth":0}}}`,
+	}
+	moments := []int64{1796275683158, 1796275687167} // at which the leader appended them
+	for range 2 {                                    // and once more behind a restart of this version
+		k := &keeper{}
+		address, err := harness.FreeAddress()
+		require.NoError(t, err)
+		node, err := raftlog.Start(raftlog.Options{
+			Name: "c0", Dir: dir, Members: []raftlog.Member{{Name: "c0", Address: address}},
+			Keys: peersync.Keys{bytes.Repeat([]byte{0x5e}, 16)}, StateMachine: k, Logger: slog.New(slog.DiscardHandler),
+		})
+		require.NoError(t, err)
+		require.Eventually(t, func() bool {
+			_, entries, _ := k.told()
+			return node.Leadership().IsLeader && len(entries) >= len(want)
+		}, 30*time.Second, time.Millisecond)
+		restored, entries, at := k.told()
+		assert.Equal(t, snapshot, restored)
+		assert.Equal(t, want, entries)
+		assert.Equal(t, moments, at[:len(moments)])
+		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+		got, err := node.Propose(ctx, []byte("another"))
+		cancel()
+		require.NoError(t, err)
+		assert.Equal(t, len(want)+1, got)
+		want = append(want, "another")
+		require.NoError(t, node.Close())
+	}
+}
--- /dev/null
+++ b/internal/store/stored_test.go
@@ -0,0 +1,186 @@
+package store_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"quartzpoint/configuration"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/server"
+	"quartzpoint/internal/settings"
+	"quartzpoint/internal/store"
+	"quartzpoint/recovery"
+)
+
+// The folders below testdata were written by the program of f1daac1, killed while it served; those that are named torn
+// have lost the last five bytes of their newest file.
+
+// copied is a folder of testdata, copied to where it may be changed.
+func copied(t *testing.T, name string) string {
+	t.Helper()
+	to := filepath.Join(t.TempDir(), name)
+	require.NoError(t, os.CopyFS(to, os.DirFS(filepath.Join("testdata", "f1daac1", name))))
+	return to
+}
+
+// storedAt is the moment on the recorded machine, 11 s after the second of the two servers that wrote the folder began.
+func storedAt() recovery.Timestamp {
+	return recovery.Timestamp{
+		Wall: 1796275673428080893 + 11*time.Second, SinceBoot: 517452478052 + 11*time.Second,
+		BootID: "1e938500-a2e7-4dc6-a0dc-9e7d376168c3", MachineID: 6822207236119524394,
+	}
+}
+
+// storedFrame is the frame of a server of this version under the settings under which the folder was written.
+func storedFrame(t *testing.T) estimate.Schema {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", "f1daac1", "settings.json"))
+	require.NoError(t, err)
+	told, err := settings.FromJSON(raw)
+	require.NoError(t, err)
+	log := slog.New(slog.DiscardHandler)
+	limits := server.Limits{MemoryMB: 128, Sockets: 512, Keys: true, Tenants: true}
+	s, err := server.New(told, 1, limits, invariant.New(log), log)
+	require.NoError(t, err)
+	return s.PublishEstimates(9, func(estimate.Snapshot, time.Duration) {})
+}
+
+func storedTerms(t *testing.T, dir string) store.Options {
+	frame := storedFrame(t)
+	log := slog.New(slog.DiscardHandler)
+	var ids atomic.Uint64
+	return store.Options{
+		OpenDir: datadir.Opener(dir), Clock: storedAt, NewID: func() uint64 { return ids.Add(1) }, Site: "here", Schema: frame,
+		MaxBytes: 64 << 20, PersistKeys: true, Counts: invariant.New(log), Log: log, OnDurable: func() {},
+	}
+}
+
+// estimated writes an estimate with all its digits.
+func estimated(e estimate.Estimate) string {
+	return fmt.Sprintf("%v %v %v %d", e.Mean, e.Spread, e.Samples, int64(e.Age))
+}
+
+func keyed(numbers []recovery.KeyEntry) (lines []string) {
+	for _, n := range numbers {
+		lines = append(lines,
+			fmt.Sprintf("%q shape %016x until %d honoured %t %q", n.Key, n.Fingerprint, int64(n.ExpiresAt), n.Served, n.Result))
+	}
+	slices.Sort(lines)
+	return lines
+}
+
+// A folder that the recorded program left gives the same view, requests, windows and results.
+func TestStoredStateIsRead(t *testing.T) {
+	for _, name := range []string{"state", "state-torn"} {
+		t.Run(name, func(t *testing.T) {
+			dir := copied(t, name)
+			s, had, err := store.New(storedTerms(t, dir))
+			require.NoError(t, err)
+			s.Close()
+			require.True(t, had.Estimates.HasFresh(), "the view fits the settings")
+			got := map[string]any{
+				"numbers": keyed(had.Keys), "unknown": had.UnknownOutcomes, "terms": fmt.Sprintf("%016x", had.Estimates.SettingsDigest),
+				"returns": estimated(had.Estimates.ReturnRatio),
+			}
+			for _, r := range had.Estimates.Routes {
+				got["core of "+r.Name], got["run of "+r.Name] = estimated(r.Core), estimated(r.Run)
+			}
+			golden(t, name+".json", got)
+
+			// What is written anew is read as it was.
+			s, again, err := store.New(storedTerms(t, dir))
+			require.NoError(t, err)
+			s.Close()
+			assert.Equal(t, keyed(had.Keys), keyed(again.Keys))
+			assert.Equal(t, had.UnknownOutcomes, again.UnknownOutcomes)
+			names, err := filepath.Glob(filepath.Join(dir, "aside-*"))
+			require.NoError(t, err)
+			assert.Len(t, names, strings.Count(name, "torn"), "what is not whole is kept aside")
+		})
+	}
+}
+
+// golden compares with what the recorded code gave, as JSON.
+func golden(t *testing.T, name string, got any) {
+	t.Helper()
+	is, err := json.MarshalIndent(got, "", "  ")
+	require.NoError(t, err)
+	want, err := os.ReadFile(filepath.Join("testdata", "f1daac1", name))
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(is)+"\n")
+}
+
+// The commands that look at a folder tell the same of it.
+func TestStoredStateIsInspected(t *testing.T) {
+	for _, name := range []string{"state", "state-torn"} {
+		dir := copied(t, name)
+		in, err := datadir.Open(dir, true)
+		require.NoError(t, err)
+		r, err := store.Inspect(in, recovery.Environment{Now: storedAt()}, 64<<20)
+		require.NoError(t, err)
+		require.NoError(t, in.Close())
+		golden(t, name+"-inspected.json", map[string]any{"report": r, "faults": r.Problems()})
+	}
+}
+
+// Another boot of the machine, another machine, and a site that is not the folder's: what is used then is as before.
+func TestStoredStateElsewhere(t *testing.T) {
+	got := map[string]any{}
+	for name, change := range map[string]func(terms *store.Options, now *recovery.Timestamp){
+		"another boot":    func(_ *store.Options, now *recovery.Timestamp) { now.BootID, now.SinceBoot = "other", 20*time.Second },
+		"another machine": func(_ *store.Options, now *recovery.Timestamp) { now.MachineID, now.SinceBoot = 5, 20*time.Second },
+		"an hour later":   func(_ *store.Options, now *recovery.Timestamp) { now.Wall += time.Hour; now.SinceBoot += time.Hour },
+		"clock set back":  func(_ *store.Options, now *recovery.Timestamp) { now.Wall -= time.Hour },
+		"another site":    func(terms *store.Options, _ *recovery.Timestamp) { terms.Site = "there" },
+	} {
+		terms, now := storedTerms(t, copied(t, "state")), storedAt()
+		change(&terms, &now)
+		terms.Clock = func() recovery.Timestamp { return now }
+		s, had, err := store.New(terms)
+		require.NoError(t, err)
+		s.Close()
+		got[name] = map[string]any{"numbers": keyed(had.Keys), "unknown": had.UnknownOutcomes, "fresh": had.Estimates.HasFresh()}
+	}
+	golden(t, "state-elsewhere.json", got)
+}
+
+// A configuration that an app server kept is the same: version, digest, routes and tenants. Without its last bytes it is
+// the version before.
+func TestStoredConfigurationIsRead(t *testing.T) {
+	for _, name := range []string{"configuration", "configuration-torn"} {
+		in, err := datadir.Open(copied(t, name), false)
+		require.NoError(t, err)
+		c, kept, err := store.OpenConfigurationStore(in)
+		require.NoError(t, err)
+		require.NotNil(t, kept.Document)
+		golden(t, name+".json", map[string]any{
+			"version": kept.Document.Version, "digest": fmt.Sprintf("%016x", uint64(kept.Document.Digest)),
+			"routes": kept.Document.Routes, "tenants": kept.Document.Tenants, "written": kept.WrittenAt.UnixMilli(), "passed": kept.Skipped,
+		})
+		// A document of the same content has the same digest.
+		again := configuration.NewDocument()
+		change := configuration.Change{Routes: map[string]*configuration.Route{}, Tenants: map[string]*configuration.Tenant{}}
+		for name, r := range kept.Document.Routes {
+			change.Routes[name] = &r
+		}
+		for name, tenant := range kept.Document.Tenants {
+			change.Tenants[name] = &tenant
+		}
+		again.Accept(change)
+		assert.Equal(t, kept.Document.Digest, again.Digest)
+		require.NoError(t, c.Close())
+	}
+}
