--- a/cmd/quartzpoint-bench/flatcomposer.go
+++ b/cmd/quartzpoint-bench/flatcomposer.go
@@ -26,7 +26,7 @@
 // attempts the same timeout, and retries at once.
 type flatComposer struct {
 	owner      *server.Server
-	routes     map[string]config.Type
+	routes     map[string]config.RoutePlan
 	transports []fanout.Transport
 	requests   map[string]*flatRequest
 	inFlight   map[*fanout.Attempt]flatAttempt
@@ -37,7 +37,7 @@
 // flatRequest is a request in progress; its slices are by call.
 type flatRequest struct {
 	id        string
-	route     config.Type
+	route     config.RoutePlan
 	body      []byte
 	settled   []bool
 	available []bool
@@ -63,7 +63,7 @@
 	ctx context.Context, ours *config.Config, owner *server.Server, counts *invariant.Counts, log *slog.Logger,
 ) *flatComposer {
 	f := &flatComposer{
-		owner: owner, routes: map[string]config.Type{}, requests: map[string]*flatRequest{},
+		owner: owner, routes: map[string]config.RoutePlan{}, requests: map[string]*flatRequest{},
 		inFlight: map[*fanout.Attempt]flatAttempt{},
 	}
 	var connections sync.WaitGroup // not waited for: they end with the process
@@ -71,7 +71,7 @@
 		transport := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Saw, owner.Nudge, &connections)
 		f.transports = append(f.transports, transport)
 	}
-	for _, t := range ours.Types {
+	for _, t := range ours.Routes {
 		f.routes[t.Name] = t
 	}
 	return f
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -23,7 +23,7 @@
 func startComposer(
 	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counts, log *slog.Logger,
 ) (*fanout.Composer, error) {
-	if len(ours.Types) == 0 {
+	if len(ours.Routes) == 0 {
 		return nil, nil
 	}
 	routes, err := composedRoutes(ours, owner.Types())
@@ -44,7 +44,7 @@
 // requests of each route. The error joins all faults.
 func composedRoutes(ours *config.Config, available map[string]time.Duration) (routes []fanout.Route, err error) {
 	var faults []error
-	for _, t := range ours.Types {
+	for _, t := range ours.Routes {
 		plan := t.Plan()
 		deadline, known := available[t.Name]
 		if !known {
@@ -56,7 +56,7 @@
 		}
 		route := fanout.Route{Plan: plan}
 		for _, c := range t.Calls {
-			route.Calls = append(route.Calls, fanout.Call{Op: c.Op, MaxStaleness: c.Keep, Default: c.Default})
+			route.Calls = append(route.Calls, fanout.Call{Op: c.Op, MaxStale: c.MaxStale, Default: c.Default})
 		}
 		routes = append(routes, route)
 	}
@@ -64,7 +64,7 @@
 }
 
 // printTimeline prints when the calls of a plan are expected to start and end, and their timeouts.
-func printTimeline(writer io.Writer, t config.Type, dependencies []config.Dependency, available time.Duration) error {
+func printTimeline(writer io.Writer, t config.RoutePlan, dependencies []config.Dependency, available time.Duration) error {
 	plan := t.Plan()
 	if err := plan.Validate(len(dependencies), available); err != nil {
 		return fmt.Errorf("types.%s: %w", t.Name, err)
@@ -96,7 +96,7 @@
 // Run asks the server once.
 func (cmd *dependenciesCommand) Run() error {
 	var states []budget.State
-	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askDependencies}, &states); err != nil {
+	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askDependencies}, &states); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/internal/raftlog/raftlog_test.go
+++ b/internal/raftlog/node_test.go
@@ -2,11 +2,13 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
+	"os"
 	"path/filepath"
 	"sync"
 	"testing"
@@ -14,52 +16,53 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
 
 	"quartzpoint/internal/peersync"
 )
 
 const patience = 20 * time.Second
 
-// list is a machine that keeps all entries.
-type list struct {
+// recordingMachine is a state machine that records all entries.
+type recordingMachine struct {
 	mu      sync.Mutex
 	entries []string
 }
 
-func (l *list) Apply(entry []byte, at time.Time) any {
+func (l *recordingMachine) Apply(entry []byte, at time.Time) any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at.IsZero() {
-		panic("an entry without its moment")
+		panic("an entry without a time")
 	}
 	l.entries = append(l.entries, string(entry))
 	return len(l.entries)
 }
 
-func (l *list) Snapshot() []byte {
+func (l *recordingMachine) Snapshot() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	raw, _ := json.Marshal(l.entries) // strings always have a form
+	raw, _ := json.Marshal(l.entries) // strings can always be encoded
 	return raw
 }
 
-func (l *list) Restore(raw []byte) error {
+func (l *recordingMachine) Restore(raw []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return json.Unmarshal(raw, &l.entries)
 }
 
-func (l *list) all() []string {
+func (l *recordingMachine) all() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string{}, l.entries...)
 }
 
-// cluster is a log over three machines.
+// cluster is a log over three members.
 type cluster struct {
-	options []Options
-	lists   []*list
-	nodes   []*Node
+	options  []Options
+	machines []*recordingMachine
+	nodes    []*Node
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -69,12 +72,12 @@
 		free, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		members = append(members, Member{Name: fmt.Sprint("m", i), Address: free.Addr().String()})
-		free.Close()
+		require.NoError(t, free.Close())
 	}
 	for i := range members {
-		c.lists = append(c.lists, &list{})
+		c.machines = append(c.machines, &recordingMachine{})
 		c.options = append(c.options, Options{
-			Name: members[i].Name, Dir: filepath.Join(t.TempDir(), "log"), Members: members, Machine: c.lists[i],
+			Name: members[i].Name, Dir: filepath.Join(t.TempDir(), "log"), Members: members, StateMachine: c.machines[i],
 			Keys: peersync.Keys{bytes.Repeat([]byte{3}, 16)}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
 		c.nodes = append(c.nodes, nil)
@@ -101,10 +104,10 @@
 	t.Helper()
 	require.NoError(t, c.nodes[i].Close())
 	c.nodes[i] = nil
-	*c.lists[i] = list{} // what is in memory is gone
+	*c.machines[i] = recordingMachine{} // a restart loses the state in memory
 }
 
-// leader waits for one.
+// leader waits until a member leads, and returns its index.
 func (c *cluster) leader(t *testing.T) (leader int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -112,7 +115,7 @@
 			if n == nil {
 				continue
 			}
-			if leads, _ := n.Leads(); leads {
+			if n.Leadership().IsLeader {
 				leader = i
 				return true
 			}
@@ -125,17 +128,25 @@
 func (c *cluster) propose(t *testing.T, entry string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		_, err := c.nodes[c.leader(t)].Propose([]byte(entry), time.Second)
-		return err == nil
+		return propose(t, c.nodes[c.leader(t)], entry, time.Second) == nil
 	}, patience, time.Millisecond)
 }
 
-// agree waits until all that run hold the same entries.
+// propose proposes an entry, with a bound of the wait for a place in the leader's queue.
+func propose(t *testing.T, node *Node, entry string, timeout time.Duration) error {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
+	defer cancel()
+	_, err := node.Propose(ctx, []byte(entry))
+	return err
+}
+
+// agree waits until all running members have applied the same entries.
 func (c *cluster) agree(t *testing.T, want []string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for i, n := range c.nodes {
-			if n != nil && !assert.ObjectsAreEqual(want, c.lists[i].all()) {
+			if n != nil && !assert.ObjectsAreEqual(want, c.machines[i].all()) {
 				return false
 			}
 		}
@@ -143,7 +154,8 @@
 	}, patience, time.Millisecond)
 }
 
-// Entries are the same everywhere, through the loss of the leader, restarts of one and of all machines, and a snapshot.
+// The leader is lost, a member restarts after a snapshot was taken, and then all members restart. After each of these all
+// members must have applied the same entries in the same order.
 func TestLogAcrossLosses(t *testing.T) {
 	c := newCluster(t)
 	var want []string
@@ -156,8 +168,7 @@
 	c.agree(t, want)
 	lost := c.leader(t)
 	follower := (lost + 1) % 3
-	_, err := c.nodes[follower].Propose([]byte("x"), time.Second)
-	assert.ErrorIs(t, err, ErrNotLeader)
+	assert.ErrorIs(t, propose(t, c.nodes[follower], "x", time.Second), ErrNotLeader)
 	c.stop(t, lost)
 	put("c")
 	require.NoError(t, c.nodes[c.leader(t)].raft.Snapshot().Error())
@@ -174,7 +185,8 @@
 	c.agree(t, want)
 }
 
-// Without a majority nothing is accepted, and the machine that is left knows no leader.
+// Two of three members are lost. The one that is left must step down and commit nothing, as the others may come back with
+// a log of their own.
 func TestNoMajority(t *testing.T) {
 	c := newCluster(t)
 	c.propose(t, "a")
@@ -182,14 +194,12 @@
 	c.stop(t, (leader+1)%3)
 	c.stop(t, (leader+2)%3)
 	require.Eventually(t, func() bool {
-		_, name := c.nodes[leader].Leads()
-		return name == ""
+		return c.nodes[leader].Leadership().Leader == ""
 	}, patience, time.Millisecond)
-	_, err := c.nodes[leader].Propose([]byte("b"), 200*time.Millisecond)
-	assert.Error(t, err)
+	assert.Error(t, propose(t, c.nodes[leader], "b", 200*time.Millisecond))
 }
 
-// Whoever does not have the key is no part of the log; nor is a machine that the members do not name.
+// A member with another key must not receive entries. A machine that is not among the members must not start.
 func TestAnotherKey(t *testing.T) {
 	c := newCluster(t)
 	c.propose(t, "a")
@@ -199,9 +209,36 @@
 	c.options[away].Keys = peersync.Keys{bytes.Repeat([]byte{4}, 16)}
 	c.start(t, away)
 	c.propose(t, "b")
-	assert.Never(t, func() bool { return len(c.lists[away].all()) > 1 }, 300*time.Millisecond, 10*time.Millisecond)
+	assert.Never(t, func() bool { return len(c.machines[away].all()) > 1 }, 300*time.Millisecond, 10*time.Millisecond)
 	nobody := c.options[leader]
 	nobody.Name = "nobody"
 	_, err := Start(nobody)
 	assert.ErrorContains(t, err, "none of its members")
 }
+
+// A start that fails halfway, here for a file in place of the snapshots, must release what it opened: the address would
+// stay taken, and the goroutine that accepts connections would run on.
+func TestFailedStartReleasesEverything(t *testing.T) {
+	before := goleak.IgnoreCurrent()
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	address := free.Addr().String()
+	require.NoError(t, free.Close())
+	dir := t.TempDir()
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "snapshots"), nil, 0o600))
+	options := Options{
+		Name: "m", Dir: dir, Members: []Member{{Name: "m", Address: address}}, StateMachine: &recordingMachine{},
+		Logger: slog.New(slog.DiscardHandler),
+	}
+	_, err = Start(options)
+	require.Error(t, err)
+	again, err := net.Listen("tcp", address)
+	require.NoError(t, err, "the address is free again")
+	require.NoError(t, again.Close())
+	goleak.VerifyNone(t, before)
+
+	require.NoError(t, os.Remove(filepath.Join(dir, "snapshots")))
+	node, err := Start(options) // the log's file is not locked any more
+	require.NoError(t, err)
+	require.NoError(t, node.Close())
+}
