--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -37,9 +37,9 @@
 
 // Call is what package budget need not know of a call.
 type Call struct {
-	Op           string        // name of the operation at the dependency
+	Op       string        // name of the operation at the dependency
 	MaxStale time.Duration // up to this age a stored result may replace its part; 0: none may
-	Default      []byte        // constant that replaces its part otherwise; nil: none does
+	Default  []byte        // constant that replaces its part otherwise; nil: none does
 }
 
 // Route is a route whose requests are made of calls. Calls and Plan.Calls have the same indexes.
