--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -18,90 +18,92 @@
 	"quartzpoint/internal/server"
 )
 
-// exchanging is a server's part in the exchange of knowledge; the zero value is none.
-type exchanging struct {
-	stated *config.Peers
-	server *peersync.Server
+// peerExchange is a server's exchange of estimates with its peers.
+type peerExchange struct {
+	config *config.Peers    // nil without [peers]
+	server *peersync.Server // nil where this server does not listen for peers
 }
 
-// keysOf reads a key file, where one is stated.
-func keysOf(file string) (peersync.Keys, error) {
+// readKeyFile reads a key file; no name means no keys.
+func readKeyFile(file string) (peersync.Keys, error) {
 	if file == "" {
 		return nil, nil
 	}
 	return peersync.ReadKeys(file)
 }
 
-// begin takes the part that is stated: it gives where listen is, and asks where peers are. Both end with the
-// context. What the server learns goes to peers and to kept, which may be nil.
-func begin(
-	ctx context.Context, stated *config.Peers, owner *server.Server, k *statePersistence, seed int64, counts *invariant.Counts, log *slog.Logger,
-) (*exchanging, error) {
-	e := &exchanging{stated: stated}
-	if stated == nil {
+// startPeerExchange serves estimates to peers where the configuration has an address for it, and fetches them from those that
+// it names. Both end with the context. stored may be nil only where settings is.
+func startPeerExchange(
+	ctx context.Context, settings *config.Peers, owner *server.Server, stored *statePersistence, seed int64, counts *invariant.Counts,
+	log *slog.Logger,
+) (*peerExchange, error) {
+	e := &peerExchange{config: settings}
+	if settings == nil {
 		return e, nil
 	}
-	keys, err := keysOf(stated.KeyFile)
+	keys, err := readKeyFile(settings.KeyFile)
 	if err != nil {
 		return nil, err
 	}
-	if stated.KeyFile == "" {
+	if settings.KeyFile == "" {
 		log.Warn("peers without a key", "key_file", "", "so", "loopback addresses only")
 	}
-	if stated.Listen != "" {
-		if e.server, err = peersync.Listen(stated.Listen, keys, owner.Now, counts); err != nil {
+	if settings.Listen != "" {
+		if e.server, err = peersync.Listen(settings.Listen, keys, owner.Now, counts); err != nil {
 			return nil, err
 		}
 		e.server.Serve()
 		context.AfterFunc(ctx, e.server.Close)
-		log.Info("views given to peers", "listen", stated.Listen, "keys", len(keys))
+		log.Info("serving estimates to peers", "listen", settings.Listen, "keys", len(keys))
 	}
-	var warm atomic.Bool
-	k.publish = append(k.publish, func(snapshot estimate.Snapshot, at time.Duration) {
-		warm.Store(!snapshot.Cold())
+	var needsEstimates atomic.Bool
+	needsEstimates.Store(true)
+	stored.publish = append(stored.publish, func(snapshot estimate.Snapshot, at time.Duration) {
+		needsEstimates.Store(snapshot.NeedsPeers())
 		if e.server != nil {
 			e.server.Publish(snapshot, at)
 		}
 	})
-	if len(stated.Addresses) > 0 {
-		asker := &peersync.Client{
-			Peers: stated.Addresses, Keys: keys, Total: stated.Timeout, Schema: k.schema, Stored: k.recovered, Seed: seed,
-			Cold: func() bool { return !warm.Load() }, Take: owner.UsePeerEstimates, Counts: counts, Log: log,
+	if len(settings.Addresses) > 0 {
+		fetcher := &peersync.Fetcher{
+			Peers: settings.Addresses, Keys: keys, FirstWait: settings.Timeout, Schema: stored.schema, Recovered: stored.recovered, Seed: seed,
+			NeedsEstimates: needsEstimates.Load, Use: owner.UsePeerEstimates, Counts: counts, Log: log,
 		}
-		go asker.Run(ctx)
+		go fetcher.Run(ctx)
 	}
 	return e, nil
 }
 
-// again reads the keys anew; all else of the section changes only with a restart.
-func (e *exchanging) again(log *slog.Logger) {
-	if e.server == nil || e.stated.KeyFile == "" {
+// reloadKeys reads the key file again. The other settings of the section change with a restart alone.
+func (e *peerExchange) reloadKeys(log *slog.Logger) {
+	if e.server == nil || e.config.KeyFile == "" {
 		return
 	}
-	keys, err := peersync.ReadKeys(e.stated.KeyFile)
+	keys, err := peersync.ReadKeys(e.config.KeyFile)
 	if err != nil {
-		log.Warn("new keys refused, the old ones stay", "error", err)
+		log.Warn("new keys rejected, the old ones stay", "error", err)
 		return
 	}
 	e.server.SetKeys(keys)
 	log.Info("new keys", "keys", len(keys))
 }
 
-// peers are the commands about running servers.
-type peers struct {
-	Show showing `cmd:"" help:"Print what a running server has learned, with ages and weights."`
+// peerCommands are the commands about running servers.
+type peerCommands struct {
+	Show peerShow `cmd:"" help:"Print what a running server has learned, with ages and weights."`
 }
 
-// showing is the command that prints a peer's view.
-type showing struct {
+// peerShow is the command that prints a running server's estimates.
+type peerShow struct {
 	Address string `arg:"" help:"Its address for peers, as in its [peers] listen."`
 	KeyFile string `placeholder:"FILE" help:"The key file that it uses."`
 	JSON    bool   `name:"json" help:"Print it as JSON; times in seconds, ages in nanoseconds."`
 }
 
-// Run asks the peer once.
-func (cmd *showing) Run() error {
-	keys, err := keysOf(cmd.KeyFile)
+// Run fetches the estimates once.
+func (cmd *peerShow) Run() error {
+	keys, err := readKeyFile(cmd.KeyFile)
 	if err != nil {
 		return err
 	}
@@ -112,38 +114,39 @@
 	if cmd.JSON {
 		return printJSON(os.Stdout, snapshot)
 	}
-	return show(os.Stdout, snapshot)
+	return printEstimates(os.Stdout, snapshot)
 }
 
-func printJSON(to io.Writer, what any) error {
+// printJSON prints a value as indented JSON.
+func printJSON(to io.Writer, value any) error {
 	encoder := json.NewEncoder(to)
 	encoder.SetIndent("", "  ")
-	return encoder.Encode(what)
+	return encoder.Encode(value)
 }
 
-// show prints a view as a table. A weight is the number of own samples that a newcomer would take it for.
-func show(to io.Writer, snapshot estimate.Snapshot) error {
+// printEstimates prints a snapshot as a table. The weight is the number of own samples that an estimate stands for.
+func printEstimates(to io.Writer, snapshot estimate.Snapshot) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(table, "what\tmean\tspread\tsamples\tage\tweight\t\n")
-	row := func(what string, e estimate.Estimate, k estimate.Kind) {
+	fmt.Fprintf(table, "estimate\tmean\tspread\tsamples\tage\tweight\t\n")
+	row := func(name string, e estimate.Estimate, kind estimate.Kind) {
 		if !e.Known() {
-			fmt.Fprintf(table, "%s\t-\t-\t0\t-\t0\t\n", what)
+			fmt.Fprintf(table, "%s\t-\t-\t0\t-\t0\t\n", name)
 			return
 		}
 		fmt.Fprintf(table, "%s\t%.4g\t%.3g\t%.0f\t%s\t%.1f\t\n",
-			what, e.Mean, e.Spread, e.Samples, e.Age.Round(100*time.Millisecond), e.Weight(k))
+			name, e.Mean, e.Spread, e.Samples, e.Age.Round(100*time.Millisecond), e.Weight(kind))
 	}
-	for _, t := range snapshot.Routes {
-		row(fmt.Sprintf("%q core s", t.Name), t.Core, estimate.CoreTime)
-		row(fmt.Sprintf("%q run s", t.Name), t.Run, estimate.RunTime)
+	for _, route := range snapshot.Routes {
+		row(fmt.Sprintf("%q core s", route.Name), route.Core, estimate.CoreTime)
+		row(fmt.Sprintf("%q run s", route.Name), route.Run, estimate.RunTime)
 	}
 	row("pace", snapshot.Pace, estimate.Pace)
 	row("calls s", snapshot.Calls, estimate.CallTime)
-	row("calls refused", snapshot.RejectRatio, estimate.RejectRatio)
-	row("callers back", snapshot.ReturnRatio, estimate.ReturnRatio)
+	row("calls rejected", snapshot.RejectRatio, estimate.RejectRatio)
+	row("callers returning", snapshot.ReturnRatio, estimate.ReturnRatio)
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
 	}
-	_, err := fmt.Fprintf(to, "origin %016x, terms %016x\n", snapshot.Origin, snapshot.SettingsDigest)
+	_, err := fmt.Fprintf(to, "origin %016x, settings %016x\n", snapshot.Origin, snapshot.SettingsDigest)
 	return err
 }
--- a/cmd/quartzpoint/state_commands.go
+++ b/cmd/quartzpoint/state_commands.go
@@ -72,7 +72,7 @@
 		fmt.Printf("  %s: %d\n", route, byRoute[route])
 	}
 	if report.Estimates != nil {
-		if err := show(os.Stdout, *report.Estimates); err != nil {
+		if err := printEstimates(os.Stdout, *report.Estimates); err != nil {
 			return err
 		}
 	}
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -110,10 +110,10 @@
 			return fmt.Errorf("%q was never recorded", n.Key)
 		}
 	}
-	if m.durableSnapshot > 0 && !p.Estimates.Fresh() {
+	if m.durableSnapshot > 0 && !p.Estimates.HasFresh() {
 		return errors.New("a snapshot was durable and is lost")
 	}
-	if p.Estimates.Fresh() {
+	if p.Estimates.HasFresh() {
 		n := int((p.Estimates.Routes[0].Core.Mean-0.1)*1e4 + 0.5)
 		if n < m.durableSnapshot || n > m.lastSnapshot {
 			return fmt.Errorf("snapshot %d is recovered, and %d was durable, %d written", n, m.durableSnapshot, m.lastSnapshot)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -209,7 +209,7 @@
 		s, recovered, err := New(o.Options)
 		require.NoError(t, err)
 		assert.Len(t, recovered.Keys, 1)
-		assert.True(t, recovered.Estimates.Fresh())
+		assert.True(t, recovered.Estimates.HasFresh())
 		assert.Equal(t, uint64(math.MaxUint64), s.DurableMark())
 		s.Close()
 	}
