--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -56,7 +56,7 @@
 		}
 		route := fanout.Route{Plan: plan}
 		for _, c := range t.Calls {
-			route.Calls = append(route.Calls, fanout.Call{Op: c.Op, MaxStaleness: c.MaxStale, Default: c.Default})
+			route.Calls = append(route.Calls, fanout.Call{Op: c.Op, MaxStale: c.MaxStale, Default: c.Default})
 		}
 		routes = append(routes, route)
 	}
