--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -96,7 +96,7 @@
 	})
 }
 
-// Send implements budget.Writer, as do the methods below it.
+// Send implements budget.Executor, as do the methods below it.
 func (c *composer) Send(execution *budget.Execution, call, number int, within time.Duration) {
 	w, t := c.server.world, execution.Ref.(*try)
 	a := &attempt{execution: execution, call: call, number: number, dependency: execution.Plan().Calls[call].Dependency}
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -238,3 +238,25 @@
 	assert.Zero(t, <-left)
 	server.posted <- func() { assert.False(t, server.Pause(id)) }
 }
+
+// Both dependencies are down. The optional first call cannot be sent; settling it starts the required at-most-once call
+// behind it, which finds no connection either. That second attempt was lost: the request waited for an answer that nobody
+// owed, and was then reported as an effect that may have happened, though nothing was ever sent.
+func TestUnsentCallBehindAnUnsentCall(t *testing.T) {
+	routes := confirmRoute()
+	routes[0].Plan.Calls[0].Required, routes[0].Plan.Calls[0].Retry, routes[0].Plan.Calls[0].Effect = false, false, budget.Read
+	var down atomic.Bool
+	mood := func(time.Duration) harness.Mood { return harness.Mood{Down: down.Load()} }
+	hold, deposit := startDependency(t, ms, mood), startDependency(t, ms, mood)
+	server := newTestServer(t, 64<<20, routes, dependency("hold", hold.Address), dependency("deposit", deposit.Address))
+	down.Store(true)
+	require.Eventually(t, func() bool {
+		return server.transports[0].Available()+server.transports[1].Available() == 0
+	}, patience, ms)
+	server.start("confirm", "x", 5*time.Second)
+	outcome, a := server.next()
+	assert.Equal(t, "interrupted", outcome)
+	assert.Equal(t, []string{"missing", "missing"}, states(a))
+	assert.Equal(t, "failed", a.Parts[1].Reason)
+	assert.Zero(t, deposit.Seen().Calls)
+}
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -180,11 +180,11 @@
 
 // Advance takes the responses that have come and runs the timers that are due.
 func (c *Composer) Advance(now time.Duration) {
-	for _, attempt := range c.unsent {
+	unsent := c.unsent
+	c.unsent = nil // what settles here may start calls that cannot be sent either: they are for the next time
+	for _, attempt := range unsent {
 		c.receive(Response{Attempt: attempt, Outcome: budget.NotSent}, now)
 	}
-	clear(c.unsent)
-	c.unsent = c.unsent[:0]
 	c.responses = c.responses[:0]
 	for _, transport := range c.transports {
 		c.responses = transport.Receive(c.responses)
