--- a/internal/testkit/replay/replay_test.go
+++ b/internal/testkit/replay/replay_test.go
@@ -115,7 +115,7 @@
 	file                       string
 	streams, rounds, decisions int
 }{
-	{"drawn.gz", 21, 40300, 42142},
+	{"drawn.gz", 39, 53200, 49377},
 	{"emulated-calls.gz", 2, 20905, 14160},
 	{"emulated-composed.gz", 2, 15225, 11139},
 	{"emulated-deploy.gz", 9, 11799, 8945},
