--- a/cmd/quartzpoint-bench/flat.go
+++ b/cmd/quartzpoint-bench/flat.go
@@ -76,23 +76,23 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	link := workerlink.New(s.Pool, 1<<20, log, counts.Saw, owner.Nudge)
-	owner.Serve(link, routers)
+	link := workerlink.New(s.Pool, 1<<20, log, counts.Count, owner.Wake)
+	owner.Attach(link, routers)
 	f := &flatComposer{owner: owner, types: map[string]config.Type{}, tasks: map[string]*flatTask{}, open: map[*fanout.Sent]flatCall{}}
 	var over sync.WaitGroup
 	for i, d := range ours.Dependencies {
-		way := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Saw, owner.Nudge, &over)
+		way := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Count, owner.Wake, &over)
 		f.ways = append(f.ways, way)
 	}
 	for _, t := range ours.Types {
 		f.types[t.Name] = t
 	}
-	owner.Compose(f)
+	owner.SetComposer(f)
 	go link.Run(ctx)
 	go func() { _ = routers.Serve() }() // ends with the process
 	go func() {
 		<-notice
-		owner.Leave(time.Duration(s.StopMS) * time.Millisecond)
+		owner.Drain(time.Duration(s.StopMS) * time.Millisecond)
 	}()
 	log.Info("serving", "listen", s.Listen)
 	owner.Run()
@@ -128,8 +128,8 @@
 
 func (f *flatComposer) Composes(kind string) bool  { _, is := f.types[kind]; return is }
 func (f *flatComposer) Waits(string) time.Duration { return 0 }
-func (f *flatComposer) GoOn(string) bool           { return false }
-func (f *flatComposer) Take(into []workerapi.Notice) []workerapi.Notice {
+func (f *flatComposer) Resume(string) bool         { return false }
+func (f *flatComposer) AppendNotices(into []workerapi.Notice) []workerapi.Notice {
 	into = append(into, f.ended...)
 	f.ended = f.ended[:0]
 	return into
--- a/cmd/quartzpoint/control.go
+++ b/cmd/quartzpoint/control.go
@@ -60,7 +60,7 @@
 // dependencies are told in the owner's turn, which has them.
 func (a operatorAnswers) dependencies() (any, error) {
 	told := make(chan any, 1)
-	a.owner.Post(func() { told <- a.composer.States(a.owner.Now()) })
+	a.owner.Submit(func() { told <- a.composer.States(a.owner.Now()) })
 	select {
 	case states := <-told:
 		return states, nil
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -20,12 +20,12 @@
 
 // composing starts what makes requests of calls, nil where nothing is stated. It ends with the context.
 func composing(
-	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counts, log *slog.Logger,
+	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counters, log *slog.Logger,
 ) (*fanout.Composer, error) {
 	if len(ours.Types) == 0 {
 		return nil, nil
 	}
-	types, err := plans(ours, owner.Types())
+	types, err := plans(ours, owner.RouteTimeouts())
 	if err != nil {
 		return nil, err
 	}
@@ -33,8 +33,8 @@
 	for _, d := range ours.Dependencies {
 		dependencies = append(dependencies, fanout.Dependency(d))
 	}
-	composer := fanout.New(ctx, dependencies, types, memory, seed, owner.Now, counts, log, owner.Nudge)
-	owner.Compose(composer)
+	composer := fanout.New(ctx, dependencies, types, memory, seed, owner.Now, counts, log, owner.Wake)
+	owner.SetComposer(composer)
 	log.Info("tasks made of calls", "types", len(types), "dependencies", len(dependencies))
 	return composer, nil
 }
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -35,7 +35,7 @@
 // begin takes the part that is stated: it gives where listen is, and asks where peers are. Both end with the
 // context. What the server learns goes to peers and to kept, which may be nil.
 func begin(
-	ctx context.Context, stated *config.Peers, owner *server.Server, k *keeping, seed int64, counts *invariant.Counts, log *slog.Logger,
+	ctx context.Context, stated *config.Peers, owner *server.Server, k *keeping, seed int64, counts *invariant.Counters, log *slog.Logger,
 ) (*exchanging, error) {
 	e := &exchanging{stated: stated}
 	if stated == nil {
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -75,8 +75,8 @@
 	if err != nil {
 		return err
 	}
-	link := workerlink.New(s.Pool, s.Limits.megabytes()<<20/linkShare, log, counts.Saw, owner.Nudge)
-	owner.Serve(link, routers)
+	link := workerlink.New(s.Pool, s.Limits.megabytes()<<20/linkShare, log, counts.Count, owner.Wake)
+	owner.Attach(link, routers)
 	calls := calling(s, owner, link, counts, log)
 
 	ctx, cancel := context.WithCancel(context.Background())
@@ -117,7 +117,7 @@
 	if watcher != nil {
 		go watcher.Run(ctx)
 	}
-	go reporter.Run(ctx, registration.Period)
+	go reporter.Run(ctx, registration.ReportInterval)
 	go link.Run(ctx)
 	failed := make(chan error, 1)
 	go func() {
@@ -147,8 +147,8 @@
 		}
 		ended <- why
 		giveUp()
-		reporter.Leave()
-		owner.Leave(time.Duration(stop.Load()))
+		reporter.SetDraining()
+		owner.Drain(time.Duration(stop.Load()))
 	}()
 	owner.Run()
 	counts.Report()
--- a/cmd/quartzpoint/start.go
+++ b/cmd/quartzpoint/start.go
@@ -207,14 +207,14 @@
 		c.faults = append(c.faults, fmt.Errorf("configuration %s: settings: %w", c.path, err))
 		return
 	}
-	s.settings, s.types = agreed, made.Types()
+	s.settings, s.types = agreed, made.RouteTimeouts()
 }
 
 // bounds are those of the program itself.
 func (s start) bounds() server.Limits {
 	return server.Limits{
 		MemoryMB: s.Limits.megabytes(), Sockets: max(2, s.Limits.sockets()-s.callSockets()),
-		Keys: true, Tenants: true, Calls: s.Index != "", KilledEarly: true,
+		Keys: true, Tenants: true, Calls: s.Index != "", EarlyKill: true,
 	}
 }
 
@@ -231,15 +231,15 @@
 
 // calling makes the server call the dependency where the configuration names one, and gives what calls it, nil without.
 // Types that call and have none are turned away: all others are served.
-func calling(s start, owner *server.Server, link *workerlink.Link, counts *invariant.Counts, log *slog.Logger) *dependency.Caller {
-	if unserved := owner.Unserved(); len(unserved) > 0 {
+func calling(s start, owner *server.Server, link *workerlink.Link, counts *invariant.Counters, log *slog.Logger) *dependency.Caller {
+	if unserved := owner.UnservedRoutes(); len(unserved) > 0 {
 		log.Warn("types that call a dependency are turned away, as the configuration names none", "types", unserved)
 	}
 	if s.Index == "" {
 		return nil
 	}
-	calls := dependency.New(s.Index, s.callSockets(), log, counts.Saw, owner.CallEnded)
-	owner.Depend(calls, link)
+	calls := dependency.New(s.Index, s.callSockets(), log, counts.Count, owner.HandleCallEnd)
+	owner.SetDependency(calls, link)
 	return calls
 }
 
@@ -256,10 +256,10 @@
 		return s
 	}
 	if n.Members != s.Members {
-		reporter.Move(n.Members)
+		reporter.SetAddress(n.Members)
 	}
 	if n.Pool != s.Pool {
-		link.Move(n.Pool)
+		link.SetAddress(n.Pool)
 	}
 	index := s.Index
 	if calls != nil && n.Index != "" && n.Index != index {
@@ -289,7 +289,7 @@
 	if len(change.Adjusted) > 0 {
 		s.settings = s.settings.WithAdjustable(n.settings)
 		next := s.settings
-		owner.Post(func() { owner.Reconfigure(next) })
+		owner.Submit(func() { owner.Reconfigure(next) })
 	}
 	log.Info("new configuration", "pool", n.Pool, "members", n.Members, "index", index, "stop_ms", n.Stop.Milliseconds(), "moved", change.Adjusted,
 		"only_with_a_restart", fixed)
--- a/cmd/quartzpoint/state.go
+++ b/cmd/quartzpoint/state.go
@@ -29,7 +29,7 @@
 }
 
 // keep opens the folder that is stated, and has the server go on from what it holds.
-func keep(stated *config.State, owner *server.Server, counts *invariant.Counts, log *slog.Logger) (*keeping, error) {
+func keep(stated *config.State, owner *server.Server, counts *invariant.Counters, log *slog.Logger) (*keeping, error) {
 	k := &keeping{}
 	k.frame = owner.PublishEstimates(store.DrawID(), func(snapshot estimate.Snapshot, at time.Duration) {
 		for _, put := range k.share {
@@ -41,7 +41,7 @@
 	}
 	kept, had, err := store.New(store.Terms{
 		Open: datadir.Opener(stated.Dir), Clock: store.SystemClock(), ID: store.DrawID, Site: stated.Site, Frame: k.frame,
-		Most: stated.Most, Commit: stated.Commit, Numbers: stated.Numbers, Counts: counts, Log: log, Nudge: owner.Nudge,
+		Most: stated.Most, Commit: stated.Commit, Numbers: stated.Numbers, Counts: counts, Log: log, Nudge: owner.Wake,
 		Late: func(r store.Recovered) { store.ResumeLate(owner, r) },
 	})
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 	store.Resume(owner, had)
 	if stated.Numbers {
-		owner.Keep(kept)
+		owner.SetLedger(kept)
 	}
 	k.state, k.view = kept, had.View
 	k.share = append(k.share, func(snapshot estimate.Snapshot, _ time.Duration) { kept.View(snapshot) })
--- a/gate.go
+++ b/gate.go
@@ -140,7 +140,7 @@
 type Gate struct {
 	owner  *server.Server
 	runs   *handlers
-	counts *invariant.Counts
+	counts *invariant.Counters
 	over   chan struct{} // the owner has ended
 	closed chan struct{} // and what it kept is written
 	calls  sync.Pool
@@ -189,15 +189,15 @@
 	}
 	g.good.Store(true)
 	g.owner, err = server.New(settings.FromAdmission(decisions, settings.Readings...), t.Seed, server.Limits{
-		MemoryMB: t.MemoryMB, Keys: true, Tenants: true, Calls: true, SkipsCalls: true, RunsStay: true, Spins: spins,
+		MemoryMB: t.MemoryMB, Keys: true, Tenants: true, Calls: true, SkippableCalls: true, HoldUntilRunEnds: true, MaxIdleYields: spins,
 	}, g.counts, t.Log)
 	if err != nil {
 		return nil, fmt.Errorf("quartzpoint: %w", err)
 	}
 	g.runs = newHandlers(g, t.Cores, uint64(t.MemoryMB)<<20, t.Gauges)
 	g.calls.New = func() any { return newCall(g) }
-	g.owner.Serve(g.runs, g)
-	g.owner.Time(t.Rounds)
+	g.owner.Attach(g.runs, g)
+	g.owner.ObserveRounds(t.Rounds)
 	if t.State != nil {
 		if err := g.keepState(t.State, store.DrawID(), g.counts, t.Log); err != nil {
 			return nil, err
@@ -384,7 +384,7 @@
 	}
 	defer c.release()
 	c.run, c.plain = run, plain
-	g.owner.Post(c.arrive)
+	g.owner.Submit(c.arrive)
 	select {
 	case <-c.answered:
 	case <-ctx.Done():
@@ -414,7 +414,7 @@
 		return nil, err
 	}
 	c.givenUp = givenUp
-	g.owner.Post(c.arrive)
+	g.owner.Submit(c.arrive)
 	select {
 	case <-c.started:
 		return &Ticket{call: c}, nil
@@ -473,7 +473,7 @@
 	}
 	g.leave.Do(func() {
 		g.good.Store(false)
-		g.owner.Leave(within)
+		g.owner.Drain(within)
 	})
 	select {
 	case <-g.over:
@@ -512,7 +512,7 @@
 
 // Flush is called behind each round.
 func (g *Gate) Flush() bool {
-	g.level.Store(math.Float64bits(g.owner.Standing()))
+	g.level.Store(math.Float64bits(g.owner.ShedLevel()))
 	return true
 }
 
--- a/handlers.go
+++ b/handlers.go
@@ -121,7 +121,7 @@
 	g.runs.calls[c.id] = c
 	a := server.Incoming{
 		ID: c.id, Route: c.task.Type, HeldKB: g.runs.heldKB, Rank: c.task.Rank, Router: c.task.Caller, Arrived: c.came,
-		Key: c.task.Number, Shape: c.task.Shape, Tenant: math.MaxInt, Caller: c,
+		Key: c.task.Number, Fingerprint: c.task.Shape, Tenant: math.MaxInt, Caller: c,
 	}
 	if place, known := g.shares[c.task.Customer]; known {
 		a.Tenant = place
@@ -131,10 +131,10 @@
 		due = deadline
 	}
 	if !due.IsZero() {
-		a.Patience = max(time.Until(due)+g.owner.Now()-c.came, 1)
+		a.Timeout = max(time.Until(due)+g.owner.Now()-c.came, 1)
 	}
-	g.owner.Adopt(c.task.Type)
-	if request := g.owner.Take(a); request != nil && !c.over {
+	g.owner.AdoptRoute(c.task.Type)
+	if request := g.owner.Receive(a); request != nil && !c.over {
 		c.taken = request
 		return
 	}
@@ -145,7 +145,7 @@
 func (c *call) posted() {
 	c.state.CompareAndSwap(open, byOwner) // nobody is left to answer
 	c.holds.Add(1)
-	c.gate.owner.Post(c.leave)
+	c.gate.owner.Submit(c.leave)
 }
 
 // leaves is the owner's turn when the caller is gone.
@@ -158,7 +158,7 @@
 	if c.inside != nil {
 		c.inside.cancel(context.Canceled)
 	}
-	c.gate.owner.Gone(c.taken)
+	c.gate.owner.Cancel(c.taken)
 	if !c.running {
 		c.drop()
 	}
@@ -203,8 +203,8 @@
 	}
 }
 
-// Checked is for health checks, which come another way here.
-func (c *call) Checked(uint32, bool, string) {}
+// ReportHealth is for health checks, which come another way here.
+func (c *call) ReportHealth(uint32, bool, string) {}
 
 // afterLeave is the error of a call that the owner did not come to, or had answered as it left.
 func (c *call) afterLeave() error {
@@ -359,13 +359,13 @@
 	}
 	defer c.release()
 	owner := c.gate.owner
-	c.tell(func() { owner.AtCall(c.taken) })
+	c.tell(func() { owner.AwaitCall(c.taken) })
 	for {
 		var within time.Duration
 		select {
 		case within = <-c.turn:
 		case <-ctx.Done():
-			c.tell(func() { owner.Returned(c.taken, admission.NotRun, 0) })
+			c.tell(func() { owner.RecordCallEnd(c.taken, admission.NotRun, 0) })
 			return ctx.Err()
 		}
 		if within < 0 {
@@ -382,7 +382,7 @@
 			outcome = admission.Failed
 		}
 		cancel()
-		c.tell(func() { owner.Returned(c.taken, outcome, took) })
+		c.tell(func() { owner.RecordCallEnd(c.taken, outcome, took) })
 		if err == nil {
 			return nil
 		}
@@ -392,7 +392,7 @@
 // tell has the owner hear something of the run, unless that has ended by then.
 func (c *call) tell(what func()) {
 	c.holds.Add(1)
-	c.gate.owner.Post(func() {
+	c.gate.owner.Submit(func() {
 		defer c.release()
 		if c.running {
 			what()
@@ -400,11 +400,11 @@
 	})
 }
 
-// Call lets the call of the run go; like Skip it is for the owner.
-func (c *call) Call(within time.Duration) { c.offer(within) }
+// AllowCall lets the call of the run go; like Skip it is for the owner.
+func (c *call) AllowCall(within time.Duration) { c.offer(within) }
 
-// Skip has the run go on without its call.
-func (c *call) Skip() { c.offer(-1) }
+// SkipCall has the run go on without its call.
+func (c *call) SkipCall() { c.offer(-1) }
 
 func (c *call) offer(turn time.Duration) {
 	select {
@@ -476,23 +476,23 @@
 	return true
 }
 
-func (h *handlers) GoOn(string) bool { return true }
+func (h *handlers) Resume(string) bool { return true }
 
 // end files the end of a run, from its goroutine.
 func (h *handlers) end(c *call) {
 	h.mu.Lock()
 	h.over = append(h.over, c)
 	h.mu.Unlock()
-	h.gate.owner.Nudge()
+	h.gate.owner.Wake()
 }
 
-func (h *handlers) Take(into []workerapi.Notice) []workerapi.Notice {
+func (h *handlers) AppendNotices(into []workerapi.Notice) []workerapi.Notice {
 	h.mu.Lock()
 	over := h.over
 	h.over, h.spare = h.spare[:0], over
 	h.mu.Unlock()
 	for _, c := range over {
-		n := workerapi.Notice{Kind: workerapi.RunFinished, RequestID: c.id, Outcome: "success", Result: c.out, Took: h.gate.owner.Now() - c.begun}
+		n := workerapi.Notice{Kind: workerapi.RunFinished, RequestID: c.id, Outcome: "success", Result: c.out, Duration: h.gate.owner.Now() - c.begun}
 		if c.outErr != nil {
 			n.Outcome = "failure"
 		}
@@ -504,7 +504,7 @@
 		}
 		if c.over { // its answer went before its end
 			if _, panicked := c.outErr.(*panicError); panicked {
-				h.gate.counts.Saw("run panicked past its answer")
+				h.gate.counts.Count("run panicked past its answer")
 			}
 			c.drop()
 		}
@@ -523,14 +523,14 @@
 
 func (h *handlers) Flush() {}
 
-func (h *handlers) Next() uint64 { return h.nonce + 1 }
+func (h *handlers) NextPollNonce() uint64 { return h.nonce + 1 }
 
 // Poll asks for the gauges. They are read as late as can be, in Take and behind the ends that it tells: a run that
 // has ended and is still in the crowd would pass for something else that wants its core.
 func (h *handlers) Poll() (uint64, bool) {
 	h.nonce++
 	h.asked = true
-	h.gate.owner.Nudge()
+	h.gate.owner.Wake()
 	return h.nonce, true
 }
 
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -87,7 +87,7 @@
 		return
 	}
 	c.busy[asked.CallID] = l
-	ctx, cancel := context.WithTimeout(context.Background(), asked.Within)
+	ctx, cancel := context.WithTimeout(context.Background(), asked.Timeout)
 	l.cancel = cancel
 	l.calls <- call{asked, ctx}
 }
@@ -126,7 +126,7 @@
 			begin := time.Now()
 			outcome, result := l.make(call)
 			l.caller.ended(l, call.CallID)
-			l.caller.tell(workerapi.CallEnd{Call: call.Call, Outcome: outcome, Took: time.Since(begin), Result: result})
+			l.caller.tell(workerapi.CallEnd{Call: call.Call, Outcome: outcome, Duration: time.Since(begin), Result: result})
 			idle.Reset(idleWait)
 		case <-idle.C:
 			l.caller.retire(l)
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -117,7 +117,7 @@
 }
 
 func asked(n uint64, within time.Duration) workerapi.Call {
-	return workerapi.Call{CallID: n, RequestID: "9b1f03aa5c7e2d41", Body: []byte("\x00 what\r\n"), Within: within}
+	return workerapi.Call{CallID: n, RequestID: "9b1f03aa5c7e2d41", Body: []byte("\x00 what\r\n"), Timeout: within}
 }
 
 const good = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -25,16 +25,16 @@
 
 // The kinds of events.
 const (
-	Refused          Kind = "request refused"   // with a promise of no effect
-	Failed           Kind = "request failed"    // answered without a result after it may have run
-	RunOverdue       Kind = "run overdue"       // not reported to have ended, or to have begun, in its time
-	RunEndedLate     Kind = "run ended late"    // the end of one that was overdue
-	RunReleased      Kind = "run released"      // taken off the books without a report of its end
-	RunRetried       Kind = "run retried"       // sent to the worker pool again
-	CallRetried      Kind = "call retried"      // made to the dependency again
-	ConnectionClosed Kind = "connection closed" // by this side, or told to be before its end
-	ConnectionAsked  Kind = "connection asked"  // to go, by its peer
-	Overcommitted    Kind = "overcommitted"     // the machine's readings are over what this process has on its books
+	RequestRejected    Kind = "request refused"   // with a promise of no effect
+	RequestAborted     Kind = "request failed"    // answered without a result after it may have run
+	RunOverdue         Kind = "run overdue"       // not reported to have ended, or to have begun, in its time
+	RunEndedLate       Kind = "run ended late"    // the end of one that was overdue
+	RunReleased        Kind = "run released"      // taken off the books without a report of its end
+	RunRetried         Kind = "run retried"       // sent to the worker pool again
+	CallRetried        Kind = "call retried"      // made to the dependency again
+	ConnectionClosed   Kind = "connection closed" // by this side, or told to be before its end
+	ConnectionDraining Kind = "connection asked"  // to go, by its peer
+	Overcommitted      Kind = "overcommitted"     // the machine's readings are over what this process has on its books
 )
 
 // Log writes events to a logger. Its methods may be called from any goroutine.
@@ -96,9 +96,9 @@
 	return 0
 }
 
-// Turn tells what the last second left without a line of its own, once it is over. Record does the same; Turn is for
+// Flush tells what the last second left without a line of its own, once it is over. Record does the same; Turn is for
 // a process in which nothing more happens.
-func (l *Log) Turn() {
+func (l *Log) Flush() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.turn()
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -22,33 +22,33 @@
 func TestLinesOfASecondAreBounded(t *testing.T) {
 	l, text, pass := newLog()
 	for i := range 100 {
-		l.Record(Refused, "no time left", slog.String("request", fmt.Sprint("r", i)))
+		l.Record(RequestRejected, "no time left", slog.String("request", fmt.Sprint("r", i)))
 	}
 	assert.Equal(t, maxLinesPerSecond, strings.Count(text.String(), "msg=\"request refused\""))
 	assert.Contains(t, text.String(), `request=r1 reason="no time left" times=2`)
 
 	pass(time.Second)
-	l.Turn()
+	l.Flush()
 	assert.Contains(t, text.String(), `msg=events "request refused: no time left"=100`)
 	text.Reset()
 	pass(time.Second)
-	l.Turn()
+	l.Flush()
 	assert.Empty(t, text.String(), "told again though nothing happened")
-	l.Record(Refused, "no time left")
+	l.Record(RequestRejected, "no time left")
 	assert.Contains(t, text.String(), "times=101")
-	assert.EqualValues(t, 101, l.Times(Refused, "no time left"))
-	assert.Zero(t, l.Times(Refused, "no memory left"))
+	assert.EqualValues(t, 101, l.Times(RequestRejected, "no time left"))
+	assert.Zero(t, l.Times(RequestRejected, "no memory left"))
 }
 
 // A wall clock that steps back must not silence the log until it has caught up.
 func TestClockThatStepsBack(t *testing.T) {
 	l, text, pass := newLog()
 	for range 10 {
-		l.Record(Failed, "deadline")
+		l.Record(RequestAborted, "deadline")
 	}
 	pass(-time.Hour)
 	text.Reset()
-	l.Record(Failed, "deadline")
+	l.Record(RequestAborted, "deadline")
 	assert.Contains(t, text.String(), "times=11")
 }
 
@@ -63,8 +63,8 @@
 func TestPairsAreBounded(t *testing.T) {
 	l, _, _ := newLog()
 	for i := range 10 * maxPairs {
-		l.Record(Refused, fmt.Sprint(i))
+		l.Record(RequestRejected, fmt.Sprint(i))
 	}
 	assert.LessOrEqual(t, len(l.pairs), maxPairs+1)
-	assert.EqualValues(t, 9*maxPairs, l.Times(Refused, ""))
+	assert.EqualValues(t, 9*maxPairs, l.Times(RequestRejected, ""))
 }
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -33,7 +33,7 @@
 type bench struct {
 	*Composer
 	t      *testing.T
-	counts *invariant.Counts
+	counts *invariant.Counters
 	began  time.Time
 	ends   chan workerapi.Notice
 	posted chan func()
@@ -69,7 +69,7 @@
 		defer close(over)
 		for {
 			b.Turn(now())
-			for _, n := range b.Take(nil) {
+			for _, n := range b.AppendNotices(nil) {
 				b.ends <- n
 			}
 			b.Flush()
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -50,7 +50,7 @@
 
 // Composer makes tasks of calls. All of it belongs to the owner of decisions, but for what its transports read.
 type Composer struct {
-	counts    *invariant.Counts
+	counts    *invariant.Counters
 	now       func() time.Duration
 	types     map[string]*Type
 	ways      []Transport
@@ -93,7 +93,7 @@
 // when there is something to take. The types' plans must have been checked.
 func New(
 	ctx context.Context, dependencies []Dependency, types []Type, memory int, seed int64, now func() time.Duration,
-	counts *invariant.Counts, log *slog.Logger, wake func(),
+	counts *invariant.Counters, log *slog.Logger, wake func(),
 ) *Composer {
 	c := &Composer{
 		counts: counts, now: now, types: map[string]*Type{}, tasks: map[string]*task{},
@@ -101,10 +101,10 @@
 	}
 	var err error
 	c.kept, err = simplelru.NewLRU(mostEntries, func(key string, g good) { c.keeps -= len(key) + len(g.body) })
-	counts.That(err == nil, "no table of last good results")
+	counts.Assert(err == nil, "no table of last good results")
 	for i, d := range dependencies {
 		c.deps = append(c.deps, budget.NewDependency(d.Options, seed+int64(i)))
-		c.ways = append(c.ways, Dial(ctx, d, seed+int64(i), log, counts.Saw, wake, &c.over))
+		c.ways = append(c.ways, Dial(ctx, d, seed+int64(i), log, counts.Count, wake, &c.over))
 	}
 	for _, t := range types {
 		c.types[t.Plan.Route] = &t
@@ -125,7 +125,7 @@
 // Start begins the calls of a task.
 func (c *Composer) Start(r workerapi.Run) bool {
 	kind := c.types[r.Route]
-	c.counts.That(kind != nil && c.tasks[r.ID] == nil, "a task was composed twice, or has no plan")
+	c.counts.Assert(kind != nil && c.tasks[r.ID] == nil, "a task was composed twice, or has no plan")
 	if kind == nil || c.tasks[r.ID] != nil {
 		return false
 	}
@@ -149,11 +149,11 @@
 	return true
 }
 
-// GoOn does nothing: what was paused is over.
-func (c *Composer) GoOn(string) bool { return false }
+// Resume does nothing: what was paused is over.
+func (c *Composer) Resume(string) bool { return false }
 
-// Take gives the ends of tasks.
-func (c *Composer) Take(into []workerapi.Notice) []workerapi.Notice {
+// AppendNotices gives the ends of tasks.
+func (c *Composer) AppendNotices(into []workerapi.Notice) []workerapi.Notice {
 	into = append(into, c.ended...)
 	clear(c.ended)
 	c.ended = c.ended[:0]
@@ -219,7 +219,7 @@
 	t.sent[s.call][s.attempt] = nil
 	if b.How == budget.Succeeded {
 		if c.holds+len(b.Body) > c.mayHold {
-			c.counts.Saw("result of a call beyond the program's own memory")
+			c.counts.Count("result of a call beyond the program's own memory")
 			b.How = budget.Failed
 		} else {
 			c.holds += len(b.Body)
@@ -301,7 +301,7 @@
 	t := f.Ref.(*task)
 	result, cut, fits := t.answer(f, v)
 	if cut {
-		c.counts.Saw("composed answer too long, parts left out")
+		c.counts.Count("composed answer too long, parts left out")
 	}
 	if v == budget.Aborted || !fits {
 		c.end(t, "interrupted", result)
--- a/internal/fanout/frames.go
+++ b/internal/fanout/frames.go
@@ -88,7 +88,7 @@
 	of      *frames
 	socket  net.Conn
 	raw     syscall.RawConn
-	out     *writequeue.Box
+	out     *writequeue.Queue
 	open    map[uint32]*Sent
 	streams map[*Sent]uint32
 	stream  uint32
@@ -207,9 +207,9 @@
 		l.of.mu.Lock()
 		l.heard = time.Now()
 		for {
-			f, after, ok, err := frame.CutAnswer(rest)
-			if err == nil && ok && f.Beyond > 0 {
-				err = fmt.Errorf("answer of over %d bytes", frame.MostWhole)
+			f, after, ok, err := frame.ParseAnswer(rest)
+			if err == nil && ok && f.SkipBytes > 0 {
+				err = fmt.Errorf("answer of over %d bytes", frame.MaxBuffered)
 			}
 			if err != nil {
 				l.of.mu.Unlock()
@@ -235,7 +235,7 @@
 // take files an answer. What can't be understood, or answers no open call, is counted and changes nothing but
 // that the call it answers has failed.
 func (l *link) take(f frame.Frame) {
-	if f.Type == frame.Close {
+	if f.Type == frame.GoAway {
 		l.closing = true
 		l.end()
 		return
@@ -252,16 +252,16 @@
 	var body []byte
 	if len(f.Payload) > 1 {
 		var err error
-		if _, body, err = frame.Split(f.Payload[1:]); err != nil {
+		if _, body, err = frame.SplitPayload(f.Payload[1:]); err != nil {
 			l.of.saw("dependency answers what can't be read")
 			l.of.inbox = append(l.of.inbox, back)
 			return
 		}
 	}
 	switch {
-	case len(f.Payload) > 0 && f.Payload[0] == frame.Honoured && len(body) <= mostResult:
+	case len(f.Payload) > 0 && f.Payload[0] == frame.Served && len(body) <= mostResult:
 		back.How, back.Body = budget.Succeeded, append([]byte{}, body...)
-	case len(f.Payload) > 0 && f.Payload[0] == frame.Dismissed:
+	case len(f.Payload) > 0 && f.Payload[0] == frame.Rejected:
 		back.How = budget.Rejected
 	}
 	l.of.inbox = append(l.of.inbox, back)
@@ -301,7 +301,7 @@
 	if s.Number != "" {
 		fields = append(fields, frame.Field{Name: "num", Value: s.Number})
 	}
-	head := frame.Begin(nil, frame.Task, least.stream+1, 0, fields, len(s.Body))
+	head := frame.AppendHead(nil, frame.Request, least.stream+1, 0, fields, len(s.Body))
 	if least.out.Add(head, s.Body) != nil { // it does not read: all on it is in doubt, but not this one
 		least.socket.Close()
 		return false
@@ -317,7 +317,7 @@
 	defer f.mu.Unlock()
 	for _, l := range f.links {
 		if stream, open := l.streams[s]; open {
-			_ = l.out.Add(frame.Begin(nil, frame.Cancel, stream, 0, nil, 0)) // a full box ends the link with the next call
+			_ = l.out.Add(frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0)) // a full box ends the link with the next call
 			return
 		}
 	}
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -10,21 +10,21 @@
 
 // The types of frames.
 const (
-	Task    = 10
-	Answer  = 11
-	Cancel  = 12 // nobody waits for a task any more: ours to dependencies, and routers' where a site tells of callers gone
-	Check   = 20
-	Checked = 21
-	Close   = 30 // no new task on this connection
+	Request      = 10
+	Answer       = 11
+	Cancel       = 12 // nobody waits for a task any more: ours to dependencies, and routers' where a site tells of callers gone
+	HealthCheck  = 20
+	HealthStatus = 21
+	GoAway       = 30 // no new task on this connection
 )
 
 // The codes that open an answer's payload.
 const (
-	Honoured  = 20
-	Dismissed = 50
-	GivenUp   = 51
-	Good      = Honoured // of health checks
-	Bad       = GivenUp
+	Served    = 20
+	Rejected  = 50
+	Aborted   = 51
+	Healthy   = Served // of health checks
+	Unhealthy = Aborted
 )
 
 const (
@@ -35,34 +35,34 @@
 	mostField = 255
 )
 
-// MostWhole is the longest frame that is ever put together in memory. A body has 2 KiB at most and fields
+// MaxBuffered is the longest frame that is ever put together in memory. A body has 2 KiB at most and fields
 // are a few words, so nothing that can be honoured is longer; without the bound a router could make each of
 // its connections hold a quarter of a megabyte. Longer frames of a legal length are read past.
-const MostWhole = 8 << 10
+const MaxBuffered = 8 << 10
 
 // What breaks the framing. The words carry nothing from the peer, as they are counted by.
 var (
-	errLength = errors.New("length out of bounds")
-	ErrType   = errors.New("unknown frame type") // none of its type is taken here
-	errFields = errors.New("field list cut short")
+	errLength      = errors.New("length out of bounds")
+	ErrUnknownType = errors.New("unknown frame type") // none of its type is taken here
+	errFields      = errors.New("field list cut short")
 )
 
 // Frame is one frame. Its payload lies in the bytes it was cut from.
 type Frame struct {
-	Type    byte
-	Stream  uint32
-	Payload []byte
-	Beyond  int // bytes of a frame longer than MostWhole that follow its head and are to be passed over
+	Type      byte
+	Stream    uint32
+	Payload   []byte
+	SkipBytes int // bytes of a frame longer than MaxBuffered that follow its head and are to be passed over
 }
 
-// Cut takes the first frame off what a router wrote. Without a whole one, ok is false and nothing is taken.
-func Cut(read []byte) (f Frame, rest []byte, ok bool, err error) {
-	return cut(read, Task, Check, Cancel)
+// Parse takes the first frame off what a router wrote. Without a whole one, ok is false and nothing is taken.
+func Parse(read []byte) (f Frame, rest []byte, ok bool, err error) {
+	return cut(read, Request, HealthCheck, Cancel)
 }
 
-// CutAnswer does the same for what a server wrote.
-func CutAnswer(read []byte) (f Frame, rest []byte, ok bool, err error) {
-	return cut(read, Answer, Close)
+// ParseAnswer does the same for what a server wrote.
+func ParseAnswer(read []byte) (f Frame, rest []byte, ok bool, err error) {
+	return cut(read, Answer, GoAway)
 }
 
 func cut(read []byte, taken ...byte) (f Frame, rest []byte, ok bool, err error) {
@@ -78,11 +78,11 @@
 	}
 	f.Type, f.Stream = read[prefix], binary.BigEndian.Uint32(read[prefix+1:])
 	if bytes.IndexByte(taken, f.Type) < 0 {
-		return f, read, false, ErrType
+		return f, read, false, ErrUnknownType
 	}
 	whole := prefix + int(length)
-	if whole > MostWhole {
-		f.Beyond = whole - head
+	if whole > MaxBuffered {
+		f.SkipBytes = whole - head
 		return f, read[head:], true, nil
 	}
 	if len(read) < whole {
@@ -95,8 +95,8 @@
 // Fields is a list of fields as it came, its count first.
 type Fields []byte
 
-// Split parts a payload into its fields and the body behind them, and sees that the list is whole.
-func Split(payload []byte) (Fields, []byte, error) {
+// SplitPayload parts a payload into its fields and the body behind them, and sees that the list is whole.
+func SplitPayload(payload []byte) (Fields, []byte, error) {
 	if len(payload) == 0 {
 		return nil, nil, errFields
 	}
@@ -142,16 +142,16 @@
 // Field is one to be written.
 type Field struct{ Name, Value string }
 
-// Begin appends a frame's head, and its code and fields where its type has them, to a buffer. The body is not
+// AppendHead appends a frame's head, and its code and fields where its type has them, to a buffer. The body is not
 // copied: the caller writes its bytes right after these.
-func Begin(to []byte, kind byte, stream uint32, code byte, fields []Field, body int) []byte {
+func AppendHead(to []byte, kind byte, stream uint32, code byte, fields []Field, body int) []byte {
 	start := len(to)
 	to = append(to, 0, 0, 0, 0, kind)
 	to = binary.BigEndian.AppendUint32(to, stream)
-	if kind == Answer || kind == Checked {
+	if kind == Answer || kind == HealthStatus {
 		to = append(to, code)
 	}
-	if kind != Close && kind != Cancel {
+	if kind != GoAway && kind != Cancel {
 		to = append(to, byte(len(fields)))
 		for _, f := range fields {
 			name := f.Name[:min(len(f.Name), mostField)]
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -29,7 +29,7 @@
 		for _, part := range [][]byte{both[:at], both[at:]} {
 			waiting = append(waiting, part...)
 			for {
-				f, rest, ok, err := Cut(waiting)
+				f, rest, ok, err := Parse(waiting)
 				require.NoError(t, err, "cut at %d", at)
 				if !ok {
 					assert.Equal(t, waiting, rest)
@@ -40,12 +40,12 @@
 		}
 		require.Len(t, got, 2, "cut at %d", at)
 		assert.Equal(t, uint32(7), got[0].Stream)
-		fields, body, err := Split(got[0].Payload)
+		fields, body, err := SplitPayload(got[0].Payload)
 		require.NoError(t, err)
 		op, _ := fields.Get("op")
 		assert.Equal(t, "pay-x", string(op))
 		assert.Equal(t, "bo", string(body))
-		assert.Equal(t, byte(Check), got[1].Type)
+		assert.Equal(t, byte(HealthCheck), got[1].Type)
 		assert.Empty(t, waiting)
 	}
 }
@@ -57,11 +57,11 @@
 	}{
 		{"shorter than a head", "\x00\x00\x00\x04\x0a", errLength},
 		{"longer than any frame", "\x00\x04\x00\x01", errLength},
-		{"an answer from a router", "\x00\x00\x00\x06\x0b\x00\x00\x00\x01\x00", ErrType},
+		{"an answer from a router", "\x00\x00\x00\x06\x0b\x00\x00\x00\x01\x00", ErrUnknownType},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, rest, ok, err := Cut([]byte(c.read))
+			_, rest, ok, err := Parse([]byte(c.read))
 			assert.ErrorIs(t, err, c.want)
 			assert.False(t, ok)
 			assert.Equal(t, c.read, string(rest))
@@ -70,23 +70,23 @@
 }
 
 func TestCutPassesLongFramesOver(t *testing.T) {
-	f, rest, ok, err := Cut([]byte("\x00\x03\x00\x00\x0a\x00\x00\x00\x09abc"))
+	f, rest, ok, err := Parse([]byte("\x00\x03\x00\x00\x0a\x00\x00\x00\x09abc"))
 	require.NoError(t, err)
 	assert.True(t, ok)
 	assert.Equal(t, uint32(9), f.Stream)
-	assert.Equal(t, 0x30000-5, f.Beyond)
+	assert.Equal(t, 0x30000-5, f.SkipBytes)
 	assert.Equal(t, "abc", string(rest))
 }
 
 func TestSplitBroken(t *testing.T) {
 	for _, payload := range []string{"", "\x01", "\x01\x02o", "\x01\x02op", "\x01\x02op\x00\x05four", "\x02\x02op\x00\x00"} {
-		_, _, err := Split([]byte(payload))
+		_, _, err := SplitPayload([]byte(payload))
 		assert.ErrorIs(t, err, errFields, "%q", payload)
 	}
 }
 
 func TestGet(t *testing.T) {
-	fields, _, err := Split([]byte("\x03\x01a\x00\x011\x01a\x00\x012\x00\x00\x00rest"))
+	fields, _, err := SplitPayload([]byte("\x03\x01a\x00\x011\x01a\x00\x012\x00\x00\x00rest"))
 	require.NoError(t, err)
 	first, found := fields.Get("a")
 	assert.Equal(t, "1", string(first))
@@ -96,9 +96,9 @@
 }
 
 func TestBegin(t *testing.T) {
-	got := Begin([]byte("x"), Answer, 258, Dismissed, []Field{{"load", "0.2"}, {"stop", "1"}}, 3)
+	got := AppendHead([]byte("x"), Answer, 258, Rejected, []Field{{"load", "0.2"}, {"stop", "1"}}, 3)
 	assert.Equal(t, "x\x00\x00\x00\x1c\x0b\x00\x00\x01\x02\x32\x02\x04load\x00\x030.2\x04stop\x00\x011", string(got))
-	assert.Equal(t, "\x00\x00\x00\x05\x1e\x00\x00\x00\x00", string(Begin(nil, Close, 0, 0, nil, 0)))
+	assert.Equal(t, "\x00\x00\x00\x05\x1e\x00\x00\x00\x00", string(AppendHead(nil, GoAway, 0, 0, nil, 0)))
 }
 
 func FuzzCut(f *testing.F) {
@@ -106,13 +106,13 @@
 	f.Add(check)
 	f.Add([]byte("\x00\x03\x00\x00\x0a\x00\x00\x00\x09abc"))
 	f.Fuzz(func(t *testing.T, read []byte) {
-		got, rest, ok, err := Cut(read)
+		got, rest, ok, err := Parse(read)
 		if !ok || err != nil {
 			assert.True(t, bytes.Equal(read, rest), "something was taken without a frame")
 			return
 		}
 		assert.Less(t, len(rest), len(read))
-		if fields, body, err := Split(got.Payload); err == nil {
+		if fields, body, err := SplitPayload(got.Payload); err == nil {
 			assert.Equal(t, len(got.Payload), len(fields)+len(body))
 			fields.Get("op")
 		}
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -41,7 +41,7 @@
 
 // conn is one connection of a router. It belongs to the owner of decisions, but for what mu guards.
 type conn struct {
-	front *Front
+	front *Frontend
 	link  netpoll.Connection
 
 	mu   sync.Mutex
@@ -54,7 +54,7 @@
 	highest uint32                     // stream so far; they go from 1 up, so no list of those used is needed
 	part    []byte                     // the beginning of a frame whose rest has not come
 	beyond  int                        // bytes to pass over
-	out     *writequeue.Box
+	out     *writequeue.Queue
 	dirty   bool
 	dead    bool
 	retired bool
@@ -67,10 +67,10 @@
 	last    time.Duration // when it last carried a whole frame
 	askedAt time.Duration // to send nothing more
 
-	closing poller.Closing
+	closing poller.DeferredClose
 }
 
-func newConn(f *Front, link netpoll.Connection) *conn {
+func newConn(f *Frontend, link netpoll.Connection) *conn {
 	return &conn{
 		front: f, link: link, fd: link.(netpoll.Conn).Fd(),
 		open: map[uint32]*server.Request{}, out: writequeue.New(mostOpen * mostAnswer),
@@ -90,9 +90,9 @@
 	half := c.half
 	c.mu.Unlock()
 	if half {
-		c.front.server.Post(c.halfClosed)
+		c.front.server.Submit(c.halfClosed)
 	} else {
-		c.front.server.Post(c.leave)
+		c.front.server.Submit(c.leave)
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 	c.die()
 	c.front.left(c)
 	for _, stream := range slices.Sorted(maps.Keys(c.open)) {
-		c.front.server.Gone(c.open[stream])
+		c.front.server.Cancel(c.open[stream])
 	}
 	clear(c.open)
 }
@@ -127,7 +127,9 @@
 }
 
 // closingOf finds what closes a connection in its context.
-func closingOf(ctx context.Context) *poller.Closing { return &ctx.Value(connKey{}).(*conn).closing }
+func closingOf(ctx context.Context) *poller.DeferredClose {
+	return &ctx.Value(connKey{}).(*conn).closing
+}
 
 // die lets go of what waits for the peer.
 func (c *conn) die() {
@@ -151,7 +153,7 @@
 	case errors.Is(err, unix.EAGAIN):
 		return false
 	case err != nil:
-		return sysfault.Passes(err) // not known: a close over bytes would lose them
+		return sysfault.IsTransient(err) // not known: a close over bytes would lose them
 	}
 	return n > 0
 }
@@ -197,7 +199,7 @@
 	for !c.dead && !c.broken {
 		over := min(c.beyond, len(bytes))
 		bytes, c.beyond = bytes[over:], c.beyond-over
-		f, rest, ok, err := frame.Cut(bytes)
+		f, rest, ok, err := frame.Parse(bytes)
 		if err != nil {
 			c.fail(err.Error())
 			return
@@ -205,17 +207,17 @@
 		if !ok {
 			break
 		}
-		bytes, c.beyond = rest, f.Beyond
+		bytes, c.beyond = rest, f.SkipBytes
 		c.last, c.begun = now, 0
 		switch {
-		case f.Type == frame.Check:
+		case f.Type == frame.HealthCheck:
 			c.check(f)
-		case f.Type == frame.Task:
+		case f.Type == frame.Request:
 			c.task(f, inPieces)
-		case c.front.tells && f.Beyond == 0:
+		case c.front.tells && f.SkipBytes == 0:
 			c.cancel(f)
 		default:
-			c.fail(frame.ErrType.Error())
+			c.fail(frame.ErrUnknownType.Error())
 		}
 		inPieces = false
 	}
@@ -223,7 +225,7 @@
 		return
 	}
 	kept := c.part[:0]
-	if len(bytes) == 0 || cap(kept) > 2*frame.MostWhole {
+	if len(bytes) == 0 || cap(kept) > 2*frame.MaxBuffered {
 		kept = nil // neither an idle connection nor one that once sent much at a time holds a buffer of that size
 	}
 	c.part = append(kept, bytes...)
@@ -235,21 +237,21 @@
 }
 
 func (c *conn) check(f frame.Frame) {
-	fields, _, err := frame.Split(f.Payload)
+	fields, _, err := frame.SplitPayload(f.Payload)
 	if err != nil {
 		c.fail(err.Error())
 		return
 	}
 	c.spoke = true
 	deep, _ := fields.Get("e2e")
-	c.front.server.Check(c, f.Stream, string(deep) == "1")
+	c.front.server.CheckHealth(c, f.Stream, string(deep) == "1")
 }
 
 // cancel takes that nobody waits for a task any longer. It may cross the answer.
 func (c *conn) cancel(f frame.Frame) {
 	if request := c.open[f.Stream]; request != nil {
 		delete(c.open, f.Stream)
-		c.front.server.Gone(request)
+		c.front.server.Cancel(request)
 	}
 }
 
@@ -263,13 +265,13 @@
 	case len(c.open) >= mostOpen:
 		c.fail("too many open tasks")
 		return
-	case f.Beyond > 0:
+	case f.SkipBytes > 0:
 		c.highest = f.Stream
 		c.dismiss(f.Stream, "length")
 		return
 	}
 	c.highest = f.Stream
-	fields, body, err := frame.Split(f.Payload)
+	fields, body, err := frame.SplitPayload(f.Payload)
 	if err != nil {
 		c.fail(err.Error())
 		return
@@ -284,14 +286,14 @@
 		asked.LastByteAt = c.last
 	}
 	c.crowds = c.crowds && !c.front.makeRoom(c)
-	asked.Overflow = c.crowds && c.front.inUse() >= c.front.most
-	if request := c.front.server.Take(asked); request != nil {
+	asked.OverLimit = c.crowds && c.front.inUse() >= c.front.most
+	if request := c.front.server.Receive(asked); request != nil {
 		c.open[f.Stream], c.spoke = request, true
 	}
 }
 
 func (c *conn) dismiss(stream uint32, why string) {
-	c.front.counts.Saw("task not understood: " + why)
+	c.front.counts.Count("task not understood: " + why)
 	c.front.server.RejectUnparsed(c, stream, "not understood: "+why)
 }
 
@@ -317,7 +319,7 @@
 		if err != nil || ms <= 0 || ms > mostWaits.Milliseconds() {
 			return a, errors.New("ttl")
 		}
-		a.Patience = time.Duration(ms) * time.Millisecond
+		a.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	a.HeldKB, err = strconv.ParseFloat(text("heap"), 64)
 	if err != nil || !(a.HeldKB > 0 && a.HeldKB < mostHeap) {
@@ -335,10 +337,10 @@
 			return a, errors.New("number")
 		}
 		// A customer's number is never another's. A repeat with another body asks for something else.
-		a.Key, a.Shape = customer+"\x00"+number, xxhash.Sum64(body)
+		a.Key, a.Fingerprint = customer+"\x00"+number, xxhash.Sum64(body)
 	}
 	router, _ := strconv.ParseUint(text("src"), 10, 32)
-	a.Router, a.SentMS = uint32(router), came
+	a.Router, a.SentUnixMS = uint32(router), came
 	a.Body = append([]byte(nil), body...)
 	return a, nil
 }
@@ -355,10 +357,10 @@
 
 // codes are the protocol's codes for verdicts.
 var codes = map[server.Verdict]byte{
-	server.Served:      frame.Honoured,
-	server.Rejected:    frame.Dismissed,
-	server.Aborted:     frame.GivenUp,
-	server.KeyConflict: frame.GivenUp, // the other one may have run: what is dismissed may be sent elsewhere
+	server.Served:      frame.Served,
+	server.Rejected:    frame.Rejected,
+	server.Aborted:     frame.Aborted,
+	server.KeyConflict: frame.Aborted, // the other one may have run: what is dismissed may be sent elsewhere
 }
 
 // Answer puts the one answer to a task behind what waits to be written.
@@ -372,16 +374,16 @@
 	if a.NoRetryElsewhere {
 		fields = append(fields, frame.Field{Name: "stop", Value: "1"})
 	}
-	c.put(frame.Begin(nil, frame.Answer, stream, codes[a.Verdict], fields, len(a.Result)), a.Result)
+	c.put(frame.AppendHead(nil, frame.Answer, stream, codes[a.Verdict], fields, len(a.Result)), a.Result)
 }
 
-// Checked answers a health check.
-func (c *conn) Checked(stream uint32, good bool, level string) {
-	code := byte(frame.Good)
+// ReportHealth answers a health check.
+func (c *conn) ReportHealth(stream uint32, good bool, level string) {
+	code := byte(frame.Healthy)
 	if !good {
-		code = frame.Bad
+		code = frame.Unhealthy
 	}
-	c.put(frame.Begin(nil, frame.Checked, stream, code, withLevel(level), 0))
+	c.put(frame.AppendHead(nil, frame.HealthStatus, stream, code, withLevel(level), 0))
 }
 
 func withLevel(level string) []frame.Field {
@@ -396,28 +398,28 @@
 	if c.retired || c.broken {
 		return
 	}
-	c.front.server.Events().Record(events.ConnectionAsked, reason, slog.String("peer", c.link.RemoteAddr().String()),
+	c.front.server.Events().Record(events.ConnectionDraining, reason, slog.String("peer", c.link.RemoteAddr().String()),
 		slog.Int("open", len(c.open)))
 	c.retired = true
 	c.last = c.front.server.Now()
 	c.askedAt = c.last
-	c.put(frame.Begin(nil, frame.Close, 0, 0, nil, 0))
+	c.put(frame.AppendHead(nil, frame.GoAway, 0, 0, nil, 0))
 }
 
 // fail tells of an error that belongs to no task and reads nothing more. Whoever sent what is open here waits still,
 // so the connection ends once that is answered.
 func (c *conn) fail(why string) {
-	c.front.counts.Saw("connection closed: " + why)
+	c.front.counts.Count("connection closed: " + why)
 	c.front.server.Events().Record(events.ConnectionClosed, "broken: "+why,
 		slog.String("peer", c.link.RemoteAddr().String()), slog.Int("open", len(c.open)))
 	c.broken, c.part, c.begun, c.beyond = true, nil, 0, 0
 	c.last = c.front.server.Now()
-	c.put(frame.Begin(nil, frame.Answer, 0, frame.GivenUp, nil, len(why)), []byte(why))
+	c.put(frame.AppendHead(nil, frame.Answer, 0, frame.Aborted, nil, len(why)), []byte(why))
 }
 
 // cutOff ends a connection at once, with all that is open on it: its peer takes what all others need.
 func (c *conn) cutOff(why string) {
-	c.front.counts.Saw("connection closed: " + why)
+	c.front.counts.Count("connection closed: " + why)
 	c.close(why)
 }
 
--- a/internal/frontend/crossing_test.go
+++ b/internal/frontend/crossing_test.go
@@ -21,7 +21,7 @@
 // inTurn has the owner stand still while f runs.
 func (b *bench) inTurn(f func()) {
 	done := make(chan struct{})
-	b.server.Post(func() { f(); close(done) })
+	b.server.Submit(func() { f(); close(done) })
 	<-done
 }
 
@@ -148,7 +148,7 @@
 	r.Send(t, fake.Task(1, "browse", ""), fake.Task(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.pool.Next(t, "spawn")
-	gone := func(stream uint32) []byte { return frame.Begin(nil, frame.Cancel, stream, 0, nil, 0) }
+	gone := func(stream uint32) []byte { return frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0) }
 	r.Send(t, gone(1), gone(77))
 	assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
 	b.pool.Finish(fake.Call(2), "success", []byte("kept"))
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -37,10 +37,10 @@
 	aheadShare    = 32                     // the same, for what one connection may have sent ahead of its reading
 )
 
-// Front holds the connections of routers. All but the callbacks of netpoll belong to the owner of decisions.
-type Front struct {
+// Frontend holds the connections of routers. All but the callbacks of netpoll belong to the owner of decisions.
+type Frontend struct {
 	server   *server.Server
-	counts   *invariant.Counts
+	counts   *invariant.Counters
 	log      *slog.Logger
 	listener netpoll.Listener
 	closing  atomic.Bool
@@ -66,22 +66,22 @@
 }
 
 // Listen takes the address for a front; connections come once it serves.
-func Listen(address string, s *server.Server, limits server.Limits, counts *invariant.Counts, log *slog.Logger) (
-	*Front, error,
+func Listen(address string, s *server.Server, limits server.Limits, counts *invariant.Counters, log *slog.Logger) (
+	*Frontend, error,
 ) {
 	listener, err := netpoll.CreateListener("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for routers: %w", err)
 	}
-	f := &Front{
+	f := &Frontend{
 		server: s, counts: counts, log: log,
 		bound: limits.MemoryMB << 20 / outShare,
 		ahead: limits.MemoryMB << 20 / aheadShare,
-		tells: s.TellsGone(),
+		tells: s.RoutersReportCancel(),
 	}
 	f.most, f.crowd, f.untried = parted(within(limits.Sockets))
 	f.listener = &counted{listener, f}
-	f.loop, err = netpoll.NewEventLoop(read, netpoll.WithOnPrepare(f.prepare), poller.OnTaken(closingOf))
+	f.loop, err = netpoll.NewEventLoop(read, netpoll.WithOnPrepare(f.prepare), poller.OnRegistered(closingOf))
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
@@ -109,7 +109,7 @@
 // counted is a listener that counts the connections taken from it.
 type counted struct {
 	netpoll.Listener
-	front *Front
+	front *Frontend
 }
 
 // Accept counts a connection before it takes it, so that one is always seen: in the listener, or as taken and without
@@ -131,13 +131,13 @@
 
 // short has room made where descriptors ran out though the table has some left, as others took them. It is called on
 // the poller, and again for as long as a connection waits in the listener.
-func (f *Front) short() {
-	f.counts.Saw("connection waits, descriptors ran out")
+func (f *Frontend) short() {
+	f.counts.Count("connection waits, descriptors ran out")
 	if f.making.CompareAndSwap(false, true) {
-		f.server.Post(func() {
+		f.server.Submit(func() {
 			f.making.Store(false)
 			if least := f.leastNeeded(nil, true); least != nil {
-				f.counts.Saw("connection closed to make room")
+				f.counts.Count("connection closed to make room")
 				least.close("to make room: descriptors ran out")
 			}
 		})
@@ -145,7 +145,7 @@
 }
 
 // Serve takes connections until the front is retired.
-func (f *Front) Serve() error {
+func (f *Frontend) Serve() error {
 	if err := f.loop.Serve(f.listener); err != nil && !f.closing.Load() {
 		return fmt.Errorf("serving routers: %w", err)
 	}
@@ -153,13 +153,13 @@
 }
 
 // Address is where the front listens.
-func (f *Front) Address() string { return f.listener.Addr().String() }
+func (f *Frontend) Address() string { return f.listener.Addr().String() }
 
 // prepare is netpoll's callback for a new connection, on the poller.
-func (f *Front) prepare(link netpoll.Connection) context.Context {
+func (f *Frontend) prepare(link netpoll.Connection) context.Context {
 	c := newConn(f, link)
 	_ = link.AddCloseCallback(c.ended)
-	f.server.Post(c.join)
+	f.server.Submit(c.join)
 	return context.WithValue(poller.Context(f.server), connKey{}, c)
 }
 
@@ -169,17 +169,17 @@
 // some more are let in all the same: their checks are answered, and their tasks dismissed, so that they are soon idle and
 // make room for the next. Past those a new one is refused, though not before others have had the time to say something:
 // of those that say nothing one makes room then.
-func (f *Front) joined(c *conn) {
+func (f *Frontend) joined(c *conn) {
 	f.conns = append(f.conns, c)
 	if f.placed(c) {
 		f.joins.Add(1)
 		return
 	}
 	time.AfterFunc(newWait, func() { // as many as there may be untried
-		f.server.Post(func() {
+		f.server.Submit(func() {
 			f.joins.Add(1)
 			if !f.placed(c) {
-				f.counts.Saw("connection refused, table full")
+				f.counts.Count("connection refused, table full")
 				c.close("the table is full")
 			}
 		})
@@ -187,7 +187,7 @@
 }
 
 // placed finds a place for a new connection, and tells whether it could.
-func (f *Front) placed(c *conn) bool {
+func (f *Frontend) placed(c *conn) bool {
 	open := f.live()
 	switch {
 	case c.dead:
@@ -195,7 +195,7 @@
 		c.retire("draining")
 	case open > f.most:
 		if c.crowds = !f.makeRoom(c); c.crowds {
-			f.counts.Saw("connection beyond the table, all in use")
+			f.counts.Count("connection beyond the table, all in use")
 			return f.live() <= f.most+f.crowd
 		}
 	case open > f.most-f.most/soonFull:
@@ -205,26 +205,26 @@
 }
 
 // thin asks the connection that is needed least to go, as the table is nearly full.
-func (f *Front) thin(newcomer *conn) {
+func (f *Frontend) thin(newcomer *conn) {
 	switch least := f.leastNeeded(newcomer, false); {
 	case least == nil:
 	case !least.spoke:
-		f.counts.Saw("connection closed to make room")
+		f.counts.Count("connection closed to make room")
 		least.close("to make room")
 	default:
-		f.counts.Saw("connection asked to go to make room")
+		f.counts.Count("connection asked to go to make room")
 		least.retire("to make room")
 	}
 }
 
 // makeRoom closes the one that is needed least for a newcomer to a full table, and tells whether all have a place then.
-func (f *Front) makeRoom(newcomer *conn) bool {
+func (f *Frontend) makeRoom(newcomer *conn) bool {
 	open := f.live()
 	if open <= f.most {
 		return true
 	}
 	if least := f.leastNeeded(newcomer, true); least != nil {
-		f.counts.Saw("connection closed to make room")
+		f.counts.Count("connection closed to make room")
 		least.close("to make room")
 		open--
 	}
@@ -232,7 +232,7 @@
 }
 
 // inUse is the number of connections that something is still to be answered on.
-func (f *Front) inUse() (used int) {
+func (f *Frontend) inUse() (used int) {
 	for _, c := range f.conns {
 		if !c.dead && (len(c.open) > 0 || !c.out.Empty()) {
 			used++
@@ -242,7 +242,7 @@
 }
 
 // live is the number of connections that are not closed.
-func (f *Front) live() (open int) {
+func (f *Frontend) live() (open int) {
 	for _, c := range f.conns {
 		if !c.dead {
 			open++
@@ -254,7 +254,7 @@
 // leastNeeded finds the connection that a new one may take the place of: of those that never sent a frame that
 // was understood, though they had the time for it, the oldest; without one, the one idle for longest. Those
 // asked to go already count only where the table is full.
-func (f *Front) leastNeeded(newcomer *conn, full bool) (least *conn) {
+func (f *Frontend) leastNeeded(newcomer *conn, full bool) (least *conn) {
 	now := f.server.Now()
 	for _, c := range f.conns {
 		switch {
@@ -271,7 +271,7 @@
 }
 
 // left books that a connection is gone.
-func (f *Front) left(c *conn) {
+func (f *Frontend) left(c *conn) {
 	for i, other := range f.conns {
 		if other == c {
 			f.conns[i] = f.conns[len(f.conns)-1]
@@ -283,14 +283,14 @@
 }
 
 // Open is the number of connections.
-func (f *Front) Open() int { return len(f.conns) }
+func (f *Frontend) Open() int { return len(f.conns) }
 
 // CloseIdle sets for how long a connection may carry nothing.
-func (f *Front) CloseIdle(span time.Duration) { f.idle = span }
+func (f *Frontend) CloseIdle(span time.Duration) { f.idle = span }
 
 // Flush writes what was answered, and now and then looks for idle connections: behind the writing, as a
 // connection whose last task was answered in this round is idle only once that answer has left.
-func (f *Front) Flush() (written bool) {
+func (f *Frontend) Flush() (written bool) {
 	left := f.dirty[:0]
 	for _, c := range f.dirty {
 		if c.flush() {
@@ -311,7 +311,7 @@
 }
 
 // relieve cuts off the peer for which most waits, as one that reads has next to nothing waiting.
-func (f *Front) relieve() {
+func (f *Frontend) relieve() {
 	var most *conn
 	for _, c := range f.conns {
 		if !c.dead && (most == nil || c.out.Size() > most.out.Size()) {
@@ -326,7 +326,7 @@
 // sweep asks idle connections to go, and closes those that were asked and did not. Asking first means that no
 // task crosses the close; a router that does not heed it must not keep a descriptor. What says nothing, or
 // begins a frame and does not end it, goes too, whatever bytes it sends now and then.
-func (f *Front) sweep(now time.Duration) {
+func (f *Frontend) sweep(now time.Duration) {
 	stays := retiredWait
 	if f.retired {
 		stays = leavingWait
@@ -363,7 +363,7 @@
 // goesFrom is from when on a connection has its time to go. While the server leaves, that is when it was asked: a router
 // that sends on all the same would keep it open to the end of the process, and lose what it sent last with that. Closed
 // between two requests, it is told at once.
-func (f *Front) goesFrom(c *conn) time.Duration {
+func (f *Frontend) goesFrom(c *conn) time.Duration {
 	if f.retired {
 		return c.askedAt
 	}
@@ -371,7 +371,7 @@
 }
 
 // StopAccepting closes the listener and asks all routers to send nothing more on their connections.
-func (f *Front) StopAccepting() {
+func (f *Frontend) StopAccepting() {
 	if f.retired {
 		return
 	}
@@ -385,7 +385,7 @@
 
 // shutListener has a retired front take no more connections, once it has taken those that are made already: the
 // system would reset them, and with them tasks that were written to them.
-func (f *Front) shutListener() {
+func (f *Frontend) shutListener() {
 	if !f.retired || f.shut || ready(f.listener.Fd()) {
 		return
 	}
@@ -400,7 +400,7 @@
 
 // Quiet tells whether nothing that came waits to be taken or read: no connection made and not taken, none taken that
 // had no turn, no bytes on any.
-func (f *Front) Quiet() bool {
+func (f *Frontend) Quiet() bool {
 	// In this order: a connection is counted before it leaves the listener.
 	if (!f.shut || f.open) && ready(f.listener.Fd()) || f.taken.Load() != f.joins.Load() {
 		return false
@@ -421,7 +421,7 @@
 		switch {
 		case errors.Is(err, unix.EINTR):
 		case err != nil:
-			return sysfault.Passes(err) // not known: what waits would be lost
+			return sysfault.IsTransient(err) // not known: what waits would be lost
 		default:
 			return n > 0 && polled[0].Revents&unix.POLLIN != 0
 		}
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -27,7 +27,7 @@
 
 // bench is a front with a server behind it and a stand-in pool behind that.
 type bench struct {
-	*Front
+	*Frontend
 	pool *fake.Pool
 }
 
@@ -44,21 +44,21 @@
 	owner, err := server.New(told, 1, limits, counts, log)
 	require.NoError(t, err)
 	b := &bench{pool: fake.NewPool(t).Ready()}
-	b.Front, err = Listen("127.0.0.1:0", owner, limits, counts, log)
+	b.Frontend, err = Listen("127.0.0.1:0", owner, limits, counts, log)
 	require.NoError(t, err)
 	if gated != nil {
 		counts := b.listener.(*counted)
 		counts.Listener = gated(counts.Listener)
 	}
-	link := workerlink.New(b.pool.Address, 1<<20, log, counts.Saw, owner.Nudge)
-	owner.Serve(link, b.Front)
+	link := workerlink.New(b.pool.Address, 1<<20, log, counts.Count, owner.Wake)
+	owner.Attach(link, b.Frontend)
 	ctx, cancel := context.WithCancel(context.Background())
 	left := make(chan struct{})
 	go link.Run(ctx)
 	go func() { _ = b.Serve() }()
 	go func() { owner.Run(); close(left) }()
 	t.Cleanup(func() {
-		owner.Leave(0)
+		owner.Drain(0)
 		select {
 		case <-left:
 		case <-time.After(fake.Patience):
@@ -186,7 +186,7 @@
 	}
 	router.Send(t, fake.Task(100, "pay", strings.Repeat("x", mostBody+1)))
 	assert.Equal(t, byte(50), router.Next(t).Code, "a body that is too long")
-	router.Send(t, fake.Frame(10, 101, strings.Repeat("x", 3*frame.MostWhole), "op", "pay"))
+	router.Send(t, fake.Frame(10, 101, strings.Repeat("x", 3*frame.MaxBuffered), "op", "pay"))
 	assert.Equal(t, byte(50), router.Next(t).Code, "a frame that is too long")
 	router.Send(t, fake.Task(102, "pay", "after it"))
 	assert.Equal(t, "after it", string(b.pool.Next(t, "spawn").Body), "something else ran, or the frame's rest was read")
@@ -268,7 +268,7 @@
 	}
 	require.Eventually(t, func() bool {
 		open := make(chan int)
-		b.server.Post(func() {
+		b.server.Submit(func() {
 			n := 0
 			for _, c := range b.conns {
 				n += len(c.open)
@@ -363,7 +363,7 @@
 	busy, idle := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	busy.Send(t, fake.Task(1, "pay", ""))
 	b.pool.Next(t, "spawn")
-	b.server.Post(func() { b.CloseIdle(20 * time.Millisecond) })
+	b.server.Submit(func() { b.CloseIdle(20 * time.Millisecond) })
 	assert.Equal(t, fake.Reply{Type: 30, Fields: map[string]string{}}, idle.Next(t))
 	idle.Closed(t) // as its router does not
 	b.pool.Finish(fake.Call(1), "success", []byte("kept open"))
@@ -374,7 +374,7 @@
 func TestLeavingClosesWhatStays(t *testing.T) {
 	b := newBench(t, usual())
 	stays := b.speaker(t)
-	b.server.Post(b.StopAccepting)
+	b.server.Submit(b.StopAccepting)
 	assert.Equal(t, byte(30), stays.Next(t).Type)
 	stays.Closed(t)
 }
@@ -385,7 +385,7 @@
 	router := fake.Dial(t, b.Address())
 	router.Send(t, fake.Task(1, "pay", ""))
 	b.pool.Next(t, "spawn")
-	b.server.Post(func() {
+	b.server.Submit(func() {
 		c := b.conns[0]
 		c.retired, c.last, b.swept = true, 0, 0
 		c.Answer(1, server.Answer{Verdict: server.Aborted})
@@ -399,11 +399,11 @@
 	b.speaker(t)
 	check := fake.Frame(20, 1, "", "e2e", "0")
 	sizes := make(chan [2]int)
-	b.server.Post(func() {
+	b.server.Submit(func() {
 		c := b.conns[0]
 		c.take(check[:5])
 		c.take(append(append(check[5:], bytes.Repeat(check, 2000)...), check[:7]...))
-		sizes <- [2]int{len(c.part), cap(c.part) / frame.MostWhole}
+		sizes <- [2]int{len(c.part), cap(c.part) / frame.MaxBuffered}
 	})
 	assert.Equal(t, [2]int{7, 0}, <-sizes)
 }
@@ -415,7 +415,7 @@
 	f.Add(append(task(1), task(2, "heap", "-1")...), uint16(7))
 	f.Add(append(task(1), task(1)...), uint16(0))
 	f.Add(append(fake.Frame(20, 1, "", "e2e", "1"), task(3, "call", fake.Call(9))[:40]...), uint16(30))
-	f.Add(append(fake.Frame(10, 1, strings.Repeat("x", 2*frame.MostWhole)), task(2)...), uint16(9000))
+	f.Add(append(fake.Frame(10, 1, strings.Repeat("x", 2*frame.MaxBuffered)), task(2)...), uint16(9000))
 	b := newBench(f, usual())
 	b.pool.Echo = true
 	bystander, stream := b.speaker(f), uint32(1)
@@ -428,12 +428,12 @@
 		_ = bystander.SetDeadline(time.Now().Add(fake.Patience))
 		bystander.Send(t, task(stream, "call", fmt.Sprintf("%016x", 0xdef0000+uint64(stream))))
 		for got := bystander.Next(t); got.Stream != stream; got = bystander.Next(t) {
-			require.Equal(t, byte(frame.Close), got.Type, "an answer to something else")
+			require.Equal(t, byte(frame.GoAway), got.Type, "an answer to something else")
 		}
 		r.Close()
 		require.Eventually(t, func() bool {
 			open := make(chan int)
-			b.server.Post(func() { open <- len(b.conns) })
+			b.server.Submit(func() { open <- len(b.conns) })
 			return <-open == 1
 		}, fake.Patience, time.Millisecond)
 		for len(b.pool.Commands) > 0 {
--- a/internal/frontend/halfclose.go
+++ b/internal/frontend/halfclose.go
@@ -44,7 +44,7 @@
 	c.part, c.begun, c.beyond = nil, 0, 0
 	c.last = c.front.server.Now()
 	c.retired, c.askedAt = true, c.last
-	c.put(frame.Begin(nil, frame.Close, 0, 0, nil, 0))
+	c.put(frame.AppendHead(nil, frame.GoAway, 0, 0, nil, 0))
 }
 
 // finished is whether nothing is owed on a connection.
--- a/internal/invariant/check.go
+++ b/internal/invariant/check.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// Counts are the counters of one process, by what happened.
-type Counts struct {
+// Counters are the counters of one process, by what happened.
+type Counters struct {
 	log *slog.Logger
 
 	mu    sync.Mutex
@@ -18,22 +18,22 @@
 }
 
 // New makes counters that log to log.
-func New(log *slog.Logger) *Counts { return &Counts{log: log, times: map[string]int{}} }
+func New(log *slog.Logger) *Counters { return &Counters{log: log, times: map[string]int{}} }
 
-// That asserts what must hold, named by what it would mean if it did not.
-func (c *Counts) That(holds bool, otherwise string) {
+// Assert asserts what must hold, named by what it would mean if it did not.
+func (c *Counters) Assert(holds bool, otherwise string) {
 	if holds {
 		return
 	}
 	if Debug {
 		panic("check failed: " + otherwise)
 	}
-	c.Saw("check failed: " + otherwise)
+	c.Count("check failed: " + otherwise)
 }
 
-// Saw counts what came from outside or ran out, and logs the first time of each. The words are the program's
+// Count counts what came from outside or ran out, and logs the first time of each. The words are the program's
 // own: with a peer's in them each would be a counter, and a log line, of its own.
-func (c *Counts) Saw(what string) {
+func (c *Counters) Count(what string) {
 	c.mu.Lock()
 	c.times[what]++
 	first := c.times[what] == 1
@@ -44,7 +44,7 @@
 }
 
 // Report logs all counters that moved, by name.
-func (c *Counts) Report() {
+func (c *Counters) Report() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, what := range slices.Sorted(maps.Keys(c.times)) {
@@ -53,7 +53,7 @@
 }
 
 // Times tells how often something was counted.
-func (c *Counts) Times(what string) int {
+func (c *Counters) Times(what string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.times[what]
--- a/internal/invariant/check_test.go
+++ b/internal/invariant/check_test.go
@@ -12,13 +12,13 @@
 func TestCounts(t *testing.T) {
 	var log bytes.Buffer
 	c := New(slog.New(slog.NewTextHandler(&log, nil)))
-	c.That(true, "never")
+	c.Assert(true, "never")
 	for range 3 {
-		c.Saw("odd line")
+		c.Count("odd line")
 	}
 	assert.Equal(t, 3, c.Times("odd line"))
 	assert.Equal(t, 1, strings.Count(log.String(), "\n"), "only the first is logged when it comes")
-	broken := func() { c.That(false, "two answers") }
+	broken := func() { c.Assert(false, "two answers") }
 	if Debug {
 		assert.Panics(t, broken)
 		return
--- a/internal/peersync/asker.go
+++ b/internal/peersync/asker.go
@@ -123,7 +123,7 @@
 	Seed   int64
 	Cold   func() bool                      // whether the newcomer still needs to ask
 	Take   func(snapshot estimate.Snapshot) // what is to be borrowed, in the place of what was before
-	Counts *invariant.Counts
+	Counts *invariant.Counters
 	Log    *slog.Logger
 }
 
@@ -242,7 +242,7 @@
 			}
 			asking.Ended(got.peer, now, err == nil, comeBack)
 			if err != nil {
-				a.Counts.Saw("peer's view dropped, or not had")
+				a.Counts.Count("peer's view dropped, or not had")
 				a.Log.Warn("no view from a peer", "peer", a.Peers[got.peer], "error", err)
 				continue
 			}
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -52,10 +52,10 @@
 	return snapshot
 }
 
-func counts() *invariant.Counts { return invariant.New(slog.New(slog.DiscardHandler)) }
+func counts() *invariant.Counters { return invariant.New(slog.New(slog.DiscardHandler)) }
 
 // giver starts one whose views are a second old when they are put.
-func giver(t testing.TB, keys Keys) (*Server, *invariant.Counts) {
+func giver(t testing.TB, keys Keys) (*Server, *invariant.Counters) {
 	c := counts()
 	began := time.Now()
 	g, err := Listen("127.0.0.1:0", keys, func() time.Duration { return time.Hour + time.Since(began) }, c)
@@ -609,11 +609,11 @@
 	prepare := func(link netpoll.Connection) context.Context {
 		ctx := g.prepare(link)
 		turn := make(chan struct{})
-		g.Post(func() { close(turn) })
+		g.Submit(func() { close(turn) })
 		<-turn
 		return ctx
 	}
-	g.loop, err = netpoll.NewEventLoop(read, netpoll.WithOnPrepare(prepare), poller.OnTaken(closingOf))
+	g.loop, err = netpoll.NewEventLoop(read, netpoll.WithOnPrepare(prepare), poller.OnRegistered(closingOf))
 	require.NoError(t, err)
 	g.Serve()
 	t.Cleanup(g.Close)
--- a/internal/peersync/giver.go
+++ b/internal/peersync/giver.go
@@ -30,7 +30,7 @@
 // Server answers other servers from the view that was last put into it. It has a goroutine of its own, which
 // owns its connections: an ask never comes to the owner of decisions.
 type Server struct {
-	counts   *invariant.Counts
+	counts   *invariant.Counters
 	now      func() time.Duration
 	listener netpoll.Listener
 	loop     netpoll.EventLoop
@@ -57,7 +57,7 @@
 }
 
 // Listen takes the address for a giver. now is the clock by which views are put.
-func Listen(address string, keys Keys, now func() time.Duration, counts *invariant.Counts) (*Server, error) {
+func Listen(address string, keys Keys, now func() time.Duration, counts *invariant.Counters) (*Server, error) {
 	listener, err := netpoll.CreateListener("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers at %s: %w", address, err)
@@ -67,7 +67,7 @@
 		woken: make(chan struct{}, 1), quit: make(chan struct{}), giving: estimate.NewServeLimiter(now()),
 	}
 	g.keys.Store(&keys)
-	g.loop, err = netpoll.NewEventLoop(read, netpoll.WithOnPrepare(g.prepare), poller.OnTaken(closingOf))
+	g.loop, err = netpoll.NewEventLoop(read, netpoll.WithOnPrepare(g.prepare), poller.OnRegistered(closingOf))
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
@@ -77,11 +77,11 @@
 // patient is a listener that outlasts a lack of descriptors: those who ask wait in it.
 type patient struct {
 	netpoll.Listener
-	counts *invariant.Counts
+	counts *invariant.Counters
 }
 
 func (p *patient) Accept() (net.Conn, error) {
-	return poller.Accept(p.Listener, func() { p.counts.Saw("peer waits, descriptors ran out") })
+	return poller.Accept(p.Listener, func() { p.counts.Count("peer waits, descriptors ran out") })
 }
 
 // VoteHandler takes a proven ballot and hands it over; answer may be called once, from any goroutine, with what goes
@@ -102,8 +102,8 @@
 // SetKeys changes the keys for talks that begin from now on.
 func (g *Server) SetKeys(keys Keys) { g.keys.Store(&keys) }
 
-// Post has the giver's goroutine call f in its turn.
-func (g *Server) Post(f func()) {
+// Submit has the giver's goroutine call f in its turn.
+func (g *Server) Submit(f func()) {
 	g.mu.Lock()
 	g.posted = append(g.posted, f)
 	g.mu.Unlock()
@@ -122,7 +122,7 @@
 			select {
 			case <-g.quit:
 			default:
-				g.counts.Saw("listener for peers failed")
+				g.counts.Count("listener for peers failed")
 			}
 		}
 	}()
@@ -176,7 +176,7 @@
 		g.from, g.packed = latest, nil
 		made, err := packView(latest.view, latest.at)
 		if err != nil {
-			g.counts.Saw("view too large to be given")
+			g.counts.Count("view too large to be given")
 			return nil
 		}
 		g.packed = made
@@ -193,11 +193,11 @@
 	keys    Keys
 	session gives
 	part    []byte
-	out     *writequeue.Box
+	out     *writequeue.Queue
 	let     bool // counted by Giving
 	dead    bool
 
-	closing poller.Closing
+	closing poller.DeferredClose
 
 	mu   sync.Mutex
 	gone bool // the descriptor may already stand for another file
@@ -216,7 +216,7 @@
 	_, _ = rand.Read(c.session.nonce) // never fails
 	total.answered.Add(1)
 	_ = link.AddCloseCallback(c.ended)
-	g.Post(c.join)
+	g.Submit(c.join)
 	return context.WithValue(poller.Context(g), connKey{}, c)
 }
 
@@ -232,7 +232,7 @@
 	c.mu.Lock()
 	c.gone = true
 	c.mu.Unlock()
-	c.server.Post(c.leave)
+	c.server.Submit(c.leave)
 	return nil
 }
 
@@ -256,11 +256,13 @@
 }
 
 // closingOf finds what closes a connection in its context.
-func closingOf(ctx context.Context) *poller.Closing { return &ctx.Value(connKey{}).(*conn).closing }
+func closingOf(ctx context.Context) *poller.DeferredClose {
+	return &ctx.Value(connKey{}).(*conn).closing
+}
 
 func (c *conn) fail(why string) {
 	if !c.dead {
-		c.server.counts.Saw(why)
+		c.server.counts.Count(why)
 		c.close()
 	}
 }
@@ -358,7 +360,7 @@
 		return [][]byte{pack(message{Kind: refusal, Why: "no lease here", ComeBack: time.Second})}
 	}
 	(*vote)(ballot, func(answer []byte) {
-		c.server.Post(func() {
+		c.server.Submit(func() {
 			if c.dead || len(answer) == 0 || len(answer) > mostBallot {
 				return
 			}
--- a/internal/poller/closing.go
+++ b/internal/poller/closing.go
@@ -6,30 +6,30 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Closing has a connection closed only once netpoll has put it into its poller. Netpoll tells of a connection first and
+// DeferredClose has a connection closed only once netpoll has put it into its poller. Netpoll tells of a connection first and
 // puts it there behind that; an owner that closes it in between, in a turn of its own, frees what netpoll goes on with,
 // and the process ends with a nil pointer. All of it is for the owner's turn, where Taken comes as a callback.
-type Closing struct{ taken, wanted bool }
+type DeferredClose struct{ registered, requested bool }
 
-// Taken tells that the connection is in the poller; one whose close was wanted is closed.
-func (c *Closing) Taken(link netpoll.Connection) {
-	if c.taken = true; c.wanted {
+// Registered tells that the connection is in the poller; one whose close was wanted is closed.
+func (c *DeferredClose) Registered(link netpoll.Connection) {
+	if c.registered = true; c.requested {
 		_ = link.Close() // its end comes as a callback
 	}
 }
 
 // Close closes the connection, or has it closed once it is in the poller.
-func (c *Closing) Close(link netpoll.Connection) {
-	if c.wanted = true; c.taken {
+func (c *DeferredClose) Close(link netpoll.Connection) {
+	if c.requested = true; c.registered {
 		_ = link.Close() // the same
 	}
 }
 
-// OnTaken is the callback by which netpoll says that a connection is in its poller; closing finds the Closing of one by
+// OnRegistered is the callback by which netpoll says that a connection is in its poller; closing finds the Closing of one by
 // its context.
-func OnTaken(closing func(ctx context.Context) *Closing) netpoll.Option {
+func OnRegistered(closing func(ctx context.Context) *DeferredClose) netpoll.Option {
 	return netpoll.WithOnConnect(func(ctx context.Context, link netpoll.Connection) context.Context {
-		closing(ctx).Taken(link)
+		closing(ctx).Registered(link)
 		return ctx
 	})
 }
--- a/internal/poller/poller.go
+++ b/internal/poller/poller.go
@@ -18,8 +18,8 @@
 // shortWait is how long the poller rests where there is no descriptor for a connection that waits in a listener.
 const shortWait = 5 * time.Millisecond
 
-// Owner takes what netpoll has to tell and runs it in its own turn, in the order in which it came.
-type Owner interface{ Post(f func()) }
+// EventLoop takes what netpoll has to tell and runs it in its own turn, in the order in which it came.
+type EventLoop interface{ Submit(f func()) }
 
 // ownerKey finds the owner of a connection in its context.
 type ownerKey struct{}
@@ -33,14 +33,14 @@
 }
 
 // Context names the owner that the callbacks of a connection run on.
-func Context(owner Owner) context.Context {
+func Context(owner EventLoop) context.Context {
 	return context.WithValue(context.Background(), ownerKey{}, owner)
 }
 
 // runOnOwner hands netpoll's callbacks to the owner, so that reading needs no locks and starts nothing. They
 // can't run on the poller itself: a connection closed there waits for the poller to let go of it, for ever.
 func runOnOwner(ctx context.Context, callback func()) {
-	ctx.Value(ownerKey{}).(Owner).Post(callback)
+	ctx.Value(ownerKey{}).(EventLoop).Submit(callback)
 }
 
 // Accept takes a connection from a listener, for the Accept of the one that netpoll is given. Where descriptors, or the
@@ -52,10 +52,10 @@
 func Accept(from netpoll.Listener, short func()) (net.Conn, error) {
 	link, err := from.Accept()
 	switch {
-	case sysfault.RunsShort(err):
+	case sysfault.IsExhausted(err):
 		short()
 		time.Sleep(shortWait)
-	case sysfault.AcceptPasses(err): // the connection is gone already, or was not asked for yet; the listener is as it was
+	case sysfault.IsTransientAccept(err): // the connection is gone already, or was not asked for yet; the listener is as it was
 	default:
 		return link, err
 	}
--- a/internal/registration/membership.go
+++ b/internal/registration/membership.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// Period is the time between reports. The service takes a server off its list three seconds after the last
+// ReportInterval is the time between reports. The service takes a server off its list three seconds after the last
 // one, and where a quarter of them are lost, four in a row, as many as 700 ms left time for, go with one run
 // of losses in 250: several times a long day over a fleet. Twelve in a row go with one in 17 million.
-const Period = 240 * time.Millisecond
+const ReportInterval = 240 * time.Millisecond
 
 // dialWait bounds a dial, which waits only where the service's host is a name.
 const dialWait = time.Second
@@ -41,8 +41,8 @@
 	return &Reporter{name: name, service: service, moved: make(chan struct{}, 1), log: log}
 }
 
-// Move has the reports go to another address of the service, the next one at once.
-func (r *Reporter) Move(service string) {
+// SetAddress has the reports go to another address of the service, the next one at once.
+func (r *Reporter) SetAddress(service string) {
 	r.mu.Lock()
 	r.service = service
 	r.mu.Unlock()
@@ -77,8 +77,8 @@
 	}
 }
 
-// Leave makes the reports say that the server is on its way out.
-func (r *Reporter) Leave() { r.leaving.Store(true) }
+// SetDraining makes the reports say that the server is on its way out.
+func (r *Reporter) SetDraining() { r.leaving.Store(true) }
 
 // report sends one report. The error is that of the way, or what came back of the report before.
 func (r *Reporter) report(ctx context.Context) error {
--- a/internal/registration/membership_test.go
+++ b/internal/registration/membership_test.go
@@ -18,7 +18,7 @@
 	go r.Run(t.Context(), time.Millisecond)
 	assert.Equal(t, "HB n7 UP", members.Next(t))
 	assert.Equal(t, "HB n7 UP", members.Next(t))
-	r.Leave()
+	r.SetDraining()
 	require.Eventually(t, func() bool { return members.Next(t) == "HB n7 OUT" }, fake.Patience, time.Millisecond)
 }
 
@@ -28,7 +28,7 @@
 	r := New("n7", old.Address, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go r.Run(t.Context(), time.Hour)
 	old.Next(t)
-	r.Move(members.Address)
+	r.SetAddress(members.Address)
 	assert.Equal(t, "HB n7 UP", members.Next(t))
 }
 
@@ -88,10 +88,10 @@
 			assert.Contains(t, line, address)
 			for range 2 {
 				members := fake.NewMembers(t)
-				r.Move(members.Address)
+				r.SetAddress(members.Address)
 				assert.Equal(t, "HB n7 UP", members.Next(t))
 				assert.Contains(t, next(t, lines), "refused=false")
-				r.Move(address)
+				r.SetAddress(address)
 				assert.Contains(t, next(t, lines), "refused=true")
 			}
 			assert.Empty(t, lines, "a line for each report")
--- a/internal/server/checks.go
+++ b/internal/server/checks.go
@@ -10,15 +10,15 @@
 	until  time.Duration
 }
 
-// Check answers a health check as the module last decided, or from the worker pool where it wants that.
-func (s *Server) Check(c Caller, stream uint32, deep bool) {
+// CheckHealth answers a health check as the module last decided, or from the worker pool where it wants that.
+func (s *Server) CheckHealth(c Caller, stream uint32, deep bool) {
 	if !deep || s.fromStore || !s.good {
-		c.Checked(stream, s.good, s.level)
+		c.ReportHealth(stream, s.good, s.level)
 		return
 	}
 	s.checkNonce++
 	if len(s.checks) >= maxChecks {
-		c.Checked(stream, false, s.level)
+		c.ReportHealth(stream, false, s.level)
 		return
 	}
 	s.link.Verify(s.checkNonce) // without a link it is asked for as soon as there is one
@@ -33,7 +33,7 @@
 			left = append(left, c)
 			continue
 		}
-		c.caller.Checked(c.stream, false, s.level)
+		c.caller.ReportHealth(c.stream, false, s.level)
 	}
 	s.checks = left
 }
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -15,7 +15,7 @@
 // inTurn has the owner stand still while f runs.
 func (b *bench) inTurn(f func()) {
 	done := make(chan struct{})
-	b.Post(func() { f(); close(done) })
+	b.Submit(func() { f(); close(done) })
 	<-done
 }
 
@@ -39,7 +39,7 @@
 			}, fake.Patience, time.Millisecond)
 		}
 		b.inTurn(func() {
-			b.Gone(b.requests[fake.Call(1)])
+			b.Cancel(b.requests[fake.Call(1)])
 			if !down {
 				b.pool.Cut() // before the word is written
 			}
@@ -89,16 +89,16 @@
 	b := newBench(t)
 	b.pool.Ready()
 	b.unheard.Store(true)
-	b.Leave(4 * time.Second)
+	b.Drain(4 * time.Second)
 	require.Eventually(t, func() bool {
 		retired := false
 		b.inTurn(func() { retired = b.retired })
 		return retired
 	}, fake.Patience, time.Millisecond)
 	b.inTurn(func() { // read only now, past the grace of 400 ms: answered, and not run
-		b.Take(Incoming{
+		b.Receive(Incoming{
 			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.noticed + 401*time.Millisecond,
-			Patience: time.Minute, Caller: b, Stream: 1,
+			Timeout: time.Minute, Caller: b, Stream: 1,
 		})
 	})
 	assert.Equal(t, Rejected, b.next(t).Verdict)
@@ -123,12 +123,12 @@
 		came := b.Now() - 300*time.Millisecond
 		b.leave(came, 3*time.Second)
 		assert.Equal(t, came+3*time.Second-noticeDelay, b.stop)
-		late := Incoming{ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Patience: time.Minute, Caller: b, Stream: 1}
+		late := Incoming{ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
 		late.Arrived = came + 401*time.Millisecond // the site's grace is 400 ms
-		b.Take(late)
+		b.Receive(late)
 		due := late
 		due.ID, due.Stream, due.Arrived = fake.Call(2), 2, came+399*time.Millisecond
-		b.Take(due)
+		b.Receive(due)
 	})
 	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.next(t); return []any{a.stream, a.Verdict} }())
 	assert.Equal(t, fake.Call(2), b.pool.Next(t, "spawn").Task)
@@ -144,11 +144,11 @@
 	b.pool.Ready()
 	b.bound(t)
 	b.inTurn(func() {
-		task := b.Take(Incoming{
-			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
+		task := b.Receive(Incoming{
+			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: 1, Key: "n",
 		})
-		b.Gone(task)
+		b.Cancel(task)
 	})
 	b.inTurn(func() {
 		assert.Empty(t, b.keys)
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Leave takes the notice to leave, from any goroutine. The time to the stop runs from here, not from the owner's turn.
-func (s *Server) Leave(within time.Duration) {
+// Drain takes the notice to leave, from any goroutine. The time to the stop runs from here, not from the owner's turn.
+func (s *Server) Drain(within time.Duration) {
 	came := s.Now()
-	s.Post(func() { s.leave(came, within) })
+	s.Submit(func() { s.leave(came, within) })
 }
 
 // leave begins to go. A second notice changes nothing: the time runs from the first.
@@ -14,7 +14,7 @@
 		return
 	}
 	now := min(came, s.Now())
-	if s.limits.KilledEarly {
+	if s.limits.EarlyKill {
 		within = min(within, s.earliestKill())
 	}
 	s.noticed, s.stop = now, now+within-noticeDelay
@@ -64,7 +64,7 @@
 			unanswered++
 		}
 	}
-	s.counts.That(unanswered == 0 || now < s.stop, "the stop came with tasks unanswered")
+	s.counts.Assert(unanswered == 0 || now < s.stop, "the stop came with tasks unanswered")
 	// A router that neither reads nor closes must not keep the process until it is killed.
 	over := unanswered == 0 && (written && open == 0 || now >= s.stop-lastMoment)
 	if now < s.stop && !(over && s.quiet()) {
--- a/internal/server/leave_test.go
+++ b/internal/server/leave_test.go
@@ -15,7 +15,7 @@
 	site := func(deadline string) string {
 		return strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":`+deadline+`,"goal-time":100000`).Replace(fake.Site)
 	}
-	limits := Limits{MemoryMB: 96, Sockets: 256, KilledEarly: true}
+	limits := Limits{MemoryMB: 96, Sockets: 256, EarlyKill: true}
 	cases := []struct {
 		name, site string
 		limits     Limits
--- a/internal/server/numbers.go
+++ b/internal/server/numbers.go
@@ -30,24 +30,24 @@
 // KeyRecord is a number of a server before this one. One that is not honoured has begun, and its end is not known: repeats
 // of it are given up on, as it may have had its effect.
 type KeyRecord struct {
-	Key       string
-	Shape     uint64
-	Remaining time.Duration // of its window
-	Served    bool
-	Result    []byte
+	Key         string
+	Fingerprint uint64
+	Remaining   time.Duration // of its window
+	Served      bool
+	Result      []byte
 }
 
-// Keep has numbered tasks run only once the ledger has them, before Run.
-func (s *Server) Keep(l Ledger) { s.ledger = l }
+// SetLedger has numbered tasks run only once the ledger has them, before Run.
+func (s *Server) SetLedger(l Ledger) { s.ledger = l }
 
-// Restore takes in what an earlier server's ledger held, in the owner's turn or before Run. What is known here already
+// RestoreKeys takes in what an earlier server's ledger held, in the owner's turn or before Run. What is known here already
 // is known better.
-func (s *Server) Restore(all []KeyRecord) {
+func (s *Server) RestoreKeys(all []KeyRecord) {
 	for _, k := range all {
 		if s.keys[k.Key] != nil {
 			continue
 		}
-		n := &keyEntry{key: k.Key, shape: k.Shape, until: s.Now() + k.Remaining, settled: true, answer: Answer{Verdict: Aborted}}
+		n := &keyEntry{key: k.Key, shape: k.Fingerprint, until: s.Now() + k.Remaining, settled: true, answer: Answer{Verdict: Aborted}}
 		if k.Served && s.resultBytes+len(k.Result) <= s.maxResultBytes {
 			n.answer = Answer{Verdict: Served, Result: k.Result}
 			s.resultBytes += len(k.Result)
@@ -107,7 +107,7 @@
 // keyConflicts tells whether a task has the number of another that asked for something else.
 func (s *Server) keyConflicts(a Incoming) bool {
 	n := s.keys[entryKey(a.Route, a.Key)]
-	return n != nil && n.shape != a.Shape
+	return n != nil && n.shape != a.Fingerprint
 }
 
 // expireKey drops the number of a task that came behind the window of the number's first, as it is a new one.
@@ -126,7 +126,7 @@
 	request.original = s.keys[request.key]
 	request.Duplicate = request.original != nil
 	if request.original == nil { // known from here on: a repeat in the same round must not be taken for a first
-		s.keys[request.key] = &keyEntry{key: request.key, shape: a.Shape, until: s.Now() + request.Route.DedupWindow + time.Minute}
+		s.keys[request.key] = &keyEntry{key: request.key, shape: a.Fingerprint, until: s.Now() + request.Route.DedupWindow + time.Minute}
 	}
 }
 
@@ -147,7 +147,7 @@
 // AnswerFromOriginal answers a repeat as soon as the first has ended.
 func (s *Server) AnswerFromOriginal(decided *admission.Request) {
 	request := s.owner[decided]
-	s.counts.That(request != nil && request.original != nil, "a repeat without a first")
+	s.counts.Assert(request != nil && request.original != nil, "a repeat without a first")
 	if request == nil || request.original == nil {
 		return
 	}
@@ -197,7 +197,7 @@
 // settleKey settles a number. A result that has no room is not kept: its repeats are then given up on, and still not run.
 func (s *Server) settleKey(n *keyEntry, a Answer) {
 	if s.resultBytes+len(a.Result) > s.maxResultBytes {
-		s.counts.Saw("result of a numbered task beyond the program's own memory")
+		s.counts.Count("result of a numbered task beyond the program's own memory")
 		a = Answer{Verdict: Aborted}
 	}
 	s.resultBytes += len(a.Result)
--- a/internal/server/numbers_test.go
+++ b/internal/server/numbers_test.go
@@ -19,21 +19,21 @@
 	b.bound(t)
 	asked := func(stream uint32, number string) Incoming {
 		return Incoming{
-			ID: fake.Call(stream), Route: "pay", HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
+			ID: fake.Call(stream), Route: "pay", HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: stream, Key: number,
 		}
 	}
-	b.inTurn(func() { b.Take(asked(1, "n")) })
+	b.inTurn(func() { b.Receive(asked(1, "n")) })
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
 	assert.Equal(t, Served, b.next(t).Verdict)
 
 	b.inTurn(func() {
 		crowded := asked(2, "n")
-		crowded.Overflow = true
-		b.Take(crowded)
+		crowded.OverLimit = true
+		b.Receive(crowded)
 		b.maxRequests = 0
-		b.Take(asked(3, "n"))
-		b.Take(asked(4, "new"))
+		b.Receive(asked(3, "n"))
+		b.Receive(asked(4, "new"))
 	})
 	for _, want := range []Verdict{Aborted, Aborted, Rejected} {
 		assert.Equal(t, want, b.next(t).Verdict)
@@ -49,12 +49,12 @@
 	b.bound(t)
 	asked := func(stream uint32, arrived time.Duration) Incoming {
 		return Incoming{
-			ID: fake.Call(stream), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: arrived, Patience: time.Minute,
+			ID: fake.Call(stream), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: arrived, Timeout: time.Minute,
 			Caller: b, Stream: stream, Key: "n",
 		}
 	}
 	var first time.Duration
-	b.inTurn(func() { first = b.Now(); b.Take(asked(1, first)) })
+	b.inTurn(func() { first = b.Now(); b.Receive(asked(1, first)) })
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", []byte("done"))
 	assert.Equal(t, Served, b.next(t).Verdict)
 
@@ -62,12 +62,12 @@
 	for range 3 {
 		b.inTurn(func() { b.tidied = 0 }) // turns in which what is over is forgotten
 	}
-	b.inTurn(func() { b.Take(asked(2, first+window/2)) })
+	b.inTurn(func() { b.Receive(asked(2, first+window/2)) })
 	again := b.next(t)
 	assert.Equal(t, []any{Served, "done"}, []any{again.Verdict, string(again.Result)}, "a repeat is answered from its first")
 	assert.Empty(t, b.pool.Commands)
 
-	b.inTurn(func() { b.Take(asked(3, first+2*window)) }) // this one came behind the window
+	b.inTurn(func() { b.Receive(asked(3, first+2*window)) }) // this one came behind the window
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", []byte("anew"))
 	assert.Equal(t, "anew", string(b.next(t).Result))
 }
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -33,7 +33,7 @@
 	if now < s.observer.from+observeEvery {
 		return
 	}
-	s.events.Turn()
+	s.events.Flush()
 	switch {
 	case s.doubtful > 0:
 		s.recordOccupancy(now, "runs may be over that were not reported to have ended")
--- a/internal/server/reconcile.go
+++ b/internal/server/reconcile.go
@@ -52,7 +52,7 @@
 // reviewRuns takes off the books the runs of which the machine's readings prove that they are over. It is for the
 // moment of the reading: all that the pool reported before is on the books by then.
 func (s *Server) reviewRuns(polled *workerapi.Notice) {
-	if s.doubtful == 0 || s.limits.RunsStay {
+	if s.doubtful == 0 || s.limits.HoldUntilRunEnds {
 		return
 	}
 	readings, complete := s.readings(polled)
@@ -61,7 +61,7 @@
 	}
 	for _, id := range s.reviewer.Review(readings, s.books(polled.Nonce)) {
 		request := s.requests[id]
-		s.counts.Saw("end of a run not reported, proven by the readings")
+		s.counts.Count("end of a run not reported, proven by the readings")
 		s.recordRun(events.RunReleased, "the machine's readings leave no room for it", request)
 		s.end(request, admission.Stopped, 0, nil) // not broken: it tells nothing of this server's health
 	}
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -30,12 +30,12 @@
 	for i, halt := range []string{"none", "suspend", "none"} {
 		id := fmt.Sprint("gone-", i)
 		var task *Request
-		b.Post(func() {
+		b.Submit(func() {
 			b.Reconfigure(adjusted("extra.halt=" + halt))
-			task = b.Take(Incoming{ID: id, Route: "browse", HeldKB: 1, SentMS: time.Now().UnixMilli(), Patience: time.Minute, Caller: b})
+			task = b.Receive(Incoming{ID: id, Route: "browse", HeldKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 		})
 		assert.Equal(t, id, b.pool.Next(t, "spawn").Task)
-		b.Post(func() { b.Gone(task) })
+		b.Submit(func() { b.Cancel(task) })
 		stopped := false
 		for waited := time.After(200 * time.Millisecond); waited != nil; {
 			select {
@@ -49,7 +49,7 @@
 		assert.Equal(t, halt == "suspend", stopped, "stopped under %s", halt)
 	}
 	unstated := make(chan bool)
-	b.Post(func() {
+	b.Submit(func() {
 		b.Reconfigure(adjusted("")) // no longer stated: as at a start without it
 		unstated <- b.settings.Admission.Preemption == admission.PreemptionUnspecified &&
 			b.settings.Compare(adjusted("")).Adjusted["halt"] == nil && len(b.settings.Compare(adjusted("")).Adjusted) == 0
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -22,7 +22,7 @@
 		s.fresh = s.fresh || s.asked > 0 && n.Nonce >= s.asked
 	case workerapi.RunFinished:
 		s.finished(n)
-	case workerapi.Unknown:
+	case workerapi.CommandFailed:
 		s.unknown(n)
 	case workerapi.RunBlocked:
 		s.blocked(n)
@@ -30,12 +30,12 @@
 		for i, c := range s.checks {
 			if c.nonce == n.Nonce {
 				s.checks = append(s.checks[:i], s.checks[i+1:]...)
-				c.caller.Checked(c.stream, n.Outcome == "success", s.level)
+				c.caller.ReportHealth(c.stream, n.Outcome == "success", s.level)
 				break
 			}
 		}
 	case workerapi.LinkBound:
-		s.round.WorkersStartedAt = s.Now() - n.Took
+		s.round.WorkersStartedAt = s.Now() - n.Duration
 		s.touched = true
 	case workerapi.LinkDown:
 		s.linkDown()
@@ -55,7 +55,7 @@
 func (s *Server) finished(n *workerapi.Notice) {
 	request := s.requests[n.RequestID]
 	if request == nil || !request.active {
-		s.counts.Saw("end of a run nobody asked for")
+		s.counts.Count("end of a run nobody asked for")
 		return
 	}
 	if request.doubt == asked && n.Outcome == "interrupted" && !request.answered {
@@ -67,10 +67,10 @@
 	}
 	outcome, known := outcomes[n.Outcome]
 	if !known {
-		s.counts.Saw("end of a run with an unknown outcome")
+		s.counts.Count("end of a run with an unknown outcome")
 		outcome = admission.Failed
 	}
-	s.end(request, outcome, n.Took, n.Result)
+	s.end(request, outcome, n.Duration, n.Result)
 }
 
 // end files the end of a run. It answers for itself: with the result, or as given up on.
@@ -101,10 +101,10 @@
 // its health, and as a quick one make all tasks of the type look short.
 func (s *Server) unknown(n *workerapi.Notice) {
 	if n.Outcome != "spawn" {
-		s.counts.Saw("pool did not carry out a command")
+		s.counts.Count("pool did not carry out a command")
 		return
 	}
-	s.counts.Saw("pool did not carry out a spawn")
+	s.counts.Count("pool did not carry out a spawn")
 	if request := s.requests[n.RequestID]; request != nil && request.active {
 		s.end(request, admission.NeverStarted, 0, nil)
 	}
@@ -189,19 +189,19 @@
 			if request.supplied != nil { // first, as behind proceed it might be taken for the reply to its next call
 				s.goOn(request, request.supplied)
 			}
-			request.spawnMark = s.link.Next()
-			request.startUnknown = !s.link.GoOn(request.id) // lost again: in doubt still
+			request.spawnMark = s.link.NextPollNonce()
+			request.startUnknown = !s.link.Resume(request.id) // lost again: in doubt still
 		case request.atCall: // it has gone on, and stands at its next call
 		case request.supplied != nil:
-			s.counts.Saw("run not known to have gone on from its call, told again")
+			s.counts.Count("run not known to have gone on from its call, told again")
 			s.goOn(request, request.supplied)
-			s.link.GoOn(request.id)
+			s.link.Resume(request.id)
 		default:
-			s.counts.Saw("run not known to have begun, sent again")
+			s.counts.Count("run not known to have begun, sent again")
 			s.recordRun(events.RunRetried, "not known to have begun when the link was lost", request)
 			request.sent = false
 			s.spawn(request)
-			s.link.GoOn(request.id) // no harm to one that runs; it goes on where an earlier proceed was lost
+			s.link.Resume(request.id) // no harm to one that runs; it goes on where an earlier proceed was lost
 			request.sent, request.startUnknown = true, !request.sent
 		}
 	}
@@ -211,7 +211,7 @@
 
 // spawn has the pool run a task, or notes that it could not be told.
 func (s *Server) spawn(request *Request) {
-	s.counts.That(!request.sent, "a run was sent twice")
-	request.spawnMark = s.link.Next()
+	s.counts.Assert(!request.sent, "a run was sent twice")
+	request.spawnMark = s.link.NextPollNonce()
 	request.sent = s.link.Start(workerapi.Run{ID: request.id, Route: request.route, Body: request.body})
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -47,11 +47,11 @@
 	Keys              bool // tasks come with their numbers
 	Tenants           bool // and with their customers
 	Calls             bool // runs say when they are at a call, and there is a dependency for it
-	SkipsCalls        bool // they can go on without
-	Spins             int  // looks for more before the owner rests; its waking costs more than a few of them
+	SkippableCalls    bool // they can go on without
+	MaxIdleYields     int  // looks for more before the owner rests; its waking costs more than a few of them
 	DynamicTables     bool // routes and tenants come and go in service
-	RunsStay          bool // a run holds its place until it ends, however long ago it was answered
-	KilledEarly       bool // the process may be killed sooner after the notice than that says: see earliestKill
+	HoldUntilRunEnds  bool // a run holds its place until it ends, however long ago it was answered
+	EarlyKill         bool // the process may be killed sooner after the notice than that says: see earliestKill
 }
 
 // Server turns events into rounds. Its methods are for its one owner, the goroutine that is in Run, but for
@@ -64,14 +64,14 @@
 	parts      Composer // of tasks that are made of calls
 
 	dependency Dependency      // of the pool's runs, nil without one
-	blocking   Blocking        // the pool, where they stand at calls of it
+	blocking   CallReplier     // the pool, where they stand at calls of it
 	calls      uint64          // made so far
 	unserved   map[string]bool // types that call, where there is no dependency
 
 	tables tableQueue
 
 	fronts      []Frontend
-	counts      *invariant.Counts
+	counts      *invariant.Counters
 	log         *slog.Logger
 	events      *events.Log
 	began       time.Time
@@ -140,7 +140,7 @@
 
 // New makes the server for its settings. Settings that ask for what it can't do are an error: a task must not be
 // found unservable only once it has been read.
-func New(stated *settings.Settings, seed int64, limits Limits, counts *invariant.Counts, log *slog.Logger) (*Server, error) {
+func New(stated *settings.Settings, seed int64, limits Limits, counts *invariant.Counters, log *slog.Logger) (*Server, error) {
 	s := &Server{
 		settings: stated, counts: counts, log: log, events: events.New(log), began: time.Now(), limits: limits,
 		mayHaveRun: map[string]time.Duration{}, tenants: map[string]int{},
@@ -199,7 +199,7 @@
 	if !s.limits.Calls {
 		adapted.CallShare = unbounded // the composer keeps to what its dependencies survive
 	}
-	if !s.limits.SkipsCalls { // each call is waited for, whatever an answer without it would earn
+	if !s.limits.SkippableCalls { // each call is waited for, whatever an answer without it would earn
 		adapted.Routes = slices.Clone(adapted.Routes)
 		for i := range adapted.Routes {
 			adapted.Routes[i].SkipValueShare = 0
@@ -211,19 +211,21 @@
 // Events is the log of what becomes of requests, runs and connections.
 func (s *Server) Events() *events.Log { return s.events }
 
-// Serve gives the server its link and its fronts, before Run.
-func (s *Server) Serve(link WorkerLink, fronts ...Frontend) { s.link, s.fronts = link, fronts }
+// Attach gives the server its link and its fronts, before Run.
+func (s *Server) Attach(link WorkerLink, fronts ...Frontend) { s.link, s.fronts = link, fronts }
 
-// Depend gives the server what makes the calls of the pool's runs, and the pool that tells of them, before Run and
+// SetDependency gives the server what makes the calls of the pool's runs, and the pool that tells of them, before Run and
 // where its Limits say Calls.
-func (s *Server) Depend(on Dependency, blocking Blocking) { s.dependency, s.blocking = on, blocking }
+func (s *Server) SetDependency(on Dependency, blocking CallReplier) {
+	s.dependency, s.blocking = on, blocking
+}
 
-// Unserved are the types whose tasks are turned away, as they call a dependency and there is none.
-func (s *Server) Unserved() []string { return slices.Sorted(maps.Keys(s.unserved)) }
+// UnservedRoutes are the types whose tasks are turned away, as they call a dependency and there is none.
+func (s *Server) UnservedRoutes() []string { return slices.Sorted(maps.Keys(s.unserved)) }
 
-// Compose has tasks of some types made of calls, before Run. What the dependencies of those calls survive is
+// SetComposer has tasks of some types made of calls, before Run. What the dependencies of those calls survive is
 // the composer's to keep to, so the decisions let their calls go without a room of their own.
-func (s *Server) Compose(c Composer) {
+func (s *Server) SetComposer(c Composer) {
 	s.parts = c
 	for name, t := range s.routes { // each by itself
 		if c.Composes(name) {
@@ -233,9 +235,9 @@
 	}
 }
 
-// Types are the names of the traffic types, with the time that a task of each has in all: what is answered later
+// RouteTimeouts are the names of the traffic types, with the time that a task of each has in all: what is answered later
 // than that earns nothing.
-func (s *Server) Types() map[string]time.Duration {
+func (s *Server) RouteTimeouts() map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for name, t := range s.routes {
 		all[name] = t.Deadline
@@ -254,14 +256,14 @@
 	return math.MaxInt
 }
 
-// TellsGone is whether routers say when nobody waits for a task any longer.
-func (s *Server) TellsGone() bool {
+// RoutersReportCancel is whether routers say when nobody waits for a task any longer.
+func (s *Server) RoutersReportCancel() bool {
 	return s.settings.RoutersReportCancel
 }
 
-// Adopt gives a name that the settings do not state one of the types that they state for strangers, whose names begin
+// AdoptRoute gives a name that the settings do not state one of the types that they state for strangers, whose names begin
 // with a NUL byte; where all are given away, tasks of the name are dismissed.
-func (s *Server) Adopt(name string) {
+func (s *Server) AdoptRoute(name string) {
 	if s.routes[name] != nil {
 		return
 	}
@@ -272,24 +274,24 @@
 	}
 }
 
-// Time has put told how long each round took that decided something, from what came in to the writing of what was
+// ObserveRounds has put told how long each round took that decided something, from what came in to the writing of what was
 // decided. It is called in the owner's turn, so put must not wait; and before Run.
-func (s *Server) Time(put func(took time.Duration)) { s.timed = put }
+func (s *Server) ObserveRounds(put func(took time.Duration)) { s.timed = put }
 
-// Standing is the level as last stated.
-func (s *Server) Standing() float64 { return s.standing }
+// ShedLevel is the level as last stated.
+func (s *Server) ShedLevel() float64 { return s.standing }
 
 // PublishEstimates has what the server learned left with put, once a second at the most and in the owner's turn, so put must
 // not wait. It is called before Run. The frame says which views the server can Borrow.
 func (s *Server) PublishEstimates(origin uint64, put func(snapshot estimate.Snapshot, at time.Duration)) estimate.Schema {
-	s.schema, s.publish = s.controller.EstimateSchema(origin, s.settings.Digest(s.limits.DynamicTables, s.limits.SkipsCalls), s.limits.DynamicTables), put
+	s.schema, s.publish = s.controller.EstimateSchema(origin, s.settings.Digest(s.limits.DynamicTables, s.limits.SkippableCalls), s.limits.DynamicTables), put
 	return s.schema
 }
 
 // UsePeerEstimates has the owner take in what other servers learned; the view must fit the frame.
 func (s *Server) UsePeerEstimates(snapshot estimate.Snapshot) {
 	told := s.Now()
-	s.Post(func() { s.controller.UsePeerEstimates(s.Now(), snapshot.Aged(s.Now()-told)) })
+	s.Submit(func() { s.controller.UsePeerEstimates(s.Now(), snapshot.Aged(s.Now()-told)) })
 }
 
 // Now is the time since the Unix epoch by a clock that never steps back.
@@ -309,21 +311,21 @@
 	return unixMS >= 0 && unixMS < maxStampMS && wallclock.Plausible(time.Duration(unixMS)*time.Millisecond, s.Now()+s.wallAhead())
 }
 
-// Nudge has the owner look for what came in.
-func (s *Server) Nudge() {
+// Wake has the owner look for what came in.
+func (s *Server) Wake() {
 	select {
 	case s.woken <- struct{}{}:
 	default:
 	}
 }
 
-// Post has the owner call f in its turn. What waits is bounded by its callers: a connection has one callback
+// Submit has the owner call f in its turn. What waits is bounded by its callers: a connection has one callback
 // of netpoll in hand at a time, beside those of its beginning and its end.
-func (s *Server) Post(f func()) {
+func (s *Server) Submit(f func()) {
 	s.mu.Lock()
 	s.posted = append(s.posted, f)
 	s.mu.Unlock()
-	s.Nudge()
+	s.Wake()
 }
 
 // Run goes from round to round until the server has left.
@@ -348,7 +350,7 @@
 			}
 			s.parts.Turn(s.Now())
 			s.entered()
-			s.notices = s.parts.Take(s.link.Take(s.notices[:0]))
+			s.notices = s.parts.AppendNotices(s.link.AppendNotices(s.notices[:0]))
 			for i := range s.notices {
 				s.onNotice(&s.notices[i])
 			}
@@ -384,7 +386,7 @@
 			rings = next
 			timer.Reset(max(next-now, 0))
 		}
-		for looks := s.limits.Spins; looks > 0 && len(s.woken) == 0; looks-- {
+		for looks := s.limits.MaxIdleYields; looks > 0 && len(s.woken) == 0; looks-- {
 			runtime.Gosched()
 		}
 		select {
@@ -440,7 +442,7 @@
 		}
 	}
 	if s.asked > 0 && now >= s.askedLate {
-		s.counts.Saw("gauges late, round on the last ones")
+		s.counts.Count("gauges late, round on the last ones")
 		s.fresh = true
 	}
 	if s.fresh {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -31,7 +31,7 @@
 	*Server
 	pool    *fake.Pool
 	toPool  *workerlink.Link
-	counts  *invariant.Counts
+	counts  *invariant.Counters
 	answers chan answered
 	checks  chan bool
 	left    chan struct{}
@@ -40,13 +40,13 @@
 	unheard atomic.Bool // something came that is not taken yet
 }
 
-func (b *bench) Answer(stream uint32, a Answer)        { b.answers <- answered{stream, a} }
-func (b *bench) Checked(_ uint32, good bool, _ string) { b.checks <- good }
-func (b *bench) CloseIdle(time.Duration)               {}
-func (b *bench) Flush() bool                           { return !b.unread }
-func (b *bench) StopAccepting()                        { b.retired = true }
-func (b *bench) Open() int                             { return 0 }
-func (b *bench) Quiet() bool                           { return !b.unheard.Load() }
+func (b *bench) Answer(stream uint32, a Answer)             { b.answers <- answered{stream, a} }
+func (b *bench) ReportHealth(_ uint32, good bool, _ string) { b.checks <- good }
+func (b *bench) CloseIdle(time.Duration)                    {}
+func (b *bench) Flush() bool                                { return !b.unread }
+func (b *bench) StopAccepting()                             { b.retired = true }
+func (b *bench) Open() int                                  { return 0 }
+func (b *bench) Quiet() bool                                { return !b.unheard.Load() }
 
 func newBench(t *testing.T) *bench { return newBenchAt(t, fake.Site) }
 
@@ -64,17 +64,17 @@
 	}
 	b.Server, err = New(told, 1, limits, b.counts, log)
 	require.NoError(t, err)
-	link := workerlink.New(b.pool.Address, 1<<20, log, b.counts.Saw, b.Nudge)
+	link := workerlink.New(b.pool.Address, 1<<20, log, b.counts.Count, b.Wake)
 	b.toPool = link
-	b.Serve(link, b)
+	b.Attach(link, b)
 	if on != nil {
-		b.Depend(on, link)
+		b.SetDependency(on, link)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go link.Run(ctx)
 	go func() { b.Run(); close(b.left) }()
 	t.Cleanup(func() {
-		b.Leave(0)
+		b.Drain(0)
 		select {
 		case <-b.left:
 		case <-time.After(fake.Patience):
@@ -87,9 +87,9 @@
 
 // ask has the owner take a task.
 func (b *bench) ask(stream uint32, kind string, waits time.Duration) {
-	b.Post(func() {
-		b.Take(Incoming{
-			ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: waits,
+	b.Submit(func() {
+		b.Receive(Incoming{
+			ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: waits,
 			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
 		})
 	})
@@ -112,7 +112,7 @@
 	asked := uint64(0) // of this link: an answer on one before it says nothing
 	require.Eventually(t, func() bool {
 		bound := make(chan bool)
-		b.Post(func() {
+		b.Submit(func() {
 			nonce, up := b.link.Poll()
 			switch {
 			case !up:
@@ -131,7 +131,7 @@
 	t.Helper()
 	require.Eventually(t, func() bool {
 		known := make(chan bool)
-		b.Post(func() {
+		b.Submit(func() {
 			all := true
 			for _, task := range b.requests {
 				all = all && (!task.active || task.sent && task.spawnMark <= b.polled)
@@ -165,7 +165,7 @@
 	for range 2 {
 		assert.Equal(t, Rejected, b.next(t).Verdict)
 	}
-	b.Post(func() { // in one round, so that the first is still held
+	b.Submit(func() { // in one round, so that the first is still held
 		b.ask(3, "pay", time.Minute)
 		b.ask(3, "pay", time.Minute)
 	})
@@ -323,7 +323,7 @@
 		b.pool.Next(t, "bind")
 	}
 	alarms := make(chan int)
-	b.Post(func() { alarms <- len(b.alarms) })
+	b.Submit(func() { alarms <- len(b.alarms) })
 	assert.LessOrEqual(t, <-alarms, 1)
 }
 
@@ -344,7 +344,7 @@
 		b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").Task + `"}` + "\n")
 		assert.Equal(t, Aborted, b.next(t).Verdict)
 	}
-	b.Post(func() { b.Check(b, 1, false) })
+	b.Submit(func() { b.CheckHealth(b, 1, false) })
 	assert.True(t, <-b.checks, "the server's health was closed")
 }
 
@@ -355,10 +355,10 @@
 	b.pool.Ready()
 	for stream := range uint32(2000) {
 		kind := []string{"browse", "pay"}[stream%2]
-		b.Post(func() {
-			b.Take(Incoming{
-				ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(),
-				Patience: time.Minute, Router: stream, Caller: b, Stream: stream,
+		b.Submit(func() {
+			b.Receive(Incoming{
+				ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(),
+				Timeout: time.Minute, Router: stream, Caller: b, Stream: stream,
 			})
 		})
 		b.next(t)
@@ -370,7 +370,7 @@
 		}
 	}
 	sizes := make(chan []int)
-	b.Post(func() {
+	b.Submit(func() {
 		sizes <- []int{len(b.requests), len(b.owner), len(b.doubts), len(b.alarms) / 2, len(b.Server.checks)}
 	})
 	assert.Equal(t, []int{0, 0, 0, 0, 0}, <-sizes)
@@ -389,7 +389,7 @@
 	assert.Equal(t, Aborted, b.next(t).Verdict)
 	require.Eventually(t, func() bool {
 		empty := make(chan bool)
-		b.Post(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
+		b.Submit(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
 		return <-empty
 	}, fake.Patience, time.Millisecond)
 	assert.Equal(t, 1, b.counts.Times("end of a run not reported, proven by the readings"))
@@ -399,15 +399,15 @@
 	b := newBench(t)
 	b.pool.Ready()
 	var task *Request
-	b.Post(func() {
-		task = b.Take(Incoming{ID: "x", Route: "browse", HeldKB: 1, SentMS: time.Now().UnixMilli(), Patience: time.Minute, Caller: b})
+	b.Submit(func() {
+		task = b.Receive(Incoming{ID: "x", Route: "browse", HeldKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 	})
 	b.pool.Next(t, "spawn")
-	b.Post(func() { b.Gone(task); b.Gone(task) })
+	b.Submit(func() { b.Cancel(task); b.Cancel(task) })
 	b.pool.Next(t, "suspend")
 	require.Eventually(t, func() bool {
 		empty := make(chan bool)
-		b.Post(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
+		b.Submit(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
 		return <-empty
 	}, fake.Patience, time.Millisecond, "a settled task is kept")
 	assert.Empty(t, b.answers)
@@ -415,9 +415,9 @@
 
 func TestHealth(t *testing.T) {
 	b := newBench(t)
-	b.Post(func() { b.Check(b, 1, true) })
+	b.Submit(func() { b.CheckHealth(b, 1, true) })
 	assert.True(t, <-b.checks)
-	b.Post(func() { b.SetHealth(true, false); b.Check(b, 1, true) })
+	b.Submit(func() { b.SetHealth(true, false); b.CheckHealth(b, 1, true) })
 	assert.False(t, <-b.checks, "a deep check was good without a pool")
 	b.pool.Ready()
 	b.bound(t)
@@ -425,7 +425,7 @@
 		var sent bool
 		for !sent { // until the link is bound
 			done := make(chan struct{})
-			b.Post(func() { b.Check(b, 1, true); sent = len(b.Server.checks) > 0; close(done) })
+			b.Submit(func() { b.CheckHealth(b, 1, true); sent = len(b.Server.checks) > 0; close(done) })
 			<-done
 			if !sent {
 				assert.False(t, <-b.checks)
@@ -434,7 +434,7 @@
 		b.pool.Say(`{"verb":"verified","nonce":"` + b.pool.Next(t, "verify").Nonce + `","outcome":"` + outcome + `"}` + "\n")
 		assert.Equal(t, outcome == "success", <-b.checks)
 	}
-	b.Post(func() { b.Check(b, 1, true) })
+	b.Submit(func() { b.CheckHealth(b, 1, true) })
 	assert.False(t, <-b.checks, "a deep check without an answer is a bad one in time")
 }
 
@@ -443,12 +443,12 @@
 	b.pool.Ready()
 	b.ask(1, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
-	b.Leave(6 * time.Second)
+	b.Drain(6 * time.Second)
 	b.ask(2, "pay", time.Minute) // within the grace of 400 ms
 	b.pool.Next(t, "spawn")
 	require.Eventually(t, func() bool {
 		retired := make(chan bool)
-		b.Post(func() { retired <- b.retired && b.Now() > b.noticed+450*time.Millisecond })
+		b.Submit(func() { retired <- b.retired && b.Now() > b.noticed+450*time.Millisecond })
 		return <-retired
 	}, fake.Patience, time.Millisecond)
 	b.ask(3, "pay", time.Minute) // past it
@@ -469,7 +469,7 @@
 		b.ask(stream, "pay", time.Minute)
 	}
 	b.pool.Next(t, "spawn")
-	b.Leave(500 * time.Millisecond)
+	b.Drain(500 * time.Millisecond)
 	<-b.left
 	assert.Len(t, b.answers, 40)
 }
@@ -477,8 +477,8 @@
 // A peer that does not read its answers kept the process from leaving until it was killed.
 func TestLeavingWithAPeerThatDoesNotRead(t *testing.T) {
 	b := newBench(t)
-	b.Post(func() { b.unread = true })
-	b.Leave(500 * time.Millisecond)
+	b.Submit(func() { b.unread = true })
+	b.Drain(500 * time.Millisecond)
 	select {
 	case <-b.left:
 	case <-time.After(fake.Patience):
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -37,7 +37,7 @@
 // handed over, and each entry at once: a request is taken in under what its route was stated as in that moment, and ends
 // under that. Any goroutine may call it, and hands over the next change once Done was called, so what waits is bounded.
 func (s *Server) ChangeTables(change TableChange) {
-	s.Post(func() { s.tables.changes = append(s.tables.changes, change) })
+	s.Submit(func() { s.tables.changes = append(s.tables.changes, change) })
 }
 
 // SetTables makes a change at once. It is for before Run.
@@ -50,7 +50,7 @@
 func (s *Server) changeTables() {
 	s.makeChanges(changesPerRound)
 	if len(s.tables.changes) > 0 {
-		s.Nudge()
+		s.Wake()
 	}
 }
 
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -94,10 +94,10 @@
 	keyed.Idempotency, keyed.DedupWindow = admission.Keyed, time.Hour
 	put := TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: keyed}}}
 	ask := func(stream uint32) {
-		b.Post(func() {
-			b.Take(Incoming{
-				ID: fake.Call(stream), Route: "charge", HeldKB: 1, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
-				Caller: b, Stream: stream, Key: "once", Shape: 1,
+		b.Submit(func() {
+			b.Receive(Incoming{
+				ID: fake.Call(stream), Route: "charge", HeldKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
+				Caller: b, Stream: stream, Key: "once", Fingerprint: 1,
 			})
 		})
 	}
@@ -133,8 +133,8 @@
 	unknown := place("north")
 	b.change(t, tenant("north", 5))
 	assert.Equal(t, 0, place("north"))
-	b.Post(func() {
-		b.Take(Incoming{ID: "a", Route: "pay", HeldKB: 1, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute, Caller: b})
+	b.Submit(func() {
+		b.Receive(Incoming{ID: "a", Route: "pay", HeldKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 	})
 	run := b.pool.Next(t, "spawn")
 	b.change(t, tenant("north", 7))
@@ -179,10 +179,10 @@
 			assert.LessOrEqual(t, seen-left, (maxPasses+1)*changesPerRound, "a part in each round")
 		}
 		if seen = left; left > 0 {
-			b.Post(step)
+			b.Submit(step)
 		}
 	}
-	b.Post(step)
+	b.Submit(step)
 	b.ChangeTables(TableChange{Routes: []settings.RouteChange{{Name: "r0"}}, Done: func() { close(done) }})
 	b.ask(1, "pay", time.Minute)
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
--- a/internal/server/tasks.go
+++ b/internal/server/tasks.go
@@ -31,14 +31,14 @@
 // Caller is where tasks and health checks come from. All calls come from the owner of decisions.
 type Caller interface {
 	Answer(stream uint32, a Answer)
-	Checked(stream uint32, good bool, level string)
+	ReportHealth(stream uint32, good bool, level string)
 }
 
-// Calling is a Caller whose runs call a dependency that servers share, and tell of it by AwaitingCall and Returned.
-type Calling interface {
+// DependencyCaller is a Caller whose runs call a dependency that servers share, and tell of it by AwaitingCall and Returned.
+type DependencyCaller interface {
 	Caller
-	Call(within time.Duration) // the call may be made now, and takes no longer
-	Skip()                     // the task goes on without it
+	AllowCall(within time.Duration) // the call may be made now, and takes no longer
+	SkipCall()                      // the task goes on without it
 }
 
 // Frontend is a way in for tasks.
@@ -93,33 +93,33 @@
 
 // Incoming is a task as a front has read it.
 type Incoming struct {
-	ID       string // the same at no other task
-	Route    string
-	HeldKB   float64
-	Rank     float64
-	Router   uint32
-	SentMS   int64 // Unix milliseconds
-	Patience time.Duration
-	Body     []byte // kept
-	Caller   Caller
-	Stream   uint32
-	Overflow bool // for its connection, so it is dismissed
+	ID         string // the same at no other task
+	Route      string
+	HeldKB     float64
+	Rank       float64
+	Router     uint32
+	SentUnixMS int64 // Unix milliseconds
+	Timeout    time.Duration
+	Body       []byte // kept
+	Caller     Caller
+	Stream     uint32
+	OverLimit  bool // for its connection, so it is dismissed
 
-	Key        string // of a numbered task, the same for all its repeats
-	Shape      uint64 // by which a repeat is known to ask for the same
-	Tenant     int
-	Arrived    time.Duration // by the clock of rounds, in the place of Came
-	LastByteAt time.Duration // when its last byte was read, where it came in pieces
+	Key         string // of a numbered task, the same for all its repeats
+	Fingerprint uint64 // by which a repeat is known to ask for the same
+	Tenant      int
+	Arrived     time.Duration // by the clock of rounds, in the place of Came
+	LastByteAt  time.Duration // when its last byte was read, where it came in pieces
 }
 
-// Take files a task that a front has read. A task that can't be understood is dismissed at once, and nothing
+// Receive files a task that a front has read. A task that can't be understood is dismissed at once, and nothing
 // is returned for it.
-func (s *Server) Take(a Incoming) *Request {
+func (s *Server) Receive(a Incoming) *Request {
 	kind := s.routes[a.Route]
 	refused := ""
 	now := s.Now()
 	if a.Arrived == 0 {
-		a.Arrived = s.at(a.SentMS, now)
+		a.Arrived = s.at(a.SentUnixMS, now)
 	}
 	if kind != nil && kind.Idempotency == admission.Keyed {
 		s.expireKey(entryKey(a.Route, a.Key), a.Arrived)
@@ -140,9 +140,9 @@
 		// Its caller has, or had, an answer to this call; what has run is never rerun, and never dismissed.
 		s.refuse(a, "task whose call may have run before", Answer{Verdict: Aborted})
 		return nil
-	case a.Overflow:
+	case a.OverLimit:
 		refused = "task on a connection beyond the table"
-	case s.settings.RoutersSendDeadlines && a.Patience <= 0:
+	case s.settings.RoutersSendDeadlines && a.Timeout <= 0:
 		refused = "task without a due time"
 	case len(s.requests) >= s.maxRequests:
 		refused = "task beyond the program's own memory"
@@ -161,10 +161,10 @@
 			},
 			id: a.ID, route: a.Route, body: a.Body, caller: a.Caller, stream: a.Stream, readAt: now,
 		}
-		if a.Patience > 0 {
+		if a.Timeout > 0 {
 			// Past its outer limit a task earns nothing, whatever a caller says it waits: held for a day, it would
 			// take part of the memory for as long.
-			request.Deadline = request.Arrived + min(a.Patience, kind.Deadline)
+			request.Deadline = request.Arrived + min(a.Timeout, kind.Deadline)
 		}
 		request.composed = s.parts.Composes(request.route)
 		s.attachKey(request, a)
@@ -184,10 +184,10 @@
 
 // refuse answers at once what is not taken in. The module never hears of it, as there is nothing to decide on.
 func (s *Server) refuse(a Incoming, why string, answer Answer) {
-	s.counts.Saw(why)
-	kind := events.Refused
+	s.counts.Count(why)
+	kind := events.RequestRejected
 	if answer.Verdict != Rejected {
-		kind = events.Failed
+		kind = events.RequestAborted
 	}
 	s.events.Record(kind, why, slog.String("request", a.ID))
 	answer.ShedLevel = s.level
@@ -197,12 +197,12 @@
 // RejectUnparsed dismisses at once what can't be understood. The module never hears of it, as there is nothing to
 // decide on.
 func (s *Server) RejectUnparsed(c Caller, stream uint32, why string) {
-	s.events.Record(events.Refused, why, slog.Uint64("stream", uint64(stream)))
+	s.events.Record(events.RequestRejected, why, slog.Uint64("stream", uint64(stream)))
 	c.Answer(stream, Answer{Verdict: Rejected, ShedLevel: s.level})
 }
 
-// Gone files that nobody waits for a task any longer.
-func (s *Server) Gone(request *Request) {
+// Cancel files that nobody waits for a task any longer.
+func (s *Server) Cancel(request *Request) {
 	if request.answered {
 		return
 	}
@@ -212,14 +212,14 @@
 	s.abandon(request)
 }
 
-// AtCall has a run wait until it may make a call.
-func (s *Server) AtCall(request *Request) {
+// AwaitCall has a run wait until it may make a call.
+func (s *Server) AwaitCall(request *Request) {
 	s.round.AwaitingCall = append(s.round.AwaitingCall, &request.Request)
 	s.touched = true
 }
 
-// Returned tells how a call ended. One that did not end well may be let go again, or left out.
-func (s *Server) Returned(request *Request, outcome admission.Outcome, took time.Duration) {
+// RecordCallEnd tells how a call ended. One that did not end well may be let go again, or left out.
+func (s *Server) RecordCallEnd(request *Request, outcome admission.Outcome, took time.Duration) {
 	s.round.CallsEnded = append(s.round.CallsEnded, admission.Completion{Request: &request.Request, Outcome: outcome, Took: took})
 	s.touched = true
 }
@@ -275,7 +275,7 @@
 
 // answer gives a task its one answer.
 func (s *Server) answer(request *Request, a Answer) {
-	s.counts.That(!request.answered, "a task was answered twice")
+	s.counts.Assert(!request.answered, "a task was answered twice")
 	if request.answered {
 		return
 	}
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -17,11 +17,11 @@
 type Workers interface {
 	// Start begins a run, or tells that it was not asked for: it has then not begun, and may be started again.
 	Start(r workerapi.Run) (asked bool)
-	// Pause stops a run, for good or until GoOn.
+	// Pause stops a run, for good or until Resume.
 	Pause(id string) (asked bool)
-	GoOn(id string) (asked bool)
+	Resume(id string) (asked bool)
 	// Take gives what was told since the last call, behind into.
-	Take(into []workerapi.Notice) []workerapi.Notice
+	AppendNotices(into []workerapi.Notice) []workerapi.Notice
 	Flush()
 }
 
@@ -31,19 +31,19 @@
 	// Poll asks for the gauges; the answer carries the nonce. sent is false while nobody would answer.
 	Poll() (nonce uint64, sent bool)
 	// Next is the nonce of the next poll. Once that is answered, all that was asked before has been read.
-	Next() uint64
+	NextPollNonce() uint64
 	// Verify asks for the work of a deep check.
 	Verify(nonce uint64) (asked bool)
 }
 
-// Blocking is a Pool that tells where its runs stand at a call.
-type Blocking interface {
+// CallReplier is a Pool that tells where its runs stand at a call.
+type CallReplier interface {
 	// Supply has such a run go on with the reply.
-	Supply(id string, reply []byte) (asked bool)
+	ReplyToCall(id string, reply []byte) (asked bool)
 }
 
 // Dependency makes the calls that the pool's runs stand at. All is called by the owner of decisions, and nothing of it
-// may wait: how each call ended comes by CallEnded, once.
+// may wait: how each call ended comes by HandleCallEnd, once.
 type Dependency interface {
 	Call(c workerapi.Call)
 	// Abandon ends a call whose reply is of no use any more.
@@ -66,12 +66,12 @@
 // nothing stands where nothing is composed.
 type nothing struct{}
 
-func (nothing) Start(workerapi.Run) bool                        { return false }
-func (nothing) Pause(string) bool                               { return false }
-func (nothing) GoOn(string) bool                                { return false }
-func (nothing) Take(into []workerapi.Notice) []workerapi.Notice { return into }
-func (nothing) Flush()                                          {}
-func (nothing) Composes(string) bool                            { return false }
-func (nothing) Waits(string) time.Duration                      { return 0 }
-func (nothing) Turn(time.Duration)                              {}
-func (nothing) Due() time.Duration                              { return 1<<63 - 1 }
+func (nothing) Start(workerapi.Run) bool                                 { return false }
+func (nothing) Pause(string) bool                                        { return false }
+func (nothing) Resume(string) bool                                       { return false }
+func (nothing) AppendNotices(into []workerapi.Notice) []workerapi.Notice { return into }
+func (nothing) Flush()                                                   {}
+func (nothing) Composes(string) bool                                     { return false }
+func (nothing) Waits(string) time.Duration                               { return 0 }
+func (nothing) Turn(time.Duration)                                       {}
+func (nothing) Due() time.Duration                                       { return 1<<63 - 1 }
--- a/internal/server/writer.go
+++ b/internal/server/writer.go
@@ -13,9 +13,9 @@
 // Start implements admission.Writer, as do the methods below it.
 func (s *Server) Start(decided *admission.Request) {
 	request := s.owner[decided]
-	s.counts.That(request != nil && !request.answered, "a settled task was started")
+	s.counts.Assert(request != nil && !request.answered, "a settled task was started")
 	grace := s.settings.Admission.Grace
-	s.counts.That(s.noticed == 0 || decided.ReceivedAt() <= s.noticed+grace, "a task from past the grace was started")
+	s.counts.Assert(s.noticed == 0 || decided.ReceivedAt() <= s.noticed+grace, "a task from past the grace was started")
 	if request == nil || request.answered {
 		return
 	}
@@ -28,7 +28,7 @@
 	case request.awaitsLedger:
 		request.paused = false
 	case request.sent:
-		s.link.GoOn(request.id)
+		s.link.Resume(request.id)
 	case request.key != "" && s.ledger != nil && !request.ledgered:
 		s.enter(request)
 	default:
@@ -51,13 +51,13 @@
 // Reject turns a task away that never ran.
 func (s *Server) Reject(decided *admission.Request, comeBack time.Duration, nowhereElse bool) {
 	request := s.owner[decided]
-	s.counts.That(request != nil && !request.active && !request.sent, "a task that may have run was dismissed")
+	s.counts.Assert(request != nil && !request.active && !request.sent, "a task that may have run was dismissed")
 	switch {
 	case request == nil:
 	case request.answered: // its caller left in the moment it was read; its number is given back all the same
 		s.firstAnswered(request, Answer{Verdict: Rejected})
 	default:
-		s.recordAnswer(events.Refused, request)
+		s.recordAnswer(events.RequestRejected, request)
 		s.answer(request, Answer{Verdict: Rejected, RetryAfter: comeBack, NoRetryElsewhere: nowhereElse})
 	}
 }
@@ -65,7 +65,7 @@
 // Abort answers a task that may have run without a result.
 func (s *Server) Abort(decided *admission.Request) {
 	if request := s.owner[decided]; request != nil {
-		s.recordAnswer(events.Failed, request)
+		s.recordAnswer(events.RequestAborted, request)
 		s.answer(request, Answer{Verdict: Aborted})
 		s.abandon(request)
 	}
@@ -93,7 +93,7 @@
 
 // WakeAfter sets an alarm. The module sets one at each that rings; more would be chains of them.
 func (s *Server) WakeAfter(in time.Duration) {
-	s.counts.That(len(s.alarms) < maxAlarms, "alarms pile up")
+	s.counts.Assert(len(s.alarms) < maxAlarms, "alarms pile up")
 	if len(s.alarms) < maxAlarms {
 		s.alarms = append(s.alarms, s.Now()+in)
 	}
@@ -107,7 +107,7 @@
 func (s *Server) Call(decided *admission.Request, patience time.Duration) {
 	request := s.owner[decided]
 	if c, calls := s.calling(request); calls {
-		c.Call(patience)
+		c.AllowCall(patience)
 		return
 	}
 	if request != nil && request.atCall {
@@ -118,7 +118,7 @@
 		s.placeCall(request, patience)
 		return
 	}
-	s.counts.That(request != nil && request.composed && !request.sent, "a call was to be made for a task without any, or twice")
+	s.counts.Assert(request != nil && request.composed && !request.sent, "a call was to be made for a task without any, or twice")
 	if request == nil || !request.composed || request.sent {
 		return
 	}
@@ -131,17 +131,17 @@
 // SkipCall has a task go on without its call.
 func (s *Server) SkipCall(decided *admission.Request) {
 	c, calls := s.calling(s.owner[decided])
-	s.counts.That(calls, "a call was to be left out for a task without any")
+	s.counts.Assert(calls, "a call was to be left out for a task without any")
 	if calls {
-		c.Skip()
+		c.SkipCall()
 	}
 }
 
 // calling is a task whose run makes its calls itself.
-func (s *Server) calling(request *Request) (c Calling, calls bool) {
+func (s *Server) calling(request *Request) (c DependencyCaller, calls bool) {
 	if request == nil || request.composed {
 		return nil, false
 	}
-	c, calls = request.caller.(Calling)
+	c, calls = request.caller.(DependencyCaller)
 	return c, calls
 }
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -26,7 +26,7 @@
 	lost          = 7 // exit code of a child that misses an effect that had come about
 )
 
-func diskTerms(dir string, counts *invariant.Counts) Terms {
+func diskTerms(dir string, counts *invariant.Counters) Terms {
 	return Terms{
 		Open: datadir.Opener(dir), Clock: SystemClock(), ID: DrawID, Frame: views, Most: mostDisk, Commit: time.Millisecond,
 		Numbers: true, Counts: counts, Log: slog.New(slog.DiscardHandler), Nudge: func() {},
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -37,7 +37,7 @@
 	Most    int64           // bytes of all files
 	Commit  time.Duration   // for which records are gathered before they are written
 	Numbers bool            // whether the table of numbers is kept
-	Counts  *invariant.Counts
+	Counts  *invariant.Counters
 	Log     *slog.Logger
 	Nudge   func() // called when Safe has changed, from the store's goroutine
 	// Late takes what could be read only after the start, from the store's goroutine.
@@ -133,18 +133,18 @@
 		return 0
 	}
 	if len(key) > mostKey {
-		s.terms.Counts.Saw("number too long to be kept on disk")
+		s.terms.Counts.Count("number too long to be kept on disk")
 		return 0
 	}
 	if len(result) > mostResult {
-		s.terms.Counts.Saw("result too large to be kept on disk")
+		s.terms.Counts.Count("result too large to be kept on disk")
 		honoured, result = false, nil
 	}
 	q := queued{recovery.Number{Key: key, Shape: shape, Honoured: honoured, Result: result}, left, ended}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.bytes+q.bytes() > mostQueue {
-		s.terms.Counts.Saw("numbered task not kept on disk: too many wait for it")
+		s.terms.Counts.Count("numbered task not kept on disk: too many wait for it")
 		return 0
 	}
 	s.queue = append(s.queue, q)
@@ -163,7 +163,7 @@
 		return math.MaxUint64
 	}
 	if since := s.busy.Load(); since > 0 && s.terms.Clock().Up-time.Duration(since) > stalled {
-		s.terms.Counts.Saw("disk stalled, numbered tasks run without it")
+		s.terms.Counts.Count("disk stalled, numbered tasks run without it")
 		return math.MaxUint64
 	}
 	return s.safe.Load()
@@ -268,7 +268,7 @@
 
 // fail goes on without the folder.
 func (s *Store) fail(err error) {
-	s.terms.Counts.Saw("state not kept: disk")
+	s.terms.Counts.Count("state not kept: disk")
 	if !s.down.Swap(true) {
 		s.terms.Log.Error("state is not kept, serving on without it", "error", err, "again_in", s.pause)
 	}
@@ -374,11 +374,11 @@
 			s.expired = now
 		}
 		if _, known := table.Get(q.number.Key); !known && table.Bytes()+q.bytes() > s.tableMost() {
-			s.terms.Counts.Saw("numbered task not kept on disk: beyond its bound")
+			s.terms.Counts.Count("numbered task not kept on disk: beyond its bound")
 			continue
 		}
 		if table.Bytes()+len(q.number.Result) > s.tableMost() {
-			s.terms.Counts.Saw("result not kept on disk: beyond its bound")
+			s.terms.Counts.Count("result not kept on disk: beyond its bound")
 			q.number.Honoured, q.number.Result = false, nil
 		}
 		if s.book != nil {
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -13,11 +13,11 @@
 
 func TestFailuresThatPass(t *testing.T) {
 	for _, number := range []unix.Errno{unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM} {
-		assert.True(t, Passes(number), number)
-		assert.True(t, Passes(fmt.Errorf("write: %w", number)), number)
+		assert.True(t, IsTransient(number), number)
+		assert.True(t, IsTransient(fmt.Errorf("write: %w", number)), number)
 	}
 	for _, err := range []error{unix.ECONNRESET, unix.EPIPE, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EBADF, errors.New("else"), nil} {
-		assert.False(t, Passes(err), err)
+		assert.False(t, IsTransient(err), err)
 	}
 }
 
@@ -28,14 +28,14 @@
 	}
 	for _, number := range passing {
 		wrapped := &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", number)}
-		assert.True(t, AcceptPasses(wrapped), number)
-		assert.False(t, RunsShort(wrapped), number)
+		assert.True(t, IsTransientAccept(wrapped), number)
+		assert.False(t, IsExhausted(wrapped), number)
 	}
 	for _, number := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM} {
-		assert.True(t, RunsShort(number), number)
-		assert.False(t, AcceptPasses(number), number)
+		assert.True(t, IsExhausted(number), number)
+		assert.False(t, IsTransientAccept(number), number)
 	}
 	for _, number := range []unix.Errno{unix.EBADF, unix.EINVAL, unix.ENOTSOCK, unix.EFAULT} {
-		assert.False(t, AcceptPasses(number) || RunsShort(number), number)
+		assert.False(t, IsTransientAccept(number) || IsExhausted(number), number)
 	}
 }
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -154,7 +154,7 @@
 	ctx, cancel := context.WithCancel(s.dialedFrom(context.Background()))
 	s.cancel = cancel
 	reporter := registration.New(fmt.Sprintf("hollow-%d", s.place), s.spec.Members, log)
-	s.over.Go(func() { reporter.Run(ctx, registration.Period) })
+	s.over.Go(func() { reporter.Run(ctx, registration.ReportInterval) })
 	s.over.Go(func() { s.share(ctx, giver, now) })
 	asker := &peersync.Client{
 		Peers: s.peers(), Total: askTotal, Schema: s.frame(), Seed: s.spec.Seed + int64(s.place),
--- a/internal/workerapi/calls.go
+++ b/internal/workerapi/calls.go
@@ -11,13 +11,13 @@
 	CallID    uint64 // never that of another
 	RequestID string
 	Body      []byte        // not changed
-	Within    time.Duration // it is given up on after that
+	Timeout   time.Duration // it is given up on after that
 }
 
 // CallEnd is how it ended.
 type CallEnd struct {
 	Call
-	Outcome admission.Outcome
-	Took    time.Duration
-	Result  []byte
+	Outcome  admission.Outcome
+	Duration time.Duration
+	Result   []byte
 }
--- a/internal/workerlink/pool.go
+++ b/internal/workerlink/pool.go
@@ -56,7 +56,7 @@
 	taken   sync.Cond // the owner took what had been read
 	socket  *net.TCPConn
 	raw     syscall.RawConn
-	out     *writequeue.Box
+	out     *writequeue.Queue
 	known   bool   // the pool has answered the bind
 	synced  bool   // and a poll behind that
 	syncAt  uint64 // nonce of the first such poll
@@ -141,8 +141,8 @@
 	return l.address
 }
 
-// Move has the link go on at another address of the same pool. Nothing of it waits here.
-func (l *Link) Move(address string) {
+// SetAddress has the link go on at another address of the same pool. Nothing of it waits here.
+func (l *Link) SetAddress(address string) {
 	l.mu.Lock()
 	l.address = address
 	l.mu.Unlock()
@@ -316,9 +316,9 @@
 		l.known = true
 		l.syncAt = l.poll()
 		l.log.Info("pool link bound", "pool", told.Outcome, "up_ms", told.Spent, "after_notice", l.read)
-		n.Kind, n.Took = workerapi.LinkBound, time.Duration(told.Spent*float64(time.Millisecond))
+		n.Kind, n.Duration = workerapi.LinkBound, time.Duration(told.Spent*float64(time.Millisecond))
 	case "finished":
-		n.Kind, n.Took = workerapi.RunFinished, time.Duration(told.Spent*float64(time.Millisecond))
+		n.Kind, n.Duration = workerapi.RunFinished, time.Duration(told.Spent*float64(time.Millisecond))
 		var err error
 		if n.Result, err = base64.StdEncoding.DecodeString(told.Bytes); err != nil {
 			// The notice is kept: without it the link would be bound, and end, at this line again and again.
@@ -348,7 +348,7 @@
 			l.quit = nil
 		}
 	case "unknown":
-		n.Kind = workerapi.Unknown
+		n.Kind = workerapi.CommandFailed
 	default:
 		return nil // remarks, and whatever a later pool may say beside these
 	}
@@ -366,8 +366,8 @@
 	l.wake()
 }
 
-// Take moves all notices read since the last call behind into.
-func (l *Link) Take(into []workerapi.Notice) []workerapi.Notice {
+// AppendNotices moves all notices read since the last call behind into.
+func (l *Link) AppendNotices(into []workerapi.Notice) []workerapi.Notice {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	into = append(into, l.inbox...)
@@ -377,9 +377,9 @@
 	return into
 }
 
-// Next is the nonce that the next poll will carry. Once that is answered, the pool has read all commands
+// NextPollNonce is the nonce that the next poll will carry. Once that is answered, the pool has read all commands
 // given before it.
-func (l *Link) Next() uint64 {
+func (l *Link) NextPollNonce() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.nonce + 1
@@ -397,13 +397,13 @@
 	return l.send(append(quoted([]byte(`{"verb":"suspend","task":`), task), "}\n"...))
 }
 
-// GoOn lets a stopped run go on.
-func (l *Link) GoOn(task string) bool {
+// Resume lets a stopped run go on.
+func (l *Link) Resume(task string) bool {
 	return l.send(append(quoted([]byte(`{"verb":"proceed","task":`), task), "}\n"...))
 }
 
-// Supply has a run go on from its call with the reply.
-func (l *Link) Supply(task string, reply []byte) bool {
+// ReplyToCall has a run go on from its call with the reply.
+func (l *Link) ReplyToCall(task string, reply []byte) bool {
 	text := append(quoted([]byte(`{"verb":"supply","task":`), task), `,"bytes":"`...)
 	return l.send(append(base64.StdEncoding.AppendEncode(text, reply), "\"}\n"...))
 }
--- a/internal/workerlink/pool_test.go
+++ b/internal/workerlink/pool_test.go
@@ -21,7 +21,7 @@
 type bench struct {
 	*Link
 	pool   *fake.Pool
-	counts *invariant.Counts
+	counts *invariant.Counters
 	woken  chan struct{}
 	told   []workerapi.Notice
 }
@@ -29,7 +29,7 @@
 func newBench(t *testing.T) *bench {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	b := &bench{pool: fake.NewPool(t), counts: invariant.New(log), woken: make(chan struct{}, 1)}
-	b.Link = New(b.pool.Address, 1<<20, log, b.counts.Saw, func() {
+	b.Link = New(b.pool.Address, 1<<20, log, b.counts.Count, func() {
 		select {
 		case b.woken <- struct{}{}:
 		default:
@@ -40,7 +40,7 @@
 }
 
 // next waits for the next notice of a kind and passes over others.
-func (b *bench) next(t *testing.T, kind workerapi.Kind) workerapi.Notice {
+func (b *bench) next(t *testing.T, kind workerapi.NoticeKind) workerapi.Notice {
 	t.Helper()
 	for limit := time.After(fake.Patience); ; {
 		for len(b.told) > 0 {
@@ -51,7 +51,7 @@
 		}
 		select {
 		case <-b.woken:
-			b.told = b.Take(b.told)
+			b.told = b.AppendNotices(b.told)
 		case <-limit:
 			require.FailNow(t, "the notice did not come")
 		}
@@ -74,7 +74,7 @@
 	body := []byte("\x00\xff\"\n body")
 	assert.True(t, b.Start(workerapi.Run{ID: "t1", Route: "bro\"wse", Body: body}))
 	assert.True(t, b.Pause("t1"))
-	assert.True(t, b.GoOn("t1"))
+	assert.True(t, b.Resume("t1"))
 	assert.True(t, b.Verify(4))
 	b.Flush()
 	spawn := b.pool.Next(t, "spawn")
@@ -85,10 +85,10 @@
 	assert.Equal(t, "4", b.pool.Next(t, "verify").Nonce)
 	ended := b.next(t, workerapi.RunFinished)
 	assert.Equal(t, "interrupted", ended.Outcome)
-	assert.Equal(t, 5500*time.Microsecond, ended.Took)
+	assert.Equal(t, 5500*time.Microsecond, ended.Duration)
 
 	assert.True(t, b.Start(workerapi.Run{ID: "t2", Route: "browse", Body: body})) // which stays, so that no reading is 0
-	next := b.Next()
+	next := b.NextPollNonce()
 	nonce, sent := b.Poll()
 	b.Flush()
 	assert.True(t, sent)
@@ -97,7 +97,7 @@
 
 	b.pool.Say(`{"verb":"chatter","index":2,"outcome":"hm"}` + "\n" + `{"verb":"unk`)
 	b.pool.Say(`nown","outcome":"spawn","task":"t9"}` + "\n" + `{"verb":"verified","nonce":"4","outcome":"failure"}` + "\n")
-	unknown := b.next(t, workerapi.Unknown)
+	unknown := b.next(t, workerapi.CommandFailed)
 	assert.Equal(t, []string{"spawn", "t9"}, []string{unknown.Outcome, unknown.RequestID})
 	assert.Equal(t, uint64(4), b.next(t, workerapi.Verified).Nonce)
 }
@@ -197,19 +197,19 @@
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
 	b.Start(workerapi.Run{ID: "a", Route: "pay", Body: nil})
-	mark := b.Next()
+	mark := b.NextPollNonce()
 	b.Flush()
 	b.pool.Next(t, "spawn")
 	b.pool.Finish("a", "success", nil)
 	b.next(t, workerapi.RunFinished)
 
-	b.Move("127.0.0.1:1") // nobody answers there
+	b.SetAddress("127.0.0.1:1") // nobody answers there
 	time.Sleep(3 * firstWait)
 	assert.True(t, b.Start(workerapi.Run{ID: "b", Route: "pay", Body: nil}), "the old link works until a new one is open")
 	b.Flush()
 	b.pool.Next(t, "spawn")
 	b.pool.Move(t)
-	b.Move(b.pool.Address)
+	b.SetAddress(b.pool.Address)
 	assert.GreaterOrEqual(t, b.next(t, workerapi.Polled).Nonce, mark, "nothing sent before is in doubt")
 	b.next(t, workerapi.LinkDown)
 	assert.Equal(t, 1, b.pool.Next(t, "bind").Index)
@@ -225,7 +225,7 @@
 
 	b.pool.Silence(true) // a pool that leaves the last poll unanswered
 	b.pool.Move(t)
-	b.Move(b.pool.Address)
+	b.SetAddress(b.pool.Address)
 	b.next(t, workerapi.LinkDown)
 	assert.Equal(t, 1, b.counts.Times("pool did not answer the last poll of a link that moved"))
 	b.pool.Next(t, "bind")
--- a/internal/writequeue/outbox.go
+++ b/internal/writequeue/outbox.go
@@ -21,19 +21,19 @@
 // ErrFull tells that a peer reads too little: what waits for it has passed the box's bound.
 var ErrFull = errors.New("peer does not read")
 
-// Box is what waits for one peer, in order. Pieces are kept as given and must not change before they are
+// Queue is what waits for one peer, in order. Pieces are kept as given and must not change before they are
 // written.
-type Box struct {
+type Queue struct {
 	parts [][]byte
 	size  int
 	bound int
 }
 
 // New makes a box that holds up to bound bytes.
-func New(bound int) *Box { return &Box{bound: bound} }
+func New(bound int) *Queue { return &Queue{bound: bound} }
 
 // Add puts pieces behind those that wait. Past the bound nothing is added, and the peer is to be dropped.
-func (b *Box) Add(parts ...[]byte) error {
+func (b *Queue) Add(parts ...[]byte) error {
 	more := 0
 	for _, p := range parts {
 		more += len(p)
@@ -51,20 +51,20 @@
 }
 
 // Empty tells whether nothing waits.
-func (b *Box) Empty() bool { return b.size == 0 }
+func (b *Queue) Empty() bool { return b.size == 0 }
 
 // Size is the number of bytes that wait.
-func (b *Box) Size() int { return b.size }
+func (b *Queue) Size() int { return b.size }
 
 // Flush writes as much as the descriptor takes now. What it does not take waits for the next call: netpoll's
 // own Flush would block its caller, the one owner of decisions, until the peer reads again.
-func (b *Box) Flush(fd int) error {
+func (b *Queue) Flush(fd int) error {
 	for b.size > 0 {
 		n, err := writev(fd, b.parts[:min(len(b.parts), mostParts)])
 		switch {
 		case errors.Is(err, unix.EINTR):
 			continue
-		case sysfault.Passes(err):
+		case sysfault.IsTransient(err):
 			return nil
 		case err != nil:
 			return fmt.Errorf("write: %w", err)
@@ -75,7 +75,7 @@
 }
 
 // FlushTo does the same for a connection that is not netpoll's.
-func (b *Box) FlushTo(raw syscall.RawConn) error {
+func (b *Queue) FlushTo(raw syscall.RawConn) error {
 	var failed error
 	err := raw.Write(func(fd uintptr) bool {
 		failed = b.Flush(int(fd))
@@ -85,7 +85,7 @@
 }
 
 // drop takes written bytes off the front.
-func (b *Box) drop(n int) {
+func (b *Queue) drop(n int) {
 	b.size -= n
 	done := 0
 	for done < len(b.parts) && n >= len(b.parts[done]) {
--- a/state.go
+++ b/state.go
@@ -27,7 +27,7 @@
 
 // keepState opens the folder and has the gate go on from it. Only a folder that another process holds is an error;
 // without any other the gate serves on, and the log says so.
-func (g *Gate) keepState(t *State, origin uint64, counts *invariant.Counts, log *slog.Logger) error {
+func (g *Gate) keepState(t *State, origin uint64, counts *invariant.Counters, log *slog.Logger) error {
 	given := *t
 	if t = &given; t.MostMB == 0 {
 		t.MostMB = 64
@@ -49,7 +49,7 @@
 	kept, had, err := store.New(store.Terms{
 		Open: open, Clock: store.SystemClock(), ID: store.DrawID, Site: t.Site, Frame: schema,
 		Most: int64(t.MostMB) << 20, Commit: max(t.Commit, 0), Numbers: !t.NoNumbers, Counts: counts, Log: log,
-		Nudge: g.owner.Nudge, Late: func(r store.Recovered) { store.ResumeLate(g.owner, r) },
+		Nudge: g.owner.Wake, Late: func(r store.Recovered) { store.ResumeLate(g.owner, r) },
 	})
 	if err != nil {
 		return fmt.Errorf("quartzpoint: State: %w", err)
@@ -57,7 +57,7 @@
 	g.state = kept
 	store.Resume(g.owner, had)
 	if !t.NoNumbers {
-		g.owner.Keep(kept)
+		g.owner.SetLedger(kept)
 	}
 	return nil
 }
