--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -298,51 +298,51 @@
 }
 
 // asked reads a task's fields. Nothing of it points into what was read.
-func (c *conn) asked(fields frame.Fields, body []byte) (a server.Incoming, err error) {
+func (c *conn) asked(fields frame.Fields, body []byte) (in server.Incoming, err error) {
 	text := func(name string) string {
 		value, _ := fields.Get(name)
 		return string(value)
 	}
-	a.Route, a.ID = text("op"), text("call")
-	if !isCall(a.ID) {
-		return a, errors.New("call")
+	in.Route, in.ID = text("op"), text("call")
+	if !isCall(in.ID) {
+		return in, errors.New("call")
 	}
 	if len(body) > mostBody {
-		return a, errors.New("body")
+		return in, errors.New("body")
 	}
 	came, err := strconv.ParseInt(text("recv"), 10, 64)
 	if err != nil || !c.front.server.PlausibleStamp(came) {
-		return a, errors.New("recv")
+		return in, errors.New("recv")
 	}
 	if left := text("ttl"); left != "" {
 		ms, err := strconv.ParseInt(left, 10, 64)
 		if err != nil || ms <= 0 || ms > mostWaits.Milliseconds() {
-			return a, errors.New("ttl")
+			return in, errors.New("ttl")
 		}
-		a.Timeout = time.Duration(ms) * time.Millisecond
+		in.Timeout = time.Duration(ms) * time.Millisecond
 	}
-	a.HeldKB, err = strconv.ParseFloat(text("heap"), 64)
-	if err != nil || !(a.HeldKB > 0 && a.HeldKB < mostHeap) {
-		return a, errors.New("heap")
+	in.HeldKB, err = strconv.ParseFloat(text("heap"), 64)
+	if err != nil || !(in.HeldKB > 0 && in.HeldKB < mostHeap) {
+		return in, errors.New("heap")
 	}
 	// Rank and router only steer: without them the task is the first to be kept away, of an unnamed router.
-	a.Rank, err = strconv.ParseFloat(text("crit"), 64)
-	if err != nil || !(a.Rank >= 0 && a.Rank < 1) {
-		a.Rank = 0
+	in.Rank, err = strconv.ParseFloat(text("crit"), 64)
+	if err != nil || !(in.Rank >= 0 && in.Rank < 1) {
+		in.Rank = 0
 	}
 	customer := text("org")
-	a.Tenant = c.front.server.TenantIndex(customer)
+	in.Tenant = c.front.server.TenantIndex(customer)
 	if number := text("dedupe"); number != "" {
 		if len(number) > mostNumber {
-			return a, errors.New("number")
+			return in, errors.New("number")
 		}
 		// A customer's number is never another's. A repeat with another body asks for something else.
-		a.Key, a.Fingerprint = customer+"\x00"+number, xxhash.Sum64(body)
+		in.Key, in.Fingerprint = customer+"\x00"+number, xxhash.Sum64(body)
 	}
 	router, _ := strconv.ParseUint(text("src"), 10, 32)
-	a.Router, a.SentUnixMS = uint32(router), came
-	a.Body = append([]byte(nil), body...)
-	return a, nil
+	in.Router, in.SentUnixMS = uint32(router), came
+	in.Body = append([]byte(nil), body...)
+	return in, nil
 }
 
 // isCall tells whether a name is sixteen hexadecimal digits.
--- a/internal/frontend/crossing_test.go
+++ b/internal/frontend/crossing_test.go
@@ -18,7 +18,7 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// inTurn has the owner stand still while f runs.
+// onLoop has the owner stand still while f runs.
 func (b *bench) inTurn(f func()) {
 	done := make(chan struct{})
 	b.server.Submit(func() { f(); close(done) })
--- /dev/null
+++ b/internal/server/alarms.go
@@ -0,0 +1,61 @@
+package server
+
+import (
+	"time"
+
+	"quartzpoint/admission"
+)
+
+const (
+	gaugeTimeout = 5 * time.Millisecond // that an alarm's round waits for the workers' gauges
+	maxAlarms    = 8                    // set at once
+)
+
+// polls are the controller's alarms, and the polls of the workers' gauges that they bring.
+type polls struct {
+	alarms   []time.Duration
+	nonce    uint64        // of the alarm's poll, 0 without one
+	deadline time.Duration // when the alarm's round comes without an answer
+	ready    bool          // gauges came for that round
+	answered uint64        // nonce of the last poll that was answered
+	gauges   admission.Gauges
+}
+
+// WakeAfter sets an alarm. The controller sets one whenever one fires; more would grow without end.
+func (s *Server) WakeAfter(in time.Duration) {
+	s.counters.Assert(len(s.polls.alarms) < maxAlarms, "too many alarms")
+	if len(s.polls.alarms) < maxAlarms {
+		s.polls.alarms = append(s.polls.alarms, s.Now()+in)
+	}
+}
+
+// runAlarms polls the workers' gauges for an alarm that is due. Its round waits for them for gaugeTimeout, and then comes
+// with the last ones: answers that are due must not depend on the workers.
+func (s *Server) runAlarms(now time.Duration) {
+	left := s.polls.alarms[:0]
+	fired := false
+	for _, at := range s.polls.alarms {
+		if at <= now {
+			fired = true
+		} else {
+			left = append(left, at)
+		}
+	}
+	s.polls.alarms = left
+	if fired && s.polls.nonce == 0 {
+		if nonce, sent := s.link.Poll(); sent {
+			s.polls.nonce, s.polls.deadline = nonce, now+gaugeTimeout
+		} else {
+			s.polls.ready = true
+		}
+	}
+	if s.polls.nonce > 0 && now >= s.polls.deadline {
+		s.counters.Count("gauges late, round on the last ones")
+		s.polls.ready = true
+	}
+	if s.polls.ready {
+		s.polls.nonce, s.polls.ready = 0, false
+		s.round.Gauges = &s.polls.gauges
+		s.round.pending = true
+	}
+}
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -13,16 +13,16 @@
 	"quartzpoint/internal/workerapi"
 )
 
-// askedOf is a dependency that keeps what it is asked; a test ends the calls.
-type askedOf struct {
+// recordingDependency is a dependency that keeps what it is asked; a test ends the calls.
+type recordingDependency struct {
 	calls     chan workerapi.Call
 	abandoned chan uint64
 }
 
-func (d *askedOf) Call(c workerapi.Call) { d.calls <- c }
-func (d *askedOf) Abandon(number uint64) { d.abandoned <- number }
+func (d *recordingDependency) Call(c workerapi.Call) { d.calls <- c }
+func (d *recordingDependency) Abandon(number uint64) { d.abandoned <- number }
 
-func (d *askedOf) next(t *testing.T) workerapi.Call {
+func (d *recordingDependency) next(t *testing.T) workerapi.Call {
 	t.Helper()
 	select {
 	case c := <-d.calls:
@@ -37,18 +37,18 @@
 var callSite = strings.NewReplacer(`"below":"none","calls-by-class":[false,false]`,
 	`"below":"shared","calls-out":20,"calls-over":5000000,"calls-by-class":[true,true]`).Replace(fake.Site)
 
-func newCallBench(t *testing.T, site string) (*bench, *askedOf) {
-	d := &askedOf{make(chan workerapi.Call, 16), make(chan uint64, 16)}
+func newCallBench(t *testing.T, site string) (*bench, *recordingDependency) {
+	d := &recordingDependency{make(chan workerapi.Call, 16), make(chan uint64, 16)}
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Calls: true}, d)
 	b.pool.Ready()
-	b.bound(t)
+	b.waitLinkSynced(t)
 	return b, d
 }
 
-// atCall starts a task whose run then stands at a call.
-func (b *bench) atCall(t *testing.T, d *askedOf, stream uint32, kind string, waits time.Duration) workerapi.Call {
+// blockedAtCall starts a task whose run then stands at a call.
+func (b *bench) runToCall(t *testing.T, d *recordingDependency, stream uint32, kind string, waits time.Duration) workerapi.Call {
 	t.Helper()
-	b.ask(stream, kind, waits)
+	b.submitRequest(stream, kind, waits)
 	b.pool.Next(t, "spawn")
 	b.pool.Block(fake.Call(stream), []byte("what"))
 	return d.next(t)
@@ -57,7 +57,7 @@
 // A type that calls kept the whole server from starting.
 func TestRunStandsAtItsCalls(t *testing.T) {
 	b, d := newCallBench(t, callSite)
-	c := b.atCall(t, d, 1, "browse", time.Minute)
+	c := b.runToCall(t, d, 1, "browse", time.Minute)
 	assert.Equal(t, fake.Call(1), c.RequestID)
 	assert.Equal(t, "what", string(c.Body))
 	assert.Positive(t, c.Timeout)
@@ -72,18 +72,18 @@
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("this")})
 	b.pool.Next(t, "supply")
 	b.pool.Finish(fake.Call(1), "success", []byte("done"))
-	assert.Equal(t, Served, b.next(t).Verdict)
+	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	assert.Empty(t, d.abandoned)
 }
 
 func TestCallThatMayHaveRun(t *testing.T) {
 	b, d := newCallBench(t, callSite)
-	c := b.atCall(t, d, 1, "pay", time.Minute)
+	c := b.runToCall(t, d, 1, "pay", time.Minute)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Unknown})
-	assert.Equal(t, Aborted, b.next(t).Verdict, "an at-most-once task makes no call twice")
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict, "an at-most-once task makes no call twice")
 	b.pool.Finish(fake.Call(1), "interrupted", nil)
 
-	c = b.atCall(t, d, 2, "browse", time.Minute)
+	c = b.runToCall(t, d, 2, "browse", time.Minute)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Unknown})
 	c = d.next(t)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded})
@@ -93,18 +93,18 @@
 // A call goes with its task, and its end then finds nobody.
 func TestCallOfATaskThatIsOver(t *testing.T) {
 	b, d := newCallBench(t, callSite)
-	c := b.atCall(t, d, 1, "browse", 2500*time.Millisecond)
+	c := b.runToCall(t, d, 1, "browse", 2500*time.Millisecond)
 	assert.Less(t, c.Timeout, 2500*time.Millisecond)
-	assert.Equal(t, Aborted, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	assert.Equal(t, c.CallID, <-d.abandoned)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("late")})
 	b.pool.Finish(fake.Call(1), "interrupted", nil)
-	c = b.atCall(t, d, 2, "browse", time.Minute)
+	c = b.runToCall(t, d, 2, "browse", time.Minute)
 	b.pool.Finish(fake.Call(2), "failure", nil)
-	assert.Equal(t, Aborted, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	assert.Equal(t, c.CallID, <-d.abandoned)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded})
-	b.known(t)
+	b.waitAllRead(t)
 	for len(b.pool.Commands) > 0 {
 		assert.NotEqual(t, "supply", (<-b.pool.Commands).Verb)
 	}
@@ -115,29 +115,29 @@
 	for _, halt := range []string{"suspend", "none"} {
 		t.Run(halt, func(t *testing.T) {
 			b, d := newCallBench(t, strings.Replace(callSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
-			c := b.atCall(t, d, 1, "pay", time.Minute)
-			b.inTurn(func() {
+			c := b.runToCall(t, d, 1, "pay", time.Minute)
+			b.onLoop(func() {
 				b.handleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("that")})
 				b.pool.Cut() // before the word is written
 			})
 			assert.Equal(t, "that", string(b.pool.Next(t, "supply").Body))
-			b.bound(t)
+			b.waitLinkSynced(t)
 			b.pool.Block(fake.Call(1), []byte("more"))
 			c = d.next(t)
 			b.pool.Move(t) // nobody is where the link would come back
 			b.pool.Cut()
 			require.Eventually(t, func() bool {
 				asked := true
-				b.inTurn(func() { _, asked = b.link.Poll() })
+				b.onLoop(func() { _, asked = b.link.Poll() })
 				return !asked
 			}, fake.Patience, time.Millisecond)
-			b.inTurn(func() {
+			b.onLoop(func() {
 				b.handleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("this")})
 			})
-			b.toPool.SetAddress(b.pool.Address)
+			b.workerLink.SetAddress(b.pool.Address)
 			assert.Equal(t, "this", string(b.pool.Next(t, "supply").Body))
 			b.pool.Finish(fake.Call(1), "success", nil)
-			assert.Equal(t, Served, b.next(t).Verdict)
+			assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 		})
 	}
 }
@@ -147,14 +147,14 @@
 	site := strings.Replace(fake.Site, `"calls-by-class":[false,false]`, `"calls-by-class":[true,false]`, 1)
 	b := newBenchAt(t, site)
 	b.pool.Ready()
-	b.bound(t)
+	b.waitLinkSynced(t)
 	assert.Equal(t, []string{"browse"}, b.UnservedRoutes())
-	b.ask(1, "browse", time.Minute)
-	a := b.next(t)
+	b.submitRequest(1, "browse", time.Minute)
+	a := b.nextAnswer(t)
 	assert.Equal(t, Rejected, a.Verdict)
 	assert.Equal(t, time.Second, a.RetryAfter)
-	b.ask(2, "pay", time.Minute)
+	b.submitRequest(2, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
 	b.pool.Finish(fake.Call(2), "success", nil)
-	assert.Equal(t, Served, b.next(t).Verdict)
+	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 }
--- /dev/null
+++ b/internal/server/drain.go
@@ -0,0 +1,104 @@
+package server
+
+import "time"
+
+const (
+	stopAcceptingBefore = 400 * time.Millisecond // the stop, where the grace has not ended by then
+	exitBefore          = 40 * time.Millisecond  // the stop, where peers do not read or close
+	noticeDelay         = 15 * time.Millisecond  // by which the signal may have been read late
+	drainPollPeriod     = 5 * time.Millisecond   // between looks whether the drain is complete
+	maxKillDeadline     = 3 * time.Second        // the longest deadline counts for no more
+	killDelay           = 700 * time.Millisecond // behind that
+)
+
+// drain is the graceful shutdown. Times are by the clock of rounds.
+type drain struct {
+	startedAt       time.Duration // 0 before it
+	stopAcceptingAt time.Duration // from when connections are no longer accepted
+	stopAt          time.Duration // when all has to be answered
+	notAccepting    bool
+}
+
+func (d *drain) started() bool { return d.startedAt > 0 }
+
+// Drain starts the graceful shutdown, which ends within the given time. Any goroutine may call it; the time runs from here,
+// not from the loop's next turn.
+func (s *Server) Drain(within time.Duration) {
+	calledAt := s.Now()
+	s.Submit(func() { s.startDrain(calledAt, within) })
+}
+
+// startDrain starts the drain. A second call changes nothing: the time runs from the first.
+func (s *Server) startDrain(calledAt, within time.Duration) {
+	if s.drain.started() {
+		return
+	}
+	now := min(calledAt, s.Now())
+	if s.limits.EarlyKill {
+		within = min(within, s.earliestKill())
+	}
+	stopAt := now + within - noticeDelay
+	s.drain = drain{
+		startedAt:       now,
+		stopAt:          stopAt,
+		stopAcceptingAt: max(now, min(now+s.settings.Admission.Grace, stopAt-stopAcceptingBefore)),
+	}
+	s.round.StopAt, s.round.NotifiedAt = s.drain.stopAt, s.drain.startedAt
+	s.round.pending = true
+	s.log.Info("notice to leave", "stop_in", within, "no_more_connections_in", s.drain.stopAcceptingAt-now, "tasks", len(s.requests.byID))
+}
+
+// earliestKill is the earliest time after Drain at which the platform may kill the process: the longest deadline, 3 s at
+// most, and 0.7 s.
+func (s *Server) earliestKill() time.Duration {
+	longest := time.Duration(0)
+	for _, route := range s.tables.routes {
+		longest = max(longest, route.Deadline)
+	}
+	return min(longest, maxKillDeadline) + killDelay
+}
+
+// advanceDrain goes through the drain: connections are no longer accepted once nothing that arrives would run; then the
+// process ends as soon as all is answered and read by its caller, or at the stop. written is whether peers have read all.
+func (s *Server) advanceDrain(now time.Duration, written bool) (done bool) {
+	if !s.drain.started() || now < s.drain.stopAcceptingAt {
+		return false
+	}
+	open := 0
+	for _, f := range s.frontends {
+		if !s.drain.notAccepting {
+			f.StopAccepting()
+		}
+		open += f.Open()
+	}
+	if !s.drain.notAccepting {
+		s.drain.notAccepting = true
+		s.log.Info("no more connections", "open", open, "tasks", len(s.requests.byID))
+		return false
+	}
+	unanswered := 0
+	for _, request := range s.requests.byID {
+		if !request.answered {
+			unanswered++
+		}
+	}
+	s.counters.Assert(unanswered == 0 || now < s.drain.stopAt, "the stop came with tasks unanswered")
+	// A router that neither reads nor closes must not keep the process until it is killed.
+	complete := unanswered == 0 && (written && open == 0 || now >= s.drain.stopAt-exitBefore)
+	if now < s.drain.stopAt && (!complete || !s.inputDrained()) {
+		return false
+	}
+	s.log.Info("left", "connections", open, "stopped_runs", len(s.requests.byID), "before_stop", s.drain.stopAt-now)
+	return true
+}
+
+// inputDrained is whether nothing waits to be accepted or read. A process that ends resets the connections that it has not
+// accepted, and those with bytes that it has not read: a request on them would be lost, and answers sent with it.
+func (s *Server) inputDrained() bool {
+	for _, f := range s.frontends {
+		if !f.Quiet() {
+			return false
+		}
+	}
+	return s.nothingSubmitted()
+}
--- a/internal/server/leave_test.go
+++ b/internal/server/drain_test.go
@@ -29,10 +29,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBenchWith(t, c.site, c.limits, nil)
-			b.inTurn(func() {
+			b.onLoop(func() {
 				came := b.Now()
-				b.leave(came, c.told)
-				assert.Equal(t, came+c.stop-noticeDelay, b.stop)
+				b.startDrain(came, c.told)
+				assert.Equal(t, came+c.stop-noticeDelay, b.drain.stopAt)
 			})
 		})
 	}
--- a/internal/server/numbers_test.go
+++ b/internal/server/keys_test.go
@@ -16,27 +16,27 @@
 	site := strings.Replace(fake.Site, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
-	b.bound(t)
+	b.waitLinkSynced(t)
 	asked := func(stream uint32, number string) Incoming {
 		return Incoming{
 			ID: fake.Call(stream), Route: "pay", HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: stream, Key: number,
 		}
 	}
-	b.inTurn(func() { b.Receive(asked(1, "n")) })
+	b.onLoop(func() { b.Receive(asked(1, "n")) })
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
-	assert.Equal(t, Served, b.next(t).Verdict)
+	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 
-	b.inTurn(func() {
+	b.onLoop(func() {
 		crowded := asked(2, "n")
 		crowded.OverLimit = true
 		b.Receive(crowded)
-		b.maxRequests = 0
+		b.requests.max = 0
 		b.Receive(asked(3, "n"))
 		b.Receive(asked(4, "new"))
 	})
 	for _, want := range []Verdict{Aborted, Aborted, Rejected} {
-		assert.Equal(t, want, b.next(t).Verdict)
+		assert.Equal(t, want, b.nextAnswer(t).Verdict)
 	}
 }
 
@@ -46,7 +46,7 @@
 	site := strings.Replace(fake.Site, `"fragile"`, `"dedup","dedup-window":400000`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
-	b.bound(t)
+	b.waitLinkSynced(t)
 	asked := func(stream uint32, arrived time.Duration) Incoming {
 		return Incoming{
 			ID: fake.Call(stream), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: arrived, Timeout: time.Minute,
@@ -54,20 +54,20 @@
 		}
 	}
 	var first time.Duration
-	b.inTurn(func() { first = b.Now(); b.Receive(asked(1, first)) })
+	b.onLoop(func() { first = b.Now(); b.Receive(asked(1, first)) })
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", []byte("done"))
-	assert.Equal(t, Served, b.next(t).Verdict)
+	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 
-	b.inTurn(func() { time.Sleep(window + 800*time.Millisecond) }) // the owner stands still, as in a stopped process
+	b.onLoop(func() { time.Sleep(window + 800*time.Millisecond) }) // the owner stands still, as in a stopped process
 	for range 3 {
-		b.inTurn(func() { b.tidied = 0 }) // turns in which what is over is forgotten
+		b.onLoop(func() { b.overdue.sweptAt = 0 }) // turns in which what is over is forgotten
 	}
-	b.inTurn(func() { b.Receive(asked(2, first+window/2)) })
-	again := b.next(t)
+	b.onLoop(func() { b.Receive(asked(2, first+window/2)) })
+	again := b.nextAnswer(t)
 	assert.Equal(t, []any{Served, "done"}, []any{again.Verdict, string(again.Result)}, "a repeat is answered from its first")
 	assert.Empty(t, b.pool.Commands)
 
-	b.inTurn(func() { b.Receive(asked(3, first+2*window)) }) // this one came behind the window
+	b.onLoop(func() { b.Receive(asked(3, first+2*window)) }) // this one came behind the window
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", []byte("anew"))
-	assert.Equal(t, "anew", string(b.next(t).Result))
+	assert.Equal(t, "anew", string(b.nextAnswer(t).Result))
 }
--- a/internal/server/reconcile_test.go
+++ b/internal/server/overdue_test.go
@@ -17,22 +17,22 @@
 
 const siteCores = 4
 
-// fill has as many runs on the cores as may be, and waits until their requests are answered without them.
-func (b *bench) fill(t *testing.T) {
+// fillCores has as many runs on the cores as may be, and waits until their requests are answered without them.
+func (b *bench) fillCores(t *testing.T) {
 	for stream := range uint32(siteCores) {
-		b.ask(stream, []string{"browse", "pay"}[stream%2], time.Minute)
+		b.submitRequest(stream, []string{"browse", "pay"}[stream%2], time.Minute)
 		b.pool.Next(t, "spawn")
 	}
 	for range siteCores {
-		assert.Equal(t, Aborted, b.next(t).Verdict)
+		assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	}
 }
 
-// spawned counts the runs that the pool was told to begin while the server was asked for more for a span.
-func (b *bench) spawned(t *testing.T, span time.Duration) (spawned int) {
+// countStarts counts the runs that the pool was told to begin while the server was asked for more for a span.
+func (b *bench) countStarts(t *testing.T, span time.Duration) (spawned int) {
 	for begin, stream := time.Now(), uint32(100); time.Since(begin) < span; stream++ {
-		b.ask(stream, "browse", time.Minute)
-		b.next(t)
+		b.submitRequest(stream, "browse", time.Minute)
+		b.nextAnswer(t)
 		for len(b.pool.Commands) > 0 {
 			if c := <-b.pool.Commands; c.Verb == "spawn" {
 				spawned++
@@ -51,16 +51,16 @@
 			b := newBenchAt(t, strings.Replace(shortSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
 			b.pool.Hangs = true
 			b.pool.Ready()
-			b.bound(t)
-			b.fill(t)
-			assert.Zero(t, b.spawned(t, 2500*time.Millisecond))
+			b.waitLinkSynced(t)
+			b.fillCores(t)
+			assert.Zero(t, b.countStarts(t, 2500*time.Millisecond))
 			assert.EqualValues(t, siteCores, b.Events().Times(events.RunOverdue, "its end was not reported by a deadline after its answer"))
-			b.inTurn(func() { assert.Equal(t, siteCores, b.doubtful) })
+			b.onLoop(func() { assert.Equal(t, siteCores, b.overdue.count) })
 
 			b.pool.SetEcho() // the machine goes on: all that it holds ends
 			require.Eventually(t, func() bool {
-				b.ask(1000, "browse", time.Minute)
-				return b.next(t).Verdict == Served
+				b.submitRequest(1000, "browse", time.Minute)
+				return b.nextAnswer(t).Verdict == Served
 			}, fake.Patience, time.Millisecond)
 			assert.Zero(t, b.counts.Times("end of a run nobody asked for"))
 			assert.Zero(t, b.counts.Times("end of a run not reported, proven by the readings"))
@@ -74,11 +74,11 @@
 	b.pool.Loses = true
 	b.pool.SetMeager(true)
 	b.pool.Ready()
-	b.bound(t)
-	b.fill(t)
+	b.waitLinkSynced(t)
+	b.fillCores(t)
 	const proven = "end of a run not reported, proven by the readings"
-	b.spawned(t, 2500*time.Millisecond)
-	b.inTurn(func() { assert.GreaterOrEqual(t, b.doubtful, siteCores) })
+	b.countStarts(t, 2500*time.Millisecond)
+	b.onLoop(func() { assert.GreaterOrEqual(t, b.overdue.count, siteCores) })
 	assert.Zero(t, b.counts.Times(proven))
 	b.pool.SetMeager(false)
 	require.Eventually(t, func() bool { return b.counts.Times(proven) >= siteCores }, fake.Patience, time.Millisecond)
@@ -93,13 +93,13 @@
 			b := newBenchAt(t, strings.Replace(shortSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
 			b.pool.Hangs = true
 			b.pool.Ready()
-			b.bound(t)
+			b.waitLinkSynced(t)
 			b.pool.Silence(true)
-			b.fill(t)
+			b.fillCores(t)
 			b.pool.Cut()
 			b.pool.Silence(false)
-			b.bound(t)
-			assert.Zero(t, b.spawned(t, 1500*time.Millisecond))
+			b.waitLinkSynced(t)
+			assert.Zero(t, b.countStarts(t, 1500*time.Millisecond))
 		})
 	}
 }
--- a/internal/server/crossing_test.go
+++ b/internal/server/races_test.go
@@ -12,8 +12,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// inTurn has the owner stand still while f runs.
-func (b *bench) inTurn(f func()) {
+// onLoop has the owner stand still while f runs.
+func (b *bench) onLoop(f func()) {
 	done := make(chan struct{})
 	b.Submit(func() { f(); close(done) })
 	<-done
@@ -26,20 +26,20 @@
 		b := newBench(t)
 		b.pool.Ready()
 		b.pool.Next(t, "bind")
-		b.bound(t)
-		b.ask(1, "browse", time.Minute)
+		b.waitLinkSynced(t)
+		b.submitRequest(1, "browse", time.Minute)
 		b.pool.Next(t, "spawn")
-		b.known(t)
+		b.waitAllRead(t)
 		if down {
 			b.pool.Cut()
 			require.Eventually(t, func() bool {
 				asked := true
-				b.inTurn(func() { _, asked = b.link.Poll() })
+				b.onLoop(func() { _, asked = b.link.Poll() })
 				return !asked
 			}, fake.Patience, time.Millisecond)
 		}
-		b.inTurn(func() {
-			b.Cancel(b.requests[fake.Call(1)])
+		b.onLoop(func() {
+			b.Cancel(b.requests.byID[fake.Call(1)])
 			if !down {
 				b.pool.Cut() // before the word is written
 			}
@@ -47,7 +47,7 @@
 		assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
 		require.Eventually(t, func() bool {
 			left := 1
-			b.inTurn(func() { left = len(b.requests) })
+			b.onLoop(func() { left = len(b.requests.byID) })
 			return left == 0
 		}, fake.Patience, time.Millisecond)
 	}
@@ -59,28 +59,28 @@
 	b := newBench(t)
 	b.pool.Ready()
 	run := func(kind string, stream uint32) {
-		b.ask(stream, kind, time.Minute)
+		b.submitRequest(stream, kind, time.Minute)
 		b.pool.Next(t, "spawn")
 		b.pool.Finish(fake.Call(stream), "success", []byte("done"))
-		assert.Equal(t, Served, b.next(t).Verdict)
+		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	}
 	run("pay", 1)
-	b.ask(1, "pay", time.Minute)
-	assert.Equal(t, Aborted, b.next(t).Verdict, "what has run is neither run again nor dismissed")
+	b.submitRequest(1, "pay", time.Minute)
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict, "what has run is neither run again nor dismissed")
 	assert.Empty(t, b.pool.Commands)
 	run("browse", 2)
 	run("browse", 2) // harmless, and its caller wants an answer
 
-	b.inTurn(func() {
-		b.maxRequests = 3
+	b.onLoop(func() {
+		b.requests.max = 3
 		for _, id := range []string{"a", "b", "c"} {
-			b.rememberRun(&Request{id: id, Request: admission.Request{Route: b.routes["pay"]}})
+			b.rememberRun(&Request{id: id, Request: admission.Request{Route: b.tables.routes["pay"]}})
 		}
-		assert.Equal(t, []string{"a", "b", "c"}, b.mayHaveRunOrder, "the oldest goes where the table is full")
-		assert.Len(t, b.mayHaveRun, 3)
-		b.expireRuns(b.Now() + time.Minute)
-		assert.Empty(t, b.mayHaveRun)
-		assert.Empty(t, b.mayHaveRunOrder)
+		assert.Equal(t, []string{"a", "b", "c"}, b.executed.order, "the oldest goes where the table is full")
+		assert.Len(t, b.executed.until, 3)
+		b.executed.expire(b.Now() + time.Minute)
+		assert.Empty(t, b.executed.until)
+		assert.Empty(t, b.executed.order)
 	})
 }
 
@@ -88,26 +88,26 @@
 func TestEndWaitsForWhatIsUnread(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
-	b.unheard.Store(true)
+	b.inputPending.Store(true)
 	b.Drain(4 * time.Second)
 	require.Eventually(t, func() bool {
 		retired := false
-		b.inTurn(func() { retired = b.retired })
+		b.onLoop(func() { retired = b.retired })
 		return retired
 	}, fake.Patience, time.Millisecond)
-	b.inTurn(func() { // read only now, past the grace of 400 ms: answered, and not run
+	b.onLoop(func() { // read only now, past the grace of 400 ms: answered, and not run
 		b.Receive(Incoming{
-			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.noticed + 401*time.Millisecond,
+			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.drain.startedAt + 401*time.Millisecond,
 			Timeout: time.Minute, Caller: b, Stream: 1,
 		})
 	})
-	assert.Equal(t, Rejected, b.next(t).Verdict)
+	assert.Equal(t, Rejected, b.nextAnswer(t).Verdict)
 	for range 20 { // rounds of a process that stays
-		b.inTurn(func() {})
+		b.onLoop(func() {})
 	}
-	b.unheard.Store(false)
+	b.inputPending.Store(false)
 	select {
-	case <-b.left:
+	case <-b.done:
 	case <-time.After(fake.Patience):
 		require.FailNow(t, "the end does not come")
 	}
@@ -118,11 +118,11 @@
 	b := newBench(t)
 	b.pool.Ready()
 	b.pool.Next(t, "bind")
-	b.bound(t)
-	b.inTurn(func() {
+	b.waitLinkSynced(t)
+	b.onLoop(func() {
 		came := b.Now() - 300*time.Millisecond
-		b.leave(came, 3*time.Second)
-		assert.Equal(t, came+3*time.Second-noticeDelay, b.stop)
+		b.startDrain(came, 3*time.Second)
+		assert.Equal(t, came+3*time.Second-noticeDelay, b.drain.stopAt)
 		late := Incoming{ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
 		late.Arrived = came + 401*time.Millisecond // the site's grace is 400 ms
 		b.Receive(late)
@@ -130,10 +130,10 @@
 		due.ID, due.Stream, due.Arrived = fake.Call(2), 2, came+399*time.Millisecond
 		b.Receive(due)
 	})
-	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.next(t); return []any{a.stream, a.Verdict} }())
+	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.nextAnswer(t); return []any{a.stream, a.Verdict} }())
 	assert.Equal(t, fake.Call(2), b.pool.Next(t, "spawn").Task)
 	b.pool.Finish(fake.Call(2), "success", nil)
-	assert.Equal(t, Served, b.next(t).Verdict)
+	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 }
 
 // A numbered task whose caller leaves in the moment it is read, and for which the decisions have no room, kept its
@@ -142,17 +142,17 @@
 	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.Site)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
-	b.bound(t)
-	b.inTurn(func() {
+	b.waitLinkSynced(t)
+	b.onLoop(func() {
 		task := b.Receive(Incoming{
 			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: 1, Key: "n",
 		})
 		b.Cancel(task)
 	})
-	b.inTurn(func() {
-		assert.Empty(t, b.keys)
-		assert.Empty(t, b.requests)
+	b.onLoop(func() {
+		assert.Empty(t, b.keys.entries)
+		assert.Empty(t, b.requests.byID)
 	})
 	assert.Zero(t, b.counts.Times("check failed: a task was answered twice"))
 	assert.Empty(t, b.answers)
--- /dev/null
+++ b/internal/server/receive.go
@@ -0,0 +1,142 @@
+package server
+
+import (
+	"log/slog"
+	"time"
+
+	"quartzpoint/admission"
+	"quartzpoint/internal/events"
+)
+
+// Incoming is a request as a front end has read it.
+type Incoming struct {
+	ID         string // unique
+	Route      string
+	HeldKB     float64 // memory of the worker that it takes while queued
+	Rank       float64 // importance from 0 to 1
+	Router     uint32
+	SentUnixMS int64 // by the system's Unix clock
+	Timeout    time.Duration
+	Body       []byte // must not be changed afterwards
+	Caller     Caller
+	Stream     uint32
+	OverLimit  bool // its connection is over the front end's limit, so it is rejected
+
+	Key         string // idempotency key, the same for all duplicates
+	Fingerprint uint64 // of the body: duplicates have the same
+	Tenant      int
+	Arrived     time.Duration // by the clock of rounds, in place of SentUnixMS
+	LastByteAt  time.Duration // when its last byte was read, where it came in pieces
+}
+
+// Receive takes a request that a front end has read. It returns nil where the request was answered at once.
+func (s *Server) Receive(in Incoming) *Request {
+	route := s.tables.routes[in.Route]
+	now := s.Now()
+	if in.Arrived == 0 {
+		in.Arrived = s.arrivalTime(in.SentUnixMS, now)
+	}
+	keyed := route != nil && route.Idempotency == admission.Keyed
+	if keyed {
+		s.expireKey(keyOf(in.Route, in.Key), in.Arrived)
+	}
+	if reason, answer := s.answerUnrun(&in, route); reason != "" {
+		s.rejectIncoming(&in, reason, answer)
+		return nil
+	}
+	if reason := s.rejectReason(&in, route); reason != "" {
+		answer := Answer{Verdict: Rejected}
+		if keyed && s.keys.entries[keyOf(in.Route, in.Key)] != nil {
+			// Its original may have run: with a promise of no effect its caller would have it run elsewhere.
+			answer.Verdict = Aborted
+		}
+		s.rejectIncoming(&in, reason, answer)
+		return nil
+	}
+	if keyed && s.keyConflicts(&in) {
+		s.rejectIncoming(&in, "number of another task", Answer{Verdict: KeyConflict})
+		return nil
+	}
+	return s.enqueue(&in, route, now)
+}
+
+// answerUnrun is the answer to a request that must not run whatever room there is, with the reason; an empty reason for others.
+func (s *Server) answerUnrun(in *Incoming, route *admission.Route) (reason string, answer Answer) {
+	known := s.requests.byID[in.ID]
+	switch {
+	case route == nil:
+		return "", Answer{}
+	case s.tables.unserved[in.Route]:
+		return "task of a type that calls, without a dependency", Answer{Verdict: Rejected, RetryAfter: s.maxRetryAfter()}
+	case known != nil && (known.active || known.sent):
+		// Rejected would say that it never ran, and its caller might have it run elsewhere.
+		return "task whose call is known already", Answer{Verdict: Aborted}
+	case known == nil && s.executed.until[in.ID] > 0:
+		// Its caller has, or had, an answer: what has run never runs again, and is never rejected.
+		return "task whose call may have run before", Answer{Verdict: Aborted}
+	}
+	return "", Answer{}
+}
+
+// rejectReason is why a request that did not run is not taken in, empty where it is.
+func (s *Server) rejectReason(in *Incoming, route *admission.Route) string {
+	if route == nil {
+		return "task of an unknown type"
+	}
+	keyed := route.Idempotency == admission.Keyed
+	switch {
+	case s.requests.byID[in.ID] != nil:
+		return "task whose call is known already"
+	case in.OverLimit:
+		return "task on a connection beyond the table"
+	case s.settings.RoutersSendDeadlines && in.Timeout <= 0:
+		return "task without a due time"
+	case len(s.requests.byID) >= s.requests.max:
+		return "task beyond the program's own memory"
+	case keyed && in.Key == "":
+		return "numbered task without a number"
+	case keyed && len(s.keys.entries) >= s.keys.maxEntries && s.keys.entries[keyOf(in.Route, in.Key)] == nil:
+		return "numbered task beyond the program's own memory"
+	}
+	return ""
+}
+
+// enqueue adds a request to the next round.
+func (s *Server) enqueue(in *Incoming, route *admission.Route, now time.Duration) *Request {
+	request := &Request{
+		Request: admission.Request{
+			Route: route, HeldKB: in.HeldKB, Arrived: in.Arrived, Rank: in.Rank, Router: in.Router,
+			Tenant: in.Tenant, LastByteAt: in.LastByteAt,
+		},
+		id: in.ID, route: in.Route, body: in.Body, caller: in.Caller, stream: in.Stream, readAt: now,
+	}
+	if in.Timeout > 0 {
+		// Past its route's deadline a request earns nothing, whatever its caller says: with a timeout of a day it would take
+		// part of the memory for as long.
+		request.Deadline = request.Arrived + min(in.Timeout, route.Deadline)
+	}
+	request.composite = s.composer.Composes(request.route)
+	s.attachKey(request, in)
+	s.requests.byID[request.id], s.requests.byDecision[&request.Request] = request, request
+	s.round.Arrived = append(s.round.Arrived, &request.Request)
+	s.round.pending = true
+	return request
+}
+
+// rejectIncoming answers a request that is not taken in. The controller never hears of it.
+func (s *Server) rejectIncoming(in *Incoming, reason string, answer Answer) {
+	s.counters.Count(reason)
+	kind := events.RequestRejected
+	if answer.Verdict != Rejected {
+		kind = events.RequestAborted
+	}
+	s.events.Record(kind, reason, slog.String("request", in.ID))
+	answer.ShedLevel = s.shedLevel.text
+	in.Caller.Answer(in.Stream, answer)
+}
+
+// RejectUnparsed rejects what a front end could not parse. The controller never hears of it.
+func (s *Server) RejectUnparsed(c Caller, stream uint32, reason string) {
+	s.events.Record(events.RequestRejected, reason, slog.Uint64("stream", uint64(stream)))
+	c.Answer(stream, Answer{Verdict: Rejected, ShedLevel: s.shedLevel.text})
+}
--- a/internal/server/reconfigure.go
+++ b/internal/server/reconfigure.go
@@ -7,9 +7,8 @@
 	"quartzpoint/internal/settings"
 )
 
-// Reconfigure takes the settings that may change in service, in the owner's turn; next are all settings with those
-// changed. The next round decides by them; what was admitted stays as it was, answered once. The way back is the same
-// step with the earlier settings.
+// Reconfigure applies the settings that may change in service, on the event loop; next are all settings, with those changed.
+// The next round is decided by them. Requests that were admitted stay admitted, and are answered once.
 func (s *Server) Reconfigure(next *settings.Settings) {
 	adjusted := s.settings.Compare(next).Adjusted
 	s.settings = s.settings.WithAdjustable(next)
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -19,8 +19,8 @@
 	b := newBench(t)
 	b.pool.Ready()
 	b.pool.Next(t, "bind")
-	b.bound(t)
-	b.ask(1, "browse", time.Minute) // taken in before the first switch, answered after the last
+	b.waitLinkSynced(t)
+	b.submitRequest(1, "browse", time.Minute) // taken in before the first switch, answered after the last
 	first := b.pool.Next(t, "spawn")
 	adjusted := func(halt string) *settings.Settings {
 		next, err := settings.FromLines(halt)
@@ -56,7 +56,7 @@
 	})
 	assert.True(t, <-unstated)
 	b.pool.Finish(first.Task, "success", []byte("done"))
-	got := b.next(t)
+	got := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(1), Served}, []any{got.stream, got.Verdict})
 	assert.Empty(t, b.answers, "one answer each, and none for those whose callers left")
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -20,8 +20,8 @@
 	"quartzpoint/internal/workerlink"
 )
 
-// answered is what a caller was told on a stream.
-type answered struct {
+// receivedAnswer is what a caller was told on a stream.
+type receivedAnswer struct {
 	stream uint32
 	Answer
 }
@@ -29,24 +29,24 @@
 // bench is a server with a stand-in pool and a front that only keeps what it is told.
 type bench struct {
 	*Server
-	pool    *fake.Pool
-	toPool  *workerlink.Link
-	counts  *invariant.Counters
-	answers chan answered
-	checks  chan bool
-	left    chan struct{}
-	retired bool
-	unread  bool        // the front's peers do not read
-	unheard atomic.Bool // something came that is not taken yet
+	pool         *fake.Pool
+	workerLink   *workerlink.Link
+	counts       *invariant.Counters
+	answers      chan receivedAnswer
+	checks       chan bool
+	done         chan struct{}
+	retired      bool
+	peersStalled bool        // the front's peers do not read
+	inputPending atomic.Bool // something came that is not taken yet
 }
 
-func (b *bench) Answer(stream uint32, a Answer)             { b.answers <- answered{stream, a} }
+func (b *bench) Answer(stream uint32, a Answer)             { b.answers <- receivedAnswer{stream, a} }
 func (b *bench) ReportHealth(_ uint32, good bool, _ string) { b.checks <- good }
 func (b *bench) CloseIdle(time.Duration)                    {}
-func (b *bench) Flush() bool                                { return !b.unread }
+func (b *bench) Flush() bool                                { return !b.peersStalled }
 func (b *bench) StopAccepting()                             { b.retired = true }
 func (b *bench) Open() int                                  { return 0 }
-func (b *bench) Quiet() bool                                { return !b.unheard.Load() }
+func (b *bench) Quiet() bool                                { return !b.inputPending.Load() }
 
 func newBench(t *testing.T) *bench { return newBenchAt(t, fake.Site) }
 
@@ -59,24 +59,24 @@
 	told, err := settings.FromJSON([]byte(site))
 	require.NoError(t, err)
 	b := &bench{
-		pool: fake.NewPool(t), counts: invariant.New(log), left: make(chan struct{}),
-		answers: make(chan answered, 100), checks: make(chan bool, 100),
+		pool: fake.NewPool(t), counts: invariant.New(log), done: make(chan struct{}),
+		answers: make(chan receivedAnswer, 100), checks: make(chan bool, 100),
 	}
 	b.Server, err = New(told, 1, limits, b.counts, log)
 	require.NoError(t, err)
 	link := workerlink.New(b.pool.Address, 1<<20, log, b.counts.Count, b.Wake)
-	b.toPool = link
+	b.workerLink = link
 	b.Attach(link, b)
 	if on != nil {
 		b.SetDependency(on, link)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go link.Run(ctx)
-	go func() { b.Run(); close(b.left) }()
+	go func() { b.Run(); close(b.done) }()
 	t.Cleanup(func() {
 		b.Drain(0)
 		select {
-		case <-b.left:
+		case <-b.done:
 		case <-time.After(fake.Patience):
 			t.Error("the server does not leave")
 		}
@@ -85,8 +85,8 @@
 	return b
 }
 
-// ask has the owner take a task.
-func (b *bench) ask(stream uint32, kind string, waits time.Duration) {
+// submitRequest has the owner take a task.
+func (b *bench) submitRequest(stream uint32, kind string, waits time.Duration) {
 	b.Submit(func() {
 		b.Receive(Incoming{
 			ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: waits,
@@ -95,19 +95,19 @@
 	})
 }
 
-func (b *bench) next(t *testing.T) answered {
+func (b *bench) nextAnswer(t *testing.T) receivedAnswer {
 	t.Helper()
 	select {
 	case a := <-b.answers:
 		return a
 	case <-time.After(fake.Patience):
 		require.FailNow(t, "no answer")
-		return answered{}
+		return receivedAnswer{}
 	}
 }
 
-// bound waits until the link is up and commands are taken.
-func (b *bench) bound(t *testing.T) {
+// waitLinkSynced waits until the link is up and commands are taken.
+func (b *bench) waitLinkSynced(t *testing.T) {
 	t.Helper()
 	asked := uint64(0) // of this link: an answer on one before it says nothing
 	require.Eventually(t, func() bool {
@@ -120,21 +120,21 @@
 			case asked == 0:
 				asked = nonce
 			}
-			bound <- asked > 0 && b.polled >= asked
+			bound <- asked > 0 && b.polls.answered >= asked
 		})
 		return <-bound
 	}, fake.Patience, time.Millisecond)
 }
 
-// known waits until the pool has read all that was sent and the server knows it.
-func (b *bench) known(t *testing.T) {
+// waitAllRead waits until the pool has read all that was sent and the server knows it.
+func (b *bench) waitAllRead(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		known := make(chan bool)
 		b.Submit(func() {
 			all := true
-			for _, task := range b.requests {
-				all = all && (!task.active || task.sent && task.spawnMark <= b.polled)
+			for _, task := range b.requests.byID {
+				all = all && (!task.active || task.sent && task.startNonce <= b.polls.answered)
 			}
 			known <- all
 		})
@@ -145,43 +145,43 @@
 func TestTaskIsServed(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
-	b.ask(1, "pay", time.Second)
+	b.submitRequest(1, "pay", time.Second)
 	spawn := b.pool.Next(t, "spawn")
 	assert.Equal(t, "body 1", string(spawn.Body))
 	assert.Equal(t, "pay", spawn.Handler)
 	b.pool.Finish(spawn.Task, "success", []byte("done"))
-	got := b.next(t)
-	assert.Equal(t, answered{1, Answer{Verdict: Served, Result: []byte("done")}}, got)
+	got := b.nextAnswer(t)
+	assert.Equal(t, receivedAnswer{1, Answer{Verdict: Served, Result: []byte("done")}}, got)
 
-	b.ask(2, "pay", time.Second)
+	b.submitRequest(2, "pay", time.Second)
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "failure", nil)
-	assert.Equal(t, Aborted, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 }
 
 func TestNotUnderstoodIsDismissed(t *testing.T) {
 	b := newBench(t)
-	b.ask(1, "unheard-of", time.Second)
-	b.ask(2, "pay", 0)
+	b.submitRequest(1, "unheard-of", time.Second)
+	b.submitRequest(2, "pay", 0)
 	for range 2 {
-		assert.Equal(t, Rejected, b.next(t).Verdict)
+		assert.Equal(t, Rejected, b.nextAnswer(t).Verdict)
 	}
 	b.Submit(func() { // in one round, so that the first is still held
-		b.ask(3, "pay", time.Minute)
-		b.ask(3, "pay", time.Minute)
+		b.submitRequest(3, "pay", time.Minute)
+		b.submitRequest(3, "pay", time.Minute)
 	})
-	assert.Equal(t, Rejected, b.next(t).Verdict, "a call that is known was taken again")
+	assert.Equal(t, Rejected, b.nextAnswer(t).Verdict, "a call that is known was taken again")
 }
 
 // A call sent again while its first run is on was dismissed, which says that it never ran.
 func TestKnownCallThatRuns(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
-	b.ask(1, "pay", time.Minute)
+	b.submitRequest(1, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
-	b.ask(1, "pay", time.Minute)
-	assert.Equal(t, Aborted, b.next(t).Verdict)
+	b.submitRequest(1, "pay", time.Minute)
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	b.pool.Finish(fake.Call(1), "success", nil)
-	assert.Equal(t, Served, b.next(t).Verdict, "the first one is answered from its run")
+	assert.Equal(t, Served, b.nextAnswer(t).Verdict, "the first one is answered from its run")
 }
 
 // The due answer must not hang on the pool: neither one that is not there nor one that tells no gauges.
@@ -192,18 +192,18 @@
 		if mute {
 			b.pool.Ready()
 		}
-		b.ask(1, "pay", 300*time.Millisecond)
-		assert.Contains(t, []Verdict{Rejected, Aborted}, b.next(t).Verdict)
+		b.submitRequest(1, "pay", 300*time.Millisecond)
+		assert.Contains(t, []Verdict{Rejected, Aborted}, b.nextAnswer(t).Verdict)
 	}
 }
 
 // What came late, or from a clock that is ahead, is answered like any other.
 func TestArrivalFollowsTheSystemClock(t *testing.T) {
 	b := newBench(t)
-	b.inTurn(func() {
+	b.onLoop(func() {
 		now := b.Now()
-		assert.InDelta(t, float64(now-time.Minute), float64(b.at(time.Now().Add(-time.Minute).UnixMilli(), now)), 2e9)
-		assert.Equal(t, now, b.at(time.Now().Add(time.Minute).UnixMilli(), now))
+		assert.InDelta(t, float64(now-time.Minute), float64(b.arrivalTime(time.Now().Add(-time.Minute).UnixMilli(), now)), 2e9)
+		assert.Equal(t, now, b.arrivalTime(time.Now().Add(time.Minute).UnixMilli(), now))
 	})
 }
 
@@ -211,15 +211,15 @@
 func TestArrivalAcrossAStepOfTheClock(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		b := newBench(t)
-		b.inTurn(func() { b.wallAhead = func() time.Duration { return step } })
-		b.inTurn(func() {}) // a turn in which it is seen
-		b.inTurn(func() {
+		b.onLoop(func() { b.clock.wallOffset = func() time.Duration { return step } })
+		b.onLoop(func() {}) // a turn in which it is seen
+		b.onLoop(func() {
 			for name, stamped := range map[string]time.Duration{"before it": 0, "behind it": step} {
 				now := b.Now().Truncate(time.Millisecond)
 				came := now - 50*time.Millisecond
 				stamp := (came + stamped).Milliseconds()
 				assert.True(t, b.PlausibleStamp(stamp))
-				assert.InDelta(t, float64(came), float64(b.at(stamp, now)), 1e6, "%v, stamped %s", step, name)
+				assert.InDelta(t, float64(came), float64(b.arrivalTime(stamp, now)), 1e6, "%v, stamped %s", step, name)
 			}
 		})
 	}
@@ -247,16 +247,16 @@
 			b := newBenchAt(t, strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"abort"`, 1))
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
-			b.bound(t)
+			b.waitLinkSynced(t)
 			if !c.mute {
-				b.ask(1, c.kind, time.Minute)
+				b.submitRequest(1, c.kind, time.Minute)
 				b.pool.Next(t, "spawn")
-				b.known(t)
+				b.waitAllRead(t)
 			} else {
 				// The pool reads the command and tells nothing more on this link.
 				b.pool.Silence(true)
 				b.pool.SetLoses(c.loses)
-				b.ask(1, c.kind, time.Minute)
+				b.submitRequest(1, c.kind, time.Minute)
 				b.pool.Next(t, "spawn")
 			}
 			b.pool.Cut()
@@ -272,7 +272,7 @@
 				b.pool.Finish(fake.Call(1), "success", []byte("done"))
 			}
 			begin := time.Now()
-			assert.Equal(t, c.want, b.next(t).Verdict)
+			assert.Equal(t, c.want, b.nextAnswer(t).Verdict)
 			assert.Less(t, time.Since(begin), 5*time.Second, "answered by its deadline, not by what is known")
 			for len(b.pool.Commands) > 0 {
 				assert.NotEqual(t, "spawn", (<-b.pool.Commands).Verb, "the run was begun once more")
@@ -293,9 +293,9 @@
 			b.pool.Pauses, b.pool.Loses = true, c.lost
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
-			b.bound(t)
+			b.waitLinkSynced(t)
 			b.pool.Silence(true)
-			b.ask(1, "pay", time.Minute)
+			b.submitRequest(1, "pay", time.Minute)
 			b.pool.Next(t, "spawn")
 			b.pool.Cut()
 			b.pool.SetLoses(false)
@@ -307,7 +307,7 @@
 			}
 			assert.Equal(t, fake.Call(1), b.pool.Next(t, "proceed").Task)
 			b.pool.Finish(fake.Call(1), "success", []byte("done"))
-			assert.Equal(t, Served, b.next(t).Verdict)
+			assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 		})
 	}
 }
@@ -318,31 +318,31 @@
 	b := newBench(t)
 	b.pool.Ready()
 	for range 5 {
-		b.bound(t)
+		b.waitLinkSynced(t)
 		b.pool.Cut()
 		b.pool.Next(t, "bind")
 	}
 	alarms := make(chan int)
-	b.Submit(func() { alarms <- len(b.alarms) })
+	b.Submit(func() { alarms <- len(b.polls.alarms) })
 	assert.LessOrEqual(t, <-alarms, 1)
 }
 
 func TestPoolKnowsNothing(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
-	b.ask(1, "pay", time.Minute)
+	b.submitRequest(1, "pay", time.Minute)
 	task := b.pool.Next(t, "spawn").Task
 	b.pool.Say(`{"verb":"unknown","outcome":"suspend","task":"` + task + `"}` + "\n")
 	b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"nobody"}` + "\n")
 	b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"` + task + `"}` + "\n")
-	assert.Equal(t, Aborted, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	assert.Equal(t, 2, b.counts.Times("pool did not carry out a spawn"))
 
 	// Calls that a bad client invents counted as broken runs, and closed this server's health to all.
 	for stream := range uint32(20) {
-		b.ask(100+stream, "browse", time.Minute)
+		b.submitRequest(100+stream, "browse", time.Minute)
 		b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").Task + `"}` + "\n")
-		assert.Equal(t, Aborted, b.next(t).Verdict)
+		assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	}
 	b.Submit(func() { b.CheckHealth(b, 1, false) })
 	assert.True(t, <-b.checks, "the server's health was closed")
@@ -361,7 +361,7 @@
 				Timeout: time.Minute, Router: stream, Caller: b, Stream: stream,
 			})
 		})
-		b.next(t)
+		b.nextAnswer(t)
 		if stream%400 == 100 {
 			b.pool.Cut()
 		}
@@ -371,7 +371,7 @@
 	}
 	sizes := make(chan []int)
 	b.Submit(func() {
-		sizes <- []int{len(b.requests), len(b.owner), len(b.doubts), len(b.alarms) / 2, len(b.Server.checks)}
+		sizes <- []int{len(b.requests.byID), len(b.requests.byDecision), len(b.recovery.paused), len(b.polls.alarms) / 2, len(b.health.checks)}
 	})
 	assert.Equal(t, []int{0, 0, 0, 0, 0}, <-sizes)
 }
@@ -384,12 +384,12 @@
 	b := newBenchAt(t, site)
 	b.pool.Loses = true
 	b.pool.Ready()
-	b.ask(1, "browse", 24*time.Hour)
+	b.submitRequest(1, "browse", 24*time.Hour)
 	b.pool.Next(t, "spawn")
-	assert.Equal(t, Aborted, b.next(t).Verdict)
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	require.Eventually(t, func() bool {
 		empty := make(chan bool)
-		b.Submit(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
+		b.Submit(func() { empty <- len(b.requests.byID) == 0 && len(b.requests.byDecision) == 0 })
 		return <-empty
 	}, fake.Patience, time.Millisecond)
 	assert.Equal(t, 1, b.counts.Times("end of a run not reported, proven by the readings"))
@@ -407,7 +407,7 @@
 	b.pool.Next(t, "suspend")
 	require.Eventually(t, func() bool {
 		empty := make(chan bool)
-		b.Submit(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
+		b.Submit(func() { empty <- len(b.requests.byID) == 0 && len(b.requests.byDecision) == 0 })
 		return <-empty
 	}, fake.Patience, time.Millisecond, "a settled task is kept")
 	assert.Empty(t, b.answers)
@@ -420,12 +420,12 @@
 	b.Submit(func() { b.SetHealth(true, false); b.CheckHealth(b, 1, true) })
 	assert.False(t, <-b.checks, "a deep check was good without a pool")
 	b.pool.Ready()
-	b.bound(t)
+	b.waitLinkSynced(t)
 	for _, outcome := range []string{"success", "failure"} {
 		var sent bool
 		for !sent { // until the link is bound
 			done := make(chan struct{})
-			b.Submit(func() { b.CheckHealth(b, 1, true); sent = len(b.Server.checks) > 0; close(done) })
+			b.Submit(func() { b.CheckHealth(b, 1, true); sent = len(b.health.checks) > 0; close(done) })
 			<-done
 			if !sent {
 				assert.False(t, <-b.checks)
@@ -441,24 +441,24 @@
 func TestLeaving(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
-	b.ask(1, "pay", time.Minute)
+	b.submitRequest(1, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
 	b.Drain(6 * time.Second)
-	b.ask(2, "pay", time.Minute) // within the grace of 400 ms
+	b.submitRequest(2, "pay", time.Minute) // within the grace of 400 ms
 	b.pool.Next(t, "spawn")
 	require.Eventually(t, func() bool {
 		retired := make(chan bool)
-		b.Submit(func() { retired <- b.retired && b.Now() > b.noticed+450*time.Millisecond })
+		b.Submit(func() { retired <- b.retired && b.Now() > b.drain.startedAt+450*time.Millisecond })
 		return <-retired
 	}, fake.Patience, time.Millisecond)
-	b.ask(3, "pay", time.Minute) // past it
-	got := b.next(t)
+	b.submitRequest(3, "pay", time.Minute) // past it
+	got := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(3), Rejected}, []any{got.stream, got.Verdict})
 	for stream := range uint32(2) {
 		b.pool.Finish(fake.Call(stream+1), "success", nil)
-		assert.Equal(t, Served, b.next(t).Verdict)
+		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	}
-	<-b.left
+	<-b.done
 }
 
 // At the stop all that was read has its answer, whatever it waits for.
@@ -466,21 +466,21 @@
 	b := newBench(t)
 	b.pool.Ready()
 	for stream := range uint32(40) {
-		b.ask(stream, "pay", time.Minute)
+		b.submitRequest(stream, "pay", time.Minute)
 	}
 	b.pool.Next(t, "spawn")
 	b.Drain(500 * time.Millisecond)
-	<-b.left
+	<-b.done
 	assert.Len(t, b.answers, 40)
 }
 
 // A peer that does not read its answers kept the process from leaving until it was killed.
 func TestLeavingWithAPeerThatDoesNotRead(t *testing.T) {
 	b := newBench(t)
-	b.Submit(func() { b.unread = true })
+	b.Submit(func() { b.peersStalled = true })
 	b.Drain(500 * time.Millisecond)
 	select {
-	case <-b.left:
+	case <-b.done:
 	case <-time.After(fake.Patience):
 		require.FailNow(t, "the server does not leave")
 	}
@@ -488,9 +488,9 @@
 
 func TestTermsItCantServe(t *testing.T) {
 	cases := map[string][2]string{
-		"is numbered":     {`"retryable"`, `"dedup"`},
-		"customers":       {`"tenants":[]`, `"tenants":[{"quota-rps":1}]`},
-		"no traffic type": {`"name":`, `"title":`},
+		"needs idempotency keys":     {`"retryable"`, `"dedup"`},
+		"the settings name tenants":  {`"tenants":[]`, `"tenants":[{"quota-rps":1}]`},
+		"the settings name no route": {`"name":`, `"title":`},
 	}
 	for want, change := range cases {
 		told, err := settings.FromJSON([]byte(strings.ReplaceAll(fake.Site, change[0], change[1])))
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -1,6 +1,8 @@
 package server
 
 import (
+	"fmt"
+	"maps"
 	"math"
 	"slices"
 	"time"
@@ -13,29 +15,34 @@
 // so that no request waits for a large change.
 const changesPerRound = 128
 
-// TableChange is what becomes different of the tables of routes and tenants.
+// TableChange is a change of the tables of routes and tenants.
 type TableChange struct {
 	Routes  []settings.RouteChange
 	Tenants []settings.TenantChange
-	// Done is called in the owner's turn once all of it is in force; nil for nothing to be called.
+	// Done is called on the event loop once all of it is in force; it may be nil.
 	Done func()
 }
 
-// tableQueue are changes of the tables in their order, of which some may have been made.
-type tableQueue struct {
-	changes []TableChange
-	free    []freePlace // places in the table of tenants that removed ones have left, the oldest first
+// tables are the routes and tenants in force, and the changes that are to come, in their order.
+type tables struct {
+	routes   map[string]*admission.Route
+	unserved map[string]bool // routes that call a dependency, where there is none
+	adopted  int             // spare routes that were given a name
+	tenants  map[string]int  // their index in the controller
+
+	changes []TableChange // the first may have been made in part
+	free    []freeIndex   // of tenants that were removed, the oldest first
 }
 
-// freePlace is a place that nobody has; requests of the tenant that left it may still be under way.
-type freePlace struct {
-	place int
-	from  time.Duration // when it may be taken by another
+// freeIndex is the index of a removed tenant, whose requests may still be under way.
+type freeIndex struct {
+	index       int
+	availableAt time.Duration // when another tenant may have it
 }
 
-// ChangeTables has the tables become different, a part in each round. Changes are made in the order in which they are
-// handed over, and each entry at once: a request is taken in under what its route was stated as in that moment, and ends
-// under that. Any goroutine may call it, and hands over the next change once Done was called, so what waits is bounded.
+// ChangeTables changes the tables, a part in each round. Changes are made in the order in which they were submitted, and each
+// entry at once: a request is taken in under what its route is in that moment, and ends under that. Any goroutine may call it,
+// and submits the next change once Done was called, so the queue is bounded.
 func (s *Server) ChangeTables(change TableChange) {
 	s.Submit(func() { s.tables.changes = append(s.tables.changes, change) })
 }
@@ -43,30 +50,30 @@
 // SetTables makes a change at once. It is for before Run.
 func (s *Server) SetTables(change TableChange) {
 	s.tables.changes = append(s.tables.changes, change)
-	s.makeChanges(math.MaxInt)
+	s.applyChanges(math.MaxInt)
 }
 
-// changeTables makes a part of what waits.
-func (s *Server) changeTables() {
-	s.makeChanges(changesPerRound)
+// applyTableChanges makes a part of the changes.
+func (s *Server) applyTableChanges() {
+	s.applyChanges(changesPerRound)
 	if len(s.tables.changes) > 0 {
 		s.Wake()
 	}
 }
 
-// makeChanges makes so many entries different at the most.
-func (s *Server) makeChanges(left int) {
-	for left > 0 && len(s.tables.changes) > 0 {
+// applyChanges changes limit entries at most.
+func (s *Server) applyChanges(limit int) {
+	for limit > 0 && len(s.tables.changes) > 0 {
 		change := &s.tables.changes[0]
 		switch {
 		case len(change.Routes) > 0:
 			s.changeRoute(change.Routes[0])
 			change.Routes = change.Routes[1:]
-			left--
+			limit--
 		case len(change.Tenants) > 0:
 			s.changeTenant(change.Tenants[0])
 			change.Tenants = change.Tenants[1:]
-			left--
+			limit--
 		default:
 			done := change.Done
 			s.tables.changes = slices.Delete(s.tables.changes, 0, 1)
@@ -78,49 +85,49 @@
 }
 
 func (s *Server) changeRoute(change settings.RouteChange) {
-	was, name := s.routes[change.Name], change.Name
+	current, name := s.tables.routes[change.Name], change.Name
 	if change.Route == nil {
-		if was != nil {
-			s.controller.RemoveRoute(was)
-			delete(s.routes, name)
-			delete(s.unserved, name)
+		if current != nil {
+			s.controller.RemoveRoute(current)
+			delete(s.tables.routes, name)
+			delete(s.tables.unserved, name)
 		}
 		return
 	}
 	stated := *change.Route
-	composed := s.parts.Composes(name)
-	if composed {
-		stated.CallWait = s.parts.Waits(name)
+	composite := s.composer.Composes(name)
+	if composite {
+		stated.CallWait = s.composer.Waits(name)
 	}
-	s.routes[name] = s.controller.PutRoute(was, stated)
-	delete(s.unserved, name)
-	if stated.CallsDependency && !s.limits.Calls && !composed {
-		s.unserved[name] = true
+	s.tables.routes[name] = s.controller.PutRoute(current, stated)
+	delete(s.tables.unserved, name)
+	if stated.CallsDependency && !s.limits.Calls && !composite {
+		s.tables.unserved[name] = true
 	}
 }
 
 func (s *Server) changeTenant(change settings.TenantChange) {
-	place, known := s.tenants[change.Name]
+	index, known := s.tables.tenants[change.Name]
 	switch {
 	case change.Removed && known:
-		delete(s.tenants, change.Name)
-		s.tables.free = append(s.tables.free, freePlace{place, s.Now() + s.longestDeadline()})
+		delete(s.tables.tenants, change.Name)
+		s.tables.free = append(s.tables.free, freeIndex{index, s.Now() + s.longestDeadline()})
 	case change.Removed:
 	case known:
-		s.controller.PutTenant(place, change.Rate, false)
+		s.controller.PutTenant(index, change.Rate, false)
 	default:
-		place := s.freePlace()
-		s.controller.PutTenant(place, change.Rate, true)
-		s.tenants[change.Name] = place
+		index := s.freeTenantIndex()
+		s.controller.PutTenant(index, change.Rate, true)
+		s.tables.tenants[change.Name] = index
 	}
 }
 
-// freePlace is one that nobody has, and of whose last tenant no request can be left; else one past the table's end.
-func (s *Server) freePlace() int {
-	if len(s.tables.free) > 0 && s.tables.free[0].from <= s.Now() {
-		place := s.tables.free[0].place
+// freeTenantIndex is the index of a removed tenant of which no request can be left; else one past the table's end.
+func (s *Server) freeTenantIndex() int {
+	if len(s.tables.free) > 0 && s.tables.free[0].availableAt <= s.Now() {
+		index := s.tables.free[0].index
 		s.tables.free = s.tables.free[1:]
-		return place
+		return index
 	}
 	return s.controller.TenantCount()
 }
@@ -128,21 +135,49 @@
 // longestDeadline is how long any request that is here now may stay.
 func (s *Server) longestDeadline() time.Duration {
 	longest := time.Duration(0)
-	for _, request := range s.requests {
+	for _, request := range s.requests.byID {
 		longest = max(longest, request.Route.Deadline)
 	}
 	return longest
 }
 
-// Tables are the routes and tenants in force, by name, as New was told of them or as they have changed since. It is for
-// before Run.
+// Tables are the routes and the tenants' rates in force, by name. It is for before Run.
 func (s *Server) Tables() (routes map[string]admission.Route, tenants map[string]float64) {
-	routes, tenants = make(map[string]admission.Route, len(s.routes)), make(map[string]float64, len(s.tenants))
-	for name, route := range s.routes {
+	routes = make(map[string]admission.Route, len(s.tables.routes))
+	for name, route := range s.tables.routes {
 		routes[name] = route.Settings()
 	}
-	for name, place := range s.tenants {
-		tenants[name] = s.controller.TenantRate(place)
+	tenants = make(map[string]float64, len(s.tables.tenants))
+	for name, index := range s.tables.tenants {
+		tenants[name] = s.controller.TenantRate(index)
 	}
 	return routes, tenants
 }
+
+// UnservedRoutes are the routes whose requests are rejected, as they call a dependency and there is none.
+func (s *Server) UnservedRoutes() []string { return slices.Sorted(maps.Keys(s.tables.unserved)) }
+
+// RouteTimeouts are the routes by name, with the time that a request of each has in all: what is answered later earns nothing.
+func (s *Server) RouteTimeouts() map[string]time.Duration {
+	timeouts := map[string]time.Duration{}
+	for name, route := range s.tables.routes {
+		timeouts[name] = route.Deadline
+		if route.LateValueShare == 0 {
+			timeouts[name] = min(route.LatencyTarget, route.Deadline)
+		}
+	}
+	return timeouts
+}
+
+// AdoptRoute gives a name that the settings do not state one of their spare routes, whose names begin with a NUL byte. Once
+// all are given away, requests of other names are rejected.
+func (s *Server) AdoptRoute(name string) {
+	if s.tables.routes[name] != nil {
+		return
+	}
+	spare := fmt.Sprintf("\x00%d", s.tables.adopted)
+	if route := s.tables.routes[spare]; route != nil {
+		s.tables.adopted++
+		s.tables.routes[name] = route
+	}
+}
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -17,8 +17,8 @@
 	return &admission.Route{Name: name, Value: 1, LateValueShare: 0.5, LatencyTarget: time.Second, Deadline: deadline}
 }
 
-// change has the tables become different and waits until all of it is in force.
-func (b *bench) change(t *testing.T, change TableChange) {
+// changeTables has the tables become different and waits until all of it is in force.
+func (b *bench) changeTables(t *testing.T, change TableChange) {
 	t.Helper()
 	done := make(chan struct{})
 	change.Done = func() { close(done) }
@@ -35,27 +35,27 @@
 func TestRoutesChangeInService(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
-	b.ask(1, "quote", time.Minute)
-	assert.Equal(t, Rejected, b.next(t).Verdict, "not known yet")
+	b.submitRequest(1, "quote", time.Minute)
+	assert.Equal(t, Rejected, b.nextAnswer(t).Verdict, "not known yet")
 
-	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "quote", Route: stated("quote", time.Minute)}}})
-	b.ask(2, "quote", time.Minute)
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "quote", Route: stated("quote", time.Minute)}}})
+	b.submitRequest(2, "quote", time.Minute)
 	first := b.pool.Next(t, "spawn")
 
-	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "quote", Route: stated("quote", 2*time.Second)}}})
-	b.ask(3, "quote", time.Minute)
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "quote", Route: stated("quote", 2*time.Second)}}})
+	b.submitRequest(3, "quote", time.Minute)
 	second := b.pool.Next(t, "spawn")
-	late := b.next(t)
+	late := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(3), Aborted}, []any{late.stream, late.Verdict}, "the later one has the shorter deadline")
 	b.pool.Finish(second.Task, "interrupted", nil)
 
-	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "quote"}}})
-	b.ask(4, "quote", time.Minute)
-	gone := b.next(t)
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "quote"}}})
+	b.submitRequest(4, "quote", time.Minute)
+	gone := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(4), Rejected}, []any{gone.stream, gone.Verdict}, "removed")
 	b.pool.Finish(first.Task, "success", []byte("done"))
-	got := b.next(t)
-	assert.Equal(t, answered{2, Answer{Verdict: Served, Result: []byte("done")}}, got, "what was in flight is finished")
+	got := b.nextAnswer(t)
+	assert.Equal(t, receivedAnswer{2, Answer{Verdict: Served, Result: []byte("done")}}, got, "what was in flight is finished")
 	assert.Empty(t, b.answers)
 }
 
@@ -64,13 +64,13 @@
 	b := newBench(t)
 	b.pool.Ready()
 	for stream := range uint32(3) {
-		b.ask(stream+1, "pay", time.Minute)
+		b.submitRequest(stream+1, "pay", time.Minute)
 		b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
-		b.next(t)
+		b.nextAnswer(t)
 	}
 	samples := func() (n float64) {
-		b.inTurn(func() {
-			for _, told := range b.controller.Estimates(b.Now(), b.schema).Routes {
+		b.onLoop(func() {
+			for _, told := range b.controller.Estimates(b.Now(), b.estimates.schema).Routes {
 				if told.Name == "pay" {
 					n = told.Run.Samples
 				}
@@ -79,10 +79,10 @@
 		return n
 	}
 	require.Equal(t, 3.0, samples())
-	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "pay", Route: stated("pay", time.Minute)}}})
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "pay", Route: stated("pay", time.Minute)}}})
 	assert.Equal(t, 3.0, samples())
-	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "pay"}}})
-	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "pay", Route: stated("pay", time.Minute)}}})
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "pay"}}})
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "pay", Route: stated("pay", time.Minute)}}})
 	assert.Zero(t, samples())
 }
 
@@ -101,18 +101,18 @@
 			})
 		})
 	}
-	b.change(t, put)
+	b.changeTables(t, put)
 	ask(1)
 	run := b.pool.Next(t, "spawn")
 	b.pool.Finish(run.Task, "success", []byte("done"))
-	assert.Equal(t, Served, b.next(t).Verdict)
-	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "charge"}}})
-	b.change(t, put)
+	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "charge"}}})
+	b.changeTables(t, put)
 	shorter := *keyed
 	shorter.DedupWindow = time.Millisecond
-	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: &shorter}}})
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: &shorter}}})
 	ask(2)
-	assert.Equal(t, answered{2, Answer{Verdict: Served, Result: []byte("done")}}, b.next(t), "answered from the first")
+	assert.Equal(t, receivedAnswer{2, Answer{Verdict: Served, Result: []byte("done")}}, b.nextAnswer(t), "answered from the first")
 }
 
 // Tenants come, change and go; what one has asked for counts on when its rate changes, and not for another that takes
@@ -127,30 +127,30 @@
 		return TableChange{Tenants: []settings.TenantChange{{Name: name, Removed: true}}}
 	}
 	place := func(name string) (place int) {
-		b.inTurn(func() { place = b.TenantIndex(name) })
+		b.onLoop(func() { place = b.TenantIndex(name) })
 		return place
 	}
 	unknown := place("north")
-	b.change(t, tenant("north", 5))
+	b.changeTables(t, tenant("north", 5))
 	assert.Equal(t, 0, place("north"))
 	b.Submit(func() {
 		b.Receive(Incoming{ID: "a", Route: "pay", HeldKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 	})
 	run := b.pool.Next(t, "spawn")
-	b.change(t, tenant("north", 7))
+	b.changeTables(t, tenant("north", 7))
 	_, rates := b.Tables()
 	assert.Equal(t, map[string]float64{"north": 7}, rates)
-	b.change(t, removed("north"))
+	b.changeTables(t, removed("north"))
 	assert.Equal(t, unknown, place("north"), "nobody's")
-	b.change(t, tenant("south", 1))
+	b.changeTables(t, tenant("south", 1))
 	assert.Equal(t, 1, place("south"), "a request of north is still here")
 	b.pool.Finish(run.Task, "success", nil)
-	b.next(t)
-	b.change(t, removed("south"))
-	b.change(t, tenant("west", 1))
+	b.nextAnswer(t)
+	b.changeTables(t, removed("south"))
+	b.changeTables(t, tenant("west", 1))
 	assert.Equal(t, 2, place("west"), "the place of north is the oldest, and not free for the deadline of what was here")
-	b.inTurn(func() { b.tables.free[0].from = 0 })
-	b.change(t, tenant("east", 1))
+	b.onLoop(func() { b.tables.free[0].availableAt = 0 })
+	b.changeTables(t, tenant("east", 1))
 	assert.Equal(t, 0, place("east"))
 }
 
@@ -166,7 +166,7 @@
 	}
 	done := make(chan struct{})
 	counted := make(chan int, 1)
-	large.Done = func() { counted <- len(b.routes) }
+	large.Done = func() { counted <- len(b.tables.routes) }
 	b.ChangeTables(large)
 	seen := 0
 	var step func()
@@ -184,14 +184,14 @@
 	}
 	b.Submit(step)
 	b.ChangeTables(TableChange{Routes: []settings.RouteChange{{Name: "r0"}}, Done: func() { close(done) }})
-	b.ask(1, "pay", time.Minute)
+	b.submitRequest(1, "pay", time.Minute)
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
-	assert.Equal(t, Served, b.next(t).Verdict)
+	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	select {
 	case <-done:
 	case <-time.After(fake.Patience):
 		require.FailNow(t, "the change is not in force")
 	}
 	assert.Equal(t, many+2, <-counted, "with the two that were there")
-	b.inTurn(func() { assert.Len(t, b.routes, many+1) })
+	b.onLoop(func() { assert.Len(t, b.tables.routes, many+1) })
 }
