--- /dev/null
+++ b/internal/server/bench_test.go
@@ -0,0 +1,153 @@
+package server
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/settings"
+	"quartzpoint/internal/testkit/fake"
+	"quartzpoint/internal/workerlink"
+)
+
+// receivedAnswer is what a caller was told on a stream.
+type receivedAnswer struct {
+	stream uint32
+	Answer
+}
+
+// bench is a server with a stand-in pool and a front that only keeps what it is told.
+type bench struct {
+	*Server
+	pool         *fake.Pool
+	workerLink   *workerlink.Link
+	counts       *invariant.Counters
+	answers      chan receivedAnswer
+	checks       chan bool
+	done         chan struct{}
+	retired      bool
+	peersStalled bool        // the front's peers do not read
+	inputPending atomic.Bool // something came that is not taken yet
+}
+
+func (b *bench) Answer(stream uint32, a Answer) { b.answers <- receivedAnswer{stream, a} }
+
+func (b *bench) ReportHealth(_ uint32, good bool, _ string) { b.checks <- good }
+
+func (b *bench) CloseIdle(time.Duration) {}
+
+func (b *bench) Flush() bool { return !b.peersStalled }
+
+func (b *bench) StopAccepting() { b.retired = true }
+
+func (b *bench) Open() int { return 0 }
+
+func (b *bench) Quiet() bool { return !b.inputPending.Load() }
+
+func newBench(t *testing.T) *bench { return newBenchAt(t, fake.Site) }
+
+func newBenchAt(t *testing.T, site string) *bench {
+	return newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256}, nil)
+}
+
+func newBenchWith(t *testing.T, site string, limits Limits, on Dependency) *bench {
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	told, err := settings.FromJSON([]byte(site))
+	require.NoError(t, err)
+	b := &bench{
+		pool: fake.NewPool(t), counts: invariant.New(log), done: make(chan struct{}),
+		answers: make(chan receivedAnswer, 100), checks: make(chan bool, 100),
+	}
+	b.Server, err = New(told, 1, limits, b.counts, log)
+	require.NoError(t, err)
+	link := workerlink.New(b.pool.Address, 1<<20, log, b.counts.Count, b.Wake)
+	b.workerLink = link
+	b.Attach(link, b)
+	if on != nil {
+		b.SetDependency(on, link)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	go link.Run(ctx)
+	go func() { b.Run(); close(b.done) }()
+	t.Cleanup(func() {
+		b.Drain(0)
+		select {
+		case <-b.done:
+		case <-time.After(fake.Patience):
+			t.Error("the server does not leave")
+		}
+		cancel()
+	})
+	return b
+}
+
+// submitRequest has the owner take a task.
+func (b *bench) submitRequest(stream uint32, kind string, waits time.Duration) {
+	b.Submit(func() {
+		b.Receive(Incoming{
+			ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: waits,
+			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
+		})
+	})
+}
+
+func (b *bench) nextAnswer(t *testing.T) receivedAnswer {
+	t.Helper()
+	select {
+	case a := <-b.answers:
+		return a
+	case <-time.After(fake.Patience):
+		require.FailNow(t, "no answer")
+		return receivedAnswer{}
+	}
+}
+
+// waitLinkSynced waits until the link is up and commands are taken.
+func (b *bench) waitLinkSynced(t *testing.T) {
+	t.Helper()
+	asked := uint64(0) // of this link: an answer on one before it says nothing
+	require.Eventually(t, func() bool {
+		bound := make(chan bool)
+		b.Submit(func() {
+			nonce, up := b.link.Poll()
+			switch {
+			case !up:
+				asked = 0
+			case asked == 0:
+				asked = nonce
+			}
+			bound <- asked > 0 && b.polls.answered >= asked
+		})
+		return <-bound
+	}, fake.Patience, time.Millisecond)
+}
+
+// waitAllRead waits until the pool has read all that was sent and the server knows it.
+func (b *bench) waitAllRead(t *testing.T) {
+	t.Helper()
+	require.Eventually(t, func() bool {
+		known := make(chan bool)
+		b.Submit(func() {
+			all := true
+			for _, task := range b.requests.byID {
+				all = all && (!task.active || task.sent && task.startNonce <= b.polls.answered)
+			}
+			known <- all
+		})
+		return <-known
+	}, fake.Patience, time.Millisecond)
+}
+
+// onLoop has the owner stand still while f runs.
+func (b *bench) onLoop(f func()) {
+	done := make(chan struct{})
+	b.Submit(func() { f(); close(done) })
+	<-done
+}
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 
 	"quartzpoint/internal/testkit/fake"
 )
@@ -37,3 +38,103 @@
 		})
 	}
 }
+
+func TestLeaving(t *testing.T) {
+	b := newBench(t)
+	b.pool.Ready()
+	b.submitRequest(1, "pay", time.Minute)
+	b.pool.Next(t, "spawn")
+	b.Drain(6 * time.Second)
+	b.submitRequest(2, "pay", time.Minute) // within the grace of 400 ms
+	b.pool.Next(t, "spawn")
+	require.Eventually(t, func() bool {
+		retired := make(chan bool)
+		b.Submit(func() { retired <- b.retired && b.Now() > b.drain.startedAt+450*time.Millisecond })
+		return <-retired
+	}, fake.Patience, time.Millisecond)
+	b.submitRequest(3, "pay", time.Minute) // past it
+	got := b.nextAnswer(t)
+	assert.Equal(t, []any{uint32(3), Rejected}, []any{got.stream, got.Verdict})
+	for stream := range uint32(2) {
+		b.pool.Finish(fake.Call(stream+1), "success", nil)
+		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
+	}
+	<-b.done
+}
+
+// At the stop all that was read has its answer, whatever it waits for.
+func TestStopAnswersAll(t *testing.T) {
+	b := newBench(t)
+	b.pool.Ready()
+	for stream := range uint32(40) {
+		b.submitRequest(stream, "pay", time.Minute)
+	}
+	b.pool.Next(t, "spawn")
+	b.Drain(500 * time.Millisecond)
+	<-b.done
+	assert.Len(t, b.answers, 40)
+}
+
+// A peer that does not read its answers kept the process from leaving until it was killed.
+func TestLeavingWithAPeerThatDoesNotRead(t *testing.T) {
+	b := newBench(t)
+	b.Submit(func() { b.peersStalled = true })
+	b.Drain(500 * time.Millisecond)
+	select {
+	case <-b.done:
+	case <-time.After(fake.Patience):
+		require.FailNow(t, "the server does not leave")
+	}
+}
+
+// A process that ends with a connection untaken, or bytes unread, loses a task. It stays for them, up to the stop.
+func TestEndWaitsForWhatIsUnread(t *testing.T) {
+	b := newBench(t)
+	b.pool.Ready()
+	b.inputPending.Store(true)
+	b.Drain(4 * time.Second)
+	require.Eventually(t, func() bool {
+		retired := false
+		b.onLoop(func() { retired = b.retired })
+		return retired
+	}, fake.Patience, time.Millisecond)
+	b.onLoop(func() { // read only now, past the grace of 400 ms: answered, and not run
+		b.Receive(Incoming{
+			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.drain.startedAt + 401*time.Millisecond,
+			Timeout: time.Minute, Caller: b, Stream: 1,
+		})
+	})
+	assert.Equal(t, Rejected, b.nextAnswer(t).Verdict)
+	for range 20 { // rounds of a process that stays
+		b.onLoop(func() {})
+	}
+	b.inputPending.Store(false)
+	select {
+	case <-b.done:
+	case <-time.After(fake.Patience):
+		require.FailNow(t, "the end does not come")
+	}
+}
+
+// The round that heard of the notice late let run what came past the grace, and planned past the stop.
+func TestGraceAndStopRunFromTheNotice(t *testing.T) {
+	b := newBench(t)
+	b.pool.Ready()
+	b.pool.Next(t, "bind")
+	b.waitLinkSynced(t)
+	b.onLoop(func() {
+		came := b.Now() - 300*time.Millisecond
+		b.startDrain(came, 3*time.Second)
+		assert.Equal(t, came+3*time.Second-noticeDelay, b.drain.stopAt)
+		late := Incoming{ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
+		late.Arrived = came + 401*time.Millisecond // the site's grace is 400 ms
+		b.Receive(late)
+		due := late
+		due.ID, due.Stream, due.Arrived = fake.Call(2), 2, came+399*time.Millisecond
+		b.Receive(due)
+	})
+	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.nextAnswer(t); return []any{a.stream, a.Verdict} }())
+	assert.Equal(t, fake.Call(2), b.pool.Next(t, "spawn").Task)
+	b.pool.Finish(fake.Call(2), "success", nil)
+	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
+}
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -71,3 +71,25 @@
 	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", []byte("anew"))
 	assert.Equal(t, "anew", string(b.nextAnswer(t).Result))
 }
+
+// A numbered task whose caller leaves in the moment it is read, and for which the decisions have no room, kept its
+// number for the whole window, as one that would still run: a repeat was neither run nor turned away.
+func TestNumberOfATaskWhoseCallerLeftAsItWasRead(t *testing.T) {
+	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.Site)
+	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
+	b.pool.Ready()
+	b.waitLinkSynced(t)
+	b.onLoop(func() {
+		task := b.Receive(Incoming{
+			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
+			Caller: b, Stream: 1, Key: "n",
+		})
+		b.Cancel(task)
+	})
+	b.onLoop(func() {
+		assert.Empty(t, b.keys.entries)
+		assert.Empty(t, b.requests.byID)
+	})
+	assert.Zero(t, b.counts.Times("check failed: a task was answered twice"))
+	assert.Empty(t, b.answers)
+}
--- /dev/null
+++ b/internal/server/linkrecovery_test.go
@@ -0,0 +1,148 @@
+package server
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"quartzpoint/internal/testkit/fake"
+)
+
+// What the pool may or may not have read when its link broke is sent again only where that can't run twice.
+func TestLinkLost(t *testing.T) {
+	cases := []struct {
+		name, kind string
+		mute       bool // no poll is answered, so nothing shows that the pool read the command
+		loses      bool // the command goes with the link
+		ended      bool // while no link was there
+		want       Verdict
+		spawned    bool // a second time
+	}{
+		{"known to run", "pay", false, false, false, Served, false},
+		{"ended without a link", "pay", false, false, true, Served, false},
+		{"unsure and ended without a link", "pay", true, false, true, Served, false},
+		{"unsure, at most once, runs", "pay", true, false, false, Served, false},
+		{"unsure, at most once, never begun", "pay", true, true, false, Aborted, false},
+		{"unsure, reissuable", "browse", true, false, false, Served, true},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			b := newBenchAt(t, strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"abort"`, 1))
+			b.pool.Ready()
+			b.pool.Next(t, "bind")
+			b.waitLinkSynced(t)
+			if !c.mute {
+				b.submitRequest(1, c.kind, time.Minute)
+				b.pool.Next(t, "spawn")
+				b.waitAllRead(t)
+			} else {
+				// The pool reads the command and tells nothing more on this link.
+				b.pool.Silence(true)
+				b.pool.SetLoses(c.loses)
+				b.submitRequest(1, c.kind, time.Minute)
+				b.pool.Next(t, "spawn")
+			}
+			b.pool.Cut()
+			if c.ended {
+				b.pool.Finish(fake.Call(1), "success", []byte("done"))
+			}
+			b.pool.Silence(false)
+			b.pool.Next(t, "bind")
+			if c.spawned {
+				b.pool.Next(t, "spawn")
+			}
+			if !c.ended && c.want == Served {
+				b.pool.Finish(fake.Call(1), "success", []byte("done"))
+			}
+			begin := time.Now()
+			assert.Equal(t, c.want, b.nextAnswer(t).Verdict)
+			assert.Less(t, time.Since(begin), 5*time.Second, "answered by its deadline, not by what is known")
+			for len(b.pool.Commands) > 0 {
+				assert.NotEqual(t, "spawn", (<-b.pool.Commands).Verb, "the run was begun once more")
+			}
+		})
+	}
+}
+
+// Where runs can be paused, an at-most-once task whose beginning is in doubt is not given away: it is paused, so
+// that it can't end meanwhile, and sent again, whether or not the pool had read it.
+func TestLinkLostWhereRunsPause(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		lost bool // the spawn, with the link
+	}{{"runs", false}, {"never begun", true}} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newBench(t)
+			b.pool.Pauses, b.pool.Loses = true, c.lost
+			b.pool.Ready()
+			b.pool.Next(t, "bind")
+			b.waitLinkSynced(t)
+			b.pool.Silence(true)
+			b.submitRequest(1, "pay", time.Minute)
+			b.pool.Next(t, "spawn")
+			b.pool.Cut()
+			b.pool.SetLoses(false)
+			b.pool.Next(t, "bind")
+			b.pool.Silence(false)
+			assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
+			if c.lost {
+				assert.Equal(t, "body 1", string(b.pool.Next(t, "spawn").Body))
+			}
+			assert.Equal(t, fake.Call(1), b.pool.Next(t, "proceed").Task)
+			b.pool.Finish(fake.Call(1), "success", []byte("done"))
+			assert.Equal(t, Served, b.nextAnswer(t).Verdict)
+		})
+	}
+}
+
+// Each lost link once set one more alarm, and each alarm the next: the rounds, and the rate at which limit and
+// level move, doubled with every loss.
+func TestLinkLostSetsNoAlarms(t *testing.T) {
+	b := newBench(t)
+	b.pool.Ready()
+	for range 5 {
+		b.waitLinkSynced(t)
+		b.pool.Cut()
+		b.pool.Next(t, "bind")
+	}
+	alarms := make(chan int)
+	b.Submit(func() { alarms <- len(b.polls.alarms) })
+	assert.LessOrEqual(t, <-alarms, 1)
+}
+
+// A run that was given up is stopped though the link is lost on which that was said, or there was none: its core is free
+// for others. (The decisions say it again while it is not told to have ended.)
+func TestStopOfARunAcrossALostLink(t *testing.T) {
+	for _, down := range []bool{false, true} {
+		b := newBench(t)
+		b.pool.Ready()
+		b.pool.Next(t, "bind")
+		b.waitLinkSynced(t)
+		b.submitRequest(1, "browse", time.Minute)
+		b.pool.Next(t, "spawn")
+		b.waitAllRead(t)
+		if down {
+			b.pool.Cut()
+			require.Eventually(t, func() bool {
+				asked := true
+				b.onLoop(func() { _, asked = b.link.Poll() })
+				return !asked
+			}, fake.Patience, time.Millisecond)
+		}
+		b.onLoop(func() {
+			b.Cancel(b.requests.byID[fake.Call(1)])
+			if !down {
+				b.pool.Cut() // before the word is written
+			}
+		})
+		assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
+		require.Eventually(t, func() bool {
+			left := 1
+			b.onLoop(func() { left = len(b.requests.byID) })
+			return left == 0
+		}, fake.Patience, time.Millisecond)
+	}
+}
--- /dev/null
+++ b/internal/server/requests_test.go
@@ -0,0 +1,42 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"quartzpoint/admission"
+	"quartzpoint/internal/testkit/fake"
+)
+
+// A call that comes again after its run was answered, as when its router's connection broke behind the answer, ran an
+// at-most-once task a second time.
+func TestCallComesAgainAfterItsAnswer(t *testing.T) {
+	b := newBench(t)
+	b.pool.Ready()
+	run := func(kind string, stream uint32) {
+		b.submitRequest(stream, kind, time.Minute)
+		b.pool.Next(t, "spawn")
+		b.pool.Finish(fake.Call(stream), "success", []byte("done"))
+		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
+	}
+	run("pay", 1)
+	b.submitRequest(1, "pay", time.Minute)
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict, "what has run is neither run again nor dismissed")
+	assert.Empty(t, b.pool.Commands)
+	run("browse", 2)
+	run("browse", 2) // harmless, and its caller wants an answer
+
+	b.onLoop(func() {
+		b.requests.max = 3
+		for _, id := range []string{"a", "b", "c"} {
+			b.rememberRun(&Request{id: id, Request: admission.Request{Route: b.tables.routes["pay"]}})
+		}
+		assert.Equal(t, []string{"a", "b", "c"}, b.executed.order, "the oldest goes where the table is full")
+		assert.Len(t, b.executed.until, 3)
+		b.executed.expire(b.Now() + time.Minute)
+		assert.Empty(t, b.executed.until)
+		assert.Empty(t, b.executed.order)
+	})
+}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -1,147 +1,18 @@
 package server
 
 import (
-	"context"
-	"fmt"
-	"io"
-	"log/slog"
 	"math"
 	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/settings"
 	"quartzpoint/internal/testkit/fake"
-	"quartzpoint/internal/workerlink"
 )
 
-// receivedAnswer is what a caller was told on a stream.
-type receivedAnswer struct {
-	stream uint32
-	Answer
-}
-
-// bench is a server with a stand-in pool and a front that only keeps what it is told.
-type bench struct {
-	*Server
-	pool         *fake.Pool
-	workerLink   *workerlink.Link
-	counts       *invariant.Counters
-	answers      chan receivedAnswer
-	checks       chan bool
-	done         chan struct{}
-	retired      bool
-	peersStalled bool        // the front's peers do not read
-	inputPending atomic.Bool // something came that is not taken yet
-}
-
-func (b *bench) Answer(stream uint32, a Answer)             { b.answers <- receivedAnswer{stream, a} }
-func (b *bench) ReportHealth(_ uint32, good bool, _ string) { b.checks <- good }
-func (b *bench) CloseIdle(time.Duration)                    {}
-func (b *bench) Flush() bool                                { return !b.peersStalled }
-func (b *bench) StopAccepting()                             { b.retired = true }
-func (b *bench) Open() int                                  { return 0 }
-func (b *bench) Quiet() bool                                { return !b.inputPending.Load() }
-
-func newBench(t *testing.T) *bench { return newBenchAt(t, fake.Site) }
-
-func newBenchAt(t *testing.T, site string) *bench {
-	return newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256}, nil)
-}
-
-func newBenchWith(t *testing.T, site string, limits Limits, on Dependency) *bench {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	told, err := settings.FromJSON([]byte(site))
-	require.NoError(t, err)
-	b := &bench{
-		pool: fake.NewPool(t), counts: invariant.New(log), done: make(chan struct{}),
-		answers: make(chan receivedAnswer, 100), checks: make(chan bool, 100),
-	}
-	b.Server, err = New(told, 1, limits, b.counts, log)
-	require.NoError(t, err)
-	link := workerlink.New(b.pool.Address, 1<<20, log, b.counts.Count, b.Wake)
-	b.workerLink = link
-	b.Attach(link, b)
-	if on != nil {
-		b.SetDependency(on, link)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	go link.Run(ctx)
-	go func() { b.Run(); close(b.done) }()
-	t.Cleanup(func() {
-		b.Drain(0)
-		select {
-		case <-b.done:
-		case <-time.After(fake.Patience):
-			t.Error("the server does not leave")
-		}
-		cancel()
-	})
-	return b
-}
-
-// submitRequest has the owner take a task.
-func (b *bench) submitRequest(stream uint32, kind string, waits time.Duration) {
-	b.Submit(func() {
-		b.Receive(Incoming{
-			ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: waits,
-			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
-		})
-	})
-}
-
-func (b *bench) nextAnswer(t *testing.T) receivedAnswer {
-	t.Helper()
-	select {
-	case a := <-b.answers:
-		return a
-	case <-time.After(fake.Patience):
-		require.FailNow(t, "no answer")
-		return receivedAnswer{}
-	}
-}
-
-// waitLinkSynced waits until the link is up and commands are taken.
-func (b *bench) waitLinkSynced(t *testing.T) {
-	t.Helper()
-	asked := uint64(0) // of this link: an answer on one before it says nothing
-	require.Eventually(t, func() bool {
-		bound := make(chan bool)
-		b.Submit(func() {
-			nonce, up := b.link.Poll()
-			switch {
-			case !up:
-				asked = 0
-			case asked == 0:
-				asked = nonce
-			}
-			bound <- asked > 0 && b.polls.answered >= asked
-		})
-		return <-bound
-	}, fake.Patience, time.Millisecond)
-}
-
-// waitAllRead waits until the pool has read all that was sent and the server knows it.
-func (b *bench) waitAllRead(t *testing.T) {
-	t.Helper()
-	require.Eventually(t, func() bool {
-		known := make(chan bool)
-		b.Submit(func() {
-			all := true
-			for _, task := range b.requests.byID {
-				all = all && (!task.active || task.sent && task.startNonce <= b.polls.answered)
-			}
-			known <- all
-		})
-		return <-known
-	}, fake.Patience, time.Millisecond)
-}
-
 func TestTaskIsServed(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -225,108 +96,6 @@
 	}
 }
 
-// What the pool may or may not have read when its link broke is sent again only where that can't run twice.
-func TestLinkLost(t *testing.T) {
-	cases := []struct {
-		name, kind string
-		mute       bool // no poll is answered, so nothing shows that the pool read the command
-		loses      bool // the command goes with the link
-		ended      bool // while no link was there
-		want       Verdict
-		spawned    bool // a second time
-	}{
-		{"known to run", "pay", false, false, false, Served, false},
-		{"ended without a link", "pay", false, false, true, Served, false},
-		{"unsure and ended without a link", "pay", true, false, true, Served, false},
-		{"unsure, at most once, runs", "pay", true, false, false, Served, false},
-		{"unsure, at most once, never begun", "pay", true, true, false, Aborted, false},
-		{"unsure, reissuable", "browse", true, false, false, Served, true},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			b := newBenchAt(t, strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"abort"`, 1))
-			b.pool.Ready()
-			b.pool.Next(t, "bind")
-			b.waitLinkSynced(t)
-			if !c.mute {
-				b.submitRequest(1, c.kind, time.Minute)
-				b.pool.Next(t, "spawn")
-				b.waitAllRead(t)
-			} else {
-				// The pool reads the command and tells nothing more on this link.
-				b.pool.Silence(true)
-				b.pool.SetLoses(c.loses)
-				b.submitRequest(1, c.kind, time.Minute)
-				b.pool.Next(t, "spawn")
-			}
-			b.pool.Cut()
-			if c.ended {
-				b.pool.Finish(fake.Call(1), "success", []byte("done"))
-			}
-			b.pool.Silence(false)
-			b.pool.Next(t, "bind")
-			if c.spawned {
-				b.pool.Next(t, "spawn")
-			}
-			if !c.ended && c.want == Served {
-				b.pool.Finish(fake.Call(1), "success", []byte("done"))
-			}
-			begin := time.Now()
-			assert.Equal(t, c.want, b.nextAnswer(t).Verdict)
-			assert.Less(t, time.Since(begin), 5*time.Second, "answered by its deadline, not by what is known")
-			for len(b.pool.Commands) > 0 {
-				assert.NotEqual(t, "spawn", (<-b.pool.Commands).Verb, "the run was begun once more")
-			}
-		})
-	}
-}
-
-// Where runs can be paused, an at-most-once task whose beginning is in doubt is not given away: it is paused, so
-// that it can't end meanwhile, and sent again, whether or not the pool had read it.
-func TestLinkLostWhereRunsPause(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		lost bool // the spawn, with the link
-	}{{"runs", false}, {"never begun", true}} {
-		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
-			b.pool.Pauses, b.pool.Loses = true, c.lost
-			b.pool.Ready()
-			b.pool.Next(t, "bind")
-			b.waitLinkSynced(t)
-			b.pool.Silence(true)
-			b.submitRequest(1, "pay", time.Minute)
-			b.pool.Next(t, "spawn")
-			b.pool.Cut()
-			b.pool.SetLoses(false)
-			b.pool.Next(t, "bind")
-			b.pool.Silence(false)
-			assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
-			if c.lost {
-				assert.Equal(t, "body 1", string(b.pool.Next(t, "spawn").Body))
-			}
-			assert.Equal(t, fake.Call(1), b.pool.Next(t, "proceed").Task)
-			b.pool.Finish(fake.Call(1), "success", []byte("done"))
-			assert.Equal(t, Served, b.nextAnswer(t).Verdict)
-		})
-	}
-}
-
-// Each lost link once set one more alarm, and each alarm the next: the rounds, and the rate at which limit and
-// level move, doubled with every loss.
-func TestLinkLostSetsNoAlarms(t *testing.T) {
-	b := newBench(t)
-	b.pool.Ready()
-	for range 5 {
-		b.waitLinkSynced(t)
-		b.pool.Cut()
-		b.pool.Next(t, "bind")
-	}
-	alarms := make(chan int)
-	b.Submit(func() { alarms <- len(b.polls.alarms) })
-	assert.LessOrEqual(t, <-alarms, 1)
-}
-
 func TestPoolKnowsNothing(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -438,54 +207,6 @@
 	assert.False(t, <-b.checks, "a deep check without an answer is a bad one in time")
 }
 
-func TestLeaving(t *testing.T) {
-	b := newBench(t)
-	b.pool.Ready()
-	b.submitRequest(1, "pay", time.Minute)
-	b.pool.Next(t, "spawn")
-	b.Drain(6 * time.Second)
-	b.submitRequest(2, "pay", time.Minute) // within the grace of 400 ms
-	b.pool.Next(t, "spawn")
-	require.Eventually(t, func() bool {
-		retired := make(chan bool)
-		b.Submit(func() { retired <- b.retired && b.Now() > b.drain.startedAt+450*time.Millisecond })
-		return <-retired
-	}, fake.Patience, time.Millisecond)
-	b.submitRequest(3, "pay", time.Minute) // past it
-	got := b.nextAnswer(t)
-	assert.Equal(t, []any{uint32(3), Rejected}, []any{got.stream, got.Verdict})
-	for stream := range uint32(2) {
-		b.pool.Finish(fake.Call(stream+1), "success", nil)
-		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
-	}
-	<-b.done
-}
-
-// At the stop all that was read has its answer, whatever it waits for.
-func TestStopAnswersAll(t *testing.T) {
-	b := newBench(t)
-	b.pool.Ready()
-	for stream := range uint32(40) {
-		b.submitRequest(stream, "pay", time.Minute)
-	}
-	b.pool.Next(t, "spawn")
-	b.Drain(500 * time.Millisecond)
-	<-b.done
-	assert.Len(t, b.answers, 40)
-}
-
-// A peer that does not read its answers kept the process from leaving until it was killed.
-func TestLeavingWithAPeerThatDoesNotRead(t *testing.T) {
-	b := newBench(t)
-	b.Submit(func() { b.peersStalled = true })
-	b.Drain(500 * time.Millisecond)
-	select {
-	case <-b.done:
-	case <-time.After(fake.Patience):
-		require.FailNow(t, "the server does not leave")
-	}
-}
-
 func TestTermsItCantServe(t *testing.T) {
 	cases := map[string][2]string{
 		"needs idempotency keys":     {`"retryable"`, `"dedup"`},
