--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -25,7 +25,7 @@
 	case workerapi.RunBlocked:
 		s.handleBlocked(notice)
 	case workerapi.Verified:
-		s.finishCheck(notice.Nonce, notice.Outcome == "success")
+		s.finishCheck(notice.Nonce, notice.Healthy)
 	case workerapi.LinkBound:
 		s.round.WorkersStartedAt = s.Now() - notice.Duration
 		s.round.pending = true
@@ -36,12 +36,12 @@
 	}
 }
 
-// outcomes are the workers' words for the end of a run.
+// outcomes are the ends of runs as the controller knows them.
 var outcomes = map[string]admission.Outcome{
-	"success":     admission.Succeeded,
-	"failure":     admission.Failed,
-	"interrupted": admission.Stopped,
-	"nothing":     admission.NeverStarted,
+	workerapi.OutcomeSucceeded:    admission.Succeeded,
+	workerapi.OutcomeFailed:       admission.Failed,
+	workerapi.OutcomeStopped:      admission.Stopped,
+	workerapi.OutcomeNeverStarted: admission.NeverStarted,
 }
 
 // startRun has the workers run a request, or keeps it for the next link.
@@ -58,7 +58,7 @@
 		s.counters.Count("end of a run nobody asked for")
 		return
 	}
-	if request.pauseState == pauseRequested && notice.Outcome == "interrupted" && !request.answered {
+	if request.pauseState == pauseRequested && notice.Outcome == workerapi.OutcomeStopped && !request.answered {
 		request.pauseState = pauseConfirmed // not its end: it is paused and waits for resumePaused
 		return
 	}
@@ -97,7 +97,7 @@
 // not. That says something of a caller that invents request IDs, and nothing of this server: as a failed run it would count
 // against its health, and as a short one it would make all requests of the route look short.
 func (s *Server) handleCommandFailed(notice *workerapi.Notice) {
-	if notice.Outcome != "spawn" {
+	if notice.Command != workerapi.StartCommand {
 		s.counters.Count("pool did not carry out a command")
 		return
 	}
--- a/internal/workerapi/calls.go
+++ b/internal/workerapi/calls.go
@@ -6,15 +6,15 @@
 	"quartzpoint/admission"
 )
 
-// Call is what a run asks of the dependency.
+// Call is a call to the dependency that a run waits for.
 type Call struct {
-	CallID    uint64 // never that of another
+	CallID    uint64 // unique
 	RequestID string
-	Body      []byte        // not changed
-	Timeout   time.Duration // it is given up on after that
+	Body      []byte // never changed
+	Timeout   time.Duration
 }
 
-// CallEnd is how it ended.
+// CallEnd is how a call ended.
 type CallEnd struct {
 	Call
 	Outcome  admission.Outcome
--- /dev/null
+++ b/internal/workerlink/connect.go
@@ -0,0 +1,165 @@
+package workerlink
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"time"
+
+	"quartzpoint/internal/workerapi"
+	"quartzpoint/internal/writequeue"
+)
+
+const (
+	minBackoff   = 10 * time.Millisecond
+	maxBackoff   = 500 * time.Millisecond
+	dialTimeout  = time.Second
+	drainTimeout = 250 * time.Millisecond // for the old link to show that it read all commands
+)
+
+// Run dials, binds and reads until ctx ends. Between attempts it backs off, as a loop of refused connections would cost cores
+// that requests need.
+func (l *Link) Run(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.closeLocked()
+		l.inboxTaken.Broadcast()
+	})
+	defer stop()
+	backoff, down := minBackoff, false
+	var next *net.TCPConn // that a change of address has opened already
+	for ctx.Err() == nil {
+		var err error
+		if next == nil {
+			next, err = l.dial(ctx)
+		}
+		if err == nil {
+			began := time.Now()
+			next, err = l.serve(ctx, next)
+			if down = false; time.Since(began) > maxBackoff {
+				backoff = 0 // cores are idle meanwhile; only a link that ends as soon as it is up is backed off from
+			}
+		}
+		if ctx.Err() != nil {
+			break
+		}
+		if next != nil {
+			l.log.Info("pool link moves", "to", next.RemoteAddr().String())
+			continue
+		}
+		if !down { // once for each loss, not for each attempt
+			down = true
+			l.count("pool link lost or refused")
+			l.log.Warn("pool link down", "error", err)
+		}
+		select {
+		case <-ctx.Done():
+		case <-l.addressChanged: // the new address may well answer at once
+			backoff = minBackoff
+		case <-time.After(backoff):
+			backoff = min(max(2*backoff, minBackoff), maxBackoff)
+		}
+	}
+	if next != nil {
+		_ = next.Close() // never used
+	}
+}
+
+func (l *Link) dial(ctx context.Context) (*net.TCPConn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	c, err := dialer.DialContext(ctx, "tcp", l.currentAddress())
+	if err != nil {
+		return nil, fmt.Errorf("dial the worker pool: %w", err)
+	}
+	return c.(*net.TCPConn), nil
+}
+
+// serve reads a link to its end, and returns the next one where a change of address has opened it.
+func (l *Link) serve(ctx context.Context, conn *net.TCPConn) (next *net.TCPConn, err error) {
+	ctx, cancel := context.WithCancel(ctx)
+	opened := make(chan *net.TCPConn, 1)
+	go func() { opened <- l.openNewAddress(ctx, conn.RemoteAddr().String()) }()
+	err = l.bindAndRead(ctx, conn)
+	l.reset()
+	cancel()
+	return <-opened, err
+}
+
+// openNewAddress waits for a change of address and opens the new one while the old link still works. Only then is the old link
+// ended, so that an address that does not answer costs nothing until the old one ends. The pool drops commands that it has not
+// read from a link once another one is bound, so the last command on the old link is a poll: once that is answered, nothing is
+// in doubt. A pool that leaves it unanswered costs drainTimeout, and the recovery of a lost link.
+func (l *Link) openNewAddress(ctx context.Context, current string) *net.TCPConn {
+	var retry <-chan time.Time // for a new address that did not answer
+	backoff := minBackoff
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-l.addressChanged:
+			backoff = minBackoff
+		case <-retry:
+			backoff = min(2*backoff, maxBackoff)
+		}
+		retry = nil
+		if l.currentAddress() == current { // changed back, or the signal of the change that led here
+			continue
+		}
+		next, err := l.dial(ctx)
+		if err == nil {
+			l.drainAndClose(ctx)
+			return next
+		}
+		retry = time.After(backoff)
+	}
+}
+
+// drainAndClose ends a link that works behind the answer to its last poll.
+func (l *Link) drainAndClose(ctx context.Context) {
+	l.mu.Lock()
+	drained := make(chan struct{})
+	if l.synced {
+		l.drained, l.drainNonce = drained, l.pollLocked()
+	} else {
+		close(drained)
+	}
+	l.mu.Unlock()
+	l.Flush()
+	select {
+	case <-ctx.Done():
+	case <-drained:
+	case <-time.After(drainTimeout):
+		l.count("pool did not answer the last poll of a link that moved")
+	}
+	l.mu.Lock()
+	l.closeLocked()
+	l.mu.Unlock()
+}
+
+// bindAndRead binds a new link and reads it to its end.
+func (l *Link) bindAndRead(ctx context.Context, conn *net.TCPConn) error {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return fmt.Errorf("descriptor of the link: %w", err)
+	}
+	l.mu.Lock()
+	l.conn, l.raw, l.out = conn, raw, writequeue.New(l.maxQueuedBytes)
+	err = l.out.Add(bindCommand(l.lastIndex))
+	l.mu.Unlock()
+	if err != nil {
+		return fmt.Errorf("bind: %w", err)
+	}
+	l.Flush()
+	return l.readNotices(ctx, conn)
+}
+
+// reset forgets a link that has ended and reports that.
+func (l *Link) reset() {
+	l.mu.Lock()
+	l.closeLocked()
+	l.conn, l.raw, l.out, l.bound, l.synced, l.drainNonce, l.drained = nil, nil, nil, false, false, 0, nil
+	l.inbox = append(l.inbox, workerapi.Notice{Kind: workerapi.LinkDown})
+	l.mu.Unlock()
+	l.wake()
+}
--- a/internal/workerlink/pool_test.go
+++ b/internal/workerlink/link_test.go
@@ -84,7 +84,7 @@
 	}
 	assert.Equal(t, "4", b.pool.Next(t, "verify").Nonce)
 	ended := b.next(t, workerapi.RunFinished)
-	assert.Equal(t, "interrupted", ended.Outcome)
+	assert.Equal(t, workerapi.OutcomeStopped, ended.Outcome)
 	assert.Equal(t, 5500*time.Microsecond, ended.Duration)
 
 	assert.True(t, b.Start(workerapi.Run{ID: "t2", Route: "browse", Body: body})) // which stays, so that no reading is 0
@@ -98,8 +98,9 @@
 	b.pool.Say(`{"verb":"chatter","index":2,"outcome":"hm"}` + "\n" + `{"verb":"unk`)
 	b.pool.Say(`nown","outcome":"spawn","task":"t9"}` + "\n" + `{"verb":"verified","nonce":"4","outcome":"failure"}` + "\n")
 	unknown := b.next(t, workerapi.CommandFailed)
-	assert.Equal(t, []string{"spawn", "t9"}, []string{unknown.Outcome, unknown.RequestID})
-	assert.Equal(t, uint64(4), b.next(t, workerapi.Verified).Nonce)
+	assert.Equal(t, []any{workerapi.StartCommand, "t9"}, []any{unknown.Command, unknown.RequestID})
+	verified := b.next(t, workerapi.Verified)
+	assert.Equal(t, []any{uint64(4), false}, []any{verified.Nonce, verified.Healthy})
 }
 
 // A pool that came up long after the server had refused the one poll sent before it was up, and its link was
@@ -166,7 +167,7 @@
 	b.pool.Say(beyond)
 	assert.Equal(t, "c", b.next(t, workerapi.RunFinished).RequestID, "a notice told again was taken as a new one")
 	b.pool.Say(`{"verb":"finished","index":6,"task":"d","outcome":"success","spent":1,"bytes":"*"}` + "\n")
-	assert.Equal(t, "failure", b.next(t, workerapi.RunFinished).Outcome, "a result that can't be read")
+	assert.Equal(t, workerapi.OutcomeFailed, b.next(t, workerapi.RunFinished).Outcome, "a result that can't be read")
 	assert.Equal(t, 1, b.counts.Times("pool notice told again"))
 	assert.Equal(t, 1, b.counts.Times("pool notices missed"))
 }
@@ -176,7 +177,7 @@
 	for name, text := range map[string]string{
 		"no JSON":       "hello\n",
 		"cut JSON":      `{"verb":"polled"` + "\n",
-		"a long line":   strings.Repeat("x", 3*mostLine) + "\n",
+		"a long line":   strings.Repeat("x", 3*maxLineBytes) + "\n",
 		"a wrong kind":  `{"verb":7}` + "\n",
 		"a wrong nonce": `{"verb":"polled","nonce":"soon"}` + "\n",
 	} {
@@ -204,7 +205,7 @@
 	b.next(t, workerapi.RunFinished)
 
 	b.SetAddress("127.0.0.1:1") // nobody answers there
-	time.Sleep(3 * firstWait)
+	time.Sleep(3 * minBackoff)
 	assert.True(t, b.Start(workerapi.Run{ID: "b", Route: "pay", Body: nil}), "the old link works until a new one is open")
 	b.Flush()
 	b.pool.Next(t, "spawn")
@@ -235,7 +236,7 @@
 func TestAPoolThatDoesNotRead(t *testing.T) {
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
-	b.bound = 1 << 10
+	b.maxQueuedBytes = 1 << 10
 	b.pool.Cut()
 	b.next(t, workerapi.LinkSynced)
 	for range 100 {
@@ -256,9 +257,9 @@
 			return
 		}
 		l := New("", 1<<20, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {}, func() {})
-		l.out, l.read = writequeue.New(1<<20), 3
-		l.sort(&told)
+		l.out, l.lastIndex = writequeue.New(1<<20), 3
+		_ = l.handleLine(&told) // a missed notice is no fault here
 		assert.LessOrEqual(t, len(l.inbox), 2)
-		assert.GreaterOrEqual(t, l.read, uint64(3))
+		assert.GreaterOrEqual(t, l.lastIndex, uint64(3))
 	})
 }
