--- /dev/null
+++ b/internal/frontend/bench_test.go
@@ -0,0 +1,94 @@
+package frontend
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/server"
+	"quartzpoint/internal/settings"
+	"quartzpoint/internal/testkit/fake"
+	"quartzpoint/internal/workerlink"
+)
+
+// bench is a front end with a server behind it and a stand-in pool behind that.
+type bench struct {
+	*Frontend
+	pool *fake.Pool
+}
+
+func newBench(t testing.TB, limits server.Limits) *bench {
+	return newBenchAt(t, limits, fake.Site, nil)
+}
+
+// newBenchAt makes one for a site, whose listener may stand behind a gate.
+func newBenchAt(t testing.TB, limits server.Limits, site string, gated func(netpoll.Listener) netpoll.Listener) *bench {
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	told, err := settings.FromJSON([]byte(site))
+	require.NoError(t, err)
+	counts := invariant.New(log)
+	owner, err := server.New(told, 1, limits, counts, log)
+	require.NoError(t, err)
+	b := &bench{pool: fake.NewPool(t).Ready()}
+	b.Frontend, err = Listen("127.0.0.1:0", owner, limits, counts, log)
+	require.NoError(t, err)
+	if gated != nil {
+		counts := b.listener.(*countingListener)
+		counts.Listener = gated(counts.Listener)
+	}
+	link := workerlink.New(b.pool.Address, 1<<20, log, counts.Count, owner.Wake)
+	owner.Attach(link, b.Frontend)
+	ctx, cancel := context.WithCancel(context.Background())
+	left := make(chan struct{})
+	go link.Run(ctx)
+	go func() { _ = b.Serve() }()
+	go func() { owner.Run(); close(left) }()
+	t.Cleanup(func() {
+		owner.Drain(0)
+		select {
+		case <-left:
+		case <-time.After(fake.Patience):
+			t.Error("the server does not leave")
+		}
+		cancel()
+	})
+	return b
+}
+
+func usual() server.Limits { return server.Limits{MemoryMB: 96, Sockets: 256} }
+
+// waitCounted waits until something was counted.
+func (b *bench) waitCounted(t *testing.T, what string) {
+	t.Helper()
+	require.Eventually(t, func() bool { return b.counters.Times(what) > 0 }, fake.Patience, time.Millisecond, what)
+}
+
+// speaker is a connection that has had a check answered.
+func (b *bench) speaker(t testing.TB) *fake.Router {
+	t.Helper()
+	r := fake.Dial(t, b.Address())
+	r.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
+	assert.Equal(t, byte(21), r.Next(t).Type)
+	return r
+}
+
+// onLoop runs f on the event loop, and waits for it.
+func (b *bench) onLoop(f func()) {
+	done := make(chan struct{})
+	b.server.Submit(func() { f(); close(done) })
+	<-done
+}
+
+// crossed sends a task and waits until its bytes are with the server, unread, as the owner stands still.
+func (b *bench) crossed(t *testing.T, c *conn, r *fake.Router, stream uint32) {
+	t.Helper()
+	r.Send(t, fake.Task(stream, "pay", ""))
+	require.Eventually(t, func() bool { return c.transport.Reader().Len() > 0 }, fake.Patience, time.Millisecond)
+}
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/frontend_test.go
@@ -2,81 +2,21 @@
 
 import (
 	"bytes"
-	"context"
 	"fmt"
-	"io"
-	"log/slog"
 	"math"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/cloudwego/netpoll"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-	"golang.org/x/sys/unix"
 
 	"quartzpoint/internal/frame"
-	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/server"
-	"quartzpoint/internal/settings"
 	"quartzpoint/internal/testkit/fake"
-	"quartzpoint/internal/workerlink"
 )
 
-// bench is a front with a server behind it and a stand-in pool behind that.
-type bench struct {
-	*Frontend
-	pool *fake.Pool
-}
-
-func newBench(t testing.TB, limits server.Limits) *bench {
-	return newBenchAt(t, limits, fake.Site, nil)
-}
-
-// newBenchAt makes one for a site, whose listener may stand behind a gate.
-func newBenchAt(t testing.TB, limits server.Limits, site string, gated func(netpoll.Listener) netpoll.Listener) *bench {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	told, err := settings.FromJSON([]byte(site))
-	require.NoError(t, err)
-	counts := invariant.New(log)
-	owner, err := server.New(told, 1, limits, counts, log)
-	require.NoError(t, err)
-	b := &bench{pool: fake.NewPool(t).Ready()}
-	b.Frontend, err = Listen("127.0.0.1:0", owner, limits, counts, log)
-	require.NoError(t, err)
-	if gated != nil {
-		counts := b.listener.(*counted)
-		counts.Listener = gated(counts.Listener)
-	}
-	link := workerlink.New(b.pool.Address, 1<<20, log, counts.Count, owner.Wake)
-	owner.Attach(link, b.Frontend)
-	ctx, cancel := context.WithCancel(context.Background())
-	left := make(chan struct{})
-	go link.Run(ctx)
-	go func() { _ = b.Serve() }()
-	go func() { owner.Run(); close(left) }()
-	t.Cleanup(func() {
-		owner.Drain(0)
-		select {
-		case <-left:
-		case <-time.After(fake.Patience):
-			t.Error("the server does not leave")
-		}
-		cancel()
-	})
-	return b
-}
-
-func usual() server.Limits { return server.Limits{MemoryMB: 96, Sockets: 256} }
-
-// counted waits until something was counted.
-func (b *bench) counted(t *testing.T, what string) {
-	t.Helper()
-	require.Eventually(t, func() bool { return b.counts.Times(what) > 0 }, fake.Patience, time.Millisecond, what)
-}
-
 func TestRequestsSplitAtEveryByte(t *testing.T) {
 	b := newBench(t, usual())
 	b.pool.Echo = true
@@ -90,7 +30,7 @@
 		other := fake.Dial(t, b.Address())
 		other.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 		assert.Equal(t, byte(20), other.Next(t).Code)
-		other.Close()
+		_ = other.Close()
 		router.Send(t, request[at:])
 		got := router.Next(t)
 		assert.Equal(t, []any{byte(11), stream, byte(20), body}, []any{got.Type, got.Stream, got.Code, got.Body})
@@ -119,7 +59,7 @@
 	cut := fake.Task(1, "pay", "")
 	cut[9] = 200 // more fields than there are
 	var many []byte
-	for stream := range uint32(mostOpen + 1) {
+	for stream := range uint32(maxOpenRequests + 1) {
 		many = append(many, fake.Task(stream+1, "pay", "", "call", fake.Call(1000+stream))...)
 	}
 	cases := map[string]struct {
@@ -136,7 +76,7 @@
 		"stream 0":      {fake.Task(0, "pay", ""), 0, "stream used before"},
 		"stream in use": {append(good, fake.Task(1, "pay", "", "call", fake.Call(9))...), 1, "stream used before"},
 		"stream of old": {append(fake.Task(8, "unheard-of", ""), good...), 1, "stream used before"},
-		"too many open": {many, mostOpen, "too many open tasks"},
+		"too many open": {many, maxOpenRequests, "too many open tasks"},
 	}
 	b := newBench(t, usual())
 	b.pool.Echo = true
@@ -184,7 +124,7 @@
 		got := router.Next(t)
 		assert.Equal(t, []any{uint32(i + 1), byte(50)}, []any{got.Stream, got.Code}, "%v", fields)
 	}
-	router.Send(t, fake.Task(100, "pay", strings.Repeat("x", mostBody+1)))
+	router.Send(t, fake.Task(100, "pay", strings.Repeat("x", maxBodyBytes+1)))
 	assert.Equal(t, byte(50), router.Next(t).Code, "a body that is too long")
 	router.Send(t, fake.Frame(10, 101, strings.Repeat("x", 3*frame.MaxBuffered), "op", "pay"))
 	assert.Equal(t, byte(50), router.Next(t).Code, "a frame that is too long")
@@ -197,7 +137,7 @@
 	router := fake.Dial(t, b.Address())
 	router.Send(t, fake.Task(1, "browse", ""))
 	b.pool.Next(t, "spawn")
-	router.Close()
+	_ = router.Close()
 	assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
 }
 
@@ -205,20 +145,20 @@
 func TestPeerThatDoesNotRead(t *testing.T) {
 	b := newBench(t, usual())
 	b.pool.Echo = true
-	deaf, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
+	stalled, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	checks := bytes.Repeat(fake.Frame(20, 1, "", "e2e", "0"), 1000)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
-			if _, err := deaf.Write(checks); err != nil {
+			if _, err := stalled.Write(checks); err != nil {
 				return
 			}
 		}
 	}()
 	cut := func() bool { // which of the two bounds is met first depends on how the machine shares its cores
-		return b.counts.Times("connection closed: peer does not read")+
-			b.counts.Times("connection closed: sends faster than can be read") > 0
+		return b.counters.Times("connection closed: peer does not read")+
+			b.counters.Times("connection closed: sends faster than can be read") > 0
 	}
 	for stream := uint32(1); !cut(); stream++ {
 		other.Send(t, fake.Task(stream, "browse", fmt.Sprint(stream)))
@@ -227,109 +167,6 @@
 	<-done
 }
 
-// speaker is a connection that has had a check answered.
-func (b *bench) speaker(t testing.TB) *fake.Router {
-	t.Helper()
-	r := fake.Dial(t, b.Address())
-	r.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
-	assert.Equal(t, byte(21), r.Next(t).Type)
-	return r
-}
-
-// Hundreds that connect and say nothing filled the table and turned routers away.
-func TestTableFull(t *testing.T) {
-	limits := server.Limits{MemoryMB: 96, Sockets: 40}
-	b := newBench(t, limits)
-	first := b.speaker(t)
-	for range 2 * limits.Sockets {
-		fake.Dial(t, b.Address())
-		time.Sleep(newWait / 20)
-	}
-	time.Sleep(newWait)
-	busy := b.speaker(t)
-	assert.Zero(t, b.counts.Times("connection asked to go to make room"), "silent ones go before a router's idle one")
-	busy.Send(t, fake.Task(2, "pay", ""))
-	b.pool.Next(t, "spawn")
-	for range limits.Sockets {
-		b.speaker(t) // which all stay
-	}
-	b.counted(t, "connection asked to go to make room")
-	b.counted(t, "connection closed to make room")
-	assert.Equal(t, byte(30), first.Next(t).Type, "the one idle for longest is asked to go")
-	first.Closed(t)
-	b.pool.Finish(fake.Call(2), "success", []byte("kept"))
-	assert.Equal(t, "kept", busy.Next(t).Body, "one with an open task never makes room")
-
-	var all []*fake.Router
-	for stream := range uint32(limits.Sockets / 2) { // all in use
-		r := fake.Dial(t, b.Address())
-		r.Send(t, fake.Task(stream+100, "pay", ""))
-		all = append(all, r)
-	}
-	require.Eventually(t, func() bool {
-		open := make(chan int)
-		b.server.Submit(func() {
-			n := 0
-			for _, c := range b.conns {
-				n += len(c.open)
-			}
-			open <- n
-		})
-		return <-open == len(all)
-	}, fake.Patience, time.Millisecond)
-	require.Positive(t, b.crowd)
-	hold := func(begun time.Duration) { // as where they have begun what is on its way
-		b.inTurn(func() {
-			for _, c := range b.conns {
-				if c.crowds {
-					c.begun = begun
-				}
-			}
-		})
-	}
-	for range b.crowd { // each is heard, and has its one answer
-		r := b.speaker(t)
-		r.Send(t, fake.Task(9, "pay", "", "call", fake.Call(9)))
-		assert.Equal(t, byte(50), r.Next(t).Code)
-		hold(b.server.Now() + fake.Patience)
-	}
-	b.counted(t, "task on a connection beyond the table")
-	assert.Zero(t, b.counts.Times("connection refused, table full"))
-	fake.Dial(t, b.Address()).Closed(t)
-	b.counted(t, "connection refused, table full")
-	hold(0)
-	last := b.speaker(t) // in the place of one of them
-
-	for _, r := range all { // one that came beyond the table is as any other once it is within
-		r.Close()
-	}
-	require.Eventually(t, func() (within bool) {
-		b.inTurn(func() { within = b.live() <= b.most })
-		return within
-	}, fake.Patience, time.Millisecond)
-	b.pool.SetEcho()
-	last.Send(t, fake.Task(10, "pay", "", "call", fake.Call(10)))
-	assert.Equal(t, byte(20), last.Next(t).Code)
-}
-
-// Whatever there is, the process itself has its part, and each of the others some.
-func TestDescriptorsAreParted(t *testing.T) {
-	for _, c := range []struct{ sockets, most, crowd, untried int }{
-		{4, 1, 1, 1}, {24, 4, 2, 2}, {32, 12, 2, 2}, {48, 24, 4, 4}, {64, 32, 8, 8}, {100, 50, 8, 16}, {128, 64, 8, 16},
-		{256, 192, 8, 16}, {4096, 4032, 8, 16},
-	} {
-		most, crowd, untried := parted(c.sockets)
-		assert.Equal(t, []int{c.most, c.crowd, c.untried}, []int{most, crowd, untried}, "%d", c.sockets)
-		if c.sockets > ownSockets+3 {
-			assert.LessOrEqual(t, most+crowd+untried, c.sockets-ownSockets)
-		}
-	}
-	assert.Equal(t, 1, within(1))
-	var held unix.Rlimit
-	require.NoError(t, unix.Getrlimit(unix.RLIMIT_NOFILE, &held))
-	assert.Equal(t, min(int(held.Cur), math.MaxInt32), within(math.MaxInt32))
-}
-
 // What says nothing, or does not end what it began, is told so and closed in time; a byte now and then is no sign
 // of life. What has spoken before may rest.
 func TestSilentConnections(t *testing.T) {
@@ -344,7 +181,7 @@
 			if _, err := drips.Write(frame[i : i+1]); err != nil {
 				return
 			}
-			time.Sleep(silentWait / 15)
+			time.Sleep(frameTimeout / 15)
 		}
 	}()
 	for want, r := range map[string]*fake.Router{"nothing understood": silent, "frame not ended": half} {
@@ -353,7 +190,7 @@
 		r.Closed(t)
 	}
 	drips.Closed(t)
-	assert.GreaterOrEqual(t, time.Since(began), silentWait)
+	assert.GreaterOrEqual(t, time.Since(began), frameTimeout)
 	rests.Send(t, fake.Frame(20, 2, "", "e2e", "0"))
 	assert.Equal(t, byte(21), rests.Next(t).Type)
 }
@@ -387,7 +224,7 @@
 	b.pool.Next(t, "spawn")
 	b.server.Submit(func() {
 		c := b.conns[0]
-		c.retired, c.last, b.swept = true, 0, 0
+		c.draining, c.activeAt, b.sweptAt = true, 0, 0
 		c.Answer(1, server.Answer{Verdict: server.Aborted})
 	})
 	assert.Equal(t, byte(51), router.Next(t).Code)
@@ -401,9 +238,9 @@
 	sizes := make(chan [2]int)
 	b.server.Submit(func() {
 		c := b.conns[0]
-		c.take(check[:5])
-		c.take(append(append(check[5:], bytes.Repeat(check, 2000)...), check[:7]...))
-		sizes <- [2]int{len(c.part), cap(c.part) / frame.MaxBuffered}
+		c.parse(check[:5])
+		c.parse(append(append(check[5:], bytes.Repeat(check, 2000)...), check[:7]...))
+		sizes <- [2]int{len(c.partial), cap(c.partial) / frame.MaxBuffered}
 	})
 	assert.Equal(t, [2]int{7, 0}, <-sizes)
 }
@@ -430,7 +267,7 @@
 		for got := bystander.Next(t); got.Stream != stream; got = bystander.Next(t) {
 			require.Equal(t, byte(frame.GoAway), got.Type, "an answer to something else")
 		}
-		r.Close()
+		_ = r.Close()
 		require.Eventually(t, func() bool {
 			open := make(chan int)
 			b.server.Submit(func() { open <- len(b.conns) })
--- a/internal/frontend/halfclose.go
+++ b/internal/frontend/halfclose.go
@@ -12,9 +12,9 @@
 // whose peer has ended its side, so that what is open on it is answered over a duplicate of its descriptor. A router that
 // is gone altogether ends its side in the same way; it shows by a reset as soon as something is written to it.
 
-// keepWriting duplicates the descriptor of a connection whose peer ended its side in order, and tells whether it
-// could. It is for netpoll's callback, before the descriptor is closed, and holds the connection's lock.
-func (c *conn) keepWriting() bool {
+// duplicateDescriptor duplicates the descriptor of a connection whose peer ended its side in order. It is for netpoll's
+// callback, before the descriptor is closed; c.mu is held.
+func (c *conn) duplicateDescriptor() (duplicated bool) {
 	n, err := peek(c.fd)
 	if err != nil || n > 0 {
 		return false // reset, or not ended by its peer
@@ -27,33 +27,33 @@
 	return true
 }
 
-// isHalf is whether the peer has ended its side and what is open is still answered.
-func (c *conn) isHalf() bool {
+// isHalfClosed is whether the peer has ended its side and what is open is still answered.
+func (c *conn) isHalfClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.half
+	return c.halfClosed
 }
 
-// halfClosed is the owner's turn behind the end of the peer's side. What is open is answered as ever; the frame that asks
-// for no new request is written to find out whether anybody is there.
-func (c *conn) halfClosed() {
-	if c.dead || c.finished() {
-		c.leave()
+// handleHalfClose takes, on the event loop, that the peer has ended its side. Open requests are answered as ever; the frame
+// that asks for no new one is written to find out whether anybody is there.
+func (c *conn) handleHalfClose() {
+	if c.dead || c.nothingOwed() {
+		c.handleClosed()
 		return
 	}
-	c.part, c.begun, c.beyond = nil, 0, 0
-	c.last = c.front.server.Now()
-	c.retired, c.askedAt = true, c.last
-	c.put(frame.AppendHead(nil, frame.GoAway, 0, 0, nil, 0))
+	c.partial, c.frameBegunAt, c.skipBytes = nil, 0, 0
+	c.activeAt = c.frontend.server.Now()
+	c.draining, c.drainingAt = true, c.activeAt
+	c.enqueue(frame.AppendHead(nil, frame.GoAway, 0, 0, nil, 0))
 }
 
-// finished is whether nothing is owed on a connection.
-func (c *conn) finished() bool { return len(c.open) == 0 && c.out.Empty() }
+// nothingOwed is whether no request is open and no answer unwritten.
+func (c *conn) nothingOwed() bool { return len(c.requests) == 0 && c.out.Empty() }
 
-// sweepHalf ends a connection whose peer has ended its side, once nothing is owed on it or nobody is there.
-func (c *conn) sweepHalf(now time.Duration) {
-	if c.finished() || c.peerGone() || !c.out.Empty() && now >= c.last+stuckWait {
-		c.leave()
+// sweepHalfClosed ends a connection whose peer has ended its side, once nothing is owed on it or the peer is gone.
+func (c *conn) sweepHalfClosed(now time.Duration) {
+	if c.nothingOwed() || c.peerGone() || !c.out.Empty() && now >= c.activeAt+unreadTimeout {
+		c.handleClosed()
 	}
 }
 
--- a/internal/frontend/crossing_test.go
+++ b/internal/frontend/races_test.go
@@ -18,50 +18,36 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// onLoop has the owner stand still while f runs.
-func (b *bench) inTurn(f func()) {
-	done := make(chan struct{})
-	b.server.Submit(func() { f(); close(done) })
-	<-done
-}
-
-// crossed sends a task and waits until its bytes are with the server, unread, as the owner stands still.
-func (b *bench) crossed(t *testing.T, c *conn, r *fake.Router, stream uint32) {
-	t.Helper()
-	r.Send(t, fake.Task(stream, "pay", ""))
-	require.Eventually(t, func() bool { return c.link.Reader().Len() > 0 }, fake.Patience, time.Millisecond)
-}
-
 // A task that is written while its connection is about to be closed, as idle for too long after it was asked to go or
 // to make room for another, was closed on unread.
 func TestTaskCrossesTheCloseOfAnIdleConnection(t *testing.T) {
 	closes := map[string]func(b *bench, c *conn){
 		"asked to go": func(b *bench, c *conn) {
-			c.retired, c.last = true, 0
+			c.draining, c.activeAt = true, 0
 			b.sweep(b.server.Now())
 		},
 		"asked to go while leaving": func(b *bench, c *conn) {
-			b.retired, b.shut, c.retired, c.last = true, true, true, 0
+			b.draining, b.listenerShut, c.draining, c.activeAt = true, true, true, 0
 			b.sweep(b.server.Now())
-			b.retired, b.shut = false, false
+			b.draining, b.listenerShut = false, false
 		},
 		"no frame in time": func(b *bench, c *conn) {
-			c.spoke, c.born = false, 0
+			c.sawFrame, c.openedAt = false, 0
 			b.sweep(b.server.Now())
 		},
-		"making room": func(b *bench, c *conn) {
-			b.most = 0
+		"making room": func(b *bench, _ *conn) {
+			b.maxConns = 0
 			if least := b.leastNeeded(nil, true); least != nil {
 				least.close("to make room")
 			}
-			b.most = 100
+			b.maxConns = 100
 		},
 	}
 	for name, closing := range closes {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, usual())
 			r := b.speaker(t)
-			b.inTurn(func() {
+			b.onLoop(func() {
 				c := b.conns[0]
 				b.crossed(t, c, r, 2)
 				closing(b, c)
@@ -79,13 +65,13 @@
 	b := newBench(t, usual())
 	r := b.speaker(t)
 	result := strings.Repeat("r", 4<<10)
-	b.inTurn(func() {
+	b.onLoop(func() {
 		c := b.conns[0]
 		require.NoError(t, c.out.Add([]byte{})) // the box is there and empty
 		for range 8 {
 			c.Answer(9, server.Answer{Verdict: server.Served, Result: []byte(result)})
 		}
-		c.retired, c.last = true, b.server.Now()-2*retiredWait
+		c.draining, c.activeAt = true, b.server.Now()-2*closeTimeout
 		b.sweep(b.server.Now())
 	})
 	for range 8 {
@@ -104,7 +90,7 @@
 	b.pool.Next(t, "spawn")
 	b.pool.Next(t, "spawn")
 	r.Send(t, bytes.Repeat([]byte{0xff}, 100_000))
-	b.counted(t, "connection closed: length out of bounds")
+	b.waitCounted(t, "connection closed: length out of bounds")
 	r.Send(t, fake.Task(3, "pay", "")) // behind what broke it: never read
 	b.pool.Finish(fake.Call(2), "success", []byte("two"))
 	b.pool.Finish(fake.Call(1), "failure", nil)
@@ -120,23 +106,23 @@
 // off for it, though it reads.
 func TestPeersThatDoNotReadCostNoOther(t *testing.T) {
 	b := newBench(t, usual())
-	deaf, reads := b.speaker(t), b.speaker(t)
+	stalled, reads := b.speaker(t), b.speaker(t)
 	reads.Send(t, fake.Task(2, "pay", ""))
 	b.pool.Next(t, "spawn")
-	b.inTurn(func() {
+	b.onLoop(func() {
 		of := map[bool]*conn{}
 		for _, c := range b.conns {
-			of[len(c.open) > 0] = c
+			of[len(c.requests) > 0] = c
 		}
-		b.bound = 10_000
-		of[false].put(make([]byte, b.bound-10))
+		b.maxQueuedBytes = 10_000
+		of[false].enqueue(make([]byte, b.maxQueuedBytes-10))
 		of[true].Answer(2, server.Answer{Verdict: server.Served, Result: make([]byte, 100)})
 		assert.Equal(t, []bool{true, false}, []bool{of[false].dead, of[true].dead})
-		assert.Less(t, b.waiting, b.bound, "what waited for the one cut off is given back at once")
+		assert.Less(t, b.queuedBytes, b.maxQueuedBytes, "what waited for the one cut off is given back at once")
 	})
 	assert.Equal(t, byte(20), reads.Next(t).Code)
-	deaf.Closed(t)
-	b.inTurn(func() { assert.Zero(t, b.waiting) })
+	stalled.Closed(t)
+	b.onLoop(func() { assert.Zero(t, b.queuedBytes) })
 }
 
 // Where a site tells of callers gone, its routers' word for it was taken for nonsense, and cost all tasks on the
@@ -191,7 +177,7 @@
 	assert.Equal(t, "the north's", one.Next(t).Body)
 	ask(one, 3, 5, "north", "something else")
 	assert.Equal(t, byte(51), one.Next(t).Code, "its number may have run, so it is not dismissed")
-	one.Send(t, fake.Task(4, "file", "b", "org", "north", "dedupe", strings.Repeat("k", mostNumber+1)))
+	one.Send(t, fake.Task(4, "file", "b", "org", "north", "dedupe", strings.Repeat("k", maxKeyBytes+1)))
 	assert.Equal(t, byte(50), one.Next(t).Code)
 	one.Send(t, fake.Task(5, "file", "b", "org", "north"))
 	assert.Equal(t, byte(50), one.Next(t).Code, "without a number nothing runs")
@@ -221,7 +207,7 @@
 	})
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.Task(1, "pay", ""))
-	b.inTurn(func() {
+	b.onLoop(func() {
 		b.StopAccepting()
 		b.Flush()
 		assert.False(t, b.Quiet(), "the process would end with a task unread")
@@ -240,7 +226,7 @@
 		_, err := net.Dial("tcp", b.Address())
 		return err != nil
 	}, fake.Patience, time.Millisecond)
-	b.inTurn(func() { assert.True(t, b.Quiet()) })
+	b.onLoop(func() { assert.True(t, b.Quiet()) })
 }
 
 // scarce has no descriptors for connections while it is told so.
@@ -280,7 +266,7 @@
 		assert.LessOrEqual(t, held.tries.Load()-first, int64(100))
 		held.short.Store(false)
 		assert.Equal(t, byte(21), waits.Next(t).Type)
-		waits.Close()
+		_ = waits.Close()
 	}
 	b.pool.Finish(fake.Call(2), "success", []byte("kept"))
 	assert.Equal(t, "kept", busy.Next(t).Body)
--- /dev/null
+++ b/internal/frontend/request.go
@@ -0,0 +1,88 @@
+package frontend
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"quartzpoint/internal/frame"
+	"quartzpoint/internal/server"
+)
+
+const (
+	maxBodyBytes = 2 << 10
+	maxHeldKB    = 2000.0 // KB of the worker's memory that a request may state
+	maxKeyBytes  = 256    // of an idempotency key
+	maxTimeout   = 24 * time.Hour
+)
+
+// invalidField is the error of a request with an invalid field, or body. Its text is the field's name on the wire, which
+// operators read in the counters.
+type invalidField string
+
+func (f invalidField) Error() string { return string(f) }
+
+const (
+	invalidBody = invalidField("body")
+	invalidKey  = invalidField("number")
+)
+
+// parseRequest reads a request's fields. Nothing of it points into what was read.
+func (c *conn) parseRequest(fields frame.Fields, body []byte) (in server.Incoming, err error) {
+	text := func(name string) string {
+		value, _ := fields.Get(name)
+		return string(value)
+	}
+	in.Route, in.ID = text(frame.FieldRoute), text(frame.FieldRequestID)
+	if !isRequestID(in.ID) {
+		return in, invalidField(frame.FieldRequestID)
+	}
+	if len(body) > maxBodyBytes {
+		return in, invalidBody
+	}
+	sentMS, err := strconv.ParseInt(text(frame.FieldSentMS), 10, 64)
+	if err != nil || !c.frontend.server.PlausibleStamp(sentMS) {
+		return in, invalidField(frame.FieldSentMS)
+	}
+	if timeout := text(frame.FieldTimeoutMS); timeout != "" {
+		ms, err := strconv.ParseInt(timeout, 10, 64)
+		if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() {
+			return in, invalidField(frame.FieldTimeoutMS)
+		}
+		in.Timeout = time.Duration(ms) * time.Millisecond
+	}
+	in.HeldKB, err = strconv.ParseFloat(text(frame.FieldHeldKB), 64)
+	if err != nil || !(in.HeldKB > 0 && in.HeldKB < maxHeldKB) {
+		return in, invalidField(frame.FieldHeldKB)
+	}
+	// Rank and router only steer: without them the request is the first to be shed, of an unnamed router.
+	in.Rank, err = strconv.ParseFloat(text(frame.FieldRank), 64)
+	if err != nil || !(in.Rank >= 0 && in.Rank < 1) {
+		in.Rank = 0
+	}
+	tenant := text(frame.FieldTenant)
+	in.Tenant = c.frontend.server.TenantIndex(tenant)
+	if key := text(frame.FieldKey); key != "" {
+		if len(key) > maxKeyBytes {
+			return in, invalidKey
+		}
+		// Two tenants never share a key. A request with the same key and another body is a conflict.
+		in.Key, in.Fingerprint = tenant+"\x00"+key, xxhash.Sum64(body)
+	}
+	router, _ := strconv.ParseUint(text(frame.FieldRouter), 10, 32)
+	in.Router, in.SentUnixMS = uint32(router), sentMS
+	in.Body = append([]byte(nil), body...)
+	return in, nil
+}
+
+// isRequestID is whether a text is sixteen hexadecimal digits.
+func isRequestID(text string) bool {
+	for i := range len(text) {
+		if !strings.ContainsRune("0123456789abcdefABCDEF", rune(text[i])) {
+			return false
+		}
+	}
+	return len(text) == 16
+}
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -145,7 +145,7 @@
 	}, fake.Patience, time.Millisecond)
 }
 
-// onLoop has the owner stand still while f runs.
+// onLoop runs f on the event loop, and waits for it.
 func (b *bench) onLoop(f func()) {
 	done := make(chan struct{})
 	b.Submit(func() { f(); close(done) })
