--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,5 +1,5 @@
-// Package events logs what becomes of requests, runs, connections and links, with the reason for each, at a bounded
-// rate: a process that is killed leaves these lines as the only record of what it decided.
+// Package events logs what becomes of requests, runs and connections, with the reason for each, at a bounded rate. A process
+// that is killed leaves these lines as the only record of what it decided.
 package events
 
 import (
@@ -12,12 +12,12 @@
 )
 
 const (
-	// maxLinesPerSecond is how many events of one kind and reason are logged one by one in a second; the others of that
-	// second are counted, and told in one line with the next one.
+	// maxLinesPerSecond is how many events of one kind and reason are logged one by one in a second; the others of that second
+	// are counted, and logged in one line in the next.
 	maxLinesPerSecond = 2
-	// maxPairs bounds the kinds and reasons that are counted apart. Both are the program's own words, so that a peer can't
-	// add to them; what comes beyond the bound is counted under its kind alone.
-	maxPairs = 256
+	// maxCounters bounds the kinds and reasons that are counted apart; past it an event is counted by its kind alone. Both are
+	// the program's own texts, so that a peer can't add to them.
+	maxCounters = 256
 )
 
 // Kind is what happened.
@@ -25,53 +25,53 @@
 
 // The kinds of events.
 const (
-	RequestRejected    Kind = "request refused"   // with a promise of no effect
+	RequestRejected    Kind = "request refused"   // answered as never run
 	RequestAborted     Kind = "request failed"    // answered without a result after it may have run
 	RunOverdue         Kind = "run overdue"       // not reported to have ended, or to have begun, in its time
 	RunEndedLate       Kind = "run ended late"    // the end of one that was overdue
-	RunReleased        Kind = "run released"      // taken off the books without a report of its end
+	RunReleased        Kind = "run released"      // counted as ended without a report of its end
 	RunRetried         Kind = "run retried"       // sent to the worker pool again
 	CallRetried        Kind = "call retried"      // made to the dependency again
-	ConnectionClosed   Kind = "connection closed" // by this side, or told to be before its end
-	ConnectionDraining Kind = "connection asked"  // to go, by its peer
-	Overcommitted      Kind = "overcommitted"     // the machine's readings are over what this process has on its books
+	ConnectionClosed   Kind = "connection closed" // by this side
+	ConnectionDraining Kind = "connection asked"  // asked to send no new request
+	Overcommitted      Kind = "overcommitted"     // the workers' gauges exceed what this process has running
 )
 
-// Log writes events to a logger. Its methods may be called from any goroutine.
+// Log writes events to a logger. It is safe for concurrent use.
 type Log struct {
 	log *slog.Logger
 	now func() time.Time
 
-	mu      sync.Mutex
-	second  time.Time
-	pairs   map[pair]*tally
-	dropped int64 // of the second, for any pair
+	mu          sync.Mutex
+	secondStart time.Time
+	counters    map[key]*counter
+	dropped     int64 // in this second, of all counters
 }
 
-// pair is what events are counted by.
-type pair struct {
+// key is what events are counted by.
+type key struct {
 	kind   Kind
 	reason string
 }
 
-// tally is the count of one pair.
-type tally struct {
+// counter counts the events of one key.
+type counter struct {
 	total   int64
 	lines   int   // logged in this second
 	dropped int64 // counted only, in this second
 }
 
-// New makes a log of events that writes to log.
+// New makes a log that writes to log.
 func New(log *slog.Logger) *Log {
-	return &Log{log: log, now: time.Now, pairs: map[pair]*tally{}}
+	return &Log{log: log, now: time.Now, counters: map[key]*counter{}}
 }
 
-// Record logs an event with the reason for it, or counts it where its second already has enough lines of its kind and
-// reason. reason is one of the program's own words; what comes from outside belongs into attributes, as for slog.
+// Record logs an event, or counts it where its second already has enough lines of its kind and reason. reason is one of the
+// program's own texts; what comes from outside belongs into attributes, as for slog.
 func (l *Log) Record(kind Kind, reason string, attributes ...slog.Attr) {
 	l.mu.Lock()
-	l.turn()
-	t := l.tally(kind, reason)
+	l.flush()
+	t := l.counterFor(kind, reason)
 	t.total++
 	if t.lines >= maxLinesPerSecond {
 		t.dropped++
@@ -86,43 +86,43 @@
 	l.log.LogAttrs(context.Background(), level(kind), string(kind), attributes...)
 }
 
-// Times is how often something was recorded.
+// Times is how often an event was recorded.
 func (l *Log) Times(kind Kind, reason string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.pairs[pair{kind, reason}]; t != nil {
+	if t := l.counters[key{kind, reason}]; t != nil {
 		return t.total
 	}
 	return 0
 }
 
-// Flush tells what the last second left without a line of its own, once it is over. Record does the same; Turn is for
-// a process in which nothing more happens.
+// Flush logs the totals of what the last second only counted, once it is over. Record does the same; Flush is for a process in
+// which nothing more happens.
 func (l *Log) Flush() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.turn()
+	l.flush()
 }
 
-// turn begins a new second where the last one is over.
-func (l *Log) turn() {
+// flush begins a new second where the last one is over. l.mu is held.
+func (l *Log) flush() {
 	now := l.now()
-	if passed := now.Sub(l.second); passed >= 0 && passed < time.Second {
+	if passed := now.Sub(l.secondStart); passed >= 0 && passed < time.Second {
 		return
 	}
-	l.second = now
+	l.secondStart = now
 	if l.dropped > 0 {
-		l.log.LogAttrs(context.Background(), slog.LevelInfo, "events", l.counted()...)
+		l.log.LogAttrs(context.Background(), slog.LevelInfo, "events", l.droppedTotals()...)
 	}
 	l.dropped = 0
-	for _, t := range l.pairs {
+	for _, t := range l.counters {
 		t.lines, t.dropped = 0, 0
 	}
 }
 
-// counted are the pairs of which the last second had more than lines, with their totals.
-func (l *Log) counted() (attributes []slog.Attr) {
-	for at, t := range l.pairs {
+// droppedTotals are the totals of what the last second did not log one by one.
+func (l *Log) droppedTotals() (attributes []slog.Attr) {
+	for at, t := range l.counters {
 		if t.dropped > 0 {
 			attributes = append(attributes, slog.Int64(string(at.kind)+": "+at.reason, t.total))
 		}
@@ -131,22 +131,23 @@
 	return attributes
 }
 
-func (l *Log) tally(kind Kind, reason string) *tally {
-	at := pair{kind, reason}
-	if l.pairs[at] == nil && len(l.pairs) >= maxPairs {
+func (l *Log) counterFor(kind Kind, reason string) *counter {
+	at := key{kind, reason}
+	if l.counters[at] == nil && len(l.counters) >= maxCounters {
 		at.reason = ""
 	}
-	if l.pairs[at] == nil {
-		l.pairs[at] = &tally{}
+	if l.counters[at] == nil {
+		l.counters[at] = &counter{}
 	}
-	return l.pairs[at]
+	return l.counters[at]
 }
 
-// level is that of a warning where a rule is at stake.
+// level is a warning where more may run than was decided.
 func level(kind Kind) slog.Level {
 	switch kind {
 	case RunOverdue, RunEndedLate, RunReleased, Overcommitted:
 		return slog.LevelWarn
+	default:
+		return slog.LevelInfo
 	}
-	return slog.LevelInfo
 }
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -62,9 +62,9 @@
 
 func TestPairsAreBounded(t *testing.T) {
 	l, _, _ := newLog()
-	for i := range 10 * maxPairs {
+	for i := range 10 * maxCounters {
 		l.Record(RequestRejected, fmt.Sprint(i))
 	}
-	assert.LessOrEqual(t, len(l.pairs), maxPairs+1)
-	assert.EqualValues(t, 9*maxPairs, l.Times(RequestRejected, ""))
+	assert.LessOrEqual(t, len(l.counters), maxCounters+1)
+	assert.EqualValues(t, 9*maxCounters, l.Times(RequestRejected, ""))
 }
--- a/internal/invariant/check.go
+++ b/internal/invariant/counters.go
@@ -1,5 +1,5 @@
-// Package invariant watches over what must hold and counts what should not happen. A debug build stops at the
-// first thing that does not hold; a release build goes on, counts it and tells of it once.
+// Package invariant checks what must hold, and counts what should not happen. A debug build panics at the first invariant that
+// does not hold; a release build counts it, logs the first of its kind and goes on.
 package invariant
 
 import (
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// Counters are the counters of one process, by what happened.
+// Counters are the counters of one process, by what happened. They are safe for concurrent use.
 type Counters struct {
 	log *slog.Logger
 
@@ -20,19 +20,19 @@
 // New makes counters that log to log.
 func New(log *slog.Logger) *Counters { return &Counters{log: log, times: map[string]int{}} }
 
-// Assert asserts what must hold, named by what it would mean if it did not.
-func (c *Counters) Assert(holds bool, otherwise string) {
+// Assert checks an invariant; violation says what happened where it does not hold.
+func (c *Counters) Assert(holds bool, violation string) {
 	if holds {
 		return
 	}
 	if Debug {
-		panic("check failed: " + otherwise)
+		panic("check failed: " + violation)
 	}
-	c.Count("check failed: " + otherwise)
+	c.Count("check failed: " + violation)
 }
 
-// Count counts what came from outside or ran out, and logs the first time of each. The words are the program's
-// own: with a peer's in them each would be a counter, and a log line, of its own.
+// Count counts an event, and logs the first of its kind. what is one of the program's own texts: with a peer's words in it each
+// would be a counter, and a log line, of its own.
 func (c *Counters) Count(what string) {
 	c.mu.Lock()
 	c.times[what]++
@@ -43,7 +43,7 @@
 	}
 }
 
-// Report logs all counters that moved, by name.
+// Report logs all counters, by name.
 func (c *Counters) Report() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// Times tells how often something was counted.
+// Times is how often an event was counted.
 func (c *Counters) Times(what string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug tells that this build stops where a check fails.
+// Debug says that this build panics where an invariant does not hold.
 const Debug = true
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug tells that this build goes on where a check fails.
+// Debug says that this build goes on where an invariant does not hold.
 const Debug = false
--- a/internal/poller/poller.go
+++ b/internal/poller/poller.go
@@ -1,5 +1,5 @@
-// Package poller sets netpoll up for the whole process: one poller, and callbacks that run on the owner of
-// whatever a connection belongs to.
+// Package poller sets netpoll up for the whole process: one poller, and callbacks that run on the event loop that a connection
+// belongs to.
 package poller
 
 import (
@@ -15,58 +15,57 @@
 	"quartzpoint/internal/sysfault"
 )
 
-// shortWait is how long the poller rests where there is no descriptor for a connection that waits in a listener.
-const shortWait = 5 * time.Millisecond
+// acceptPause is how long the poller pauses where there is no descriptor for a connection that waits in a listener.
+const acceptPause = 5 * time.Millisecond
 
-// EventLoop takes what netpoll has to tell and runs it in its own turn, in the order in which it came.
+// EventLoop runs functions on its own goroutine, in the order in which they were submitted.
 type EventLoop interface{ Submit(f func()) }
 
-// ownerKey finds the owner of a connection in its context.
-type ownerKey struct{}
+// eventLoopKey finds the event loop of a connection in its context.
+type eventLoopKey struct{}
 
-// netpoll reads these once its first poller runs, so its pages ask for them here.
+// netpoll reads its configuration once its first poller runs, so its documentation asks for it here.
 func init() {
-	err := netpoll.Configure(netpoll.Config{PollerNum: 1, Runner: runOnOwner, LoggerOutput: complaints{}})
+	err := netpoll.Configure(netpoll.Config{PollerNum: 1, Runner: runOnEventLoop, LoggerOutput: logWriter{}})
 	if err != nil {
 		panic(fmt.Errorf("netpoll: %w", err))
 	}
 }
 
-// Context names the owner that the callbacks of a connection run on.
-func Context(owner EventLoop) context.Context {
-	return context.WithValue(context.Background(), ownerKey{}, owner)
+// Context is the context of a connection whose callbacks run on an event loop.
+func Context(loop EventLoop) context.Context {
+	return context.WithValue(context.Background(), eventLoopKey{}, loop)
 }
 
-// runOnOwner hands netpoll's callbacks to the owner, so that reading needs no locks and starts nothing. They
-// can't run on the poller itself: a connection closed there waits for the poller to let go of it, for ever.
-func runOnOwner(ctx context.Context, callback func()) {
-	ctx.Value(ownerKey{}).(EventLoop).Submit(callback)
+// runOnEventLoop submits netpoll's callbacks to the event loop, so that reading needs no locks and no goroutine. They can't run
+// on the poller itself: a connection closed there would wait for the poller, for ever.
+func runOnEventLoop(ctx context.Context, callback func()) {
+	ctx.Value(eventLoopKey{}).(EventLoop).Submit(callback)
 }
 
-// Accept takes a connection from a listener, for the Accept of the one that netpoll is given. Where descriptors, or the
-// system's memory for them, have run out it calls short and gives no connection and no error, as where none waits: the
-// connection stays in the listener, and is asked for again shortly. Netpoll must not hear of it. It takes the listener
-// from its poller for up to a second at a time then, but only the first time that this happens: from the second time on
-// it asks again without rest, and starts a goroutine and writes two lines at each try. short must not wait. A failure of
-// one connection is none of the listener, which would end the process.
-func Accept(from netpoll.Listener, short func()) (net.Conn, error) {
-	link, err := from.Accept()
+// Accept accepts a connection, for the Accept of the listener that netpoll is given. Where descriptors, or the system's memory
+// for them, have run out it calls exhausted, which must not block, and returns no connection and no error, as where none
+// waits: the connection stays in the listener, and netpoll tries again shortly. Netpoll must not see that error: from the
+// second time on it would try again without a pause, with a goroutine and two log lines at each attempt. An error of one
+// connection is not returned either, as netpoll would stop serving the listener.
+func Accept(from netpoll.Listener, exhausted func()) (net.Conn, error) {
+	conn, err := from.Accept()
 	switch {
 	case sysfault.IsExhausted(err):
-		short()
-		time.Sleep(shortWait)
-	case sysfault.IsTransientAccept(err): // the connection is gone already, or was not asked for yet; the listener is as it was
+		exhausted()
+		time.Sleep(acceptPause)
+	case sysfault.IsTransientAccept(err): // the connection is gone already
 	default:
-		return link, err
+		return conn, err
 	}
 	return nil, nil
 }
 
-// complaints puts what netpoll logs into our log.
-type complaints struct{}
+// logWriter writes what netpoll logs to our log.
+type logWriter struct{}
 
-func (complaints) Write(line []byte) (int, error) {
-	_, said, _ := strings.Cut(strings.TrimSpace(string(line)), "NETPOLL: ")
-	slog.Warn("netpoll", "said", said)
+func (logWriter) Write(line []byte) (int, error) {
+	_, message, _ := strings.Cut(strings.TrimSpace(string(line)), "NETPOLL: ")
+	slog.Warn("netpoll", "said", message)
 	return len(line), nil
 }
--- a/internal/writequeue/outbox_test.go
+++ b/internal/writequeue/queue_test.go
@@ -12,7 +12,7 @@
 func pair(t *testing.T) (write, read int) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	require.NoError(t, err)
-	t.Cleanup(func() { unix.Close(fds[0]); unix.Close(fds[1]) })
+	t.Cleanup(func() { _ = unix.Close(fds[0]); _ = unix.Close(fds[1]) })
 	return fds[0], fds[1]
 }
 
@@ -30,19 +30,19 @@
 // A peer that does not read once held up the one goroutine that answers all others: Flush has to come back.
 func TestFlushNeverWaits(t *testing.T) {
 	write, read := pair(t)
-	box, want := New(8<<20), []byte(nil)
+	queue, want := New(8<<20), []byte(nil)
 	for i := range 3000 {
 		piece := bytes.Repeat([]byte{byte(i)}, 1000+i%7)
-		require.NoError(t, box.Add(piece[:10], nil, piece[10:]))
+		require.NoError(t, queue.Add(piece[:10], nil, piece[10:]))
 		want = append(want, piece...)
 	}
 	var got []byte
 	rounds := 0
-	for ; !box.Empty(); rounds++ {
-		before := box.Size()
-		require.NoError(t, box.Flush(write))
+	for ; !queue.Empty(); rounds++ {
+		before := queue.Size()
+		require.NoError(t, queue.Flush(write))
 		part := drain(t, read)
-		assert.Equal(t, before-box.Size(), len(part))
+		assert.Equal(t, before-queue.Size(), len(part))
 		got = append(got, part...)
 	}
 	assert.Greater(t, rounds, 1, "the socket took all at once, so nothing was shown")
@@ -50,18 +50,18 @@
 }
 
 func TestFull(t *testing.T) {
-	box := New(10)
-	require.NoError(t, box.Add([]byte("12345"), []byte("678")))
-	assert.ErrorIs(t, box.Add([]byte("9ab")), ErrFull)
-	assert.Equal(t, 8, box.Size())
+	queue := New(10)
+	require.NoError(t, queue.Add([]byte("12345"), []byte("678")))
+	assert.ErrorIs(t, queue.Add([]byte("9ab")), ErrFull)
+	assert.Equal(t, 8, queue.Size())
 }
 
 func TestPeerGone(t *testing.T) {
 	write, read := pair(t)
-	unix.Close(read)
-	box := New(10)
-	require.NoError(t, box.Add([]byte("1")))
-	assert.ErrorIs(t, box.Flush(write), unix.EPIPE)
+	_ = unix.Close(read)
+	queue := New(10)
+	require.NoError(t, queue.Add([]byte("1")))
+	assert.ErrorIs(t, queue.Flush(write), unix.EPIPE)
 }
 
 // A write that failed for a moment closed the connection, and lost all that was open on it.
@@ -69,8 +69,8 @@
 	whole := writev
 	t.Cleanup(func() { writev = whole })
 	write, read := pair(t)
-	box := New(1 << 20)
-	require.NoError(t, box.Add([]byte("first "), []byte("second")))
+	queue := New(1 << 20)
+	require.NoError(t, queue.Add([]byte("first "), []byte("second")))
 	failures := []error{unix.EINTR, unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN}
 	writev = func(fd int, parts [][]byte) (int, error) {
 		if len(failures) > 0 {
@@ -81,14 +81,14 @@
 		return unix.Write(fd, parts[0][:1]) // short each time
 	}
 	for range 3 { // the interrupted one is made again at once
-		require.NoError(t, box.Flush(write))
-		assert.Equal(t, 12, box.Size())
+		require.NoError(t, queue.Flush(write))
+		assert.Equal(t, 12, queue.Size())
 	}
-	require.NoError(t, box.Flush(write))
-	assert.True(t, box.Empty())
+	require.NoError(t, queue.Flush(write))
+	assert.True(t, queue.Empty())
 	assert.Equal(t, "first second", string(drain(t, read)))
 
-	require.NoError(t, box.Add([]byte("lost")))
+	require.NoError(t, queue.Add([]byte("lost")))
 	writev = func(int, [][]byte) (int, error) { return -1, unix.ECONNRESET }
-	assert.ErrorIs(t, box.Flush(write), unix.ECONNRESET)
+	assert.ErrorIs(t, queue.Flush(write), unix.ECONNRESET)
 }
