--- a/cmd/quartzconfig/apply.go
+++ b/cmd/quartzconfig/apply.go
@@ -14,18 +14,21 @@
 	"quartzpoint/internal/configwatch"
 )
 
-// applying is the command that has a change accepted.
-type applying struct {
-	service
+// idBytes is the size of a random ID of a change.
+const idBytes = 16
+
+// applyCommand proposes a change.
+type applyCommand struct {
+	serviceFile
 	File string        `arg:"" help:"The change (JSON), or a platform configuration, whose routes and tenants are then all; - for standard input."`
 	ID   string        `name:"id" help:"Under which the change is accepted once, however often it is applied; drawn where it is not stated."`
 	Base *uint64       `help:"The version it was made on: refused where that is not the newest. Wins over the file's."`
 	Wait time.Duration `default:"15s" help:"How long to try."`
 }
 
-// Run prints the version.
-func (cmd *applying) Run() error {
-	stated, keys, err := cmd.read()
+// Run proposes the change and prints the version that it became.
+func (cmd *applyCommand) Run() error {
+	service, keys, err := cmd.read()
 	if err != nil {
 		return err
 	}
@@ -35,7 +38,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cmd.Wait)
 	defer cancel()
-	version, err := configwatch.Propose(ctx, sessionsOf(stated), keys, change)
+	version, err := configwatch.Propose(ctx, sessionAddresses(service), keys, change)
 	if err != nil {
 		return fmt.Errorf("%w\nid of the change: %s", err, change.ID)
 	}
@@ -43,27 +46,23 @@
 	return nil
 }
 
-// change is what the file holds, with what the command line says of it.
-func (cmd *applying) change() (change configuration.Change, err error) {
-	raw := []byte(nil)
-	if cmd.File == "-" {
-		raw, err = io.ReadAll(io.LimitReader(os.Stdin, configuration.MaxChange+1))
-	} else {
-		raw, err = os.ReadFile(cmd.File)
-	}
+// change is the change in the file, with the ID and base of the command line.
+func (cmd *applyCommand) change() (configuration.Change, error) {
+	raw, err := cmd.readFile()
 	if err != nil {
-		return change, fmt.Errorf("change: %w", err)
+		return configuration.Change{}, fmt.Errorf("change: %w", err)
 	}
-	if change, err = configuration.ReadChange(raw); err != nil {
-		return change, err
+	change, err := configuration.ParseChange(raw)
+	if err != nil {
+		return configuration.Change{}, err
 	}
 	if cmd.ID != "" {
 		change.ID = cmd.ID
 	}
 	if change.ID == "" {
-		var drawn [16]byte
-		_, _ = rand.Read(drawn[:]) // never fails
-		change.ID = hex.EncodeToString(drawn[:])
+		var id [idBytes]byte
+		_, _ = rand.Read(id[:]) // never fails
+		change.ID = hex.EncodeToString(id[:])
 	}
 	if cmd.Base != nil {
 		change.Base = cmd.Base
@@ -71,8 +70,16 @@
 	return change, nil
 }
 
-func sessionsOf(stated *config.Service) (addresses []string) {
-	for _, m := range stated.Machines {
+func (cmd *applyCommand) readFile() ([]byte, error) {
+	if cmd.File == "-" {
+		return io.ReadAll(io.LimitReader(os.Stdin, configuration.MaxChangeBytes+1)) // Propose rejects one byte too many
+	}
+	return os.ReadFile(cmd.File)
+}
+
+func sessionAddresses(service *config.ControlService) []string {
+	var addresses []string
+	for _, m := range service.Machines {
 		addresses = append(addresses, m.Sessions)
 	}
 	return addresses
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -18,14 +18,15 @@
 	"quartzpoint/internal/server"
 )
 
-// composing starts what makes requests of calls, nil where nothing is stated. It ends with the context.
-func composing(
+// startComposer starts the composer of the routes that the configuration makes of calls; nil without any. It ends with the
+// context. memory is that of the process, in bytes.
+func startComposer(
 	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counters, log *slog.Logger,
 ) (*fanout.Composer, error) {
-	if len(ours.Types) == 0 {
+	if len(ours.Routes) == 0 {
 		return nil, nil
 	}
-	types, err := plans(ours, owner.RouteTimeouts())
+	routes, err := composedRoutes(ours, owner.RouteTimeouts())
 	if err != nil {
 		return nil, err
 	}
@@ -33,68 +34,69 @@
 	for _, d := range ours.Dependencies {
 		dependencies = append(dependencies, fanout.Dependency(d))
 	}
-	composer := fanout.New(ctx, dependencies, types, memory, seed, owner.Now, counts, log, owner.Wake)
+	composer := fanout.New(ctx, dependencies, routes, memory, seed, owner.Now, counts, log, owner.Wake)
 	owner.SetComposer(composer)
-	log.Info("tasks made of calls", "types", len(types), "dependencies", len(dependencies))
+	log.Info("tasks made of calls", "types", len(routes), "dependencies", len(dependencies))
 	return composer, nil
 }
 
-// plans are the types' plans, checked against the time that the platform's configuration gives a task of each.
-func plans(ours *config.Config, whole map[string]time.Duration) (types []fanout.Type, err error) {
+// composedRoutes are the configured plans, validated against available: the time that the platform's configuration gives
+// requests of each route. The error joins all faults.
+func composedRoutes(ours *config.Config, available map[string]time.Duration) (routes []fanout.Route, err error) {
 	var faults []error
-	for _, t := range ours.Types {
+	for _, t := range ours.Routes {
 		plan := t.Plan()
-		time, known := whole[t.Name]
+		deadline, known := available[t.Name]
 		if !known {
 			faults = append(faults, fmt.Errorf("types.%s: the platform's configuration names no such traffic type", t.Name))
 			continue
 		}
-		if err := plan.Check(len(ours.Dependencies), time); err != nil {
+		if err := plan.Validate(len(ours.Dependencies), deadline); err != nil {
 			faults = append(faults, fmt.Errorf("types.%s: %w", t.Name, err))
 		}
-		made := fanout.Type{Plan: plan}
+		route := fanout.Route{Plan: plan}
 		for _, c := range t.Calls {
-			made.Calls = append(made.Calls, fanout.Call{Op: c.Op, Keep: c.Keep, Default: c.Default})
+			route.Calls = append(route.Calls, fanout.Call{Op: c.Op, MaxStaleness: c.MaxStale, Default: c.Default})
 		}
-		types = append(types, made)
+		routes = append(routes, route)
 	}
-	return types, errors.Join(faults...)
+	return routes, errors.Join(faults...)
 }
 
-// timeLine prints a plan for its operators.
-func timeLine(to io.Writer, t config.Type, dependencies []config.Dependency, whole time.Duration) error {
+// printTimeline prints when the calls of a plan are expected to start and end, and their timeouts.
+func printTimeline(writer io.Writer, t config.RoutePlan, dependencies []config.Dependency, available time.Duration) error {
 	plan := t.Plan()
-	if err := plan.Check(len(dependencies), whole); err != nil {
+	if err := plan.Validate(len(dependencies), available); err != nil {
 		return fmt.Errorf("types.%s: %w", t.Name, err)
 	}
 	var names []string
 	for _, d := range dependencies {
 		names = append(names, d.Name)
 	}
-	fmt.Fprintf(to, "%s: %v in all, %v of it kept back\n", t.Name, whole, t.Reserve)
-	table := tabwriter.NewWriter(to, 2, 0, 2, ' ', 0)
+	fmt.Fprintf(writer, "%s: %v in all, %v of it kept back\n", t.Name, available, t.Reserve)
+	table := tabwriter.NewWriter(writer, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "  call\tdependency\tbegins\tends\tmay take\t")
-	for _, s := range plan.Spans(whole, names) {
-		kind := ""
-		if s.Needed {
-			kind = "needed"
+	for _, span := range plan.Spans(available, names) {
+		required := ""
+		if span.Required {
+			required = "needed"
 		}
-		fmt.Fprintf(table, "  %s\t%s\t%v\t%v\t%v\t%s\n", s.Name, s.DependencyName, s.Begins, s.Ends,
-			s.MayTake.Round(time.Millisecond), kind)
+		fmt.Fprintf(table, "  %s\t%s\t%v\t%v\t%v\t%s\n", span.Name, span.Dependency, span.Start, span.End,
+			span.Timeout.Round(time.Millisecond), required)
 	}
 	return table.Flush()
 }
 
-// asking is the command that prints how a running server's dependencies stand.
-type asking struct {
+// dependenciesCommand prints the state of a running server's dependencies.
+type dependenciesCommand struct {
 	Socket string `arg:"" help:"The server's control socket, as in its [control] socket."`
 	JSON   bool   `name:"json" help:"Print it as JSON."`
 }
 
-// Run asks once.
-func (cmd *asking) Run() error {
+// Run asks the server once.
+func (cmd *dependenciesCommand) Run() error {
 	var states []budget.State
-	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askDependencies}, &states); err != nil {
+	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askDependencies}, &states); err != nil {
 		return err
 	}
 	if cmd.JSON {
@@ -103,10 +105,10 @@
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "dependency\tlimit\tof\tin flight\tlingering\twaiting\tbreaker\tdegraded\tfirst\tsecond\tearned\tlate\tp50 ms\tp95\tp99\t")
 	for _, s := range states {
-		q := s.QuantilesInMillis
+		quantiles := s.QuantilesInMillis
 		fmt.Fprintf(table, "%s\t%.1f\t%d\t%d\t%d\t%d\t%s\t%t\t%d\t%d\t%.1f\t%d\t%.1f\t%.1f\t%.1f\t\n",
-			s.Name, s.Limit, s.Share, s.InFlight, s.Lingering, s.Waiting, s.Breaker, s.Degraded,
-			s.Firsts, s.Seconds, s.Earned, s.Late, q[0], q[1], q[2])
+			s.Name, s.Limit, s.MaxInFlight, s.InFlight, s.CancelledInFlight, s.Queued, s.Breaker, s.Degraded,
+			s.FirstAttempts, s.ExtraAttempts, s.RetryTokens, s.LateResponses, quantiles[0], quantiles[1], quantiles[2])
 	}
 	return table.Flush()
 }
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -38,16 +38,16 @@
 effect = "at-most-once"
 `
 
-// composed is a server with a type made of calls and one that the pool runs.
-type composed struct {
+// composedServer is a server with a route made of calls and one that the pool runs.
+type composedServer struct {
 	daemon       *harness.Daemon
 	tables, bank *harness.Dependency
 	socket, file string
 	types        []harness.Route
 }
 
-func startComposed(t *testing.T, bank harness.Script) *composed {
-	c := &composed{types: []harness.Route{
+func startComposedServer(t *testing.T, bank harness.Script) *composedServer {
+	c := &composedServer{types: []harness.Route{
 		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, Once: true, Share: 0.5,
 			Work: time.Millisecond, Composed: true},
 		{Name: "guest-note", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 0.5, Work: 20 * time.Millisecond},
@@ -67,11 +67,12 @@
 	return c
 }
 
+// Without faults all requests complete, and the control socket reports the dependencies.
 func TestComposed(t *testing.T) {
-	c := startComposed(t, nil)
+	c := startComposedServer(t, nil)
 	done, err := harness.Run(c.daemon.Address, c.types, harness.Arrivals(c.types, 60, time.Second, 1), 1)
 	require.NoError(t, err)
-	assert.Equal(t, done.Tasks, done.Codes[20], "all are honoured")
+	assert.Equal(t, done.Tasks, done.Codes[20], "all complete")
 	assert.Zero(t, done.Partial+done.Late+done.Twice)
 	about, err := os.Stat(c.socket)
 	require.NoError(t, err)
@@ -86,7 +87,7 @@
 	require.NoError(t, json.Unmarshal([]byte(out), &states))
 	require.Len(t, states, 2)
 	assert.Equal(t, "bank", states[0].Name)
-	assert.Equal(t, c.bank.Seen().Calls, states[0].Firsts)
+	assert.Equal(t, c.bank.Seen().Calls, states[0].FirstAttempts)
 	assert.Zero(t, states[0].InFlight)
 	assert.Greater(t, states[0].QuantilesInMillis[0], 4.0)
 	require.NoError(t, c.daemon.Stop())
@@ -94,10 +95,10 @@
 	assert.Equal(t, 1, code, out)
 }
 
-// The deposit is written and its answer comes after all time: the task is given up, never dismissed, and the deposit
-// made once. Tasks that need nothing of the bank are as before.
+// The deposit is sent and its response comes after the deadline. The request is aborted, never rejected, and the deposit made
+// once. Requests that do not need the bank are not affected.
 func TestDepositWithoutAnswer(t *testing.T) {
-	c := startComposed(t, func(time.Duration) harness.Mood { return harness.Mood{Late: 3 * time.Second} })
+	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Late: 3 * time.Second} })
 	load := harness.Arrivals(c.types, 20, time.Second, 1)
 	done, err := harness.Run(c.daemon.Address, c.types, load, 1)
 	require.NoError(t, err)
@@ -111,18 +112,19 @@
 	assert.Positive(t, seen.Effects)
 	assert.Zero(t, seen.Twice)
 	assert.Equal(t, seen.Calls, seen.Numbers, "no attempt was repeated")
-	assert.GreaterOrEqual(t, done.Codes[51], seen.Effects, "what ran is given up, not dismissed")
+	assert.GreaterOrEqual(t, done.Codes[51], seen.Effects, "what ran is aborted, not rejected")
 	require.NoError(t, c.daemon.Stop())
 	assert.NotContains(t, c.daemon.Log(), "check failed")
 }
 
-// The notice to leave, and the caller's end, while calls are open.
+// A caller disconnects, and then the server shuts down, while calls are in flight. The other callers get their answers, and
+// the shutdown ends in time.
 func TestLeavingWithOpenCalls(t *testing.T) {
-	c := startComposed(t, func(time.Duration) harness.Mood { return harness.Mood{Silent: true} })
+	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Silent: true} })
 	gone := fake.Dial(t, c.daemon.Address)
 	gone.Send(t, fake.Task(1, "confirm-booking", "x"))
 	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 1 }, fake.Patience, time.Millisecond)
-	gone.Close()
+	_ = gone.Close()
 	router := fake.Dial(t, c.daemon.Address)
 	for stream := range uint32(3) {
 		more := []string{"call", "00000000000000a" + string(rune('1'+stream))}
@@ -139,12 +141,13 @@
 			answers++
 		}
 	}
-	router.Close()
+	_ = router.Close()
 	require.NoError(t, <-left)
 	assert.Less(t, time.Since(began), 2500*time.Millisecond)
 	assert.NotContains(t, c.daemon.Log(), "check failed")
 }
 
+// A plan has a fault. The check command names it and fails.
 func TestCheckPlans(t *testing.T) {
 	folder := t.TempDir()
 	site := strings.Replace(fake.Site, `"browse"`, `"confirm-booking"`, 1)
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -81,38 +81,38 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	keeper, err := leaseKeeper(ours, seed, log)
+	manager, err := newLeaseManager(ours, seed, log)
 	if err != nil {
 		return fmt.Errorf("configuration file %s: %w", cmd.Config, err)
 	}
-	composer, err := composing(ctx, ours, s.Limits.megabytes()<<20, seed, owner, counts, log)
+	composer, err := startComposer(ctx, ours, s.Limits.megabytes()<<20, seed, owner, counts, log)
 	if err != nil {
 		return err
 	}
-	watcher, tables, err := follow(ours.Configuration, s.Name, s.Limits.memory(), owner, seed, log)
+	watcher, tables, err := newConfigWatcher(ours.Configuration, s.Name, s.Limits.memory(), owner, seed, log)
 	if err != nil {
 		return fmt.Errorf("configuration file %s: %w", cmd.Config, err)
 	}
 	defer tables.close()
-	told := operatorAnswers{owner: owner, composer: composer, keeper: keeper, watcher: watcher}
-	if err := told.listen(ctx, ours.Control); err != nil {
+	told := operatorAnswers{owner: owner, composer: composer, leaseManager: manager, watcher: watcher}
+	if err := told.listen(ctx, ours.ControlSocket); err != nil {
 		return err
 	}
-	var kept *keeping
+	var kept *statePersistence
 	if ours.State != nil || ours.Peers != nil {
-		if kept, err = keep(ours.State, owner, counts, log); err != nil {
+		if kept, err = openState(ours.State, owner, counts, log); err != nil {
 			return err
 		}
 		defer kept.close()
 	}
-	exchanging, err := begin(ctx, ours.Peers, owner, kept, seed, counts, log)
+	exchanging, err := startPeerExchange(ctx, ours.Peers, owner, kept, seed, counts, log)
 	if err != nil {
 		return err
 	}
 	leaseCtx, giveUp := context.WithCancel(ctx) // at the notice to leave, duties are given up first
-	if keeper != nil {
-		exchanging.server.SetVoteHandler(keeper.Vote)
-		go keeper.Run(leaseCtx)
+	if manager != nil {
+		exchanging.server.SetVoteHandler(manager.HandleVote)
+		go manager.Run(leaseCtx)
 	}
 	if watcher != nil {
 		go watcher.Run(ctx)
@@ -134,7 +134,7 @@
 		for range anew {
 			s = s.again(link, calls, reporter, owner, log)
 			stop.Store(int64(s.Stop))
-			exchanging.again(log)
+			exchanging.reloadKeys(log)
 		}
 	}()
 	ended := make(chan error, 1) // why it left without a notice, nil with one
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -44,9 +44,9 @@
 	call  bool    // its call is yet to come
 	worth float64 // of its importance: less where it went on without a call, or lacks parts
 
-	composed bool
-	flight   *budget.Execution
-	attempts *[budget.MaxCalls][2]*attempt // nil until its calls begin
+	composed  bool
+	execution *budget.Execution
+	attempts  *[budget.MaxCalls][2]*attempt // nil until its calls begin
 
 	reached, answered, started, active bool
 }
@@ -95,7 +95,7 @@
 	s.parts, s.atCall = newComposer(s), nil
 	for i, t := range w.fleet.Routes {
 		if plan := w.fleet.Plans[t.Name]; plan != nil {
-			s.types[i].CallWait = plan.NeededPath()
+			s.types[i].CallWait = plan.RequiredPath()
 		}
 	}
 	if controller, own := s.policy.(*admission.Controller); own && w.fleet.Peers {
@@ -108,18 +108,18 @@
 func (s *server) learn(controller *admission.Controller) {
 	w := s.world
 	schema := controller.EstimateSchema(uint64(s.number)<<32|s.life, 0, false)
-	var views []estimate.Snapshot
+	var snapshots []estimate.Snapshot
 	for _, i := range w.chance.Perm(len(w.servers)) {
 		other := w.servers[i]
 		peer, own := other.policy.(*admission.Controller)
-		if other == s || !other.alive || !own || len(views) == 3 {
+		if other == s || !other.alive || !own || len(snapshots) == 3 {
 			continue
 		}
 		if snapshot, err := schema.Validate(peer.Estimates(w.now, peer.EstimateSchema(uint64(other.number)<<32|other.life, 0, false))); err == nil {
-			views = append(views, snapshot)
+			snapshots = append(snapshots, snapshot)
 		}
 	}
-	if merged := estimate.Merge(views); merged.Fresh() {
+	if merged := estimate.Merge(snapshots); merged.HasFresh() {
 		controller.UsePeerEstimates(w.now, merged)
 	}
 }
@@ -232,7 +232,7 @@
 		s.world.result.Starts++
 	}
 	if t.composed {
-		if t.flight == nil {
+		if t.execution == nil {
 			s.atCall = append(s.atCall, c)
 		}
 		return
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -13,62 +13,62 @@
 	"quartzpoint/configuration"
 )
 
-// Machines of the own zone are tried first, each once before any is tried again.
-func TestNextMachine(t *testing.T) {
-	w := &Watcher{Zone: "a", Machines: []Machine{{"b", "1"}, {"a", "2"}, {"b", "3"}, {"a", "4"}, {"c", "5"}}}
-	chance := rand.New(rand.NewSource(1))
+// Endpoints of the own zone are tried first, and each endpoint once before any is tried again.
+func TestNextEndpoint(t *testing.T) {
+	w := &Watcher{Zone: "a", Endpoints: []Endpoint{{"b", "1"}, {"a", "2"}, {"b", "3"}, {"a", "4"}, {"c", "5"}}}
+	random := rand.New(rand.NewSource(1))
 	for round := range 20 {
 		seen := map[string]bool{}
-		for i := range w.Machines {
-			m := w.next(chance)
-			assert.Equal(t, i < 2, m.Zone == "a", "round %d", round)
-			seen[m.Address] = true
+		for i := range w.Endpoints {
+			endpoint := w.nextEndpoint(random)
+			assert.Equal(t, i < 2, endpoint.Zone == "a", "round %d", round)
+			seen[endpoint.Address] = true
 		}
-		assert.Len(t, seen, len(w.Machines), "round %d", round)
+		assert.Len(t, seen, len(w.Endpoints), "round %d", round)
 	}
 }
 
-// failing is a disk that takes nothing.
-type failing struct{ err error }
+// failingStore fails all writes.
+type failingStore struct{ err error }
 
-func (f failing) Replace(*configuration.Document) error                     { return f.err }
-func (f failing) Append(configuration.Delta, *configuration.Document) error { return f.err }
+func (f failingStore) Replace(*configuration.Document) error                     { return f.err }
+func (f failingStore) Append(configuration.Delta, *configuration.Document) error { return f.err }
 
 func deltas(t *testing.T, versions int) (all []configuration.Delta, d *configuration.Document) {
 	t.Helper()
 	d = configuration.NewDocument()
 	for i := range versions {
-		all = append(all, d.Accept(configuration.Change{Tenants: map[string]*configuration.Tenant{"north": {Rate: float64(i + 1)}}}))
+		all = append(all, d.Accept(configuration.Change{Tenants: map[string]*configuration.Tenant{"north": {QuotaRPS: float64(i + 1)}}}))
 	}
 	return all, d
 }
 
-// What cannot come into force leaves all as it was; a disk that fails costs the server nothing; and an older snapshot is
-// never taken.
-func TestTake(t *testing.T) {
-	all, newest := deltas(t, 3)
-	refuse := false
+// An update that cannot be applied, as for want of memory, leaves the version in force as it was. A full disk does not
+// keep a version from coming into force. A machine that is behind may send an older snapshot, which is never applied.
+func TestApplyUpdate(t *testing.T) {
+	all, latest := deltas(t, 3)
+	reject := false
 	w := &Watcher{
-		Document: configuration.NewDocument(), Log: slog.New(slog.DiscardHandler), Disk: failing{errors.New("full")},
+		Document: configuration.NewDocument(), Logger: slog.New(slog.DiscardHandler), Store: failingStore{errors.New("full")},
 		Apply: func(context.Context, configuration.Delta, *configuration.Document) error {
-			if refuse {
+			if reject {
 				return errors.New("no room")
 			}
 			return nil
 		},
 	}
-	require.NoError(t, w.take(t.Context(), Update{Deltas: [][]byte{all[0].Bytes()}}))
+	require.NoError(t, w.applyUpdate(t.Context(), Update{Deltas: [][]byte{all[0].Encode()}}))
 	before := w.Document.Clone()
-	refuse = true
-	assert.ErrorContains(t, w.take(t.Context(), Update{Deltas: [][]byte{all[1].Bytes()}}), "no room")
-	assert.ErrorContains(t, w.take(t.Context(), Update{Snapshot: newest.Snapshot()}), "no room")
+	reject = true
+	assert.ErrorContains(t, w.applyUpdate(t.Context(), Update{Deltas: [][]byte{all[1].Encode()}}), "no room")
+	assert.ErrorContains(t, w.applyUpdate(t.Context(), Update{Snapshot: latest.Snapshot()}), "no room")
 	assert.Equal(t, before, w.Document)
-	refuse = false
-	assert.ErrorIs(t, w.take(t.Context(), Update{Deltas: [][]byte{all[2].Bytes()}}), configuration.ErrDamaged)
-	assert.ErrorIs(t, w.take(t.Context(), Update{Snapshot: newest.Snapshot()[1:]}), configuration.ErrDamaged)
+	reject = false
+	assert.ErrorIs(t, w.applyUpdate(t.Context(), Update{Deltas: [][]byte{all[2].Encode()}}), configuration.ErrCorrupt)
+	assert.ErrorIs(t, w.applyUpdate(t.Context(), Update{Snapshot: latest.Snapshot()[1:]}), configuration.ErrCorrupt)
 	assert.Equal(t, before, w.Document)
-	require.NoError(t, w.take(t.Context(), Update{Snapshot: newest.Snapshot()}))
-	assert.Equal(t, newest, w.Document)
-	assert.ErrorIs(t, w.take(t.Context(), Update{Snapshot: before.Snapshot()}), configuration.ErrDamaged)
-	assert.Equal(t, Standing{Version: 3, Silent: -1}, w.Standing())
+	require.NoError(t, w.applyUpdate(t.Context(), Update{Snapshot: latest.Snapshot()}))
+	assert.Equal(t, latest, w.Document)
+	assert.ErrorIs(t, w.applyUpdate(t.Context(), Update{Snapshot: before.Snapshot()}), configuration.ErrCorrupt)
+	assert.Equal(t, WatcherStatus{Version: 3, SinceContact: -1}, w.Status())
 }
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -81,7 +81,7 @@
 		s.composer.Pause(request.id)
 	}
 	if request.callID > 0 {
-		s.dependency.Abandon(request.callID)
+		s.dependency.Cancel(request.callID)
 	}
 }
 
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -20,7 +20,7 @@
 }
 
 func (d *recordingDependency) Call(c workerapi.Call) { d.calls <- c }
-func (d *recordingDependency) Abandon(number uint64) { d.abandoned <- number }
+func (d *recordingDependency) Cancel(number uint64)  { d.abandoned <- number }
 
 func (d *recordingDependency) next(t *testing.T) workerapi.Call {
 	t.Helper()
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -71,7 +71,7 @@
 		for _, f := range batch {
 			f()
 		}
-		s.composer.Turn(s.Now())
+		s.composer.Advance(s.Now())
 		s.startRecorded()
 		s.notices = s.composer.AppendNotices(s.link.AppendNotices(s.notices[:0]))
 		for i := range s.notices {
@@ -113,7 +113,7 @@
 	if s.round.pending { // by what the round itself led to
 		return 0
 	}
-	first := min(now+maxIdlePeriod, s.composer.Due())
+	first := min(now+maxIdlePeriod, s.composer.NextTimer())
 	for _, at := range s.polls.alarms {
 		first = min(first, at)
 	}
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -118,7 +118,7 @@
 	s.keys.resultBytes += len(a.Result)
 	entry.completed, entry.answer = true, a
 	if s.keys.ledger != nil {
-		s.keys.ledger.End(entry.key, entry.fingerprint, entry.until-s.Now(), a.Verdict == Served, a.Result)
+		s.keys.ledger.RecordEnd(entry.key, entry.fingerprint, entry.until-s.Now(), a.Verdict == Served, a.Result)
 	}
 	s.answerWaiting(entry)
 }
--- a/internal/server/ledger.go
+++ b/internal/server/ledger.go
@@ -11,12 +11,12 @@
 // Ledger stores idempotency keys where they survive a crash. The event loop makes all calls, and they must not block. Each is
 // told how much of the key's window is left.
 type Ledger interface {
-	// Begin stores that a key is about to run; the run waits until Safe has reached the mark.
-	Begin(key string, fingerprint uint64, remaining time.Duration) (mark uint64)
-	// End stores how the run ended. The result must not be changed afterwards.
-	End(key string, fingerprint uint64, remaining time.Duration, served bool, result []byte)
-	// Safe is the mark up to which all is stored, or can't be for now: what waits for it goes on. Wake reports a change.
-	Safe() uint64
+	// RecordStart stores that a key is about to run; the run waits until DurableMark has reached the mark.
+	RecordStart(key string, fingerprint uint64, remaining time.Duration) (mark uint64)
+	// RecordEnd stores how the run ended. The result must not be changed afterwards.
+	RecordEnd(key string, fingerprint uint64, remaining time.Duration, served bool, result []byte)
+	// DurableMark is the mark up to which all is stored, or can't be for now: what waits for it goes on. Wake reports a change.
+	DurableMark() uint64
 }
 
 // KeyRecord is a key of an earlier process. One that was not served has begun, and how it ended is not known: duplicates of it
@@ -58,7 +58,7 @@
 		return
 	}
 	request.inLedger, request.awaitsLedger, request.pausedBeforeStart = true, true, false
-	request.ledgerMark = s.keys.ledger.Begin(entry.key, entry.fingerprint, entry.until-s.round.Now)
+	request.ledgerMark = s.keys.ledger.RecordStart(entry.key, entry.fingerprint, entry.until-s.round.Now)
 	s.keys.awaitingLedger = append(s.keys.awaitingLedger, request)
 }
 
@@ -67,7 +67,7 @@
 	if len(s.keys.awaitingLedger) == 0 {
 		return
 	}
-	safe := s.keys.ledger.Safe()
+	safe := s.keys.ledger.DurableMark()
 	left := s.keys.awaitingLedger[:0]
 	for _, request := range s.keys.awaitingLedger {
 		switch {
--- a/internal/server/overdue.go
+++ b/internal/server/overdue.go
@@ -76,16 +76,16 @@
 
 // readings are the gauges of one answer; complete is false where it does not hold all that a proof needs.
 func (s *Server) readings(polled *workerapi.Notice) (r reconcile.Readings, complete bool) {
-	onCores, memoryShare, complete := s.settings.Occupied(polled.Readings)
+	runnable, memoryShare, complete := s.settings.Occupied(polled.Readings)
 	memoryKB, stated := s.settings.MemoryKB()
 	if !complete || !stated {
 		return r, false
 	}
-	r = reconcile.Readings{OnCores: onCores, MemoryKB: memoryShare * memoryKB}
+	r = reconcile.Readings{Runnable: runnable, MemoryKB: memoryShare * memoryKB}
 	now := s.Now()
 	for _, request := range s.requests.byID {
 		if !request.active && !request.answered && now > request.readAt+heldMemoryDelay {
-			r.HeldKB += request.HeldKB
+			r.WaitingKB += request.HeldKB
 		}
 	}
 	return r, true
@@ -103,8 +103,8 @@
 	slices.SortFunc(begun, func(a, b *Request) int { return cmp.Or(cmp.Compare(a.readAt, b.readAt), cmp.Compare(a.id, b.id)) })
 	for _, request := range begun {
 		runs = append(runs, reconcile.Run{
-			ID: request.id, MemoryKB: request.HeldKB * factor, Doubtful: request.overdue,
-			OnCores: !request.blockedAtCall && request.pauseState != pauseConfirmed,
+			ID: request.id, MemoryKB: request.HeldKB * factor, MayHaveEnded: request.overdue,
+			Runnable: !request.blockedAtCall && request.pauseState != pauseConfirmed,
 		})
 	}
 	return runs
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -115,7 +115,7 @@
 		// part of the memory for as long.
 		request.Deadline = request.Arrived + min(in.Timeout, route.Deadline)
 	}
-	request.composite = s.composer.Composes(request.route)
+	request.composite = s.composer.Handles(request.route)
 	s.attachKey(request, in)
 	s.requests.byID[request.id], s.requests.byDecision[&request.Request] = request, request
 	s.round.Arrived = append(s.round.Arrived, &request.Request)
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -77,7 +77,7 @@
 func (s *Server) endRun(request *Request, outcome admission.Outcome, took time.Duration, result []byte) {
 	request.active, request.blockedAtCall, request.callReply = false, false, nil
 	if request.callID > 0 {
-		s.dependency.Abandon(request.callID)
+		s.dependency.Cancel(request.callID)
 	}
 	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &request.Request, Outcome: outcome, Took: took})
 	s.round.pending = true
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -99,7 +99,7 @@
 	memory := limits.MemoryMB << 20
 	s := &Server{
 		settings: stated, limits: limits, counters: counters, log: log, events: events.New(log),
-		composer: nothing{},
+		composer: noComposer{},
 		clock:    newClock(),
 		inbox:    inbox{wake: make(chan struct{}, 1)},
 		requests: requestTable{
@@ -191,8 +191,8 @@
 func (s *Server) SetComposer(c Composer) {
 	s.composer = c
 	for name, route := range s.tables.routes { // the order does not matter
-		if c.Composes(name) {
-			route.CallWait = c.Waits(name)
+		if c.Handles(name) {
+			route.CallWait = c.ExpectedWait(name)
 			delete(s.tables.unserved, name)
 		}
 	}
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -95,9 +95,9 @@
 		return
 	}
 	stated := *change.Route
-	composite := s.composer.Composes(name)
+	composite := s.composer.Handles(name)
 	if composite {
-		stated.CallWait = s.composer.Waits(name)
+		stated.CallWait = s.composer.ExpectedWait(name)
 	}
 	s.tables.routes[name] = s.controller.PutRoute(current, stated)
 	delete(s.tables.unserved, name)
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -40,32 +40,32 @@
 // ended is reported once, by HandleCallEnd.
 type Dependency interface {
 	Call(c workerapi.Call)
-	// Abandon ends a call whose reply is of no use any more.
-	Abandon(callID uint64)
+	// Cancel ends a call whose reply is of no use any more.
+	Cancel(callID uint64)
 }
 
 // Composer runs requests that consist of calls to dependencies. They take no core while they wait, so the controller counts
 // them as waiting for a call: they begin once it lets that call go, and must end by their Deadline.
 type Composer interface {
 	Workers
-	// Composes is whether requests of a route consist of calls.
-	Composes(route string) bool
-	// Waits is how long the calls that such a request can't do without are expected to take.
-	Waits(route string) time.Duration
-	// Turn does what is due, and Due is when the next is.
-	Turn(now time.Duration)
-	Due() time.Duration
+	// Handles is whether requests of a route consist of calls.
+	Handles(route string) bool
+	// ExpectedWait is how long the calls that such a request can't do without are expected to take.
+	ExpectedWait(route string) time.Duration
+	// Advance does what is due at a moment, and NextTimer is when the next is.
+	Advance(now time.Duration)
+	NextTimer() time.Duration
 }
 
-// nothing is the Composer of a server without one.
-type nothing struct{}
+// noComposer is the Composer of a server without one.
+type noComposer struct{}
 
-func (nothing) Start(workerapi.Run) bool                                    { return false }
-func (nothing) Pause(string) bool                                           { return false }
-func (nothing) Resume(string) bool                                          { return false }
-func (nothing) AppendNotices(notices []workerapi.Notice) []workerapi.Notice { return notices }
-func (nothing) Flush()                                                      {}
-func (nothing) Composes(string) bool                                        { return false }
-func (nothing) Waits(string) time.Duration                                  { return 0 }
-func (nothing) Turn(time.Duration)                                          {}
-func (nothing) Due() time.Duration                                          { return 1<<63 - 1 }
+func (noComposer) Start(workerapi.Run) bool                                    { return false }
+func (noComposer) Pause(string) bool                                           { return false }
+func (noComposer) Resume(string) bool                                          { return false }
+func (noComposer) AppendNotices(notices []workerapi.Notice) []workerapi.Notice { return notices }
+func (noComposer) Flush()                                                      {}
+func (noComposer) Handles(string) bool                                         { return false }
+func (noComposer) ExpectedWait(string) time.Duration                           { return 0 }
+func (noComposer) Advance(time.Duration)                                       {}
+func (noComposer) NextTimer() time.Duration                                    { return 1<<63 - 1 }
--- a/state_test.go
+++ b/state_test.go
@@ -22,8 +22,8 @@
 	return Terms{State: state, Types: []Type{{Name: "pay", Repeats: Numbered, Contract: 400 * ms, Outer: 500 * ms, Window: time.Hour}}}
 }
 
-func on(disk *faultdisk.Disk) *State {
-	return &State{Dir: "none", open: func(bool) (datadir.Folder, error) { return disk, nil }}
+func stateOnDisk(disk *faultdisk.Disk) *State {
+	return &State{Dir: "none", open: func(bool) (datadir.Dir, error) { return disk, nil }}
 }
 
 func pay(number string) Task { return Task{Type: "pay", Number: number, Shape: 1} }
@@ -34,7 +34,8 @@
 	require.NoError(t, g.Leave(ctx))
 }
 
-// A gate goes on from the folder of the one before it.
+// A gate starts from the directory of the one before it: results are returned to repeats, what failed is not run again, and
+// callers may change the results they got.
 func TestStateRestart(t *testing.T) {
 	state := &State{Dir: filepath.Join(t.TempDir(), "state"), Site: "s"}
 	g, err := New(stateTerms(state))
@@ -84,10 +85,10 @@
 	assert.NotEmpty(t, files)
 }
 
-// The power goes while a task runs. Its repeat is not run by the next gate, as the first may have had its effect.
+// The power fails while a request runs. The next gate does not run its repeat, as the original may have had its effect.
 func TestStatePowerLoss(t *testing.T) {
 	disk := faultdisk.New()
-	g, err := New(stateTerms(on(disk)))
+	g, err := New(stateTerms(stateOnDisk(disk)))
 	require.NoError(t, err)
 	began, end := make(chan struct{}), make(chan struct{})
 	over := make(chan error, 1)
@@ -101,7 +102,7 @@
 	assert.NoError(t, <-over)
 	leaveNow(t, g)
 
-	g = newGate(t, stateTerms(on(after)))
+	g = newGate(t, stateTerms(stateOnDisk(after)))
 	_, err = g.DoOnce(t.Context(), pay("x"), func(context.Context) ([]byte, error) {
 		assert.Fail(t, "ran again")
 		return nil, nil
@@ -109,11 +110,11 @@
 	assert.ErrorIs(t, err, ErrGivenUp)
 }
 
-// A disk that does not answer: a task waits for it only as long as it is wanted, and one that was answered meanwhile never
-// runs. After a second the gate serves without.
+// A disk neither fails nor answers. A request waits for it only until its caller leaves or its deadline, and then never runs.
+// After a second the gate serves without the disk, until that answers again.
 func TestStateStalls(t *testing.T) {
 	disk := faultdisk.New()
-	g := newGate(t, stateTerms(on(disk)))
+	g := newGate(t, stateTerms(stateOnDisk(disk)))
 	hold := make(chan struct{})
 	disk.Set(func() {
 		disk.Fails = func(kind string) error {
@@ -134,11 +135,11 @@
 	assert.Error(t, ask(ctx, "gone"), "its caller went")
 	assert.Error(t, ask(t.Context(), "late"), "its time was up")
 	assert.Less(t, time.Since(began), 900*ms)
-	require.Eventually(t, func() bool { return g.state.Safe() > 1<<60 }, 5*time.Second, ms)
+	require.Eventually(t, func() bool { return g.state.DurableMark() > 1<<60 }, 5*time.Second, ms)
 	assert.NoError(t, ask(t.Context(), "without"))
 	assert.Equal(t, "without", <-ran)
 	close(hold)
-	require.Eventually(t, func() bool { return g.state.Safe() < 1<<60 }, 5*time.Second, ms)
+	require.Eventually(t, func() bool { return g.state.DurableMark() < 1<<60 }, 5*time.Second, ms)
 	assert.NoError(t, ask(t.Context(), "after"))
 	assert.Equal(t, "after", <-ran)
 	assert.Empty(t, ran)
