--- a/cmd/quartzpoint/calls_test.go
+++ b/cmd/quartzpoint/calls_test.go
@@ -61,7 +61,7 @@
 			p.logged(t, "only_with_a_restart=[index]")
 			assert.Equal(t, "second "+fake.Call(3)+" what", run(3))
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			router.Close()
+			_ = router.Close()
 			assert.Zero(t, p.gone())
 		})
 	}
--- a/cmd/quartzpoint/check.go
+++ b/cmd/quartzpoint/check.go
@@ -13,53 +13,53 @@
 	"quartzpoint/internal/peersync"
 )
 
-// checking is the command that reads what serving would be told.
-type checking struct {
+// checkCommand checks the configurations that serveCommand would read.
+type checkCommand struct {
 	File   string `arg:"" optional:"" env:"EDGE_CONFIG" help:"The platform's configuration (JSON)."`
 	Config string `name:"config" aliases:"own" placeholder:"FILE" help:"The product's own file (TOML)."`
 }
 
-// Run prints every fault, or that there is none.
-func (cmd *checking) Run() error {
-	var faults []error
-	var whole map[string]time.Duration // that a task of each type has; unknown without the platform's configuration
+// Run prints all errors, or that there are none.
+func (cmd *checkCommand) Run() error {
+	var errs []error
+	var timeouts map[string]time.Duration // by route; nil without the platform's configuration
 	if cmd.File != "" {
-		s, err := told(cmd.File)
-		faults, whole = append(faults, err), s.types
+		s, err := readPlatformConfig(cmd.File)
+		errs, timeouts = append(errs, err), s.routeTimeouts
 	}
 	if cmd.Config != "" {
 		ours, err := config.Read(cmd.Config)
-		faults = append(faults, err)
-		if err == nil && whole != nil {
-			_, err := composedRoutes(ours, whole)
-			faults = append(faults, err)
+		errs = append(errs, err)
+		if err == nil && timeouts != nil {
+			_, err := composedRoutes(ours, timeouts)
+			errs = append(errs, err)
 			for _, t := range ours.Routes {
-				if time, known := whole[t.Name]; known && err == nil {
-					faults = append(faults, printTimeline(os.Stdout, t, ours.Dependencies, time))
+				if time, known := timeouts[t.Name]; known && err == nil {
+					errs = append(errs, printTimeline(os.Stdout, t, ours.Dependencies, time))
 				}
 			}
 		}
 		if err == nil && ours.State != nil {
-			faults = append(faults, stateFault(ours.State.Dir))
+			errs = append(errs, checkStateDir(ours.State.Dir))
 		}
 		if err == nil && ours.Peers != nil && ours.Peers.KeyFile != "" {
 			_, err := peersync.ReadKeys(ours.Peers.KeyFile)
-			faults = append(faults, err)
+			errs = append(errs, err)
 		}
 	}
 	if cmd.File == "" && cmd.Config == "" {
 		return errors.New("nothing to check: name a FILE, set EDGE_CONFIG, or use --config")
 	}
-	if err := errors.Join(faults...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return err
 	}
 	fmt.Fprintln(os.Stdout, "no faults")
 	return nil
 }
 
-// stateFault is what a folder of state could not be opened for. One that is not there yet is made at the start, in a folder
-// that is.
-func stateFault(dir string) error {
+// checkStateDir is the error with which a state folder could not be opened. One that does not exist is created at the start, so
+// its parent must exist.
+func checkStateDir(dir string) error {
 	in, err := datadir.Open(dir, true)
 	if err == nil {
 		return in.Close()
--- a/cmd/quartzpoint/configuration_show.go
+++ b/cmd/quartzpoint/configuration_show.go
@@ -23,7 +23,7 @@
 // Run queries the server once.
 func (cmd *configurationShowCommand) Run() error {
 	var status configwatch.WatcherStatus
-	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askConfiguration}, &status); err != nil {
+	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: queryConfiguration}, &status); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/control.go
+++ b/cmd/quartzpoint/control.go
@@ -13,25 +13,25 @@
 	"quartzpoint/internal/server"
 )
 
-const controlWait = time.Second // for a turn of the owner of decisions
+const queryTimeout = time.Second // for a turn of the event loop
 
-// The questions that the control socket answers.
+// The queries that the admin socket answers.
 const (
-	askDependencies  = "dependencies"
-	askLease         = "lease"
-	askConfiguration = "configuration"
+	queryDependencies  = "dependencies"
+	queryLease         = "lease"
+	queryConfiguration = "configuration"
 )
 
-// operatorAnswers are what operators may ask a running server about. What the server does not have is nil.
-type operatorAnswers struct {
-	owner        *server.Server
+// adminHandler answers operators' queries about a running server. What the server does not have is nil.
+type adminHandler struct {
+	server       *server.Server
 	composer     *fanout.Composer
 	leaseManager *leasing.Manager
 	watcher      *configwatch.Watcher
 }
 
-// listen answers at a path until the context ends. Without a path nothing listens.
-func (a operatorAnswers) listen(ctx context.Context, path string) error {
+// listen answers queries at a path until ctx ends. Without a path nothing listens.
+func (a adminHandler) listen(ctx context.Context, path string) error {
 	if path == "" {
 		return nil
 	}
@@ -43,28 +43,28 @@
 	return nil
 }
 
-func (a operatorAnswers) answer(q adminsocket.Request) (any, error) {
+func (a adminHandler) answer(request adminsocket.Request) (any, error) {
 	switch {
-	case q.Query == askLease && a.leaseManager != nil:
+	case request.Query == queryLease && a.leaseManager != nil:
 		return a.leaseManager.Status(), nil
-	case q.Query == askConfiguration && a.watcher != nil:
+	case request.Query == queryConfiguration && a.watcher != nil:
 		return a.watcher.Status(), nil
-	case q.Query == askDependencies && a.composer != nil:
+	case request.Query == queryDependencies && a.composer != nil:
 		return a.dependencies()
-	case q.Query == askLease || q.Query == askConfiguration || q.Query == askDependencies:
-		return nil, fmt.Errorf("this server has no [%s]", q.Query)
+	case request.Query == queryLease || request.Query == queryConfiguration || request.Query == queryDependencies:
+		return nil, fmt.Errorf("this server has no [%s]", request.Query)
 	}
-	return nil, fmt.Errorf("unknown question %q", q.Query)
+	return nil, fmt.Errorf("unknown question %q", request.Query)
 }
 
-// dependencies are told in the owner's turn, which has them.
-func (a operatorAnswers) dependencies() (any, error) {
-	told := make(chan any, 1)
-	a.owner.Submit(func() { told <- a.composer.States(a.owner.Now()) })
+// dependencies reads the states of the dependencies on the event loop, which has them.
+func (a adminHandler) dependencies() (any, error) {
+	result := make(chan any, 1)
+	a.server.Submit(func() { result <- a.composer.States(a.server.Now()) })
 	select {
-	case states := <-told:
+	case states := <-result:
 		return states, nil
-	case <-time.After(controlWait):
+	case <-time.After(queryTimeout):
 		return nil, errors.New("the server is too busy to answer")
 	}
 }
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -96,7 +96,7 @@
 // Run asks the server once.
 func (cmd *dependenciesCommand) Run() error {
 	var states []budget.State
-	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askDependencies}, &states); err != nil {
+	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: queryDependencies}, &states); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/descriptors_test.go
+++ b/cmd/quartzpoint/descriptors_test.go
@@ -76,7 +76,7 @@
 		if err != nil {
 			return false
 		}
-		defer router.Close()
+		defer func() { _ = router.Close() }()
 		_ = router.SetDeadline(time.Now().Add(fake.Patience))
 		if _, err := router.Write(fake.Task(stream, "pay", "")); err != nil {
 			return false
@@ -109,7 +109,7 @@
 	over.Wait()
 	return func() {
 		for _, router := range routers {
-			router.Close()
+			_ = router.Close()
 		}
 	}
 }
@@ -151,8 +151,8 @@
 				}
 				reply := router.Next(t)
 				assert.Equal(t, []any{byte(11), uint32(1)}, []any{reply.Type, reply.Stream})
-				router.Close()
-				health.Close()
+				_ = router.Close()
+				_ = health.Close()
 				p.idles(t)
 				for { // a report from now on, not one that waits in the socket
 					asked := time.Now()
--- a/cmd/quartzpoint/halfclose_test.go
+++ b/cmd/quartzpoint/halfclose_test.go
@@ -46,7 +46,7 @@
 	router.Send(t, fake.Task(1, "browse", "a"))
 	task := p.pool.Next(t, "spawn").Task
 	begin := time.Now()
-	router.Close()
+	_ = router.Close()
 	assert.Equal(t, task, p.pool.Next(t, "suspend").Task)
 	assert.Less(t, time.Since(begin), 5*time.Second, "stopped by its deadline only")
 }
--- a/cmd/quartzpoint/lease.go
+++ b/cmd/quartzpoint/lease.go
@@ -48,7 +48,7 @@
 // Run asks the server once and prints its answer.
 func (cmd *leaseShow) Run() error {
 	var statuses []leasing.Status
-	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askLease}, &statuses); err != nil {
+	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: queryLease}, &statuses); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/main.go
+++ b/cmd/quartzpoint/main.go
@@ -1,5 +1,5 @@
-// Command quartzpoint is one app server: it takes tasks from routers, has the worker pool run them as the
-// decisions say, and answers each of them. Beside that it answers operators' questions.
+// Command quartzpoint is one app server: it receives requests from routers, has the worker pool run those that are admitted, and
+// answers each of them. Its other commands are for operators.
 package main
 
 import (
@@ -13,8 +13,8 @@
 
 // The exit codes.
 const (
-	exitFault = 1 // it could not be done: a fault in a file, an address that is taken, a peer that does not answer
-	exitUsage = 2 // the command line itself is wrong
+	exitFailure = 1 // it could not be done: a fault in a file, an address that is taken, a peer that does not answer
+	exitUsage   = 2 // the command line itself is wrong
 )
 
 const about = `One app server behind other people's balancers.
@@ -24,23 +24,23 @@
 
 Exit codes: 0 done, or left as told; 1 it could not be done, and the last line says why; 2 wrong usage.`
 
-// command is what operators may ask.
-type command struct {
-	Serve         serving               `cmd:"" default:"withargs" help:"Take tasks from routers and answer each of them (the default)."`
-	Check         checking              `cmd:"" help:"Read both configurations whole and print every fault."`
+// commandLine holds the commands and their options.
+type commandLine struct {
+	Serve         serveCommand          `cmd:"" default:"withargs" help:"Take tasks from routers and answer each of them (the default)."`
+	Check         checkCommand          `cmd:"" help:"Read both configurations whole and print every fault."`
 	Peer          peerCommands          `cmd:"" help:"Ask running servers."`
 	Lease         leaseCommands         `cmd:"" help:"Ask running servers about duties held by lease."`
 	Dependencies  dependenciesCommand   `cmd:"" help:"Print how a running server's dependencies stand."`
 	State         stateCommands         `cmd:"" help:"Read and tidy folders of state."`
 	Configuration configurationCommands `cmd:"" help:"Ask running servers about the configuration service."`
-	Version       version               `cmd:"" help:"Print the version."`
+	Version       versionCommand        `cmd:"" help:"Print the version."`
 }
 
-// version is the command that tells which program this is.
-type version struct{}
+// versionCommand prints the version.
+type versionCommand struct{}
 
-// Run prints what the build knows of itself.
-func (*version) Run() error {
+// Run prints the version, the Go release and the revision that it was built from.
+func (*versionCommand) Run() error { //nolint:unparam // kong asks for the error
 	info, known := debug.ReadBuildInfo()
 	if !known {
 		fmt.Println("quartzpoint, of an unknown build")
@@ -58,22 +58,22 @@
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	slog.SetDefault(log)
-	parser, err := kong.New(&command{}, kong.Name("quartzpoint"), kong.Description(about), kong.UsageOnError(),
+	parser, err := kong.New(&commandLine{}, kong.Name("quartzpoint"), kong.Description(about), kong.UsageOnError(),
 		kong.ConfigureHelp(kong.HelpOptions{NoExpandSubcommands: false}), kong.Bind(log))
 	if err != nil {
 		panic(fmt.Errorf("command line: %w", err))
 	}
-	asked, err := parser.Parse(os.Args[1:])
+	selected, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "quartzpoint: %v; see quartzpoint --help\n", err)
 		os.Exit(exitUsage)
 	}
-	if err := asked.Run(); err != nil {
-		if asked.Command() == "serve" {
+	if err := selected.Run(); err != nil {
+		if selected.Command() == "serve" {
 			log.Error("stopped", "error", err)
 		} else {
 			fmt.Fprintln(os.Stderr, err)
 		}
-		os.Exit(exitFault)
+		os.Exit(exitFailure)
 	}
 }
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	code := m.Run()
-	os.RemoveAll(folder)
+	_ = os.RemoveAll(folder)
 	os.Exit(code)
 }
 
@@ -140,8 +140,8 @@
 			}
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 			assert.Equal(t, byte(30), router.Next(t).Type)
-			router.Close()
-			health.Close()
+			_ = router.Close()
+			_ = health.Close()
 			assert.Zero(t, p.gone())
 		})
 	}
@@ -197,7 +197,7 @@
 			}
 			_, err := net.Dial("tcp", p.address)
 			assert.ErrorIs(t, err, syscall.ECONNREFUSED)
-			router.Close()
+			_ = router.Close()
 			assert.Zero(t, p.gone())
 			assert.Contains(t, p.log.String(), "msg=left")
 		})
@@ -289,7 +289,7 @@
 			for range 20 { // in a row
 				require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 			}
-			router.Close()
+			_ = router.Close()
 			assert.Zero(t, p.gone())
 		})
 	}
--- /dev/null
+++ b/cmd/quartzpoint/process.go
@@ -0,0 +1,170 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"quartzpoint/internal/config"
+	"quartzpoint/internal/configwatch"
+	"quartzpoint/internal/dependency"
+	"quartzpoint/internal/frontend"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/leasing"
+	"quartzpoint/internal/registration"
+	"quartzpoint/internal/server"
+	"quartzpoint/internal/workerlink"
+)
+
+// linkMemoryDivisor is the part of the memory, as a divisor, that commands to the worker pool take at most.
+const linkMemoryDivisor = 16
+
+// process is a serving process: the event loop, and what reads, writes and runs for it.
+type process struct {
+	platform platformConfig
+	file     *config.Config // the product's own; empty without one
+	log      *slog.Logger
+	counters *invariant.Counters
+
+	server     *server.Server
+	frontend   *frontend.Frontend
+	link       *workerlink.Link
+	dependency *dependency.Caller // nil without one
+	reporter   *registration.Reporter
+
+	// Of file; nil where it does not have them.
+	leaseManager *leasing.Manager
+	watcher      *configwatch.Watcher
+	tables       *tableUpdater
+	state        *statePersistence
+	peers        *peerExchange
+}
+
+// newProcess makes the event loop, its front end and its worker link. It listens for routers; nothing is served yet.
+func newProcess(platform platformConfig, file *config.Config, log *slog.Logger) (*process, error) {
+	p := &process{platform: platform, file: file, log: log, counters: invariant.New(log)}
+	limits := platform.serverLimits()
+	limits.DynamicTables = file.Configuration != nil
+	var err error
+	if p.server, err = server.New(platform.settings, p.seed(), limits, p.counters, log); err != nil {
+		return nil, err
+	}
+	p.reporter = registration.New(platform.Name, platform.MembershipAddress, log)
+	if p.frontend, err = frontend.Listen(platform.Listen, p.server, limits, p.counters, log); err != nil {
+		return nil, err
+	}
+	maxQueuedBytes := platform.Limits.memoryMB() << 20 / linkMemoryDivisor
+	p.link = workerlink.New(platform.PoolAddress, maxQueuedBytes, log, p.counters.Count, p.server.Wake)
+	p.server.Attach(p.link, p.frontend)
+	p.dependency = p.newDependencyCaller()
+	return p, nil
+}
+
+func (p *process) seed() int64 { return int64(p.platform.Seed) }
+
+// newDependencyCaller has the server call the dependency that the configuration names. Without one, requests of routes that
+// call it are rejected, and the caller is nil.
+func (p *process) newDependencyCaller() *dependency.Caller {
+	if unserved := p.server.UnservedRoutes(); len(unserved) > 0 {
+		p.log.Warn("types that call a dependency are turned away, as the configuration names none", "types", unserved)
+	}
+	if p.platform.DependencyAddress == "" {
+		return nil
+	}
+	caller := dependency.New(p.platform.DependencyAddress, p.platform.callSockets(), p.log, p.counters.Count, p.server.HandleCallEnd)
+	p.server.SetDependency(caller, p.link)
+	return caller
+}
+
+// startServices starts what the product's own file, at a path, asks for. All of it ends with ctx or close.
+func (p *process) startServices(ctx context.Context, path string) (err error) {
+	memoryMB := p.platform.Limits.memoryMB()
+	if p.leaseManager, err = newLeaseManager(p.file, p.seed(), p.log); err != nil {
+		return fmt.Errorf("configuration file %s: %w", path, err)
+	}
+	composer, err := startComposer(ctx, p.file, memoryMB<<20, p.seed(), p.server, p.counters, p.log)
+	if err != nil {
+		return err
+	}
+	p.watcher, p.tables, err = newConfigWatcher(
+		p.file.Configuration, p.platform.Name, p.platform.Limits.memoryBytes(), p.server, p.seed(), p.log)
+	if err != nil {
+		return fmt.Errorf("configuration file %s: %w", path, err)
+	}
+	admin := adminHandler{server: p.server, composer: composer, leaseManager: p.leaseManager, watcher: p.watcher}
+	if err := admin.listen(ctx, p.file.ControlSocket); err != nil {
+		return err
+	}
+	if p.file.State != nil || p.file.Peers != nil {
+		if p.state, err = openState(p.file.State, p.server, p.counters, p.log); err != nil {
+			return err
+		}
+	}
+	p.peers, err = startPeerExchange(ctx, p.file.Peers, p.server, p.state, p.seed(), p.counters, p.log)
+	return err
+}
+
+// close closes the stores, in the reverse order of their opening.
+func (p *process) close() {
+	if p.state != nil {
+		p.state.close()
+	}
+	p.tables.close()
+}
+
+// serve serves until a stop signal, or until the front end fails, and returns behind the drain. It returns the front end's
+// error.
+func (p *process) serve(ctx context.Context, signals stopSignals) error {
+	leaseCtx, releaseLeases := context.WithCancel(ctx)
+	if p.leaseManager != nil {
+		p.peers.server.SetVoteHandler(p.leaseManager.HandleVote)
+		go p.leaseManager.Run(leaseCtx)
+	}
+	if p.watcher != nil {
+		go p.watcher.Run(ctx)
+	}
+	go p.reporter.Run(ctx, registration.ReportInterval)
+	go p.link.Run(ctx)
+	failed := make(chan error, 1)
+	go func() {
+		if err := p.frontend.Serve(); err != nil {
+			failed <- err
+		}
+	}()
+	p.log.Info("serving", "name", p.platform.Name, "listen", p.platform.Listen, "pool", p.platform.PoolAddress,
+		"members", p.platform.MembershipAddress, "cores", p.platform.Limits.Cores, "memory_mb", p.platform.Limits.MemoryMB,
+		"sockets", p.platform.Limits.Sockets)
+	var stopWithin atomic.Int64 // nanoseconds, as configured last
+	stopWithin.Store(int64(p.platform.StopWithin))
+	// A goroutine each: a stop must not wait until a new configuration has been read.
+	go func() {
+		for {
+			select {
+			case <-ctx.Done():
+				return
+			case <-signals.reload:
+				p.reloadPlatformConfig()
+				stopWithin.Store(int64(p.platform.StopWithin))
+				p.peers.reloadKeys(p.log)
+			}
+		}
+	}()
+	result := make(chan error, 1) // nil after a stop signal
+	go func() {
+		var err error
+		select {
+		case <-signals.stop:
+		case err = <-failed: // what was read is still answered
+			p.log.Error("no more connections, leaving", "error", err)
+		}
+		result <- err
+		releaseLeases() // first, so that others can have them at once
+		p.reporter.SetDraining()
+		p.server.Drain(time.Duration(stopWithin.Load()))
+	}()
+	p.server.Run()
+	p.counters.Report()
+	return <-result
+}
--- a/cmd/quartzpoint/readiness_test.go
+++ b/cmd/quartzpoint/readiness_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return false
 	}
-	defer health.Close()
+	defer func() { _ = health.Close() }()
 	_ = health.SetDeadline(time.Now().Add(fake.Patience))
 	if _, err := health.Write(fake.Frame(20, 1, "", "e2e", "0")); err != nil {
 		return false
@@ -49,7 +49,7 @@
 	const fleet, late, within = 30, 3, 10 * time.Second
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // the system takes connections for it
 	require.NoError(t, err)
-	defer silent.Close()
+	defer func() { _ = silent.Close() }()
 	var all []*program
 	for range fleet {
 		folder := t.TempDir()
--- a/cmd/quartzpoint/reload_test.go
+++ b/cmd/quartzpoint/reload_test.go
@@ -95,7 +95,7 @@
 	router.Send(t, fake.Task(1, "pay", "")) // as the process was started
 	p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code)
-	router.Close()
+	_ = router.Close()
 	began := time.Now()
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	p.logged(t, "stop_in=700.5ms")
--- a/cmd/quartzpoint/settings_test.go
+++ b/cmd/quartzpoint/settings_test.go
@@ -23,10 +23,10 @@
 		many = append(many, fmt.Sprintf(`{"name":"%s-%d","deadline":9000000,"goal-time":8000000,"gain":1.0,"idempotency":"dedup",
 "dedup-window":%d,"late-value":0.0}`, strings.Repeat("long", 30), i, i))
 	}
-	replace := func(old, new string) func(string) string {
+	replace := func(old, with string) func(string) string {
 		return func(text string) string {
 			require.Contains(t, text, old)
-			return strings.Replace(text, old, new, 1)
+			return strings.Replace(text, old, with, 1)
 		}
 	}
 	cases := map[string]func(string) string{
@@ -77,7 +77,7 @@
 			assert.Equal(t, byte(20), router.Next(t).Code)
 			assert.Contains(t, p.log.String(), "only_with_a_restart=[]")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			router.Close()
+			_ = router.Close()
 			assert.Zero(t, p.gone())
 		})
 	}
@@ -164,7 +164,7 @@
 				p.members.Next(t)
 			}
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			router.Close()
+			_ = router.Close()
 			assert.Zero(t, p.gone())
 			used := p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 			assert.Less(t, used, time.Since(began)/2)
--- a/cmd/quartzpoint/unreachable_test.go
+++ b/cmd/quartzpoint/unreachable_test.go
@@ -43,7 +43,7 @@
 	p.pool.Finish(run.Task, "success", p.pool.Next(t, "supply").Body)
 	assert.Equal(t, byte(20), router.Next(t).Code)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	router.Close()
+	_ = router.Close()
 	assert.Zero(t, p.gone())
 	assert.NotContains(t, p.log.String(), "refused, the old one stays")
 }
