--- a/cmd/quartzpoint/crossing_test.go
+++ b/cmd/quartzpoint/crossing_test.go
@@ -48,7 +48,7 @@
 	for range 3 { // a notice told again changes nothing
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	}
-	p.logged(t, "notice to leave")
+	p.logged(t, "drain started")
 	p.pool.Finish(run, "success", nil)
 	assert.Equal(t, map[uint32][]byte{1: {20}}, answers(t, router))
 	assert.Zero(t, p.gone())
@@ -64,7 +64,7 @@
 	known.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 	assert.Equal(t, byte(21), known.Next(t).Type)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	p.logged(t, "notice to leave")
+	p.logged(t, "drain started")
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
 	time.Sleep(500 * time.Millisecond) // the grace of the site is 400 ms; what arrives from here on never runs
 	var all []*fake.Router
@@ -105,7 +105,7 @@
 		}, fake.Patience, time.Microsecond)
 		require.Eventually(t, func() bool {
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-			return strings.Contains(p.log.String(), "new configuration")
+			return strings.Contains(p.log.String(), "configuration reload")
 		}, fake.Patience, time.Microsecond, "%s", p.log)
 		p.pool.Ready()
 		p.logged(t, "pool link bound")
@@ -114,7 +114,7 @@
 		run := p.pool.Next(t, "spawn").Task
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-		p.logged(t, "notice to leave")
+		p.logged(t, "drain started")
 		p.pool.Finish(run, "success", nil)
 		assert.Equal(t, map[uint32][]byte{1: {20}}, answers(t, router))
 		assert.Zero(t, p.gone())
--- a/cmd/quartzpoint/leaving_test.go
+++ b/cmd/quartzpoint/leaving_test.go
@@ -117,7 +117,7 @@
 			request := fake.Task(1, "pay", "body")
 			router.Send(t, request[:len(request)/2])
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, `msg="no more connections"`) // at the end of the grace
+			p.logged(t, `msg="stopped accepting connections"`) // at the end of the grace
 			router.Send(t, request[len(request)/2:])
 			assert.Equal(t, map[uint32][]byte{1: {50}}, answers(t, router))
 			assert.Zero(t, p.gone())
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -187,7 +187,7 @@
 			}
 			p.pool.Next(t, "spawn")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, "no more connections\"")
+			p.logged(t, "stopped accepting connections\"")
 			answered := map[uint32]byte{}
 			for len(answered) < before {
 				if reply := router.Next(t); reply.Type == 11 {
@@ -199,7 +199,7 @@
 			assert.ErrorIs(t, err, syscall.ECONNREFUSED)
 			_ = router.Close()
 			assert.Zero(t, p.gone())
-			assert.Contains(t, p.log.String(), "msg=left")
+			assert.Contains(t, p.log.String(), "msg=\"drain complete\"")
 		})
 	}
 }
@@ -219,7 +219,7 @@
 				said++
 				var last []string
 				require.Eventually(t, func() bool {
-					last = strings.Split(p.log.String(), `msg="new configuration`)
+					last = strings.Split(p.log.String(), `msg="configuration reload`)
 					return len(last) == said+1
 				}, fake.Patience, time.Millisecond, words)
 				assert.Contains(t, last[said], words)
@@ -243,7 +243,7 @@
 			move()
 			hup("only_with_a_restart=[]")
 			assert.Equal(t, "HB n1 UP", p.members.Next(t))
-			p.logged(t, "pool link moves")
+			p.logged(t, "pool link changes address")
 			honoured(first)
 			honoured(run(2, "pay"))
 
@@ -267,7 +267,7 @@
 				moved := strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1)
 				fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, moved)
 				hup("moved=map[halt:" + halt + "] only_with_a_restart=[]")
-				p.logged(t, "msg=\"setting moved\" setting=halt value="+halt)
+				p.logged(t, "msg=\"setting changed\" setting=halt value="+halt)
 			}
 			wrong := strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"later"`, 1)
 			fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, wrong)
@@ -282,7 +282,7 @@
 			hup("only_with_a_restart=[]")
 			honoured(kept)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, "notice to leave")
+			p.logged(t, "drain started")
 			move()
 			hup("only_with_a_restart=[]")
 			assert.Equal(t, "HB n1 OUT", p.members.Next(t))
--- a/cmd/quartzpoint/process.go
+++ b/cmd/quartzpoint/process.go
@@ -68,7 +68,7 @@
 // call it are rejected, and the caller is nil.
 func (p *process) newDependencyCaller() *dependency.Caller {
 	if unserved := p.server.UnservedRoutes(); len(unserved) > 0 {
-		p.log.Warn("types that call a dependency are turned away, as the configuration names none", "types", unserved)
+		p.log.Warn("routes that call a dependency are rejected, as the configuration names none", "types", unserved)
 	}
 	if p.platform.DependencyAddress == "" {
 		return nil
@@ -157,7 +157,7 @@
 		select {
 		case <-signals.stop:
 		case err = <-failed: // what was read is still answered
-			p.log.Error("no more connections, leaving", "error", err)
+			p.log.Error("listener failed, draining", "error", err)
 		}
 		result <- err
 		releaseLeases() // first, so that others can have them at once
--- a/cmd/quartzpoint/reload.go
+++ b/cmd/quartzpoint/reload.go
@@ -18,7 +18,7 @@
 	old := p.platform
 	next, err := rereadPlatformConfig(os.Getenv("EDGE_CONFIG"), old)
 	if err != nil {
-		p.log.Warn("new configuration refused, the old one stays", "error", err)
+		p.log.Warn("configuration reload failed, the old one stays in force", "error", err)
 		return
 	}
 	var change settings.Change
@@ -39,7 +39,7 @@
 	if len(change.Fixed) > 0 {
 		p.platform.settingsHash = 0 // the settings in force are not those of any file
 	}
-	p.log.Info("new configuration", "pool", next.PoolAddress, "members", next.MembershipAddress,
+	p.log.Info("configuration reloaded", "pool", next.PoolAddress, "members", next.MembershipAddress,
 		"index", p.platform.DependencyAddress, "stop_ms", next.StopWithin.Milliseconds(), "moved", change.Adjusted,
 		"only_with_a_restart", p.platform.needRestart(next, change.Fixed))
 }
--- a/cmd/quartzpoint/reload_test.go
+++ b/cmd/quartzpoint/reload_test.go
@@ -54,7 +54,7 @@
 			router.Send(t, fake.Task(21, "pay", ""))
 			last := p.pool.Next(t, "spawn")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, "notice to leave")
+			p.logged(t, "drain started")
 			for i := range 20 {
 				require.NoError(t, os.WriteFile(p.path, []byte(texts[i%2][:len(texts[i%2])-i%3]), 0o600))
 				hup()
@@ -115,15 +115,15 @@
 	require.NotEqual(t, string(first), other)
 	reload := func(text, want string) {
 		t.Helper()
-		seen := strings.Count(p.log.String(), "new configuration")
+		seen := strings.Count(p.log.String(), "configuration reload")
 		require.NoError(t, os.WriteFile(p.path, []byte(text), 0o600))
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-		require.Eventually(t, func() bool { return strings.Count(p.log.String(), "new configuration") > seen },
+		require.Eventually(t, func() bool { return strings.Count(p.log.String(), "configuration reload") > seen },
 			fake.Patience, time.Millisecond)
 		lines := strings.Split(strings.TrimSpace(p.log.String()), "\n")
 		last := ""
 		for _, line := range lines {
-			if strings.Contains(line, "new configuration") {
+			if strings.Contains(line, "configuration reload") {
 				last = line
 			}
 		}
--- a/cmd/quartzpoint/settings_test.go
+++ b/cmd/quartzpoint/settings_test.go
@@ -70,7 +70,7 @@
 			p.pool.Ready()
 			p.logged(t, "pool link bound")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-			p.logged(t, `msg="new configuration"`)
+			p.logged(t, `msg="configuration reloaded"`)
 			router := fake.Dial(t, p.address)
 			router.Send(t, fake.Task(1, "pay", ""))
 			p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
--- a/cmd/quartzpoint/standstill_test.go
+++ b/cmd/quartzpoint/standstill_test.go
@@ -32,7 +32,7 @@
 			p.pool.Next(t, "spawn")
 			p.pool.Next(t, "spawn") // both run, and neither will end
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, `msg="no more connections"`)
+			p.logged(t, `msg="stopped accepting connections"`)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
 			time.Sleep(time.Second) // the stop passes meanwhile; there is no event to wait for
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGCONT))
--- a/cmd/quartzpoint/unreachable_test.go
+++ b/cmd/quartzpoint/unreachable_test.go
@@ -32,7 +32,7 @@
 	there := lookups(t, "there")
 	fake.RewriteWith(t, p.path, p.address, pool, members, nowhere, callSite)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-	p.logged(t, `msg="new configuration"`)
+	p.logged(t, `msg="configuration reloaded"`)
 	assert.Equal(t, "HB n1 UP", p.members.Next(t))
 	run := p.pool.Next(t, "spawn")
 	p.pool.Block(run.Task, []byte("what"))
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -24,12 +24,12 @@
 	for i := range 100 {
 		l.Record(RequestRejected, "no time left", slog.String("request", fmt.Sprint("r", i)))
 	}
-	assert.Equal(t, maxLinesPerSecond, strings.Count(text.String(), "msg=\"request refused\""))
+	assert.Equal(t, maxLinesPerSecond, strings.Count(text.String(), "msg=\"request rejected\""))
 	assert.Contains(t, text.String(), `request=r1 reason="no time left" times=2`)
 
 	pass(time.Second)
 	l.Flush()
-	assert.Contains(t, text.String(), `msg=events "request refused: no time left"=100`)
+	assert.Contains(t, text.String(), `msg=events "request rejected: no time left"=100`)
 	text.Reset()
 	pass(time.Second)
 	l.Flush()
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -77,8 +77,8 @@
 		f.server.Submit(func() {
 			f.joinedCount.Add(1)
 			if !f.place(c) {
-				f.counters.Count("connection refused, table full")
-				c.close("the table is full")
+				f.counters.Count("connection refused, limit reached")
+				c.close("the limit is reached")
 			}
 		})
 	})
@@ -93,7 +93,7 @@
 		c.drain("draining")
 	case open > f.maxConns:
 		if c.overLimit = !f.makeRoom(c); c.overLimit {
-			f.counters.Count("connection beyond the table, all in use")
+			f.counters.Count("connection over the limit, all in use")
 			return f.live() <= f.maxConns+f.maxOverLimit
 		}
 	case open > f.maxConns-f.maxConns/nearFullDivisor:
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -40,7 +40,7 @@
 		f.counters.Count("connection closed to make room")
 		least.close("to make room")
 	default:
-		f.counters.Count("connection asked to go to make room")
+		f.counters.Count("connection drained to make room")
 		least.drain("to make room")
 	}
 }
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -24,13 +24,13 @@
 	}
 	time.Sleep(minConnAge)
 	busy := b.speaker(t)
-	assert.Zero(t, b.counters.Times("connection asked to go to make room"), "silent ones go before a router's idle one")
+	assert.Zero(t, b.counters.Times("connection drained to make room"), "silent ones go before a router's idle one")
 	busy.Send(t, fake.Task(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	for range limits.Sockets {
 		b.speaker(t) // which all stay
 	}
-	b.waitCounted(t, "connection asked to go to make room")
+	b.waitCounted(t, "connection drained to make room")
 	b.waitCounted(t, "connection closed to make room")
 	assert.Equal(t, byte(30), first.Next(t).Type, "the one idle for longest is asked to go")
 	first.Closed(t)
@@ -70,10 +70,10 @@
 		assert.Equal(t, byte(50), r.Next(t).Code)
 		hold(b.server.Now() + fake.Patience)
 	}
-	b.waitCounted(t, "task on a connection beyond the table")
-	assert.Zero(t, b.counters.Times("connection refused, table full"))
+	b.waitCounted(t, "request on a connection over the limit")
+	assert.Zero(t, b.counters.Times("connection refused, limit reached"))
 	fake.Dial(t, b.Address()).Closed(t)
-	b.waitCounted(t, "connection refused, table full")
+	b.waitCounted(t, "connection refused, limit reached")
 	hold(0)
 	last := b.speaker(t) // in the place of one of them
 
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -176,6 +176,6 @@
 }
 
 func (c *conn) reject(stream uint32, reason string) {
-	c.frontend.counters.Count("task not understood: " + reason)
+	c.frontend.counters.Count("request not understood: " + reason)
 	c.frontend.server.RejectUnparsed(c, stream, "not understood: "+reason)
 }
--- a/internal/frontend/sweep.go
+++ b/internal/frontend/sweep.go
@@ -39,7 +39,7 @@
 		case !c.out.Empty() && now < c.activeAt+unreadTimeout: // answers that its router has yet to read
 		case c.draining && c.frameBegunAt == 0 && now >= f.idleSince(c)+timeout:
 			if c.inputEmpty() { // with bytes unread the close would be a reset, and a request among them lost
-				c.close("asked to go, and did not")
+				c.close("drained, and not closed by its peer")
 			}
 		case f.idleTimeout > 0 && now >= c.activeAt+f.idleTimeout && !c.draining:
 			c.drain("idle")
--- a/internal/invariant/counters.go
+++ b/internal/invariant/counters.go
@@ -39,7 +39,7 @@
 	first := c.times[what] == 1
 	c.mu.Unlock()
 	if first {
-		c.log.Warn("first seen, counted from here on", "what", what)
+		c.log.Warn("first occurrence, counted from here on", "what", what)
 	}
 }
 
@@ -48,7 +48,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, what := range slices.Sorted(maps.Keys(c.times)) {
-		c.log.Info("counted", "what", what, "times", c.times[what])
+		c.log.Info("counter", "what", what, "times", c.times[what])
 	}
 }
 
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -45,7 +45,7 @@
 	}
 	s.round.StopAt, s.round.NotifiedAt = s.drain.stopAt, s.drain.startedAt
 	s.round.pending = true
-	s.log.Info("notice to leave", "stop_in", within, "no_more_connections_in", s.drain.stopAcceptingAt-now, "tasks", len(s.requests.byID))
+	s.log.Info("drain started", "stop_in", within, "no_more_connections_in", s.drain.stopAcceptingAt-now, "requests", len(s.requests.byID))
 }
 
 // earliestKill is the earliest time after Drain at which the platform may kill the process: the longest deadline, 3 s at
@@ -73,7 +73,7 @@
 	}
 	if !s.drain.notAccepting {
 		s.drain.notAccepting = true
-		s.log.Info("no more connections", "open", open, "tasks", len(s.requests.byID))
+		s.log.Info("stopped accepting connections", "open", open, "requests", len(s.requests.byID))
 		return false
 	}
 	unanswered := 0
@@ -82,13 +82,13 @@
 			unanswered++
 		}
 	}
-	s.counters.Assert(unanswered == 0 || now < s.drain.stopAt, "the stop came with tasks unanswered")
+	s.counters.Assert(unanswered == 0 || now < s.drain.stopAt, "the stop came with requests unanswered")
 	// A router that neither reads nor closes must not keep the process until it is killed.
 	complete := unanswered == 0 && (written && open == 0 || now >= s.drain.stopAt-exitBefore)
 	if now < s.drain.stopAt && (!complete || !s.inputDrained()) {
 		return false
 	}
-	s.log.Info("left", "connections", open, "stopped_runs", len(s.requests.byID), "before_stop", s.drain.stopAt-now)
+	s.log.Info("drain complete", "connections", open, "stopped_runs", len(s.requests.byID), "before_stop", s.drain.stopAt-now)
 	return true
 }
 
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -15,9 +15,9 @@
 // Start runs a request, or has a paused run resume.
 func (s *Server) Start(decided *admission.Request) {
 	request := s.requests.byDecision[decided]
-	s.counters.Assert(request != nil && !request.answered, "a settled task was started")
+	s.counters.Assert(request != nil && !request.answered, "an answered request was started")
 	grace := s.settings.Admission.Grace
-	s.counters.Assert(!s.drain.started() || decided.ReceivedAt() <= s.drain.startedAt+grace, "a task from past the grace was started")
+	s.counters.Assert(!s.drain.started() || decided.ReceivedAt() <= s.drain.startedAt+grace, "a request from past the grace was started")
 	if request == nil || request.answered {
 		return
 	}
@@ -51,7 +51,7 @@
 // Reject answers a request that never ran.
 func (s *Server) Reject(decided *admission.Request, retryAfter time.Duration, noRetryElsewhere bool) {
 	request := s.requests.byDecision[decided]
-	s.counters.Assert(request != nil && !request.active && !request.sent, "a task that may have run was dismissed")
+	s.counters.Assert(request != nil && !request.active && !request.sent, "a request that may have run was rejected")
 	switch {
 	case request == nil:
 	case request.answered: // its caller left in the moment it was read; its key is given back all the same
@@ -92,7 +92,7 @@
 }
 
 // Log logs a note of the controller's on something that operators may act on.
-func (s *Server) Log(note string) { s.log.Info("decision", "note", note) }
+func (s *Server) Log(note string) { s.log.Info("admission note", "note", note) }
 
 // Call lets the calls of a request begin. timeout ends them before the controller would abort the request, so that what is
 // there by then is still answered.
@@ -106,7 +106,7 @@
 		s.makeCall(request, timeout)
 		return
 	}
-	s.counters.Assert(request != nil && request.composite && !request.sent, "a call was to be made for a task without any, or twice")
+	s.counters.Assert(request != nil && request.composite && !request.sent, "a call of a request without any, or a second time")
 	if request == nil || !request.composite || request.sent {
 		return
 	}
@@ -121,7 +121,7 @@
 // SkipCall has a request go on without its call.
 func (s *Server) SkipCall(decided *admission.Request) {
 	c, calls := dependencyCallerOf(s.requests.byDecision[decided])
-	s.counters.Assert(calls, "a call was to be left out for a task without any")
+	s.counters.Assert(calls, "a skipped call of a request without any")
 	if calls {
 		c.SkipCall()
 	}
@@ -144,7 +144,7 @@
 // AnswerFromOriginal answers a duplicate as soon as its original has ended.
 func (s *Server) AnswerFromOriginal(decided *admission.Request) {
 	request := s.requests.byDecision[decided]
-	s.counters.Assert(request != nil && request.original != nil, "a repeat without a first")
+	s.counters.Assert(request != nil && request.original != nil, "a duplicate without an original")
 	if request == nil || request.original == nil {
 		return
 	}
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -112,7 +112,7 @@
 // completeKey completes a key. A result that there is no room for is not stored: duplicates are then aborted, and never run.
 func (s *Server) completeKey(entry *keyEntry, a Answer) {
 	if s.keys.resultBytes+len(a.Result) > s.keys.maxResultBytes {
-		s.counters.Count("result of a numbered task beyond the program's own memory")
+		s.counters.Count("result of a keyed request beyond the program's own memory")
 		a = Answer{Verdict: Aborted}
 	}
 	s.keys.resultBytes += len(a.Result)
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -90,6 +90,6 @@
 		assert.Empty(t, b.keys.entries)
 		assert.Empty(t, b.requests.byID)
 	})
-	assert.Zero(t, b.counts.Times("check failed: a task was answered twice"))
+	assert.Zero(t, b.counts.Times("check failed: a request was answered twice"))
 	assert.Empty(t, b.answers)
 }
--- a/internal/server/linkrecovery.go
+++ b/internal/server/linkrecovery.go
@@ -129,7 +129,7 @@
 		request.startUnknown = !s.link.Resume(request.id) // the link was lost again
 	case request.blockedAtCall: // it has resumed, and waits for its next call
 	case request.callReply != nil:
-		s.counters.Count("run not known to have gone on from its call, told again")
+		s.counters.Count("run not known to have resumed from its call, reply sent again")
 		s.replyToCall(request, request.callReply)
 		s.link.Resume(request.id)
 	default:
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -54,7 +54,7 @@
 		return nil
 	}
 	if keyed && s.keyConflicts(&in) {
-		s.rejectIncoming(&in, "number of another task", Answer{Verdict: KeyConflict})
+		s.rejectIncoming(&in, "key of another request", Answer{Verdict: KeyConflict})
 		return nil
 	}
 	return s.enqueue(&in, route, now)
@@ -67,13 +67,13 @@
 	case route == nil:
 		return "", Answer{}
 	case s.tables.unserved[in.Route]:
-		return "task of a type that calls, without a dependency", Answer{Verdict: Rejected, RetryAfter: s.maxRetryAfter()}
+		return "request for a route that calls, without a dependency", Answer{Verdict: Rejected, RetryAfter: s.maxRetryAfter()}
 	case known != nil && (known.active || known.sent):
 		// Rejected would say that it never ran, and its caller might have it run elsewhere.
-		return "task whose call is known already", Answer{Verdict: Aborted}
+		return "request whose id is known already", Answer{Verdict: Aborted}
 	case known == nil && s.executed.until[in.ID] > 0:
 		// Its caller has, or had, an answer: what has run never runs again, and is never rejected.
-		return "task whose call may have run before", Answer{Verdict: Aborted}
+		return "request that may have run before", Answer{Verdict: Aborted}
 	}
 	return "", Answer{}
 }
@@ -81,22 +81,22 @@
 // rejectReason is why a request that did not run is not taken in, empty where it is.
 func (s *Server) rejectReason(in *Incoming, route *admission.Route) string {
 	if route == nil {
-		return "task of an unknown type"
+		return "request for an unknown route"
 	}
 	keyed := route.Idempotency == admission.Keyed
 	switch {
 	case s.requests.byID[in.ID] != nil:
-		return "task whose call is known already"
+		return "request whose id is known already"
 	case in.OverLimit:
-		return "task on a connection beyond the table"
+		return "request on a connection over the limit"
 	case s.settings.RoutersSendDeadlines && in.Timeout <= 0:
-		return "task without a due time"
+		return "request without a deadline"
 	case len(s.requests.byID) >= s.requests.max:
-		return "task beyond the program's own memory"
+		return "request beyond the program's own memory"
 	case keyed && in.Key == "":
-		return "numbered task without a number"
+		return "keyed request without a key"
 	case keyed && len(s.keys.entries) >= s.keys.maxEntries && s.keys.entries[keyOf(in.Route, in.Key)] == nil:
-		return "numbered task beyond the program's own memory"
+		return "keyed request beyond the program's own memory"
 	}
 	return ""
 }
--- a/internal/server/reconfigure.go
+++ b/internal/server/reconfigure.go
@@ -15,6 +15,6 @@
 	now := s.settings.Adjustable()
 	s.controller.Reconfigure(now.Preemption, now.ShedLevelFormat)
 	for _, name := range slices.Sorted(maps.Keys(adjusted)) {
-		s.log.Info("setting moved", "setting", name, "value", adjusted[name])
+		s.log.Info("setting changed", "setting", name, "value", adjusted[name])
 	}
 }
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -60,7 +60,7 @@
 
 // answer gives a request its one answer.
 func (s *Server) answer(request *Request, a Answer) {
-	s.counters.Assert(!request.answered, "a task was answered twice")
+	s.counters.Assert(!request.answered, "a request was answered twice")
 	if request.answered {
 		return
 	}
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -215,7 +215,7 @@
 
 // reload has a daemon read its configuration anew and gives the processor time that took.
 func reload(d *harness.Daemon) (time.Duration, error) {
-	const told = `msg="new configuration"`
+	const told = `msg="configuration reloaded"`
 	seen := strings.Count(d.Log(), told)
 	before, err := CPU(d.PID())
 	if err != nil {
--- a/internal/workerlink/connect.go
+++ b/internal/workerlink/connect.go
@@ -45,7 +45,7 @@
 			break
 		}
 		if next != nil {
-			l.log.Info("pool link moves", "to", next.RemoteAddr().String())
+			l.log.Info("pool link changes address", "to", next.RemoteAddr().String())
 			continue
 		}
 		if !down { // once for each loss, not for each attempt
--- a/internal/workerlink/link_test.go
+++ b/internal/workerlink/link_test.go
@@ -168,7 +168,7 @@
 	assert.Equal(t, "c", b.next(t, workerapi.RunFinished).RequestID, "a notice told again was taken as a new one")
 	b.pool.Say(`{"verb":"finished","index":6,"task":"d","outcome":"success","spent":1,"bytes":"*"}` + "\n")
 	assert.Equal(t, workerapi.OutcomeFailed, b.next(t, workerapi.RunFinished).Outcome, "a result that can't be read")
-	assert.Equal(t, 1, b.counts.Times("pool notice told again"))
+	assert.Equal(t, 1, b.counts.Times("pool notice repeated"))
 	assert.Equal(t, 1, b.counts.Times("pool notices missed"))
 }
 
--- a/internal/workerlink/notices.go
+++ b/internal/workerlink/notices.go
@@ -109,7 +109,7 @@
 	next := l.lastIndex + 1
 	switch {
 	case index < next:
-		l.count("pool notice told again")
+		l.count("pool notice repeated")
 		return false, nil
 	case index > next && l.missingIndex != next:
 		l.count("pool notices missed, asked for again")
