--- a/internal/config/dependencies.go
+++ b/internal/config/dependencies.go
@@ -18,7 +18,7 @@
 	budget.Options
 	Address        string
 	Connections    int
-	SilenceTimeout time.Duration // after which a connection that owes answers and says nothing is dead
+	SilenceTimeout time.Duration // without a byte, after which a connection with calls in flight is considered dead
 }
 
 func readDependencies(s *section) []Dependency {
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -58,7 +58,7 @@
 	var failing atomic.Bool
 	other := startDependency(t, ms, func(time.Duration) harness.Mood { return harness.Mood{Errors: failing.Load()} })
 	one := startDependency(t, ms, nil)
-	server := newTestServer(t, 64<<20, readRoute(func(t *Route) { t.Plan.Calls[1].Fallback, t.Calls[1].MaxStaleness = true, 400*ms }),
+	server := newTestServer(t, 64<<20, readRoute(func(t *Route) { t.Plan.Calls[1].Fallback, t.Calls[1].MaxStale = true, 400*ms }),
 		dependency("one", one.Address), dependency("other", other.Address))
 	server.start("look", "mine", 300*ms)
 	_, a := server.next()
--- a/internal/fanout/executor.go
+++ b/internal/fanout/executor.go
@@ -38,9 +38,9 @@
 func (c *Composer) Fallback(execution *budget.Execution, call int) bool {
 	r := execution.Ref.(*request)
 	config := r.route.Calls[call]
-	if config.MaxStaleness > 0 {
+	if config.MaxStale > 0 {
 		body, age, found := c.cache.load(r.cacheKey(call), c.now())
-		if found && age <= config.MaxStaleness {
+		if found && age <= config.MaxStale {
 			r.parts[call], r.ages[call] = body, max(age, 1)
 			return true
 		}
