--- a/cmd/quartzpoint/calls_test.go
+++ b/cmd/quartzpoint/calls_test.go
@@ -29,7 +29,7 @@
 }
 
 // Settings with types that call a dependency kept the process from starting.
-func TestTypeThatCalls(t *testing.T) {
+func TestRouteThatCalls(t *testing.T) {
 	for build, path := range builds {
 		t.Run(build, func(t *testing.T) {
 			p := prepare(t, path)
@@ -68,7 +68,7 @@
 }
 
 // Without the dependency's address the process starts, serves all other types and turns those tasks away.
-func TestTypeThatCallsNobody(t *testing.T) {
+func TestRouteThatCallsNobody(t *testing.T) {
 	p := prepare(t, builds["release"])
 	fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, callSite)
 	require.NoError(t, p.cmd.Start())
@@ -84,5 +84,5 @@
 	router.Send(t, fake.Task(2, "pay", ""))
 	p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code)
-	assert.Equal(t, 1, strings.Count(p.log.String(), "turned away"), "%s", p.log)
+	assert.Equal(t, 1, strings.Count(p.log.String(), "routes that call a dependency are rejected"), "%s", p.log)
 }
--- a/cmd/quartzpoint/crossing_test.go
+++ b/cmd/quartzpoint/crossing_test.go
@@ -56,7 +56,7 @@
 
 // A machine that stands still across the end of the grace: the system takes connections, and tasks on them, that the
 // process hears of only when it has begun to go. Each is answered, none runs, and no connection is reset.
-func TestTasksWhileTheProcessStandsStillAtTheEndOfTheGrace(t *testing.T) {
+func TestRequestsWhileTheProcessStandsStillAtTheEndOfTheGrace(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
 	p.logged(t, "pool link bound")
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -119,7 +119,7 @@
 
 // A caller disconnects, and then the server shuts down, while calls are in flight. The other callers get their answers, and
 // the shutdown ends in time.
-func TestLeavingWithOpenCalls(t *testing.T) {
+func TestDrainWithOpenCalls(t *testing.T) {
 	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Silent: true} })
 	gone := fake.Dial(t, c.daemon.Address)
 	gone.Send(t, fake.Task(1, "confirm-booking", "x"))
--- a/cmd/quartzpoint/main.go
+++ b/cmd/quartzpoint/main.go
@@ -13,21 +13,21 @@
 
 // The exit codes.
 const (
-	exitFailure = 1 // it could not be done: a fault in a file, an address that is taken, a peer that does not answer
-	exitUsage   = 2 // the command line itself is wrong
+	exitFailure = 1 // an invalid file, an address in use, a peer that does not answer
+	exitUsage   = 2 // an invalid command line
 )
 
-const about = `One app server behind other people's balancers.
+const about = `One app server behind other people's load balancers.
 
 Without a command it serves, as "serve" does. EDGE_CONFIG names the platform's configuration; EDGE_NAME and
-EDGE_LISTEN win over "name" and "listen" in it. SIGTERM is the notice to leave, SIGHUP has files read anew.
+EDGE_LISTEN override "name" and "listen" in it. SIGTERM starts the drain, SIGHUP reloads the configuration.
 
-Exit codes: 0 done, or left as told; 1 it could not be done, and the last line says why; 2 wrong usage.`
+Exit codes: 0 done, or drained; 1 failed, and the last line says why; 2 invalid command line.`
 
 // commandLine holds the commands and their options.
 type commandLine struct {
-	Serve         serveCommand          `cmd:"" default:"withargs" help:"Take tasks from routers and answer each of them (the default)."`
-	Check         checkCommand          `cmd:"" help:"Read both configurations whole and print every fault."`
+	Serve         serveCommand          `cmd:"" default:"withargs" help:"Receive requests from routers and answer each of them (the default)."`
+	Check         checkCommand          `cmd:"" help:"Read both configurations and print all errors."`
 	Peer          peerCommands          `cmd:"" help:"Ask running servers."`
 	Lease         leaseCommands         `cmd:"" help:"Ask running servers about duties held by lease."`
 	Dependencies  dependenciesCommand   `cmd:"" help:"Print how a running server's dependencies stand."`
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -174,7 +174,7 @@
 }
 
 // The notice to leave with work running and held: all is answered, what comes past the grace does not run.
-func TestNoticeToLeave(t *testing.T) {
+func TestDrain(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
 			p := launch(t, build)
@@ -249,12 +249,12 @@
 
 			for _, bad := range []string{"", `{"name":"n1"`, `{}`} {
 				require.NoError(t, os.WriteFile(p.path, []byte(bad), 0o600))
-				hup("refused")
+				hup("failed, the old one stays")
 			}
 			require.NoError(t, os.Remove(p.path))
-			hup("refused")
+			hup("failed, the old one stays")
 			fake.Rewrite(t, p.path, p.address, "pool without port", p.members.Address, fake.Site)
-			hup("refused")
+			hup("failed, the old one stays")
 			fake.Rewrite(t, p.path, "127.0.0.1:9", p.pool.Address, p.members.Address, fake.Site)
 			hup("only_with_a_restart=[]") // the variable for listen wins over the file
 			changed := strings.Replace(fake.Site, `"cores":4`, `"cores":5`, 1)
@@ -271,7 +271,7 @@
 			}
 			wrong := strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"later"`, 1)
 			fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, wrong)
-			hup("refused")
+			hup("failed, the old one stays")
 			honoured(across)
 			fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, fake.Site)
 
--- a/cmd/quartzpoint/reload_test.go
+++ b/cmd/quartzpoint/reload_test.go
@@ -44,7 +44,7 @@
 			for stream := range uint32(20) {
 				work(stream + 1)
 			}
-			assert.NotContains(t, p.log.String(), "refused, the old one stays")
+			assert.NotContains(t, p.log.String(), "failed, the old one stays")
 			put(strings.Replace(texts[1], `"stop_ms":1500`, `"stop_ms":2500`, 1))
 			hup()
 			p.logged(t, "stop_ms=2500")
--- a/cmd/quartzpoint/settings_test.go
+++ b/cmd/quartzpoint/settings_test.go
@@ -124,7 +124,7 @@
 		require.NoError(t, os.WriteFile(serves.path, []byte(c.text), 0o600))
 		require.NoError(t, serves.cmd.Process.Signal(syscall.SIGHUP))
 		require.Eventually(t, func() bool {
-			return strings.Count(serves.log.String(), "refused, the old one stays") == i+1
+			return strings.Count(serves.log.String(), "failed, the old one stays") == i+1
 		}, fake.Patience, time.Millisecond, c.text)
 	}
 	// There the variables win over the file.
--- a/cmd/quartzpoint/unreachable_test.go
+++ b/cmd/quartzpoint/unreachable_test.go
@@ -45,5 +45,5 @@
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	_ = router.Close()
 	assert.Zero(t, p.gone())
-	assert.NotContains(t, p.log.String(), "refused, the old one stays")
+	assert.NotContains(t, p.log.String(), "failed, the old one stays")
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestRefusedRequests(t *testing.T) {
+func TestRejectedRequests(t *testing.T) {
 	b := newBench(t, usual())
 	router := fake.Dial(t, b.Address())
 	now := time.Now()
@@ -208,7 +208,7 @@
 }
 
 // Connections whose routers keep them for good held up the end of a server until its last moment.
-func TestLeavingClosesWhatStays(t *testing.T) {
+func TestDrainClosesWhatStays(t *testing.T) {
 	b := newBench(t, usual())
 	stays := b.speaker(t)
 	b.server.Submit(b.StopAccepting)
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -90,7 +90,7 @@
 }
 
 // Whatever there is, the process itself has its part, and each of the others some.
-func TestDescriptorsAreParted(t *testing.T) {
+func TestDescriptorsAreDivided(t *testing.T) {
 	for _, c := range []struct{ sockets, most, crowd, untried int }{
 		{4, 1, 1, 1}, {24, 4, 2, 2}, {32, 12, 2, 2}, {48, 24, 4, 4}, {64, 32, 8, 8}, {100, 50, 8, 16}, {128, 64, 8, 16},
 		{256, 192, 8, 16}, {4096, 4032, 8, 16},
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -20,7 +20,7 @@
 
 // A task that is written while its connection is about to be closed, as idle for too long after it was asked to go or
 // to make room for another, was closed on unread.
-func TestTaskCrossesTheCloseOfAnIdleConnection(t *testing.T) {
+func TestRequestCrossesTheCloseOfAnIdleConnection(t *testing.T) {
 	closes := map[string]func(b *bench, c *conn){
 		"asked to go": func(b *bench, c *conn) {
 			c.draining, c.activeAt = true, 0
@@ -83,7 +83,7 @@
 
 // What is open on a connection whose sender breaks the framing later was lost with it. Its rest, unread, reset the
 // connection and took answers along that were sent already.
-func TestTasksOutliveWhatIsBrokenBehindThem(t *testing.T) {
+func TestRequestsOutliveWhatIsBrokenBehindThem(t *testing.T) {
 	b := newBench(t, usual())
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.Task(1, "pay", ""), fake.Task(2, "pay", ""))
@@ -127,7 +127,7 @@
 
 // Where a site tells of callers gone, its routers' word for it was taken for nonsense, and cost all tasks on the
 // connection their answers.
-func TestRouterTellsOfACallerGone(t *testing.T) {
+func TestRouterReportsACallerGone(t *testing.T) {
 	site := strings.Replace(fake.Site, `"cold":false`, `"tells-gone":true,"cold":false`, 1)
 	b := newBenchAt(t, usual(), site, nil)
 	r := fake.Dial(t, b.Address())
@@ -155,7 +155,7 @@
 
 // A repeat that overtakes the first's answer, or follows it, gets the first's result and never runs; on whichever
 // connection it comes. Another customer's task is never answered by it.
-func TestRepeatsOfANumberedTask(t *testing.T) {
+func TestDuplicatesOfAKeyedRequest(t *testing.T) {
 	limits := usual()
 	limits.Keys, limits.Tenants = true, true
 	b := newBenchAt(t, limits, numberedSite, nil)
@@ -199,7 +199,7 @@
 
 // A task on a connection that the system has taken for the server, and the server not yet from the system, was reset
 // when the listener was shut at the end of the grace, and when the process ended.
-func TestTaskOnAConnectionNotYetTaken(t *testing.T) {
+func TestRequestOnAConnectionNotYetAccepted(t *testing.T) {
 	held := &gate{open: make(chan struct{})}
 	b := newBenchAt(t, usual(), fake.Site, func(l netpoll.Listener) netpoll.Listener {
 		held.Listener = l
--- a/internal/registration/reporter_test.go
+++ b/internal/registration/reporter_test.go
@@ -23,7 +23,7 @@
 }
 
 // At a new address the next report comes at once, and the old one gets none.
-func TestMove(t *testing.T) {
+func TestSetAddress(t *testing.T) {
 	old, members := fake.NewMembers(t), fake.NewMembers(t)
 	r := New("n7", old.Address, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go r.Run(t.Context(), time.Hour)
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -91,7 +91,7 @@
 }
 
 // A call goes with its task, and its end then finds nobody.
-func TestCallOfATaskThatIsOver(t *testing.T) {
+func TestCallOfARequestThatIsOver(t *testing.T) {
 	b, d := newCallBench(t, callSite)
 	c := b.runToCall(t, d, 1, "browse", 2500*time.Millisecond)
 	assert.Less(t, c.Timeout, 2500*time.Millisecond)
@@ -143,7 +143,7 @@
 }
 
 // Where no dependency is named, what calls it is turned away as never run, and all else is served.
-func TestTypesThatCallNobody(t *testing.T) {
+func TestRoutesThatCallNobody(t *testing.T) {
 	site := strings.Replace(fake.Site, `"calls-by-class":[false,false]`, `"calls-by-class":[true,false]`, 1)
 	b := newBenchAt(t, site)
 	b.pool.Ready()
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestLeaving(t *testing.T) {
+func TestDrain(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
 	b.submitRequest(1, "pay", time.Minute)
@@ -76,7 +76,7 @@
 }
 
 // A peer that does not read its answers kept the process from leaving until it was killed.
-func TestLeavingWithAPeerThatDoesNotRead(t *testing.T) {
+func TestDrainWithAPeerThatDoesNotRead(t *testing.T) {
 	b := newBench(t)
 	b.Submit(func() { b.peersStalled = true })
 	b.Drain(500 * time.Millisecond)
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -12,7 +12,7 @@
 
 // A repeat that is turned away for want of room was refused with a promise of no effect, though its first had run: its
 // caller would have it run elsewhere.
-func TestRepeatsAreNeverRefusedOnceTheirFirstMayHaveRun(t *testing.T) {
+func TestDuplicatesAreNeverRejectedOnceTheirOriginalMayHaveRun(t *testing.T) {
 	site := strings.Replace(fake.Site, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
@@ -41,7 +41,7 @@
 }
 
 // A process that stood still reads a repeat behind the window in which it came. It ran, or was refused, as a new one.
-func TestARepeatBelongsToTheWindowInWhichItCame(t *testing.T) {
+func TestADuplicateBelongsToTheWindowInWhichItArrived(t *testing.T) {
 	const window = 400 * time.Millisecond
 	site := strings.Replace(fake.Site, `"fragile"`, `"dedup","dedup-window":400000`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
@@ -74,7 +74,7 @@
 
 // A numbered task whose caller leaves in the moment it is read, and for which the decisions have no room, kept its
 // number for the whole window, as one that would still run: a repeat was neither run nor turned away.
-func TestNumberOfATaskWhoseCallerLeftAsItWasRead(t *testing.T) {
+func TestKeyOfARequestWhoseCallerLeftAsItWasRead(t *testing.T) {
 	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.Site)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -41,7 +41,7 @@
 	MaxIdleYields    int  // yields to other goroutines before the loop blocks; waking it costs more than a few of them
 	DynamicTables    bool // routes and tenants change in service
 	HoldUntilRunEnds bool // a run holds its place until it ends, however long ago it was answered
-	EarlyKill        bool // the process may be killed before the stop that Drain is told: see earliestKill
+	EarlyKill        bool // the process may be killed before the stop that Drain states: see earliestKill
 }
 
 // Server is the event loop. Its methods are for its own goroutine, but for Submit, Wake, Drain, ChangeTables, HandleCallEnd,
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -13,7 +13,7 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-func TestTaskIsServed(t *testing.T) {
+func TestRequestIsServed(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
 	b.submitRequest(1, "pay", time.Second)
@@ -29,7 +29,7 @@
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 }
 
-func TestNotUnderstoodIsDismissed(t *testing.T) {
+func TestInvalidRequestIsRejected(t *testing.T) {
 	b := newBench(t)
 	b.submitRequest(1, "unheard-of", time.Second)
 	b.submitRequest(2, "pay", 0)
@@ -118,7 +118,7 @@
 }
 
 // After many tasks of ever new names from ever new routers, over links that break, the tables are empty again.
-func TestTablesAfterManyTasks(t *testing.T) {
+func TestTablesAfterManyRequests(t *testing.T) {
 	b := newBench(t)
 	b.pool.Echo = true
 	b.pool.Ready()
@@ -207,7 +207,7 @@
 	assert.False(t, <-b.checks, "a deep check without an answer is a bad one in time")
 }
 
-func TestTermsItCantServe(t *testing.T) {
+func TestUnsupportedSettings(t *testing.T) {
 	cases := map[string][2]string{
 		"needs idempotency keys":     {`"retryable"`, `"dedup"`},
 		"the settings name tenants":  {`"tenants":[]`, `"tenants":[{"quota-rps":1}]`},
@@ -222,7 +222,7 @@
 }
 
 // One customer without a name cost all behind it theirs, and with it their share.
-func TestCustomersWithoutNames(t *testing.T) {
+func TestTenantsWithoutNames(t *testing.T) {
 	site := strings.Replace(fake.Site, `"tenants":[]`, `"tenants":[{"quota-rps":1},{"name":"b","quota-rps":2},{}]`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
 	assert.Equal(t, 1, b.TenantIndex("b"))
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -9,7 +9,7 @@
 // Workers run requests. The event loop makes all calls, and none may block: commands leave with Flush, and notices come with
 // AppendNotices. Each run that was started is reported to have ended at most once, by a notice of the kind RunFinished.
 type Workers interface {
-	// Start begins a run. With sent false it was not told to begin, and may be started again.
+	// Start begins a run. With sent false the workers do not know of it, and it may be started again.
 	Start(r workerapi.Run) (sent bool)
 	// Pause stops a run, for good or until Resume.
 	Pause(id string) (sent bool)
--- a/internal/workerlink/link_test.go
+++ b/internal/workerlink/link_test.go
@@ -194,7 +194,7 @@
 
 // At a new address runs and notice numbers carry on, the old link is let go only once the new one is open, and
 // what was sent on the old one is known to have been read.
-func TestMove(t *testing.T) {
+func TestSetAddress(t *testing.T) {
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
 	b.Start(workerapi.Run{ID: "a", Route: "pay", Body: nil})
--- a/internal/workerlink/notices.go
+++ b/internal/workerlink/notices.go
@@ -19,7 +19,7 @@
 const maxLineBytes = 64 << 10
 
 // errMissed ends a link on which a notice did not come, so that the next bind has it sent again.
-var errMissed = errors.New("notices missed, to be told again")
+var errMissed = errors.New("notices missed, to be sent again")
 
 // line is a notice as the pool writes it.
 type line struct {
