--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -21,12 +21,12 @@
 // startComposer starts the composer of the routes that the configuration makes of calls; nil without any. It ends with the
 // context. memory is that of the process, in bytes.
 func startComposer(
-	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counts, log *slog.Logger,
+	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counters, log *slog.Logger,
 ) (*fanout.Composer, error) {
 	if len(ours.Routes) == 0 {
 		return nil, nil
 	}
-	routes, err := composedRoutes(ours, owner.Types())
+	routes, err := composedRoutes(ours, owner.RouteTimeouts())
 	if err != nil {
 		return nil, err
 	}
@@ -34,8 +34,8 @@
 	for _, d := range ours.Dependencies {
 		dependencies = append(dependencies, fanout.Dependency(d))
 	}
-	composer := fanout.New(ctx, dependencies, routes, memory, seed, owner.Now, counts, log, owner.Nudge)
-	owner.Compose(composer)
+	composer := fanout.New(ctx, dependencies, routes, memory, seed, owner.Now, counts, log, owner.Wake)
+	owner.SetComposer(composer)
 	log.Info("tasks made of calls", "types", len(routes), "dependencies", len(dependencies))
 	return composer, nil
 }
@@ -96,7 +96,7 @@
 // Run asks the server once.
 func (cmd *dependenciesCommand) Run() error {
 	var states []budget.State
-	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askDependencies}, &states); err != nil {
+	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: queryDependencies}, &states); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/reload_test.go
+++ b/cmd/quartzpoint/reload_test.go
@@ -44,7 +44,7 @@
 			for stream := range uint32(20) {
 				work(stream + 1)
 			}
-			assert.NotContains(t, p.log.String(), "refused, the old one stays")
+			assert.NotContains(t, p.log.String(), "failed, the old one stays")
 			put(strings.Replace(texts[1], `"stop_ms":1500`, `"stop_ms":2500`, 1))
 			hup()
 			p.logged(t, "stop_ms=2500")
@@ -54,7 +54,7 @@
 			router.Send(t, fake.Task(21, "pay", ""))
 			last := p.pool.Next(t, "spawn")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, "notice to leave")
+			p.logged(t, "drain started")
 			for i := range 20 {
 				require.NoError(t, os.WriteFile(p.path, []byte(texts[i%2][:len(texts[i%2])-i%3]), 0o600))
 				hup()
@@ -95,7 +95,7 @@
 	router.Send(t, fake.Task(1, "pay", "")) // as the process was started
 	p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code)
-	router.Close()
+	_ = router.Close()
 	began := time.Now()
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	p.logged(t, "stop_in=700.5ms")
@@ -115,15 +115,15 @@
 	require.NotEqual(t, string(first), other)
 	reload := func(text, want string) {
 		t.Helper()
-		seen := strings.Count(p.log.String(), "new configuration")
+		seen := strings.Count(p.log.String(), "configuration reload")
 		require.NoError(t, os.WriteFile(p.path, []byte(text), 0o600))
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-		require.Eventually(t, func() bool { return strings.Count(p.log.String(), "new configuration") > seen },
+		require.Eventually(t, func() bool { return strings.Count(p.log.String(), "configuration reload") > seen },
 			fake.Patience, time.Millisecond)
 		lines := strings.Split(strings.TrimSpace(p.log.String()), "\n")
 		last := ""
 		for _, line := range lines {
-			if strings.Contains(line, "new configuration") {
+			if strings.Contains(line, "configuration reload") {
 				last = line
 			}
 		}
--- a/cmd/quartzpoint/settings_test.go
+++ b/cmd/quartzpoint/settings_test.go
@@ -23,10 +23,10 @@
 		many = append(many, fmt.Sprintf(`{"name":"%s-%d","deadline":9000000,"goal-time":8000000,"gain":1.0,"idempotency":"dedup",
 "dedup-window":%d,"late-value":0.0}`, strings.Repeat("long", 30), i, i))
 	}
-	replace := func(old, new string) func(string) string {
+	replace := func(old, with string) func(string) string {
 		return func(text string) string {
 			require.Contains(t, text, old)
-			return strings.Replace(text, old, new, 1)
+			return strings.Replace(text, old, with, 1)
 		}
 	}
 	cases := map[string]func(string) string{
@@ -70,14 +70,14 @@
 			p.pool.Ready()
 			p.logged(t, "pool link bound")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-			p.logged(t, `msg="new configuration"`)
+			p.logged(t, `msg="configuration reloaded"`)
 			router := fake.Dial(t, p.address)
 			router.Send(t, fake.Task(1, "pay", ""))
 			p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
 			assert.Equal(t, byte(20), router.Next(t).Code)
 			assert.Contains(t, p.log.String(), "only_with_a_restart=[]")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			router.Close()
+			_ = router.Close()
 			assert.Zero(t, p.gone())
 		})
 	}
@@ -124,7 +124,7 @@
 		require.NoError(t, os.WriteFile(serves.path, []byte(c.text), 0o600))
 		require.NoError(t, serves.cmd.Process.Signal(syscall.SIGHUP))
 		require.Eventually(t, func() bool {
-			return strings.Count(serves.log.String(), "refused, the old one stays") == i+1
+			return strings.Count(serves.log.String(), "failed, the old one stays") == i+1
 		}, fake.Patience, time.Millisecond, c.text)
 	}
 	// There the variables win over the file.
@@ -164,7 +164,7 @@
 				p.members.Next(t)
 			}
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			router.Close()
+			_ = router.Close()
 			assert.Zero(t, p.gone())
 			used := p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 			assert.Less(t, used, time.Since(began)/2)
--- a/cmd/quartzpoint/state.go
+++ b/cmd/quartzpoint/state.go
@@ -21,7 +21,7 @@
 }
 
 // openState opens the configured directory, and has the server start from what it holds.
-func openState(stated *config.State, owner *server.Server, counts *invariant.Counts, log *slog.Logger) (*statePersistence, error) {
+func openState(stated *config.State, owner *server.Server, counts *invariant.Counters, log *slog.Logger) (*statePersistence, error) {
 	p := &statePersistence{}
 	p.schema = owner.PublishEstimates(store.RandomID(), func(snapshot estimate.Snapshot, at time.Duration) {
 		for _, publish := range p.publish {
--- a/cmd/quartzpoint/unreachable_test.go
+++ b/cmd/quartzpoint/unreachable_test.go
@@ -32,7 +32,7 @@
 	there := lookups(t, "there")
 	fake.RewriteWith(t, p.path, p.address, pool, members, nowhere, callSite)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-	p.logged(t, `msg="new configuration"`)
+	p.logged(t, `msg="configuration reloaded"`)
 	assert.Equal(t, "HB n1 UP", p.members.Next(t))
 	run := p.pool.Next(t, "spawn")
 	p.pool.Block(run.Task, []byte("what"))
@@ -43,7 +43,7 @@
 	p.pool.Finish(run.Task, "success", p.pool.Next(t, "supply").Body)
 	assert.Equal(t, byte(20), router.Next(t).Code)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	router.Close()
+	_ = router.Close()
 	assert.Zero(t, p.gone())
-	assert.NotContains(t, p.log.String(), "refused, the old one stays")
+	assert.NotContains(t, p.log.String(), "failed, the old one stays")
 }
--- a/internal/dependency/caller.go
+++ b/internal/dependency/caller.go
@@ -57,7 +57,7 @@
 		return
 	}
 	c.busy[request.CallID] = conn
-	ctx, cancel := context.WithTimeout(context.Background(), request.Within)
+	ctx, cancel := context.WithTimeout(context.Background(), request.Timeout)
 	conn.cancel = cancel
 	conn.calls <- timedCall{request, ctx}
 }
--- a/internal/dependency/connection.go
+++ b/internal/dependency/connection.go
@@ -56,7 +56,7 @@
 			begin := time.Now()
 			outcome, result := c.perform(call)
 			c.caller.release(c, call.CallID)
-			c.caller.report(workerapi.CallEnd{Call: call.Call, Outcome: outcome, Took: time.Since(begin), Result: result})
+			c.caller.report(workerapi.CallEnd{Call: call.Call, Outcome: outcome, Duration: time.Since(begin), Result: result})
 			idle.Reset(idleTimeout)
 		case <-idle.C:
 			c.caller.closeIdle(c)
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -51,7 +51,7 @@
 // Composer runs composed requests. It implements server.Composer, and budget.Executor for its own scheduler. All its
 // methods but Wait belong to the decision loop.
 type Composer struct {
-	counts       *invariant.Counts
+	counts       *invariant.Counters
 	now          func() time.Duration
 	routes       map[string]*Route
 	transports   []Transport // by dependency, as are dependencies
@@ -86,7 +86,7 @@
 // The routes' plans must be valid. seed makes all jitter repeatable.
 func New(
 	ctx context.Context, dependencies []Dependency, routes []Route, memory int, seed int64, now func() time.Duration,
-	counts *invariant.Counts, log *slog.Logger, wake func(),
+	counts *invariant.Counters, log *slog.Logger, wake func(),
 ) *Composer {
 	c := &Composer{
 		counts: counts, now: now, routes: map[string]*Route{}, requests: map[string]*request{},
@@ -94,10 +94,10 @@
 	}
 	var err error
 	c.cache, err = newResultCache(memory / cacheMemoryDivisor)
-	counts.That(err == nil, "no table of last good results")
+	counts.Assert(err == nil, "no table of last good results")
 	for i, d := range dependencies {
 		c.dependencies = append(c.dependencies, budget.NewDependency(d.Options, seed+int64(i)))
-		c.transports = append(c.transports, Dial(ctx, d, seed+int64(i), log, counts.Saw, wake, &c.connections))
+		c.transports = append(c.transports, Dial(ctx, d, seed+int64(i), log, counts.Count, wake, &c.connections))
 	}
 	for _, route := range routes {
 		c.routes[route.Plan.Route] = &route
@@ -123,7 +123,7 @@
 func (c *Composer) Start(run workerapi.Run) bool {
 	route := c.routes[run.Route]
 	valid := route != nil && c.requests[run.ID] == nil
-	c.counts.That(valid, "a task was composed twice, or has no plan")
+	c.counts.Assert(valid, "a task was composed twice, or has no plan")
 	if !valid {
 		return false
 	}
@@ -147,11 +147,11 @@
 	return true
 }
 
-// GoOn refuses: Pause has ended the request.
-func (c *Composer) GoOn(string) bool { return false }
+// Resume refuses: Pause has ended the request.
+func (c *Composer) Resume(string) bool { return false }
 
-// Take appends the notices of requests that ended.
-func (c *Composer) Take(notices []workerapi.Notice) []workerapi.Notice {
+// AppendNotices appends the notices of requests that ended.
+func (c *Composer) AppendNotices(notices []workerapi.Notice) []workerapi.Notice {
 	notices = append(notices, c.notices...)
 	clear(c.notices)
 	c.notices = c.notices[:0]
@@ -215,7 +215,7 @@
 	r.attempts[attempt.call][attempt.number] = nil
 	if outcome == budget.Succeeded {
 		if c.resultBytes+len(response.Body) > c.maxResultBytes {
-			c.counts.Saw("result of a call beyond the program's own memory")
+			c.counts.Count("result of a call beyond the program's own memory")
 			outcome = budget.Failed
 		} else {
 			c.resultBytes += len(response.Body)
--- a/internal/fanout/connection.go
+++ b/internal/fanout/connection.go
@@ -24,7 +24,7 @@
 )
 
 // errResponseTooLong ends a connection: what follows can't be found in the stream any more.
-var errResponseTooLong = fmt.Errorf("answer of over %d bytes", frame.MostWhole)
+var errResponseTooLong = fmt.Errorf("answer of over %d bytes", frame.MaxBuffered)
 
 // connection is one connection of a transport, dialled again whenever it is lost. Its goroutine is run; transport.mu
 // guards all fields but transport.
@@ -32,7 +32,7 @@
 	transport  *frameTransport
 	socket     net.Conn // nil while there is none, as are raw, writes, inFlight and streams
 	raw        syscall.RawConn
-	writes     *writequeue.Box
+	writes     *writequeue.Queue
 	inFlight   map[uint32]*Attempt // by stream
 	streams    map[*Attempt]uint32
 	lastStream uint32
@@ -138,11 +138,11 @@
 // receiveAll receives all complete frames of a buffer and returns the rest of it.
 func (c *connection) receiveAll(buffer []byte) (rest []byte, err error) {
 	for {
-		f, after, complete, err := frame.CutAnswer(buffer)
+		f, after, complete, err := frame.ParseAnswer(buffer)
 		if err != nil {
 			return nil, fmt.Errorf("cutting a frame: %w", err)
 		}
-		if complete && f.Beyond > 0 {
+		if complete && f.SkipBytes > 0 {
 			return nil, errResponseTooLong
 		}
 		if !complete {
@@ -157,7 +157,7 @@
 // the call it answers.
 func (c *connection) receive(f frame.Frame) {
 	t := c.transport
-	if f.Type == frame.Close {
+	if f.Type == frame.GoAway {
 		c.draining = true
 		c.closeDrained()
 		return
@@ -173,16 +173,16 @@
 	var body []byte
 	if len(f.Payload) > 1 {
 		var err error
-		if _, body, err = frame.Split(f.Payload[1:]); err != nil {
+		if _, body, err = frame.SplitPayload(f.Payload[1:]); err != nil {
 			t.count("dependency answers what can't be read")
 			t.respond(attempt, budget.Failed, nil)
 			return
 		}
 	}
 	switch {
-	case len(f.Payload) > 0 && f.Payload[0] == frame.Honoured && len(body) <= maxResult:
+	case len(f.Payload) > 0 && f.Payload[0] == frame.Served && len(body) <= maxResult:
 		t.respond(attempt, budget.Succeeded, append([]byte{}, body...)) // a copy: the buffer is reused
-	case len(f.Payload) > 0 && f.Payload[0] == frame.Dismissed:
+	case len(f.Payload) > 0 && f.Payload[0] == frame.Rejected:
 		t.respond(attempt, budget.Rejected, nil)
 	default:
 		t.respond(attempt, budget.Failed, nil)
--- a/internal/fanout/executor.go
+++ b/internal/fanout/executor.go
@@ -57,7 +57,7 @@
 	r := execution.Ref.(*request)
 	answer, truncated, complete := r.compose(execution, verdict)
 	if truncated {
-		c.counts.Saw("composed answer too long, parts left out")
+		c.counts.Count("composed answer too long, parts left out")
 	}
 	if verdict == budget.Aborted || !complete {
 		c.finish(r, runInterrupted, answer)
--- a/internal/peersync/fetcher.go
+++ b/internal/peersync/fetcher.go
@@ -27,7 +27,7 @@
 	Seed           int64
 	NeedsEstimates func() bool                      // whether the server still needs estimates
 	Use            func(snapshot estimate.Snapshot) // replaces the estimates that were passed before
-	Counts         *invariant.Counts
+	Counts         *invariant.Counters
 	Log            *slog.Logger
 }
 
@@ -137,7 +137,7 @@
 	}
 	r.schedule.Finished(result.peer, now, err == nil, retryAfter)
 	if err != nil {
-		r.Counts.Saw("no usable estimates from a peer")
+		r.Counts.Count("no usable estimates from a peer")
 		r.Log.Warn("no estimates from a peer", "peer", r.Peers[result.peer], "error", err)
 		return
 	}
--- a/internal/store/attach.go
+++ b/internal/store/attach.go
@@ -9,7 +9,7 @@
 // options' clock, ids and callbacks.
 func Attach(owner *server.Server, options Options) (*Store, Recovered, error) {
 	options.Clock, options.NewID = SystemClock(), RandomID
-	options.OnDurable = owner.Nudge
+	options.OnDurable = owner.Wake
 	options.OnLateRecovery = func(r Recovered) { restoreLate(owner, r) }
 	s, recovered, err := New(options)
 	if err != nil {
@@ -17,7 +17,7 @@
 	}
 	restore(owner, recovered)
 	if options.PersistKeys {
-		owner.Keep(s)
+		owner.SetLedger(s)
 	}
 	return s, recovered, nil
 }
@@ -26,7 +26,7 @@
 
 // restore gives a server that does not run yet what was recovered. The estimates count for as much as a peer's.
 func restore(owner *server.Server, recovered Recovered) {
-	owner.Restore(recovered.keyRecords())
+	owner.RestoreKeys(recovered.keyRecords())
 	if recovered.Estimates.HasFresh() {
 		owner.UsePeerEstimates(recovered.Estimates)
 	}
@@ -35,14 +35,14 @@
 // restoreLate gives a running server the keys of a directory that could not be read at the start. It leaves out the
 // estimates: by then the server has its own, or its peers'.
 func restoreLate(owner *server.Server, recovered Recovered) {
-	owner.Post(func() { owner.Restore(recovered.keyRecords()) })
+	owner.Submit(func() { owner.RestoreKeys(recovered.keyRecords()) })
 }
 
 func (r Recovered) keyRecords() []server.KeyRecord {
 	records := make([]server.KeyRecord, len(r.Keys))
 	for i, entry := range r.Keys {
 		records[i] = server.KeyRecord{
-			Key: entry.Key, Shape: entry.Fingerprint, Remaining: entry.ExpiresAt - r.ReadAt, Served: entry.Served, Result: entry.Result,
+			Key: entry.Key, Fingerprint: entry.Fingerprint, Remaining: entry.ExpiresAt - r.ReadAt, Served: entry.Served, Result: entry.Result,
 		}
 	}
 	return records
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -26,7 +26,7 @@
 	exitLostEffect = 7 // exit code of a child that does not know a key whose effect had happened
 )
 
-func osDirOptions(dir string, counts *invariant.Counts) Options {
+func osDirOptions(dir string, counts *invariant.Counters) Options {
 	return Options{
 		OpenDir: datadir.Opener(dir), Clock: SystemClock(), NewID: RandomID, Schema: testSchema, MaxBytes: maxTestBytes, CommitInterval: time.Millisecond,
 		PersistKeys: true, Counts: counts, Log: slog.New(slog.DiscardHandler), OnDurable: func() {},
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -41,7 +41,7 @@
 	// CommitInterval is the time for which records are gathered before they are written together; 0 for none.
 	CommitInterval time.Duration
 	PersistKeys    bool // whether idempotency keys are stored, beside the estimates
-	Counts         *invariant.Counts
+	Counts         *invariant.Counters
 	Log            *slog.Logger
 	// OnDurable is called from the store's goroutine when DurableMark has changed.
 	OnDurable func()
@@ -161,17 +161,17 @@
 		return 0
 	}
 	if len(r.entry.Key) > maxKeyBytes {
-		s.options.Counts.Saw(countKeyTooLong)
+		s.options.Counts.Count(countKeyTooLong)
 		return 0
 	}
 	if len(r.entry.Result) > maxResultBytes {
-		s.options.Counts.Saw(countResultTooLong)
+		s.options.Counts.Count(countResultTooLong)
 		r.entry.Served, r.entry.Result = false, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.queuedBytes+r.sizeBytes() > maxQueueBytes {
-		s.options.Counts.Saw(countQueueFull)
+		s.options.Counts.Count(countQueueFull)
 		return 0
 	}
 	s.queue = append(s.queue, r)
@@ -190,7 +190,7 @@
 		return math.MaxUint64
 	}
 	if since := s.writingSince.Load(); since > 0 && s.now()-time.Duration(since) > stallTimeout {
-		s.options.Counts.Saw(countDiskStalled)
+		s.options.Counts.Count(countDiskStalled)
 		return math.MaxUint64
 	}
 	return s.durableMark.Load()
--- a/internal/workerlink/pool_test.go
+++ b/internal/workerlink/link_test.go
@@ -21,7 +21,7 @@
 type bench struct {
 	*Link
 	pool   *fake.Pool
-	counts *invariant.Counts
+	counts *invariant.Counters
 	woken  chan struct{}
 	told   []workerapi.Notice
 }
@@ -29,7 +29,7 @@
 func newBench(t *testing.T) *bench {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	b := &bench{pool: fake.NewPool(t), counts: invariant.New(log), woken: make(chan struct{}, 1)}
-	b.Link = New(b.pool.Address, 1<<20, log, b.counts.Saw, func() {
+	b.Link = New(b.pool.Address, 1<<20, log, b.counts.Count, func() {
 		select {
 		case b.woken <- struct{}{}:
 		default:
@@ -40,7 +40,7 @@
 }
 
 // next waits for the next notice of a kind and passes over others.
-func (b *bench) next(t *testing.T, kind workerapi.Kind) workerapi.Notice {
+func (b *bench) next(t *testing.T, kind workerapi.NoticeKind) workerapi.Notice {
 	t.Helper()
 	for limit := time.After(fake.Patience); ; {
 		for len(b.told) > 0 {
@@ -51,7 +51,7 @@
 		}
 		select {
 		case <-b.woken:
-			b.told = b.Take(b.told)
+			b.told = b.AppendNotices(b.told)
 		case <-limit:
 			require.FailNow(t, "the notice did not come")
 		}
@@ -74,7 +74,7 @@
 	body := []byte("\x00\xff\"\n body")
 	assert.True(t, b.Start(workerapi.Run{ID: "t1", Route: "bro\"wse", Body: body}))
 	assert.True(t, b.Pause("t1"))
-	assert.True(t, b.GoOn("t1"))
+	assert.True(t, b.Resume("t1"))
 	assert.True(t, b.Verify(4))
 	b.Flush()
 	spawn := b.pool.Next(t, "spawn")
@@ -84,11 +84,11 @@
 	}
 	assert.Equal(t, "4", b.pool.Next(t, "verify").Nonce)
 	ended := b.next(t, workerapi.RunFinished)
-	assert.Equal(t, "interrupted", ended.Outcome)
-	assert.Equal(t, 5500*time.Microsecond, ended.Took)
+	assert.Equal(t, workerapi.OutcomeStopped, ended.Outcome)
+	assert.Equal(t, 5500*time.Microsecond, ended.Duration)
 
 	assert.True(t, b.Start(workerapi.Run{ID: "t2", Route: "browse", Body: body})) // which stays, so that no reading is 0
-	next := b.Next()
+	next := b.NextPollNonce()
 	nonce, sent := b.Poll()
 	b.Flush()
 	assert.True(t, sent)
@@ -97,9 +97,10 @@
 
 	b.pool.Say(`{"verb":"chatter","index":2,"outcome":"hm"}` + "\n" + `{"verb":"unk`)
 	b.pool.Say(`nown","outcome":"spawn","task":"t9"}` + "\n" + `{"verb":"verified","nonce":"4","outcome":"failure"}` + "\n")
-	unknown := b.next(t, workerapi.Unknown)
-	assert.Equal(t, []string{"spawn", "t9"}, []string{unknown.Outcome, unknown.RequestID})
-	assert.Equal(t, uint64(4), b.next(t, workerapi.Verified).Nonce)
+	unknown := b.next(t, workerapi.CommandFailed)
+	assert.Equal(t, []any{workerapi.StartCommand, "t9"}, []any{unknown.Command, unknown.RequestID})
+	verified := b.next(t, workerapi.Verified)
+	assert.Equal(t, []any{uint64(4), false}, []any{verified.Nonce, verified.Healthy})
 }
 
 // A pool that came up long after the server had refused the one poll sent before it was up, and its link was
@@ -166,8 +167,8 @@
 	b.pool.Say(beyond)
 	assert.Equal(t, "c", b.next(t, workerapi.RunFinished).RequestID, "a notice told again was taken as a new one")
 	b.pool.Say(`{"verb":"finished","index":6,"task":"d","outcome":"success","spent":1,"bytes":"*"}` + "\n")
-	assert.Equal(t, "failure", b.next(t, workerapi.RunFinished).Outcome, "a result that can't be read")
-	assert.Equal(t, 1, b.counts.Times("pool notice told again"))
+	assert.Equal(t, workerapi.OutcomeFailed, b.next(t, workerapi.RunFinished).Outcome, "a result that can't be read")
+	assert.Equal(t, 1, b.counts.Times("pool notice repeated"))
 	assert.Equal(t, 1, b.counts.Times("pool notices missed"))
 }
 
@@ -176,7 +177,7 @@
 	for name, text := range map[string]string{
 		"no JSON":       "hello\n",
 		"cut JSON":      `{"verb":"polled"` + "\n",
-		"a long line":   strings.Repeat("x", 3*mostLine) + "\n",
+		"a long line":   strings.Repeat("x", 3*maxLineBytes) + "\n",
 		"a wrong kind":  `{"verb":7}` + "\n",
 		"a wrong nonce": `{"verb":"polled","nonce":"soon"}` + "\n",
 	} {
@@ -193,23 +194,23 @@
 
 // At a new address runs and notice numbers carry on, the old link is let go only once the new one is open, and
 // what was sent on the old one is known to have been read.
-func TestMove(t *testing.T) {
+func TestSetAddress(t *testing.T) {
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
 	b.Start(workerapi.Run{ID: "a", Route: "pay", Body: nil})
-	mark := b.Next()
+	mark := b.NextPollNonce()
 	b.Flush()
 	b.pool.Next(t, "spawn")
 	b.pool.Finish("a", "success", nil)
 	b.next(t, workerapi.RunFinished)
 
-	b.Move("127.0.0.1:1") // nobody answers there
-	time.Sleep(3 * firstWait)
+	b.SetAddress("127.0.0.1:1") // nobody answers there
+	time.Sleep(3 * minBackoff)
 	assert.True(t, b.Start(workerapi.Run{ID: "b", Route: "pay", Body: nil}), "the old link works until a new one is open")
 	b.Flush()
 	b.pool.Next(t, "spawn")
 	b.pool.Move(t)
-	b.Move(b.pool.Address)
+	b.SetAddress(b.pool.Address)
 	assert.GreaterOrEqual(t, b.next(t, workerapi.Polled).Nonce, mark, "nothing sent before is in doubt")
 	b.next(t, workerapi.LinkDown)
 	assert.Equal(t, 1, b.pool.Next(t, "bind").Index)
@@ -225,7 +226,7 @@
 
 	b.pool.Silence(true) // a pool that leaves the last poll unanswered
 	b.pool.Move(t)
-	b.Move(b.pool.Address)
+	b.SetAddress(b.pool.Address)
 	b.next(t, workerapi.LinkDown)
 	assert.Equal(t, 1, b.counts.Times("pool did not answer the last poll of a link that moved"))
 	b.pool.Next(t, "bind")
@@ -235,7 +236,7 @@
 func TestAPoolThatDoesNotRead(t *testing.T) {
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
-	b.bound = 1 << 10
+	b.maxQueuedBytes = 1 << 10
 	b.pool.Cut()
 	b.next(t, workerapi.LinkSynced)
 	for range 100 {
@@ -256,9 +257,9 @@
 			return
 		}
 		l := New("", 1<<20, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {}, func() {})
-		l.out, l.read = writequeue.New(1<<20), 3
-		l.sort(&told)
+		l.out, l.lastIndex = writequeue.New(1<<20), 3
+		_ = l.handleLine(&told) // a missed notice is no fault here
 		assert.LessOrEqual(t, len(l.inbox), 2)
-		assert.GreaterOrEqual(t, l.read, uint64(3))
+		assert.GreaterOrEqual(t, l.lastIndex, uint64(3))
 	})
 }
--- a/state.go
+++ b/state.go
@@ -54,7 +54,7 @@
 }
 
 // openState opens the state directory and has the gate start from it.
-func (g *Gate) openState(stated *State, origin uint64, counts *invariant.Counts, log *slog.Logger) error {
+func (g *Gate) openState(stated *State, origin uint64, counts *invariant.Counters, log *slog.Logger) error {
 	t, err := stated.withDefaults()
 	if err != nil {
 		return err
