--- a/gate.go
+++ b/gate.go
@@ -47,18 +47,18 @@
 // Type is a traffic type. The zero value of each field but Name has a default.
 type Type struct {
 	Name       string
-	Importance float64       // over that of other types (1)
-	Contract   time.Duration // after which an answer earns nothing (1 s)
-	Outer      time.Duration // after which nobody waits (twice Contract)
-	Repeats    Repeats       // (Reissuable)
-	Window     time.Duration // for which a number is known (a minute)
-	SkipShare  float64       // part of its importance that a task is worth which went on without its call (0: it can't)
+	Importance float64       `toml:"Importance"` // over that of other types (1)
+	Contract   time.Duration `toml:"Contract"`   // after which an answer earns nothing (1 s)
+	Outer      time.Duration `toml:"Outer"`      // after which nobody waits (twice Contract)
+	Repeats    Repeats       `toml:"Repeats"`    // (Reissuable)
+	Window     time.Duration `toml:"Window"`     // for which a number is known (a minute)
+	SkipShare  float64       `toml:"SkipShare"`  // part of its importance that a task is worth which went on without its call (0: it can't)
 }
 
 // Calls is the dependency that runs call through Call, where other processes call it too.
 type Calls struct {
 	Share  float64       // calls at once that it survives of this process (none)
-	Over   time.Duration // over which their mean counts (5 s)
+	Over   time.Duration `toml:"Over"` // over which their mean counts (5 s)
 	Linger time.Duration // for which an abandoned call is still its load
 }
 
@@ -70,18 +70,18 @@
 
 // Terms are what a gate is made from. The zero value works.
 type Terms struct {
-	Types     []Type
+	Types     []Type        `toml:"Types"`
 	Cores     float64       // that tasks may fill (GOMAXPROCS)
 	MemoryMB  int           // of the process (GOMEMLIMIT, else the control group's, else 1,024)
-	TaskKB    float64       // that a running task takes (64)
+	TaskKB    float64       `toml:"TaskKB"` // that a running task takes (64)
 	Grace     time.Duration // after Leave, in which tasks that come may still run (100 ms)
 	Seed      int64
-	Stuck     int          // runs past their answer from which Health is bad (16)
+	Stuck     int          `toml:"Stuck"` // runs past their answer from which Health is bad (16)
 	Log       *slog.Logger // one line an event that operators act on (none)
 	Calls     Calls
-	Customers []Customer
-	Servers   float64                  // of the fleet, this one included (1)
-	OverShare float64                  // worth of what a customer asks beyond its share (1: as much)
+	Customers []Customer               `toml:"Customers"`
+	Servers   float64                  `toml:"Servers"`   // of the fleet, this one included (1)
+	OverShare float64                  `toml:"OverShare"` // worth of what a customer asks beyond its share (1: as much)
 	State     *State                   // what the gate after this one goes on from (nothing)
 	Gauges    func(running int) Gauges `toml:"-"` // what the decisions go by (the process's own)
 	Rounds    func(took time.Duration) `toml:"-"` // told how long each round of decisions took; must not wait (nobody)
--- a/state.go
+++ b/state.go
@@ -29,9 +29,9 @@
 type State struct {
 	Dir       string        // used by this gate alone, mode 0700; its last element is created if missing
 	Site      string        // label; files of another site are not used
-	MostMB    int           // limit of all files together, in MiB, 8 or more (64)
-	Commit    time.Duration // for which keys are gathered before they are written together (1 ms); negative for none
-	NoNumbers bool          // store only the estimates
+	MostMB    int           `toml:"MostMB"`    // limit of all files together, in MiB, 8 or more (64)
+	Commit    time.Duration `toml:"Commit"`    // for which keys are gathered before they are written together (1 ms); negative for none
+	NoNumbers bool          `toml:"NoNumbers"` // store only the estimates
 
 	open func(readOnly bool) (datadir.Dir, error) // set by tests, in place of Dir
 }
