--- a/cmd/adapter/instance.go
+++ b/cmd/adapter/instance.go
@@ -78,51 +78,55 @@
 // Start implements admission.Writer, as do the methods below it.
 func (in *instance) Start(request *admission.Request) {
 	in.tasks[in.ids[request]].active = true
-	in.act(wire.Launch, request)
+	in.act(wire.ActionStart, request)
 }
 
-func (in *instance) Pause(request *admission.Request) { in.act(wire.Preempt, request) }
+func (in *instance) Pause(request *admission.Request) { in.act(wire.ActionPause, request) }
 
 func (in *instance) Reject(request *admission.Request, comeBack time.Duration, nowhereElse bool) {
-	a := in.act(wire.Shed, request)
+	a := in.act(wire.ActionReject, request)
 	a.U32(11, micros(comeBack))
 	a.Bool(15, nowhereElse)
 	in.answered(request)
 }
 
 func (in *instance) Abort(request *admission.Request) {
-	in.act(wire.Fail, request)
+	in.act(wire.ActionAbort, request)
 	in.answered(request)
 }
 
-func (in *instance) AnswerFromOriginal(request *admission.Request) { in.act(wire.Echo, request) }
+func (in *instance) AnswerFromOriginal(request *admission.Request) {
+	in.act(wire.ActionAnswerFromOriginal, request)
+}
 
 func (in *instance) RememberKey(request *admission.Request, span time.Duration) {
-	in.act(wire.Keep, request).U32(11, micros(span))
+	in.act(wire.ActionRememberKey, request).U32(11, micros(span))
 }
 
-func (in *instance) ForgetKey(request *admission.Request) { in.act(wire.Unpin, request) }
+func (in *instance) ForgetKey(request *admission.Request) { in.act(wire.ActionForgetKey, request) }
 
 func (in *instance) Call(request *admission.Request, patience time.Duration) {
-	in.act(wire.Call, request).U32(11, micros(patience))
+	in.act(wire.ActionCall, request).U32(11, micros(patience))
 }
 
-func (in *instance) SkipCall(request *admission.Request) { in.act(wire.GoOn, request) }
+func (in *instance) SkipCall(request *admission.Request) { in.act(wire.ActionSkipCall, request) }
 
 func (in *instance) SetHealth(good, fromStore bool) {
-	a := in.reply.Add(wire.Status, in.who)
+	a := in.reply.Add(wire.ActionSetHealth, in.who)
 	a.Bool(3, good)
 	a.Bool(4, fromStore)
 }
 
-func (in *instance) SetShedLevel(level float64) { in.reply.Add(wire.HintOut, in.who).F32(3, level) }
+func (in *instance) SetShedLevel(level float64) {
+	in.reply.Add(wire.ActionSetShedLevel, in.who).F32(3, level)
+}
 
 func (in *instance) CloseIdleAfter(span time.Duration) {
-	in.reply.Add(wire.CloseIdle, in.who).U32(3, micros(span))
+	in.reply.Add(wire.ActionCloseIdle, in.who).U32(3, micros(span))
 }
 
 func (in *instance) WakeAfter(after time.Duration) {
-	in.reply.Add(wire.Remind, in.who).U32(3, micros(after))
+	in.reply.Add(wire.ActionWakeAfter, in.who).U32(3, micros(after))
 }
 
-func (in *instance) Log(words string) { in.reply.Text(wire.NoteDown, in.who, words) }
+func (in *instance) Log(words string) { in.reply.Text(wire.ActionLog, in.who, words) }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -61,7 +61,7 @@
 func (in *instance) decide() {
 	defer func() {
 		if trouble := recover(); trouble != nil {
-			in.reply.Text(wire.InternalError, in.who, fmt.Sprint(trouble))
+			in.reply.Text(wire.ActionInternalError, in.who, fmt.Sprint(trouble))
 		}
 	}()
 	in.module.Decide(&in.round, in)
@@ -97,28 +97,28 @@
 // take files one event in its instance's round.
 func (d *door) take(r wire.Record) error {
 	code, who := r.U8(0), r.U16(1)
-	if code == wire.Configure {
+	if code == wire.EventConfigure {
 		return d.configure(who, r)
 	}
 	in := d.instances[who]
 	if in == nil {
 		return fmt.Errorf("event %d for instance %d, which was never configured", code, who)
 	}
-	if code == wire.Down {
+	if code == wire.EventServerDown {
 		d.leave(who)
 		return nil
 	}
 	d.touch(in)
 	round := &in.round
 	switch code {
-	case wire.Req:
+	case wire.EventArrive:
 		return in.arrive(r, d.now)
-	case wire.Quiesce:
+	case wire.EventShutDown:
 		round.StopAt = time.Duration(r.U64(3)) * time.Microsecond
 		return nil
-	case wire.Alarm:
+	case wire.EventGauges:
 		return in.gauge(r)
-	case wire.Finished, wire.AtCall, wire.CallResult, wire.ClientGone:
+	case wire.EventRunEnd, wire.EventAwaitCall, wire.EventCallEnd, wire.EventCancel:
 	default:
 		return fmt.Errorf("unknown event code %d", code)
 	}
@@ -127,16 +127,16 @@
 		return nil // settled before this event was written
 	}
 	switch code {
-	case wire.AtCall:
+	case wire.EventAwaitCall:
 		round.AwaitingCall = append(round.AwaitingCall, e.task)
-	case wire.ClientGone:
+	case wire.EventCancel:
 		e.answered = true
 		round.Canceled = append(round.Canceled, e.task)
-	case wire.CallResult:
+	case wire.EventCallEnd:
 		ending, err := ended(e.task, r)
 		round.CallsEnded = append(round.CallsEnded, ending)
 		return err
-	case wire.Finished:
+	case wire.EventRunEnd:
 		ending, err := ended(e.task, r)
 		round.RunsEnded = append(round.RunsEnded, ending)
 		e.active = false
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -40,7 +40,7 @@
 		r := make([]byte, 64)
 		r[0] = e.code
 		binary.LittleEndian.PutUint16(r[1:], e.who)
-		if e.code == wire.Configure {
+		if e.code == wire.EventConfigure {
 			binary.LittleEndian.PutUint32(r[15:], uint32(len(info)))
 		}
 		if e.set != nil {
@@ -80,21 +80,21 @@
 }
 
 func TestServe(t *testing.T) {
-	configure := event{wire.Configure, 7, nil}
+	configure := event{wire.EventConfigure, 7, nil}
 	all, err := codes(t,
 		batch(),
 		batch(configure),
-		batch(event{wire.Req, 7, with(1)}),
-		batch(event{wire.Req, 7, with(2, 41, 1)}, event{wire.AtCall, 7, with(1)}),
-		batch(event{wire.CallResult, 7, with(1)}, event{wire.Finished, 7, with(1)},
-			event{wire.ClientGone, 7, with(9)}),
-		batch(event{wire.Down, 7, nil}, configure),
-		batch(event{wire.Alarm, 7, func(r []byte) { r[7] = 4 }}),
+		batch(event{wire.EventArrive, 7, with(1)}),
+		batch(event{wire.EventArrive, 7, with(2, 41, 1)}, event{wire.EventAwaitCall, 7, with(1)}),
+		batch(event{wire.EventCallEnd, 7, with(1)}, event{wire.EventRunEnd, 7, with(1)},
+			event{wire.EventCancel, 7, with(9)}),
+		batch(event{wire.EventServerDown, 7, nil}, configure),
+		batch(event{wire.EventGauges, 7, func(r []byte) { r[7] = 4 }}),
 	)
 	require.NoError(t, err)
 	assert.Equal(t, [][]uint8{
-		nil, {wire.Status, wire.Remind}, {wire.Keep, wire.Launch}, {wire.Echo, wire.Call}, nil,
-		{wire.Status, wire.Remind}, {wire.Remind},
+		nil, {wire.ActionSetHealth, wire.ActionWakeAfter}, {wire.ActionRememberKey, wire.ActionStart}, {wire.ActionAnswerFromOriginal, wire.ActionCall}, nil,
+		{wire.ActionSetHealth, wire.ActionWakeAfter}, {wire.ActionWakeAfter},
 	}, all)
 }
 
@@ -119,7 +119,7 @@
 }
 
 func TestBadInput(t *testing.T) {
-	configure := event{wire.Configure, 7, nil}
+	configure := event{wire.EventConfigure, 7, nil}
 	cases := []struct {
 		name   string
 		frames [][]byte
@@ -128,14 +128,14 @@
 		{"short", [][]byte{batch()[:5]}, "batch 0: header: frame cut short"},
 		{"unknown code", [][]byte{batch(configure), batch(event{99, 7, nil})},
 			"batch 1, record 0: unknown event code 99"},
-		{"never configured", [][]byte{batch(event{wire.Alarm, 4, nil})}, "record 0: event 80 for instance 4"},
-		{"outside the tail", [][]byte{batch(event{wire.Configure, 7, func(r []byte) { r[14] = 1 }})},
+		{"never configured", [][]byte{batch(event{wire.EventGauges, 4, nil})}, "record 0: event 80 for instance 4"},
+		{"outside the tail", [][]byte{batch(event{wire.EventConfigure, 7, func(r []byte) { r[14] = 1 }})},
 			"outside the tail"},
-		{"repeated id", [][]byte{batch(configure, event{wire.Req, 7, with(1)}, event{wire.Req, 7, with(1)})},
+		{"repeated id", [][]byte{batch(configure, event{wire.EventArrive, 7, with(1)}, event{wire.EventArrive, 7, with(1)})},
 			"record 2: task id 1 came twice"},
-		{"unknown type", [][]byte{batch(configure, event{wire.Req, 7, with(1, 56, 3<<8)})}, "traffic type 3 of 1"},
-		{"unknown outcome", [][]byte{batch(configure, event{wire.Req, 7, with(1)},
-			event{wire.Finished, 7, with(1, 11, 7)})}, "unknown outcome 7"},
+		{"unknown type", [][]byte{batch(configure, event{wire.EventArrive, 7, with(1, 56, 3<<8)})}, "traffic type 3 of 1"},
+		{"unknown outcome", [][]byte{batch(configure, event{wire.EventArrive, 7, with(1)},
+			event{wire.EventRunEnd, 7, with(1, 11, 7)})}, "unknown outcome 7"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/quartzpoint-bench/library.go
+++ b/cmd/quartzpoint-bench/library.go
@@ -61,11 +61,11 @@
 
 // cost is that of the way through, with nothing to do.
 func (m *measureLibrary) cost() (f figures, err error) {
-	gate, err := quartzpoint.New(quartzpoint.Terms{Types: []quartzpoint.Type{{Name: "a"}}})
+	gate, err := quartzpoint.New(quartzpoint.Options{Routes: []quartzpoint.Route{{Name: "a"}}})
 	if err != nil {
 		return f, err
 	}
-	defer gate.Leave(context.Background())
+	defer gate.Shutdown(context.Background())
 	run := func(context.Context) error { return nil }
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "in process\tp50 us\tp99 us\ttasks a second\tallocations\t")
@@ -81,7 +81,7 @@
 				defer all.Done()
 				for range tasks / callers {
 					begin := time.Now()
-					_ = gate.Do(context.Background(), quartzpoint.Task{Type: "a"}, run) // dismissed ones count too
+					_ = gate.Do(context.Background(), quartzpoint.Request{Route: "a"}, run) // dismissed ones count too
 					_ = parts[i].RecordValue(int64(time.Since(begin)))
 				}
 			}()
@@ -94,7 +94,7 @@
 		result := testing.Benchmark(func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				_ = gate.Do(context.Background(), quartzpoint.Task{Type: "a"}, run)
+				_ = gate.Do(context.Background(), quartzpoint.Request{Route: "a"}, run)
 			}
 		})
 		p50 := float64(parts[0].ValueAtPercentile(50)) / 1000
@@ -218,20 +218,20 @@
 func policies(types []harness.Route, each float64) (names []string, made map[string]func(*harness.Cores) (policy, func(), error)) {
 	return []string{"gate", "none", "semaphore", "token bucket"}, map[string]func(*harness.Cores) (policy, func(), error){
 		"gate": func(cores *harness.Cores) (policy, func(), error) {
-			t := quartzpoint.Terms{Cores: labCores, MemoryMB: 256, Gauges: func(int) quartzpoint.Gauges {
+			t := quartzpoint.Options{Cores: labCores, MemoryMB: 256, Gauges: func(int) quartzpoint.Gauges {
 				cpu, crowd := cores.Gauges()
-				return quartzpoint.Gauges{CPU: cpu, Crowd: crowd}
+				return quartzpoint.Gauges{CPU: cpu, Runnable: crowd}
 			}}
 			for _, k := range types {
-				t.Types = append(t.Types, quartzpoint.Type{Name: k.Name, Importance: k.Value, Contract: k.LatencyTarget, Outer: k.Deadline})
+				t.Routes = append(t.Routes, quartzpoint.Route{Name: k.Name, Value: k.Value, LatencyTarget: k.LatencyTarget, Deadline: k.Deadline})
 			}
 			g, err := quartzpoint.New(t)
 			if err != nil {
 				return nil, nil, err
 			}
 			return func(ctx context.Context, k *harness.Route, run func(context.Context) error) error {
-				return g.Do(ctx, quartzpoint.Task{Type: k.Name}, run)
-			}, func() { _ = g.Leave(context.Background()) }, nil
+				return g.Do(ctx, quartzpoint.Request{Route: k.Name}, run)
+			}, func() { _ = g.Shutdown(context.Background()) }, nil
 		},
 		"none": func(*harness.Cores) (policy, func(), error) {
 			return func(ctx context.Context, _ *harness.Route, run func(context.Context) error) error { return run(ctx) }, func() {}, nil
--- a/cmd/quartzpoint-bench/state_kills.go
+++ b/cmd/quartzpoint-bench/state_kills.go
@@ -33,10 +33,10 @@
 	Dir string `arg:""`
 }
 
-func childTerms(state *quartzpoint.State) quartzpoint.Terms {
-	return quartzpoint.Terms{Cores: 4, MemoryMB: 256, State: state, Types: []quartzpoint.Type{
-		{Name: "pay", Repeats: quartzpoint.Numbered, Contract: 2 * time.Second, Window: time.Hour},
-	}, Gauges: func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Crowd: min(float64(running), 4)} }}
+func childTerms(state *quartzpoint.State) quartzpoint.Options {
+	return quartzpoint.Options{Cores: 4, MemoryMB: 256, State: state, Routes: []quartzpoint.Route{
+		{Name: "pay", Idempotency: quartzpoint.Keyed, LatencyTarget: 2 * time.Second, DedupWindow: time.Hour},
+	}, Gauges: func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Runnable: min(float64(running), 4)} }}
 }
 
 // Run repeats the requests of earlier processes, and then sends new ones until the process is killed.
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	gate, err := quartzpoint.New(childTerms(&quartzpoint.State{Dir: filepath.Join(cmd.Dir, "state"), Commit: time.Millisecond}))
+	gate, err := quartzpoint.New(childTerms(&quartzpoint.State{Dir: filepath.Join(cmd.Dir, "state"), CommitInterval: time.Millisecond}))
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 }
 
 func sendKeyed(gate *quartzpoint.Gate, key string, effect func()) ([]byte, error) {
-	return gate.DoOnce(context.Background(), quartzpoint.Task{Type: "pay", Number: key}, func(context.Context) ([]byte, error) {
+	return gate.DoOnce(context.Background(), quartzpoint.Request{Route: "pay", IdempotencyKey: key}, func(context.Context) ([]byte, error) {
 		effect()
 		return []byte("result of " + key), nil
 	})
--- a/cmd/quartzpoint-bench/state_rounds.go
+++ b/cmd/quartzpoint-bench/state_rounds.go
@@ -58,7 +58,7 @@
 	times := newRoundHistogram()
 	terms := childTerms(nil)
 	start := time.Now()
-	terms.Rounds = func(took time.Duration) {
+	terms.ObserveRound = func(took time.Duration) {
 		if time.Since(start) > roundsWarmUp {
 			_ = times.RecordValue(int64(min(took, maxRound))) // in the histogram's range
 		}
@@ -83,7 +83,7 @@
 	all.Wait()
 	leaving, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	return times, gate.Leave(leaving)
+	return times, gate.Shutdown(leaving)
 }
 
 // sendSteadily sends requests at a fixed pace until ctx ends, so that the load does not depend on how long a commit takes.
@@ -95,14 +95,14 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		<-tick.C
 		open.Add(1)
-		task := quartzpoint.Task{Type: "look-up"}
+		task := quartzpoint.Request{Route: "look-up"}
 		if i%keyedEach == 0 {
-			task = quartzpoint.Task{Type: "pay", Number: fmt.Sprintf("%d-%d-%d", seed, caller, i)}
+			task = quartzpoint.Request{Route: "pay", IdempotencyKey: fmt.Sprintf("%d-%d-%d", seed, caller, i)}
 		}
 		go func() {
 			defer open.Done()
 			_, _ = gate.DoOnce(context.Background(), task, // only the rounds are measured, not the outcomes
-				func(context.Context) ([]byte, error) { return []byte(task.Number), nil })
+				func(context.Context) ([]byte, error) { return []byte(task.IdempotencyKey), nil })
 		}()
 	}
 }
--- a/examples/booking/main.go
+++ b/examples/booking/main.go
@@ -21,11 +21,11 @@
 
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	gate, err := quartzpoint.New(quartzpoint.Terms{
+	gate, err := quartzpoint.New(quartzpoint.Options{
 		Cores: 2, Log: log,
-		Types: []quartzpoint.Type{
-			{Name: "GET /slots", Contract: 500 * time.Millisecond},
-			{Name: "POST /bookings", Importance: 4, Contract: 2 * time.Second, Repeats: quartzpoint.Numbered},
+		Routes: []quartzpoint.Route{
+			{Name: "GET /slots", LatencyTarget: 500 * time.Millisecond},
+			{Name: "POST /bookings", Value: 4, LatencyTarget: 2 * time.Second, Idempotency: quartzpoint.Keyed},
 		},
 	})
 	if err != nil {
@@ -43,14 +43,14 @@
 		})
 	}
 	// The gate stands behind the mux, so that a request's pattern is its traffic type.
-	through := middleware.New(gate, middleware.Rules{})
+	through := middleware.New(gate, middleware.Options{})
 	tables.Handle("GET /slots", through(work(50*time.Millisecond, "a table for two")))
 	tables.Handle("POST /bookings", through(work(100*time.Millisecond, "booked")))
 	tables.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) {
-		if !gate.Health() {
+		if !gate.Healthy() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
-		fmt.Fprintf(w, "level %.2f %+v\n", gate.Level(), gate.Counts())
+		fmt.Fprintf(w, "level %.2f %+v\n", gate.ShedLevel(), gate.Counts())
 	})
 	server := &http.Server{Addr: "127.0.0.1:8080", Handler: tables, ReadHeaderTimeout: 5 * time.Second}
 	notice, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -59,7 +59,7 @@
 		<-notice.Done()
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		_ = gate.Leave(ctx) // answers all that was taken
+		_ = gate.Shutdown(ctx) // answers all that was taken
 		_ = server.Shutdown(ctx)
 	}()
 	log.Info("serving", "address", server.Addr)
--- a/gate.go
+++ b/gate.go
@@ -34,64 +34,64 @@
 	"quartzpoint/internal/store"
 )
 
-// Repeats says whether a task may be run again.
-type Repeats string
+// Idempotency says whether a task may be run again.
+type Idempotency string
 
 // The three kinds. A numbered task carries a Number by which a repeat is known.
 const (
-	Reissuable Repeats = "reissuable"
-	Numbered   Repeats = "numbered"
-	AtMostOnce Repeats = "at-most-once"
+	Retryable  Idempotency = "reissuable"
+	Keyed      Idempotency = "numbered"
+	AtMostOnce Idempotency = "at-most-once"
 )
 
-// Type is a traffic type. The zero value of each field but Name has a default.
-type Type struct {
-	Name       string
-	Importance float64       `toml:"Importance"` // over that of other types (1)
-	Contract   time.Duration `toml:"Contract"`   // after which an answer earns nothing (1 s)
-	Outer      time.Duration `toml:"Outer"`      // after which nobody waits (twice Contract)
-	Repeats    Repeats       `toml:"Repeats"`    // (Reissuable)
-	Window     time.Duration `toml:"Window"`     // for which a number is known (a minute)
-	SkipShare  float64       `toml:"SkipShare"`  // part of its importance that a task is worth which went on without its call (0: it can't)
+// Route is a traffic type. The zero value of each field but Name has a default.
+type Route struct {
+	Name           string
+	Value          float64       `toml:"Importance"` // over that of other types (1)
+	LatencyTarget  time.Duration `toml:"Contract"`   // after which an answer earns nothing (1 s)
+	Deadline       time.Duration `toml:"Outer"`      // after which nobody waits (twice Contract)
+	Idempotency    Idempotency   `toml:"Repeats"`    // (Reissuable)
+	DedupWindow    time.Duration `toml:"Window"`     // for which a number is known (a minute)
+	SkipValueShare float64       `toml:"SkipShare"`  // part of its importance that a task is worth which went on without its call (0: it can't)
 }
 
-// Calls is the dependency that runs call through Call, where other processes call it too.
-type Calls struct {
+// CallOptions is the dependency that runs call through Call, where other processes call it too.
+type CallOptions struct {
 	Share  float64       // calls at once that it survives of this process (none)
-	Over   time.Duration `toml:"Over"` // over which their mean counts (5 s)
+	Window time.Duration `toml:"Over"` // over which their mean counts (5 s)
 	Linger time.Duration // for which an abandoned call is still its load
 }
 
-// Customer is one of those who share the fleet. What one asks beyond its share of Rate is worth less.
-type Customer struct {
+// Tenant is one of those who share the fleet. What one asks beyond its share of Rate is worth less.
+type Tenant struct {
 	Name string
 	Rate float64 // tasks a second that the fleet owes it
 }
 
-// Terms are what a gate is made from. The zero value works.
-type Terms struct {
-	Types     []Type        `toml:"Types"`
-	Cores     float64       // that tasks may fill (GOMAXPROCS)
-	MemoryMB  int           // of the process (GOMEMLIMIT, else the control group's, else 1,024)
-	TaskKB    float64       `toml:"TaskKB"` // that a running task takes (64)
-	Grace     time.Duration // after Leave, in which tasks that come may still run (100 ms)
-	Seed      int64
-	Stuck     int          `toml:"Stuck"` // runs past their answer from which Health is bad (16)
-	Log       *slog.Logger // one line an event that operators act on (none)
-	Calls     Calls
-	Customers []Customer               `toml:"Customers"`
-	Servers   float64                  `toml:"Servers"`   // of the fleet, this one included (1)
-	OverShare float64                  `toml:"OverShare"` // worth of what a customer asks beyond its share (1: as much)
-	State     *State                   // what the gate after this one goes on from (nothing)
-	Gauges    func(running int) Gauges `toml:"-"` // what the decisions go by (the process's own)
-	Rounds    func(took time.Duration) `toml:"-"` // told how long each round of decisions took; must not wait (nobody)
+// Options are what a gate is made from. The zero value works.
+type Options struct {
+	Routes         []Route       `toml:"Types"`
+	Cores          float64       // that tasks may fill (GOMAXPROCS)
+	MemoryMB       int           // of the process (GOMEMLIMIT, else the control group's, else 1,024)
+	RequestKB      float64       `toml:"TaskKB"` // that a running task takes (64)
+	Grace          time.Duration // after Leave, in which tasks that come may still run (100 ms)
+	Seed           int64
+	OverrunLimit   int          `toml:"Stuck"` // runs past their answer from which Health is bad (16)
+	Log            *slog.Logger // one line an event that operators act on (none)
+	Calls          CallOptions
+	Tenants        []Tenant                 `toml:"Customers"`
+	FleetServers   float64                  `toml:"Servers"`   // of the fleet, this one included (1)
+	OverQuotaValue float64                  `toml:"OverShare"` // worth of what a customer asks beyond its share (1: as much)
+	State          *State                   // what the gate after this one goes on from (nothing)
+	Gauges         func(running int) Gauges `toml:"-"` // what the decisions go by (the process's own)
+	ObserveRound   func(took time.Duration) `toml:"-"` // told how long each round of decisions took; must not wait (nobody)
 }
 
 // Gauges are readings of what tasks run on. running, as given, is the number of runs at that moment.
 type Gauges struct {
-	CPU    float64 // busy share of the cores over the half second before
-	Crowd  float64 // all that wants a core now; what waits for something else is not in it
-	Memory float64 // share in use
+	CPU      float64 // busy share of the cores over the half second before
+	Runnable float64 // all that wants a core now; what waits for something else is not in it
+	Memory   float64 // share in use
 }
 
 const (
@@ -103,37 +103,37 @@
 	spins      = 20 // some microseconds, in which the end of a short run is seen
 )
 
-// Dismissed is the error of a task that never ran.
-type Dismissed struct {
-	ComeBack    time.Duration // how long its caller should stay away; 0 where that is not known
-	NowhereElse bool          // trying elsewhere would not help
+// RejectedError is the error of a task that never ran.
+type RejectedError struct {
+	RetryAfter       time.Duration // how long its caller should stay away; 0 where that is not known
+	NoRetryElsewhere bool          // trying elsewhere would not help
 }
 
-func (d *Dismissed) Error() string {
-	if d.ComeBack > 0 {
-		return fmt.Sprintf("quartzpoint: dismissed, come back in %v", d.ComeBack)
+func (d *RejectedError) Error() string {
+	if d.RetryAfter > 0 {
+		return fmt.Sprintf("quartzpoint: dismissed, come back in %v", d.RetryAfter)
 	}
 	return "quartzpoint: dismissed"
 }
 
 // The other errors of a task. One that was given up on may have run, or runs still.
 var (
-	ErrGivenUp = errors.New("quartzpoint: given up")
-	ErrLeft    = errors.New("quartzpoint: the gate has left") // nothing ran
-	ErrClash   = errors.New("quartzpoint: number of another task")
-	// ErrSkipped is Call's: the task is to go on without it.
-	ErrSkipped = errors.New("quartzpoint: go on without the call")
+	ErrAborted     = errors.New("quartzpoint: given up")
+	ErrShutDown    = errors.New("quartzpoint: the gate has left") // nothing ran
+	ErrKeyConflict = errors.New("quartzpoint: number of another task")
+	// ErrCallSkipped is Call's: the task is to go on without it.
+	ErrCallSkipped = errors.New("quartzpoint: go on without the call")
 )
 
-// Task is what a caller asks.
-type Task struct {
-	Type     string
-	Due      time.Time // when its caller stops waiting; also from the context's deadline, the earlier holds
-	Number   string    // of a numbered task
-	Shape    uint64    // of what is asked under the number: a repeat with another is refused with ErrClash
-	Customer string    // one of the terms', or nobody's
-	Rank     float64   // from 0 to under 1: its importance to those who heed the level
-	Caller   uint32
+// Request is what a caller asks.
+type Request struct {
+	Route          string
+	Deadline       time.Time // when its caller stops waiting; also from the context's deadline, the earlier holds
+	IdempotencyKey string    // of a numbered task
+	Fingerprint    uint64    // of what is asked under the number: a repeat with another is refused with ErrKeyConflict
+	Tenant         string    // one of the terms', or nobody's
+	Rank           float64   // from 0 to under 1: its importance to those who heed the level
+	CallerID       uint32
 }
 
 // Gate lets tasks run. Make one with New; its methods may be called by any goroutine.
@@ -157,7 +157,7 @@
 }
 
 // New starts a gate. It lives until Leave.
-func New(t Terms) (*Gate, error) {
+func New(t Options) (*Gate, error) {
 	if t.Cores == 0 {
 		t.Cores = float64(runtime.GOMAXPROCS(0))
 	}
@@ -167,14 +167,14 @@
 			t.MemoryMB = 1024
 		}
 	}
-	if t.TaskKB == 0 {
-		t.TaskKB = 64
+	if t.RequestKB == 0 {
+		t.RequestKB = 64
 	}
 	if t.Grace == 0 {
 		t.Grace = 100 * time.Millisecond
 	}
-	if t.Stuck == 0 {
-		t.Stuck = 16
+	if t.OverrunLimit == 0 {
+		t.OverrunLimit = 16
 	}
 	if t.Log == nil {
 		t.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -183,8 +183,8 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gate{counts: invariant.New(t.Log), over: make(chan struct{}), closed: make(chan struct{}), stuck: int64(t.Stuck), shares: map[string]int{}}
-	for i, c := range t.Customers {
+	g := &Gate{counts: invariant.New(t.Log), over: make(chan struct{}), closed: make(chan struct{}), stuck: int64(t.OverrunLimit), shares: map[string]int{}}
+	for i, c := range t.Tenants {
 		g.shares[c.Name] = i
 	}
 	g.good.Store(true)
@@ -197,7 +197,7 @@
 	g.runs = newHandlers(g, t.Cores, uint64(t.MemoryMB)<<20, t.Gauges)
 	g.calls.New = func() any { return newCall(g) }
 	g.owner.Attach(g.runs, g)
-	g.owner.ObserveRounds(t.Rounds)
+	g.owner.ObserveRounds(t.ObserveRound)
 	if t.State != nil {
 		if err := g.openState(t.State, store.RandomID(), g.counts, t.Log); err != nil {
 			return nil, err
@@ -217,7 +217,7 @@
 }
 
 // settings are the terms as the decisions know them, with their defaults.
-func (t Terms) settings() (admission.Settings, error) {
+func (t Options) settings() (admission.Settings, error) {
 	settings := admission.DefaultSettings()
 	settings.Cores = t.Cores
 	settings.MemoryKB = float64(t.MemoryMB) * 1024 / 2
@@ -230,30 +230,30 @@
 	settings.RetryAfter, settings.MaxRetryAfter = true, adviceMost
 	settings.Grace = t.Grace
 	settings.CallShare, settings.CallLinger = t.Calls.Share, t.Calls.Linger
-	if t.Calls.Over != 0 {
-		settings.CallWindow = t.Calls.Over
+	if t.Calls.Window != 0 {
+		settings.CallWindow = t.Calls.Window
 	}
-	if t.Servers == 0 {
-		t.Servers = 1
+	if t.FleetServers == 0 {
+		t.FleetServers = 1
 	}
-	if t.OverShare == 0 {
-		t.OverShare = 1
+	if t.OverQuotaValue == 0 {
+		t.OverQuotaValue = 1
 	}
-	settings.FleetServers, settings.OverQuotaValue = t.Servers, t.OverShare
-	for _, c := range t.Customers {
-		if c.Rate <= 0 || t.Servers < 1 || t.OverShare < 0 || t.OverShare > 1 {
+	settings.FleetServers, settings.OverQuotaValue = t.FleetServers, t.OverQuotaValue
+	for _, c := range t.Tenants {
+		if c.Rate <= 0 || t.FleetServers < 1 || t.OverQuotaValue < 0 || t.OverQuotaValue > 1 {
 			return settings, fmt.Errorf("quartzpoint: customer %q: Rate, Servers or OverShare out of range", c.Name)
 		}
 		settings.Tenants = append(settings.Tenants, admission.Tenant{Rate: c.Rate})
 	}
-	if t.Cores <= 0 || t.MemoryMB <= 0 || t.TaskKB <= 0 || t.Grace < 0 {
+	if t.Cores <= 0 || t.MemoryMB <= 0 || t.RequestKB <= 0 || t.Grace < 0 {
 		return settings, errors.New("quartzpoint: Cores, MemoryMB, TaskKB and Grace must not be below 0")
 	}
 	names := map[string]bool{}
-	for i := range len(t.Types) + strangers {
-		kind := Type{Name: fmt.Sprintf("\x00%d", i-len(t.Types))}
-		if i < len(t.Types) {
-			kind = t.Types[i]
+	for i := range len(t.Routes) + strangers {
+		kind := Route{Name: fmt.Sprintf("\x00%d", i-len(t.Routes))}
+		if i < len(t.Routes) {
+			kind = t.Routes[i]
 		}
 		if kind.Name == "" || names[kind.Name] {
 			return settings, fmt.Errorf("quartzpoint: type %d: a name of its own is needed, not %q", i, kind.Name)
@@ -270,40 +270,40 @@
 }
 
 // idempotencies are the library's words for it.
-var idempotencies = map[Repeats]admission.Idempotency{
-	Reissuable: admission.Retryable, Numbered: admission.Keyed, AtMostOnce: admission.AtMostOnce,
+var idempotencies = map[Idempotency]admission.Idempotency{
+	Retryable: admission.Retryable, Keyed: admission.Keyed, AtMostOnce: admission.AtMostOnce,
 }
 
 // route is the type as the decisions know it, with its defaults.
-func (t Type) route() (admission.Route, error) {
-	if t.Importance == 0 {
-		t.Importance = 1
+func (t Route) route() (admission.Route, error) {
+	if t.Value == 0 {
+		t.Value = 1
 	}
-	if t.Contract == 0 {
-		t.Contract = time.Second
+	if t.LatencyTarget == 0 {
+		t.LatencyTarget = time.Second
 	}
-	if t.Outer == 0 {
-		t.Outer = 2 * t.Contract
+	if t.Deadline == 0 {
+		t.Deadline = 2 * t.LatencyTarget
 	}
-	if t.Repeats == "" {
-		t.Repeats = Reissuable
+	if t.Idempotency == "" {
+		t.Idempotency = Retryable
 	}
-	if t.Window == 0 {
-		t.Window = time.Minute
+	if t.DedupWindow == 0 {
+		t.DedupWindow = time.Minute
 	}
-	idempotency, known := idempotencies[t.Repeats]
-	if !known || t.Importance < 0 || t.Contract < 0 || t.Outer < t.Contract || t.Window < 0 ||
-		t.SkipShare < 0 || t.SkipShare > 1 {
+	idempotency, known := idempotencies[t.Idempotency]
+	if !known || t.Value < 0 || t.LatencyTarget < 0 || t.Deadline < t.LatencyTarget || t.DedupWindow < 0 ||
+		t.SkipValueShare < 0 || t.SkipValueShare > 1 {
 		return admission.Route{}, fmt.Errorf("quartzpoint: type %q: Repeats, Importance, Contract, Outer, Window or SkipShare out of range", t.Name)
 	}
 	return admission.Route{
-		Name: t.Name, Value: t.Importance, Idempotency: idempotency, SkipValueShare: t.SkipShare,
-		LatencyTarget: t.Contract, Deadline: t.Outer, DedupWindow: t.Window,
+		Name: t.Name, Value: t.Value, Idempotency: idempotency, SkipValueShare: t.SkipValueShare,
+		LatencyTarget: t.LatencyTarget, Deadline: t.Deadline, DedupWindow: t.DedupWindow,
 	}, nil
 }
 
-// ReadTerms reads terms from a TOML file with the names of the fields; times as "300ms". Unknown keys are errors.
-func ReadTerms(path string) (t Terms, err error) {
+// ReadOptions reads terms from a TOML file with the names of the fields; times as "300ms". Unknown keys are errors.
+func ReadOptions(path string) (t Options, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return t, fmt.Errorf("quartzpoint: terms: %w", err)
@@ -361,22 +361,22 @@
 	return nil
 }
 
-// Do runs a function as a task. It returns its error; or *Dismissed, ErrLeft or ErrClash, and the function never ran;
-// or ErrGivenUp, and it may run still; or the context's error, and it may have run. A panic of the function is
+// Do runs a function as a task. It returns its error; or *Dismissed, ErrShutDown or ErrKeyConflict, and the function never ran;
+// or ErrAborted, and it may run still; or the context's error, and it may have run. A panic of the function is
 // raised again here; one that comes past the answer is counted and logged.
-func (g *Gate) Do(ctx context.Context, t Task, run func(context.Context) error) error {
+func (g *Gate) Do(ctx context.Context, t Request, run func(context.Context) error) error {
 	_, err := g.do(ctx, t, nil, run)
 	return err
 }
 
 // DoOnce does the same with a result, which a repeat of a numbered task gets without running again. An error of the
-// run is no result: repeats of it get ErrGivenUp for as long as the number is known.
-func (g *Gate) DoOnce(ctx context.Context, t Task, run func(context.Context) ([]byte, error)) ([]byte, error) {
+// run is no result: repeats of it get ErrAborted for as long as the number is known.
+func (g *Gate) DoOnce(ctx context.Context, t Request, run func(context.Context) ([]byte, error)) ([]byte, error) {
 	return g.do(ctx, t, run, nil)
 }
 
 func (g *Gate) do(
-	ctx context.Context, t Task, run func(context.Context) ([]byte, error), plain func(context.Context) error,
+	ctx context.Context, t Request, run func(context.Context) ([]byte, error), plain func(context.Context) error,
 ) ([]byte, error) {
 	c, err := g.enter(ctx, t)
 	if err != nil {
@@ -405,10 +405,10 @@
 	repeat bool
 }
 
-// Enter waits until a task may run in the caller's own goroutine, and gives its ticket, or an error as Do does.
+// Admit waits until a task may run in the caller's own goroutine, and gives its ticket, or an error as Do does.
 // givenUp is called if the task is answered while it runs, from a goroutine of its own and once at the most: the
 // caller is to be answered then, and the work to end.
-func (g *Gate) Enter(ctx context.Context, t Task, givenUp func()) (*Ticket, error) {
+func (g *Gate) Admit(ctx context.Context, t Request, givenUp func()) (*Ticket, error) {
 	c, err := g.enter(ctx, t)
 	if err != nil {
 		return nil, err
@@ -433,22 +433,22 @@
 	}
 }
 
-// Repeat tells whether the task is a repeat that is answered from the first, and its result; it must not run.
-func (t *Ticket) Repeat() (result []byte, is bool) { return t.result, t.repeat }
+// Duplicate tells whether the task is a repeat that is answered from the first, and its result; it must not run.
+func (t *Ticket) Duplicate() (result []byte, is bool) { return t.result, t.repeat }
 
 // Context is for the work: it ends when the task is given up or its caller is gone.
 func (t *Ticket) Context() context.Context { return t.call.inside }
 
-// Gone tells that nobody waits for the task any more. Its work may go on, to Settle.
-func (t *Ticket) Gone() {
+// Cancel tells that nobody waits for the task any more. Its work may go on, to Settle.
+func (t *Ticket) Cancel() {
 	if !t.repeat {
 		t.call.posted()
 	}
 }
 
-// Settle ends a task with its result, or the error that makes it a broken run. It tells whether the result is the
+// Finish ends a task with its result, or the error that makes it a broken run. It tells whether the result is the
 // answer: false where the task had been given up on before.
-func (t *Ticket) Settle(result []byte, err error) (answers bool) {
+func (t *Ticket) Finish(result []byte, err error) (answers bool) {
 	if t.repeat {
 		return true
 	}
@@ -463,10 +463,10 @@
 	return context.Cause(ctx)
 }
 
-// Leave begins the drain: Health is bad, tasks that come within the grace may still run, and all that was taken is
+// Shutdown begins the drain: Health is bad, tasks that come within the grace may still run, and all that was taken is
 // answered before the context's deadline, or within 2.5 s without one. It returns once that is so; handlers that
 // ignore their contexts may run on. The gate takes nothing after it.
-func (g *Gate) Leave(ctx context.Context) error {
+func (g *Gate) Shutdown(ctx context.Context) error {
 	within := 2500 * time.Millisecond
 	if deadline, stated := ctx.Deadline(); stated {
 		within = max(time.Until(deadline), 0)
@@ -484,14 +484,14 @@
 	return nil
 }
 
-// Health tells whether new tasks should come here.
-func (g *Gate) Health() bool { return g.good.Load() && g.late.Load() < g.stuck }
+// Healthy tells whether new tasks should come here.
+func (g *Gate) Healthy() bool { return g.good.Load() && g.late.Load() < g.stuck }
 
-// Level is the rank under which callers should stay away, from 0 to 1.
-func (g *Gate) Level() float64 { return math.Float64frombits(g.level.Load()) }
+// ShedLevel is the rank under which callers should stay away, from 0 to 1.
+func (g *Gate) ShedLevel() float64 { return math.Float64frombits(g.level.Load()) }
 
-// View is what the gate has learned, for a newcomer; empty in its first second.
-func (g *Gate) View() estimate.Snapshot {
+// Estimates is what the gate has learned, for a newcomer; empty in its first second.
+func (g *Gate) Estimates() estimate.Snapshot {
 	if v := g.view.Load(); v != nil {
 		return *v
 	}
@@ -499,7 +499,7 @@
 }
 
 // Counts is what became of tasks so far. Late are runs that go on past their answer.
-type Counts struct{ Taken, Honoured, Dismissed, GivenUp, Gone, Late int64 }
+type Counts struct{ Received, Served, Rejected, Aborted, Canceled, Overruns int64 }
 
 // Counts tells them.
 func (g *Gate) Counts() Counts {
--- a/handlers.go
+++ b/handlers.go
@@ -30,7 +30,7 @@
 
 	// Set before the call arrives.
 	ctx     context.Context
-	task    Task
+	task    Request
 	came    time.Duration
 	run     func(context.Context) ([]byte, error)
 	plain   func(context.Context) error // the same without a result
@@ -73,13 +73,13 @@
 }
 
 // enter makes a call ready.
-func (g *Gate) enter(ctx context.Context, t Task) (*call, error) {
+func (g *Gate) enter(ctx context.Context, t Request) (*call, error) {
 	if err := context.Cause(ctx); err != nil {
 		return nil, err // nothing was taken
 	}
 	select {
 	case <-g.over:
-		return nil, ErrLeft
+		return nil, ErrShutDown
 	default:
 	}
 	c := g.calls.Get().(*call)
@@ -96,7 +96,7 @@
 	if c.holds.Add(-1) > 0 {
 		return
 	}
-	c.ctx, c.task, c.run, c.plain, c.givenUp, c.result, c.err = nil, Task{}, nil, nil, nil, nil, nil
+	c.ctx, c.task, c.run, c.plain, c.givenUp, c.result, c.err = nil, Request{}, nil, nil, nil, nil, nil
 	c.taken, c.running, c.over, c.late, c.out, c.outErr = nil, false, false, false, nil, nil
 	c.state.Store(open)
 	c.inside = nil
@@ -120,20 +120,20 @@
 	g := c.gate
 	g.runs.calls[c.id] = c
 	a := server.Incoming{
-		ID: c.id, Route: c.task.Type, HeldKB: g.runs.heldKB, Rank: c.task.Rank, Router: c.task.Caller, Arrived: c.came,
-		Key: c.task.Number, Fingerprint: c.task.Shape, Tenant: math.MaxInt, Caller: c,
+		ID: c.id, Route: c.task.Route, HeldKB: g.runs.heldKB, Rank: c.task.Rank, Router: c.task.CallerID, Arrived: c.came,
+		Key: c.task.IdempotencyKey, Fingerprint: c.task.Fingerprint, Tenant: math.MaxInt, Caller: c,
 	}
-	if place, known := g.shares[c.task.Customer]; known {
+	if place, known := g.shares[c.task.Tenant]; known {
 		a.Tenant = place
 	}
-	due := c.task.Due
+	due := c.task.Deadline
 	if deadline, stated := c.ctx.Deadline(); stated && (due.IsZero() || deadline.Before(due)) {
 		due = deadline
 	}
 	if !due.IsZero() {
 		a.Timeout = max(time.Until(due)+g.owner.Now()-c.came, 1)
 	}
-	g.owner.AdoptRoute(c.task.Type)
+	g.owner.AdoptRoute(c.task.Route)
 	if request := g.owner.Receive(a); request != nil && !c.over {
 		c.taken = request
 		return
@@ -181,17 +181,17 @@
 			c.result = bytes.Clone(a.Result) // the table's, for further repeats
 		case server.Rejected:
 			g.dismissed.Add(1)
-			c.err = &Dismissed{ComeBack: a.RetryAfter, NowhereElse: a.NoRetryElsewhere}
+			c.err = &RejectedError{RetryAfter: a.RetryAfter, NoRetryElsewhere: a.NoRetryElsewhere}
 		case server.KeyConflict:
-			c.err = ErrClash
+			c.err = ErrKeyConflict
 		default:
 			g.givenUp.Add(1)
-			c.err = ErrGivenUp
+			c.err = ErrAborted
 		}
 		if c.running {
 			c.late = true
 			g.late.Add(1)
-			c.inside.cancel(ErrGivenUp)
+			c.inside.cancel(ErrAborted)
 			if c.givenUp != nil {
 				go c.givenUp() // it may write to a slow peer, and must not hold up the owner
 			}
@@ -215,7 +215,7 @@
 		}
 	default:
 	}
-	return ErrLeft
+	return ErrShutDown
 }
 
 // work runs a task's function in a goroutine of its own, so that its caller is answered in time whatever it does.
@@ -241,7 +241,7 @@
 // ended answers with the end of a run, unless the task was answered before, and tells the owner that it is over.
 func (c *call) ended(result []byte, err error) (answers bool) {
 	c.inside.end()
-	if c.out, c.outErr = result, err; c.task.Number != "" {
+	if c.out, c.outErr = result, err; c.task.IdempotencyKey != "" {
 		c.out = bytes.Clone(result) // for repeats: the caller may change his as soon as he has it
 	}
 	if answers = c.state.CompareAndSwap(open, byRun); answers {
@@ -347,7 +347,7 @@
 
 // Call makes a call of a run to the dependency that Terms.Calls shares, by the run's context. It waits for room, and
 // makes the call again, later each time, where it failed and the decisions let it go again. It returns nil once the call
-// went well, ErrSkipped where the task is to go on without it, or the context's error. Outside a task it is made as it is.
+// went well, ErrCallSkipped where the task is to go on without it, or the context's error. Outside a task it is made as it is.
 func Call(ctx context.Context, make func(context.Context) error) error {
 	inside, in := ctx.Value(callKey{}).(*runContext)
 	if !in {
@@ -369,7 +369,7 @@
 			return ctx.Err()
 		}
 		if within < 0 {
-			return ErrSkipped
+			return ErrCallSkipped
 		}
 		began := time.Now()
 		inner, cancel := context.WithTimeout(ctx, within)
@@ -457,7 +457,7 @@
 func (h *handlers) Start(r workerapi.Run) bool {
 	c := h.calls[r.ID]
 	c.running, c.begun = true, h.gate.owner.Now()
-	c.inside = &runContext{caller: c.ctx, due: c.task.Due, call: c}
+	c.inside = &runContext{caller: c.ctx, due: c.task.Deadline, call: c}
 	c.holds.Add(1)
 	h.busy++
 	if c.run != nil || c.plain != nil {
@@ -471,7 +471,7 @@
 // Pause asks a handler to end. More is not possible; the decisions ask again while it goes on.
 func (h *handlers) Pause(id string) bool {
 	if c := h.calls[id]; c != nil && c.inside != nil {
-		c.inside.cancel(ErrGivenUp)
+		c.inside.cancel(ErrAborted)
 	}
 	return true
 }
@@ -515,7 +515,7 @@
 		h.asked = false
 		g := h.read(h.busy)
 		into = append(into, workerapi.Notice{
-			Kind: workerapi.Polled, Nonce: h.nonce, Readings: []float64{g.CPU, g.Crowd, g.Memory, 0},
+			Kind: workerapi.Polled, Nonce: h.nonce, Readings: []float64{g.CPU, g.Runnable, g.Memory, 0},
 		})
 	}
 	return into
@@ -546,7 +546,7 @@
 	for len(h.used) > 2 && now.at.Sub(h.used[1].at) >= time.Second/2 {
 		h.used = h.used[1:]
 	}
-	g := Gauges{Crowd: float64(running)}
+	g := Gauges{Runnable: float64(running)}
 	if span := now.at.Sub(h.used[0].at); span > 0 {
 		g.CPU = min(float64(now.cpu-h.used[0].cpu)/float64(span)/h.cores, 1)
 	}
@@ -563,7 +563,7 @@
 	}
 	on, known := number(2)
 	if ready, also := number(3); known && also {
-		g.Crowd = max(on-1, 0) + ready // but for the owner
+		g.Runnable = max(on-1, 0) + ready // but for the owner
 	}
 	return g
 }
--- a/internal/testkit/conformance/fronts.go
+++ b/internal/testkit/conformance/fronts.go
@@ -57,17 +57,17 @@
 
 func gate(numbers bool) (*quartzpoint.Gate, error) {
 	// The gauges are those that the daemon gets: runs sleep, and other gates of this process are none of its load.
-	t := quartzpoint.Terms{Cores: Cores, MemoryMB: 1 << 10, Grace: 400 * time.Millisecond, Seed: 1}
-	t.Gauges = func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Crowd: float64(running)} }
+	t := quartzpoint.Options{Cores: Cores, MemoryMB: 1 << 10, Grace: 400 * time.Millisecond, Seed: 1}
+	t.Gauges = func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Runnable: float64(running)} }
 	for _, kind := range Types(numbers) {
-		of := quartzpoint.Type{Name: kind.Name, Importance: kind.Value, Contract: kind.LatencyTarget, Outer: kind.Deadline}
+		of := quartzpoint.Route{Name: kind.Name, Value: kind.Value, LatencyTarget: kind.LatencyTarget, Deadline: kind.Deadline}
 		if kind.Once {
-			of.Repeats = quartzpoint.AtMostOnce
+			of.Idempotency = quartzpoint.AtMostOnce
 		}
 		if kind.Name == "deposit" {
-			of.Repeats = quartzpoint.Numbered
+			of.Idempotency = quartzpoint.Keyed
 		}
-		t.Types = append(t.Types, of)
+		t.Routes = append(t.Routes, of)
 	}
 	return quartzpoint.New(t)
 }
@@ -85,19 +85,19 @@
 }
 
 func (l *library) Do(ctx context.Context, a Ask) Outcome {
-	_, err := l.gate.DoOnce(ctx, quartzpoint.Task{Type: Types(true)[a.Type].Name, Number: a.Number},
+	_, err := l.gate.DoOnce(ctx, quartzpoint.Request{Route: Types(true)[a.Type].Name, IdempotencyKey: a.Number},
 		func(context.Context) ([]byte, error) { return nil, l.do(a) })
 	return outcome(err)
 }
 
 func outcome(err error) Outcome {
-	var dismissed *quartzpoint.Dismissed
+	var dismissed *quartzpoint.RejectedError
 	switch {
 	case err == nil:
 		return Honoured
-	case errors.As(err, &dismissed), errors.Is(err, quartzpoint.ErrLeft):
+	case errors.As(err, &dismissed), errors.Is(err, quartzpoint.ErrShutDown):
 		return Dismissed
-	case errors.Is(err, quartzpoint.ErrGivenUp), errors.Is(err, errBreaks):
+	case errors.Is(err, quartzpoint.ErrAborted), errors.Is(err, errBreaks):
 		return GivenUp
 	case errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		return Left
@@ -108,7 +108,7 @@
 func leave(g *quartzpoint.Gate) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
-	return g.Leave(ctx)
+	return g.Shutdown(ctx)
 }
 
 func (l *library) Leave() error { return leave(l.gate) }
@@ -153,8 +153,8 @@
 	})
 }
 
-func rules() middleware.Rules {
-	return middleware.Rules{Type: func(q *http.Request) string { return q.Header.Get("X-Type") }}
+func rules() middleware.Options {
+	return middleware.Options{Route: func(q *http.Request) string { return q.Header.Get("X-Type") }}
 }
 
 func (s *served) handle(_ http.ResponseWriter, q *http.Request) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -23,38 +23,38 @@
 
 // Codes of events.
 const (
-	Configure  = 10
-	Req        = 20
-	Finished   = 30
-	AtCall     = 40
-	CallResult = 50
-	Quiesce    = 60
-	ClientGone = 70
-	Alarm      = 80
-	Down       = 90
+	EventConfigure  = 10
+	EventArrive     = 20
+	EventRunEnd     = 30
+	EventAwaitCall  = 40
+	EventCallEnd    = 50
+	EventShutDown   = 60
+	EventCancel     = 70
+	EventGauges     = 80
+	EventServerDown = 90
 )
 
 // Codes of actions. The two spaces are separate.
 const (
-	Launch        = 10
-	Shed          = 20
-	Fail          = 30
-	Preempt       = 40
-	Call          = 50
-	GoOn          = 60
-	Keep          = 70
-	Unpin         = 80
-	Echo          = 90
-	Status        = 100
-	HintOut       = 110
-	CloseIdle     = 120
-	Remind        = 130
-	NoteDown      = 140
-	InternalError = 150
+	ActionStart              = 10
+	ActionReject             = 20
+	ActionAbort              = 30
+	ActionPause              = 40
+	ActionCall               = 50
+	ActionSkipCall           = 60
+	ActionRememberKey        = 70
+	ActionForgetKey          = 80
+	ActionAnswerFromOriginal = 90
+	ActionSetHealth          = 100
+	ActionSetShedLevel       = 110
+	ActionCloseIdle          = 120
+	ActionWakeAfter          = 130
+	ActionLog                = 140
+	ActionInternalError      = 150
 )
 
-// ErrShort marks a frame that ends before its header says.
-var ErrShort = errors.New("frame cut short")
+// ErrTruncated marks a frame that ends before its header says.
+var ErrTruncated = errors.New("frame cut short")
 
 // Batch is one frame of events. Its memory is used again by the next Read.
 type Batch struct {
@@ -98,7 +98,7 @@
 	var head [batchHeader]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			return fmt.Errorf("header: %w", ErrShort)
+			return fmt.Errorf("header: %w", ErrTruncated)
 		}
 		return err
 	}
@@ -116,7 +116,7 @@
 	}
 	if _, err := io.ReadFull(in, b.body); err != nil {
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return fmt.Errorf("body: %w", ErrShort)
+			return fmt.Errorf("body: %w", ErrTruncated)
 		}
 		return err
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, uint64(0x805c5a), batch.Clock)
 	require.Equal(t, 3, batch.Records)
 	r := batch.Record(0)
-	assert.Equal(t, uint8(Req), r.U8(0))
+	assert.Equal(t, uint8(EventArrive), r.U8(0))
 	assert.Equal(t, uint16(3), r.U16(1))
 	assert.Equal(t, 24.5, r.F32(11))
 	assert.Equal(t, uint32(0x073a), r.U32(58))
@@ -62,11 +62,11 @@
 	assert.Equal(t, frame(t, "04000000 00000000"), out.Bytes())
 
 	out.Reset()
-	reply.Add(Launch, 3).U64(3, 0x000e10035d3a91c4)
-	a := reply.Add(Remind, 3)
+	reply.Add(ActionStart, 3).U64(3, 0x000e10035d3a91c4)
+	a := reply.Add(ActionWakeAfter, 3)
 	a.U32(3, 500000)
 	a.U32(7, 77)
-	reply.Text(NoteDown, 5, "two servers known")
+	reply.Text(ActionLog, 5, "two servers known")
 	require.NoError(t, reply.Flush(w))
 	assert.Equal(t, frame(t, "45000000 03000000", "action|0a 0300 c4913a5d03100e00",
 		"action|82 0300 20a10700 4d000000", "action|8c 0500 00000000 11000000",
--- a/middleware/ginmw/ginmw.go
+++ b/middleware/ginmw/ginmw.go
@@ -15,12 +15,12 @@
 )
 
 // New makes the middleware. Put it behind gin.Recovery, which then sees a handler's panic as always.
-func New(gate *quartzpoint.Gate, rules middleware.Rules) gin.HandlerFunc {
+func New(gate *quartzpoint.Gate, rules middleware.Options) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		of := rules
-		if of.Type == nil {
+		if of.Route == nil {
 			route := c.Request.Method + " " + c.FullPath()
-			of.Type = func(*http.Request) string { return route }
+			of.Route = func(*http.Request) string { return route }
 		}
 		to, asked, ran := c.Writer, c.Request, false
 		defer func() {
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -38,74 +38,74 @@
 	defaultBuffer = 64 << 10
 	mostRemaining = 24 * time.Hour
 	mostNumber    = 255 // bytes of a number
-	// LevelHeader tells the rank under which callers should stay away.
-	LevelHeader = "X-Quartzpoint-Level"
+	// ShedLevelHeader tells the rank under which callers should stay away.
+	ShedLevelHeader = "X-Quartzpoint-Level"
 )
 
-// Rules are how requests become tasks. The zero value works.
-type Rules struct {
-	Type      func(*http.Request) string  // traffic type (the route's pattern, else the method)
-	Remaining string                      // header with the time that is left (X-Remaining-Time)
-	Number    func(*http.Request) string  // (the header Idempotency-Key)
-	Rank      func(*http.Request) float64 // (0)
-	Caller    func(*http.Request) uint32  // (from the remote address)
-	Buffer    int                         // bytes of a response that are held (64 KiB); below 0 all is streamed
+// Options are how requests become tasks. The zero value works.
+type Options struct {
+	Route          func(*http.Request) string  // traffic type (the route's pattern, else the method)
+	TimeoutHeader  string                      // header with the time that is left (X-Remaining-Time)
+	IdempotencyKey func(*http.Request) string  // (the header Idempotency-Key)
+	Rank           func(*http.Request) float64 // (0)
+	CallerID       func(*http.Request) uint32  // (from the remote address)
+	BufferBytes    int                         // bytes of a response that are held (64 KiB); below 0 all is streamed
 }
 
 // filled is the rules with their defaults.
-func (r Rules) filled() Rules {
-	if r.Type == nil {
-		r.Type = func(q *http.Request) string {
+func (r Options) filled() Options {
+	if r.Route == nil {
+		r.Route = func(q *http.Request) string {
 			if q.Pattern != "" {
 				return q.Pattern
 			}
 			return q.Method
 		}
 	}
-	if r.Remaining == "" {
-		r.Remaining = "X-Remaining-Time"
+	if r.TimeoutHeader == "" {
+		r.TimeoutHeader = "X-Remaining-Time"
 	}
-	if r.Number == nil {
-		r.Number = func(q *http.Request) string { return q.Header.Get("Idempotency-Key") }
+	if r.IdempotencyKey == nil {
+		r.IdempotencyKey = func(q *http.Request) string { return q.Header.Get("Idempotency-Key") }
 	}
 	if r.Rank == nil {
 		r.Rank = func(*http.Request) float64 { return 0 }
 	}
-	if r.Caller == nil {
-		r.Caller = func(q *http.Request) uint32 {
+	if r.CallerID == nil {
+		r.CallerID = func(q *http.Request) uint32 {
 			host, _, _ := strings.Cut(q.RemoteAddr, ":")
 			return uint32(xxhash.Sum64String(host))
 		}
 	}
-	if r.Buffer == 0 {
-		r.Buffer = defaultBuffer
+	if r.BufferBytes == 0 {
+		r.BufferBytes = defaultBuffer
 	}
 	return r
 }
 
-// Task makes a task of a request.
-func (r Rules) Task(q *http.Request) quartzpoint.Task { return r.filled().task(q) }
+// Request makes a task of a request.
+func (r Options) Request(q *http.Request) quartzpoint.Request { return r.filled().task(q) }
 
 // task does the same for rules that are filled.
-func (r Rules) task(q *http.Request) quartzpoint.Task {
-	number := r.Number(q)
+func (r Options) task(q *http.Request) quartzpoint.Request {
+	number := r.IdempotencyKey(q)
 	if len(number) > mostNumber {
 		number = number[:mostNumber] + strconv.FormatUint(xxhash.Sum64String(number), 16)
 	}
-	t := quartzpoint.Task{
-		Type: r.Type(q), Number: number, Rank: min(max(r.Rank(q), 0), math.Nextafter(1, 0)), Caller: r.Caller(q),
-		Shape: xxhash.Sum64String(fmt.Sprintf("%s %s %d %s", q.Method, q.URL.RequestURI(), q.ContentLength, q.Header.Get("Content-Type"))),
+	t := quartzpoint.Request{
+		Route: r.Route(q), IdempotencyKey: number, Rank: min(max(r.Rank(q), 0), math.Nextafter(1, 0)), CallerID: r.CallerID(q),
+		Fingerprint: xxhash.Sum64String(fmt.Sprintf("%s %s %d %s", q.Method, q.URL.RequestURI(), q.ContentLength, q.Header.Get("Content-Type"))),
 	}
-	if left, stated := Remaining(q.Header.Get(r.Remaining), time.Now()); stated {
-		t.Due = time.Now().Add(left)
+	if left, stated := ParseTimeout(q.Header.Get(r.TimeoutHeader), time.Now()); stated {
+		t.Deadline = time.Now().Add(left)
 	}
 	return t
 }
 
-// Remaining reads the time that is left: "250m" or "2S" as grpc-timeout has it (n, u, m, S, M, H), a Go duration
+// ParseTimeout reads the time that is left: "250m" or "2S" as grpc-timeout has it (n, u, m, S, M, H), a Go duration
 // ("250ms"), or a moment (RFC 3339, or Unix milliseconds behind an @). What can't be read, and what is over a day, is
 // as if it were not stated: a caller's word must not make a task wait longer than its type does.
-func Remaining(text string, now time.Time) (left time.Duration, stated bool) {
+func ParseTimeout(text string, now time.Time) (left time.Duration, stated bool) {
 	switch {
 	case text == "":
 		return 0, false
@@ -136,7 +136,7 @@
 }
 
 // New puts a gate in front of handlers.
-func New(gate *quartzpoint.Gate, rules Rules) func(http.Handler) http.Handler {
+func New(gate *quartzpoint.Gate, rules Options) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			Serve(gate, rules, w, q, next.ServeHTTP)
@@ -152,28 +152,28 @@
 }
 
 // Serve runs one request through a gate; it is what New is made of, and middleware for other frameworks.
-func Serve(gate *quartzpoint.Gate, rules Rules, w http.ResponseWriter, q *http.Request, next func(http.ResponseWriter, *http.Request)) {
+func Serve(gate *quartzpoint.Gate, rules Options, w http.ResponseWriter, q *http.Request, next func(http.ResponseWriter, *http.Request)) {
 	rules = rules.filled()
 	task := rules.task(q)
-	h := &held{to: w, gate: gate, most: rules.Buffer, header: http.Header{}}
-	ticket, err := gate.Enter(q.Context(), task, h.giveUp)
+	h := &held{to: w, gate: gate, most: rules.BufferBytes, header: http.Header{}}
+	ticket, err := gate.Admit(q.Context(), task, h.giveUp)
 	if err != nil {
 		refuse(w, gate, err)
 		return
 	}
-	if result, repeat := ticket.Repeat(); repeat {
+	if result, repeat := ticket.Duplicate(); repeat {
 		replay(w, gate, result)
 		return
 	}
 	settled := false
-	stop := context.AfterFunc(q.Context(), ticket.Gone)
+	stop := context.AfterFunc(q.Context(), ticket.Cancel)
 	defer func() {
 		stop()
 		if settled {
 			return
 		}
 		p := recover()
-		ticket.Settle(nil, errBroken)
+		ticket.Finish(nil, errBroken)
 		h.seal() // nothing is written any more once this returns
 		if p != nil {
 			panic(p)
@@ -183,10 +183,10 @@
 	next(h, q.WithContext(ticket.Context()))
 	settled = true
 	var result []byte
-	if task.Number != "" {
+	if task.IdempotencyKey != "" {
 		result = h.record()
 	}
-	if ticket.Settle(result, nil) {
+	if ticket.Finish(result, nil) {
 		h.finish()
 	} else {
 		h.giveUp() // where the gate left without a word to this one; else it was said already
@@ -197,34 +197,34 @@
 
 // refuse answers a request that does not run.
 func refuse(w http.ResponseWriter, gate *quartzpoint.Gate, err error) {
-	var dismissed *quartzpoint.Dismissed
+	var dismissed *quartzpoint.RejectedError
 	status := http.StatusGatewayTimeout
 	switch {
 	case errors.As(err, &dismissed):
 		status = http.StatusServiceUnavailable
-		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(dismissed.ComeBack.Seconds())))))
-		w.Header().Set("X-Come-Back-Ms", strconv.FormatInt(dismissed.ComeBack.Milliseconds(), 10))
-	case errors.Is(err, quartzpoint.ErrLeft):
+		w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(dismissed.RetryAfter.Seconds())))))
+		w.Header().Set("X-Come-Back-Ms", strconv.FormatInt(dismissed.RetryAfter.Milliseconds(), 10))
+	case errors.Is(err, quartzpoint.ErrShutDown):
 		status = http.StatusServiceUnavailable
 		w.Header().Set("Connection", "close")
-	case errors.Is(err, quartzpoint.ErrClash):
+	case errors.Is(err, quartzpoint.ErrKeyConflict):
 		status = http.StatusUnprocessableEntity
 	}
-	w.Header().Set(LevelHeader, level(gate))
+	w.Header().Set(ShedLevelHeader, level(gate))
 	http.Error(w, err.Error(), status)
 }
 
-func level(gate *quartzpoint.Gate) string { return strconv.FormatFloat(gate.Level(), 'f', 2, 64) }
+func level(gate *quartzpoint.Gate) string { return strconv.FormatFloat(gate.ShedLevel(), 'f', 2, 64) }
 
 // replay answers a repeat from the first.
 func replay(w http.ResponseWriter, gate *quartzpoint.Gate, result []byte) {
 	var r recorded
 	if err := cbor.Unmarshal(result, &r); err != nil || r.Status == 0 {
-		refuse(w, gate, quartzpoint.ErrGivenUp) // too long to be recorded: it ran, and is not run again
+		refuse(w, gate, quartzpoint.ErrAborted) // too long to be recorded: it ran, and is not run again
 		return
 	}
 	maps.Copy(w.Header(), r.Header)
-	w.Header().Set(LevelHeader, level(gate))
+	w.Header().Set(ShedLevelHeader, level(gate))
 	w.Header().Set("Idempotent-Replayed", "true")
 	w.WriteHeader(r.Status)
 	_, _ = w.Write(r.Body) // the caller may be gone
@@ -288,7 +288,7 @@
 
 func (h *held) head() {
 	maps.Copy(h.to.Header(), h.header)
-	h.to.Header().Set(LevelHeader, level(h.gate))
+	h.to.Header().Set(ShedLevelHeader, level(h.gate))
 	if h.status == 0 {
 		h.status = http.StatusOK
 	}
@@ -377,7 +377,7 @@
 	head.Set("Content-Type", "text/plain; charset=utf-8")
 	head.Set("Content-Length", strconv.Itoa(len(words)))
 	head.Set("Connection", "close")
-	head.Set(LevelHeader, level(h.gate))
+	head.Set(ShedLevelHeader, level(h.gate))
 	h.to.WriteHeader(http.StatusGatewayTimeout)
 	_, _ = io.WriteString(h.to, words)
 	_ = http.NewResponseController(h.to).Flush() // whole with its length, though the handler runs on
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -35,14 +35,14 @@
 // front is one framework with the gate in front of a handler.
 type front struct {
 	name string
-	make func(g *quartzpoint.Gate, r middleware.Rules, h http.HandlerFunc) http.Handler
+	make func(g *quartzpoint.Gate, r middleware.Options, h http.HandlerFunc) http.Handler
 }
 
 var fronts = []front{
-	{"net/http", func(g *quartzpoint.Gate, r middleware.Rules, h http.HandlerFunc) http.Handler {
+	{"net/http", func(g *quartzpoint.Gate, r middleware.Options, h http.HandlerFunc) http.Handler {
 		return middleware.New(g, r)(h)
 	}},
-	{"gin", func(g *quartzpoint.Gate, r middleware.Rules, h http.HandlerFunc) http.Handler {
+	{"gin", func(g *quartzpoint.Gate, r middleware.Options, h http.HandlerFunc) http.Handler {
 		e := gin.New()
 		e.Use(gin.CustomRecoveryWithWriter(io.Discard, func(c *gin.Context, _ any) { c.AbortWithStatus(http.StatusInternalServerError) }))
 		e.Use(ginmw.New(g, r))
@@ -56,11 +56,11 @@
 	gate *quartzpoint.Gate
 }
 
-func start(t *testing.T, f front, terms quartzpoint.Terms, rules middleware.Rules, h http.HandlerFunc) *site {
+func start(t *testing.T, f front, terms quartzpoint.Options, rules middleware.Options, h http.HandlerFunc) *site {
 	g, err := quartzpoint.New(terms)
 	require.NoError(t, err)
-	if rules.Type == nil {
-		rules.Type = func(*http.Request) string { return "a" }
+	if rules.Route == nil {
+		rules.Route = func(*http.Request) string { return "a" }
 	}
 	s := &site{httptest.NewUnstartedServer(f.make(g, rules, h)), g}
 	s.Config.ErrorLog = nil
@@ -70,13 +70,13 @@
 		s.Close()
 		ctx, cancel := context.WithTimeout(context.Background(), 500*ms)
 		defer cancel()
-		assert.NoError(t, g.Leave(ctx))
+		assert.NoError(t, g.Shutdown(ctx))
 	})
 	return s
 }
 
-func terms(contract time.Duration, repeats quartzpoint.Repeats) quartzpoint.Terms {
-	return quartzpoint.Terms{Cores: 2, Types: []quartzpoint.Type{{Name: "a", Contract: contract, Repeats: repeats}}}
+func terms(contract time.Duration, repeats quartzpoint.Idempotency) quartzpoint.Options {
+	return quartzpoint.Options{Cores: 2, Routes: []quartzpoint.Route{{Name: "a", LatencyTarget: contract, Idempotency: repeats}}}
 }
 
 // ask sends a request with headers as names and values in turn.
@@ -108,7 +108,7 @@
 
 func TestAnswers(t *testing.T) {
 	each(t, func(t *testing.T, f front) {
-		s := start(t, f, terms(time.Second, ""), middleware.Rules{Buffer: 100}, func(w http.ResponseWriter, q *http.Request) {
+		s := start(t, f, terms(time.Second, ""), middleware.Options{BufferBytes: 100}, func(w http.ResponseWriter, q *http.Request) {
 			switch q.URL.Path {
 			case "/plain":
 				w.Header().Set("X-Own", "1")
@@ -138,7 +138,7 @@
 		assert.Equal(t, http.StatusTeapot, status)
 		assert.Equal(t, "tea", body)
 		assert.Equal(t, "1", head.Get("X-Own"))
-		assert.NotEmpty(t, head.Get(middleware.LevelHeader))
+		assert.NotEmpty(t, head.Get(middleware.ShedLevelHeader))
 		_, body, _ = s.ask(t, "GET", "/long", "")
 		assert.Len(t, body, 500)
 		_, body, _ = s.ask(t, "GET", "/flush", "")
@@ -150,7 +150,7 @@
 		status, body, _ = s.ask(t, "GET", "/panic", "")
 		assert.NotEqual(t, http.StatusOK, status, "half a body is no answer")
 		assert.NotContains(t, body, "half")
-		assert.Equal(t, int64(1), s.gate.Counts().GivenUp, "a broken run")
+		assert.Equal(t, int64(1), s.gate.Counts().Aborted, "a broken run")
 	})
 }
 
@@ -158,7 +158,7 @@
 func TestRunsOn(t *testing.T) {
 	each(t, func(t *testing.T, f front) {
 		end, wrote := make(chan struct{}), make(chan error, 1)
-		s := start(t, f, terms(150*ms, ""), middleware.Rules{}, func(w http.ResponseWriter, q *http.Request) {
+		s := start(t, f, terms(150*ms, ""), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) {
 			<-q.Context().Done()
 			<-end
 			_, err := io.WriteString(w, "too late")
@@ -174,7 +174,7 @@
 		assert.Less(t, time.Since(began), 150*ms+patience/40, "whole, though the handler runs on")
 		assert.Equal(t, http.StatusGatewayTimeout, a.StatusCode)
 		assert.Contains(t, string(raw), "given up")
-		assert.Equal(t, int64(1), s.gate.Counts().Late)
+		assert.Equal(t, int64(1), s.gate.Counts().Overruns)
 		close(end)
 		assert.ErrorIs(t, <-wrote, http.ErrHandlerTimeout)
 		a.Body.Close()
@@ -184,7 +184,7 @@
 // Given up while it streams: the answer is cut off, not made to look whole.
 func TestCutOff(t *testing.T) {
 	each(t, func(t *testing.T, f front) {
-		s := start(t, f, terms(150*ms, ""), middleware.Rules{Buffer: -1}, func(w http.ResponseWriter, q *http.Request) {
+		s := start(t, f, terms(150*ms, ""), middleware.Options{BufferBytes: -1}, func(w http.ResponseWriter, q *http.Request) {
 			_, _ = io.WriteString(w, "begin")
 			w.(http.Flusher).Flush()
 			<-q.Context().Done()
@@ -203,7 +203,7 @@
 	each(t, func(t *testing.T, f front) {
 		var ran atomic.Int32
 		began, end := make(chan struct{}), make(chan struct{})
-		s := start(t, f, terms(5*time.Second, quartzpoint.Numbered), middleware.Rules{}, func(w http.ResponseWriter, q *http.Request) {
+		s := start(t, f, terms(5*time.Second, quartzpoint.Keyed), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) {
 			ran.Add(1)
 			close(began)
 			<-end
@@ -231,7 +231,7 @@
 		assert.Equal(t, "booked", body)
 		assert.Equal(t, "true", head.Get("Idempotent-Replayed"))
 		assert.Equal(t, int32(1), ran.Load())
-		assert.Equal(t, int64(1), s.gate.Counts().Honoured, "the repeat alone")
+		assert.Equal(t, int64(1), s.gate.Counts().Served, "the repeat alone")
 	})
 }
 
@@ -239,7 +239,7 @@
 func TestNumbers(t *testing.T) {
 	each(t, func(t *testing.T, f front) {
 		var ran atomic.Int32
-		s := start(t, f, terms(10*time.Second, quartzpoint.Numbered), middleware.Rules{}, func(w http.ResponseWriter, q *http.Request) {
+		s := start(t, f, terms(10*time.Second, quartzpoint.Keyed), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) {
 			time.Sleep(20 * ms)
 			w.Header().Set("X-Run", "r")
 			w.WriteHeader(http.StatusCreated)
@@ -268,7 +268,7 @@
 func TestTurnedAway(t *testing.T) {
 	each(t, func(t *testing.T, f front) {
 		end := make(chan struct{})
-		s := start(t, f, terms(400*ms, ""), middleware.Rules{}, func(w http.ResponseWriter, q *http.Request) { <-end })
+		s := start(t, f, terms(400*ms, ""), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) { <-end })
 		statuses := make(chan int, 12)
 		for range cap(statuses) {
 			go func() {
@@ -291,7 +291,7 @@
 		assert.Equal(t, http.StatusServiceUnavailable, status, "no time left")
 		ctx, cancel := context.WithTimeout(t.Context(), 300*ms)
 		defer cancel()
-		require.NoError(t, s.gate.Leave(ctx))
+		require.NoError(t, s.gate.Shutdown(ctx))
 		status, _, head := s.ask(t, "GET", "/", "")
 		assert.Equal(t, http.StatusServiceUnavailable, status)
 		assert.NotNil(t, head)
@@ -311,7 +311,7 @@
 		{"soon", 0, false}, {"99H", 0, false}, {"@x", 0, false}, {"@9223372036854775807", 0, false}, {"S", 0, false},
 	}
 	for _, c := range cases {
-		left, stated := middleware.Remaining(c.text, now)
+		left, stated := middleware.ParseTimeout(c.text, now)
 		assert.Equal(t, c.stated, stated, c.text)
 		if stated {
 			assert.Equal(t, c.left, left, c.text)
@@ -320,12 +320,12 @@
 }
 
 func ExampleNew() {
-	gate, err := quartzpoint.New(quartzpoint.Terms{})
+	gate, err := quartzpoint.New(quartzpoint.Options{})
 	if err != nil {
 		panic(err)
 	}
-	defer gate.Leave(context.Background())
-	handler := middleware.New(gate, middleware.Rules{})(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	defer gate.Shutdown(context.Background())
+	handler := middleware.New(gate, middleware.Options{})(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "a table for two")
 	}))
 	answer := httptest.NewRecorder()
@@ -334,12 +334,12 @@
 	// Output: 200 a table for two
 }
 
-func ExampleRules() {
-	rules := middleware.Rules{
-		Type:   func(q *http.Request) string { return q.Pattern },
-		Number: func(q *http.Request) string { return q.Header.Get("X-Booking") },
+func ExampleOptions() {
+	rules := middleware.Options{
+		Route:          func(q *http.Request) string { return q.Pattern },
+		IdempotencyKey: func(q *http.Request) string { return q.Header.Get("X-Booking") },
 	}
-	task := rules.Task(httptest.NewRequest("GET", "/", nil))
-	fmt.Println(task.Number == "")
+	task := rules.Request(httptest.NewRequest("GET", "/", nil))
+	fmt.Println(task.IdempotencyKey == "")
 	// Output: true
 }
--- a/options_file_test.go
+++ b/options_file_test.go
@@ -60,22 +60,22 @@
 func TestOptionsFileKeepsItsKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "options.toml")
 	require.NoError(t, os.WriteFile(path, []byte(everyKey), 0o600))
-	options, err := ReadTerms(path)
+	options, err := ReadOptions(path)
 	require.NoError(t, err)
-	assert.Equal(t, Terms{
-		Types: []Type{
+	assert.Equal(t, Options{
+		Routes: []Route{
 			{
-				Name: "slots", Importance: 2, Contract: 300 * time.Millisecond, Outer: time.Second, Repeats: Reissuable,
-				Window: 2 * time.Minute, SkipShare: 0.5,
+				Name: "slots", Value: 2, LatencyTarget: 300 * time.Millisecond, Deadline: time.Second, Idempotency: Retryable,
+				DedupWindow: 2 * time.Minute, SkipValueShare: 0.5,
 			},
-			{Name: "pay", Repeats: Numbered},
-			{Name: "notify", Repeats: AtMostOnce},
+			{Name: "pay", Idempotency: Keyed},
+			{Name: "notify", Idempotency: AtMostOnce},
 		},
-		Cores: 2.5, MemoryMB: 512, TaskKB: 32, Grace: 50 * time.Millisecond, Seed: 7, Stuck: 3,
-		Calls:     Calls{Share: 3, Over: 4 * time.Second, Linger: 20 * time.Millisecond},
-		Customers: []Customer{{Name: "acme", Rate: 10}},
-		Servers:   4, OverShare: 0.25,
-		State: &State{Dir: "d", Site: "s", MostMB: 16, Commit: 3 * time.Millisecond, NoNumbers: true},
+		Cores: 2.5, MemoryMB: 512, RequestKB: 32, Grace: 50 * time.Millisecond, Seed: 7, OverrunLimit: 3,
+		Calls:        CallOptions{Share: 3, Window: 4 * time.Second, Linger: 20 * time.Millisecond},
+		Tenants:      []Tenant{{Name: "acme", Rate: 10}},
+		FleetServers: 4, OverQuotaValue: 0.25,
+		State: &State{Dir: "d", Site: "s", MaxMB: 16, CommitInterval: 3 * time.Millisecond, EstimatesOnly: true},
 	}, options)
 
 	for _, text := range []string{
@@ -84,7 +84,7 @@
 		"Gauges = 1", "Rounds = 1",
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		_, err := ReadTerms(path)
+		_, err := ReadOptions(path)
 		assert.Error(t, err, text)
 	}
 }
--- a/state.go
+++ b/state.go
@@ -27,24 +27,24 @@
 // Only a directory that another process uses makes New fail. If the directory cannot be used for another reason, the gate
 // serves without it, logs that, and retries.
 type State struct {
-	Dir       string        // used by this gate alone, mode 0700; its last element is created if missing
-	Site      string        // label; files of another site are not used
-	MostMB    int           `toml:"MostMB"`    // limit of all files together, in MiB, 8 or more (64)
-	Commit    time.Duration `toml:"Commit"`    // for which keys are gathered before they are written together (1 ms); negative for none
-	NoNumbers bool          `toml:"NoNumbers"` // store only the estimates
+	Dir            string        // used by this gate alone, mode 0700; its last element is created if missing
+	Site           string        // label; files of another site are not used
+	MaxMB          int           `toml:"MostMB"`    // limit of all files together, in MiB, 8 or more (64)
+	CommitInterval time.Duration `toml:"Commit"`    // for which keys are gathered before they are written together (1 ms); negative for none
+	EstimatesOnly  bool          `toml:"NoNumbers"` // store only the estimates
 
 	open func(readOnly bool) (datadir.Dir, error) // set by tests, in place of Dir
 }
 
 // withDefaults returns a copy whose zero values are replaced by the defaults.
 func (t State) withDefaults() (State, error) {
-	if t.MostMB == 0 {
-		t.MostMB = defaultStateMB
+	if t.MaxMB == 0 {
+		t.MaxMB = defaultStateMB
 	}
-	if t.Commit == 0 {
-		t.Commit = defaultStateCommit
+	if t.CommitInterval == 0 {
+		t.CommitInterval = defaultStateCommit
 	}
-	if t.Dir == "" || t.MostMB < minStateMB {
+	if t.Dir == "" || t.MaxMB < minStateMB {
 		return t, errors.New("quartzpoint: State: Dir is needed, and MostMB of 8 or more")
 	}
 	if t.open == nil {
@@ -64,8 +64,8 @@
 		g.state.SaveEstimates(snapshot)
 	})
 	g.state, _, err = store.Attach(g.owner, store.Options{
-		OpenDir: t.open, Site: t.Site, Schema: schema, MaxBytes: int64(t.MostMB) << 20, CommitInterval: max(t.Commit, 0),
-		PersistKeys: !t.NoNumbers, Counts: counts, Log: log,
+		OpenDir: t.open, Site: t.Site, Schema: schema, MaxBytes: int64(t.MaxMB) << 20, CommitInterval: max(t.CommitInterval, 0),
+		PersistKeys: !t.EstimatesOnly, Counts: counts, Log: log,
 	})
 	if err != nil {
 		return fmt.Errorf("quartzpoint: State: %w", err)
--- a/state_test.go
+++ b/state_test.go
@@ -17,21 +17,21 @@
 )
 
 // stateTerms are those of a gate with one numbered type and a folder.
-func stateTerms(state *State) Terms {
-	state.Commit = time.Millisecond
-	return Terms{State: state, Types: []Type{{Name: "pay", Repeats: Numbered, Contract: 400 * ms, Outer: 500 * ms, Window: time.Hour}}}
+func stateTerms(state *State) Options {
+	state.CommitInterval = time.Millisecond
+	return Options{State: state, Routes: []Route{{Name: "pay", Idempotency: Keyed, LatencyTarget: 400 * ms, Deadline: 500 * ms, DedupWindow: time.Hour}}}
 }
 
 func stateOnDisk(disk *faultdisk.Disk) *State {
 	return &State{Dir: "none", open: func(bool) (datadir.Dir, error) { return disk, nil }}
 }
 
-func pay(number string) Task { return Task{Type: "pay", Number: number, Shape: 1} }
+func pay(number string) Request { return Request{Route: "pay", IdempotencyKey: number, Fingerprint: 1} }
 
 func leaveNow(t *testing.T, g *Gate) {
 	ctx, cancel := context.WithTimeout(context.Background(), 500*ms)
 	defer cancel()
-	require.NoError(t, g.Leave(ctx))
+	require.NoError(t, g.Shutdown(ctx))
 }
 
 // A gate starts from the directory of the one before it: results are returned to repeats, what failed is not run again, and
@@ -57,7 +57,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "paid", string(got))
 	_, err = g.DoOnce(t.Context(), pay("breaks"), again)
-	assert.ErrorIs(t, err, ErrGivenUp)
+	assert.ErrorIs(t, err, ErrAborted)
 	changed, err := g.DoOnce(t.Context(), pay("mine"), func(context.Context) ([]byte, error) { return []byte("paid"), nil })
 	require.NoError(t, err)
 	copy(changed, "lost") // the caller's own
@@ -68,9 +68,9 @@
 		copy(repeat, "lost")
 	}
 	other := pay("b")
-	other.Shape = 2
+	other.Fingerprint = 2
 	_, err = g.DoOnce(t.Context(), other, again)
-	assert.ErrorIs(t, err, ErrClash)
+	assert.ErrorIs(t, err, ErrKeyConflict)
 	assert.Equal(t, int32(20), runs.Load())
 	got, err = g.DoOnce(t.Context(), pay("new"), run)
 	require.NoError(t, err)
@@ -107,7 +107,7 @@
 		assert.Fail(t, "ran again")
 		return nil, nil
 	})
-	assert.ErrorIs(t, err, ErrGivenUp)
+	assert.ErrorIs(t, err, ErrAborted)
 }
 
 // A disk neither fails nor answers. A request waits for it only until its caller leaves or its deadline, and then never runs.
@@ -146,26 +146,26 @@
 }
 
 func TestStateTerms(t *testing.T) {
-	_, err := New(Terms{State: &State{}})
+	_, err := New(Options{State: &State{}})
 	assert.ErrorContains(t, err, "Dir is needed")
-	_, err = New(Terms{State: &State{Dir: "x", MostMB: 1}})
+	_, err = New(Options{State: &State{Dir: "x", MaxMB: 1}})
 	assert.ErrorContains(t, err, "8 or more")
 	path := filepath.Join(t.TempDir(), "terms.toml")
 	require.NoError(t, os.WriteFile(path, []byte("[State]\nDir = \"d\"\nCommit = \"3ms\"\n"), 0o600))
-	terms, err := ReadTerms(path)
+	terms, err := ReadOptions(path)
 	require.NoError(t, err)
-	assert.Equal(t, &State{Dir: "d", Commit: 3 * ms}, terms.State)
+	assert.Equal(t, &State{Dir: "d", CommitInterval: 3 * ms}, terms.State)
 }
 
 // A gate uses the estimates that one of an earlier version left on disk only under the same digest of the settings. The
 // figures are those of f1daac1.
 func TestSettingsDigestIsThatOfEarlierVersions(t *testing.T) {
-	decisions, err := Terms{
-		Types: []Type{
+	decisions, err := Options{
+		Routes: []Route{
 			{Name: "a"},
-			{Name: "b", Repeats: Numbered, Importance: 2.5, Contract: 300 * time.Millisecond, SkipShare: 0.25},
+			{Name: "b", Idempotency: Keyed, Value: 2.5, LatencyTarget: 300 * time.Millisecond, SkipValueShare: 0.25},
 		},
-		Cores: 2, MemoryMB: 64, TaskKB: 64, Calls: Calls{Share: 3},
+		Cores: 2, MemoryMB: 64, RequestKB: 64, Calls: CallOptions{Share: 3},
 	}.settings()
 	require.NoError(t, err)
 	s := settings.FromAdmission(decisions, settings.Readings...)
