--- /dev/null
+++ b/call.go
@@ -0,0 +1,85 @@
+package quartzpoint
+
+import (
+	"context"
+	"time"
+
+	"quartzpoint/admission"
+)
+
+// Call makes a call to the dependency that Options.Calls describes. ctx is the context of a run, or derived from it. Call
+// waits until the dependency has capacity for the call, and retries with a backoff where it failed and the route allows that.
+//
+// It returns nil once the call succeeded, ErrCallSkipped where the run is to go on without it, or the context's error. Outside
+// a run the call is made once, as it is.
+func Call(ctx context.Context, call func(context.Context) error) error {
+	inside, ok := ctx.Value(runContextKey{}).(*runContext)
+	if !ok {
+		return call(ctx)
+	}
+	e := inside.reference()
+	if e == nil {
+		return context.Canceled // its run is over
+	}
+	defer e.release()
+	loop := e.gate.loop
+	e.submit(func() { loop.AwaitCall(e.decided) })
+	for {
+		var timeout time.Duration
+		select {
+		case timeout = <-e.callTurn:
+		case <-ctx.Done():
+			e.submit(func() { loop.RecordCallEnd(e.decided, admission.NotRun, 0) })
+			return ctx.Err()
+		}
+		if timeout < 0 {
+			return ErrCallSkipped
+		}
+		outcome, took := attempt(ctx, timeout, call)
+		e.submit(func() { loop.RecordCallEnd(e.decided, outcome, took) })
+		if outcome == admission.Succeeded {
+			return nil
+		}
+	}
+}
+
+// attempt makes a call once.
+func attempt(ctx context.Context, timeout time.Duration, call func(context.Context) error) (admission.Outcome, time.Duration) {
+	began := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	err := call(ctx)
+	took := time.Since(began)
+	switch {
+	case err == nil:
+		return admission.Succeeded, took
+	case ctx.Err() != nil:
+		return admission.Unknown, took
+	default:
+		return admission.Failed, took
+	}
+}
+
+// submit has the event loop call a function, unless the run has ended by then.
+func (e *execution) submit(report func()) {
+	e.references.Add(1)
+	e.gate.loop.Submit(func() {
+		defer e.release()
+		if e.running {
+			report()
+		}
+	})
+}
+
+// AllowCall implements server.DependencyCaller.
+func (e *execution) AllowCall(timeout time.Duration) { e.sendTurn(timeout) }
+
+// SkipCall implements server.DependencyCaller.
+func (e *execution) SkipCall() { e.sendTurn(-1) }
+
+func (e *execution) sendTurn(turn time.Duration) {
+	select {
+	case e.callTurn <- turn:
+	default: // the run has gone on by itself, as its context has ended
+	}
+}
--- a/options_file_test.go
+++ b/optionsfile_test.go
@@ -88,3 +88,17 @@
 		assert.Error(t, err, text)
 	}
 }
+
+func TestReadOptions(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "options.toml")
+	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
+	write("Cores = 2.0\nGrace = \"50ms\"\n[[Types]]\nName = \"a\"\nContract = \"300ms\"\n")
+	options, err := ReadOptions(path)
+	require.NoError(t, err)
+	assert.Equal(t, Options{Cores: 2, Grace: 50 * ms, Routes: []Route{{Name: "a", LatencyTarget: 300 * ms}}}, options)
+	write("Coers = 2\n")
+	_, err = ReadOptions(path)
+	assert.ErrorContains(t, err, "Coers")
+	_, err = ReadOptions("/nowhere")
+	assert.ErrorContains(t, err, "/nowhere")
+}
--- /dev/null
+++ b/pool.go
@@ -0,0 +1,151 @@
+package quartzpoint
+
+import (
+	"errors"
+	"math"
+	"sync"
+	"time"
+
+	"quartzpoint/internal/server"
+	"quartzpoint/internal/workerapi"
+)
+
+// queuedKB is the memory that a queued request counts with.
+const queuedKB = defaultRequestKB / runningOverQueued
+
+// Outcomes of runs, in the words of the worker pool's wire.
+const (
+	outcomeSuccess = "success"
+	outcomeFailure = "failure"
+)
+
+// workerPool is the event loop's worker pool: a run is a function in this process. A run can't be stopped or paused.
+type workerPool struct {
+	gate       *Gate
+	readGauges func(running int) Gauges
+
+	mu    sync.Mutex
+	ended []*execution // whose runs have ended since the last AppendNotices
+	spare []*execution // memory for the next such list
+
+	// Of the event loop alone.
+	executions map[string]*execution // by id, those that the event loop refers to
+	running    int
+	pollNonce  uint64
+	polled     bool // the gauges are to be reported
+}
+
+var _ server.WorkerLink = (*workerPool)(nil)
+
+func newWorkerPool(g *Gate, readGauges func(int) Gauges) *workerPool {
+	return &workerPool{gate: g, readGauges: readGauges, executions: map[string]*execution{}}
+}
+
+// Start implements server.WorkerLink, as do the methods below it.
+func (p *workerPool) Start(run workerapi.Run) bool {
+	e := p.executions[run.ID]
+	e.running, e.startedAt = true, p.gate.loop.Now()
+	e.runCtx = &runContext{caller: e.ctx, deadline: e.request.Deadline, execution: e}
+	e.references.Add(1) // the run's
+	p.running++
+	if e.run != nil || e.runPlain != nil {
+		go e.runFunc()
+	} else {
+		e.started <- struct{}{}
+	}
+	return true
+}
+
+// Pause asks a run to end, by its context. The decisions ask again while it goes on.
+func (p *workerPool) Pause(id string) bool {
+	if e := p.executions[id]; e != nil && e.runCtx != nil {
+		e.runCtx.cancel(ErrAborted)
+	}
+	return true
+}
+
+func (p *workerPool) Resume(string) bool { return true }
+
+// reportEnd reports the end of a run, from its goroutine.
+func (p *workerPool) reportEnd(e *execution) {
+	p.mu.Lock()
+	p.ended = append(p.ended, e)
+	p.mu.Unlock()
+	p.gate.loop.Wake()
+}
+
+func (p *workerPool) AppendNotices(notices []workerapi.Notice) []workerapi.Notice {
+	p.mu.Lock()
+	ended := p.ended
+	p.ended, p.spare = p.spare[:0], ended
+	p.mu.Unlock()
+	for _, e := range ended {
+		notices = append(notices, p.endRun(e))
+	}
+	clear(ended)
+	if p.polled {
+		p.polled = false
+		gauges := p.readGauges(p.running)
+		notices = append(notices, workerapi.Notice{
+			Kind: workerapi.Polled, Nonce: p.pollNonce, Readings: []float64{gauges.CPU, gauges.Runnable, gauges.Memory, 0},
+		})
+	}
+	return notices
+}
+
+// endRun takes the end of a run in the event loop, and returns the notice of it.
+func (p *workerPool) endRun(e *execution) workerapi.Notice {
+	notice := workerapi.Notice{
+		Kind: workerapi.RunFinished, RequestID: e.id, Outcome: outcomeSuccess, Result: e.runResult,
+		Duration: p.gate.loop.Now() - e.startedAt,
+	}
+	if e.runErr != nil {
+		notice.Outcome = outcomeFailure
+	}
+	p.running--
+	e.running = false
+	if e.overruns {
+		p.gate.overruns.Add(-1)
+	}
+	if e.settled {
+		if _, panicked := errors.AsType[*panicError](e.runErr); panicked {
+			p.gate.counters.Count("run panicked after its request was answered")
+		}
+		e.forget()
+	}
+	e.release() // the run's reference
+	return notice
+}
+
+func (p *workerPool) Flush() {}
+
+// Poll has the next AppendNotices report the gauges. They are read there, behind the ends of runs: a run that has ended and
+// still counts as runnable would pass for something else that wants its core.
+func (p *workerPool) Poll() (uint64, bool) {
+	p.pollNonce++
+	p.polled = true
+	p.gate.loop.Wake()
+	return p.pollNonce, true
+}
+
+func (p *workerPool) NextPollNonce() uint64 { return p.pollNonce + 1 }
+
+func (p *workerPool) Verify(uint64) bool { return false }
+
+// frontend is the gate as the event loop's frontend. It has no connections: requests are submitted one by one.
+type frontend struct{ gate *Gate }
+
+// CloseIdle implements server.Frontend, as do the methods below it.
+func (frontend) CloseIdle(time.Duration) {}
+
+// Flush is called after each round.
+func (f frontend) Flush() bool {
+	f.gate.shedLevel.Store(math.Float64bits(f.gate.loop.ShedLevel()))
+	return true
+}
+
+func (frontend) StopAccepting() {}
+
+func (frontend) Open() int { return 0 }
+
+func (frontend) Quiet() bool { return true }
--- a/state.go
+++ b/state.go
@@ -1,14 +1,12 @@
 package quartzpoint
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"time"
 
 	"quartzpoint/estimate"
 	"quartzpoint/internal/datadir"
-	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/store"
 )
 
@@ -37,35 +35,35 @@
 }
 
 // withDefaults returns a copy whose zero values are replaced by the defaults.
-func (t State) withDefaults() (State, error) {
-	if t.MaxMB == 0 {
-		t.MaxMB = defaultStateMB
+func (s State) withDefaults() (State, error) {
+	if s.MaxMB == 0 {
+		s.MaxMB = defaultStateMB
 	}
-	if t.CommitInterval == 0 {
-		t.CommitInterval = defaultStateCommit
+	if s.CommitInterval == 0 {
+		s.CommitInterval = defaultStateCommit
 	}
-	if t.Dir == "" || t.MaxMB < minStateMB {
-		return t, errors.New("quartzpoint: State: Dir is needed, and MostMB of 8 or more")
+	if s.Dir == "" || s.MaxMB < minStateMB {
+		return s, fmt.Errorf("quartzpoint: State: Dir is needed, and MaxMB of %d or more", minStateMB)
 	}
-	if t.open == nil {
-		t.open = datadir.Opener(t.Dir)
+	if s.open == nil {
+		s.open = datadir.Opener(s.Dir)
 	}
-	return t, nil
+	return s, nil
 }
 
-// openState opens the state directory and has the gate start from it.
-func (g *Gate) openState(stated *State, origin uint64, counts *invariant.Counters, log *slog.Logger) error {
-	t, err := stated.withDefaults()
+// openState opens the state directory and has the gate start from it. origin marks the estimates as this process's.
+func (g *Gate) openState(state *State, origin uint64, log *slog.Logger) error {
+	filled, err := state.withDefaults()
 	if err != nil {
 		return err
 	}
-	schema := g.owner.PublishEstimates(origin, func(snapshot estimate.Snapshot, _ time.Duration) {
-		g.view.Store(&snapshot)
-		g.state.SaveEstimates(snapshot)
+	schema := g.loop.PublishEstimates(origin, func(snapshot estimate.Snapshot, _ time.Duration) {
+		g.estimates.Store(&snapshot)
+		g.store.SaveEstimates(snapshot)
 	})
-	g.state, _, err = store.Attach(g.owner, store.Options{
-		OpenDir: t.open, Site: t.Site, Schema: schema, MaxBytes: int64(t.MaxMB) << 20, CommitInterval: max(t.CommitInterval, 0),
-		PersistKeys: !t.EstimatesOnly, Counts: counts, Log: log,
+	g.store, _, err = store.Attach(g.loop, store.Options{
+		OpenDir: filled.open, Site: filled.Site, Schema: schema, MaxBytes: int64(filled.MaxMB) << 20,
+		CommitInterval: max(filled.CommitInterval, 0), PersistKeys: !filled.EstimatesOnly, Counts: g.counters, Log: log,
 	})
 	if err != nil {
 		return fmt.Errorf("quartzpoint: State: %w", err)
--- a/state_test.go
+++ b/state_test.go
@@ -16,8 +16,8 @@
 	"quartzpoint/internal/testkit/faultdisk"
 )
 
-// stateTerms are those of a gate with one numbered type and a folder.
-func stateTerms(state *State) Options {
+// stateOptions are those of a gate with a state directory and one route with idempotency keys.
+func stateOptions(state *State) Options {
 	state.CommitInterval = time.Millisecond
 	return Options{State: state, Routes: []Route{{Name: "pay", Idempotency: Keyed, LatencyTarget: 400 * ms, Deadline: 500 * ms, DedupWindow: time.Hour}}}
 }
@@ -26,9 +26,9 @@
 	return &State{Dir: "none", open: func(bool) (datadir.Dir, error) { return disk, nil }}
 }
 
-func pay(number string) Request { return Request{Route: "pay", IdempotencyKey: number, Fingerprint: 1} }
+func pay(key string) Request { return Request{Route: "pay", IdempotencyKey: key, Fingerprint: 1} }
 
-func leaveNow(t *testing.T, g *Gate) {
+func shutDownNow(t *testing.T, g *Gate) {
 	ctx, cancel := context.WithTimeout(context.Background(), 500*ms)
 	defer cancel()
 	require.NoError(t, g.Shutdown(ctx))
@@ -38,7 +38,7 @@
 // callers may change the results they got.
 func TestStateRestart(t *testing.T) {
 	state := &State{Dir: filepath.Join(t.TempDir(), "state"), Site: "s"}
-	g, err := New(stateTerms(state))
+	g, err := New(stateOptions(state))
 	require.NoError(t, err)
 	var runs atomic.Int32
 	run := func(context.Context) ([]byte, error) { return []byte("paid"), nil }
@@ -49,9 +49,9 @@
 	_, err = g.DoOnce(t.Context(), pay("breaks"), func(context.Context) ([]byte, error) { return nil, os.ErrInvalid })
 	assert.ErrorIs(t, err, os.ErrInvalid)
 	time.Sleep(1100 * ms) // the owner shares what it learned once a second
-	leaveNow(t, g)
+	shutDownNow(t, g)
 
-	g = newGate(t, stateTerms(state))
+	g = newGate(t, stateOptions(state))
 	again := func(context.Context) ([]byte, error) { runs.Add(1); return []byte("twice"), nil }
 	got, err := g.DoOnce(t.Context(), pay("b"), again)
 	require.NoError(t, err)
@@ -75,11 +75,11 @@
 	got, err = g.DoOnce(t.Context(), pay("new"), run)
 	require.NoError(t, err)
 	assert.Equal(t, "paid", string(got))
-	leaveNow(t, g)
-	g = newGate(t, stateTerms(state))
+	shutDownNow(t, g)
+	g = newGate(t, stateOptions(state))
 	got, err = g.DoOnce(t.Context(), pay("mine"), again)
 	require.NoError(t, err)
-	assert.Equal(t, "paid", string(got), "what a caller does with his result is not what is kept")
+	assert.Equal(t, "paid", string(got), "what a caller does with his result is not what is stored")
 	files, err := filepath.Glob(filepath.Join(state.Dir, "view-*"))
 	require.NoError(t, err)
 	assert.NotEmpty(t, files)
@@ -88,7 +88,7 @@
 // The power fails while a request runs. The next gate does not run its repeat, as the original may have had its effect.
 func TestStatePowerLoss(t *testing.T) {
 	disk := faultdisk.New()
-	g, err := New(stateTerms(stateOnDisk(disk)))
+	g, err := New(stateOptions(stateOnDisk(disk)))
 	require.NoError(t, err)
 	began, end := make(chan struct{}), make(chan struct{})
 	over := make(chan error, 1)
@@ -100,9 +100,9 @@
 	after := disk.Crash(faultdisk.All{})
 	close(end)
 	assert.NoError(t, <-over)
-	leaveNow(t, g)
+	shutDownNow(t, g)
 
-	g = newGate(t, stateTerms(stateOnDisk(after)))
+	g = newGate(t, stateOptions(stateOnDisk(after)))
 	_, err = g.DoOnce(t.Context(), pay("x"), func(context.Context) ([]byte, error) {
 		assert.Fail(t, "ran again")
 		return nil, nil
@@ -114,7 +114,7 @@
 // After a second the gate serves without the disk, until that answers again.
 func TestStateStalls(t *testing.T) {
 	disk := faultdisk.New()
-	g := newGate(t, stateTerms(stateOnDisk(disk)))
+	g := newGate(t, stateOptions(stateOnDisk(disk)))
 	hold := make(chan struct{})
 	disk.Set(func() {
 		disk.Fails = func(kind string) error {
@@ -125,36 +125,36 @@
 		}
 	})
 	ran := make(chan string, 3)
-	ask := func(ctx context.Context, number string) error {
-		_, err := g.DoOnce(ctx, pay(number), func(context.Context) ([]byte, error) { ran <- number; return nil, nil })
+	ask := func(ctx context.Context, key string) error {
+		_, err := g.DoOnce(ctx, pay(key), func(context.Context) ([]byte, error) { ran <- key; return nil, nil })
 		return err
 	}
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*ms)
 	defer cancel()
-	assert.Error(t, ask(ctx, "gone"), "its caller went")
-	assert.Error(t, ask(t.Context(), "late"), "its time was up")
+	assert.Error(t, ask(ctx, "gone"), "its caller left")
+	assert.Error(t, ask(t.Context(), "late"), "its deadline passed")
 	assert.Less(t, time.Since(began), 900*ms)
-	require.Eventually(t, func() bool { return g.state.DurableMark() > 1<<60 }, 5*time.Second, ms)
+	require.Eventually(t, func() bool { return g.store.DurableMark() > 1<<60 }, 5*time.Second, ms)
 	assert.NoError(t, ask(t.Context(), "without"))
 	assert.Equal(t, "without", <-ran)
 	close(hold)
-	require.Eventually(t, func() bool { return g.state.DurableMark() < 1<<60 }, 5*time.Second, ms)
+	require.Eventually(t, func() bool { return g.store.DurableMark() < 1<<60 }, 5*time.Second, ms)
 	assert.NoError(t, ask(t.Context(), "after"))
 	assert.Equal(t, "after", <-ran)
 	assert.Empty(t, ran)
 }
 
-func TestStateTerms(t *testing.T) {
+func TestStateOptions(t *testing.T) {
 	_, err := New(Options{State: &State{}})
 	assert.ErrorContains(t, err, "Dir is needed")
 	_, err = New(Options{State: &State{Dir: "x", MaxMB: 1}})
 	assert.ErrorContains(t, err, "8 or more")
-	path := filepath.Join(t.TempDir(), "terms.toml")
+	path := filepath.Join(t.TempDir(), "options.toml")
 	require.NoError(t, os.WriteFile(path, []byte("[State]\nDir = \"d\"\nCommit = \"3ms\"\n"), 0o600))
-	terms, err := ReadOptions(path)
+	options, err := ReadOptions(path)
 	require.NoError(t, err)
-	assert.Equal(t, &State{Dir: "d", CommitInterval: 3 * ms}, terms.State)
+	assert.Equal(t, &State{Dir: "d", CommitInterval: 3 * ms}, options.State)
 }
 
 // A gate uses the estimates that one of an earlier version left on disk only under the same digest of the settings. The
