--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	patience = 20 * time.Second
-	ms       = time.Millisecond
+	waitLimit = 20 * time.Second
+	ms        = time.Millisecond
 )
 
 func TestMain(m *testing.M) {
@@ -32,37 +32,38 @@
 	goleak.VerifyTestMain(m)
 }
 
-// front is one framework with the gate in front of a handler.
-type front struct {
+// framework is one framework with the gate in front of a handler.
+type framework struct {
 	name string
-	make func(g *quartzpoint.Gate, r middleware.Options, h http.HandlerFunc) http.Handler
+	make func(g *quartzpoint.Gate, o middleware.Options, h http.HandlerFunc) http.Handler
 }
 
-var fronts = []front{
-	{"net/http", func(g *quartzpoint.Gate, r middleware.Options, h http.HandlerFunc) http.Handler {
-		return middleware.New(g, r)(h)
+var frameworks = []framework{
+	{"net/http", func(g *quartzpoint.Gate, o middleware.Options, h http.HandlerFunc) http.Handler {
+		return middleware.New(g, o)(h)
 	}},
-	{"gin", func(g *quartzpoint.Gate, r middleware.Options, h http.HandlerFunc) http.Handler {
+	{"gin", func(g *quartzpoint.Gate, o middleware.Options, h http.HandlerFunc) http.Handler {
 		e := gin.New()
 		e.Use(gin.CustomRecoveryWithWriter(io.Discard, func(c *gin.Context, _ any) { c.AbortWithStatus(http.StatusInternalServerError) }))
-		e.Use(ginmw.New(g, r))
+		e.Use(ginmw.New(g, o))
 		e.Any("/*any", func(c *gin.Context) { h(c.Writer, c.Request) })
 		return e
 	}},
 }
 
-type site struct {
+// testServer is an HTTP server with a gate in front of its handler.
+type testServer struct {
 	*httptest.Server
 	gate *quartzpoint.Gate
 }
 
-func start(t *testing.T, f front, terms quartzpoint.Options, rules middleware.Options, h http.HandlerFunc) *site {
-	g, err := quartzpoint.New(terms)
+func start(t *testing.T, f framework, options quartzpoint.Options, middlewareOptions middleware.Options, h http.HandlerFunc) *testServer {
+	g, err := quartzpoint.New(options)
 	require.NoError(t, err)
-	if rules.Route == nil {
-		rules.Route = func(*http.Request) string { return "a" }
+	if middlewareOptions.Route == nil {
+		middlewareOptions.Route = func(*http.Request) string { return "a" }
 	}
-	s := &site{httptest.NewUnstartedServer(f.make(g, rules, h)), g}
+	s := &testServer{httptest.NewUnstartedServer(f.make(g, middlewareOptions, h)), g}
 	s.Config.ErrorLog = nil
 	s.Start()
 	t.Cleanup(func() {
@@ -75,24 +76,24 @@
 	return s
 }
 
-func terms(contract time.Duration, repeats quartzpoint.Idempotency) quartzpoint.Options {
-	return quartzpoint.Options{Cores: 2, Routes: []quartzpoint.Route{{Name: "a", LatencyTarget: contract, Idempotency: repeats}}}
+func oneRoute(latencyTarget time.Duration, idempotency quartzpoint.Idempotency) quartzpoint.Options {
+	return quartzpoint.Options{Cores: 2, Routes: []quartzpoint.Route{{Name: "a", LatencyTarget: latencyTarget, Idempotency: idempotency}}}
 }
 
-// ask sends a request with headers as names and values in turn.
-func (s *site) ask(t *testing.T, method, path, body string, headers ...string) (status int, answer string, head http.Header) {
+// send sends a request with headers as names and values in turn.
+func (s *testServer) send(t *testing.T, method, path, body string, headers ...string) (status int, answer string, head http.Header) {
 	t.Helper()
 	q, err := http.NewRequest(method, s.URL+path, strings.NewReader(body))
 	require.NoError(t, err)
 	for i := 0; i < len(headers); i += 2 {
 		q.Header.Set(headers[i], headers[i+1])
 	}
-	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: waitLimit, Transport: &http.Transport{DisableKeepAlives: true}}
 	a, err := client.Do(q)
 	if err != nil {
 		return 0, err.Error(), nil
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }()
 	raw, err := io.ReadAll(a.Body)
 	if err != nil {
 		return a.StatusCode, string(raw) + " cut: " + err.Error(), a.Header
@@ -100,15 +101,16 @@
 	return a.StatusCode, string(raw), a.Header
 }
 
-func each(t *testing.T, run func(t *testing.T, f front)) {
-	for _, f := range fronts {
+func eachFramework(t *testing.T, run func(t *testing.T, f framework)) {
+	for _, f := range frameworks {
 		t.Run(f.name, func(t *testing.T) { run(t, f) })
 	}
 }
 
+// What handlers write reaches the caller: buffered, streamed, and nothing of what a panic cut short.
 func TestAnswers(t *testing.T) {
-	each(t, func(t *testing.T, f front) {
-		s := start(t, f, terms(time.Second, ""), middleware.Options{BufferBytes: 100}, func(w http.ResponseWriter, q *http.Request) {
+	eachFramework(t, func(t *testing.T, f framework) {
+		s := start(t, f, oneRoute(time.Second, ""), middleware.Options{BufferBytes: 100}, func(w http.ResponseWriter, q *http.Request) {
 			switch q.URL.Path {
 			case "/plain":
 				w.Header().Set("X-Own", "1")
@@ -134,31 +136,32 @@
 				panic("oh")
 			}
 		})
-		status, body, head := s.ask(t, "GET", "/plain", "")
+		status, body, head := s.send(t, "GET", "/plain", "")
 		assert.Equal(t, http.StatusTeapot, status)
 		assert.Equal(t, "tea", body)
 		assert.Equal(t, "1", head.Get("X-Own"))
 		assert.NotEmpty(t, head.Get(middleware.ShedLevelHeader))
-		_, body, _ = s.ask(t, "GET", "/long", "")
+		_, body, _ = s.send(t, "GET", "/long", "")
 		assert.Len(t, body, 500)
-		_, body, _ = s.ask(t, "GET", "/flush", "")
+		_, body, _ = s.send(t, "GET", "/flush", "")
 		assert.Equal(t, "one two", body)
-		status, _, _ = s.ask(t, "GET", "/hijack", "")
+		status, _, _ = s.send(t, "GET", "/hijack", "")
 		assert.Equal(t, http.StatusOK, status)
-		_, body, _ = s.ask(t, "POST", "/upload", strings.Repeat("x", 5<<20))
+		_, body, _ = s.send(t, "POST", "/upload", strings.Repeat("x", 5<<20))
 		assert.Equal(t, "5242880", body)
-		status, body, _ = s.ask(t, "GET", "/panic", "")
+		status, body, _ = s.send(t, "GET", "/panic", "")
 		assert.NotEqual(t, http.StatusOK, status, "half a body is no answer")
 		assert.NotContains(t, body, "half")
 		assert.Equal(t, int64(1), s.gate.Counts().Aborted, "a broken run")
 	})
 }
 
-// A handler that runs on: its caller is answered in time, and what it writes later is an error and not sent.
+// A handler runs on past the deadline. Its caller must be answered in time all the same, and what the handler writes later must
+// fail and not be sent.
 func TestRunsOn(t *testing.T) {
-	each(t, func(t *testing.T, f front) {
+	eachFramework(t, func(t *testing.T, f framework) {
 		end, wrote := make(chan struct{}), make(chan error, 1)
-		s := start(t, f, terms(150*ms, ""), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) {
+		s := start(t, f, oneRoute(150*ms, ""), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) {
 			<-q.Context().Done()
 			<-end
 			_, err := io.WriteString(w, "too late")
@@ -171,20 +174,20 @@
 		require.NoError(t, err)
 		raw, err := io.ReadAll(a.Body)
 		require.NoError(t, err)
-		assert.Less(t, time.Since(began), 150*ms+patience/40, "whole, though the handler runs on")
+		assert.Less(t, time.Since(began), 150*ms+waitLimit/40, "complete, though the handler runs on")
 		assert.Equal(t, http.StatusGatewayTimeout, a.StatusCode)
-		assert.Contains(t, string(raw), "given up")
+		assert.Contains(t, string(raw), "aborted")
 		assert.Equal(t, int64(1), s.gate.Counts().Overruns)
 		close(end)
 		assert.ErrorIs(t, <-wrote, http.ErrHandlerTimeout)
-		a.Body.Close()
+		assert.NoError(t, a.Body.Close())
 	})
 }
 
-// Given up while it streams: the answer is cut off, not made to look whole.
+// A request is aborted while its response is streamed. The response must be cut off, and not look complete.
 func TestCutOff(t *testing.T) {
-	each(t, func(t *testing.T, f front) {
-		s := start(t, f, terms(150*ms, ""), middleware.Options{BufferBytes: -1}, func(w http.ResponseWriter, q *http.Request) {
+	eachFramework(t, func(t *testing.T, f framework) {
+		s := start(t, f, oneRoute(150*ms, ""), middleware.Options{BufferBytes: -1}, func(w http.ResponseWriter, q *http.Request) {
 			_, _ = io.WriteString(w, "begin")
 			w.(http.Flusher).Flush()
 			<-q.Context().Done()
@@ -192,18 +195,18 @@
 			_, err := io.WriteString(w, "end")
 			assert.Error(t, err)
 		})
-		_, body, _ := s.ask(t, "GET", "/", "")
+		_, body, _ := s.send(t, "GET", "/", "")
 		assert.NotContains(t, body, "end")
 	})
 }
 
-// The caller goes while the handler runs, and the framework would buffer its response: nothing counts as honoured, the
-// effect is known to have run, and the number remembered.
+// A caller goes while the handler runs, and its framework would buffer the response. The request must not count as served; the
+// handler has run all the same, so a duplicate must get the recorded response and not another run.
 func TestCallerGone(t *testing.T) {
-	each(t, func(t *testing.T, f front) {
+	eachFramework(t, func(t *testing.T, f framework) {
 		var ran atomic.Int32
 		began, end := make(chan struct{}), make(chan struct{})
-		s := start(t, f, terms(5*time.Second, quartzpoint.Keyed), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) {
+		s := start(t, f, oneRoute(5*time.Second, quartzpoint.Keyed), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) {
 			ran.Add(1)
 			close(began)
 			<-end
@@ -217,7 +220,7 @@
 		go func() {
 			a, err := http.DefaultClient.Do(q)
 			if err == nil {
-				a.Body.Close()
+				_ = a.Body.Close()
 			}
 			gone <- err
 		}()
@@ -226,7 +229,7 @@
 		assert.ErrorIs(t, <-gone, context.Canceled)
 		time.Sleep(50 * ms) // for the server to see it
 		close(end)
-		status, body, head := s.ask(t, "POST", "/", "", "Idempotency-Key", "k")
+		status, body, head := s.send(t, "POST", "/", "", "Idempotency-Key", "k")
 		assert.Equal(t, http.StatusOK, status)
 		assert.Equal(t, "booked", body)
 		assert.Equal(t, "true", head.Get("Idempotent-Replayed"))
@@ -235,11 +238,12 @@
 	})
 }
 
-// One key from a hundred callers at the same moment: one run, a hundred equal answers; another body is an error.
-func TestNumbers(t *testing.T) {
-	each(t, func(t *testing.T, f front) {
+// A hundred callers send one idempotency key at the same moment. One run must take place, and all get its response; another body
+// under the same key is an error.
+func TestIdempotencyKeys(t *testing.T) {
+	eachFramework(t, func(t *testing.T, f framework) {
 		var ran atomic.Int32
-		s := start(t, f, terms(10*time.Second, quartzpoint.Keyed), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) {
+		s := start(t, f, oneRoute(10*time.Second, quartzpoint.Keyed), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) {
 			time.Sleep(20 * ms)
 			w.Header().Set("X-Run", "r")
 			w.WriteHeader(http.StatusCreated)
@@ -250,7 +254,7 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				status, body, head := s.ask(t, "POST", "/", "ab", "Idempotency-Key", "one")
+				status, body, head := s.send(t, "POST", "/", "ab", "Idempotency-Key", "one")
 				assert.Equal(t, http.StatusCreated, status, body)
 				assert.Equal(t, "1", body)
 				assert.Equal(t, "r", head.Get("X-Run"))
@@ -258,21 +262,22 @@
 		}
 		all.Wait()
 		assert.Equal(t, int32(1), ran.Load())
-		status, _, _ := s.ask(t, "POST", "/", "longer", "Idempotency-Key", "one")
+		status, _, _ := s.send(t, "POST", "/", "longer", "Idempotency-Key", "one")
 		assert.Equal(t, http.StatusUnprocessableEntity, status)
-		status, _, _ = s.ask(t, "POST", "/", "ab")
-		assert.Equal(t, http.StatusServiceUnavailable, status, "a numbered type without a number")
+		status, _, _ = s.send(t, "POST", "/", "ab")
+		assert.Equal(t, http.StatusServiceUnavailable, status, "a keyed route without a key")
 	})
 }
 
-func TestTurnedAway(t *testing.T) {
-	each(t, func(t *testing.T, f front) {
+// Requests come to a server whose handlers stand still, with no time left, and after its shutdown: none of these may run.
+func TestRejected(t *testing.T) {
+	eachFramework(t, func(t *testing.T, f framework) {
 		end := make(chan struct{})
-		s := start(t, f, terms(400*ms, ""), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) { <-end })
+		s := start(t, f, oneRoute(400*ms, ""), middleware.Options{}, func(w http.ResponseWriter, q *http.Request) { <-end })
 		statuses := make(chan int, 12)
 		for range cap(statuses) {
 			go func() {
-				status, _, head := s.ask(t, "GET", "/", "")
+				status, _, head := s.send(t, "GET", "/", "")
 				if status == http.StatusServiceUnavailable {
 					assert.NotEmpty(t, head.Get("Retry-After"))
 				}
@@ -283,22 +288,22 @@
 		for range cap(statuses) {
 			seen[<-statuses]++
 		}
-		assert.Positive(t, seen[http.StatusServiceUnavailable], "held past their time: never ran")
+		assert.Positive(t, seen[http.StatusServiceUnavailable], "queued past their deadline: never ran")
 		assert.Positive(t, seen[http.StatusGatewayTimeout], "those that ran")
 		assert.Zero(t, seen[http.StatusOK])
 		close(end)
-		status, _, _ := s.ask(t, "GET", "/", "", "X-Remaining-Time", "0m")
+		status, _, _ := s.send(t, "GET", "/", "", "X-Remaining-Time", "0m")
 		assert.Equal(t, http.StatusServiceUnavailable, status, "no time left")
 		ctx, cancel := context.WithTimeout(t.Context(), 300*ms)
 		defer cancel()
 		require.NoError(t, s.gate.Shutdown(ctx))
-		status, _, head := s.ask(t, "GET", "/", "")
+		status, _, head := s.send(t, "GET", "/", "")
 		assert.Equal(t, http.StatusServiceUnavailable, status)
 		assert.NotNil(t, head)
 	})
 }
 
-func TestRemaining(t *testing.T) {
+func TestParseTimeout(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	cases := []struct {
 		text   string
@@ -318,28 +323,3 @@
 		}
 	}
 }
-
-func ExampleNew() {
-	gate, err := quartzpoint.New(quartzpoint.Options{})
-	if err != nil {
-		panic(err)
-	}
-	defer gate.Shutdown(context.Background())
-	handler := middleware.New(gate, middleware.Options{})(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprint(w, "a table for two")
-	}))
-	answer := httptest.NewRecorder()
-	handler.ServeHTTP(answer, httptest.NewRequest("GET", "/slots", nil))
-	fmt.Println(answer.Code, answer.Body)
-	// Output: 200 a table for two
-}
-
-func ExampleOptions() {
-	rules := middleware.Options{
-		Route:          func(q *http.Request) string { return q.Pattern },
-		IdempotencyKey: func(q *http.Request) string { return q.Header.Get("X-Booking") },
-	}
-	task := rules.Request(httptest.NewRequest("GET", "/", nil))
-	fmt.Println(task.IdempotencyKey == "")
-	// Output: true
-}
