--- a/examples/booking/main.go
+++ b/examples/booking/main.go
@@ -19,8 +19,23 @@
 	"quartzpoint/middleware"
 )
 
+const (
+	address         = "127.0.0.1:8080"
+	shutdownTimeout = 2 * time.Second
+)
+
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
+	if err := run(log); err != nil {
+		log.Error("booking", "error", err)
+		os.Exit(1)
+	}
+}
+
+// run serves until SIGTERM or SIGINT, and then shuts down the gate before the server.
+func run(log *slog.Logger) error {
+	signaled, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
 	gate, err := quartzpoint.New(quartzpoint.Options{
 		Cores: 2, Log: log,
 		Routes: []quartzpoint.Route{
@@ -29,43 +44,42 @@
 		},
 	})
 	if err != nil {
-		log.Error("gate", "error", err)
-		os.Exit(1)
+		return err
 	}
-	tables := http.NewServeMux()
-	work := func(took time.Duration, words string) http.Handler {
-		return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-			select {
-			case <-time.After(took): // a table map, a deposit
-				fmt.Fprintln(w, words)
-			case <-q.Context().Done():
-			}
-		})
+	server := &http.Server{Addr: address, Handler: newHandler(gate), ReadHeaderTimeout: 5 * time.Second}
+	served := make(chan error, 1)
+	go func() { served <- server.ListenAndServe() }()
+	log.Info("serving", "address", server.Addr)
+	select {
+	case err = <-served:
+	case <-signaled.Done():
 	}
-	// The gate stands behind the mux, so that a request's pattern is its traffic type.
-	through := middleware.New(gate, middleware.Options{})
-	tables.Handle("GET /slots", through(work(50*time.Millisecond, "a table for two")))
-	tables.Handle("POST /bookings", through(work(100*time.Millisecond, "booked")))
-	tables.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	return errors.Join(err, gate.Shutdown(ctx), server.Shutdown(ctx))
+}
+
+// newHandler puts the gate behind the mux, so that the pattern of a request is its route.
+func newHandler(gate *quartzpoint.Gate) http.Handler {
+	mux, admit := http.NewServeMux(), middleware.New(gate, middleware.Options{})
+	mux.Handle("GET /slots", admit(work(50*time.Millisecond, "a table for two")))
+	mux.Handle("POST /bookings", admit(work(100*time.Millisecond, "booked")))
+	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) {
 		if !gate.Healthy() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		fmt.Fprintf(w, "level %.2f %+v\n", gate.ShedLevel(), gate.Counts())
 	})
-	server := &http.Server{Addr: "127.0.0.1:8080", Handler: tables, ReadHeaderTimeout: 5 * time.Second}
-	notice, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer stop()
-	go func() {
-		<-notice.Done()
-		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		defer cancel()
-		_ = gate.Shutdown(ctx) // answers all that was taken
-		_ = server.Shutdown(ctx)
-	}()
-	log.Info("serving", "address", server.Addr)
-	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-		log.Error("serving", "error", err)
-		os.Exit(1)
-	}
-	<-notice.Done()
+	return mux
+}
+
+// work stands for a request that takes some time, such as a query or a payment.
+func work(duration time.Duration, answer string) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case <-time.After(duration):
+			fmt.Fprintln(w, answer)
+		case <-r.Context().Done():
+		}
+	})
 }
