--- /dev/null
+++ b/cmd/adapter/executor.go
@@ -0,0 +1,66 @@
+package main
+
+import (
+	"time"
+
+	"quartzpoint/admission"
+	"quartzpoint/internal/wire"
+)
+
+var _ admission.Executor = (*server)(nil)
+
+// markAnswered notes that a request has its answer.
+func (s *server) markAnswered(request *admission.Request) {
+	if tracked := s.requests[s.requestIDs[request]]; tracked != nil {
+		tracked.answered = true
+		s.forgetIfOver(request)
+	}
+}
+
+func (s *server) add(code wire.ActionCode, request *admission.Request) {
+	s.reply.AddRequest(code, s.id, s.requestIDs[request])
+}
+
+// Start implements admission.Executor, as do the methods below it.
+func (s *server) Start(request *admission.Request) {
+	s.requests[s.requestIDs[request]].running = true
+	s.add(wire.ActionStart, request)
+}
+
+func (s *server) Pause(request *admission.Request) { s.add(wire.ActionPause, request) }
+
+func (s *server) Reject(request *admission.Request, retryAfter time.Duration, noRetryElsewhere bool) {
+	s.reply.AddReject(s.id, s.requestIDs[request], retryAfter, noRetryElsewhere)
+	s.markAnswered(request)
+}
+
+func (s *server) Abort(request *admission.Request) {
+	s.add(wire.ActionAbort, request)
+	s.markAnswered(request)
+}
+
+func (s *server) AnswerFromOriginal(request *admission.Request) {
+	s.add(wire.ActionAnswerFromOriginal, request)
+}
+
+func (s *server) RememberKey(request *admission.Request, lifetime time.Duration) {
+	s.reply.AddRequestFor(wire.ActionRememberKey, s.id, s.requestIDs[request], lifetime)
+}
+
+func (s *server) ForgetKey(request *admission.Request) { s.add(wire.ActionForgetKey, request) }
+
+func (s *server) Call(request *admission.Request, timeout time.Duration) {
+	s.reply.AddRequestFor(wire.ActionCall, s.id, s.requestIDs[request], timeout)
+}
+
+func (s *server) SkipCall(request *admission.Request) { s.add(wire.ActionSkipCall, request) }
+
+func (s *server) SetHealth(good, cached bool) { s.reply.AddHealth(s.id, good, cached) }
+
+func (s *server) SetShedLevel(level float64) { s.reply.AddShedLevel(s.id, level) }
+
+func (s *server) CloseIdleAfter(idle time.Duration) { s.reply.AddCloseIdle(s.id, idle) }
+
+func (s *server) WakeAfter(wait time.Duration) { s.reply.AddWake(s.id, wait) }
+
+func (s *server) Log(message string) { s.reply.AddLog(s.id, message) }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -13,7 +13,7 @@
 	"quartzpoint/internal/wire"
 )
 
-const info = `extra.cores=2
+const settingLines = `extra.cores=2
 extra.ram-kb=1000.0
 extra.gauges=core_use,on_cores,heap_share,links
 extra.calls-by-class=true
@@ -29,26 +29,26 @@
 `
 
 type event struct {
-	code uint8
-	who  uint16
-	set  func(r []byte)
+	code   wire.EventCode
+	server uint16
+	set    func(r []byte)
 }
 
 func batch(events ...event) []byte {
 	body := []byte{}
 	for _, e := range events {
 		r := make([]byte, 64)
-		r[0] = e.code
-		binary.LittleEndian.PutUint16(r[1:], e.who)
+		r[0] = byte(e.code)
+		binary.LittleEndian.PutUint16(r[1:], e.server)
 		if e.code == wire.EventConfigure {
-			binary.LittleEndian.PutUint32(r[15:], uint32(len(info)))
+			binary.LittleEndian.PutUint32(r[15:], uint32(len(settingLines)))
 		}
 		if e.set != nil {
 			e.set(r)
 		}
 		body = append(body, r...)
 	}
-	body = append(body, info...)
+	body = append(body, settingLines...)
 	head := binary.LittleEndian.AppendUint64(nil, 1_000_000)
 	head = binary.LittleEndian.AppendUint32(head, uint32(4+len(body)))
 	head = binary.LittleEndian.AppendUint32(head, uint32(len(events)))
@@ -64,15 +64,16 @@
 	}
 }
 
-func codes(t *testing.T, frames ...[]byte) (all [][]uint8, err error) {
+// codes serves frames, and returns the codes of the actions in each reply.
+func codes(t *testing.T, frames ...[]byte) (all [][]wire.ActionCode, err error) {
 	var out bytes.Buffer
 	err = serve(bytes.NewReader(bytes.Join(frames, nil)), &out)
 	for b := out.Bytes(); len(b) > 0; {
 		require.GreaterOrEqual(t, len(b), 8)
 		size, count := binary.LittleEndian.Uint32(b), binary.LittleEndian.Uint32(b[4:])
-		var some []uint8
+		var some []wire.ActionCode
 		for i := range count {
-			some = append(some, b[8+16*i])
+			some = append(some, wire.ActionCode(b[8+16*i]))
 		}
 		all, b = append(all, some), b[4+size:]
 	}
@@ -92,30 +93,32 @@
 		batch(event{wire.EventGauges, 7, func(r []byte) { r[7] = 4 }}),
 	)
 	require.NoError(t, err)
-	assert.Equal(t, [][]uint8{
+	assert.Equal(t, [][]wire.ActionCode{
 		nil, {wire.ActionSetHealth, wire.ActionWakeAfter}, {wire.ActionRememberKey, wire.ActionStart}, {wire.ActionAnswerFromOriginal, wire.ActionCall}, nil,
 		{wire.ActionSetHealth, wire.ActionWakeAfter}, {wire.ActionWakeAfter},
 	}, all)
 }
 
-func TestSettledTasksAreForgotten(t *testing.T) {
-	d := &door{instances: map[uint16]*instance{}}
-	in, err := newInstance(1, 1, info, &d.reply)
+// A server that remembers requests for ever grows without bound. After all deadlines it must remember only those whose runs have
+// not ended.
+func TestRequestsThatAreOverAreForgotten(t *testing.T) {
+	h := newHost()
+	s, err := newServer(1, 1, settingLines, &h.reply)
 	require.NoError(t, err)
+	s.round.Now = time.Second
 	for id := range uint64(50) {
-		r := make([]byte, 64)
+		r := make(wire.Record, 64)
 		with(id)(r)
-		require.NoError(t, in.arrive(r, time.Second))
+		require.NoError(t, s.arrive(r.Arrival()))
 	}
-	in.round.Now = time.Second
-	in.decide()
-	in.round.Now = 10 * time.Second
-	in.decide()
-	for id, e := range in.tasks {
-		assert.True(t, e.active && e.answered, "task %d", id)
+	s.decide()
+	s.round.Now = 10 * time.Second
+	s.decide()
+	for id, tracked := range s.requests {
+		assert.True(t, tracked.running && tracked.answered, "request %d", id)
 	}
-	assert.Len(t, in.ids, len(in.tasks))
-	assert.Less(t, len(in.tasks), 10)
+	assert.Len(t, s.requestIDs, len(s.requests))
+	assert.Less(t, len(s.requests), 10)
 }
 
 func TestBadInput(t *testing.T) {
@@ -128,12 +131,12 @@
 		{"short", [][]byte{batch()[:5]}, "batch 0: header: frame cut short"},
 		{"unknown code", [][]byte{batch(configure), batch(event{99, 7, nil})},
 			"batch 1, record 0: unknown event code 99"},
-		{"never configured", [][]byte{batch(event{wire.EventGauges, 4, nil})}, "record 0: event 80 for instance 4"},
+		{"never configured", [][]byte{batch(event{wire.EventGauges, 4, nil})}, "record 0: event 80 for server 4"},
 		{"outside the tail", [][]byte{batch(event{wire.EventConfigure, 7, func(r []byte) { r[14] = 1 }})},
 			"outside the tail"},
 		{"repeated id", [][]byte{batch(configure, event{wire.EventArrive, 7, with(1)}, event{wire.EventArrive, 7, with(1)})},
-			"record 2: task id 1 came twice"},
-		{"unknown type", [][]byte{batch(configure, event{wire.EventArrive, 7, with(1, 56, 3<<8)})}, "traffic type 3 of 1"},
+			"record 2: request id 1 came twice"},
+		{"unknown route", [][]byte{batch(configure, event{wire.EventArrive, 7, with(1, 56, 3<<8)})}, "request of route 3 of 1"},
 		{"unknown outcome", [][]byte{batch(configure, event{wire.EventArrive, 7, with(1)},
 			event{wire.EventRunEnd, 7, with(1, 11, 7)})}, "unknown outcome 7"},
 	}
--- /dev/null
+++ b/internal/wire/batch.go
@@ -0,0 +1,93 @@
+package wire
+
+import (
+	"bufio"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"time"
+)
+
+const (
+	batchHeaderBytes = 16
+	eventBytes       = 64
+	countBytes       = 4 // of the count of records, which the size of a frame includes
+	// maxBatchBytes is far above what the simulator sends; a larger size is taken for a damaged frame.
+	maxBatchBytes = 1 << 30
+)
+
+// ErrTruncated is the error of a frame that ends before its size says.
+var ErrTruncated = errors.New("frame cut short")
+
+// Batch is one frame of events. Its memory is used again by the next Read.
+type Batch struct {
+	Clock   time.Duration // of the simulator
+	Records int
+	body    []byte
+}
+
+// Read reads the next batch. It returns io.EOF only between two frames, and an error that wraps ErrTruncated within one.
+func (b *Batch) Read(in *bufio.Reader) error {
+	var header [batchHeaderBytes]byte
+	if _, err := io.ReadFull(in, header[:]); err != nil {
+		if errors.Is(err, io.ErrUnexpectedEOF) {
+			return fmt.Errorf("header: %w", ErrTruncated)
+		}
+		return err
+	}
+	size := binary.LittleEndian.Uint32(header[8:])
+	count := binary.LittleEndian.Uint32(header[12:])
+	if size < countBytes || size > maxBatchBytes || uint64(count)*eventBytes > uint64(size-countBytes) {
+		return fmt.Errorf("a frame of %d bytes can't hold %d records", size, count)
+	}
+	b.Clock = fromMicros(binary.LittleEndian.Uint64(header[:]))
+	b.Records = int(count)
+	if need := int(size - countBytes); need <= cap(b.body) {
+		b.body = b.body[:need]
+	} else {
+		b.body = make([]byte, need)
+	}
+	if _, err := io.ReadFull(in, b.body); err != nil {
+		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+			return fmt.Errorf("body: %w", ErrTruncated)
+		}
+		return err
+	}
+	return nil
+}
+
+// Record is the event at an index below Records.
+func (b *Batch) Record(index int) Record {
+	return Record(b.body[index*eventBytes : (index+1)*eventBytes])
+}
+
+// text is the part of the tail that a record points to.
+func (b *Batch) text(offset, length uint32) ([]byte, error) {
+	tail := b.body[b.Records*eventBytes:]
+	if uint64(offset)+uint64(length) > uint64(len(tail)) {
+		return nil, fmt.Errorf("bytes %d+%d lie outside the tail of %d", offset, length, len(tail))
+	}
+	return tail[offset : offset+length], nil
+}
+
+// Record is one event, code included. It is valid until the next Read of its batch.
+type Record []byte
+
+func (r Record) u8(at int) uint8    { return r[at] }
+func (r Record) u16(at int) uint16  { return binary.LittleEndian.Uint16(r[at:]) }
+func (r Record) u32(at int) uint32  { return binary.LittleEndian.Uint32(r[at:]) }
+func (r Record) u64(at int) uint64  { return binary.LittleEndian.Uint64(r[at:]) }
+func (r Record) f32(at int) float64 { return float64(math.Float32frombits(r.u32(at))) }
+
+// fromMicros converts microseconds of the wire.
+func fromMicros[N uint32 | uint64](micros N) time.Duration {
+	return time.Duration(micros) * time.Microsecond
+}
+
+// toMicros rounds a duration up to microseconds and keeps it within the field.
+func toMicros(d time.Duration) uint32 {
+	micros := (d + time.Microsecond - 1) / time.Microsecond
+	return uint32(min(max(micros, 0), math.MaxUint32))
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/batch_test.go
@@ -7,11 +7,13 @@
 	"io"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
 
+// frame decodes lines of hex; one that starts with "event|" or "action|" is filled up to the size of such a record.
 func frame(t *testing.T, lines ...string) []byte {
 	var all []byte
 	for _, line := range lines {
@@ -21,10 +23,11 @@
 		}
 		b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 		require.NoError(t, err)
-		if size == "event" {
-			b = append(b, make([]byte, eventSize-len(b))...)
-		} else if size == "action" {
-			b = append(b, make([]byte, actionSize-len(b))...)
+		switch size {
+		case "event":
+			b = append(b, make([]byte, eventBytes-len(b))...)
+		case "action":
+			b = append(b, make([]byte, actionBytes-len(b))...)
 		}
 		all = append(all, b...)
 	}
@@ -44,14 +47,18 @@
 		"event|50 0300 4d000000 04 52b81e3f 00004040 85ebd13e 0000f042",
 		"event|46 0500 192b6f0e08920500"))
 	require.NoError(t, err)
-	assert.Equal(t, uint64(0x805c5a), batch.Clock)
+	assert.Equal(t, 0x805c5a*time.Microsecond, batch.Clock)
 	require.Equal(t, 3, batch.Records)
 	r := batch.Record(0)
-	assert.Equal(t, uint8(EventArrive), r.U8(0))
-	assert.Equal(t, uint16(3), r.U16(1))
-	assert.Equal(t, 24.5, r.F32(11))
-	assert.Equal(t, uint32(0x073a), r.U32(58))
-	assert.Equal(t, uint64(0x000592080e6f2b19), batch.Record(2).U64(3))
+	assert.Equal(t, EventArrive, r.Code())
+	assert.Equal(t, uint16(3), r.Server())
+	assert.Equal(t, 24.5, r.f32(11))
+	assert.Equal(t, uint32(0x073a), r.u32(58))
+	assert.Equal(t, uint64(0x000592080e6f2b19), batch.Record(2).RequestID())
+	assert.Equal(t, Arrival{
+		RequestID: 0x000e10035d3a91c4, HeldKB: 24.5, Deadline: 0x8405da * time.Microsecond, Rank: 0.625, Duplicate: true, Router: 17,
+		CostHint: 12 * time.Millisecond, Age: 1850 * time.Microsecond,
+	}, r.Arrival())
 }
 
 func TestReplies(t *testing.T) {
@@ -62,11 +69,11 @@
 	assert.Equal(t, frame(t, "04000000 00000000"), out.Bytes())
 
 	out.Reset()
-	reply.Add(ActionStart, 3).U64(3, 0x000e10035d3a91c4)
-	a := reply.Add(ActionWakeAfter, 3)
-	a.U32(3, 500000)
-	a.U32(7, 77)
-	reply.Text(ActionLog, 5, "two servers known")
+	reply.AddRequest(ActionStart, 3, 0x000e10035d3a91c4)
+	a := reply.add(ActionWakeAfter, 3)
+	a.putU32(3, 500000)
+	a.putU32(7, 77)
+	reply.AddLog(5, "two servers known")
 	require.NoError(t, reply.Flush(w))
 	assert.Equal(t, frame(t, "45000000 03000000", "action|0a 0300 c4913a5d03100e00",
 		"action|82 0300 20a10700 4d000000", "action|8c 0500 00000000 11000000",
@@ -87,9 +94,9 @@
 		})
 	}
 	_, err := read(nil)
-	assert.Equal(t, io.EOF, err, "the end between frames is no fault")
+	assert.Equal(t, io.EOF, err, "the end between frames is no error")
 	empty, err := read(frame(t, "5a5c800000000000 04000000 00000000"))
 	require.NoError(t, err)
-	_, err = empty.Tail(0, 1)
+	_, err = empty.text(0, 1)
 	assert.ErrorContains(t, err, "outside the tail")
 }
