--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -56,7 +56,7 @@
 		}
 		route := fanout.Route{Plan: plan}
 		for _, c := range t.Calls {
-			route.Calls = append(route.Calls, fanout.Call{Op: c.Op, MaxStaleness: c.MaxStale, Default: c.Default})
+			route.Calls = append(route.Calls, fanout.Call{Op: c.Op, MaxStale: c.MaxStale, Default: c.Default})
 		}
 		routes = append(routes, route)
 	}
@@ -96,7 +96,7 @@
 // Run asks the server once.
 func (cmd *dependenciesCommand) Run() error {
 	var states []budget.State
-	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: askDependencies}, &states); err != nil {
+	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: queryDependencies}, &states); err != nil {
 		return err
 	}
 	if cmd.JSON {
