--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -36,6 +36,7 @@
 	replica    *Replica
 	leadership atomic.Pointer[raftlog.Leadership]
 	proposed   atomic.Int64
+	behind     atomic.Pointer[[]byte] // a committed entry that the replica has not applied yet
 }
 
 func (l *localLog) Propose(_ context.Context, entry []byte) (any, error) {
@@ -43,6 +44,13 @@
 	return l.replica.Apply(entry, time.Now()), nil
 }
 
+func (l *localLog) Barrier(context.Context) error {
+	if entry := l.behind.Swap(nil); entry != nil {
+		l.replica.Apply(*entry, time.Now())
+	}
+	return nil
+}
+
 func (l *localLog) Leadership() raftlog.Leadership { return *l.leadership.Load() }
 
 // controlMachine is a control machine.
@@ -214,6 +222,23 @@
 	assert.ErrorIs(t, err, configwatch.ErrUnavailable)
 }
 
+// All control machines were restarted, and the new leader had not applied its log to the end. It checked a change against an
+// older document, and rejected for good a change that was valid: the removal of a route that a committed entry had added.
+func TestProposeBehindEntriesThatAreNotApplied(t *testing.T) {
+	m := newMachine(t)
+	added := deadline(1)
+	added.Routes["stays"] = added.Routes["pay"]
+	committed, err := json.Marshal(added)
+	require.NoError(t, err)
+	m.log.behind.Store(&committed)
+	removal := configuration.Change{Routes: map[string]*configuration.Route{"pay": nil}}
+	assert.Equal(t, uint64(2), m.accept(t, removal))
+	var validationErr *configuration.ValidationError
+	_, err = configwatch.Propose(t.Context(), []string{m.address}, keys, removal)
+	require.ErrorAs(t, err, &validationErr, "what is invalid behind the whole log stays so")
+	assert.Len(t, validationErr.Violations, 1)
+}
+
 // A client with a wrong key, or none, is rejected in the handshake: it gets no watch and no status, and cannot change anything.
 func TestWrongKey(t *testing.T) {
 	m := newMachine(t)
--- a/internal/configserve/server.go
+++ b/internal/configserve/server.go
@@ -26,6 +26,8 @@
 	// Propose appends an entry and returns the Result of Replica.Apply once the entry is committed. The context's deadline
 	// bounds the wait for a place in the leader's queue.
 	Propose(ctx context.Context, entry []byte) (any, error)
+	// Barrier waits until every entry that was committed before is applied to the Replica here.
+	Barrier(ctx context.Context) error
 	// Leadership returns the present leader.
 	Leadership() raftlog.Leadership
 }
@@ -101,10 +103,17 @@
 	if !leadership.IsLeader {
 		return configwatch.ChangeResponse{Leader: s.SessionAddresses[leadership.Leader], Error: "this machine does not lead"}
 	}
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	defer cancel()
 	version, err := s.Replica.Validate(entry)
+	if err != nil {
+		// A leader that was just elected may not have applied the log to its end: what it rejects may be valid behind that.
+		if err := s.Log.Barrier(ctx); err != nil {
+			return configwatch.ChangeResponse{Error: err.Error()}
+		}
+		version, err = s.Replica.Validate(entry)
+	}
 	if version == 0 && err == nil { // valid, and not accepted before
-		ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
-		defer cancel()
 		applied, proposeErr := s.Log.Propose(ctx, entry)
 		if proposeErr != nil {
 			return configwatch.ChangeResponse{Error: proposeErr.Error()}
--- a/internal/raftlog/node.go
+++ b/internal/raftlog/node.go
@@ -150,21 +150,48 @@
 // The context's deadline bounds the wait for a place in the leader's queue. From then on the library answers: with the
 // commit, or, without a majority, with an error once the leader lease has run out.
 func (n *Node) Propose(ctx context.Context, entry []byte) (any, error) {
+	timeout, err := queueTimeout(ctx)
+	if err != nil {
+		return nil, err
+	}
+	future := n.raft.Apply(entry, timeout)
+	if err := proposeError(future.Error()); err != nil {
+		return nil, err
+	}
+	return future.Response(), nil
+}
+
+// Barrier waits until every entry that was committed before it is applied here, on the leader; on another member it returns
+// ErrNotLeader. The context's deadline bounds the wait for a place in the leader's queue, as of Propose.
+func (n *Node) Barrier(ctx context.Context) error {
+	timeout, err := queueTimeout(ctx)
+	if err != nil {
+		return err
+	}
+	return proposeError(n.raft.Barrier(timeout).Error())
+}
+
+// queueTimeout is how long an entry may wait for a place in the leader's queue: to the context's deadline; 0 is without
+// bound.
+func queueTimeout(ctx context.Context) (time.Duration, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, fmt.Errorf("replicated log: %w", err)
+		return 0, fmt.Errorf("replicated log: %w", err)
 	}
-	timeout := time.Duration(0) // none
 	if deadline, bounded := ctx.Deadline(); bounded {
-		timeout = max(time.Until(deadline), time.Nanosecond)
+		return max(time.Until(deadline), time.Nanosecond), nil
 	}
-	future := n.raft.Apply(entry, timeout)
-	switch err := future.Error(); {
+	return 0, nil
+}
+
+// proposeError is the library's error of an entry as this package has it.
+func proposeError(err error) error {
+	switch {
 	case errors.Is(err, raft.ErrNotLeader):
-		return nil, ErrNotLeader
+		return ErrNotLeader
 	case err != nil:
-		return nil, fmt.Errorf("replicated log: %w", err)
+		return fmt.Errorf("replicated log: %w", err)
 	}
-	return future.Response(), nil
+	return nil
 }
 
 // Leadership says which member leads, as far as this one knows.
