--- a/admission/shed.go
+++ b/admission/shed.go
@@ -17,7 +17,7 @@
 // shedUnmeetable rejects the queued requests that can't be served in time, those of the least value for their work first. It
 // lays the queue, in the order of starts, one request behind the other on the cores.
 func (c *Controller) shedUnmeetable(w Executor) {
-	p := c.newQueuePlan()
+	p := c.newQueuePlan() // by value: a round must not allocate
 	for _, request := range c.queue {
 		p.add(request)
 	}
@@ -42,8 +42,8 @@
 }
 
 // newQueuePlan begins with what runs.
-func (c *Controller) newQueuePlan() *queuePlan {
-	p := &queuePlan{controller: c, kept: c.scratch.kept[:0], shed: c.scratch.shed[:0]}
+func (c *Controller) newQueuePlan() queuePlan {
+	p := queuePlan{controller: c, kept: c.scratch.kept[:0], shed: c.scratch.shed[:0]}
 	for _, request := range c.active {
 		if request.phase == running {
 			p.ahead += c.remainingWork(request, minRemainingDivisor)
