--- a/execution.go
+++ b/execution.go
@@ -173,16 +173,28 @@
 	return context.Cause(ctx)
 }
 
-// errAfterShutdown is the error of a request that the event loop did not come to, or had answered as it ended.
+// awaitAnswer waits until the request is answered, and returns nil then. It returns the caller's error where the context ends
+// first, and ErrShutDown where the event loop ended and had not come to the request.
+func (e *execution) awaitAnswer(ctx context.Context) error {
+	select {
+	case <-e.answered:
+		return nil
+	case <-ctx.Done():
+		return e.cancelFor(ctx)
+	case <-e.gate.loopEnded:
+		return e.errAfterShutdown()
+	}
+}
+
+// errAfterShutdown is nil for a request that the event loop had answered as it ended, and ErrShutDown for one that it did not
+// come to.
 func (e *execution) errAfterShutdown() error {
 	select {
 	case <-e.answered:
-		if e.err != nil {
-			return e.err
-		}
+		return nil
 	default:
+		return ErrShutDown
 	}
-	return ErrShutDown
 }
 
 // forget releases the event loop's reference.
--- a/gate.go
+++ b/gate.go
@@ -129,12 +129,8 @@
 	defer e.release()
 	e.run, e.runPlain = run, runPlain
 	g.loop.Submit(e.arrive)
-	select {
-	case <-e.answered:
-	case <-ctx.Done():
-		return nil, e.cancelFor(ctx)
-	case <-g.loopEnded:
-		return nil, e.errAfterShutdown()
+	if err := e.awaitAnswer(ctx); err != nil {
+		return nil, err
 	}
 	if panicked, ok := errors.AsType[*panicError](e.err); ok {
 		panic(panicked.value)
--- a/gate_test.go
+++ b/gate_test.go
@@ -243,3 +243,16 @@
 		}
 	}
 }
+
+// A request ran and was answered just as the event loop ended. Its caller saw both at once, and half of the time was told
+// that the gate is shut down, which promises that nothing ran.
+func TestAnswerAtTheEndOfTheEventLoop(t *testing.T) {
+	g := &Gate{loopEnded: make(chan struct{})}
+	close(g.loopEnded)
+	e := &execution{gate: g, answered: make(chan struct{}, 1)}
+	for range 200 {
+		e.answered <- struct{}{}
+		require.NoError(t, e.awaitAnswer(t.Context()))
+	}
+	assert.ErrorIs(t, e.awaitAnswer(t.Context()), ErrShutDown, "not answered")
+}
--- a/ticket.go
+++ b/ticket.go
@@ -25,17 +25,25 @@
 		return &Ticket{execution: e}, nil
 	case <-e.answered:
 		defer e.release()
-		if e.err != nil {
-			return nil, e.err
-		}
-		return &Ticket{duplicate: true, result: e.result}, nil
+		return e.answeredTicket()
 	case <-ctx.Done():
 		defer e.release()
 		return nil, e.cancelFor(ctx)
 	case <-g.loopEnded:
 		defer e.release()
-		return nil, e.errAfterShutdown()
+		if err := e.errAfterShutdown(); err != nil {
+			return nil, err
+		}
+		return e.answeredTicket()
+	}
+}
+
+// answeredTicket is the ticket of a request that was answered without a run of its own, or its error.
+func (e *execution) answeredTicket() (*Ticket, error) {
+	if e.err != nil {
+		return nil, e.err
 	}
+	return &Ticket{duplicate: true, result: e.result}, nil
 }
 
 // Duplicate is whether the request is a duplicate that is answered with the result of its original. It must not run then.
