--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -27,7 +27,7 @@
 	settings.MaxRunnablePerCore, settings.ColdSpeed, settings.WarmUp = 6, 0.2, 10*time.Second
 	settings.Grace, settings.ShedLevelFormat = 2*time.Second, ShedLevelThreshold
 	settings.RetryAfter, settings.MaxRetryAfter = true, time.Second
-	settings.CallShare, settings.CallWindow, settings.CallLinger = 10, 5*time.Second, 200*ms
+	settings.CallQuota, settings.CallWindow, settings.CallLinger = 10, 5*time.Second, 200*ms
 	for i, idempotency := range []Idempotency{Retryable, Keyed, AtMostOnce} {
 		settings.Routes = append(settings.Routes, Route{
 			Idempotency: idempotency, Value: float64(1 + i), LatencyTarget: 2 * time.Second, Deadline: 5 * time.Second,
--- a/admission/callcapacity.go
+++ b/admission/callcapacity.go
@@ -12,13 +12,13 @@
 // waits until the credit is made good.
 
 const (
-	minStatedCallShare = 1e-3 // calls; taken where no share is stated, so that a call goes now and then
+	minCallQuota       = 1e-3 // calls; taken where no share is stated, so that a call goes now and then
 	maxCallShare       = 0.7  // part of the share that the capacity ever takes
 	initialCallShare   = 0.4  // part of it at the start
 	minCallShare       = 0.1  // part of it that strain leaves
 	callIncrease       = 0.05 // part of it by which the capacity grows in a calibration
 	strainedSkipShare  = 0.5  // part of the capacity open to requests that can skip their call, under strain
-	callMemory         = 500  // calls that the long mean of their time looks back over
+	callMeanSamples    = 500  // calls that the long mean of their time looks back over
 	callOutcomeWindow  = 2 * time.Second
 	callOutcomeParts   = 8
 	recentCallParts    = 4 // parts of it that a calibration looks at: one second
@@ -29,7 +29,7 @@
 
 // callCapacity is the capacity for calls and what moves it.
 type callCapacity struct {
-	share    float64 // calls in progress, on the mean, that the dependency survives of this server
+	quota    float64 // calls in progress, on the mean, that the dependency survives of this server
 	capacity float64 // calls in progress, on the mean, that this server plans for
 	credit   float64 // call-seconds that it has left unused, or below 0 is ahead by
 	turns    float64 // turns to make a call that have passed since the start, from a random phase on
@@ -49,16 +49,16 @@
 
 func newCallCapacity(settings Settings) callCapacity {
 	c := callCapacity{
-		share:      max(settings.CallShare, minStatedCallShare),
+		quota:      max(settings.CallQuota, minCallQuota),
 		outcomes:   newSlidingSums(callOutcomeWindow, callOutcomeParts),
 		inProgress: newSlidingSums(settings.CallWindow, callProgressParts),
 		window:     settings.CallWindow,
 	}
 	if settings.CallsTier {
 		// The servers below protect themselves and state no share: what this server's own concurrency allows bounds the calls.
-		c.share = concurrencyShare * settings.MaxRunnablePerCore * settings.Cores
+		c.quota = concurrencyShare * settings.MaxRunnablePerCore * settings.Cores
 	}
-	c.capacity = c.share * initialCallShare
+	c.capacity = c.quota * initialCallShare
 	c.credit = c.capacity
 	return c
 }
@@ -97,8 +97,8 @@
 // allows, from the server's own phase on, and lasts for what the share leaves beside the capacity.
 func (c *callCapacity) hasTurn() bool {
 	window := max(c.window, tickInterval).Seconds()
-	spare := (c.share*plannedShare - c.capacity) * window
-	return c.share <= minStatedCallShare || math.Mod(c.turns, 1) < spare/c.expectedSeconds()
+	spare := (c.quota*plannedShare - c.capacity) * window
+	return c.quota <= minCallQuota || math.Mod(c.turns, 1) < spare/c.expectedSeconds()
 }
 
 // callTotals are the sums of callCapacity.outcomes.
@@ -115,7 +115,7 @@
 func (c *Controller) recentCalls(parts int) callTotals {
 	totals := callTotalsOf(c.calls.outcomes.recent(c.now, parts))
 	for _, request := range c.active {
-		if took := (c.now - request.calledAt).Seconds(); request.phase == calling && took > degradedLatency*c.calls.seconds.mean {
+		if took := (c.now - request.calledAt).Seconds(); request.phase == calling && took > latencyBackoffRatio*c.calls.seconds.mean {
 			totals.returned++
 			totals.seconds += took
 		}
@@ -135,13 +135,13 @@
 	calls := &c.calls
 	recent := c.recentCalls(recentCallParts)
 	// The mean of a few calls varies widely.
-	slow := degradedLatency * (1 + smallSample/max(recent.returned, 1)) * calls.seconds.mean
+	slow := latencyBackoffRatio * (1 + smallSample/max(recent.returned, 1)) * calls.seconds.mean
 	calls.strained = recent.rejected > 0 || calls.seconds.count > 0 && recent.returned > 0 && recent.seconds/recent.returned > slow
 	switch {
 	case calls.strained:
-		calls.capacity = max(calls.share*minCallShare, calls.capacity*backoffFactor)
+		calls.capacity = max(calls.quota*minCallShare, calls.capacity*backoffFactor)
 	case calls.delayed:
-		calls.capacity = min(calls.capacity+calls.share*callIncrease, calls.share*maxCallShare)
+		calls.capacity = min(calls.capacity+calls.quota*callIncrease, calls.quota*maxCallShare)
 	}
 	calls.delayed = false
 }
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -45,7 +45,7 @@
 	switch end.Outcome {
 	case Succeeded:
 		calls.outcomes.add(c.now, 1, took)
-		calls.seconds.add(took, callMemory)
+		calls.seconds.add(took, callMeanSamples)
 		calls.sample.add(took, c.now)
 	case Unknown: // abandoned: its time is only this server's patience, and it stays the dependency's load for a while
 		calls.outcomes.add(c.now, 1, took)
@@ -148,9 +148,9 @@
 	if request.Route.SkipValueShare > 0 {
 		timeout -= rest
 	}
-	if inProgress+1 > calls.share {
+	if inProgress+1 > calls.quota {
 		// The share is survived on the mean over the window: a call beyond it may last only for what the window has left.
-		left := calls.share*c.settings.CallWindow.Seconds()*plannedShare - calls.inProgress.sum(c.now)[0]
+		left := calls.quota*c.settings.CallWindow.Seconds()*plannedShare - calls.inProgress.sum(c.now)[0]
 		left -= c.settings.CallLinger.Seconds()
 		timeout = min(timeout, max(time.Duration(left*float64(time.Second)), minWindowCallTimings*c.callTime()))
 	}
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -31,7 +31,7 @@
 
 func TestCallsKeepToAShareOfLessThanOne(t *testing.T) {
 	for _, share := range []float64{0, 0.05, 0.5, 0.9, 1.4} {
-		b := newBench(func(s *Settings) { s.CallShare = share })
+		b := newBench(func(s *Settings) { s.CallQuota = share })
 		most, mean, n := 0.0, 0.0, 400
 		for range n { // a dependency that hangs holds each call for as long as the server waits
 			x := b.request("x", 2)
@@ -60,7 +60,7 @@
 		tier  bool
 		calls int
 	}{{"tier", true, 4}, {"shared", false, 1}} {
-		b := newBench(func(s *Settings) { s.CallShare, s.CallsTier = 0, c.tier })
+		b := newBench(func(s *Settings) { s.CallQuota, s.CallsTier = 0, c.tier })
 		var xs []*Request
 		for range 4 {
 			xs = append(xs, b.request("x", 2))
@@ -73,7 +73,7 @@
 }
 
 func TestAnAbandonedCallHoldsCapacityAndMemoryUntilItsEnd(t *testing.T) {
-	b := newBench(func(s *Settings) { s.CallShare, s.MemoryKB = 1.2, 600 })
+	b := newBench(func(s *Settings) { s.CallQuota, s.MemoryKB = 1.2, 600 })
 	x, y, large := b.request("x", 2), b.request("y", 2), b.request("large", 0)
 	large.HeldKB = 40
 	b.round(Round{Arrived: []*Request{x, y}})
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -11,7 +11,6 @@
 
 // Every so many ticks some rules look again.
 const (
-	ticksPerLimitRaise      = 4
 	ticksPerLevelMove       = 4
 	ticksPerCallCalibration = 10
 )
@@ -143,24 +142,13 @@
 	w.WakeAfter(tickInterval)
 }
 
-// calibrateLimit calibrates the limit once in calibrationPeriod, and raises it sooner while cores are idle and requests wait.
-func (c *Controller) calibrateLimit(w Executor) {
-	switch {
-	case c.limit.calibrationDue(c.now):
-		c.limit.calibrate(c.now, c.maxLimit())
-		c.tuneIdleTimeout(w)
-	case c.gauges.CPU < cpuIdle && len(c.queue) > 0 && c.ticks%ticksPerLimitRaise == 0:
-		c.limit.raise(c.maxLimit())
-	}
-}
-
 // chargeActive charges the time since the last tick to the phases of active requests.
 func (c *Controller) chargeActive(w Executor) {
 	for _, request := range c.active {
 		if request.phase == stopping && c.settings.Preemption.Allowed() {
 			w.Pause(request) // again: a stop has no effect while the cores stand still
 		}
-		c.enterPhase(request, request.phase)
+		c.chargePhase(request)
 	}
 }
 
@@ -176,8 +164,14 @@
 	}
 }
 
-// enterPhase charges the time of the phase that ends and begins the next, which may be the same.
+// enterPhase charges the time of the phase that ends and begins the next.
 func (c *Controller) enterPhase(request *Request, next phase) {
+	c.chargePhase(request)
+	request.phase = next
+}
+
+// chargePhase charges the time since the last charge to the request's phase.
+func (c *Controller) chargePhase(request *Request) {
 	spent := c.now - request.phaseSince
 	request.phaseSince = c.now
 	if request.phase == calling {
@@ -190,17 +184,16 @@
 			c.work.hinted.add(c.now, spent.Seconds())
 		}
 	}
-	request.phase = next
 }
 
-// endRun takes the end of a run.
+// endRun takes the end of a run, or of the wait of a duplicate that was answered from its original.
 func (c *Controller) endRun(end Completion) {
 	request := end.Request
 	if request.phase == awaitingOriginal {
 		c.release(request)
 		return
 	}
-	c.enterPhase(request, request.phase)
+	c.chargePhase(request)
 	if request.phase == calling {
 		// The end of its call was not reported: the call is abandoned with the run, and stays the dependency's load.
 		c.calls.charge(c.now, c.settings.CallLinger)
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -68,7 +68,7 @@
 					for range n {
 						b := &bench{names: map[*Request]string{}, at: time.Second}
 						b.Controller = New(testSettings(func(s *Settings) {
-							s.Cold, s.CallShare, s.CallWindow = true, budget/float64(n), over
+							s.Cold, s.CallQuota, s.CallWindow = true, budget/float64(n), over
 							s.Routes[0].SkipValueShare, s.Routes[0].LateValueShare = 0, 0.5
 							s.Routes[0].LatencyTarget, s.Routes[0].Deadline = 3*time.Second, 20*time.Second
 						}), draws.Int63())
--- a/admission/health.go
+++ b/admission/health.go
@@ -8,8 +8,8 @@
 const (
 	healthWindow      = 3 * time.Second
 	healthWindowParts = 6
-	minRunsJudged     = 6   // ended runs in the window under which the server does not judge itself
-	failingShare      = 0.5 // share of failed runs over which it does
+	minRunsJudged     = 6   // ended runs in the window, under which the server never ejects itself
+	failingShare      = 0.5 // share of failed runs over which it ejects itself
 )
 
 // runHealth is whether the server's runs end well. Failing runs are quick, so callers that pick the fastest server choose
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -7,19 +7,21 @@
 
 // The in-flight limit of docs/design.md: additive increase, multiplicative decrease. Once in calibrationPeriod it grows by
 // one without a backoff event, and shrinks to backoffFactor of itself with one. A backoff event is a busy CPU, full memory, or
-// a route whose latency has risen.
+// a route whose latency has risen. While the CPU is under raiseBelowCPU and requests are queued, it also grows by one every
+// ticksPerLimitRaise ticks.
 
 const (
-	calibrationPeriod = time.Second
-	backoffFactor     = 0.75
-	cpuSoftLimit      = 0.90 // share of the cores from which on the CPU gauge is a backoff event
-	memorySoftLimit   = 0.75 // share of the memory from which on the memory gauge is a backoff event
-	cpuIdle           = 0.70 // share of the cores under which the limit grows between calibrations
-	degradedLatency   = 1.5  // ratio of a route's recent mean latency to its long mean that is a backoff event
-	minLatencySamples = 5    // ended runs that a recent mean stands on
-	latencyParts      = 4    // parts of recentRuns that are recent: two seconds
+	calibrationPeriod   = time.Second
+	backoffFactor       = 0.75
+	cpuSoftLimit        = 0.90 // share of the cores from which on the CPU gauge is a backoff event
+	memorySoftLimit     = 0.75 // share of the memory from which on the memory gauge is a backoff event
+	raiseBelowCPU       = 0.70 // share of the cores under which the limit grows between calibrations
+	latencyBackoffRatio = 1.5  // ratio of a route's recent mean latency to its long mean that is a backoff event
+	minLatencySamples   = 5    // ended runs that a recent mean stands on
+	latencyParts        = 4    // parts of recentRuns that are recent: two seconds
 
 	maxInFlightPerCore = 6.0 // requests
+	ticksPerLimitRaise = 4   // between raises while the CPU is under raiseBelowCPU
 )
 
 // inFlightLimit bounds the requests in flight: on the cores, at calls and waiting for them.
@@ -49,7 +51,7 @@
 		recent := runTotalsOf(route.recentRuns.recent(now, latencyParts))
 		if recent.ended == 0 {
 			delete(l.busyRoutes, route)
-		} else if recent.ended >= minLatencySamples && recent.latency/recent.ended > degradedLatency*route.latency.mean {
+		} else if recent.ended >= minLatencySamples && recent.latency/recent.ended > latencyBackoffRatio*route.latency.mean {
 			l.backoffEvent = true
 		}
 	}
@@ -72,12 +74,24 @@
 	l.value = max(min(l.value, maximum), l.minimum)
 }
 
-// raise adds one to the limit between calibrations.
+// raise adds one to the limit between calibrations. Where memory puts the maximum under the present value it takes the
+// maximum, which may be under the minimum until the next calibration.
 func (l *inFlightLimit) raise(maximum float64) { l.value = min(l.value+1, maximum) }
 
 // allows is whether one more request may be in flight.
 func (l *inFlightLimit) allows(inFlight float64) bool { return inFlight < math.Floor(l.value) }
 
+// calibrateLimit calibrates the limit once in calibrationPeriod, and raises it sooner while cores are idle and requests wait.
+func (c *Controller) calibrateLimit(w Executor) {
+	switch {
+	case c.limit.calibrationDue(c.now):
+		c.limit.calibrate(c.now, c.maxLimit())
+		c.tuneIdleTimeout(w)
+	case c.gauges.CPU < raiseBelowCPU && len(c.queue) > 0 && c.ticks%ticksPerLimitRaise == 0:
+		c.limit.raise(c.maxLimit())
+	}
+}
+
 // maxLimit is the lower of a multiple of the cores and what memory allows at the mean size of what is in flight.
 func (c *Controller) maxLimit() float64 {
 	count, kb := 0.0, 0.0
--- a/admission/round.go
+++ b/admission/round.go
@@ -4,14 +4,14 @@
 
 // Round is all that happened up to one moment, grouped by what it means to the server.
 type Round struct {
-	Now              time.Duration
+	Now              time.Duration // above 0, as 0 stands for no moment in many fields
 	StopAt           time.Duration // set in the round of the notice to shut down: when the process is stopped
 	NotifiedAt       time.Duration // with it, when the notice came; 0 for in this round
 	WorkersStartedAt time.Duration // when the machine's workers started, in the round that learns of it: they are cold from then on
 	CallsEnded       []Completion
-	AwaitingCall     []*Request // running requests that need a call to go on
-	RunsEnded        []Completion
-	Canceled         []*Request // nobody waits for them any more
+	AwaitingCall     []*Request   // running requests that need a call to go on
+	RunsEnded        []Completion // and duplicates that were answered from their original, as Succeeded
+	Canceled         []*Request   // nobody waits for them any more
 	Arrived          []*Request
 	Gauges           *Gauges // set in the rounds that Executor.WakeAfter asked for
 }
@@ -61,7 +61,7 @@
 type Executor interface {
 	// Start starts a run of a queued request, or resumes one that was paused.
 	Start(request *Request)
-	// Pause stops the run of an answered request.
+	// Pause stops the run of an answered request, in the way that the settings' Preemption names.
 	Pause(request *Request)
 	// Reject answers a request that never ran. retryAfter is how long its caller is asked to stay away, 0 for not at all;
 	// noRetryElsewhere asks it not to try another server either.
@@ -77,9 +77,9 @@
 	Call(request *Request, timeout time.Duration)
 	// SkipCall has the request's run go on without its call.
 	SkipCall(request *Request)
-	// SetHealth is what health checks are told from here on; cached says that a deep check is told it too, without asking the
+	// SetHealth is what health checks are told from here on; fromStore says that a deep check is told it too, without asking the
 	// workers.
-	SetHealth(good, cached bool)
+	SetHealth(healthy, fromStore bool)
 	// SetShedLevel is what routers are told with each answer from here on, in the format of the settings.
 	SetShedLevel(level float64)
 	// CloseIdleAfter closes connections that have carried nothing for so long.
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -27,11 +27,11 @@
 	RetryAfter      bool          // a rejected caller is told how long to stay away
 	MaxRetryAfter   time.Duration // the longest time that callers heed
 
-	CallShare  float64       // calls in progress, on the mean over CallWindow, that the dependency survives of this server
+	CallQuota  float64       // calls in progress, on the mean over CallWindow, that the dependency survives of this server
 	CallWindow time.Duration // over which that mean counts
 	CallLinger time.Duration // for which an abandoned call still loads the dependency
 	// CallsTier is set where the dependency is a tier of servers that run this code: they protect themselves, and
-	// CallShare is not stated.
+	// CallQuota is not stated.
 	CallsTier bool
 
 	FleetServers   float64 // servers of the fleet, this one included, over which a tenant's quota is spread
@@ -44,8 +44,8 @@
 
 // Tenant is one of those who share the fleet.
 type Tenant struct {
-	Name string
-	Rate float64 // quota in requests per second over the whole fleet
+	Name     string
+	QuotaRPS float64 // quota in requests per second over the whole fleet
 }
 
 // DefaultSettings are those of a server of which nothing is stated.
@@ -68,7 +68,7 @@
 }
 
 // DefaultTenant is a tenant of which nothing is stated: its quota has no bound.
-func DefaultTenant() Tenant { return Tenant{Rate: math.Inf(1)} }
+func DefaultTenant() Tenant { return Tenant{QuotaRPS: math.Inf(1)} }
 
 // Preemption says what may be done with a run whose request has its final answer.
 type Preemption int
--- a/admission/shed_test.go
+++ b/admission/shed_test.go
@@ -72,7 +72,7 @@
 
 func TestTenantsOverTheirQuotaGiveWayFirst(t *testing.T) {
 	b := newBench(func(s *Settings) {
-		s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{Rate: 10}, {Rate: 10}}, 10, 0.05
+		s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{QuotaRPS: 10}, {QuotaRPS: 10}}, 10, 0.05
 	})
 	within, over := b.request("within", 0), b.request("over", 0)
 	over.Tenant = 1
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -71,7 +71,7 @@
 // A tenant that has asked for nothing costs no more than its rate, and one past the table is nobody's.
 func TestTableOfTenants(t *testing.T) {
 	settings := DefaultSettings()
-	settings.Tenants = []Tenant{{Rate: 4}, DefaultTenant()}
+	settings.Tenants = []Tenant{{QuotaRPS: 4}, DefaultTenant()}
 	controller := New(settings, 1)
 	assert.Equal(t, 2, controller.TenantCount())
 	controller.PutTenant(2, 9, true)
@@ -83,7 +83,7 @@
 	assert.Nil(t, controller.tenants.requests[0])
 	controller.PutTenant(2, 3, false)
 	assert.Equal(t, 0.1, controller.tenants.rate(2, time.Second), "its rate moved, not what it asked for")
-	assert.Equal(t, 3.0, controller.TenantRate(2))
+	assert.Equal(t, 3.0, controller.TenantQuota(2))
 	controller.PutTenant(2, 3, true)
 	assert.Zero(t, controller.tenants.rate(2, time.Second), "another's place now")
 }
--- a/admission/tenant.go
+++ b/admission/tenant.go
@@ -20,7 +20,7 @@
 
 func newTenantTable(stated []Tenant) (t tenantTable) {
 	for _, tenant := range stated {
-		t.quotas = append(t.quotas, tenant.Rate)
+		t.quotas = append(t.quotas, tenant.QuotaRPS)
 	}
 	t.requests = make([]*slidingSums, len(t.quotas))
 	return t
@@ -68,5 +68,5 @@
 // TenantCount is the length of the table of tenants.
 func (c *Controller) TenantCount() int { return len(c.tenants.quotas) }
 
-// TenantRate is the quota of the tenant at an index, in requests per second over the whole fleet.
-func (c *Controller) TenantRate(index int) float64 { return c.tenants.quota(index) }
+// TenantQuota is the quota of the tenant at an index, in requests per second over the whole fleet.
+func (c *Controller) TenantQuota(index int) float64 { return c.tenants.quota(index) }
--- a/admission/work.go
+++ b/admission/work.go
@@ -4,7 +4,7 @@
 
 const (
 	priorRuns         = 2.0   // runs that the long mean counts for beside the recent ones
-	runMemory         = 200.0 // runs that the long means look back over
+	runMeanSamples    = 200.0 // runs that the long means look back over
 	hintedWindow      = 6 * time.Second
 	hintedWindowParts = 12
 )
@@ -28,12 +28,12 @@
 	if request.answered && max(took, request.coreTime) > request.Route.Deadline {
 		return
 	}
-	request.Route.coreSeconds.add(request.coreTime.Seconds(), runMemory)
-	request.Route.latency.add(took.Seconds(), runMemory)
+	request.Route.coreSeconds.add(request.coreTime.Seconds(), runMeanSamples)
+	request.Route.latency.add(took.Seconds(), runMeanSamples)
 	request.Route.coreSample.add(request.coreTime.Seconds()*c.speed(), c.now)
 	request.Route.runSample.add(took.Seconds(), c.now)
 	if request.CostHint > 0 {
-		c.work.hintRatio.add(request.coreTime.Seconds()/request.CostHint.Seconds(), runMemory)
+		c.work.hintRatio.add(request.coreTime.Seconds()/request.CostHint.Seconds(), runMeanSamples)
 		c.work.hintSample.add(request.coreTime.Seconds()*c.speed()/request.CostHint.Seconds(), c.now)
 	}
 }
--- a/budget/dependency.go
+++ b/budget/dependency.go
@@ -71,7 +71,7 @@
 	retryTokens float64
 	queue       []queuedCall // by deadline
 
-	// Counts since the start. ExtraAttempts are retries and hedged requests; LateResponses ends of cancelled calls.
+	// Counts since the start. ExtraAttempts are retry tokens taken, each for a retry or a hedged request; LateResponses ends of cancelled calls.
 	FirstAttempts, ExtraAttempts, LateResponses, BreakerOpened int
 }
 
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -106,7 +106,7 @@
 // close closes the store. A nil updater has none.
 func (u *tableUpdater) close() {
 	if u != nil && u.store != nil {
-		_ = u.store.Close() // every write was synced before
+		_ = u.store.Close() // what was stored was synced; a write under way fails, and the next start asks the service for it
 	}
 }
 
--- a/cmd/quartzpoint/process.go
+++ b/cmd/quartzpoint/process.go
@@ -160,7 +160,7 @@
 			p.log.Error("listener failed, draining", "error", err)
 		}
 		result <- err
-		releaseLeases() // first, so that others can have them at once
+		releaseLeases() // first: this server must not act under them any more; others wait out what was granted
 		p.reporter.SetDraining()
 		p.server.Drain(time.Duration(stopWithin.Load()))
 	}()
--- a/cmd/quartzpoint/state_commands.go
+++ b/cmd/quartzpoint/state_commands.go
@@ -67,7 +67,7 @@
 	for _, key := range report.Keys {
 		byRoute[key.Route]++
 	}
-	fmt.Printf("%d numbers, the end of %d not known, %d bytes\n", len(report.Keys), report.UnknownOutcomes, report.Bytes)
+	fmt.Printf("%d numbers, the end of %d not known, %d bytes\n", len(report.Keys), report.UnservedKeys, report.Bytes)
 	for _, route := range slices.Sorted(maps.Keys(byRoute)) {
 		fmt.Printf("  %s: %d\n", route, byRoute[route])
 	}
--- a/cmd/quartzpoint/stored_test.go
+++ b/cmd/quartzpoint/stored_test.go
@@ -87,7 +87,7 @@
 			if name == "state-torn" { // the beginning of the last request is not in it
 				known, unknown = 5, 1
 			}
-			assert.Contains(t, d.Log(), fmt.Sprintf("keys=%d unknown_outcomes=%d", known, unknown))
+			assert.Contains(t, d.Log(), fmt.Sprintf("keys=%d unserved_keys=%d", known, unknown))
 			for _, of := range [][2]string{{"north", "k1"}, {"north", "k2"}, {"north", "k3"}, {"south", "k1"}} {
 				code, result := askStored(t, d, "charge", of[0], of[1], 20*time.Millisecond)
 				assert.Equal(t, []any{byte(storedHonoured), "done"}, []any{code, result}, of)
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -153,7 +153,7 @@
 	settings.RetryAfter = true
 	settings.MaxRetryAfter = time.Second
 	settings.FleetServers = 2
-	settings.CallShare = calls
+	settings.CallQuota = calls
 	for _, route := range routes {
 		stated := admission.Route{
 			Name: route.Name, Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline,
--- a/gate.go
+++ b/gate.go
@@ -139,8 +139,8 @@
 }
 
 // Shutdown drains the gate: Healthy turns false, requests that arrive within Options.Grace may still run, and all that were
-// received are answered before the context's deadline, or within 2.5 s without one. It returns nil once that is so and the
-// state is stored. Functions that ignore their contexts may run on. The gate receives nothing after it; a further Shutdown
+// received are answered before the context's deadline, or within 2.5 s without one. It returns nil once that is so. The
+// state is stored then, unless the disk takes longer than the store waits for it, which it logs. Functions that ignore their contexts may run on. The gate receives nothing after it; a further Shutdown
 // waits for the first.
 func (g *Gate) Shutdown(ctx context.Context) error {
 	timeout := defaultShutdownTimeout
--- a/internal/configwatch/messages.go
+++ b/internal/configwatch/messages.go
@@ -61,7 +61,7 @@
 type Report struct {
 	Version  uint64               `cbor:"1,keyasint"`
 	Digest   configuration.Digest `cbor:"2,keyasint"`
-	Rejected uint64               `cbor:"3,keyasint,omitempty"` // the version that could not be applied; 0 for none
+	Rejected uint64               `cbor:"3,keyasint,omitempty"` // the newest version of the update that could not be applied; 0 for none. Version is the last that could
 	Reason   string               `cbor:"4,keyasint,omitempty"`
 }
 
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -176,6 +176,7 @@
 	report := Report{Version: w.Document.Version, Digest: w.Document.Digest}
 	if applyErr != nil {
 		reason := applyErr.Error()
+		// The newest version that this machine knew: the one that failed may be an earlier one, which Version is just before.
 		report.Rejected, report.Reason = update.Latest, reason[:min(len(reason), maxReasonBytes)]
 	}
 	return errors.Join(session.Send(Encode(report)), applyErr)
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -11,9 +11,13 @@
 )
 
 const (
-	unjoinedPause   = time.Millisecond
-	minConnAge      = 50 * time.Millisecond // for the first frame of a connection before it may make room for another
-	nearFullDivisor = 8                     // from the last such part of the connections on, one is drained for each new one
+	// unjoinedPause is between accepts while too many accepted connections have had no turn of the event loop.
+	unjoinedPause = time.Millisecond
+	// minConnAge is the time that a connection has for its first frame before it may make room for another.
+	minConnAge = 50 * time.Millisecond
+	// nearFullDivisor is the part of the connection limit, as a divisor, that is kept free by draining one connection for each
+	// new one.
+	nearFullDivisor = 8
 )
 
 // countingListener is a listener that counts the connections accepted from it.
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -7,10 +7,14 @@
 )
 
 const (
-	reservedSockets   = 64 // descriptors that connections never use, where there are twice as many
-	processSockets    = 16 // of these, for the process itself: 13 at rest, and a link, a configuration or reports being replaced
-	maxOverLimitConns = 8  // of the others, for connections over a limit that is in use
-	maxUnjoinedConns  = 16 // and for connections that were accepted and have had no turn
+	// reservedSockets is the number of descriptors that router connections never use, where there are at least twice as many.
+	reservedSockets = 64
+	// processSockets is the part of them for the process itself: 13 at rest, and a link, a configuration or reports being replaced.
+	processSockets = 16
+	// maxOverLimitConns is the part of them for connections over the limit.
+	maxOverLimitConns = 8
+	// maxUnjoinedConns is the part of them for accepted connections that have had no turn of the event loop.
+	maxUnjoinedConns = 16
 )
 
 // socketLimit is how many of the given descriptors the system lets the process have.
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -19,7 +19,10 @@
 	b := newBench(t, limits)
 	first := b.speaker(t)
 	for range 2 * limits.Sockets {
+		joined := b.joinedCount.Load()
 		fake.Dial(t, b.Address())
+		// They are spread in time as the server sees them, however late a busy machine lets it look.
+		require.Eventually(t, func() bool { return b.joinedCount.Load() > joined }, fake.Patience, time.Millisecond/10)
 		time.Sleep(minConnAge / 20)
 	}
 	time.Sleep(minConnAge)
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -26,7 +26,7 @@
 
 const (
 	invalidBody = invalidField("body")
-	invalidKey  = invalidField("number")
+	invalidKey  = invalidField(frame.FieldKey)
 )
 
 // parseRequest reads a request's fields. Nothing of it points into what was read.
--- a/internal/leasing/status.go
+++ b/internal/leasing/status.go
@@ -13,7 +13,7 @@
 	Holds        bool          `json:"holds"`            // whether this server holds it now
 	Token        uint64        `json:"token"`            // of the lease, or of the last request where it is not held
 	Remaining    time.Duration `json:"left_ns"`          // until it expires, on this server's clock; 0 where it is not held
-	Holder       string        `json:"holder,omitempty"` // to which this server's own vote last went
+	LastVoteFor  string        `json:"holder,omitempty"` // to which this server's own vote last went
 	HighestToken uint64        `json:"newest"`           // token of that vote
 	expiry       time.Duration
 }
@@ -49,7 +49,7 @@
 			status.Remaining, status.expiry = c.Expiry()-now, c.Expiry()
 		}
 		holder, token := m.voter.LastGrant(c.Lease)
-		status.Holder, status.HighestToken = holder, uint64(token)
+		status.LastVoteFor, status.HighestToken = holder, uint64(token)
 		published = append(published, status)
 	}
 	m.status.Store(&published)
--- a/internal/peersync/keys.go
+++ b/internal/peersync/keys.go
@@ -21,7 +21,8 @@
 	privateMask = 0o077 // mode bits that give others than the owner a right
 )
 
-// What a proof is for, as it is signed. Each use has its own label, so that a proof of one can't be used as another's.
+// What a proof is for, as it is signed. Each use has its own label, so that a proof of one can't be used as another's. The
+// values are signed bytes of the protocol, compared between servers of different versions: they never change.
 const (
 	labelServer     = "giver" // the challenge
 	labelClient     = "asker" // a request for a snapshot
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -3,12 +3,17 @@
 import "time"
 
 const (
-	stopAcceptingBefore = 400 * time.Millisecond // the stop, where the grace has not ended by then
-	exitBefore          = 40 * time.Millisecond  // the stop, where peers do not read or close
-	noticeDelay         = 15 * time.Millisecond  // by which the signal may have been read late
-	drainPollPeriod     = 5 * time.Millisecond   // between looks whether the drain is complete
-	maxKillDeadline     = 3 * time.Second        // the longest deadline counts for no more
-	killDelay           = 700 * time.Millisecond // behind that
+	// stopAcceptingBefore is how long before the stop no connection is accepted any more, even if the grace lasts longer.
+	stopAcceptingBefore = 400 * time.Millisecond
+	// exitBefore is how long before the stop the process ends, even if peers do not read or close.
+	exitBefore = 40 * time.Millisecond
+	// noticeDelay is by how much the signal may have been read late.
+	noticeDelay     = 15 * time.Millisecond
+	drainPollPeriod = 5 * time.Millisecond // between checks whether the drain is complete
+	// The platform may kill the process killDelay and the longest deadline of its routes after the signal, whatever stop the
+	// configuration states; a deadline counts for maxKillDeadline at most.
+	killDelay       = 700 * time.Millisecond
+	maxKillDeadline = 3 * time.Second
 )
 
 // drain is the graceful shutdown. Times are by the clock of rounds.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -161,7 +161,7 @@
 func (s *Server) admissionSettings() admission.Settings {
 	adapted := s.settings.Admission
 	if !s.limits.Calls {
-		adapted.CallShare = unlimitedCalls // the composer limits calls by itself
+		adapted.CallQuota = unlimitedCalls // the composer limits calls by itself
 	}
 	if !s.limits.SkippableCalls { // each call is waited for, whatever an answer without it would earn
 		adapted.Routes = slices.Clone(adapted.Routes)
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -114,10 +114,10 @@
 		s.tables.free = append(s.tables.free, freeIndex{index, s.Now() + s.longestDeadline()})
 	case change.Removed:
 	case known:
-		s.controller.PutTenant(index, change.Rate, false)
+		s.controller.PutTenant(index, change.QuotaRPS, false)
 	default:
 		index := s.freeTenantIndex()
-		s.controller.PutTenant(index, change.Rate, true)
+		s.controller.PutTenant(index, change.QuotaRPS, true)
 		s.tables.tenants[change.Name] = index
 	}
 }
@@ -149,7 +149,7 @@
 	}
 	tenants = make(map[string]float64, len(s.tables.tenants))
 	for name, index := range s.tables.tenants {
-		tenants[name] = s.controller.TenantRate(index)
+		tenants[name] = s.controller.TenantQuota(index)
 	}
 	return routes, tenants
 }
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -121,7 +121,7 @@
 	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
 	b.pool.Ready()
 	tenant := func(name string, rate float64) TableChange {
-		return TableChange{Tenants: []settings.TenantChange{{Name: name, Rate: rate}}}
+		return TableChange{Tenants: []settings.TenantChange{{Name: name, QuotaRPS: rate}}}
 	}
 	removed := func(name string) TableChange {
 		return TableChange{Tenants: []settings.TenantChange{{Name: name, Removed: true}}}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -91,7 +91,7 @@
 	"extra.key-kb":                    numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.KeyKB }),
 	"extra.cold":                      flagOf(func(s *Settings) *bool { return &s.Admission.Cold }),
 	"extra.below":                     textOf(func(s *Settings, v string) { s.Admission.CallsTier = v == "tier" }),
-	"extra.calls-out":                 numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.CallShare }),
+	"extra.calls-out":                 numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.CallQuota }),
 	"extra.calls-over":                durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.CallWindow }),
 	"extra.lingers":                   durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.CallLinger }),
 	keyIdleTimeout:                    durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.IdleTimeout }),
@@ -171,7 +171,7 @@
 
 // tenantKeys are the settings of one item of the list "tenants".
 var tenantKeys = map[string]setting[admission.Tenant]{
-	"quota-rps": numberOf(notNegative, func(t *admission.Tenant) *float64 { return &t.Rate }),
+	"quota-rps": numberOf(notNegative, func(t *admission.Tenant) *float64 { return &t.QuotaRPS }),
 	"fraction":  checkedOnly[admission.Tenant](kindNumber, share),
 	"name":      textOf(func(t *admission.Tenant, v string) { t.Name = v }),
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -55,7 +55,7 @@
 		},
 		{Name: "pay", Value: 1, LatencyTarget: time.Second, Deadline: time.Second, Idempotency: admission.AtMostOnce},
 	}
-	want.Tenants = []admission.Tenant{{Rate: 12.5}}
+	want.Tenants = []admission.Tenant{{QuotaRPS: 12.5}}
 	assert.Equal(t, want, tree.Admission)
 	assert.Equal(t, map[string]string{
 		"extra.cores": "2", "extra.ram-kb": "1000", "extra.cold": "false", "extra.calls-over": "5s",
--- a/internal/settings/tables.go
+++ b/internal/settings/tables.go
@@ -15,9 +15,9 @@
 
 // TenantChange is what becomes of one tenant.
 type TenantChange struct {
-	Name    string
-	Rate    float64 // requests a second over the whole fleet
-	Removed bool
+	Name     string
+	QuotaRPS float64 // requests a second over the whole fleet
+	Removed  bool
 }
 
 // idempotencyOf are the kinds of a configuration's routes.
@@ -49,7 +49,7 @@
 	for name, stated := range delta.Tenants {
 		change := TenantChange{Name: name, Removed: stated == nil}
 		if stated != nil {
-			change.Rate = stated.QuotaRPS
+			change.QuotaRPS = stated.QuotaRPS
 		}
 		tenants = append(tenants, change)
 	}
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -32,13 +32,13 @@
 
 // Report describes what a directory holds, and what a start would use of it.
 type Report struct {
-	Files           []FileReport       `json:"files"`
-	Findings        []recovery.Finding `json:"notes"`
-	Keys            []KeyReport        `json:"numbers"`
-	UnknownOutcomes int                `json:"unknown"`
-	EstimatesFile   string             `json:"view,omitempty"`    // the newest that is complete
-	Estimates       *estimate.Snapshot `json:"learned,omitempty"` // of that file, aged to now
-	Bytes           int64              `json:"bytes"`             // of all files
+	Files         []FileReport       `json:"files"`
+	Findings      []recovery.Finding `json:"notes"`
+	Keys          []KeyReport        `json:"numbers"`
+	UnservedKeys  int                `json:"unknown"`
+	EstimatesFile string             `json:"view,omitempty"`    // the newest that is complete
+	Estimates     *estimate.Snapshot `json:"learned,omitempty"` // of that file, aged to now
+	Bytes         int64              `json:"bytes"`             // of all files
 }
 
 // problemQuarantined marks files that a start never reads.
@@ -68,7 +68,7 @@
 	r.addEstimates(files, environment.Now)
 	environment.Site = resolveSite(files, environment.Site)
 	plan := recovery.NewPlan(files, environment)
-	r.Findings, r.UnknownOutcomes = plan.Findings, plan.UnknownOutcomes
+	r.Findings, r.UnservedKeys = plan.Findings, plan.UnservedKeys
 	for _, entry := range plan.Keys.Entries() {
 		route, key, _ := strings.Cut(entry.Key, "\x00")
 		r.Keys = append(r.Keys, KeyReport{
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -24,7 +24,7 @@
 // readState plans what is used of a directory, and adds its keys to the unwritten ones. It returns those that are new.
 func (s *Store) readState(w *writer) (recovery.Plan, Recovered, error) {
 	plan, err := w.plan(recovery.Environment{Now: s.options.Clock(), Site: s.options.Site, Schema: s.options.Schema})
-	recovered := Recovered{Estimates: plan.Estimates, UnknownOutcomes: plan.UnknownOutcomes, ReadAt: s.now()}
+	recovered := Recovered{Estimates: plan.Estimates, UnservedKeys: plan.UnservedKeys, ReadAt: s.now()}
 	if err != nil {
 		return plan, recovered, err
 	}
@@ -59,7 +59,7 @@
 	s.writer, s.unwritten = w, nil
 	recovered.Duration = s.now() - start
 	s.options.Log.Info("state recovered", "estimates", plan.EstimatesFrom, "keys", len(recovered.Keys),
-		"unknown_outcomes", plan.UnknownOutcomes, "took", recovered.Duration)
+		"unserved_keys", plan.UnservedKeys, "took", recovered.Duration)
 	return recovered, nil
 }
 
--- a/internal/store/retention.go
+++ b/internal/store/retention.go
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// prune removes all key tables but the newest, and the logs that the oldest remaining table covers completely.
+// prune removes all key tables but the newest retainedTables, and the logs that the oldest remaining table covers completely.
 func (w *writer) prune() error {
 	if err := w.keepNewest(tablePrefix, retainedTables); err != nil {
 		return err
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -43,7 +43,7 @@
 	PersistKeys    bool // whether idempotency keys are stored, beside the estimates
 	Counts         *invariant.Counters
 	Log            *slog.Logger
-	// OnDurable is called from the store's goroutine when DurableMark has changed.
+	// OnDurable is called when DurableMark has changed: from the store's goroutine, or during New from its caller's.
 	OnDurable func()
 	// OnLateRecovery gets what could be read only after the start, from the store's goroutine. It may be nil.
 	OnLateRecovery func(Recovered)
@@ -51,11 +51,11 @@
 
 // Recovered is what a directory held.
 type Recovered struct {
-	Estimates       estimate.Snapshot // aged to ReadAt; not Fresh if none can be used
-	Keys            []recovery.KeyEntry
-	UnknownOutcomes int           // keys that started and are not known to have finished
-	ReadAt          time.Duration // by the boot clock
-	Duration        time.Duration // of reading the directory and writing it anew
+	Estimates    estimate.Snapshot // aged to ReadAt; without a fresh one (HasFresh) if none can be used
+	Keys         []recovery.KeyEntry
+	UnservedKeys int           // keys that started and are not known to have been served
+	ReadAt       time.Duration // by the boot clock
+	Duration     time.Duration // of reading the directory and writing it anew
 }
 
 // merge adds what was read later. Of two snapshots of the estimates the first is kept.
@@ -64,14 +64,15 @@
 		r.Estimates = later.Estimates
 	}
 	r.Keys = append(r.Keys, later.Keys...)
-	r.UnknownOutcomes += later.UnknownOutcomes
+	r.UnservedKeys += later.UnservedKeys
 	r.ReadAt = max(r.ReadAt, later.ReadAt)
 }
 
 // Store writes what it is given and never blocks its callers. If the disk fails, the server runs on without it: the store
 // logs that once, retries the directory with growing delays, and then writes all that is still known anew.
 //
-// One goroutine, started by New and ended by Close, reads and writes the directory.
+// After New, which reads the directory in its caller's goroutine, one goroutine owns the directory until Close. It hands single
+// operations that may stall to a goroutine of their own, one at a time, and waits for them only so long.
 type Store struct {
 	options Options
 	wake    chan struct{}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -85,7 +85,7 @@
 	assert.Equal(t, map[string]time.Duration{"a": 50 * time.Second, "b": 50 * time.Second, "c": 50 * time.Second, "big": 50 * time.Second}, remaining)
 	assert.Equal(t, []byte("seat 4"), recovered.Keys[0].Result)
 	assert.Equal(t, uint64(3), recovered.Keys[0].Fingerprint)
-	assert.Equal(t, 3, recovered.UnknownOutcomes)
+	assert.Equal(t, 3, recovered.UnservedKeys)
 	assert.Equal(t, 10*time.Second, recovered.Estimates.Routes[0].Core.Age)
 }
 
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -92,7 +92,7 @@
 			s.Close()
 			require.True(t, had.Estimates.HasFresh(), "the view fits the settings")
 			got := map[string]any{
-				"numbers": keyed(had.Keys), "unknown": had.UnknownOutcomes, "terms": fmt.Sprintf("%016x", had.Estimates.SettingsDigest),
+				"numbers": keyed(had.Keys), "unknown": had.UnservedKeys, "terms": fmt.Sprintf("%016x", had.Estimates.SettingsDigest),
 				"returns": estimated(had.Estimates.ReturnRatio),
 			}
 			for _, r := range had.Estimates.Routes {
@@ -105,7 +105,7 @@
 			require.NoError(t, err)
 			s.Close()
 			assert.Equal(t, keyed(had.Keys), keyed(again.Keys))
-			assert.Equal(t, had.UnknownOutcomes, again.UnknownOutcomes)
+			assert.Equal(t, had.UnservedKeys, again.UnservedKeys)
 			names, err := filepath.Glob(filepath.Join(dir, "aside-*"))
 			require.NoError(t, err)
 			assert.Len(t, names, strings.Count(name, "torn"), "what is not whole is kept aside")
@@ -152,7 +152,7 @@
 		s, had, err := store.New(terms)
 		require.NoError(t, err)
 		s.Close()
-		got[name] = map[string]any{"numbers": keyed(had.Keys), "unknown": had.UnknownOutcomes, "fresh": had.Estimates.HasFresh()}
+		got[name] = map[string]any{"numbers": keyed(had.Keys), "unknown": had.UnservedKeys, "fresh": had.Estimates.HasFresh()}
 	}
 	golden(t, "state-elsewhere.json", got)
 }
--- a/internal/testkit/replay/adapter_test.go
+++ b/internal/testkit/replay/adapter_test.go
@@ -98,7 +98,7 @@
 func (s *subject) putTenant(place int, rate float64, another bool) {
 	s.decisions.PutTenant(place, rate, another)
 }
-func (s *subject) tenantRate(place int) exact       { return bits(s.decisions.TenantRate(place)) }
+func (s *subject) tenantRate(place int) exact       { return bits(s.decisions.TenantQuota(place)) }
 func (s *subject) borrow(now time.Duration, v view) { s.decisions.UsePeerEstimates(now, v.lent()) }
 
 func (s *subject) frame(origin uint64, moving bool) frame {
--- a/options.go
+++ b/options.go
@@ -134,7 +134,7 @@
 	settings.IdleTimeout = idleTimeout
 	settings.RetryAfter, settings.MaxRetryAfter = true, maxRetryAfter
 	settings.Grace = o.Grace
-	settings.CallShare, settings.CallLinger = o.Calls.Share, o.Calls.Linger
+	settings.CallQuota, settings.CallLinger = o.Calls.Share, o.Calls.Linger
 	if o.Calls.Window != 0 {
 		settings.CallWindow = o.Calls.Window
 	}
@@ -143,7 +143,7 @@
 		if tenant.Rate <= 0 || o.FleetServers < 1 || o.OverQuotaValue < 0 || o.OverQuotaValue > 1 {
 			return settings, fmt.Errorf("quartzpoint: tenant %q: Rate, FleetServers or OverQuotaValue out of range", tenant.Name)
 		}
-		settings.Tenants = append(settings.Tenants, admission.Tenant{Rate: tenant.Rate})
+		settings.Tenants = append(settings.Tenants, admission.Tenant{QuotaRPS: tenant.Rate})
 	}
 	if o.Cores <= 0 || o.MemoryMB <= 0 || o.RequestKB <= 0 || o.Grace < 0 {
 		return settings, errors.New("quartzpoint: Cores, MemoryMB, RequestKB and Grace must not be below 0")
--- a/pool.go
+++ b/pool.go
@@ -15,8 +15,8 @@
 
 // Outcomes of runs, in the words of the worker pool's wire.
 const (
-	outcomeSuccess = "success"
-	outcomeFailure = "failure"
+	outcomeSuccess = workerapi.OutcomeSucceeded
+	outcomeFailure = workerapi.OutcomeFailed
 )
 
 // workerPool is the event loop's worker pool: a run is a function in this process. A run can't be stopped or paused.
--- a/recovery/plan.go
+++ b/recovery/plan.go
@@ -32,14 +32,14 @@
 
 // Plan says what a start uses of the files it found, and what becomes of the rest.
 type Plan struct {
-	Estimates       estimate.Snapshot // aged to now; not Fresh if none are used
-	EstimatesFrom   string            // name of their file
-	Keys            *KeyTable
-	UnknownOutcomes int    // keys of requests that started and are not known to have finished
-	NextSequence    uint64 // of the next record: above every sequence number that was ever seen
-	NextEstimates   uint64 // sequence number of the next EstimatesFile
-	Quarantine      []Quarantined
-	Findings        []Finding
+	Estimates     estimate.Snapshot // aged to now; without a fresh one (HasFresh) if none are used
+	EstimatesFrom string            // name of their file
+	Keys          *KeyTable
+	UnservedKeys  int    // of requests that started and are not known to have been served; their duplicates are aborted
+	NextSequence  uint64 // of the next record: above every sequence number that was ever seen
+	NextEstimates uint64 // sequence number of the next EstimatesFile
+	Quarantine    []Quarantined
+	Findings      []Finding
 }
 
 // NewPlan decides what is used of the files. The result does not depend on their order.
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -41,14 +41,14 @@
 		{"one boot", before(time.Minute, time.Minute), time.Minute, time.Minute},
 		{"wall clock set forward", before(time.Hour, time.Minute), time.Minute, time.Hour},
 		{"wall clock set back a little", before(time.Second, time.Minute), time.Minute, time.Minute},
-		{"a file from the future, or set back past it", before(-time.Second, time.Minute), time.Minute, MaxAge},
-		{"the boot's clock ran backwards", before(time.Minute, -time.Second), 0, MaxAge},
+		{"a file from the future, or set back past it", before(-time.Second, time.Minute), time.Minute, MaxUndatedAge},
+		{"the boot's clock ran backwards", before(time.Minute, -time.Second), 0, MaxUndatedAge},
 		{"the boot before", other(before(time.Minute, 0), "a", 7), now.SinceBoot, now.SinceBoot},
 		{"many boots before", other(before(400*time.Hour, 0), "a", 7), now.SinceBoot, 400 * time.Hour},
 		{"another machine", other(before(time.Minute, time.Minute), "b", 8), 0, time.Minute},
 		{"machine not known", other(before(time.Minute, time.Minute), "b", 0), 0, time.Minute},
 		{"boot not known", other(before(time.Minute, time.Minute), "", 7), 0, time.Minute},
-		{"nothing known", Timestamp{}, 0, MaxAge},
+		{"nothing known", Timestamp{}, 0, MaxUndatedAge},
 	}
 	for _, c := range cases {
 		minAge, maxAge := Age(c.then, now)
@@ -195,7 +195,7 @@
 				}
 			}
 			assert.Equal(t, c.want, got)
-			assert.Equal(t, unknown, plan.UnknownOutcomes)
+			assert.Equal(t, unknown, plan.UnservedKeys)
 			assert.Equal(t, c.next, plan.NextSequence)
 			assert.Len(t, plan.Quarantine, c.quarantined)
 		})
--- a/recovery/replay.go
+++ b/recovery/replay.go
@@ -36,7 +36,7 @@
 	p.Keys.Expire(now.SinceBoot)
 	for _, entry := range p.Keys.Entries() {
 		if !entry.Served {
-			p.UnknownOutcomes++
+			p.UnservedKeys++
 		}
 	}
 }
--- a/recovery/timestamp.go
+++ b/recovery/timestamp.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MaxAge is the age of what cannot be dated. Estimates of that age are never used.
-const MaxAge = 365 * 24 * time.Hour
+// MaxUndatedAge is the age of what cannot be dated. Estimates of that age are never used.
+const MaxUndatedAge = 365 * 24 * time.Hour
 
 // Timestamp is one reading of a machine's clocks. It holds two clocks because neither is enough: the wall clock runs on
 // while the machine is off, but can be set; the boot clock cannot be set, but starts anew with each boot.
@@ -21,7 +21,7 @@
 //   - Within one boot the boot clock decides. maxAge also believes a wall clock that was set forward.
 //   - From an earlier boot of the same machine, the time since the current boot has passed for certain.
 //   - From another machine nothing is certain.
-//   - If the wall clock reads earlier than then (a timestamp from the future, or a clock set back), maxAge is MaxAge.
+//   - If the wall clock reads earlier than then (a timestamp from the future, or a clock set back), maxAge is MaxUndatedAge.
 func Age(then, now Timestamp) (minAge, maxAge time.Duration) {
 	maxAge = now.Wall - then.Wall
 	sameMachine := then.MachineID != 0 && then.MachineID == now.MachineID && then.BootID != ""
@@ -31,10 +31,10 @@
 	case sameMachine && then.BootID != now.BootID:
 		minAge = now.SinceBoot
 	case sameMachine: // the boot clock ran backwards within one boot: the file was copied or forged
-		maxAge = MaxAge
+		maxAge = MaxUndatedAge
 	}
 	if maxAge < 0 || then.Wall == 0 {
-		return minAge, max(MaxAge, minAge)
+		return minAge, max(MaxUndatedAge, minAge)
 	}
 	return minAge, max(minAge, maxAge)
 }
