--- a/cmd/quartzpoint/calls_test.go
+++ b/cmd/quartzpoint/calls_test.go
@@ -15,7 +15,7 @@
 )
 
 // callSite is the usual site, where one type calls a dependency.
-var callSite = strings.Replace(fake.Site, `"below":"none","calls-by-class":[false,false]`,
+var callSite = strings.Replace(fake.SiteSettings, `"below":"none","calls-by-class":[false,false]`,
 	`"below":"shared","calls-out":20,"calls-over":5000000,"calls-by-class":[true,false]`, 1)
 
 // lookups is a dependency that answers each call by its name, its task and its body.
@@ -33,14 +33,14 @@
 	for build, path := range builds {
 		t.Run(build, func(t *testing.T) {
 			p := prepare(t, path)
-			fake.RewriteWith(t, p.path, p.address, p.pool.Address, p.members.Address, lookups(t, "first"), callSite)
+			fake.RewriteConfigWithDependency(t, p.path, p.address, p.pool.Address, p.members.Address, lookups(t, "first"), callSite)
 			require.NoError(t, p.cmd.Start())
 			p.endWith(t)
 			p.pool.Ready()
 			p.logged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
 			run := func(stream uint32) string {
-				router.Send(t, fake.Task(stream, "browse", ""))
+				router.Send(t, fake.RequestFrame(stream, "browse", ""))
 				task := p.pool.Next(t, "spawn").Task
 				p.pool.Block(task, []byte("what"))
 				supplied := p.pool.Next(t, "supply")
@@ -49,17 +49,17 @@
 				assert.Equal(t, byte(20), reply.Code)
 				return reply.Body
 			}
-			assert.Equal(t, "first "+fake.Call(1)+" what", run(1))
+			assert.Equal(t, "first "+fake.CallID(1)+" what", run(1))
 
-			fake.RewriteWith(t, p.path, p.address, p.pool.Address, p.members.Address, lookups(t, "second"), callSite)
+			fake.RewriteConfigWithDependency(t, p.path, p.address, p.pool.Address, p.members.Address, lookups(t, "second"), callSite)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 			p.logged(t, "only_with_a_restart=[]")
-			assert.Equal(t, "second "+fake.Call(2)+" what", run(2))
+			assert.Equal(t, "second "+fake.CallID(2)+" what", run(2))
 
-			fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, callSite)
+			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, callSite)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 			p.logged(t, "only_with_a_restart=[index]")
-			assert.Equal(t, "second "+fake.Call(3)+" what", run(3))
+			assert.Equal(t, "second "+fake.CallID(3)+" what", run(3))
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 			router.Close()
 			assert.Zero(t, p.gone())
@@ -70,18 +70,18 @@
 // Without the dependency's address the process starts, serves all other types and turns those tasks away.
 func TestTypeThatCallsNobody(t *testing.T) {
 	p := prepare(t, builds["release"])
-	fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, callSite)
+	fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, callSite)
 	require.NoError(t, p.cmd.Start())
 	p.endWith(t)
 	p.pool.Ready()
 	p.logged(t, "pool link bound")
 	p.logged(t, "types=[browse]")
 	router := fake.Dial(t, p.address)
-	router.Send(t, fake.Task(1, "browse", ""))
+	router.Send(t, fake.RequestFrame(1, "browse", ""))
 	reply := router.Next(t)
 	assert.Equal(t, byte(50), reply.Code)
 	assert.Equal(t, "1000", reply.Fields["pushback"])
-	router.Send(t, fake.Task(2, "pay", ""))
+	router.Send(t, fake.RequestFrame(2, "pay", ""))
 	p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code)
 	assert.Equal(t, 1, strings.Count(p.log.String(), "turned away"), "%s", p.log)
--- a/cmd/quartzpoint/crossing_test.go
+++ b/cmd/quartzpoint/crossing_test.go
@@ -20,7 +20,7 @@
 func answers(t *testing.T, r *fake.Router) map[uint32][]byte {
 	t.Helper()
 	all := map[uint32][]byte{}
-	for _, got := range r.Rest(t) {
+	for _, got := range r.ReadAll(t) {
 		if got.Type == 11 {
 			all[got.Stream] = append(all[got.Stream], got.Code)
 		}
@@ -33,7 +33,7 @@
 	p := launch(t, "release")
 	p.pool.Ready()
 	router := fake.Dial(t, p.address)
-	router.Send(t, fake.Task(1, "pay", ""))
+	router.Send(t, fake.RequestFrame(1, "pay", ""))
 	run := p.pool.Next(t, "spawn").Task
 	require.NoError(t, os.Remove(p.path))
 	require.NoError(t, syscall.Mkfifo(p.path, 0o600))
@@ -44,7 +44,7 @@
 			t.Cleanup(func() { _ = syscall.Close(held) })
 		}
 		return err == nil
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	for range 3 { // a notice told again changes nothing
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	}
@@ -72,7 +72,7 @@
 		all = append(all, fake.Dial(t, p.address))
 	}
 	for i, r := range append(all, known) {
-		r.Send(t, fake.Task(2, "pay", "", "call", fake.Call(uint32(100+i))))
+		r.Send(t, fake.RequestFrame(2, "pay", "", "call", fake.CallID(uint32(100+i))))
 	}
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGCONT))
 	for i, r := range append(all, known) {
@@ -102,15 +102,15 @@
 		require.Eventually(t, func() bool { // the shell has become the program
 			exe, _ := os.Readlink(fmt.Sprintf("/proc/%d/exe", p.cmd.Process.Pid))
 			return exe == builds["release"]
-		}, fake.Patience, time.Microsecond)
+		}, fake.WaitLimit, time.Microsecond)
 		require.Eventually(t, func() bool {
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 			return strings.Contains(p.log.String(), "new configuration")
-		}, fake.Patience, time.Microsecond, "%s", p.log)
+		}, fake.WaitLimit, time.Microsecond, "%s", p.log)
 		p.pool.Ready()
 		p.logged(t, "pool link bound")
 		router := fake.Dial(t, p.address)
-		router.Send(t, fake.Task(1, "pay", ""))
+		router.Send(t, fake.RequestFrame(1, "pay", ""))
 		run := p.pool.Next(t, "spawn").Task
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -122,15 +122,15 @@
 func TestLeavingWithOpenCalls(t *testing.T) {
 	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Silent: true} })
 	gone := fake.Dial(t, c.daemon.Address)
-	gone.Send(t, fake.Task(1, "confirm-booking", "x"))
-	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 1 }, fake.Patience, time.Millisecond)
+	gone.Send(t, fake.RequestFrame(1, "confirm-booking", "x"))
+	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 1 }, fake.WaitLimit, time.Millisecond)
 	_ = gone.Close()
 	router := fake.Dial(t, c.daemon.Address)
 	for stream := range uint32(3) {
 		more := []string{"call", "00000000000000a" + string(rune('1'+stream))}
-		router.Send(t, fake.Task(stream+1, "confirm-booking", "x", more...))
+		router.Send(t, fake.RequestFrame(stream+1, "confirm-booking", "x", more...))
 	}
-	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 4 }, fake.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 4 }, fake.WaitLimit, time.Millisecond)
 	left := make(chan error, 1)
 	began := time.Now()
 	go func() { left <- c.daemon.Stop() }()
@@ -150,8 +150,8 @@
 // A plan has a fault. The check command names it and fails.
 func TestCheckPlans(t *testing.T) {
 	folder := t.TempDir()
-	site := strings.Replace(fake.Site, `"browse"`, `"confirm-booking"`, 1)
-	platform := fake.StartFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", site)
+	site := strings.Replace(fake.SiteSettings, `"browse"`, `"confirm-booking"`, 1)
+	platform := fake.WriteConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", site)
 	write := func(text string) string {
 		path := filepath.Join(folder, "own.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
--- a/cmd/quartzpoint/descriptors_test.go
+++ b/cmd/quartzpoint/descriptors_test.go
@@ -77,13 +77,13 @@
 			return false
 		}
 		defer router.Close()
-		_ = router.SetDeadline(time.Now().Add(fake.Patience))
-		if _, err := router.Write(fake.Task(stream, "pay", "")); err != nil {
+		_ = router.SetDeadline(time.Now().Add(fake.WaitLimit))
+		if _, err := router.Write(fake.RequestFrame(stream, "pay", "")); err != nil {
 			return false
 		}
 		reply, err := harness.ReadReply(router)
 		return err == nil && reply.Code == 20
-	}, fake.Patience, 20*time.Millisecond)
+	}, fake.WaitLimit, 20*time.Millisecond)
 }
 
 // flood makes connections all at once, so that more come than there are turns to book them, and gives their ends.
@@ -102,7 +102,7 @@
 			mu.Lock()
 			routers = append(routers, router)
 			mu.Unlock()
-			_ = router.SetDeadline(time.Now().Add(fake.Patience))
+			_ = router.SetDeadline(time.Now().Add(fake.WaitLimit))
 			say(router, uint32(i))
 		}()
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func hasTask(router net.Conn, i uint32) { _, _ = router.Write(fake.Task(1000+i, "pay", "")) }
+func hasTask(router net.Conn, i uint32) { _, _ = router.Write(fake.RequestFrame(1000+i, "pay", "")) }
 
 // Routers that can't hear of a change keep their connections, and these fill the table. What is needed gets through: a
 // task and a check of a router that comes anew, the reports, the pool's link when it is lost; the process does not spin,
@@ -137,15 +137,15 @@
 				before := p.descriptors(t)
 				end := p.flood(2*sockets, say)
 				bound := strings.Count(p.log.String(), "pool link bound")
-				p.pool.Cut()
+				p.pool.CloseLink()
 				require.Eventually(t, func() bool { return strings.Count(p.log.String(), "pool link bound") > bound },
-					fake.Patience, time.Millisecond, "the pool's link is not had again")
+					fake.WaitLimit, time.Millisecond, "the pool's link is not had again")
 
 				health := fake.Dial(t, p.address)
 				health.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 				assert.Equal(t, byte(21), health.Next(t).Type)
 				router := fake.Dial(t, p.address) // beside it
-				router.Send(t, fake.Task(1, "pay", ""))
+				router.Send(t, fake.RequestFrame(1, "pay", ""))
 				if name != "in use" { // where there is room for it, it runs
 					p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
 				}
@@ -165,7 +165,7 @@
 
 				p.pool.SetEcho()
 				end()
-				require.Eventually(t, func() bool { return p.descriptors(t) <= before }, fake.Patience, time.Millisecond)
+				require.Eventually(t, func() bool { return p.descriptors(t) <= before }, fake.WaitLimit, time.Millisecond)
 				p.honoured(t, 2)
 			})
 		}
@@ -187,7 +187,7 @@
 			p.honoured(t, 10+200*i)
 		}
 		end()
-		require.Eventually(t, func() bool { return p.descriptors(t) <= before }, fake.Patience, time.Millisecond)
+		require.Eventually(t, func() bool { return p.descriptors(t) <= before }, fake.WaitLimit, time.Millisecond)
 		p.honoured(t, 100+200*i)
 	}
 	assert.Less(t, strings.Count(p.log.String(), "\n"), 100, "a line for each try")
--- a/cmd/quartzpoint/halfclose_test.go
+++ b/cmd/quartzpoint/halfclose_test.go
@@ -19,7 +19,7 @@
 			p.pool.Ready()
 			p.logged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
-			router.Send(t, fake.Task(1, "browse", "a"), fake.Task(2, "pay", "b"))
+			router.Send(t, fake.RequestFrame(1, "browse", "a"), fake.RequestFrame(2, "pay", "b"))
 			require.NoError(t, router.Conn.(*net.TCPConn).CloseWrite())
 			for range 2 {
 				spawn := p.pool.Next(t, "spawn")
@@ -27,7 +27,7 @@
 				p.pool.Finish(spawn.Task, "success", []byte("done"))
 			}
 			got := map[uint32]byte{}
-			for _, reply := range router.Rest(t) {
+			for _, reply := range router.ReadAll(t) {
 				if reply.Type == 11 {
 					got[reply.Stream] = reply.Code
 				}
@@ -43,7 +43,7 @@
 	p.pool.Ready()
 	p.logged(t, "pool link bound")
 	router := fake.Dial(t, p.address)
-	router.Send(t, fake.Task(1, "browse", "a"))
+	router.Send(t, fake.RequestFrame(1, "browse", "a"))
 	task := p.pool.Next(t, "spawn").Task
 	begin := time.Now()
 	router.Close()
--- a/cmd/quartzpoint/leaving_test.go
+++ b/cmd/quartzpoint/leaving_test.go
@@ -96,7 +96,7 @@
 		}
 		late, last = max(late, time.Since(last)-each), time.Now()
 		mu.Lock()
-		if _, err := router.Write(fake.Task(stream, "browse", "")); err == nil {
+		if _, err := router.Write(fake.RequestFrame(stream, "browse", "")); err == nil {
 			open[stream] = time.Now()
 		}
 		mu.Unlock()
@@ -114,7 +114,7 @@
 			p.pool.Ready()
 			p.logged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
-			request := fake.Task(1, "pay", "body")
+			request := fake.RequestFrame(1, "pay", "body")
 			router.Send(t, request[:len(request)/2])
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 			p.logged(t, `msg="no more connections"`) // at the end of the grace
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -43,7 +43,7 @@
 	cmd     *exec.Cmd
 	address string
 	pool    *fake.Pool
-	members *fake.Members
+	members *fake.Membership
 	path    string // of its configuration
 	log     *harness.LogText
 }
@@ -61,8 +61,8 @@
 func prepare(t *testing.T, command ...string) *program {
 	address, err := harness.FreeAddress() // not at 127.0.0.1, where a connection may be given the port before the process has it
 	require.NoError(t, err)
-	p := &program{address: address, pool: fake.NewPool(t), members: fake.NewMembers(t), log: &harness.LogText{}}
-	p.path = fake.StartFile(t, p.address, p.pool.Address, p.members.Address, fake.Site)
+	p := &program{address: address, pool: fake.NewPool(t), members: fake.NewMembership(t), log: &harness.LogText{}}
+	p.path = fake.WriteConfig(t, p.address, p.pool.Address, p.members.Address, fake.SiteSettings)
 	p.cmd = exec.Command(command[0], command[1:]...)
 	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+p.path, "EDGE_NAME=n1", "EDGE_LISTEN="+p.address)
 	p.cmd.Stderr = p.log
@@ -83,7 +83,7 @@
 func (p *program) logged(t *testing.T, words string) {
 	t.Helper()
 	require.Eventually(t, func() bool { return strings.Contains(p.log.String(), words) },
-		fake.Patience, time.Millisecond, words)
+		fake.WaitLimit, time.Millisecond, words)
 }
 
 // gone waits for the end of the process and returns its exit code.
@@ -106,7 +106,7 @@
 
 			router := fake.Dial(t, p.address)
 			body := "\x00\xff\r\n{}"
-			router.Send(t, fake.Task(1, "browse", body), fake.Task(2, "pay", "second"))
+			router.Send(t, fake.RequestFrame(1, "browse", body), fake.RequestFrame(2, "pay", "second"))
 			for range 2 {
 				spawn := p.pool.Next(t, "spawn")
 				p.pool.Finish(spawn.Task, "success", append([]byte("did "), spawn.Body...))
@@ -120,19 +120,19 @@
 			assert.Equal(t, map[uint32]string{1: "did " + body, 2: "did second"}, got)
 
 			// A bad request and a bad frame beside good traffic.
-			router.Send(t, fake.Task(3, "unheard-of", ""))
+			router.Send(t, fake.RequestFrame(3, "unheard-of", ""))
 			assert.Equal(t, byte(50), router.Next(t).Code)
 			bad := fake.Dial(t, p.address)
 			bad.Send(t, []byte("GET / HTTP/1.1\r\n"))
 			assert.Equal(t, byte(51), bad.Next(t).Code)
-			bad.Closed(t)
+			bad.WaitClosed(t)
 
 			// The pool's link cut under a run: it is told of the end, and not to run it again.
-			router.Send(t, fake.Task(4, "pay", ""))
+			router.Send(t, fake.RequestFrame(4, "pay", ""))
 			p.pool.Next(t, "spawn")
 			first := len(p.pool.Commands)
-			p.pool.Cut()
-			p.pool.Finish(fake.Call(4), "success", []byte("once"))
+			p.pool.CloseLink()
+			p.pool.Finish(fake.CallID(4), "success", []byte("once"))
 			assert.Equal(t, "once", router.Next(t).Body)
 			assert.Zero(t, first)
 			for len(p.pool.Commands) > 0 {
@@ -156,7 +156,7 @@
 	codes, advised, last, level := map[byte]int{}, 0, 0, ""
 	for stream, open := uint32(1), 0; advised == 0 || last == 0 || level == "" || level == "0"; open-- {
 		for ; open < 30; open++ {
-			router.Send(t, fake.Task(stream, "browse", ""))
+			router.Send(t, fake.RequestFrame(stream, "browse", ""))
 			stream++
 		}
 		reply := router.Next(t)
@@ -183,7 +183,7 @@
 			router := fake.Dial(t, p.address)
 			const before = 20
 			for stream := range uint32(before) {
-				router.Send(t, fake.Task(stream+1, "pay", ""))
+				router.Send(t, fake.RequestFrame(stream+1, "pay", ""))
 			}
 			p.pool.Next(t, "spawn")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
@@ -221,17 +221,17 @@
 				require.Eventually(t, func() bool {
 					last = strings.Split(p.log.String(), `msg="new configuration`)
 					return len(last) == said+1
-				}, fake.Patience, time.Millisecond, words)
+				}, fake.WaitLimit, time.Millisecond, words)
 				assert.Contains(t, last[said], words)
 			}
 			move := func() {
-				p.pool.Move(t)
-				p.members = fake.NewMembers(t)
-				fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, fake.Site)
+				p.pool.Relocate(t)
+				p.members = fake.NewMembership(t)
+				fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, fake.SiteSettings)
 			}
 			run := func(stream uint32, kind string) string {
 				t.Helper()
-				router.Send(t, fake.Task(stream, kind, ""))
+				router.Send(t, fake.RequestFrame(stream, kind, ""))
 				return p.pool.Next(t, "spawn").Task
 			}
 			honoured := func(task string) {
@@ -253,31 +253,31 @@
 			}
 			require.NoError(t, os.Remove(p.path))
 			hup("refused")
-			fake.Rewrite(t, p.path, p.address, "pool without port", p.members.Address, fake.Site)
+			fake.RewriteConfig(t, p.path, p.address, "pool without port", p.members.Address, fake.SiteSettings)
 			hup("refused")
-			fake.Rewrite(t, p.path, "127.0.0.1:9", p.pool.Address, p.members.Address, fake.Site)
+			fake.RewriteConfig(t, p.path, "127.0.0.1:9", p.pool.Address, p.members.Address, fake.SiteSettings)
 			hup("only_with_a_restart=[]") // the variable for listen wins over the file
-			changed := strings.Replace(fake.Site, `"cores":4`, `"cores":5`, 1)
-			fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, changed)
+			changed := strings.Replace(fake.SiteSettings, `"cores":4`, `"cores":5`, 1)
+			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, changed)
 			hup(`only_with_a_restart="[settings extra.cores]"`)
 			honoured(run(3, "pay"))
 			// Settings that move in service, there and back by the same step; a run in hand across both.
 			across := run(4, "browse")
 			for _, halt := range []string{"none", "suspend"} {
-				moved := strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1)
-				fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, moved)
+				moved := strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1)
+				fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, moved)
 				hup("moved=map[halt:" + halt + "] only_with_a_restart=[]")
 				p.logged(t, "msg=\"setting moved\" setting=halt value="+halt)
 			}
-			wrong := strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"later"`, 1)
-			fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, wrong)
+			wrong := strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"later"`, 1)
+			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, wrong)
 			hup("refused")
 			honoured(across)
-			fake.Rewrite(t, p.path, p.address, p.pool.Address, p.members.Address, fake.Site)
+			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, fake.SiteSettings)
 
 			kept := run(5, "browse") // the link's loss may leave its beginning in doubt
 			move()                   // the old address takes nothing new
-			p.pool.Cut()
+			p.pool.CloseLink()
 			p.logged(t, "pool link down")
 			hup("only_with_a_restart=[]")
 			honoured(kept)
--- a/cmd/quartzpoint/memory_test.go
+++ b/cmd/quartzpoint/memory_test.go
@@ -45,7 +45,7 @@
 			router := fake.Dial(t, p.address)
 			const tasks = 2000
 			for stream := range uint32(tasks) {
-				router.Send(t, fake.Task(stream+1, "browse", strings.Repeat("x", 1000)))
+				router.Send(t, fake.RequestFrame(stream+1, "browse", strings.Repeat("x", 1000)))
 				assert.Equal(t, byte(20), router.Next(t).Code)
 			}
 			collections := strings.Count(p.log.String(), "\ngc ")
--- a/cmd/quartzpoint/peers_test.go
+++ b/cmd/quartzpoint/peers_test.go
@@ -35,8 +35,8 @@
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
-	good := fake.StartFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", fake.Site)
-	bad := fake.StartFile(t, "", "no port", "127.0.0.1:3", strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"later"`, 1))
+	good := fake.WriteConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", fake.SiteSettings)
+	bad := fake.WriteConfig(t, "", "no port", "127.0.0.1:3", strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"later"`, 1))
 	leased := "[peers]\nlisten = \"127.0.0.1:7401\"\nask = [\"127.0.0.1:7402\"]\n[lease]\nduties = [\"compact\"]\n"
 	cases := []struct {
 		args []string
@@ -103,7 +103,7 @@
 	}
 	logged := func(d *harness.Daemon, words string) {
 		t.Helper()
-		require.Eventually(t, func() bool { return strings.Contains(d.Log(), words) }, fake.Patience, time.Millisecond, words)
+		require.Eventually(t, func() bool { return strings.Contains(d.Log(), words) }, fake.WaitLimit, time.Millisecond, words)
 	}
 	peer := start("peer", "[peers]\nlisten = \""+address+"\"\nkey-file = \""+keys+"\"\n")
 	logged(peer, "serving estimates to peers")
--- a/cmd/quartzpoint/readiness_test.go
+++ b/cmd/quartzpoint/readiness_test.go
@@ -19,13 +19,13 @@
 
 // ready waits until the process says that it is in good health and gives how long that took since a moment.
 func (p *program) ready(since time.Time) time.Duration {
-	for time.Since(since) < fake.Patience {
+	for time.Since(since) < fake.WaitLimit {
 		if p.checked() {
 			return time.Since(since)
 		}
 		time.Sleep(10 * time.Millisecond) // between tries, as routers have it
 	}
-	return fake.Patience
+	return fake.WaitLimit
 }
 
 // checked tells whether a health check is answered with good health.
@@ -35,7 +35,7 @@
 		return false
 	}
 	defer health.Close()
-	_ = health.SetDeadline(time.Now().Add(fake.Patience))
+	_ = health.SetDeadline(time.Now().Add(fake.WaitLimit))
 	if _, err := health.Write(fake.Frame(20, 1, "", "e2e", "0")); err != nil {
 		return false
 	}
@@ -63,7 +63,7 @@
 		all = append(all, p)
 	}
 	for _, p := range all {
-		require.Less(t, p.ready(time.Now()), fake.Patience)
+		require.Less(t, p.ready(time.Now()), fake.WaitLimit)
 	}
 	for _, p := range all {
 		require.NoError(t, p.cmd.Process.Kill())
--- a/cmd/quartzpoint/reload_test.go
+++ b/cmd/quartzpoint/reload_test.go
@@ -32,7 +32,7 @@
 			hup := func() { require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP)) }
 			done := map[uint32]byte{}
 			work := func(stream uint32) {
-				router.Send(t, fake.Task(stream, "pay", ""))
+				router.Send(t, fake.RequestFrame(stream, "pay", ""))
 				run := p.pool.Next(t, "spawn")
 				put(texts[stream%2])
 				hup()
@@ -51,7 +51,7 @@
 			p.logged(t, "setting=halt value=none")
 
 			// The drain, with a run in hand; what is written in place may be read half.
-			router.Send(t, fake.Task(21, "pay", ""))
+			router.Send(t, fake.RequestFrame(21, "pay", ""))
 			last := p.pool.Next(t, "spawn")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 			p.logged(t, "notice to leave")
@@ -92,7 +92,7 @@
 	p.logged(t, "stop_ms=700")
 	p.logged(t, `only_with_a_restart="[limits index settings extra.cores,services.1.name,tenants.0.name,tenants.0.quota-rps,tenants.count]"`)
 	router := fake.Dial(t, p.address)
-	router.Send(t, fake.Task(1, "pay", "")) // as the process was started
+	router.Send(t, fake.RequestFrame(1, "pay", "")) // as the process was started
 	p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code)
 	router.Close()
@@ -100,7 +100,7 @@
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	p.logged(t, "stop_in=700.5ms")
 	assert.Zero(t, p.gone())
-	assert.Less(t, time.Since(began), fake.Patience)
+	assert.Less(t, time.Since(began), fake.WaitLimit)
 }
 
 // Settings whose text has not changed are not read again; behind a text of which a part waits for a restart, the first
@@ -119,7 +119,7 @@
 		require.NoError(t, os.WriteFile(p.path, []byte(text), 0o600))
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 		require.Eventually(t, func() bool { return strings.Count(p.log.String(), "new configuration") > seen },
-			fake.Patience, time.Millisecond)
+			fake.WaitLimit, time.Millisecond)
 		lines := strings.Split(strings.TrimSpace(p.log.String()), "\n")
 		last := ""
 		for _, line := range lines {
--- a/cmd/quartzpoint/settings_test.go
+++ b/cmd/quartzpoint/settings_test.go
@@ -72,7 +72,7 @@
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 			p.logged(t, `msg="new configuration"`)
 			router := fake.Dial(t, p.address)
-			router.Send(t, fake.Task(1, "pay", ""))
+			router.Send(t, fake.RequestFrame(1, "pay", ""))
 			p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
 			assert.Equal(t, byte(20), router.Next(t).Code)
 			assert.Contains(t, p.log.String(), "only_with_a_restart=[]")
@@ -125,14 +125,14 @@
 		require.NoError(t, serves.cmd.Process.Signal(syscall.SIGHUP))
 		require.Eventually(t, func() bool {
 			return strings.Count(serves.log.String(), "refused, the old one stays") == i+1
-		}, fake.Patience, time.Millisecond, c.text)
+		}, fake.WaitLimit, time.Millisecond, c.text)
 	}
 	// There the variables win over the file.
 	assert.NotContains(t, serves.log.String()[began:], "listen")
 	assert.NotContains(t, serves.log.String()[began:], "name: 7")
 	router := fake.Dial(t, serves.address)
 	serves.pool.Ready()
-	router.Send(t, fake.Task(1, "pay", ""))
+	router.Send(t, fake.RequestFrame(1, "pay", ""))
 	serves.pool.Finish(serves.pool.Next(t, "spawn").Task, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code, "what is in force stays")
 }
@@ -151,14 +151,14 @@
 			if nowhere {
 				pool = "127.0.0.1:1"
 			}
-			fake.RewriteWith(t, p.path, p.address, pool, p.members.Address, "127.0.0.1:1", settings)
+			fake.RewriteConfigWithDependency(t, p.path, p.address, pool, p.members.Address, "127.0.0.1:1", settings)
 			began := time.Now()
 			require.NoError(t, p.cmd.Start())
 			p.endWith(t)
 			p.pool.Ready()
 			p.logged(t, "msg=serving")
 			router := fake.Dial(t, p.address)
-			router.Send(t, fake.Task(1, "a", "")) // late as it comes
+			router.Send(t, fake.RequestFrame(1, "a", "")) // late as it comes
 			assert.Equal(t, byte(50), router.Next(t).Code)
 			for range 9 { // two seconds of them
 				p.members.Next(t)
--- a/cmd/quartzpoint/standstill_test.go
+++ b/cmd/quartzpoint/standstill_test.go
@@ -28,7 +28,7 @@
 			p.pool.Ready()
 			p.logged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
-			router.Send(t, fake.Task(1, "pay", ""), fake.Task(2, "browse", ""))
+			router.Send(t, fake.RequestFrame(1, "pay", ""), fake.RequestFrame(2, "browse", ""))
 			p.pool.Next(t, "spawn")
 			p.pool.Next(t, "spawn") // both run, and neither will end
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
@@ -59,7 +59,7 @@
 				router := fake.Dial(t, p.address)
 				const all = 20 // more than run at once
 				for stream := range uint32(all) {
-					router.Send(t, fake.Task(stream+1, "pay", ""))
+					router.Send(t, fake.RequestFrame(stream+1, "pay", ""))
 				}
 				router.Send(t, fake.Frame(20, 99, "", "e2e", "0"))
 				times := map[uint32]int{}
--- a/cmd/quartzpoint/unreachable_test.go
+++ b/cmd/quartzpoint/unreachable_test.go
@@ -17,7 +17,7 @@
 	const nowhere = "[fe80::1]:9" // link-local, on no link
 	p := prepare(t, builds["debug"])
 	pool, members := p.pool.Address, p.members.Address
-	fake.RewriteWith(t, p.path, p.address, nowhere, nowhere, nowhere, callSite)
+	fake.RewriteConfigWithDependency(t, p.path, p.address, nowhere, nowhere, nowhere, callSite)
 	require.NoError(t, p.cmd.Start())
 	p.endWith(t)
 	p.logged(t, "msg=serving")
@@ -26,18 +26,18 @@
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 	assert.Equal(t, byte(20), router.Next(t).Code)
-	router.Send(t, fake.Task(2, "browse", "")) // held, and run once there is a pool
+	router.Send(t, fake.RequestFrame(2, "browse", "")) // held, and run once there is a pool
 
 	p.pool.Ready()
 	there := lookups(t, "there")
-	fake.RewriteWith(t, p.path, p.address, pool, members, nowhere, callSite)
+	fake.RewriteConfigWithDependency(t, p.path, p.address, pool, members, nowhere, callSite)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 	p.logged(t, `msg="new configuration"`)
 	assert.Equal(t, "HB n1 UP", p.members.Next(t))
 	run := p.pool.Next(t, "spawn")
 	p.pool.Block(run.Task, []byte("what"))
 	p.logged(t, "msg=dependency reached=false")
-	fake.RewriteWith(t, p.path, p.address, pool, nowhere, there, callSite)
+	fake.RewriteConfigWithDependency(t, p.path, p.address, pool, nowhere, there, callSite)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 	p.logged(t, "msg=dependency reached=true")
 	p.pool.Finish(run.Task, "success", p.pool.Next(t, "supply").Body)
--- a/internal/dependency/caller_test.go
+++ b/internal/dependency/caller_test.go
@@ -110,7 +110,7 @@
 	select {
 	case e := <-c.ends:
 		return e
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "a call does not end")
 		return workerapi.CallEnd{}
 	}
@@ -167,7 +167,7 @@
 			assert.Regexp(t, `^(9\d\d|1000)$`, r.Header.Get("X-Budget-Ms"))
 			assert.Equal(t, "\x00 what\r\n", <-x.bodies)
 
-			caller.Call(testCall(2, fake.Patience))
+			caller.Call(testCall(2, fake.WaitLimit))
 			e = caller.next(t)
 			assert.Equal(t, admission.Succeeded, e.Outcome, "the next call is none the worse")
 			assert.Equal(t, "reply", string(e.Result))
@@ -180,7 +180,7 @@
 		x := newTestDependency(t, func(int) string { return good })
 		caller := newTestCaller(t, x.address, 4)
 		for n := range uint64(5) {
-			caller.Call(testCall(n+1, fake.Patience))
+			caller.Call(testCall(n+1, fake.WaitLimit))
 			assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 		}
 		assert.Len(t, x.connections, 1)
@@ -188,7 +188,7 @@
 	t.Run("one that was closed while idle is opened anew", func(t *testing.T) {
 		x := newTestDependency(t, func(int) string { return good })
 		caller := newTestCaller(t, x.address, 4)
-		caller.Call(testCall(1, fake.Patience))
+		caller.Call(testCall(1, fake.WaitLimit))
 		caller.next(t)
 		conn := <-x.connections
 		_ = conn.Close()
@@ -196,15 +196,15 @@
 			caller.mu.Lock()
 			defer caller.mu.Unlock()
 			return caller.idle[0].stale()
-		}, fake.Patience, time.Millisecond)
-		caller.Call(testCall(2, fake.Patience))
+		}, fake.WaitLimit, time.Millisecond)
+		caller.Call(testCall(2, fake.WaitLimit))
 		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 	})
 	t.Run("no more than allowed", func(t *testing.T) {
 		x := newTestDependency(t, func(int) string { return "" })
 		caller := newTestCaller(t, x.address, 2)
 		for n := range uint64(3) {
-			caller.Call(testCall(n+1, fake.Patience))
+			caller.Call(testCall(n+1, fake.WaitLimit))
 		}
 		e := caller.next(t)
 		assert.Equal(t, admission.NotRun, e.Outcome)
@@ -223,11 +223,11 @@
 func TestSetAddress(t *testing.T) {
 	t.Run("nobody there, and then somebody", func(t *testing.T) {
 		caller := newTestCaller(t, "127.0.0.1:1", 2)
-		caller.Call(testCall(1, fake.Patience))
+		caller.Call(testCall(1, fake.WaitLimit))
 		assert.Equal(t, admission.NotRun, caller.next(t).Outcome)
 		x := newTestDependency(t, func(int) string { return good })
 		caller.SetAddress(x.address)
-		caller.Call(testCall(2, fake.Patience))
+		caller.Call(testCall(2, fake.WaitLimit))
 		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 	})
 	t.Run("calls in flight end where they began", func(t *testing.T) {
@@ -235,16 +235,16 @@
 		old := newTestDependency(t, func(int) string { <-release; return good })
 		x := newTestDependency(t, func(int) string { return good })
 		caller := newTestCaller(t, old.address, 2)
-		caller.Call(testCall(1, fake.Patience))
+		caller.Call(testCall(1, fake.WaitLimit))
 		<-old.connections
 		caller.SetAddress(x.address)
-		caller.Call(testCall(2, fake.Patience))
+		caller.Call(testCall(2, fake.WaitLimit))
 		assert.Equal(t, uint64(2), caller.next(t).CallID)
 		close(release)
 		e := caller.next(t)
 		assert.Equal(t, uint64(1), e.CallID)
 		assert.Equal(t, admission.Succeeded, e.Outcome)
-		caller.Call(testCall(3, fake.Patience))
+		caller.Call(testCall(3, fake.WaitLimit))
 		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 		assert.Len(t, old.requests, 1)
 		assert.Len(t, x.requests, 2)
--- a/internal/frontend/crossing_test.go
+++ b/internal/frontend/crossing_test.go
@@ -28,8 +28,8 @@
 // crossed sends a task and waits until its bytes are with the server, unread, as the owner stands still.
 func (b *bench) crossed(t *testing.T, c *conn, r *fake.Router, stream uint32) {
 	t.Helper()
-	r.Send(t, fake.Task(stream, "pay", ""))
-	require.Eventually(t, func() bool { return c.link.Reader().Len() > 0 }, fake.Patience, time.Millisecond)
+	r.Send(t, fake.RequestFrame(stream, "pay", ""))
+	require.Eventually(t, func() bool { return c.link.Reader().Len() > 0 }, fake.WaitLimit, time.Millisecond)
 }
 
 // A task that is written while its connection is about to be closed, as idle for too long after it was asked to go or
@@ -67,7 +67,7 @@
 				closing(b, c)
 			})
 			b.pool.Next(t, "spawn")
-			b.pool.Finish(fake.Call(2), "success", []byte("whole"))
+			b.pool.Finish(fake.CallID(2), "success", []byte("whole"))
 			got := r.Next(t)
 			assert.Equal(t, []any{uint32(2), byte(20), "whole"}, []any{got.Stream, got.Code, got.Body})
 		})
@@ -92,7 +92,7 @@
 		got := r.Next(t)
 		require.Equal(t, []any{byte(20), result}, []any{got.Code, got.Body})
 	}
-	assert.Empty(t, r.Rest(t))
+	assert.Empty(t, r.ReadAll(t))
 }
 
 // What is open on a connection whose sender breaks the framing later was lost with it. Its rest, unread, reset the
@@ -100,16 +100,16 @@
 func TestTasksOutliveWhatIsBrokenBehindThem(t *testing.T) {
 	b := newBench(t, usual())
 	r := fake.Dial(t, b.Address())
-	r.Send(t, fake.Task(1, "pay", ""), fake.Task(2, "pay", ""))
+	r.Send(t, fake.RequestFrame(1, "pay", ""), fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.pool.Next(t, "spawn")
 	r.Send(t, bytes.Repeat([]byte{0xff}, 100_000))
 	b.counted(t, "connection closed: length out of bounds")
-	r.Send(t, fake.Task(3, "pay", "")) // behind what broke it: never read
-	b.pool.Finish(fake.Call(2), "success", []byte("two"))
-	b.pool.Finish(fake.Call(1), "failure", nil)
+	r.Send(t, fake.RequestFrame(3, "pay", "")) // behind what broke it: never read
+	b.pool.Finish(fake.CallID(2), "success", []byte("two"))
+	b.pool.Finish(fake.CallID(1), "failure", nil)
 	codes := map[uint32]byte{}
-	for _, got := range r.Rest(t) {
+	for _, got := range r.ReadAll(t) {
 		require.NotContains(t, codes, got.Stream, "a second answer")
 		codes[got.Stream] = got.Code
 	}
@@ -121,7 +121,7 @@
 func TestPeersThatDoNotReadCostNoOther(t *testing.T) {
 	b := newBench(t, usual())
 	deaf, reads := b.speaker(t), b.speaker(t)
-	reads.Send(t, fake.Task(2, "pay", ""))
+	reads.Send(t, fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.inTurn(func() {
 		of := map[bool]*conn{}
@@ -135,28 +135,28 @@
 		assert.Less(t, b.waiting, b.bound, "what waited for the one cut off is given back at once")
 	})
 	assert.Equal(t, byte(20), reads.Next(t).Code)
-	deaf.Closed(t)
+	deaf.WaitClosed(t)
 	b.inTurn(func() { assert.Zero(t, b.waiting) })
 }
 
 // Where a site tells of callers gone, its routers' word for it was taken for nonsense, and cost all tasks on the
 // connection their answers.
 func TestRouterTellsOfACallerGone(t *testing.T) {
-	site := strings.Replace(fake.Site, `"cold":false`, `"tells-gone":true,"cold":false`, 1)
+	site := strings.Replace(fake.SiteSettings, `"cold":false`, `"tells-gone":true,"cold":false`, 1)
 	b := newBenchAt(t, usual(), site, nil)
 	r := fake.Dial(t, b.Address())
-	r.Send(t, fake.Task(1, "browse", ""), fake.Task(2, "pay", ""))
+	r.Send(t, fake.RequestFrame(1, "browse", ""), fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.pool.Next(t, "spawn")
 	gone := func(stream uint32) []byte { return frame.Begin(nil, frame.Cancel, stream, 0, nil, 0) }
 	r.Send(t, gone(1), gone(77))
-	assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
-	b.pool.Finish(fake.Call(2), "success", []byte("kept"))
+	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").Task)
+	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
 	got := r.Next(t)
 	assert.Equal(t, []any{uint32(2), byte(20), "kept"}, []any{got.Stream, got.Code, got.Body})
-	r.Send(t, gone(2), fake.Task(3, "browse", "")) // it crossed the answer
+	r.Send(t, gone(2), fake.RequestFrame(3, "browse", "")) // it crossed the answer
 	b.pool.Next(t, "spawn")
-	b.pool.Finish(fake.Call(3), "success", []byte("on"))
+	b.pool.Finish(fake.CallID(3), "success", []byte("on"))
 	assert.Equal(t, "on", r.Next(t).Body)
 }
 
@@ -175,15 +175,15 @@
 	b := newBenchAt(t, limits, numberedSite, nil)
 	one, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	ask := func(r *fake.Router, stream uint32, call uint32, org, body string) {
-		r.Send(t, fake.Task(stream, "file", body, "call", fake.Call(call), "org", org, "dedupe", "k1"))
+		r.Send(t, fake.RequestFrame(stream, "file", body, "call", fake.CallID(call), "org", org, "dedupe", "k1"))
 	}
 	ask(one, 1, 1, "north", "b")
 	first := b.pool.Next(t, "spawn")
 	ask(other, 1, 2, "north", "b") // while it runs
 	ask(other, 2, 3, "south", "b")
 	second := b.pool.Next(t, "spawn")
-	assert.Equal(t, []string{fake.Call(1), fake.Call(3)}, []string{first.Task, second.Task})
-	b.pool.Finish(fake.Call(1), "success", []byte("the north's"))
+	assert.Equal(t, []string{fake.CallID(1), fake.CallID(3)}, []string{first.Task, second.Task})
+	b.pool.Finish(fake.CallID(1), "success", []byte("the north's"))
 	assert.Equal(t, "the north's", one.Next(t).Body)
 	got := other.Next(t)
 	assert.Equal(t, []any{uint32(1), byte(20), "the north's"}, []any{got.Stream, got.Code, got.Body})
@@ -191,11 +191,11 @@
 	assert.Equal(t, "the north's", one.Next(t).Body)
 	ask(one, 3, 5, "north", "something else")
 	assert.Equal(t, byte(51), one.Next(t).Code, "its number may have run, so it is not dismissed")
-	one.Send(t, fake.Task(4, "file", "b", "org", "north", "dedupe", strings.Repeat("k", mostNumber+1)))
+	one.Send(t, fake.RequestFrame(4, "file", "b", "org", "north", "dedupe", strings.Repeat("k", mostNumber+1)))
 	assert.Equal(t, byte(50), one.Next(t).Code)
-	one.Send(t, fake.Task(5, "file", "b", "org", "north"))
+	one.Send(t, fake.RequestFrame(5, "file", "b", "org", "north"))
 	assert.Equal(t, byte(50), one.Next(t).Code, "without a number nothing runs")
-	b.pool.Finish(fake.Call(3), "success", []byte("the south's"))
+	b.pool.Finish(fake.CallID(3), "success", []byte("the south's"))
 	assert.Equal(t, "the south's", other.Next(t).Body)
 	assert.Empty(t, b.pool.Commands, "nothing more ran")
 }
@@ -215,12 +215,12 @@
 // when the listener was shut at the end of the grace, and when the process ended.
 func TestTaskOnAConnectionNotYetTaken(t *testing.T) {
 	held := &gate{open: make(chan struct{})}
-	b := newBenchAt(t, usual(), fake.Site, func(l netpoll.Listener) netpoll.Listener {
+	b := newBenchAt(t, usual(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
 		held.Listener = l
 		return held
 	})
 	r := fake.Dial(t, b.Address())
-	r.Send(t, fake.Task(1, "pay", ""))
+	r.Send(t, fake.RequestFrame(1, "pay", ""))
 	b.inTurn(func() {
 		b.StopAccepting()
 		b.Flush()
@@ -228,9 +228,9 @@
 	})
 	close(held.open)
 	b.pool.Next(t, "spawn")
-	b.pool.Finish(fake.Call(1), "success", []byte("whole"))
+	b.pool.Finish(fake.CallID(1), "success", []byte("whole"))
 	var codes []byte
-	for _, got := range r.Rest(t) {
+	for _, got := range r.ReadAll(t) {
 		if got.Type == 11 {
 			codes = append(codes, got.Code)
 		}
@@ -239,7 +239,7 @@
 	require.Eventually(t, func() bool { // all that was made is taken, so now it is shut
 		_, err := net.Dial("tcp", b.Address())
 		return err != nil
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	b.inTurn(func() { assert.True(t, b.Quiet()) })
 }
 
@@ -262,19 +262,19 @@
 // after the other makes room, those in use stay, and what waits in the listener is taken when there is room again.
 func TestDescriptorsRunOutAgain(t *testing.T) {
 	held := &scarce{}
-	b := newBenchAt(t, usual(), fake.Site, func(l netpoll.Listener) netpoll.Listener {
+	b := newBenchAt(t, usual(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
 		held.Listener = l
 		return held
 	})
 	busy := b.speaker(t)
-	busy.Send(t, fake.Task(2, "pay", ""))
+	busy.Send(t, fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	for range 3 {
 		idle := b.speaker(t)
 		held.short.Store(true)
 		waits := fake.Dial(t, b.Address())
 		waits.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
-		idle.Closed(t)
+		idle.WaitClosed(t)
 		first := held.tries.Load()
 		time.Sleep(200 * time.Millisecond) // in which it may try so many times and no more
 		assert.LessOrEqual(t, held.tries.Load()-first, int64(100))
@@ -282,6 +282,6 @@
 		assert.Equal(t, byte(21), waits.Next(t).Type)
 		waits.Close()
 	}
-	b.pool.Finish(fake.Call(2), "success", []byte("kept"))
+	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
 	assert.Equal(t, "kept", busy.Next(t).Body)
 }
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -32,7 +32,7 @@
 }
 
 func newBench(t testing.TB, limits server.Limits) *bench {
-	return newBenchAt(t, limits, fake.Site, nil)
+	return newBenchAt(t, limits, fake.SiteSettings, nil)
 }
 
 // newBenchAt makes one for a site, whose listener may stand behind a gate.
@@ -61,7 +61,7 @@
 		owner.Leave(0)
 		select {
 		case <-left:
-		case <-time.After(fake.Patience):
+		case <-time.After(fake.WaitLimit):
 			t.Error("the server does not leave")
 		}
 		cancel()
@@ -74,7 +74,7 @@
 // counted waits until something was counted.
 func (b *bench) counted(t *testing.T, what string) {
 	t.Helper()
-	require.Eventually(t, func() bool { return b.counts.Times(what) > 0 }, fake.Patience, time.Millisecond, what)
+	require.Eventually(t, func() bool { return b.counts.Times(what) > 0 }, fake.WaitLimit, time.Millisecond, what)
 }
 
 func TestRequestsSplitAtEveryByte(t *testing.T) {
@@ -82,9 +82,9 @@
 	b.pool.Echo = true
 	router := fake.Dial(t, b.Address())
 	body := "\x00\xffbody\n"
-	for at := range fake.Task(1, "browse", body) {
+	for at := range fake.RequestFrame(1, "browse", body) {
 		stream := uint32(at + 1)
-		request := fake.Task(stream, "browse", body)
+		request := fake.RequestFrame(stream, "browse", body)
 		router.Send(t, request[:at])
 		// A check on another connection is answered, so the first part has been read by then.
 		other := fake.Dial(t, b.Address())
@@ -101,12 +101,12 @@
 	b := newBench(t, usual())
 	router := fake.Dial(t, b.Address())
 	for stream := range uint32(3) {
-		router.Send(t, fake.Task(stream+1, "pay", ""))
+		router.Send(t, fake.RequestFrame(stream+1, "pay", ""))
 		b.pool.Next(t, "spawn")
 	}
 	for _, stream := range []uint32{2, 3, 1} {
 		result := strings.Repeat(strconv.Itoa(int(stream)), 4<<10)
-		b.pool.Finish(fake.Call(stream), "success", []byte(result))
+		b.pool.Finish(fake.CallID(stream), "success", []byte(result))
 		got := router.Next(t)
 		assert.Equal(t, stream, got.Stream)
 		assert.Equal(t, result, got.Body)
@@ -115,12 +115,12 @@
 
 // What breaks the framing ends its connection and no other.
 func TestBrokenConnections(t *testing.T) {
-	good := fake.Task(1, "pay", "")
-	cut := fake.Task(1, "pay", "")
+	good := fake.RequestFrame(1, "pay", "")
+	cut := fake.RequestFrame(1, "pay", "")
 	cut[9] = 200 // more fields than there are
 	var many []byte
 	for stream := range uint32(mostOpen + 1) {
-		many = append(many, fake.Task(stream+1, "pay", "", "call", fake.Call(1000+stream))...)
+		many = append(many, fake.RequestFrame(stream+1, "pay", "", "call", fake.CallID(1000+stream))...)
 	}
 	cases := map[string]struct {
 		bytes []byte
@@ -133,9 +133,9 @@
 		"cancel":        {fake.Frame(12, 1, ""), 0, "unknown frame type"}, // the site tells of nobody gone
 		"cut fields":    {cut, 0, "field list cut short"},
 		"cut check":     {[]byte{0, 0, 0, 6, 20, 0, 0, 0, 1, 9}, 0, "field list cut short"},
-		"stream 0":      {fake.Task(0, "pay", ""), 0, "stream used before"},
-		"stream in use": {append(good, fake.Task(1, "pay", "", "call", fake.Call(9))...), 1, "stream used before"},
-		"stream of old": {append(fake.Task(8, "unheard-of", ""), good...), 1, "stream used before"},
+		"stream 0":      {fake.RequestFrame(0, "pay", ""), 0, "stream used before"},
+		"stream in use": {append(good, fake.RequestFrame(1, "pay", "", "call", fake.CallID(9))...), 1, "stream used before"},
+		"stream of old": {append(fake.RequestFrame(8, "unheard-of", ""), good...), 1, "stream used before"},
 		"too many open": {many, mostOpen, "too many open tasks"},
 	}
 	b := newBench(t, usual())
@@ -147,7 +147,7 @@
 			router.Send(t, c.bytes)
 			var errors []string
 			answered := map[uint32]int{}
-			for _, got := range router.Rest(t) {
+			for _, got := range router.ReadAll(t) {
 				require.Equal(t, byte(11), got.Type)
 				if got.Stream == 0 {
 					assert.Equal(t, byte(51), got.Code)
@@ -180,25 +180,25 @@
 		{"heap", ""}, {"heap", "0"}, {"heap", "2000"}, {"heap", "NaN"}, {"heap", "-1"},
 	}
 	for i, fields := range cases {
-		router.Send(t, fake.Task(uint32(i+1), "pay", "", fields...))
+		router.Send(t, fake.RequestFrame(uint32(i+1), "pay", "", fields...))
 		got := router.Next(t)
 		assert.Equal(t, []any{uint32(i + 1), byte(50)}, []any{got.Stream, got.Code}, "%v", fields)
 	}
-	router.Send(t, fake.Task(100, "pay", strings.Repeat("x", mostBody+1)))
+	router.Send(t, fake.RequestFrame(100, "pay", strings.Repeat("x", mostBody+1)))
 	assert.Equal(t, byte(50), router.Next(t).Code, "a body that is too long")
 	router.Send(t, fake.Frame(10, 101, strings.Repeat("x", 3*frame.MostWhole), "op", "pay"))
 	assert.Equal(t, byte(50), router.Next(t).Code, "a frame that is too long")
-	router.Send(t, fake.Task(102, "pay", "after it"))
+	router.Send(t, fake.RequestFrame(102, "pay", "after it"))
 	assert.Equal(t, "after it", string(b.pool.Next(t, "spawn").Body), "something else ran, or the frame's rest was read")
 }
 
 func TestCallerGone(t *testing.T) {
 	b := newBench(t, usual())
 	router := fake.Dial(t, b.Address())
-	router.Send(t, fake.Task(1, "browse", ""))
+	router.Send(t, fake.RequestFrame(1, "browse", ""))
 	b.pool.Next(t, "spawn")
 	router.Close()
-	assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
+	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").Task)
 }
 
 // A router that does not read is cut off at a bound, and answers to others wait neither before nor after.
@@ -221,7 +221,7 @@
 			b.counts.Times("connection closed: sends faster than can be read") > 0
 	}
 	for stream := uint32(1); !cut(); stream++ {
-		other.Send(t, fake.Task(stream, "browse", fmt.Sprint(stream)))
+		other.Send(t, fake.RequestFrame(stream, "browse", fmt.Sprint(stream)))
 		assert.Equal(t, fmt.Sprint(stream), other.Next(t).Body)
 	}
 	<-done
@@ -248,7 +248,7 @@
 	time.Sleep(newWait)
 	busy := b.speaker(t)
 	assert.Zero(t, b.counts.Times("connection asked to go to make room"), "silent ones go before a router's idle one")
-	busy.Send(t, fake.Task(2, "pay", ""))
+	busy.Send(t, fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	for range limits.Sockets {
 		b.speaker(t) // which all stay
@@ -256,14 +256,14 @@
 	b.counted(t, "connection asked to go to make room")
 	b.counted(t, "connection closed to make room")
 	assert.Equal(t, byte(30), first.Next(t).Type, "the one idle for longest is asked to go")
-	first.Closed(t)
-	b.pool.Finish(fake.Call(2), "success", []byte("kept"))
+	first.WaitClosed(t)
+	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
 	assert.Equal(t, "kept", busy.Next(t).Body, "one with an open task never makes room")
 
 	var all []*fake.Router
 	for stream := range uint32(limits.Sockets / 2) { // all in use
 		r := fake.Dial(t, b.Address())
-		r.Send(t, fake.Task(stream+100, "pay", ""))
+		r.Send(t, fake.RequestFrame(stream+100, "pay", ""))
 		all = append(all, r)
 	}
 	require.Eventually(t, func() bool {
@@ -276,7 +276,7 @@
 			open <- n
 		})
 		return <-open == len(all)
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	require.Positive(t, b.crowd)
 	hold := func(begun time.Duration) { // as where they have begun what is on its way
 		b.inTurn(func() {
@@ -289,13 +289,13 @@
 	}
 	for range b.crowd { // each is heard, and has its one answer
 		r := b.speaker(t)
-		r.Send(t, fake.Task(9, "pay", "", "call", fake.Call(9)))
+		r.Send(t, fake.RequestFrame(9, "pay", "", "call", fake.CallID(9)))
 		assert.Equal(t, byte(50), r.Next(t).Code)
-		hold(b.server.Now() + fake.Patience)
+		hold(b.server.Now() + fake.WaitLimit)
 	}
 	b.counted(t, "task on a connection beyond the table")
 	assert.Zero(t, b.counts.Times("connection refused, table full"))
-	fake.Dial(t, b.Address()).Closed(t)
+	fake.Dial(t, b.Address()).WaitClosed(t)
 	b.counted(t, "connection refused, table full")
 	hold(0)
 	last := b.speaker(t) // in the place of one of them
@@ -306,9 +306,9 @@
 	require.Eventually(t, func() (within bool) {
 		b.inTurn(func() { within = b.live() <= b.most })
 		return within
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	b.pool.SetEcho()
-	last.Send(t, fake.Task(10, "pay", "", "call", fake.Call(10)))
+	last.Send(t, fake.RequestFrame(10, "pay", "", "call", fake.CallID(10)))
 	assert.Equal(t, byte(20), last.Next(t).Code)
 }
 
@@ -337,7 +337,7 @@
 	rests := b.speaker(t)
 	silent, half, drips := fake.Dial(t, b.Address()), b.speaker(t), fake.Dial(t, b.Address())
 	began := time.Now()
-	frame := fake.Task(1, "pay", "")
+	frame := fake.RequestFrame(1, "pay", "")
 	half.Send(t, frame[:len(frame)/2])
 	go func() {
 		for i := range frame[:20] {
@@ -350,9 +350,9 @@
 	for want, r := range map[string]*fake.Router{"nothing understood": silent, "frame not ended": half} {
 		got := r.Next(t)
 		assert.Equal(t, []any{byte(11), uint32(0), byte(51), want}, []any{got.Type, got.Stream, got.Code, got.Body})
-		r.Closed(t)
+		r.WaitClosed(t)
 	}
-	drips.Closed(t)
+	drips.WaitClosed(t)
 	assert.GreaterOrEqual(t, time.Since(began), silentWait)
 	rests.Send(t, fake.Frame(20, 2, "", "e2e", "0"))
 	assert.Equal(t, byte(21), rests.Next(t).Type)
@@ -361,12 +361,12 @@
 func TestIdleConnectionsAreAskedToGo(t *testing.T) {
 	b := newBench(t, usual())
 	busy, idle := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
-	busy.Send(t, fake.Task(1, "pay", ""))
+	busy.Send(t, fake.RequestFrame(1, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.server.Post(func() { b.CloseIdle(20 * time.Millisecond) })
 	assert.Equal(t, fake.Reply{Type: 30, Fields: map[string]string{}}, idle.Next(t))
-	idle.Closed(t) // as its router does not
-	b.pool.Finish(fake.Call(1), "success", []byte("kept open"))
+	idle.WaitClosed(t) // as its router does not
+	b.pool.Finish(fake.CallID(1), "success", []byte("kept open"))
 	assert.Equal(t, "kept open", busy.Next(t).Body)
 }
 
@@ -376,14 +376,14 @@
 	stays := b.speaker(t)
 	b.server.Post(b.StopAccepting)
 	assert.Equal(t, byte(30), stays.Next(t).Type)
-	stays.Closed(t)
+	stays.WaitClosed(t)
 }
 
 // An answer that came long after its connection was asked to go was closed on before it was written.
 func TestLateAnswerOnAConnectionAskedToGo(t *testing.T) {
 	b := newBench(t, usual())
 	router := fake.Dial(t, b.Address())
-	router.Send(t, fake.Task(1, "pay", ""))
+	router.Send(t, fake.RequestFrame(1, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.server.Post(func() {
 		c := b.conns[0]
@@ -411,10 +411,10 @@
 // Whatever sequence of frames, or of parts of them, one connection sends: another is answered as ever, and
 // nothing is left in the tables.
 func FuzzConnection(f *testing.F) {
-	task := func(stream uint32, more ...string) []byte { return fake.Task(stream, "browse", "b", more...) }
+	task := func(stream uint32, more ...string) []byte { return fake.RequestFrame(stream, "browse", "b", more...) }
 	f.Add(append(task(1), task(2, "heap", "-1")...), uint16(7))
 	f.Add(append(task(1), task(1)...), uint16(0))
-	f.Add(append(fake.Frame(20, 1, "", "e2e", "1"), task(3, "call", fake.Call(9))[:40]...), uint16(30))
+	f.Add(append(fake.Frame(20, 1, "", "e2e", "1"), task(3, "call", fake.CallID(9))[:40]...), uint16(30))
 	f.Add(append(fake.Frame(10, 1, strings.Repeat("x", 2*frame.MostWhole)), task(2)...), uint16(9000))
 	b := newBench(f, usual())
 	b.pool.Echo = true
@@ -425,7 +425,7 @@
 			_, _ = r.Write(part) // the server may have cut it off by then
 		}
 		stream++
-		_ = bystander.SetDeadline(time.Now().Add(fake.Patience))
+		_ = bystander.SetDeadline(time.Now().Add(fake.WaitLimit))
 		bystander.Send(t, task(stream, "call", fmt.Sprintf("%016x", 0xdef0000+uint64(stream))))
 		for got := bystander.Next(t); got.Stream != stream; got = bystander.Next(t) {
 			require.Equal(t, byte(frame.Close), got.Type, "an answer to something else")
@@ -435,7 +435,7 @@
 			open := make(chan int)
 			b.server.Post(func() { open <- len(b.conns) })
 			return <-open == 1
-		}, fake.Patience, time.Millisecond)
+		}, fake.WaitLimit, time.Millisecond)
 		for len(b.pool.Commands) > 0 {
 			<-b.pool.Commands
 		}
--- a/internal/registration/membership_test.go
+++ b/internal/registration/membership_test.go
@@ -13,18 +13,18 @@
 )
 
 func TestReports(t *testing.T) {
-	members := fake.NewMembers(t)
+	members := fake.NewMembership(t)
 	r := New("n7", members.Address, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go r.Run(t.Context(), time.Millisecond)
 	assert.Equal(t, "HB n7 UP", members.Next(t))
 	assert.Equal(t, "HB n7 UP", members.Next(t))
 	r.Leave()
-	require.Eventually(t, func() bool { return members.Next(t) == "HB n7 OUT" }, fake.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return members.Next(t) == "HB n7 OUT" }, fake.WaitLimit, time.Millisecond)
 }
 
 // At a new address the next report comes at once, and the old one gets none.
 func TestMove(t *testing.T) {
-	old, members := fake.NewMembers(t), fake.NewMembers(t)
+	old, members := fake.NewMembership(t), fake.NewMembership(t)
 	r := New("n7", old.Address, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go r.Run(t.Context(), time.Hour)
 	old.Next(t)
@@ -43,14 +43,14 @@
 // A service that was down and came back was told nothing for a further period, as the error of the report
 // before kept the first one back.
 func TestServiceBack(t *testing.T) {
-	members := fake.NewMembers(t)
+	members := fake.NewMembership(t)
 	address := members.Address
 	members.Stop()
 	lines := make(lines, 100)
 	r := New("n7", address, slog.New(slog.NewTextHandler(lines, nil)))
 	go r.Run(t.Context(), 10*time.Millisecond)
 	assert.Contains(t, <-lines, "refused=true")
-	members = fake.MembersAt(t, address)
+	members = fake.NewMembershipAt(t, address)
 	assert.Equal(t, "HB n7 UP", members.Next(t))
 	assert.Contains(t, <-lines, "refused=false")
 	for range 3 {
@@ -65,7 +65,7 @@
 	select {
 	case line := <-l:
 		return line
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.Fail(t, "nothing was logged")
 		return ""
 	}
@@ -87,7 +87,7 @@
 			assert.Contains(t, line, "refused=true")
 			assert.Contains(t, line, address)
 			for range 2 {
-				members := fake.NewMembers(t)
+				members := fake.NewMembership(t)
 				r.Move(members.Address)
 				assert.Equal(t, "HB n7 UP", members.Next(t))
 				assert.Contains(t, next(t, lines), "refused=false")
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -27,7 +27,7 @@
 	select {
 	case c := <-d.calls:
 		return c
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "no call")
 		return workerapi.Call{}
 	}
@@ -35,7 +35,7 @@
 
 // callSite is the usual site, where both types call a dependency that bears many calls.
 var callSite = strings.NewReplacer(`"below":"none","calls-by-class":[false,false]`,
-	`"below":"shared","calls-out":20,"calls-over":5000000,"calls-by-class":[true,true]`).Replace(fake.Site)
+	`"below":"shared","calls-out":20,"calls-over":5000000,"calls-by-class":[true,true]`).Replace(fake.SiteSettings)
 
 func newCallBench(t *testing.T, site string) (*bench, *askedOf) {
 	d := &askedOf{make(chan workerapi.Call, 16), make(chan uint64, 16)}
@@ -50,7 +50,7 @@
 	t.Helper()
 	b.ask(stream, kind, waits)
 	b.pool.Next(t, "spawn")
-	b.pool.Block(fake.Call(stream), []byte("what"))
+	b.pool.Block(fake.CallID(stream), []byte("what"))
 	return d.next(t)
 }
 
@@ -58,20 +58,20 @@
 func TestRunStandsAtItsCalls(t *testing.T) {
 	b, d := newCallBench(t, callSite)
 	c := b.atCall(t, d, 1, "browse", time.Minute)
-	assert.Equal(t, fake.Call(1), c.RequestID)
+	assert.Equal(t, fake.CallID(1), c.RequestID)
 	assert.Equal(t, "what", string(c.Body))
 	assert.Positive(t, c.Within)
 	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Took: time.Millisecond, Result: []byte("that")})
 	supplied := b.pool.Next(t, "supply")
 	assert.Equal(t, "that", string(supplied.Body))
-	b.pool.Block(fake.Call(1), []byte("and more"))
+	b.pool.Block(fake.CallID(1), []byte("and more"))
 	c = d.next(t)
 	assert.Equal(t, "and more", string(c.Body))
 	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.NotRun})
 	c = d.next(t) // what never ran is asked again
 	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("this")})
 	b.pool.Next(t, "supply")
-	b.pool.Finish(fake.Call(1), "success", []byte("done"))
+	b.pool.Finish(fake.CallID(1), "success", []byte("done"))
 	assert.Equal(t, Served, b.next(t).Verdict)
 	assert.Empty(t, d.abandoned)
 }
@@ -81,7 +81,7 @@
 	c := b.atCall(t, d, 1, "pay", time.Minute)
 	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Unknown})
 	assert.Equal(t, Aborted, b.next(t).Verdict, "an at-most-once task makes no call twice")
-	b.pool.Finish(fake.Call(1), "interrupted", nil)
+	b.pool.Finish(fake.CallID(1), "interrupted", nil)
 
 	c = b.atCall(t, d, 2, "browse", time.Minute)
 	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Unknown})
@@ -98,9 +98,9 @@
 	assert.Equal(t, Aborted, b.next(t).Verdict)
 	assert.Equal(t, c.CallID, <-d.abandoned)
 	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("late")})
-	b.pool.Finish(fake.Call(1), "interrupted", nil)
+	b.pool.Finish(fake.CallID(1), "interrupted", nil)
 	c = b.atCall(t, d, 2, "browse", time.Minute)
-	b.pool.Finish(fake.Call(2), "failure", nil)
+	b.pool.Finish(fake.CallID(2), "failure", nil)
 	assert.Equal(t, Aborted, b.next(t).Verdict)
 	assert.Equal(t, c.CallID, <-d.abandoned)
 	b.CallEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded})
@@ -118,23 +118,23 @@
 			c := b.atCall(t, d, 1, "pay", time.Minute)
 			b.inTurn(func() {
 				b.callEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("that")})
-				b.pool.Cut() // before the word is written
+				b.pool.CloseLink() // before the word is written
 			})
 			assert.Equal(t, "that", string(b.pool.Next(t, "supply").Body))
 			b.bound(t)
-			b.pool.Block(fake.Call(1), []byte("more"))
+			b.pool.Block(fake.CallID(1), []byte("more"))
 			c = d.next(t)
-			b.pool.Move(t) // nobody is where the link would come back
-			b.pool.Cut()
+			b.pool.Relocate(t) // nobody is where the link would come back
+			b.pool.CloseLink()
 			require.Eventually(t, func() bool {
 				asked := true
 				b.inTurn(func() { _, asked = b.link.Poll() })
 				return !asked
-			}, fake.Patience, time.Millisecond)
+			}, fake.WaitLimit, time.Millisecond)
 			b.inTurn(func() { b.callEnded(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("this")}) })
 			b.toPool.Move(b.pool.Address)
 			assert.Equal(t, "this", string(b.pool.Next(t, "supply").Body))
-			b.pool.Finish(fake.Call(1), "success", nil)
+			b.pool.Finish(fake.CallID(1), "success", nil)
 			assert.Equal(t, Served, b.next(t).Verdict)
 		})
 	}
@@ -142,7 +142,7 @@
 
 // Where no dependency is named, what calls it is turned away as never run, and all else is served.
 func TestTypesThatCallNobody(t *testing.T) {
-	site := strings.Replace(fake.Site, `"calls-by-class":[false,false]`, `"calls-by-class":[true,false]`, 1)
+	site := strings.Replace(fake.SiteSettings, `"calls-by-class":[false,false]`, `"calls-by-class":[true,false]`, 1)
 	b := newBenchAt(t, site)
 	b.pool.Ready()
 	b.bound(t)
@@ -153,6 +153,6 @@
 	assert.Equal(t, time.Second, a.RetryAfter)
 	b.ask(2, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
-	b.pool.Finish(fake.Call(2), "success", nil)
+	b.pool.Finish(fake.CallID(2), "success", nil)
 	assert.Equal(t, Served, b.next(t).Verdict)
 }
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -31,25 +31,25 @@
 		b.pool.Next(t, "spawn")
 		b.known(t)
 		if down {
-			b.pool.Cut()
+			b.pool.CloseLink()
 			require.Eventually(t, func() bool {
 				asked := true
 				b.inTurn(func() { _, asked = b.link.Poll() })
 				return !asked
-			}, fake.Patience, time.Millisecond)
+			}, fake.WaitLimit, time.Millisecond)
 		}
 		b.inTurn(func() {
-			b.Gone(b.requests[fake.Call(1)])
+			b.Gone(b.requests[fake.CallID(1)])
 			if !down {
-				b.pool.Cut() // before the word is written
+				b.pool.CloseLink() // before the word is written
 			}
 		})
-		assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
+		assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").Task)
 		require.Eventually(t, func() bool {
 			left := 1
 			b.inTurn(func() { left = len(b.requests) })
 			return left == 0
-		}, fake.Patience, time.Millisecond)
+		}, fake.WaitLimit, time.Millisecond)
 	}
 }
 
@@ -61,7 +61,7 @@
 	run := func(kind string, stream uint32) {
 		b.ask(stream, kind, time.Minute)
 		b.pool.Next(t, "spawn")
-		b.pool.Finish(fake.Call(stream), "success", []byte("done"))
+		b.pool.Finish(fake.CallID(stream), "success", []byte("done"))
 		assert.Equal(t, Served, b.next(t).Verdict)
 	}
 	run("pay", 1)
@@ -94,10 +94,10 @@
 		retired := false
 		b.inTurn(func() { retired = b.retired })
 		return retired
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	b.inTurn(func() { // read only now, past the grace of 400 ms: answered, and not run
 		b.Take(Incoming{
-			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.noticed + 401*time.Millisecond,
+			ID: fake.CallID(1), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.noticed + 401*time.Millisecond,
 			Patience: time.Minute, Caller: b, Stream: 1,
 		})
 	})
@@ -108,7 +108,7 @@
 	b.unheard.Store(false)
 	select {
 	case <-b.left:
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "the end does not come")
 	}
 }
@@ -123,29 +123,29 @@
 		came := b.Now() - 300*time.Millisecond
 		b.leave(came, 3*time.Second)
 		assert.Equal(t, came+3*time.Second-noticeDelay, b.stop)
-		late := Incoming{ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Patience: time.Minute, Caller: b, Stream: 1}
+		late := Incoming{ID: fake.CallID(1), Route: "pay", HeldKB: 20, Rank: 0.9, Patience: time.Minute, Caller: b, Stream: 1}
 		late.Arrived = came + 401*time.Millisecond // the site's grace is 400 ms
 		b.Take(late)
 		due := late
-		due.ID, due.Stream, due.Arrived = fake.Call(2), 2, came+399*time.Millisecond
+		due.ID, due.Stream, due.Arrived = fake.CallID(2), 2, came+399*time.Millisecond
 		b.Take(due)
 	})
 	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.next(t); return []any{a.stream, a.Verdict} }())
-	assert.Equal(t, fake.Call(2), b.pool.Next(t, "spawn").Task)
-	b.pool.Finish(fake.Call(2), "success", nil)
+	assert.Equal(t, fake.CallID(2), b.pool.Next(t, "spawn").Task)
+	b.pool.Finish(fake.CallID(2), "success", nil)
 	assert.Equal(t, Served, b.next(t).Verdict)
 }
 
 // A numbered task whose caller leaves in the moment it is read, and for which the decisions have no room, kept its
 // number for the whole window, as one that would still run: a repeat was neither run nor turned away.
 func TestNumberOfATaskWhoseCallerLeftAsItWasRead(t *testing.T) {
-	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.Site)
+	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.SiteSettings)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
 	b.inTurn(func() {
 		task := b.Take(Incoming{
-			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
+			ID: fake.CallID(1), Route: "pay", HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
 			Caller: b, Stream: 1, Key: "n",
 		})
 		b.Gone(task)
--- a/internal/server/leave_test.go
+++ b/internal/server/leave_test.go
@@ -13,7 +13,7 @@
 // The kill may come before the stop that the notice was told of: all has to be answered by then.
 func TestStopIsNoLaterThanTheEarliestKill(t *testing.T) {
 	site := func(deadline string) string {
-		return strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":`+deadline+`,"goal-time":100000`).Replace(fake.Site)
+		return strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":`+deadline+`,"goal-time":100000`).Replace(fake.SiteSettings)
 	}
 	limits := Limits{MemoryMB: 96, Sockets: 256, KilledEarly: true}
 	cases := []struct {
@@ -22,9 +22,9 @@
 		told, stop time.Duration
 	}{
 		{"a short deadline", site("1200000"), limits, 8 * time.Second, 1900 * time.Millisecond},
-		{"a long deadline counts as 3 s", fake.Site, limits, 8 * time.Second, 3700 * time.Millisecond},
-		{"an earlier stop holds", fake.Site, limits, time.Second, time.Second},
-		{"a program that is not killed early", fake.Site, Limits{MemoryMB: 96, Sockets: 256}, 8 * time.Second, 8 * time.Second},
+		{"a long deadline counts as 3 s", fake.SiteSettings, limits, 8 * time.Second, 3700 * time.Millisecond},
+		{"an earlier stop holds", fake.SiteSettings, limits, time.Second, time.Second},
+		{"a program that is not killed early", fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256}, 8 * time.Second, 8 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/server/numbers_test.go
+++ b/internal/server/numbers_test.go
@@ -13,13 +13,13 @@
 // A repeat that is turned away for want of room was refused with a promise of no effect, though its first had run: its
 // caller would have it run elsewhere.
 func TestRepeatsAreNeverRefusedOnceTheirFirstMayHaveRun(t *testing.T) {
-	site := strings.Replace(fake.Site, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
+	site := strings.Replace(fake.SiteSettings, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
 	asked := func(stream uint32, number string) Incoming {
 		return Incoming{
-			ID: fake.Call(stream), Route: "pay", HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
+			ID: fake.CallID(stream), Route: "pay", HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
 			Caller: b, Stream: stream, Key: number,
 		}
 	}
@@ -43,13 +43,13 @@
 // A process that stood still reads a repeat behind the window in which it came. It ran, or was refused, as a new one.
 func TestARepeatBelongsToTheWindowInWhichItCame(t *testing.T) {
 	const window = 400 * time.Millisecond
-	site := strings.Replace(fake.Site, `"fragile"`, `"dedup","dedup-window":400000`, 1)
+	site := strings.Replace(fake.SiteSettings, `"fragile"`, `"dedup","dedup-window":400000`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.bound(t)
 	asked := func(stream uint32, arrived time.Duration) Incoming {
 		return Incoming{
-			ID: fake.Call(stream), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: arrived, Patience: time.Minute,
+			ID: fake.CallID(stream), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: arrived, Patience: time.Minute,
 			Caller: b, Stream: stream, Key: "n",
 		}
 	}
--- a/internal/server/reconcile_test.go
+++ b/internal/server/reconcile_test.go
@@ -13,7 +13,7 @@
 )
 
 // shortSite has deadlines of 300 ms, and as many cores as the stand-in's pool.
-var shortSite = strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`).Replace(fake.Site)
+var shortSite = strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`).Replace(fake.SiteSettings)
 
 const siteCores = 4
 
@@ -49,7 +49,7 @@
 		t.Run(halt, func(t *testing.T) {
 			t.Parallel()
 			b := newBenchAt(t, strings.Replace(shortSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
-			b.pool.Hangs = true
+			b.pool.IgnoresSuspend = true
 			b.pool.Ready()
 			b.bound(t)
 			b.fill(t)
@@ -61,7 +61,7 @@
 			require.Eventually(t, func() bool {
 				b.ask(1000, "browse", time.Minute)
 				return b.next(t).Verdict == Served
-			}, fake.Patience, time.Millisecond)
+			}, fake.WaitLimit, time.Millisecond)
 			assert.Zero(t, b.counts.Times("end of a run nobody asked for"))
 			assert.Zero(t, b.counts.Times("end of a run not reported, proven by the readings"))
 		})
@@ -71,8 +71,8 @@
 // Readings that are not whole prove nothing: what an older answer said is no reading of now.
 func TestNothingIsProvenByHalfOfTheReadings(t *testing.T) {
 	b := newBenchAt(t, shortSite)
-	b.pool.Loses = true
-	b.pool.SetMeager(true)
+	b.pool.DropsSpawns = true
+	b.pool.SetPartialReadings(true)
 	b.pool.Ready()
 	b.bound(t)
 	b.fill(t)
@@ -80,8 +80,8 @@
 	b.spawned(t, 2500*time.Millisecond)
 	b.inTurn(func() { assert.GreaterOrEqual(t, b.doubtful, siteCores) })
 	assert.Zero(t, b.counts.Times(proven))
-	b.pool.SetMeager(false)
-	require.Eventually(t, func() bool { return b.counts.Times(proven) >= siteCores }, fake.Patience, time.Millisecond)
+	b.pool.SetPartialReadings(false)
+	require.Eventually(t, func() bool { return b.counts.Times(proven) >= siteCores }, fake.WaitLimit, time.Millisecond)
 }
 
 // The link is lost behind commands that the pool may not have read. A run that was answered meanwhile, and holds its
@@ -91,13 +91,13 @@
 		t.Run(halt, func(t *testing.T) {
 			t.Parallel()
 			b := newBenchAt(t, strings.Replace(shortSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
-			b.pool.Hangs = true
+			b.pool.IgnoresSuspend = true
 			b.pool.Ready()
 			b.bound(t)
-			b.pool.Silence(true)
+			b.pool.SetSilent(true)
 			b.fill(t)
-			b.pool.Cut()
-			b.pool.Silence(false)
+			b.pool.CloseLink()
+			b.pool.SetSilent(false)
 			b.bound(t)
 			assert.Zero(t, b.spawned(t, 1500*time.Millisecond))
 		})
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -48,7 +48,7 @@
 func (b *bench) Open() int                             { return 0 }
 func (b *bench) Quiet() bool                           { return !b.unheard.Load() }
 
-func newBench(t *testing.T) *bench { return newBenchAt(t, fake.Site) }
+func newBench(t *testing.T) *bench { return newBenchAt(t, fake.SiteSettings) }
 
 func newBenchAt(t *testing.T, site string) *bench {
 	return newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256}, nil)
@@ -77,7 +77,7 @@
 		b.Leave(0)
 		select {
 		case <-b.left:
-		case <-time.After(fake.Patience):
+		case <-time.After(fake.WaitLimit):
 			t.Error("the server does not leave")
 		}
 		cancel()
@@ -89,7 +89,7 @@
 func (b *bench) ask(stream uint32, kind string, waits time.Duration) {
 	b.Post(func() {
 		b.Take(Incoming{
-			ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: waits,
+			ID: fake.CallID(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: waits,
 			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
 		})
 	})
@@ -100,7 +100,7 @@
 	select {
 	case a := <-b.answers:
 		return a
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "no answer")
 		return answered{}
 	}
@@ -123,7 +123,7 @@
 			bound <- asked > 0 && b.polled >= asked
 		})
 		return <-bound
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 }
 
 // known waits until the pool has read all that was sent and the server knows it.
@@ -139,7 +139,7 @@
 			known <- all
 		})
 		return <-known
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 }
 
 func TestTaskIsServed(t *testing.T) {
@@ -180,7 +180,7 @@
 	b.pool.Next(t, "spawn")
 	b.ask(1, "pay", time.Minute)
 	assert.Equal(t, Aborted, b.next(t).Verdict)
-	b.pool.Finish(fake.Call(1), "success", nil)
+	b.pool.Finish(fake.CallID(1), "success", nil)
 	assert.Equal(t, Served, b.next(t).Verdict, "the first one is answered from its run")
 }
 
@@ -188,7 +188,7 @@
 func TestDueAnswersWithoutThePool(t *testing.T) {
 	for _, mute := range []bool{false, true} {
 		b := newBench(t)
-		b.pool.Mute = mute
+		b.pool.NoReadings = mute
 		if mute {
 			b.pool.Ready()
 		}
@@ -244,7 +244,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBenchAt(t, strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"abort"`, 1))
+			b := newBenchAt(t, strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"abort"`, 1))
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
 			b.bound(t)
@@ -254,22 +254,22 @@
 				b.known(t)
 			} else {
 				// The pool reads the command and tells nothing more on this link.
-				b.pool.Silence(true)
-				b.pool.SetLoses(c.loses)
+				b.pool.SetSilent(true)
+				b.pool.SetDropsSpawns(c.loses)
 				b.ask(1, c.kind, time.Minute)
 				b.pool.Next(t, "spawn")
 			}
-			b.pool.Cut()
+			b.pool.CloseLink()
 			if c.ended {
-				b.pool.Finish(fake.Call(1), "success", []byte("done"))
+				b.pool.Finish(fake.CallID(1), "success", []byte("done"))
 			}
-			b.pool.Silence(false)
+			b.pool.SetSilent(false)
 			b.pool.Next(t, "bind")
 			if c.spawned {
 				b.pool.Next(t, "spawn")
 			}
 			if !c.ended && c.want == Served {
-				b.pool.Finish(fake.Call(1), "success", []byte("done"))
+				b.pool.Finish(fake.CallID(1), "success", []byte("done"))
 			}
 			begin := time.Now()
 			assert.Equal(t, c.want, b.next(t).Verdict)
@@ -290,23 +290,23 @@
 	}{{"runs", false}, {"never begun", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(t)
-			b.pool.Pauses, b.pool.Loses = true, c.lost
+			b.pool.RunsOnAfterSuspend, b.pool.DropsSpawns = true, c.lost
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
 			b.bound(t)
-			b.pool.Silence(true)
+			b.pool.SetSilent(true)
 			b.ask(1, "pay", time.Minute)
 			b.pool.Next(t, "spawn")
-			b.pool.Cut()
-			b.pool.SetLoses(false)
+			b.pool.CloseLink()
+			b.pool.SetDropsSpawns(false)
 			b.pool.Next(t, "bind")
-			b.pool.Silence(false)
-			assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
+			b.pool.SetSilent(false)
+			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").Task)
 			if c.lost {
 				assert.Equal(t, "body 1", string(b.pool.Next(t, "spawn").Body))
 			}
-			assert.Equal(t, fake.Call(1), b.pool.Next(t, "proceed").Task)
-			b.pool.Finish(fake.Call(1), "success", []byte("done"))
+			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "proceed").Task)
+			b.pool.Finish(fake.CallID(1), "success", []byte("done"))
 			assert.Equal(t, Served, b.next(t).Verdict)
 		})
 	}
@@ -319,7 +319,7 @@
 	b.pool.Ready()
 	for range 5 {
 		b.bound(t)
-		b.pool.Cut()
+		b.pool.CloseLink()
 		b.pool.Next(t, "bind")
 	}
 	alarms := make(chan int)
@@ -332,16 +332,16 @@
 	b.pool.Ready()
 	b.ask(1, "pay", time.Minute)
 	task := b.pool.Next(t, "spawn").Task
-	b.pool.Say(`{"verb":"unknown","outcome":"suspend","task":"` + task + `"}` + "\n")
-	b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"nobody"}` + "\n")
-	b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"` + task + `"}` + "\n")
+	b.pool.WriteRaw(`{"verb":"unknown","outcome":"suspend","task":"` + task + `"}` + "\n")
+	b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"nobody"}` + "\n")
+	b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + task + `"}` + "\n")
 	assert.Equal(t, Aborted, b.next(t).Verdict)
 	assert.Equal(t, 2, b.counts.Times("pool did not carry out a spawn"))
 
 	// Calls that a bad client invents counted as broken runs, and closed this server's health to all.
 	for stream := range uint32(20) {
 		b.ask(100+stream, "browse", time.Minute)
-		b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").Task + `"}` + "\n")
+		b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").Task + `"}` + "\n")
 		assert.Equal(t, Aborted, b.next(t).Verdict)
 	}
 	b.Post(func() { b.Check(b, 1, false) })
@@ -357,13 +357,13 @@
 		kind := []string{"browse", "pay"}[stream%2]
 		b.Post(func() {
 			b.Take(Incoming{
-				ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(),
+				ID: fake.CallID(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentMS: time.Now().UnixMilli(),
 				Patience: time.Minute, Router: stream, Caller: b, Stream: stream,
 			})
 		})
 		b.next(t)
 		if stream%400 == 100 {
-			b.pool.Cut()
+			b.pool.CloseLink()
 		}
 		for len(b.pool.Commands) > 0 {
 			<-b.pool.Commands
@@ -380,9 +380,9 @@
 // whose caller says that it waits for a day was kept as long. That it is over has to be proven by the pool's readings.
 func TestNothingStaysForEver(t *testing.T) {
 	site := strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`,
-		`"late-value":0.0`, `"late-value":0.5`).Replace(fake.Site)
+		`"late-value":0.0`, `"late-value":0.5`).Replace(fake.SiteSettings)
 	b := newBenchAt(t, site)
-	b.pool.Loses = true
+	b.pool.DropsSpawns = true
 	b.pool.Ready()
 	b.ask(1, "browse", 24*time.Hour)
 	b.pool.Next(t, "spawn")
@@ -391,7 +391,7 @@
 		empty := make(chan bool)
 		b.Post(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
 		return <-empty
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	assert.Equal(t, 1, b.counts.Times("end of a run not reported, proven by the readings"))
 }
 
@@ -409,7 +409,7 @@
 		empty := make(chan bool)
 		b.Post(func() { empty <- len(b.requests) == 0 && len(b.owner) == 0 })
 		return <-empty
-	}, fake.Patience, time.Millisecond, "a settled task is kept")
+	}, fake.WaitLimit, time.Millisecond, "a settled task is kept")
 	assert.Empty(t, b.answers)
 }
 
@@ -431,7 +431,7 @@
 				assert.False(t, <-b.checks)
 			}
 		}
-		b.pool.Say(`{"verb":"verified","nonce":"` + b.pool.Next(t, "verify").Nonce + `","outcome":"` + outcome + `"}` + "\n")
+		b.pool.WriteRaw(`{"verb":"verified","nonce":"` + b.pool.Next(t, "verify").Nonce + `","outcome":"` + outcome + `"}` + "\n")
 		assert.Equal(t, outcome == "success", <-b.checks)
 	}
 	b.Post(func() { b.Check(b, 1, true) })
@@ -450,12 +450,12 @@
 		retired := make(chan bool)
 		b.Post(func() { retired <- b.retired && b.Now() > b.noticed+450*time.Millisecond })
 		return <-retired
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	b.ask(3, "pay", time.Minute) // past it
 	got := b.next(t)
 	assert.Equal(t, []any{uint32(3), Rejected}, []any{got.stream, got.Verdict})
 	for stream := range uint32(2) {
-		b.pool.Finish(fake.Call(stream+1), "success", nil)
+		b.pool.Finish(fake.CallID(stream+1), "success", nil)
 		assert.Equal(t, Served, b.next(t).Verdict)
 	}
 	<-b.left
@@ -481,7 +481,7 @@
 	b.Leave(500 * time.Millisecond)
 	select {
 	case <-b.left:
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "the server does not leave")
 	}
 }
@@ -493,7 +493,7 @@
 		"no traffic type": {`"name":`, `"title":`},
 	}
 	for want, change := range cases {
-		told, err := settings.FromJSON([]byte(strings.ReplaceAll(fake.Site, change[0], change[1])))
+		told, err := settings.FromJSON([]byte(strings.ReplaceAll(fake.SiteSettings, change[0], change[1])))
 		require.NoError(t, err)
 		_, err = New(told, 1, Limits{MemoryMB: 96, Sockets: 256}, nil, nil)
 		assert.ErrorContains(t, err, want)
@@ -502,7 +502,7 @@
 
 // One customer without a name cost all behind it theirs, and with it their share.
 func TestCustomersWithoutNames(t *testing.T) {
-	site := strings.Replace(fake.Site, `"tenants":[]`, `"tenants":[{"quota-rps":1},{"name":"b","quota-rps":2},{}]`, 1)
+	site := strings.Replace(fake.SiteSettings, `"tenants":[]`, `"tenants":[{"quota-rps":1},{"name":"b","quota-rps":2},{}]`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
 	assert.Equal(t, 1, b.TenantIndex("b"))
 	assert.Equal(t, math.MaxInt, b.TenantIndex(""))
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -25,7 +25,7 @@
 	b.ChangeTables(change)
 	select {
 	case <-done:
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "the tables have not changed")
 	}
 }
@@ -88,7 +88,7 @@
 
 // A key that was used stays used for its window, whatever becomes of its route meanwhile: nothing runs twice.
 func TestWindowsOutlastTheirRoute(t *testing.T) {
-	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
+	b := newBenchWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	keyed := stated("charge", time.Minute)
 	keyed.Idempotency, keyed.DedupWindow = admission.Keyed, time.Hour
@@ -96,7 +96,7 @@
 	ask := func(stream uint32) {
 		b.Post(func() {
 			b.Take(Incoming{
-				ID: fake.Call(stream), Route: "charge", HeldKB: 1, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
+				ID: fake.CallID(stream), Route: "charge", HeldKB: 1, Rank: 0.9, SentMS: time.Now().UnixMilli(), Patience: time.Minute,
 				Caller: b, Stream: stream, Key: "once", Shape: 1,
 			})
 		})
@@ -118,7 +118,7 @@
 // Tenants come, change and go; what one has asked for counts on when its rate changes, and not for another that takes
 // its place later. A place is not taken while requests of the one that left it may still be here.
 func TestTenantsChangeInService(t *testing.T) {
-	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
+	b := newBenchWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
 	b.pool.Ready()
 	tenant := func(name string, rate float64) TableChange {
 		return TableChange{Tenants: []settings.TenantChange{{Name: name, Rate: rate}}}
@@ -189,7 +189,7 @@
 	assert.Equal(t, Served, b.next(t).Verdict)
 	select {
 	case <-done:
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "the change is not in force")
 	}
 	assert.Equal(t, many+2, <-counted, "with the two that were there")
--- a/internal/testkit/fake/standin.go
+++ b/internal/testkit/fake/standin.go
@@ -22,14 +22,14 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// Patience bounds every wait of a test. It is met only where something has failed.
-const Patience = 20 * time.Second
+// WaitLimit bounds every wait of a test. It is met only where something has failed.
+const WaitLimit = 20 * time.Second
 
 // As the settings and the requests below state.
 const (
-	cores  = 4
-	siteKB = 60000.0
-	runKB  = 164.0
+	cores        = 4
+	siteMemoryKB = 60000.0
+	runMemoryKB  = 164.0
 )
 
 // Command is a line that a server wrote to the pool. The bytes of a spawn stand in Body.
@@ -44,22 +44,22 @@
 
 // Pool is a worker pool. What it runs ends when a test says so, or at once where Echo is set.
 type Pool struct {
-	Address  string
-	Echo     bool // runs end at once with their body as the result
-	Mute     bool // gauges are not told on any link
-	Pauses   bool // a run told to stop stands still after that
-	Loses    bool // spawns are read and lost
-	Hangs    bool // runs can't be stopped
-	Commands chan Command
-
-	mu       sync.Mutex
-	listener net.Listener
-	link     net.Conn
-	notices  []string
-	running  map[string]bool
-	silent   bool
-	meager   bool // one reading only is told
-	ready    chan struct{}
+	Address            string
+	Echo               bool // runs end at once with their body as the result
+	NoReadings         bool // gauges are not told on any link
+	RunsOnAfterSuspend bool // a run told to stop stands still after that
+	DropsSpawns        bool // spawns are read and lost
+	IgnoresSuspend     bool // runs can't be stopped
+	Commands           chan Command
+
+	mu              sync.Mutex
+	listener        net.Listener
+	link            net.Conn
+	notices         []string
+	running         map[string]bool
+	silent          bool
+	partialReadings bool // one reading only is told
+	ready           chan struct{}
 }
 
 // NewPool starts a pool that answers binds once Ready was called.
@@ -70,7 +70,7 @@
 		Commands: make(chan Command, 4096), running: map[string]bool{}, ready: make(chan struct{}),
 	}
 	p.accept(listener)
-	t.Cleanup(func() { p.listener.Close(); p.Cut() })
+	t.Cleanup(func() { p.listener.Close(); p.CloseLink() })
 	return p
 }
 
@@ -87,8 +87,8 @@
 	}()
 }
 
-// Move has the pool take links at another address. The link that is open stays.
-func (p *Pool) Move(t testing.TB) {
+// Relocate has the pool take links at another address. The link that is open stays.
+func (p *Pool) Relocate(t testing.TB) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	p.listener.Close()
@@ -120,21 +120,21 @@
 		}
 		switch c.Verb {
 		case "spawn":
-			if !p.Loses {
+			if !p.DropsSpawns {
 				p.running[c.Task] = true
 			}
 			if p.Echo {
-				p.end(c.Task, "success", c.Body)
+				p.finishRun(c.Task, "success", c.Body)
 			}
 		case "suspend":
-			if p.running[c.Task] && !p.Hangs {
-				p.end(c.Task, "interrupted", nil)
-				if p.Pauses {
+			if p.running[c.Task] && !p.IgnoresSuspend {
+				p.finishRun(c.Task, "interrupted", nil)
+				if p.RunsOnAfterSuspend {
 					p.running[c.Task] = true
 				}
 			}
 		case "poll":
-			if !p.Mute && !p.silent {
+			if !p.NoReadings && !p.silent {
 				fmt.Fprintf(link, `{"verb":"polled","nonce":%q,"readings":%s}`+"\n", c.Nonce, p.readings())
 			}
 		}
@@ -149,10 +149,10 @@
 func (p *Pool) readings() string {
 	runs := float64(len(p.running))
 	busy := min(1, runs/cores)
-	if p.meager {
+	if p.partialReadings {
 		return fmt.Sprintf("[%g]", busy)
 	}
-	return fmt.Sprintf("[%g,%g,%.4f,3]", busy, runs, min(1, runs*runKB/siteKB))
+	return fmt.Sprintf("[%g,%g,%.4f,3]", busy, runs, min(1, runs*runMemoryKB/siteMemoryKB))
 }
 
 // bind answers once the pool is up and tells all notices after one.
@@ -167,14 +167,14 @@
 	}
 }
 
-// end numbers and tells the end of a run.
-func (p *Pool) end(task, outcome string, result []byte) {
+// finishRun numbers and tells the end of a run.
+func (p *Pool) finishRun(task, outcome string, result []byte) {
 	delete(p.running, task)
-	p.tell(map[string]any{"verb": "finished", "task": task, "outcome": outcome, "spent": 5.5, "bytes": result})
+	p.notify(map[string]any{"verb": "finished", "task": task, "outcome": outcome, "spent": 5.5, "bytes": result})
 }
 
-// tell numbers a notice, keeps it and writes it to the link.
-func (p *Pool) tell(notice map[string]any) {
+// notify numbers a notice, keeps it and writes it to the link.
+func (p *Pool) notify(notice map[string]any) {
 	notice["index"] = len(p.notices) + 1
 	raw, _ := json.Marshal(notice)
 	p.notices = append(p.notices, string(raw)+"\n")
@@ -183,13 +183,13 @@
 	}
 }
 
-// FinishUnheard ends a run whose notice is cut short on the link: it is kept, and told again to who binds for it.
-func (p *Pool) FinishUnheard(task, outcome string, result []byte) {
+// FinishTruncated ends a run whose notice is cut short on the link: it is kept, and told again to who binds for it.
+func (p *Pool) FinishTruncated(task, outcome string, result []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	link := p.link
 	p.link = nil
-	p.end(task, outcome, result)
+	p.finishRun(task, outcome, result)
 	p.link = link
 	io.WriteString(link, `{"verb":"finished","index":`+"\n")
 }
@@ -198,18 +198,18 @@
 func (p *Pool) Block(task string, body []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tell(map[string]any{"verb": "blocked", "task": task, "bytes": body})
+	p.notify(map[string]any{"verb": "blocked", "task": task, "bytes": body})
 }
 
 // Finish ends a run.
 func (p *Pool) Finish(task, outcome string, result []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.end(task, outcome, result)
+	p.finishRun(task, outcome, result)
 }
 
-// Say writes to the link as it is.
-func (p *Pool) Say(text string) {
+// WriteRaw writes to the link as it is.
+func (p *Pool) WriteRaw(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	io.WriteString(p.link, text)
@@ -221,33 +221,33 @@
 	defer p.mu.Unlock()
 	p.Echo = true
 	for _, task := range slices.Sorted(maps.Keys(p.running)) {
-		p.end(task, "success", nil)
+		p.finishRun(task, "success", nil)
 	}
 }
 
-// Silence has the pool tell no gauges for a while.
-func (p *Pool) Silence(on bool) {
+// SetSilent has the pool tell no gauges for a while.
+func (p *Pool) SetSilent(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.silent = on
 }
 
-// SetMeager has the pool tell only the first of its readings, or all.
-func (p *Pool) SetMeager(on bool) {
+// SetPartialReadings has the pool tell only the first of its readings, or all.
+func (p *Pool) SetPartialReadings(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.meager = on
+	p.partialReadings = on
 }
 
-// SetLoses has the pool lose the spawns that it reads, or take them.
-func (p *Pool) SetLoses(on bool) {
+// SetDropsSpawns has the pool lose the spawns that it reads, or take them.
+func (p *Pool) SetDropsSpawns(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.Loses = on
+	p.DropsSpawns = on
 }
 
-// Cut ends the link. Runs go on.
-func (p *Pool) Cut() {
+// CloseLink ends the link. Runs go on.
+func (p *Pool) CloseLink() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.link != nil {
@@ -259,7 +259,7 @@
 // Next waits for the next command of a kind and passes over others.
 func (p *Pool) Next(t testing.TB, verb string) Command {
 	t.Helper()
-	for limit := time.After(Patience); ; {
+	for limit := time.After(WaitLimit); ; {
 		select {
 		case c := <-p.Commands:
 			if c.Verb == verb {
@@ -271,31 +271,31 @@
 	}
 }
 
-// Members is a membership service that keeps the reports it gets.
-type Members struct {
+// Membership is a membership service that keeps the reports it gets.
+type Membership struct {
 	Address string
 	socket  net.PacketConn
 }
 
-// NewMembers starts a membership service.
-func NewMembers(t testing.TB) *Members { return MembersAt(t, "127.0.0.1:0") }
+// NewMembership starts a membership service.
+func NewMembership(t testing.TB) *Membership { return NewMembershipAt(t, "127.0.0.1:0") }
 
-// MembersAt starts one at an address.
-func MembersAt(t testing.TB, address string) *Members {
+// NewMembershipAt starts one at an address.
+func NewMembershipAt(t testing.TB, address string) *Membership {
 	socket, err := net.ListenPacket("udp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { socket.Close() })
-	return &Members{socket.LocalAddr().String(), socket}
+	return &Membership{socket.LocalAddr().String(), socket}
 }
 
 // Stop ends the service.
-func (m *Members) Stop() { m.socket.Close() }
+func (m *Membership) Stop() { m.socket.Close() }
 
 // Next waits for the next report.
-func (m *Members) Next(t testing.TB) string {
+func (m *Membership) Next(t testing.TB) string {
 	t.Helper()
 	var datagram [128]byte
-	require.NoError(t, m.socket.SetReadDeadline(time.Now().Add(Patience)))
+	require.NoError(t, m.socket.SetReadDeadline(time.Now().Add(WaitLimit)))
 	n, _, err := m.socket.ReadFrom(datagram[:])
 	require.NoError(t, err)
 	return string(datagram[:n])
@@ -315,7 +315,7 @@
 	link, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { link.Close() })
-	require.NoError(t, link.SetDeadline(time.Now().Add(Patience)))
+	require.NoError(t, link.SetDeadline(time.Now().Add(WaitLimit)))
 	return &Router{Conn: link}
 }
 
@@ -324,12 +324,12 @@
 	return harness.Frame(kind, stream, body, fields...)
 }
 
-// Call names the task that a test sends on a stream.
-func Call(stream uint32) string { return fmt.Sprintf("%016x", 0xabc0000+uint64(stream)) }
+// CallID names the task that a test sends on a stream.
+func CallID(stream uint32) string { return fmt.Sprintf("%016x", 0xabc0000+uint64(stream)) }
 
-// Task builds a task of a type; more fields stand before the usual ones and win over them.
-func Task(stream uint32, op, body string, more ...string) []byte {
-	fields := append(more, "op", op, "call", Call(stream), "recv", strconv.FormatInt(time.Now().UnixMilli(), 10),
+// RequestFrame builds a task of a type; more fields stand before the usual ones and win over them.
+func RequestFrame(stream uint32, op, body string, more ...string) []byte {
+	fields := append(more, "op", op, "call", CallID(stream), "recv", strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"src", "2", "ttl", "15000", "heap", "20.5", "crit", "0.9000")
 	return Frame(10, stream, body, fields...)
 }
@@ -351,8 +351,8 @@
 	return reply
 }
 
-// Rest reads to the end of the connection, which must be an orderly one.
-func (r *Router) Rest(t testing.TB) (all []Reply) {
+// ReadAll reads to the end of the connection, which must be an orderly one.
+func (r *Router) ReadAll(t testing.TB) (all []Reply) {
 	t.Helper()
 	for {
 		reply, err := harness.ReadReply(r)
@@ -364,8 +364,8 @@
 	}
 }
 
-// Closed waits for the server to close the connection.
-func (r *Router) Closed(t testing.TB) {
+// WaitClosed waits for the server to close the connection.
+func (r *Router) WaitClosed(t testing.TB) {
 	t.Helper()
 	_, err := io.Copy(io.Discard, r)
 	if timeout, is := err.(net.Error); is {
@@ -373,8 +373,8 @@
 	}
 }
 
-// Site holds the settings of a site with a reissuable and an at-most-once type.
-const Site = `{"extra":{"advert":"threshold","below":"none","calls-by-class":[false,false],
+// SiteSettings holds the settings of a site with a reissuable and an at-most-once type.
+const SiteSettings = `{"extra":{"advert":"threshold","below":"none","calls-by-class":[false,false],
 "class-skip-worth":[0.0,0.0],"cold":false,"cores":4,"gauges":["core_use","on_cores","heap_share","links"],
 "halt":"suspend","idle":30000000,"passes-deadline":true,"ram-kb":60000.0,"run-factor":8.0},
 "limits":{"max-retry-after":1000000,"retry-after":true},
@@ -384,22 +384,22 @@
 {"name":"pay","deadline":9000000,"goal-time":8000000,"gain":4.0,"idempotency":"fragile","late-value":0.0}],
 "tenants":[],"value-by":"request"}`
 
-// StartFile writes what a program is told at its start and returns its path.
-func StartFile(t testing.TB, listen, pool, members, site string) string {
+// WriteConfig writes what a program is told at its start and returns its path.
+func WriteConfig(t testing.TB, listen, pool, members, site string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	Rewrite(t, path, listen, pool, members, site)
+	RewriteConfig(t, path, listen, pool, members, site)
 	return path
 }
 
-// Rewrite puts another such file in the place of one.
-func Rewrite(t testing.TB, path, listen, pool, members, site string) {
+// RewriteConfig puts another such file in the place of one.
+func RewriteConfig(t testing.TB, path, listen, pool, members, site string) {
 	t.Helper()
-	RewriteWith(t, path, listen, pool, members, "", site)
+	RewriteConfigWithDependency(t, path, listen, pool, members, "", site)
 }
 
-// RewriteWith does the same with the address of a dependency.
-func RewriteWith(t testing.TB, path, listen, pool, members, index, site string) {
+// RewriteConfigWithDependency does the same with the address of a dependency.
+func RewriteConfigWithDependency(t testing.TB, path, listen, pool, members, index, site string) {
 	t.Helper()
 	if index != "" {
 		index = fmt.Sprintf(`"index":%q,`, index)
--- a/internal/workerlink/pool_test.go
+++ b/internal/workerlink/pool_test.go
@@ -42,7 +42,7 @@
 // next waits for the next notice of a kind and passes over others.
 func (b *bench) next(t *testing.T, kind workerapi.Kind) workerapi.Notice {
 	t.Helper()
-	for limit := time.After(fake.Patience); ; {
+	for limit := time.After(fake.WaitLimit); ; {
 		for len(b.told) > 0 {
 			n := b.told[0]
 			if b.told = b.told[1:]; n.Kind == kind {
@@ -95,8 +95,8 @@
 	assert.Equal(t, next, nonce)
 	assert.Equal(t, []float64{0.25, 1, 0.0027, 3}, b.next(t, workerapi.Polled).Readings)
 
-	b.pool.Say(`{"verb":"chatter","index":2,"outcome":"hm"}` + "\n" + `{"verb":"unk`)
-	b.pool.Say(`nown","outcome":"spawn","task":"t9"}` + "\n" + `{"verb":"verified","nonce":"4","outcome":"failure"}` + "\n")
+	b.pool.WriteRaw(`{"verb":"chatter","index":2,"outcome":"hm"}` + "\n" + `{"verb":"unk`)
+	b.pool.WriteRaw(`nown","outcome":"spawn","task":"t9"}` + "\n" + `{"verb":"verified","nonce":"4","outcome":"failure"}` + "\n")
 	unknown := b.next(t, workerapi.Unknown)
 	assert.Equal(t, []string{"spawn", "t9"}, []string{unknown.Outcome, unknown.RequestID})
 	assert.Equal(t, uint64(4), b.next(t, workerapi.Verified).Nonce)
@@ -123,7 +123,7 @@
 		b.Flush()
 		b.pool.Next(t, "spawn")
 	}
-	b.pool.FinishUnheard("a", "success", []byte("first"))
+	b.pool.FinishTruncated("a", "success", []byte("first"))
 	b.pool.Finish("b", "success", []byte("second"))
 	assert.Equal(t, 0, b.pool.Next(t, "bind").Index)
 	for _, want := range []string{"first", "second"} {
@@ -133,10 +133,10 @@
 	b.next(t, workerapi.LinkSynced) // of this link, so that the one waited for below is the next link's
 
 	// One that the pool does not keep any more is asked for once.
-	b.pool.Say(`{"verb":"finished","index":7,"task":"c","outcome":"success","spent":1,"bytes":""}` + "\n")
+	b.pool.WriteRaw(`{"verb":"finished","index":7,"task":"c","outcome":"success","spent":1,"bytes":""}` + "\n")
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index)
 	b.next(t, workerapi.LinkSynced)
-	b.pool.Say(`{"verb":"finished","index":7,"task":"c","outcome":"success","spent":1,"bytes":""}` + "\n")
+	b.pool.WriteRaw(`{"verb":"finished","index":7,"task":"c","outcome":"success","spent":1,"bytes":""}` + "\n")
 	assert.Equal(t, "c", b.next(t, workerapi.RunFinished).RequestID)
 	assert.Equal(t, 1, b.counts.Times("pool notices missed"))
 }
@@ -151,21 +151,21 @@
 	}
 	b.pool.Finish("a", "success", []byte("first"))
 	assert.Equal(t, "first", string(b.next(t, workerapi.RunFinished).Result))
-	b.pool.Cut()
+	b.pool.CloseLink()
 	b.next(t, workerapi.LinkDown)
 	b.pool.Finish("b", "success", []byte("second")) // while no link is there, or on the next one
 	assert.Equal(t, 1, b.pool.Next(t, "bind").Index)
 	n := b.next(t, workerapi.RunFinished)
 	assert.Equal(t, "second", string(n.Result), "the end that came without a link is told once it is back")
-	b.pool.Say(`{"verb":"finished","index":2,"task":"b","outcome":"success","spent":1,"bytes":""}` + "\n")
+	b.pool.WriteRaw(`{"verb":"finished","index":2,"task":"b","outcome":"success","spent":1,"bytes":""}` + "\n")
 	b.next(t, workerapi.LinkSynced) // of this link, so that the one waited for below is the next link's
 	const beyond = `{"verb":"finished","index":5,"task":"c","outcome":"failure","spent":1}` + "\n"
-	b.pool.Say(beyond)
+	b.pool.WriteRaw(beyond)
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index, "what is missing is asked for")
 	b.next(t, workerapi.LinkSynced)
-	b.pool.Say(beyond)
+	b.pool.WriteRaw(beyond)
 	assert.Equal(t, "c", b.next(t, workerapi.RunFinished).RequestID, "a notice told again was taken as a new one")
-	b.pool.Say(`{"verb":"finished","index":6,"task":"d","outcome":"success","spent":1,"bytes":"*"}` + "\n")
+	b.pool.WriteRaw(`{"verb":"finished","index":6,"task":"d","outcome":"success","spent":1,"bytes":"*"}` + "\n")
 	assert.Equal(t, "failure", b.next(t, workerapi.RunFinished).Outcome, "a result that can't be read")
 	assert.Equal(t, 1, b.counts.Times("pool notice told again"))
 	assert.Equal(t, 1, b.counts.Times("pool notices missed"))
@@ -183,7 +183,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t).synced(t)
 			b.pool.Next(t, "bind")
-			b.pool.Say(text + `{"verb":"finished","index":1,"task":"a","outcome":"success","spent":1}` + "\n")
+			b.pool.WriteRaw(text + `{"verb":"finished","index":1,"task":"a","outcome":"success","spent":1}` + "\n")
 			assert.Equal(t, "a", b.next(t, workerapi.RunFinished).RequestID)
 			assert.Equal(t, 1, b.counts.Times("pool line that is no notice"))
 			assert.Zero(t, b.counts.Times("pool link lost or refused"))
@@ -208,7 +208,7 @@
 	assert.True(t, b.Start(workerapi.Run{ID: "b", Route: "pay", Body: nil}), "the old link works until a new one is open")
 	b.Flush()
 	b.pool.Next(t, "spawn")
-	b.pool.Move(t)
+	b.pool.Relocate(t)
 	b.Move(b.pool.Address)
 	assert.GreaterOrEqual(t, b.next(t, workerapi.Polled).Nonce, mark, "nothing sent before is in doubt")
 	b.next(t, workerapi.LinkDown)
@@ -218,13 +218,13 @@
 	assert.Equal(t, "b", b.next(t, workerapi.RunFinished).RequestID)
 	assert.Zero(t, b.counts.Times("pool link lost or refused"))
 
-	b.pool.Cut()
+	b.pool.CloseLink()
 	b.next(t, workerapi.LinkDown)
 	assert.Equal(t, 2, b.pool.Next(t, "bind").Index, "a link lost later is made good at the new address")
 	b.next(t, workerapi.LinkSynced)
 
-	b.pool.Silence(true) // a pool that leaves the last poll unanswered
-	b.pool.Move(t)
+	b.pool.SetSilent(true) // a pool that leaves the last poll unanswered
+	b.pool.Relocate(t)
 	b.Move(b.pool.Address)
 	b.next(t, workerapi.LinkDown)
 	assert.Equal(t, 1, b.counts.Times("pool did not answer the last poll of a link that moved"))
@@ -236,7 +236,7 @@
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
 	b.bound = 1 << 10
-	b.pool.Cut()
+	b.pool.CloseLink()
 	b.next(t, workerapi.LinkSynced)
 	for range 100 {
 		b.Start(workerapi.Run{ID: "t", Route: "browse", Body: make([]byte, 512)})
