--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -45,7 +45,7 @@
 	replicas []string
 	keyFile  string
 	running  []*exec.Cmd
-	logs     []*harness.LogText
+	logs     []*harness.LogBuffer
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -90,7 +90,7 @@
 	t.Helper()
 	head := fmt.Sprintf("name = \"c%d\"\ndata = %q\n", i, filepath.Join(f.folder, fmt.Sprint("data", i)))
 	cmd := exec.Command(filepath.Join(programs, "quartzconfig"), "serve", "--config", f.file(t, fmt.Sprintf("c%d.toml", i), head))
-	f.logs[i] = &harness.LogText{}
+	f.logs[i] = &harness.LogBuffer{}
 	cmd.Stderr = f.logs[i]
 	require.NoError(t, cmd.Start())
 	f.running[i] = cmd
--- a/cmd/quartzpoint-bench/dependencies.go
+++ b/cmd/quartzpoint-bench/dependencies.go
@@ -25,7 +25,7 @@
 // scenarioResult is the result of one run.
 type scenarioResult struct {
 	harness.Result
-	seen [3]harness.Seen
+	seen [3]harness.DependencyStats
 	err  error
 }
 
@@ -63,12 +63,12 @@
 		return r
 	}
 	for _, d := range dependencies {
-		d.Begin()
+		d.RestartClock()
 	}
 	r.Result, r.err = harness.Run(daemon.Address, routes, load, int(seed))
 	r.err = errors.Join(r.err, daemon.Stop())
 	for i, d := range dependencies {
-		r.seen[i] = d.Seen()
+		r.seen[i] = d.Stats()
 	}
 	return r
 }
--- a/cmd/quartzpoint-bench/dependenciesreport.go
+++ b/cmd/quartzpoint-bench/dependenciesreport.go
@@ -84,10 +84,10 @@
 // count adds up what must never happen.
 func (d *dependencyReport) count(c comparison) {
 	for seed, r := range c.budgeted {
-		d.require(r.Unanswered+r.Twice == 0, "%s, seed %d: %d unanswered, %d answered twice", c.scenario.name, seed+1, r.Unanswered, r.Twice)
-		d.lateAll += r.Late
+		d.require(r.Unanswered+r.DuplicateAnswers == 0, "%s, seed %d: %d unanswered, %d answered twice", c.scenario.name, seed+1, r.Unanswered, r.DuplicateAnswers)
+		d.lateAll += r.LateAnswers
 		for _, s := range r.seen {
-			d.effectsTwice += s.Twice
+			d.effectsTwice += s.RepeatedRuns
 		}
 	}
 }
@@ -132,22 +132,22 @@
 // print prints the row of a scenario.
 func (c comparison) print(table io.Writer, comparisons []comparison) scenarioFigures {
 	f := scenarioFigures{noCallOfBaseline: 1, attempts: median(c.budgeted, guestAttempts)}
-	f.overFlat = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Honoured / c.flat[seed].Honoured })
+	f.overFlat = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Goodput / c.flat[seed].Goodput })
 	if baseline := c.baseline(comparisons); baseline != nil {
 		f.hasBaseline = true
-		f.ofBaseline = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Honoured / baseline[seed].Honoured })
+		f.ofBaseline = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Goodput / baseline[seed].Goodput })
 		f.noCallOfBaseline = median(c.budgeted, func(seed int, r scenarioResult) float64 {
-			return r.ByType[noCallRoute] / max(baseline[seed].ByType[noCallRoute], 1)
+			return r.GoodputByRoute[noCallRoute] / max(baseline[seed].GoodputByRoute[noCallRoute], 1)
 		})
 	}
 	late := 0
 	for _, r := range c.budgeted {
-		late += r.Late
+		late += r.LateAnswers
 	}
 	both := func(figure func(int, scenarioResult) float64) (budgeted, flat float64) {
 		return median(c.budgeted, figure), median(c.flat, figure)
 	}
-	honoured, flatHonoured := both(func(_ int, r scenarioResult) float64 { return r.Honoured / r.Offered })
+	honoured, flatHonoured := both(func(_ int, r scenarioResult) float64 { return r.Goodput / r.OfferedValue })
 	aborted, flatAborted := both(codeCount(codeAborted))
 	rejected, flatRejected := both(codeCount(codeRejected))
 	attempts, flatAttempts := both(guestAttempts)
@@ -169,16 +169,16 @@
 // guestAttempts is the number of attempts at the guests over the slot-checks that were started, each of which makes one
 // first attempt there at the most.
 func guestAttempts(_ int, r scenarioResult) float64 {
-	started := float64(r.seen[tables].Calls - r.seen[tables].Numbers)
-	return float64(r.seen[guests].Calls) / max(started, 1)
+	started := float64(r.seen[tables].Attempts - r.seen[tables].DistinctKeys)
+	return float64(r.seen[guests].Attempts) / max(started, 1)
 }
 
 // quantileMillis is a quantile of the times of answers that completed.
 func quantileMillis(quantile float64) func(int, scenarioResult) float64 {
 	return func(_ int, r scenarioResult) float64 {
-		if len(r.Took) == 0 {
+		if len(r.Latencies) == 0 {
 			return 0
 		}
-		return float64(r.Took[int(quantile*float64(len(r.Took)-1))].Microseconds()) / 1000
+		return float64(r.Latencies[int(quantile*float64(len(r.Latencies)-1))].Microseconds()) / 1000
 	}
 }
--- a/cmd/quartzpoint-bench/drill.go
+++ b/cmd/quartzpoint-bench/drill.go
@@ -95,7 +95,7 @@
 	}{{"sockets", realParts(r)}, {"emulated", partsOf(d.EmulateLoad(emulator.Own, 1, load))}} {
 		fmt.Printf("%-9s honoured %.3f, dismissed %.3f, given up %.3f\n", p.on, p.of.honoured, p.of.dismissed, p.of.givenUp)
 	}
-	fmt.Printf("on sockets: %d tasks, %d unanswered, %d answered twice, rules broken %v\n", r.Tasks, r.Unanswered, r.Twice, found.Broken[1:])
+	fmt.Printf("on sockets: %d tasks, %d unanswered, %d answered twice, rules broken %v\n", r.Requests, r.Unanswered, r.DuplicateAnswers, found.Broken[1:])
 	for _, words := range found.Words {
 		fmt.Println(" ", words)
 	}
--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -92,7 +92,7 @@
 		return p, err
 	}
 	e := d.EmulateLoad(emulator.Own, seed, load)
-	return pair{realParts(r), partsOf(e), r.Twice + found.Total() + e.Rules.Total()}, nil
+	return pair{realParts(r), partsOf(e), r.DuplicateAnswers + found.Total() + e.Rules.Total()}, nil
 }
 
 func fleetBroken(pairs []pair) (n int) {
@@ -156,7 +156,7 @@
 				e := d.EmulateLoad(emulator.Own, int64(seed+1), load)
 				results[i][seed] = pair{realParts(r), partsOf(e), 0}
 				mu.Lock()
-				broken[i] += r.Unanswered + r.Twice + found.Total() + e.Rules.Total()
+				broken[i] += r.Unanswered + r.DuplicateAnswers + found.Total() + e.Rules.Total()
 				mu.Unlock()
 			}()
 		}
--- a/cmd/quartzpoint-bench/faultscenarios.go
+++ b/cmd/quartzpoint-bench/faultscenarios.go
@@ -22,21 +22,23 @@
 // faultScenario scripts the behaviour of the three dependencies.
 type faultScenario struct {
 	name       string
-	scripts    [3]harness.Script
+	scripts    [3]harness.BehaviourScript
 	overloaded bool   // workers at 130 % by the route that needs no call
 	baseline   string // name of the scenario that it is compared with
 }
 
 // always is a mood that lasts from the start.
-func always(m harness.Mood) harness.Script { return func(time.Duration) harness.Mood { return m } }
+func always(m harness.DependencyBehaviour) harness.BehaviourScript {
+	return func(time.Duration) harness.DependencyBehaviour { return m }
+}
 
 // until is a mood from faultStart to end.
-func until(end time.Duration, m harness.Mood) harness.Script {
-	return func(at time.Duration) harness.Mood {
+func until(end time.Duration, m harness.DependencyBehaviour) harness.BehaviourScript {
+	return func(at time.Duration) harness.DependencyBehaviour {
 		if at >= faultStart && at < end {
 			return m
 		}
-		return harness.Mood{}
+		return harness.DependencyBehaviour{}
 	}
 }
 
@@ -46,22 +48,22 @@
 func faultScenarios() []faultScenario {
 	return []faultScenario{
 		{name: undisturbed},
-		{name: "one ten times slower", scripts: [3]harness.Script{guests: always(harness.Mood{Slow: 10})}},
-		{name: "total outage of one", scripts: [3]harness.Script{guests: always(harness.Mood{Errors: true})}},
-		{name: "one silent for 3 s", scripts: [3]harness.Script{guests: until(4*time.Second, harness.Mood{Silent: true})}},
-		{name: "two: silence and errors", scripts: [3]harness.Script{guests: until(4*time.Second, harness.Mood{Silent: true}),
-			waitlist: until(4*time.Second, harness.Mood{Errors: true})}},
-		{name: "flaps each second", scripts: [3]harness.Script{guests: func(at time.Duration) harness.Mood {
-			return harness.Mood{Errors: int(at/time.Second)%2 == 1}
+		{name: "one ten times slower", scripts: [3]harness.BehaviourScript{guests: always(harness.DependencyBehaviour{SlowFactor: 10})}},
+		{name: "total outage of one", scripts: [3]harness.BehaviourScript{guests: always(harness.DependencyBehaviour{Fails: true})}},
+		{name: "one silent for 3 s", scripts: [3]harness.BehaviourScript{guests: until(4*time.Second, harness.DependencyBehaviour{Silent: true})}},
+		{name: "two: silence and errors", scripts: [3]harness.BehaviourScript{guests: until(4*time.Second, harness.DependencyBehaviour{Silent: true}),
+			waitlist: until(4*time.Second, harness.DependencyBehaviour{Fails: true})}},
+		{name: "flaps each second", scripts: [3]harness.BehaviourScript{guests: func(at time.Duration) harness.DependencyBehaviour {
+			return harness.DependencyBehaviour{Fails: int(at/time.Second)%2 == 1}
 		}}},
-		{name: "garbage for 2 s", scripts: [3]harness.Script{guests: until(3*time.Second, harness.Mood{Garbage: true})}},
-		{name: "effects answered late", scripts: [3]harness.Script{waitlist: until(4*time.Second, harness.Mood{Late: 3 * time.Second})}},
-		{name: "restart, slow at first", scripts: [3]harness.Script{guests: func(at time.Duration) harness.Mood {
-			return harness.Mood{Down: at >= time.Second && at < 2*time.Second, Slow: max(1, 6-2*(at-2*time.Second).Seconds())}
+		{name: "garbage for 2 s", scripts: [3]harness.BehaviourScript{guests: until(3*time.Second, harness.DependencyBehaviour{Garbage: true})}},
+		{name: "effects answered late", scripts: [3]harness.BehaviourScript{waitlist: until(4*time.Second, harness.DependencyBehaviour{AnswerDelay: 3 * time.Second})}},
+		{name: "restart, slow at first", scripts: [3]harness.BehaviourScript{guests: func(at time.Duration) harness.DependencyBehaviour {
+			return harness.DependencyBehaviour{Down: at >= time.Second && at < 2*time.Second, SlowFactor: max(1, 6-2*(at-2*time.Second).Seconds())}
 		}}},
 		{name: "130%, undisturbed", overloaded: true},
 		{name: "130%, outage of one", overloaded: true, baseline: "130%, undisturbed",
-			scripts: [3]harness.Script{guests: always(harness.Mood{Errors: true})}},
+			scripts: [3]harness.BehaviourScript{guests: always(harness.DependencyBehaviour{Fails: true})}},
 	}
 }
 
--- a/cmd/quartzpoint-bench/library.go
+++ b/cmd/quartzpoint-bench/library.go
@@ -219,7 +219,7 @@
 	return []string{"gate", "none", "semaphore", "token bucket"}, map[string]func(*harness.Cores) (policy, func(), error){
 		"gate": func(cores *harness.Cores) (policy, func(), error) {
 			t := quartzpoint.Terms{Cores: labCores, MemoryMB: 256, Gauges: func(int) quartzpoint.Gauges {
-				cpu, crowd := cores.Gauges()
+				cpu, crowd := cores.Load()
 				return quartzpoint.Gauges{CPU: cpu, Crowd: crowd}
 			}}
 			for _, k := range types {
@@ -312,10 +312,10 @@
 		var took []time.Duration
 		late := 0
 		for seed, r := range results[name] {
-			honoured = append(honoured, r.Honoured/r.Offered)
-			over = append(over, results["gate"][seed].Honoured/max(r.Honoured, 1e-9))
-			took = append(took, r.Took...)
-			late += r.Late
+			honoured = append(honoured, r.Goodput/r.OfferedValue)
+			over = append(over, results["gate"][seed].Goodput/max(r.Goodput, 1e-9))
+			took = append(took, r.Latencies...)
+			late += r.LateAnswers
 		}
 		slices.Sort(honoured)
 		slices.Sort(over)
@@ -365,14 +365,14 @@
 			took := time.Since(asked)
 			mu.Lock()
 			defer mu.Unlock()
-			r.Tasks++
-			r.Offered += t.Value
-			r.Took = append(r.Took, took)
+			r.Requests++
+			r.OfferedValue += t.Value
+			r.Latencies = append(r.Latencies, took)
 			if took > t.Deadline+50*time.Millisecond {
-				r.Late++
+				r.LateAnswers++
 			}
 			if err == nil && took <= t.LatencyTarget {
-				r.Honoured += t.Value
+				r.Goodput += t.Value
 			}
 		}()
 	}
--- a/cmd/quartzpoint-bench/load.go
+++ b/cmd/quartzpoint-bench/load.go
@@ -69,12 +69,12 @@
 		if err != nil {
 			return err
 		}
-		for _, t := range r.Took {
+		for _, t := range r.Latencies {
 			_ = took.RecordValue(min(max(t.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
 		}
 		p := realParts(r)
 		fmt.Printf("%d tasks: honoured %.3f of importance, dismissed %.3f, given up %.3f, unanswered %d, twice %d, late %d\n",
-			r.Tasks, p.honoured, p.dismissed, p.givenUp, r.Unanswered, r.Twice, r.Late)
+			r.Requests, p.honoured, p.dismissed, p.givenUp, r.Unanswered, r.DuplicateAnswers, r.LateAnswers)
 	} else if err := overHTTP(cmd.To, types, load, took); err != nil {
 		return err
 	}
--- a/cmd/quartzpoint-bench/peersgroup.go
+++ b/cmd/quartzpoint-bench/peersgroup.go
@@ -85,7 +85,7 @@
 // honoured is the value that the group served.
 func (g *group) honoured() (sum float64) {
 	for _, r := range g.results {
-		sum += r.Honoured
+		sum += r.Goodput
 	}
 	return sum
 }
@@ -93,10 +93,10 @@
 // broken names the rules that were broken in the group.
 func (g *group) broken() (words []string) {
 	for i, r := range g.results {
-		_, twice := g.daemons[i].Workers.Started()
-		if r.Unanswered+r.Twice+r.Late+twice > 0 {
+		_, twice := g.daemons[i].Workers.StartOffsets()
+		if r.Unanswered+r.DuplicateAnswers+r.LateAnswers+twice > 0 {
 			words = append(words, fmt.Sprintf("%s: %d of %d unanswered, %d answered twice, %d late, %d run twice",
-				g.name, r.Unanswered, r.Tasks, r.Twice, r.Late, twice))
+				g.name, r.Unanswered, r.Requests, r.DuplicateAnswers, r.LateAnswers, twice))
 		}
 	}
 	return words
@@ -105,9 +105,9 @@
 // startedBy is how many requests the group had started at a moment of its load.
 func (g *group) startedBy(at time.Duration) (n int) {
 	for _, d := range g.daemons {
-		started, _ := d.Workers.Started()
+		started, _ := d.Workers.StartOffsets()
 		for _, s := range started {
-			if s <= at+g.began.Sub(d.Workers.Began()) {
+			if s <= at+g.began.Sub(d.Workers.StartedAt()) {
 				n++
 			}
 		}
--- a/cmd/quartzpoint-bench/real.go
+++ b/cmd/quartzpoint-bench/real.go
@@ -73,7 +73,7 @@
 		for _, what := range []func(m *harness.Machine){to, back} {
 			for _, n := range numbers {
 				if one := f.Daemon(n); one != nil {
-					one.Workers.Change(what)
+					one.Workers.Update(what)
 				}
 			}
 			if i.For == 0 {
@@ -119,6 +119,6 @@
 }
 
 func realParts(r harness.Result) parts {
-	n := float64(max(r.Tasks, 1))
-	return parts{r.Honoured / max(r.Offered, 1e-9), float64(r.Codes[50]) / n, float64(r.Codes[51]) / n}
+	n := float64(max(r.Requests, 1))
+	return parts{r.Goodput / max(r.OfferedValue, 1e-9), float64(r.Codes[50]) / n, float64(r.Codes[51]) / n}
 }
--- a/cmd/quartzpoint-bench/state_restart.go
+++ b/cmd/quartzpoint-bench/state_restart.go
@@ -136,7 +136,7 @@
 	}
 	half := 0.0 // the twin group may be smaller than the cold one
 	for i := range twin.results {
-		half += cold.results[i].Honoured
+		half += cold.results[i].Goodput
 	}
 	r.fresh, r.twins = fresh.honoured()/cold.honoured(), twin.honoured()/half
 	r.old, r.young = old.honoured()/slowCold.honoured(), young.honoured()/slowCold.honoured()
--- a/cmd/quartzpoint-bench/workers.go
+++ b/cmd/quartzpoint-bench/workers.go
@@ -69,7 +69,7 @@
 			return err
 		}
 		defer one.Close()
-		one.Begin()
+		one.RestartClock()
 		fmt.Printf("[dependencies.%s] address = %q\n", dep.Name, one.Address)
 	}
 	for _, i := range d.Incidents {
@@ -96,8 +96,8 @@
 const failEach = 100 * time.Millisecond
 
 // moodOf is how a dependency does by the incidents of a drill.
-func moodOf(d *scenario.Drill, name string) harness.Script {
-	return func(at time.Duration) (m harness.Mood) {
+func moodOf(d *scenario.Drill, name string) harness.BehaviourScript {
+	return func(at time.Duration) (m harness.DependencyBehaviour) {
 		for _, i := range d.Incidents {
 			if i.Name != name || at < i.At || i.For > 0 && at >= i.At+i.For {
 				continue
@@ -106,9 +106,9 @@
 			case "stop":
 				m.Silent = true
 			case "drag":
-				m.Slow = i.By
+				m.SlowFactor = i.By
 			case "fail":
-				m.Refuses = at%failEach < time.Duration(i.By*float64(failEach)) // for that part of the time
+				m.Rejects = at%failEach < time.Duration(i.By*float64(failEach)) // for that part of the time
 			}
 		}
 		return m
@@ -121,12 +121,12 @@
 	change := func(to, back func(m *harness.Machine)) string {
 		numbers := meant(d, i, rand.New(rand.NewSource(int64(i.At))))
 		for _, n := range numbers {
-			pools[n].Change(to)
+			pools[n].Update(to)
 		}
 		if i.For > 0 {
 			time.AfterFunc(i.For, func() {
 				for _, n := range numbers {
-					pools[n].Change(back)
+					pools[n].Update(back)
 				}
 			})
 		}
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -46,7 +46,7 @@
 	types        []harness.Route
 }
 
-func startComposedServer(t *testing.T, bank harness.Script) *composedServer {
+func startComposedServer(t *testing.T, bank harness.BehaviourScript) *composedServer {
 	c := &composedServer{types: []harness.Route{
 		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, Once: true, Share: 0.5,
 			Work: time.Millisecond, Composed: true},
@@ -72,8 +72,8 @@
 	c := startComposedServer(t, nil)
 	done, err := harness.Run(c.daemon.Address, c.types, harness.Arrivals(c.types, 60, time.Second, 1), 1)
 	require.NoError(t, err)
-	assert.Equal(t, done.Tasks, done.Codes[20], "all complete")
-	assert.Zero(t, done.Partial+done.Late+done.Twice)
+	assert.Equal(t, done.Requests, done.Codes[20], "all complete")
+	assert.Zero(t, done.Partial+done.LateAnswers+done.DuplicateAnswers)
 	about, err := os.Stat(c.socket)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), about.Mode().Perm(), "the socket is its owner's")
@@ -87,7 +87,7 @@
 	require.NoError(t, json.Unmarshal([]byte(out), &states))
 	require.Len(t, states, 2)
 	assert.Equal(t, "bank", states[0].Name)
-	assert.Equal(t, c.bank.Seen().Calls, states[0].FirstAttempts)
+	assert.Equal(t, c.bank.Stats().Attempts, states[0].FirstAttempts)
 	assert.Zero(t, states[0].InFlight)
 	assert.Greater(t, states[0].QuantilesInMillis[0], 4.0)
 	require.NoError(t, c.daemon.Stop())
@@ -98,20 +98,22 @@
 // The deposit is sent and its response comes after the deadline. The request is aborted, never rejected, and the deposit made
 // once. Requests that do not need the bank are not affected.
 func TestDepositWithoutAnswer(t *testing.T) {
-	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Late: 3 * time.Second} })
+	c := startComposedServer(t, func(time.Duration) harness.DependencyBehaviour {
+		return harness.DependencyBehaviour{AnswerDelay: 3 * time.Second}
+	})
 	load := harness.Arrivals(c.types, 20, time.Second, 1)
 	done, err := harness.Run(c.daemon.Address, c.types, load, 1)
 	require.NoError(t, err)
-	assert.Zero(t, done.Unanswered+done.Late+done.Twice)
+	assert.Zero(t, done.Unanswered+done.LateAnswers+done.DuplicateAnswers)
 	notes := 0.0
 	for _, a := range load {
 		notes += float64(a.Type)
 	}
-	assert.Equal(t, notes, done.ByType[1])
-	seen := c.bank.Seen()
+	assert.Equal(t, notes, done.GoodputByRoute[1])
+	seen := c.bank.Stats()
 	assert.Positive(t, seen.Effects)
-	assert.Zero(t, seen.Twice)
-	assert.Equal(t, seen.Calls, seen.Numbers, "no attempt was repeated")
+	assert.Zero(t, seen.RepeatedRuns)
+	assert.Equal(t, seen.Attempts, seen.DistinctKeys, "no attempt was repeated")
 	assert.GreaterOrEqual(t, done.Codes[51], seen.Effects, "what ran is aborted, not rejected")
 	require.NoError(t, c.daemon.Stop())
 	assert.NotContains(t, c.daemon.Log(), "check failed")
@@ -120,17 +122,17 @@
 // A caller disconnects, and then the server shuts down, while calls are in flight. The other callers get their answers, and
 // the shutdown ends in time.
 func TestLeavingWithOpenCalls(t *testing.T) {
-	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Silent: true} })
+	c := startComposedServer(t, func(time.Duration) harness.DependencyBehaviour { return harness.DependencyBehaviour{Silent: true} })
 	gone := fake.Dial(t, c.daemon.Address)
 	gone.Send(t, fake.RequestFrame(1, "confirm-booking", "x"))
-	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 1 }, fake.WaitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return c.bank.Stats().Attempts == 1 }, fake.WaitLimit, time.Millisecond)
 	_ = gone.Close()
 	router := fake.Dial(t, c.daemon.Address)
 	for stream := range uint32(3) {
 		more := []string{"call", "00000000000000a" + string(rune('1'+stream))}
 		router.Send(t, fake.RequestFrame(stream+1, "confirm-booking", "x", more...))
 	}
-	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 4 }, fake.WaitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return c.bank.Stats().Attempts == 4 }, fake.WaitLimit, time.Millisecond)
 	left := make(chan error, 1)
 	began := time.Now()
 	go func() { left <- c.daemon.Stop() }()
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -45,7 +45,7 @@
 	pool    *fake.Pool
 	members *fake.Membership
 	path    string // of its configuration
-	log     *harness.LogText
+	log     *harness.LogBuffer
 }
 
 func launch(t *testing.T, build string) *program {
@@ -61,7 +61,7 @@
 func prepare(t *testing.T, command ...string) *program {
 	address, err := harness.FreeAddress() // not at 127.0.0.1, where a connection may be given the port before the process has it
 	require.NoError(t, err)
-	p := &program{address: address, pool: fake.NewPool(t), members: fake.NewMembership(t), log: &harness.LogText{}}
+	p := &program{address: address, pool: fake.NewPool(t), members: fake.NewMembership(t), log: &harness.LogBuffer{}}
 	p.path = fake.WriteConfig(t, p.address, p.pool.Address, p.members.Address, fake.SiteSettings)
 	p.cmd = exec.Command(command[0], command[1:]...)
 	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+p.path, "EDGE_NAME=n1", "EDGE_LISTEN="+p.address)
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -35,11 +35,11 @@
 func TestPoolSurvivesRunsThatOutliveTheirRequests(t *testing.T) {
 	troubles := map[string]func(w *harness.Workers, on bool){
 		"slow": func(w *harness.Workers, on bool) {
-			w.Change(func(m *harness.Machine) { m.Speed = map[bool]float64{true: 0.01, false: 1}[on] })
+			w.Update(func(m *harness.Machine) { m.Speed = map[bool]float64{true: 0.01, false: 1}[on] })
 		},
-		"hung": func(w *harness.Workers, on bool) { w.Hang(on) },
+		"hung": func(w *harness.Workers, on bool) { w.SetHung(on) },
 		"hung, link lost": func(w *harness.Workers, on bool) {
-			w.Hang(on)
+			w.SetHung(on)
 			w.CutLink()
 		},
 	}
@@ -54,7 +54,7 @@
 					t.Parallel()
 					machine.Halt = halt
 					strain, log := playTrouble(t, machine, set)
-					assert.LessOrEqual(t, strain.Crowd, 1.0, "the cores were crowded past what the pool survives at %v\n%s", strain.CrowdAt, log)
+					assert.LessOrEqual(t, strain.Runs, 1.0, "the cores were crowded past what the pool survives at %v\n%s", strain.RunsAt, log)
 					assert.LessOrEqual(t, strain.Memory, 1.0, "the memory was passed at %v\n%s", strain.MemoryAt, log)
 				})
 			}
--- a/cmd/quartzpoint/peers_test.go
+++ b/cmd/quartzpoint/peers_test.go
@@ -109,7 +109,7 @@
 	logged(peer, "serving estimates to peers")
 	done, err := harness.Run(peer.Address, types, harness.Arrivals(types, 60, 2500*time.Millisecond, 1), 1)
 	require.NoError(t, err)
-	assert.Zero(t, done.Unanswered+done.Twice)
+	assert.Zero(t, done.Unanswered+done.DuplicateAnswers)
 
 	out, code := ask(t, nil, "peer", "show", address, "--key-file", keys)
 	require.Zero(t, code, out)
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -14,11 +14,11 @@
 )
 
 func TestParts(t *testing.T) {
-	broken := func(time.Duration) harness.Mood { return harness.Mood{Errors: true} }
-	slow := func(time.Duration) harness.Mood { return harness.Mood{Slow: 100} }
+	broken := func(time.Duration) harness.DependencyBehaviour { return harness.DependencyBehaviour{Fails: true} }
+	slow := func(time.Duration) harness.DependencyBehaviour { return harness.DependencyBehaviour{SlowFactor: 100} }
 	cases := []struct {
 		name       string
-		one, other harness.Script
+		one, other harness.BehaviourScript
 		change     func(*Route)
 		outcome    string
 		states     []string
@@ -56,7 +56,9 @@
 // configured age and no longer.
 func TestLastGood(t *testing.T) {
 	var failing atomic.Bool
-	other := startDependency(t, ms, func(time.Duration) harness.Mood { return harness.Mood{Errors: failing.Load()} })
+	other := startDependency(t, ms, func(time.Duration) harness.DependencyBehaviour {
+		return harness.DependencyBehaviour{Fails: failing.Load()}
+	})
 	one := startDependency(t, ms, nil)
 	server := newTestServer(t, 64<<20, readRoute(func(t *Route) { t.Plan.Calls[1].Fallback, t.Calls[1].MaxStaleness = true, 400*ms }),
 		dependency("one", one.Address), dependency("other", other.Address))
@@ -83,7 +85,9 @@
 // never sent again; the late response is counted and changes nothing.
 func TestUnclearDeposit(t *testing.T) {
 	hold := startDependency(t, ms, nil)
-	deposit := startDependency(t, ms, func(time.Duration) harness.Mood { return harness.Mood{Late: 400 * ms} })
+	deposit := startDependency(t, ms, func(time.Duration) harness.DependencyBehaviour {
+		return harness.DependencyBehaviour{AnswerDelay: 400 * ms}
+	})
 	server := newTestServer(t, 64<<20, confirmRoute(), dependency("hold", hold.Address), dependency("deposit", deposit.Address))
 	server.start("confirm", "x", 250*ms)
 	outcome, a := server.next()
@@ -97,7 +101,7 @@
 	}
 	require.Eventually(t, func() bool { return state() == 1 }, patience, 10*ms, "the late answer")
 	assert.Empty(t, server.notices, "it changes nothing")
-	assert.Equal(t, harness.Seen{Calls: 1, Effects: 1, Numbers: 1, Most: 1}, deposit.Seen())
+	assert.Equal(t, harness.DependencyStats{Attempts: 1, Effects: 1, DistinctKeys: 1, MaxOpen: 1}, deposit.Stats())
 }
 
 // A call runs and the connection breaks before its response. One with an idempotency key is retried with the same key, and
@@ -115,7 +119,7 @@
 	outcome, a := server.next()
 	assert.Equal(t, "success", outcome)
 	assert.True(t, a.Complete)
-	assert.Equal(t, harness.Seen{Calls: 2, Effects: 1, Numbers: 1, Most: 1}, hold.Seen())
+	assert.Equal(t, harness.DependencyStats{Attempts: 2, Effects: 1, DistinctKeys: 1, MaxOpen: 1}, hold.Stats())
 
 	hold, deposit = startDependency(t, 5*ms, nil), startDependency(t, 5*ms, nil)
 	server = newTestServer(t, 64<<20, confirmRoute(), dependency("hold", hold.Address), dependency("deposit", startCutProxy(t, deposit.Address)))
@@ -124,24 +128,24 @@
 	assert.Equal(t, "interrupted", outcome)
 	assert.Equal(t, "unclear", a.Parts[1].Reason)
 	time.Sleep(100 * ms)
-	assert.Equal(t, 1, deposit.Seen().Calls)
+	assert.Equal(t, 1, deposit.Stats().Attempts)
 }
 
 // A dependency is silent, sends garbage, goes down or refuses connections for a while. The connections are dialled again,
 // and calls succeed once it has recovered.
 func TestComesBack(t *testing.T) {
-	cases := map[string]harness.Mood{
-		"silent": {Silent: true}, "garbage": {Garbage: true}, "down": {Down: true}, "refuses": {Refuses: true},
+	cases := map[string]harness.DependencyBehaviour{
+		"silent": {Silent: true}, "garbage": {Garbage: true}, "down": {Down: true}, "refuses": {Rejects: true},
 	}
 	for name, mood := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var bad atomic.Bool
-			one := startDependency(t, ms, func(time.Duration) harness.Mood {
+			one := startDependency(t, ms, func(time.Duration) harness.DependencyBehaviour {
 				if bad.Load() {
 					return mood
 				}
-				return harness.Mood{}
+				return harness.DependencyBehaviour{}
 			})
 			other := startDependency(t, ms, nil)
 			server := newTestServer(t, 64<<20, readRoute(nil), dependency("one", one.Address), dependency("other", other.Address))
@@ -227,12 +231,12 @@
 	hold, deposit := startDependency(t, 50*ms, nil), startDependency(t, ms, nil)
 	server := newTestServer(t, 64<<20, confirmRoute(), dependency("hold", hold.Address), dependency("deposit", deposit.Address))
 	id := server.start("confirm", "x", time.Second)
-	require.Eventually(t, func() bool { return hold.Seen().Calls == 1 }, patience, ms)
+	require.Eventually(t, func() bool { return hold.Stats().Attempts == 1 }, patience, ms)
 	server.posted <- func() { assert.True(t, server.Pause(id)) }
 	outcome, _ := server.next()
 	assert.Equal(t, "interrupted", outcome)
 	time.Sleep(150 * ms)
-	assert.Zero(t, deposit.Seen().Calls)
+	assert.Zero(t, deposit.Stats().Attempts)
 	left := make(chan int, 1)
 	server.posted <- func() { left <- len(server.requests) + server.scheduler.InFlight() }
 	assert.Zero(t, <-left)
--- a/internal/fanout/testserver_test.go
+++ b/internal/fanout/testserver_test.go
@@ -122,7 +122,7 @@
 	return all
 }
 
-func startDependency(t *testing.T, mean time.Duration, script harness.Script) *harness.Dependency {
+func startDependency(t *testing.T, mean time.Duration, script harness.BehaviourScript) *harness.Dependency {
 	d, err := harness.NewDependency(4, mean, 0, 1, script)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
--- a/internal/testkit/conformance/fronts.go
+++ b/internal/testkit/conformance/fronts.go
@@ -255,7 +255,7 @@
 }
 
 func (d *daemon) Effects() (runs, twice int) {
-	at, twice := d.Workers.Started()
+	at, twice := d.Workers.StartOffsets()
 	return len(at), twice
 }
 
--- a/internal/testkit/harness/daemon.go
+++ b/internal/testkit/harness/daemon.go
@@ -27,33 +27,33 @@
 	Path    string // of its configuration
 	Workers *Workers
 
-	cmd     *exec.Cmd
-	process *os.Process // the same for as long as the daemon is known
-	log     *LogText
-	members net.PacketConn
-	gone    chan error
-	closed  bool // its workers and members, once
+	cmd             *exec.Cmd
+	process         *os.Process // the same for as long as the daemon is known
+	log             *LogBuffer
+	members         net.PacketConn
+	exited          chan error
+	resourcesClosed bool // its workers and members, once
 }
 
-// LogText is what a process has logged so far.
-type LogText struct {
+// LogBuffer is what a process has logged so far.
+type LogBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *LogText) Write(p []byte) (int, error) {
+func (l *LogBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *LogText) String() string {
+func (l *LogBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-const startWait = 10 * time.Second
+const startTimeout = 10 * time.Second
 
 // Start starts a program as a server on loopback, and returns once it serves and its pool is bound. own is the
 // text of its configuration file; empty for none.
@@ -77,7 +77,7 @@
 func Launch(program string, as []string, folder, name string, m Machine, own string,
 	configured func(listen, pool, members string) ([]byte, error),
 ) (d *Daemon, err error) {
-	d = &Daemon{log: &LogText{}, gone: make(chan error, 1)}
+	d = &Daemon{log: &LogBuffer{}, exited: make(chan error, 1)}
 	defer func() {
 		if err != nil {
 			d.Stop()
@@ -117,14 +117,14 @@
 	}
 	d.process = d.cmd.Process
 	wait := d.cmd.Wait
-	go func() { d.gone <- wait() }()
-	for end := time.Now().Add(startWait); ; {
+	go func() { d.exited <- wait() }()
+	for end := time.Now().Add(startTimeout); ; {
 		if text := d.log.String(); strings.Contains(text, "msg=serving") && strings.Contains(text, "pool link bound") {
 			return d, nil
 		}
 		select {
-		case err := <-d.gone:
-			d.gone <- err
+		case err := <-d.exited:
+			d.exited <- err
 			return d, fmt.Errorf("%s ended at its start: %w\n%s", name, err, d.log)
 		case <-time.After(2 * time.Millisecond):
 		}
@@ -138,7 +138,7 @@
 func Configuration(name, listen, pool, members string, types []Route, m Machine) ([]byte, error) {
 	raw, err := json.Marshal(map[string]any{
 		"name": name, "listen": listen, "pool": pool, "members": members,
-		"seed": "5eed", "stop_ms": 1500, "settings": settings(types, m),
+		"seed": "5eed", "stop_ms": 1500, "settings": platformSettings(types, m),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 128, "sockets": 512},
 	})
 	if err != nil {
@@ -170,7 +170,7 @@
 		return nil // ended already: a test's cleanup may end what its body ended
 	}
 	err := d.cmd.Process.Kill()
-	<-d.gone
+	<-d.exited
 	d.cmd = nil
 	return errors.Join(err, d.Stop())
 }
@@ -180,18 +180,18 @@
 	if err := d.cmd.Process.Kill(); err != nil {
 		return fmt.Errorf("crash: %w", err)
 	}
-	<-d.gone
+	<-d.exited
 	d.cmd = nil
 	return nil
 }
 
-// LeaveWithin sends the notice to leave, and SIGKILL where the server has not ended after a span. It gives the exit code,
+// ShutdownWithin sends the notice to leave, and SIGKILL where the server has not ended after a span. It gives the exit code,
 // and whether it had to be killed. What was started with it stays until Stop.
-func (d *Daemon) LeaveWithin(span time.Duration) (exit int, killed bool, err error) {
+func (d *Daemon) ShutdownWithin(span time.Duration) (exit int, killed bool, err error) {
 	if err := d.Signal(syscall.SIGTERM); err != nil {
 		return 0, false, fmt.Errorf("notice: %w", err)
 	}
-	ended := d.gone
+	ended := d.exited
 	select {
 	case <-ended:
 		exit = d.cmd.ProcessState.ExitCode()
@@ -209,20 +209,20 @@
 // Pause has the server and its pool stand still for a span.
 func (d *Daemon) Pause(span time.Duration) error {
 	speed := 0.0
-	d.Workers.Change(func(m *Machine) { speed, m.Speed = m.Speed, 1e-9 })
+	d.Workers.Update(func(m *Machine) { speed, m.Speed = m.Speed, 1e-9 })
 	failed := d.Signal(syscall.SIGSTOP)
 	time.Sleep(span)
 	failed = errors.Join(failed, d.Signal(syscall.SIGCONT))
-	d.Workers.Change(func(m *Machine) { m.Speed = speed })
+	d.Workers.Update(func(m *Machine) { m.Speed = speed })
 	return failed
 }
 
-// Leave sends the notice to leave, and waits for the end.
-func (d *Daemon) Leave() error {
+// Shutdown sends the notice to leave, and waits for the end.
+func (d *Daemon) Shutdown() error {
 	if err := d.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("notice: %w", err)
 	}
-	err := <-d.gone
+	err := <-d.exited
 	d.cmd = nil
 	return errors.Join(err, d.Stop())
 }
@@ -233,16 +233,16 @@
 	if d.cmd != nil {
 		_ = d.cmd.Process.Signal(syscall.SIGTERM)
 		select {
-		case failed = <-d.gone:
-		case <-time.After(startWait):
+		case failed = <-d.exited:
+		case <-time.After(startTimeout):
 			_ = d.cmd.Process.Kill()
-			failed = errors.Join(errors.New("did not leave"), <-d.gone)
+			failed = errors.Join(errors.New("did not leave"), <-d.exited)
 		}
 	}
-	if d.closed { // stopped before: what the workers started is still read by tests
+	if d.resourcesClosed { // stopped before: what the workers started is still read by tests
 		return failed
 	}
-	d.closed = true
+	d.resourcesClosed = true
 	if d.Workers != nil {
 		d.Workers.Close()
 	}
@@ -252,16 +252,16 @@
 	return failed
 }
 
-// host is an address in 127.64.0.0/10 at a port that the system chooses. At 127.0.0.1 the port could be taken by an
+// randomLoopbackAddress is an address in 127.64.0.0/10 at a port that the system chooses. At 127.0.0.1 the port could be taken by an
 // outgoing connection before its server listens; two at one host meet at one port only by a second chance.
-func host() string {
+func randomLoopbackAddress() string {
 	n := rand.Uint32()
 	return fmt.Sprintf("127.%d.%d.%d:0", 64+n>>16&0x3f, n>>8&0xff, 1+n&0x7f)
 }
 
 // FreeAddress is one on loopback that nobody listens at.
 func FreeAddress() (string, error) {
-	free, err := net.Listen("tcp", host())
+	free, err := net.Listen("tcp", randomLoopbackAddress())
 	if err != nil {
 		return "", fmt.Errorf("free address: %w", err)
 	}
@@ -269,8 +269,8 @@
 	return free.Addr().String(), nil
 }
 
-// settings are the platform's for a site with these types.
-func settings(types []Route, m Machine) map[string]any {
+// platformSettings are the platform's for a site with these types.
+func platformSettings(types []Route, m Machine) map[string]any {
 	var services []map[string]any
 	calls, skips := []bool{}, []float64{}
 	for _, t := range types {
@@ -292,7 +292,7 @@
 		},
 		"limits": map[string]any{"max-retry-after": 1000000, "retry-after": true},
 		"obligations": map[string]any{
-			"cold-share": m.ColdShare, "overload-factor": defaultRunsPerCore, "fall": defaultOver.Microseconds(), "stop-sending-within": 400000,
+			"cold-share": m.ColdShare, "overload-factor": defaultRunsPerCore, "fall": defaultEnduranceWindow.Microseconds(), "stop-sending-within": 400000,
 			"warm-up": m.WarmUp.Microseconds(),
 		},
 		"servers": 2, "services": services, "tenants": []any{}, "value-by": "request",
--- a/internal/testkit/harness/dependency.go
+++ b/internal/testkit/harness/dependency.go
@@ -11,91 +11,91 @@
 	"time"
 )
 
-// Mood is how a dependency behaves for a while.
-type Mood struct {
-	Slow    float64       // times its usual service time; 0 is as usual
-	Late    time.Duration // by which answers come later than the work is done
-	Silent  bool          // reads and never answers
-	Errors  bool          // answers at once that it failed, and does nothing
-	Refuses bool          // answers at once that it did not run
-	Garbage bool          // writes what is no frame
-	Down    bool          // no connection is taken, and those that are open end
+// DependencyBehaviour is how a dependency behaves for a while.
+type DependencyBehaviour struct {
+	SlowFactor  float64       // times its usual service time; 0 is as usual
+	AnswerDelay time.Duration // by which answers come later than the work is done
+	Silent      bool          // reads and never answers
+	Fails       bool          // answers at once that it failed, and does nothing
+	Rejects     bool          // answers at once that it did not run
+	Garbage     bool          // writes what is no frame
+	Down        bool          // no connection is taken, and those that are open end
 }
 
-// Script says how a dependency behaves at a time since its start.
-type Script func(since time.Duration) Mood
+// BehaviourScript says how a dependency behaves at a time since its start.
+type BehaviourScript func(since time.Duration) DependencyBehaviour
 
 // Dependency plays one: so many slots, a service time of log-normal spread, and a script. What it runs with a
 // number, or was asked to, is counted; a repeat of a number is answered from the first.
 type Dependency struct {
 	Address string
 
-	slots  []time.Time // when each is free
-	mean   time.Duration
-	script Script
-	began  time.Time
-	over   sync.WaitGroup
-	quit   chan struct{}
+	slotFreeAt      []time.Time // when each is free
+	meanServiceTime time.Duration
+	script          BehaviourScript
+	started         time.Time
+	goroutines      sync.WaitGroup
+	stop            chan struct{}
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	spread   float64
-	listener net.Listener
-	links    map[net.Conn]bool
-	first    map[string]*numbered
-	calls    int
-	effects  int // runs of numbered calls
-	asked    int // numbers asked for
-	twice    int
-	open     int
-	most     int
+	mu           sync.Mutex
+	rng          *rand.Rand
+	spread       float64
+	listener     net.Listener
+	links        map[net.Conn]bool
+	keyed        map[string]*keyedRequest
+	calls        int
+	effects      int // runs of numbered calls
+	distinctKeys int // numbers asked for
+	repeatedRuns int
+	open         int
+	maxOpen      int
 }
 
-type numbered struct {
-	runs int
-	done bool
-	wait []func()
+type keyedRequest struct {
+	runs    int
+	done    bool
+	waiting []func()
 }
 
 // NewDependency starts one.
-func NewDependency(slots int, mean time.Duration, spread float64, seed int64, script Script) (*Dependency, error) {
+func NewDependency(slots int, mean time.Duration, spread float64, seed int64, script BehaviourScript) (*Dependency, error) {
 	if script == nil {
-		script = func(time.Duration) Mood { return Mood{} }
+		script = func(time.Duration) DependencyBehaviour { return DependencyBehaviour{} }
 	}
 	d := &Dependency{
-		Address: host(), slots: make([]time.Time, slots), mean: mean, script: script, began: time.Now(),
-		quit: make(chan struct{}), rng: rand.New(rand.NewSource(seed)), spread: math.Sqrt(math.Log1p(spread * spread)),
-		links: map[net.Conn]bool{}, first: map[string]*numbered{},
+		Address: randomLoopbackAddress(), slotFreeAt: make([]time.Time, slots), meanServiceTime: mean, script: script, started: time.Now(),
+		stop: make(chan struct{}), rng: rand.New(rand.NewSource(seed)), spread: math.Sqrt(math.Log1p(spread * spread)),
+		links: map[net.Conn]bool{}, keyed: map[string]*keyedRequest{},
 	}
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
 	d.Address = d.listener.Addr().String() // the same when it comes up again
-	d.over.Add(1)
+	d.goroutines.Add(1)
 	go func() {
-		defer d.over.Done()
+		defer d.goroutines.Done()
 		tick := time.NewTicker(10 * time.Millisecond)
 		defer tick.Stop()
 		for {
 			select {
-			case <-d.quit:
+			case <-d.stop:
 				return
 			case <-tick.C:
-				d.follow()
+				d.applyScript()
 			}
 		}
 	}()
 	return d, nil
 }
 
-// Begin sets the script's clock to zero now.
-func (d *Dependency) Begin() {
+// RestartClock sets the script's clock to zero now.
+func (d *Dependency) RestartClock() {
 	d.mu.Lock()
-	d.began = time.Now()
+	d.started = time.Now()
 	d.mu.Unlock()
 }
 
-func (d *Dependency) mood() Mood { return d.script(time.Since(d.began)) }
+func (d *Dependency) behaviour() DependencyBehaviour { return d.script(time.Since(d.started)) }
 
 func (d *Dependency) listen() error {
 	listener, err := net.Listen("tcp", d.Address)
@@ -103,9 +103,9 @@
 		return fmt.Errorf("dependency: %w", err)
 	}
 	d.listener = listener
-	d.over.Add(1)
+	d.goroutines.Add(1)
 	go func() {
-		defer d.over.Done()
+		defer d.goroutines.Done()
 		for {
 			link, err := listener.Accept()
 			if err != nil {
@@ -114,9 +114,9 @@
 			d.mu.Lock()
 			d.links[link] = true
 			d.mu.Unlock()
-			d.over.Add(1)
+			d.goroutines.Add(1)
 			go func() {
-				defer d.over.Done()
+				defer d.goroutines.Done()
 				d.serve(link)
 			}()
 		}
@@ -124,11 +124,11 @@
 	return nil
 }
 
-// follow goes down and comes up as the script says.
-func (d *Dependency) follow() {
+// applyScript goes down and comes up as the script says.
+func (d *Dependency) applyScript() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	down := d.mood().Down
+	down := d.behaviour().Down
 	if down && d.listener != nil {
 		d.listener.Close()
 		d.listener = nil
@@ -142,7 +142,7 @@
 
 // Close ends it.
 func (d *Dependency) Close() {
-	close(d.quit)
+	close(d.stop)
 	d.mu.Lock()
 	if d.listener != nil {
 		d.listener.Close()
@@ -151,23 +151,23 @@
 		link.Close()
 	}
 	d.mu.Unlock()
-	d.over.Wait()
+	d.goroutines.Wait()
 }
 
-// Seen is what a dependency counted.
-type Seen struct {
-	Calls   int // attempts read
-	Effects int // runs of numbered calls
-	Numbers int // different numbers
-	Twice   int // runs of a number that had run
-	Most    int // calls open at once
+// DependencyStats is what a dependency counted.
+type DependencyStats struct {
+	Attempts     int // attempts read
+	Effects      int // runs of numbered calls
+	DistinctKeys int // different numbers
+	RepeatedRuns int // runs of a number that had run
+	MaxOpen      int // calls open at once
 }
 
-// Seen tells what was counted so far.
-func (d *Dependency) Seen() Seen {
+// Stats tells what was counted so far.
+func (d *Dependency) Stats() DependencyStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return Seen{d.calls, d.effects, d.asked, d.twice, d.most}
+	return DependencyStats{d.calls, d.effects, d.distinctKeys, d.repeatedRuns, d.maxOpen}
 }
 
 func (d *Dependency) serve(link net.Conn) {
@@ -184,7 +184,7 @@
 			return
 		}
 		size := binary.BigEndian.Uint32(head[:])
-		if size < 5 || size > mostReply {
+		if size < 5 || size > maxFrameSize {
 			return
 		}
 		payload := make([]byte, size-5)
@@ -195,7 +195,7 @@
 			continue // a call that is cancelled goes on here, as most would
 		}
 		stream := binary.BigEndian.Uint32(head[5:])
-		d.take(payload, func(code byte) {
+		d.handle(payload, func(code byte) {
 			answer := append([]byte{code, 0}, "result"...)
 			whole := binary.BigEndian.AppendUint32(nil, uint32(5+len(answer)))
 			whole = binary.BigEndian.AppendUint32(append(whole, 11), stream)
@@ -210,28 +210,28 @@
 	}
 }
 
-// take serves a call.
-func (d *Dependency) take(payload []byte, answer func(code byte), garbage func()) {
+// handle serves a call.
+func (d *Dependency) handle(payload []byte, answer func(code byte), garbage func()) {
 	number := field(payload, "num")
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls++
 	d.open++
-	d.most = max(d.most, d.open)
-	mood := d.mood()
+	d.maxOpen = max(d.maxOpen, d.open)
+	mood := d.behaviour()
 	end := func(code byte) {
 		d.open--
 		if !mood.Silent {
-			d.after(mood.Late, func() { answer(code) })
+			d.after(mood.AnswerDelay, func() { answer(code) })
 		}
 	}
 	switch {
-	case mood.Errors, mood.Refuses, mood.Garbage:
+	case mood.Fails, mood.Rejects, mood.Garbage:
 		d.open--
 		switch {
 		case mood.Garbage:
 			d.after(0, garbage)
-		case mood.Errors:
+		case mood.Fails:
 			d.after(0, func() { answer(51) })
 		default:
 			d.after(0, func() { answer(50) })
@@ -239,47 +239,47 @@
 		return
 	}
 	if number != "" {
-		d.asked++
-		if known := d.first[number]; known != nil {
-			d.asked--
+		d.distinctKeys++
+		if known := d.keyed[number]; known != nil {
+			d.distinctKeys--
 			if known.done {
 				end(20)
 			} else {
-				known.wait = append(known.wait, func() { end(20) })
+				known.waiting = append(known.waiting, func() { end(20) })
 			}
 			return
 		}
-		d.first[number] = &numbered{}
+		d.keyed[number] = &keyedRequest{}
 	}
 	least := 0
-	for i := range d.slots {
-		if d.slots[i].Before(d.slots[least]) {
+	for i := range d.slotFreeAt {
+		if d.slotFreeAt[i].Before(d.slotFreeAt[least]) {
 			least = i
 		}
 	}
-	slow := mood.Slow
+	slow := mood.SlowFactor
 	if slow == 0 {
 		slow = 1
 	}
-	takes := time.Duration(float64(d.mean) * slow * math.Exp(d.rng.NormFloat64()*d.spread-d.spread*d.spread/2))
+	takes := time.Duration(float64(d.meanServiceTime) * slow * math.Exp(d.rng.NormFloat64()*d.spread-d.spread*d.spread/2))
 	now := time.Now()
-	if d.slots[least].Before(now) {
-		d.slots[least] = now
+	if d.slotFreeAt[least].Before(now) {
+		d.slotFreeAt[least] = now
 	}
-	d.slots[least] = d.slots[least].Add(takes)
-	d.after(d.slots[least].Sub(now), func() {
+	d.slotFreeAt[least] = d.slotFreeAt[least].Add(takes)
+	d.after(d.slotFreeAt[least].Sub(now), func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if n := d.first[number]; n != nil {
+		if n := d.keyed[number]; n != nil {
 			d.effects++
 			if n.runs++; n.runs > 1 {
-				d.twice++
+				d.repeatedRuns++
 			}
 			n.done = true
-			for _, w := range n.wait {
+			for _, w := range n.waiting {
 				w()
 			}
-			n.wait = nil
+			n.waiting = nil
 		}
 		end(20)
 	})
@@ -287,13 +287,13 @@
 
 // after does something later, unless the dependency has ended by then.
 func (d *Dependency) after(wait time.Duration, f func()) {
-	d.over.Add(1)
+	d.goroutines.Add(1)
 	go func() {
-		defer d.over.Done()
+		defer d.goroutines.Done()
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
-		case <-d.quit:
+		case <-d.stop:
 		case <-timer.C:
 			f()
 		}
--- a/internal/testkit/harness/fleet.go
+++ b/internal/testkit/harness/fleet.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	fleetAway = time.Second            // that a server is left alone which did not take a connection
-	fleetBoot = 500 * time.Millisecond // from the end of a process to the start of the next
-	leastCut  = 5 * time.Millisecond
+	ejectionTime = time.Second            // that a server is left alone which did not take a connection
+	restartDelay = 500 * time.Millisecond // from the end of a process to the start of the next
+	minRetryTime = 5 * time.Millisecond
 )
 
 // Fleet is a number of real daemons behind one router, that goes round them and tries the next where one dismisses a task or
 // is gone.
 type Fleet struct {
-	types []Route
-	tries int
-	start func(i, life int) (*Daemon, error)
+	routes      []Route
+	maxAttempts int
+	start       func(i, life int) (*Daemon, error)
 
-	mu      sync.Mutex
-	servers []*member
-	next    int
-	result  Result
-	began   time.Time
-	ids     *rand.Rand
-	pools   []*Workers
-	jobs    sync.WaitGroup // deploys and boots under way
-	failed  []error
+	mu         sync.Mutex
+	servers    []*member
+	next       int
+	result     Result
+	began      time.Time
+	requestIDs *rand.Rand
+	pools      []*Workers
+	background sync.WaitGroup // deploys and boots under way
+	errs       []error
 }
 
 type member struct {
-	daemon *Daemon
-	router *router
-	away   time.Time
-	life   int
-	down   bool
-	past   []*router // of its earlier lives
+	daemon         *Daemon
+	router         *router
+	ejectedUntil   time.Time
+	incarnation    int
+	down           bool
+	earlierRouters []*router // of its earlier lives
 }
 
 // NewFleet starts the daemons; start is called with each one's number and life.
 func NewFleet(types []Route, servers, tries int, start func(i, life int) (*Daemon, error)) (*Fleet, error) {
-	f := &Fleet{types: types, tries: tries, start: start, ids: rand.New(rand.NewSource(time.Now().UnixNano()))}
+	f := &Fleet{routes: types, maxAttempts: tries, start: start, requestIDs: rand.New(rand.NewSource(time.Now().UnixNano()))}
 	for i := range servers {
 		m := &member{}
 		f.servers = append(f.servers, m)
@@ -55,36 +55,36 @@
 }
 
 func (f *Fleet) boot(i int, m *member) error {
-	d, err := f.start(i, m.life)
+	d, err := f.start(i, m.incarnation)
 	if err != nil {
 		return err
 	}
 	r := &router{
-		address: d.Address, types: f.types, number: 1, answered: make(chan struct{}, 1),
-		result: Result{Codes: map[byte]int{}, ByType: make([]float64, len(f.types))},
+		address: d.Address, routes: f.routes, sourceID: 1, answered: make(chan struct{}, 1),
+		result: Result{Codes: map[byte]int{}, GoodputByRoute: make([]float64, len(f.routes))},
 	}
-	r.again = func(p *pending, lost bool) bool { return f.elsewhere(p, lost) }
+	r.retry = func(p *pending, lost bool) bool { return f.retryElsewhere(p, lost) }
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.router != nil {
-		m.past = append(m.past, m.router)
+		m.earlierRouters = append(m.earlierRouters, m.router)
 	}
 	f.pools = append(f.pools, d.Workers)
-	m.daemon, m.router, m.down, m.away = d, r, false, time.Time{}
-	m.life++
+	m.daemon, m.router, m.down, m.ejectedUntil = d, r, false, time.Time{}
+	m.incarnation++
 	return nil
 }
 
-// elsewhere sends a task to another server, where its type and its time allow that. A connection that was lost may have
+// retryElsewhere sends a task to another server, where its type and its time allow that. A connection that was lost may have
 // carried an effect.
-func (f *Fleet) elsewhere(p *pending, lost bool) bool {
-	t := f.types[p.arrival.Type]
-	if lost && t.Once || p.tries >= f.tries || time.Until(p.sent.Add(t.Deadline)) < leastCut {
+func (f *Fleet) retryElsewhere(p *pending, lost bool) bool {
+	t := f.routes[p.arrival.Type]
+	if lost && t.Once || p.attempts >= f.maxAttempts || time.Until(p.sentAt.Add(t.Deadline)) < minRetryTime {
 		return false
 	}
-	f.jobs.Add(1)
+	f.background.Add(1)
 	go func() {
-		defer f.jobs.Done()
+		defer f.background.Done()
 		f.send(p)
 	}()
 	return true
@@ -98,22 +98,22 @@
 		for range f.servers {
 			f.next++
 			at := f.next % len(f.servers)
-			if m := f.servers[at]; !m.down && time.Now().After(m.away) && (p.tries == 0 || at != p.server) {
+			if m := f.servers[at]; !m.down && time.Now().After(m.ejectedUntil) && (p.attempts == 0 || at != p.server) {
 				to, p.server = m.router, at
 				break
 			}
 		}
-		id := f.ids.Uint64()
+		id := f.requestIDs.Uint64()
 		f.mu.Unlock()
 		if to == nil {
 			break
 		}
 		if err := to.send(p, fmt.Sprintf("%016x", id)); err == nil {
-			p.tries++
+			p.attempts++
 			return
 		}
 		f.mu.Lock()
-		f.servers[p.server].away = time.Now().Add(fleetAway)
+		f.servers[p.server].ejectedUntil = time.Now().Add(ejectionTime)
 		f.mu.Unlock()
 	}
 	f.mu.Lock()
@@ -123,68 +123,68 @@
 
 // Run sends a load and waits for what is owed.
 func (f *Fleet) Run(load []Arrival) (Result, error) {
-	f.result = Result{Codes: map[byte]int{}, ByType: make([]float64, len(f.types))}
+	f.result = Result{Codes: map[byte]int{}, GoodputByRoute: make([]float64, len(f.routes))}
 	f.began = time.Now()
 	longest := time.Duration(0)
 	for n := range load {
 		time.Sleep(time.Until(f.began.Add(load[n].At)))
-		t := f.types[load[n].Type]
-		f.result.Tasks++
-		f.result.Offered += t.Value
+		t := f.routes[load[n].Type]
+		f.result.Requests++
+		f.result.OfferedValue += t.Value
 		longest = max(longest, t.Deadline)
-		p := &pending{arrival: &load[n], sent: time.Now()}
+		p := &pending{arrival: &load[n], sentAt: time.Now()}
 		if t.Once {
 			p.effect = uint64(n) + 1
 		}
 		f.send(p)
 	}
-	for end := time.Now().Add(longest + time.Second); time.Now().Before(end) && f.waiting() > 0; {
+	for end := time.Now().Add(longest + time.Second); time.Now().Before(end) && f.openRequests() > 0; {
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.jobs.Wait()
+	f.background.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sum := f.result
 	for _, m := range f.servers {
-		for _, r := range append(m.past, m.router) {
+		for _, r := range append(m.earlierRouters, m.router) {
 			r.mu.Lock()
-			sum.Honoured += r.result.Honoured
-			sum.Late += r.result.Late
-			sum.Twice += r.result.Twice
-			sum.sent = append(sum.sent, r.result.sent...)
+			sum.Goodput += r.result.Goodput
+			sum.LateAnswers += r.result.LateAnswers
+			sum.DuplicateAnswers += r.result.DuplicateAnswers
+			sum.attempts = append(sum.attempts, r.result.attempts...)
 			for code, n := range r.result.Codes {
 				sum.Codes[code] += n
 			}
 			r.mu.Unlock()
 		}
 	}
-	sum.Unanswered = sum.Tasks
+	sum.Unanswered = sum.Requests
 	for _, n := range sum.Codes {
 		sum.Unanswered -= n
 	}
-	return sum, errors.Join(f.failed...)
+	return sum, errors.Join(f.errs...)
 }
 
-func (f *Fleet) waiting() (open int) {
+func (f *Fleet) openRequests() (open int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.servers {
 		if !m.down {
-			open += m.router.waiting()
+			open += m.router.openRequests()
 		}
 	}
 	return open
 }
 
-func (f *Fleet) keep(err error) {
+func (f *Fleet) recordError(err error) {
 	if err != nil {
 		f.mu.Lock()
-		f.failed = append(f.failed, err)
+		f.errs = append(f.errs, err)
 		f.mu.Unlock()
 	}
 }
 
-func (f *Fleet) take(i int) (*member, bool) {
+func (f *Fleet) markDown(i int) (*member, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.servers[i]
@@ -198,29 +198,29 @@
 // Kill ends servers at once, and boots them again after a span.
 func (f *Fleet) Kill(numbers []int, again time.Duration) {
 	for _, i := range numbers {
-		m, up := f.take(i)
+		m, up := f.markDown(i)
 		if !up {
 			continue
 		}
-		f.jobs.Add(1)
+		f.background.Add(1)
 		go func() {
-			defer f.jobs.Done()
-			f.keep(m.daemon.Kill())
+			defer f.background.Done()
+			f.recordError(m.daemon.Kill())
 			time.Sleep(again)
-			f.keep(f.boot(i, m))
+			f.recordError(f.boot(i, m))
 		}()
 	}
 }
 
 // Restart gives a server the notice to leave, and boots it anew.
 func (f *Fleet) Restart(i int) {
-	f.jobs.Add(1)
+	f.background.Add(1)
 	go func() {
-		defer f.jobs.Done()
-		if m, up := f.take(i); up {
-			f.keep(m.daemon.Leave())
-			time.Sleep(fleetBoot)
-			f.keep(f.boot(i, m))
+		defer f.background.Done()
+		if m, up := f.markDown(i); up {
+			f.recordError(m.daemon.Shutdown())
+			time.Sleep(restartDelay)
+			f.recordError(f.boot(i, m))
 		}
 	}()
 }
@@ -244,14 +244,14 @@
 
 // Close ends all of them.
 func (f *Fleet) Close() error {
-	f.jobs.Wait()
+	f.background.Wait()
 	var failed []error
 	for _, m := range f.servers {
 		if m.router == nil {
 			continue
 		}
 		failed = append(failed, m.daemon.Stop())
-		for _, r := range append(m.past, m.router) {
+		for _, r := range append(m.earlierRouters, m.router) {
 			r.close()
 		}
 	}
--- a/internal/testkit/harness/frames.go
+++ b/internal/testkit/harness/frames.go
@@ -32,7 +32,7 @@
 	Body   string
 }
 
-const mostReply = 1 << 18
+const maxFrameSize = 1 << 18
 
 // ReadReply reads the next frame.
 func ReadReply(from io.Reader) (Reply, error) {
@@ -41,7 +41,7 @@
 		return Reply{}, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size < 5 || size > mostReply {
+	if size < 5 || size > maxFrameSize {
 		return Reply{}, fmt.Errorf("frame of %d bytes", size)
 	}
 	payload := make([]byte, size-5)
--- a/internal/testkit/harness/load.go
+++ b/internal/testkit/harness/load.go
@@ -40,28 +40,28 @@
 
 // Result is what became of a load.
 type Result struct {
-	Honoured   float64 // importance of what was honoured within its contract time; of a partial one, its worth
-	Partial    int
-	ByType     []float64 // the same by type
-	Offered    float64   // importance of all
-	Tasks      int
-	Codes      map[byte]int
-	Late       int // answered past their due time
-	Unanswered int
-	Twice      int
-	Took       []time.Duration // of answers that honoured
+	Goodput          float64 // importance of what was honoured within its contract time; of a partial one, its worth
+	Partial          int
+	GoodputByRoute   []float64 // the same by type
+	OfferedValue     float64   // importance of all
+	Requests         int
+	Codes            map[byte]int
+	LateAnswers      int // answered past their due time
+	Unanswered       int
+	DuplicateAnswers int
+	Latencies        []time.Duration // of answers that honoured
 
-	sent []sent // tasks at servers, with what became of each
+	attempts []attempt // tasks at servers, with what became of each
 }
 
-// sent is one task at one server.
-type sent struct {
-	id       string
-	effect   uint64 // of a task that must not run twice, the same at all servers; 0 for others
-	at, due  time.Time
-	answered []time.Time
-	code     byte
-	lost     bool // its connection ended before it was answered
+// attempt is one task at one server.
+type attempt struct {
+	id             string
+	effect         uint64 // of a task that must not run twice, the same at all servers; 0 for others
+	at, due        time.Time
+	answered       []time.Time
+	code           byte
+	connectionLost bool // its connection ended before it was answered
 }
 
 // Check holds what happened, as it was sent, begun and answered, against the four rules. The pools are all that ran
@@ -71,13 +71,13 @@
 	starts := map[string][]time.Time{}
 	for _, w := range pools {
 		w.mu.Lock()
-		for _, s := range w.ran {
+		for _, s := range w.runStarts {
 			starts[s.ID] = append(starts[s.ID], s.At)
 		}
 		w.mu.Unlock()
 	}
 	var events []rulecheck.Event
-	for i, s := range r.sent {
+	for i, s := range r.attempts {
 		if first.IsZero() || s.at.Before(first) {
 			first = s.at
 		}
@@ -92,7 +92,7 @@
 		for _, at := range s.answered {
 			events = append(events, event(rulecheck.Answered, at))
 		}
-		if s.lost {
+		if s.connectionLost {
 			events = append(events, event(rulecheck.Gone, s.due))
 		}
 	}
@@ -107,50 +107,50 @@
 }
 
 const (
-	mostLinks   = 32 // connections of a load
-	fewOpen     = 4  // tasks on each before another connection is opened
-	openEach    = 32 // tasks on a connection
-	answerSlack = 50 * time.Millisecond
+	maxConnections       = 32 // connections of a load
+	openBeforeDial       = 4  // tasks on each before another connection is opened
+	maxOpenPerConnection = 32 // tasks on a connection
+	answerSlack          = 50 * time.Millisecond
 )
 
 type pending struct {
-	arrival *Arrival
-	sent    time.Time // by the router, or when it was meant to be where that was later
-	effect  uint64
-	tries   int
-	place   int // of its latest sending, in the router's result
-	server  int // of a fleet, that it was sent to last
+	arrival     *Arrival
+	sentAt      time.Time // by the router, or when it was meant to be where that was later
+	effect      uint64
+	attempts    int
+	lastAttempt int // of its latest sending, in the router's result
+	server      int // of a fleet, that it was sent to last
 }
 
-// link is one connection of the router. It takes nothing new once the server has asked for that, or is gone.
-type link struct {
+// connection is one connection of the router. It takes nothing new once the server has asked for that, or is gone.
+type connection struct {
 	net.Conn
-	open   map[uint32]*pending
-	stream uint32
-	over   bool
+	open     map[uint32]*pending
+	stream   uint32
+	draining bool
 }
 
 // router sends a load and keeps what comes back.
 type router struct {
-	address string
-	types   []Route
-	number  int
-	readers sync.WaitGroup
+	address  string
+	routes   []Route
+	sourceID int
+	readers  sync.WaitGroup
 
-	mu       sync.Mutex
-	result   Result
-	links    []*link
-	answered chan struct{}
+	mu          sync.Mutex
+	result      Result
+	connections []*connection
+	answered    chan struct{}
 	// again takes a task that was dismissed, or whose connection was lost, and tells whether it goes elsewhere; nil for
 	// never. It must not wait, and is called under the router's lock.
-	again func(p *pending, lost bool) (goes bool)
+	retry func(p *pending, lost bool) (goes bool)
 }
 
 // Run sends a load to a server and waits for what it owes: everything by its outer limit. Tasks that found all
 // connections full are counted as unanswered; none should be.
 func Run(address string, types []Route, load []Arrival, number int) (Result, error) {
 	r := &router{
-		address: address, types: types, number: number, result: Result{Codes: map[byte]int{}, ByType: make([]float64, len(types))},
+		address: address, routes: types, sourceID: number, result: Result{Codes: map[byte]int{}, GoodputByRoute: make([]float64, len(types))},
 		answered: make(chan struct{}, 1),
 	}
 	defer r.close()
@@ -159,13 +159,13 @@
 	last := begin
 	for n := range load {
 		time.Sleep(time.Until(begin.Add(load[n].At)))
-		p := &pending{arrival: &load[n], sent: time.Now()}
+		p := &pending{arrival: &load[n], sentAt: time.Now()}
 		if types[load[n].Type].Once {
 			p.effect = uint64(n) + 1
 		}
-		last = p.sent.Add(types[load[n].Type].Deadline)
-		r.result.Tasks++
-		r.result.Offered += types[load[n].Type].Value
+		last = p.sentAt.Add(types[load[n].Type].Deadline)
+		r.result.Requests++
+		r.result.OfferedValue += types[load[n].Type].Value
 		id := fmt.Sprintf("%016x", ids.Uint64())
 		if err := r.send(p, id); err != nil { // a connection that closed as the task crossed it: once more
 			if err := r.send(p, id); err != nil {
@@ -173,7 +173,7 @@
 			}
 		}
 	}
-	for end := time.After(time.Until(last.Add(time.Second))); r.waiting() > 0; {
+	for end := time.After(time.Until(last.Add(time.Second))); r.openRequests() > 0; {
 		select {
 		case <-r.answered:
 			continue
@@ -183,33 +183,33 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.Unanswered = r.result.Tasks
+	r.result.Unanswered = r.result.Requests
 	for _, n := range r.result.Codes {
 		r.result.Unanswered -= n
 	}
-	slices.Sort(r.result.Took)
+	slices.Sort(r.result.Latencies)
 	done := r.result
 	done.Codes = maps.Clone(done.Codes) // readers may still see a stray answer
-	done.sent = slices.Clone(done.sent)
+	done.attempts = slices.Clone(done.attempts)
 	return done, nil
 }
 
-func (r *router) waiting() (open int) {
+func (r *router) openRequests() (open int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, l := range r.links {
+	for _, l := range r.connections {
 		open += len(l.open)
 	}
 	return open
 }
 
-// link is the one with the fewest open tasks, or a new one.
-func (r *router) link() (*link, error) {
+// connection is the one with the fewest open tasks, or a new one.
+func (r *router) connection() (*connection, error) {
 	r.mu.Lock()
-	var least *link
+	var least *connection
 	alive := 0
-	for _, l := range r.links {
-		if l.over {
+	for _, l := range r.connections {
+		if l.draining {
 			continue
 		}
 		alive++
@@ -217,7 +217,7 @@
 			least = l
 		}
 	}
-	use := least != nil && (len(least.open) < fewOpen || alive >= mostLinks)
+	use := least != nil && (len(least.open) < openBeforeDial || alive >= maxConnections)
 	r.mu.Unlock()
 	if use {
 		return least, nil
@@ -226,9 +226,9 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &link{Conn: made, open: map[uint32]*pending{}}
+	l := &connection{Conn: made, open: map[uint32]*pending{}}
 	r.mu.Lock()
-	r.links = append(r.links, l)
+	r.connections = append(r.connections, l)
 	r.mu.Unlock()
 	r.readers.Add(1)
 	go func() {
@@ -239,34 +239,34 @@
 }
 
 func (r *router) send(p *pending, id string) error {
-	l, err := r.link()
+	l, err := r.connection()
 	if err != nil {
 		return err
 	}
-	t := r.types[p.arrival.Type]
+	t := r.routes[p.arrival.Type]
 	r.mu.Lock()
-	if len(l.open) >= openEach {
+	if len(l.open) >= maxOpenPerConnection {
 		r.mu.Unlock()
 		return nil // stays without an answer, which the result tells
 	}
 	l.stream++
 	stream := l.stream
 	l.open[stream] = p
-	p.place = len(r.result.sent)
-	r.result.sent = append(r.result.sent, sent{id: id, effect: p.effect, at: time.Now(), due: p.sent.Add(t.Deadline)})
+	p.lastAttempt = len(r.result.attempts)
+	r.result.attempts = append(r.result.attempts, attempt{id: id, effect: p.effect, at: time.Now(), due: p.sentAt.Add(t.Deadline)})
 	r.mu.Unlock()
 	body := binary.BigEndian.AppendUint64(nil, uint64(max(p.arrival.Work.Microseconds(), 1)))
 	_, err = l.Write(Frame(10, stream, string(body),
-		"op", t.Name, "call", id, "recv", strconv.FormatInt(p.sent.UnixMilli(), 10),
-		"src", strconv.Itoa(r.number), "ttl", strconv.FormatInt(t.Deadline.Milliseconds(), 10), "heap", "20.0",
+		"op", t.Name, "call", id, "recv", strconv.FormatInt(p.sentAt.UnixMilli(), 10),
+		"src", strconv.Itoa(r.sourceID), "ttl", strconv.FormatInt(t.Deadline.Milliseconds(), 10), "heap", "20.0",
 		"crit", strconv.FormatFloat(min(p.arrival.Rank, 0.9999), 'f', 4, 64)))
 	if err != nil {
 		r.mu.Lock()
 		if l.open[stream] == p {
-			r.result.sent[p.place].lost = true // part of it may have been read
+			r.result.attempts[p.lastAttempt].connectionLost = true // part of it may have been read
 			delete(l.open, stream)
 		}
-		l.over = true
+		l.draining = true
 		r.mu.Unlock()
 	}
 	return err
@@ -274,7 +274,7 @@
 
 // read takes answers until the connection ends. One that the server asked to let go is closed once all on it
 // is answered.
-func (r *router) read(l *link) {
+func (r *router) read(l *connection) {
 	defer l.Close()
 	for {
 		reply, err := ReadReply(l)
@@ -282,29 +282,29 @@
 		r.mu.Lock()
 		switch {
 		case err != nil || reply.Type == 30:
-			l.over = true
+			l.draining = true
 		case reply.Type == 11 && l.open[reply.Stream] == nil:
-			r.result.Twice++
+			r.result.DuplicateAnswers++
 		case reply.Type == 11:
 			p := l.open[reply.Stream]
 			delete(l.open, reply.Stream)
-			one := &r.result.sent[p.place]
+			one := &r.result.attempts[p.lastAttempt]
 			one.answered, one.code = append(one.answered, now), reply.Code
-			if reply.Code == 50 && r.again != nil && r.again(p, false) {
+			if reply.Code == 50 && r.retry != nil && r.retry(p, false) {
 				break
 			}
-			r.result.take(p, r.types[p.arrival.Type], reply, now)
+			r.result.record(p, r.routes[p.arrival.Type], reply, now)
 		}
 		if err != nil {
 			for _, stream := range slices.Sorted(maps.Keys(l.open)) {
 				p := l.open[stream]
-				r.result.sent[p.place].lost = true
-				if r.again != nil && r.again(p, true) {
+				r.result.attempts[p.lastAttempt].connectionLost = true
+				if r.retry != nil && r.retry(p, true) {
 					delete(l.open, stream)
 				}
 			}
 		}
-		done := err != nil || l.over && len(l.open) == 0
+		done := err != nil || l.draining && len(l.open) == 0
 		r.mu.Unlock()
 		select {
 		case r.answered <- struct{}{}:
@@ -318,23 +318,23 @@
 
 func (r *router) close() {
 	r.mu.Lock()
-	for _, l := range r.links {
+	for _, l := range r.connections {
 		l.Close()
 	}
 	r.mu.Unlock()
 	r.readers.Wait()
 }
 
-func (r *Result) take(p *pending, t Route, reply Reply, now time.Time) {
+func (r *Result) record(p *pending, t Route, reply Reply, now time.Time) {
 	r.Codes[reply.Code]++
-	took := now.Sub(p.sent)
+	took := now.Sub(p.sentAt)
 	if took > t.Deadline+answerSlack {
-		r.Late++
+		r.LateAnswers++
 	}
 	if reply.Code != 20 {
 		return
 	}
-	r.Took = append(r.Took, took)
+	r.Latencies = append(r.Latencies, took)
 	worth := 1.0
 	if t.Composed {
 		var told struct {
@@ -349,7 +349,7 @@
 		}
 	}
 	if took <= t.LatencyTarget {
-		r.Honoured += worth * t.Value
-		r.ByType[p.arrival.Type] += worth * t.Value
+		r.Goodput += worth * t.Value
+		r.GoodputByRoute[p.arrival.Type] += worth * t.Value
 	}
 }
--- a/internal/testkit/harness/starved.go
+++ b/internal/testkit/harness/starved.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// waitField is the place of the time spent waiting for a core in /proc/PID/task/TID/schedstat, in nanoseconds.
-const waitField = 1
+// schedstatWaitField is the place of the time spent waiting for a core in /proc/PID/task/TID/schedstat, in nanoseconds.
+const schedstatWaitField = 1
 
-// Starved is for how long the threads of a process have been ready to run, in sum, and were given no core.
-func Starved(pid int) (time.Duration, error) {
+// CPUWaitTime is for how long the threads of a process have been ready to run, in sum, and were given no core.
+func CPUWaitTime(pid int) (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
 		return 0, fmt.Errorf("process %d: no schedstat: %w", pid, os.ErrNotExist)
@@ -25,10 +25,10 @@
 			continue // the thread has ended
 		}
 		fields := strings.Fields(string(raw))
-		if len(fields) <= waitField {
+		if len(fields) <= schedstatWaitField {
 			return 0, fmt.Errorf("process %d: schedstat %q", pid, raw)
 		}
-		waited, err := strconv.ParseInt(fields[waitField], 10, 64)
+		waited, err := strconv.ParseInt(fields[schedstatWaitField], 10, 64)
 		if err != nil {
 			return 0, fmt.Errorf("process %d: schedstat %q: %w", pid, raw, err)
 		}
--- a/internal/testkit/harness/strain.go
+++ b/internal/testkit/harness/strain.go
@@ -9,26 +9,26 @@
 // Endurance is what a worker pool survives. Past either limit it falls over: rule 4 of the protocol page.
 type Endurance struct {
 	RunsPerCore float64       // on the cores in the mean of Over, for a warm pool; a cold one survives fewer
-	Over        time.Duration // span of that mean
+	Window      time.Duration // span of that mean
 }
 
 const (
-	defaultRunsPerCore = 6.0
-	defaultOver        = time.Second
+	defaultRunsPerCore     = 6.0
+	defaultEnduranceWindow = time.Second
 )
 
 // Strain is the most that a worker pool had to bear, as parts of what it survives: over 1 it has fallen over.
 type Strain struct {
-	Crowd    float64       // runs on the cores, in the mean of the span
+	Runs     float64       // runs on the cores, in the mean of the span
 	Memory   float64       // of its runs
-	CrowdAt  time.Duration // when Crowd was reached, since the pool's start
+	RunsAt   time.Duration // when Crowd was reached, since the pool's start
 	MemoryAt time.Duration // when Memory was reached
 }
 
 // strainGauge follows the strain of a pool. Its runs are the same in number between two calls of pass.
 type strainGauge struct {
 	endurance Endurance
-	worst     Strain
+	max       Strain
 	area      float64      // runs times seconds since the start
 	points    []strainArea // of the span and the last before it
 }
@@ -42,27 +42,27 @@
 	if endurance.RunsPerCore == 0 {
 		endurance.RunsPerCore = defaultRunsPerCore
 	}
-	if endurance.Over == 0 {
-		endurance.Over = defaultOver
+	if endurance.Window == 0 {
+		endurance.Window = defaultEnduranceWindow
 	}
 	return &strainGauge{endurance: endurance, points: []strainArea{{}}}
 }
 
-// pass takes that so many runs were on the cores from the last call until now, which is since the pool's start.
-func (g *strainGauge) pass(now time.Duration, runs int, m Machine) {
+// advance takes that so many runs were on the cores from the last call until now, which is since the pool's start.
+func (g *strainGauge) advance(now time.Duration, runs int, m Machine) {
 	last := g.points[len(g.points)-1]
 	if now <= last.at {
 		return
 	}
 	g.area += float64(runs) * (now - last.at).Seconds()
 	g.points = append(g.points, strainArea{now, g.area})
-	from := now - g.endurance.Over
+	from := now - g.endurance.Window
 	for len(g.points) > 2 && g.points[1].at <= from {
 		g.points = g.points[1:]
 	}
-	mean := (g.area - g.areaAt(from)) / g.endurance.Over.Seconds()
-	if crowd := mean / g.survived(now, m); crowd > g.worst.Crowd {
-		g.worst.Crowd, g.worst.CrowdAt = crowd, now
+	mean := (g.area - g.areaAt(from)) / g.endurance.Window.Seconds()
+	if crowd := mean / g.survivableRuns(now, m); crowd > g.max.Runs {
+		g.max.Runs, g.max.RunsAt = crowd, now
 	}
 }
 
@@ -79,23 +79,23 @@
 	return first.area + min(part, 1)*(second.area-first.area)
 }
 
-// survived is the number of runs on the cores that a pool survives now. Its share of its speed counts only as far as it
+// survivableRuns is the number of runs on the cores that a pool survives now. Its share of its speed counts only as far as it
 // is still cold: a slow machine survives as many.
-func (g *strainGauge) survived(now time.Duration, m Machine) float64 {
+func (g *strainGauge) survivableRuns(now time.Duration, m Machine) float64 {
 	warm := m
 	warm.Speed = 1
 	return (1 + (g.endurance.RunsPerCore-1)*warm.SpeedAt(now)) * m.Cores
 }
 
-// memory takes the number of runs that hold memory.
-func (g *strainGauge) memory(now time.Duration, runs int, m Machine) {
-	if share := emulator.RunKB * float64(runs) / m.KB; share > g.worst.Memory {
-		g.worst.Memory, g.worst.MemoryAt = share, now
+// recordMemory takes the number of runs that hold memory.
+func (g *strainGauge) recordMemory(now time.Duration, runs int, m Machine) {
+	if share := emulator.RunKB * float64(runs) / m.KB; share > g.max.Memory {
+		g.max.Memory, g.max.MemoryAt = share, now
 	}
 }
 
-// Endure sets what the pool survives, before anything runs on it.
-func (w *Workers) Endure(endurance Endurance) {
+// SetEndurance sets what the pool survives, before anything runs on it.
+func (w *Workers) SetEndurance(endurance Endurance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.strain = newStrainGauge(endurance)
@@ -106,5 +106,5 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(time.Now())
-	return w.strain.worst
+	return w.strain.max
 }
--- a/internal/testkit/harness/workers.go
+++ b/internal/testkit/harness/workers.go
@@ -21,50 +21,50 @@
 type Workers struct {
 	Address string
 
-	machine  Machine
-	listener net.Listener
-	began    time.Time
-	quit     chan struct{}
-	woken    chan struct{}
-	over     sync.WaitGroup
-
-	mu      sync.Mutex
-	link    net.Conn
-	links   []net.Conn
-	notices []string
-	runs    map[string]*run
-	order   []*run // running, in the order of their starts
-	last    time.Time
-	busy    float64 // core seconds spent
-	looks   []look
-	started []time.Duration // since the start, of each run
-	ran     []RunStart      // the same by task
-	known   map[string]bool
-	twice   int
-	strain  *strainGauge
-	hung    bool
-	calls   map[string]bool // handlers whose runs call the dependency half way
+	machine    Machine
+	listener   net.Listener
+	startedAt  time.Time
+	stop       chan struct{}
+	wake       chan struct{}
+	goroutines sync.WaitGroup
+
+	mu              sync.Mutex
+	link            net.Conn
+	links           []net.Conn
+	notices         []string
+	runs            map[string]*run
+	running         []*run // running, in the order of their starts
+	last            time.Time
+	busy            float64 // core seconds spent
+	samples         []usageSample
+	startOffsets    []time.Duration // since the start, of each run
+	runStarts       []RunStart      // the same by task
+	seen            map[string]bool
+	repeatedStarts  int
+	strain          *strainGauge
+	hung            bool
+	callingHandlers map[string]bool // handlers whose runs call the dependency half way
 }
 
 type run struct {
-	id      string
-	body    []byte
-	left    float64 // seconds of work, up to its call where it makes one
-	behind  float64 // and behind its call, 0 without one
-	begun   time.Time
-	paused  bool
-	blocked bool // it stands at its call
+	id        string
+	body      []byte
+	remaining float64 // seconds of work, up to its call where it makes one
+	afterCall float64 // and behind its call, 0 without one
+	startedAt time.Time
+	paused    bool
+	blocked   bool // it stands at its call
 }
 
 // The fields of a run's body behind its work and the mark of failure.
 const (
-	overField = 9  // where the moment stands at which its request is over, in Unix milliseconds
-	overEnd   = 17 // and ends; a shorter body states none
+	deadlineOffset = 9  // where the moment stands at which its request is over, in Unix milliseconds
+	deadlineEnd    = 17 // and ends; a shorter body states none
 )
 
-// over is whether the run's request is over at a moment, as its body states.
-func (r *run) over(now time.Time) bool {
-	return len(r.body) >= overEnd && now.UnixMilli() > int64(binary.BigEndian.Uint64(r.body[overField:overEnd]))
+// expired is whether the run's request is over at a moment, as its body states.
+func (r *run) expired(now time.Time) bool {
+	return len(r.body) >= deadlineEnd && now.UnixMilli() > int64(binary.BigEndian.Uint64(r.body[deadlineOffset:deadlineEnd]))
 }
 
 // RunStart is the beginning of a run.
@@ -73,7 +73,7 @@
 	At time.Time
 }
 
-type look struct {
+type usageSample struct {
 	at   time.Time
 	busy float64
 }
@@ -86,13 +86,13 @@
 	}
 	now := time.Now()
 	w := &Workers{
-		Address: listener.Addr().String(), machine: m, listener: listener, began: now, last: now,
-		quit: make(chan struct{}), woken: make(chan struct{}, 1), runs: map[string]*run{}, known: map[string]bool{},
+		Address: listener.Addr().String(), machine: m, listener: listener, startedAt: now, last: now,
+		stop: make(chan struct{}), wake: make(chan struct{}, 1), runs: map[string]*run{}, seen: map[string]bool{},
 		strain: newStrainGauge(Endurance{}),
 	}
-	w.over.Add(2)
+	w.goroutines.Add(2)
 	go func() {
-		defer w.over.Done()
+		defer w.goroutines.Done()
 		for {
 			link, err := listener.Accept()
 			if err != nil {
@@ -101,64 +101,64 @@
 			w.mu.Lock()
 			w.links = append(w.links, link)
 			w.mu.Unlock()
-			w.over.Add(1)
+			w.goroutines.Add(1)
 			go func() {
-				defer w.over.Done()
+				defer w.goroutines.Done()
 				w.serve(link)
 			}()
 		}
 	}()
 	go func() {
-		defer w.over.Done()
-		w.work()
+		defer w.goroutines.Done()
+		w.schedule()
 	}()
 	return w, nil
 }
 
 // Close ends the pool and all that runs on it.
 func (w *Workers) Close() {
-	close(w.quit)
+	close(w.stop)
 	w.listener.Close()
 	w.mu.Lock()
 	for _, link := range w.links {
 		link.Close()
 	}
 	w.mu.Unlock()
-	w.over.Wait()
+	w.goroutines.Wait()
 }
 
-// Change has something about the machine become different.
-func (w *Workers) Change(what func(m *Machine)) {
+// Update has something about the machine become different.
+func (w *Workers) Update(what func(m *Machine)) {
 	w.mu.Lock()
 	w.advance(time.Now())
 	what(&w.machine)
 	w.mu.Unlock()
 	select {
-	case w.woken <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Began is the moment of the pool's start.
-func (w *Workers) Began() time.Time { return w.began }
+// StartedAt is the moment of the pool's start.
+func (w *Workers) StartedAt() time.Time { return w.startedAt }
 
-// Started gives the moments of all starts since the pool's own, and how many tasks were started twice.
-func (w *Workers) Started() (at []time.Duration, twice int) {
+// StartOffsets gives the moments of all starts since the pool's own, and how many tasks were started twice.
+func (w *Workers) StartOffsets() (at []time.Duration, twice int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append(at, w.started...), w.twice
+	return append(at, w.startOffsets...), w.repeatedStarts
 }
 
-// Hang has the cores stand still, or work again. Meanwhile runs can't be stopped, and gauges are told as ever.
-func (w *Workers) Hang(on bool) {
-	w.Change(func(*Machine) { w.hung = on })
+// SetHung has the cores stand still, or work again. Meanwhile runs can't be stopped, and gauges are told as ever.
+func (w *Workers) SetHung(on bool) {
+	w.Update(func(*Machine) { w.hung = on })
 }
 
-// LetCall has the runs of some classes call the dependency half way, before any runs.
-func (w *Workers) LetCall(handlers map[string]bool) {
+// SetCallingHandlers has the runs of some classes call the dependency half way, before any runs.
+func (w *Workers) SetCallingHandlers(handlers map[string]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.calls = handlers
+	w.callingHandlers = handlers
 }
 
 // CutLink ends the link to the server. Runs go on.
@@ -171,18 +171,18 @@
 	}
 }
 
-// Runs gives the beginnings of all runs, in their order.
-func (w *Workers) Runs() []RunStart {
+// RunStarts gives the beginnings of all runs, in their order.
+func (w *Workers) RunStarts() []RunStart {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.ran)
+	return slices.Clone(w.runStarts)
 }
 
 func (w *Workers) speed(now time.Time) float64 {
 	if w.hung {
 		return 0
 	}
-	return w.machine.SpeedAt(now.Sub(w.began))
+	return w.machine.SpeedAt(now.Sub(w.startedAt))
 }
 
 // share is the part of a core that each of so many runs gets.
@@ -192,8 +192,8 @@
 func (w *Workers) advance(now time.Time) {
 	passed := now.Sub(w.last).Seconds()
 	w.last = now
-	n := float64(len(w.order))
-	w.strain.pass(now.Sub(w.began), len(w.order), w.machine)
+	n := float64(len(w.running))
+	w.strain.advance(now.Sub(w.startedAt), len(w.running), w.machine)
 	if n == 0 || passed <= 0 || w.hung {
 		return
 	}
@@ -201,15 +201,15 @@
 		w.busy += passed * min(n, w.machine.Cores)
 	}
 	done := passed * w.speed(now) * w.share(n)
-	kept := w.order[:0]
-	for _, r := range w.order {
-		if r.left -= done; r.left > 1e-9 {
+	kept := w.running[:0]
+	for _, r := range w.running {
+		if r.remaining -= done; r.remaining > 1e-9 {
 			kept = append(kept, r)
 			continue
 		}
-		if r.behind > 0 {
+		if r.afterCall > 0 {
 			r.blocked = true
-			w.tellBlocked(r)
+			w.notifyBlocked(r)
 			continue
 		}
 		delete(w.runs, r.id)
@@ -217,21 +217,21 @@
 		if len(r.body) > 8 && r.body[8] == 1 {
 			outcome = "failure"
 		}
-		w.tell(r, outcome, now)
+		w.notifyFinished(r, outcome, now)
 	}
-	clear(w.order[len(kept):])
-	w.order = kept
+	clear(w.running[len(kept):])
+	w.running = kept
 }
 
-// endOver ends runs that stand at a call whose requests are over.
-func (w *Workers) endOver(now time.Time) {
-	if len(w.calls) == 0 {
+// interruptExpired ends runs that stand at a call whose requests are over.
+func (w *Workers) interruptExpired(now time.Time) {
+	if len(w.callingHandlers) == 0 {
 		return
 	}
 	for _, r := range w.runs {
-		if r.blocked && r.over(now) {
+		if r.blocked && r.expired(now) {
 			delete(w.runs, r.id)
-			w.tell(r, "interrupted", now)
+			w.notifyFinished(r, "interrupted", now)
 		}
 	}
 }
@@ -241,27 +241,27 @@
 	if r == nil || !r.blocked {
 		return
 	}
-	r.blocked, r.left, r.behind = false, r.behind, 0
-	w.order = append(w.order, r)
+	r.blocked, r.remaining, r.afterCall = false, r.afterCall, 0
+	w.running = append(w.running, r)
 }
 
-func (w *Workers) tellBlocked(r *run) {
-	w.write(map[string]any{"verb": "blocked", "task": r.id, "bytes": []byte("what")})
+func (w *Workers) notifyBlocked(r *run) {
+	w.notify(map[string]any{"verb": "blocked", "task": r.id, "bytes": []byte("what")})
 }
 
-func (w *Workers) tell(r *run, outcome string, now time.Time) {
+func (w *Workers) notifyFinished(r *run, outcome string, now time.Time) {
 	var result []byte
 	if outcome == "success" {
 		result = []byte("done")
 	}
-	w.write(map[string]any{
+	w.notify(map[string]any{
 		"verb": "finished", "task": r.id, "outcome": outcome,
-		"spent": float64(now.Sub(r.begun).Microseconds()) / 1000, "bytes": result,
+		"spent": float64(now.Sub(r.startedAt).Microseconds()) / 1000, "bytes": result,
 	})
 }
 
-// write numbers a notice, keeps it and writes it to the link.
-func (w *Workers) write(notice map[string]any) {
+// notify numbers a notice, keeps it and writes it to the link.
+func (w *Workers) notify(notice map[string]any) {
 	notice["index"] = len(w.notices) + 1
 	raw, _ := json.Marshal(notice) // always has a form
 	w.notices = append(w.notices, string(raw)+"\n")
@@ -270,44 +270,44 @@
 	}
 }
 
-// work waits for the next end.
-func (w *Workers) work() {
+// schedule waits for the next end.
+func (w *Workers) schedule() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		w.mu.Lock()
 		now := time.Now()
 		w.advance(now)
-		w.endOver(now)
+		w.interruptExpired(now)
 		next := time.Second
-		if len(w.calls) > 0 {
-			next = overLook
+		if len(w.callingHandlers) > 0 {
+			next = expiryCheckInterval
 		}
-		for _, r := range w.order {
+		for _, r := range w.running {
 			if w.hung {
 				break
 			}
-			rate := w.speed(now) * w.share(float64(len(w.order)))
-			next = min(next, time.Duration(r.left/rate*float64(time.Second)))
+			rate := w.speed(now) * w.share(float64(len(w.running)))
+			next = min(next, time.Duration(r.remaining/rate*float64(time.Second)))
 		}
 		w.mu.Unlock()
 		timer.Reset(max(next, 50*time.Microsecond))
 		select {
-		case <-w.quit:
+		case <-w.stop:
 			return
-		case <-w.woken:
+		case <-w.wake:
 		case <-timer.C:
 		}
 	}
 }
 
-// overLook is the time between looks for runs at calls whose requests are over.
-const overLook = 10 * time.Millisecond
+// expiryCheckInterval is the time between looks for runs at calls whose requests are over.
+const expiryCheckInterval = 10 * time.Millisecond
 
-type order struct {
+type command struct {
 	Verb    string `json:"verb"`
 	Index   int    `json:"index"`
-	Task    string `json:"task"`
+	RunID   string `json:"task"`
 	Handler string `json:"handler"`
 	Nonce   string `json:"nonce"`
 	Body    []byte `json:"bytes"`
@@ -318,70 +318,70 @@
 	in := bufio.NewScanner(link)
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
-		var o order
+		var o command
 		if json.Unmarshal(in.Bytes(), &o) != nil {
 			return
 		}
 		w.mu.Lock()
-		w.take(link, o, time.Now())
+		w.handle(link, o, time.Now())
 		w.mu.Unlock()
 		select {
-		case w.woken <- struct{}{}:
+		case w.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (w *Workers) take(link net.Conn, o order, now time.Time) {
+func (w *Workers) handle(link net.Conn, o command, now time.Time) {
 	w.advance(now)
 	if o.Verb == "bind" {
 		w.link = link
-		fmt.Fprintf(link, `{"verb":"bound","outcome":"steady","spent":%d}`+"\n", now.Sub(w.began).Milliseconds())
+		fmt.Fprintf(link, `{"verb":"bound","outcome":"steady","spent":%d}`+"\n", now.Sub(w.startedAt).Milliseconds())
 		for _, n := range w.notices[min(max(o.Index, 0), len(w.notices)):] {
 			_, _ = io.WriteString(link, n)
 		}
 		return
 	}
-	switch r := w.runs[o.Task]; o.Verb {
+	switch r := w.runs[o.RunID]; o.Verb {
 	case "spawn":
 		if r != nil {
 			return
 		}
-		if w.known[o.Task] {
-			w.twice++
+		if w.seen[o.RunID] {
+			w.repeatedStarts++
 		}
-		w.known[o.Task] = true
-		r = &run{id: o.Task, body: o.Body, begun: now, left: 1e-6}
+		w.seen[o.RunID] = true
+		r = &run{id: o.RunID, body: o.Body, startedAt: now, remaining: 1e-6}
 		if len(o.Body) >= 8 {
-			r.left = float64(binary.BigEndian.Uint64(o.Body)) / 1e6
+			r.remaining = float64(binary.BigEndian.Uint64(o.Body)) / 1e6
 		}
-		if w.calls[o.Handler] {
-			r.left, r.behind = r.left/2, r.left/2
+		if w.callingHandlers[o.Handler] {
+			r.remaining, r.afterCall = r.remaining/2, r.remaining/2
 		}
-		w.runs[o.Task] = r
-		w.order = append(w.order, r)
-		w.started = append(w.started, now.Sub(w.began))
-		w.ran = append(w.ran, RunStart{o.Task, now})
-		w.strain.memory(now.Sub(w.began), w.inMemory(), w.machine)
+		w.runs[o.RunID] = r
+		w.running = append(w.running, r)
+		w.startOffsets = append(w.startOffsets, now.Sub(w.startedAt))
+		w.runStarts = append(w.runStarts, RunStart{o.RunID, now})
+		w.strain.recordMemory(now.Sub(w.startedAt), w.inMemory(), w.machine)
 	case "suspend":
-		w.stop(link, r, o.Task, now)
+		w.suspend(link, r, o.RunID, now)
 	case "supply":
 		w.supply(r)
 	case "proceed":
 		if r != nil && r.paused {
 			r.paused = false
-			w.order = append(w.order, r)
+			w.running = append(w.running, r)
 		}
 	case "poll":
 		fmt.Fprintf(link, `{"verb":"polled","nonce":%q,"readings":[%.4f,%d,%.4f,1]}`+"\n",
-			o.Nonce, w.use(now), len(w.order), w.heap())
+			o.Nonce, w.coreUse(now), len(w.running), w.heapShare())
 	case "verify":
 		fmt.Fprintf(link, `{"verb":"verified","nonce":%q,"outcome":"success"}`+"\n", o.Nonce)
 	}
 }
 
-// stop stops a run in the way that the machine allows. While the cores stand still it has no effect.
-func (w *Workers) stop(link net.Conn, r *run, task string, now time.Time) {
+// suspend stops a run in the way that the machine allows. While the cores stand still it has no effect.
+func (w *Workers) suspend(link net.Conn, r *run, task string, now time.Time) {
 	if w.machine.Halt == emulator.HaltNone {
 		fmt.Fprintf(link, `{"verb":"unknown","outcome":"suspend","task":%q}`+"\n", task)
 		return
@@ -389,28 +389,28 @@
 	if r == nil || r.paused || r.blocked || w.machine.Apart || w.hung {
 		return
 	}
-	w.order = slices.DeleteFunc(w.order, func(other *run) bool { return other == r })
+	w.running = slices.DeleteFunc(w.running, func(other *run) bool { return other == r })
 	if r.paused = w.machine.Halt != emulator.HaltAbort; !r.paused {
 		delete(w.runs, r.id)
 	}
-	w.tell(r, "interrupted", now)
+	w.notifyFinished(r, "interrupted", now)
 }
 
-// use is the busy share of the cores over the half second before.
-func (w *Workers) use(now time.Time) float64 {
-	w.looks = append(w.looks, look{now, w.busy})
-	for len(w.looks) > 2 && now.Sub(w.looks[1].at) >= time.Second/2 {
-		w.looks = w.looks[1:]
+// coreUse is the busy share of the cores over the half second before.
+func (w *Workers) coreUse(now time.Time) float64 {
+	w.samples = append(w.samples, usageSample{now, w.busy})
+	for len(w.samples) > 2 && now.Sub(w.samples[1].at) >= time.Second/2 {
+		w.samples = w.samples[1:]
 	}
-	first := w.looks[0]
+	first := w.samples[0]
 	span := math.Max(now.Sub(first.at).Seconds(), 1e-3)
 	return min(1, (w.busy-first.busy)/span/w.machine.Cores)
 }
 
 // inMemory is the number of runs that hold memory: on the cores and at calls. Those that were stopped are taken to be over.
 func (w *Workers) inMemory() int {
-	holding := len(w.order)
-	if len(w.calls) == 0 {
+	holding := len(w.running)
+	if len(w.callingHandlers) == 0 {
 		return holding
 	}
 	for _, r := range w.runs {
@@ -421,5 +421,7 @@
 	return holding
 }
 
-// heap is the share of memory that runs take.
-func (w *Workers) heap() float64 { return min(1, emulator.RunKB*float64(w.inMemory())/w.machine.KB) }
+// heapShare is the share of memory that runs take.
+func (w *Workers) heapShare() float64 {
+	return min(1, emulator.RunKB*float64(w.inMemory())/w.machine.KB)
+}
--- a/internal/testkit/scale/configuration.go
+++ b/internal/testkit/scale/configuration.go
@@ -164,11 +164,11 @@
 			got, failed := harness.Run(d.Address, types, load, 1)
 			mu.Lock()
 			defer mu.Unlock()
-			if got.Codes[honoured] < got.Tasks {
-				failed = errors.Join(failed, fmt.Errorf("app-%d: %d of %d requests honoured", i, got.Codes[honoured], got.Tasks))
+			if got.Codes[honoured] < got.Requests {
+				failed = errors.Join(failed, fmt.Errorf("app-%d: %d of %d requests honoured", i, got.Codes[honoured], got.Requests))
 			}
 			err = errors.Join(err, failed)
-			took = append(took, asMilliseconds(got.Took)...)
+			took = append(took, asMilliseconds(got.Latencies)...)
 		})
 	}
 	group.Wait()
--- a/internal/testkit/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -40,7 +40,7 @@
 	sessions []string
 	replicas []string
 	cmds     []*exec.Cmd
-	logs     []*harness.LogText
+	logs     []*harness.LogBuffer
 	links    []*faultnet.Proxy
 	crossing map[string]string // sessions of each machine as those of the other side dial it
 	reach    map[string]string // replication of each machine, the same
@@ -86,7 +86,7 @@
 			s.links, into[address] = append(s.links, link), link.Addr()
 		}
 	}
-	s.cmds, s.logs = make([]*exec.Cmd, ControlMachines), make([]*harness.LogText, ControlMachines)
+	s.cmds, s.logs = make([]*exec.Cmd, ControlMachines), make([]*harness.LogBuffer, ControlMachines)
 	for i := range s.names {
 		if err := s.StartMachine(i); err != nil {
 			return s, err
@@ -117,7 +117,7 @@
 		return fmt.Errorf("service: %w", err)
 	}
 	cmd := exec.Command(s.program, "serve", "--config", path)
-	s.logs[i] = &harness.LogText{}
+	s.logs[i] = &harness.LogBuffer{}
 	cmd.Stderr = s.logs[i]
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("service: %w", err)
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -401,10 +401,10 @@
 	if routes == fewRoutes || rate == 0 {
 		return nil
 	}
-	if through.Unanswered > 0 || through.Codes[honoured] < through.Tasks {
-		return fmt.Errorf("%.0f requests a second: %d of %d honoured", rate, through.Codes[honoured], through.Tasks)
+	if through.Unanswered > 0 || through.Codes[honoured] < through.Requests {
+		return fmt.Errorf("%.0f requests a second: %d of %d honoured", rate, through.Codes[honoured], through.Requests)
 	}
-	straight, crossed := asMilliseconds(direct), asMilliseconds(through.Took)
+	straight, crossed := asMilliseconds(direct), asMilliseconds(through.Latencies)
 	points.Add(seriesDirectP99, rate, quantile(straight, 0.99))
 	points.Add(seriesAddedP50, rate, quantile(crossed, 0.5)-quantile(straight, 0.5))
 	points.Add(seriesAddedP99, rate, quantile(crossed, 0.99)-quantile(straight, 0.99))
--- a/internal/testkit/soak/checker.go
+++ b/internal/testkit/soak/checker.go
@@ -35,8 +35,8 @@
 		c.broke(1, "%d answers came to nothing that was open", h.stray)
 	}
 	c.keysRanOnce()
-	if s := h.Calls; s.Crowd > 1 {
-		c.broke(4, "the dependency had %.2f of the calls in hand that it survives, %v after its start", s.Crowd, s.CrowdAt)
+	if s := h.Calls; s.Runs > 1 {
+		c.broke(4, "the dependency had %.2f of the calls in hand that it survives, %v after its start", s.Runs, s.RunsAt)
 	}
 	for _, life := range h.Lives {
 		c.survived(life)
@@ -162,8 +162,8 @@
 // survived is rule 4, and that the process ended as it should.
 func (c *checker) survived(life *Life) {
 	name := fmt.Sprintf("the pool of server %d life %d", life.Server, life.Number)
-	if s := life.Strain; s.Crowd > 1 {
-		c.broke(4, "%s had %.2f of the runs on its cores that it survives, %v after its start", name, s.Crowd, s.CrowdAt)
+	if s := life.Strain; s.Runs > 1 {
+		c.broke(4, "%s had %.2f of the runs on its cores that it survives, %v after its start", name, s.Runs, s.RunsAt)
 	}
 	if s := life.Strain; s.Memory > 1 {
 		c.broke(4, "%s had %.2f of its memory in use, %v after its start", name, s.Memory, s.MemoryAt)
--- a/internal/testkit/soak/checker_test.go
+++ b/internal/testkit/soak/checker_test.go
@@ -94,8 +94,8 @@
 			h.request("past the grace").Answer[0].Code = CodeServed
 			h.ran("past the grace", 6105)
 		}},
-		{"the cores are crowded", 4, func(h *History) { h.Lives[0].Strain.Crowd = 1.01 }},
-		{"the dependency is overloaded", 4, func(h *History) { h.Calls.Crowd = 1.01 }},
+		{"the cores are crowded", 4, func(h *History) { h.Lives[0].Strain.Runs = 1.01 }},
+		{"the dependency is overloaded", 4, func(h *History) { h.Calls.Runs = 1.01 }},
 		{"the memory is passed", 4, func(h *History) { h.Lives[0].Strain.Memory = 1.01 }},
 	}
 	for _, c := range cases {
--- a/internal/testkit/soak/configuration.go
+++ b/internal/testkit/soak/configuration.go
@@ -36,7 +36,7 @@
 			"limits": map[string]any{"max-retry-after": 1000000, "retry-after": true},
 			"obligations": map[string]any{
 				"cold-share": p.Machine.ColdShare, "warm-up": p.Machine.WarmUp.Microseconds(),
-				"overload-factor": p.Endurance.RunsPerCore, "fall": p.Endurance.Over.Microseconds(),
+				"overload-factor": p.Endurance.RunsPerCore, "fall": p.Endurance.Window.Microseconds(),
 				"stop-sending-within": p.Grace.Microseconds(), "grace-to-answer": answerSlack.Microseconds(),
 			},
 			"servers": p.Servers, "services": services, "tenants": []any{}, "value-by": "request",
--- a/internal/testkit/soak/play.go
+++ b/internal/testkit/soak/play.go
@@ -62,7 +62,7 @@
 	history *History
 	plan    *Plan
 	slots   []*slot
-	shared  *harness.Lookups
+	shared  *harness.HTTPDependency
 }
 
 // Play plays a run and gives what was recorded.
@@ -70,7 +70,7 @@
 	h := &History{Plan: plan}
 	p := &player{program: program, folder: folder, history: h, plan: &h.Plan}
 	var err error
-	if p.shared, err = harness.NewLookups(plan.Shared.Slots, plan.Shared.Took, plan.Shared.Linger, plan.Shared.Survives, plan.Shared.Over); err != nil {
+	if p.shared, err = harness.NewHTTPDependency(plan.Shared.Slots, plan.Shared.Took, plan.Shared.Linger, plan.Shared.Survives, plan.Shared.Over); err != nil {
 		return h, err
 	}
 	defer p.shared.Close()
@@ -130,7 +130,7 @@
 			if life == nil {
 				continue
 			}
-			total, err := harness.Starved(daemon.ProcessID())
+			total, err := harness.CPUWaitTime(daemon.ProcessID())
 			if err != nil {
 				continue // it has ended
 			}
@@ -168,9 +168,9 @@
 		calling[c.Name] = c.Calls
 	}
 	if p.plan.Calls() {
-		daemon.Workers.LetCall(calling)
+		daemon.Workers.SetCallingHandlers(calling)
 	}
-	daemon.Workers.Endure(p.plan.Endurance)
+	daemon.Workers.SetEndurance(p.plan.Endurance)
 	life := &Life{Server: s.number, Number: s.lives}
 	p.history.change(func() { p.history.Lives = append(p.history.Lives, life) })
 	s.mu.Lock()
@@ -186,7 +186,7 @@
 	s.mu.Lock()
 	s.life = nil
 	s.mu.Unlock()
-	strain, runs, log := daemon.Workers.Strain(), daemon.Workers.Runs(), daemon.Log()
+	strain, runs, log := daemon.Workers.Strain(), daemon.Workers.RunStarts(), daemon.Log()
 	p.history.change(func() {
 		life.Ended, life.Exit, life.ByKill = time.Now(), exit, byKill
 		life.Strain, life.Runs, life.Log = strain, runs, log
@@ -210,7 +210,7 @@
 func (p *player) leave(s *slot) error {
 	daemon, _, life := s.process()
 	p.history.change(func() { life.Notice = time.Now() })
-	exit, killed, err := daemon.LeaveWithin(p.plan.KillAfter())
+	exit, killed, err := daemon.ShutdownWithin(p.plan.KillAfter())
 	if err != nil {
 		return err
 	}
@@ -245,13 +245,13 @@
 	until := time.Now().Add(f.For)
 	switch f.Kind {
 	case Hang:
-		daemon.Workers.Hang(true)
+		daemon.Workers.SetHung(true)
 		sleep(ctx, f.For)
-		daemon.Workers.Hang(false)
+		daemon.Workers.SetHung(false)
 	case Slow:
-		daemon.Workers.Change(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed / f.Size })
+		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed / f.Size })
 		sleep(ctx, f.For)
-		daemon.Workers.Change(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed })
+		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed })
 	case CutLink:
 		for time.Now().Before(until) {
 			proxy.Cut()
@@ -277,13 +277,13 @@
 			sleep(ctx, reloadEvery)
 		}
 	case SlowCalls:
-		p.shared.Slow(f.Size)
+		p.shared.SetSlowFactor(f.Size)
 		sleep(ctx, f.For)
-		p.shared.Slow(1)
+		p.shared.SetSlowFactor(1)
 	case ShutCalls:
-		p.shared.Shut(true)
+		p.shared.SetUnresponsive(true)
 		sleep(ctx, f.For)
-		p.shared.Shut(false)
+		p.shared.SetUnresponsive(false)
 	case Crowd:
 		crowd(ctx, daemon.Address, int(f.Size))
 	case Garbage:
--- a/internal/testkit/soak/report.go
+++ b/internal/testkit/soak/report.go
@@ -36,14 +36,14 @@
 	t.Add(h)
 	crowd, memory, killed := 0.0, 0.0, 0
 	for _, life := range h.Lives {
-		crowd, memory = max(crowd, life.Strain.Crowd), max(memory, life.Strain.Memory)
+		crowd, memory = max(crowd, life.Strain.Runs), max(memory, life.Strain.Memory)
 		if life.ByKill && life.Killed.IsZero() {
 			killed++
 		}
 	}
 	line := fmt.Sprintf("seed %d: %d servers, %s, %d faults, %d requests, %.2f served, crowd %.2f, memory %.2f, %d calls %.2f, %d left by kill, late %v: ",
 		h.Plan.Seed, h.Plan.Servers, h.Plan.Machine.Halt, len(h.Plan.Faults), t.Requests, float64(t.Served)/max(1, float64(t.Requests)),
-		crowd, memory, h.CallsIn, h.Calls.Crowd, killed, h.Lateness)
+		crowd, memory, h.CallsIn, h.Calls.Runs, killed, h.Lateness)
 	if failed != nil {
 		return line + "failed"
 	}
