--- a/cmd/quartzpoint/calls_test.go
+++ b/cmd/quartzpoint/calls_test.go
@@ -41,7 +41,7 @@
 			router := fake.Dial(t, p.address)
 			run := func(stream uint32) string {
 				router.Send(t, fake.RequestFrame(stream, "browse", ""))
-				task := p.pool.Next(t, "spawn").Task
+				task := p.pool.Next(t, "spawn").RunID
 				p.pool.Block(task, []byte("what"))
 				supplied := p.pool.Next(t, "supply")
 				p.pool.Finish(task, "success", supplied.Body)
@@ -82,7 +82,7 @@
 	assert.Equal(t, byte(50), reply.Code)
 	assert.Equal(t, "1000", reply.Fields["pushback"])
 	router.Send(t, fake.RequestFrame(2, "pay", ""))
-	p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
+	p.pool.Finish(p.pool.Next(t, "spawn").RunID, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code)
 	assert.Equal(t, 1, strings.Count(p.log.String(), "turned away"), "%s", p.log)
 }
--- a/cmd/quartzpoint/crossing_test.go
+++ b/cmd/quartzpoint/crossing_test.go
@@ -34,7 +34,7 @@
 	p.pool.Ready()
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.RequestFrame(1, "pay", ""))
-	run := p.pool.Next(t, "spawn").Task
+	run := p.pool.Next(t, "spawn").RunID
 	require.NoError(t, os.Remove(p.path))
 	require.NoError(t, syscall.Mkfifo(p.path, 0o600))
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
@@ -111,7 +111,7 @@
 		p.logged(t, "pool link bound")
 		router := fake.Dial(t, p.address)
 		router.Send(t, fake.RequestFrame(1, "pay", ""))
-		run := p.pool.Next(t, "spawn").Task
+		run := p.pool.Next(t, "spawn").RunID
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 		p.logged(t, "notice to leave")
--- a/cmd/quartzpoint/descriptors_test.go
+++ b/cmd/quartzpoint/descriptors_test.go
@@ -147,7 +147,7 @@
 				router := fake.Dial(t, p.address) // beside it
 				router.Send(t, fake.RequestFrame(1, "pay", ""))
 				if name != "in use" { // where there is room for it, it runs
-					p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
+					p.pool.Finish(p.pool.Next(t, "spawn").RunID, "success", nil)
 				}
 				reply := router.Next(t)
 				assert.Equal(t, []any{byte(11), uint32(1)}, []any{reply.Type, reply.Stream})
--- a/cmd/quartzpoint/halfclose_test.go
+++ b/cmd/quartzpoint/halfclose_test.go
@@ -24,7 +24,7 @@
 			for range 2 {
 				spawn := p.pool.Next(t, "spawn")
 				time.Sleep(300 * time.Millisecond) // over some looks at its connection
-				p.pool.Finish(spawn.Task, "success", []byte("done"))
+				p.pool.Finish(spawn.RunID, "success", []byte("done"))
 			}
 			got := map[uint32]byte{}
 			for _, reply := range router.ReadAll(t) {
@@ -44,9 +44,9 @@
 	p.logged(t, "pool link bound")
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.RequestFrame(1, "browse", "a"))
-	task := p.pool.Next(t, "spawn").Task
+	task := p.pool.Next(t, "spawn").RunID
 	begin := time.Now()
 	router.Close()
-	assert.Equal(t, task, p.pool.Next(t, "suspend").Task)
+	assert.Equal(t, task, p.pool.Next(t, "suspend").RunID)
 	assert.Less(t, time.Since(begin), 5*time.Second, "stopped by its deadline only")
 }
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -109,7 +109,7 @@
 			router.Send(t, fake.RequestFrame(1, "browse", body), fake.RequestFrame(2, "pay", "second"))
 			for range 2 {
 				spawn := p.pool.Next(t, "spawn")
-				p.pool.Finish(spawn.Task, "success", append([]byte("did "), spawn.Body...))
+				p.pool.Finish(spawn.RunID, "success", append([]byte("did "), spawn.Body...))
 			}
 			got := map[uint32]string{}
 			for range 2 {
@@ -232,7 +232,7 @@
 			run := func(stream uint32, kind string) string {
 				t.Helper()
 				router.Send(t, fake.RequestFrame(stream, kind, ""))
-				return p.pool.Next(t, "spawn").Task
+				return p.pool.Next(t, "spawn").RunID
 			}
 			honoured := func(task string) {
 				t.Helper()
--- a/cmd/quartzpoint/reload_test.go
+++ b/cmd/quartzpoint/reload_test.go
@@ -37,7 +37,7 @@
 				put(texts[stream%2])
 				hup()
 				put(texts[(stream+1)%2]) // while the other may be read
-				p.pool.Finish(run.Task, "success", nil)
+				p.pool.Finish(run.RunID, "success", nil)
 				reply := router.Next(t)
 				done[reply.Stream] = reply.Code
 			}
@@ -62,7 +62,7 @@
 			require.NoError(t, os.Remove(p.path))
 			hup()
 			p.logged(t, "no such file")
-			p.pool.Finish(last.Task, "success", nil)
+			p.pool.Finish(last.RunID, "success", nil)
 			for stream, codes := range answers(t, router) {
 				require.Len(t, codes, 1)
 				done[stream] = codes[0]
@@ -93,7 +93,7 @@
 	p.logged(t, `only_with_a_restart="[limits index settings extra.cores,services.1.name,tenants.0.name,tenants.0.quota-rps,tenants.count]"`)
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.RequestFrame(1, "pay", "")) // as the process was started
-	p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
+	p.pool.Finish(p.pool.Next(t, "spawn").RunID, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code)
 	router.Close()
 	began := time.Now()
--- a/cmd/quartzpoint/settings_test.go
+++ b/cmd/quartzpoint/settings_test.go
@@ -73,7 +73,7 @@
 			p.logged(t, `msg="new configuration"`)
 			router := fake.Dial(t, p.address)
 			router.Send(t, fake.RequestFrame(1, "pay", ""))
-			p.pool.Finish(p.pool.Next(t, "spawn").Task, "success", nil)
+			p.pool.Finish(p.pool.Next(t, "spawn").RunID, "success", nil)
 			assert.Equal(t, byte(20), router.Next(t).Code)
 			assert.Contains(t, p.log.String(), "only_with_a_restart=[]")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
@@ -133,7 +133,7 @@
 	router := fake.Dial(t, serves.address)
 	serves.pool.Ready()
 	router.Send(t, fake.RequestFrame(1, "pay", ""))
-	serves.pool.Finish(serves.pool.Next(t, "spawn").Task, "success", nil)
+	serves.pool.Finish(serves.pool.Next(t, "spawn").RunID, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code, "what is in force stays")
 }
 
--- a/internal/frontend/crossing_test.go
+++ b/internal/frontend/crossing_test.go
@@ -150,7 +150,7 @@
 	b.pool.Next(t, "spawn")
 	gone := func(stream uint32) []byte { return frame.Begin(nil, frame.Cancel, stream, 0, nil, 0) }
 	r.Send(t, gone(1), gone(77))
-	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").Task)
+	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
 	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
 	got := r.Next(t)
 	assert.Equal(t, []any{uint32(2), byte(20), "kept"}, []any{got.Stream, got.Code, got.Body})
@@ -182,7 +182,7 @@
 	ask(other, 1, 2, "north", "b") // while it runs
 	ask(other, 2, 3, "south", "b")
 	second := b.pool.Next(t, "spawn")
-	assert.Equal(t, []string{fake.CallID(1), fake.CallID(3)}, []string{first.Task, second.Task})
+	assert.Equal(t, []string{fake.CallID(1), fake.CallID(3)}, []string{first.RunID, second.RunID})
 	b.pool.Finish(fake.CallID(1), "success", []byte("the north's"))
 	assert.Equal(t, "the north's", one.Next(t).Body)
 	got := other.Next(t)
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -198,7 +198,7 @@
 	router.Send(t, fake.RequestFrame(1, "browse", ""))
 	b.pool.Next(t, "spawn")
 	router.Close()
-	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").Task)
+	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
 }
 
 // A router that does not read is cut off at a bound, and answers to others wait neither before nor after.
--- a/internal/server/crossing_test.go
+++ b/internal/server/crossing_test.go
@@ -44,7 +44,7 @@
 				b.pool.CloseLink() // before the word is written
 			}
 		})
-		assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").Task)
+		assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
 		require.Eventually(t, func() bool {
 			left := 1
 			b.inTurn(func() { left = len(b.requests) })
@@ -131,7 +131,7 @@
 		b.Take(due)
 	})
 	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.next(t); return []any{a.stream, a.Verdict} }())
-	assert.Equal(t, fake.CallID(2), b.pool.Next(t, "spawn").Task)
+	assert.Equal(t, fake.CallID(2), b.pool.Next(t, "spawn").RunID)
 	b.pool.Finish(fake.CallID(2), "success", nil)
 	assert.Equal(t, Served, b.next(t).Verdict)
 }
--- a/internal/server/numbers_test.go
+++ b/internal/server/numbers_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	b.inTurn(func() { b.Take(asked(1, "n")) })
-	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
+	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", nil)
 	assert.Equal(t, Served, b.next(t).Verdict)
 
 	b.inTurn(func() {
@@ -55,7 +55,7 @@
 	}
 	var first time.Duration
 	b.inTurn(func() { first = b.Now(); b.Take(asked(1, first)) })
-	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", []byte("done"))
+	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", []byte("done"))
 	assert.Equal(t, Served, b.next(t).Verdict)
 
 	b.inTurn(func() { time.Sleep(window + 800*time.Millisecond) }) // the owner stands still, as in a stopped process
@@ -68,6 +68,6 @@
 	assert.Empty(t, b.pool.Commands)
 
 	b.inTurn(func() { b.Take(asked(3, first+2*window)) }) // this one came behind the window
-	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", []byte("anew"))
+	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", []byte("anew"))
 	assert.Equal(t, "anew", string(b.next(t).Result))
 }
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -34,14 +34,14 @@
 			b.Reconfigure(adjusted("extra.halt=" + halt))
 			task = b.Take(Incoming{ID: id, Route: "browse", HeldKB: 1, SentMS: time.Now().UnixMilli(), Patience: time.Minute, Caller: b})
 		})
-		assert.Equal(t, id, b.pool.Next(t, "spawn").Task)
+		assert.Equal(t, id, b.pool.Next(t, "spawn").RunID)
 		b.Post(func() { b.Gone(task) })
 		stopped := false
 		for waited := time.After(200 * time.Millisecond); waited != nil; {
 			select {
 			case c := <-b.pool.Commands:
 				assert.NotEqual(t, "spawn", c.Verb, "begun once only")
-				stopped = stopped || c.Verb == "suspend" && c.Task == id
+				stopped = stopped || c.Verb == "suspend" && c.RunID == id
 			case <-waited:
 				waited = nil
 			}
@@ -55,7 +55,7 @@
 			b.settings.Compare(adjusted("")).Adjusted["halt"] == nil && len(b.settings.Compare(adjusted("")).Adjusted) == 0
 	})
 	assert.True(t, <-unstated)
-	b.pool.Finish(first.Task, "success", []byte("done"))
+	b.pool.Finish(first.RunID, "success", []byte("done"))
 	got := b.next(t)
 	assert.Equal(t, []any{uint32(1), Served}, []any{got.stream, got.Verdict})
 	assert.Empty(t, b.answers, "one answer each, and none for those whose callers left")
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -149,12 +149,12 @@
 	spawn := b.pool.Next(t, "spawn")
 	assert.Equal(t, "body 1", string(spawn.Body))
 	assert.Equal(t, "pay", spawn.Handler)
-	b.pool.Finish(spawn.Task, "success", []byte("done"))
+	b.pool.Finish(spawn.RunID, "success", []byte("done"))
 	got := b.next(t)
 	assert.Equal(t, answered{1, Answer{Verdict: Served, Result: []byte("done")}}, got)
 
 	b.ask(2, "pay", time.Second)
-	b.pool.Finish(b.pool.Next(t, "spawn").Task, "failure", nil)
+	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "failure", nil)
 	assert.Equal(t, Aborted, b.next(t).Verdict)
 }
 
@@ -301,11 +301,11 @@
 			b.pool.SetDropsSpawns(false)
 			b.pool.Next(t, "bind")
 			b.pool.SetSilent(false)
-			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").Task)
+			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
 			if c.lost {
 				assert.Equal(t, "body 1", string(b.pool.Next(t, "spawn").Body))
 			}
-			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "proceed").Task)
+			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "proceed").RunID)
 			b.pool.Finish(fake.CallID(1), "success", []byte("done"))
 			assert.Equal(t, Served, b.next(t).Verdict)
 		})
@@ -331,7 +331,7 @@
 	b := newBench(t)
 	b.pool.Ready()
 	b.ask(1, "pay", time.Minute)
-	task := b.pool.Next(t, "spawn").Task
+	task := b.pool.Next(t, "spawn").RunID
 	b.pool.WriteRaw(`{"verb":"unknown","outcome":"suspend","task":"` + task + `"}` + "\n")
 	b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"nobody"}` + "\n")
 	b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + task + `"}` + "\n")
@@ -341,7 +341,7 @@
 	// Calls that a bad client invents counted as broken runs, and closed this server's health to all.
 	for stream := range uint32(20) {
 		b.ask(100+stream, "browse", time.Minute)
-		b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").Task + `"}` + "\n")
+		b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").RunID + `"}` + "\n")
 		assert.Equal(t, Aborted, b.next(t).Verdict)
 	}
 	b.Post(func() { b.Check(b, 1, false) })
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -47,13 +47,13 @@
 	second := b.pool.Next(t, "spawn")
 	late := b.next(t)
 	assert.Equal(t, []any{uint32(3), Aborted}, []any{late.stream, late.Verdict}, "the later one has the shorter deadline")
-	b.pool.Finish(second.Task, "interrupted", nil)
+	b.pool.Finish(second.RunID, "interrupted", nil)
 
 	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "quote"}}})
 	b.ask(4, "quote", time.Minute)
 	gone := b.next(t)
 	assert.Equal(t, []any{uint32(4), Rejected}, []any{gone.stream, gone.Verdict}, "removed")
-	b.pool.Finish(first.Task, "success", []byte("done"))
+	b.pool.Finish(first.RunID, "success", []byte("done"))
 	got := b.next(t)
 	assert.Equal(t, answered{2, Answer{Verdict: Served, Result: []byte("done")}}, got, "what was in flight is finished")
 	assert.Empty(t, b.answers)
@@ -65,7 +65,7 @@
 	b.pool.Ready()
 	for stream := range uint32(3) {
 		b.ask(stream+1, "pay", time.Minute)
-		b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
+		b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", nil)
 		b.next(t)
 	}
 	samples := func() (n float64) {
@@ -104,7 +104,7 @@
 	b.change(t, put)
 	ask(1)
 	run := b.pool.Next(t, "spawn")
-	b.pool.Finish(run.Task, "success", []byte("done"))
+	b.pool.Finish(run.RunID, "success", []byte("done"))
 	assert.Equal(t, Served, b.next(t).Verdict)
 	b.change(t, TableChange{Routes: []settings.RouteChange{{Name: "charge"}}})
 	b.change(t, put)
@@ -144,7 +144,7 @@
 	assert.Equal(t, unknown, place("north"), "nobody's")
 	b.change(t, tenant("south", 1))
 	assert.Equal(t, 1, place("south"), "a request of north is still here")
-	b.pool.Finish(run.Task, "success", nil)
+	b.pool.Finish(run.RunID, "success", nil)
 	b.next(t)
 	b.change(t, removed("south"))
 	b.change(t, tenant("west", 1))
@@ -185,7 +185,7 @@
 	b.Post(step)
 	b.ChangeTables(TableChange{Routes: []settings.RouteChange{{Name: "r0"}}, Done: func() { close(done) }})
 	b.ask(1, "pay", time.Minute)
-	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
+	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", nil)
 	assert.Equal(t, Served, b.next(t).Verdict)
 	select {
 	case <-done:
--- /dev/null
+++ b/internal/testkit/fake/membership.go
@@ -0,0 +1,39 @@
+package fake
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Membership is a membership service that receives status datagrams.
+type Membership struct {
+	Address string
+	socket  net.PacketConn
+}
+
+// NewMembership starts a membership service on loopback. It closes with the test.
+func NewMembership(t testing.TB) *Membership { return NewMembershipAt(t, "127.0.0.1:0") }
+
+// NewMembershipAt starts a membership service at an address.
+func NewMembershipAt(t testing.TB, address string) *Membership {
+	socket, err := net.ListenPacket("udp", address)
+	require.NoError(t, err)
+	t.Cleanup(func() { socket.Close() })
+	return &Membership{socket.LocalAddr().String(), socket}
+}
+
+// Stop closes the service, so that reports to it are refused.
+func (m *Membership) Stop() { m.socket.Close() }
+
+// Next waits for the next report and returns its text.
+func (m *Membership) Next(t testing.TB) string {
+	t.Helper()
+	var datagram [128]byte
+	require.NoError(t, m.socket.SetReadDeadline(time.Now().Add(WaitLimit)))
+	n, _, err := m.socket.ReadFrom(datagram[:])
+	require.NoError(t, err)
+	return string(datagram[:n])
+}
--- a/internal/workerlink/pool_test.go
+++ b/internal/workerlink/pool_test.go
@@ -78,9 +78,9 @@
 	assert.True(t, b.Verify(4))
 	b.Flush()
 	spawn := b.pool.Next(t, "spawn")
-	assert.Equal(t, fake.Command{Verb: "spawn", Task: "t1", Handler: "bro\"wse", Body: body}, spawn)
+	assert.Equal(t, fake.Command{Verb: "spawn", RunID: "t1", Handler: "bro\"wse", Body: body}, spawn)
 	for _, verb := range []string{"suspend", "proceed"} {
-		assert.Equal(t, "t1", b.pool.Next(t, verb).Task)
+		assert.Equal(t, "t1", b.pool.Next(t, verb).RunID)
 	}
 	assert.Equal(t, "4", b.pool.Next(t, "verify").Nonce)
 	ended := b.next(t, workerapi.RunFinished)
