--- a/internal/testkit/fake/pool.go
+++ b/internal/testkit/fake/pool.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
-	"io"
 	"maps"
 	"net"
 	"slices"
@@ -13,6 +12,8 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"quartzpoint/internal/testkit/harness"
 )
 
 // Sizes that SiteSettings and RequestFrame state; the readings are computed from them.
@@ -20,20 +21,15 @@
 	cores        = 4
 	siteMemoryKB = 60000.0
 	runMemoryKB  = 164.0
+
+	runMilliseconds = 5.5 // that every run is reported to have taken
 )
 
-// Command is one line that a server wrote to the pool. Body holds the bytes of a spawn.
-type Command struct {
-	Verb    string `json:"verb"`
-	Index   int    `json:"index"`
-	RunID   string `json:"task"`
-	Handler string `json:"handler"`
-	Nonce   string `json:"nonce"`
-	Body    []byte `json:"bytes"`
-}
+// Command is one line that a server wrote to the pool.
+type Command = harness.PoolCommand
 
 // Pool is a worker pool. A run ends when a test finishes it, or at once where Echo is set. The exported flags are set
-// before Ready; while the pool serves, the Set methods change them.
+// before the server sends what they concern; later, the Set methods change them.
 type Pool struct {
 	Address            string
 	Echo               bool // runs end at once, with their body as the result
@@ -45,8 +41,7 @@
 
 	mu              sync.Mutex
 	listener        net.Listener
-	link            net.Conn
-	notices         []string
+	notices         harness.NoticeLog
 	running         map[string]bool
 	silent          bool
 	partialReadings bool // polls are answered with the first reading only
@@ -104,7 +99,7 @@
 			continue
 		}
 		p.mu.Lock()
-		if p.link != link { // not bound yet, or replaced by a later bind
+		if !p.notices.IsBound(link) { // not bound yet, or replaced by a later bind
 			fmt.Fprintf(link, "{\"verb\":\"unknown\",\"outcome\":%q}\n", c.Verb)
 			p.mu.Unlock()
 			continue
@@ -151,59 +146,51 @@
 	<-p.ready
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.link = link
-	fmt.Fprintf(link, "{\"verb\":\"bound\",\"outcome\":\"steady\",\"spent\":12}\n")
-	for _, n := range p.notices[after:] {
-		io.WriteString(link, n)
-	}
+	p.notices.Bind(link, `{"verb":"bound","outcome":"steady","spent":12}`+"\n", after)
 }
 
 // finishRun sends the notice that a run has ended.
-func (p *Pool) finishRun(task, outcome string, result []byte) {
-	delete(p.running, task)
-	p.notify(map[string]any{"verb": "finished", "task": task, "outcome": outcome, "spent": 5.5, "bytes": result})
-}
-
-// notify numbers a notice, stores it for later binds and writes it to the link.
-func (p *Pool) notify(notice map[string]any) {
-	notice["index"] = len(p.notices) + 1
-	raw, _ := json.Marshal(notice)
-	p.notices = append(p.notices, string(raw)+"\n")
-	if p.link != nil {
-		io.WriteString(p.link, p.notices[len(p.notices)-1])
-	}
+func (p *Pool) finishRun(runID, outcome string, result []byte) {
+	delete(p.running, runID)
+	p.notices.Add(harness.Finished(runID, outcome, runMilliseconds, result))
 }
 
 // FinishTruncated ends a run whose notice is cut short on the link. The whole notice is stored, and sent to the next bind.
-func (p *Pool) FinishTruncated(task, outcome string, result []byte) {
+func (p *Pool) FinishTruncated(runID, outcome string, result []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	link := p.link
-	p.link = nil
-	p.finishRun(task, outcome, result)
-	p.link = link
-	io.WriteString(link, `{"verb":"finished","index":`+"\n")
+	delete(p.running, runID)
+	p.requireBound()
+	p.notices.AddTruncated(harness.Finished(runID, outcome, runMilliseconds, result))
 }
 
 // Block reports that a run waits for a dependency call with this body.
-func (p *Pool) Block(task string, body []byte) {
+func (p *Pool) Block(runID string, body []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.notify(map[string]any{"verb": "blocked", "task": task, "bytes": body})
+	p.notices.Add(harness.Blocked(runID, body))
 }
 
 // Finish ends a run with an outcome of the protocol.
-func (p *Pool) Finish(task, outcome string, result []byte) {
+func (p *Pool) Finish(runID, outcome string, result []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.finishRun(task, outcome, result)
+	p.finishRun(runID, outcome, result)
 }
 
 // WriteRaw writes text to the link unchanged.
 func (p *Pool) WriteRaw(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	io.WriteString(p.link, text)
+	p.requireBound()
+	p.notices.WriteRaw(text)
+}
+
+// requireBound panics without a bound server, as what a test writes would be lost.
+func (p *Pool) requireBound() {
+	if p.notices.IsBound(nil) {
+		panic("fake: no server is bound to the pool")
+	}
 }
 
 // SetEcho ends all runs, and from now on each run as it begins.
@@ -211,8 +198,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.Echo = true
-	for _, task := range slices.Sorted(maps.Keys(p.running)) {
-		p.finishRun(task, "success", nil)
+	for _, runID := range slices.Sorted(maps.Keys(p.running)) {
+		p.finishRun(runID, "success", nil)
 	}
 }
 
@@ -241,10 +228,7 @@
 func (p *Pool) CloseLink() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.link != nil {
-		p.link.Close()
-		p.link = nil
-	}
+	p.notices.CloseLink()
 }
 
 // Next waits for the next command with a verb and skips others.
--- a/internal/testkit/harness/strain.go
+++ b/internal/testkit/harness/strain.go
@@ -6,7 +6,7 @@
 	"quartzpoint/emulator"
 )
 
-// Endurance is what a worker pool survives. Past either limit it falls over: rule 4 of the protocol page.
+// Endurance is the load that a worker pool survives. Past either limit it falls over: rule 4 of the protocol page.
 type Endurance struct {
 	RunsPerCore float64       // on the cores in the mean of Over, for a warm pool; a cold one survives fewer
 	Window      time.Duration // span of that mean
@@ -17,20 +17,20 @@
 	defaultEnduranceWindow = time.Second
 )
 
-// Strain is the most that a worker pool had to bear, as parts of what it survives: over 1 it has fallen over.
+// Strain is the highest load of a worker pool, as shares of what it survives: over 1 it has fallen over.
 type Strain struct {
-	Runs     float64       // runs on the cores, in the mean of the span
-	Memory   float64       // of its runs
-	RunsAt   time.Duration // when Crowd was reached, since the pool's start
+	Runs     float64       // runs on the cores, in the mean of the window
+	Memory   float64       // held by runs
+	RunsAt   time.Duration // when Runs was reached, since the pool's start
 	MemoryAt time.Duration // when Memory was reached
 }
 
-// strainGauge follows the strain of a pool. Its runs are the same in number between two calls of pass.
+// strainGauge measures the strain of a pool. The number of runs is constant between two calls of advance.
 type strainGauge struct {
 	endurance Endurance
 	max       Strain
 	area      float64      // runs times seconds since the start
-	points    []strainArea // of the span and the last before it
+	points    []strainArea // within the window, and the last before it
 }
 
 type strainArea struct {
@@ -48,7 +48,7 @@
 	return &strainGauge{endurance: endurance, points: []strainArea{{}}}
 }
 
-// advance takes that so many runs were on the cores from the last call until now, which is since the pool's start.
+// advance records that so many runs were on the cores from the last call until now. Times are since the pool's start.
 func (g *strainGauge) advance(now time.Duration, runs int, m Machine) {
 	last := g.points[len(g.points)-1]
 	if now <= last.at {
@@ -61,12 +61,12 @@
 		g.points = g.points[1:]
 	}
 	mean := (g.area - g.areaAt(from)) / g.endurance.Window.Seconds()
-	if crowd := mean / g.survivableRuns(now, m); crowd > g.max.Runs {
-		g.max.Runs, g.max.RunsAt = crowd, now
+	if strain := mean / g.survivableRuns(now, m); strain > g.max.Runs {
+		g.max.Runs, g.max.RunsAt = strain, now
 	}
 }
 
-// areaAt is the area at a moment within the points kept, which lies on the line between two of them.
+// areaAt returns the area at a moment, interpolated between the first two points.
 func (g *strainGauge) areaAt(at time.Duration) float64 {
 	if at <= 0 {
 		return 0
@@ -79,32 +79,17 @@
 	return first.area + min(part, 1)*(second.area-first.area)
 }
 
-// survivableRuns is the number of runs on the cores that a pool survives now. Its share of its speed counts only as far as it
-// is still cold: a slow machine survives as many.
+// survivableRuns returns the number of runs on the cores that a pool survives now. A pool that warms up survives fewer; a
+// machine that is slow for another reason survives as many.
 func (g *strainGauge) survivableRuns(now time.Duration, m Machine) float64 {
 	warm := m
 	warm.Speed = 1
 	return (1 + (g.endurance.RunsPerCore-1)*warm.SpeedAt(now)) * m.Cores
 }
 
-// recordMemory takes the number of runs that hold memory.
+// recordMemory records the number of runs that hold memory.
 func (g *strainGauge) recordMemory(now time.Duration, runs int, m Machine) {
 	if share := emulator.RunKB * float64(runs) / m.KB; share > g.max.Memory {
 		g.max.Memory, g.max.MemoryAt = share, now
 	}
 }
-
-// SetEndurance sets what the pool survives, before anything runs on it.
-func (w *Workers) SetEndurance(endurance Endurance) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.strain = newStrainGauge(endurance)
-}
-
-// Strain is the most that the pool has had to bear up to now.
-func (w *Workers) Strain() Strain {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.advance(time.Now())
-	return w.strain.max
-}
