--- a/internal/testkit/harness/cores.go
+++ b/internal/testkit/harness/cores.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// Cores are shared evenly by all that works on them, in real time and in this process, without using any: what a
-// policy is measured on inside one process. Past six runs a core each further one costs a hundredth of the rest, as
-// switching does.
+// Cores emulates cores that the jobs of this process share evenly in real time, without using any. Past freeRunsPerCore
+// jobs a core, each further job slows all of them by switchCostPerRun.
 type Cores struct {
 	count float64
 
 	mu         sync.Mutex
 	last       time.Time
-	workPerJob float64 // work that each of those working has had since the start
+	workPerJob float64 // seconds of work that one job would have had since the start
 	jobs       int
 	busy       float64 // core seconds
 	samples    []usageSample
 }
 
 const (
-	freeRunsPerCore  = 6.0
-	switchCostPerRun = 0.01
+	freeRunsPerCore   = 6.0
+	switchCostPerRun  = 0.01
+	rateCheckInterval = 5 * time.Millisecond
+	minRate           = 1e-3 // of a core
 )
 
-// NewCores makes some.
+// NewCores returns a number of idle cores.
 func NewCores(n float64) *Cores {
 	return &Cores{count: n, last: time.Now()}
 }
@@ -36,24 +37,24 @@
 		return 1
 	}
 	loss := max(0, 1-switchCostPerRun*max(0, n-freeRunsPerCore*c.count))
-	return max(c.count/n*loss, 1e-3)
+	return max(c.count/n*loss, minRate)
 }
 
 func (c *Cores) advance() {
 	now := time.Now()
-	passed := now.Sub(c.last).Seconds()
-	c.workPerJob += passed * c.rate()
-	c.busy += passed * min(float64(c.jobs), c.count)
+	elapsed := now.Sub(c.last).Seconds()
+	c.workPerJob += elapsed * c.rate()
+	c.busy += elapsed * min(float64(c.jobs), c.count)
 	c.last = now
 }
 
-// Load are the busy share of the cores over the half second before, and the number that work on them.
-func (c *Cores) Load() (busy, crowd float64) {
+// Load returns the busy share of the cores over the last half second, and the number of jobs.
+func (c *Cores) Load() (busy, running float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.advance()
 	c.samples = append(c.samples, usageSample{c.last, c.busy})
-	for len(c.samples) > 2 && c.last.Sub(c.samples[1].at) >= time.Second/2 {
+	for len(c.samples) > 2 && c.last.Sub(c.samples[1].at) >= usageWindow {
 		c.samples = c.samples[1:]
 	}
 	if span := c.last.Sub(c.samples[0].at).Seconds(); span > 0 {
@@ -62,7 +63,7 @@
 	return busy, float64(c.jobs)
 }
 
-// Work takes a share of the cores until so much work is done, or the context ends.
+// Work runs a job until its work is done. Where the context ends first it returns the context's error.
 func (c *Cores) Work(ctx context.Context, work time.Duration) error {
 	c.mu.Lock()
 	c.advance()
@@ -76,8 +77,8 @@
 			c.mu.Unlock()
 			return ctx.Err()
 		}
-		// The rate changes as others come and go; a look every few milliseconds is near enough for what is measured.
-		wait := min(time.Duration(left/c.rate()*float64(time.Second)), 5*time.Millisecond)
+		// The rate changes as jobs come and go, so it is read again now and then.
+		wait := min(time.Duration(left/c.rate()*float64(time.Second)), rateCheckInterval)
 		c.mu.Unlock()
 		select {
 		case <-time.After(wait):
--- a/internal/testkit/harness/starved.go
+++ b/internal/testkit/harness/cpu_wait.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// schedstatWaitField is the place of the time spent waiting for a core in /proc/PID/task/TID/schedstat, in nanoseconds.
+// schedstatWaitField is the field of /proc/PID/task/TID/schedstat with the time spent waiting for a core, in nanoseconds.
 const schedstatWaitField = 1
 
-// CPUWaitTime is for how long the threads of a process have been ready to run, in sum, and were given no core.
+// CPUWaitTime returns the time for which the threads of a process were ready to run and had no core, in sum. Threads that
+// have ended are not counted. The error wraps os.ErrNotExist where there is no such process.
 func CPUWaitTime(pid int) (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
--- a/internal/testkit/harness/dependency.go
+++ b/internal/testkit/harness/dependency.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"io"
 	"math"
 	"math/rand"
 	"net"
@@ -11,53 +10,62 @@
 	"time"
 )
 
-// DependencyBehaviour is how a dependency behaves for a while.
+// DependencyBehaviour is how a dependency behaves for a while. The zero value is the usual behaviour.
 type DependencyBehaviour struct {
-	SlowFactor  float64       // times its usual service time; 0 is as usual
-	AnswerDelay time.Duration // by which answers come later than the work is done
-	Silent      bool          // reads and never answers
-	Fails       bool          // answers at once that it failed, and does nothing
-	Rejects     bool          // answers at once that it did not run
-	Garbage     bool          // writes what is no frame
-	Down        bool          // no connection is taken, and those that are open end
+	SlowFactor  float64       // times the usual service time; 0 is 1
+	AnswerDelay time.Duration // between the end of the work and its answer
+	Silent      bool          // calls are read and never answered
+	Fails       bool          // calls are answered at once as aborted, and do not run
+	Rejects     bool          // calls are answered at once as rejected
+	Garbage     bool          // calls are answered with bytes that are no frame
+	Down        bool          // connections are refused, and open ones closed
 }
 
-// BehaviourScript says how a dependency behaves at a time since its start.
+// BehaviourScript returns how a dependency behaves at a time since its start.
 type BehaviourScript func(since time.Duration) DependencyBehaviour
 
-// Dependency plays one: so many slots, a service time of log-normal spread, and a script. What it runs with a
-// number, or was asked to, is counted; a repeat of a number is answered from the first.
+// DependencyStats is what a dependency has counted so far.
+type DependencyStats struct {
+	Attempts     int // calls read
+	Effects      int // runs of calls with an idempotency key
+	DistinctKeys int
+	RepeatedRuns int // runs of a key that had run before
+	MaxOpen      int // calls open at once
+}
+
+// scriptInterval is the time between two looks at the script for whether the dependency is down.
+const scriptInterval = 10 * time.Millisecond
+
+// Dependency is a system that answers calls over the frame protocol: a number of slots, a service time with log-normal
+// spread, and a script of its behaviour. A repeated idempotency key is answered from the first call of that key.
 type Dependency struct {
 	Address string
 
-	slotFreeAt      []time.Time // when each is free
+	slotFreeAt      []time.Time // by slot
 	meanServiceTime time.Duration
 	script          BehaviourScript
-	started         time.Time
 	goroutines      sync.WaitGroup
 	stop            chan struct{}
 
-	mu           sync.Mutex
-	rng          *rand.Rand
-	spread       float64
-	listener     net.Listener
-	links        map[net.Conn]bool
-	keyed        map[string]*keyedRequest
-	calls        int
-	effects      int // runs of numbered calls
-	distinctKeys int // numbers asked for
-	repeatedRuns int
-	open         int
-	maxOpen      int
+	mu       sync.Mutex
+	started  time.Time
+	rng      *rand.Rand
+	spread   float64      // sigma of the logarithm of the service time
+	listener net.Listener // nil while down
+	links    map[net.Conn]bool
+	keyed    map[string]*keyedRequest
+	stats    DependencyStats
+	open     int
 }
 
 type keyedRequest struct {
 	runs    int
 	done    bool
-	waiting []func()
+	waiting []func() // answers of repeats that came before the first call was done
 }
 
-// NewDependency starts one.
+// NewDependency starts a dependency on loopback. spread is the standard deviation of the service time over its mean; a nil
+// script is the usual behaviour.
 func NewDependency(slots int, mean time.Duration, spread float64, seed int64, script BehaviourScript) (*Dependency, error) {
 	if script == nil {
 		script = func(time.Duration) DependencyBehaviour { return DependencyBehaviour{} }
@@ -70,226 +78,219 @@
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
-	d.Address = d.listener.Addr().String() // the same when it comes up again
-	d.goroutines.Add(1)
-	go func() {
-		defer d.goroutines.Done()
-		tick := time.NewTicker(10 * time.Millisecond)
-		defer tick.Stop()
-		for {
-			select {
-			case <-d.stop:
-				return
-			case <-tick.C:
-				d.applyScript()
-			}
-		}
-	}()
+	d.Address = d.listener.Addr().String() // stays the same when the dependency comes up again
+	d.goroutines.Go(d.followScript)
 	return d, nil
 }
 
-// RestartClock sets the script's clock to zero now.
+// Close ends the dependency with all its connections, and waits for its goroutines.
+func (d *Dependency) Close() {
+	close(d.stop)
+	d.mu.Lock()
+	if d.listener != nil {
+		d.listener.Close()
+	}
+	for link := range d.links {
+		link.Close()
+	}
+	d.mu.Unlock()
+	d.goroutines.Wait()
+}
+
+// RestartClock sets the script's clock to zero.
 func (d *Dependency) RestartClock() {
 	d.mu.Lock()
 	d.started = time.Now()
 	d.mu.Unlock()
 }
 
+// Stats returns what was counted so far.
+func (d *Dependency) Stats() DependencyStats {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.stats
+}
+
 func (d *Dependency) behaviour() DependencyBehaviour { return d.script(time.Since(d.started)) }
 
-func (d *Dependency) listen() error {
-	listener, err := net.Listen("tcp", d.Address)
-	if err != nil {
-		return fmt.Errorf("dependency: %w", err)
-	}
-	d.listener = listener
-	d.goroutines.Add(1)
-	go func() {
-		defer d.goroutines.Done()
-		for {
-			link, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			d.mu.Lock()
-			d.links[link] = true
-			d.mu.Unlock()
-			d.goroutines.Add(1)
-			go func() {
-				defer d.goroutines.Done()
-				d.serve(link)
-			}()
+// followScript goes down and comes up as the script says.
+func (d *Dependency) followScript() {
+	tick := time.NewTicker(scriptInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-d.stop:
+			return
+		case <-tick.C:
+			d.applyScript()
 		}
-	}()
-	return nil
+	}
 }
 
-// applyScript goes down and comes up as the script says.
 func (d *Dependency) applyScript() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	down := d.behaviour().Down
-	if down && d.listener != nil {
+	switch {
+	case down && d.listener != nil:
 		d.listener.Close()
 		d.listener = nil
 		for link := range d.links {
 			link.Close()
 		}
-	} else if !down && d.listener == nil {
-		_ = d.listen() // tried again at the next look
+	case !down && d.listener == nil:
+		_ = d.listen() // retried at the next tick
 	}
 }
 
-// Close ends it.
-func (d *Dependency) Close() {
-	close(d.stop)
-	d.mu.Lock()
-	if d.listener != nil {
-		d.listener.Close()
-	}
-	for link := range d.links {
-		link.Close()
+func (d *Dependency) listen() error {
+	listener, err := net.Listen("tcp", d.Address)
+	if err != nil {
+		return fmt.Errorf("dependency: %w", err)
 	}
-	d.mu.Unlock()
-	d.goroutines.Wait()
-}
-
-// DependencyStats is what a dependency counted.
-type DependencyStats struct {
-	Attempts     int // attempts read
-	Effects      int // runs of numbered calls
-	DistinctKeys int // different numbers
-	RepeatedRuns int // runs of a number that had run
-	MaxOpen      int // calls open at once
-}
-
-// Stats tells what was counted so far.
-func (d *Dependency) Stats() DependencyStats {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return DependencyStats{d.calls, d.effects, d.distinctKeys, d.repeatedRuns, d.maxOpen}
+	d.listener = listener
+	d.goroutines.Go(func() {
+		for {
+			link, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			d.mu.Lock()
+			d.links[link] = true
+			d.mu.Unlock()
+			d.goroutines.Go(func() { d.serve(link) })
+		}
+	})
+	return nil
 }
 
+// serve answers calls until the link ends.
 func (d *Dependency) serve(link net.Conn) {
-	var write sync.Mutex
 	defer func() {
 		link.Close()
 		d.mu.Lock()
 		delete(d.links, link)
 		d.mu.Unlock()
 	}()
+	var write sync.Mutex
 	for {
-		var head [9]byte
-		if _, err := io.ReadFull(link, head[:]); err != nil {
-			return
-		}
-		size := binary.BigEndian.Uint32(head[:])
-		if size < 5 || size > maxFrameSize {
-			return
-		}
-		payload := make([]byte, size-5)
-		if _, err := io.ReadFull(link, payload); err != nil {
+		kind, stream, payload, err := readFrame(link)
+		if err != nil {
 			return
 		}
-		if head[4] != 10 {
-			continue // a call that is cancelled goes on here, as most would
+		if kind != FrameRequest {
+			continue // a cancelled call runs to its end
 		}
-		stream := binary.BigEndian.Uint32(head[5:])
-		d.handle(payload, func(code byte) {
-			answer := append([]byte{code, 0}, "result"...)
-			whole := binary.BigEndian.AppendUint32(nil, uint32(5+len(answer)))
-			whole = binary.BigEndian.AppendUint32(append(whole, 11), stream)
-			write.Lock()
-			defer write.Unlock()
-			_, _ = link.Write(append(whole, answer...)) // its asker may be gone
-		}, func() {
+		d.handle(payload, func(frame []byte) {
 			write.Lock()
 			defer write.Unlock()
-			_, _ = io.WriteString(link, "\xff\xff\xff\xffgarbage")
-		})
+			_, _ = link.Write(frame) // the caller may be gone
+		}, stream)
 	}
 }
 
+// answerFrame returns an answer to a call.
+func answerFrame(stream uint32, code byte) []byte {
+	answer := append([]byte{code, 0}, "result"...)
+	frame := binary.BigEndian.AppendUint32(nil, uint32(frameHeadSize-4+len(answer)))
+	frame = binary.BigEndian.AppendUint32(append(frame, FrameAnswer), stream)
+	return append(frame, answer...)
+}
+
 // handle serves a call.
-func (d *Dependency) handle(payload []byte, answer func(code byte), garbage func()) {
-	number := field(payload, "num")
+func (d *Dependency) handle(payload []byte, write func(frame []byte), stream uint32) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls++
+	d.stats.Attempts++
 	d.open++
-	d.maxOpen = max(d.maxOpen, d.open)
-	mood := d.behaviour()
-	end := func(code byte) {
+	d.stats.MaxOpen = max(d.stats.MaxOpen, d.open)
+	behaviour := d.behaviour()
+	if frame := behaviour.immediate(stream); frame != nil {
 		d.open--
-		if !mood.Silent {
-			d.after(mood.AnswerDelay, func() { answer(code) })
-		}
+		d.after(0, func() { write(frame) })
+		return
 	}
-	switch {
-	case mood.Fails, mood.Rejects, mood.Garbage:
+	succeed := func() {
 		d.open--
-		switch {
-		case mood.Garbage:
-			d.after(0, garbage)
-		case mood.Fails:
-			d.after(0, func() { answer(51) })
-		default:
-			d.after(0, func() { answer(50) })
+		if !behaviour.Silent {
+			d.after(behaviour.AnswerDelay, func() { write(answerFrame(stream, StatusServed)) })
 		}
-		return
 	}
-	if number != "" {
-		d.distinctKeys++
-		if known := d.keyed[number]; known != nil {
-			d.distinctKeys--
-			if known.done {
-				end(20)
+	key := requestField(payload, "num")
+	if key != "" {
+		if first := d.keyed[key]; first != nil {
+			if first.done {
+				succeed()
 			} else {
-				known.waiting = append(known.waiting, func() { end(20) })
+				first.waiting = append(first.waiting, succeed)
 			}
 			return
 		}
-		d.keyed[number] = &keyedRequest{}
+		d.stats.DistinctKeys++
+		d.keyed[key] = &keyedRequest{}
+	}
+	d.after(d.reserveSlot(behaviour), func() {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.recordRun(key)
+		succeed()
+	})
+}
+
+// immediate returns the frame with which a call is answered at once, nil where the call runs.
+func (b DependencyBehaviour) immediate(stream uint32) []byte {
+	switch {
+	case b.Garbage:
+		return []byte("\xff\xff\xff\xffgarbage")
+	case b.Fails:
+		return answerFrame(stream, StatusAborted)
+	case b.Rejects:
+		return answerFrame(stream, StatusRejected)
 	}
-	least := 0
+	return nil
+}
+
+// reserveSlot books the slot that is free first for one call, and returns the time until the call is done.
+func (d *Dependency) reserveSlot(behaviour DependencyBehaviour) time.Duration {
+	first := 0
 	for i := range d.slotFreeAt {
-		if d.slotFreeAt[i].Before(d.slotFreeAt[least]) {
-			least = i
+		if d.slotFreeAt[i].Before(d.slotFreeAt[first]) {
+			first = i
 		}
 	}
-	slow := mood.SlowFactor
+	slow := behaviour.SlowFactor
 	if slow == 0 {
 		slow = 1
 	}
-	takes := time.Duration(float64(d.meanServiceTime) * slow * math.Exp(d.rng.NormFloat64()*d.spread-d.spread*d.spread/2))
+	serviceTime := time.Duration(float64(d.meanServiceTime) * slow * math.Exp(d.rng.NormFloat64()*d.spread-d.spread*d.spread/2))
 	now := time.Now()
-	if d.slotFreeAt[least].Before(now) {
-		d.slotFreeAt[least] = now
+	if d.slotFreeAt[first].Before(now) {
+		d.slotFreeAt[first] = now
 	}
-	d.slotFreeAt[least] = d.slotFreeAt[least].Add(takes)
-	d.after(d.slotFreeAt[least].Sub(now), func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		if n := d.keyed[number]; n != nil {
-			d.effects++
-			if n.runs++; n.runs > 1 {
-				d.repeatedRuns++
-			}
-			n.done = true
-			for _, w := range n.waiting {
-				w()
-			}
-			n.waiting = nil
-		}
-		end(20)
-	})
+	d.slotFreeAt[first] = d.slotFreeAt[first].Add(serviceTime)
+	return d.slotFreeAt[first].Sub(now)
+}
+
+// recordRun records that the call with a key has run, and answers the repeats that wait for it.
+func (d *Dependency) recordRun(key string) {
+	request := d.keyed[key]
+	if request == nil {
+		return
+	}
+	d.stats.Effects++
+	if request.runs++; request.runs > 1 {
+		d.stats.RepeatedRuns++
+	}
+	request.done = true
+	for _, answer := range request.waiting {
+		answer()
+	}
+	request.waiting = nil
 }
 
-// after does something later, unless the dependency has ended by then.
+// after runs f later, unless the dependency is closed by then.
 func (d *Dependency) after(wait time.Duration, f func()) {
-	d.goroutines.Add(1)
-	go func() {
-		defer d.goroutines.Done()
+	d.goroutines.Go(func() {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -297,29 +298,5 @@
 		case <-timer.C:
 			f()
 		}
-	}()
-}
-
-// field reads one from a task's payload; empty where it is absent.
-func field(payload []byte, wanted string) string {
-	if len(payload) == 0 {
-		return ""
-	}
-	rest := payload[1:]
-	for range payload[0] {
-		if len(rest) < 1 || len(rest) < 3+int(rest[0]) {
-			return ""
-		}
-		name := string(rest[1 : 1+rest[0]])
-		rest = rest[1+rest[0]:]
-		size := int(binary.BigEndian.Uint16(rest))
-		if len(rest) < 2+size {
-			return ""
-		}
-		if name == wanted {
-			return string(rest[2 : 2+size])
-		}
-		rest = rest[2+size:]
-	}
-	return ""
+	})
 }
--- a/internal/testkit/harness/frames.go
+++ b/internal/testkit/harness/frames.go
@@ -1,6 +1,6 @@
-// Package harness plays what stands round real daemons, in real time and on loopback: worker pools that take the
-// time that a model says, and routers that send a seeded load. It is for measurements and drills; what it tells
-// is measured on sockets, with emulated workers.
+// Package harness runs real daemons on loopback with emulated surroundings: worker pools whose runs take the time that a
+// model states, dependencies with a scripted behaviour, and routers that send a seeded load. Results are measured on
+// sockets and in real time.
 package harness
 
 import (
@@ -10,7 +10,21 @@
 	"io"
 )
 
-// Frame builds a frame of the routers' protocol whose fields are names and values in turn.
+// Types of frames of the routers' protocol.
+const (
+	FrameRequest = 10
+	FrameAnswer  = 11
+	FrameDrain   = 30 // the server asks for no further requests on this connection
+)
+
+// Status codes of answers.
+const (
+	StatusServed   = 20
+	StatusRejected = 50
+	StatusAborted  = 51
+)
+
+// Frame returns a frame of the routers' protocol. Its fields are names and values in turn.
 func Frame(kind byte, stream uint32, body string, fields ...string) []byte {
 	payload := []byte{byte(len(fields) / 2)}
 	for i := 0; i < len(fields); i += 2 {
@@ -18,12 +32,12 @@
 		payload = append(binary.BigEndian.AppendUint16(payload, uint16(len(fields[i+1]))), fields[i+1]...)
 	}
 	payload = append(payload, body...)
-	whole := binary.BigEndian.AppendUint32(nil, uint32(5+len(payload)))
-	whole = binary.BigEndian.AppendUint32(append(whole, kind), stream)
-	return append(whole, payload...)
+	frame := binary.BigEndian.AppendUint32(nil, uint32(frameHeadSize-4+len(payload)))
+	frame = binary.BigEndian.AppendUint32(append(frame, kind), stream)
+	return append(frame, payload...)
 }
 
-// Reply is a frame that a server wrote.
+// Reply is a frame from a server. Code and Fields are set for answers.
 type Reply struct {
 	Type   byte
 	Stream uint32
@@ -32,44 +46,81 @@
 	Body   string
 }
 
-const maxFrameSize = 1 << 18
+const maxFrameSize = 1 << 18 // bytes
 
-// ReadReply reads the next frame.
+var errTruncatedFields = errors.New("frame with truncated fields")
+
+// frameHeadSize is the size of a frame's head: the size of what follows it, its type and its stream.
+const frameHeadSize = 9
+
+// ReadReply reads the next frame. At an orderly end between two frames the error is io.EOF.
 func ReadReply(from io.Reader) (Reply, error) {
-	var head [9]byte
-	if _, err := io.ReadFull(from, head[:]); err != nil {
+	kind, stream, payload, err := readFrame(from)
+	if err != nil {
 		return Reply{}, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
-	if size < 5 || size > maxFrameSize {
-		return Reply{}, fmt.Errorf("frame of %d bytes", size)
-	}
-	payload := make([]byte, size-5)
-	if _, err := io.ReadFull(from, payload); err != nil {
-		return Reply{}, err
-	}
-	reply := Reply{Type: head[4], Stream: binary.BigEndian.Uint32(head[5:]), Fields: map[string]string{}}
+	reply := Reply{Type: kind, Stream: stream, Fields: map[string]string{}}
 	if len(payload) == 0 {
 		return reply, nil
 	}
-	errShort := errors.New("frame whose fields are not whole")
 	if len(payload) < 2 {
-		return reply, errShort
+		return reply, errTruncatedFields
 	}
 	reply.Code = payload[0]
-	rest := payload[2:]
-	for range payload[1] {
+	body, err := readFields(payload[1:], func(name, value string) { reply.Fields[name] = value })
+	reply.Body = string(body)
+	return reply, err
+}
+
+func readFrame(from io.Reader) (kind byte, stream uint32, payload []byte, err error) {
+	var head [frameHeadSize]byte
+	if _, err := io.ReadFull(from, head[:]); err != nil {
+		return 0, 0, nil, err
+	}
+	size := binary.BigEndian.Uint32(head[:])
+	if size < frameHeadSize-4 || size > maxFrameSize {
+		return 0, 0, nil, fmt.Errorf("frame of %d bytes", size)
+	}
+	payload = make([]byte, size-(frameHeadSize-4))
+	if _, err := io.ReadFull(from, payload); err != nil {
+		if errors.Is(err, io.EOF) { // the connection ended behind the head: no orderly end
+			err = io.ErrUnexpectedEOF
+		}
+		return 0, 0, nil, err
+	}
+	return head[4], binary.BigEndian.Uint32(head[5:]), payload, nil
+}
+
+// readFields reads fields behind their number, and returns what follows them.
+func readFields(payload []byte, field func(name, value string)) (rest []byte, err error) {
+	rest = payload[1:]
+	for range payload[0] {
 		if len(rest) < 1 || len(rest) < 3+int(rest[0]) {
-			return reply, errShort
+			return nil, errTruncatedFields
 		}
-		name := rest[1 : 1+rest[0]]
-		rest = rest[1+rest[0]:]
+		nameEnd := 1 + int(rest[0])
+		name := rest[1:nameEnd]
+		rest = rest[nameEnd:]
 		size := int(binary.BigEndian.Uint16(rest))
 		if len(rest) < 2+size {
-			return reply, errShort
+			return nil, errTruncatedFields
 		}
-		reply.Fields[string(name)], rest = string(rest[2:2+size]), rest[2+size:]
+		field(string(name), string(rest[2:2+size]))
+		rest = rest[2+size:]
 	}
-	reply.Body = string(rest)
-	return reply, nil
+	return rest, nil
+}
+
+// requestField returns the first field of a name in a request, empty where there is none.
+func requestField(payload []byte, wanted string) (found string) {
+	if len(payload) == 0 {
+		return ""
+	}
+	seen := false
+	_, _ = readFields(payload, func(name, value string) { // a truncated request has the fields that were read
+		if name == wanted && !seen {
+			found, seen = value, true
+		}
+	})
+	return found
 }
