--- a/cmd/quartzpoint-bench/dependencies.go
+++ b/cmd/quartzpoint-bench/dependencies.go
@@ -57,7 +57,7 @@
 		program, args = m.Flat, []string{"flat"}
 		config = strings.ReplaceAll(config, "share = ", "connections = 16\nshare = ") // nothing bounds its calls
 	}
-	daemon, err := harness.StartAs(program, args, folder, name, routes, machine, config)
+	daemon, err := harness.StartWithArgs(program, args, folder, name, routes, machine, config)
 	if err != nil {
 		r.err = err
 		return r
--- a/cmd/quartzpoint-bench/workers.go
+++ b/cmd/quartzpoint-bench/workers.go
@@ -52,7 +52,7 @@
 			return err
 		}
 		name := fmt.Sprintf("%s-%d", d.Name, n)
-		raw, err := harness.Configuration(name, listen, p.Address, members.LocalAddr().String(), d.Fleet.Routes, d.Fleet.Machine)
+		raw, err := harness.PlatformConfig(name, listen, p.Address, members.LocalAddr().String(), d.Fleet.Routes, d.Fleet.Machine)
 		if err != nil {
 			return err
 		}
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -65,7 +65,7 @@
 // playTrouble loads a real server whose pool is in trouble for some seconds, and gives what its pool had to bear.
 func playTrouble(t *testing.T, machine harness.Machine, set func(w *harness.Workers, on bool)) (harness.Strain, string) {
 	classes := shortClasses()
-	daemon, err := harness.StartFor(builds["release"], t.TempDir(), "n1", classes, machine)
+	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", classes, machine)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = daemon.Stop() })
 	for at, on := range map[time.Duration]bool{troubleFrom: true, troubleUntil: false} {
--- a/internal/testkit/conformance/fronts.go
+++ b/internal/testkit/conformance/fronts.go
@@ -220,7 +220,7 @@
 // NewDaemon starts the daemon's program. It carries no numbers.
 func NewDaemon(program, folder, name string) (Front, error) {
 	// So many cores that no run waits for another; the decisions are told of the suite's.
-	d, err := harness.StartFor(program, folder, name, Types(false), harness.Machine{Cores: Cores, Speed: 1, KB: 1 << 20, Apart: true})
+	d, err := harness.StartWithoutFile(program, folder, name, Types(false), harness.Machine{Cores: Cores, Speed: 1, KB: 1 << 20, Apart: true})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testkit/harness/daemon.go
+++ b/internal/testkit/harness/daemon.go
@@ -22,15 +22,15 @@
 
 // Daemon is a started server with its worker pool.
 type Daemon struct {
-	Address string
-	Peers   string // its address for peers, empty without one
-	Path    string // of its configuration
-	Workers *Workers
+	Address    string
+	Peers      string // its address for peers, empty without one
+	ConfigPath string // of its configuration
+	Workers    *Workers
 
 	cmd             *exec.Cmd
 	process         *os.Process // the same for as long as the daemon is known
 	log             *LogBuffer
-	members         net.PacketConn
+	membership      net.PacketConn
 	exited          chan error
 	resourcesClosed bool // its workers and members, once
 }
@@ -58,18 +58,18 @@
 // Start starts a program as a server on loopback, and returns once it serves and its pool is bound. own is the
 // text of its configuration file; empty for none.
 func Start(program, folder, name string, types []Route, m Machine, own string) (d *Daemon, err error) {
-	return StartAs(program, []string{"serve"}, folder, name, types, m, own)
+	return StartWithArgs(program, []string{"serve"}, folder, name, types, m, own)
 }
 
-// StartFor starts the daemon as it runs without a file of its own.
-func StartFor(program, folder, name string, types []Route, m Machine) (*Daemon, error) {
-	return StartAs(program, nil, folder, name, types, m, "")
+// StartWithoutFile starts the daemon as it runs without a file of its own.
+func StartWithoutFile(program, folder, name string, types []Route, m Machine) (*Daemon, error) {
+	return StartWithArgs(program, nil, folder, name, types, m, "")
 }
 
-// StartAs does the same with other arguments before the configuration file's.
-func StartAs(program string, as []string, folder, name string, types []Route, m Machine, own string) (*Daemon, error) {
+// StartWithArgs does the same with other arguments before the configuration file's.
+func StartWithArgs(program string, as []string, folder, name string, types []Route, m Machine, own string) (*Daemon, error) {
 	return Launch(program, as, folder, name, m, own, func(listen, pool, members string) ([]byte, error) {
-		return Configuration(name, listen, pool, members, types, m)
+		return PlatformConfig(name, listen, pool, members, types, m)
 	})
 }
 
@@ -86,16 +86,16 @@
 	if d.Workers, err = NewWorkers(m); err != nil {
 		return d, err
 	}
-	if d.members, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
+	if d.membership, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
 		return d, fmt.Errorf("members: %w", err)
 	}
 	if d.Address, err = FreeAddress(); err != nil {
 		return d, err
 	}
-	d.Path = filepath.Join(folder, name+".json")
-	raw, err := configured(d.Address, d.Workers.Address, d.members.LocalAddr().String())
+	d.ConfigPath = filepath.Join(folder, name+".json")
+	raw, err := configured(d.Address, d.Workers.Address, d.membership.LocalAddr().String())
 	if err == nil {
-		err = os.WriteFile(d.Path, raw, 0o600)
+		err = os.WriteFile(d.ConfigPath, raw, 0o600)
 	}
 	if err != nil {
 		return d, fmt.Errorf("configuration: %w", err)
@@ -109,7 +109,7 @@
 		args = append(slices.Clone(as), "--own", file)
 	}
 	d.cmd = exec.Command(program, args...)
-	d.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+d.Path, "EDGE_NAME=", "EDGE_LISTEN=")
+	d.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+d.ConfigPath, "EDGE_NAME=", "EDGE_LISTEN=")
 	d.cmd.Stderr = d.log
 	if err := d.cmd.Start(); err != nil {
 		d.cmd = nil
@@ -134,8 +134,8 @@
 	}
 }
 
-// Configuration is the platform's, for a server of a site with these types.
-func Configuration(name, listen, pool, members string, types []Route, m Machine) ([]byte, error) {
+// PlatformConfig is the platform's, for a server of a site with these types.
+func PlatformConfig(name, listen, pool, members string, types []Route, m Machine) ([]byte, error) {
 	raw, err := json.Marshal(map[string]any{
 		"name": name, "listen": listen, "pool": pool, "members": members,
 		"seed": "5eed", "stop_ms": 1500, "settings": platformSettings(types, m),
@@ -246,8 +246,8 @@
 	if d.Workers != nil {
 		d.Workers.Close()
 	}
-	if d.members != nil {
-		d.members.Close()
+	if d.membership != nil {
+		d.membership.Close()
 	}
 	return failed
 }
--- a/internal/testkit/harness/fleet.go
+++ b/internal/testkit/harness/fleet.go
@@ -63,7 +63,7 @@
 		address: d.Address, routes: f.routes, sourceID: 1, answered: make(chan struct{}, 1),
 		result: Result{Codes: map[byte]int{}, GoodputByRoute: make([]float64, len(f.routes))},
 	}
-	r.retry = func(p *pending, lost bool) bool { return f.retryElsewhere(p, lost) }
+	r.retry = func(p *pendingRequest, lost bool) bool { return f.retryElsewhere(p, lost) }
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.router != nil {
@@ -77,7 +77,7 @@
 
 // retryElsewhere sends a task to another server, where its type and its time allow that. A connection that was lost may have
 // carried an effect.
-func (f *Fleet) retryElsewhere(p *pending, lost bool) bool {
+func (f *Fleet) retryElsewhere(p *pendingRequest, lost bool) bool {
 	t := f.routes[p.arrival.Type]
 	if lost && t.Once || p.attempts >= f.maxAttempts || time.Until(p.sentAt.Add(t.Deadline)) < minRetryTime {
 		return false
@@ -91,7 +91,7 @@
 }
 
 // send sends a task to the next server that takes it.
-func (f *Fleet) send(p *pending) {
+func (f *Fleet) send(p *pendingRequest) {
 	for range 2 * len(f.servers) {
 		f.mu.Lock()
 		var to *router
@@ -132,7 +132,7 @@
 		f.result.Requests++
 		f.result.OfferedValue += t.Value
 		longest = max(longest, t.Deadline)
-		p := &pending{arrival: &load[n], sentAt: time.Now()}
+		p := &pendingRequest{arrival: &load[n], sentAt: time.Now()}
 		if t.Once {
 			p.effect = uint64(n) + 1
 		}
--- a/internal/testkit/harness/load.go
+++ b/internal/testkit/harness/load.go
@@ -113,7 +113,7 @@
 	answerSlack          = 50 * time.Millisecond
 )
 
-type pending struct {
+type pendingRequest struct {
 	arrival     *Arrival
 	sentAt      time.Time // by the router, or when it was meant to be where that was later
 	effect      uint64
@@ -125,7 +125,7 @@
 // connection is one connection of the router. It takes nothing new once the server has asked for that, or is gone.
 type connection struct {
 	net.Conn
-	open     map[uint32]*pending
+	open     map[uint32]*pendingRequest
 	stream   uint32
 	draining bool
 }
@@ -143,7 +143,7 @@
 	answered    chan struct{}
 	// again takes a task that was dismissed, or whose connection was lost, and tells whether it goes elsewhere; nil for
 	// never. It must not wait, and is called under the router's lock.
-	retry func(p *pending, lost bool) (goes bool)
+	retry func(p *pendingRequest, lost bool) (goes bool)
 }
 
 // Run sends a load to a server and waits for what it owes: everything by its outer limit. Tasks that found all
@@ -159,7 +159,7 @@
 	last := begin
 	for n := range load {
 		time.Sleep(time.Until(begin.Add(load[n].At)))
-		p := &pending{arrival: &load[n], sentAt: time.Now()}
+		p := &pendingRequest{arrival: &load[n], sentAt: time.Now()}
 		if types[load[n].Type].Once {
 			p.effect = uint64(n) + 1
 		}
@@ -226,7 +226,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &connection{Conn: made, open: map[uint32]*pending{}}
+	l := &connection{Conn: made, open: map[uint32]*pendingRequest{}}
 	r.mu.Lock()
 	r.connections = append(r.connections, l)
 	r.mu.Unlock()
@@ -238,7 +238,7 @@
 	return l, nil
 }
 
-func (r *router) send(p *pending, id string) error {
+func (r *router) send(p *pendingRequest, id string) error {
 	l, err := r.connection()
 	if err != nil {
 		return err
@@ -325,7 +325,7 @@
 	r.readers.Wait()
 }
 
-func (r *Result) record(p *pending, t Route, reply Reply, now time.Time) {
+func (r *Result) record(p *pendingRequest, t Route, reply Reply, now time.Time) {
 	r.Codes[reply.Code]++
 	took := now.Sub(p.sentAt)
 	if took > t.Deadline+answerSlack {
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -153,7 +153,7 @@
 	defer func() { err = errors.Join(err, d.Stop()) }()
 	points = Points{}
 	points.Add(seriesStart+job.by, job.x, float64(time.Since(began).Microseconds())/1000)
-	if about, err := os.Stat(d.Path); err == nil {
+	if about, err := os.Stat(d.ConfigPath); err == nil {
 		points.Add(seriesFile+job.by, job.x, float64(about.Size())/1e6)
 	}
 	time.Sleep(settleWait)
@@ -187,7 +187,7 @@
 	}
 	slices.Sort(took)
 	points.Add(seriesReloadSame+job.by, job.x, milliseconds(took[len(took)/2]))
-	if err := rewrite(d.Path, `"halt":"suspend"`, `"halt":"abort"`); err != nil {
+	if err := rewrite(d.ConfigPath, `"halt":"suspend"`, `"halt":"abort"`); err != nil {
 		return err
 	}
 	spent, err := reload(d)
