--- a/internal/testkit/harness/fleet.go
+++ b/internal/testkit/harness/fleet.go
@@ -4,22 +4,23 @@
 	"errors"
 	"fmt"
 	"math/rand"
+	"slices"
 	"sync"
 	"time"
 )
 
 const (
-	ejectionTime = time.Second            // that a server is left alone which did not take a connection
+	ejectionTime = time.Second            // of a server that refused a connection
 	restartDelay = 500 * time.Millisecond // from the end of a process to the start of the next
-	minRetryTime = 5 * time.Millisecond
+	minRetryTime = 5 * time.Millisecond   // until the deadline, for another attempt
 )
 
-// Fleet is a number of real daemons behind one router, that goes round them and tries the next where one dismisses a task or
-// is gone.
+// Fleet is a number of real daemons behind one router, which sends requests round robin and retries at the next server where
+// one rejects a request or is gone.
 type Fleet struct {
 	routes      []Route
 	maxAttempts int
-	start       func(i, life int) (*Daemon, error)
+	start       func(i, incarnation int) (*Daemon, error)
 
 	mu         sync.Mutex
 	servers    []*member
@@ -28,7 +29,7 @@
 	began      time.Time
 	requestIDs *rand.Rand
 	pools      []*Workers
-	background sync.WaitGroup // deploys and boots under way
+	background sync.WaitGroup // restarts under way, and retries
 	errs       []error
 }
 
@@ -38,12 +39,13 @@
 	ejectedUntil   time.Time
 	incarnation    int
 	down           bool
-	earlierRouters []*router // of its earlier lives
+	earlierRouters []*router // of earlier incarnations
 }
 
-// NewFleet starts the daemons; start is called with each one's number and life.
-func NewFleet(types []Route, servers, tries int, start func(i, life int) (*Daemon, error)) (*Fleet, error) {
-	f := &Fleet{routes: types, maxAttempts: tries, start: start, requestIDs: rand.New(rand.NewSource(time.Now().UnixNano()))}
+// NewFleet starts the daemons. start is called with the index of a server and its incarnation, both from 0. A fleet that is
+// returned with an error has to be closed.
+func NewFleet(routes []Route, servers, maxAttempts int, start func(i, incarnation int) (*Daemon, error)) (*Fleet, error) {
+	f := &Fleet{routes: routes, maxAttempts: maxAttempts, start: start, requestIDs: rand.New(rand.NewSource(time.Now().UnixNano()))}
 	for i := range servers {
 		m := &member{}
 		f.servers = append(f.servers, m)
@@ -75,22 +77,18 @@
 	return nil
 }
 
-// retryElsewhere sends a task to another server, where its type and its time allow that. A connection that was lost may have
-// carried an effect.
+// retryElsewhere sends a request to another server, and reports whether its route and its deadline allow that. A request
+// whose connection was lost may have had its effect.
 func (f *Fleet) retryElsewhere(p *pendingRequest, lost bool) bool {
 	t := f.routes[p.arrival.Type]
 	if lost && t.Once || p.attempts >= f.maxAttempts || time.Until(p.sentAt.Add(t.Deadline)) < minRetryTime {
 		return false
 	}
-	f.background.Add(1)
-	go func() {
-		defer f.background.Done()
-		f.send(p)
-	}()
+	f.background.Go(func() { f.send(p) })
 	return true
 }
 
-// send sends a task to the next server that takes it.
+// send sends a request to the next server that accepts it.
 func (f *Fleet) send(p *pendingRequest) {
 	for range 2 * len(f.servers) {
 		f.mu.Lock()
@@ -117,11 +115,11 @@
 		f.mu.Unlock()
 	}
 	f.mu.Lock()
-	f.result.Codes[50]++ // nobody would have it
+	f.result.Codes[StatusRejected]++ // no server accepted it
 	f.mu.Unlock()
 }
 
-// Run sends a load and waits for what is owed.
+// Run sends a load and waits until every request is answered or past its deadline.
 func (f *Fleet) Run(load []Arrival) (Result, error) {
 	f.result = Result{Codes: map[byte]int{}, GoodputByRoute: make([]float64, len(f.routes))}
 	f.began = time.Now()
@@ -142,6 +140,11 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	f.background.Wait()
+	return f.total()
+}
+
+// total returns what all routers have recorded.
+func (f *Fleet) total() (Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sum := f.result
@@ -195,37 +198,33 @@
 	return m, true
 }
 
-// Kill ends servers at once, and boots them again after a span.
-func (f *Fleet) Kill(numbers []int, again time.Duration) {
-	for _, i := range numbers {
+// Kill ends servers by SIGKILL, and starts them again after a delay.
+func (f *Fleet) Kill(indexes []int, delay time.Duration) {
+	for _, i := range indexes {
 		m, up := f.markDown(i)
 		if !up {
 			continue
 		}
-		f.background.Add(1)
-		go func() {
-			defer f.background.Done()
+		f.background.Go(func() {
 			f.recordError(m.daemon.Kill())
-			time.Sleep(again)
+			time.Sleep(delay)
 			f.recordError(f.boot(i, m))
-		}()
+		})
 	}
 }
 
-// Restart gives a server the notice to leave, and boots it anew.
+// Restart shuts a server down gracefully, and starts it again.
 func (f *Fleet) Restart(i int) {
-	f.background.Add(1)
-	go func() {
-		defer f.background.Done()
+	f.background.Go(func() {
 		if m, up := f.markDown(i); up {
 			f.recordError(m.daemon.Shutdown())
 			time.Sleep(restartDelay)
 			f.recordError(f.boot(i, m))
 		}
-	}()
+	})
 }
 
-// Daemon gives a server, nil while it is down.
+// Daemon returns a server, nil while it is down.
 func (f *Fleet) Daemon(i int) *Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -235,25 +234,25 @@
 	return f.servers[i].daemon
 }
 
-// Pools are those of all daemons, of earlier lives too.
+// Pools returns the worker pools of all daemons, also of earlier incarnations.
 func (f *Fleet) Pools() []*Workers {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*Workers(nil), f.pools...)
+	return slices.Clone(f.pools)
 }
 
-// Close ends all of them.
+// Close ends all servers and connections.
 func (f *Fleet) Close() error {
 	f.background.Wait()
-	var failed []error
+	var errs []error
 	for _, m := range f.servers {
 		if m.router == nil {
 			continue
 		}
-		failed = append(failed, m.daemon.Stop())
+		errs = append(errs, m.daemon.Stop())
 		for _, r := range append(m.earlierRouters, m.router) {
 			r.close()
 		}
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
