--- a/cmd/quartzpoint-bench/soak.go
+++ b/cmd/quartzpoint-bench/soak.go
@@ -66,9 +66,9 @@
 	if outcome.err = os.Mkdir(own, 0o700); outcome.err != nil {
 		return outcome
 	}
-	outcome.history, outcome.err = soak.Play(context.Background(), program, own, plan)
+	outcome.history, outcome.err = soak.Run(context.Background(), program, own, plan)
 	outcome.broken = soak.Check(outcome.history)
-	fmt.Println(soak.Line(outcome.history, outcome.broken, outcome.err))
+	fmt.Println(soak.Summary(outcome.history, outcome.broken, outcome.err))
 	if cmd.Verbose || len(outcome.broken) > 0 {
 		for _, f := range plan.Faults {
 			fmt.Println("   ", f)
@@ -98,7 +98,7 @@
 		}
 	}
 	fmt.Printf("soak: seeds %d to %d, %d faults, %d processes, %d requests, %d served, %d refused, %d failed, %d crossed or cut off; %d violations, %d runs failed\n",
-		cmd.Seed, cmd.Seed+int64(cmd.Seeds)-1, total.Faults, total.Processes, total.Requests, total.Served, total.Refused, total.Failed,
+		cmd.Seed, cmd.Seed+int64(cmd.Seeds)-1, total.Faults, total.Processes, total.Requests, total.Served, total.Rejected, total.Aborted,
 		total.Unanswered, violations, failed)
 	if violations > 0 || failed > 0 {
 		return errSoak
--- a/internal/testkit/soak/client.go
+++ b/internal/testkit/soak/client.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	maxOpen     = 32                    // requests on a connection, by the protocol page
-	redialWait  = 20 * time.Millisecond // after a refused connection
-	keptKeys    = 16                    // that a sender may use again
-	repeatShare = 0.4                   // of keyed requests that repeat a key
-	slowShare   = 0.1                   // of senders that write in pieces
-	heedShare   = 0.5                   // of senders that send nothing more where they were asked not to
-	resetShare  = 0.001                 // of requests behind which a sender resets its connection
-	pieceWait   = 15 * time.Millisecond // at most, between two pieces of a request
+	maxOpenRequests    = 32                    // requests on a connection, by the protocol page
+	redialDelay        = 20 * time.Millisecond // after a refused connection
+	maxReusableKeys    = 16                    // that a sender may use again
+	repeatShare        = 0.4                   // of keyed requests that repeat a key
+	slowShare          = 0.1                   // of senders that write in pieces
+	respectsDrainShare = 0.5                   // of senders that send nothing more where they were asked not to
+	resetShare         = 0.001                 // of requests behind which a sender resets its connection
+	maxPieceDelay      = 15 * time.Millisecond // at most, between two pieces of a request
 )
 
 // sender sends requests to one server, over one connection at a time, until it is stopped.
 type sender struct {
-	history *History
-	plan    *Plan
-	rng     *rand.Rand
-	slot    *slot
-	number  int
-	heeds   bool
-	slow    bool
-	keys    []string
-	made    int
-	readers sync.WaitGroup
+	history       *History
+	plan          *Plan
+	rng           *rand.Rand
+	slot          *slot
+	number        int
+	respectsDrain bool
+	slow          bool
+	keys          []string
+	keysMade      int
+	readers       sync.WaitGroup
 }
 
 // connection is one of a sender.
 type connection struct {
 	net.Conn
-	life *Life
+	incarnation *Incarnation
 
-	mu     sync.Mutex
-	open   map[uint32]*Request
-	stream uint32
-	asked  bool // by the server, to send nothing more
-	over   bool
-	reset  bool // by its sender
+	mu            sync.Mutex
+	open          map[uint32]*Request
+	stream        uint32
+	draining      bool // by the server, to send nothing more
+	ended         bool
+	resetByClient bool // by its sender
 }
 
 func newSender(h *History, s *slot, number int, seed int64) *sender {
 	rng := rand.New(rand.NewSource(seed))
 	return &sender{
-		history: h, plan: &h.Plan, rng: rng, slot: s, number: number, heeds: rng.Float64() < heedShare, slow: rng.Float64() < slowShare,
+		history: h, plan: &h.Plan, rng: rng, slot: s, number: number, respectsDrain: rng.Float64() < respectsDrainShare, slow: rng.Float64() < slowShare,
 	}
 }
 
@@ -65,7 +65,7 @@
 	var c *connection
 	defer func() {
 		if c != nil {
-			s.leave(c)
+			s.closeWhenAnswered(c)
 		}
 	}()
 	for {
@@ -74,13 +74,13 @@
 			return
 		case <-time.After(time.Duration(s.rng.ExpFloat64() * mean * float64(time.Second))):
 		}
-		if c != nil && !c.usable(s.heeds) {
-			s.leave(c)
+		if c != nil && !c.usable(s.respectsDrain) {
+			s.closeWhenAnswered(c)
 			c = nil
 		}
 		if c == nil {
 			if c = s.dial(); c == nil {
-				time.Sleep(redialWait)
+				time.Sleep(redialDelay)
 				continue
 			}
 		}
@@ -88,41 +88,41 @@
 	}
 }
 
-// leave lets a connection go once all on it is answered, or the longest deadline is over.
-func (s *sender) leave(c *connection) {
+// closeWhenAnswered lets a connection go once all on it is answered, or the longest deadline is over.
+func (s *sender) closeWhenAnswered(c *connection) {
 	s.readers.Add(1)
 	go func() {
 		defer s.readers.Done()
-		for end := time.Now().Add(s.plan.LongestDeadline() + time.Second); time.Now().Before(end) && c.waits(); {
+		for end := time.Now().Add(s.plan.LongestDeadline() + time.Second); time.Now().Before(end) && c.hasOpenRequests(); {
 			time.Sleep(5 * time.Millisecond)
 		}
 		c.Close()
 	}()
 }
 
-func (c *connection) waits() bool {
+func (c *connection) hasOpenRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.over && len(c.open) > 0
+	return !c.ended && len(c.open) > 0
 }
 
 // usable is whether another request may be sent.
 func (c *connection) usable(heeds bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.over && !c.reset && len(c.open) < maxOpen && !(heeds && c.asked)
+	return !c.ended && !c.resetByClient && len(c.open) < maxOpenRequests && !(heeds && c.draining)
 }
 
 func (s *sender) dial() *connection {
-	address, life := s.slot.current()
-	if life == nil {
+	address, incarnation := s.slot.current()
+	if incarnation == nil {
 		return nil
 	}
 	made, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return nil // nothing ran
 	}
-	c := &connection{Conn: made, life: life, open: map[uint32]*Request{}}
+	c := &connection{Conn: made, incarnation: incarnation, open: map[uint32]*Request{}}
 	s.readers.Add(1)
 	go func() {
 		defer s.readers.Done()
@@ -133,8 +133,8 @@
 
 // send writes one request and books it once it was written whole.
 func (s *sender) send(c *connection) {
-	r := s.draw(c.life)
-	class := s.plan.Classes[r.Class]
+	r := s.draw(c.incarnation)
+	class := s.plan.Routes[r.Route]
 	ttl := max(time.Duration((0.4+0.6*s.rng.Float64())*float64(class.Deadline)), 20*time.Millisecond).Truncate(time.Millisecond)
 	work := time.Duration(s.rng.ExpFloat64() * float64(class.Work))
 	sent := time.Now()
@@ -161,15 +161,15 @@
 	if err := s.write(c, harness.Frame(10, stream, string(body), fields...)); err != nil {
 		c.mu.Lock()
 		delete(c.open, stream)
-		c.over = true
+		c.ended = true
 		c.mu.Unlock()
 		return // it was not written whole
 	}
-	s.history.change(func() {
-		r.Sent = time.Now() // a request in pieces is whole only now, and due no earlier
-		r.Due = sent.Add(ttl)
-		if r.Due.Before(r.Sent) {
-			r.Due = r.Sent
+	s.history.update(func() {
+		r.SentAt = time.Now() // a request in pieces is whole only now, and due no earlier
+		r.Deadline = sent.Add(ttl)
+		if r.Deadline.Before(r.SentAt) {
+			r.Deadline = r.SentAt
 		}
 	})
 	s.history.add(r)
@@ -181,24 +181,24 @@
 // resetBehind ends a connection with a reset: what is open on it is owed nothing any more.
 func (s *sender) resetBehind(c *connection) {
 	c.mu.Lock()
-	c.reset = true
+	c.resetByClient = true
 	c.mu.Unlock()
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
 // draw makes a request; a keyed one repeats a key now and then, with the class of it.
-func (s *sender) draw(life *Life) *Request {
-	r := &Request{ID: fmt.Sprintf("%016x", s.rng.Uint64()), Class: s.rng.Intn(len(s.plan.Classes)), Life: life}
-	if s.plan.Classes[r.Class].Effect != Keyed {
+func (s *sender) draw(incarnation *Incarnation) *Request {
+	r := &Request{ID: fmt.Sprintf("%016x", s.rng.Uint64()), Route: s.rng.Intn(len(s.plan.Routes)), Incarnation: incarnation}
+	if s.plan.Routes[r.Route].Effect != Keyed {
 		return r
 	}
-	s.made++
-	r.Key = fmt.Sprintf("%d-%d-%d", s.number, r.Class, s.made)
+	s.keysMade++
+	r.Key = fmt.Sprintf("%d-%d-%d", s.number, r.Route, s.keysMade)
 	if s.rng.Float64() < repeatShare {
-		r.Key = s.repeated(r.Class, r.Key)
+		r.Key = s.repeated(r.Route, r.Key)
 	}
-	if s.keys = append(s.keys, r.Key); len(s.keys) > keptKeys {
+	if s.keys = append(s.keys, r.Key); len(s.keys) > maxReusableKeys {
 		s.keys = s.keys[1:]
 	}
 	return r
@@ -227,7 +227,7 @@
 			return err
 		}
 		if frame = frame[n:]; len(frame) > 0 {
-			time.Sleep(time.Duration(s.rng.Int63n(int64(pieceWait))))
+			time.Sleep(time.Duration(s.rng.Int63n(int64(maxPieceDelay))))
 		}
 	}
 	return nil
@@ -243,18 +243,18 @@
 		r := c.open[reply.Stream]
 		switch {
 		case err != nil:
-			c.over = true
+			c.ended = true
 			for _, r := range c.open {
-				s.history.change(func() { r.Ended, r.Reset = now, c.reset })
+				s.history.update(func() { r.ConnectionEnded, r.ResetByClient = now, c.resetByClient })
 			}
 			clear(c.open)
 		case reply.Type == 30:
-			c.asked = true
+			c.draining = true
 		case reply.Type == 11 && r != nil:
 			delete(c.open, reply.Stream)
-			s.history.change(func() { r.Answer = append(r.Answer, Answered{now, reply.Code}) })
+			s.history.update(func() { r.Answers = append(r.Answers, Answer{now, reply.Code}) })
 		case reply.Type == 11:
-			s.history.change(func() { s.history.stray++ })
+			s.history.update(func() { s.history.strayAnswers++ })
 		}
 		c.mu.Unlock()
 		if err != nil {
--- a/internal/testkit/soak/configuration.go
+++ b/internal/testkit/soak/configuration.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// configuration is the platform's for one server of a run.
-func (p *Plan) configuration(name, listen, pool, members, index string) ([]byte, error) {
+// platformConfig is the platform's for one server of a run.
+func (p *Plan) platformConfig(name, listen, pool, members, index string) ([]byte, error) {
 	var services []map[string]any
-	calls, skips := make([]bool, len(p.Classes)), make([]float64, len(p.Classes))
+	calls, skips := make([]bool, len(p.Routes)), make([]float64, len(p.Routes))
 	below := "none"
-	if p.Calls() {
+	if p.HasCalls() {
 		below = "shared"
 	}
-	for i, c := range p.Classes {
+	for i, c := range p.Routes {
 		calls[i] = c.Calls
 		services = append(services, map[string]any{
 			"name": c.Name, "goal-time": c.Deadline.Microseconds(), "deadline": c.Deadline.Microseconds(), "gain": c.Value,
@@ -27,7 +27,7 @@
 		"settings": map[string]any{
 			"extra": map[string]any{
 				"advert": "threshold", "below": below, "calls-by-class": calls,
-				"calls-out": p.Shared.Survives / float64(p.Servers), "calls-over": p.Shared.Over.Microseconds(), "lingers": p.Shared.Linger.Microseconds(),
+				"calls-out": p.Dependency.Survives / float64(p.Servers), "calls-over": p.Dependency.Window.Microseconds(), "lingers": p.Dependency.Linger.Microseconds(),
 				"class-skip-worth": skips,
 				"cold":             p.Machine.ColdShare > 0, "cores": p.Machine.Cores, "halt": p.Machine.Halt, "idle": 15000000,
 				"gauges":          []string{"core_use", "on_cores", "heap_share", "links"},
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -22,8 +22,8 @@
 	Unsafe Effect = "fragile"   // must not run twice
 )
 
-// Class is a class of requests.
-type Class struct {
+// Route is a class of requests.
+type Route struct {
 	Name     string
 	Effect   Effect
 	Deadline time.Duration
@@ -33,13 +33,13 @@
 	Calls    bool          // its runs call the shared dependency half way
 }
 
-// Shared is the dependency that the runs of all servers call.
-type Shared struct {
-	Survives float64 // calls in hand in the mean of Over; each server has an even share of it
-	Over     time.Duration
-	Slots    float64
-	Took     time.Duration // by a call while slots are free
-	Linger   time.Duration // of an abandoned call
+// Dependency is the dependency that the runs of all servers call.
+type Dependency struct {
+	Survives    float64 // calls in hand in the mean of Over; each server has an even share of it
+	Window      time.Duration
+	Slots       float64
+	ServiceTime time.Duration // by a call while slots are free
+	Linger      time.Duration // of an abandoned call
 }
 
 // FaultKind is what goes wrong.
@@ -47,64 +47,64 @@
 
 // The kinds of faults. All but Kill, Roll and Reload have an end.
 const (
-	Hang       FaultKind = "hang"        // the pool's cores stand still; gauges are told as ever
-	Slow       FaultKind = "slow"        // the pool's cores are Size times as slow
-	CutLink    FaultKind = "cut link"    // the pool's link breaks, again and again
-	StallLink  FaultKind = "stall link"  // commands to the pool stall, and are lost with the link
-	StopServer FaultKind = "stop server" // SIGSTOP of the process, then SIGCONT
-	Kill       FaultKind = "kill"        // SIGKILL of the process and its pool, then a new start
-	Roll       FaultKind = "roll"        // SIGTERM, SIGKILL at the earliest that is allowed, then a new start
-	Reload     FaultKind = "reload"      // SIGHUP in a row
-	Crowd      FaultKind = "crowd"       // connections that say nothing
-	Garbage    FaultKind = "garbage"     // clients that send what can't be read, or half of a request, and leave
-	SlowCalls  FaultKind = "slow calls"  // the dependency takes Size times as long
-	ShutCalls  FaultKind = "shut calls"  // the dependency reads calls and answers none
+	Hang              FaultKind = "hang"        // the pool's cores stand still; gauges are told as ever
+	Slow              FaultKind = "slow"        // the pool's cores are Size times as slow
+	CutLink           FaultKind = "cut link"    // the pool's link breaks, again and again
+	StallLink         FaultKind = "stall link"  // commands to the pool stall, and are lost with the link
+	PauseServer       FaultKind = "stop server" // SIGSTOP of the process, then SIGCONT
+	Kill              FaultKind = "kill"        // SIGKILL of the process and its pool, then a new start
+	GracefulRestart   FaultKind = "roll"        // SIGTERM, SIGKILL at the earliest that is allowed, then a new start
+	Reload            FaultKind = "reload"      // SIGHUP in a row
+	IdleConnections   FaultKind = "crowd"       // connections that say nothing
+	Garbage           FaultKind = "garbage"     // clients that send what can't be read, or half of a request, and leave
+	SlowCalls         FaultKind = "slow calls"  // the dependency takes Size times as long
+	UnresponsiveCalls FaultKind = "shut calls"  // the dependency reads calls and answers none
 )
 
 // faultKinds are drawn with equal chances.
-var faultKinds = []FaultKind{Hang, Slow, CutLink, StallLink, StopServer, Kill, Roll, Reload, Crowd, Garbage}
+var faultKinds = []FaultKind{Hang, Slow, CutLink, StallLink, PauseServer, Kill, GracefulRestart, Reload, IdleConnections, Garbage}
 
 // callFaults are drawn beside them where runs call the dependency.
-var callFaults = []FaultKind{SlowCalls, ShutCalls, SlowCalls, ShutCalls}
+var callFaults = []FaultKind{SlowCalls, UnresponsiveCalls, SlowCalls, UnresponsiveCalls}
 
 // Fault is one thing that goes wrong.
 type Fault struct {
-	Kind   FaultKind
-	Server int
-	At     time.Duration // since the start of the load
-	For    time.Duration
-	Size   float64 // of a slow pool, the factor; of a crowd, the number of connections
+	Kind     FaultKind
+	Server   int
+	At       time.Duration // since the start of the load
+	Duration time.Duration
+	Size     float64 // of a slow pool, the factor; of a crowd, the number of connections
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%s of server %d at %v for %v, size %.0f", f.Kind, f.Server, f.At, f.For, f.Size)
+	return fmt.Sprintf("%s of server %d at %v for %v, size %.0f", f.Kind, f.Server, f.At, f.Duration, f.Size)
 }
 
 // Plan is one run, whole: the same seed gives the same plan.
 type Plan struct {
-	Seed      int64
-	Span      time.Duration
-	Servers   int
-	Classes   []Class
-	Machine   harness.Machine
-	Endurance harness.Endurance
-	Grace     time.Duration
-	Sockets   int
-	MemoryMB  int
-	Load      float64 // share of what the machines can do that is asked for
-	Senders   int     // connections that send, at each server
-	Shared    Shared
-	Faults    []Fault
+	Seed       int64
+	Span       time.Duration
+	Servers    int
+	Routes     []Route
+	Machine    harness.Machine
+	Endurance  harness.Endurance
+	Grace      time.Duration
+	Sockets    int
+	MemoryMB   int
+	Load       float64 // share of what the machines can do that is asked for
+	Senders    int     // connections that send, at each server
+	Dependency Dependency
+	Faults     []Fault
 }
 
-// Calls tells whether any class calls the dependency.
-func (p *Plan) Calls() bool {
-	return slices.ContainsFunc(p.Classes, func(c Class) bool { return c.Calls })
+// HasCalls tells whether any class calls the dependency.
+func (p *Plan) HasCalls() bool {
+	return slices.ContainsFunc(p.Routes, func(c Route) bool { return c.Calls })
 }
 
 const (
 	maxDeadline     = 3 * time.Second        // the longest deadline that counts towards the kill
-	killDelay       = 700 * time.Millisecond // behind that
+	killMargin      = 700 * time.Millisecond // behind that
 	requestKB       = emulator.RunKB / runFactor
 	runFactor       = 8.0
 	minFaults       = 3
@@ -129,13 +129,13 @@
 	}
 	p.Machine.KB = emulator.RunKB * p.Machine.Cores * (5 + 12*rng.Float64())
 	for i := range 2 + rng.Intn(5) {
-		p.Classes = append(p.Classes, Class{
+		p.Routes = append(p.Routes, Route{
 			Name: fmt.Sprintf("class-%d", i), Effect: []Effect{Safe, Keyed, Unsafe}[rng.Intn(3)],
 			Deadline: between(rng, 250*time.Millisecond, 1800*time.Millisecond), Window: between(rng, 500*time.Millisecond, 3*time.Second),
 			Value: float64(1 + rng.Intn(5)), Work: between(rng, 8*time.Millisecond, 60*time.Millisecond),
 		})
 	}
-	p.drawShared(rng)
+	p.drawDependency(rng)
 	for range minFaults + rng.Intn(maxFaults-minFaults+1) {
 		p.Faults = append(p.Faults, p.drawFault(rng))
 	}
@@ -143,38 +143,38 @@
 	return p
 }
 
-// drawShared draws the dependency, and in half of the runs the classes that call it.
-func (p *Plan) drawShared(rng *rand.Rand) {
+// drawDependency draws the dependency, and in half of the runs the classes that call it.
+func (p *Plan) drawDependency(rng *rand.Rand) {
 	share := 0.3 + 5*rng.Float64()
-	p.Shared = Shared{
-		Survives: share * float64(p.Servers), Over: between(rng, time.Second, 4*time.Second), Took: between(rng, 5*time.Millisecond, 60*time.Millisecond),
+	p.Dependency = Dependency{
+		Survives: share * float64(p.Servers), Window: between(rng, time.Second, 4*time.Second), ServiceTime: between(rng, 5*time.Millisecond, 60*time.Millisecond),
 		Slots: max(1, share*float64(p.Servers)/(2+3*rng.Float64())), Linger: between(rng, 20*time.Millisecond, 200*time.Millisecond),
 	}
 	if rng.Intn(2) == 0 {
 		return
 	}
-	for i := range p.Classes {
-		p.Classes[i].Calls = rng.Intn(2) == 0 && p.Classes[i].Effect != Keyed // repeats of a key have one body, which holds no due time
+	for i := range p.Routes {
+		p.Routes[i].Calls = rng.Intn(2) == 0 && p.Routes[i].Effect != Keyed // repeats of a key have one body, which holds no due time
 	}
 }
 
 func (p *Plan) drawFault(rng *rand.Rand) Fault {
 	kinds := faultKinds
-	if p.Calls() {
+	if p.HasCalls() {
 		kinds = slices.Concat(faultKinds, callFaults)
 	}
 	f := Fault{
 		Kind: kinds[rng.Intn(len(kinds))], Server: rng.Intn(p.Servers),
-		At: between(rng, faultFreeBefore, p.Span*3/4), For: between(rng, 100*time.Millisecond, p.Span/2),
+		At: between(rng, faultFreeBefore, p.Span*3/4), Duration: between(rng, 100*time.Millisecond, p.Span/2),
 	}
 	switch f.Kind {
 	case Slow, SlowCalls:
 		f.Size = 3 + 60*rng.Float64()
-	case StopServer:
-		f.For = between(rng, 30*time.Millisecond, 700*time.Millisecond)
+	case PauseServer:
+		f.Duration = between(rng, 30*time.Millisecond, 700*time.Millisecond)
 	case CutLink, StallLink, Reload:
-		f.For = between(rng, 100*time.Millisecond, 1500*time.Millisecond)
-	case Crowd:
+		f.Duration = between(rng, 100*time.Millisecond, 1500*time.Millisecond)
+	case IdleConnections:
 		f.Size = float64(p.Sockets) * (0.3 + 0.9*rng.Float64())
 	}
 	return f
@@ -186,21 +186,21 @@
 
 // LongestDeadline is that of all classes.
 func (p *Plan) LongestDeadline() (longest time.Duration) {
-	for _, c := range p.Classes {
+	for _, c := range p.Routes {
 		longest = max(longest, c.Deadline)
 	}
 	return longest
 }
 
 // KillAfter is the earliest time behind SIGTERM at which the platform sends SIGKILL.
-func (p *Plan) KillAfter() time.Duration { return min(p.LongestDeadline(), maxDeadline) + killDelay }
+func (p *Plan) KillAfter() time.Duration { return min(p.LongestDeadline(), maxDeadline) + killMargin }
 
 // meanWork is that of a request.
 func (p *Plan) meanWork() (mean time.Duration) {
-	for _, c := range p.Classes {
+	for _, c := range p.Routes {
 		mean += c.Work
 	}
-	return mean / time.Duration(len(p.Classes))
+	return mean / time.Duration(len(p.Routes))
 }
 
 // maxRate bounds the requests a second that a server is sent: the runs share one machine with all else.
--- a/internal/testkit/soak/play.go
+++ b/internal/testkit/soak/play.go
@@ -15,75 +15,75 @@
 )
 
 const (
-	restartWait  = 150 * time.Millisecond // from the end of a process to the start of the next
-	linkCutEvery = 60 * time.Millisecond
-	reloadEvery  = 30 * time.Millisecond
-	garbageEvery = 10 * time.Millisecond
-	crowdStays   = 2 * time.Second
-	starvedEvery = 40 * time.Millisecond
+	restartDelay        = 150 * time.Millisecond // from the end of a process to the start of the next
+	linkCutInterval     = 60 * time.Millisecond
+	reloadInterval      = 30 * time.Millisecond
+	garbageInterval     = 10 * time.Millisecond
+	idleConnectionsTime = 2 * time.Second
+	cpuWaitInterval     = 40 * time.Millisecond
 )
 
 // slot is the place of one server, whose process may change.
 type slot struct {
 	number int
 
-	mu      sync.Mutex
-	daemon  *harness.Daemon
-	proxy   *faultnet.Proxy // between the process and its pool
-	life    *Life
-	lives   int
-	healing sync.Mutex // one fault at a time replaces the process
+	mu           sync.Mutex
+	daemon       *harness.Daemon
+	proxy        *faultnet.Proxy // between the process and its pool
+	incarnation  *Incarnation
+	incarnations int
+	replacing    sync.Mutex // one fault at a time replaces the process
 }
 
 // current is where the server's process listens, and its life; nil while there is none.
-func (s *slot) current() (address string, life *Life) {
+func (s *slot) current() (address string, incarnation *Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life == nil {
+	if s.incarnation == nil {
 		return "", nil
 	}
-	return s.daemon.Address, s.life
+	return s.daemon.Address, s.incarnation
 }
 
 // process is what runs at a slot now; nil while nothing does.
-func (s *slot) process() (*harness.Daemon, *faultnet.Proxy, *Life) {
+func (s *slot) process() (*harness.Daemon, *faultnet.Proxy, *Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life == nil {
+	if s.incarnation == nil {
 		return nil, nil, nil
 	}
-	return s.daemon, s.proxy, s.life
+	return s.daemon, s.proxy, s.incarnation
 }
 
-// player plays one run.
-type player struct {
-	program string
-	folder  string
-	history *History
-	plan    *Plan
-	slots   []*slot
-	shared  *harness.HTTPDependency
+// runner plays one run.
+type runner struct {
+	program    string
+	folder     string
+	history    *History
+	plan       *Plan
+	slots      []*slot
+	dependency *harness.HTTPDependency
 }
 
-// Play plays a run and gives what was recorded.
-func Play(ctx context.Context, program, folder string, plan Plan) (*History, error) {
+// Run plays a run and gives what was recorded.
+func Run(ctx context.Context, program, folder string, plan Plan) (*History, error) {
 	h := &History{Plan: plan}
-	p := &player{program: program, folder: folder, history: h, plan: &h.Plan}
+	p := &runner{program: program, folder: folder, history: h, plan: &h.Plan}
 	var err error
-	if p.shared, err = harness.NewHTTPDependency(plan.Shared.Slots, plan.Shared.Took, plan.Shared.Linger, plan.Shared.Survives, plan.Shared.Over); err != nil {
+	if p.dependency, err = harness.NewHTTPDependency(plan.Dependency.Slots, plan.Dependency.ServiceTime, plan.Dependency.Linger, plan.Dependency.Survives, plan.Dependency.Window); err != nil {
 		return h, err
 	}
-	defer p.shared.Close()
+	defer p.dependency.Close()
 	for number := range plan.Servers {
 		s := &slot{number: number}
 		p.slots = append(p.slots, s)
 		if err := p.start(s); err != nil {
-			return h, errors.Join(err, p.end())
+			return h, errors.Join(err, p.shutdownAll())
 		}
 	}
 	watched := make(chan struct{})
-	go h.watchLateness(watched)
-	go p.watchStarvation(watched)
+	go h.recordTimerLateness(watched)
+	go p.recordCPUWaits(watched)
 	defer close(watched)
 
 	done := make(chan struct{})
@@ -108,16 +108,16 @@
 	}
 	sleep(ctx, plan.Span)
 	faults.Wait()
-	err = p.end() // clients send until the end
+	err = p.shutdownAll() // clients send until the end
 	close(done)
 	senders.Wait()
-	h.Calls, h.CallsIn = p.shared.Strain()
+	h.CallStrain, h.Calls = p.dependency.Strain()
 	return h, errors.Join(append(failed, err)...)
 }
 
-// watchStarvation books how long each process has waited for a core, until done is closed.
-func (p *player) watchStarvation(done <-chan struct{}) {
-	ticker := time.NewTicker(starvedEvery)
+// recordCPUWaits books how long each process has waited for a core, until done is closed.
+func (p *runner) recordCPUWaits(done <-chan struct{}) {
+	ticker := time.NewTicker(cpuWaitInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -126,15 +126,15 @@
 		case <-ticker.C:
 		}
 		for _, s := range p.slots {
-			daemon, _, life := s.process()
-			if life == nil {
+			daemon, _, incarnation := s.process()
+			if incarnation == nil {
 				continue
 			}
 			total, err := harness.CPUWaitTime(daemon.ProcessID())
 			if err != nil {
 				continue // it has ended
 			}
-			p.history.change(func() { life.Starved = append(life.Starved, Wait{time.Now(), total}) })
+			p.history.update(func() { incarnation.CPUWaits = append(incarnation.CPUWaits, CPUWait{time.Now(), total}) })
 		}
 	}
 }
@@ -150,46 +150,46 @@
 }
 
 // start starts the next process of a slot, with a pool of its own.
-func (p *player) start(s *slot) error {
+func (p *runner) start(s *slot) error {
 	var proxy *faultnet.Proxy
-	name := fmt.Sprintf("s%d-%d", s.number, s.lives)
+	name := fmt.Sprintf("s%d-%d", s.number, s.incarnations)
 	daemon, err := harness.Launch(p.program, nil, p.folder, name, p.plan.Machine, "", func(listen, pool, members string) ([]byte, error) {
 		var err error
 		if proxy, err = faultnet.New(pool); err != nil {
 			return nil, err
 		}
-		return p.plan.configuration(name, listen, proxy.Addr(), members, p.shared.Address)
+		return p.plan.platformConfig(name, listen, proxy.Addr(), members, p.dependency.Address)
 	})
 	if err != nil {
 		return err
 	}
 	calling := map[string]bool{}
-	for _, c := range p.plan.Classes {
+	for _, c := range p.plan.Routes {
 		calling[c.Name] = c.Calls
 	}
-	if p.plan.Calls() {
+	if p.plan.HasCalls() {
 		daemon.Workers.SetCallingHandlers(calling)
 	}
 	daemon.Workers.SetEndurance(p.plan.Endurance)
-	life := &Life{Server: s.number, Number: s.lives}
-	p.history.change(func() { p.history.Lives = append(p.history.Lives, life) })
+	incarnation := &Incarnation{Server: s.number, Number: s.incarnations}
+	p.history.update(func() { p.history.Incarnations = append(p.history.Incarnations, incarnation) })
 	s.mu.Lock()
-	s.daemon, s.proxy, s.life = daemon, proxy, life
-	s.lives++
+	s.daemon, s.proxy, s.incarnation = daemon, proxy, incarnation
+	s.incarnations++
 	s.mu.Unlock()
 	return nil
 }
 
-// close books the end of a process and ends what stood round it.
-func (p *player) close(s *slot, exit int, byKill bool) error {
-	daemon, proxy, life := s.process()
+// recordEnd books the end of a process and ends what stood round it.
+func (p *runner) recordEnd(s *slot, exit int, byKill bool) error {
+	daemon, proxy, incarnation := s.process()
 	s.mu.Lock()
-	s.life = nil
+	s.incarnation = nil
 	s.mu.Unlock()
 	strain, runs, log := daemon.Workers.Strain(), daemon.Workers.RunStarts(), daemon.Log()
-	p.history.change(func() {
-		life.Ended, life.Exit, life.ByKill = time.Now(), exit, byKill
-		life.Strain, life.Runs, life.Log = strain, runs, log
+	p.history.update(func() {
+		incarnation.EndedAt, incarnation.ExitCode, incarnation.KilledAfterTimeout = time.Now(), exit, byKill
+		incarnation.Strain, incarnation.Runs, incarnation.Log = strain, runs, log
 	})
 	err := daemon.Stop()
 	proxy.Close()
@@ -197,38 +197,38 @@
 }
 
 // kill ends a process and its pool as a crash does.
-func (p *player) kill(s *slot) error {
-	daemon, _, life := s.process()
-	p.history.change(func() { life.Killed = time.Now() })
+func (p *runner) kill(s *slot) error {
+	daemon, _, incarnation := s.process()
+	p.history.update(func() { incarnation.KilledAt = time.Now() })
 	if err := daemon.Crash(); err != nil {
 		return err
 	}
-	return p.close(s, 0, true)
+	return p.recordEnd(s, 0, true)
 }
 
-// leave has a process leave, and kills it at the earliest that is allowed.
-func (p *player) leave(s *slot) error {
-	daemon, _, life := s.process()
-	p.history.change(func() { life.Notice = time.Now() })
+// shutdown has a process leave, and kills it at the earliest that is allowed.
+func (p *runner) shutdown(s *slot) error {
+	daemon, _, incarnation := s.process()
+	p.history.update(func() { incarnation.NotifiedAt = time.Now() })
 	exit, killed, err := daemon.ShutdownWithin(p.plan.KillAfter())
 	if err != nil {
 		return err
 	}
-	return p.close(s, exit, killed)
+	return p.recordEnd(s, exit, killed)
 }
 
-// end has all processes leave.
-func (p *player) end() error {
+// shutdownAll has all processes leave.
+func (p *runner) shutdownAll() error {
 	failed := make([]error, len(p.slots))
 	var over sync.WaitGroup
 	for n, s := range p.slots {
-		if _, _, life := s.process(); life == nil {
+		if _, _, incarnation := s.process(); incarnation == nil {
 			continue
 		}
 		over.Add(1)
 		go func() {
 			defer over.Done()
-			failed[n] = p.leave(s)
+			failed[n] = p.shutdown(s)
 		}()
 	}
 	over.Wait()
@@ -236,73 +236,73 @@
 }
 
 // inject has a fault happen, to its end. A server whose process is being replaced has none to be hurt.
-func (p *player) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
+func (p *runner) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
 	s := p.slots[f.Server]
-	daemon, proxy, life := s.process()
-	if life == nil {
+	daemon, proxy, incarnation := s.process()
+	if incarnation == nil {
 		return nil
 	}
-	until := time.Now().Add(f.For)
+	until := time.Now().Add(f.Duration)
 	switch f.Kind {
 	case Hang:
 		daemon.Workers.SetHung(true)
-		sleep(ctx, f.For)
+		sleep(ctx, f.Duration)
 		daemon.Workers.SetHung(false)
 	case Slow:
 		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed / f.Size })
-		sleep(ctx, f.For)
+		sleep(ctx, f.Duration)
 		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed })
 	case CutLink:
 		for time.Now().Before(until) {
 			proxy.Cut()
 			proxy.Heal()
-			sleep(ctx, linkCutEvery)
+			sleep(ctx, linkCutInterval)
 		}
 	case StallLink:
 		proxy.Stall(faultnet.Up)
-		sleep(ctx, f.For/4)
+		sleep(ctx, f.Duration/4)
 		proxy.Cut()
 		proxy.Heal()
-	case StopServer:
-		return p.stop(ctx, s, f.For)
+	case PauseServer:
+		return p.pause(ctx, s, f.Duration)
 	case Kill:
 		return p.replace(ctx, s, p.kill)
-	case Roll:
-		return p.replace(ctx, s, p.leave)
+	case GracefulRestart:
+		return p.replace(ctx, s, p.shutdown)
 	case Reload:
 		for time.Now().Before(until) {
 			if daemon.Signal(syscall.SIGHUP) != nil {
 				return nil // it has ended meanwhile
 			}
-			sleep(ctx, reloadEvery)
+			sleep(ctx, reloadInterval)
 		}
 	case SlowCalls:
-		p.shared.SetSlowFactor(f.Size)
-		sleep(ctx, f.For)
-		p.shared.SetSlowFactor(1)
-	case ShutCalls:
-		p.shared.SetUnresponsive(true)
-		sleep(ctx, f.For)
-		p.shared.SetUnresponsive(false)
-	case Crowd:
-		crowd(ctx, daemon.Address, int(f.Size))
+		p.dependency.SetSlowFactor(f.Size)
+		sleep(ctx, f.Duration)
+		p.dependency.SetSlowFactor(1)
+	case UnresponsiveCalls:
+		p.dependency.SetUnresponsive(true)
+		sleep(ctx, f.Duration)
+		p.dependency.SetUnresponsive(false)
+	case IdleConnections:
+		openIdleConnections(ctx, daemon.Address, int(f.Size))
 	case Garbage:
 		for time.Now().Before(until) {
-			garbage(daemon.Address, rng)
-			sleep(ctx, garbageEvery)
+			sendGarbage(daemon.Address, rng)
+			sleep(ctx, garbageInterval)
 		}
 	}
 	return nil
 }
 
-// stop has a process stand still; its pool works on.
-func (p *player) stop(ctx context.Context, s *slot, span time.Duration) error {
-	if !s.healing.TryLock() {
+// pause has a process stand still; its pool works on.
+func (p *runner) pause(ctx context.Context, s *slot, span time.Duration) error {
+	if !s.replacing.TryLock() {
 		return nil
 	}
-	defer s.healing.Unlock()
-	daemon, _, life := s.process()
-	if life == nil {
+	defer s.replacing.Unlock()
+	daemon, _, incarnation := s.process()
+	if incarnation == nil {
 		return nil
 	}
 	from := time.Now()
@@ -311,42 +311,42 @@
 	}
 	sleep(ctx, span)
 	err := daemon.Signal(syscall.SIGCONT)
-	p.history.change(func() { life.Stopped = append(life.Stopped, Span{from, time.Now()}) })
+	p.history.update(func() { incarnation.Paused = append(incarnation.Paused, Span{from, time.Now()}) })
 	return err
 }
 
 // replace ends the process of a slot, and starts the next.
-func (p *player) replace(ctx context.Context, s *slot, end func(*slot) error) error {
-	if !s.healing.TryLock() {
+func (p *runner) replace(ctx context.Context, s *slot, end func(*slot) error) error {
+	if !s.replacing.TryLock() {
 		return nil
 	}
-	defer s.healing.Unlock()
-	if _, _, life := s.process(); life == nil {
+	defer s.replacing.Unlock()
+	if _, _, incarnation := s.process(); incarnation == nil {
 		return nil
 	}
 	if err := end(s); err != nil {
 		return err
 	}
-	sleep(ctx, restartWait)
+	sleep(ctx, restartDelay)
 	return p.start(s)
 }
 
-// crowd opens connections that say nothing, and keeps them for a while.
-func crowd(ctx context.Context, address string, count int) {
+// openIdleConnections opens connections that say nothing, and keeps them for a while.
+func openIdleConnections(ctx context.Context, address string, count int) {
 	var open []net.Conn
 	for range count {
 		if c, err := net.DialTimeout("tcp", address, time.Second); err == nil {
 			open = append(open, c)
 		}
 	}
-	sleep(ctx, crowdStays)
+	sleep(ctx, idleConnectionsTime)
 	for _, c := range open {
 		c.Close()
 	}
 }
 
-// garbage is one bad client: what can't be read, a frame that is too long, or the beginning of a request.
-func garbage(address string, rng *rand.Rand) {
+// sendGarbage is one bad client: what can't be read, a frame that is too long, or the beginning of a request.
+func sendGarbage(address string, rng *rand.Rand) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return
--- a/internal/testkit/soak/report.go
+++ b/internal/testkit/soak/report.go
@@ -8,42 +8,42 @@
 
 // Totals sum up runs.
 type Totals struct {
-	Faults, Processes, Requests, Served, Refused, Failed, Unanswered int
+	Faults, Processes, Requests, Served, Rejected, Aborted, Unanswered int
 }
 
 // Add takes in a run.
 func (t *Totals) Add(h *History) {
 	t.Faults += len(h.Plan.Faults)
-	t.Processes += len(h.Lives)
+	t.Processes += len(h.Incarnations)
 	t.Requests += len(h.Requests)
 	for _, r := range h.Requests {
 		switch {
-		case len(r.Answer) == 0:
+		case len(r.Answers) == 0:
 			t.Unanswered++
-		case r.Answer[0].Code == CodeServed:
+		case r.Answers[0].Code == CodeServed:
 			t.Served++
-		case r.Answer[0].Code == CodeRefused:
-			t.Refused++
+		case r.Answers[0].Code == CodeRejected:
+			t.Rejected++
 		default:
-			t.Failed++
+			t.Aborted++
 		}
 	}
 }
 
-// Line tells of a run in one line.
-func Line(h *History, broken []Violation, failed error) string {
+// Summary tells of a run in one line.
+func Summary(h *History, broken []Violation, failed error) string {
 	var t Totals
 	t.Add(h)
 	crowd, memory, killed := 0.0, 0.0, 0
-	for _, life := range h.Lives {
-		crowd, memory = max(crowd, life.Strain.Runs), max(memory, life.Strain.Memory)
-		if life.ByKill && life.Killed.IsZero() {
+	for _, incarnation := range h.Incarnations {
+		crowd, memory = max(crowd, incarnation.Strain.Runs), max(memory, incarnation.Strain.Memory)
+		if incarnation.KilledAfterTimeout && incarnation.KilledAt.IsZero() {
 			killed++
 		}
 	}
 	line := fmt.Sprintf("seed %d: %d servers, %s, %d faults, %d requests, %.2f served, crowd %.2f, memory %.2f, %d calls %.2f, %d left by kill, late %v: ",
 		h.Plan.Seed, h.Plan.Servers, h.Plan.Machine.Halt, len(h.Plan.Faults), t.Requests, float64(t.Served)/max(1, float64(t.Requests)),
-		crowd, memory, h.CallsIn, h.Calls.Runs, killed, h.Lateness)
+		crowd, memory, h.Calls, h.CallStrain.Runs, killed, h.TimerLateness)
 	if failed != nil {
 		return line + "failed"
 	}
@@ -56,9 +56,9 @@
 	if err := os.MkdirAll(into, 0o700); err != nil {
 		return fmt.Errorf("logs: %w", err)
 	}
-	for _, life := range h.Lives {
-		name := filepath.Join(into, fmt.Sprintf("server-%d-life-%d.log", life.Server, life.Number))
-		if err := os.WriteFile(name, []byte(life.Log), 0o600); err != nil {
+	for _, incarnation := range h.Incarnations {
+		name := filepath.Join(into, fmt.Sprintf("server-%d-life-%d.log", incarnation.Server, incarnation.Number))
+		if err := os.WriteFile(name, []byte(incarnation.Log), 0o600); err != nil {
 			return fmt.Errorf("logs: %w", err)
 		}
 	}
