--- a/internal/testkit/soak/checker.go
+++ b/internal/testkit/soak/checker.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	answerSlack    = 50 * time.Millisecond // past the due time, by the protocol page
-	crossingWindow = 50 * time.Millisecond // before the end of its connection, within which a request is sent again
+	answerSlack    = 50 * time.Millisecond // after the deadline, by the protocol
+	crossingWindow = 50 * time.Millisecond // before the end of its connection: a request sent later may be lost and is retried
 )
 
-// Violation is a broken rule.
+// Violation is a violation of a rule.
 type Violation struct {
-	Rule    int // of the four
+	Rule    int // from 1 to 4
 	Message string
 }
 
+// String returns the rule and the message.
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Message) }
 
-// Check holds a history against the four rules. It knows nothing but what clients and worker pools recorded.
-func Check(h *History) (broken []Violation) {
+// Check checks a history against the four rules, from nothing but what clients and worker pools recorded.
+func Check(h *History) (violations []Violation) {
 	c := &checker{history: h, starts: map[string][]time.Time{}}
 	for _, incarnation := range h.Incarnations {
 		for _, run := range incarnation.Runs {
@@ -54,14 +55,14 @@
 	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(words, of...)})
 }
 
-// describe names a request.
+// describe names a request in messages.
 func (c *checker) describe(r *Request) string {
-	class := c.history.Plan.Routes[r.Route]
-	return fmt.Sprintf("%s (%s, %s) at server %d life %d", r.ID, class.Name, class.Effect, r.Incarnation.Server, r.Incarnation.Number)
+	route := c.history.Plan.Routes[r.Route]
+	return fmt.Sprintf("%s (%s, %s) at server %d life %d", r.ID, route.Name, route.Effect, r.Incarnation.Server, r.Incarnation.Number)
 }
 
-// slack is what an answer may be late by: by the protocol page, by the noise of this machine, which let the recorder or
-// the process wait for a core, and by the time that the process was stopped from outside.
+// slack returns by how much an answer may be late: answerSlack, the time for which the recorder or the process waited for a
+// core of this machine, and the time for which the process was paused.
 func (c *checker) slack(r *Request) time.Duration {
 	slack := answerSlack + c.history.TimerLateness + r.Incarnation.cpuWait(r.SentAt, r.Deadline.Add(answerSlack))
 	for _, s := range r.Incarnation.Paused {
@@ -72,7 +73,7 @@
 	return slack
 }
 
-// answered is rule 1: one final answer in time.
+// answered checks rule 1: one final answer in time.
 func (c *checker) answered(r *Request) {
 	switch {
 	case len(r.Answers) > 1:
@@ -91,7 +92,7 @@
 	}
 }
 
-// since is the time from one moment to another, 0 where either never came.
+// since returns the time from one moment to another, 0 where either is zero.
 func since(from, to time.Time) time.Duration {
 	if from.IsZero() || to.IsZero() {
 		return 0
@@ -99,12 +100,12 @@
 	return to.Sub(from)
 }
 
-// crossedConnectionEnd is whether a request met the end of its connection, which the recorder may have seen late.
+// crossedConnectionEnd reports whether a request was sent as its connection ended, which the recorder may have seen late.
 func (c *checker) crossedConnectionEnd(r *Request) bool {
 	return !r.ConnectionEnded.IsZero() && r.ConnectionEnded.Sub(r.SentAt) <= crossingWindow+c.history.TimerLateness+r.Incarnation.cpuWait(r.SentAt, r.ConnectionEnded)
 }
 
-// ranOnce is rule 2 for single requests: none begins twice where that does harm, and what has run is not refused.
+// ranOnce checks rule 2 for single requests: none that is not safe begins twice, and none that has run is rejected.
 func (c *checker) ranOnce(r *Request) {
 	starts := len(c.starts[r.ID])
 	if c.history.Plan.Routes[r.Route].Effect != Safe && starts > 1 {
@@ -115,14 +116,14 @@
 	}
 }
 
-// keysRanOnce is rule 2 for keys: one run on a process within the window of the request that ran.
+// keysRanOnce checks rule 2 for keys: a key runs once on a process within the window of the request that ran.
 func (c *checker) keysRanOnce() {
 	type place struct {
 		life *Incarnation
 		key  string
 	}
 	ran := map[place]*Request{}
-	for _, r := range c.history.Requests { // in the order in which they were sent
+	for _, r := range c.history.Requests { // in order of sending
 		if r.Key == "" {
 			continue
 		}
@@ -137,8 +138,8 @@
 	}
 }
 
-// repeated holds a repeat against the request of its key that ran: it neither runs, nor is it refused once the first has
-// begun, as its caller would have it run elsewhere.
+// repeated checks a repeat against the first request of its key: it must not run, and must not be rejected once the first has
+// begun, as its caller would then retry at another server.
 func (c *checker) repeated(r, first *Request) {
 	if len(c.starts[r.ID]) > 0 {
 		c.violate(2, "%s ran, and %s with the same key %v before", c.describe(r), first.ID, r.SentAt.Sub(first.SentAt))
@@ -148,18 +149,18 @@
 	}
 }
 
-// drained is rule 3: nothing that arrives past the grace runs.
+// drained checks rule 3: no request that arrives after the grace runs.
 func (c *checker) drained(r *Request) {
 	if r.Incarnation.NotifiedAt.IsZero() || len(c.starts[r.ID]) == 0 {
 		return
 	}
-	heard := r.Incarnation.NotifiedAt.Add(r.Incarnation.cpuWait(r.Incarnation.NotifiedAt, r.Incarnation.NotifiedAt.Add(answerSlack)))
-	if past := r.SentAt.Sub(heard) - c.history.Plan.Grace; past > answerSlack+c.history.TimerLateness {
+	notified := r.Incarnation.NotifiedAt.Add(r.Incarnation.cpuWait(r.Incarnation.NotifiedAt, r.Incarnation.NotifiedAt.Add(answerSlack)))
+	if past := r.SentAt.Sub(notified) - c.history.Plan.Grace; past > answerSlack+c.history.TimerLateness {
 		c.violate(3, "%s came %v past the grace and ran", c.describe(r), past)
 	}
 }
 
-// withinEndurance is rule 4, and that the process ended as it should.
+// withinEndurance checks rule 4, and that the process ended without an error.
 func (c *checker) withinEndurance(incarnation *Incarnation) {
 	name := fmt.Sprintf("the pool of server %d life %d", incarnation.Server, incarnation.Number)
 	if s := incarnation.Strain; s.Runs > 1 {
--- a/internal/testkit/soak/client.go
+++ b/internal/testkit/soak/client.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	maxOpenRequests    = 32                    // requests on a connection, by the protocol page
+	maxOpenRequests    = 32                    // on a connection, by the protocol
 	redialDelay        = 20 * time.Millisecond // after a refused connection
-	maxReusableKeys    = 16                    // that a sender may use again
+	maxReusableKeys    = 16                    // of a sender
 	repeatShare        = 0.4                   // of keyed requests that repeat a key
 	slowShare          = 0.1                   // of senders that write in pieces
-	respectsDrainShare = 0.5                   // of senders that send nothing more where they were asked not to
-	resetShare         = 0.001                 // of requests behind which a sender resets its connection
-	maxPieceDelay      = 15 * time.Millisecond // at most, between two pieces of a request
+	respectsDrainShare = 0.5                   // of senders that send no more requests to a draining server
+	resetShare         = 0.001                 // of requests after which a sender resets its connection
+	maxPieceDelay      = 15 * time.Millisecond // between two pieces of a request
 )
 
-// sender sends requests to one server, over one connection at a time, until it is stopped.
+// sender sends requests to one server, over one connection at a time.
 type sender struct {
 	history       *History
 	plan          *Plan
@@ -38,7 +38,7 @@
 	readers       sync.WaitGroup
 }
 
-// connection is one of a sender.
+// connection is one connection of a sender.
 type connection struct {
 	net.Conn
 	incarnation *Incarnation
@@ -46,7 +46,7 @@
 	mu            sync.Mutex
 	open          map[uint32]*Request
 	stream        uint32
-	draining      bool // by the server, to send nothing more
+	draining      bool // the server asked for no further requests
 	ended         bool
 	resetByClient bool // by its sender
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// run sends at random until done is closed, and waits for what is owed.
+// run sends requests at random until done is closed, and waits until every open one is answered or past its deadline.
 func (s *sender) run(done <-chan struct{}) {
 	defer s.readers.Wait()
 	mean := float64(s.plan.Senders) / s.plan.Rate()
@@ -88,7 +88,7 @@
 	}
 }
 
-// closeWhenAnswered lets a connection go once all on it is answered, or the longest deadline is over.
+// closeWhenAnswered closes a connection once every request on it is answered, or past the longest deadline.
 func (s *sender) closeWhenAnswered(c *connection) {
 	s.readers.Add(1)
 	go func() {
@@ -106,7 +106,7 @@
 	return !c.ended && len(c.open) > 0
 }
 
-// usable is whether another request may be sent.
+// usable reports whether another request may be sent.
 func (c *connection) usable(heeds bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,15 +131,15 @@
 	return c
 }
 
-// send writes one request and books it once it was written whole.
+// send writes one request, and records it once it was written completely.
 func (s *sender) send(c *connection) {
 	r := s.draw(c.incarnation)
-	class := s.plan.Routes[r.Route]
-	ttl := max(time.Duration((0.4+0.6*s.rng.Float64())*float64(class.Deadline)), 20*time.Millisecond).Truncate(time.Millisecond)
-	work := time.Duration(s.rng.ExpFloat64() * float64(class.Work))
+	route := s.plan.Routes[r.Route]
+	ttl := max(time.Duration((0.4+0.6*s.rng.Float64())*float64(route.Deadline)), 20*time.Millisecond).Truncate(time.Millisecond)
+	work := time.Duration(s.rng.ExpFloat64() * float64(route.Work))
 	sent := time.Now()
 	fields := []string{
-		"op", class.Name, "call", r.ID, "recv", strconv.FormatInt(sent.UnixMilli(), 10), "src", strconv.Itoa(s.number),
+		"op", route.Name, "call", r.ID, "recv", strconv.FormatInt(sent.UnixMilli(), 10), "src", strconv.Itoa(s.number),
 		"ttl", strconv.FormatInt(ttl.Milliseconds(), 10), "heap", strconv.FormatFloat(requestKB, 'f', 1, 64),
 		"crit", strconv.FormatFloat(math.Min(s.rng.Float64(), 0.9999), 'f', 4, 64),
 	}
@@ -151,22 +151,22 @@
 	stream := c.stream
 	c.open[stream] = r
 	c.mu.Unlock()
-	// The body of a key is the same each time, or it would be another request.
+	// Repeats of a key must have the same body.
 	body := binary.BigEndian.AppendUint64(nil, uint64(max(work.Microseconds(), 1)))
 	if r.Key != "" {
-		body = binary.BigEndian.AppendUint64(nil, uint64(class.Work.Microseconds()))
-	} else if class.Calls { // the pool ends a run that stands at its call once its request is over
+		body = binary.BigEndian.AppendUint64(nil, uint64(route.Work.Microseconds()))
+	} else if route.Calls { // the pool interrupts a blocked run after the deadline
 		body = binary.BigEndian.AppendUint64(append(body, 0), uint64(sent.Add(ttl).UnixMilli()))
 	}
-	if err := s.write(c, harness.Frame(10, stream, string(body), fields...)); err != nil {
+	if err := s.write(c, harness.Frame(harness.FrameRequest, stream, string(body), fields...)); err != nil {
 		c.mu.Lock()
 		delete(c.open, stream)
 		c.ended = true
 		c.mu.Unlock()
-		return // it was not written whole
+		return // it was not written completely
 	}
 	s.history.update(func() {
-		r.SentAt = time.Now() // a request in pieces is whole only now, and due no earlier
+		r.SentAt = time.Now() // a request in pieces is complete only now, and its deadline no earlier
 		r.Deadline = sent.Add(ttl)
 		if r.Deadline.Before(r.SentAt) {
 			r.Deadline = r.SentAt
@@ -178,7 +178,7 @@
 	}
 }
 
-// resetBehind ends a connection with a reset: what is open on it is owed nothing any more.
+// resetBehind ends a connection with a reset, after which no answer is owed on it.
 func (s *sender) resetBehind(c *connection) {
 	c.mu.Lock()
 	c.resetByClient = true
@@ -187,7 +187,7 @@
 	c.Close()
 }
 
-// draw makes a request; a keyed one repeats a key now and then, with the class of it.
+// draw returns a new request. A keyed one repeats a key of its route now and then.
 func (s *sender) draw(incarnation *Incarnation) *Request {
 	r := &Request{ID: fmt.Sprintf("%016x", s.rng.Uint64()), Route: s.rng.Intn(len(s.plan.Routes)), Incarnation: incarnation}
 	if s.plan.Routes[r.Route].Effect != Keyed {
@@ -204,9 +204,9 @@
 	return r
 }
 
-// repeated is a key of the class that was used before, or the new one.
-func (s *sender) repeated(class int, fresh string) string {
-	prefix := fmt.Sprintf("%d-%d-", s.number, class)
+// repeated returns a key of the route that was used before, or the fresh one.
+func (s *sender) repeated(route int, fresh string) string {
+	prefix := fmt.Sprintf("%d-%d-", s.number, route)
 	for _, at := range s.rng.Perm(len(s.keys)) {
 		if key := s.keys[at]; len(key) > len(prefix) && key[:len(prefix)] == prefix {
 			return key
@@ -215,7 +215,7 @@
 	return fresh
 }
 
-// write writes a frame, in pieces where the sender is a slow one.
+// write writes a frame, in pieces where the sender is slow.
 func (s *sender) write(c *connection, frame []byte) error {
 	if !s.slow {
 		_, err := c.Write(frame)
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// read takes answers until the connection ends.
+// read records answers until the connection ends.
 func (s *sender) read(c *connection) {
 	defer c.Close()
 	for {
@@ -248,12 +248,12 @@
 				s.history.update(func() { r.ConnectionEnded, r.ResetByClient = now, c.resetByClient })
 			}
 			clear(c.open)
-		case reply.Type == 30:
+		case reply.Type == harness.FrameDrain:
 			c.draining = true
-		case reply.Type == 11 && r != nil:
+		case reply.Type == harness.FrameAnswer && r != nil:
 			delete(c.open, reply.Stream)
 			s.history.update(func() { r.Answers = append(r.Answers, Answer{now, reply.Code}) })
-		case reply.Type == 11:
+		case reply.Type == harness.FrameAnswer:
 			s.history.update(func() { s.history.strayAnswers++ })
 		}
 		c.mu.Unlock()
--- a/internal/testkit/soak/history.go
+++ b/internal/testkit/soak/history.go
@@ -7,56 +7,56 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// Request is one that was written whole to a connection, and what became of it.
+// Request is a request that was written completely, and what became of it.
 type Request struct {
 	ID              string
 	Route           int
-	Key             string // of a keyed one
+	Key             string // idempotency key, of a keyed route
 	Incarnation     *Incarnation
-	SentAt          time.Time // its last byte
+	SentAt          time.Time // when its last byte was written
 	Deadline        time.Time
 	Answers         []Answer
-	ConnectionEnded time.Time // of its connection, zero while that lasts
-	ResetByClient   bool      // by the client, which ends what is owed
+	ConnectionEnded time.Time // zero while the connection lasts
+	ResetByClient   bool      // no answer is owed any more
 }
 
-// Answer is an answer as it was read.
+// Answer is an answer that a client read.
 type Answer struct {
 	At   time.Time
 	Code byte
 }
 
-// The codes of answers.
+// The status codes of answers.
 const (
-	CodeServed   = 20
-	CodeRejected = 50
-	CodeAborted  = 51
+	CodeServed   = harness.StatusServed
+	CodeRejected = harness.StatusRejected
+	CodeAborted  = harness.StatusAborted
 )
 
 // Incarnation is one process of a server, from its start to its end.
 type Incarnation struct {
 	Server             int
 	Number             int
-	NotifiedAt         time.Time // of SIGTERM, zero without
+	NotifiedAt         time.Time // by SIGTERM, zero without
 	KilledAt           time.Time // by SIGKILL without a notice, zero without
-	EndedAt            time.Time // of the process, zero while it lasts
-	KilledAfterTimeout bool      // behind a notice, it had to be killed
+	EndedAt            time.Time // zero while the process runs
+	KilledAfterTimeout bool      // had to be killed after SIGTERM
 	ExitCode           int
 	Paused             []Span    // by SIGSTOP
-	CPUWaits           []CPUWait // for a core of this machine, as seen now and then
+	CPUWaits           []CPUWait // samples in order of time
 	Strain             harness.Strain
 	Runs               []harness.RunStart
 	Log                string
 }
 
-// CPUWait is for how long a process had waited for a core in all, at a moment.
+// CPUWait is the total time that a process had waited for a core of this machine, at a moment.
 type CPUWait struct {
 	At    time.Time
 	Total time.Duration
 }
 
-// cpuWait is for how long the process waited for a core from one moment to another. A thread that ends takes its waiting
-// along, so a total may fall; that is no time at all.
+// cpuWait returns the time that the process waited for a core from one moment to another. Totals fall when a thread ends,
+// as its time is not counted any more; that counts as no wait.
 func (l *Incarnation) cpuWait(from, to time.Time) time.Duration {
 	if len(l.CPUWaits) == 0 {
 		return 0
@@ -74,36 +74,36 @@
 	return max(after-before, 0)
 }
 
-// Span is a time from one moment to another.
+// Span is the time from one moment to another.
 type Span struct{ From, To time.Time }
 
-// History is all that was recorded of a run. Its methods may be called from any goroutine.
+// History is what was recorded of a run. Its methods may be called from any goroutine.
 type History struct {
 	mu            sync.Mutex
 	Plan          Plan
 	Incarnations  []*Incarnation
 	Requests      []*Request
-	TimerLateness time.Duration  // the most by which the recorder itself was late: machine noise
+	TimerLateness time.Duration  // the most by which a timer of this process was late
 	CallStrain    harness.Strain // of the shared dependency
-	Calls         int            // calls that it had
-	strayAnswers  int            // answers on streams that were answered, or never asked
+	Calls         int            // read by the dependency
+	strayAnswers  int            // answers on streams without an open request
 }
 
-// add books a request and gives what is to be filled in under the lock.
+// add records a request. Later changes of it are made by update.
 func (h *History) add(r *Request) {
 	h.mu.Lock()
 	h.Requests = append(h.Requests, r)
 	h.mu.Unlock()
 }
 
-// update changes something of the history.
+// update runs f under the lock.
 func (h *History) update(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f()
 }
 
-// recordTimerLateness follows how late a timer of this process is, until done is closed.
+// recordTimerLateness records how late a timer of this process is, until done is closed.
 func (h *History) recordTimerLateness(done <-chan struct{}) {
 	const period = 5 * time.Millisecond
 	ticker := time.NewTicker(period)
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -1,5 +1,5 @@
-// Package soak plays real processes of the daemon, with worker pools and clients of its own on loopback, under faults that
-// are drawn from a seed, and holds what was recorded against the four rules.
+// Package soak runs real processes of the daemon on loopback under faults drawn from a seed, with worker pools and clients
+// of its own, and checks what was recorded against the four rules of package rulecheck.
 package soak
 
 import (
@@ -12,42 +12,42 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// Effect says what a second run of a request does.
+// Effect states what a second run of a request does.
 type Effect string
 
-// The effects, by the settings' words.
+// The effects, as the settings name them.
 const (
 	Safe   Effect = "retryable" // a second run does no harm
 	Keyed  Effect = "dedup"     // repeats carry a key, and must not run twice on a server within the window
 	Unsafe Effect = "fragile"   // must not run twice
 )
 
-// Route is a class of requests.
+// Route is a class of requests with the same terms.
 type Route struct {
 	Name     string
 	Effect   Effect
 	Deadline time.Duration
-	Window   time.Duration // of a keyed one
+	Window   time.Duration // of the keys of a keyed route
 	Value    float64
 	Work     time.Duration // mean, on a core of speed 1
-	Calls    bool          // its runs call the shared dependency half way
+	Calls    bool          // its runs call the dependency half way
 }
 
-// Dependency is the dependency that the runs of all servers call.
+// Dependency is what the runs of all servers call.
 type Dependency struct {
 	Survives    float64 // calls in hand in the mean of Over; each server has an even share of it
 	Window      time.Duration
 	Slots       float64
-	ServiceTime time.Duration // by a call while slots are free
-	Linger      time.Duration // of an abandoned call
+	ServiceTime time.Duration // of a call while slots are free
+	Linger      time.Duration // that an abandoned call stays in flight
 }
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of faults. All but Kill, Roll and Reload have an end.
+// The kinds of faults. All but Kill and GracefulRestart last for Fault.Duration.
 const (
-	Hang              FaultKind = "hang"        // the pool's cores stand still; gauges are told as ever
+	Hang              FaultKind = "hang"        // the pool's cores stop; polls are answered
 	Slow              FaultKind = "slow"        // the pool's cores are Size times as slow
 	CutLink           FaultKind = "cut link"    // the pool's link breaks, again and again
 	StallLink         FaultKind = "stall link"  // commands to the pool stall, and are lost with the link
@@ -55,32 +55,32 @@
 	Kill              FaultKind = "kill"        // SIGKILL of the process and its pool, then a new start
 	GracefulRestart   FaultKind = "roll"        // SIGTERM, SIGKILL at the earliest that is allowed, then a new start
 	Reload            FaultKind = "reload"      // SIGHUP in a row
-	IdleConnections   FaultKind = "crowd"       // connections that say nothing
-	Garbage           FaultKind = "garbage"     // clients that send what can't be read, or half of a request, and leave
+	IdleConnections   FaultKind = "crowd"       // connections that send nothing
+	Garbage           FaultKind = "garbage"     // clients that send invalid frames or half a request, and close
 	SlowCalls         FaultKind = "slow calls"  // the dependency takes Size times as long
 	UnresponsiveCalls FaultKind = "shut calls"  // the dependency reads calls and answers none
 )
 
-// faultKinds are drawn with equal chances.
+// faultKinds are drawn with equal probability.
 var faultKinds = []FaultKind{Hang, Slow, CutLink, StallLink, PauseServer, Kill, GracefulRestart, Reload, IdleConnections, Garbage}
 
-// callFaults are drawn beside them where runs call the dependency.
+// callFaults are drawn as well where runs call the dependency.
 var callFaults = []FaultKind{SlowCalls, UnresponsiveCalls, SlowCalls, UnresponsiveCalls}
 
-// Fault is one thing that goes wrong.
+// Fault is one fault of a run.
 type Fault struct {
 	Kind     FaultKind
 	Server   int
 	At       time.Duration // since the start of the load
 	Duration time.Duration
-	Size     float64 // of a slow pool, the factor; of a crowd, the number of connections
+	Size     float64 // the slowdown, or the number of idle connections
 }
 
 func (f Fault) String() string {
 	return fmt.Sprintf("%s of server %d at %v for %v, size %.0f", f.Kind, f.Server, f.At, f.Duration, f.Size)
 }
 
-// Plan is one run, whole: the same seed gives the same plan.
+// Plan describes one run. The same seed and span give the same plan.
 type Plan struct {
 	Seed       int64
 	Span       time.Duration
@@ -91,20 +91,20 @@
 	Grace      time.Duration
 	Sockets    int
 	MemoryMB   int
-	Load       float64 // share of what the machines can do that is asked for
-	Senders    int     // connections that send, at each server
+	Load       float64 // share of what the machines can do
+	Senders    int     // at each server
 	Dependency Dependency
 	Faults     []Fault
 }
 
-// HasCalls tells whether any class calls the dependency.
+// HasCalls reports whether any route calls the dependency.
 func (p *Plan) HasCalls() bool {
 	return slices.ContainsFunc(p.Routes, func(c Route) bool { return c.Calls })
 }
 
 const (
-	maxDeadline     = 3 * time.Second        // the longest deadline that counts towards the kill
-	killMargin      = 700 * time.Millisecond // behind that
+	maxDeadline     = 3 * time.Second        // that counts towards KillAfter
+	killMargin      = 700 * time.Millisecond // after the longest deadline
 	requestKB       = emulator.RunKB / runFactor
 	runFactor       = 8.0
 	minFaults       = 3
@@ -112,7 +112,7 @@
 	faultFreeBefore = 300 * time.Millisecond
 )
 
-// Draw draws a run.
+// Draw draws a plan whose faults begin within three quarters of span.
 func Draw(seed int64, span time.Duration) Plan {
 	rng := rand.New(rand.NewSource(seed))
 	p := Plan{
@@ -143,7 +143,7 @@
 	return p
 }
 
-// drawDependency draws the dependency, and in half of the runs the classes that call it.
+// drawDependency draws the dependency, and in half of the plans the routes that call it.
 func (p *Plan) drawDependency(rng *rand.Rand) {
 	share := 0.3 + 5*rng.Float64()
 	p.Dependency = Dependency{
@@ -154,7 +154,7 @@
 		return
 	}
 	for i := range p.Routes {
-		p.Routes[i].Calls = rng.Intn(2) == 0 && p.Routes[i].Effect != Keyed // repeats of a key have one body, which holds no due time
+		p.Routes[i].Calls = rng.Intn(2) == 0 && p.Routes[i].Effect != Keyed // repeats of a key have the same body, which cannot state a deadline
 	}
 }
 
@@ -180,11 +180,11 @@
 	return f
 }
 
-func between(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(rng.Float64()*float64(most-least))
+func between(rng *rand.Rand, low, high time.Duration) time.Duration {
+	return low + time.Duration(rng.Float64()*float64(high-low))
 }
 
-// LongestDeadline is that of all classes.
+// LongestDeadline returns the longest deadline of all routes.
 func (p *Plan) LongestDeadline() (longest time.Duration) {
 	for _, c := range p.Routes {
 		longest = max(longest, c.Deadline)
@@ -192,10 +192,10 @@
 	return longest
 }
 
-// KillAfter is the earliest time behind SIGTERM at which the platform sends SIGKILL.
+// KillAfter returns the earliest time after SIGTERM at which the platform sends SIGKILL.
 func (p *Plan) KillAfter() time.Duration { return min(p.LongestDeadline(), maxDeadline) + killMargin }
 
-// meanWork is that of a request.
+// meanWork returns the mean work of a request.
 func (p *Plan) meanWork() (mean time.Duration) {
 	for _, c := range p.Routes {
 		mean += c.Work
@@ -203,10 +203,10 @@
 	return mean / time.Duration(len(p.Routes))
 }
 
-// maxRate bounds the requests a second that a server is sent: the runs share one machine with all else.
+// maxRate is the highest load of a server in requests a second: all processes of a run share one machine.
 const maxRate = 150.0
 
-// Rate is the number of requests that each server is sent a second.
+// Rate returns the load of each server in requests a second.
 func (p *Plan) Rate() float64 {
 	return min(maxRate, p.Load*p.Machine.Cores*p.Machine.Speed/p.meanWork().Seconds())
 }
--- a/internal/testkit/soak/configuration.go
+++ b/internal/testkit/soak/platform_config.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// platformConfig is the platform's for one server of a run.
-func (p *Plan) platformConfig(name, listen, pool, members, index string) ([]byte, error) {
+// platformConfig returns the platform's configuration file for one server of a run.
+func (p *Plan) platformConfig(name, listen, pool, membership, dependency string) ([]byte, error) {
 	var services []map[string]any
 	calls, skips := make([]bool, len(p.Routes)), make([]float64, len(p.Routes))
 	below := "none"
@@ -21,7 +21,7 @@
 		})
 	}
 	raw, err := json.Marshal(map[string]any{
-		"name": name, "listen": listen, "pool": pool, "members": members, "index": index,
+		"name": name, "listen": listen, "pool": pool, "members": membership, "index": dependency,
 		"seed": fmt.Sprintf("%x", p.Seed), "stop_ms": p.KillAfter().Milliseconds(),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": p.MemoryMB, "sockets": p.Sockets},
 		"settings": map[string]any{
--- a/internal/testkit/soak/report.go
+++ b/internal/testkit/soak/report.go
@@ -6,12 +6,12 @@
 	"path/filepath"
 )
 
-// Totals sum up runs.
+// Totals are counts over runs.
 type Totals struct {
 	Faults, Processes, Requests, Served, Rejected, Aborted, Unanswered int
 }
 
-// Add takes in a run.
+// Add adds the counts of a run.
 func (t *Totals) Add(h *History) {
 	t.Faults += len(h.Plan.Faults)
 	t.Processes += len(h.Incarnations)
@@ -30,27 +30,27 @@
 	}
 }
 
-// Summary tells of a run in one line.
-func Summary(h *History, broken []Violation, failed error) string {
+// Summary describes a run in one line, which ends in "N violations", or in "failed" where the run itself failed.
+func Summary(h *History, violations []Violation, err error) string {
 	var t Totals
 	t.Add(h)
-	crowd, memory, killed := 0.0, 0.0, 0
+	runs, memory, killed := 0.0, 0.0, 0
 	for _, incarnation := range h.Incarnations {
-		crowd, memory = max(crowd, incarnation.Strain.Runs), max(memory, incarnation.Strain.Memory)
+		runs, memory = max(runs, incarnation.Strain.Runs), max(memory, incarnation.Strain.Memory)
 		if incarnation.KilledAfterTimeout && incarnation.KilledAt.IsZero() {
 			killed++
 		}
 	}
 	line := fmt.Sprintf("seed %d: %d servers, %s, %d faults, %d requests, %.2f served, crowd %.2f, memory %.2f, %d calls %.2f, %d left by kill, late %v: ",
 		h.Plan.Seed, h.Plan.Servers, h.Plan.Machine.Halt, len(h.Plan.Faults), t.Requests, float64(t.Served)/max(1, float64(t.Requests)),
-		crowd, memory, h.Calls, h.CallStrain.Runs, killed, h.TimerLateness)
-	if failed != nil {
+		runs, memory, h.Calls, h.CallStrain.Runs, killed, h.TimerLateness)
+	if err != nil {
 		return line + "failed"
 	}
-	return line + fmt.Sprintf("%d violations", len(broken))
+	return line + fmt.Sprintf("%d violations", len(violations))
 }
 
-// WriteLogs leaves what each process logged in a folder.
+// WriteLogs writes the log of each process to a folder named for the seed.
 func WriteLogs(folder string, h *History) error {
 	into := filepath.Join(folder, fmt.Sprintf("seed-%d", h.Plan.Seed))
 	if err := os.MkdirAll(into, 0o700); err != nil {
--- a/internal/testkit/soak/play.go
+++ b/internal/testkit/soak/runner.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	restartDelay        = 150 * time.Millisecond // from the end of a process to the start of the next
+	restartDelay        = 150 * time.Millisecond // between two processes of a server
 	linkCutInterval     = 60 * time.Millisecond
 	reloadInterval      = 30 * time.Millisecond
 	garbageInterval     = 10 * time.Millisecond
@@ -23,7 +23,7 @@
 	cpuWaitInterval     = 40 * time.Millisecond
 )
 
-// slot is the place of one server, whose process may change.
+// slot is one server of a run, whose process may be replaced.
 type slot struct {
 	number int
 
@@ -32,10 +32,10 @@
 	proxy        *faultnet.Proxy // between the process and its pool
 	incarnation  *Incarnation
 	incarnations int
-	replacing    sync.Mutex // one fault at a time replaces the process
+	replacing    sync.Mutex // held by the fault that pauses or replaces the process
 }
 
-// current is where the server's process listens, and its life; nil while there is none.
+// current returns the address and the incarnation of the running process; nil while there is none.
 func (s *slot) current() (address string, incarnation *Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +45,7 @@
 	return s.daemon.Address, s.incarnation
 }
 
-// process is what runs at a slot now; nil while nothing does.
+// process returns the running process; nil while there is none.
 func (s *slot) process() (*harness.Daemon, *faultnet.Proxy, *Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 	return s.daemon, s.proxy, s.incarnation
 }
 
-// runner plays one run.
+// runner carries out one plan.
 type runner struct {
 	program    string
 	folder     string
@@ -65,7 +65,7 @@
 	dependency *harness.HTTPDependency
 }
 
-// Run plays a run and gives what was recorded.
+// Run carries out a plan and returns what was recorded, also with an error.
 func Run(ctx context.Context, program, folder string, plan Plan) (*History, error) {
 	h := &History{Plan: plan}
 	p := &runner{program: program, folder: folder, history: h, plan: &h.Plan}
@@ -89,33 +89,29 @@
 	done := make(chan struct{})
 	var senders, faults sync.WaitGroup
 	for n := range plan.Servers * plan.Senders {
-		senders.Add(1)
-		go func() {
-			defer senders.Done()
+		senders.Go(func() {
 			newSender(h, p.slots[n%plan.Servers], n+1, plan.Seed<<16+int64(n)).run(done)
-		}()
+		})
 	}
 	failed := make([]error, len(plan.Faults))
 	begin := time.Now()
 	for n, fault := range plan.Faults {
-		faults.Add(1)
-		go func() {
-			defer faults.Done()
+		faults.Go(func() {
 			if sleep(ctx, time.Until(begin.Add(fault.At))) {
 				failed[n] = p.inject(ctx, fault, rand.New(rand.NewSource(plan.Seed+int64(n)+1)))
 			}
-		}()
+		})
 	}
 	sleep(ctx, plan.Span)
 	faults.Wait()
-	err = p.shutdownAll() // clients send until the end
+	err = p.shutdownAll() // senders send until the end
 	close(done)
 	senders.Wait()
 	h.CallStrain, h.Calls = p.dependency.Strain()
 	return h, errors.Join(append(failed, err)...)
 }
 
-// recordCPUWaits books how long each process has waited for a core, until done is closed.
+// recordCPUWaits records how long each process has waited for a core, until done is closed.
 func (p *runner) recordCPUWaits(done <-chan struct{}) {
 	ticker := time.NewTicker(cpuWaitInterval)
 	defer ticker.Stop()
@@ -139,7 +135,7 @@
 	}
 }
 
-// sleep waits, and tells whether it was not ended before.
+// sleep waits for a span, and reports whether the context lasted that long.
 func sleep(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -153,12 +149,12 @@
 func (p *runner) start(s *slot) error {
 	var proxy *faultnet.Proxy
 	name := fmt.Sprintf("s%d-%d", s.number, s.incarnations)
-	daemon, err := harness.Launch(p.program, nil, p.folder, name, p.plan.Machine, "", func(listen, pool, members string) ([]byte, error) {
+	daemon, err := harness.Launch(p.program, nil, p.folder, name, p.plan.Machine, "", func(listen, pool, membership string) ([]byte, error) {
 		var err error
 		if proxy, err = faultnet.New(pool); err != nil {
 			return nil, err
 		}
-		return p.plan.platformConfig(name, listen, proxy.Addr(), members, p.dependency.Address)
+		return p.plan.platformConfig(name, listen, proxy.Addr(), membership, p.dependency.Address)
 	})
 	if err != nil {
 		return err
@@ -180,7 +176,7 @@
 	return nil
 }
 
-// recordEnd books the end of a process and ends what stood round it.
+// recordEnd records the end of a process and closes its worker pool, membership service and proxy.
 func (p *runner) recordEnd(s *slot, exit int, byKill bool) error {
 	daemon, proxy, incarnation := s.process()
 	s.mu.Lock()
@@ -196,7 +192,7 @@
 	return err
 }
 
-// kill ends a process and its pool as a crash does.
+// kill ends a process by SIGKILL, and its pool.
 func (p *runner) kill(s *slot) error {
 	daemon, _, incarnation := s.process()
 	p.history.update(func() { incarnation.KilledAt = time.Now() })
@@ -206,7 +202,7 @@
 	return p.recordEnd(s, 0, true)
 }
 
-// shutdown has a process leave, and kills it at the earliest that is allowed.
+// shutdown shuts a process down gracefully, and kills it after Plan.KillAfter.
 func (p *runner) shutdown(s *slot) error {
 	daemon, _, incarnation := s.process()
 	p.history.update(func() { incarnation.NotifiedAt = time.Now() })
@@ -217,25 +213,21 @@
 	return p.recordEnd(s, exit, killed)
 }
 
-// shutdownAll has all processes leave.
+// shutdownAll shuts all running processes down.
 func (p *runner) shutdownAll() error {
-	failed := make([]error, len(p.slots))
-	var over sync.WaitGroup
+	errs := make([]error, len(p.slots))
+	var running sync.WaitGroup
 	for n, s := range p.slots {
 		if _, _, incarnation := s.process(); incarnation == nil {
 			continue
 		}
-		over.Add(1)
-		go func() {
-			defer over.Done()
-			failed[n] = p.shutdown(s)
-		}()
+		running.Go(func() { errs[n] = p.shutdown(s) })
 	}
-	over.Wait()
-	return errors.Join(failed...)
+	running.Wait()
+	return errors.Join(errs...)
 }
 
-// inject has a fault happen, to its end. A server whose process is being replaced has none to be hurt.
+// inject carries out a fault to its end. A fault of a server without a running process is skipped.
 func (p *runner) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
 	s := p.slots[f.Server]
 	daemon, proxy, incarnation := s.process()
@@ -295,7 +287,7 @@
 	return nil
 }
 
-// pause has a process stand still; its pool works on.
+// pause stops a process for a span. Its pool continues.
 func (p *runner) pause(ctx context.Context, s *slot, span time.Duration) error {
 	if !s.replacing.TryLock() {
 		return nil
@@ -315,7 +307,7 @@
 	return err
 }
 
-// replace ends the process of a slot, and starts the next.
+// replace ends the process of a slot by end, and starts the next.
 func (p *runner) replace(ctx context.Context, s *slot, end func(*slot) error) error {
 	if !s.replacing.TryLock() {
 		return nil
@@ -331,7 +323,7 @@
 	return p.start(s)
 }
 
-// openIdleConnections opens connections that say nothing, and keeps them for a while.
+// openIdleConnections opens connections, sends nothing and closes them after idleConnectionsTime.
 func openIdleConnections(ctx context.Context, address string, count int) {
 	var open []net.Conn
 	for range count {
@@ -345,14 +337,14 @@
 	}
 }
 
-// sendGarbage is one bad client: what can't be read, a frame that is too long, or the beginning of a request.
+// sendGarbage is one bad client. It sends no frame, a frame that is too long, a part of a request or an invalid request.
 func sendGarbage(address string, rng *rand.Rand) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	whole := harness.Frame(10, 1, "body", "op", "class-0", "call", fmt.Sprintf("%016x", rng.Uint64()), "ttl", "-1")
-	texts := [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), {0xff, 0xff, 0xff, 0xff, 10}, whole[:1+rng.Intn(len(whole)-1)], whole}
-	_, _ = c.Write(texts[rng.Intn(len(texts))])
+	request := harness.Frame(harness.FrameRequest, 1, "body", "op", "class-0", "call", fmt.Sprintf("%016x", rng.Uint64()), "ttl", "-1")
+	messages := [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), {0xff, 0xff, 0xff, 0xff, 10}, request[:1+rng.Intn(len(request)-1)], request}
+	_, _ = c.Write(messages[rng.Intn(len(messages))])
 }
