--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -254,7 +254,7 @@
 	version := m.accept(t, deadline(1))
 	f.reaches(t, m, version)
 	for _, fault := range []string{"cut", "drop up", "drop down", "stall down"} {
-		require.NoError(t, way.Play(fault))
+		require.NoError(t, way.RunScript(fault))
 		version = m.accept(t, deadline(int64(version)+1))
 		way.Heal()
 		f.reaches(t, m, version)
--- a/internal/store/configuration_store_test.go
+++ b/internal/store/configuration_store_test.go
@@ -54,13 +54,13 @@
 	const changes = 30
 	whole := faultdisk.New()
 	require.NoError(t, storeChanges(whole, changes, func(*configuration.Document) {}))
-	for at := 1; at <= whole.Ops(); at++ {
+	for at := 1; at <= whole.Operations(); at++ {
 		for draw := range int64(4) {
 			disk, last := faultdisk.New(), configuration.NewDocument()
-			disk.PowerAt = at
-			require.ErrorIs(t, storeChanges(disk, changes, func(d *configuration.Document) { last = d }), faultdisk.ErrPower)
-			after := disk.Crash(faultdisk.Drawn{Rand: rand.New(rand.NewSource(draw*1e6 + int64(at)))})
-			after.PowerAt = 0
+			disk.PowerLossAt = at
+			require.ErrorIs(t, storeChanges(disk, changes, func(d *configuration.Document) { last = d }), faultdisk.ErrPowerLost)
+			after := disk.Crash(faultdisk.RandomLoss{Rand: rand.New(rand.NewSource(draw*1e6 + int64(at)))})
+			after.PowerLossAt = 0
 			_, recovered, err := OpenConfigurationStore(after)
 			require.NoError(t, err)
 			if recovered.Document == nil {
@@ -105,7 +105,7 @@
 	many := faultdisk.New()
 	require.NoError(t, storeChanges(many, 400, func(*configuration.Document) {}))
 	assert.Len(t, many.Names(), 1)
-	assert.Less(t, many.Bytes(), int64(3*minRetainedDeltaBytes))
+	assert.Less(t, many.TotalBytes(), int64(3*minRetainedDeltaBytes))
 }
 
 // A disk fails: the change is reported as not stored, and the next version is stored again.
@@ -121,9 +121,9 @@
 		return c.Append(delta, d)
 	}
 	require.NoError(t, change())
-	disk.Set(func() { disk.Fails = func(string) error { return faultdisk.ErrFull } })
+	disk.Set(func() { disk.Fail = func(string) error { return faultdisk.ErrFull } })
 	require.ErrorIs(t, change(), faultdisk.ErrFull)
-	disk.Set(func() { disk.Fails = nil })
+	disk.Set(func() { disk.Fail = nil })
 	require.NoError(t, change())
 	_, recovered, err := OpenConfigurationStore(disk)
 	require.NoError(t, err)
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -30,22 +30,22 @@
 	for seed := int64(1); seed <= 4; seed++ {
 		whole := faultdisk.New()
 		require.NoError(t, runScript(newTestWriter(whole, 0), newModel(), seed, 60))
-		for at := 1; at <= whole.Ops(); at++ {
+		for at := 1; at <= whole.Operations(); at++ {
 			for draw := int64(0); draw < 6; draw++ {
 				disk, ref := faultdisk.New(), newModel()
-				disk.PowerAt = at
-				require.ErrorIs(t, runScript(newTestWriter(disk, 0), ref, seed, 60), faultdisk.ErrPower)
-				loss := faultdisk.Drawn{Rand: rand.New(rand.NewSource(draw*1e6 + int64(at)))}
+				disk.PowerLossAt = at
+				require.ErrorIs(t, runScript(newTestWriter(disk, 0), ref, seed, 60), faultdisk.ErrPowerLost)
+				loss := faultdisk.RandomLoss{Rand: rand.New(rand.NewSource(draw*1e6 + int64(at)))}
 				after := disk.Crash(loss)
 				crashes++
 				for again := at % 7; again > 0; again -= 3 { // the power fails during the start, too
-					after.PowerAt = again
+					after.PowerLossAt = again
 					if _, err := newTestWriter(after, 1000).restart(); err == nil {
 						break
 					}
 					after = after.Crash(loss)
 				}
-				after.PowerAt = 0
+				after.PowerLossAt = 0
 				plan, err := newTestWriter(after, 2000).restart()
 				require.NoError(t, err, "seed %d at %d draw %d", seed, at, draw)
 				require.NoError(t, ref.check(plan), "seed %d at %d draw %d", seed, at, draw)
--- a/internal/store/operations_test.go
+++ b/internal/store/operations_test.go
@@ -66,7 +66,7 @@
 			return err
 		}
 	}
-	return r.crash(faultdisk.All{}, 5000)
+	return r.crash(faultdisk.LoseAll{}, 5000)
 }
 
 func (r *operationRun) run(i int, operation string) error {
@@ -94,11 +94,11 @@
 		}
 		return r.writer.rotateLog()
 	case "lose all":
-		return r.crash(faultdisk.All{}, uint64(100*i+100))
+		return r.crash(faultdisk.LoseAll{}, uint64(100*i+100))
 	case "lose none":
-		return r.crash(faultdisk.None{}, uint64(100*i+100))
+		return r.crash(faultdisk.KeepAll{}, uint64(100*i+100))
 	case "lose half":
-		return r.crash(faultdisk.Half{}, uint64(100*i+100))
+		return r.crash(faultdisk.TornHalf{}, uint64(100*i+100))
 	}
 	return nil
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -96,13 +96,13 @@
 	s, _, err := New(o.Options)
 	require.NoError(t, err)
 	defer s.Close()
-	before := o.disk.Ops()
+	before := o.disk.Operations()
 	var mark uint64
 	for i := range 500 {
 		mark = s.RecordStart(fmt.Sprint(i), 0, time.Minute)
 	}
 	eventually(t, "kept", isDurable(s, mark))
-	assert.LessOrEqual(t, o.disk.Ops()-before, 2*4, "writes and syncs")
+	assert.LessOrEqual(t, o.disk.Operations()-before, 2*4, "writes and syncs")
 }
 
 // A disk fails in one of several ways. Requests that wait for it are released, one line is logged, and once the disk works
@@ -116,13 +116,13 @@
 		{"full in the middle", func(o *testOptions) { o.disk.Space = 10 }, func(o *testOptions) { o.disk.Space = -1 }},
 		{"read-only", func(o *testOptions) { o.disk.ReadOnly = true }, func(o *testOptions) { o.disk.ReadOnly = false }},
 		{"syncs fail", func(o *testOptions) {
-			o.disk.Fails = func(kind string) error {
+			o.disk.Fail = func(kind string) error {
 				if kind == "sync" {
 					return faultdisk.ErrIO
 				}
 				return nil
 			}
-		}, func(o *testOptions) { o.disk.Fails = nil }},
+		}, func(o *testOptions) { o.disk.Fail = nil }},
 		{"gone", func(o *testOptions) { o.disk.ReadOnly, o.opened = true, faultdisk.ErrIO }, func(o *testOptions) { o.disk.ReadOnly, o.opened = false, nil }},
 	}
 	for _, c := range cases {
@@ -224,7 +224,7 @@
 	var once sync.Once
 	defer once.Do(func() { close(hold) })
 	o.disk.Set(func() {
-		o.disk.Fails = func(kind string) error {
+		o.disk.Fail = func(kind string) error {
 			if kind == "sync" {
 				<-hold
 			}
@@ -259,13 +259,13 @@
 		s.RecordEnd(fmt.Sprint(i), 1, time.Duration(1+i%4)*time.Second/4, true, result)
 		if i%8 == 0 {
 			eventually(t, "kept", func() bool { return s.DurableMark() >= mark })
-			maxBytes = max(maxBytes, o.disk.Bytes())
+			maxBytes = max(maxBytes, o.disk.TotalBytes())
 		}
 		o.advance(50 * time.Millisecond)
 	}
 	assert.LessOrEqual(t, maxBytes, o.MaxBytes)
 	assert.Greater(t, maxBytes, o.MaxBytes/4, "the bound was come near to")
-	assert.Less(t, o.disk.Ops(), 40*3000)
+	assert.Less(t, o.disk.Operations(), 40*3000)
 }
 
 // Ten crashes in a row lose nothing that was durable, and leave few files.
@@ -278,13 +278,13 @@
 		mark := s.RecordStart(fmt.Sprint(i), 1, time.Hour)
 		eventually(t, "kept", isDurable(s, mark))
 		o.disk.Set(func() { o.disk.ReadOnly = true }) // nothing more of this process reaches it
-		after := o.disk.Crash(faultdisk.Half{})
+		after := o.disk.Crash(faultdisk.TornHalf{})
 		s.Close()
 		o.disk = after
 		o.advance(time.Second)
 	}
 	assert.LessOrEqual(t, len(o.disk.Names()), 2*retainedTables+retainedEstimates+maxQuarantined+2)
-	assert.LessOrEqual(t, o.disk.Bytes(), int64(64<<10))
+	assert.LessOrEqual(t, o.disk.TotalBytes(), int64(64<<10))
 }
 
 // A directory of the operating system: its lock, the modes of its files, and symbolic links in their place.
--- /dev/null
+++ b/internal/testkit/faultdisk/crash.go
@@ -0,0 +1,96 @@
+package faultdisk
+
+import (
+	"maps"
+	"math/rand"
+	"slices"
+)
+
+// Loss decides what survives of changes that were not synced.
+type Loss interface {
+	// KeepName reports whether a change of names survives.
+	KeepName() bool
+	// KeepWrite returns how many bytes of a write survive, and whether those are its last bytes and not its first.
+	KeepWrite(size int) (n int, tail bool)
+}
+
+// The losses of a crash.
+type (
+	// KeepAll loses nothing.
+	KeepAll struct{}
+	// LoseAll loses everything that was not synced.
+	LoseAll struct{}
+	// TornHalf keeps the first half of every write, and all changes of names.
+	TornHalf struct{}
+	// RandomLoss draws which names and writes are lost, or torn at any byte or sector.
+	RandomLoss struct{ *rand.Rand }
+)
+
+// KeepName implements Loss, as do the methods below it.
+func (KeepAll) KeepName() bool                         { return true }
+func (KeepAll) KeepWrite(size int) (int, bool)         { return size, false }
+func (LoseAll) KeepName() bool                         { return false }
+func (LoseAll) KeepWrite(int) (int, bool)              { return 0, false }
+func (TornHalf) KeepName() bool                        { return true }
+func (TornHalf) KeepWrite(size int) (n int, tail bool) { return size / 2, false }
+
+func (l RandomLoss) KeepName() bool { return l.Intn(2) == 0 }
+
+func (l RandomLoss) KeepWrite(size int) (n int, tail bool) {
+	switch l.Intn(4) {
+	case 0:
+		return 0, false
+	case 1:
+		return size, false
+	case 2:
+		return l.Intn(size + 1), false
+	}
+	return min(l.Intn(size/sectorSize+1)*sectorSize, size), l.Intn(2) == 0
+}
+
+// Crash returns the disk after a loss of power. The receiver must not be used any more.
+func (d *Disk) Crash(loss Loss) *Disk {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	names := maps.Clone(d.durable)
+	for _, c := range d.nameChanges {
+		if !loss.KeepName() {
+			continue
+		}
+		if c.removed != "" {
+			delete(names, c.removed)
+		}
+		if c.added != "" {
+			names[c.added] = c.inode
+		}
+	}
+	after := New()
+	made := map[*inode]*inode{}
+	for _, name := range slices.Sorted(maps.Keys(names)) { // in a fixed order, as losses are drawn from a seed
+		n := names[name]
+		if made[n] == nil {
+			made[n] = n.afterCrash(loss)
+		}
+		after.names[name], after.durable[name] = made[n], made[n]
+	}
+	return after
+}
+
+func (n *inode) afterCrash(loss Loss) *inode {
+	raw := slices.Clone(n.synced)
+	for _, w := range n.writes {
+		kept, tail := loss.KeepWrite(len(w.bytes))
+		at, part := w.at, w.bytes[:kept]
+		if tail {
+			at, part = w.at+len(w.bytes)-kept, w.bytes[len(w.bytes)-kept:]
+		}
+		if len(part) == 0 {
+			continue
+		}
+		if more := at + len(part) - len(raw); more > 0 { // a gap reads as zeros
+			raw = append(raw, make([]byte, more)...)
+		}
+		copy(raw[at:], part)
+	}
+	return &inode{data: raw, synced: slices.Clone(raw)}
+}
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -82,12 +82,12 @@
 		}},
 		{"drops one way only", "drop down", func(t *testing.T, p *Proxy, l *link) {
 			assert.Empty(t, l.say(t, "lost", absent), "the answer is dropped")
-			require.NoError(t, p.Play("heal"))
+			require.NoError(t, p.RunScript("heal"))
 			assert.Equal(t, "b", l.say(t, "b", present), "the way up went on")
 		}},
 		{"stalls and lets go", "stall up", func(t *testing.T, p *Proxy, l *link) {
 			assert.Empty(t, l.say(t, "held", absent))
-			require.NoError(t, p.Play("heal"))
+			require.NoError(t, p.RunScript("heal"))
 			assert.Equal(t, "held", l.read(present), "what was held goes on, in order")
 		}},
 		{"delays", "delay up 300ms", func(t *testing.T, p *Proxy, l *link) {
@@ -98,7 +98,7 @@
 		{"cuts and refuses until healed", "cut", func(t *testing.T, p *Proxy, l *link) {
 			assert.Empty(t, l.say(t, "gone", present), "the connection ends")
 			assert.Empty(t, dial(t, p).say(t, "new", present), "a new one is refused")
-			require.NoError(t, p.Play("heal"))
+			require.NoError(t, p.RunScript("heal"))
 			assert.Equal(t, "back", dial(t, p).say(t, "back", present))
 		}},
 	} {
@@ -108,7 +108,7 @@
 			defer p.Close()
 			l := dial(t, p)
 			require.Equal(t, "ready", l.say(t, "ready", present))
-			require.NoError(t, p.Play(c.fault))
+			require.NoError(t, p.RunScript(c.fault))
 			c.check(t, p, l)
 		})
 	}
@@ -118,7 +118,7 @@
 	p, err := New(echo(t))
 	require.NoError(t, err)
 	defer p.Close()
-	err = p.Play("cut\nstall sideways # a typo\ndelay up soon\n\nheal")
+	err = p.RunScript("cut\nstall sideways # a typo\ndelay up soon\n\nheal")
 	require.Error(t, err)
 	assert.Contains(t, err.Error(), `line 2 "stall sideways"`)
 	assert.Contains(t, err.Error(), `line 3 "delay up soon"`)
--- a/state_test.go
+++ b/state_test.go
@@ -97,7 +97,7 @@
 		over <- err
 	}()
 	<-began
-	after := disk.Crash(faultdisk.All{})
+	after := disk.Crash(faultdisk.LoseAll{})
 	close(end)
 	assert.NoError(t, <-over)
 	leaveNow(t, g)
@@ -117,7 +117,7 @@
 	g := newGate(t, stateTerms(stateOnDisk(disk)))
 	hold := make(chan struct{})
 	disk.Set(func() {
-		disk.Fails = func(kind string) error {
+		disk.Fail = func(kind string) error {
 			if kind == "sync" {
 				<-hold
 			}
