--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -53,13 +53,13 @@
 
 func play(types []harness.Route, m harness.Machine, load []harness.Arrival, origin uint64) *played {
 	settings := admission.DefaultSettings()
-	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.MaxRunnablePerCore = m.Cores, m.KB, 8, 6
+	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.MaxRunnablePerCore = m.Cores, m.MemoryKB, 8, 6
 	settings.ShedLevelFormat, settings.RetryAfter, settings.MaxRetryAfter = admission.ShedLevelThreshold, true, time.Second
 	settings.Cold, settings.ColdSpeed, settings.WarmUp = m.ColdShare > 0, m.ColdShare, m.WarmUp
 	settings.IdleTimeout = 15 * time.Second
 	for _, route := range types {
 		stated := admission.Route{Name: route.Name, Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline}
-		if route.Once {
+		if route.AtMostOnce {
 			stated.Idempotency = admission.AtMostOnce
 		}
 		settings.Routes = append(settings.Routes, stated)
@@ -100,7 +100,7 @@
 			if !t.settled {
 				t.settled = true
 				p.answers[t.Request]++
-				if kind := p.types[t.arrival.Type]; p.now-t.Arrived <= kind.LatencyTarget {
+				if kind := p.types[t.arrival.Route]; p.now-t.Arrived <= kind.LatencyTarget {
 					p.honoured += kind.Value
 				}
 			}
@@ -110,7 +110,7 @@
 			a := p.load[0]
 			p.load = p.load[1:]
 			t := &playedRequest{arrival: a, left: a.Work.Seconds() / p.machine.Speed, Request: &admission.Request{
-				Route: p.module.Routes[a.Type], HeldKB: 20, Arrived: p.now, Deadline: p.now + p.types[a.Type].Deadline, Rank: a.Rank,
+				Route: p.module.Routes[a.Route], HeldKB: 20, Arrived: p.now, Deadline: p.now + p.types[a.Route].Deadline, Rank: a.Rank,
 			}}
 			p.of[t.Request] = t
 			r.Arrived = append(r.Arrived, t.Request)
@@ -122,7 +122,7 @@
 			}
 			r.Gauges = &admission.Gauges{
 				CPU:      (p.spent - p.busy[0]) / (0.025 * float64(max(len(p.busy)-1, 1))) / p.machine.Cores,
-				Runnable: float64(len(p.running)), Memory: 160 * float64(len(p.running)) / p.machine.KB,
+				Runnable: float64(len(p.running)), Memory: 160 * float64(len(p.running)) / p.machine.MemoryKB,
 			}
 		}
 		p.module.Decide(&r, p)
@@ -181,7 +181,7 @@
 // learned is the view of this server as another gets it.
 func (p *played) learned() estimate.Snapshot { return p.module.Estimates(p.now, p.frame) }
 
-var fourCores = harness.Machine{Cores: 4, Speed: 1, KB: 64000}
+var fourCores = harness.Machine{Cores: 4, Speed: 1, MemoryKB: 64000}
 
 // peerView is what a server has seen that was under load for a while.
 func peerView(types []harness.Route, m harness.Machine, seed int64) estimate.Snapshot {
--- a/baseline/base.go
+++ b/baseline/base.go
@@ -68,14 +68,14 @@
 	noticed time.Duration
 }
 
-func maker(make func(m emulator.Machine, types []emulator.Route, rng *rand.Rand) limiter) emulator.Maker {
+func maker(make func(m emulator.Machine, types []emulator.Route, rng *rand.Rand) limiter) emulator.PolicyMaker {
 	return func(types []emulator.Route, m emulator.Machine, _ float64, seed int64) (emulator.Policy, []*admission.Route) {
 		var kinds []*admission.Route
 		for _, t := range types {
 			kind := &admission.Route{
-				Value: t.Value, LatencyTarget: t.LatencyTarget, Deadline: t.Deadline, CallsDependency: t.Calls != "", SkipValueShare: t.Skips,
+				Value: t.Value, LatencyTarget: t.LatencyTarget, Deadline: t.Deadline, CallsDependency: t.Dependency != "", SkipValueShare: t.SkipValueShare,
 			}
-			if t.Once {
+			if t.AtMostOnce {
 				kind.Idempotency = admission.AtMostOnce
 			}
 			kinds = append(kinds, kind)
@@ -90,10 +90,10 @@
 }
 
 // ByName gives a baseline, or the project's own decisions as "quartzpoint".
-func ByName(name string) (emulator.Maker, error) {
+func ByName(name string) (emulator.PolicyMaker, error) {
 	switch name {
 	case "quartzpoint":
-		return emulator.Own, nil
+		return emulator.QuartzpointPolicy, nil
 	case "no-limit":
 		return maker(newNoLimit), nil
 	case "fixed":
--- a/baseline/baseline_test.go
+++ b/baseline/baseline_test.go
@@ -18,20 +18,20 @@
 			make, err := ByName(name)
 			require.NoError(t, err)
 			f := emulator.Fleet{
-				Servers: 4, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1, KB: 640000}, Routes: emulator.BranchTypes(),
-				Policy: make, Routers: 1, Habits: emulator.Habits{Pick: "least", Tries: 2}, Delay: 300 * time.Microsecond,
+				Servers: 4, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1, MemoryKB: 640000}, Routes: emulator.BranchRoutes(),
+				Policy: make, Routers: 1, RouterOptions: emulator.RouterOptions{Balancing: "least", MaxAttempts: 2}, Delay: 300 * time.Microsecond,
 			}
 			share := func(load float64) float64 {
 				w := emulator.New(f, 3)
 				w.At(5*time.Second, func() { w.Restart([]int{1}, 2500*time.Millisecond) })
 				r := w.Run(emulator.Load{Rate: 4 * emulator.Rate(f.Routes, f.Machine, load), Span: 12 * time.Second})
-				assert.Zero(t, r.Twice)
-				assert.Zero(t, r.Rules.Broken[1]+r.Rules.Broken[2]+r.Rules.Broken[3], r.Rules.Words)
+				assert.Zero(t, r.DuplicateAnswers)
+				assert.Zero(t, r.Rules.Violations[1]+r.Rules.Violations[2]+r.Rules.Violations[3], r.Rules.Messages)
 				if bounded := name != "no-limit" && name != "gradient2" && name != "vegas"; bounded { // those go by latency alone
-					assert.Zero(t, r.Rules.Broken[4], r.Rules.Words)
+					assert.Zero(t, r.Rules.Violations[4], r.Rules.Messages)
 				}
-				assert.Equal(t, r.Requests, r.Honoured+r.Dismissed+r.GivenUp+r.Left)
-				return r.Value / r.Offered
+				assert.Equal(t, r.Requests, r.Served+r.Rejected+r.Aborted+r.Unanswered)
+				return r.Goodput / r.OfferedValue
 			}
 			assert.Greater(t, share(0.5), 0.98)
 			over := share(2)
--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -138,7 +138,7 @@
 		own += fmt.Sprintf("[[configuration.machine]]\nzone = \"z%d\"\naddress = %q\n", i, address)
 	}
 	types := []harness.Route{{Name: "base", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
-	d, err := harness.Start(filepath.Join(programs, "quartzpoint"), f.folder, "app", types, harness.Machine{Cores: 4, Speed: 1, KB: 1e6}, own)
+	d, err := harness.Start(filepath.Join(programs, "quartzpoint"), f.folder, "app", types, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6}, own)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = d.Stop() })
 	return d
--- a/cmd/quartzpoint-bench/dependencies.go
+++ b/cmd/quartzpoint-bench/dependencies.go
@@ -48,7 +48,7 @@
 	name := fmt.Sprintf("%s-%t-%d", strings.ReplaceAll(scenario.name, " ", "-"), flat, seed)
 	config := fmt.Sprintf(scenarioConfig, folder+"/"+name+".sock",
 		dependencies[tables].Address, dependencies[guests].Address, dependencies[waitlist].Address)
-	machine := harness.Machine{Cores: 4, Speed: 1, KB: 64000}
+	machine := harness.Machine{Cores: 4, Speed: 1, MemoryKB: 64000}
 	if scenario.overloaded {
 		machine.Cores, machine.Speed = 2, 0.3
 	}
--- a/cmd/quartzpoint-bench/drill.go
+++ b/cmd/quartzpoint-bench/drill.go
@@ -47,7 +47,7 @@
 			began := time.Now()
 			r := experiment.One(d, policy, made, int64(seed+1))
 			fmt.Fprintf(os.Stderr, "%s, %s, seed %d: %d events in %v\n", d.Name, policy, seed+1, r.Result.Events, time.Since(began).Round(time.Millisecond))
-			for _, words := range r.Result.Rules.Words {
+			for _, words := range r.Result.Rules.Messages {
 				fmt.Fprintln(os.Stderr, " ", words)
 			}
 			runs = append(runs, r)
@@ -92,11 +92,11 @@
 	for _, p := range []struct {
 		on string
 		of parts
-	}{{"sockets", realParts(r)}, {"emulated", partsOf(d.EmulateLoad(emulator.Own, 1, load))}} {
+	}{{"sockets", realParts(r)}, {"emulated", partsOf(d.EmulateLoad(emulator.QuartzpointPolicy, 1, load))}} {
 		fmt.Printf("%-9s honoured %.3f, dismissed %.3f, given up %.3f\n", p.on, p.of.honoured, p.of.dismissed, p.of.givenUp)
 	}
-	fmt.Printf("on sockets: %d tasks, %d unanswered, %d answered twice, rules broken %v\n", r.Requests, r.Unanswered, r.DuplicateAnswers, found.Broken[1:])
-	for _, words := range found.Words {
+	fmt.Printf("on sockets: %d tasks, %d unanswered, %d answered twice, rules broken %v\n", r.Requests, r.Unanswered, r.DuplicateAnswers, found.Violations[1:])
+	for _, words := range found.Messages {
 		fmt.Println(" ", words)
 	}
 	return nil
--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return p, err
 	}
-	e := d.EmulateLoad(emulator.Own, seed, load)
+	e := d.EmulateLoad(emulator.QuartzpointPolicy, seed, load)
 	return pair{realParts(r), partsOf(e), r.DuplicateAnswers + found.Total() + e.Rules.Total()}, nil
 }
 
@@ -153,7 +153,7 @@
 				load := d.Arrivals(int64(seed + 1))
 				r, found, err := playFleet(m.Daemon, folder, d, int64(1000*i+seed), load)
 				failed[i*m.Seeds+seed] = err
-				e := d.EmulateLoad(emulator.Own, int64(seed+1), load)
+				e := d.EmulateLoad(emulator.QuartzpointPolicy, int64(seed+1), load)
 				results[i][seed] = pair{realParts(r), partsOf(e), 0}
 				mu.Lock()
 				broken[i] += r.Unanswered + r.DuplicateAnswers + found.Total() + e.Rules.Total()
@@ -192,7 +192,7 @@
 
 func partsOf(r emulator.Result) parts {
 	n := float64(max(r.Requests, 1))
-	return parts{r.Value / max(r.Offered, 1e-9), float64(r.Dismissed) / n, float64(r.GivenUp) / n}
+	return parts{r.Goodput / max(r.OfferedValue, 1e-9), float64(r.Rejected) / n, float64(r.Aborted) / n}
 }
 
 // speed plays a thousand servers and a million tasks.
@@ -203,12 +203,12 @@
 		return nil, "", err
 	}
 	began := time.Now()
-	r := d.Emulate(emulator.Own, 1)
+	r := d.Emulate(emulator.QuartzpointPolicy, 1)
 	took := time.Since(began)
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	fmt.Printf("1,000 servers, %d tasks on one processor: %v, %.0f events a second, %.0f MB, honoured %.3f\n",
-		r.Requests, took.Round(time.Millisecond), float64(r.Events)/took.Seconds(), float64(memory.Sys)/(1<<20), r.Value/r.Offered)
+		r.Requests, took.Round(time.Millisecond), float64(r.Events)/took.Seconds(), float64(memory.Sys)/(1<<20), r.Goodput/r.OfferedValue)
 	return []aim{
 		{"tasks", float64(r.Requests), 1e6, math.Inf(1)}, {"seconds", took.Seconds(), 0, 60},
 		{"memory, MB", float64(memory.Sys) / (1 << 20), 0, 4096}, {"rules broken", float64(r.Rules.Total()), 0, 0},
--- a/cmd/quartzpoint-bench/faultscenarios.go
+++ b/cmd/quartzpoint-bench/faultscenarios.go
@@ -121,7 +121,7 @@
 	return []harness.Route{
 		{Name: "slot-check", Value: 1, LatencyTarget: 800 * time.Millisecond, Deadline: 2 * time.Second, Share: 0.6,
 			Work: time.Millisecond, Composed: true},
-		{Name: "confirm-booking", Value: 4, LatencyTarget: 1500 * time.Millisecond, Deadline: 3 * time.Second, Once: true,
+		{Name: "confirm-booking", Value: 4, LatencyTarget: 1500 * time.Millisecond, Deadline: 3 * time.Second, AtMostOnce: true,
 			Share: 0.15, Work: time.Millisecond, Composed: true},
 		{Name: "guest-note", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 0.25,
 			Work: 40 * time.Millisecond, Spread: 0.5},
--- a/cmd/quartzpoint-bench/library.go
+++ b/cmd/quartzpoint-bench/library.go
@@ -357,7 +357,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			t := &types[a.Type]
+			t := &types[a.Route]
 			ctx, cancel := context.WithTimeout(context.Background(), t.Deadline)
 			defer cancel()
 			asked := time.Now()
--- a/cmd/quartzpoint-bench/load.go
+++ b/cmd/quartzpoint-bench/load.go
@@ -40,7 +40,7 @@
 // Run plays the load: every task at its moment, whether or not answers come, and each latency from that moment on. A
 // client that waits for an answer before it asks again would leave out just the tasks that would have waited.
 func (cmd *loading) Run() error {
-	types := emulator.BranchTypes()
+	types := emulator.BranchRoutes()
 	var load []harness.Arrival
 	switch {
 	case cmd.Capture != "":
@@ -97,7 +97,7 @@
 		a := &load[n]
 		meant := began.Add(a.At)
 		time.Sleep(time.Until(meant))
-		t := types[a.Type]
+		t := types[a.Route]
 		offered += t.Value
 		open.Add(1)
 		go func() {
@@ -144,10 +144,10 @@
 		if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
 			return nil, fmt.Errorf("capture %s line %d: %w", path, number, err)
 		}
-		a := harness.Arrival{Type: -1, Rank: c.Rank}
+		a := harness.Arrival{Route: -1, Rank: c.Rank}
 		for i, t := range types {
 			if t.Name == c.Type {
-				a.Type = i
+				a.Route = i
 			}
 		}
 		var failed error
@@ -157,7 +157,7 @@
 		if a.Work, err = time.ParseDuration(c.Work); err != nil {
 			failed = err
 		}
-		if failed != nil || a.Type < 0 || a.At < 0 {
+		if failed != nil || a.Route < 0 || a.At < 0 {
 			return nil, fmt.Errorf("capture %s line %d: at and work are times, type one of the mix (%q): %v", path, number, c.Type, failed)
 		}
 		if a.Rank == 0 {
@@ -171,7 +171,7 @@
 func saveCapture(path string, types []harness.Route, load []harness.Arrival) error {
 	var text strings.Builder
 	for _, a := range load {
-		raw, err := json.Marshal(captured{a.At.String(), types[a.Type].Name, a.Work.String(), a.Rank})
+		raw, err := json.Marshal(captured{a.At.String(), types[a.Route].Name, a.Work.String(), a.Rank})
 		if err != nil {
 			return fmt.Errorf("capture: %w", err)
 		}
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -75,7 +75,7 @@
 
 // pair measures all groups of one seed.
 func (m *measurePeers) pair(folder string, seed int64) (result pairResult, err error) {
-	full := harness.Machine{Cores: m.Cores, Speed: 1, KB: kbPerCore * m.Cores}
+	full := harness.Machine{Cores: m.Cores, Speed: 1, MemoryKB: kbPerCore * m.Cores}
 	snapshot, err := m.besideRunningPeer(folder, full, seed, &result)
 	if err != nil {
 		return result, err
--- a/cmd/quartzpoint-bench/real.go
+++ b/cmd/quartzpoint-bench/real.go
@@ -30,7 +30,7 @@
 	if folder, err = os.MkdirTemp(folder, "fleet"); err != nil {
 		return r, found, err
 	}
-	f, err := harness.NewFleet(d.Fleet.Routes, d.Fleet.Servers, max(d.Fleet.Habits.Tries, 1), func(i, life int) (*harness.Daemon, error) {
+	f, err := harness.NewFleet(d.Fleet.Routes, d.Fleet.Servers, max(d.Fleet.RouterOptions.MaxAttempts, 1), func(i, life int) (*harness.Daemon, error) {
 		return harness.Start(program, folder, fmt.Sprintf("f%d-%d-%d", seed, i, life), d.Fleet.Routes, d.Fleet.Machine, "")
 	})
 	if err != nil {
--- a/cmd/quartzpoint-bench/state_restart.go
+++ b/cmd/quartzpoint-bench/state_restart.go
@@ -107,7 +107,7 @@
 
 // compareRestarts runs the groups of one seed.
 func (m *measureState) compareRestarts(root string, seed int64) (r restartResult, err error) {
-	full := harness.Machine{Cores: m.Cores, Speed: 1, KB: 16000 * m.Cores}
+	full := harness.Machine{Cores: m.Cores, Speed: 1, MemoryKB: 16000 * m.Cores}
 	slower := full
 	slower.Speed *= slow
 	peers := &measurePeers{Daemon: m.Daemon, Span: m.Span, Group: m.Group}
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -48,7 +48,7 @@
 
 func startComposedServer(t *testing.T, bank harness.BehaviourScript) *composedServer {
 	c := &composedServer{types: []harness.Route{
-		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, Once: true, Share: 0.5,
+		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, AtMostOnce: true, Share: 0.5,
 			Work: time.Millisecond, Composed: true},
 		{Name: "guest-note", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 0.5, Work: 20 * time.Millisecond},
 	}}
@@ -62,7 +62,7 @@
 	folder := t.TempDir()
 	c.socket = filepath.Join(folder, "control.sock")
 	c.file = strings.NewReplacer("SOCKET", c.socket, "TABLES", c.tables.Address, "BANK", c.bank.Address).Replace(confirmFile)
-	c.daemon, err = harness.Start(builds["debug"], folder, "n1", c.types, harness.Machine{Cores: 2, Speed: 1, KB: 60000}, c.file)
+	c.daemon, err = harness.Start(builds["debug"], folder, "n1", c.types, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}, c.file)
 	require.NoError(t, err)
 	return c
 }
@@ -107,7 +107,7 @@
 	assert.Zero(t, done.Unanswered+done.LateAnswers+done.DuplicateAnswers)
 	notes := 0.0
 	for _, a := range load {
-		notes += float64(a.Type)
+		notes += float64(a.Route)
 	}
 	assert.Equal(t, notes, done.GoodputByRoute[1])
 	seen := c.bank.Stats()
--- a/cmd/quartzpoint/lease_test.go
+++ b/cmd/quartzpoint/lease_test.go
@@ -57,7 +57,7 @@
 		own := fmt.Sprintf("[control]\nsocket = %q\n[peers]\nlisten = %q\nask = [%s]\n[lease]\nduties = [\"compact\"]\nlease = %q\n",
 			socket, addresses[i], strings.Join(peers, ", "), testLease)
 		d, err := harness.Start(builds["release"], folder, fmt.Sprintf("s%d", i), types,
-			harness.Machine{Cores: 1, Speed: 1, KB: 60000}, own)
+			harness.Machine{Cores: 1, Speed: 1, MemoryKB: 60000}, own)
 		require.NoError(t, err)
 		t.Cleanup(func() {
 			_ = d.Kill()
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -17,7 +17,7 @@
 	const count = 12
 	for i := range count {
 		classes = append(classes, harness.Route{
-			Name: fmt.Sprintf("class-%d", i), Value: float64(1 + i%4), Share: 1.0 / count, Spread: 0.3, Once: i%3 == 0,
+			Name: fmt.Sprintf("class-%d", i), Value: float64(1 + i%4), Share: 1.0 / count, Spread: 0.3, AtMostOnce: i%3 == 0,
 			LatencyTarget: 400 * time.Millisecond, Deadline: 400 * time.Millisecond, Work: time.Duration(20+5*i) * time.Millisecond,
 		})
 	}
@@ -44,8 +44,8 @@
 		},
 	}
 	machines := map[string]harness.Machine{
-		"few cores":     {Cores: 1, Speed: 1, KB: 1e6},
-		"little memory": {Cores: 2, Speed: 1, KB: 8 * emulator.RunKB}, // fewer runs fill it than the cores survive
+		"few cores":     {Cores: 1, Speed: 1, MemoryKB: 1e6},
+		"little memory": {Cores: 2, Speed: 1, MemoryKB: 8 * emulator.RunKB}, // fewer runs fill it than the cores survive
 	}
 	for _, halt := range []string{emulator.HaltSuspend, emulator.HaltAbort, emulator.HaltNone} {
 		for trouble, set := range troubles {
@@ -76,7 +76,7 @@
 	result, err := harness.Run(daemon.Address, classes, load, 1)
 	require.NoError(t, err)
 	report := result.Check(daemon.Workers)
-	assert.Empty(t, report.Words, "the other rules")
+	assert.Empty(t, report.Messages, "the other rules")
 	assert.NotZero(t, result.Codes[20], "nothing was served")
 	return daemon.Workers.Strain(), daemon.Log()
 }
--- a/cmd/quartzpoint/peers_test.go
+++ b/cmd/quartzpoint/peers_test.go
@@ -85,7 +85,7 @@
 		Name: "browse", Value: 1, LatencyTarget: 2 * time.Second, Deadline: 3 * time.Second, Share: 1,
 		Work: 20 * time.Millisecond, Spread: 0.5,
 	}}
-	machine := harness.Machine{Cores: 2, Speed: 1, KB: 60000}
+	machine := harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}
 	folder := t.TempDir()
 	keys := filepath.Join(folder, "keys")
 	keyA, keyB := strings.Repeat("0a", 16), strings.Repeat("0b", 16)
--- a/cmd/quartzpoint/state_test.go
+++ b/cmd/quartzpoint/state_test.go
@@ -23,7 +23,7 @@
 	state := filepath.Join(folder, "state")
 	section := fmt.Sprintf("[state]\ndir = %q\nsite = \"s\"\nnumbers = true\n", state)
 	start := func(name string) (*harness.Daemon, error) {
-		return harness.Start(builds["debug"], folder, name, routes, harness.Machine{Cores: 2, Speed: 1, KB: 60000}, section)
+		return harness.Start(builds["debug"], folder, name, routes, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}, section)
 	}
 	first, err := start("first")
 	require.NoError(t, err)
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -11,54 +11,54 @@
 // does. Such tasks take no core.
 type composer struct {
 	server       *server
-	life         uint64
+	incarnation  uint64
 	dependencies []*budget.Dependency
-	ways         []*dependency
+	systems      []*dependency
 	scheduler    *budget.Scheduler
 	timer        uint64
 	ended        []composedEnd
 }
 
 type composedEnd struct {
-	of      *try
-	verdict budget.Verdict
-	worth   float64
+	attempt    *attempt
+	verdict    budget.Verdict
+	valueShare float64
 }
 
-// attempt is one in a dependency's hands.
-type attempt struct {
-	execution    *budget.Execution
-	call, number int
-	dependency   int
-	cancelled    bool
+// dependencyCall is one in a dependency's hands.
+type dependencyCall struct {
+	execution     *budget.Execution
+	call, attempt int
+	dependency    int
+	cancelled     bool
 }
 
-// shareOf is how many calls of one server a dependency survives, of so many servers.
-func shareOf(slots, servers int) int { return max(2, 2*slots/max(servers, 1)) }
+// inFlightQuota is how many calls of one server a dependency survives, of so many servers.
+func inFlightQuota(slots, servers int) int { return max(2, 2*slots/max(servers, 1)) }
 
 func newComposer(s *server) *composer {
 	w := s.world
-	c := &composer{server: s, life: s.life}
+	c := &composer{server: s, incarnation: s.incarnation}
 	for i, d := range w.fleet.Dependencies {
-		share := shareOf(d.Slots, w.fleet.Servers)
+		share := inFlightQuota(d.Slots, w.fleet.Servers)
 		c.dependencies = append(c.dependencies, budget.NewDependency(budget.Options{
 			Name: d.Name, MaxInFlight: share, QueueLimit: 4 * share, CancelledTimeout: 5 * time.Second, RetryRatio: 0.1,
 		}, w.seed+int64(100*s.number+i)))
-		c.ways = append(c.ways, w.dependencies[d.Name])
+		c.systems = append(c.systems, w.dependencies[d.Name])
 	}
 	c.scheduler = budget.NewScheduler(c.dependencies, c, w.seed+int64(s.number))
 	return c
 }
 
 // begin begins the calls of a task.
-func (c *composer) begin(t *try, until time.Duration) {
-	t.attempts = &[budget.MaxCalls][2]*attempt{}
-	t.execution = c.scheduler.Start(c.server.world.fleet.Plans[c.server.world.fleet.Routes[t.of.kind].Name], c.server.world.now, until, t)
+func (c *composer) begin(t *attempt, until time.Duration) {
+	t.calls = &[budget.MaxCalls][2]*dependencyCall{}
+	t.execution = c.scheduler.Start(c.server.world.fleet.Plans[c.server.world.fleet.Routes[t.origin.route].Name], c.server.world.now, until, t)
 	c.settle()
 }
 
 // abandon ends the calls of a task that nobody waits for.
-func (c *composer) abandon(t *try) {
+func (c *composer) abandon(t *attempt) {
 	if t.execution != nil {
 		c.scheduler.Cancel(t.execution, c.server.world.now)
 		t.execution = nil
@@ -84,11 +84,11 @@
 		if mine != c.timer {
 			return
 		}
-		c.server.when(c.life, func() {
+		c.server.whenRunning(c.incarnation, func() {
 			ended := c.ended
 			c.ended = nil
 			for _, e := range ended {
-				c.server.composedEnded(e)
+				c.server.compositionEnded(e)
 			}
 			c.scheduler.Advance(w.now)
 			c.settle()
@@ -98,11 +98,11 @@
 
 // Send implements budget.Writer, as do the methods below it.
 func (c *composer) Send(execution *budget.Execution, call, number int, within time.Duration) {
-	w, t := c.server.world, execution.Ref.(*try)
-	a := &attempt{execution: execution, call: call, number: number, dependency: execution.Plan().Calls[call].Dependency}
-	t.attempts[call][number] = a
-	c.ways[a.dependency].take(within, func(outcome admission.Outcome, _ time.Duration) {
-		c.server.when(c.life, func() {
+	w, t := c.server.world, execution.Ref.(*attempt)
+	a := &dependencyCall{execution: execution, call: call, attempt: number, dependency: execution.Plan().Calls[call].Dependency}
+	t.calls[call][number] = a
+	c.systems[a.dependency].handle(within, func(outcome admission.Outcome, _ time.Duration) {
+		c.server.whenRunning(c.incarnation, func() {
 			if a.cancelled {
 				c.scheduler.CancelledCallEnded(a.dependency, w.now)
 			} else {
@@ -110,7 +110,7 @@
 				if outcome == admission.Unknown {
 					how = budget.Lost
 				}
-				t.attempts[call][number] = nil
+				t.calls[call][number] = nil
 				c.scheduler.CallEnded(execution, call, number, how, w.now)
 			}
 			c.settle()
@@ -119,24 +119,24 @@
 }
 
 func (c *composer) Cancel(execution *budget.Execution, call, number int) {
-	t := execution.Ref.(*try)
-	if a := t.attempts[call][number]; a != nil {
+	t := execution.Ref.(*attempt)
+	if a := t.calls[call][number]; a != nil {
 		a.cancelled = true
-		t.attempts[call][number] = nil
+		t.calls[call][number] = nil
 	}
 }
 
 func (c *composer) Fallback(*budget.Execution, int) bool { return false }
 
 func (c *composer) Finish(execution *budget.Execution, v budget.Verdict) {
-	t := execution.Ref.(*try)
+	t := execution.Ref.(*attempt)
 	t.execution = nil
 	c.ended = append(c.ended, composedEnd{t, v, execution.Value()})
 }
 
-// composedEnded takes the end of a task made of calls.
-func (s *server) composedEnded(e composedEnd) {
-	t := e.of
+// compositionEnded takes the end of a task made of calls.
+func (s *server) compositionEnded(e composedEnd) {
+	t := e.attempt
 	if !t.active {
 		return
 	}
@@ -145,12 +145,12 @@
 	if e.verdict == budget.Aborted {
 		outcome = admission.Stopped
 	}
-	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &t.Request, Outcome: outcome, Took: s.world.now - t.work.begun})
+	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &t.Request, Outcome: outcome, Took: s.world.now - t.run.startedAt})
 	if !t.answered {
-		if t.worth = e.worth; e.verdict == budget.Aborted {
-			s.answer(t, givenUp, 0, false)
+		if t.valueShare = e.valueShare; e.verdict == budget.Aborted {
+			s.answer(t, aborted, 0, false)
 		} else {
-			s.answer(t, honoured, 0, false)
+			s.answer(t, served, 0, false)
 		}
 	}
 	s.decide()
--- a/emulator/dependency.go
+++ b/emulator/dependency.go
@@ -12,75 +12,75 @@
 // dependency is a system that runs call: so many calls at once, the others wait in line.
 type dependency struct {
 	Dependency
-	world  *World
-	number int
-	chance *rand.Rand
-	slow   float64
-	errors float64 // share of calls that it turns away
-	stops  bool    // answers nothing
-	busy   int
-	line   []*call
+	world        *World
+	number       int
+	rng          *rand.Rand
+	slowFactor   float64
+	errorRate    float64 // share of calls that it turns away
+	unresponsive bool    // answers nothing
+	inFlight     int
+	queue        []*call
 }
 
 // call is one in the hands of a dependency. Its server's patience ends before it does, at times; its slot is then still
 // taken.
 type call struct {
-	told  func(outcome admission.Outcome, took time.Duration)
-	began time.Duration
-	over  bool
+	onEnd     func(outcome admission.Outcome, took time.Duration)
+	startedAt time.Duration
+	ended     bool
 }
 
-// mostLine bounds the line: what is behind it is turned away, as by a full backlog.
-const mostLine = 10_000
+// maxQueue bounds the line: what is behind it is turned away, as by a full backlog.
+const maxQueue = 10_000
 
-func (d *dependency) take(patience time.Duration, told func(outcome admission.Outcome, took time.Duration)) {
+func (d *dependency) handle(timeout time.Duration, told func(outcome admission.Outcome, took time.Duration)) {
 	w := d.world
-	c := &call{told: told, began: w.now}
-	w.after(patience, func() { d.end(c, admission.Unknown) })
-	w.rules.Take(rulecheck.Event{Kind: rulecheck.CallsOpen, At: w.now, Server: d.number,
-		Value: float64(d.busy+len(d.line)) / (dependencySurvives * float64(d.Slots))})
+	c := &call{onEnd: told, startedAt: w.now}
+	w.after(timeout, func() { d.end(c, admission.Unknown) })
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.CallsOpen, At: w.now, Server: d.number,
+		Value: float64(d.inFlight+len(d.queue)) / (enduredCallsPerSlot * float64(d.Slots))})
 	switch {
-	case d.errors > 0 && d.chance.Float64() < d.errors, len(d.line) >= mostLine:
-		w.after(w.way(), func() { d.end(c, admission.NotRun) })
-	case d.stops:
-	case d.busy < d.Slots:
-		d.work(c)
+	case d.errorRate > 0 && d.rng.Float64() < d.errorRate, len(d.queue) >= maxQueue:
+		w.after(w.networkDelay(), func() { d.end(c, admission.NotRun) })
+	case d.unresponsive:
+	case d.inFlight < d.Slots:
+		d.startCall(c)
 	default:
-		d.line = append(d.line, c)
+		d.queue = append(d.queue, c)
 	}
 }
 
-// dependencySurvives is the number of calls in hand, over the slots, at which a dependency still gets on.
-const dependencySurvives = 8.0
+// enduredCallsPerSlot is the number of calls in hand, over the slots, at which a dependency still gets on.
+const enduredCallsPerSlot = 8.0
 
-func (d *dependency) work(c *call) {
+func (d *dependency) startCall(c *call) {
 	w := d.world
-	d.busy++
+	d.inFlight++
 	sigma := math.Sqrt(math.Log1p(d.Spread * d.Spread))
-	took := d.slow * float64(d.Mean) * math.Exp(d.chance.NormFloat64()*sigma-sigma*sigma/2)
+	took := d.slowFactor * float64(d.Mean) * math.Exp(d.rng.NormFloat64()*sigma-sigma*sigma/2)
 	w.after(time.Duration(took), func() {
-		d.busy--
-		if !d.stops {
+		d.inFlight--
+		if !d.unresponsive {
 			d.end(c, admission.Succeeded)
 		}
-		d.goOn()
+		d.serveQueue()
 	})
 }
 
-// goOn works on those in line for which there is a slot.
-func (d *dependency) goOn() {
-	for len(d.line) > 0 && d.busy < d.Slots {
-		next := d.line[0]
-		d.line = d.line[1:]
-		if !next.over { // else nobody waits for it
-			d.work(next)
+// serveQueue works on those in line for which there is a slot.
+func (d *dependency) serveQueue() {
+	for len(d.queue) > 0 && d.inFlight < d.Slots {
+		next := d.queue[0]
+		d.queue = d.queue[1:]
+		if !next.ended { // else nobody waits for it
+			d.startCall(next)
 		}
 	}
 }
 
 func (d *dependency) end(c *call, outcome admission.Outcome) {
-	if !c.over {
-		c.over = true
-		c.told(outcome, d.world.now-c.began)
+	if !c.ended {
+		c.ended = true
+		c.onEnd(outcome, d.world.now-c.startedAt)
 	}
 }
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -13,9 +13,9 @@
 
 func branch(servers int) Fleet {
 	return Fleet{
-		Servers: servers, Zones: 2, Machine: Machine{Cores: 4, Speed: 1, KB: 64000}, Routes: BranchTypes(), Routers: 2,
-		Habits: Habits{Pick: "round", Tries: 3, Budget: 0.2, Heeds: true}, Delay: 300 * time.Microsecond,
-		Jitter: 100 * time.Microsecond, Lag: 500 * time.Millisecond,
+		Servers: servers, Zones: 2, Machine: Machine{Cores: 4, Speed: 1, MemoryKB: 64000}, Routes: BranchRoutes(), Routers: 2,
+		RouterOptions: RouterOptions{Balancing: "round", MaxAttempts: 3, RetryBudget: 0.2, HeedsBackpressure: true}, Delay: 300 * time.Microsecond,
+		Jitter: 100 * time.Microsecond, EndpointLag: 500 * time.Millisecond,
 	}
 }
 
@@ -25,7 +25,7 @@
 
 func whole(r Result) string {
 	raw, _ := json.Marshal(r)
-	return string(raw) + fmt.Sprint(r.Took.TotalCount(), r.Took.Mean())
+	return string(raw) + fmt.Sprint(r.Latencies.TotalCount(), r.Latencies.Mean())
 }
 
 func TestSmoke(t *testing.T) {
@@ -34,12 +34,12 @@
 		f := branch(10)
 		r := New(f, 1).Run(Load{Rate: f.rate(share), Span: 20 * time.Second})
 		t.Logf("%.1f: %d requests, honoured %.3f, dismissed %d, given up %d, left %d, tries %d, rules %v, events %d in %v",
-			share, r.Requests, r.Value/r.Offered, r.Dismissed, r.GivenUp, r.Left, r.Tries, r.Rules.Broken, r.Events, time.Since(began))
-		for _, words := range r.Rules.Words {
+			share, r.Requests, r.Goodput/r.OfferedValue, r.Rejected, r.Aborted, r.Unanswered, r.Attempts, r.Rules.Violations, r.Events, time.Since(began))
+		for _, words := range r.Rules.Messages {
 			t.Log(words)
 		}
 		assert.Zero(t, r.Rules.Total())
-		assert.Equal(t, r.Requests, r.Honoured+r.Dismissed+r.GivenUp+r.Left)
+		assert.Equal(t, r.Requests, r.Served+r.Rejected+r.Aborted+r.Unanswered)
 	}
 }
 
@@ -49,8 +49,8 @@
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(procs))
 		f := branch(6)
 		w := New(f, seed)
-		w.At(3*time.Second, func() { w.Kill(w.Drawn(0.3)) })
-		w.At(5*time.Second, func() { w.Freeze(w.Drawn(0.3), time.Second) })
+		w.At(3*time.Second, func() { w.Kill(w.RandomServers(0.3)) })
+		w.At(5*time.Second, func() { w.Freeze(w.RandomServers(0.3), time.Second) })
 		return whole(w.Run(Load{Rate: f.rate(1.1), Span: 8 * time.Second}))
 	}
 	first := run(1, 7)
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -20,7 +20,7 @@
 type event struct {
 	at  time.Duration
 	seq uint64
-	do  func()
+	run func()
 }
 
 // engine plays events in their order: a binary heap without interfaces, as it is the hot path of everything here.
@@ -74,7 +74,7 @@
 	}
 	e.now = first.at
 	e.played++
-	first.do()
+	first.run()
 	return true
 }
 
--- a/emulator/incidents.go
+++ b/emulator/incidents.go
@@ -11,8 +11,8 @@
 // At has something happen at a moment of the run.
 func (w *World) At(when time.Duration, do func()) { w.at(when, do) }
 
-// Drawn draws a share of the servers that are alive, at least one where the share is over nothing.
-func (w *World) Drawn(share float64) (numbers []int) {
+// RandomServers draws a share of the servers that are alive, at least one where the share is over nothing.
+func (w *World) RandomServers(share float64) (numbers []int) {
 	var alive []int
 	for _, s := range w.servers {
 		if s.alive {
@@ -23,14 +23,14 @@
 	if share > 0 {
 		n = max(n, 1)
 	}
-	for _, i := range w.chance.Perm(len(alive))[:min(n, len(alive))] {
+	for _, i := range w.incidentRand.Perm(len(alive))[:min(n, len(alive))] {
 		numbers = append(numbers, alive[i])
 	}
 	return numbers
 }
 
-// Zone gives the servers of a zone, from 0.
-func (w *World) Zone(zone int) (numbers []int) {
+// ZoneServers gives the servers of a zone, from 0.
+func (w *World) ZoneServers(zone int) (numbers []int) {
 	for _, s := range w.servers {
 		if s.zone == zone {
 			numbers = append(numbers, s.number)
@@ -43,7 +43,7 @@
 func (w *World) Kill(numbers []int) {
 	for _, n := range numbers {
 		w.servers[n].kill()
-		w.heard(n, false)
+		w.updateEndpoints(n, false)
 	}
 }
 
@@ -52,7 +52,7 @@
 	for _, n := range numbers {
 		if !w.servers[n].alive {
 			w.servers[n].boot()
-			w.heard(n, true)
+			w.updateEndpoints(n, true)
 		}
 	}
 }
@@ -63,8 +63,8 @@
 		if !w.servers[n].alive {
 			continue
 		}
-		w.heard(n, false)
-		w.servers[n].leave(within, func() { w.after(bootTime, func() { w.Boot([]int{n}) }) })
+		w.updateEndpoints(n, false)
+		w.servers[n].shutdown(within, func() { w.after(bootTime, func() { w.Boot([]int{n}) }) })
 	}
 }
 
@@ -85,27 +85,27 @@
 	}
 }
 
-// Slow has the pools of servers work by a factor; 1 is as before.
-func (w *World) Slow(numbers []int, by float64) {
+// SetSlowFactor has the pools of servers work by a factor; 1 is as before.
+func (w *World) SetSlowFactor(numbers []int, by float64) {
 	for _, n := range numbers {
 		s := w.servers[n]
-		s.pool.change(func() { s.pool.factor = 1 / by })
+		s.pool.change(func() { s.pool.speedFactor = 1 / by })
 	}
 }
 
-// Neighbours take a share of the cores of servers.
-func (w *World) Neighbours(numbers []int, share float64) {
+// SetNeighbourShare take a share of the cores of servers.
+func (w *World) SetNeighbourShare(numbers []int, share float64) {
 	for _, n := range numbers {
 		s := w.servers[n]
-		s.pool.change(func() { s.pool.taken = share * s.pool.machine.Cores })
+		s.pool.change(func() { s.pool.neighbourCores = share * s.pool.machine.Cores })
 	}
 }
 
-// Cut cuts the ways to servers for a span.
-func (w *World) Cut(numbers []int, span time.Duration) {
+// Disconnect cuts the ways to servers for a span.
+func (w *World) Disconnect(numbers []int, span time.Duration) {
 	for _, n := range numbers {
 		for _, r := range w.routers {
-			r.known[n].cut = w.now + span
+			r.views[n].disconnectedUntil = w.now + span
 		}
 	}
 }
@@ -113,47 +113,47 @@
 // StepClock has the wall clocks of servers jump.
 func (w *World) StepClock(numbers []int, by time.Duration) {
 	for _, n := range numbers {
-		w.servers[n].clockOff += by
+		w.servers[n].clockOffset += by
 	}
 }
 
-// LoadBy has the load be more or less; 1 is as before.
-func (w *World) LoadBy(factor float64) { w.loadBy = factor }
+// SetLoadFactor has the load be more or less; 1 is as before.
+func (w *World) SetLoadFactor(factor float64) { w.loadFactor = factor }
 
-// Lag changes how late routers hear of servers; Delay by how much longer the ways are, and Loss what part is lost.
-func (w *World) Lag(lag time.Duration) { w.lag = lag }
+// SetEndpointLag changes how late routers hear of servers; Delay by how much longer the ways are, and Loss what part is lost.
+func (w *World) SetEndpointLag(lag time.Duration) { w.endpointLag = lag }
 
-// Delay has ways be longer by a factor.
-func (w *World) Delay(by float64) { w.delayBy = by }
+// SetDelayFactor has ways be longer by a factor.
+func (w *World) SetDelayFactor(by float64) { w.delayFactor = by }
 
-// Loss has a part of what is sent be lost, and sent again.
-func (w *World) Loss(part float64) { w.loss = part }
+// SetLossRate has a part of what is sent be lost, and sent again.
+func (w *World) SetLossRate(part float64) { w.lossRate = part }
 
-// Habits changes those of all routers.
-func (w *World) Habits(h Habits) {
+// SetRouterOptions changes those of all routers.
+func (w *World) SetRouterOptions(h RouterOptions) {
 	for _, r := range w.routers {
-		r.habits = h
+		r.options = h
 	}
 }
 
-// HabitsNow are those of the first router.
-func (w *World) HabitsNow() Habits { return w.routers[0].habits }
+// RouterOptions are those of the first router.
+func (w *World) RouterOptions() RouterOptions { return w.routers[0].options }
 
-// Clients changes what those do who get nothing.
-func (w *World) Clients(c Clients) { w.clients = c }
+// SetClients changes what those do who get nothing.
+func (w *World) SetClients(c Clients) { w.clients = c }
 
-// ClientsNow tells it.
-func (w *World) ClientsNow() Clients { return w.clients }
+// CurrentClients tells it.
+func (w *World) CurrentClients() Clients { return w.clients }
 
-// Dependency changes one: by how much slower it is, what share it turns away, and whether it answers at all.
-func (w *World) Dependency(name string, slow, errors float64, stops bool) (known bool) {
+// SetDependency changes one: by how much slower it is, what share it turns away, and whether it answers at all.
+func (w *World) SetDependency(name string, slow, errors float64, stops bool) (known bool) {
 	d := w.dependencies[name]
 	if d == nil {
 		return false
 	}
-	d.slow, d.errors, d.stops = slow, errors, stops
+	d.slowFactor, d.errorRate, d.unresponsive = slow, errors, stops
 	if !stops {
-		d.goOn()
+		d.serveQueue()
 	}
 	return true
 }
--- a/emulator/parts_test.go
+++ b/emulator/parts_test.go
@@ -46,16 +46,16 @@
 		{"one core for two", Machine{Cores: 1, Speed: 1}, []float64{1, 2}, []float64{2, 3}},
 		{"two cores for three", Machine{Cores: 2, Speed: 1}, []float64{1, 1, 2}, []float64{1.5, 1.5, 2.5}},
 		{"twice the speed", Machine{Cores: 1, Speed: 2}, []float64{1, 2}, []float64{1, 1.5}},
-		{"past the crowd all is slower", Machine{Cores: 1, Speed: 1, Crowd: 1, Loss: 1}, []float64{1, 1}, []float64{4, 4}},
-		{"apart", Machine{Cores: 1, Speed: 1, Apart: true}, []float64{1, 1}, []float64{1, 1}},
+		{"past the crowd all is slower", Machine{Cores: 1, Speed: 1, FreeRunsPerCore: 1, SwitchCost: 1}, []float64{1, 1}, []float64{4, 4}},
+		{"apart", Machine{Cores: 1, Speed: 1, Independent: true}, []float64{1, 1}, []float64{1, 1}},
 	}
 	for _, c := range cases {
 		e := &engine{}
 		ends := map[*run]float64{}
-		p := &pool{engine: e, machine: c.machine, factor: 1, told: func(r *run) { ends[r] = e.now.Seconds() }}
+		p := &pool{engine: e, machine: c.machine, speedFactor: 1, onDone: func(r *run) { ends[r] = e.now.Seconds() }}
 		var runs []*run
 		for _, work := range c.works {
-			r := &run{left: work, place: -1}
+			r := &run{remaining: work, heapIndex: -1}
 			runs = append(runs, r)
 			p.start(r)
 		}
@@ -71,13 +71,13 @@
 func TestPoolChanges(t *testing.T) {
 	e := &engine{}
 	var ended []time.Duration
-	p := &pool{engine: e, machine: Machine{Cores: 1, Speed: 1}, factor: 1, told: func(*run) { ended = append(ended, e.now) }}
-	r := &run{left: 1, place: -1}
+	p := &pool{engine: e, machine: Machine{Cores: 1, Speed: 1}, speedFactor: 1, onDone: func(*run) { ended = append(ended, e.now) }}
+	r := &run{remaining: 1, heapIndex: -1}
 	e.at(0, func() { p.start(r) })
 	e.at(200*time.Millisecond, func() { p.stop(r) })
-	e.at(time.Second, func() { assert.InDelta(t, 0.8, r.left, 1e-9); p.start(r) })
+	e.at(time.Second, func() { assert.InDelta(t, 0.8, r.remaining, 1e-9); p.start(r) })
 	e.at(1200*time.Millisecond, func() { p.change(func() { p.frozen = true }) })
-	e.at(2*time.Second, func() { p.change(func() { p.frozen = false; p.factor = 0.5 }) })
+	e.at(2*time.Second, func() { p.change(func() { p.frozen = false; p.speedFactor = 0.5 }) })
 	for e.step(time.Minute) {
 	}
 	require.Len(t, ended, 1)
@@ -86,20 +86,20 @@
 
 // A dependency takes so many at once; what is turned away, late or never answered is told as such.
 func TestDependency(t *testing.T) {
-	w := &World{rules: rulecheck.New(0), delayBy: 1, net: source(1, "network", 0)}
-	d := &dependency{world: w, Dependency: Dependency{Slots: 1, Mean: 10 * time.Millisecond}, slow: 1, chance: source(1, "d", 0)}
+	w := &World{rules: rulecheck.New(0), delayFactor: 1, networkRand: source(1, "network", 0)}
+	d := &dependency{world: w, Dependency: Dependency{Slots: 1, Mean: 10 * time.Millisecond}, slowFactor: 1, rng: source(1, "d", 0)}
 	told := map[string]admission.Outcome{}
 	at := map[string]time.Duration{}
-	ask := func(name string, patience time.Duration) {
-		d.take(patience, func(o admission.Outcome, _ time.Duration) { told[name], at[name] = o, w.now })
+	ask := func(name string, timeout time.Duration) {
+		d.handle(timeout, func(o admission.Outcome, _ time.Duration) { told[name], at[name] = o, w.now })
 	}
 	w.at(0, func() {
 		ask("first", time.Second)
 		ask("second", time.Second)
 		ask("no patience", 15*time.Millisecond)
 	})
-	w.at(time.Second, func() { d.errors = 1; ask("refused", time.Second) })
-	w.at(2*time.Second, func() { d.errors, d.stops = 0, true; ask("silent", 50*time.Millisecond) })
+	w.at(time.Second, func() { d.errorRate = 1; ask("refused", time.Second) })
+	w.at(2*time.Second, func() { d.errorRate, d.unresponsive = 0, true; ask("silent", 50*time.Millisecond) })
 	for w.step(time.Minute) {
 	}
 	assert.Equal(t, map[string]admission.Outcome{
@@ -113,20 +113,20 @@
 // killed takes its tasks with it, and no effect comes twice for it.
 func TestLeaveAndKill(t *testing.T) {
 	f := branch(3)
-	f.Habits = Habits{Pick: "round", Tries: 0, Repeat: true}
-	f.Clients = Clients{Repeats: -1, Pause: 20 * time.Millisecond}
+	f.RouterOptions = RouterOptions{Balancing: "round", MaxAttempts: 0, RetriesAborted: true}
+	f.Clients = Clients{MaxRetries: -1, Backoff: 20 * time.Millisecond}
 	w := New(f, 5)
 	w.At(2*time.Second, func() { w.Restart([]int{0}, 2500*time.Millisecond) })
 	w.At(3*time.Second, func() { w.Kill([]int{1}) })
 	w.At(5*time.Second, func() { w.Boot([]int{1}) })
 	w.At(5*time.Second, func() {
 		assert.True(t, w.servers[0].alive, "back by now")
-		assert.Equal(t, uint64(2), w.servers[0].life)
+		assert.Equal(t, uint64(2), w.servers[0].incarnation)
 	})
-	w.At(6*time.Second, func() { w.Cut([]int{2}, time.Second); w.Loss(0.05) })
+	w.At(6*time.Second, func() { w.Disconnect([]int{2}, time.Second); w.SetLossRate(0.05) })
 	r := w.Run(Load{Rate: f.rate(1.2), Span: 8 * time.Second})
-	assert.Zero(t, r.Rules.Total(), r.Rules.Words)
-	assert.Zero(t, r.Twice)
-	assert.Greater(t, r.Tries, r.Requests)
-	assert.Equal(t, r.Requests, r.Honoured+r.Dismissed+r.GivenUp+r.Left)
+	assert.Zero(t, r.Rules.Total(), r.Rules.Messages)
+	assert.Zero(t, r.DuplicateAnswers)
+	assert.Greater(t, r.Attempts, r.Requests)
+	assert.Equal(t, r.Requests, r.Served+r.Rejected+r.Aborted+r.Unanswered)
 }
--- a/internal/testkit/conformance/conformance.go
+++ b/internal/testkit/conformance/conformance.go
@@ -61,7 +61,7 @@
 func Types(numbers bool) []harness.Route {
 	types := []harness.Route{
 		{Name: "slot-check", Value: 1, LatencyTarget: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond},
-		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, Once: true},
+		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, AtMostOnce: true},
 	}
 	if numbers {
 		types = append(types, harness.Route{Name: "deposit", Value: 4, LatencyTarget: 2 * time.Second, Deadline: 3 * time.Second})
--- a/internal/testkit/conformance/fronts.go
+++ b/internal/testkit/conformance/fronts.go
@@ -61,7 +61,7 @@
 	t.Gauges = func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Crowd: float64(running)} }
 	for _, kind := range Types(numbers) {
 		of := quartzpoint.Type{Name: kind.Name, Importance: kind.Value, Contract: kind.LatencyTarget, Outer: kind.Deadline}
-		if kind.Once {
+		if kind.AtMostOnce {
 			of.Repeats = quartzpoint.AtMostOnce
 		}
 		if kind.Name == "deposit" {
@@ -220,7 +220,7 @@
 // NewDaemon starts the daemon's program. It carries no numbers.
 func NewDaemon(program, folder, name string) (Front, error) {
 	// So many cores that no run waits for another; the decisions are told of the suite's.
-	d, err := harness.StartWithoutFile(program, folder, name, Types(false), harness.Machine{Cores: Cores, Speed: 1, KB: 1 << 20, Apart: true})
+	d, err := harness.StartWithoutFile(program, folder, name, Types(false), harness.Machine{Cores: Cores, Speed: 1, MemoryKB: 1 << 20, Independent: true})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testkit/experiment/experiment.go
+++ b/internal/testkit/experiment/experiment.go
@@ -122,7 +122,7 @@
 }
 
 // Share is the part of the offered importance that was honoured.
-func (r Run) Share() float64 { return r.Result.Value / max(r.Result.Offered, 1e-9) }
+func (r Run) Share() float64 { return r.Result.Goodput / max(r.Result.OfferedValue, 1e-9) }
 
 func (e *Experiment) key(i int, policy string, seed int64) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d\x00%s\x00%s\x00%d", model, e.texts[i], policy, seed)))
@@ -215,9 +215,9 @@
 }
 
 // One plays a drill once.
-func One(d *scenario.Drill, policy string, made emulator.Maker, seed int64) Run {
+func One(d *scenario.Drill, policy string, made emulator.PolicyMaker, seed int64) Run {
 	r := d.Emulate(made, seed)
-	ms := func(q float64) float64 { return float64(r.Took.ValueAtQuantile(q)) / 1e3 }
+	ms := func(q float64) float64 { return float64(r.Latencies.ValueAtQuantile(q)) / 1e3 }
 	return Run{Drill: d.Name, Policy: policy, Seed: seed, P50: ms(50), P99: ms(99), P999: ms(99.9), Result: r}
 }
 
--- a/internal/testkit/experiment/lab_test.go
+++ b/internal/testkit/experiment/lab_test.go
@@ -76,7 +76,7 @@
 	require.NoError(t, err)
 	assert.GreaterOrEqual(t, kept, before)
 	for i := range whole {
-		assert.Equal(t, whole[i].Result.Value, again[i].Result.Value)
+		assert.Equal(t, whole[i].Result.Goodput, again[i].Result.Goodput)
 		assert.Equal(t, whole[i].Result.Events, again[i].Result.Events)
 		assert.Equal(t, whole[i].Key, again[i].Key)
 	}
@@ -103,6 +103,6 @@
 }
 
 func share(drill, policy string, of float64) (r Run) {
-	r.Drill, r.Policy, r.Result.Offered, r.Result.Value, r.Result.Requests = drill, policy, 1, of, 10
+	r.Drill, r.Policy, r.Result.OfferedValue, r.Result.Goodput, r.Result.Requests = drill, policy, 1, of, 10
 	return r
 }
--- a/internal/testkit/experiment/table.go
+++ b/internal/testkit/experiment/table.go
@@ -62,19 +62,19 @@
 			differences = append(differences, r.Share()-reference[i].Share())
 			p50, p99 = append(p50, r.P50), append(p99, r.P99)
 			n += float64(r.Result.Requests)
-			c.Dismissed += float64(r.Result.Dismissed)
-			c.GivenUp += float64(r.Result.GivenUp)
-			c.Left += float64(r.Result.Left)
-			c.Tries += float64(r.Result.Tries)
-			for rule, broken := range r.Result.Rules.Broken {
+			c.Dismissed += float64(r.Result.Rejected)
+			c.GivenUp += float64(r.Result.Aborted)
+			c.Left += float64(r.Result.Unanswered)
+			c.Tries += float64(r.Result.Attempts)
+			for rule, broken := range r.Result.Rules.Violations {
 				c.Broken[rule] += broken
 			}
 			for s, of := range r.Result.Seconds {
 				if len(c.Seconds) <= s {
 					c.Seconds = append(c.Seconds, 0)
 				}
-				if of.Offered > 0 {
-					c.Seconds[s] += of.Honoured / of.Offered / float64(len(by[at]))
+				if of.OfferedValue > 0 {
+					c.Seconds[s] += of.Goodput / of.OfferedValue / float64(len(by[at]))
 				}
 			}
 		}
--- a/internal/testkit/harness/check_test.go
+++ b/internal/testkit/harness/check_test.go
@@ -32,6 +32,6 @@
 	}
 	for _, c := range cases {
 		r := &Result{attempts: c.sent}
-		assert.Equal(t, c.broken, r.Check(&Workers{runStarts: c.ran}).Broken, c.name)
+		assert.Equal(t, c.broken, r.Check(&Workers{runStarts: c.ran}).Violations, c.name)
 	}
 }
--- a/internal/testkit/harness/load.go
+++ b/internal/testkit/harness/load.go
@@ -45,8 +45,8 @@
 	for n := range load {
 		time.Sleep(time.Until(begin.Add(load[n].At)))
 		p := &pendingRequest{arrival: &load[n], sentAt: time.Now()}
-		route := routes[load[n].Type]
-		if route.Once {
+		route := routes[load[n].Route]
+		if route.AtMostOnce {
 			p.effect = uint64(n) + 1
 		}
 		last = p.sentAt.Add(route.Deadline)
--- a/internal/testkit/harness/platform_config.go
+++ b/internal/testkit/harness/platform_config.go
@@ -27,7 +27,7 @@
 	calls, skips := []bool{}, []float64{}
 	for _, route := range routes {
 		idempotency := "retryable"
-		if route.Once {
+		if route.AtMostOnce {
 			idempotency = "fragile"
 		}
 		services = append(services, map[string]any{
@@ -40,7 +40,7 @@
 		"extra": map[string]any{
 			"advert": "threshold", "below": "none", "calls-by-class": calls, "class-skip-worth": skips,
 			"cold": m.ColdShare > 0, "cores": m.Cores, "gauges": []string{"core_use", "on_cores", "heap_share", "links"},
-			"halt": cmp.Or(m.Halt, emulator.HaltSuspend), "idle": 15000000, "passes-deadline": true, "ram-kb": m.KB, "run-factor": 8.0,
+			"halt": cmp.Or(m.Halt, emulator.HaltSuspend), "idle": 15000000, "passes-deadline": true, "ram-kb": m.MemoryKB, "run-factor": 8.0,
 		},
 		"limits": map[string]any{"max-retry-after": 1000000, "retry-after": true},
 		"obligations": map[string]any{
--- a/internal/testkit/harness/result.go
+++ b/internal/testkit/harness/result.go
@@ -53,9 +53,9 @@
 		}
 		attemptID := uint64(i + 1)
 		event := func(kind rulecheck.Kind, at time.Time) rulecheck.Event {
-			return rulecheck.Event{Kind: kind, At: at.Sub(first), Try: attemptID, Effect: s.effect, Due: s.due.Sub(first), Dismissed: s.code == StatusRejected}
+			return rulecheck.Event{Kind: kind, At: at.Sub(first), Attempt: attemptID, Effect: s.effect, Deadline: s.due.Sub(first), Rejected: s.code == StatusRejected}
 		}
-		events = append(events, event(rulecheck.Read, s.at))
+		events = append(events, event(rulecheck.Received, s.at))
 		for _, at := range starts[s.id] {
 			events = append(events, event(rulecheck.Started, at))
 		}
@@ -63,17 +63,17 @@
 			events = append(events, event(rulecheck.Answered, at))
 		}
 		if s.connectionLost {
-			events = append(events, event(rulecheck.Gone, s.due))
+			events = append(events, event(rulecheck.Abandoned, s.due))
 		}
 	}
 	slices.SortStableFunc(events, func(a, b rulecheck.Event) int { return cmp.Compare(a.At, b.At) })
 	checker := rulecheck.New(answerSlack)
 	last := time.Duration(0)
 	for _, e := range events {
-		checker.Take(e)
-		last = max(last, e.At, e.Due)
+		checker.Add(e)
+		last = max(last, e.At, e.Deadline)
 	}
-	return checker.End(last + 2*answerSlack)
+	return checker.Finish(last + 2*answerSlack)
 }
 
 // record records the final answer of a request.
@@ -102,6 +102,6 @@
 	}
 	if latency <= route.LatencyTarget {
 		r.Goodput += share * route.Value
-		r.GoodputByRoute[p.arrival.Type] += share * route.Value
+		r.GoodputByRoute[p.arrival.Route] += share * route.Value
 	}
 }
--- a/internal/testkit/harness/router.go
+++ b/internal/testkit/harness/router.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	t := r.routes[p.arrival.Type]
+	t := r.routes[p.arrival.Route]
 	r.mu.Lock()
 	if len(l.open) >= maxOpenPerConnection {
 		r.mu.Unlock()
@@ -165,7 +165,7 @@
 		if reply.Code == StatusRejected && r.retry != nil && r.retry(p, false) {
 			return
 		}
-		r.result.record(p, r.routes[p.arrival.Type], reply, now)
+		r.result.record(p, r.routes[p.arrival.Route], reply, now)
 	}
 }
 
--- a/internal/testkit/harness/strain.go
+++ b/internal/testkit/harness/strain.go
@@ -89,7 +89,7 @@
 
 // recordMemory records the number of runs that hold memory.
 func (g *strainGauge) recordMemory(now time.Duration, runs int, m Machine) {
-	if share := emulator.RunKB * float64(runs) / m.KB; share > g.max.Memory {
+	if share := emulator.RunKB * float64(runs) / m.MemoryKB; share > g.max.Memory {
 		g.max.Memory, g.max.MemoryAt = share, now
 	}
 }
--- a/internal/testkit/harness/strain_test.go
+++ b/internal/testkit/harness/strain_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestStrainOfCrowd(t *testing.T) {
-	m := Machine{Cores: 2, Speed: 1, KB: 1e6}
+	m := Machine{Cores: 2, Speed: 1, MemoryKB: 1e6}
 	g := newStrainGauge(Endurance{RunsPerCore: 5, Window: time.Second})
 	g.advance(2*time.Second, 5, m) // half of the ten that it survives
 	assert.InDelta(t, 0.5, g.max.Runs, 1e-9)
@@ -22,14 +22,14 @@
 }
 
 func TestStrainOfAColdPool(t *testing.T) {
-	m := Machine{Cores: 2, Speed: 0.1, KB: 1e6, ColdShare: 0.25, WarmUp: 100 * time.Second}
+	m := Machine{Cores: 2, Speed: 0.1, MemoryKB: 1e6, ColdShare: 0.25, WarmUp: 100 * time.Second}
 	g := newStrainGauge(Endurance{RunsPerCore: 5, Window: time.Second})
 	assert.InDelta(t, 4, g.survivableRuns(0, m), 1e-9)
 	assert.InDelta(t, 10, g.survivableRuns(100*time.Second, m), 1e-9, "a slow machine survives as many")
 }
 
 func TestStrainOfMemory(t *testing.T) {
-	m := Machine{Cores: 2, Speed: 1, KB: 4 * emulator.RunKB}
+	m := Machine{Cores: 2, Speed: 1, MemoryKB: 4 * emulator.RunKB}
 	g := newStrainGauge(Endurance{})
 	g.recordMemory(time.Second, 5, m)
 	g.recordMemory(2*time.Second, 3, m)
--- a/internal/testkit/harness/workers_commands.go
+++ b/internal/testkit/harness/workers_commands.go
@@ -86,7 +86,7 @@
 		fmt.Fprintf(link, `{"verb":"unknown","outcome":"suspend","task":%q}`+"\n", runID)
 		return
 	}
-	if r == nil || r.paused || r.blocked || w.machine.Apart || w.hung {
+	if r == nil || r.paused || r.blocked || w.machine.Independent || w.hung {
 		return
 	}
 	w.running = slices.DeleteFunc(w.running, func(other *run) bool { return other == r })
--- a/internal/testkit/harness/workers_runs.go
+++ b/internal/testkit/harness/workers_runs.go
@@ -103,7 +103,7 @@
 	if len(w.running) == 0 || elapsed <= 0 || w.hung {
 		return
 	}
-	if !w.machine.Apart { // runs that sleep take no core
+	if !w.machine.Independent { // runs that sleep take no core
 		w.busy += elapsed * min(float64(len(w.running)), w.machine.Cores)
 	}
 	done := elapsed * w.rate(now)
@@ -173,5 +173,5 @@
 
 // heapShare returns the share of the memory that runs hold.
 func (w *Workers) heapShare() float64 {
-	return min(1, emulator.RunKB*float64(w.inMemory())/w.machine.KB)
+	return min(1, emulator.RunKB*float64(w.inMemory())/w.machine.MemoryKB)
 }
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -212,7 +212,7 @@
 	for _, m := range r.service.Watched(majority) {
 		own += fmt.Sprintf("[[configuration.machine]]\nzone = %q\naddress = %q\n", m.Zone, m.Address)
 	}
-	machine := harness.Machine{Cores: machineCores, Speed: 1, KB: 4e6}
+	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
 	d, err := harness.Launch(r.Daemon, []string{"serve"}, r.Folder, name, machine, own, func(listen, pool, members string) ([]byte, error) {
 		return Site(r.part(PlannedRoutes), r.part(PlannedTenants), listen, pool, members)
 	})
--- a/internal/testkit/scale/load.go
+++ b/internal/testkit/scale/load.go
@@ -143,7 +143,7 @@
 	for i := range int(rate * span.Seconds()) {
 		at := (float64(i) + chance.Float64()) / rate
 		load = append(load, harness.Arrival{
-			At: time.Duration(at * float64(time.Second)), Type: i % len(types), Work: directWork, Rank: 0.5,
+			At: time.Duration(at * float64(time.Second)), Route: i % len(types), Work: directWork, Rank: 0.5,
 		})
 	}
 	return load, types
@@ -151,7 +151,7 @@
 
 // runDirect sends a load straight to workers of its own and gives how long each request took.
 func runDirect(load []harness.Arrival) ([]time.Duration, error) {
-	workers, err := harness.NewWorkers(harness.Machine{Cores: machineCores, Speed: 1, KB: 4e6})
+	workers, err := harness.NewWorkers(harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -90,7 +90,7 @@
 
 // launch starts a daemon with tables of a size.
 func (s *Slopes) launch(name string, routes, tenants int) (*harness.Daemon, error) {
-	machine := harness.Machine{Cores: machineCores, Speed: 1, KB: 4e6}
+	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
 	return harness.Launch(s.Daemon, nil, s.Folder, name, machine, "", func(listen, pool, members string) ([]byte, error) {
 		return Site(max(routes, fewRoutes), tenants, listen, pool, members)
 	})
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -121,13 +121,13 @@
 		Endurance: harness.Endurance{RunsPerCore: 4 + 4*rng.Float64(), Window: between(rng, 700*time.Millisecond, 2*time.Second)},
 	}
 	p.Machine = harness.Machine{
-		Cores: float64(1 + rng.Intn(4)), Speed: 0.7 + 0.8*rng.Float64(), Crowd: 2, Loss: 0.1 * rng.Float64(),
+		Cores: float64(1 + rng.Intn(4)), Speed: 0.7 + 0.8*rng.Float64(), FreeRunsPerCore: 2, SwitchCost: 0.1 * rng.Float64(),
 		Halt: []string{emulator.HaltSuspend, emulator.HaltAbort, emulator.HaltNone}[rng.Intn(3)],
 	}
 	if rng.Intn(2) == 0 {
 		p.Machine.ColdShare, p.Machine.WarmUp = 0.2+0.3*rng.Float64(), between(rng, 2*time.Second, 10*time.Second)
 	}
-	p.Machine.KB = emulator.RunKB * p.Machine.Cores * (5 + 12*rng.Float64())
+	p.Machine.MemoryKB = emulator.RunKB * p.Machine.Cores * (5 + 12*rng.Float64())
 	for i := range 2 + rng.Intn(5) {
 		p.Routes = append(p.Routes, Route{
 			Name: fmt.Sprintf("class-%d", i), Effect: []Effect{Safe, Keyed, Unsafe}[rng.Intn(3)],
--- a/internal/testkit/soak/platform_config.go
+++ b/internal/testkit/soak/platform_config.go
@@ -31,7 +31,7 @@
 				"class-skip-worth": skips,
 				"cold":             p.Machine.ColdShare > 0, "cores": p.Machine.Cores, "halt": p.Machine.Halt, "idle": 15000000,
 				"gauges":          []string{"core_use", "on_cores", "heap_share", "links"},
-				"passes-deadline": true, "ram-kb": p.Machine.KB, "run-factor": runFactor, "key-kb": 0.1,
+				"passes-deadline": true, "ram-kb": p.Machine.MemoryKB, "run-factor": runFactor, "key-kb": 0.1,
 			},
 			"limits": map[string]any{"max-retry-after": 1000000, "retry-after": true},
 			"obligations": map[string]any{
--- a/rulecheck/rules_test.go
+++ b/rulecheck/rules_test.go
@@ -13,18 +13,18 @@
 )
 
 func TestRules(t *testing.T) {
-	read := Event{Kind: Read, At: s, Server: 1, Try: 1, Due: 2 * s}
-	effect := Event{Kind: Read, At: s, Server: 1, Try: 1, Effect: 9, Due: 2 * s}
-	started := Event{Kind: Started, At: s, Server: 1, Try: 1}
-	answered := Event{Kind: Answered, At: s + ms, Server: 1, Try: 1}
-	late := Event{Kind: Answered, At: 2*s + 2*ms, Server: 1, Try: 1}
-	dismissed := Event{Kind: Answered, At: s + ms, Server: 1, Try: 1, Dismissed: true}
-	gone := Event{Kind: Gone, At: s, Try: 1}
-	notice := Event{Kind: Notice, At: s / 2, Server: 1, Due: s - ms}
+	read := Event{Kind: Received, At: s, Server: 1, Attempt: 1, Deadline: 2 * s}
+	effect := Event{Kind: Received, At: s, Server: 1, Attempt: 1, Effect: 9, Deadline: 2 * s}
+	started := Event{Kind: Started, At: s, Server: 1, Attempt: 1}
+	answered := Event{Kind: Answered, At: s + ms, Server: 1, Attempt: 1}
+	late := Event{Kind: Answered, At: 2*s + 2*ms, Server: 1, Attempt: 1}
+	dismissed := Event{Kind: Answered, At: s + ms, Server: 1, Attempt: 1, Rejected: true}
+	gone := Event{Kind: Abandoned, At: s, Attempt: 1}
+	notice := Event{Kind: ShutdownNotified, At: s / 2, Server: 1, Deadline: s - ms}
 	stopped := Event{Kind: Stopped, At: 3 * s, Server: 1}
 	crashed := Event{Kind: Crashed, At: 3 * s, Server: 1}
-	second := Event{Kind: Read, At: s, Server: 2, Try: 2, Effect: 9, Due: 2 * s}
-	again := Event{Kind: Started, At: s, Server: 2, Try: 2}
+	second := Event{Kind: Received, At: s, Server: 2, Attempt: 2, Effect: 9, Deadline: 2 * s}
+	again := Event{Kind: Started, At: s, Server: 2, Attempt: 2}
 	cases := []struct {
 		name   string
 		events []Event
@@ -38,8 +38,8 @@
 		{"gone", []Event{read, gone}, [5]int{}},
 		{"gone, and answered late all the same", []Event{read, gone, late}, [5]int{}},
 		{"ran and dismissed", []Event{read, started, dismissed}, [5]int{2: 1}},
-		{"an effect at two servers", []Event{effect, started, second, again, answered, {Kind: Answered, At: s, Try: 2}}, [5]int{2: 1}},
-		{"an effect after a dismissal", []Event{effect, dismissed, second, again, {Kind: Answered, At: s, Try: 2}}, [5]int{}},
+		{"an effect at two servers", []Event{effect, started, second, again, answered, {Kind: Answered, At: s, Attempt: 2}}, [5]int{2: 1}},
+		{"an effect after a dismissal", []Event{effect, dismissed, second, again, {Kind: Answered, At: s, Attempt: 2}}, [5]int{}},
 		{"past the grace", []Event{notice, read, started, answered}, [5]int{3: 1}},
 		{"past the grace, dismissed", []Event{notice, read, dismissed}, [5]int{}},
 		{"stopped unanswered", []Event{read, stopped}, [5]int{3: 1}},
@@ -47,19 +47,19 @@
 		{"read twice", []Event{read, read, answered}, [5]int{1: 1}},
 		{"started and not read", []Event{started}, [5]int{1: 1}},
 		{"memory", []Event{{Kind: Memory, Value: 1.1}}, [5]int{4: 1}},
-		{"crowd", []Event{{Kind: Crowd, Value: 1.1}, {Kind: Crowd, Value: 1}}, [5]int{4: 1}},
+		{"crowd", []Event{{Kind: RunsPerCore, Value: 1.1}, {Kind: RunsPerCore, Value: 1}}, [5]int{4: 1}},
 		{"calls", []Event{{Kind: CallsOpen, Value: 2}}, [5]int{4: 1}},
 	}
 	for _, c := range cases {
 		checker := New(0)
 		for _, e := range c.events {
-			checker.Take(e)
+			checker.Add(e)
 		}
-		report := checker.End(10 * s)
-		assert.Equal(t, c.broken, report.Broken, c.name)
+		report := checker.Finish(10 * s)
+		assert.Equal(t, c.broken, report.Violations, c.name)
 	}
 	lenient := New(5 * ms)
-	lenient.Take(read)
-	lenient.Take(late)
-	assert.Zero(t, lenient.End(10*s).Total())
+	lenient.Add(read)
+	lenient.Add(late)
+	assert.Zero(t, lenient.Finish(10*s).Total())
 }
--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -203,7 +203,7 @@
 	Span    time.Duration // each, late, step, or the time to leave within
 	Within  time.Duration
 	Name    string
-	Habits  emulator.Habits
+	Habits  emulator.RouterOptions
 	Clients emulator.Clients
 }
 
@@ -278,15 +278,15 @@
 	d := &Drill{
 		Name: strings.TrimSuffix(file[strings.LastIndex(file, "/")+1:], ".drill"), Share: 0.8, Span: 20 * time.Second,
 		Fleet: emulator.Fleet{
-			Servers: 10, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1}, Routes: emulator.BranchTypes(), Routers: 2,
-			Habits: emulator.Habits{Pick: "round", Tries: 3, Budget: 0.2, Heeds: true},
-			Delay:  300 * time.Microsecond, Jitter: 100 * time.Microsecond, Lag: 500 * time.Millisecond,
+			Servers: 10, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1}, Routes: emulator.BranchRoutes(), Routers: 2,
+			RouterOptions: emulator.RouterOptions{Balancing: "round", MaxAttempts: 3, RetryBudget: 0.2, HeedsBackpressure: true},
+			Delay:         300 * time.Microsecond, Jitter: 100 * time.Microsecond, EndpointLag: 500 * time.Millisecond,
 		},
 	}
 	for _, one := range s.Statements {
 		r.statement(d, one)
 	}
-	d.Fleet.Machine.KB = 16000 * d.Fleet.Machine.Cores
+	d.Fleet.Machine.MemoryKB = 16000 * d.Fleet.Machine.Cores
 	for _, i := range d.Incidents { // by now the fleet is known
 		if i.Server >= d.Fleet.Servers || i.Zone >= d.Fleet.Zones {
 			r.faults = append(r.faults, fmt.Errorf("%s: at %v: there are %d servers in %d zones, counted from 0", file, i.At, d.Fleet.Servers, d.Fleet.Zones))
@@ -313,7 +313,7 @@
 		d.Fleet.Machine.Cores = r.number(f.Cores, 4, 1, 256)
 		d.Fleet.Machine.ColdShare = r.number(f.Cold, 0, 0.01, 1)
 		d.Fleet.Machine.WarmUp = r.span(f.WarmUp, 0, 0, mostSpan)
-		d.Fleet.Peers = f.Peers
+		d.Fleet.PeerSync = f.Peers
 		if f.Mix != nil {
 			switch *f.Mix {
 			case "branch":
@@ -329,13 +329,13 @@
 		d.Burst = r.number(s.Load.Burst, 0, 1, 100)
 		d.Every, d.Curve = r.span(s.Load.Every, 0, time.Second, mostSpan), s.Load.Curve
 	case s.Habits != nil:
-		d.Fleet.Habits = r.habits(s.Pos, s.Habits)
+		d.Fleet.RouterOptions = r.habits(s.Pos, s.Habits)
 	case s.Clients != nil:
 		d.Fleet.Clients = r.clients(s.Clients)
 	case s.Network != nil:
 		d.Fleet.Delay = r.span(&s.Network.Delay, 0, 0, time.Second)
 		d.Fleet.Jitter = r.span(s.Network.Jitter, 0, 0, time.Second)
-		d.Fleet.Lag = r.span(s.Network.Lag, d.Fleet.Lag, 0, time.Minute)
+		d.Fleet.EndpointLag = r.span(s.Network.Lag, d.Fleet.EndpointLag, 0, time.Minute)
 	case s.Depends != nil:
 		r.dependency(d, s)
 	case s.Compose != nil:
@@ -354,7 +354,7 @@
 		found := false
 		for i := range d.Fleet.Routes {
 			if t := &d.Fleet.Routes[i]; t.Name == name {
-				t.Calls, t.Skips, found = of.Name, r.number(of.Skips, 0, 0, 1), true
+				t.Dependency, t.SkipValueShare, found = of.Name, r.number(of.Skips, 0, 0, 1), true
 			}
 		}
 		if !found {
@@ -393,15 +393,15 @@
 	d.Fleet.Plans[t.Name] = plan
 }
 
-func (r *reading) habits(at lexer.Position, h *habits) emulator.Habits {
+func (r *reading) habits(at lexer.Position, h *habits) emulator.RouterOptions {
 	switch h.Pick {
 	case "round", "least", "subject", "walk", "random":
 	default:
 		r.fault(at, "habits %s: round, least, subject, walk and random are known", h.Pick)
 	}
-	return emulator.Habits{
-		Pick: h.Pick, Tries: int(r.number(h.Tries, 0, 1, 100)), Budget: r.number(h.Budget, 0, 0.001, 10),
-		Heeds: h.Heeds, Repeat: h.Repeat,
+	return emulator.RouterOptions{
+		Balancing: h.Pick, MaxAttempts: int(r.number(h.Tries, 0, 1, 100)), RetryBudget: r.number(h.Budget, 0, 0.001, 10),
+		HeedsBackpressure: h.Heeds, RetriesAborted: h.Repeat,
 	}
 }
 
@@ -410,7 +410,7 @@
 	if c.Endless {
 		repeats = -1
 	}
-	return emulator.Clients{Repeats: repeats, Pause: r.span(c.Pause, 100*time.Millisecond, time.Millisecond, time.Minute)}
+	return emulator.Clients{MaxRetries: repeats, Backoff: r.span(c.Pause, 100*time.Millisecond, time.Millisecond, time.Minute)}
 }
 
 // whom fills in which servers are meant.
--- a/scenario/drill_test.go
+++ b/scenario/drill_test.go
@@ -29,12 +29,12 @@
 			require.NoError(t, err)
 			assert.NotEmpty(t, d.Title)
 			began := time.Now()
-			r := d.Emulate(emulator.Own, 1)
+			r := d.Emulate(emulator.QuartzpointPolicy, 1)
 			t.Logf("%.3f of %d requests, dismissed %d, given up %d, left %d, tries %d, rules %v, %d events in %v",
-				r.Value/r.Offered, r.Requests, r.Dismissed, r.GivenUp, r.Left, r.Tries, r.Rules.Broken, r.Events, time.Since(began))
-			assert.Zero(t, r.Rules.Total(), strings.Join(r.Rules.Words, "\n"))
-			assert.Zero(t, r.Twice)
-			assert.Equal(t, r.Requests, r.Honoured+r.Dismissed+r.GivenUp+r.Left)
+				r.Goodput/r.OfferedValue, r.Requests, r.Rejected, r.Aborted, r.Unanswered, r.Attempts, r.Rules.Violations, r.Events, time.Since(began))
+			assert.Zero(t, r.Rules.Total(), strings.Join(r.Rules.Messages, "\n"))
+			assert.Zero(t, r.DuplicateAnswers)
+			assert.Equal(t, r.Requests, r.Served+r.Rejected+r.Aborted+r.Unanswered)
 		})
 	}
 }
@@ -79,7 +79,7 @@
 		r := d.Emulate(make, 1)
 		offered, honoured := 0.0, 0.0
 		for _, s := range r.Seconds[38:48] {
-			offered, honoured = offered+s.Offered, honoured+s.Honoured
+			offered, honoured = offered+s.OfferedValue, honoured+s.Goodput
 		}
 		return honoured / offered
 	}
--- a/scenario/play.go
+++ b/scenario/play.go
@@ -48,12 +48,12 @@
 }
 
 // EmulateLoad plays the drill with arrivals that were drawn.
-func (d *Drill) EmulateLoad(policy emulator.Maker, seed int64, load []emulator.Arrival) emulator.Result {
+func (d *Drill) EmulateLoad(policy emulator.PolicyMaker, seed int64, load []emulator.Arrival) emulator.Result {
 	w := d.world(policy, seed)
-	return w.Run(emulator.Load{All: load, Span: d.Span})
+	return w.Run(emulator.Load{Arrivals: load, Span: d.Span})
 }
 
-func (d *Drill) world(policy emulator.Maker, seed int64) *emulator.World {
+func (d *Drill) world(policy emulator.PolicyMaker, seed int64) *emulator.World {
 	fleet := d.Fleet
 	fleet.Policy = policy
 	w := emulator.New(fleet, seed)
@@ -64,8 +64,8 @@
 }
 
 // Emulate plays the drill on an emulated fleet.
-func (d *Drill) Emulate(policy emulator.Maker, seed int64) emulator.Result {
-	return d.world(policy, seed).Run(emulator.Load{Rate: d.Rate(), Span: d.Span, Over: d.Over})
+func (d *Drill) Emulate(policy emulator.PolicyMaker, seed int64) emulator.Result {
+	return d.world(policy, seed).Run(emulator.Load{Rate: d.Rate(), Span: d.Span, Factor: d.Over})
 }
 
 // servers are those that an incident means, drawn as it happens.
@@ -74,9 +74,9 @@
 	case i.Server >= 0:
 		return []int{i.Server}
 	case i.Zone >= 0:
-		return w.Zone(i.Zone)
+		return w.ZoneServers(i.Zone)
 	}
-	return w.Drawn(i.Share)
+	return w.RandomServers(i.Share)
 }
 
 // happen has an incident begin, and sets its end.
@@ -99,46 +99,46 @@
 		w.Freeze(servers(w, i), i.For)
 	case "slow":
 		numbers := servers(w, i)
-		w.Slow(numbers, i.By)
-		end(func() { w.Slow(numbers, 1) })
+		w.SetSlowFactor(numbers, i.By)
+		end(func() { w.SetSlowFactor(numbers, 1) })
 	case "neighbours":
 		numbers := servers(w, i)
-		w.Neighbours(numbers, i.By)
-		end(func() { w.Neighbours(numbers, 0) })
+		w.SetNeighbourShare(numbers, i.By)
+		end(func() { w.SetNeighbourShare(numbers, 0) })
 	case "flap":
-		w.Cut(servers(w, i), i.For)
+		w.Disconnect(servers(w, i), i.For)
 	case "clock":
 		numbers := servers(w, i)
 		w.StepClock(numbers, i.Span)
 		end(func() { w.StepClock(numbers, -i.Span) })
 	case "load":
-		w.LoadBy(i.By)
-		end(func() { w.LoadBy(1) })
+		w.SetLoadFactor(i.By)
+		end(func() { w.SetLoadFactor(1) })
 	case "lists":
-		w.Lag(i.Span)
-		end(func() { w.Lag(d.Fleet.Lag) })
+		w.SetEndpointLag(i.Span)
+		end(func() { w.SetEndpointLag(d.Fleet.EndpointLag) })
 	case "network":
-		w.Delay(i.By)
-		end(func() { w.Delay(1) })
+		w.SetDelayFactor(i.By)
+		end(func() { w.SetDelayFactor(1) })
 	case "loss":
-		w.Loss(i.By)
-		end(func() { w.Loss(0) })
+		w.SetLossRate(i.By)
+		end(func() { w.SetLossRate(0) })
 	case "habits":
-		before := w.HabitsNow()
-		w.Habits(i.Habits)
-		end(func() { w.Habits(before) })
+		before := w.RouterOptions()
+		w.SetRouterOptions(i.Habits)
+		end(func() { w.SetRouterOptions(before) })
 	case "clients":
-		before := w.ClientsNow()
-		w.Clients(i.Clients)
-		end(func() { w.Clients(before) })
+		before := w.CurrentClients()
+		w.SetClients(i.Clients)
+		end(func() { w.SetClients(before) })
 	case "stop":
-		w.Dependency(i.Name, 1, 0, true)
-		end(func() { w.Dependency(i.Name, 1, 0, false) })
+		w.SetDependency(i.Name, 1, 0, true)
+		end(func() { w.SetDependency(i.Name, 1, 0, false) })
 	case "drag":
-		w.Dependency(i.Name, i.By, 0, false)
-		end(func() { w.Dependency(i.Name, 1, 0, false) })
+		w.SetDependency(i.Name, i.By, 0, false)
+		end(func() { w.SetDependency(i.Name, 1, 0, false) })
 	case "fail":
-		w.Dependency(i.Name, 1, i.By, false)
-		end(func() { w.Dependency(i.Name, 1, 0, false) })
+		w.SetDependency(i.Name, 1, i.By, false)
+		end(func() { w.SetDependency(i.Name, 1, 0, false) })
 	}
 }
