--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -7,8 +7,8 @@
 	"quartzpoint/budget"
 )
 
-// composer is a server's part that makes tasks of calls to several dependencies, by package budget, as internal/fanout
-// does. Such tasks take no core.
+// composer answers the requests of composed routes from calls to several dependencies, decided by package budget as in
+// internal/fanout. Such requests use no core.
 type composer struct {
 	server       *server
 	incarnation  uint64
@@ -25,7 +25,7 @@
 	valueShare float64
 }
 
-// dependencyCall is one in a dependency's hands.
+// dependencyCall is one attempt of a call, in flight at a dependency.
 type dependencyCall struct {
 	execution     *budget.Execution
 	call, attempt int
@@ -33,7 +33,7 @@
 	cancelled     bool
 }
 
-// inFlightQuota is how many calls of one server a dependency survives, of so many servers.
+// inFlightQuota returns the calls that one of so many servers may have in flight at a dependency.
 func inFlightQuota(slots, servers int) int { return max(2, 2*slots/max(servers, 1)) }
 
 func newComposer(s *server) *composer {
@@ -50,14 +50,14 @@
 	return c
 }
 
-// begin begins the calls of a task.
+// begin starts the calls of a request.
 func (c *composer) begin(t *attempt, until time.Duration) {
 	t.calls = &[budget.MaxCalls][2]*dependencyCall{}
 	t.execution = c.scheduler.Start(c.server.world.fleet.Plans[c.server.world.fleet.Routes[t.origin.route].Name], c.server.world.now, until, t)
 	c.settle()
 }
 
-// abandon ends the calls of a task that nobody waits for.
+// abandon cancels the calls of a request that nobody waits for.
 func (c *composer) abandon(t *attempt) {
 	if t.execution != nil {
 		c.scheduler.Cancel(t.execution, c.server.world.now)
@@ -67,8 +67,8 @@
 	c.settle()
 }
 
-// settle sets the timer of what is due next, and has ends told in an event of their own: what is decided in the middle of a
-// round of the server belongs to the next.
+// settle sets the timer of what is due next. Requests that have ended are reported in an event of their own, as the server may
+// be in the middle of a round.
 func (c *composer) settle() {
 	w := c.server.world
 	c.timer++
@@ -134,7 +134,7 @@
 	c.ended = append(c.ended, composedEnd{t, v, execution.Value()})
 }
 
-// compositionEnded takes the end of a task made of calls.
+// compositionEnded handles the end of a request made of calls.
 func (s *server) compositionEnded(e composedEnd) {
 	t := e.attempt
 	if !t.active {
--- a/emulator/dependency.go
+++ b/emulator/dependency.go
@@ -9,28 +9,27 @@
 	"quartzpoint/rulecheck"
 )
 
-// dependency is a system that runs call: so many calls at once, the others wait in line.
+// dependency is a system that runs call. It works on Slots calls at once; the others wait in a queue.
 type dependency struct {
 	Dependency
 	world        *World
 	number       int
 	rng          *rand.Rand
 	slowFactor   float64
-	errorRate    float64 // share of calls that it turns away
-	unresponsive bool    // answers nothing
+	errorRate    float64 // share of calls that it rejects
+	unresponsive bool    // never answers
 	inFlight     int
 	queue        []*call
 }
 
-// call is one in the hands of a dependency. Its server's patience ends before it does, at times; its slot is then still
-// taken.
+// call is one call in flight at a dependency. It holds its slot also after its server's timeout.
 type call struct {
 	onEnd     func(outcome admission.Outcome, took time.Duration)
 	startedAt time.Duration
 	ended     bool
 }
 
-// maxQueue bounds the line: what is behind it is turned away, as by a full backlog.
+// maxQueue is the queue length of a dependency beyond which calls are rejected, as by a full backlog.
 const maxQueue = 10_000
 
 func (d *dependency) handle(timeout time.Duration, told func(outcome admission.Outcome, took time.Duration)) {
@@ -50,7 +49,7 @@
 	}
 }
 
-// enduredCallsPerSlot is the number of calls in hand, over the slots, at which a dependency still gets on.
+// enduredCallsPerSlot is the number of calls in flight for each slot that a dependency survives.
 const enduredCallsPerSlot = 8.0
 
 func (d *dependency) startCall(c *call) {
@@ -67,12 +66,12 @@
 	})
 }
 
-// serveQueue works on those in line for which there is a slot.
+// serveQueue starts queued calls while there are free slots.
 func (d *dependency) serveQueue() {
 	for len(d.queue) > 0 && d.inFlight < d.Slots {
 		next := d.queue[0]
 		d.queue = d.queue[1:]
-		if !next.ended { // else nobody waits for it
+		if !next.ended { // after its timeout nobody waits for it
 			d.startCall(next)
 		}
 	}
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -1,7 +1,7 @@
-// Package emulator plays the systems that this project serves in simulated time: servers that run the project's own
-// decisions, or a baseline's, on emulated worker pools; routers with habits; clients that give up and ask again;
-// dependencies, membership and a network. The same seed gives the same run to the last bit, on any machine and with any
-// number of processors: one event is played after the other, and every part draws from a source of its own.
+// Package emulator simulates a fleet in simulated time: servers that run the project's admission decisions, or a baseline's,
+// on emulated worker pools; routers; clients that time out and retry; dependencies, membership and a network. The same seed
+// gives the same run to the last bit on any machine: events run one after the other, and every part draws from a random
+// source of its own.
 //
 // It does no I/O and reads no clock.
 package emulator
@@ -16,14 +16,14 @@
 
 const grace = 400 * time.Millisecond
 
-// event is something that is due. Of two at one moment the one that was set first is played first.
+// event is a function that runs at a moment. Events at the same moment run in the order in which they were set.
 type event struct {
 	at  time.Duration
 	seq uint64
 	run func()
 }
 
-// engine plays events in their order: a binary heap without interfaces, as it is the hot path of everything here.
+// engine runs events in their order. Its binary heap uses no interfaces, as it is the hot path of the emulator.
 type engine struct {
 	now    time.Duration
 	seq    uint64
@@ -33,7 +33,7 @@
 
 func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-// at has something done at a moment; one that has passed is now.
+// at sets an event at a moment, or now where that has passed.
 func (e *engine) at(when time.Duration, do func()) {
 	e.seq++
 	e.heap = append(e.heap, event{max(when, e.now), e.seq, do})
@@ -49,7 +49,7 @@
 
 func (e *engine) after(d time.Duration, do func()) { e.at(e.now+d, do) }
 
-// step plays the next event, false where there is none before end.
+// step runs the next event, and reports whether there was one up to end.
 func (e *engine) step(end time.Duration) bool {
 	if len(e.heap) == 0 || e.heap[0].at > end {
 		return false
@@ -78,7 +78,8 @@
 	return true
 }
 
-// source is a part's own source of chance, so that what one part draws does not move what another does.
+// source returns the random source of one part. Parts have sources of their own, so that the draws of one do not change those
+// of another.
 func source(seed int64, part string, number int) *rand.Rand {
 	return rand.New(rand.NewSource(int64(xxhash.Sum64String(fmt.Sprintf("%d/%s/%d", seed, part, number)))))
 }
--- a/emulator/incidents.go
+++ b/emulator/incidents.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// Incidents are called between events, by At. Those that take a share of the servers draw which; all that begin also end,
-// by a call of their own.
+// The methods in this file change a running world. They are called from events, by At. A change lasts until the next call.
 
-// At has something happen at a moment of the run.
+// At calls do at a moment of the run.
 func (w *World) At(when time.Duration, do func()) { w.at(when, do) }
 
-// RandomServers draws a share of the servers that are alive, at least one where the share is over nothing.
+// RandomServers draws a share of the running servers, at least one where the share is over 0.
 func (w *World) RandomServers(share float64) (numbers []int) {
 	var alive []int
 	for _, s := range w.servers {
@@ -29,7 +28,7 @@
 	return numbers
 }
 
-// ZoneServers gives the servers of a zone, from 0.
+// ZoneServers returns the servers of a zone, counted from 0.
 func (w *World) ZoneServers(zone int) (numbers []int) {
 	for _, s := range w.servers {
 		if s.zone == zone {
@@ -39,7 +38,7 @@
 	return numbers
 }
 
-// Kill ends servers at once.
+// Kill ends servers as by SIGKILL.
 func (w *World) Kill(numbers []int) {
 	for _, n := range numbers {
 		w.servers[n].kill()
@@ -47,7 +46,7 @@
 	}
 }
 
-// Boot starts servers that are down, with nothing.
+// Boot starts servers that are down, without any state.
 func (w *World) Boot(numbers []int) {
 	for _, n := range numbers {
 		if !w.servers[n].alive {
@@ -57,7 +56,7 @@
 	}
 }
 
-// Restart gives servers the notice to leave, and starts them anew once they are gone.
+// Restart shuts servers down gracefully within a limit, and starts each again bootTime after its end.
 func (w *World) Restart(numbers []int, within time.Duration) {
 	for _, n := range numbers {
 		if !w.servers[n].alive {
@@ -68,24 +67,24 @@
 	}
 }
 
-// bootTime is from the end of a process to the start of the next.
+// bootTime is the time between the end of a process and the start of the next.
 const bootTime = 500 * time.Millisecond
 
-// Deploy restarts all servers, one after the other.
+// Deploy restarts all servers one after the other, at an interval of each.
 func (w *World) Deploy(each time.Duration, within time.Duration) {
 	for i := range w.servers {
 		w.after(time.Duration(i)*each, func() { w.Restart([]int{i}, within) })
 	}
 }
 
-// Freeze has servers stand still.
+// Freeze stops servers and their pools for a span.
 func (w *World) Freeze(numbers []int, span time.Duration) {
 	for _, n := range numbers {
 		w.servers[n].freeze(span)
 	}
 }
 
-// SetSlowFactor has the pools of servers work by a factor; 1 is as before.
+// SetSlowFactor makes the pools of servers slower by a factor; 1 is the usual speed.
 func (w *World) SetSlowFactor(numbers []int, by float64) {
 	for _, n := range numbers {
 		s := w.servers[n]
@@ -93,7 +92,7 @@
 	}
 }
 
-// SetNeighbourShare take a share of the cores of servers.
+// SetNeighbourShare takes a share of the cores from the pools of servers; 0 is none.
 func (w *World) SetNeighbourShare(numbers []int, share float64) {
 	for _, n := range numbers {
 		s := w.servers[n]
@@ -101,7 +100,7 @@
 	}
 }
 
-// Disconnect cuts the ways to servers for a span.
+// Disconnect cuts the routers' links to servers for a span.
 func (w *World) Disconnect(numbers []int, span time.Duration) {
 	for _, n := range numbers {
 		for _, r := range w.routers {
@@ -110,42 +109,43 @@
 	}
 }
 
-// StepClock has the wall clocks of servers jump.
+// StepClock steps the wall clocks of servers.
 func (w *World) StepClock(numbers []int, by time.Duration) {
 	for _, n := range numbers {
 		w.servers[n].clockOffset += by
 	}
 }
 
-// SetLoadFactor has the load be more or less; 1 is as before.
+// SetLoadFactor multiplies the load; 1 is the usual load.
 func (w *World) SetLoadFactor(factor float64) { w.loadFactor = factor }
 
-// SetEndpointLag changes how late routers hear of servers; Delay by how much longer the ways are, and Loss what part is lost.
+// SetEndpointLag sets the delay of endpoint updates at routers.
 func (w *World) SetEndpointLag(lag time.Duration) { w.endpointLag = lag }
 
-// SetDelayFactor has ways be longer by a factor.
+// SetDelayFactor multiplies network delays; 1 is the usual delay.
 func (w *World) SetDelayFactor(by float64) { w.delayFactor = by }
 
-// SetLossRate has a part of what is sent be lost, and sent again.
+// SetLossRate sets the share of messages that is lost and sent again.
 func (w *World) SetLossRate(part float64) { w.lossRate = part }
 
-// SetRouterOptions changes those of all routers.
+// SetRouterOptions sets the options of all routers.
 func (w *World) SetRouterOptions(h RouterOptions) {
 	for _, r := range w.routers {
 		r.options = h
 	}
 }
 
-// RouterOptions are those of the first router.
+// RouterOptions returns the options of the first router.
 func (w *World) RouterOptions() RouterOptions { return w.routers[0].options }
 
-// SetClients changes what those do who get nothing.
+// SetClients sets how clients retry.
 func (w *World) SetClients(c Clients) { w.clients = c }
 
-// CurrentClients tells it.
+// CurrentClients returns how clients retry.
 func (w *World) CurrentClients() Clients { return w.clients }
 
-// SetDependency changes one: by how much slower it is, what share it turns away, and whether it answers at all.
+// SetDependency sets the slowness, the share of rejected calls and the unresponsiveness of a dependency, and reports whether
+// there is one of this name.
 func (w *World) SetDependency(name string, slow, errors float64, stops bool) (known bool) {
 	d := w.dependencies[name]
 	if d == nil {
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -8,22 +8,22 @@
 	"quartzpoint/admission"
 )
 
-// Route is a traffic type with the work of its tasks.
+// Route is a class of requests with the work that they need.
 type Route struct {
 	Name           string
 	Value          float64
 	LatencyTarget  time.Duration
 	Deadline       time.Duration
-	AtMostOnce     bool          // at-most-once
-	Share          float64       // of all tasks
+	AtMostOnce     bool          // must not run twice
+	Share          float64       // of all requests
 	Work           time.Duration // mean, on a core of speed 1
 	Spread         float64       // standard deviation of the work over its mean
-	Composed       bool          // answers are made of parts, and tell their worth
-	Dependency     string        // dependency that its runs call half way; empty for none. Emulated only
-	SkipValueShare float64       // what a task is worth that went on without its call
+	Composed       bool          // answers are made of parts and state their share of the value
+	Dependency     string        // that its runs call half way, empty for none; used by the emulator only
+	SkipValueShare float64       // share of the value of an answer without the call
 }
 
-// BookingRoutes are those of a branch: a dozen, each rare, with work that a part of their contract time tells little of.
+// BookingRoutes returns the booking mix: twelve rare routes, whose latency targets say little about their work.
 func BookingRoutes() (routes []Route) {
 	for i, name := range []string{
 		"slot-check", "confirm-booking", "guest-note", "floor-refresh", "waitlist", "deposit",
@@ -38,7 +38,7 @@
 	return routes
 }
 
-// BranchRoutes are four types of short work, as most sites have: looks, bookings, long refreshes and notes.
+// BranchRoutes returns the branch mix: four routes of short work.
 func BranchRoutes() []Route {
 	return []Route{
 		{Name: "slot-check", Value: 1, Share: 0.55, Spread: 0.6, LatencyTarget: 800 * time.Millisecond, Deadline: 2 * time.Second, Work: 15 * time.Millisecond},
@@ -48,15 +48,15 @@
 	}
 }
 
-// Arrival is one task of a load.
+// Arrival is one request of a load.
 type Arrival struct {
-	At    time.Duration // from the beginning of the load
+	At    time.Duration // since the beginning of the load
 	Route int
 	Work  time.Duration
 	Rank  float64
 }
 
-// Arrivals draws a load: Poisson, so that it comes whether or not answers do, with log-normal work.
+// Arrivals draws an open load of so many requests a second: Poisson arrivals with log-normal work.
 func Arrivals(routes []Route, rate float64, span time.Duration, seed int64) (all []Arrival) {
 	rng := rand.New(rand.NewSource(seed))
 	for at := 0.0; ; {
@@ -70,7 +70,7 @@
 	}
 }
 
-// draw draws the rank, type and work of one task.
+// draw draws the rank, route and work of one request.
 func draw(rng *rand.Rand, routes []Route) (a Arrival) {
 	a.Rank = rng.Float64()
 	for left := rng.Float64(); a.Route < len(routes)-1 && left >= routes[a.Route].Share; a.Route++ {
@@ -82,7 +82,7 @@
 	return a
 }
 
-// Rate is that of a load which asks for a share of what a machine can do, in tasks a second.
+// Rate returns the requests a second that ask for a share of what a machine can do.
 func Rate(routes []Route, m Machine, share float64) float64 {
 	mean := 0.0
 	for _, t := range routes {
@@ -94,26 +94,25 @@
 // Machine is what a worker pool runs on.
 type Machine struct {
 	Cores       float64
-	Speed       float64       // work done in a second of one core
-	ColdShare   float64       // part of the speed at the start; 0 where it starts warm
-	WarmUp      time.Duration // until it has its whole speed
+	Speed       float64       // work that one core does in a second
+	ColdShare   float64       // share of the speed at the start; 0 for a warm start
+	WarmUp      time.Duration // time until the full speed
 	MemoryKB    float64       // memory
-	Independent bool          // as handlers: runs share no cores, each takes its work's time, and none can be stopped
-	// Crowd is the number of runs a core from which on the whole gets slower, by Loss for each further run a core;
-	// without Loss it never does.
+	Independent bool          // runs share no cores, each takes the time of its work, and none can be stopped
+	// Beyond FreeRunsPerCore, each further run a core makes all runs slower by SwitchCost; 0 for no cost.
 	FreeRunsPerCore, SwitchCost float64
-	// Halt is how a run can be stopped, in the settings' word: HaltSuspend, also where it is empty, HaltAbort or HaltNone.
+	// Halt is how a run can be stopped: HaltSuspend, which is the default, HaltAbort or HaltNone.
 	Halt string
 }
 
-// The ways in which runs can be stopped.
+// How runs can be stopped, as the settings name it.
 const (
-	HaltSuspend = "suspend" // it stands still and keeps its memory
-	HaltAbort   = "abort"   // its work is lost
-	HaltNone    = "none"    // it can't
+	HaltSuspend = "suspend" // the run is paused and keeps its memory
+	HaltAbort   = "abort"   // the run loses its work
+	HaltNone    = "none"    // runs cannot be stopped
 )
 
-// SpeedAt is the speed so long after the start.
+// SpeedAt returns the speed at a time since the start.
 func (m Machine) SpeedAt(since time.Duration) float64 {
 	if m.ColdShare == 0 || m.WarmUp == 0 {
 		return m.Speed
@@ -121,7 +120,7 @@
 	return m.Speed * min(1, m.ColdShare+(1-m.ColdShare)*float64(since)/float64(m.WarmUp))
 }
 
-// Share is the part of a core that each of so many runs gets.
+// Share returns the share of a core that each of so many runs gets.
 func (m Machine) Share(runs float64) float64 {
 	if m.Independent || runs <= 0 {
 		return 1
@@ -133,10 +132,11 @@
 	return share
 }
 
-// RunKB is what a run on the cores takes of the memory.
+// RunKB is the memory of a run on the cores.
 const RunKB = 160.0
 
-// Settings are those that a server of a fleet decides under.
+// Settings returns the admission settings of a server with these routes on this machine. calls is its quota of calls in
+// flight.
 func Settings(routes []Route, m Machine, calls float64) admission.Settings {
 	settings := admission.DefaultSettings()
 	settings.Cores = m.Cores
--- a/emulator/pool.go
+++ b/emulator/pool.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// pool is an emulated worker pool: its runs share its cores evenly. It counts work by one clock that goes on by what each
-// run gets, so that a change of the number of runs moves one figure and not every run.
+// pool is an emulated worker pool whose runs share its cores evenly. Its clock advances by the work that each run gets, so
+// that a change of the number of runs does not touch every run.
 type pool struct {
 	engine         *engine
 	machine        Machine
-	speedFactor    float64       // of its speed: a zone that is slow
-	neighbourCores float64       // cores that neighbours have
-	startedAt      time.Duration // of its warm-up
+	speedFactor    float64       // of the machine's speed
+	neighbourCores float64       // cores taken by neighbours
+	startedAt      time.Duration // beginning of the warm-up
 	frozen         bool
-	onDone         func(r *run) // an end
+	onDone         func(r *run) // a run is done
 
 	runs    runHeap
-	clock   float64 // seconds of work that a run has got since the beginning
+	clock   float64 // seconds of work that one run would have had since the start
 	last    time.Duration
 	busy    float64 // core seconds
-	timer   uint64  // of the event that is set; older ones do nothing
+	timer   uint64  // generation of the event that is set; events of earlier ones do nothing
 	samples []usageSample
 	seq     uint64
 }
@@ -30,13 +30,13 @@
 	busy float64
 }
 
-// run is work on a pool.
+// run is work on a pool, either on the cores or paused.
 type run struct {
 	attempt   *attempt
-	remaining float64 // seconds of work, while it stands
-	endsAt    float64 // of the pool's clock, while it goes
+	remaining float64 // seconds of work, while it is paused
+	endsAt    float64 // on the pool's clock, while it is on the cores
 	startedAt time.Duration
-	heapIndex int // in the heap, -1 while it stands
+	heapIndex int // -1 while it is paused
 	seq       uint64
 }
 
@@ -57,7 +57,7 @@
 	return r
 }
 
-// rate is the work that each run gets in a second.
+// rate returns the work that each run gets in a second.
 func (p *pool) rate() float64 {
 	if p.frozen {
 		return 0
@@ -67,11 +67,11 @@
 	return m.SpeedAt(p.engine.now-p.startedAt) * p.speedFactor * m.Share(float64(len(p.runs)))
 }
 
-// cores are those that are left by neighbours.
+// cores returns the cores that neighbours leave.
 func (p *pool) cores() float64 { return max(p.machine.Cores-p.neighbourCores, 0.05) }
 
-// pass lets the time since the last look pass. It is called before anything of the pool changes. The speed of a pool
-// that warms up is taken as it is at the end of a span; spans are short while runs come and go.
+// pass advances the pool to now. It is called before anything of the pool changes. While a pool warms up, the speed at the end
+// of a span is used for all of the span.
 func (p *pool) pass() {
 	passed := (p.engine.now - p.last).Seconds()
 	p.last = p.engine.now
@@ -93,7 +93,7 @@
 	p.set()
 }
 
-// stop takes a run off the cores and notes what is left of it.
+// stop takes a run off the cores and records its remaining work.
 func (p *pool) stop(r *run) {
 	if r.heapIndex < 0 {
 		return
@@ -105,10 +105,10 @@
 	p.set()
 }
 
-// longest is until when an event of a pool is set at the most, so that one that warms up is looked at again.
+// longest is the longest time to the next event of a pool, so that one that warms up is advanced in time.
 const longest = 250 * time.Millisecond
 
-// set sets the event of the next end.
+// set sets the event of the next run that is done.
 func (p *pool) set() {
 	p.timer++
 	if len(p.runs) == 0 || p.frozen {
@@ -137,14 +137,14 @@
 	})
 }
 
-// change has something about the pool become different.
+// change changes the pool.
 func (p *pool) change(what func()) {
 	p.pass()
 	what()
 	p.set()
 }
 
-// use is the busy share of the cores over the half second before.
+// use returns the busy share of the cores over the last half second.
 func (p *pool) use() float64 {
 	p.pass()
 	p.samples = append(p.samples, usageSample{p.engine.now, p.busy})
--- a/emulator/router.go
+++ b/emulator/router.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// serverView is what a router knows of a server: what it was told with answers, and nothing else.
+// serverView is what a router knows of a server, from answers only.
 type serverView struct {
 	open              int
 	shedLevel         float64
-	shedLevelAt       time.Duration // when that was told
-	ejectedUntil      time.Duration // until when it is left alone
-	disconnectedUntil time.Duration // until when the way to it is cut
+	shedLevelAt       time.Duration // when it was received
+	ejectedUntil      time.Duration // until when no request is sent to it
+	disconnectedUntil time.Duration // until when the link to it is cut
 }
 
-// shedLevelTTL is how long a level that was told is gone by.
+// shedLevelTTL is the time for which a shed level is used.
 const shedLevelTTL = time.Second
 
-// router sends tasks on, by its habits.
+// router forwards requests to servers, by its options.
 type router struct {
 	world         *World
 	number        int
 	rng           *rand.Rand
 	options       RouterOptions
-	endpoints     []int // of servers, as it was last told
+	endpoints     []int // servers, as of the last update
 	views         []serverView
 	next          int
-	firstAttempts float64 // earn further tries, by the budget
+	firstAttempts float64 // first attempts, which earn the retry budget
 	retriesSpent  float64
 }
 
-// pick chooses a server for a request, of those that it has not tried; false where there is none.
+// pick chooses a server for a request among those not tried yet, and reports whether there is one.
 func (r *router) pick(q *clientRequest) (number int, some bool) {
 	now := r.world.now
 	fits := func(n int) bool {
@@ -42,11 +42,11 @@
 		return !r.options.HeedsBackpressure || now > k.shedLevelAt+shedLevelTTL || q.rank >= k.shedLevel
 	}
 	switch r.options.Balancing {
-	case "least":
+	case BalancingLeastOpen:
 		best := -1
-		for i := range min(len(r.endpoints), 64) { // of more, some that are drawn
+		for i := range min(len(r.endpoints), maxSample) { // of a longer list, a random sample
 			n := r.endpoints[i]
-			if len(r.endpoints) > 64 {
+			if len(r.endpoints) > maxSample {
 				n = r.endpoints[r.rng.Intn(len(r.endpoints))]
 			}
 			if fits(n) && (best < 0 || r.views[n].open < r.views[best].open) {
@@ -54,12 +54,12 @@
 			}
 		}
 		return best, best >= 0
-	case "subject", "random":
+	case BalancingHash, BalancingRandom:
 		if len(r.endpoints) == 0 {
 			return 0, false
 		}
-		at := int(q.id*0x9e3779b97f4a7c15>>33) % len(r.endpoints)
-		if r.options.Balancing == "random" {
+		at := int(q.id*hashMultiplier>>33) % len(r.endpoints)
+		if r.options.Balancing == BalancingRandom {
 			at = r.rng.Intn(len(r.endpoints))
 		}
 		for i := range r.endpoints {
@@ -67,13 +67,13 @@
 				return n, true
 			}
 		}
-	case "walk": // always the first of the list that will have it
+	case BalancingFirst: // the first of the list that fits
 		for _, n := range r.endpoints {
 			if fits(n) {
 				return n, true
 			}
 		}
-	default: // round
+	default: // BalancingRoundRobin
 		for range r.endpoints {
 			r.next++
 			if n := r.endpoints[r.next%len(r.endpoints)]; fits(n) {
@@ -84,14 +84,14 @@
 	return 0, false
 }
 
-// route sends a request to a server, or tells its client that there is none.
+// route sends a request to a server, or rejects it where there is none.
 func (r *router) route(q *clientRequest, first bool) {
 	w := r.world
 	if first {
 		r.firstAttempts++
 	}
 	n, some := r.pick(q)
-	if !some && first && len(r.endpoints) > 0 && !r.options.HeedsBackpressure { // all are known to be down, and one of them may be up again
+	if !some && first && len(r.endpoints) > 0 && !r.options.HeedsBackpressure { // all were ejected, and one may be up again
 		n, some = r.endpoints[r.rng.Intn(len(r.endpoints))], true
 	}
 	if !some {
@@ -111,7 +111,7 @@
 	t.server = s
 	waits := q.sentAt + w.fleet.Routes[q.route].Deadline - w.now
 	w.after(w.networkDelay(), func() {
-		if q.sendSeq != ask || q.done { // its client has gone on the way
+		if q.sendSeq != ask || q.done { // its client has timed out meanwhile
 			r.views[n].open--
 			return
 		}
@@ -125,7 +125,7 @@
 	})
 }
 
-// handleAnswer takes what became of a try.
+// handleAnswer handles the end of an attempt.
 func (r *router) handleAnswer(t *attempt, v verdict, level float64, retryAfter time.Duration, nowhereElse bool) {
 	w, q := r.world, t.origin
 	k := &r.views[t.server.number]
@@ -135,18 +135,18 @@
 	} else {
 		k.shedLevel, k.shedLevelAt = level, w.now
 		if r.options.HeedsBackpressure && v == rejected && retryAfter > 0 {
-			k.ejectedUntil = max(k.ejectedUntil, w.now+retryAfter/4) // others are tried meanwhile
+			k.ejectedUntil = max(k.ejectedUntil, w.now+retryAfter/4) // other servers are used meanwhile
 		}
 	}
 	if q.done || len(q.triedServers) == 0 || q.triedServers[len(q.triedServers)-1] != t.server.number {
-		return // its client has gone, or asked again
+		return // its client has timed out, or sent it again
 	}
 	if v == served {
 		w.recordServed(q, t.valueShare)
 		return
 	}
 	once := w.fleet.Routes[q.route].AtMostOnce
-	// A connection that was refused carried nothing; one that broke may have carried an effect.
+	// A refused connection carried nothing; a broken one may have carried the request.
 	may := v == rejected || v == lost && !(once && t.reached) || r.options.RetriesAborted && !once
 	left := q.sentAt + w.fleet.Routes[q.route].Deadline - w.now
 	more := r.options.MaxAttempts == 0 || len(q.triedServers) < r.options.MaxAttempts || v == lost && len(q.triedServers) < r.options.MaxAttempts+2
@@ -158,7 +158,7 @@
 			r.retriesSpent++
 		}
 	}
-	if may && r.options.MaxAttempts == 0 && left > minRetryTime { // without end: round the list, and again
+	if may && r.options.MaxAttempts == 0 && left > minRetryTime { // without a limit: round the list again and again
 		if len(q.triedServers) >= len(r.endpoints) {
 			q.triedServers = nil
 		}
@@ -173,17 +173,23 @@
 	w.recordUnserved(q, v, retryAfter)
 }
 
-// unlimitedRetryDelay is between the tries of a router that makes them without end.
+// hashMultiplier spreads consecutive request ids (Fibonacci hashing).
+const hashMultiplier = 0x9e3779b97f4a7c15
+
+// maxSample is the number of endpoints that BalancingLeastOpen compares.
+const maxSample = 64
+
+// unlimitedRetryDelay is the time between two attempts of a router without a limit of attempts.
 const unlimitedRetryDelay = 20 * time.Millisecond
 
-// retry makes a further try of an ask, if that is still on.
+// retry makes another attempt, unless the client has timed out.
 func (r *router) retry(q *clientRequest, ask uint64) {
 	if !q.done && q.sendSeq == ask {
 		r.route(q, false)
 	}
 }
 
-// updateEndpoints has the router's list become as told, after the lag.
+// updateEndpoints adds or removes a server at every router, after the endpoint lag.
 func (w *World) updateEndpoints(number int, here bool) {
 	for _, r := range w.routers {
 		w.after(w.endpointLag, func() {
--- /dev/null
+++ b/emulator/server_lifecycle.go
@@ -0,0 +1,150 @@
+package emulator
+
+import (
+	"time"
+
+	"quartzpoint/admission"
+	"quartzpoint/estimate"
+	"quartzpoint/rulecheck"
+)
+
+// boot starts a server without any state.
+func (s *server) boot() {
+	w := s.world
+	s.incarnation++
+	s.alive, s.began, s.shedLevel, s.notifiedAt, s.stopAt, s.frozenUntil, s.deferred = true, w.now, 0, 0, 0, 0, nil
+	s.attempts = map[*admission.Request]*attempt{}
+	s.round = admission.Round{}
+	factor, taken := 1.0, 0.0
+	if s.pool != nil { // the machine stays as it is
+		factor, taken = s.pool.speedFactor, s.pool.neighbourCores
+	}
+	s.pool = &pool{engine: &w.engine, machine: w.fleet.Machine, speedFactor: factor, neighbourCores: taken, startedAt: w.now, last: w.now}
+	life := s.incarnation
+	s.pool.onDone = func(r *run) { s.whenRunning(life, func() { s.workDone(r.attempt) }) }
+	s.policy, s.routes = w.fleet.Policy(w.fleet.Routes, w.fleet.Machine, w.callShare(), w.seed+int64(s.number)+1000*int64(s.incarnation))
+	s.composer, s.awaitingCall = newComposer(s), nil
+	for i, t := range w.fleet.Routes {
+		if plan := w.fleet.Plans[t.Name]; plan != nil {
+			s.routes[i].CallWait = plan.RequiredPath()
+		}
+	}
+	if controller, own := s.policy.(*admission.Controller); own && w.fleet.PeerSync {
+		s.usePeerEstimates(controller)
+	}
+	s.decide()
+}
+
+// usePeerEstimates merges the estimates of up to three running servers, as a new server with [peers] does.
+func (s *server) usePeerEstimates(controller *admission.Controller) {
+	w := s.world
+	schema := controller.EstimateSchema(uint64(s.number)<<32|s.incarnation, 0, false)
+	var snapshots []estimate.Snapshot
+	for _, i := range w.incidentRand.Perm(len(w.servers)) {
+		other := w.servers[i]
+		peer, own := other.policy.(*admission.Controller)
+		if other == s || !other.alive || !own || len(snapshots) == 3 {
+			continue
+		}
+		if snapshot, err := schema.Validate(peer.Estimates(w.now, peer.EstimateSchema(uint64(other.number)<<32|other.incarnation, 0, false))); err == nil {
+			snapshots = append(snapshots, snapshot)
+		}
+	}
+	if merged := estimate.Merge(snapshots); merged.HasFresh() {
+		controller.UsePeerEstimates(w.now, merged)
+	}
+}
+
+// kill ends a server as by SIGKILL.
+func (s *server) kill() {
+	if !s.alive {
+		return
+	}
+	s.alive = false
+	w := s.world
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.Crashed, At: w.now, Server: s.number})
+	s.dropOpen()
+}
+
+// dropOpen loses all open attempts.
+func (s *server) dropOpen() {
+	open := s.world.sortedByID(s.attempts)
+	s.attempts = map[*admission.Request]*attempt{}
+	for _, t := range open {
+		if !t.answered {
+			t.answered = true
+			s.world.sendAnswer(t, lost, 0, false)
+		}
+	}
+}
+
+// shutdown begins a graceful shutdown, which ends within a limit. then is called after its end.
+func (s *server) shutdown(within time.Duration, then func()) {
+	if !s.alive || s.stopAt > 0 {
+		return
+	}
+	w := s.world
+	s.notifiedAt, s.stopAt, s.onStopped = w.now, w.now+within, then
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.ShutdownNotified, At: w.now, Server: s.number, Deadline: w.now + grace})
+	s.round.StopAt = s.stopAt - stopMargin
+	life := s.incarnation
+	s.whenRunning(life, s.decide)
+	w.at(s.notifiedAt+grace, func() { s.stopWhenAnswered(life) })
+	w.at(s.stopAt, func() { s.stopped(life) })
+}
+
+// stopWhenAnswered ends the shutdown after the grace, as soon as all attempts are answered.
+func (s *server) stopWhenAnswered(life uint64) {
+	if !s.alive || s.incarnation != life {
+		return
+	}
+	for _, t := range s.attempts { // in any order: nothing is drawn
+		if !t.answered {
+			s.world.after(drainCheckInterval, func() { s.stopWhenAnswered(life) })
+			return
+		}
+	}
+	s.stopped(life)
+}
+
+// stopped ends a graceful shutdown.
+func (s *server) stopped(life uint64) {
+	w := s.world
+	if !s.alive || s.incarnation != life {
+		return
+	}
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.Stopped, At: w.now, Server: s.number})
+	s.alive = false
+	s.dropOpen()
+	if s.onStopped != nil {
+		s.onStopped()
+	}
+}
+
+// freeze stops a server for a span. No answer is owed for attempts with a deadline before its end: the checker gets an
+// Abandoned event for each, and clients time out.
+func (s *server) freeze(span time.Duration) {
+	if !s.alive {
+		return
+	}
+	w := s.world
+	s.frozenUntil = max(s.frozenUntil, w.now+span)
+	for _, t := range w.sortedByID(s.attempts) {
+		if !t.answered && t.Deadline < s.frozenUntil+thawMargin {
+			w.rules.Add(rulecheck.Event{Kind: rulecheck.Abandoned, At: w.now, Attempt: t.id})
+		}
+	}
+	s.pool.change(func() { s.pool.frozen = true })
+	life := s.incarnation
+	w.at(s.frozenUntil, func() {
+		if !s.alive || s.incarnation != life || w.now < s.frozenUntil {
+			return
+		}
+		s.pool.change(func() { s.pool.frozen = false })
+		late := s.deferred
+		s.deferred = nil
+		for _, do := range late {
+			do()
+		}
+	})
+}
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -15,63 +15,72 @@
 
 const (
 	queuedKB           = 20.0
-	enduredRunsPerCore = 8.0                    // runs a core; more than the six that the terms state, as on the operators' machines
+	enduredRunsPerCore = 8.0                    // more than the six that the settings state
 	linkDelay          = 100 * time.Microsecond // between a server and its pool
-	drainCheckInterval = 20 * time.Millisecond  // between looks whether a server that leaves is done
-	stopMargin         = 15 * time.Millisecond  // before the stop, by which all is answered
-	thawMargin         = 50 * time.Millisecond  // after standing still, until what waited is looked at
-	ejectionTime       = time.Second            // that a router leaves a server alone which did not take a connection
-	resendDelay        = 200 * time.Millisecond // after which what the network lost is sent again
-	minRetryTime       = 5 * time.Millisecond   // left to a caller, under which no further try is made
+	drainCheckInterval = 20 * time.Millisecond  // between checks whether a server that shuts down is done
+	stopMargin         = 15 * time.Millisecond  // before the end of a shutdown, by which all is answered
+	thawMargin         = 50 * time.Millisecond  // after a freeze, until what waited is handled
+	ejectionTime       = time.Second            // of a server that refused a connection
+	resendDelay        = 200 * time.Millisecond // of a message that the network lost; doubles with each loss
+	minRetryTime       = 5 * time.Millisecond   // until the deadline, for another attempt
 )
 
-// RouterOptions are those of a router.
+// How a router chooses among the servers that fit.
+const (
+	BalancingRoundRobin = "round"
+	BalancingLeastOpen  = "least"   // the fewest open requests
+	BalancingHash       = "subject" // by the request's id
+	BalancingFirst      = "walk"    // the first of the endpoint list
+	BalancingRandom     = "random"
+)
+
+// RouterOptions are the options of a router.
 type RouterOptions struct {
-	Balancing         string  // round, least, subject, walk, random
-	MaxAttempts       int     // at different servers, for one ask; 0 is without end
-	RetryBudget       float64 // of further tries over first ones; 0 is none to keep to
-	HeedsBackpressure bool    // the level, and the advice when to come back
-	RetriesAborted    bool    // tries again what was given up on, where the type allows it
+	Balancing         string  // one of the Balancing constants
+	MaxAttempts       int     // at different servers, each time that a client sends; 0 for no limit
+	RetryBudget       float64 // retries for each first attempt; 0 for no limit
+	HeedsBackpressure bool    // the shed level and Retry-After
+	RetriesAborted    bool    // retries aborted requests, unless they are at-most-once
 }
 
-// Clients are those who ask.
+// Clients are the options of clients.
 type Clients struct {
-	MaxRetries int           // how often one asks again that got nothing; below 0 without end
-	Backoff    time.Duration // before that
+	MaxRetries int           // of a request that was not served; below 0 for no limit
+	Backoff    time.Duration // before a retry
 }
 
-// Dependency is a system that runs call.
+// Dependency describes a system that runs call.
 type Dependency struct {
 	Name   string
-	Slots  int // calls at once; more wait
+	Slots  int // calls at once; more are queued
 	Mean   time.Duration
 	Spread float64
 }
 
-// Fleet is what a world is made of.
+// Fleet describes a world.
 type Fleet struct {
 	Servers       int
 	Zones         int
 	Machine       Machine
 	Routes        []Route
 	Policy        PolicyMaker
-	PeerSync      bool // a server that starts asks running ones what they know
+	PeerSync      bool // a server that starts uses the estimates of running ones
 	Routers       int
 	RouterOptions RouterOptions
 	Clients       Clients
 	Dependencies  []Dependency
-	Plans         map[string]*budget.Plan // of types that are made of calls to several of them; Check must have passed each
-	Delay         time.Duration           // one way
-	Jitter        time.Duration           // mean of what comes on top of it
-	EndpointLag   time.Duration           // until a router hears of a server that came or went
+	Plans         map[string]*budget.Plan // by route, of composed routes; valid by budget.Plan.Validate
+	Delay         time.Duration           // one way, in the network
+	Jitter        time.Duration           // mean of an exponential addition to Delay
+	EndpointLag   time.Duration           // delay of endpoint updates at routers
 }
 
-// Load is what comes.
+// Load describes the requests of a run.
 type Load struct {
-	Rate     float64                        // tasks a second in all
-	Span     time.Duration                  // for which it comes
-	Factor   func(at time.Duration) float64 // by how much it is more or less at a moment; nil for always as much
-	Arrivals []Arrival                      // in the place of what is drawn
+	Rate     float64                        // requests a second in all
+	Span     time.Duration                  // time for which requests arrive
+	Factor   func(at time.Duration) float64 // of Rate at a moment; nil for 1
+	Arrivals []Arrival                      // used in place of drawn ones
 }
 
 // Second is what became of the requests that were created in one second.
@@ -102,28 +111,28 @@
 	Events           uint64                  `json:"Events"`
 }
 
-// clientRequest is what one client wants.
+// clientRequest is a request of a client, over all its retries.
 type clientRequest struct {
 	id           uint64
 	route        int
 	rank         float64
 	work         float64
 	router       *router
-	sentAt       time.Duration // now, by the latest repeat
+	sentAt       time.Duration // by its client, for the last time
 	createdAt    time.Duration
 	retriesLeft  int
-	triedServers []int // servers, since it was asked last
+	triedServers []int // servers, since sentAt
 	sendSeq      uint64
 	done         bool
-	mayHaveRun   bool // may have had its effect
+	mayHaveRun   bool // it may have had its effect
 }
 
-// World is one emulated world.
+// World is one emulated fleet with its clients. It is used from one goroutine.
 type World struct {
 	engine
 	fleet        Fleet
 	seed         int64
-	incidentRand *rand.Rand // of incidents
+	incidentRand *rand.Rand // draws of RandomServers
 	servers      []*server
 	routers      []*router
 	dependencies map[string]*dependency
@@ -139,7 +148,7 @@
 	span         time.Duration
 }
 
-// New makes a world whose servers have just started.
+// New returns a world whose servers have just started.
 func New(fleet Fleet, seed int64) *World {
 	if fleet.Policy == nil {
 		fleet.Policy = QuartzpointPolicy
@@ -173,10 +182,10 @@
 	return w
 }
 
-// callShare is a server's share of the calls that the dependencies survive at once.
+// callShare returns a server's quota of calls in flight.
 func (w *World) callShare() float64 {
 	if len(w.fleet.Plans) > 0 {
-		return 1e9 // package budget keeps to what they survive
+		return 1e9 // package budget limits them
 	}
 	sum := 0
 	for _, d := range w.fleet.Dependencies {
@@ -187,7 +196,7 @@
 
 func (w *World) dependency(name string) *dependency { return w.dependencies[name] }
 
-// sortedByID gives tries in the order of their ids, as a map's must not decide.
+// sortedByID returns attempts by their ids, as the order of a map must not decide a run.
 func (w *World) sortedByID(tries map[*admission.Request]*attempt) []*attempt {
 	all := make([]*attempt, 0, len(tries))
 	for _, t := range tries {
@@ -197,7 +206,7 @@
 	return all
 }
 
-// Run plays a load, and goes on until all that came is over.
+// Run runs a load until all of its requests have ended. It is called once.
 func (w *World) Run(load Load) Result {
 	w.span = load.Span
 	w.result.Seconds = make([]Second, int(load.Span/time.Second)+1)
@@ -220,8 +229,8 @@
 	return w.result
 }
 
-// drawArrivals draws one after the other, so that a load of any length takes no memory. Its rate may change at any moment:
-// arrivals are drawn at twice the most so far wanted and thinned (Lewis and Shedler).
+// drawArrivals draws one arrival after the other, so that a load of any length takes no memory. As the rate may change,
+// arrivals are drawn at twice the present rate and thinned (Lewis and Shedler).
 func (w *World) drawArrivals(load Load, chance *rand.Rand) {
 	factor := func() float64 {
 		f := w.loadFactor
@@ -248,7 +257,7 @@
 	next()
 }
 
-// arrive begins a request.
+// arrive creates a request.
 func (w *World) arrive(a *Arrival) {
 	w.lastID++
 	t := w.fleet.Routes[a.Route]
@@ -267,7 +276,7 @@
 	return min(int(at/time.Second), len(w.result.Seconds)-1)
 }
 
-// send has a client ask, for the first time or again.
+// send makes a client send its request, for the first time or again.
 func (w *World) send(q *clientRequest) {
 	q.sentAt, q.triedServers, q.sendSeq = w.now, nil, q.sendSeq+1
 	ask, outer := q.sendSeq, w.fleet.Routes[q.route].Deadline
@@ -279,7 +288,7 @@
 	q.router.route(q, true)
 }
 
-// networkDelay is how long something is on its way.
+// networkDelay draws the time that a message takes.
 func (w *World) networkDelay() time.Duration {
 	d := w.fleet.Delay
 	if w.fleet.Jitter > 0 {
@@ -292,14 +301,14 @@
 	return max(d, time.Microsecond)
 }
 
-// sendAnswer brings an answer to the router.
+// sendAnswer delivers the end of an attempt to the router.
 func (w *World) sendAnswer(t *attempt, v verdict, retryAfter time.Duration, nowhereElse bool) {
 	level := t.server.shedLevel
 	t.origin.mayHaveRun = t.origin.mayHaveRun || t.started && v != rejected
 	w.after(w.networkDelay(), func() { t.origin.router.handleAnswer(t, v, level, retryAfter, nowhereElse) })
 }
 
-// recordServed ends a request with a result.
+// recordServed ends a request that was served with a share of its value.
 func (w *World) recordServed(q *clientRequest, part float64) {
 	q.done = true
 	took := w.now - q.sentAt
@@ -314,13 +323,13 @@
 	}
 }
 
-// recordUnserved ends an ask without a result; its client may ask again.
+// recordUnserved ends a request that was not served, or makes its client retry.
 func (w *World) recordUnserved(q *clientRequest, v verdict, retryAfter time.Duration) {
 	if q.done {
 		return
 	}
-	q.sendSeq++ // its time is of no account any more
-	// What may have run is not asked for again where it must not run twice.
+	q.sendSeq++ // its timeout does nothing any more
+	// An at-most-once request that may have run is not sent again.
 	again := q.retriesLeft != 0 && w.now < w.span+time.Second && !(q.mayHaveRun && w.fleet.Routes[q.route].AtMostOnce) &&
 		!(v == lost && w.fleet.Routes[q.route].AtMostOnce)
 	if again {
