--- a/cmd/quartzpoint-bench/flat.go
+++ b/cmd/quartzpoint-bench/flat.go
@@ -81,14 +81,14 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	link := workerlink.New(s.Pool, linkBufferBytes, log, counts.Saw, owner.Nudge)
-	owner.Serve(link, routers)
-	owner.Compose(newFlatComposer(ctx, ours, owner, counts, log))
+	link := workerlink.New(s.Pool, linkBufferBytes, log, counts.Count, owner.Wake)
+	owner.Attach(link, routers)
+	owner.SetComposer(newFlatComposer(ctx, ours, owner, counts, log))
 	go link.Run(ctx)
 	go func() { _ = routers.Serve() }() // ends with the process
 	go func() {
 		<-terminate
-		owner.Leave(time.Duration(s.StopMS) * time.Millisecond)
+		owner.Drain(time.Duration(s.StopMS) * time.Millisecond)
 	}()
 	log.Info("serving", "listen", s.Listen)
 	owner.Run()
--- a/cmd/quartzpoint-bench/flatcomposer.go
+++ b/cmd/quartzpoint-bench/flatcomposer.go
@@ -60,7 +60,7 @@
 
 // newFlatComposer connects to the dependencies until the context ends.
 func newFlatComposer(
-	ctx context.Context, ours *config.Config, owner *server.Server, counts *invariant.Counts, log *slog.Logger,
+	ctx context.Context, ours *config.Config, owner *server.Server, counts *invariant.Counters, log *slog.Logger,
 ) *flatComposer {
 	f := &flatComposer{
 		owner: owner, routes: map[string]config.RoutePlan{}, requests: map[string]*flatRequest{},
@@ -68,7 +68,7 @@
 	}
 	var connections sync.WaitGroup // not waited for: they end with the process
 	for i, d := range ours.Dependencies {
-		transport := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Saw, owner.Nudge, &connections)
+		transport := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Count, owner.Wake, &connections)
 		f.transports = append(f.transports, transport)
 	}
 	for _, t := range ours.Routes {
@@ -86,11 +86,11 @@
 // ExpectedWait is not known to the baseline.
 func (f *flatComposer) ExpectedWait(string) time.Duration { return 0 }
 
-// GoOn refuses: Pause has ended the request.
-func (f *flatComposer) GoOn(string) bool { return false }
+// Resume refuses: Pause has ended the request.
+func (f *flatComposer) Resume(string) bool { return false }
 
-// Take appends the notices of requests that ended.
-func (f *flatComposer) Take(notices []workerapi.Notice) []workerapi.Notice {
+// AppendNotices appends the notices of requests that ended.
+func (f *flatComposer) AppendNotices(notices []workerapi.Notice) []workerapi.Notice {
 	notices = append(notices, f.notices...)
 	f.notices = f.notices[:0]
 	return notices
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -121,7 +121,7 @@
 
 // A caller disconnects, and then the server shuts down, while calls are in flight. The other callers get their answers, and
 // the shutdown ends in time.
-func TestLeavingWithOpenCalls(t *testing.T) {
+func TestDrainWithOpenCalls(t *testing.T) {
 	c := startComposedServer(t, func(time.Duration) harness.DependencyBehaviour { return harness.DependencyBehaviour{Silent: true} })
 	gone := fake.Dial(t, c.daemon.Address)
 	gone.Send(t, fake.RequestFrame(1, "confirm-booking", "x"))
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -35,7 +35,7 @@
 // startPeerExchange serves estimates to peers where the configuration has an address for it, and fetches them from those that
 // it names. Both end with the context. stored may be nil only where settings is.
 func startPeerExchange(
-	ctx context.Context, settings *config.Peers, owner *server.Server, stored *statePersistence, seed int64, counts *invariant.Counts,
+	ctx context.Context, settings *config.Peers, owner *server.Server, stored *statePersistence, seed int64, counts *invariant.Counters,
 	log *slog.Logger,
 ) (*peerExchange, error) {
 	e := &peerExchange{config: settings}
--- a/internal/fanout/frametransport.go
+++ b/internal/fanout/frametransport.go
@@ -95,7 +95,7 @@
 	if attempt.IdempotencyKey != "" {
 		fields = append(fields, frame.Field{Name: "num", Value: attempt.IdempotencyKey})
 	}
-	head := frame.Begin(nil, frame.Task, least.lastStream+1, 0, fields, len(attempt.Body))
+	head := frame.AppendHead(nil, frame.Request, least.lastStream+1, 0, fields, len(attempt.Body))
 	if least.writes.Add(head, attempt.Body) != nil {
 		// The dependency does not read, and the queue is full. Calls written before are lost; this one was not sent.
 		_ = least.socket.Close()
@@ -112,7 +112,7 @@
 	defer t.mu.Unlock()
 	for _, c := range t.connections {
 		if stream, is := c.streams[attempt]; is {
-			_ = c.writes.Add(frame.Begin(nil, frame.Cancel, stream, 0, nil, 0)) // a full queue closes the connection at the next Send
+			_ = c.writes.Add(frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0)) // a full queue closes the connection at the next Send
 			return
 		}
 	}
--- a/internal/fanout/testserver_test.go
+++ b/internal/fanout/testserver_test.go
@@ -32,7 +32,7 @@
 type testServer struct {
 	*Composer
 	t         *testing.T
-	counts    *invariant.Counts
+	counts    *invariant.Counters
 	startedAt time.Time
 	notices   chan workerapi.Notice
 	posted    chan func()
@@ -68,7 +68,7 @@
 		defer close(ended)
 		for {
 			server.Advance(now())
-			for _, n := range server.Take(nil) {
+			for _, n := range server.AppendNotices(nil) {
 				server.notices <- n
 			}
 			server.Flush()
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -44,11 +44,11 @@
 	return snapshot
 }
 
-func newCounts() *invariant.Counts { return invariant.New(slog.New(slog.DiscardHandler)) }
+func newCounts() *invariant.Counters { return invariant.New(slog.New(slog.DiscardHandler)) }
 
 // startServer starts a server whose snapshot is a second old when it is published.
 
-func startServer(t testing.TB, keys Keys) (*Server, *invariant.Counts) {
+func startServer(t testing.TB, keys Keys) (*Server, *invariant.Counters) {
 	c := newCounts()
 	began := time.Now()
 	server, err := Listen("127.0.0.1:0", keys, func() time.Duration { return time.Hour + time.Since(began) }, c)
--- a/internal/peersync/hostile_test.go
+++ b/internal/peersync/hostile_test.go
@@ -254,11 +254,11 @@
 	prepare := func(link netpoll.Connection) context.Context {
 		ctx := server.prepare(link)
 		turn := make(chan struct{})
-		server.Post(func() { close(turn) })
+		server.Submit(func() { close(turn) })
 		<-turn
 		return ctx
 	}
-	server.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(prepare), poller.OnTaken(closingOf))
+	server.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(prepare), poller.OnRegistered(closingOf))
 	require.NoError(t, err)
 	server.Serve()
 	t.Cleanup(server.Close)
--- a/internal/peersync/server.go
+++ b/internal/peersync/server.go
@@ -25,7 +25,7 @@
 // Server answers the exchanges of peers from the snapshot that was last published. Its own goroutine owns the connections, so
 // a peer's request never takes time of the goroutine that decides on requests. All methods are safe for concurrent use.
 type Server struct {
-	counts      *invariant.Counts
+	counts      *invariant.Counters
 	now         func() time.Duration
 	listener    netpoll.Listener
 	loop        netpoll.EventLoop
@@ -57,7 +57,7 @@
 type VoteHandler func(ballot []byte, respond func(response []byte))
 
 // Listen takes the address for a server, which answers once Serve was called. now is the clock of Publish.
-func Listen(address string, keys Keys, now func() time.Duration, counts *invariant.Counts) (*Server, error) {
+func Listen(address string, keys Keys, now func() time.Duration, counts *invariant.Counters) (*Server, error) {
 	listener, err := netpoll.CreateListener("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for peers at %s: %w", address, err)
@@ -67,7 +67,7 @@
 		wake: make(chan struct{}, 1), quit: make(chan struct{}), limiter: estimate.NewServeLimiter(now()),
 	}
 	s.keys.Store(&keys)
-	s.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(s.prepare), poller.OnTaken(closingOf))
+	s.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(s.prepare), poller.OnRegistered(closingOf))
 	if err != nil {
 		_ = listener.Close()
 		return nil, fmt.Errorf("event loop: %w", err)
@@ -78,11 +78,11 @@
 // patientListener stays open when the process has no descriptors left: peers wait in it.
 type patientListener struct {
 	netpoll.Listener
-	counts *invariant.Counts
+	counts *invariant.Counters
 }
 
 func (l *patientListener) Accept() (net.Conn, error) {
-	return poller.Accept(l.Listener, func() { l.counts.Saw("peer waits, descriptors ran out") })
+	return poller.Accept(l.Listener, func() { l.counts.Count("peer waits, descriptors ran out") })
 }
 
 // SetVoteHandler has ballots passed to handler. Without one they are refused.
@@ -99,8 +99,8 @@
 // SetKeys replaces the keys for connections that begin from now on.
 func (s *Server) SetKeys(keys Keys) { s.keys.Store(&keys) }
 
-// Post has the server's goroutine call f.
-func (s *Server) Post(f func()) {
+// Submit has the server's goroutine call f.
+func (s *Server) Submit(f func()) {
 	s.mu.Lock()
 	s.posted = append(s.posted, f)
 	s.mu.Unlock()
@@ -117,7 +117,7 @@
 			select {
 			case <-s.quit:
 			default:
-				s.counts.Saw("listener for peers failed")
+				s.counts.Count("listener for peers failed")
 			}
 		}
 	})
@@ -168,7 +168,7 @@
 		s.encodedFrom, s.encoded = latest, nil
 		encoded, err := encodeSnapshot(latest.snapshot, latest.at)
 		if err != nil {
-			s.counts.Saw("snapshot too large to be served")
+			s.counts.Count("snapshot too large to be served")
 			return nil
 		}
 		s.encoded = encoded
@@ -188,6 +188,6 @@
 	}
 	processTraffic.accepted.Add(1)
 	_ = link.AddCloseCallback(c.onClose)
-	s.Post(c.join)
+	s.Submit(c.join)
 	return context.WithValue(poller.Context(s), connKey{}, c)
 }
--- a/internal/peersync/serverconn.go
+++ b/internal/peersync/serverconn.go
@@ -26,11 +26,11 @@
 	keys      Keys
 	exchange  serverExchange
 	unread    []byte
-	unsent    *writequeue.Box
+	unsent    *writequeue.Queue
 	counted   bool // by the limiter, to which it must be returned
 	closed    bool
 
-	closing poller.Closing
+	closing poller.DeferredClose
 
 	mu             sync.Mutex
 	descriptorGone bool // fd may already stand for another file
@@ -50,7 +50,7 @@
 	c.mu.Lock()
 	c.descriptorGone = true
 	c.mu.Unlock()
-	c.server.Post(c.leave)
+	c.server.Submit(c.leave)
 	return nil
 }
 
@@ -75,14 +75,14 @@
 }
 
 // closingOf finds what closes a connection in its context.
-func closingOf(ctx context.Context) *poller.Closing {
+func closingOf(ctx context.Context) *poller.DeferredClose {
 	return &ctx.Value(connKey{}).(*serverConn).closing
 }
 
 // fail counts why the server closes the connection, and closes it.
 func (c *serverConn) fail(what string) {
 	if !c.closed {
-		c.server.counts.Saw(what)
+		c.server.counts.Count(what)
 		c.close()
 	}
 }
@@ -175,7 +175,7 @@
 		return [][]byte{refusal(reasonNoVoter, defaultRetryAfter)}
 	}
 	(*handler)(ballot, func(response []byte) {
-		c.server.Post(func() {
+		c.server.Submit(func() {
 			if c.closed || len(response) == 0 || len(response) > maxBallot {
 				return
 			}
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -19,8 +19,8 @@
 	b := newBench(t)
 	b.pool.Ready()
 	b.pool.Next(t, "bind")
-	b.bound(t)
-	b.ask(1, "browse", time.Minute) // taken in before the first switch, answered after the last
+	b.waitLinkSynced(t)
+	b.submitRequest(1, "browse", time.Minute) // taken in before the first switch, answered after the last
 	first := b.pool.Next(t, "spawn")
 	adjusted := func(halt string) *settings.Settings {
 		next, err := settings.FromLines(halt)
@@ -30,12 +30,12 @@
 	for i, halt := range []string{"none", "suspend", "none"} {
 		id := fmt.Sprint("gone-", i)
 		var task *Request
-		b.Post(func() {
+		b.Submit(func() {
 			b.Reconfigure(adjusted("extra.halt=" + halt))
-			task = b.Take(Incoming{ID: id, Route: "browse", HeldKB: 1, SentMS: time.Now().UnixMilli(), Patience: time.Minute, Caller: b})
+			task = b.Receive(Incoming{ID: id, Route: "browse", HeldKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 		})
 		assert.Equal(t, id, b.pool.Next(t, "spawn").RunID)
-		b.Post(func() { b.Gone(task) })
+		b.Submit(func() { b.Cancel(task) })
 		stopped := false
 		for waited := time.After(200 * time.Millisecond); waited != nil; {
 			select {
@@ -49,14 +49,14 @@
 		assert.Equal(t, halt == "suspend", stopped, "stopped under %s", halt)
 	}
 	unstated := make(chan bool)
-	b.Post(func() {
+	b.Submit(func() {
 		b.Reconfigure(adjusted("")) // no longer stated: as at a start without it
 		unstated <- b.settings.Admission.Preemption == admission.PreemptionUnspecified &&
 			b.settings.Compare(adjusted("")).Adjusted["halt"] == nil && len(b.settings.Compare(adjusted("")).Adjusted) == 0
 	})
 	assert.True(t, <-unstated)
 	b.pool.Finish(first.RunID, "success", []byte("done"))
-	got := b.next(t)
+	got := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(1), Served}, []any{got.stream, got.Verdict})
 	assert.Empty(t, b.answers, "one answer each, and none for those whose callers left")
 }
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -76,7 +76,7 @@
 
 // suspend goes on without the directory after a failure.
 func (s *Store) suspend(err error) {
-	s.options.Counts.Saw(countDirFailed)
+	s.options.Counts.Count(countDirFailed)
 	if !s.suspended.Swap(true) {
 		s.options.Log.Error("state directory failed, serving without it", "error", err, "retry_in", s.retryDelay)
 	}
--- a/internal/store/run.go
+++ b/internal/store/run.go
@@ -126,11 +126,11 @@
 		s.expiredAt = now
 	}
 	if _, known := keys.Get(r.entry.Key); !known && keys.SizeBytes()+r.sizeBytes() > s.maxTableBytes() {
-		s.options.Counts.Saw(countTableFull)
+		s.options.Counts.Count(countTableFull)
 		return
 	}
 	if keys.SizeBytes()+len(r.entry.Result) > s.maxTableBytes() {
-		s.options.Counts.Saw(countResultNoRoom)
+		s.options.Counts.Count(countResultNoRoom)
 		r.entry.Served, r.entry.Result = false, nil
 	}
 	if s.writer != nil {
--- a/state.go
+++ b/state.go
@@ -1,14 +1,12 @@
 package quartzpoint
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"time"
 
 	"quartzpoint/estimate"
 	"quartzpoint/internal/datadir"
-	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/store"
 )
 
@@ -27,45 +25,45 @@
 // Only a directory that another process uses makes New fail. If the directory cannot be used for another reason, the gate
 // serves without it, logs that, and retries.
 type State struct {
-	Dir       string        // used by this gate alone, mode 0700; its last element is created if missing
-	Site      string        // label; files of another site are not used
-	MostMB    int           // limit of all files together, in MiB, 8 or more (64)
-	Commit    time.Duration // for which keys are gathered before they are written together (1 ms); negative for none
-	NoNumbers bool          // store only the estimates
+	Dir            string        // used by this gate alone, mode 0700; its last element is created if missing
+	Site           string        // label; files of another site are not used
+	MaxMB          int           `toml:"MostMB"`    // limit of all files together, in MiB, 8 or more (64)
+	CommitInterval time.Duration `toml:"Commit"`    // for which keys are gathered before they are written together (1 ms); negative for none
+	EstimatesOnly  bool          `toml:"NoNumbers"` // store only the estimates
 
 	open func(readOnly bool) (datadir.Dir, error) // set by tests, in place of Dir
 }
 
 // withDefaults returns a copy whose zero values are replaced by the defaults.
-func (t State) withDefaults() (State, error) {
-	if t.MostMB == 0 {
-		t.MostMB = defaultStateMB
+func (s State) withDefaults() (State, error) {
+	if s.MaxMB == 0 {
+		s.MaxMB = defaultStateMB
 	}
-	if t.Commit == 0 {
-		t.Commit = defaultStateCommit
+	if s.CommitInterval == 0 {
+		s.CommitInterval = defaultStateCommit
 	}
-	if t.Dir == "" || t.MostMB < minStateMB {
-		return t, errors.New("quartzpoint: State: Dir is needed, and MostMB of 8 or more")
+	if s.Dir == "" || s.MaxMB < minStateMB {
+		return s, fmt.Errorf("quartzpoint: State: Dir is needed, and MaxMB of %d or more", minStateMB)
 	}
-	if t.open == nil {
-		t.open = datadir.Opener(t.Dir)
+	if s.open == nil {
+		s.open = datadir.Opener(s.Dir)
 	}
-	return t, nil
+	return s, nil
 }
 
-// openState opens the state directory and has the gate start from it.
-func (g *Gate) openState(stated *State, origin uint64, counts *invariant.Counts, log *slog.Logger) error {
-	t, err := stated.withDefaults()
+// openState opens the state directory and has the gate start from it. origin marks the estimates as this process's.
+func (g *Gate) openState(state *State, origin uint64, log *slog.Logger) error {
+	filled, err := state.withDefaults()
 	if err != nil {
 		return err
 	}
-	schema := g.owner.PublishEstimates(origin, func(snapshot estimate.Snapshot, _ time.Duration) {
-		g.view.Store(&snapshot)
-		g.state.SaveEstimates(snapshot)
+	schema := g.loop.PublishEstimates(origin, func(snapshot estimate.Snapshot, _ time.Duration) {
+		g.estimates.Store(&snapshot)
+		g.store.SaveEstimates(snapshot)
 	})
-	g.state, _, err = store.Attach(g.owner, store.Options{
-		OpenDir: t.open, Site: t.Site, Schema: schema, MaxBytes: int64(t.MostMB) << 20, CommitInterval: max(t.Commit, 0),
-		PersistKeys: !t.NoNumbers, Counts: counts, Log: log,
+	g.store, _, err = store.Attach(g.loop, store.Options{
+		OpenDir: filled.open, Site: filled.Site, Schema: schema, MaxBytes: int64(filled.MaxMB) << 20,
+		CommitInterval: max(filled.CommitInterval, 0), PersistKeys: !filled.EstimatesOnly, Counts: g.counters, Log: log,
 	})
 	if err != nil {
 		return fmt.Errorf("quartzpoint: State: %w", err)
