--- a/cmd/quartzpoint-bench/library.go
+++ b/cmd/quartzpoint-bench/library.go
@@ -137,7 +137,7 @@
 			for k, s := range starts {
 				sums[k] = append(sums[k], make([]conformance.Counts, len(names))...)[:len(names)]
 				for i, c := range conformance.Cases(int64(seed)) {
-					if c.Numbers && k == 0 {
+					if c.NeedsKeys && k == 0 {
 						continue
 					}
 					all.Add(1)
@@ -148,11 +148,11 @@
 						defer mu.Unlock()
 						failed = append(failed, err)
 						to := &sums[k][i]
-						to.Asks += n.Asks
+						to.Requests += n.Requests
 						for o := range n.Outcomes {
 							to.Outcomes[o] += n.Outcomes[o]
 						}
-						to.Late, to.Twice, to.Runs = to.Late+n.Late, to.Twice+n.Twice, to.Runs+n.Runs
+						to.LateAnswers, to.RepeatedEffects, to.Runs = to.LateAnswers+n.LateAnswers, to.RepeatedEffects+n.RepeatedEffects, to.Runs+n.Runs
 					}()
 				}
 			}
@@ -170,24 +170,24 @@
 		fmt.Fprintf(table, "%s", c.Name)
 		for k := range starts {
 			n := sums[k][i]
-			if n.Asks == 0 {
+			if n.Requests == 0 {
 				fmt.Fprint(table, "\t-")
 				continue
 			}
 			o := n.Outcomes
 			fmt.Fprintf(table, "\t%d/%d/%d/%d", o[0], o[1], o[2], o[3])
-			if wrong := o[conformance.Missing] + n.Late + n.Twice; wrong > 0 {
-				short = append(short, fmt.Errorf("%s, %s: %d missing, %d late, %d run twice", starts[k].name, c.Name, o[conformance.Missing], n.Late, n.Twice))
+			if wrong := o[conformance.Unanswered] + n.LateAnswers + n.RepeatedEffects; wrong > 0 {
+				short = append(short, fmt.Errorf("%s, %s: %d missing, %d late, %d run twice", starts[k].name, c.Name, o[conformance.Unanswered], n.LateAnswers, n.RepeatedEffects))
 			}
 			against := sums[0][i]
-			if against.Asks == 0 {
+			if against.Requests == 0 {
 				against = sums[1][i]
 			}
 			for j := range o {
 				differs[k] += max(o[j]-against.Outcomes[j], 0)
 			}
 		}
-		total += sums[1][i].Asks
+		total += sums[1][i].Requests
 		fmt.Fprintln(table, "\t")
 	}
 	for k := range starts {
--- a/internal/testkit/conformance/conformance_test.go
+++ b/internal/testkit/conformance/conformance_test.go
@@ -24,16 +24,16 @@
 		"net/http": func(string) (Front, error) { return NewHTTP() },
 		"gin":      func(string) (Front, error) { return NewGin() },
 	}
-	exact := map[string][Missing + 1]int{ // the others hang on moments
-		"runs past their time": {GivenUp: 1, Dismissed: 1, Honoured: 2}, // the second is known to take too long
-		"broken runs":          {Honoured: 8, GivenUp: 4},
-		"callers gone":         {Honoured: 6, Left: 6},
-		"repeats":              {Honoured: 30},
+	exact := map[string][Unanswered + 1]int{ // the others hang on moments
+		"runs past their time": {Aborted: 1, Rejected: 1, Served: 2}, // the second is known to take too long
+		"broken runs":          {Served: 8, Aborted: 4},
+		"callers gone":         {Served: 6, Canceled: 6},
+		"repeats":              {Served: 30},
 	}
 	t.Run("all", func(t *testing.T) {
 		for name, start := range fronts {
 			for _, c := range Cases(1) {
-				if c.Numbers && name == "daemon" {
+				if c.NeedsKeys && name == "daemon" {
 					continue // its protocol carries none
 				}
 				t.Run(name+"/"+c.Name, func(t *testing.T) {
@@ -43,13 +43,13 @@
 					defer f.Close()
 					n, err := Run(f, c)
 					require.NoError(t, err)
-					assert.Zero(t, n.Outcomes[Missing]+n.Late+n.Twice, "%+v", n)
-					assert.Equal(t, c.Leaves > 0, n.LeftClean)
+					assert.Zero(t, n.Outcomes[Unanswered]+n.LateAnswers+n.RepeatedEffects, "%+v", n)
+					assert.Equal(t, c.ShutdownAt > 0, n.ShutdownClean)
 					if want, known := exact[c.Name]; known {
 						assert.Equal(t, want, n.Outcomes)
 					}
 					if c.Name == "calm" {
-						assert.Equal(t, n.Asks, n.Outcomes[Honoured])
+						assert.Equal(t, n.Requests, n.Outcomes[Served])
 					}
 					if c.Name == "repeats" {
 						assert.Equal(t, 5, n.Runs)
