--- a/internal/testkit/conformance/conformance_test.go
+++ b/cmd/quartzpoint-bench/fronts/fronts_test.go
@@ -1,4 +1,4 @@
-package conformance
+package fronts
 
 import (
 	"os"
@@ -9,6 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
+
+	"quartzpoint/internal/testkit/conformance"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -18,21 +20,21 @@
 	program := filepath.Join(t.TempDir(), "quartzpoint")
 	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "quartzpoint/cmd/quartzpoint").CombinedOutput()
 	require.NoError(t, err, string(out))
-	fronts := map[string]func(name string) (Front, error){
-		"daemon":   func(name string) (Front, error) { return NewDaemon(program, t.TempDir(), name) },
-		"library":  func(string) (Front, error) { return NewLibrary() },
-		"net/http": func(string) (Front, error) { return NewHTTP() },
-		"gin":      func(string) (Front, error) { return NewGin() },
+	fronts := map[string]func(name string) (conformance.Front, error){
+		"daemon":   func(name string) (conformance.Front, error) { return conformance.NewDaemon(program, t.TempDir(), name) },
+		"library":  func(string) (conformance.Front, error) { return NewLibrary() },
+		"net/http": func(string) (conformance.Front, error) { return NewHTTP() },
+		"gin":      func(string) (conformance.Front, error) { return NewGin() },
 	}
-	exact := map[string][Unanswered + 1]int{ // the others hang on moments
-		"runs past their time": {Aborted: 1, Rejected: 1, Served: 2}, // the second is known to take too long
-		"broken runs":          {Served: 8, Aborted: 4},
-		"callers gone":         {Served: 6, Canceled: 6},
-		"repeats":              {Served: 30},
+	exact := map[string][conformance.Unanswered + 1]int{ // the others hang on moments
+		"runs past their time": {conformance.Aborted: 1, conformance.Rejected: 1, conformance.Served: 2}, // the second is known to take too long
+		"broken runs":          {conformance.Served: 8, conformance.Aborted: 4},
+		"callers gone":         {conformance.Served: 6, conformance.Canceled: 6},
+		"repeats":              {conformance.Served: 30},
 	}
 	t.Run("all", func(t *testing.T) {
 		for name, start := range fronts {
-			for _, c := range Cases(1) {
+			for _, c := range conformance.Cases(1) {
 				if c.NeedsKeys && name == "daemon" {
 					continue // its protocol carries none
 				}
@@ -41,15 +43,15 @@
 					f, err := start("n1")
 					require.NoError(t, err)
 					defer f.Close()
-					n, err := Run(f, c)
+					n, err := conformance.Run(f, c)
 					require.NoError(t, err)
-					assert.Zero(t, n.Outcomes[Unanswered]+n.LateAnswers+n.RepeatedEffects, "%+v", n)
+					assert.Zero(t, n.Outcomes[conformance.Unanswered]+n.LateAnswers+n.RepeatedEffects, "%+v", n)
 					assert.Equal(t, c.ShutdownAt > 0, n.ShutdownClean)
 					if want, known := exact[c.Name]; known {
 						assert.Equal(t, want, n.Outcomes)
 					}
 					if c.Name == "calm" {
-						assert.Equal(t, n.Requests, n.Outcomes[Served])
+						assert.Equal(t, n.Requests, n.Outcomes[conformance.Served])
 					}
 					if c.Name == "repeats" {
 						assert.Equal(t, 5, n.Runs)
--- /dev/null
+++ b/cmd/quartzpoint-bench/fronts/library.go
@@ -0,0 +1,79 @@
+package fronts
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"quartzpoint"
+	"quartzpoint/internal/testkit/conformance"
+)
+
+// newGate returns a gate for the routes of the cases. Its gauges are those that the daemon gets: runs sleep, and other gates of
+// this process are no load of its own.
+func newGate() (*quartzpoint.Gate, error) {
+	options := quartzpoint.Options{Cores: conformance.Cores, MemoryMB: 1 << 10, Grace: 400 * time.Millisecond, Seed: 1}
+	options.Gauges = func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Runnable: float64(running)} }
+	for _, stated := range conformance.Routes(true) {
+		route := quartzpoint.Route{Name: stated.Name, Value: stated.Value, LatencyTarget: stated.LatencyTarget, Deadline: stated.Deadline}
+		if stated.AtMostOnce {
+			route.Idempotency = quartzpoint.AtMostOnce
+		}
+		if stated.Name == "deposit" {
+			route.Idempotency = quartzpoint.Keyed
+		}
+		options.Routes = append(options.Routes, route)
+	}
+	return quartzpoint.New(options)
+}
+
+// libraryFront is a gate in process.
+type libraryFront struct {
+	runCounter
+	gate *quartzpoint.Gate
+}
+
+// NewLibrary starts the library as a front.
+func NewLibrary() (conformance.Front, error) {
+	g, err := newGate()
+	if err != nil {
+		return nil, err
+	}
+	return &libraryFront{runCounter{seenKeys: map[string]bool{}}, g}, nil
+}
+
+// Do implements conformance.Front.
+func (l *libraryFront) Do(ctx context.Context, r conformance.Request) conformance.Outcome {
+	_, err := l.gate.DoOnce(ctx, quartzpoint.Request{Route: conformance.Routes(true)[r.Route].Name, IdempotencyKey: r.Key},
+		func(context.Context) ([]byte, error) { return nil, l.run(r) })
+	return outcome(err)
+}
+
+func outcome(err error) conformance.Outcome {
+	var rejected *quartzpoint.RejectedError
+	switch {
+	case err == nil:
+		return conformance.Served
+	case errors.As(err, &rejected), errors.Is(err, quartzpoint.ErrShutDown):
+		return conformance.Rejected
+	case errors.Is(err, quartzpoint.ErrAborted), errors.Is(err, errRunFailed):
+		return conformance.Aborted
+	case errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
+		return conformance.Canceled
+	}
+	return conformance.Unanswered
+}
+
+const shutdownTimeout = 1500 * time.Millisecond
+
+func shutdownGate(g *quartzpoint.Gate) error {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	return g.Shutdown(ctx)
+}
+
+// Shutdown implements conformance.Front.
+func (l *libraryFront) Shutdown() error { return shutdownGate(l.gate) }
+
+// Close implements conformance.Front.
+func (l *libraryFront) Close() { _ = shutdownGate(l.gate) } // a second shutdown tells nothing new
--- a/cmd/quartzpoint-bench/library.go
+++ b/cmd/quartzpoint-bench/library.go
@@ -16,6 +16,7 @@
 	"golang.org/x/time/rate"
 
 	"quartzpoint"
+	"quartzpoint/cmd/quartzpoint-bench/fronts"
 	"quartzpoint/internal/testkit/conformance"
 	"quartzpoint/internal/testkit/harness"
 )
@@ -122,9 +123,9 @@
 		start func(name string) (conformance.Front, error)
 	}{
 		{"daemon", func(name string) (conformance.Front, error) { return conformance.NewDaemon(m.Daemon, folder, name) }},
-		{"library", func(string) (conformance.Front, error) { return conformance.NewLibrary() }},
-		{"net/http", func(string) (conformance.Front, error) { return conformance.NewHTTP() }},
-		{"gin", func(string) (conformance.Front, error) { return conformance.NewGin() }},
+		{"library", func(string) (conformance.Front, error) { return fronts.NewLibrary() }},
+		{"net/http", func(string) (conformance.Front, error) { return fronts.NewHTTP() }},
+		{"gin", func(string) (conformance.Front, error) { return fronts.NewGin() }},
 	}
 	names := conformance.Cases(0)
 	sums := make([][]conformance.Counts, len(starts))
--- a/internal/testkit/conformance/conformance.go
+++ b/internal/testkit/conformance/conformance.go
@@ -1,6 +1,9 @@
-// Package conformance is one suite of scripted cases for every way into the decisions: the daemon over its frames,
-// the library in process, and middleware. Each case is a seeded row of asks; what becomes of them is counted, and must
-// be the same everywhere, up to what the moments of reading decide.
+// Package conformance holds one suite of cases for every front of the admission decisions: the daemon over its frame
+// protocol, the library in process, and its middleware. A case is a seeded list of requests. The counts of outcomes must be
+// the same at every front, but for requests whose outcome depends on exact timing.
+//
+// The fronts that are made of the library stand in cmd/quartzpoint-bench/fronts, as no package under internal imports the
+// root package.
 package conformance
 
 import (
@@ -13,18 +16,17 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// Request is one task of a case.
+// Request is one request of a case.
 type Request struct {
-	At          time.Duration
-	Route       int
-	Work        time.Duration // that its run takes, whatever else runs
-	Fails       bool          // its run ends broken
-	CancelAfter time.Duration // after which its caller leaves; 0 for one that waits
-	Key         string        // of a numbered one
-	Left        time.Duration // that its caller waits; 0: its type's
+	At          time.Duration // since the start of the case
+	Route       int           // index in Routes
+	Work        time.Duration // time that its run takes, whatever else runs
+	Fails       bool          // its run ends with an error
+	CancelAfter time.Duration // after which its caller cancels; 0 for never
+	Key         string        // idempotency key, empty for none
 }
 
-// Outcome is what the caller saw.
+// Outcome is what the caller of a request saw.
 type Outcome int
 
 // The outcomes.
@@ -32,60 +34,62 @@
 	Served Outcome = iota
 	Rejected
 	Aborted
-	Canceled // the caller went first
+	Canceled // by the caller
 	Unanswered
 )
 
-// Front is a way in. Do gives what a caller sees of one ask, and must be safe to be called side by side.
+// Front is a way in which requests reach the admission decisions.
 type Front interface {
-	Do(ctx context.Context, a Request) Outcome
-	// Leave begins the drain and returns once it is over.
+	// Do sends a request and returns what its caller sees. It may be called from several goroutines.
+	Do(ctx context.Context, r Request) Outcome
+	// Shutdown shuts the front down gracefully, and returns after its end.
 	Shutdown() error
-	// Effects counts runs, and runs of one number beside its first.
-	Effects() (runs, twice int)
+	// Effects returns the number of runs, and of runs of a key after its first.
+	Effects() (runs, repeated int)
+	// Close ends the front and releases what it holds.
 	Close()
 }
 
-// Case is a row of asks; Leaves is when the notice to leave comes, 0 for never.
+// Case is a list of requests.
 type Case struct {
 	Name       string
 	Requests   []Request
-	ShutdownAt time.Duration
-	NeedsKeys  bool // it needs a front that carries numbers
+	ShutdownAt time.Duration // since the start of the case; 0 for never
+	NeedsKeys  bool          // for fronts that carry idempotency keys
 }
 
-// Cores are those of every front in the suite.
+// Cores is the number of cores of every front.
 const Cores = 2
 
-// Routes are those of every front in the suite.
-func Routes(numbers bool) []harness.Route {
-	types := []harness.Route{
+// Routes returns the routes of every front; keyed adds the route whose requests have idempotency keys.
+func Routes(keyed bool) []harness.Route {
+	routes := []harness.Route{
 		{Name: "slot-check", Value: 1, LatencyTarget: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond},
 		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, AtMostOnce: true},
 	}
-	if numbers {
-		types = append(types, harness.Route{Name: "deposit", Value: 4, LatencyTarget: 2 * time.Second, Deadline: 3 * time.Second})
+	if keyed {
+		routes = append(routes, harness.Route{Name: "deposit", Value: 4, LatencyTarget: 2 * time.Second, Deadline: 3 * time.Second})
 	}
-	return types
+	return routes
 }
 
-// Cases are the suite for a seed.
+// Cases returns the suite for a seed.
 func Cases(seed int64) []Case {
 	rng := rand.New(rand.NewSource(seed))
-	row := func(n int, each func(i int) Request) (asks []Request) {
+	row := func(n int, each func(i int) Request) (requests []Request) {
 		for i := range n {
-			asks = append(asks, each(i))
+			requests = append(requests, each(i))
 		}
-		return asks
+		return requests
 	}
 	ms := time.Millisecond
-	poisson := func(rate float64, span time.Duration, kind func() Request) (asks []Request) {
+	poisson := func(rate float64, span time.Duration, draw func() Request) (requests []Request) {
 		for at := 0.0; at < span.Seconds(); at += rng.ExpFloat64() / rate {
-			a := kind()
-			a.At = time.Duration(at * float64(time.Second))
-			asks = append(asks, a)
+			r := draw()
+			r.At = time.Duration(at * float64(time.Second))
+			requests = append(requests, r)
 		}
-		return asks
+		return requests
 	}
 	mixed := func() Request {
 		if rng.Intn(4) == 0 {
@@ -103,11 +107,11 @@
 			return Request{At: time.Duration(i) * 60 * ms, Work: 20 * ms, Fails: i%3 == 1}
 		})},
 		{Name: "callers gone", Requests: row(12, func(i int) Request {
-			a := Request{At: time.Duration(i) * 150 * ms, Work: 100 * ms}
+			r := Request{At: time.Duration(i) * 150 * ms, Work: 100 * ms}
 			if i%2 == 1 {
-				a.CancelAfter = 40 * ms
+				r.CancelAfter = 40 * ms
 			}
-			return a
+			return r
 		})},
 		{Name: "repeats", NeedsKeys: true, Requests: row(30, func(i int) Request {
 			return Request{At: time.Duration(i/10) * 100 * ms, Route: 2, Work: 50 * ms, Key: fmt.Sprint(seed, i%5)}
@@ -118,53 +122,54 @@
 	}
 }
 
-// Counts is what came of a case.
+// Counts are the counts of one case at one front.
 type Counts struct {
 	Requests        int
 	Outcomes        [Unanswered + 1]int
 	Runs            int
-	RepeatedEffects int // effects run twice
-	LateAnswers     int // answers past the outer limit
+	RepeatedEffects int // runs of a key after its first
+	LateAnswers     int // after the deadline and lateSlack
 	ShutdownClean   bool
 }
 
-// Run plays a case on a front.
+// lateSlack is the time after the deadline within which an answer is in time.
+const lateSlack = 100 * time.Millisecond
+
+// Run runs a case at a front.
 func Run(f Front, c Case) (n Counts, err error) {
-	types := Routes(c.NeedsKeys)
+	routes := Routes(c.NeedsKeys)
 	began := time.Now()
 	n.Requests = len(c.Requests)
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	for _, a := range c.Requests {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			time.Sleep(time.Until(began.Add(a.At)))
-			limit := types[a.Route].Deadline
+	var running sync.WaitGroup
+	for _, r := range c.Requests {
+		running.Go(func() {
+			time.Sleep(time.Until(began.Add(r.At)))
+			limit := routes[r.Route].Deadline
 			ctx, cancel := context.WithTimeout(context.Background(), limit+time.Second)
-			if a.CancelAfter > 0 { // not by a deadline: fronts that are told of one plan by it
-				timer := time.AfterFunc(a.CancelAfter, cancel)
+			if r.CancelAfter > 0 { // not by a deadline, as fronts that know of one plan by it
+				timer := time.AfterFunc(r.CancelAfter, cancel)
 				defer timer.Stop()
 			}
 			defer cancel()
-			asked := time.Now()
-			got := f.Do(ctx, a)
+			sentAt := time.Now()
+			outcome := f.Do(ctx, r)
 			mu.Lock()
 			defer mu.Unlock()
-			n.Outcomes[got]++
-			if a.CancelAfter == 0 && time.Since(asked) > limit+100*time.Millisecond {
+			n.Outcomes[outcome]++
+			if r.CancelAfter == 0 && time.Since(sentAt) > limit+lateSlack {
 				n.LateAnswers++
 			}
-		}()
+		})
 	}
 	if c.ShutdownAt > 0 {
 		time.Sleep(time.Until(began.Add(c.ShutdownAt)))
 		if err := f.Shutdown(); err != nil {
-			return n, fmt.Errorf("%s: leaving: %w", c.Name, err)
+			return n, fmt.Errorf("%s: shutdown: %w", c.Name, err)
 		}
 		n.ShutdownClean = true
 	}
-	all.Wait()
+	running.Wait()
 	n.Runs, n.RepeatedEffects = f.Effects()
 	return n, nil
 }
