--- a/baseline/base.go
+++ b/baseline/base.go
@@ -14,58 +14,58 @@
 )
 
 const (
-	tick     = 25 * time.Millisecond
-	early    = 2 * tick // before the due time, by which what is late is answered
-	holdOver = 4.0      // tasks held over the limit, past which one that comes is turned away
+	tick           = 25 * time.Millisecond
+	deadlineMargin = 2 * tick // before the due time, by which what is late is answered
+	queueFactor    = 4.0      // tasks held over the limit, past which one that comes is turned away
 )
 
 // limiter is what the baselines differ in.
 type limiter interface {
 	// take tells whether a task that comes is let in at all.
-	take(now time.Duration) bool
+	admit(now time.Duration) bool
 	// room is the number that may run at once.
-	room() float64
+	limit() float64
 	// drop tells whether the first in line, which has waited so long, is turned away rather than run.
-	drop(now, waited time.Duration) bool
+	shed(now, waited time.Duration) bool
 	// sample takes a run that ended, with how many were running.
-	sample(now, took time.Duration, running int, failed bool)
+	recordRun(now, took time.Duration, running int, failed bool)
 	// gauges takes readings, once a tick.
-	gauges(now time.Duration, g admission.Gauges)
+	recordGauges(now time.Duration, g admission.Gauges)
 }
 
-// plain is a limiter that does nothing; others hold it for what they leave as it is.
-type plain struct{}
+// noopLimiter is a limiter that does nothing; others hold it for what they leave as it is.
+type noopLimiter struct{}
 
-func (plain) take(time.Duration) bool                        { return true }
-func (plain) drop(_, _ time.Duration) bool                   { return false }
-func (plain) sample(time.Duration, time.Duration, int, bool) {}
-func (plain) gauges(time.Duration, admission.Gauges)         {}
+func (noopLimiter) admit(time.Duration) bool                          { return true }
+func (noopLimiter) shed(_, _ time.Duration) bool                      { return false }
+func (noopLimiter) recordRun(time.Duration, time.Duration, int, bool) {}
+func (noopLimiter) recordGauges(time.Duration, admission.Gauges)      {}
 
 type state int
 
 const (
-	held state = iota
+	queued state = iota
 	running
 	calling
 	stopping // answered, and its run not ended yet
 )
 
-type kept struct {
-	task  *admission.Request
-	state state
-	since time.Duration
-	due   time.Duration
+type trackedRequest struct {
+	request  *admission.Request
+	state    state
+	since    time.Duration
+	deadline time.Duration
 }
 
 // server decides for one server by a limiter.
 type server struct {
 	limiter
-	line    []*kept // held, in order
-	tasks   map[*admission.Request]*kept
-	active  []*kept // begun, in order
-	began   bool
-	stopAt  time.Duration
-	noticed time.Duration
+	queue      []*trackedRequest // held, in order
+	requests   map[*admission.Request]*trackedRequest
+	active     []*trackedRequest // begun, in order
+	started    bool
+	stopAt     time.Duration
+	notifiedAt time.Duration
 }
 
 func maker(make func(m emulator.Machine, types []emulator.Route, rng *rand.Rand) limiter) emulator.PolicyMaker {
@@ -80,7 +80,7 @@
 			}
 			kinds = append(kinds, kind)
 		}
-		return &server{limiter: make(m, types, rand.New(rand.NewSource(seed))), tasks: map[*admission.Request]*kept{}}, kinds
+		return &server{limiter: make(m, types, rand.New(rand.NewSource(seed))), requests: map[*admission.Request]*trackedRequest{}}, kinds
 	}
 }
 
@@ -89,8 +89,8 @@
 	return []string{"no-limit", "fixed", "token-bucket", "codel", "gradient2", "vegas", "aimd"}
 }
 
-// ByName gives a baseline, or the project's own decisions as "quartzpoint".
-func ByName(name string) (emulator.PolicyMaker, error) {
+// PolicyByName gives a baseline, or the project's own decisions as "quartzpoint".
+func PolicyByName(name string) (emulator.PolicyMaker, error) {
 	switch name {
 	case "quartzpoint":
 		return emulator.QuartzpointPolicy, nil
@@ -114,31 +114,31 @@
 
 // Decide implements emulator.Policy.
 func (s *server) Decide(r *admission.Round, w admission.Executor) {
-	if !s.began {
-		s.began = true
+	if !s.started {
+		s.started = true
 		w.SetHealth(true, true)
 		w.WakeAfter(tick)
 	}
 	if r.StopAt > 0 && s.stopAt == 0 {
-		s.stopAt, s.noticed = r.StopAt, r.Now
+		s.stopAt, s.notifiedAt = r.StopAt, r.Now
 	}
 	for _, e := range r.CallsEnded {
-		s.returned(e, w)
+		s.callEnded(e, w)
 	}
 	for _, request := range r.AwaitingCall {
-		if k := s.tasks[request]; k != nil && k.state == running {
+		if k := s.requests[request]; k != nil && k.state == running {
 			k.state = calling
-			w.Call(request, max(k.due-r.Now, 1))
+			w.Call(request, max(k.deadline-r.Now, 1))
 		}
 	}
 	for _, e := range r.RunsEnded {
-		if k := s.tasks[e.Request]; k != nil {
-			s.sample(r.Now, e.Took, len(s.active), e.Outcome != admission.Succeeded)
+		if k := s.requests[e.Request]; k != nil {
+			s.recordRun(r.Now, e.Took, len(s.active), e.Outcome != admission.Succeeded)
 			s.remove(k)
 		}
 	}
 	for _, request := range r.Canceled {
-		if k := s.tasks[request]; k != nil && k.state == held {
+		if k := s.requests[request]; k != nil && k.state == queued {
 			s.remove(k)
 		}
 	}
@@ -146,79 +146,81 @@
 		s.arrived(request, r.Now, w)
 	}
 	if r.Gauges != nil {
-		s.gauges(r.Now, *r.Gauges)
+		s.recordGauges(r.Now, *r.Gauges)
 		w.WakeAfter(tick)
 	}
 	s.expire(r.Now, w)
-	for len(s.line) > 0 && float64(len(s.active)) < max(s.room(), 1) {
-		k := s.line[0]
-		if s.drop(r.Now, r.Now-k.since) {
-			s.dismiss(k, w)
+	for len(s.queue) > 0 && float64(len(s.active)) < max(s.limit(), 1) {
+		k := s.queue[0]
+		if s.shed(r.Now, r.Now-k.since) {
+			s.reject(k, w)
 			continue
 		}
-		s.line = s.line[1:]
+		s.queue = s.queue[1:]
 		s.active = append(s.active, k)
 		k.state = running
-		w.Start(k.task)
+		w.Start(k.request)
 	}
 }
 
 func (s *server) arrived(request *admission.Request, now time.Duration, w admission.Executor) {
-	k := &kept{task: request, since: now, due: request.Deadline - early}
-	s.tasks[request] = k
-	s.line = append(s.line, k)
-	late := s.stopAt > 0 && now > s.noticed+400*time.Millisecond
-	if late || !s.take(now) || float64(len(s.line)) > holdOver*max(s.room(), 1) {
-		s.dismiss(k, w)
+	k := &trackedRequest{request: request, since: now, deadline: request.Deadline - deadlineMargin}
+	s.requests[request] = k
+	s.queue = append(s.queue, k)
+	late := s.stopAt > 0 && now > s.notifiedAt+400*time.Millisecond
+	if late || !s.admit(now) || float64(len(s.queue)) > queueFactor*max(s.limit(), 1) {
+		s.reject(k, w)
 	}
 }
 
-func (s *server) dismiss(k *kept, w admission.Executor) {
+func (s *server) reject(k *trackedRequest, w admission.Executor) {
 	s.remove(k)
-	w.Reject(k.task, 0, false)
+	w.Reject(k.request, 0, false)
 }
 
-func (s *server) remove(k *kept) {
-	is := func(o *kept) bool { return o == k }
-	if k.state == held {
-		s.line = slices.DeleteFunc(s.line, is)
+func (s *server) remove(k *trackedRequest) {
+	is := func(o *trackedRequest) bool { return o == k }
+	if k.state == queued {
+		s.queue = slices.DeleteFunc(s.queue, is)
 	} else {
 		s.active = slices.DeleteFunc(s.active, is)
 	}
-	delete(s.tasks, k.task)
+	delete(s.requests, k.request)
 }
 
 // expire answers what is late, or would be past the stop.
 func (s *server) expire(now time.Duration, w admission.Executor) {
-	late := func(k *kept) bool { return now >= k.due || s.stopAt > 0 && now >= s.stopAt-early }
-	for _, k := range slices.Clone(s.line) {
+	late := func(k *trackedRequest) bool {
+		return now >= k.deadline || s.stopAt > 0 && now >= s.stopAt-deadlineMargin
+	}
+	for _, k := range slices.Clone(s.queue) {
 		if late(k) {
-			s.dismiss(k, w)
+			s.reject(k, w)
 		}
 	}
 	for _, k := range slices.Clone(s.active) {
 		if k.state != stopping && late(k) {
-			s.giveUp(k, w)
+			s.abort(k, w)
 		}
 	}
 }
 
-func (s *server) giveUp(k *kept, w admission.Executor) {
+func (s *server) abort(k *trackedRequest, w admission.Executor) {
 	k.state = stopping
-	w.Abort(k.task)
-	w.Pause(k.task)
+	w.Abort(k.request)
+	w.Pause(k.request)
 }
 
-func (s *server) returned(e admission.Completion, w admission.Executor) {
-	k := s.tasks[e.Request]
+func (s *server) callEnded(e admission.Completion, w admission.Executor) {
+	k := s.requests[e.Request]
 	switch {
 	case k == nil || k.state != calling:
 	case e.Outcome == admission.Succeeded:
 		k.state = running
-	case k.task.Route.SkipValueShare > 0:
+	case k.request.Route.SkipValueShare > 0:
 		k.state = running
-		w.SkipCall(k.task)
+		w.SkipCall(k.request)
 	default:
-		s.giveUp(k, w)
+		s.abort(k, w)
 	}
 }
--- a/baseline/baseline_test.go
+++ b/baseline/baseline_test.go
@@ -15,7 +15,7 @@
 func TestBaselines(t *testing.T) {
 	for _, name := range append(Names(), "quartzpoint") {
 		t.Run(name, func(t *testing.T) {
-			make, err := ByName(name)
+			make, err := PolicyByName(name)
 			require.NoError(t, err)
 			f := emulator.Fleet{
 				Servers: 4, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1, MemoryKB: 640000}, Routes: emulator.BranchRoutes(),
@@ -43,6 +43,6 @@
 			}
 		})
 	}
-	_, err := ByName("best")
+	_, err := PolicyByName("best")
 	assert.ErrorContains(t, err, "codel")
 }
--- a/baseline/codel.go
+++ b/baseline/codel.go
@@ -17,44 +17,44 @@
 // lasts (K. Nichols, V. Jacobson, "Controlling Queue Delay", 2012), over a fixed number of runs.
 type coDel struct {
 	fixed
-	above    time.Duration // when the wait will have been over the target for an interval; 0 while it is not
-	dropping bool
-	next     time.Duration
-	count    int
+	aboveUntil time.Duration // when the wait will have been over the target for an interval; 0 while it is not
+	dropping   bool
+	nextDrop   time.Duration
+	count      int
 }
 
 func newCoDel(m emulator.Machine, _ []emulator.Route, _ *rand.Rand) limiter {
-	return &coDel{fixed: fixed{limit: fixedRuns * m.Cores}}
+	return &coDel{fixed: fixed{runs: fixedRuns * m.Cores}}
 }
 
-func (c *coDel) drop(now, waited time.Duration) bool {
+func (c *coDel) shed(now, waited time.Duration) bool {
 	if waited < codelTarget {
-		c.above, c.dropping = 0, false
+		c.aboveUntil, c.dropping = 0, false
 		return false
 	}
-	if c.above == 0 {
-		c.above = now + codelInterval
+	if c.aboveUntil == 0 {
+		c.aboveUntil = now + codelInterval
 		return false
 	}
 	if !c.dropping {
-		if now < c.above {
+		if now < c.aboveUntil {
 			return false
 		}
 		c.dropping = true
-		if c.count = max(c.count-2, 1); now > c.next+codelInterval*16 {
+		if c.count = max(c.count-2, 1); now > c.nextDrop+codelInterval*16 {
 			c.count = 1
 		}
-		c.next = now + law(c.count)
+		c.nextDrop = now + controlLaw(c.count)
 		return true
 	}
-	if now < c.next {
+	if now < c.nextDrop {
 		return false
 	}
 	c.count++
-	c.next += law(c.count)
+	c.nextDrop += controlLaw(c.count)
 	return true
 }
 
-func law(count int) time.Duration {
+func controlLaw(count int) time.Duration {
 	return time.Duration(float64(codelInterval) / math.Sqrt(float64(count)))
 }
--- a/baseline/fixed.go
+++ b/baseline/fixed.go
@@ -10,12 +10,12 @@
 
 // fixed lets a number run that was chosen beforehand.
 type fixed struct {
-	plain
-	limit float64
+	noopLimiter
+	runs float64
 }
 
 func newFixed(m emulator.Machine, _ []emulator.Route, _ *rand.Rand) limiter {
-	return &fixed{limit: fixedRuns * m.Cores}
+	return &fixed{runs: fixedRuns * m.Cores}
 }
 
-func (f *fixed) room() float64 { return f.limit }
+func (f *fixed) limit() float64 { return f.runs }
--- a/baseline/nolimit.go
+++ b/baseline/nolimit.go
@@ -8,8 +8,8 @@
 )
 
 // noLimit starts all that comes.
-type noLimit struct{ plain }
+type noLimit struct{ noopLimiter }
 
 func newNoLimit(emulator.Machine, []emulator.Route, *rand.Rand) limiter { return noLimit{} }
 
-func (noLimit) room() float64 { return math.Inf(1) }
+func (noLimit) limit() float64 { return math.Inf(1) }
--- a/baseline/tokenbucket.go
+++ b/baseline/tokenbucket.go
@@ -17,10 +17,10 @@
 
 func newTokenBucket(m emulator.Machine, types []emulator.Route, _ *rand.Rand) limiter {
 	rate := emulator.Rate(types, m, 1)
-	return &tokenBucket{fixed: fixed{limit: fixedRuns * m.Cores}, rate: rate, tokens: rate}
+	return &tokenBucket{fixed: fixed{runs: fixedRuns * m.Cores}, rate: rate, tokens: rate}
 }
 
-func (b *tokenBucket) take(now time.Duration) bool {
+func (b *tokenBucket) admit(now time.Duration) bool {
 	b.tokens = min(b.tokens+(now-b.last).Seconds()*b.rate, b.rate)
 	b.last = now
 	if b.tokens < 1 {
--- a/baseline/vegas.go
+++ b/baseline/vegas.go
@@ -12,41 +12,41 @@
 // logarithm, as TCP Vegas does (L. Brakmo, L. Peterson, 1995) and concurrency-limits describes it. The least is looked for
 // anew now and then.
 type vegas struct {
-	plain
-	rng     *rand.Rand
-	limit   float64
-	least   float64
-	samples int
+	noopLimiter
+	rng        *rand.Rand
+	current    float64
+	minLatency float64
+	samples    int
 }
 
 func newVegas(m emulator.Machine, _ []emulator.Route, rng *rand.Rand) limiter {
-	return &vegas{rng: rng, limit: 20}
+	return &vegas{rng: rng, current: 20}
 }
 
-func (v *vegas) room() float64 { return math.Floor(v.limit) }
+func (v *vegas) limit() float64 { return math.Floor(v.current) }
 
-func (v *vegas) sample(_, took time.Duration, running int, failed bool) {
+func (v *vegas) recordRun(_, took time.Duration, running int, failed bool) {
 	now := took.Seconds()
-	if v.samples++; float64(v.samples) > (0.5+v.rng.Float64()/2)*30*v.limit {
-		v.samples, v.least = 0, now
+	if v.samples++; float64(v.samples) > (0.5+v.rng.Float64()/2)*30*v.current {
+		v.samples, v.minLatency = 0, now
 	}
-	if v.least == 0 || now < v.least {
-		v.least = now
+	if v.minLatency == 0 || now < v.minLatency {
+		v.minLatency = now
 		return
 	}
-	if float64(running)*2 < v.limit && !failed {
+	if float64(running)*2 < v.current && !failed {
 		return
 	}
-	step := max(math.Log10(v.limit), 1)
-	switch queue := v.limit * (1 - v.least/max(now, 1e-9)); {
+	step := max(math.Log10(v.current), 1)
+	switch queue := v.current * (1 - v.minLatency/max(now, 1e-9)); {
 	case failed:
-		v.limit -= step
+		v.current -= step
 	case queue <= step:
-		v.limit += 6 * step
+		v.current += 6 * step
 	case queue < 3*step:
-		v.limit += step
+		v.current += step
 	case queue > 6*step:
-		v.limit -= step
+		v.current -= step
 	}
-	v.limit = max(1, min(200, v.limit))
+	v.current = max(1, min(200, v.current))
 }
--- a/cmd/quartzpoint-bench/drill.go
+++ b/cmd/quartzpoint-bench/drill.go
@@ -39,13 +39,13 @@
 	}
 	var runs []experiment.Run
 	for _, policy := range cmd.Policy {
-		made, err := baseline.ByName(policy)
+		made, err := baseline.PolicyByName(policy)
 		if err != nil {
 			return err
 		}
 		for seed := range cmd.Seeds {
 			began := time.Now()
-			r := experiment.One(d, policy, made, int64(seed+1))
+			r := experiment.RunDrill(d, policy, made, int64(seed+1))
 			fmt.Fprintf(os.Stderr, "%s, %s, seed %d: %d events in %v\n", d.Name, policy, seed+1, r.Result.Events, time.Since(began).Round(time.Millisecond))
 			for _, words := range r.Result.Rules.Messages {
 				fmt.Fprintln(os.Stderr, " ", words)
--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -242,8 +242,8 @@
 		room <- struct{}{}
 		go func() {
 			defer all.Done()
-			made, _ := baseline.ByName(j.policy) // of the names that are known
-			runs[i] = experiment.One(j.d, j.policy, made, j.seed)
+			made, _ := baseline.PolicyByName(j.policy) // of the names that are known
+			runs[i] = experiment.RunDrill(j.d, j.policy, made, j.seed)
 			<-room
 		}()
 	}
@@ -255,7 +255,7 @@
 	broken := 0
 	for _, c := range cells {
 		if c.Policy == "quartzpoint" {
-			for _, b := range c.Broken {
+			for _, b := range c.Violations {
 				broken += b
 			}
 		}
--- a/cmd/quartzpoint-bench/experiment.go
+++ b/cmd/quartzpoint-bench/experiment.go
@@ -23,7 +23,7 @@
 
 // Run makes what is not there yet, and writes the report.
 func (cmd *experimenting) Run() error {
-	e, err := experiment.Read(cmd.File)
+	e, err := experiment.ReadExperiment(cmd.File)
 	if err != nil {
 		return err
 	}
@@ -35,10 +35,10 @@
 		runs, err = watched(ctx, cancel, e, folder)
 	} else {
 		last := time.Now()
-		runs, err = e.Play(ctx, folder, func(r experiment.Run, kept bool, n, of int) {
+		runs, err = e.Run(ctx, folder, func(r experiment.Run, kept bool, n, of int) {
 			if now := time.Now(); now.Sub(last) > 2*time.Second || n == of {
 				last = now
-				fmt.Printf("%d of %d: %s, %s, seed %d: %.3f\n", n, of, r.Drill, r.Policy, r.Seed, r.Share())
+				fmt.Printf("%d of %d: %s, %s, seed %d: %.3f\n", n, of, r.Drill, r.Policy, r.Seed, r.GoodputShare())
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 			p.kept++
 			break
 		}
-		p.latest = append(p.latest, fmt.Sprintf("%-18s %-12s seed %-3d honoured %.3f", m.run.Drill, m.run.Policy, m.run.Seed, m.run.Share()))
+		p.latest = append(p.latest, fmt.Sprintf("%-18s %-12s seed %-3d honoured %.3f", m.run.Drill, m.run.Policy, m.run.Seed, m.run.GoodputShare()))
 		if len(p.latest) > 8 {
 			p.latest = p.latest[1:]
 		}
@@ -115,7 +115,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		runs, err = e.Play(ctx, folder, func(r experiment.Run, kept bool, n, of int) { screen.Send(doneRun{r, kept, n, of}) })
+		runs, err = e.Run(ctx, folder, func(r experiment.Run, kept bool, n, of int) { screen.Send(doneRun{r, kept, n, of}) })
 		screen.Send(over{})
 	}()
 	if _, failed := screen.Run(); failed != nil {
--- a/cmd/quartzpoint-bench/real.go
+++ b/cmd/quartzpoint-bench/real.go
@@ -76,16 +76,16 @@
 					one.Workers.Update(what)
 				}
 			}
-			if i.For == 0 {
+			if i.Duration == 0 {
 				return
 			}
-			time.Sleep(i.For)
+			time.Sleep(i.Duration)
 		}
 	}
 	full := d.Fleet.Machine
 	switch i.Kind {
 	case "kill":
-		f.Kill(meant(d, i, chance), i.For)
+		f.Kill(meant(d, i, chance), i.Duration)
 	case "restart":
 		for _, n := range meant(d, i, chance) {
 			f.Restart(n)
@@ -96,9 +96,9 @@
 			time.Sleep(i.Span)
 		}
 	case "slow":
-		change(meant(d, i, chance), func(m *harness.Machine) { m.Speed = full.Speed / i.By }, func(m *harness.Machine) { m.Speed = full.Speed })
+		change(meant(d, i, chance), func(m *harness.Machine) { m.Speed = full.Speed / i.Factor }, func(m *harness.Machine) { m.Speed = full.Speed })
 	case "neighbours":
-		change(meant(d, i, chance), func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.By) }, func(m *harness.Machine) { m.Cores = full.Cores })
+		change(meant(d, i, chance), func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.Factor) }, func(m *harness.Machine) { m.Cores = full.Cores })
 	case "pause":
 		var all sync.WaitGroup
 		numbers := meant(d, i, chance)
@@ -108,7 +108,7 @@
 				all.Add(1)
 				go func() {
 					defer all.Done()
-					failed[at] = one.Pause(i.For)
+					failed[at] = one.Pause(i.Duration)
 				}()
 			}
 		}
--- a/cmd/quartzpoint-bench/workers.go
+++ b/cmd/quartzpoint-bench/workers.go
@@ -99,16 +99,16 @@
 func moodOf(d *scenario.Drill, name string) harness.BehaviourScript {
 	return func(at time.Duration) (m harness.DependencyBehaviour) {
 		for _, i := range d.Incidents {
-			if i.Name != name || at < i.At || i.For > 0 && at >= i.At+i.For {
+			if i.Name != name || at < i.At || i.Duration > 0 && at >= i.At+i.Duration {
 				continue
 			}
 			switch i.Kind {
 			case "stop":
 				m.Silent = true
 			case "drag":
-				m.SlowFactor = i.By
+				m.SlowFactor = i.Factor
 			case "fail":
-				m.Rejects = at%failEach < time.Duration(i.By*float64(failEach)) // for that part of the time
+				m.Rejects = at%failEach < time.Duration(i.Factor*float64(failEach)) // for that part of the time
 			}
 		}
 		return m
@@ -123,8 +123,8 @@
 		for _, n := range numbers {
 			pools[n].Update(to)
 		}
-		if i.For > 0 {
-			time.AfterFunc(i.For, func() {
+		if i.Duration > 0 {
+			time.AfterFunc(i.Duration, func() {
 				for _, n := range numbers {
 					pools[n].Update(back)
 				}
@@ -135,9 +135,9 @@
 	whole := func(m *harness.Machine) { m.Speed, m.Cores = full.Speed, full.Cores }
 	switch i.Kind {
 	case "slow":
-		return change(func(m *harness.Machine) { m.Speed = full.Speed / i.By }, whole)
+		return change(func(m *harness.Machine) { m.Speed = full.Speed / i.Factor }, whole)
 	case "neighbours":
-		return change(func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.By) }, whole)
+		return change(func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.Factor) }, whole)
 	case "pause":
 		return change(func(m *harness.Machine) { m.Speed = 1e-9 }, whole)
 	}
--- a/internal/testkit/experiment/chart.go
+++ b/internal/testkit/experiment/chart.go
@@ -56,8 +56,8 @@
 		if c.Drill != drill {
 			continue
 		}
-		points := make(plotter.XYs, 0, len(c.Seconds))
-		for s, share := range c.Seconds[:max(len(c.Seconds)-1, 0)] {
+		points := make(plotter.XYs, 0, len(c.SecondShares))
+		for s, share := range c.SecondShares[:max(len(c.SecondShares)-1, 0)] {
 			points = append(points, plotter.XY{X: float64(s), Y: share})
 		}
 		line, err := plotter.NewLine(points)
@@ -87,8 +87,8 @@
 		for x, drill := range names {
 			for _, c := range cells {
 				if c.Drill == drill && c.Policy == policy {
-					points = append(points, plotter.XY{X: float64(x) + (float64(at)-float64(len(all))/2)*0.09, Y: c.Share.Mean})
-					errs = append(errs, struct{ Low, High float64 }{c.Share.Half, c.Share.Half})
+					points = append(points, plotter.XY{X: float64(x) + (float64(at)-float64(len(all))/2)*0.09, Y: c.GoodputShare.Mean})
+					errs = append(errs, struct{ Low, High float64 }{c.GoodputShare.Half, c.GoodputShare.Half})
 				}
 			}
 		}
--- a/internal/testkit/experiment/experiment.go
+++ b/internal/testkit/experiment/experiment.go
@@ -24,12 +24,12 @@
 	"quartzpoint/scenario"
 )
 
-// model is that of the emulator: results of another are not mixed with those of this one. It changes when the model does.
-const model = 1
+// modelVersion is that of the emulator: results of another are not mixed with those of this one. It changes when the model does.
+const modelVersion = 1
 
 const (
-	mostSeeds = 1000
-	mostRuns  = 100_000
+	maxSeeds = 1000
+	maxRuns  = 100_000
 )
 
 // Experiment is what its file states.
@@ -46,8 +46,8 @@
 	raw    []byte
 }
 
-// Read reads an experiment and its drills. The error joins all faults.
-func Read(path string) (*Experiment, error) {
+// ReadExperiment reads an experiment and its drills. The error joins all faults.
+func ReadExperiment(path string) (*Experiment, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
@@ -67,14 +67,14 @@
 	if e.Name == "" || strings.ContainsAny(e.Name, `/\ `) {
 		fault("name = %q: a name without blanks and slashes is needed", e.Name)
 	}
-	if e.Seeds < 1 || e.Seeds > mostSeeds || e.Processes < 1 {
-		fault("seeds = %d, processes = %d: 1 to %d, and 1 or more", e.Seeds, e.Processes, mostSeeds)
+	if e.Seeds < 1 || e.Seeds > maxSeeds || e.Processes < 1 {
+		fault("seeds = %d, processes = %d: 1 to %d, and 1 or more", e.Seeds, e.Processes, maxSeeds)
 	}
 	if len(e.Policies) == 0 {
 		e.Policies = append([]string{"quartzpoint"}, baseline.Names()...)
 	}
 	for _, name := range e.Policies {
-		if _, err := baseline.ByName(name); err != nil {
+		if _, err := baseline.PolicyByName(name); err != nil {
 			fault("policies: %w", err)
 		}
 	}
@@ -103,8 +103,8 @@
 	if len(files) == 0 {
 		fault("drills: none is named")
 	}
-	if runs := len(e.drills) * len(e.Policies) * e.Seeds; runs > mostRuns {
-		fault("%d runs, %d at most", runs, mostRuns)
+	if runs := len(e.drills) * len(e.Policies) * e.Seeds; runs > maxRuns {
+		fault("%d runs, %d at most", runs, maxRuns)
 	}
 	return e, errors.Join(faults...)
 }
@@ -121,24 +121,24 @@
 	Result emulator.Result `json:"result"`
 }
 
-// Share is the part of the offered importance that was honoured.
-func (r Run) Share() float64 { return r.Result.Goodput / max(r.Result.OfferedValue, 1e-9) }
+// GoodputShare is the part of the offered importance that was honoured.
+func (r Run) GoodputShare() float64 { return r.Result.Goodput / max(r.Result.OfferedValue, 1e-9) }
 
-func (e *Experiment) key(i int, policy string, seed int64) string {
-	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d\x00%s\x00%s\x00%d", model, e.texts[i], policy, seed)))
+func (e *Experiment) runKey(i int, policy string, seed int64) string {
+	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d\x00%s\x00%s\x00%d", modelVersion, e.texts[i], policy, seed)))
 }
 
-// Done is called with each run that is there, and how many there will be.
-type Done func(r Run, kept bool, n, of int)
+// Progress is called with each run that is there, and how many there will be.
+type Progress func(r Run, kept bool, n, of int)
 
-// Play makes all runs that are not kept in the folder yet, and gives all of them in the order of drills, policies and
+// Run makes all runs that are not kept in the folder yet, and gives all of them in the order of drills, policies and
 // seeds. An interruption loses only the runs that were on.
-func (e *Experiment) Play(ctx context.Context, folder string, done Done) ([]Run, error) {
+func (e *Experiment) Run(ctx context.Context, folder string, done Progress) ([]Run, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
 	path := filepath.Join(folder, "runs.jsonl")
-	kept, err := load(path)
+	kept, err := readStoredRuns(path)
 	if err != nil {
 		return nil, err
 	}
@@ -172,13 +172,13 @@
 		go func() {
 			defer all.Done()
 			for j := range next {
-				key := e.key(j.drill, j.policy, j.seed)
+				key := e.runKey(j.drill, j.policy, j.seed)
 				mu.Lock()
 				run, was := kept[key]
 				mu.Unlock()
 				if !was {
-					made, _ := baseline.ByName(j.policy) // Read has looked
-					run = One(e.drills[j.drill], j.policy, made, j.seed)
+					made, _ := baseline.PolicyByName(j.policy) // Read has looked
+					run = RunDrill(e.drills[j.drill], j.policy, made, j.seed)
 					run.Key = key
 				}
 				mu.Lock()
@@ -214,15 +214,15 @@
 	return runs, nil
 }
 
-// One plays a drill once.
-func One(d *scenario.Drill, policy string, made emulator.PolicyMaker, seed int64) Run {
+// RunDrill plays a drill once.
+func RunDrill(d *scenario.Drill, policy string, made emulator.PolicyMaker, seed int64) Run {
 	r := d.Emulate(made, seed)
 	ms := func(q float64) float64 { return float64(r.Latencies.ValueAtQuantile(q)) / 1e3 }
 	return Run{Drill: d.Name, Policy: policy, Seed: seed, P50: ms(50), P99: ms(99), P999: ms(99.9), Result: r}
 }
 
-// load reads kept runs. A line that is not whole was being written when the run was interrupted; it is made again.
-func load(path string) (map[string]Run, error) {
+// readStoredRuns reads kept runs. A line that is not whole was being written when the run was interrupted; it is made again.
+func readStoredRuns(path string) (map[string]Run, error) {
 	kept := map[string]Run{}
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/testkit/experiment/lab_test.go
+++ b/internal/testkit/experiment/lab_test.go
@@ -34,10 +34,10 @@
 		{"broken", "name = ", "experiment"},
 	}
 	for _, c := range cases {
-		_, err := Read(written(t, c.text))
+		_, err := ReadExperiment(written(t, c.text))
 		assert.ErrorContains(t, err, c.want, c.name)
 	}
-	_, err := Read("nowhere.toml")
+	_, err := ReadExperiment("nowhere.toml")
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
@@ -45,16 +45,16 @@
 // processes take part.
 func TestResume(t *testing.T) {
 	path := written(t, small)
-	e, err := Read(path)
+	e, err := ReadExperiment(path)
 	require.NoError(t, err)
 	e.Processes = 1
-	whole, err := e.Play(t.Context(), t.TempDir(), nil)
+	whole, err := e.Run(t.Context(), t.TempDir(), nil)
 	require.NoError(t, err)
 	require.Len(t, whole, 6)
 
 	folder := t.TempDir()
 	ctx, cancel := context.WithCancel(t.Context())
-	_, err = e.Play(ctx, folder, func(_ Run, _ bool, n, _ int) {
+	_, err = e.Run(ctx, folder, func(_ Run, _ bool, n, _ int) {
 		if n == 2 {
 			cancel()
 		}
@@ -68,7 +68,7 @@
 	require.NoError(t, os.WriteFile(runs, append(raw, raw[:len(raw)/3]...), 0o600)) // and one was being written
 	kept := 0
 	e.Processes = 4
-	again, err := e.Play(t.Context(), folder, func(_ Run, was bool, _, _ int) {
+	again, err := e.Run(t.Context(), folder, func(_ Run, was bool, _, _ int) {
 		if was {
 			kept++
 		}
@@ -97,9 +97,9 @@
 	assert.InDelta(t, 1.963, i.Half, 1e-3, "t of 4 degrees, 2.776, by 1.581 over the root of 5")
 	cells := Cells([]Run{share("a", "p", 0.9), share("a", "p", 0.8), share("a", "q", 0.5), share("a", "q", 0.4)})
 	require.Len(t, cells, 2)
-	assert.InDelta(t, -0.4, cells[1].Paired.Mean, 1e-9)
-	assert.InDelta(t, 0, cells[1].Paired.Half, 1e-9, "pairs differ by the same")
-	assert.InDelta(t, 0.85, cells[0].Share.Mean, 1e-9)
+	assert.InDelta(t, -0.4, cells[1].Difference.Mean, 1e-9)
+	assert.InDelta(t, 0, cells[1].Difference.Half, 1e-9, "pairs differ by the same")
+	assert.InDelta(t, 0.85, cells[0].GoodputShare.Mean, 1e-9)
 }
 
 func share(drill, policy string, of float64) (r Run) {
--- a/internal/testkit/experiment/table.go
+++ b/internal/testkit/experiment/table.go
@@ -26,14 +26,14 @@
 
 // Cell is one drill by one policy.
 type Cell struct {
-	Drill, Policy            string
-	Share                    Interval // of importance honoured
-	Paired                   Interval // less the first policy's, seed by seed
-	Dismissed, GivenUp, Left float64  // parts of requests
-	Tries                    float64  // a request
-	P50, P99                 float64  // ms, medians over seeds
-	Broken                   [5]int   // by rule, over all seeds
-	Seconds                  []float64
+	Drill, Policy                 string
+	GoodputShare                  Interval // of importance honoured
+	Difference                    Interval // less the first policy's, seed by seed
+	Rejected, Aborted, Unanswered float64  // parts of requests
+	Attempts                      float64  // a request
+	P50, P99                      float64  // ms, medians over seeds
+	Violations                    [5]int   // by rule, over all seeds
+	SecondShares                  []float64
 }
 
 // Cells sums runs up, in the order in which they came.
@@ -58,28 +58,28 @@
 		var shares, differences, p50, p99 []float64
 		n := 0.0
 		for i, r := range by[at] {
-			shares = append(shares, r.Share())
-			differences = append(differences, r.Share()-reference[i].Share())
+			shares = append(shares, r.GoodputShare())
+			differences = append(differences, r.GoodputShare()-reference[i].GoodputShare())
 			p50, p99 = append(p50, r.P50), append(p99, r.P99)
 			n += float64(r.Result.Requests)
-			c.Dismissed += float64(r.Result.Rejected)
-			c.GivenUp += float64(r.Result.Aborted)
-			c.Left += float64(r.Result.Unanswered)
-			c.Tries += float64(r.Result.Attempts)
+			c.Rejected += float64(r.Result.Rejected)
+			c.Aborted += float64(r.Result.Aborted)
+			c.Unanswered += float64(r.Result.Unanswered)
+			c.Attempts += float64(r.Result.Attempts)
 			for rule, broken := range r.Result.Rules.Violations {
-				c.Broken[rule] += broken
+				c.Violations[rule] += broken
 			}
 			for s, of := range r.Result.Seconds {
-				if len(c.Seconds) <= s {
-					c.Seconds = append(c.Seconds, 0)
+				if len(c.SecondShares) <= s {
+					c.SecondShares = append(c.SecondShares, 0)
 				}
 				if of.OfferedValue > 0 {
-					c.Seconds[s] += of.Goodput / of.OfferedValue / float64(len(by[at]))
+					c.SecondShares[s] += of.Goodput / of.OfferedValue / float64(len(by[at]))
 				}
 			}
 		}
-		c.Share, c.Paired = intervalOf(shares), intervalOf(differences)
-		c.Dismissed, c.GivenUp, c.Left, c.Tries = c.Dismissed/n, c.GivenUp/n, c.Left/n, c.Tries/n
+		c.GoodputShare, c.Difference = intervalOf(shares), intervalOf(differences)
+		c.Rejected, c.Aborted, c.Unanswered, c.Attempts = c.Rejected/n, c.Aborted/n, c.Unanswered/n, c.Attempts/n
 		c.P50, c.P99 = median(p50), median(p99)
 		cells = append(cells, c)
 	}
@@ -116,8 +116,8 @@
 	fmt.Fprintln(t, "drill\tpolicy\thonoured\t± 95%\tover the first\t± 95%\tdismissed\tgiven up\tleft\ttries\tp50 ms\tp99 ms\trules broken 1 2 3 4\t")
 	for _, c := range cells {
 		fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%+.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%.1f\t%.1f\t%d %d %d %d\t\n", c.Drill, c.Policy,
-			c.Share.Mean, c.Share.Half, c.Paired.Mean, c.Paired.Half, c.Dismissed, c.GivenUp, c.Left, c.Tries, c.P50, c.P99,
-			c.Broken[1], c.Broken[2], c.Broken[3], c.Broken[4])
+			c.GoodputShare.Mean, c.GoodputShare.Half, c.Difference.Mean, c.Difference.Half, c.Rejected, c.Aborted, c.Unanswered, c.Attempts, c.P50, c.P99,
+			c.Violations[1], c.Violations[2], c.Violations[3], c.Violations[4])
 	}
 	return t.Flush()
 }
@@ -133,17 +133,17 @@
 			if c.Policy != name {
 				continue
 			}
-			sum, n = sum+c.Share.Mean, n+1
-			if c.Share.Mean < least {
-				least, in = c.Share.Mean, c.Drill
+			sum, n = sum+c.GoodputShare.Mean, n+1
+			if c.GoodputShare.Mean < least {
+				least, in = c.GoodputShare.Mean, c.Drill
 			}
-			if c.Paired.Mean+c.Paired.Half < 0 {
+			if c.Difference.Mean+c.Difference.Half < 0 {
 				worse++
 			}
-			if c.Paired.Mean-c.Paired.Half > 0 {
+			if c.Difference.Mean-c.Difference.Half > 0 {
 				better++
 			}
-			for _, b := range c.Broken {
+			for _, b := range c.Violations {
 				broken += b
 			}
 		}
--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	mostServers = 5000
-	mostSpan    = time.Hour
-	mostText    = 64 << 10
+	maxServers    = 5000
+	maxSpan       = time.Hour
+	maxScriptSize = 64 << 10
 )
 
 // The grammar. Amounts are kept as text with their place, so that one out of range is told with line and column.
@@ -41,16 +41,16 @@
 }
 
 type statement struct {
-	Pos     lexer.Position
-	Title   *string       `parser:"  'title' @String"`
-	Fleet   *fleet        `parser:"| @@"`
-	Load    *load         `parser:"| 'load' @@"`
-	Habits  *habits       `parser:"| 'habits' @@"`
-	Clients *clients      `parser:"| 'clients' @@"`
-	Network *network      `parser:"| 'network' @@"`
-	Depends *dependencyOf `parser:"| 'dependency' @@"`
-	Compose *compose      `parser:"| 'compose' @@"`
-	Event   *eventAt      `parser:"| 'at' @@"`
+	Pos        lexer.Position
+	Title      *string        `parser:"  'title' @String"`
+	Fleet      *fleet         `parser:"| @@"`
+	Load       *load          `parser:"| 'load' @@"`
+	Router     *routerOptions `parser:"| 'habits' @@"`
+	Clients    *clients       `parser:"| 'clients' @@"`
+	Network    *network       `parser:"| 'network' @@"`
+	Dependency *dependency    `parser:"| 'dependency' @@"`
+	Compose    *compose       `parser:"| 'compose' @@"`
+	Event      *event         `parser:"| 'at' @@"`
 }
 
 type amount struct {
@@ -76,88 +76,88 @@
 	Curve bool    `parser:"@'curve'?"`
 }
 
-type habits struct {
-	Pick   string  `parser:"@Word"`
-	Tries  *amount `parser:"( 'tries' ( 'unlimited' | @@ ) )?"`
-	Budget *amount `parser:"( 'budget' @@ )?"`
-	Repeat bool    `parser:"@'repeating'?"`
-	Heeds  bool    `parser:"@'heeding'?"`
+type routerOptions struct {
+	Pick              string  `parser:"@Word"`
+	MaxAttempts       *amount `parser:"( 'tries' ( 'unlimited' | @@ ) )?"`
+	Budget            *amount `parser:"( 'budget' @@ )?"`
+	RetriesAborted    bool    `parser:"@'repeating'?"`
+	HeedsBackpressure bool    `parser:"@'heeding'?"`
 }
 
 type clients struct {
-	Endless bool    `parser:"'repeat' ( @'unlimited'"`
-	Repeats *amount `parser:"| @@ )"`
-	Pause   *amount `parser:"( 'after' @@ )?"`
+	Unlimited  bool    `parser:"'repeat' ( @'unlimited'"`
+	MaxRetries *amount `parser:"| @@ )"`
+	Backoff    *amount `parser:"( 'after' @@ )?"`
 }
 
 type network struct {
-	Delay  amount  `parser:"'delay' @@"`
-	Jitter *amount `parser:"( 'jitter' @@ )?"`
-	Lag    *amount `parser:"( 'lag' @@ )?"`
+	Delay       amount  `parser:"'delay' @@"`
+	Jitter      *amount `parser:"( 'jitter' @@ )?"`
+	EndpointLag *amount `parser:"( 'lag' @@ )?"`
 }
 
-type dependencyOf struct {
-	Name  string   `parser:"@Word"`
-	Slots amount   `parser:"'slots' @@"`
-	Mean  amount   `parser:"'takes' @@"`
-	By    []string `parser:"( 'for' @Word ( ',' @Word )* )?"`
-	Skips *amount  `parser:"( 'worth' @@ 'without' )?"`
+type dependency struct {
+	Name           string   `parser:"@Word"`
+	Slots          amount   `parser:"'slots' @@"`
+	Mean           amount   `parser:"'takes' @@"`
+	Routes         []string `parser:"( 'for' @Word ( ',' @Word )* )?"`
+	SkipValueShare *amount  `parser:"( 'worth' @@ 'without' )?"`
 }
 
 type compose struct {
-	Type  string      `parser:"@Word 'of'"`
-	Calls []*composed `parser:"@@ ( ',' @@ )*"`
-}
-
-type composed struct {
-	Pos    lexer.Position
-	Name   string  `parser:"@Word"`
-	Needed bool    `parser:"@'needed'?"`
-	Worth  *amount `parser:"( 'worth' @@ )?"`
-}
-
-type eventAt struct {
-	When  amount   `parser:"@@"`
-	Span  *amount  `parser:"( 'for' @@ )?"`
-	Kill  *whom    `parser:"(  'kill' @@"`
-	Again *whom    `parser:" | 'restart' @@"`
-	Roll  *amount  `parser:" | 'deploy' 'each' @@"`
-	Pause *whom    `parser:" | 'pause' @@"`
-	Slow  *whomBy  `parser:" | 'slow' @@"`
-	Take  *whomBy  `parser:" | 'neighbours' @@"`
-	Flap  *whom    `parser:" | 'flap' @@"`
-	Clock *clock   `parser:" | 'step' 'clock' @@"`
-	Load  *amount  `parser:" | 'load' 'by' @@"`
-	Stale *amount  `parser:" | 'lists' 'late' @@"`
-	Far   *amount  `parser:" | 'network' ( 'slower' 'by' @@"`
-	Loss  *amount  `parser:"             | 'losing' @@ )"`
-	Habit *habits  `parser:" | 'habits' @@"`
-	Storm *clients `parser:" | 'clients' @@"`
-	Stop  *string  `parser:" | 'stop' 'dependency' @Word"`
-	Drag  *dragBy  `parser:" | 'drag' 'dependency' @@"`
-	Fail  *dragBy  `parser:" | 'fail' 'dependency' @@ )"`
-	Grace *amount  `parser:"( 'within' @@ )?"`
-}
-
-type dragBy struct {
+	Route string  `parser:"@Word 'of'"`
+	Calls []*call `parser:"@@ ( ',' @@ )*"`
+}
+
+type call struct {
+	Pos      lexer.Position
+	Name     string  `parser:"@Word"`
+	Required bool    `parser:"@'needed'?"`
+	Value    *amount `parser:"( 'worth' @@ )?"`
+}
+
+type event struct {
+	When       amount         `parser:"@@"`
+	Span       *amount        `parser:"( 'for' @@ )?"`
+	Kill       *target        `parser:"(  'kill' @@"`
+	Restart    *target        `parser:" | 'restart' @@"`
+	Deploy     *amount        `parser:" | 'deploy' 'each' @@"`
+	Pause      *target        `parser:" | 'pause' @@"`
+	Slow       *targetBy      `parser:" | 'slow' @@"`
+	Neighbours *targetBy      `parser:" | 'neighbours' @@"`
+	Flap       *target        `parser:" | 'flap' @@"`
+	Clock      *clock         `parser:" | 'step' 'clock' @@"`
+	Load       *amount        `parser:" | 'load' 'by' @@"`
+	Endpoints  *amount        `parser:" | 'lists' 'late' @@"`
+	Network    *amount        `parser:" | 'network' ( 'slower' 'by' @@"`
+	Loss       *amount        `parser:"             | 'losing' @@ )"`
+	Router     *routerOptions `parser:" | 'habits' @@"`
+	Clients    *clients       `parser:" | 'clients' @@"`
+	Stop       *string        `parser:" | 'stop' 'dependency' @Word"`
+	Drag       *dependencyBy  `parser:" | 'drag' 'dependency' @@"`
+	Fail       *dependencyBy  `parser:" | 'fail' 'dependency' @@ )"`
+	Grace      *amount        `parser:"( 'within' @@ )?"`
+}
+
+type dependencyBy struct {
 	Name string `parser:"@Word"`
 	By   amount `parser:"'by' @@"`
 }
 
-type whom struct {
-	Share *amount `parser:"( @@ 'of' 'servers'"`
-	One   *amount `parser:"| 'server' @@"`
-	Zone  *amount `parser:"| 'zone' @@ )"`
+type target struct {
+	Share  *amount `parser:"( @@ 'of' 'servers'"`
+	Server *amount `parser:"| 'server' @@"`
+	Zone   *amount `parser:"| 'zone' @@ )"`
 }
 
-type whomBy struct {
-	Whom whom   `parser:"@@"`
-	By   amount `parser:"'by' @@"`
+type targetBy struct {
+	Target target `parser:"@@"`
+	By     amount `parser:"'by' @@"`
 }
 
 type clock struct {
-	Whom whom   `parser:"'of' @@"`
-	By   amount `parser:"'by' @@"`
+	Target target `parser:"'of' @@"`
+	By     amount `parser:"'by' @@"`
 }
 
 func parser() (*participle.Parser[script], error) {
@@ -183,53 +183,55 @@
 	return p, nil
 }
 
-// Fault is what is wrong at one place of a script.
-type Fault struct {
+// ScriptError is what is wrong at one place of a script.
+type ScriptError struct {
 	File         string
 	Line, Column int
-	Words        string
+	Message      string
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Words) }
+func (f *ScriptError) Error() string {
+	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
+}
 
 // Incident is one thing that goes wrong, on whatever can be made to.
 type Incident struct {
-	At, For time.Duration
-	Kind    string // kill, restart, deploy, pause, slow, neighbours, flap, clock, load, lists, network, loss, habits, clients, stop, drag, fail
-	Share   float64
-	Server  int // -1 for none
-	Zone    int // -1 for none
-	By      float64
-	Span    time.Duration // each, late, step, or the time to leave within
-	Within  time.Duration
-	Name    string
-	Habits  emulator.RouterOptions
-	Clients emulator.Clients
+	At, Duration  time.Duration
+	Kind          string // kill, restart, deploy, pause, slow, neighbours, flap, clock, load, lists, network, loss, habits, clients, stop, drag, fail
+	Share         float64
+	Server        int // -1 for none
+	Zone          int // -1 for none
+	Factor        float64
+	Span          time.Duration // each, late, step, or the time to leave within
+	ShutdownLimit time.Duration
+	Name          string
+	RouterOptions emulator.RouterOptions
+	Clients       emulator.Clients
 }
 
 // Drill is a script that was read.
 type Drill struct {
-	Name, Title string
-	Fleet       emulator.Fleet // without its policy
-	Share       float64        // of what the fleet can do
-	Span        time.Duration
-	Burst       float64 // the load is so many times as much for a second
-	Every       time.Duration
-	Curve       bool // it goes up and down as over a day
-	Incidents   []Incident
+	Name, Title   string
+	Fleet         emulator.Fleet // without its policy
+	Load          float64        // of what the fleet can do
+	Span          time.Duration
+	BurstFactor   float64 // the load is so many times as much for a second
+	BurstInterval time.Duration
+	DailyCurve    bool // it goes up and down as over a day
+	Incidents     []Incident
 }
 
-// reading gathers faults, so that all are told at once.
-type reading struct {
-	file   string
-	faults []error
+// reader gathers faults, so that all are told at once.
+type reader struct {
+	file string
+	errs []error
 }
 
-func (r *reading) fault(at lexer.Position, words string, of ...any) {
-	r.faults = append(r.faults, &Fault{r.file, at.Line, at.Column, fmt.Sprintf(words, of...)})
+func (r *reader) addError(at lexer.Position, words string, of ...any) {
+	r.errs = append(r.errs, &ScriptError{r.file, at.Line, at.Column, fmt.Sprintf(words, of...)})
 }
 
-func (r *reading) number(a *amount, otherwise, least, most float64) float64 {
+func (r *reader) number(a *amount, otherwise, least, most float64) float64 {
 	if a == nil {
 		return otherwise
 	}
@@ -239,19 +241,19 @@
 		n /= 100
 	}
 	if err != nil || n < least || n > most {
-		r.fault(a.Pos, "%s: a number from %g to %g is allowed here, or the same in %%", a.Text, least, most)
+		r.addError(a.Pos, "%s: a number from %g to %g is allowed here, or the same in %%", a.Text, least, most)
 		return otherwise
 	}
 	return n
 }
 
-func (r *reading) span(a *amount, otherwise, least, most time.Duration) time.Duration {
+func (r *reader) span(a *amount, otherwise, least, most time.Duration) time.Duration {
 	if a == nil {
 		return otherwise
 	}
 	d, err := time.ParseDuration(a.Text)
 	if err != nil || d < least || d > most {
-		r.fault(a.Pos, "%s: a time from %v to %v is allowed here", a.Text, least, most)
+		r.addError(a.Pos, "%s: a time from %v to %v is allowed here", a.Text, least, most)
 		return otherwise
 	}
 	return d
@@ -259,8 +261,8 @@
 
 // Parse reads a script. The error joins all faults, each with file, line and column.
 func Parse(file, text string) (*Drill, error) {
-	if len(text) > mostText {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(text), mostText)
+	if len(text) > maxScriptSize {
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(text), maxScriptSize)
 	}
 	p, err := parser()
 	if err != nil {
@@ -270,13 +272,13 @@
 	if err != nil {
 		var at participle.Error
 		if errors.As(err, &at) { // where the text itself is broken there is no telling what else is wrong
-			return nil, &Fault{file, at.Position().Line, at.Position().Column, at.Message()}
+			return nil, &ScriptError{file, at.Position().Line, at.Position().Column, at.Message()}
 		}
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	r := &reading{file: file}
+	r := &reader{file: file}
 	d := &Drill{
-		Name: strings.TrimSuffix(file[strings.LastIndex(file, "/")+1:], ".drill"), Share: 0.8, Span: 20 * time.Second,
+		Name: strings.TrimSuffix(file[strings.LastIndex(file, "/")+1:], ".drill"), Load: 0.8, Span: 20 * time.Second,
 		Fleet: emulator.Fleet{
 			Servers: 10, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1}, Routes: emulator.BranchRoutes(), Routers: 2,
 			RouterOptions: emulator.RouterOptions{Balancing: "round", MaxAttempts: 3, RetryBudget: 0.2, HeedsBackpressure: true},
@@ -289,30 +291,30 @@
 	d.Fleet.Machine.MemoryKB = 16000 * d.Fleet.Machine.Cores
 	for _, i := range d.Incidents { // by now the fleet is known
 		if i.Server >= d.Fleet.Servers || i.Zone >= d.Fleet.Zones {
-			r.faults = append(r.faults, fmt.Errorf("%s: at %v: there are %d servers in %d zones, counted from 0", file, i.At, d.Fleet.Servers, d.Fleet.Zones))
+			r.errs = append(r.errs, fmt.Errorf("%s: at %v: there are %d servers in %d zones, counted from 0", file, i.At, d.Fleet.Servers, d.Fleet.Zones))
 		}
 		stated := slices.ContainsFunc(d.Fleet.Dependencies, func(of emulator.Dependency) bool { return of.Name == i.Name })
 		if i.Name != "" && !stated {
-			r.faults = append(r.faults, fmt.Errorf("%s: at %v: no dependency %q is stated", file, i.At, i.Name))
+			r.errs = append(r.errs, fmt.Errorf("%s: at %v: no dependency %q is stated", file, i.At, i.Name))
 		}
 	}
-	if err := errors.Join(r.faults...); err != nil {
+	if err := errors.Join(r.errs...); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-func (r *reading) statement(d *Drill, s *statement) {
+func (r *reader) statement(d *Drill, s *statement) {
 	switch {
 	case s.Title != nil:
 		d.Title = *s.Title
 	case s.Fleet != nil:
 		f := s.Fleet
-		d.Fleet.Servers = int(r.number(&f.Servers, 10, 1, mostServers))
+		d.Fleet.Servers = int(r.number(&f.Servers, 10, 1, maxServers))
 		d.Fleet.Zones = int(r.number(f.Zones, 2, 1, 100))
 		d.Fleet.Machine.Cores = r.number(f.Cores, 4, 1, 256)
 		d.Fleet.Machine.ColdShare = r.number(f.Cold, 0, 0.01, 1)
-		d.Fleet.Machine.WarmUp = r.span(f.WarmUp, 0, 0, mostSpan)
+		d.Fleet.Machine.WarmUp = r.span(f.WarmUp, 0, 0, maxSpan)
 		d.Fleet.PeerSync = f.Peers
 		if f.Mix != nil {
 			switch *f.Mix {
@@ -320,23 +322,23 @@
 			case "booking":
 				d.Fleet.Routes = emulator.BookingRoutes()
 			default:
-				r.fault(s.Pos, "mix %s: branch and booking are known", *f.Mix)
+				r.addError(s.Pos, "mix %s: branch and booking are known", *f.Mix)
 			}
 		}
 	case s.Load != nil:
-		d.Share = r.number(&s.Load.Share, 0.8, 0.01, 20)
-		d.Span = r.span(&s.Load.Span, 20*time.Second, time.Second, mostSpan)
-		d.Burst = r.number(s.Load.Burst, 0, 1, 100)
-		d.Every, d.Curve = r.span(s.Load.Every, 0, time.Second, mostSpan), s.Load.Curve
-	case s.Habits != nil:
-		d.Fleet.RouterOptions = r.habits(s.Pos, s.Habits)
+		d.Load = r.number(&s.Load.Share, 0.8, 0.01, 20)
+		d.Span = r.span(&s.Load.Span, 20*time.Second, time.Second, maxSpan)
+		d.BurstFactor = r.number(s.Load.Burst, 0, 1, 100)
+		d.BurstInterval, d.DailyCurve = r.span(s.Load.Every, 0, time.Second, maxSpan), s.Load.Curve
+	case s.Router != nil:
+		d.Fleet.RouterOptions = r.routerOptions(s.Pos, s.Router)
 	case s.Clients != nil:
 		d.Fleet.Clients = r.clients(s.Clients)
 	case s.Network != nil:
 		d.Fleet.Delay = r.span(&s.Network.Delay, 0, 0, time.Second)
 		d.Fleet.Jitter = r.span(s.Network.Jitter, 0, 0, time.Second)
-		d.Fleet.EndpointLag = r.span(s.Network.Lag, d.Fleet.EndpointLag, 0, time.Minute)
-	case s.Depends != nil:
+		d.Fleet.EndpointLag = r.span(s.Network.EndpointLag, d.Fleet.EndpointLag, 0, time.Minute)
+	case s.Dependency != nil:
 		r.dependency(d, s)
 	case s.Compose != nil:
 		r.compose(d, s)
@@ -345,46 +347,46 @@
 	}
 }
 
-func (r *reading) dependency(d *Drill, s *statement) {
-	of := s.Depends
+func (r *reader) dependency(d *Drill, s *statement) {
+	of := s.Dependency
 	d.Fleet.Dependencies = append(d.Fleet.Dependencies, emulator.Dependency{
 		Name: of.Name, Slots: int(r.number(&of.Slots, 1, 1, 100_000)), Mean: r.span(&of.Mean, time.Millisecond, time.Microsecond, time.Minute), Spread: 0.5,
 	})
-	for _, name := range of.By {
+	for _, name := range of.Routes {
 		found := false
 		for i := range d.Fleet.Routes {
 			if t := &d.Fleet.Routes[i]; t.Name == name {
-				t.Dependency, t.SkipValueShare, found = of.Name, r.number(of.Skips, 0, 0, 1), true
+				t.Dependency, t.SkipValueShare, found = of.Name, r.number(of.SkipValueShare, 0, 0, 1), true
 			}
 		}
 		if !found {
-			r.fault(s.Pos, "no traffic type %s in this mix", name)
+			r.addError(s.Pos, "no traffic type %s in this mix", name)
 		}
 	}
 }
 
 // compose reads how tasks of a type are made of calls. Needed calls come first, the others beside them.
-func (r *reading) compose(d *Drill, s *statement) {
-	kind := slices.IndexFunc(d.Fleet.Routes, func(t emulator.Route) bool { return t.Name == s.Compose.Type })
+func (r *reader) compose(d *Drill, s *statement) {
+	kind := slices.IndexFunc(d.Fleet.Routes, func(t emulator.Route) bool { return t.Name == s.Compose.Route })
 	if kind < 0 {
-		r.fault(s.Pos, "no traffic type %s in this mix", s.Compose.Type)
+		r.addError(s.Pos, "no traffic type %s in this mix", s.Compose.Route)
 		return
 	}
-	plan := &budget.Plan{Route: s.Compose.Type, Reserve: 5 * time.Millisecond}
+	plan := &budget.Plan{Route: s.Compose.Route, Reserve: 5 * time.Millisecond}
 	for _, c := range s.Compose.Calls {
 		at := slices.IndexFunc(d.Fleet.Dependencies, func(o emulator.Dependency) bool { return o.Name == c.Name })
 		if at < 0 {
-			r.fault(c.Pos, "no dependency %q is stated before", c.Name)
+			r.addError(c.Pos, "no dependency %q is stated before", c.Name)
 			return
 		}
 		plan.Calls = append(plan.Calls, budget.Call{
-			Name: c.Name, Dependency: at, Required: c.Needed, Value: r.number(c.Worth, 1, 0.001, 1000),
+			Name: c.Name, Dependency: at, Required: c.Required, Value: r.number(c.Value, 1, 0.001, 1000),
 			Expected: d.Fleet.Dependencies[at].Mean, Retry: true, Hedge: true,
 		})
 	}
 	t := d.Fleet.Routes[kind]
 	if err := plan.Validate(len(d.Fleet.Dependencies), min(t.LatencyTarget, t.Deadline)); err != nil {
-		r.fault(s.Pos, "%v", err)
+		r.addError(s.Pos, "%v", err)
 		return
 	}
 	if d.Fleet.Plans == nil {
@@ -393,89 +395,89 @@
 	d.Fleet.Plans[t.Name] = plan
 }
 
-func (r *reading) habits(at lexer.Position, h *habits) emulator.RouterOptions {
+func (r *reader) routerOptions(at lexer.Position, h *routerOptions) emulator.RouterOptions {
 	switch h.Pick {
 	case "round", "least", "subject", "walk", "random":
 	default:
-		r.fault(at, "habits %s: round, least, subject, walk and random are known", h.Pick)
+		r.addError(at, "habits %s: round, least, subject, walk and random are known", h.Pick)
 	}
 	return emulator.RouterOptions{
-		Balancing: h.Pick, MaxAttempts: int(r.number(h.Tries, 0, 1, 100)), RetryBudget: r.number(h.Budget, 0, 0.001, 10),
-		HeedsBackpressure: h.Heeds, RetriesAborted: h.Repeat,
+		Balancing: h.Pick, MaxAttempts: int(r.number(h.MaxAttempts, 0, 1, 100)), RetryBudget: r.number(h.Budget, 0, 0.001, 10),
+		HeedsBackpressure: h.HeedsBackpressure, RetriesAborted: h.RetriesAborted,
 	}
 }
 
-func (r *reading) clients(c *clients) emulator.Clients {
-	repeats := int(r.number(c.Repeats, 0, 0, 1000))
-	if c.Endless {
+func (r *reader) clients(c *clients) emulator.Clients {
+	repeats := int(r.number(c.MaxRetries, 0, 0, 1000))
+	if c.Unlimited {
 		repeats = -1
 	}
-	return emulator.Clients{MaxRetries: repeats, Backoff: r.span(c.Pause, 100*time.Millisecond, time.Millisecond, time.Minute)}
+	return emulator.Clients{MaxRetries: repeats, Backoff: r.span(c.Backoff, 100*time.Millisecond, time.Millisecond, time.Minute)}
 }
 
-// whom fills in which servers are meant.
-func (r *reading) whom(i *Incident, w *whom) {
+// target fills in which servers are meant.
+func (r *reader) target(i *Incident, w *target) {
 	switch {
 	case w.Share != nil:
 		i.Share = r.number(w.Share, 0, 0.001, 1)
-	case w.One != nil:
-		i.Server = int(r.number(w.One, 0, 0, mostServers))
+	case w.Server != nil:
+		i.Server = int(r.number(w.Server, 0, 0, maxServers))
 	case w.Zone != nil:
 		i.Zone = int(r.number(w.Zone, 0, 0, 100))
 	}
 }
 
-func (r *reading) event(at lexer.Position, e *eventAt) Incident {
+func (r *reader) event(at lexer.Position, e *event) Incident {
 	i := Incident{
-		At: r.span(&e.When, 0, 0, mostSpan), For: r.span(e.Span, 0, time.Millisecond, mostSpan), Server: -1, Zone: -1,
-		Within: r.span(e.Grace, 2500*time.Millisecond, 500*time.Millisecond, time.Minute),
+		At: r.span(&e.When, 0, 0, maxSpan), Duration: r.span(e.Span, 0, time.Millisecond, maxSpan), Server: -1, Zone: -1,
+		ShutdownLimit: r.span(e.Grace, 2500*time.Millisecond, 500*time.Millisecond, time.Minute),
 	}
 	switch {
 	case e.Kill != nil:
 		i.Kind = "kill"
-		r.whom(&i, e.Kill)
-	case e.Again != nil:
+		r.target(&i, e.Kill)
+	case e.Restart != nil:
 		i.Kind = "restart"
-		r.whom(&i, e.Again)
-	case e.Roll != nil:
-		i.Kind, i.Span = "deploy", r.span(e.Roll, time.Second, time.Millisecond, time.Minute)
+		r.target(&i, e.Restart)
+	case e.Deploy != nil:
+		i.Kind, i.Span = "deploy", r.span(e.Deploy, time.Second, time.Millisecond, time.Minute)
 	case e.Pause != nil:
-		if i.Kind = "pause"; i.For == 0 {
-			r.fault(at, "a pause needs its length, as: at 5s for 2s pause ...")
+		if i.Kind = "pause"; i.Duration == 0 {
+			r.addError(at, "a pause needs its length, as: at 5s for 2s pause ...")
 		}
-		r.whom(&i, e.Pause)
+		r.target(&i, e.Pause)
 	case e.Slow != nil:
-		i.Kind, i.By = "slow", r.number(&e.Slow.By, 1, 0.1, 1000)
-		r.whom(&i, &e.Slow.Whom)
-	case e.Take != nil:
-		i.Kind, i.By = "neighbours", r.number(&e.Take.By, 0, 0, 0.99)
-		r.whom(&i, &e.Take.Whom)
+		i.Kind, i.Factor = "slow", r.number(&e.Slow.By, 1, 0.1, 1000)
+		r.target(&i, &e.Slow.Target)
+	case e.Neighbours != nil:
+		i.Kind, i.Factor = "neighbours", r.number(&e.Neighbours.By, 0, 0, 0.99)
+		r.target(&i, &e.Neighbours.Target)
 	case e.Flap != nil:
-		if i.Kind = "flap"; i.For == 0 {
-			r.fault(at, "a flap needs its length, as: at 5s for 2s flap ...")
+		if i.Kind = "flap"; i.Duration == 0 {
+			r.addError(at, "a flap needs its length, as: at 5s for 2s flap ...")
 		}
-		r.whom(&i, e.Flap)
+		r.target(&i, e.Flap)
 	case e.Clock != nil:
-		i.Kind, i.Span = "clock", r.span(&e.Clock.By, 0, -mostSpan, mostSpan)
-		r.whom(&i, &e.Clock.Whom)
+		i.Kind, i.Span = "clock", r.span(&e.Clock.By, 0, -maxSpan, maxSpan)
+		r.target(&i, &e.Clock.Target)
 	case e.Load != nil:
-		i.Kind, i.By = "load", r.number(e.Load, 1, 0, 100)
-	case e.Stale != nil:
-		i.Kind, i.Span = "lists", r.span(e.Stale, 0, 0, time.Minute)
-	case e.Far != nil:
-		i.Kind, i.By = "network", r.number(e.Far, 1, 0.1, 10_000)
+		i.Kind, i.Factor = "load", r.number(e.Load, 1, 0, 100)
+	case e.Endpoints != nil:
+		i.Kind, i.Span = "lists", r.span(e.Endpoints, 0, 0, time.Minute)
+	case e.Network != nil:
+		i.Kind, i.Factor = "network", r.number(e.Network, 1, 0.1, 10_000)
 	case e.Loss != nil:
-		i.Kind, i.By = "loss", r.number(e.Loss, 0, 0, 0.9)
-	case e.Habit != nil:
-		i.Kind, i.Habits = "habits", r.habits(at, e.Habit)
-	case e.Storm != nil:
-		i.Kind, i.Clients = "clients", r.clients(e.Storm)
+		i.Kind, i.Factor = "loss", r.number(e.Loss, 0, 0, 0.9)
+	case e.Router != nil:
+		i.Kind, i.RouterOptions = "habits", r.routerOptions(at, e.Router)
+	case e.Clients != nil:
+		i.Kind, i.Clients = "clients", r.clients(e.Clients)
 	case e.Stop != nil:
 		i.Kind, i.Name = "stop", *e.Stop
 	case e.Drag != nil:
-		i.Kind, i.Name, i.By = "drag", e.Drag.Name, r.number(&e.Drag.By, 1, 0.1, 10_000)
+		i.Kind, i.Name, i.Factor = "drag", e.Drag.Name, r.number(&e.Drag.By, 1, 0.1, 10_000)
 	case e.Fail != nil:
-		i.Kind, i.Name, i.By = "fail", e.Fail.Name, r.number(&e.Fail.By, 0, 0, 1)
+		i.Kind, i.Name, i.Factor = "fail", e.Fail.Name, r.number(&e.Fail.By, 0, 0, 1)
 	}
 	return i
 }
--- a/scenario/drill_test.go
+++ b/scenario/drill_test.go
@@ -63,7 +63,7 @@
 	_, err := Parse("x.drill", "servers 0\nload 1000000% for 1ms\nhabits best")
 	require.Error(t, err)
 	assert.Equal(t, 4, strings.Count(err.Error(), "x.drill:"), "all at once: %v", err)
-	_, err = Parse("x.drill", strings.Repeat("# ", mostText))
+	_, err = Parse("x.drill", strings.Repeat("# ", maxScriptSize))
 	assert.ErrorContains(t, err, "at most")
 }
 
@@ -74,7 +74,7 @@
 	d, err := Parse("retry-storm.drill", string(raw))
 	require.NoError(t, err)
 	last := func(name string) float64 { // of the ten seconds that begin 20 s after the cause has gone
-		make, err := baseline.ByName(name)
+		make, err := baseline.PolicyByName(name)
 		require.NoError(t, err)
 		r := d.Emulate(make, 1)
 		offered, honoured := 0.0, 0.0
--- a/scenario/play.go
+++ b/scenario/play.go
@@ -11,17 +11,17 @@
 
 // Rate is the drill's load in tasks a second, for the whole fleet.
 func (d *Drill) Rate() float64 {
-	return float64(d.Fleet.Servers) * emulator.Rate(d.Fleet.Routes, d.Fleet.Machine, d.Share)
+	return float64(d.Fleet.Servers) * emulator.Rate(d.Fleet.Routes, d.Fleet.Machine, d.Load)
 }
 
-// Over is by how much the load is more at a moment, by its bursts and its curve.
-func (d *Drill) Over(at time.Duration) float64 {
+// LoadFactor is by how much the load is more at a moment, by its bursts and its curve.
+func (d *Drill) LoadFactor(at time.Duration) float64 {
 	by := 1.0
-	if d.Curve { // a day in the drill's span, from a third at night
+	if d.DailyCurve { // a day in the drill's span, from a third at night
 		by = 0.667 - 0.333*math.Cos(2*math.Pi*float64(at)/float64(d.Span))
 	}
-	if d.Burst > 0 && d.Every > 0 && at%d.Every < time.Second && at >= d.Every {
-		by *= d.Burst
+	if d.BurstFactor > 0 && d.BurstInterval > 0 && at%d.BurstInterval < time.Second && at >= d.BurstInterval {
+		by *= d.BurstFactor
 	}
 	return by
 }
@@ -30,10 +30,10 @@
 // its load.
 func (d *Drill) Arrivals(seed int64) []emulator.Arrival {
 	most, over := 1.0, func(at time.Duration) float64 {
-		by := d.Over(at)
+		by := d.LoadFactor(at)
 		for _, i := range d.Incidents {
-			if i.Kind == "load" && at >= i.At && (i.For == 0 || at < i.At+i.For) {
-				by *= i.By
+			if i.Kind == "load" && at >= i.At && (i.Duration == 0 || at < i.At+i.Duration) {
+				by *= i.Factor
 			}
 		}
 		return by
@@ -58,14 +58,14 @@
 	fleet.Policy = policy
 	w := emulator.New(fleet, seed)
 	for _, i := range d.Incidents {
-		w.At(i.At, func() { d.happen(w, i) })
+		w.At(i.At, func() { d.inject(w, i) })
 	}
 	return w
 }
 
 // Emulate plays the drill on an emulated fleet.
 func (d *Drill) Emulate(policy emulator.PolicyMaker, seed int64) emulator.Result {
-	return d.world(policy, seed).Run(emulator.Load{Rate: d.Rate(), Span: d.Span, Factor: d.Over})
+	return d.world(policy, seed).Run(emulator.Load{Rate: d.Rate(), Span: d.Span, Factor: d.LoadFactor})
 }
 
 // servers are those that an incident means, drawn as it happens.
@@ -79,11 +79,11 @@
 	return w.RandomServers(i.Share)
 }
 
-// happen has an incident begin, and sets its end.
-func (d *Drill) happen(w *emulator.World, i Incident) {
+// inject has an incident begin, and sets its end.
+func (d *Drill) inject(w *emulator.World, i Incident) {
 	end := func(do func()) {
-		if i.For > 0 {
-			w.At(i.At+i.For, do)
+		if i.Duration > 0 {
+			w.At(i.At+i.Duration, do)
 		}
 	}
 	switch i.Kind {
@@ -92,40 +92,40 @@
 		w.Kill(numbers)
 		end(func() { w.Boot(numbers) })
 	case "restart":
-		w.Restart(servers(w, i), i.Within)
+		w.Restart(servers(w, i), i.ShutdownLimit)
 	case "deploy":
-		w.Deploy(i.Span, i.Within)
+		w.Deploy(i.Span, i.ShutdownLimit)
 	case "pause":
-		w.Freeze(servers(w, i), i.For)
+		w.Freeze(servers(w, i), i.Duration)
 	case "slow":
 		numbers := servers(w, i)
-		w.SetSlowFactor(numbers, i.By)
+		w.SetSlowFactor(numbers, i.Factor)
 		end(func() { w.SetSlowFactor(numbers, 1) })
 	case "neighbours":
 		numbers := servers(w, i)
-		w.SetNeighbourShare(numbers, i.By)
+		w.SetNeighbourShare(numbers, i.Factor)
 		end(func() { w.SetNeighbourShare(numbers, 0) })
 	case "flap":
-		w.Disconnect(servers(w, i), i.For)
+		w.Disconnect(servers(w, i), i.Duration)
 	case "clock":
 		numbers := servers(w, i)
 		w.StepClock(numbers, i.Span)
 		end(func() { w.StepClock(numbers, -i.Span) })
 	case "load":
-		w.SetLoadFactor(i.By)
+		w.SetLoadFactor(i.Factor)
 		end(func() { w.SetLoadFactor(1) })
 	case "lists":
 		w.SetEndpointLag(i.Span)
 		end(func() { w.SetEndpointLag(d.Fleet.EndpointLag) })
 	case "network":
-		w.SetDelayFactor(i.By)
+		w.SetDelayFactor(i.Factor)
 		end(func() { w.SetDelayFactor(1) })
 	case "loss":
-		w.SetLossRate(i.By)
+		w.SetLossRate(i.Factor)
 		end(func() { w.SetLossRate(0) })
 	case "habits":
 		before := w.RouterOptions()
-		w.SetRouterOptions(i.Habits)
+		w.SetRouterOptions(i.RouterOptions)
 		end(func() { w.SetRouterOptions(before) })
 	case "clients":
 		before := w.CurrentClients()
@@ -135,10 +135,10 @@
 		w.SetDependency(i.Name, 1, 0, true)
 		end(func() { w.SetDependency(i.Name, 1, 0, false) })
 	case "drag":
-		w.SetDependency(i.Name, i.By, 0, false)
+		w.SetDependency(i.Name, i.Factor, 0, false)
 		end(func() { w.SetDependency(i.Name, 1, 0, false) })
 	case "fail":
-		w.SetDependency(i.Name, 1, i.By, false)
+		w.SetDependency(i.Name, 1, i.Factor, false)
 		end(func() { w.SetDependency(i.Name, 1, 0, false) })
 	}
 }
