--- a/baseline/aimd.go
+++ b/baseline/aimd.go
@@ -9,8 +9,8 @@
 	"quartzpoint/emulator"
 )
 
-// aimd is the plain adaptive limit that this project's mechanism comes from: one more each calibration period without a
-// backoff event, three quarters with one; an event is memory over 75%, CPU over 90%, or latency over twice its mean.
+// aimd raises its limit by one each calibration period, or lowers it to three quarters after a period with a backoff event:
+// memory over 75%, CPU over 90%, or latency over twice its long mean.
 type aimd struct {
 	noopLimiter
 	current, min        float64
@@ -22,7 +22,7 @@
 const calibration = time.Second
 
 func newAIMD(m emulator.Machine, _ []emulator.Route, _ *rand.Rand) limiter {
-	return &aimd{current: m.Cores, min: m.Cores} // as here: less would leave cores idle
+	return &aimd{current: m.Cores, min: m.Cores} // fewer would leave cores idle
 }
 
 func (a *aimd) limit() float64 { return math.Floor(a.current) }
--- a/baseline/base.go
+++ b/baseline/base.go
@@ -1,6 +1,6 @@
-// Package baseline holds other ways to decide what is let in, to compare this project's with. None is on the daemon's path.
-// All share what any server has to do: hold tasks in the order in which they came, answer what is late, and leave in
-// order. They differ in how many run at once and what is turned away.
+// Package baseline holds admission policies to compare the project's decisions with. The daemon does not use them. All queue
+// requests in order of arrival, answer what is late and shut down gracefully. They differ in how many requests run at once
+// and which are rejected.
 package baseline
 
 import (
@@ -14,26 +14,27 @@
 )
 
 const (
+	shutdownGrace  = 400 * time.Millisecond // after the notification, within which arrivals are queued
 	tick           = 25 * time.Millisecond
-	deadlineMargin = 2 * tick // before the due time, by which what is late is answered
-	queueFactor    = 4.0      // tasks held over the limit, past which one that comes is turned away
+	deadlineMargin = 2 * tick // before the deadline, by which a request is answered
+	queueFactor    = 4.0      // queued requests over the limit, beyond which an arrival is rejected
 )
 
-// limiter is what the baselines differ in.
+// limiter is the part in which baselines differ.
 type limiter interface {
-	// take tells whether a task that comes is let in at all.
+	// admit reports whether an arrival may be queued.
 	admit(now time.Duration) bool
-	// room is the number that may run at once.
+	// limit returns the number of requests that may run at once.
 	limit() float64
-	// drop tells whether the first in line, which has waited so long, is turned away rather than run.
+	// shed reports whether the first of the queue, which has waited so long, is rejected instead of started.
 	shed(now, waited time.Duration) bool
-	// sample takes a run that ended, with how many were running.
+	// recordRun records the end of a run, and how many were running.
 	recordRun(now, took time.Duration, running int, failed bool)
-	// gauges takes readings, once a tick.
+	// recordGauges records the gauges, once a tick.
 	recordGauges(now time.Duration, g admission.Gauges)
 }
 
-// noopLimiter is a limiter that does nothing; others hold it for what they leave as it is.
+// noopLimiter implements the methods of limiter but for limit, without an effect. Other limiters embed it.
 type noopLimiter struct{}
 
 func (noopLimiter) admit(time.Duration) bool                          { return true }
@@ -47,7 +48,7 @@
 	queued state = iota
 	running
 	calling
-	stopping // answered, and its run not ended yet
+	stopping // answered, but its run has not ended
 )
 
 type trackedRequest struct {
@@ -57,12 +58,12 @@
 	deadline time.Duration
 }
 
-// server decides for one server by a limiter.
+// server makes the decisions of one server by a limiter.
 type server struct {
 	limiter
-	queue      []*trackedRequest // held, in order
+	queue      []*trackedRequest // by arrival
 	requests   map[*admission.Request]*trackedRequest
-	active     []*trackedRequest // begun, in order
+	active     []*trackedRequest // started and not ended, by start
 	started    bool
 	stopAt     time.Duration
 	notifiedAt time.Duration
@@ -84,12 +85,12 @@
 	}
 }
 
-// Names are those of the baselines, in the order of tables.
+// Names returns the names of the baselines, in the order of tables.
 func Names() []string {
 	return []string{"no-limit", "fixed", "token-bucket", "codel", "gradient2", "vegas", "aimd"}
 }
 
-// PolicyByName gives a baseline, or the project's own decisions as "quartzpoint".
+// PolicyByName returns a baseline, or the project's own decisions for "quartzpoint".
 func PolicyByName(name string) (emulator.PolicyMaker, error) {
 	switch name {
 	case "quartzpoint":
@@ -167,7 +168,7 @@
 	k := &trackedRequest{request: request, since: now, deadline: request.Deadline - deadlineMargin}
 	s.requests[request] = k
 	s.queue = append(s.queue, k)
-	late := s.stopAt > 0 && now > s.notifiedAt+400*time.Millisecond
+	late := s.stopAt > 0 && now > s.notifiedAt+shutdownGrace
 	if late || !s.admit(now) || float64(len(s.queue)) > queueFactor*max(s.limit(), 1) {
 		s.reject(k, w)
 	}
@@ -188,7 +189,7 @@
 	delete(s.requests, k.request)
 }
 
-// expire answers what is late, or would be past the stop.
+// expire rejects or aborts what is at its deadline, or at the end of the shutdown.
 func (s *server) expire(now time.Duration, w admission.Executor) {
 	late := func(k *trackedRequest) bool {
 		return now >= k.deadline || s.stopAt > 0 && now >= s.stopAt-deadlineMargin
--- a/baseline/codel.go
+++ b/baseline/codel.go
@@ -13,11 +13,11 @@
 	codelInterval = 100 * time.Millisecond
 )
 
-// coDel drops from the head of the line once its wait has been over a target for an interval, more often the longer that
+// coDel rejects the first of the queue once its wait has been over a target for an interval, more often the longer that
 // lasts (K. Nichols, V. Jacobson, "Controlling Queue Delay", 2012), over a fixed number of runs.
 type coDel struct {
 	fixed
-	aboveUntil time.Duration // when the wait will have been over the target for an interval; 0 while it is not
+	aboveUntil time.Duration // when the wait will have been over the target for an interval; 0 while it is below
 	dropping   bool
 	nextDrop   time.Duration
 	count      int
--- a/baseline/fixed.go
+++ b/baseline/fixed.go
@@ -8,7 +8,7 @@
 
 const fixedRuns = 2.0 // a core: a common rule of thumb
 
-// fixed lets a number run that was chosen beforehand.
+// fixed is a constant limit.
 type fixed struct {
 	noopLimiter
 	runs float64
--- a/baseline/gradient2.go
+++ b/baseline/gradient2.go
@@ -31,7 +31,7 @@
 		g.longMean = short
 	}
 	g.longMean += (short - g.longMean) * 2 / 601
-	if g.longMean/max(short, 1e-9) > 2 { // after a spell of load the long one is brought down
+	if g.longMean/max(short, 1e-9) > 2 { // after an overload the long mean falls faster
 		g.longMean *= 0.95
 	}
 	if float64(running) < g.current/2 {
--- a/baseline/nolimit.go
+++ b/baseline/nolimit.go
@@ -7,7 +7,7 @@
 	"quartzpoint/emulator"
 )
 
-// noLimit starts all that comes.
+// noLimit starts every request at once.
 type noLimit struct{ noopLimiter }
 
 func newNoLimit(emulator.Machine, []emulator.Route, *rand.Rand) limiter { return noLimit{} }
--- a/baseline/tokenbucket.go
+++ b/baseline/tokenbucket.go
@@ -7,8 +7,8 @@
 	"quartzpoint/emulator"
 )
 
-// tokenBucket lets in as many tasks a second as the cores were measured to do, with a second's worth at once. It knows
-// their mean work beforehand, which a real one does not.
+// tokenBucket admits as many requests a second as the cores can do, in bursts of up to one second. It knows the mean work of
+// requests, which a real one does not.
 type tokenBucket struct {
 	fixed
 	rate, tokens float64
--- a/cmd/quartzpoint-bench/real.go
+++ b/cmd/quartzpoint-bench/real.go
@@ -22,7 +22,7 @@
 func playFleet(program, folder string, d *scenario.Drill, seed int64, load []harness.Arrival) (r harness.Result, found rulecheck.Report, err error) {
 	for _, i := range d.Incidents {
 		switch i.Kind {
-		case "kill", "restart", "deploy", "pause", "slow", "neighbours", "load":
+		case scenario.KillServers, scenario.RestartServers, scenario.Deploy, scenario.PauseServers, scenario.SlowPools, scenario.Neighbours, scenario.ChangeLoad:
 		default:
 			return r, found, fmt.Errorf("%s: %s at %v %w", d.Name, i.Kind, i.At, errNotReal)
 		}
@@ -84,22 +84,22 @@
 	}
 	full := d.Fleet.Machine
 	switch i.Kind {
-	case "kill":
+	case scenario.KillServers:
 		f.Kill(meant(d, i, chance), i.Duration)
-	case "restart":
+	case scenario.RestartServers:
 		for _, n := range meant(d, i, chance) {
 			f.Restart(n)
 		}
-	case "deploy":
+	case scenario.Deploy:
 		for n := range d.Fleet.Servers {
 			f.Restart(n)
 			time.Sleep(i.Span)
 		}
-	case "slow":
+	case scenario.SlowPools:
 		change(meant(d, i, chance), func(m *harness.Machine) { m.Speed = full.Speed / i.Factor }, func(m *harness.Machine) { m.Speed = full.Speed })
-	case "neighbours":
+	case scenario.Neighbours:
 		change(meant(d, i, chance), func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.Factor) }, func(m *harness.Machine) { m.Cores = full.Cores })
-	case "pause":
+	case scenario.PauseServers:
 		var all sync.WaitGroup
 		numbers := meant(d, i, chance)
 		failed := make([]error, len(numbers))
--- a/cmd/quartzpoint-bench/workers.go
+++ b/cmd/quartzpoint-bench/workers.go
@@ -103,11 +103,11 @@
 				continue
 			}
 			switch i.Kind {
-			case "stop":
+			case scenario.StopDependency:
 				m.Silent = true
-			case "drag":
+			case scenario.SlowDependency:
 				m.SlowFactor = i.Factor
-			case "fail":
+			case scenario.FailDependency:
 				m.Rejects = at%failEach < time.Duration(i.Factor*float64(failEach)) // for that part of the time
 			}
 		}
@@ -134,11 +134,11 @@
 	}
 	whole := func(m *harness.Machine) { m.Speed, m.Cores = full.Speed, full.Cores }
 	switch i.Kind {
-	case "slow":
+	case scenario.SlowPools:
 		return change(func(m *harness.Machine) { m.Speed = full.Speed / i.Factor }, whole)
-	case "neighbours":
+	case scenario.Neighbours:
 		return change(func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.Factor) }, whole)
-	case "pause":
+	case scenario.PauseServers:
 		return change(func(m *harness.Machine) { m.Speed = 1e-9 }, whole)
 	}
 	return ""
--- a/rulecheck/rules.go
+++ b/rulecheck/rules.go
@@ -1,11 +1,12 @@
-// Package rulecheck checks the four rules on what happened, emulated or on sockets, one event after the other:
+// Package rulecheck checks a run, emulated or on sockets, against the four rules, event by event:
 //
-//  1. every task read gets exactly one answer before its due time, unless its caller is gone;
-//  2. no effect twice: a task that has run is never dismissed, and one with an effect begins once;
-//  3. after the notice to leave nothing that arrives past the grace runs, and all read is answered before the stop;
-//  4. memory, the crowd on the cores and a dependency's load stay under what they survive.
+//  1. every request received gets exactly one answer before its deadline, unless its caller is gone;
+//  2. no effect happens twice: a request that has run is never rejected, and one with an effect starts once;
+//  3. after the notification of a shutdown no request that arrives after the grace runs, and every request received is
+//     answered before the stop;
+//  4. memory, the runs on the cores and the load of dependencies stay below what they survive.
 //
-// It keeps what is open and the effects that came about, does no I/O and reads no clock.
+// It stores the open attempts and the effects so far, does no I/O and reads no clock.
 package rulecheck
 
 import (
@@ -15,36 +16,36 @@
 	"time"
 )
 
-// Kind is what happened.
+// Kind is a kind of event.
 type Kind uint8
 
-// The kinds of events.
+// The kinds of events, with the fields that they use.
 const (
-	Received         Kind = iota + 1 // Try at Server, with Due and, where it has an effect, Effect
-	Started                          // Try began to run
-	Answered                         // Try, Dismissed or not
-	Abandoned                        // nobody waits for Try any more
-	ShutdownNotified                 // Server is told to leave; Due is the end of its grace
-	Stopped                          // Server ended as told
-	Crashed                          // Server ended at once, with all it had
-	Memory                           // Server: Value is the share in use
-	RunsPerCore                      // Server: Value is runs a core, against what it survives
-	CallsOpen                        // dependency Server: Value is its load over what it survives
+	Received         Kind = iota + 1 // Attempt at Server, with Deadline and, where it has one, Effect
+	Started                          // Attempt began to run
+	Answered                         // Attempt, Rejected or not
+	Abandoned                        // nobody waits for Attempt any more
+	ShutdownNotified                 // of Server; Deadline is the end of its grace
+	Stopped                          // Server ended its shutdown
+	Crashed                          // Server ended with all open attempts
+	Memory                           // of Server: Value is the share in use
+	RunsPerCore                      // of Server: Value is the number over what the server survives
+	CallsOpen                        // of dependency Server: Value is its load over what it survives
 )
 
-// Event is one thing that happened. Times are since the beginning of the run.
+// Event is one event of a run. Times are since the beginning of the run.
 type Event struct {
 	Kind     Kind
 	At       time.Duration
 	Server   int
-	Attempt  uint64 // one task at one server; the same at no other
-	Effect   uint64 // of a task that must not run twice: the same for all its tries
+	Attempt  uint64 // id of one request at one server
+	Effect   uint64 // id of an at-most-once request: the same for all its attempts; 0 for others
 	Deadline time.Duration
 	Rejected bool
 	Value    float64
 }
 
-// maxMessages bounds the violations that are told; all are counted.
+// maxMessages is the number of violations with a message; all are counted.
 const maxMessages = 20
 
 type attempt struct {
@@ -53,16 +54,16 @@
 	arrived  time.Duration
 	effect   uint64
 	started  bool
-	gone     bool // nobody waits: what becomes of it is of no account, but for its effect
+	gone     bool // nobody waits for it; only its effect still counts
 }
 
 type shutdown struct{ grace time.Duration }
 
-// Checker takes events in their order.
+// Checker checks events in their order of time. It is used from one goroutine.
 type Checker struct {
-	slack        time.Duration // by which an answer may be seen late, on sockets
+	slack        time.Duration // by which an answer may be seen late
 	open         map[uint64]*attempt
-	effectStarts map[uint64]int // effects that have begun, and how often
+	effectStarts map[uint64]int // by effect
 	shutdowns    map[int]shutdown
 	violations   [5]int
 	messages     []string
@@ -70,19 +71,19 @@
 	answers      int
 }
 
-// New makes a checker; slack is by how much moments may be off, nothing where time is simulated.
+// New returns a checker. slack is the error of the times of events: 0 in simulated time.
 func New(slack time.Duration) *Checker {
 	return &Checker{slack: slack, open: map[uint64]*attempt{}, effectStarts: map[uint64]int{}, shutdowns: map[int]shutdown{}}
 }
 
-func (c *Checker) violate(rule int, at time.Duration, words string, of ...any) {
+func (c *Checker) violate(rule int, at time.Duration, format string, args ...any) {
 	c.violations[rule]++
 	if len(c.messages) < maxMessages {
-		c.messages = append(c.messages, fmt.Sprintf("rule %d at %v: ", rule, at)+fmt.Sprintf(words, of...))
+		c.messages = append(c.messages, fmt.Sprintf("rule %d at %v: ", rule, at)+fmt.Sprintf(format, args...))
 	}
 }
 
-// Add takes one event.
+// Add checks one event.
 func (c *Checker) Add(e Event) {
 	switch e.Kind {
 	case Received:
@@ -156,9 +157,9 @@
 	}
 }
 
-// Finish closes the run: what is open and due by then was never answered.
+// Finish ends the run at a moment and returns the report. An attempt that is open after its deadline violates rule 1.
 func (c *Checker) Finish(at time.Duration) Report {
-	for _, t := range c.open { // each by itself
+	for _, t := range c.open { // in any order: they are only counted
 		if t.deadline+c.slack < at && !t.gone {
 			c.violations[1]++
 		}
@@ -174,7 +175,7 @@
 	Answers    int      `json:"Answers"`
 }
 
-// Total is the number of violations.
+// Total returns the number of violations.
 func (r Report) Total() (n int) {
 	for _, b := range r.Violations {
 		n += b
--- /dev/null
+++ b/scenario/parse.go
@@ -0,0 +1,123 @@
+package scenario
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/alecthomas/participle/v2"
+	"github.com/alecthomas/participle/v2/lexer"
+
+	"quartzpoint/emulator"
+)
+
+const (
+	maxServers    = 5000
+	maxSpan       = time.Hour
+	maxScriptSize = 64 << 10
+)
+
+// ScriptError is an error at one place of a script.
+type ScriptError struct {
+	File         string
+	Line, Column int
+	Message      string
+}
+
+// Error returns the place and the message.
+func (e *ScriptError) Error() string {
+	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
+}
+
+// Parse reads a script. The error joins those of all statements; a *ScriptError states file, line and column.
+func Parse(file, text string) (*Drill, error) {
+	if len(text) > maxScriptSize {
+		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(text), maxScriptSize)
+	}
+	p, err := parser()
+	if err != nil {
+		return nil, err
+	}
+	s, err := p.ParseString(file, text)
+	if err != nil {
+		var at participle.Error
+		if errors.As(err, &at) { // a syntax error hides all later errors
+			return nil, &ScriptError{file, at.Position().Line, at.Position().Column, at.Message()}
+		}
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	r := &reader{file: file}
+	d := &Drill{
+		Name: strings.TrimSuffix(file[strings.LastIndex(file, "/")+1:], ".drill"), Load: 0.8, Span: 20 * time.Second,
+		Fleet: emulator.Fleet{
+			Servers: 10, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1}, Routes: emulator.BranchRoutes(), Routers: 2,
+			RouterOptions: emulator.RouterOptions{Balancing: "round", MaxAttempts: 3, RetryBudget: 0.2, HeedsBackpressure: true},
+			Delay:         300 * time.Microsecond, Jitter: 100 * time.Microsecond, EndpointLag: 500 * time.Millisecond,
+		},
+	}
+	for _, one := range s.Statements {
+		r.statement(d, one)
+	}
+	d.Fleet.Machine.MemoryKB = 16000 * d.Fleet.Machine.Cores
+	r.checkIncidents(d)
+	if err := errors.Join(r.errs...); err != nil {
+		return nil, err
+	}
+	return d, nil
+}
+
+// checkIncidents checks what incidents name, as the fleet may be stated after them.
+func (r *reader) checkIncidents(d *Drill) {
+	for _, i := range d.Incidents {
+		if i.Server >= d.Fleet.Servers || i.Zone >= d.Fleet.Zones {
+			r.errs = append(r.errs, fmt.Errorf("%s: at %v: there are %d servers in %d zones, counted from 0", r.file, i.At, d.Fleet.Servers, d.Fleet.Zones))
+		}
+		stated := slices.ContainsFunc(d.Fleet.Dependencies, func(of emulator.Dependency) bool { return of.Name == i.Name })
+		if i.Name != "" && !stated {
+			r.errs = append(r.errs, fmt.Errorf("%s: at %v: no dependency %q is stated", r.file, i.At, i.Name))
+		}
+	}
+}
+
+// reader converts statements, and collects the errors of all of them.
+type reader struct {
+	file string
+	errs []error
+}
+
+func (r *reader) addError(at lexer.Position, format string, args ...any) {
+	r.errs = append(r.errs, &ScriptError{r.file, at.Line, at.Column, fmt.Sprintf(format, args...)})
+}
+
+// number returns an amount within bounds; otherwise where there is none.
+func (r *reader) number(a *amount, otherwise, low, high float64) float64 {
+	if a == nil {
+		return otherwise
+	}
+	text, percent := strings.CutSuffix(a.Text, "%")
+	n, err := strconv.ParseFloat(text, 64)
+	if percent {
+		n /= 100
+	}
+	if err != nil || n < low || n > high {
+		r.addError(a.Pos, "%s: a number from %g to %g is allowed here, or the same in %%", a.Text, low, high)
+		return otherwise
+	}
+	return n
+}
+
+// span returns a time within bounds; otherwise where there is none.
+func (r *reader) span(a *amount, otherwise, low, high time.Duration) time.Duration {
+	if a == nil {
+		return otherwise
+	}
+	d, err := time.ParseDuration(a.Text)
+	if err != nil || d < low || d > high {
+		r.addError(a.Pos, "%s: a time from %v to %v is allowed here", a.Text, low, high)
+		return otherwise
+	}
+	return d
+}
--- a/scenario/play.go
+++ b/scenario/play.go
@@ -9,15 +9,15 @@
 	"quartzpoint/emulator"
 )
 
-// Rate is the drill's load in tasks a second, for the whole fleet.
+// Rate returns the load of the whole fleet in requests a second.
 func (d *Drill) Rate() float64 {
 	return float64(d.Fleet.Servers) * emulator.Rate(d.Fleet.Routes, d.Fleet.Machine, d.Load)
 }
 
-// LoadFactor is by how much the load is more at a moment, by its bursts and its curve.
+// LoadFactor returns the factor of the load at a moment, from its bursts and its daily curve.
 func (d *Drill) LoadFactor(at time.Duration) float64 {
 	by := 1.0
-	if d.DailyCurve { // a day in the drill's span, from a third at night
+	if d.DailyCurve { // one day over the drill's span, from a third at night
 		by = 0.667 - 0.333*math.Cos(2*math.Pi*float64(at)/float64(d.Span))
 	}
 	if d.BurstFactor > 0 && d.BurstInterval > 0 && at%d.BurstInterval < time.Second && at >= d.BurstInterval {
@@ -26,28 +26,27 @@
 	return by
 }
 
-// Arrivals draws the drill's load beforehand, for what plays it in real time: its bursts, its curve, and the incidents of
-// its load.
+// Arrivals draws the drill's load with its bursts, its daily curve and the incidents of its load, for a run in real time.
 func (d *Drill) Arrivals(seed int64) []emulator.Arrival {
-	most, over := 1.0, func(at time.Duration) float64 {
+	maxFactor, factor := 1.0, func(at time.Duration) float64 {
 		by := d.LoadFactor(at)
 		for _, i := range d.Incidents {
-			if i.Kind == "load" && at >= i.At && (i.Duration == 0 || at < i.At+i.Duration) {
+			if i.Kind == ChangeLoad && at >= i.At && (i.Duration == 0 || at < i.At+i.Duration) {
 				by *= i.Factor
 			}
 		}
 		return by
 	}
 	for at := time.Duration(0); at < d.Span; at += 10 * time.Millisecond {
-		most = max(most, over(at))
+		maxFactor = max(maxFactor, factor(at))
 	}
 	thin := rand.New(rand.NewSource(seed ^ 0x7417))
-	return slices.DeleteFunc(emulator.Arrivals(d.Fleet.Routes, d.Rate()*most, d.Span, seed), func(a emulator.Arrival) bool {
-		return thin.Float64()*most >= over(a.At)
+	return slices.DeleteFunc(emulator.Arrivals(d.Fleet.Routes, d.Rate()*maxFactor, d.Span, seed), func(a emulator.Arrival) bool {
+		return thin.Float64()*maxFactor >= factor(a.At)
 	})
 }
 
-// EmulateLoad plays the drill with arrivals that were drawn.
+// EmulateLoad runs the drill on an emulated fleet with given arrivals.
 func (d *Drill) EmulateLoad(policy emulator.PolicyMaker, seed int64, load []emulator.Arrival) emulator.Result {
 	w := d.world(policy, seed)
 	return w.Run(emulator.Load{Arrivals: load, Span: d.Span})
@@ -63,12 +62,12 @@
 	return w
 }
 
-// Emulate plays the drill on an emulated fleet.
+// Emulate runs the drill on an emulated fleet with arrivals drawn from the seed.
 func (d *Drill) Emulate(policy emulator.PolicyMaker, seed int64) emulator.Result {
 	return d.world(policy, seed).Run(emulator.Load{Rate: d.Rate(), Span: d.Span, Factor: d.LoadFactor})
 }
 
-// servers are those that an incident means, drawn as it happens.
+// servers returns the servers of an incident, drawn when it begins.
 func servers(w *emulator.World, i Incident) []int {
 	switch {
 	case i.Server >= 0:
@@ -79,7 +78,7 @@
 	return w.RandomServers(i.Share)
 }
 
-// inject has an incident begin, and sets its end.
+// inject begins an incident and sets its end.
 func (d *Drill) inject(w *emulator.World, i Incident) {
 	end := func(do func()) {
 		if i.Duration > 0 {
@@ -87,57 +86,57 @@
 		}
 	}
 	switch i.Kind {
-	case "kill":
+	case KillServers:
 		numbers := servers(w, i)
 		w.Kill(numbers)
 		end(func() { w.Boot(numbers) })
-	case "restart":
+	case RestartServers:
 		w.Restart(servers(w, i), i.ShutdownLimit)
-	case "deploy":
+	case Deploy:
 		w.Deploy(i.Span, i.ShutdownLimit)
-	case "pause":
+	case PauseServers:
 		w.Freeze(servers(w, i), i.Duration)
-	case "slow":
+	case SlowPools:
 		numbers := servers(w, i)
 		w.SetSlowFactor(numbers, i.Factor)
 		end(func() { w.SetSlowFactor(numbers, 1) })
-	case "neighbours":
+	case Neighbours:
 		numbers := servers(w, i)
 		w.SetNeighbourShare(numbers, i.Factor)
 		end(func() { w.SetNeighbourShare(numbers, 0) })
-	case "flap":
+	case Disconnect:
 		w.Disconnect(servers(w, i), i.Duration)
-	case "clock":
+	case StepClock:
 		numbers := servers(w, i)
 		w.StepClock(numbers, i.Span)
 		end(func() { w.StepClock(numbers, -i.Span) })
-	case "load":
+	case ChangeLoad:
 		w.SetLoadFactor(i.Factor)
 		end(func() { w.SetLoadFactor(1) })
-	case "lists":
+	case DelayEndpoints:
 		w.SetEndpointLag(i.Span)
 		end(func() { w.SetEndpointLag(d.Fleet.EndpointLag) })
-	case "network":
+	case SlowNetwork:
 		w.SetDelayFactor(i.Factor)
 		end(func() { w.SetDelayFactor(1) })
-	case "loss":
+	case LosePackets:
 		w.SetLossRate(i.Factor)
 		end(func() { w.SetLossRate(0) })
-	case "habits":
+	case ChangeRouters:
 		before := w.RouterOptions()
 		w.SetRouterOptions(i.RouterOptions)
 		end(func() { w.SetRouterOptions(before) })
-	case "clients":
+	case ChangeClients:
 		before := w.CurrentClients()
 		w.SetClients(i.Clients)
 		end(func() { w.SetClients(before) })
-	case "stop":
+	case StopDependency:
 		w.SetDependency(i.Name, 1, 0, true)
 		end(func() { w.SetDependency(i.Name, 1, 0, false) })
-	case "drag":
+	case SlowDependency:
 		w.SetDependency(i.Name, i.Factor, 0, false)
 		end(func() { w.SetDependency(i.Name, 1, 0, false) })
-	case "fail":
+	case FailDependency:
 		w.SetDependency(i.Name, 1, i.Factor, false)
 		end(func() { w.SetDependency(i.Name, 1, 0, false) })
 	}
