--- a/internal/testkit/experiment/chart.go
+++ b/internal/testkit/experiment/chart.go
@@ -17,10 +17,10 @@
 	height = 4 * vg.Inch
 )
 
-// Format is that of a chart's file.
+// Format is the format of a chart.
 type Format string
 
-// The formats.
+// The formats of charts.
 const (
 	SVG Format = "svg"
 	PNG Format = "png"
@@ -47,7 +47,7 @@
 	return p
 }
 
-// SecondsChart draws what each policy honoured of each second's requests in one drill, as a mean over seeds.
+// SecondsChart draws the goodput share of each second of a drill by policy, as a mean over seeds.
 func SecondsChart(cells []Cell, drill, title string, as Format) ([]byte, error) {
 	p := newPlot(title, "second in which requests began", "honoured importance")
 	p.Y.Min, p.Y.Max = 0, 1.05
@@ -75,7 +75,7 @@
 	return render(p, as)
 }
 
-// OverallChart draws each policy's honoured importance in each drill, with its interval.
+// OverallChart draws the goodput share of each drill by policy, with its interval.
 func OverallChart(cells []Cell, as Format) ([]byte, error) {
 	p := newPlot("honoured importance by drill, with 95% intervals over seeds", "", "honoured importance")
 	p.Y.Min, p.Y.Max = 0, 1.05
--- a/internal/testkit/experiment/table.go
+++ b/internal/testkit/experiment/table.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Interval is a mean over seeds with its 95% interval, by Student's t.
+// Interval is a mean over seeds and half of its 95% interval, by Student's t. Half is NaN for one seed.
 type Interval struct{ Mean, Half float64 }
 
 func intervalOf(values []float64) Interval {
@@ -24,19 +24,19 @@
 	return Interval{mean, t * deviation / math.Sqrt(n)}
 }
 
-// Cell is one drill by one policy.
+// Cell is the summary of one drill with one policy.
 type Cell struct {
 	Drill, Policy                 string
-	GoodputShare                  Interval // of importance honoured
-	Difference                    Interval // less the first policy's, seed by seed
-	Rejected, Aborted, Unanswered float64  // parts of requests
-	Attempts                      float64  // a request
+	GoodputShare                  Interval // goodput over offered value
+	Difference                    Interval // to GoodputShare of the first policy, seed by seed
+	Rejected, Aborted, Unanswered float64  // shares of requests
+	Attempts                      float64  // for each request
 	P50, P99                      float64  // ms, medians over seeds
 	Violations                    [5]int   // by rule, over all seeds
 	SecondShares                  []float64
 }
 
-// Cells sums runs up, in the order in which they came.
+// Cells summarizes runs by drill and policy, in their order.
 func Cells(runs []Run) (cells []Cell) {
 	type place struct{ drill, policy string }
 	by := map[place][]Run{}
