--- a/baseline/base.go
+++ b/baseline/base.go
@@ -69,7 +69,7 @@
 	notifiedAt time.Duration
 }
 
-func maker(make func(m emulator.Machine, types []emulator.Route, rng *rand.Rand) limiter) emulator.PolicyMaker {
+func maker(newLimiter func(m emulator.Machine, types []emulator.Route, rng *rand.Rand) limiter) emulator.PolicyMaker {
 	return func(types []emulator.Route, m emulator.Machine, _ float64, seed int64) (emulator.Policy, []*admission.Route) {
 		var kinds []*admission.Route
 		for _, t := range types {
@@ -81,7 +81,7 @@
 			}
 			kinds = append(kinds, kind)
 		}
-		return &server{limiter: make(m, types, rand.New(rand.NewSource(seed))), requests: map[*admission.Request]*trackedRequest{}}, kinds
+		return &server{limiter: newLimiter(m, types, rand.New(rand.NewSource(seed))), requests: map[*admission.Request]*trackedRequest{}}, kinds
 	}
 }
 
--- a/baseline/baseline_test.go
+++ b/baseline/baseline_test.go
@@ -15,11 +15,11 @@
 func TestBaselines(t *testing.T) {
 	for _, name := range append(Names(), "quartzpoint") {
 		t.Run(name, func(t *testing.T) {
-			make, err := PolicyByName(name)
+			policy, err := PolicyByName(name)
 			require.NoError(t, err)
 			f := emulator.Fleet{
 				Servers: 4, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1, MemoryKB: 640000}, Routes: emulator.BranchRoutes(),
-				Policy: make, Routers: 1, RouterOptions: emulator.RouterOptions{Balancing: "least", MaxAttempts: 2}, Delay: 300 * time.Microsecond,
+				Policy: policy, Routers: 1, RouterOptions: emulator.RouterOptions{Balancing: "least", MaxAttempts: 2}, Delay: 300 * time.Microsecond,
 			}
 			share := func(load float64) float64 {
 				w := emulator.New(f, 3)
--- a/cmd/quartzpoint-bench/fronts/http.go
+++ b/cmd/quartzpoint-bench/fronts/http.go
@@ -95,13 +95,13 @@
 	switch {
 	case ctx.Err() != nil:
 		if err == nil {
-			answer.Body.Close()
+			_ = answer.Body.Close()
 		}
 		return conformance.Canceled
 	case err != nil:
 		return conformance.Aborted // the connection was closed: the run failed
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }()
 	_, _ = io.Copy(io.Discard, answer.Body) // only the status counts
 	switch answer.StatusCode {
 	case http.StatusOK:
--- a/emulator/router.go
+++ b/emulator/router.go
@@ -147,7 +147,7 @@
 	}
 	once := w.fleet.Routes[q.route].AtMostOnce
 	// A refused connection carried nothing; a broken one may have carried the request.
-	may := v == rejected || v == lost && !(once && t.reached) || r.options.RetriesAborted && !once
+	may := v == rejected || v == lost && (!once || !t.reached) || r.options.RetriesAborted && !once
 	left := q.sentAt + w.fleet.Routes[q.route].Deadline - w.now
 	more := r.options.MaxAttempts == 0 || len(q.triedServers) < r.options.MaxAttempts || v == lost && len(q.triedServers) < r.options.MaxAttempts+2
 	if r.options.HeedsBackpressure && nowhereElse {
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -330,9 +330,8 @@
 	}
 	q.sendSeq++ // its timeout does nothing any more
 	// An at-most-once request that may have run is not sent again.
-	again := q.retriesLeft != 0 && w.now < w.span+time.Second && !(q.mayHaveRun && w.fleet.Routes[q.route].AtMostOnce) &&
-		!(v == lost && w.fleet.Routes[q.route].AtMostOnce)
-	if again {
+	repeatable := !w.fleet.Routes[q.route].AtMostOnce || !q.mayHaveRun && v != lost
+	if repeatable && q.retriesLeft != 0 && w.now < w.span+time.Second {
 		q.retriesLeft--
 		pause := w.clients.Backoff
 		if q.router.options.HeedsBackpressure {
--- a/internal/testkit/conformance/daemon.go
+++ b/internal/testkit/conformance/daemon.go
@@ -42,8 +42,8 @@
 	if err != nil {
 		return Rejected // refused: nothing ran
 	}
-	defer link.Close()
-	defer context.AfterFunc(ctx, func() { link.Close() })()
+	defer func() { _ = link.Close() }()
+	defer context.AfterFunc(ctx, func() { _ = link.Close() })()
 	body := binary.BigEndian.AppendUint64(nil, uint64(r.Work.Microseconds()))
 	if r.Fails {
 		body = append(body, 1)
--- a/internal/testkit/experiment/chart.go
+++ b/internal/testkit/experiment/chart.go
@@ -96,9 +96,9 @@
 		if err != nil {
 			return nil, fmt.Errorf("chart: %w", err)
 		}
-		scatter.GlyphStyle.Color, scatter.GlyphStyle.Shape, scatter.GlyphStyle.Radius = plotutil.Color(at), plotutil.Shape(at), vg.Points(2.5)
+		scatter.Color, scatter.Shape, scatter.Radius = plotutil.Color(at), plotutil.Shape(at), vg.Points(2.5)
 		if at == 0 {
-			scatter.GlyphStyle.Color = color.Black
+			scatter.Color = color.Black
 		}
 		if len(errs) > 0 && errs[0].High == errs[0].High { // one seed has no interval
 			bars, err := plotter.NewYErrorBars(struct {
@@ -108,7 +108,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("chart: %w", err)
 			}
-			bars.LineStyle.Color = scatter.GlyphStyle.Color
+			bars.Color = scatter.Color
 			p.Add(bars)
 		}
 		p.Add(scatter)
--- a/internal/testkit/experiment/lab_test.go
+++ b/internal/testkit/experiment/lab_test.go
@@ -95,14 +95,14 @@
 	i := intervalOf([]float64{1, 2, 3, 4, 5})
 	assert.InDelta(t, 3, i.Mean, 1e-9)
 	assert.InDelta(t, 1.963, i.Half, 1e-3, "t of 4 degrees, 2.776, by 1.581 over the root of 5")
-	cells := Cells([]Run{share("a", "p", 0.9), share("a", "p", 0.8), share("a", "q", 0.5), share("a", "q", 0.4)})
+	cells := Cells([]Run{share("p", 0.9), share("p", 0.8), share("q", 0.5), share("q", 0.4)})
 	require.Len(t, cells, 2)
 	assert.InDelta(t, -0.4, cells[1].Difference.Mean, 1e-9)
 	assert.InDelta(t, 0, cells[1].Difference.Half, 1e-9, "pairs differ by the same")
 	assert.InDelta(t, 0.85, cells[0].GoodputShare.Mean, 1e-9)
 }
 
-func share(drill, policy string, of float64) (r Run) {
-	r.Drill, r.Policy, r.Result.OfferedValue, r.Result.Goodput, r.Result.Requests = drill, policy, 1, of, 10
+func share(policy string, of float64) (r Run) {
+	r.Drill, r.Policy, r.Result.OfferedValue, r.Result.Goodput, r.Result.Requests = "a", policy, 1, of, 10
 	return r
 }
--- a/internal/testkit/experiment/run.go
+++ b/internal/testkit/experiment/run.go
@@ -93,7 +93,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
-	defer file.Close()
+	runs, err := e.perform(ctx, file, stored, progress)
+	if err := errors.Join(err, file.Close()); err != nil {
+		return nil, fmt.Errorf("experiment: %w", err)
+	}
+	return runs, nil
+}
+
+// perform makes the runs that are not stored, and appends them to file.
+func (e *Experiment) perform(ctx context.Context, file *os.File, stored map[string]Run, progress Progress) ([]Run, error) {
 	jobs := e.jobs()
 	x := &execution{experiment: e, progress: progress, stored: stored, file: file, runs: make([]Run, len(jobs))}
 	next := make(chan job)
@@ -107,10 +115,7 @@
 	}
 	feed(ctx, jobs, next)
 	workers.Wait()
-	if err := errors.Join(x.err, context.Cause(ctx)); err != nil {
-		return nil, fmt.Errorf("experiment: %w", err)
-	}
-	return x.runs, nil
+	return x.runs, errors.Join(x.err, context.Cause(ctx))
 }
 
 // feed sends jobs until the context ends, and closes the channel.
@@ -168,7 +173,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("results: %w", err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // it was only read
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, maxStoredRun)
 	for lines.Scan() {
--- a/internal/testkit/fake/membership.go
+++ b/internal/testkit/fake/membership.go
@@ -21,12 +21,12 @@
 func NewMembershipAt(t testing.TB, address string) *Membership {
 	socket, err := net.ListenPacket("udp", address)
 	require.NoError(t, err)
-	t.Cleanup(func() { socket.Close() })
+	t.Cleanup(func() { _ = socket.Close() })
 	return &Membership{socket.LocalAddr().String(), socket}
 }
 
 // Stop closes the service, so that reports to it are refused.
-func (m *Membership) Stop() { m.socket.Close() }
+func (m *Membership) Stop() { _ = m.socket.Close() }
 
 // Next waits for the next report and returns its text.
 func (m *Membership) Next(t testing.TB) string {
--- a/internal/testkit/fake/pool.go
+++ b/internal/testkit/fake/pool.go
@@ -56,7 +56,7 @@
 		Commands: make(chan Command, 4096), running: map[string]bool{}, ready: make(chan struct{}),
 	}
 	p.accept(listener)
-	t.Cleanup(func() { p.listener.Close(); p.CloseLink() })
+	t.Cleanup(func() { _ = p.listener.Close(); p.CloseLink() })
 	return p
 }
 
@@ -77,7 +77,7 @@
 func (p *Pool) Relocate(t testing.TB) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	p.listener.Close()
+	_ = p.listener.Close()
 	p.accept(listener)
 }
 
@@ -85,7 +85,7 @@
 func (p *Pool) Ready() *Pool { close(p.ready); return p }
 
 func (p *Pool) serve(link net.Conn) {
-	defer link.Close()
+	defer func() { _ = link.Close() }()
 	in := bufio.NewScanner(link)
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
--- a/internal/testkit/fake/router.go
+++ b/internal/testkit/fake/router.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	link, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	t.Cleanup(func() { link.Close() })
+	t.Cleanup(func() { _ = link.Close() })
 	require.NoError(t, link.SetDeadline(time.Now().Add(WaitLimit)))
 	return &Router{Conn: link}
 }
--- a/internal/testkit/faultdisk/crash.go
+++ b/internal/testkit/faultdisk/crash.go
@@ -26,16 +26,28 @@
 	RandomLoss struct{ *rand.Rand }
 )
 
-// KeepName implements Loss, as do the methods below it.
-func (KeepAll) KeepName() bool                         { return true }
-func (KeepAll) KeepWrite(size int) (int, bool)         { return size, false }
-func (LoseAll) KeepName() bool                         { return false }
-func (LoseAll) KeepWrite(int) (int, bool)              { return 0, false }
-func (TornHalf) KeepName() bool                        { return true }
+// KeepName implements Loss.
+func (KeepAll) KeepName() bool { return true }
+
+// KeepWrite implements Loss.
+func (KeepAll) KeepWrite(size int) (int, bool) { return size, false }
+
+// KeepName implements Loss.
+func (LoseAll) KeepName() bool { return false }
+
+// KeepWrite implements Loss.
+func (LoseAll) KeepWrite(int) (int, bool) { return 0, false }
+
+// KeepName implements Loss.
+func (TornHalf) KeepName() bool { return true }
+
+// KeepWrite implements Loss.
 func (TornHalf) KeepWrite(size int) (n int, tail bool) { return size / 2, false }
 
+// KeepName implements Loss.
 func (l RandomLoss) KeepName() bool { return l.Intn(2) == 0 }
 
+// KeepWrite implements Loss.
 func (l RandomLoss) KeepWrite(size int) (n int, tail bool) {
 	switch l.Intn(4) {
 	case 0:
--- a/internal/testkit/faultdisk/folder.go
+++ b/internal/testkit/faultdisk/folder.go
@@ -13,7 +13,7 @@
 
 func pathError(op, name string, err error) error { return &fs.PathError{Op: op, Path: name, Err: err} }
 
-// List implements datadir.Dir, as do the methods below it.
+// List implements datadir.Dir.
 func (d *Disk) List() (entries []datadir.Entry, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -26,6 +26,7 @@
 	return entries, nil
 }
 
+// Read implements datadir.Dir.
 func (d *Disk) Read(name string, limit int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,6 +42,7 @@
 	return slices.Clone(n.data), nil
 }
 
+// Create implements datadir.Dir.
 func (d *Disk) Create(name string) (datadir.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,6 +58,7 @@
 	return &file{d, n}, nil
 }
 
+// Rename implements datadir.Dir.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,6 +75,7 @@
 	return nil
 }
 
+// Remove implements datadir.Dir.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,6 +94,7 @@
 	return nil
 }
 
+// Sync implements datadir.Dir.
 func (d *Disk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,6 +105,7 @@
 	return nil
 }
 
+// FreeBytes implements datadir.Dir.
 func (d *Disk) FreeBytes() (int64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,7 +115,7 @@
 	return d.Space, nil
 }
 
-// Close leaves the folder as it is, to be opened again.
+// Close implements datadir.Dir. The disk may be used again.
 func (d *Disk) Close() error { return nil }
 
 type file struct {
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -23,7 +23,7 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				r := bufio.NewReader(c)
 				for {
 					line, err := r.ReadString('\n')
@@ -105,7 +105,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p, err := New(echo(t))
 			require.NoError(t, err)
-			defer p.Close()
+			defer func() { _ = p.Close() }()
 			l := dial(t, p)
 			require.Equal(t, "ready", l.say(t, "ready", present))
 			require.NoError(t, p.RunScript(c.fault))
@@ -117,7 +117,7 @@
 func TestAScriptIsCheckedWholeBeforeItActs(t *testing.T) {
 	p, err := New(echo(t))
 	require.NoError(t, err)
-	defer p.Close()
+	defer func() { _ = p.Close() }()
 	err = p.RunScript("cut\nstall sideways # a typo\ndelay up soon\n\nheal")
 	require.Error(t, err)
 	assert.Contains(t, err.Error(), `line 2 "stall sideways"`)
--- a/internal/testkit/harness/address.go
+++ b/internal/testkit/harness/address.go
@@ -19,6 +19,6 @@
 	if err != nil {
 		return "", fmt.Errorf("free address: %w", err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	return listener.Addr().String(), nil
 }
--- a/internal/testkit/harness/daemon.go
+++ b/internal/testkit/harness/daemon.go
@@ -221,7 +221,7 @@
 		d.Workers.Close()
 	}
 	if d.membership != nil {
-		d.membership.Close()
+		_ = d.membership.Close()
 	}
 	return err
 }
--- a/internal/testkit/harness/dependency.go
+++ b/internal/testkit/harness/dependency.go
@@ -88,10 +88,10 @@
 	close(d.stop)
 	d.mu.Lock()
 	if d.listener != nil {
-		d.listener.Close()
+		_ = d.listener.Close()
 	}
 	for link := range d.links {
-		link.Close()
+		_ = link.Close()
 	}
 	d.mu.Unlock()
 	d.goroutines.Wait()
@@ -133,10 +133,10 @@
 	down := d.behaviour().Down
 	switch {
 	case down && d.listener != nil:
-		d.listener.Close()
+		_ = d.listener.Close()
 		d.listener = nil
 		for link := range d.links {
-			link.Close()
+			_ = link.Close()
 		}
 	case !down && d.listener == nil:
 		_ = d.listen() // retried at the next tick
@@ -167,7 +167,7 @@
 // serve answers calls until the link ends.
 func (d *Dependency) serve(link net.Conn) {
 	defer func() {
-		link.Close()
+		_ = link.Close()
 		d.mu.Lock()
 		delete(d.links, link)
 		d.mu.Unlock()
--- a/internal/testkit/harness/poollink.go
+++ b/internal/testkit/harness/poollink.go
@@ -82,7 +82,7 @@
 // CloseLink closes the bound link. The notices stay.
 func (l *NoticeLog) CloseLink() {
 	if l.link != nil {
-		l.link.Close()
+		_ = l.link.Close()
 		l.link = nil
 	}
 }
--- a/internal/testkit/harness/router.go
+++ b/internal/testkit/harness/router.go
@@ -128,7 +128,7 @@
 
 // read records answers until the connection ends. A draining connection is closed once every request on it is answered.
 func (r *router) read(l *connection) {
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	for {
 		reply, err := ReadReply(l)
 		now := time.Now()
@@ -184,7 +184,7 @@
 func (r *router) close() {
 	r.mu.Lock()
 	for _, l := range r.connections {
-		l.Close()
+		_ = l.Close()
 	}
 	r.mu.Unlock()
 	r.readers.Wait()
--- a/internal/testkit/harness/workers.go
+++ b/internal/testkit/harness/workers.go
@@ -78,10 +78,10 @@
 // Close ends the pool with all its links and runs, and waits for its goroutines.
 func (w *Workers) Close() {
 	close(w.stop)
-	w.listener.Close()
+	_ = w.listener.Close()
 	w.mu.Lock()
 	for _, link := range w.links {
-		link.Close()
+		_ = link.Close()
 	}
 	w.mu.Unlock()
 	w.goroutines.Wait()
--- a/internal/testkit/harness/workers_commands.go
+++ b/internal/testkit/harness/workers_commands.go
@@ -19,7 +19,7 @@
 
 // serve reads commands until the link ends.
 func (w *Workers) serve(link net.Conn) {
-	defer link.Close()
+	defer func() { _ = link.Close() }()
 	in := bufio.NewScanner(link)
 	in.Buffer(nil, maxCommandLine)
 	for in.Scan() {
--- a/internal/testkit/scale/configuration.go
+++ b/internal/testkit/scale/configuration.go
@@ -196,7 +196,7 @@
 	if err := r.changes(ctx, quietChanges, r.span(quietSpan), r.Seed); err != nil {
 		return nil, err
 	}
-	if _, err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.everywhere(ctx, r.accepted()); err != nil {
 		return nil, err
 	}
 	after, err := r.spent()
@@ -257,7 +257,7 @@
 		calm, busy = append(calm, quantile(without, 0.99)), append(busy, quantile(with, 0.99))
 		ratios = append(ratios, busy[pair]/calm[pair])
 	}
-	if _, err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.everywhere(ctx, r.accepted()); err != nil {
 		return nil, err
 	}
 	return []Figure{
@@ -290,7 +290,7 @@
 	if err := r.service.StartMachine(leader); err != nil {
 		return nil, err
 	}
-	if _, err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.everywhere(ctx, r.accepted()); err != nil {
 		return nil, err
 	}
 	worst := quantile(r.lags(began, time.Now()), 1)
@@ -318,7 +318,7 @@
 	if err := r.restart(back); err != nil {
 		return nil, err
 	}
-	if _, err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.everywhere(ctx, r.accepted()); err != nil {
 		return nil, err
 	}
 	zone := time.Since(restarted)
@@ -328,7 +328,7 @@
 	if err := r.service.Signal(stopped, syscall.SIGCONT); err != nil {
 		return nil, err
 	}
-	if _, err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.everywhere(ctx, r.accepted()); err != nil {
 		return nil, err
 	}
 	worst := quantile(r.lags(began, time.Now()), 1)
@@ -365,7 +365,7 @@
 	stale := r.behind(before)
 	r.service.Heal()
 	healed := time.Now()
-	if _, err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.everywhere(ctx, r.accepted()); err != nil {
 		return nil, err
 	}
 	took := time.Since(healed).Seconds()
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -47,7 +47,7 @@
 
 // begin starts everything and has the whole tables in force everywhere.
 func (r *configurationRun) begin(ctx context.Context, points Points) (err error) {
-	if r.service, err = StartService(r.Configuration.Service, r.Folder); err != nil {
+	if r.service, err = StartService(r.Service, r.Folder); err != nil {
 		return err
 	}
 	if _, err := r.service.Leader(ctx, func(int) bool { return true }); err != nil {
@@ -80,7 +80,7 @@
 			return err
 		}
 	}
-	_, err = r.everywhere(ctx, 1)
+	err = r.everywhere(ctx, 1)
 	return err
 }
 
@@ -257,7 +257,7 @@
 }
 
 // everywhere waits until a version, or a later one, is in force at all, and gives how long that took.
-func (r *configurationRun) everywhere(ctx context.Context, version uint64) (time.Duration, error) {
+func (r *configurationRun) everywhere(ctx context.Context, version uint64) error {
 	const patience = 40 * time.Second
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 		behind := []string{}
@@ -278,10 +278,10 @@
 		}
 		switch {
 		case len(behind) == 0:
-			return time.Since(began), nil
+			return nil
 		case time.Since(began) > patience || ctx.Err() != nil:
 			slices.Sort(behind)
-			return 0, fmt.Errorf("version %d not in force after %v at %d servers, %s among them", version, patience, len(behind), behind[0])
+			return fmt.Errorf("version %d not in force after %v at %d servers, %s among them", version, patience, len(behind), behind[0])
 		}
 	}
 }
--- a/internal/testkit/scale/fleet.go
+++ b/internal/testkit/scale/fleet.go
@@ -153,7 +153,7 @@
 		_ = one.in.Close()
 		err = errors.Join(err, one.cmd.Wait())
 	}
-	f.members.socket.Close()
+	_ = f.members.socket.Close()
 	return err
 }
 
--- a/internal/testkit/scale/fleet_test.go
+++ b/internal/testkit/scale/fleet_test.go
@@ -35,7 +35,7 @@
 	_, err = fleet.held(t.Context(), healWait, 1)
 	require.NoError(t, err)
 	require.NoError(t, fleet.Settle(t.Context()))
-	used, _, err := during(fleet, time.Second, 3, func() error {
+	used, err := during(fleet, time.Second, 3, func() error {
 		if err := fleet.Restart(4); err != nil {
 			return err
 		}
--- a/internal/testkit/scale/load.go
+++ b/internal/testkit/scale/load.go
@@ -60,7 +60,7 @@
 
 func (c *callers) close() {
 	for _, conn := range c.conns {
-		conn.Close()
+		_ = conn.Close()
 	}
 }
 
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("checker: %w", err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	var over sync.WaitGroup
 	defer over.Wait()
 	if during != nil {
@@ -160,7 +160,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("workers: %w", err)
 	}
-	defer link.Close()
+	defer func() { _ = link.Close() }()
 	sent := make([]time.Time, len(load))
 	took := make([]time.Duration, 0, len(load))
 	ended := make(chan error, 1)
--- a/internal/testkit/scale/points.go
+++ b/internal/testkit/scale/points.go
@@ -98,8 +98,17 @@
 	if err != nil {
 		return fmt.Errorf("points: %w", err)
 	}
-	defer file.Close()
-	fmt.Fprintf(file, "# %s\n", origin)
+	err = errors.Join(p.write(file, origin), file.Close())
+	if err != nil {
+		return fmt.Errorf("points: %w", err)
+	}
+	return nil
+}
+
+func (p Points) write(file io.Writer, origin Origin) error {
+	if _, err := fmt.Fprintf(file, "# %s\n", origin); err != nil {
+		return err
+	}
 	out := csv.NewWriter(file)
 	rows := [][]string{{"series", "x", "value"}}
 	for _, series := range slices.Sorted(maps.Keys(p)) {
@@ -108,10 +117,7 @@
 			rows = append(rows, []string{series, number(xs[i]), number(ys[i])})
 		}
 	}
-	if err := out.WriteAll(rows); err != nil {
-		return fmt.Errorf("points: %w", err)
-	}
-	return file.Close()
+	return out.WriteAll(rows)
 }
 
 func number(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
@@ -122,7 +128,7 @@
 	if err != nil {
 		return nil, "", fmt.Errorf("points: %w", err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	in := bufio.NewReader(file)
 	origin, err := in.ReadString('\n')
 	if err != nil || !strings.HasPrefix(origin, "# ") {
@@ -170,7 +176,7 @@
 		if err != nil {
 			return fmt.Errorf("chart %s: %w", name, err)
 		}
-		scatter.GlyphStyle.Color, scatter.GlyphStyle.Shape = plotutil.Color(i), plotutil.Shape(i)
+		scatter.Color, scatter.Shape = plotutil.Color(i), plotutil.Shape(i)
 		drawn.Add(scatter)
 		drawn.Legend.Add(name, scatter)
 		if line := Fit(xs, ys); line.Straight {
--- a/internal/testkit/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -187,9 +187,6 @@
 	return 0, fmt.Errorf("service: no leader: %w%s", ctx.Err(), last)
 }
 
-// Log is what a machine has logged since its last start.
-func (s *Service) Log(i int) string { return s.logs[i].String() }
-
 // Stop ends all machines and links.
 func (s *Service) Stop() (err error) {
 	for i := range s.cmds {
--- a/internal/testkit/soak/client.go
+++ b/internal/testkit/soak/client.go
@@ -96,7 +96,7 @@
 		for end := time.Now().Add(s.plan.LongestDeadline() + time.Second); time.Now().Before(end) && c.hasOpenRequests(); {
 			time.Sleep(5 * time.Millisecond)
 		}
-		c.Close()
+		_ = c.Close()
 	}()
 }
 
@@ -107,10 +107,10 @@
 }
 
 // usable reports whether another request may be sent.
-func (c *connection) usable(heeds bool) bool {
+func (c *connection) usable(respectsDrain bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.ended && !c.resetByClient && len(c.open) < maxOpenRequests && !(heeds && c.draining)
+	return !c.ended && !c.resetByClient && len(c.open) < maxOpenRequests && (!respectsDrain || !c.draining)
 }
 
 func (s *sender) dial() *connection {
@@ -184,7 +184,7 @@
 	c.resetByClient = true
 	c.mu.Unlock()
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
-	c.Close()
+	_ = c.Close()
 }
 
 // draw returns a new request. A keyed one repeats a key of its route now and then.
@@ -235,7 +235,7 @@
 
 // read records answers until the connection ends.
 func (s *sender) read(c *connection) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	for {
 		reply, err := harness.ReadReply(c)
 		now := time.Now()
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -158,6 +158,7 @@
 	}
 }
 
+// drawFault draws one fault.
 func (p *Plan) drawFault(rng *rand.Rand) Fault {
 	kinds := faultKinds
 	if p.HasCalls() {
@@ -176,6 +177,7 @@
 		f.Duration = between(rng, 100*time.Millisecond, 1500*time.Millisecond)
 	case IdleConnections:
 		f.Size = float64(p.Sockets) * (0.3 + 0.9*rng.Float64())
+	case Hang, Kill, GracefulRestart, Garbage, UnresponsiveCalls: // nothing more to draw
 	}
 	return f
 }
--- a/internal/testkit/soak/runner.go
+++ b/internal/testkit/soak/runner.go
@@ -73,7 +73,7 @@
 	if p.dependency, err = harness.NewHTTPDependency(plan.Dependency.Slots, plan.Dependency.ServiceTime, plan.Dependency.Linger, plan.Dependency.Survives, plan.Dependency.Window); err != nil {
 		return h, err
 	}
-	defer p.dependency.Close()
+	defer func() { _ = p.dependency.Close() }()
 	for number := range plan.Servers {
 		s := &slot{number: number}
 		p.slots = append(p.slots, s)
@@ -187,9 +187,7 @@
 		incarnation.EndedAt, incarnation.ExitCode, incarnation.KilledAfterTimeout = time.Now(), exit, byKill
 		incarnation.Strain, incarnation.Runs, incarnation.Log = strain, runs, log
 	})
-	err := daemon.Stop()
-	proxy.Close()
-	return err
+	return errors.Join(daemon.Stop(), proxy.Close())
 }
 
 // kill ends a process by SIGKILL, and its pool.
@@ -333,7 +331,7 @@
 	}
 	sleep(ctx, idleConnectionsTime)
 	for _, c := range open {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -343,7 +341,7 @@
 	if err != nil {
 		return
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	request := harness.Frame(harness.FrameRequest, 1, "body", "op", "class-0", "call", fmt.Sprintf("%016x", rng.Uint64()), "ttl", "-1")
 	messages := [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), {0xff, 0xff, 0xff, 0xff, 10}, request[:1+rng.Intn(len(request)-1)], request}
 	_, _ = c.Write(messages[rng.Intn(len(messages))])
--- a/scenario/drill_test.go
+++ b/scenario/drill_test.go
@@ -74,9 +74,9 @@
 	d, err := Parse("retry-storm.drill", string(raw))
 	require.NoError(t, err)
 	last := func(name string) float64 { // of the ten seconds that begin 20 s after the cause has gone
-		make, err := baseline.PolicyByName(name)
+		policy, err := baseline.PolicyByName(name)
 		require.NoError(t, err)
-		r := d.Emulate(make, 1)
+		r := d.Emulate(policy, 1)
 		offered, honoured := 0.0, 0.0
 		for _, s := range r.Seconds[38:48] {
 			offered, honoured = offered+s.OfferedValue, honoured+s.Goodput
