--- a/cmd/quartzpoint-bench/configuration.go
+++ b/cmd/quartzpoint-bench/configuration.go
@@ -29,7 +29,7 @@
 
 // Run measures, prints every figure, and fails where an aim is missed or the recorded history does not hold.
 func (cmd *measureConfiguration) Run() error {
-	origin := scale.Here(cmd.Seed)
+	origin := scale.LocalOrigin(cmd.Seed)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	folder, err := os.MkdirTemp("", "configuration")
@@ -43,11 +43,11 @@
 	if err := errors.Join(errSelf, errDaemon, errService); err != nil {
 		return err
 	}
-	run := &scale.Configuration{Daemon: daemon, Service: service, Program: self, Folder: folder, Seed: cmd.Seed, Small: cmd.Small}
+	run := &scale.ConfigurationBenchmark{Daemon: daemon, Service: service, Program: self, Folder: folder, Seed: cmd.Seed, Small: cmd.Small}
 	figures, points, err := run.Run(ctx)
 	failed := errors.Join(err, printFigures("configuration", figures))
 	if cmd.Out != "" && err == nil {
-		failed = errors.Join(failed, scale.Publish(cmd.Out, map[string]scale.Points{"configuration": points}, origin))
+		failed = errors.Join(failed, scale.PublishParts(cmd.Out, map[string]scale.Points{"configuration": points}, origin))
 	}
 	return failed
 }
@@ -60,13 +60,13 @@
 	line := ""
 	for _, f := range figures {
 		aim := "-"
-		if f.Most > 0 {
-			aim = fmt.Sprintf("%.4g", f.Most)
-			line += fmt.Sprintf(" %s %.3g of %.3g%s;", f.Name, f.Value, f.Most, f.Unit)
+		if f.Max > 0 {
+			aim = fmt.Sprintf("%.4g", f.Max)
+			line += fmt.Sprintf(" %s %.3g of %.3g%s;", f.Name, f.Value, f.Max, f.Unit)
 		}
 		fmt.Fprintf(table, "%s\t%.4g\t%s\t%s\t\n", f.Name, f.Value, aim, f.Unit)
 		if f.Missed() {
-			missed = append(missed, fmt.Errorf("%s: %.4g%s, %.4g at most is aimed at", f.Name, f.Value, f.Unit, f.Most))
+			missed = append(missed, fmt.Errorf("%s: %.4g%s, %.4g at most is aimed at", f.Name, f.Value, f.Unit, f.Max))
 		}
 	}
 	if err := table.Flush(); err != nil {
--- a/cmd/quartzpoint-bench/scale.go
+++ b/cmd/quartzpoint-bench/scale.go
@@ -36,12 +36,12 @@
 	if err != nil {
 		return err
 	}
-	return scale.Publish(cmd.Out, points, origin)
+	return scale.PublishParts(cmd.Out, points, origin)
 }
 
 // measure measures the parts.
 func (cmd *scaling) measure() (map[string]scale.Points, scale.Origin, error) {
-	origin := scale.Here(cmd.Seed)
+	origin := scale.LocalOrigin(cmd.Seed)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	folder, err := os.MkdirTemp("", "scale")
@@ -90,7 +90,7 @@
 	for _, points := range parts {
 		all.Merge(points)
 	}
-	return printFigures("scale", scale.Budgets(all))
+	return printFigures("scale", scale.BudgetFigures(all))
 }
 
 // capacity writes what the points give into the capacity page.
@@ -109,7 +109,7 @@
 
 // Run writes the page.
 func (cmd *capacity) Run() error {
-	points, origins, err := scale.ReadAll(cmd.Points)
+	points, origins, err := scale.ReadParts(cmd.Points)
 	if err != nil {
 		return err
 	}
--- a/internal/testkit/scale/budgets.go
+++ b/internal/testkit/scale/budgets.go
@@ -2,11 +2,10 @@
 
 import "math"
 
-// Budgets holds what was measured against what control may cost a server. What was measured more than once at a size stands
-// by its mean.
-func Budgets(p Points) []Figure {
+// BudgetFigures compares the measured cost of control with its budgets. Repeated values at a size count with their mean.
+func BudgetFigures(p Points) []Figure {
 	at := func(series string, x float64) float64 {
-		value, measured := p.At(series, x)
+		value, measured := p.MeanAt(series, x)
 		if !measured {
 			return math.NaN() // which keeps to no budget
 		}
@@ -24,9 +23,9 @@
 	}
 }
 
-// largest is the largest value of a series.
+// largest returns the largest value of a series.
 func (p Points) largest(series string) (largest float64) {
-	_, ys := p.Of(series)
+	_, ys := p.Series(series)
 	for _, y := range ys {
 		largest = max(largest, y)
 	}
--- a/internal/testkit/scale/capacity.go
+++ b/internal/testkit/scale/capacity.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Kind says where a figure of the capacity page comes from.
+// Kind is how a figure of the capacity page was obtained.
 type Kind string
 
-// The kinds.
+// The kinds of figures.
 const (
 	Measured  Kind = "measured"
 	WorkedOut Kind = "worked out"
@@ -20,17 +20,17 @@
 
 // CapacityRow is one figure of the capacity page.
 type CapacityRow struct {
-	Role   string
-	Name   string
-	Value  float64
-	Unit   string
-	Budget float64 // 0 for none
-	Kind   Kind
-	How    string // the arithmetic, or what was measured
+	Role       string
+	Name       string
+	Value      float64
+	Unit       string
+	Budget     float64 // 0 for none
+	Kind       Kind
+	Derivation string // the calculation, or what was measured
 }
 
-// Over tells whether the figure is over its budget.
-func (r CapacityRow) Over() bool { return r.Budget > 0 && r.Value > r.Budget }
+// OverBudget reports whether the figure is over its budget.
+func (r CapacityRow) OverBudget() bool { return r.Budget > 0 && r.Value > r.Budget }
 
 const (
 	secondsADay = 86400
@@ -46,16 +46,16 @@
 
 var errNotMeasured = errors.New("not measured")
 
-// page works the figures out; the first thing that was not measured fails all.
-type page struct {
+// capacityPage computes the figures. The first missing value is the error of all.
+type capacityPage struct {
 	points Points
 	rows   []CapacityRow
 	err    error
 }
 
 // at is what was measured at x.
-func (p *page) at(series string, x float64) float64 {
-	value, measured := p.points.At(series, x)
+func (p *capacityPage) at(series string, x float64) float64 {
+	value, measured := p.points.MeanAt(series, x)
 	if !measured && p.err == nil {
 		p.err = fmt.Errorf("%q at %g: %w", series, x, errNotMeasured)
 	}
@@ -63,7 +63,7 @@
 }
 
 // line is the line through a series that grows as one.
-func (p *page) line(series string) Line {
+func (p *capacityPage) line(series string) Line {
 	line := p.points.Fit(series)
 	if line.N == 0 && p.err == nil {
 		p.err = fmt.Errorf("%q: %w", series, errNotMeasured)
@@ -71,19 +71,19 @@
 	return line
 }
 
-func (p *page) add(row CapacityRow) float64 {
+func (p *capacityPage) add(row CapacityRow) float64 {
 	p.rows = append(p.rows, row)
 	return row.Value
 }
 
-// measured adds a figure that stands as it was measured.
-func (p *page) measured(role, name, series string, x float64, unit string, budget float64) float64 {
+// measured adds a figure with its measured value.
+func (p *capacityPage) measured(role, name, series string, x float64, unit string, budget float64) float64 {
 	return p.add(CapacityRow{role, name, p.at(series, x), unit, budget, Measured, fmt.Sprintf("%s, at %s", series, number(x))})
 }
 
-// Capacity works out the figures of the planned size from what was measured.
+// Capacity computes the figures of the planned size from measured points.
 func Capacity(points Points) ([]CapacityRow, error) {
-	p := &page{points: points}
+	p := &capacityPage{points: points}
 	p.appServer()
 	p.membership()
 	p.exchange()
@@ -92,7 +92,7 @@
 	return p.rows, p.err
 }
 
-func (p *page) appServer() {
+func (p *capacityPage) appServer() {
 	const role = "app server"
 	memory := p.measured(role, "memory, whole tables, after reloads", seriesAfterReloads+bySize, 100, "MB", 0)
 	p.measured(role, "memory, whole tables, at the start", seriesResident+bySize, 100, "MB", 0)
@@ -139,7 +139,7 @@
 }
 
 // requests are the load of the day, of a lost zone, and of a lost region.
-func (p *page) requests() {
+func (p *capacityPage) requests() {
 	const role = "app server"
 	series := fmt.Sprintf(seriesRequests, PlannedRoutes)
 	line := p.line(series)
@@ -153,7 +153,7 @@
 		}
 		p.add(CapacityRow{
 			role, "requests' core " + c.when, line.At(rate), "%", 0, WorkedOut,
-			fmt.Sprintf("%.0f a second, line%s", rate, bend(line)),
+			fmt.Sprintf("%.0f a second, line%s", rate, nonlinearity(line)),
 		})
 	}
 	p.measured(role, "added to a request, p50, at 220 a second", seriesAddedP50, 220, "ms", 0)
@@ -161,15 +161,15 @@
 	p.measured(role, "added to a request, p99, at 260 a second", seriesAddedP99, 260, "ms", BudgetLatencyMS)
 }
 
-// bend says that a cost is no line.
-func bend(line Line) string {
+// nonlinearity describes a cost that is not linear.
+func nonlinearity(line Line) string {
 	if line.Straight {
 		return ""
 	}
 	return fmt.Sprintf(" (no line: worst residual %s)", number(line.Worst))
 }
 
-func (p *page) membership() {
+func (p *capacityPage) membership() {
 	const role = "membership"
 	messages := p.measured(role, "datagrams of a server", seriesMemberMessages, PlannedServers, "a second", 0)
 	bytes := p.measured(role, "bytes of a server", seriesMemberBytes, PlannedServers, "B/s", BudgetBytes)
@@ -177,7 +177,7 @@
 	p.add(CapacityRow{role, "bytes at the service", bytes * PlannedServers, "B/s", 0, WorkedOut, "500 servers"})
 }
 
-func (p *page) exchange() {
+func (p *capacityPage) exchange() {
 	const role = "peer exchange"
 	restart := p.measured(role, "bytes of one restart, whole fleet", seriesNewcomerBytes, PlannedServers, "B", 0)
 	p.add(CapacityRow{
@@ -188,9 +188,9 @@
 	p.measured(role, "a zone back: bytes", seriesZoneBytes, ZoneServers, "B a server", 0)
 }
 
-func (p *page) voters() {
+func (p *capacityPage) voters() {
 	const role = "lease voters"
-	p.measured(role, "talks of one of 5, 1 duty", seriesVoterTalks, someVoters, "a second", 0)
+	p.measured(role, "talks of one of 5, 1 duty", seriesVoterTalks, fewVoters, "a second", 0)
 	p.measured(role, "core of one of 5, 64 duties", seriesDutyCore, 64, "%", 0)
 	p.measured(role, "bytes of one of 5, 64 duties", seriesDutyBytes, 64, "B/s", 0)
 	p.measured(role, "duties held after 20 s, of 64", seriesDutiesHeld, 64, "", 0)
@@ -205,7 +205,7 @@
 	p.measured(role, "regions cut 30 s: held after the heal", seriesHealSeconds, 30, "s", 0)
 }
 
-func (p *page) control() {
+func (p *capacityPage) control() {
 	const role = "control machines"
 	p.measured(role, "core of the busiest, 98 watchers, 190 times the stated rate", seriesControlCore, 2, "%", 0)
 	p.measured(role, "memory of the largest", seriesControlMB, 2, "MB", 0)
@@ -220,14 +220,14 @@
 	p.measured(role, "regions cut 20 s: newest everywhere after the heal", seriesHealWorst, hollowWatchers, "s", aimInForce.Seconds())
 }
 
-// RenderCapacity is the part of the capacity page that is worked out: what is over budget, and the table of all figures.
+// RenderCapacity returns the generated part of the capacity page: what is over budget, and the table of all figures.
 func RenderCapacity(rows []CapacityRow) string {
 	var out strings.Builder
 	over := 0
 	for _, row := range rows {
-		if row.Over() {
+		if row.OverBudget() {
 			over++
-			fmt.Fprintf(&out, "- **Over budget**: %s, %s: %s %s of %s.\n", row.Role, strings.Trim(row.Name, "*"), rounded(row.Value), row.Unit, rounded(row.Budget))
+			fmt.Fprintf(&out, "- **Over budget**: %s, %s: %s %s of %s.\n", row.Role, strings.Trim(row.Name, "*"), formatRounded(row.Value), row.Unit, formatRounded(row.Budget))
 		}
 	}
 	if over == 0 {
@@ -237,15 +237,15 @@
 	for _, row := range rows {
 		budget, used := "", ""
 		if row.Budget > 0 {
-			budget, used = rounded(row.Budget), fmt.Sprintf("%.0f%%", 100*row.Value/row.Budget)
+			budget, used = formatRounded(row.Budget), fmt.Sprintf("%.0f%%", 100*row.Value/row.Budget)
 		}
-		fmt.Fprintf(&out, "| %s | %s | %s %s | %s | %s | %s | %s |\n", row.Role, row.Name, rounded(row.Value), row.Unit, budget, used, row.Kind, row.How)
+		fmt.Fprintf(&out, "| %s | %s | %s %s | %s | %s | %s | %s |\n", row.Role, row.Name, formatRounded(row.Value), row.Unit, budget, used, row.Kind, row.Derivation)
 	}
 	return out.String()
 }
 
-// compared are the series whose cost was mended, at the planned size.
-var compared = []struct {
+// comparedSeries are the series whose cost was fixed, at the planned size.
+var comparedSeries = []struct {
 	name, series string
 	x            float64
 	unit         string
@@ -259,35 +259,35 @@
 	{"control core of a quiet fleet of 500", seriesQuietCore, PlannedServers, "% a server"},
 }
 
-// RenderCompared is the table of what was mended, before and after.
+// RenderCompared returns the table of the costs before and after their fixes.
 func RenderCompared(before, after Points) string {
 	var out strings.Builder
 	out.WriteString("| what | before | after | |\n| --- | --- | --- | --- |\n")
-	for _, c := range compared {
-		was, knownWas := before.At(c.series, c.x)
-		is, knownIs := after.At(c.series, c.x)
+	for _, c := range comparedSeries {
+		was, knownWas := before.MeanAt(c.series, c.x)
+		is, knownIs := after.MeanAt(c.series, c.x)
 		if !knownWas || !knownIs {
 			fmt.Fprintf(&out, "| %s | not measured | | |\n", c.name)
 			continue
 		}
-		fmt.Fprintf(&out, "| %s | %s | %s | %s |\n", c.name, rounded(was), rounded(is), c.unit)
+		fmt.Fprintf(&out, "| %s | %s | %s | %s |\n", c.name, formatRounded(was), formatRounded(is), c.unit)
 	}
 	return out.String()
 }
 
-// rounded is a value with three figures that count.
-func rounded(v float64) string {
+// formatRounded formats a value with three significant figures.
+func formatRounded(v float64) string {
 	if math.Abs(v) >= 1000 {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.3g", v)
 }
 
-// ReadBefore takes the points that were measured before the mends.
+// ReadBefore reads the points that were measured before the fixes.
 func ReadBefore(folder string) (Points, error) {
 	all := Points{}
 	for _, part := range []string{"slopes", "fleets"} {
-		points, _, err := Read(filepath.Join(folder, "before", part+".csv"))
+		points, _, err := ReadPoints(filepath.Join(folder, "before", part+".csv"))
 		if err != nil {
 			return nil, err
 		}
@@ -296,11 +296,11 @@
 	return all, nil
 }
 
-// ReadAll takes the points of all parts that a folder holds, with what made each.
-func ReadAll(folder string) (Points, map[string]string, error) {
+// ReadParts reads the points of all parts in a folder, and the origin of each.
+func ReadParts(folder string) (Points, map[string]string, error) {
 	all, origins := Points{}, map[string]string{}
 	for _, part := range []string{"slopes", "fleets", "configuration"} {
-		points, origin, err := Read(filepath.Join(folder, part+".csv"))
+		points, origin, err := ReadPoints(filepath.Join(folder, part+".csv"))
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/testkit/scale/configuration.go
+++ b/internal/testkit/scale/configuration.go
@@ -37,22 +37,22 @@
 	markerTenant     = "marker"
 	aimInForce       = 9 * time.Second
 	aimQuiet         = time.Second
-	aimSlower        = 1.2 // of a request's p99
+	maxSlowdown      = 1.2 // of a request's p99
 )
 
-// Figure is one result with its aim.
+// Figure is one result with its objective.
 type Figure struct {
 	Name  string
 	Value float64
-	Most  float64 // that is aimed at; 0 for none
+	Max   float64 // objective; 0 for none
 	Unit  string
 }
 
-// Missed tells whether the aim is missed.
-func (f Figure) Missed() bool { return f.Most > 0 && !(f.Value <= f.Most) }
+// Missed reports whether the value is over Max, or not a number.
+func (f Figure) Missed() bool { return f.Max > 0 && !(f.Value <= f.Max) }
 
-// Configuration measures the configuration service with real control machines, real app servers and hollow watchers.
-type Configuration struct {
+// ConfigurationBenchmark measures the configuration service with real control machines, real app servers and hollow watchers.
+type ConfigurationBenchmark struct {
 	Daemon  string // the app server's program
 	Service string // the service's
 	Program string // that has a command watchers
@@ -61,14 +61,14 @@
 	Small   bool // a tenth of the tables and watchers, shorter spans
 }
 
-func (c *Configuration) part(whole int) int {
+func (c *ConfigurationBenchmark) scaled(whole int) int {
 	if c.Small {
 		return whole / 10
 	}
 	return whole
 }
 
-func (c *Configuration) span(whole time.Duration) time.Duration {
+func (c *ConfigurationBenchmark) scaledSpan(whole time.Duration) time.Duration {
 	if c.Small {
 		return whole / 4
 	}
@@ -76,19 +76,19 @@
 }
 
 // Run measures everything and checks the recorded history.
-func (c *Configuration) Run(ctx context.Context) (figures []Figure, points Points, err error) {
-	r := &configurationRun{Configuration: c, newest: map[string]uint64{}}
+func (c *ConfigurationBenchmark) Run(ctx context.Context) (figures []Figure, points Points, err error) {
+	r := &configurationRun{ConfigurationBenchmark: c, appliedVersions: map[string]uint64{}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() { err = errors.Join(err, r.stop()) }()
 	defer cancel()
 	points = Points{}
-	if err := r.begin(ctx, points); err != nil {
+	if err := r.start(ctx, points); err != nil {
 		return nil, points, err
 	}
 	for _, phase := range []struct {
 		name string
 		run  func(context.Context, Points) ([]Figure, error)
-	}{{"quiet", r.quiet}, {"leader killed", r.leaderLost}, {"machine stopped", r.machineStopped}, {"cut", r.cut}} {
+	}{{"quiet", r.measureQuiet}, {"leader killed", r.measureLeaderLoss}, {"machine stopped", r.measureStoppedMachine}, {"cut", r.measurePartition}} {
 		began := time.Now()
 		more, err := phase.run(ctx, points)
 		fmt.Fprintf(os.Stderr, "%s: %.1f s\n", phase.name, time.Since(began).Seconds())
@@ -97,7 +97,7 @@
 		}
 		figures = append(figures, more...)
 	}
-	r.serverEvents()
+	r.recordServerEvents()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	figures = append(figures, Figure{"changes accepted", float64(len(r.history.Accepted)), 0, ""},
@@ -105,18 +105,18 @@
 	return figures, points, r.history.Check()
 }
 
-// lags are those of the changes accepted in a span, in seconds.
-func (r *configurationRun) lags(since, until time.Time) (seconds []float64) {
+// propagationDelays returns the delays of the changes that were accepted in a span, in seconds.
+func (r *configurationRun) propagationDelays(since, until time.Time) (seconds []float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, lag := range r.history.Lags(since, until) {
+	for _, lag := range r.history.PropagationDelays(since, until) {
 		seconds = append(seconds, lag.Seconds())
 	}
 	return seconds
 }
 
-// spent is what watchers, control machines and real servers have used so far.
-type spent struct {
+// cumulativeUse is the processor time and traffic of watchers, control machines and servers so far.
+type cumulativeUse struct {
 	at       time.Time
 	bytes    int64
 	watchers time.Duration
@@ -124,7 +124,7 @@
 	servers  time.Duration
 }
 
-func (r *configurationRun) spent() (s spent, err error) {
+func (r *configurationRun) spent() (s cumulativeUse, err error) {
 	s.at = time.Now()
 	for _, c := range r.children {
 		line, errAsk := c.ask(watcherCommand{})
@@ -152,20 +152,20 @@
 	return s, nil
 }
 
-// requests sends the same load to all real servers over a span and gives how long each request took, in milliseconds.
-func (r *configurationRun) requests(span time.Duration) (took []float64, err error) {
+// measureRequests sends the same load to all servers over a span and returns the latencies, in milliseconds.
+func (r *configurationRun) measureRequests(span time.Duration) (took []float64, err error) {
 	var (
 		mu    sync.Mutex
 		group sync.WaitGroup
 	)
 	for i, d := range r.servers {
-		load, types := steadyLoad(requestRate, span, r.part(PlannedRoutes), r.Seed+int64(i))
+		load, types := steadyLoad(requestRate, span, r.scaled(PlannedRoutes), r.Seed+int64(i))
 		group.Go(func() {
 			got, failed := harness.Run(d.Address, types, load, 1)
 			mu.Lock()
 			defer mu.Unlock()
-			if got.Codes[honoured] < got.Requests {
-				failed = errors.Join(failed, fmt.Errorf("app-%d: %d of %d requests honoured", i, got.Codes[honoured], got.Requests))
+			if got.Codes[statusServed] < got.Requests {
+				failed = errors.Join(failed, fmt.Errorf("app-%d: %d of %d requests honoured", i, got.Codes[statusServed], got.Requests))
 			}
 			err = errors.Join(err, failed)
 			took = append(took, asMilliseconds(got.Latencies)...)
@@ -182,10 +182,10 @@
 	quietChanges = time.Second / 2 // between changes with nothing beside them
 )
 
-// quiet measures what requests take without changes and with them, and then, with nothing beside them, what changes cost
+// measureQuiet measures what requests take without changes and with them, and then, with nothing beside them, what changes cost
 // and how long they take.
-func (r *configurationRun) quiet(ctx context.Context, points Points) ([]Figure, error) {
-	slower, err := r.beside(ctx)
+func (r *configurationRun) measureQuiet(ctx context.Context, points Points) ([]Figure, error) {
+	slower, err := r.compareRequests(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -193,18 +193,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := r.changes(ctx, quietChanges, r.span(quietSpan), r.Seed); err != nil {
+	if err := r.changes(ctx, quietChanges, r.scaledSpan(quietSpan), r.Seed); err != nil {
 		return nil, err
 	}
-	if err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
 		return nil, err
 	}
 	after, err := r.spent()
 	if err != nil {
 		return nil, err
 	}
-	rate, lags := 1/quietChanges.Seconds(), r.lags(before.at, after.at)
-	seconds, watchers := after.at.Sub(before.at).Seconds(), float64(r.part(hollowWatchers))
+	rate, lags := 1/quietChanges.Seconds(), r.propagationDelays(before.at, after.at)
+	seconds, watchers := after.at.Sub(before.at).Seconds(), float64(r.scaled(hollowWatchers))
 	bytes := float64(after.bytes-before.bytes) / seconds / watchers
 	core := 100 * (after.watchers - before.watchers).Seconds() / seconds / watchers
 	servers := 100 * (after.servers - before.servers).Seconds() / seconds / appServers
@@ -236,19 +236,19 @@
 	), nil
 }
 
-// beside measures requests in pairs of short looks, one without a change and one with one in it. The medians of the looks'
+// compareRequests measures requests in pairs of short looks, one without a change and one with one in it. The medians of the looks'
 // p99 are compared: a stall of this machine hits one look, and a change would slow all that it is in.
-func (r *configurationRun) beside(ctx context.Context) ([]Figure, error) {
+func (r *configurationRun) compareRequests(ctx context.Context) ([]Figure, error) {
 	var calm, busy, ratios []float64
 	for pair := range requestPairs {
-		without, err := r.requests(requestSpan)
+		without, err := r.measureRequests(requestSpan)
 		if err != nil {
 			return nil, err
 		}
 		var with []float64
 		var failed error
 		var group sync.WaitGroup
-		group.Go(func() { with, failed = r.requests(requestSpan) })
+		group.Go(func() { with, failed = r.measureRequests(requestSpan) })
 		err = r.changes(ctx, requestSpan, requestSpan/2, r.Seed+int64(pair))
 		group.Wait()
 		if err := errors.Join(err, failed); err != nil {
@@ -257,7 +257,7 @@
 		calm, busy = append(calm, quantile(without, 0.99)), append(busy, quantile(with, 0.99))
 		ratios = append(ratios, busy[pair]/calm[pair])
 	}
-	if err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
 		return nil, err
 	}
 	return []Figure{
@@ -265,12 +265,12 @@
 		{"requests: p99 without a change, median of looks", quantile(calm, 0.5), 0, "ms"},
 		{"requests: p99 with one, median of looks", quantile(busy, 0.5), 0, "ms"},
 		{"requests: worst of the pairs", quantile(ratios, 1), 0, ""},
-		{"requests: p99 with a change, times that without", quantile(busy, 0.5) / quantile(calm, 0.5), aimSlower, ""},
+		{"requests: p99 with a change, times that without", quantile(busy, 0.5) / quantile(calm, 0.5), maxSlowdown, ""},
 	}, nil
 }
 
-// leaderLost kills the leader while changes are proposed, and starts it again.
-func (r *configurationRun) leaderLost(ctx context.Context, points Points) ([]Figure, error) {
+// measureLeaderLoss kills the leader during changes, and starts it again.
+func (r *configurationRun) measureLeaderLoss(ctx context.Context, points Points) ([]Figure, error) {
 	const each = 250 * time.Millisecond
 	leader, err := r.service.Leader(ctx, func(int) bool { return true })
 	if err != nil {
@@ -282,7 +282,7 @@
 		time.Sleep(each)
 		r.service.KillMachine(leader)
 	})
-	err = r.changes(ctx, each, r.span(4*time.Second), r.Seed+1)
+	err = r.changes(ctx, each, r.scaledSpan(4*time.Second), r.Seed+1)
 	group.Wait()
 	if err != nil {
 		return nil, err
@@ -290,17 +290,17 @@
 	if err := r.service.StartMachine(leader); err != nil {
 		return nil, err
 	}
-	if err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
 		return nil, err
 	}
-	worst := quantile(r.lags(began, time.Now()), 1)
+	worst := quantile(r.propagationDelays(began, time.Now()), 1)
 	points.Add(seriesLeaderWorst, 1/each.Seconds(), worst)
 	return []Figure{{"leader killed: proposed to in force at the worst", worst, aimInForce.Seconds(), "s"}}, nil
 }
 
-// machineStopped stops a machine that does not lead, as one that hangs, has a zone's watchers start with nothing
+// measureStoppedMachine stops a machine that does not lead, as one that hangs, has a zone's watchers start with nothing
 // meanwhile, and lets the machine go on.
-func (r *configurationRun) machineStopped(ctx context.Context, points Points) ([]Figure, error) {
+func (r *configurationRun) measureStoppedMachine(ctx context.Context, points Points) ([]Figure, error) {
 	leader, err := r.service.Leader(ctx, func(int) bool { return true })
 	if err != nil {
 		return nil, err
@@ -310,28 +310,28 @@
 	if err := r.service.Signal(stopped, syscall.SIGSTOP); err != nil {
 		return nil, err
 	}
-	if err := r.changes(ctx, time.Second, r.span(2*time.Second), r.Seed+2); err != nil {
+	if err := r.changes(ctx, time.Second, r.scaledSpan(2*time.Second), r.Seed+2); err != nil {
 		return nil, err
 	}
 	restarted := time.Now()
-	back := r.part(ZoneServers)
-	if err := r.restart(back); err != nil {
+	back := r.scaled(ZoneServers)
+	if err := r.restartWatchers(back); err != nil {
 		return nil, err
 	}
-	if err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
 		return nil, err
 	}
 	zone := time.Since(restarted)
-	if err := r.changes(ctx, time.Second, r.span(time.Second), r.Seed+3); err != nil {
+	if err := r.changes(ctx, time.Second, r.scaledSpan(time.Second), r.Seed+3); err != nil {
 		return nil, err
 	}
 	if err := r.service.Signal(stopped, syscall.SIGCONT); err != nil {
 		return nil, err
 	}
-	if err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
 		return nil, err
 	}
-	worst := quantile(r.lags(began, time.Now()), 1)
+	worst := quantile(r.propagationDelays(began, time.Now()), 1)
 	points.Add(seriesZoneWorst, float64(back), zone.Seconds())
 	return []Figure{
 		{"machine stopped: proposed to in force at the worst", worst, aimInForce.Seconds(), "s"},
@@ -339,8 +339,8 @@
 	}, nil
 }
 
-// restart has watchers of all processes stop, and start with nothing.
-func (r *configurationRun) restart(count int) error {
+// restartWatchers restarts watchers of all processes without state.
+func (r *configurationRun) restartWatchers(count int) error {
 	var group errgroup.Group
 	for i, c := range r.children {
 		share := count*(i+1)/len(r.children) - count*i/len(r.children)
@@ -352,35 +352,35 @@
 	return group.Wait()
 }
 
-// cut parts two of the machines and half of the watchers from the rest while changes go on, and heals that.
-func (r *configurationRun) cut(ctx context.Context, points Points) ([]Figure, error) {
-	r.service.Cut()
-	if _, err := r.service.Leader(ctx, func(i int) bool { return sideOf(i) == majority }); err != nil {
+// measurePartition separates two machines and half of the watchers from the rest during changes, then heals the partition.
+func (r *configurationRun) measurePartition(ctx context.Context, points Points) ([]Figure, error) {
+	r.service.Partition()
+	if _, err := r.service.Leader(ctx, func(i int) bool { return sideOfMachine(i) == majority }); err != nil {
 		return nil, err
 	}
-	before := r.accepted()
-	if err := r.changes(ctx, time.Second, r.span(20*time.Second), r.Seed+4); err != nil {
+	before := r.lastAccepted()
+	if err := r.changes(ctx, time.Second, r.scaledSpan(20*time.Second), r.Seed+4); err != nil {
 		return nil, err
 	}
-	stale := r.behind(before)
+	stale := r.countBehind(before)
 	r.service.Heal()
 	healed := time.Now()
-	if err := r.everywhere(ctx, r.accepted()); err != nil {
+	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
 		return nil, err
 	}
 	took := time.Since(healed).Seconds()
-	points.Add(seriesHealWorst, float64(r.part(hollowWatchers)), took)
+	points.Add(seriesHealWorst, float64(r.scaled(hollowWatchers)), took)
 	return []Figure{
 		{"cut: watchers that kept what they had", float64(stale), 0, ""},
 		{"cut: newest in force everywhere after the heal", took, aimInForce.Seconds(), "s"},
 	}, nil
 }
 
-// behind is how many watchers have no later version in force than one.
-func (r *configurationRun) behind(version uint64) (n int) {
+// countBehind returns the number of watchers that have not applied a version later than this one.
+func (r *configurationRun) countBehind(version uint64) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, at := range r.newest {
+	for _, at := range r.appliedVersions {
 		if at <= version {
 			n++
 		}
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -22,22 +22,22 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// configurationRun is one run.
+// configurationRun is one run of the benchmark.
 type configurationRun struct {
-	*Configuration
+	*ConfigurationBenchmark
 	service  *Service
-	children []*watcherChild
+	children []*watcherProcess
 	servers  []*harness.Daemon
 	recorder *configwatch.Watcher
 
-	mu      sync.Mutex
-	history History
-	newest  map[string]uint64 // in force, by server
-	marker  float64
+	mu              sync.Mutex
+	history         History
+	appliedVersions map[string]uint64 // by server
+	marker          float64
 }
 
-// watcherChild is a process of hollow watchers.
-type watcherChild struct {
+// watcherProcess is a process of hollow watchers.
+type watcherProcess struct {
 	cmd     *exec.Cmd
 	in      io.WriteCloser
 	answers chan watcherLine
@@ -45,15 +45,15 @@
 	count   int
 }
 
-// begin starts everything and has the whole tables in force everywhere.
-func (r *configurationRun) begin(ctx context.Context, points Points) (err error) {
+// start starts all processes and waits until the complete tables are applied everywhere.
+func (r *configurationRun) start(ctx context.Context, points Points) (err error) {
 	if r.service, err = StartService(r.Service, r.Folder); err != nil {
 		return err
 	}
 	if _, err := r.service.Leader(ctx, func(int) bool { return true }); err != nil {
 		return err
 	}
-	site, err := Site(r.part(PlannedRoutes), r.part(PlannedTenants), "", "", "")
+	site, err := Site(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), "", "", "")
 	if err != nil {
 		return err
 	}
@@ -66,10 +66,10 @@
 	}
 	document := configuration.NewDocument()
 	document.Accept(whole)
-	points.Add(seriesSnapshotBytes, 100*float64(r.part(PlannedRoutes))/PlannedRoutes, float64(len(document.Snapshot())))
+	points.Add(seriesSnapshotBytes, 100*float64(r.scaled(PlannedRoutes))/PlannedRoutes, float64(len(document.Snapshot())))
 	r.record(ctx)
 	for i := range watcherProcesses {
-		count := r.part(hollowWatchers)*(i+1)/watcherProcesses - r.part(hollowWatchers)*i/watcherProcesses
+		count := r.scaled(hollowWatchers)*(i+1)/watcherProcesses - r.scaled(hollowWatchers)*i/watcherProcesses
 		at := []side{majority, minority}[i%2]
 		if err := r.startWatchers(i, count, at); err != nil {
 			return err
@@ -80,11 +80,11 @@
 			return err
 		}
 	}
-	err = r.everywhere(ctx, 1)
+	err = r.waitApplied(ctx, 1)
 	return err
 }
 
-// record follows the service from version 0 without faults, as the history of what was.
+// record follows the service from version 0 over links without faults, as the reference history.
 func (r *configurationRun) record(ctx context.Context) {
 	machines := []configwatch.Endpoint{}
 	for _, address := range r.service.sessions {
@@ -92,21 +92,21 @@
 	}
 	marker := 0.0
 	r.recorder = &configwatch.Watcher{
-		Name: "recorder", Endpoints: machines, Keys: r.service.keys, Document: configuration.NewDocument(), Seed: r.Seed, Logger: discard,
+		Name: "recorder", Endpoints: machines, Keys: r.service.keys, Document: configuration.NewDocument(), Seed: r.Seed, Logger: discardLog,
 		Apply: func(_ context.Context, delta configuration.Delta, _ *configuration.Document) error {
 			if stated := delta.Tenants[markerTenant]; stated != nil {
 				marker = stated.QuotaRPS
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.history.Steps = append(r.history.Steps, Step{delta.Version, delta.Digest, marker})
+			r.history.Versions = append(r.history.Versions, VersionStep{delta.Version, delta.Digest, marker})
 			return nil
 		},
 	}
 	go r.recorder.Run(ctx)
 }
 
-// propose has a change accepted, with the next marker, and records that.
+// propose proposes a change with the next marker, and records its acceptance.
 func (r *configurationRun) propose(ctx context.Context, change configuration.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*aimInForce)
 	defer cancel()
@@ -123,16 +123,16 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.history.Accepted = append(r.history.Accepted, Accepted{r.marker, version, proposed})
+	r.history.Accepted = append(r.history.Accepted, AcceptedChange{r.marker, version, proposed})
 	return nil
 }
 
-// changes has one route changed every so often over a span.
+// changes changes one route at an interval over a span.
 func (r *configurationRun) changes(ctx context.Context, each, span time.Duration, seed int64) error {
 	chance := rand.New(rand.NewSource(seed))
 	for began := time.Now(); time.Since(began) < span && ctx.Err() == nil; {
 		next := time.Now().Add(each)
-		place := 1 + keyedEvery*chance.Intn(r.part(PlannedRoutes)/keyedEvery)
+		place := 1 + keyedEvery*chance.Intn(r.scaled(PlannedRoutes)/keyedEvery)
 		route := &configuration.Route{
 			LatencyTarget: 900_000, Deadline: 3_000_000 + int64(chance.Intn(1000)), Value: 1, Idempotency: configuration.Retryable,
 		}
@@ -146,8 +146,8 @@
 
 // startWatchers starts a process of hollow watchers.
 func (r *configurationRun) startWatchers(place, count int, at side) error {
-	first := place * r.part(hollowWatchers)
-	c := &watcherChild{cmd: exec.Command(r.Program, "watchers"), answers: make(chan watcherLine, 1), side: at, count: count}
+	first := place * r.scaled(hollowWatchers)
+	c := &watcherProcess{cmd: exec.Command(r.Program, "watchers"), answers: make(chan watcherLine, 1), side: at, count: count}
 	c.cmd.Stderr = os.Stderr
 	in, errIn := c.cmd.StdinPipe()
 	out, errOut := c.cmd.StdoutPipe()
@@ -158,19 +158,19 @@
 	r.children = append(r.children, c)
 	r.mu.Lock()
 	for i := range count {
-		r.newest[watcherName(first+i)] = 0
+		r.appliedVersions[watcherName(first+i)] = 0
 	}
 	r.mu.Unlock()
 	go r.read(c, out)
 	return json.NewEncoder(in).Encode(WatcherSpec{
-		First: first, Count: count, Zone: string(at), Machines: r.service.Watched(at), Key: serviceKey, Seed: r.Seed + int64(place),
+		First: first, Count: count, Zone: string(at), Machines: r.service.Endpoints(at), Key: serviceKey, Seed: r.Seed + int64(place),
 	})
 }
 
 func watcherName(place int) string { return fmt.Sprintf("hollow-%d", place) }
 
-// read takes what a process of watchers writes.
-func (r *configurationRun) read(c *watcherChild, from io.Reader) {
+// read records the lines of a process of watchers.
+func (r *configurationRun) read(c *watcherProcess, from io.Reader) {
 	lines := bufio.NewScanner(from)
 	for lines.Scan() {
 		var line watcherLine
@@ -183,17 +183,17 @@
 		}
 		name := watcherName(line.Event.Watcher)
 		r.mu.Lock()
-		r.history.InForce = append(r.history.InForce, InForce{
+		r.history.InForce = append(r.history.InForce, AppliedVersion{
 			name, line.Event.Version, line.Event.Digest, time.Unix(0, line.Event.At), line.Event.Started,
 		})
-		r.newest[name] = line.Event.Version
+		r.appliedVersions[name] = line.Event.Version
 		r.mu.Unlock()
 	}
 	close(c.answers)
 }
 
-// ask sends a command and waits for its answer.
-func (c *watcherChild) ask(command watcherCommand) (watcherLine, error) {
+// ask sends a command and returns its answer.
+func (c *watcherProcess) ask(command watcherCommand) (watcherLine, error) {
 	if err := json.NewEncoder(c.in).Encode(command); err != nil {
 		return watcherLine{}, fmt.Errorf("watchers: %w", err)
 	}
@@ -209,12 +209,12 @@
 	name := fmt.Sprintf("app-%d", i)
 	own := fmt.Sprintf("[configuration]\nname = %q\nzone = %q\nkey-file = %q\ndir = %q\n", name, majority, r.service.keyFile(),
 		filepath.Join(r.Folder, name+"-kept"))
-	for _, m := range r.service.Watched(majority) {
+	for _, m := range r.service.Endpoints(majority) {
 		own += fmt.Sprintf("[[configuration.machine]]\nzone = %q\naddress = %q\n", m.Zone, m.Address)
 	}
 	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
 	d, err := harness.Launch(r.Daemon, []string{"serve"}, r.Folder, name, machine, own, func(listen, pool, members string) ([]byte, error) {
-		return Site(r.part(PlannedRoutes), r.part(PlannedTenants), listen, pool, members)
+		return Site(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), listen, pool, members)
 	})
 	if err != nil {
 		return err
@@ -225,7 +225,7 @@
 
 var inForceLine = regexp.MustCompile(`time=(\S+) level=INFO msg="configuration: in force" version=(\d+)`)
 
-// versionOf is what a real server logged last as in force.
+// versionOf returns the version that a server logged last as applied.
 func versionOf(d *harness.Daemon) uint64 {
 	all := inForceLine.FindAllStringSubmatch(d.Log(), -1)
 	if len(all) == 0 {
@@ -235,12 +235,12 @@
 	return version
 }
 
-// serverEvents takes what the real servers logged into the history.
-func (r *configurationRun) serverEvents() {
+// recordServerEvents adds what the servers logged to the history.
+func (r *configurationRun) recordServerEvents() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	digests := map[uint64]configuration.Digest{}
-	for _, step := range r.history.Steps {
+	for _, step := range r.history.Versions {
 		digests[step.Version] = step.Digest
 	}
 	for i, d := range r.servers {
@@ -251,23 +251,23 @@
 				continue
 			}
 			// A server logs no digest; its watcher compared the content with that of the delta.
-			r.history.InForce = append(r.history.InForce, InForce{fmt.Sprintf("app-%d", i), version, digests[version], at, false})
+			r.history.InForce = append(r.history.InForce, AppliedVersion{fmt.Sprintf("app-%d", i), version, digests[version], at, false})
 		}
 	}
 }
 
-// everywhere waits until a version, or a later one, is in force at all, and gives how long that took.
-func (r *configurationRun) everywhere(ctx context.Context, version uint64) error {
+// waitApplied waits until every server has applied a version or a later one.
+func (r *configurationRun) waitApplied(ctx context.Context, version uint64) error {
 	const patience = 40 * time.Second
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 		behind := []string{}
 		r.mu.Lock()
-		for name, at := range r.newest {
+		for name, at := range r.appliedVersions {
 			if at < version {
 				behind = append(behind, name)
 			}
 		}
-		if steps := r.history.Steps; len(steps) == 0 || steps[len(steps)-1].Version < version {
+		if steps := r.history.Versions; len(steps) == 0 || steps[len(steps)-1].Version < version {
 			behind = append(behind, "recorder")
 		}
 		r.mu.Unlock()
@@ -286,8 +286,8 @@
 	}
 }
 
-// accepted is the newest accepted version.
-func (r *configurationRun) accepted() uint64 {
+// lastAccepted returns the latest accepted version.
+func (r *configurationRun) lastAccepted() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.history.Accepted[len(r.history.Accepted)-1].Version
--- a/internal/testkit/scale/fit.go
+++ b/internal/testkit/scale/fit.go
@@ -24,7 +24,7 @@
 	N                int
 }
 
-// At is the line's value.
+// At returns the value of the line at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
 // Fit draws a line through points by least squares. Fewer than three points are never Straight: a line through two
--- a/internal/testkit/scale/fleet.go
+++ b/internal/testkit/scale/fleet.go
@@ -17,30 +17,30 @@
 
 // Fleet is a hollow fleet over a few processes. The voters, the busiest role, have the first process to themselves.
 type Fleet struct {
-	children []*child
-	members  *memberSink
+	children []*hollowProcess
+	members  *membershipSink
 	servers  int
 }
 
-// child is one hollow process.
-type child struct {
+// hollowProcess is one hollow process.
+type hollowProcess struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
 	out *json.Decoder
 }
 
-// memberSink counts what a membership service is sent.
-type memberSink struct {
+// membershipSink counts the reports that a membership service gets.
+type membershipSink struct {
 	socket          net.PacketConn
 	messages, bytes atomic.Int64
 }
 
-func newMemberSink() (*memberSink, error) {
+func newMembershipSink() (*membershipSink, error) {
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	s := &memberSink{socket: socket}
+	s := &membershipSink{socket: socket}
 	go func() {
 		var datagram [512]byte
 		for {
@@ -55,12 +55,12 @@
 	return s, nil
 }
 
-// processes is how many hold the servers that do not vote.
+// processes is the number of processes for servers that do not vote.
 const processes = 4
 
-// StartFleet starts a program as the hollow processes of a fleet. Of the spec, the addresses and places are set here.
+// StartFleet starts a program as the hollow processes of a fleet. It sets the addresses and indexes of the spec.
 func StartFleet(program string, servers int, spec HollowSpec) (f *Fleet, err error) {
-	sink, err := newMemberSink()
+	sink, err := newMembershipSink()
 	if err != nil {
 		return nil, err
 	}
@@ -114,8 +114,8 @@
 	return all
 }
 
-func startChild(program string, spec HollowSpec) (*child, error) {
-	c := &child{cmd: exec.Command(program, "hollow")}
+func startChild(program string, spec HollowSpec) (*hollowProcess, error) {
+	c := &hollowProcess{cmd: exec.Command(program, "hollow")}
 	c.cmd.Stderr = os.Stderr
 	in, errIn := c.cmd.StdinPipe()
 	out, errOut := c.cmd.StdoutPipe()
@@ -129,15 +129,15 @@
 	return c, json.NewEncoder(in).Encode(spec)
 }
 
-// ask sends a command and gives the state behind it.
-func (c *child) ask(command hollowCommand) (HollowState, error) {
+// ask sends a command and returns the state after it.
+func (c *hollowProcess) ask(command hollowCommand) (HollowState, error) {
 	if err := json.NewEncoder(c.in).Encode(command); err != nil {
 		return HollowState{}, fmt.Errorf("hollow: %w", err)
 	}
 	return c.answer()
 }
 
-func (c *child) answer() (state HollowState, err error) {
+func (c *hollowProcess) answer() (state HollowState, err error) {
 	if err := c.out.Decode(&state); err != nil {
 		return state, fmt.Errorf("hollow: no answer: %w", err)
 	}
@@ -172,16 +172,16 @@
 	return nil
 }
 
-// use is what a fleet has used up to a moment, of the voters' process and of all others.
-type use struct {
+// resourceUse is the processor time and traffic of a fleet up to a moment.
+type resourceUse struct {
 	at                     time.Time
 	voters, others         HollowState
 	votersCPU, othersCPU   time.Duration
 	memberBytes, memberMsg int64
 }
 
-func (f *Fleet) use() (u use, err error) {
-	u = use{at: time.Now(), memberBytes: f.members.bytes.Load(), memberMsg: f.members.messages.Load()}
+func (f *Fleet) use() (u resourceUse, err error) {
+	u = resourceUse{at: time.Now(), memberBytes: f.members.bytes.Load(), memberMsg: f.members.messages.Load()}
 	for i, one := range f.children {
 		if one == nil {
 			continue
@@ -205,11 +205,11 @@
 	return u, nil
 }
 
-// warmWait is how long a fleet may take until each server has a view.
-const warmWait = 30 * time.Second
+// viewTimeout is the time limit of WaitForViews.
+const viewTimeout = 30 * time.Second
 
-// Warm waits until each server has a view, and gives how long that took.
-func (f *Fleet) Warm(ctx context.Context) (time.Duration, error) {
+// WaitForViews waits until each server has a view, and returns the time that it took.
+func (f *Fleet) WaitForViews(ctx context.Context) (time.Duration, error) {
 	for began := time.Now(); ; {
 		u, err := f.use()
 		if err != nil {
@@ -218,20 +218,20 @@
 		if u.voters.Cold+u.others.Cold == 0 {
 			return time.Since(began), nil
 		}
-		if time.Since(began) > warmWait || ctx.Err() != nil {
-			return 0, fmt.Errorf("hollow: %d servers have no view after %v", u.voters.Cold+u.others.Cold, warmWait)
+		if time.Since(began) > viewTimeout || ctx.Err() != nil {
+			return 0, fmt.Errorf("hollow: %d servers have no view after %v", u.voters.Cold+u.others.Cold, viewTimeout)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// settleFor is how long no server may have begun a talk for a fleet to count as quiet.
-const settleFor = 500 * time.Millisecond
+// quietTime is the time without an exchange after which a fleet is quiet.
+const quietTime = 500 * time.Millisecond
 
-// Settle waits until no server that does not vote begins talks with its peers any more.
-func (f *Fleet) Settle(ctx context.Context) error {
+// WaitUntilQuiet waits until no server that does not vote begins exchanges with its peers any more.
+func (f *Fleet) WaitUntilQuiet(ctx context.Context) error {
 	asked, since, began := int64(-1), time.Now(), time.Now()
-	for time.Since(since) < settleFor {
+	for time.Since(since) < quietTime {
 		u, err := f.use()
 		if err != nil {
 			return err
@@ -239,25 +239,25 @@
 		if u.others.Traffic.Started != asked {
 			asked, since = u.others.Traffic.Started, time.Now()
 		}
-		if time.Since(began) > warmWait || ctx.Err() != nil {
-			return fmt.Errorf("hollow: servers still ask after %v", warmWait)
+		if time.Since(began) > viewTimeout || ctx.Err() != nil {
+			return fmt.Errorf("hollow: servers still ask after %v", viewTimeout)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return nil
 }
 
-// usage are rates between two uses.
-type usage struct {
+// useRates are the rates between two resourceUses.
+type useRates struct {
 	seconds                              float64
 	memberMessages, memberBytes          float64 // a second and server
 	serverBytes, serverTalks, serverCore float64 // a second and server that does not vote
 	voterBytes, voterTalks, voterCore    float64 // a second and voter
 }
 
-// between gives what was used between two moments, by servers that do not vote and by voters.
-func between(a, b use, servers, voters int) usage {
-	u := usage{seconds: b.at.Sub(a.at).Seconds()}
+// ratesBetween returns the rates between two moments, of servers that do not vote and of voters.
+func ratesBetween(a, b resourceUse, servers, voters int) useRates {
+	u := useRates{seconds: b.at.Sub(a.at).Seconds()}
 	all, rest := u.seconds*float64(servers), u.seconds*float64(max(servers-voters, 1))
 	u.memberMessages = float64(b.memberMsg-a.memberMsg) / all
 	u.memberBytes = float64(b.memberBytes-a.memberBytes) / all
--- a/internal/testkit/scale/fleet_test.go
+++ b/internal/testkit/scale/fleet_test.go
@@ -30,23 +30,23 @@
 	fleet, err := StartFleet(self, 14, HollowSpec{Voters: 3, Duties: 1, Lease: 300 * time.Millisecond, Routes: 40, Seed: 1})
 	require.NoError(t, err)
 	defer func() { assert.NoError(t, fleet.Stop()) }()
-	_, err = fleet.Warm(t.Context())
+	_, err = fleet.WaitForViews(t.Context())
 	require.NoError(t, err)
-	_, err = fleet.held(t.Context(), healWait, 1)
+	_, err = fleet.waitForHolders(t.Context(), healTimeout, 1)
 	require.NoError(t, err)
-	require.NoError(t, fleet.Settle(t.Context()))
-	used, err := during(fleet, time.Second, 3, func() error {
+	require.NoError(t, fleet.WaitUntilQuiet(t.Context()))
+	used, err := rateDuring(fleet, time.Second, 3, func() error {
 		if err := fleet.Restart(4); err != nil {
 			return err
 		}
-		_, err := fleet.Warm(t.Context())
+		_, err := fleet.WaitForViews(t.Context())
 		return err
 	})
 	require.NoError(t, err)
 	assert.InDelta(t, 1/0.24, used.memberMessages, 1.5, "a report every 240 ms")
 	assert.Positive(t, used.serverBytes)
 	assert.Positive(t, used.voterTalks)
-	holders, err := fleet.holders()
+	holders, err := fleet.countHolders()
 	require.NoError(t, err)
 	assert.LessOrEqual(t, holders, 1)
 }
@@ -54,7 +54,7 @@
 // The capacity page says what the recorded points give.
 func TestCapacityPage(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
-	points, origins, err := ReadAll(filepath.Join(root, "results", "scale"))
+	points, origins, err := ReadParts(filepath.Join(root, "results", "scale"))
 	require.NoError(t, err)
 	rows, err := Capacity(points)
 	require.NoError(t, err)
@@ -71,7 +71,7 @@
 
 // A figure that is not what the points give is found.
 func TestCapacityIsWorkedOut(t *testing.T) {
-	points, _, err := ReadAll(filepath.Join("..", "..", "..", "results", "scale"))
+	points, _, err := ReadParts(filepath.Join("..", "..", "..", "results", "scale"))
 	require.NoError(t, err)
 	rows, err := Capacity(points)
 	require.NoError(t, err)
--- a/internal/testkit/scale/fleets.go
+++ b/internal/testkit/scale/fleets.go
@@ -32,12 +32,12 @@
 )
 
 const (
-	leaseSpan  = 2 * time.Second
-	shortLease = 400 * time.Millisecond
-	someVoters = 5
-	holderPoll = 25 * time.Millisecond
-	cutVoters  = 3 // of someVoters, on one side of a cut
-	healWait   = 20 * time.Second
+	longLease          = 2 * time.Second
+	shortLease         = 400 * time.Millisecond
+	fewVoters          = 5
+	holderPollInterval = 25 * time.Millisecond
+	partitionedVoters  = 3 // of fewVoters, on one side of a cut
+	healTimeout        = 20 * time.Second
 )
 
 // Fleets measures hollow fleets.
@@ -50,7 +50,7 @@
 // Run measures everything, one fleet at a time.
 func (f *Fleets) Run(ctx context.Context) (Points, error) {
 	points := Points{}
-	for _, part := range []func(context.Context, Points) error{f.bySize, f.byVoters, f.byDuties, f.cut} {
+	for _, part := range []func(context.Context, Points) error{f.measureSizes, f.measureVoters, f.measureLeases, f.measurePartition} {
 		if err := part(ctx, points); err != nil {
 			return points, err
 		}
@@ -59,15 +59,15 @@
 }
 
 func (f *Fleets) spec(voters, duties int) HollowSpec {
-	return HollowSpec{Voters: voters, Duties: duties, Lease: f.lease(), Routes: PlannedRoutes, Seed: f.Seed}
+	return HollowSpec{Voters: voters, Duties: duties, Lease: f.leaseDuration(), Routes: PlannedRoutes, Seed: f.Seed}
 }
 
-// lease is the time of a grant.
-func (f *Fleets) lease() time.Duration {
+// leaseDuration returns the duration of a lease.
+func (f *Fleets) leaseDuration() time.Duration {
 	if f.Small {
 		return shortLease
 	}
-	return leaseSpan
+	return longLease
 }
 
 func (f *Fleets) span() time.Duration {
@@ -77,15 +77,15 @@
 	return 3 * time.Second
 }
 
-// dutyWait is how long duties are waited for.
-func (f *Fleets) dutyWait() time.Duration {
+// leaseTimeout returns the time limit for leases to be held.
+func (f *Fleets) leaseTimeout() time.Duration {
 	if f.Small {
-		return healWait / 4
+		return healTimeout / 4
 	}
-	return healWait
+	return healTimeout
 }
 
-// sizes are the numbers of servers that fleets are measured at.
+// sizes returns the numbers of servers of the measured fleets.
 func (f *Fleets) sizes() []int {
 	if f.Small {
 		return []int{10, 25, 50}
@@ -93,44 +93,44 @@
 	return []int{10, 125, 250, 375, PlannedServers}
 }
 
-// few are the first two of some points where the run is small.
-func (f *Fleets) few(points ...int) []int {
+// firstPoints returns points, only the first two in a small run.
+func (f *Fleets) firstPoints(points ...int) []int {
 	if f.Small {
 		return points[:2]
 	}
 	return points
 }
 
-// during returns what a running fleet uses over a span, or while do runs where that takes longer.
-func during(fleet *Fleet, span time.Duration, voters int, do func() error) (usage, error) {
+// rateDuring returns the rates of a fleet over a span, or while do runs where that takes longer.
+func rateDuring(fleet *Fleet, span time.Duration, voters int, do func() error) (useRates, error) {
 	before, err := fleet.use()
 	if err != nil {
-		return usage{}, err
+		return useRates{}, err
 	}
 	end := time.After(span)
 	if do != nil {
 		if err := do(); err != nil {
-			return usage{}, err
+			return useRates{}, err
 		}
 	}
 	<-end
 	after, err := fleet.use()
-	return between(before, after, fleet.servers, voters), err
+	return ratesBetween(before, after, fleet.servers, voters), err
 }
 
-// bySize measures fleets of several sizes: quiet, with restarts, and, the largest, with a zone that comes back at once.
-func (f *Fleets) bySize(ctx context.Context, points Points) error {
+// measureSizes measures fleets of several sizes: quiet, with restarts, and, the largest, with a zone that comes back at once.
+func (f *Fleets) measureSizes(ctx context.Context, points Points) error {
 	sizes := f.sizes()
 	for _, servers := range sizes {
-		err := f.with(ctx, servers, f.spec(someVoters, 1), func(fleet *Fleet) error {
-			if _, err := fleet.held(ctx, healWait, 1); err != nil {
+		err := f.withFleet(ctx, servers, f.spec(fewVoters, 1), func(fleet *Fleet) error {
+			if _, err := fleet.waitForHolders(ctx, healTimeout, 1); err != nil {
 				return err
 			}
-			if err := fleet.Settle(ctx); err != nil {
+			if err := fleet.WaitUntilQuiet(ctx); err != nil {
 				return err
 			}
 			x := float64(servers)
-			quiet, err := during(fleet, f.span(), someVoters, nil)
+			quiet, err := rateDuring(fleet, f.span(), fewVoters, nil)
 			if err != nil {
 				return err
 			}
@@ -138,16 +138,16 @@
 			points.Add(seriesMemberBytes, x, quiet.memberBytes)
 			points.Add(seriesQuietBytes, x, quiet.serverBytes)
 			points.Add(seriesQuietCore, x, quiet.serverCore)
-			if err := f.newcomers(ctx, fleet, quiet, points); err != nil {
+			if err := f.measureRestart(ctx, fleet, quiet, points); err != nil {
 				return err
 			}
 			if servers < sizes[len(sizes)-1] {
 				return nil
 			}
-			if err := f.restarts(ctx, fleet, points); err != nil {
+			if err := f.measureRestartRates(ctx, fleet, points); err != nil {
 				return err
 			}
-			return f.zone(ctx, fleet, points)
+			return f.measureZoneRestart(ctx, fleet, points)
 		})
 		if err != nil {
 			return err
@@ -156,14 +156,14 @@
 	return nil
 }
 
-// with runs a measurement on a warm fleet.
-func (f *Fleets) with(ctx context.Context, servers int, spec HollowSpec, measure func(*Fleet) error) (err error) {
+// withFleet runs a measurement on a warm fleet.
+func (f *Fleets) withFleet(ctx context.Context, servers int, spec HollowSpec, measure func(*Fleet) error) (err error) {
 	fleet, err := StartFleet(f.Program, servers, spec)
 	if err != nil {
 		return fmt.Errorf("%d servers: %w", servers, err)
 	}
 	defer func() { err = errors.Join(err, fleet.Stop()) }()
-	if _, err := fleet.Warm(ctx); err != nil {
+	if _, err := fleet.WaitForViews(ctx); err != nil {
 		return fmt.Errorf("%d servers: %w", servers, err)
 	}
 	if err := measure(fleet); err != nil {
@@ -172,35 +172,35 @@
 	return nil
 }
 
-// newcomers measures what one restart costs the whole fleet, over what it costs when quiet.
-func (f *Fleets) newcomers(ctx context.Context, fleet *Fleet, quiet usage, points Points) error {
+// measureRestart measures what one restart costs the whole fleet, over what it costs when quiet.
+func (f *Fleets) measureRestart(ctx context.Context, fleet *Fleet, quiet useRates, points Points) error {
 	const restarted = 4 // one in each process
-	loaded, err := during(fleet, f.span(), someVoters, func() error {
+	loaded, err := rateDuring(fleet, f.span(), fewVoters, func() error {
 		if err := fleet.Restart(restarted); err != nil {
 			return err
 		}
-		if _, err := fleet.Warm(ctx); err != nil {
+		if _, err := fleet.WaitForViews(ctx); err != nil {
 			return err
 		}
-		return fleet.Settle(ctx)
+		return fleet.WaitUntilQuiet(ctx)
 	})
 	if err != nil {
 		return err
 	}
 	servers := float64(fleet.servers)
-	over := loaded.seconds * (servers - someVoters) / restarted
+	over := loaded.seconds * (servers - fewVoters) / restarted
 	points.Add(seriesNewcomerBytes, servers, max(0, loaded.serverBytes-quiet.serverBytes)*over)
 	points.Add(seriesNewcomerCore, servers, max(0, loaded.serverCore-quiet.serverCore)*over*10) // percent to ms a second
 	return nil
 }
 
-// restarts measures a fleet in which servers restart at several rates.
-func (f *Fleets) restarts(ctx context.Context, fleet *Fleet, points Points) error {
-	for _, perMinute := range f.few(0, 60, 120, 240) {
-		if err := fleet.Settle(ctx); err != nil {
+// measureRestartRates measures a fleet in which servers restart at several rates.
+func (f *Fleets) measureRestartRates(ctx context.Context, fleet *Fleet, points Points) error {
+	for _, perMinute := range f.firstPoints(0, 60, 120, 240) {
+		if err := fleet.WaitUntilQuiet(ctx); err != nil {
 			return err
 		}
-		used, err := during(fleet, f.span(), someVoters, func() error {
+		used, err := rateDuring(fleet, f.span(), fewVoters, func() error {
 			if perMinute == 0 {
 				return nil
 			}
@@ -221,9 +221,9 @@
 	return nil
 }
 
-// zone has a zone's servers come back at once.
-func (f *Fleets) zone(ctx context.Context, fleet *Fleet, points Points) error {
-	if err := fleet.Settle(ctx); err != nil {
+// measureZoneRestart restarts all servers of a zone at once.
+func (f *Fleets) measureZoneRestart(ctx context.Context, fleet *Fleet, points Points) error {
+	if err := fleet.WaitUntilQuiet(ctx); err != nil {
 		return err
 	}
 	back := min(ZoneServers, fleet.servers/5)
@@ -234,31 +234,31 @@
 	if err := fleet.Restart(back); err != nil {
 		return err
 	}
-	took, err := fleet.Warm(ctx)
+	took, err := fleet.WaitForViews(ctx)
 	if err != nil {
 		return err
 	}
-	if err := fleet.Settle(ctx); err != nil {
+	if err := fleet.WaitUntilQuiet(ctx); err != nil {
 		return err
 	}
 	after, err := fleet.use()
 	if err != nil {
 		return err
 	}
-	used := between(before, after, fleet.servers, someVoters)
+	used := ratesBetween(before, after, fleet.servers, fewVoters)
 	points.Add(seriesZoneSeconds, float64(back), took.Seconds())
 	points.Add(seriesZoneBytes, float64(back), used.serverBytes*used.seconds)
 	return nil
 }
 
-// byVoters measures fleets in which every server votes and wants one duty.
-func (f *Fleets) byVoters(ctx context.Context, points Points) error {
-	for _, voters := range f.few(3, 5, 10, 20, 40) {
-		err := f.with(ctx, voters, f.spec(voters, 1), func(fleet *Fleet) error {
-			if _, err := fleet.held(ctx, healWait, 1); err != nil {
+// measureVoters measures fleets in which every server votes and campaigns for one lease.
+func (f *Fleets) measureVoters(ctx context.Context, points Points) error {
+	for _, voters := range f.firstPoints(3, 5, 10, 20, 40) {
+		err := f.withFleet(ctx, voters, f.spec(voters, 1), func(fleet *Fleet) error {
+			if _, err := fleet.waitForHolders(ctx, healTimeout, 1); err != nil {
 				return err
 			}
-			used, err := during(fleet, 2*f.span(), voters, nil)
+			used, err := rateDuring(fleet, 2*f.span(), voters, nil)
 			points.Add(seriesVoterTalks, float64(voters), used.voterTalks)
 			points.Add(seriesVoterBytes, float64(voters), used.voterBytes)
 			points.Add(seriesVoterCore, float64(voters), used.voterCore)
@@ -271,20 +271,20 @@
 	return nil
 }
 
-// byDuties measures a few voters with several duties.
-func (f *Fleets) byDuties(ctx context.Context, points Points) error {
-	for _, duties := range f.few(1, 8, 16, 32, 64) {
-		err := f.with(ctx, someVoters, f.spec(someVoters, duties), func(fleet *Fleet) error {
+// measureLeases measures a few voters with several leases.
+func (f *Fleets) measureLeases(ctx context.Context, points Points) error {
+	for _, duties := range f.firstPoints(1, 8, 16, 32, 64) {
+		err := f.withFleet(ctx, fewVoters, f.spec(fewVoters, duties), func(fleet *Fleet) error {
 			// Where they are more than the voters can carry, some are never held; that is a figure, not a failure.
-			if _, err := fleet.held(ctx, f.dutyWait(), duties); err != nil && !errors.Is(err, errNotHeld) {
+			if _, err := fleet.waitForHolders(ctx, f.leaseTimeout(), duties); err != nil && !errors.Is(err, errHolderCount) {
 				return err
 			}
-			held, err := fleet.holders()
+			held, err := fleet.countHolders()
 			if err != nil {
 				return err
 			}
 			points.Add(seriesDutiesHeld, float64(duties), float64(held))
-			used, err := during(fleet, 2*f.span(), someVoters, nil)
+			used, err := rateDuring(fleet, 2*f.span(), fewVoters, nil)
 			points.Add(seriesDutyTalks, float64(duties), used.voterTalks)
 			points.Add(seriesDutyBytes, float64(duties), used.voterBytes)
 			points.Add(seriesDutyCore, float64(duties), used.voterCore)
--- a/internal/testkit/scale/fleets_cut.go
+++ b/internal/testkit/scale/fleets_cut.go
@@ -9,19 +9,19 @@
 	"quartzpoint/internal/testkit/faultnet"
 )
 
-// cut parts the voters into two regions that cannot reach each other for a while.
-func (f *Fleets) cut(ctx context.Context, points Points) (err error) {
+// measurePartition separates the voters into two regions for a while.
+func (f *Fleets) measurePartition(ctx context.Context, points Points) (err error) {
 	span := 30 * time.Second
 	if f.Small {
 		span = 4 * time.Second
 	}
-	spec := f.spec(someVoters, 1)
-	sink, err := newMemberSink()
+	spec := f.spec(fewVoters, 1)
+	sink, err := newMembershipSink()
 	if err != nil {
 		return err
 	}
 	defer func() { _ = sink.socket.Close() }()
-	spec.Servers, spec.Members, spec.Asked = addresses(someVoters), sink.socket.LocalAddr().String(), 1
+	spec.Servers, spec.Members, spec.Asked = addresses(fewVoters), sink.socket.LocalAddr().String(), 1
 	var links []*faultnet.Proxy
 	via := map[string]string{}
 	for _, address := range spec.Servers {
@@ -42,9 +42,9 @@
 		}
 		return part
 	}
-	fleet := &Fleet{members: sink, servers: someVoters}
+	fleet := &Fleet{members: sink, servers: fewVoters}
 	defer func() { err = errors.Join(err, fleet.Stop()) }()
-	for _, part := range []HollowSpec{region(0, cutVoters), region(cutVoters, someVoters-cutVoters)} {
+	for _, part := range []HollowSpec{region(0, partitionedVoters), region(partitionedVoters, fewVoters-partitionedVoters)} {
 		one, err := startChild(f.Program, part)
 		if err != nil {
 			return err
@@ -54,20 +54,20 @@
 			return err
 		}
 	}
-	if _, err := fleet.held(ctx, healWait, 1); err != nil {
+	if _, err := fleet.waitForHolders(ctx, healTimeout, 1); err != nil {
 		return err
 	}
 	for _, link := range links {
 		link.Cut()
 	}
-	holders, without, err := fleet.watch(ctx, span)
+	holders, without, err := fleet.watchHolders(ctx, span)
 	if err != nil {
 		return err
 	}
 	for _, link := range links {
 		link.Heal()
 	}
-	healed, err := fleet.held(ctx, healWait, 1)
+	healed, err := fleet.waitForHolders(ctx, healTimeout, 1)
 	if err != nil {
 		return err
 	}
@@ -77,11 +77,11 @@
 	return nil
 }
 
-// errNotHeld tells that not as many duties are held as were waited for.
-var errNotHeld = errors.New("duties held")
+// errHolderCount is a number of held leases that did not become the expected one in time.
+var errHolderCount = errors.New("duties held")
 
-// holders is how many servers of a fleet may act on a duty now, summed over the duties.
-func (f *Fleet) holders() (n int, err error) {
+// countHolders returns the number of servers that hold a lease now, summed over the leases.
+func (f *Fleet) countHolders() (n int, err error) {
 	for _, one := range f.children {
 		if one == nil {
 			continue
@@ -97,27 +97,28 @@
 	return n, nil
 }
 
-// held waits until so many duties are held, and gives how long that took.
-func (f *Fleet) held(ctx context.Context, wait time.Duration, want int) (time.Duration, error) {
-	for began := time.Now(); ; time.Sleep(holderPoll) {
-		n, err := f.holders()
+// waitForHolders waits until so many leases are held, and returns the time that it took.
+func (f *Fleet) waitForHolders(ctx context.Context, wait time.Duration, want int) (time.Duration, error) {
+	for began := time.Now(); ; time.Sleep(holderPollInterval) {
+		n, err := f.countHolders()
 		switch {
 		case err != nil:
 			return 0, err
 		case n == want:
 			return time.Since(began), nil
 		case time.Since(began) > wait || ctx.Err() != nil:
-			return 0, fmt.Errorf("hollow: %w: %d after %v, and not %d", errNotHeld, n, wait, want)
+			return 0, fmt.Errorf("hollow: %w: %d after %v, and not %d", errHolderCount, n, wait, want)
 		}
 	}
 }
 
-// watch looks at the holders of a fleet with one duty over a span: the most at once, and the longest time with none.
-func (f *Fleet) watch(ctx context.Context, span time.Duration) (most int, without time.Duration, err error) {
+// watchHolders polls the holders of the only lease over a span. It returns the highest number at once, and the longest time
+// without a holder.
+func (f *Fleet) watchHolders(ctx context.Context, span time.Duration) (most int, without time.Duration, err error) {
 	began := time.Now()
 	last := began
 	for time.Since(began) < span && ctx.Err() == nil {
-		n, err := f.holders()
+		n, err := f.countHolders()
 		if err != nil {
 			return most, without, err
 		}
@@ -126,7 +127,7 @@
 			last = time.Now()
 		}
 		without = max(without, time.Since(last))
-		time.Sleep(holderPoll)
+		time.Sleep(holderPollInterval)
 	}
 	return most, without, ctx.Err()
 }
--- a/internal/testkit/scale/history.go
+++ b/internal/testkit/scale/history.go
@@ -8,22 +8,22 @@
 	"quartzpoint/configuration"
 )
 
-// Accepted is a change that the service said to have accepted.
-type Accepted struct {
+// AcceptedChange is a change that the service accepted.
+type AcceptedChange struct {
 	Marker  float64 // that the change alone wrote, the next larger one with each change
 	Version uint64
 	At      time.Time // when it was first proposed
 }
 
-// Step is one version of the history, as a watcher that missed nothing was told of it.
-type Step struct {
+// VersionStep is one version, as the recording watcher received it.
+type VersionStep struct {
 	Version uint64
 	Digest  configuration.Digest
 	Marker  float64 // in force from this version on
 }
 
-// InForce is a version that came into force at a server.
-type InForce struct {
+// AppliedVersion is a version that a server applied.
+type AppliedVersion struct {
 	Server  string
 	Version uint64
 	Digest  configuration.Digest
@@ -33,13 +33,13 @@
 
 // History is what was recorded of a run.
 type History struct {
-	Accepted []Accepted // in the order in which they were accepted
-	Steps    []Step     // in the order in which they came
-	InForce  []InForce  // of each server in its order
+	Accepted []AcceptedChange // in order of acceptance
+	Versions []VersionStep    // in order of receipt
+	InForce  []AppliedVersion // by server, in its order
 }
 
-// Check tells what should not have been: an accepted change that is lost, or stands elsewhere in the order; a version
-// that came back, or was never there; content that is not that of its version.
+// Check returns an error for an accepted change that is lost or at another place in the order, a server that went back to a
+// version or applied one that never was, and content that is not that of its version.
 func (h *History) Check() error {
 	var faults []error
 	fault := func(words string, of ...any) {
@@ -47,29 +47,29 @@
 			faults = append(faults, fmt.Errorf(words, of...))
 		}
 	}
-	digests, markers := h.steps(fault)
-	h.accepted(markers, fault)
-	h.inForce(digests, fault)
+	digests, markers := h.checkVersions(fault)
+	h.checkAccepted(markers, fault)
+	h.checkApplied(digests, fault)
 	return errors.Join(faults...)
 }
 
-// steps sees that versions only grow, one by one.
-func (h *History) steps(fault func(string, ...any)) (digests map[uint64]configuration.Digest, markers map[uint64]float64) {
+// checkVersions checks that versions grow one by one.
+func (h *History) checkVersions(fault func(string, ...any)) (digests map[uint64]configuration.Digest, markers map[uint64]float64) {
 	digests, markers = map[uint64]configuration.Digest{}, map[uint64]float64{}
-	for i, step := range h.Steps {
-		if i > 0 && step.Version != h.Steps[i-1].Version+1 {
-			fault("history: version %d behind %d", step.Version, h.Steps[i-1].Version)
+	for i, step := range h.Versions {
+		if i > 0 && step.Version != h.Versions[i-1].Version+1 {
+			fault("history: version %d behind %d", step.Version, h.Versions[i-1].Version)
 		}
-		if i > 0 && step.Marker < h.Steps[i-1].Marker {
-			fault("history: version %d holds change %g, and an earlier one %g: reordered", step.Version, step.Marker, h.Steps[i-1].Marker)
+		if i > 0 && step.Marker < h.Versions[i-1].Marker {
+			fault("history: version %d holds change %g, and an earlier one %g: reordered", step.Version, step.Marker, h.Versions[i-1].Marker)
 		}
 		digests[step.Version], markers[step.Version] = step.Digest, step.Marker
 	}
 	return digests, markers
 }
 
-// accepted sees that each accepted change is in the history where it was said to be.
-func (h *History) accepted(markers map[uint64]float64, fault func(string, ...any)) {
+// checkAccepted checks that each accepted change is in the history at its version.
+func (h *History) checkAccepted(markers map[uint64]float64, fault func(string, ...any)) {
 	for i, change := range h.Accepted {
 		if i > 0 && change.Version <= h.Accepted[i-1].Version {
 			fault("accepted: version %d behind %d", change.Version, h.Accepted[i-1].Version)
@@ -84,8 +84,8 @@
 	}
 }
 
-// inForce sees that servers were only ever in force at versions of the history, each behind the one before.
-func (h *History) inForce(digests map[uint64]configuration.Digest, fault func(string, ...any)) {
+// checkApplied checks that servers applied only versions of the history, in growing order.
+func (h *History) checkApplied(digests map[uint64]configuration.Digest, fault func(string, ...any)) {
 	last := map[string]uint64{}
 	for _, e := range h.InForce {
 		if e.Started {
@@ -106,10 +106,10 @@
 	}
 }
 
-// Lags are how long each change took until it was in force at each server that was there all along, or came to it by a
+// PropagationDelays are how long each change took until it was in force at each server that was there all along, or came to it by a
 // later version; since and until bound its proposal. It begins with that, so a wait for a leader is in it.
-func (h *History) Lags(since, until time.Time) (lags []time.Duration) {
-	byServer := map[string][]InForce{}
+func (h *History) PropagationDelays(since, until time.Time) (lags []time.Duration) {
+	byServer := map[string][]AppliedVersion{}
 	for _, e := range h.InForce {
 		if !e.Started {
 			byServer[e.Server] = append(byServer[e.Server], e)
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -23,7 +23,7 @@
 	"quartzpoint/lease"
 )
 
-// HollowSpec says which part of a hollow fleet a process holds.
+// HollowSpec is the part of a hollow fleet that a process runs.
 type HollowSpec struct {
 	First, Count int               // which servers, by their places in Servers
 	Servers      []string          // the exchange addresses of the whole fleet
@@ -37,7 +37,7 @@
 	Seed         int64
 }
 
-// HollowState is what a hollow process tells of itself.
+// HollowState is the state of a hollow process.
 type HollowState struct {
 	Traffic peersync.Traffic
 	Cold    int                 // servers that have no view yet
@@ -60,11 +60,11 @@
 	commandLimit = 1 << 20
 )
 
-// hollowServer is one server's control code without a request path: it reports to the membership service, answers and
-// asks peers, and votes on leases where it is a voter.
+// hollowServer is the control code of one server without a request path: it reports to the membership service, exchanges
+// estimates with peers, and votes on leases where it is a voter.
 type hollowServer struct {
 	spec         *HollowSpec
-	place        int
+	index        int
 	cancel       context.CancelFunc
 	peerServer   *peersync.Server
 	leaseManager *leasing.Manager
@@ -72,7 +72,7 @@
 	over         sync.WaitGroup
 }
 
-// RunHollow holds a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec.
+// RunHollow runs a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec.
 func RunHollow(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, commandLimit)
@@ -90,13 +90,13 @@
 		}
 	}()
 	for i := range servers {
-		servers[i] = &hollowServer{spec: spec, place: spec.First + i}
+		servers[i] = &hollowServer{spec: spec, index: spec.First + i}
 		if err := servers[i].start(); err != nil {
 			return err
 		}
 	}
 	answer := json.NewEncoder(out)
-	if err := answer.Encode(stateOf(servers)); err != nil {
+	if err := answer.Encode(fleetState(servers)); err != nil {
 		return err
 	}
 	chance := rand.New(rand.NewSource(spec.Seed + int64(spec.First)))
@@ -111,14 +111,14 @@
 				return err
 			}
 		}
-		if err := answer.Encode(stateOf(servers)); err != nil {
+		if err := answer.Encode(fleetState(servers)); err != nil {
 			return err
 		}
 	}
 	return lines.Err()
 }
 
-func stateOf(servers []*hollowServer) HollowState {
+func fleetState(servers []*hollowServer) HollowState {
 	state := HollowState{Traffic: peersync.ProcessTraffic(), Holders: map[string][]string{}}
 	for _, s := range servers {
 		if !s.warm.Load() {
@@ -136,7 +136,7 @@
 	return state
 }
 
-func (s *hollowServer) address() string { return s.spec.Servers[s.place] }
+func (s *hollowServer) address() string { return s.spec.Servers[s.index] }
 
 // start begins all of the server's control code.
 func (s *hollowServer) start() error {
@@ -151,43 +151,43 @@
 	peerServer.Serve()
 	s.peerServer = peerServer
 	s.warm.Store(false)
-	ctx, cancel := context.WithCancel(s.dialedFrom(context.Background()))
+	ctx, cancel := context.WithCancel(s.withLocalAddress(context.Background()))
 	s.cancel = cancel
-	reporter := registration.New(fmt.Sprintf("hollow-%d", s.place), s.spec.Members, log)
+	reporter := registration.New(fmt.Sprintf("hollow-%d", s.index), s.spec.Members, log)
 	s.over.Go(func() { reporter.Run(ctx, registration.ReportInterval) })
-	s.over.Go(func() { s.share(ctx, peerServer, now) })
+	s.over.Go(func() { s.publishView(ctx, peerServer, now) })
 	fetcher := &peersync.Fetcher{
-		Peers: s.peers(), FirstWait: askTotal, Schema: s.frame(), Seed: s.spec.Seed + int64(s.place),
+		Peers: s.peers(), FirstWait: askTotal, Schema: s.estimateSchema(), Seed: s.spec.Seed + int64(s.index),
 		NeedsEstimates: func() bool { return !s.warm.Load() }, Use: func(estimate.Snapshot) { s.warm.Store(true) },
 		Counts: counts, Log: log,
 	}
 	s.over.Go(func() { fetcher.Run(ctx) })
-	return s.vote(ctx, log)
+	return s.startVoter(ctx, log)
 }
 
-// dialedFrom has the server's talks begin at its own host, as those of a machine of its own would.
-func (s *hollowServer) dialedFrom(ctx context.Context) context.Context {
+// withLocalAddress makes connections start at the server's own host, as those of a machine of its own do.
+func (s *hollowServer) withLocalAddress(ctx context.Context) context.Context {
 	own := netip.MustParseAddrPort(s.address())
 	return peersync.WithLocalAddress(ctx, &net.TCPAddr{IP: own.Addr().AsSlice()})
 }
 
-// vote makes the server a voter where the spec says so.
-func (s *hollowServer) vote(ctx context.Context, log *slog.Logger) error {
+// startVoter makes the server a voter where the spec says so.
+func (s *hollowServer) startVoter(ctx context.Context, log *slog.Logger) error {
 	s.leaseManager = nil
-	if s.place >= s.spec.Voters {
+	if s.index >= s.spec.Voters {
 		return nil
 	}
 	var others, duties []string
 	for i, address := range s.spec.Servers[:s.spec.Voters] {
-		if i != s.place {
-			others = append(others, s.dialedAt(address))
+		if i != s.index {
+			others = append(others, s.peerAddress(address))
 		}
 	}
 	for i := range s.spec.Duties {
 		duties = append(duties, fmt.Sprintf("duty-%d", i))
 	}
 	manager, err := leasing.New(leasing.Options{
-		Address: s.address(), Leases: duties, Peers: others, Seed: s.spec.Seed + int64(s.place), Log: log,
+		Address: s.address(), Leases: duties, Peers: others, Seed: s.spec.Seed + int64(s.index), Log: log,
 		Config: lease.Config{Duration: s.spec.Lease, MaxClockDrift: hollowDrift, Voters: s.spec.Voters},
 	})
 	if err != nil {
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// stop ends the server as a process that is killed: nobody is told.
+// stop ends the server as SIGKILL does: nobody is notified.
 func (s *hollowServer) stop() {
 	if s == nil || s.cancel == nil {
 		return
@@ -209,36 +209,36 @@
 	s.over.Wait()
 }
 
-func (s *hollowServer) dialedAt(address string) string {
+func (s *hollowServer) peerAddress(address string) string {
 	if via, stated := s.spec.Via[address]; stated {
 		return via
 	}
 	return address
 }
 
-// peers are those that the server asks at its start.
+// peers returns the servers that this one polls at its start.
 func (s *hollowServer) peers() (peers []string) {
-	chance := rand.New(rand.NewSource(s.spec.Seed<<16 + int64(s.place)))
+	chance := rand.New(rand.NewSource(s.spec.Seed<<16 + int64(s.index)))
 	for _, i := range chance.Perm(len(s.spec.Servers)) {
-		if i != s.place && (s.spec.Asked == 0 || len(peers) < s.spec.Asked) {
-			peers = append(peers, s.dialedAt(s.spec.Servers[i]))
+		if i != s.index && (s.spec.Asked == 0 || len(peers) < s.spec.Asked) {
+			peers = append(peers, s.peerAddress(s.spec.Servers[i]))
 		}
 	}
 	return peers
 }
 
-// frame is what all hollow servers agree on, with an origin of the server's own.
-func (s *hollowServer) frame() estimate.Schema {
-	schema := estimate.Schema{SettingsDigest: sharedTerms, Origin: uint64(s.place) + 1}
+// estimateSchema returns the schema of all hollow servers with this server's origin.
+func (s *hollowServer) estimateSchema() estimate.Schema {
+	schema := estimate.Schema{SettingsDigest: sharedTerms, Origin: uint64(s.index) + 1}
 	for i := range s.spec.Routes {
 		schema.Routes, schema.Deadlines = append(schema.Routes, RouteName(i)), append(schema.Deadlines, 3*time.Second)
 	}
 	return schema
 }
 
-// share leaves a view for others once a second, from the moment on at which the server has seen enough.
-func (s *hollowServer) share(ctx context.Context, peerServer *peersync.Server, now func() time.Duration) {
-	schema := s.frame()
+// publishView publishes a view for peers once a second, once the server is warm.
+func (s *hollowServer) publishView(ctx context.Context, peerServer *peersync.Server, now func() time.Duration) {
+	schema := s.estimateSchema()
 	snapshot := estimate.Snapshot{Origin: schema.Origin, SettingsDigest: schema.SettingsDigest}
 	seen := estimate.Estimate{Mean: viewMean, Spread: viewMean / 2, Samples: viewSamples}
 	for _, name := range schema.Routes {
--- a/internal/testkit/scale/load.go
+++ b/internal/testkit/scale/load.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	honoured   = 20 // code of an answer with a result
-	checkFrame = 20 // type of a health check
-	talkWait   = 5 * time.Second
+	statusServed = 20 // of an answer
+	checkFrame   = 20 // type of a health check
+	talkWait     = 5 * time.Second
 )
 
-// quantile is that of some values, in any order.
+// quantile returns the quantile p of values in any order.
 func quantile(values []float64, p float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -40,14 +40,14 @@
 	return all
 }
 
-// callers hold connections to a server.
-type callers struct {
+// healthCheckers are connections that send health checks to a server.
+type healthCheckers struct {
 	address string
 	conns   []net.Conn
 }
 
-// grow opens connections until there are so many.
-func (c *callers) grow(count int) error {
+// grow opens connections up to a number.
+func (c *healthCheckers) grow(count int) error {
 	for len(c.conns) < count {
 		conn, err := net.DialTimeout("tcp", c.address, talkWait)
 		if err != nil {
@@ -58,14 +58,14 @@
 	return nil
 }
 
-func (c *callers) close() {
+func (c *healthCheckers) close() {
 	for _, conn := range c.conns {
 		_ = conn.Close()
 	}
 }
 
-// check sends health checks at a rate, each on the next connection, until stop is called.
-func (c *callers) check(rate float64) (stop func()) {
+// startChecks sends health checks at a rate a second, round robin over the connections, until stop is called.
+func (c *healthCheckers) startChecks(rate float64) (stop func()) {
 	quit := make(chan struct{})
 	var over sync.WaitGroup
 	for _, conn := range c.conns {
--- a/internal/testkit/scale/plan.go
+++ b/internal/testkit/scale/plan.go
@@ -1,6 +1,5 @@
-// Package scale measures what the real programs cost as routes, tenants, connections, requests and servers grow, up to
-// the size that is planned, and works the plan's figures out from what was measured. It is for measurements, and no
-// part of the daemon.
+// Package scale measures the cost of the real programs as routes, tenants, connections, requests and servers grow up to the
+// planned size, and computes the figures of the capacity page. It is for measurements only.
 package scale
 
 import "time"
@@ -19,7 +18,7 @@
 	ZoneServers     = 72 // in the largest zone: 500 servers over 7 zones
 )
 
-// What control may cost an app server.
+// Budgets of control for one app server.
 const (
 	BudgetCore      = 0.048 // share of a core
 	BudgetMemoryMB  = 256.0
@@ -27,5 +26,5 @@
 	BudgetLatencyMS = 6.5  // added to a request for 99 in 100
 )
 
-// AssumedCheckPeriod is the time between two health checks of one caller. No page states it.
+// AssumedCheckPeriod is the time between two health checks of one caller.
 const AssumedCheckPeriod = 15 * time.Second
--- a/internal/testkit/scale/points.go
+++ b/internal/testkit/scale/points.go
@@ -25,18 +25,18 @@
 // Point is one measured value.
 type Point struct{ X, Value float64 }
 
-// Points are measured values by series. The name of a series says what was measured, with its unit.
+// Points are measured values by series. The name of a series states what was measured and its unit.
 type Points map[string][]Point
 
-// Origin says what made a set of points.
+// Origin states how a set of points was measured.
 type Origin struct {
 	Seed    int64
 	Commit  string
 	Machine string // cores and memory
 }
 
-// Here is the origin of points measured on this machine with the checkout that the process runs in.
-func Here(seed int64) Origin {
+// LocalOrigin returns the origin of points measured on this machine with the checkout that the process runs in.
+func LocalOrigin(seed int64) Origin {
 	o := Origin{Seed: seed, Commit: "unknown"}
 	if out, err := exec.Command("git", "describe", "--always", "--dirty").Output(); err == nil {
 		o.Commit = strings.TrimSpace(string(out))
@@ -52,23 +52,23 @@
 	return o
 }
 
-// String is the origin in one line, as it stands in each file.
+// String returns the origin in one line, the first of each file.
 func (o Origin) String() string {
 	return fmt.Sprintf("seed %d, commit %s, %s", o.Seed, o.Commit, o.Machine)
 }
 
-// Add files a value.
+// Add adds a value to a series.
 func (p Points) Add(series string, x, value float64) { p[series] = append(p[series], Point{x, value}) }
 
-// Merge files all values of another set.
+// Merge adds all values of another set.
 func (p Points) Merge(other Points) {
 	for series, points := range other {
 		p[series] = append(p[series], points...)
 	}
 }
 
-// Of gives a series as two rows of numbers, by rising x.
-func (p Points) Of(series string) (xs, ys []float64) {
+// Series returns the coordinates of a series by growing x.
+func (p Points) Series(series string) (xs, ys []float64) {
 	points := slices.Clone(p[series])
 	slices.SortStableFunc(points, func(a, b Point) int { return cmp.Compare(a.X, b.X) })
 	for _, one := range points {
@@ -77,11 +77,11 @@
 	return xs, ys
 }
 
-// Fit draws a line through a series.
-func (p Points) Fit(series string) Line { return Fit(p.Of(series)) }
+// Fit returns the least-squares line through a series.
+func (p Points) Fit(series string) Line { return Fit(p.Series(series)) }
 
-// At is the mean of the values that a series has at x.
-func (p Points) At(series string, x float64) (value float64, measured bool) {
+// MeanAt returns the mean of the values of a series at x, and whether there is any.
+func (p Points) MeanAt(series string, x float64) (value float64, measured bool) {
 	n := 0.0
 	for _, one := range p[series] {
 		if one.X == x {
@@ -92,7 +92,7 @@
 	return value / max(n, 1), n > 0
 }
 
-// Write puts the points into a file, with their origin in its first line.
+// Write writes the points to a CSV file whose first line is their origin.
 func (p Points) Write(path string, origin Origin) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -112,7 +112,7 @@
 	out := csv.NewWriter(file)
 	rows := [][]string{{"series", "x", "value"}}
 	for _, series := range slices.Sorted(maps.Keys(p)) {
-		xs, ys := p.Of(series)
+		xs, ys := p.Series(series)
 		for i := range xs {
 			rows = append(rows, []string{series, number(xs[i]), number(ys[i])})
 		}
@@ -122,8 +122,8 @@
 
 func number(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
-// Read takes the points of a file, and the line that says what made them.
-func Read(path string) (Points, string, error) {
+// ReadPoints reads a file of Write, and returns its points and its origin.
+func ReadPoints(path string) (Points, string, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, "", fmt.Errorf("points: %w", err)
@@ -160,14 +160,14 @@
 	chartHeight = 4 * vg.Inch
 )
 
-// Chart draws some series with their lines; a series that does not grow as a line is drawn without one.
+// Chart draws series with their lines. A series that is not linear is drawn without one.
 func (p Points) Chart(path, title, x, y string, origin Origin, series ...string) error {
 	drawn := plot.New()
 	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = title+"\n"+origin.String(), x, y
 	drawn.Legend.Top, drawn.Legend.Left = true, true
 	drawn.Add(plotter.NewGrid())
 	for i, name := range series {
-		xs, ys := p.Of(name)
+		xs, ys := p.Series(name)
 		points := make(plotter.XYs, len(xs))
 		for k := range xs {
 			points[k] = plotter.XY{X: xs[k], Y: ys[k]}
--- a/internal/testkit/scale/process.go
+++ b/internal/testkit/scale/process.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// CPU is the processor time that a process has used so far, summed over its threads. It counts nanoseconds, where
-// /proc/PID/stat counts ticks of 10 ms. Threads that have ended are not counted.
+// CPU returns the processor time of a process so far, summed over its running threads, in nanoseconds.
 func CPU(pid int) (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
@@ -32,7 +31,7 @@
 	return total, nil
 }
 
-// ResidentMB is the memory of a process that is in RAM, in MiB.
+// ResidentMB returns the resident memory of a process, in MiB.
 func ResidentMB(pid int) (float64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -52,7 +51,7 @@
 	return 0, fmt.Errorf("process %d: no VmRSS", pid)
 }
 
-// coreShare is the mean share of a core that a process uses over a span, in percent.
+// coreShare returns the share of a core that a process uses over a span, in percent.
 func coreShare(pid int, span time.Duration) (float64, error) {
 	began := time.Now()
 	before, err := CPU(pid)
--- a/internal/testkit/scale/publish.go
+++ b/internal/testkit/scale/publish.go
@@ -10,13 +10,13 @@
 	"text/tabwriter"
 )
 
-// chart is one picture of a part's series.
+// chart is one chart of a part's series.
 type chart struct {
 	file, title, x, y string
 	series            []string
 }
 
-// charts are the pictures of each part.
+// charts are the charts by part.
 var charts = map[string][]chart{
 	"slopes": {
 		{"memory.svg", "memory of a daemon", "% of the planned routes and tenants", "MB",
@@ -40,8 +40,8 @@
 	},
 }
 
-// Publish writes the points of each part, and its charts, into a folder.
-func Publish(folder string, parts map[string]Points, origin Origin) error {
+// PublishParts writes the points and the charts of each part into a folder.
+func PublishParts(folder string, parts map[string]Points, origin Origin) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return fmt.Errorf("points: %w", err)
 	}
@@ -67,7 +67,7 @@
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "series\tpoints\tfrom\tto\tslope\tat 0\tr2\tworst residual\tline\t")
 	for _, series := range slices.Sorted(maps.Keys(p)) {
-		xs, ys := p.Of(series)
+		xs, ys := p.Series(series)
 		line, last := Fit(xs, ys), len(xs)-1
 		shape := "no"
 		if line.Straight {
--- a/internal/testkit/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -20,8 +20,8 @@
 // serviceKey is the shared secret of a measured service, hexadecimal.
 const serviceKey = "5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e"
 
-// leaderWait is how long a leader is waited for.
-const leaderWait = 20 * time.Second
+// leaderTimeout is the time limit for a leader to be elected.
+const leaderTimeout = 20 * time.Second
 
 // side of a cut: the machines of a side and the watchers of its zone reach each other whatever happens.
 type side string
@@ -34,21 +34,21 @@
 // Service is the configuration service on the control machines, each a process of the real program. What crosses between
 // the sides goes through proxies that can be cut.
 type Service struct {
-	program  string
-	folder   string
-	names    []string
-	sessions []string
-	replicas []string
-	cmds     []*exec.Cmd
-	logs     []*harness.LogBuffer
-	links    []*faultnet.Proxy
-	crossing map[string]string // sessions of each machine as those of the other side dial it
-	reach    map[string]string // replication of each machine, the same
-	keys     peersync.Keys
+	program       string
+	folder        string
+	names         []string
+	sessions      []string
+	replicas      []string
+	cmds          []*exec.Cmd
+	logs          []*harness.LogBuffer
+	links         []*faultnet.Proxy
+	crossSessions map[string]string // sessions of each machine as those of the other side dial it
+	crossReplicas map[string]string // replication of each machine, the same
+	keys          peersync.Keys
 }
 
-// sideOf has the last two machines on the smaller side.
-func sideOf(machine int) side {
+// sideOfMachine returns the side of a machine: the last two are the minority.
+func sideOfMachine(machine int) side {
 	if machine < ControlMachines/2+1 {
 		return majority
 	}
@@ -58,7 +58,7 @@
 // StartService starts all machines.
 func StartService(program, folder string) (s *Service, err error) {
 	s = &Service{
-		program: program, folder: folder, crossing: map[string]string{}, reach: map[string]string{},
+		program: program, folder: folder, crossSessions: map[string]string{}, crossReplicas: map[string]string{},
 		keys: peersync.Keys{[]byte(strings.Repeat("\x5e", len(serviceKey)/2))},
 	}
 	defer func() {
@@ -78,7 +78,7 @@
 			}
 			*list = append(*list, address)
 		}
-		for address, into := range map[string]map[string]string{s.sessions[i]: s.crossing, s.replicas[i]: s.reach} {
+		for address, into := range map[string]map[string]string{s.sessions[i]: s.crossSessions, s.replicas[i]: s.crossReplicas} {
 			link, err := faultnet.New(address)
 			if err != nil {
 				return s, err
@@ -102,15 +102,15 @@
 	text := fmt.Sprintf("name = %q\ndata = %q\nkey-file = %q\n", s.names[machine],
 		filepath.Join(s.folder, s.names[machine]), s.keyFile())
 	for i, name := range s.names {
-		text += fmt.Sprintf("[[machine]]\nname = %q\nzone = %q\nreplication = %q\nsessions = %q\n", name, sideOf(i), s.replicas[i], s.sessions[i])
-		if sideOf(i) != sideOf(machine) {
-			text += fmt.Sprintf("reach = %q\n", s.reach[s.replicas[i]])
+		text += fmt.Sprintf("[[machine]]\nname = %q\nzone = %q\nreplication = %q\nsessions = %q\n", name, sideOfMachine(i), s.replicas[i], s.sessions[i])
+		if sideOfMachine(i) != sideOfMachine(machine) {
+			text += fmt.Sprintf("reach = %q\n", s.crossReplicas[s.replicas[i]])
 		}
 	}
 	return text
 }
 
-// StartMachine starts one machine, with what it kept.
+// StartMachine starts one machine with its stored state.
 func (s *Service) StartMachine(i int) error {
 	path := filepath.Join(s.folder, s.names[i]+".toml")
 	if err := os.WriteFile(path, []byte(s.file(i)), 0o600); err != nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// KillMachine ends one machine as a crash does.
+// KillMachine ends one machine by SIGKILL.
 func (s *Service) KillMachine(i int) {
 	if cmd := s.cmds[i]; cmd != nil {
 		_ = cmd.Process.Kill()
@@ -135,37 +135,37 @@
 	}
 }
 
-// Signal sends a machine a signal, as SIGSTOP and SIGCONT.
+// Signal sends a signal to a machine.
 func (s *Service) Signal(i int, signal syscall.Signal) error { return s.cmds[i].Process.Signal(signal) }
 
-// Cut parts the two sides from each other, and Heal ends that.
-func (s *Service) Cut() {
+// Partition separates the two sides until Heal.
+func (s *Service) Partition() {
 	for _, link := range s.links {
 		link.Cut()
 	}
 }
 
-// Heal has the two sides reach each other again.
+// Heal ends a partition.
 func (s *Service) Heal() {
 	for _, link := range s.links {
 		link.Heal()
 	}
 }
 
-// Watched are the machines as a server of a side knows them.
-func (s *Service) Watched(from side) (machines []configwatch.Endpoint) {
+// Endpoints returns the addresses of the machines for a server of a side.
+func (s *Service) Endpoints(from side) (machines []configwatch.Endpoint) {
 	for i, address := range s.sessions {
-		if sideOf(i) != from {
-			address = s.crossing[address]
+		if sideOfMachine(i) != from {
+			address = s.crossSessions[address]
 		}
-		machines = append(machines, configwatch.Endpoint{Zone: string(sideOf(i)), Address: address})
+		machines = append(machines, configwatch.Endpoint{Zone: string(sideOfMachine(i)), Address: address})
 	}
 	return machines
 }
 
-// Leader waits for a machine of some that leads.
+// Leader waits for a leader among some machines, and returns its index.
 func (s *Service) Leader(ctx context.Context, among func(i int) bool) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, leaderWait)
+	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		for i, address := range s.sessions {
--- a/internal/testkit/scale/site.go
+++ b/internal/testkit/scale/site.go
@@ -5,14 +5,13 @@
 	"fmt"
 )
 
-// RouteName is the name of the i-th route of a Site.
+// RouteName returns the name of route i of a Site.
 func RouteName(i int) string { return fmt.Sprintf("route-%04d", i) }
 
-// TenantName is the name of the i-th tenant of a Site.
+// TenantName returns the name of tenant i of a Site.
 func TenantName(i int) string { return fmt.Sprintf("tenant-%05d", i) }
 
-// routeSettings are those of one route, as the platform's configuration has them. One in eight must not run twice, and
-// one in eight is keyed.
+// routeSettings returns the settings of one route. One in eight is at-most-once, and one in eight is keyed.
 func routeSettings(i int) map[string]any {
 	repeats := "retryable"
 	switch i % 8 {
@@ -27,7 +26,7 @@
 	}
 }
 
-// Site is a platform configuration of so many routes and tenants, for a server at the addresses given.
+// Site returns a platform configuration with so many routes and tenants, for a server at these addresses.
 func Site(routes, tenants int, listen, pool, members string) ([]byte, error) {
 	services := make([]map[string]any, routes)
 	for i := range services {
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -42,13 +42,13 @@
 
 const (
 	reloads        = 5                // before the memory after reloads is read
-	reloadWait     = 20 * time.Second // for one reload
+	reloadTimeout  = 20 * time.Second // for one reload
 	tablesAtOnce   = 4
 	fewRoutes      = 2
 	checkerConns   = 200
 	directWork     = 10 * time.Millisecond // of each request
 	machineCores   = 8
-	settleWait     = 300 * time.Millisecond // after a start, for what it left behind to be collected
+	settleDelay    = 300 * time.Millisecond // after a start, for what it left behind to be collected
 	checkEach      = 2 * time.Millisecond
 	loadedRoutes   = 64
 	keyedEvery     = 8 // every eighth route may simply be repeated; see routeSettings
@@ -77,7 +77,7 @@
 	return all, nil
 }
 
-// span is how long a share of a core is looked at.
+// span returns the time over which a share of a core is measured.
 func (s *Slopes) span() time.Duration {
 	if s.Small {
 		return 400 * time.Millisecond
@@ -88,7 +88,7 @@
 // steps are the points of a series, in parts of the largest.
 var steps = []float64{0, 0.25, 0.5, 0.75, 1}
 
-// launch starts a daemon with tables of a size.
+// launch starts a daemon with so many routes and tenants.
 func (s *Slopes) launch(name string, routes, tenants int) (*harness.Daemon, error) {
 	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
 	return harness.Launch(s.Daemon, nil, s.Folder, name, machine, "", func(listen, pool, members string) ([]byte, error) {
@@ -156,7 +156,7 @@
 	if about, err := os.Stat(d.ConfigPath); err == nil {
 		points.Add(seriesFile+job.by, job.x, float64(about.Size())/1e6)
 	}
-	time.Sleep(settleWait)
+	time.Sleep(settleDelay)
 	idle, err := coreShare(d.PID(), s.span())
 	if err != nil {
 		return points, err
@@ -224,12 +224,12 @@
 	if err := d.Signal(syscall.SIGHUP); err != nil {
 		return 0, err
 	}
-	for end := time.Now().Add(reloadWait); strings.Count(d.Log(), told) == seen; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(reloadTimeout); strings.Count(d.Log(), told) == seen; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			return 0, fmt.Errorf("no reload within %v", reloadWait)
+			return 0, fmt.Errorf("no reload within %v", reloadTimeout)
 		}
 	}
-	after, err := atRest(d.PID())
+	after, err := waitAtRest(d.PID())
 	return after - before, err
 }
 
@@ -239,9 +239,9 @@
 	restWait = 2 * time.Second
 )
 
-// atRest waits until a process does little, as once the collector behind a reload is done, and gives the processor time
+// waitAtRest waits until a process does little, as once the collector behind a reload is done, and gives the processor time
 // that it has used by then.
-func atRest(pid int) (time.Duration, error) {
+func waitAtRest(pid int) (time.Duration, error) {
 	last, err := CPU(pid)
 	for began := time.Now(); err == nil && time.Since(began) < restWait; {
 		time.Sleep(restLook)
--- a/internal/testkit/scale/slopes_load.go
+++ b/internal/testkit/scale/slopes_load.go
@@ -18,14 +18,14 @@
 	}
 	defer func() { err = errors.Join(err, d.Stop()) }()
 	points = Points{}
-	callers := &callers{address: d.Address}
+	callers := &healthCheckers{address: d.Address}
 	defer callers.close()
 	for _, step := range steps {
 		count := int(step * PlannedCallers)
 		if err := callers.grow(count); err != nil {
 			return points, err
 		}
-		time.Sleep(settleWait)
+		time.Sleep(settleDelay)
 		idle, err := coreShare(d.PID(), s.span())
 		if err != nil {
 			return points, err
@@ -52,14 +52,14 @@
 func (s *Slopes) checks(context.Context) (Points, error) {
 	points := Points{}
 	for _, routes := range s.bothSizes() {
-		err := s.loaded(routes, func(d *harness.Daemon) error {
-			callers := &callers{address: d.Address}
+		err := s.withDaemon(routes, func(d *harness.Daemon) error {
+			callers := &healthCheckers{address: d.Address}
 			defer callers.close()
 			if err := callers.grow(checkerConns); err != nil {
 				return err
 			}
 			for _, rate := range []float64{0, 250, 500, 1000, 2000} {
-				stop := callers.check(rate)
+				stop := callers.startChecks(rate)
 				share, err := coreShare(d.PID(), s.span())
 				stop()
 				if err != nil {
@@ -76,8 +76,8 @@
 	return points, nil
 }
 
-// loaded runs a measurement on a daemon with so many routes, and with as large a part of the planned tenants.
-func (s *Slopes) loaded(routes int, measure func(d *harness.Daemon) error) (err error) {
+// withDaemon runs a measurement on a daemon with so many routes, and the same share of the planned tenants.
+func (s *Slopes) withDaemon(routes int, measure func(d *harness.Daemon) error) (err error) {
 	tenants := 0
 	if routes > fewRoutes {
 		tenants = PlannedTenants
@@ -87,7 +87,7 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, d.Stop()) }()
-	time.Sleep(settleWait)
+	time.Sleep(settleDelay)
 	return measure(d)
 }
 
@@ -101,7 +101,7 @@
 	}
 	for _, routes := range s.bothSizes() {
 		series := fmt.Sprintf(seriesRequests, routes)
-		err := s.loaded(routes, func(d *harness.Daemon) error {
+		err := s.withDaemon(routes, func(d *harness.Daemon) error {
 			for again := range requestRepeats {
 				for i, rate := range rates {
 					if err := s.request(d, rate, routes, int64(len(rates)*again+i), series, points); err != nil {
@@ -141,8 +141,8 @@
 	if routes == fewRoutes || rate == 0 {
 		return nil
 	}
-	if through.Unanswered > 0 || through.Codes[honoured] < through.Requests {
-		return fmt.Errorf("%.0f requests a second: %d of %d honoured", rate, through.Codes[honoured], through.Requests)
+	if through.Unanswered > 0 || through.Codes[statusServed] < through.Requests {
+		return fmt.Errorf("%.0f requests a second: %d of %d honoured", rate, through.Codes[statusServed], through.Requests)
 	}
 	straight, crossed := asMilliseconds(direct), asMilliseconds(through.Latencies)
 	points.Add(seriesDirectP99, rate, quantile(straight, 0.99))
--- a/internal/testkit/scale/watchers.go
+++ b/internal/testkit/scale/watchers.go
@@ -19,7 +19,7 @@
 	"quartzpoint/internal/peersync"
 )
 
-// WatcherSpec says which hollow watchers a process holds.
+// WatcherSpec states the hollow watchers that a process runs.
 type WatcherSpec struct {
 	First, Count int
 	Zone         string
@@ -34,7 +34,7 @@
 	Answer *peersync.Traffic `json:"answer,omitempty"`
 }
 
-// watcherEvent is a version that came into force.
+// watcherEvent is a version that a watcher applied.
 type watcherEvent struct {
 	Watcher int                  `json:"w"`
 	Version uint64               `json:"v"`
@@ -43,19 +43,19 @@
 	Started bool                 `json:"s,omitempty"`
 }
 
-// watcherCommand is a line to such a process.
+// watcherCommand is one line to a process of watchers.
 type watcherCommand struct {
 	Restart int // watchers that are stopped and started with nothing before the answer
 }
 
-// discard is a log that nobody reads.
-var discard = slog.New(slog.DiscardHandler)
+// discardLog discards what is logged.
+var discardLog = slog.New(slog.DiscardHandler)
 
 // watcherCores are those of a process of watchers: a hundred servers' worth of work must not crowd the machine that
 // everything else is measured on.
 const watcherCores = 2
 
-// hollowWatcher is one server's real watch with nothing behind it.
+// hollowWatcher is the real watch of one server without the rest of it.
 type hollowWatcher struct {
 	place  int
 	cancel context.CancelFunc
@@ -79,7 +79,7 @@
 	_ = l.out.Flush()
 }
 
-// RunWatchers holds hollow watchers until its input ends. The first line of the input is the WatcherSpec.
+// RunWatchers runs hollow watchers until its input ends. The first line of the input is the WatcherSpec.
 func RunWatchers(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, commandLimit)
@@ -125,7 +125,7 @@
 	return lines.Err()
 }
 
-// start begins a watch with nothing in force.
+// start begins a watch without an applied version.
 func (h *hollowWatcher) start(spec WatcherSpec, keys peersync.Keys, writer *lineWriter) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel, h.over = cancel, make(chan struct{})
@@ -136,7 +136,7 @@
 	w := &configwatch.Watcher{
 		Name: fmt.Sprintf("hollow-%d", h.place), Zone: spec.Zone, Endpoints: spec.Machines, Keys: keys,
 		Document: configuration.NewDocument(), Seed: spec.Seed*1_000_003 + time.Now().UnixNano() + int64(h.place),
-		Logger: discard,
+		Logger: discardLog,
 		Apply: func(_ context.Context, delta configuration.Delta, _ *configuration.Document) error {
 			event(watcherEvent{Version: delta.Version, Digest: delta.Digest})
 			return nil
