--- a/cmd/quartzpoint-bench/configuration.go
+++ b/cmd/quartzpoint-bench/configuration.go
@@ -12,11 +12,11 @@
 	"quartzpoint/internal/testkit/scale"
 )
 
-// watchers is the process that holds hollow watchers.
-type watchers struct{}
+// watchersCommand is the process of hollow watchers.
+type watchersCommand struct{}
 
-// Run holds them until the input ends.
-func (*watchers) Run() error { return scale.RunWatchers(os.Stdin, os.Stdout) }
+// Run runs the watchers until the input ends.
+func (*watchersCommand) Run() error { return scale.RunWatchers(os.Stdin, os.Stdout) }
 
 // measureConfiguration measures the configuration service.
 type measureConfiguration struct {
@@ -27,7 +27,7 @@
 	Out     string `help:"Folder for the points (CSV); nothing is written without it."`
 }
 
-// Run measures, prints every figure, and fails where an aim is missed or the recorded history does not hold.
+// Run measures, prints every figure, and returns an error where an objective is missed or the recorded history is invalid.
 func (cmd *measureConfiguration) Run() error {
 	origin := scale.LocalOrigin(cmd.Seed)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
+	defer func() { _ = os.RemoveAll(folder) }()
 	self, errSelf := os.Executable()
 	daemon, errDaemon := filepath.Abs(cmd.Daemon)
 	service, errService := filepath.Abs(cmd.Service)
@@ -52,7 +52,7 @@
 	return failed
 }
 
-// printFigures prints figures with their aims and a last line of them all, and tells which aims were missed.
+// printFigures prints figures with their objectives and a summary line. The error joins the missed objectives.
 func printFigures(name string, figures []scale.Figure) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "what\tvalue\tat most\tunit\t")
--- a/cmd/quartzpoint-bench/drill.go
+++ b/cmd/quartzpoint-bench/drill.go
@@ -13,8 +13,8 @@
 	"quartzpoint/scenario"
 )
 
-// playing is the command that plays one drill.
-type playing struct {
+// drillCommand runs one drill.
+type drillCommand struct {
 	File   string   `arg:"" help:"The drill, as in drills/."`
 	Policy []string `default:"quartzpoint" help:"Policies, the first of which the others are compared with."`
 	Seeds  int      `default:"3" help:"Seeds, from 1."`
@@ -23,6 +23,7 @@
 	Chart  string   `placeholder:"FILE" help:"Draw what was honoured each second, as .svg or .png."`
 }
 
+// readDrill reads and parses a drill.
 func readDrill(path string) (*scenario.Drill, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -31,24 +32,24 @@
 	return scenario.Parse(path, string(text))
 }
 
-// Run plays it in simulated time and prints what became of it.
-func (cmd *playing) Run() error {
+// Run runs the drill in simulated time and prints its results.
+func (cmd *drillCommand) Run() error {
 	d, err := readDrill(cmd.File)
 	if err != nil {
 		return err
 	}
 	var runs []experiment.Run
 	for _, policy := range cmd.Policy {
-		made, err := baseline.PolicyByName(policy)
+		maker, err := baseline.PolicyByName(policy)
 		if err != nil {
 			return err
 		}
 		for seed := range cmd.Seeds {
 			began := time.Now()
-			r := experiment.RunDrill(d, policy, made, int64(seed+1))
+			r := experiment.RunDrill(d, policy, maker, int64(seed+1))
 			fmt.Fprintf(os.Stderr, "%s, %s, seed %d: %d events in %v\n", d.Name, policy, seed+1, r.Result.Events, time.Since(began).Round(time.Millisecond))
-			for _, words := range r.Result.Rules.Messages {
-				fmt.Fprintln(os.Stderr, " ", words)
+			for _, message := range r.Result.Rules.Messages {
+				fmt.Fprintln(os.Stderr, " ", message)
 			}
 			runs = append(runs, r)
 		}
@@ -66,38 +67,38 @@
 	if cmd.Chart == "" {
 		return nil
 	}
-	as := experiment.Format(strings.TrimPrefix(filepath.Ext(cmd.Chart), "."))
-	if as != experiment.SVG && as != experiment.PNG {
+	format := experiment.Format(strings.TrimPrefix(filepath.Ext(cmd.Chart), "."))
+	if format != experiment.SVG && format != experiment.PNG {
 		return fmt.Errorf("chart %s: .svg and .png are known", cmd.Chart)
 	}
-	raw, err := experiment.SecondsChart(cells, d.Name, d.Title, as)
+	raw, err := experiment.SecondsChart(cells, d.Name, d.Title, format)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(cmd.Chart, raw, 0o644)
 }
 
-// real plays it once on real daemons, with what the emulator makes of the same arrivals.
-func (cmd *playing) real(d *scenario.Drill) error {
+// real runs the drill once on real daemons, and on the emulator with the same arrivals.
+func (cmd *drillCommand) real(d *scenario.Drill) error {
 	folder, err := os.MkdirTemp("", "quartzpoint-bench")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
+	defer func() { _ = os.RemoveAll(folder) }()
 	load := d.Arrivals(1)
-	r, found, err := playFleet(cmd.Daemon, folder, d, 1, load)
+	r, report, err := runFleet(cmd.Daemon, folder, d, 1, load)
 	if err != nil {
 		return err
 	}
-	for _, p := range []struct {
-		on string
-		of parts
-	}{{"sockets", realParts(r)}, {"emulated", partsOf(d.EmulateLoad(emulator.QuartzpointPolicy, 1, load))}} {
-		fmt.Printf("%-9s honoured %.3f, dismissed %.3f, given up %.3f\n", p.on, p.of.honoured, p.of.dismissed, p.of.givenUp)
+	for _, side := range []struct {
+		name   string
+		shares outcomeShares
+	}{{"sockets", measuredShares(r)}, {"emulated", emulatedShares(d.EmulateLoad(emulator.QuartzpointPolicy, 1, load))}} {
+		fmt.Printf("%-9s honoured %.3f, dismissed %.3f, given up %.3f\n", side.name, side.shares.goodput, side.shares.rejected, side.shares.aborted)
 	}
-	fmt.Printf("on sockets: %d tasks, %d unanswered, %d answered twice, rules broken %v\n", r.Requests, r.Unanswered, r.DuplicateAnswers, found.Violations[1:])
-	for _, words := range found.Messages {
-		fmt.Println(" ", words)
+	fmt.Printf("on sockets: %d tasks, %d unanswered, %d answered twice, rules broken %v\n", r.Requests, r.Unanswered, r.DuplicateAnswers, report.Violations[1:])
+	for _, message := range report.Messages {
+		fmt.Println(" ", message)
 	}
 	return nil
 }
--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -19,7 +19,7 @@
 	"quartzpoint/scenario"
 )
 
-// measureEmulator measures the emulator against real daemons.
+// measureEmulator compares the emulator with real daemons.
 type measureEmulator struct {
 	Daemon string   `default:"bin/quartzpoint" help:"The daemon's program."`
 	Seeds  int      `default:"10" help:"Runs of each script on both sides."`
@@ -28,8 +28,8 @@
 	Only   []string `help:"Only these parts: real, speed, policies."`
 }
 
-// scripts are played on both sides: one server, whose router makes one try, so that what becomes of a task is the
-// server's doing alone.
+// scripts returns the drills that run on both sides, with their names. The router of one server makes one attempt, so that
+// the outcome of a request depends on the server only.
 func scripts() [][2]string {
 	const one = "servers 1 zones 1 cores 2\nhabits round tries 1\nnetwork delay 50us lag 0s\n"
 	return [][2]string{
@@ -45,13 +45,13 @@
 	}
 }
 
-// pair is a script played on both sides.
+// pair is one run of a script on both sides.
 type pair struct {
-	real, emulated parts
-	wrong          int
+	real, emulated outcomeShares
+	violations     int
 }
 
-// fleetScript is a rolling deploy of eight servers, of which a quarter is killed in the midst of it.
+// fleetScript is a rolling deploy of eight servers, during which a fifth is killed.
 const (
 	fleetName   = "deploy and kill, 8 servers"
 	fleetScript = "servers 8 zones 2 cores 2\nhabits round tries 3\nnetwork delay 50us lag 0s\nload 100% for 9s\n" +
@@ -59,7 +59,7 @@
 	fleetSeeds = 5
 )
 
-// fleets plays it, beside what else is played.
+// fleets runs fleetScript in the background.
 func (m *measureEmulator) fleets(folder string) (<-chan []pair, <-chan error) {
 	done, failed := make(chan []pair, 1), make(chan error, 1)
 	d, err := scenario.Parse(fleetName, fleetScript)
@@ -87,52 +87,52 @@
 
 func (m *measureEmulator) fleet(folder string, d *scenario.Drill, seed int64) (p pair, err error) {
 	load := d.Arrivals(seed)
-	r, found, err := playFleet(m.Daemon, folder, d, seed, load)
+	r, found, err := runFleet(m.Daemon, folder, d, seed, load)
 	if err != nil {
 		return p, err
 	}
 	e := d.EmulateLoad(emulator.QuartzpointPolicy, seed, load)
-	return pair{realParts(r), partsOf(e), r.DuplicateAnswers + found.Total() + e.Rules.Total()}, nil
+	return pair{measuredShares(r), emulatedShares(e), r.DuplicateAnswers + found.Total() + e.Rules.Total()}, nil
 }
 
-func fleetBroken(pairs []pair) (n int) {
+func countViolations(pairs []pair) (n int) {
 	for _, p := range pairs {
-		n += p.wrong
+		n += p.violations
 	}
 	return n
 }
 
-// parts are shares of requests, and of importance for the first.
-type parts struct{ honoured, dismissed, givenUp float64 }
+// outcomeShares are shares of requests; goodput is a share of the value.
+type outcomeShares struct{ goodput, rejected, aborted float64 }
 
-// Run prints the tables and fails where an aim is missed.
+// Run prints the tables and returns an error where an objective is missed.
 func (m *measureEmulator) Run() error {
-	var aims []aim
+	var objectives []objective
 	var words []string
 	for _, part := range []struct {
 		name string
-		do   func() ([]aim, string, error)
+		do   func() ([]objective, string, error)
 	}{{"real", m.real}, {"speed", m.speed}, {"policies", m.policies}} {
 		if len(m.Only) > 0 && !strings.Contains(strings.Join(m.Only, ","), part.name) {
 			continue
 		}
-		more, said, err := part.do()
+		more, summary, err := part.do()
 		if err != nil {
 			return fmt.Errorf("%s: %w", part.name, err)
 		}
-		aims, words = append(aims, more...), append(words, said)
+		objectives, words = append(objectives, more...), append(words, summary)
 	}
 	fmt.Printf("measure emulator: %s\n", strings.Join(words, ", "))
-	return missedAims(aims)
+	return missedObjectives(objectives)
 }
 
-// real plays the same scripts and arrivals on real daemons and on emulated ones.
-func (m *measureEmulator) real() (aims []aim, said string, err error) {
+// real runs the same scripts and arrivals on real daemons and on emulated ones.
+func (m *measureEmulator) real() (objectives []objective, summary string, err error) {
 	folder, err := os.MkdirTemp("", "quartzpoint-bench")
 	if err != nil {
 		return nil, "", err
 	}
-	defer os.RemoveAll(folder)
+	defer func() { _ = os.RemoveAll(folder) }()
 	fleets, fleetErr := m.fleets(folder)
 	all := scripts()
 	results := make([][]pair, len(all))
@@ -151,10 +151,10 @@
 			go func() {
 				defer running.Done()
 				load := d.Arrivals(int64(seed + 1))
-				r, found, err := playFleet(m.Daemon, folder, d, int64(1000*i+seed), load)
+				r, found, err := runFleet(m.Daemon, folder, d, int64(1000*i+seed), load)
 				failed[i*m.Seeds+seed] = err
 				e := d.EmulateLoad(emulator.QuartzpointPolicy, int64(seed+1), load)
-				results[i][seed] = pair{realParts(r), partsOf(e), 0}
+				results[i][seed] = pair{measuredShares(r), emulatedShares(e), 0}
 				mu.Lock()
 				broken[i] += r.Unanswered + r.DuplicateAnswers + found.Total() + e.Rules.Total()
 				mu.Unlock()
@@ -166,7 +166,12 @@
 	if err := errors.Join(append(failed, <-fleetErr)...); err != nil {
 		return nil, "", err
 	}
-	all, results, broken = append(all, [2]string{fleetName}), append(results, fleet), append(broken, fleetBroken(fleet))
+	all, results, broken = append(all, [2]string{fleetName}), append(results, fleet), append(broken, countViolations(fleet))
+	return m.printPairs(all, results, broken)
+}
+
+// printPairs prints the mean of each script on both sides, and returns the objectives.
+func (m *measureEmulator) printPairs(all [][2]string, results [][]pair, broken []int) (objectives []objective, summary string, err error) {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "one server, %d seeds\thonoured: sockets\temulated\toff by\tdismissed: sockets\temulated\tgiven up: sockets\temulated\t\n", m.Seeds)
 	worst, wrong := 0.0, 0
@@ -178,25 +183,25 @@
 			}
 			return stat.Mean(values, nil)
 		}
-		rh, eh := mean(func(p pair) float64 { return p.real.honoured }), mean(func(p pair) float64 { return p.emulated.honoured })
-		rd, ed := mean(func(p pair) float64 { return p.real.dismissed }), mean(func(p pair) float64 { return p.emulated.dismissed })
-		rg, eg := mean(func(p pair) float64 { return p.real.givenUp }), mean(func(p pair) float64 { return p.emulated.givenUp })
+		rh, eh := mean(func(p pair) float64 { return p.real.goodput }), mean(func(p pair) float64 { return p.emulated.goodput })
+		rd, ed := mean(func(p pair) float64 { return p.real.rejected }), mean(func(p pair) float64 { return p.emulated.rejected })
+		rg, eg := mean(func(p pair) float64 { return p.real.aborted }), mean(func(p pair) float64 { return p.emulated.aborted })
 		fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%+.1f%%\t%.3f\t%.3f\t%.3f\t%.3f\t\n", s[0], rh, eh, 100*(eh/rh-1), rd, ed, rg, eg)
 		off := max(math.Abs(eh/rh-1), math.Abs(rd-ed), math.Abs(rg-eg))
 		worst, wrong = max(worst, off), wrong+broken[i]
-		aims = append(aims, aim{s[0] + ": honoured over sockets, dismissed and given up by parts of all", off, 0, 0.05})
+		objectives = append(objectives, objective{s[0] + ": honoured over sockets, dismissed and given up by parts of all", off, 0, 0.05})
 	}
-	aims = append(aims, aim{"rules broken", float64(wrong), 0, 0})
-	return aims, fmt.Sprintf("off sockets by %.1f%% at the most, rules broken %d", 100*worst, wrong), table.Flush()
+	objectives = append(objectives, objective{"rules broken", float64(wrong), 0, 0})
+	return objectives, fmt.Sprintf("off sockets by %.1f%% at the most, rules broken %d", 100*worst, wrong), table.Flush()
 }
 
-func partsOf(r emulator.Result) parts {
+func emulatedShares(r emulator.Result) outcomeShares {
 	n := float64(max(r.Requests, 1))
-	return parts{r.Goodput / max(r.OfferedValue, 1e-9), float64(r.Rejected) / n, float64(r.Aborted) / n}
+	return outcomeShares{r.Goodput / max(r.OfferedValue, 1e-9), float64(r.Rejected) / n, float64(r.Aborted) / n}
 }
 
-// speed plays a thousand servers and a million tasks.
-func (m *measureEmulator) speed() ([]aim, string, error) {
+// speed runs a thousand servers and a million requests.
+func (m *measureEmulator) speed() ([]objective, string, error) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	d, err := scenario.Parse("large", "servers 1000 zones 3 cores 4\nhabits random tries 3 budget 20% heeding\nload 80% for 10s\nat 4s for 4s kill 5% of servers")
 	if err != nil {
@@ -209,14 +214,14 @@
 	runtime.ReadMemStats(&memory)
 	fmt.Printf("1,000 servers, %d tasks on one processor: %v, %.0f events a second, %.0f MB, honoured %.3f\n",
 		r.Requests, took.Round(time.Millisecond), float64(r.Events)/took.Seconds(), float64(memory.Sys)/(1<<20), r.Goodput/r.OfferedValue)
-	return []aim{
+	return []objective{
 		{"tasks", float64(r.Requests), 1e6, math.Inf(1)}, {"seconds", took.Seconds(), 0, 60},
 		{"memory, MB", float64(memory.Sys) / (1 << 20), 0, 4096}, {"rules broken", float64(r.Rules.Total()), 0, 0},
 	}, fmt.Sprintf("a million tasks in %.1f s, %.2f million events a second", took.Seconds(), float64(r.Events)/took.Seconds()/1e6), nil
 }
 
-// policies plays a short set of drills by all policies.
-func (m *measureEmulator) policies() ([]aim, string, error) {
+// policies runs a short set of drills with all policies.
+func (m *measureEmulator) policies() ([]objective, string, error) {
 	type job struct {
 		d      *scenario.Drill
 		policy string
@@ -235,16 +240,16 @@
 		}
 	}
 	runs := make([]experiment.Run, len(jobs))
-	room := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var all sync.WaitGroup
 	for i, j := range jobs {
 		all.Add(1)
-		room <- struct{}{}
+		slots <- struct{}{}
 		go func() {
 			defer all.Done()
-			made, _ := baseline.PolicyByName(j.policy) // of the names that are known
-			runs[i] = experiment.RunDrill(j.d, j.policy, made, j.seed)
-			<-room
+			policy, _ := baseline.PolicyByName(j.policy) // the name is a known one
+			runs[i] = experiment.RunDrill(j.d, j.policy, policy, j.seed)
+			<-slots
 		}()
 	}
 	all.Wait()
@@ -260,5 +265,5 @@
 			}
 		}
 	}
-	return []aim{{"rules broken by this project", float64(broken), 0, 0}}, fmt.Sprintf("%d drills by %d policies", len(m.Drills), 1+len(baseline.Names())), nil
+	return []objective{{"rules broken by this project", float64(broken), 0, 0}}, fmt.Sprintf("%d drills by %d policies", len(m.Drills), 1+len(baseline.Names())), nil
 }
--- a/cmd/quartzpoint-bench/experiment.go
+++ b/cmd/quartzpoint-bench/experiment.go
@@ -15,14 +15,14 @@
 	"quartzpoint/internal/testkit/experiment"
 )
 
-// experimenting is the command that runs an experiment.
-type experimenting struct {
+// experimentCommand runs an experiment.
+type experimentCommand struct {
 	File    string `arg:"" help:"The experiment (TOML), as in experiments/."`
 	Results string `default:"results" help:"Where results are kept, in a folder of the experiment's name."`
 }
 
-// Run makes what is not there yet, and writes the report.
-func (cmd *experimenting) Run() error {
+// Run makes the runs that are not stored yet, and writes the report.
+func (cmd *experimentCommand) Run() error {
 	e, err := experiment.ReadExperiment(cmd.File)
 	if err != nil {
 		return err
@@ -32,13 +32,13 @@
 	folder := filepath.Join(cmd.Results, e.Name)
 	var runs []experiment.Run
 	if isatty.IsTerminal(os.Stdout.Fd()) {
-		runs, err = watched(ctx, cancel, e, folder)
+		runs, err = runWithProgress(ctx, cancel, e, folder)
 	} else {
 		last := time.Now()
-		runs, err = e.Run(ctx, folder, func(r experiment.Run, kept bool, n, of int) {
-			if now := time.Now(); now.Sub(last) > 2*time.Second || n == of {
+		runs, err = e.Run(ctx, folder, func(r experiment.Run, stored bool, ended, total int) {
+			if now := time.Now(); now.Sub(last) > 2*time.Second || ended == total {
 				last = now
-				fmt.Printf("%d of %d: %s, %s, seed %d: %.3f\n", n, of, r.Drill, r.Policy, r.Seed, r.GoodputShare())
+				fmt.Printf("%d of %d: %s, %s, seed %d: %.3f\n", ended, total, r.Drill, r.Policy, r.Seed, r.GoodputShare())
 			}
 		})
 	}
@@ -52,33 +52,34 @@
 	return experiment.Overall(os.Stdout, experiment.Cells(runs))
 }
 
-// progress is the terminal's picture of an experiment that runs.
-type progress struct {
-	title  string
-	began  time.Time
-	n, of  int
-	kept   int
-	latest []string
-	cancel context.CancelFunc
+// progressView shows the progress of an experiment in a terminal.
+type progressView struct {
+	title        string
+	startedAt    time.Time
+	ended, total int
+	stored       int
+	latest       []string
+	cancel       context.CancelFunc
 }
 
-type doneRun struct {
-	run   experiment.Run
-	kept  bool
-	n, of int
+type runEnded struct {
+	run          experiment.Run
+	stored       bool
+	ended, total int
 }
 
-type over struct{}
+type experimentEnded struct{}
 
-// Init implements tea.Model, as do the methods below it.
-func (p progress) Init() tea.Cmd { return nil }
+// Init implements tea.Model.
+func (p progressView) Init() tea.Cmd { return nil }
 
-func (p progress) Update(m tea.Msg) (tea.Model, tea.Cmd) {
+// Update implements tea.Model.
+func (p progressView) Update(m tea.Msg) (tea.Model, tea.Cmd) {
 	switch m := m.(type) {
-	case doneRun:
-		p.n, p.of = m.n, m.of
-		if m.kept {
-			p.kept++
+	case runEnded:
+		p.ended, p.total = m.ended, m.total
+		if m.stored {
+			p.stored++
 			break
 		}
 		p.latest = append(p.latest, fmt.Sprintf("%-18s %-12s seed %-3d honoured %.3f", m.run.Drill, m.run.Policy, m.run.Seed, m.run.GoodputShare()))
@@ -89,34 +90,35 @@
 		if s := m.String(); s == "q" || s == "ctrl+c" {
 			p.cancel()
 		}
-	case over:
+	case experimentEnded:
 		return p, tea.Quit
 	}
 	return p, nil
 }
 
-func (p progress) View() string {
-	const wide = 50
+// View implements tea.Model.
+func (p progressView) View() string {
+	const width = 50
 	full := 0
-	if p.of > 0 {
-		full = wide * p.n / p.of
+	if p.total > 0 {
+		full = width * p.ended / p.total
 	}
 	left := ""
-	if made := p.n - p.kept; made > 0 {
-		left = (time.Since(p.began) / time.Duration(made) * time.Duration(p.of-p.n)).Round(time.Second).String() + " left"
+	if made := p.ended - p.stored; made > 0 {
+		left = (time.Since(p.startedAt) / time.Duration(made) * time.Duration(p.total-p.ended)).Round(time.Second).String() + " left"
 	}
 	return fmt.Sprintf("%s\n\n[%s%s] %d of %d, %d kept from before, %s\n\n%s\n\nq: stop; what is done is kept\n", p.title,
-		strings.Repeat("#", full), strings.Repeat(".", wide-full), p.n, p.of, p.kept, left, strings.Join(p.latest, "\n"))
+		strings.Repeat("#", full), strings.Repeat(".", width-full), p.ended, p.total, p.stored, left, strings.Join(p.latest, "\n"))
 }
 
-// watched plays the experiment behind the terminal's picture.
-func watched(ctx context.Context, cancel context.CancelFunc, e *experiment.Experiment, folder string) (runs []experiment.Run, err error) {
-	screen := tea.NewProgram(progress{title: e.Title, began: time.Now(), cancel: cancel})
+// runWithProgress runs the experiment behind a progressView.
+func runWithProgress(ctx context.Context, cancel context.CancelFunc, e *experiment.Experiment, folder string) (runs []experiment.Run, err error) {
+	screen := tea.NewProgram(progressView{title: e.Title, startedAt: time.Now(), cancel: cancel})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		runs, err = e.Run(ctx, folder, func(r experiment.Run, kept bool, n, of int) { screen.Send(doneRun{r, kept, n, of}) })
-		screen.Send(over{})
+		runs, err = e.Run(ctx, folder, func(r experiment.Run, stored bool, ended, total int) { screen.Send(runEnded{r, stored, ended, total}) })
+		screen.Send(experimentEnded{})
 	}()
 	if _, failed := screen.Run(); failed != nil {
 		cancel()
--- a/cmd/quartzpoint-bench/faultscenarios.go
+++ b/cmd/quartzpoint-bench/faultscenarios.go
@@ -27,12 +27,12 @@
 	baseline   string // name of the scenario that it is compared with
 }
 
-// always is a mood that lasts from the start.
+// always is a behaviour that lasts from the start.
 func always(m harness.DependencyBehaviour) harness.BehaviourScript {
 	return func(time.Duration) harness.DependencyBehaviour { return m }
 }
 
-// until is a mood from faultStart to end.
+// until is a behaviour from faultStart to end.
 func until(end time.Duration, m harness.DependencyBehaviour) harness.BehaviourScript {
 	return func(at time.Duration) harness.DependencyBehaviour {
 		if at >= faultStart && at < end {
--- a/cmd/quartzpoint-bench/load.go
+++ b/cmd/quartzpoint-bench/load.go
@@ -20,8 +20,8 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// loading is the command that plays a load against a server.
-type loading struct {
+// loadCommand sends a load to a server.
+type loadCommand struct {
 	To      string `arg:"" help:"The server: address and port for frames, or an http URL on this machine."`
 	Drill   string `help:"The drill whose load is played, on one server of it."`
 	Capture string `help:"A capture to be replayed: a JSON object a line with at, type, work (times as \"15ms\")."`
@@ -29,8 +29,8 @@
 	Seed    int64  `default:"1" help:"Of what is drawn."`
 }
 
-// captured is one line of a capture.
-type captured struct {
+// capturedRequest is one line of a capture.
+type capturedRequest struct {
 	At   string  `json:"at"`
 	Type string  `json:"type"`
 	Work string  `json:"work"`
@@ -39,7 +39,7 @@
 
 // Run plays the load: every task at its moment, whether or not answers come, and each latency from that moment on. A
 // client that waits for an answer before it asks again would leave out just the tasks that would have waited.
-func (cmd *loading) Run() error {
+func (cmd *loadCommand) Run() error {
 	types := emulator.BranchRoutes()
 	var load []harness.Arrival
 	switch {
@@ -72,9 +72,9 @@
 		for _, t := range r.Latencies {
 			_ = took.RecordValue(min(max(t.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
 		}
-		p := realParts(r)
+		p := measuredShares(r)
 		fmt.Printf("%d tasks: honoured %.3f of importance, dismissed %.3f, given up %.3f, unanswered %d, twice %d, late %d\n",
-			r.Requests, p.honoured, p.dismissed, p.givenUp, r.Unanswered, r.DuplicateAnswers, r.LateAnswers)
+			r.Requests, p.goodput, p.rejected, p.aborted, r.Unanswered, r.DuplicateAnswers, r.LateAnswers)
 	} else if err := overHTTP(cmd.To, types, load, took); err != nil {
 		return err
 	}
@@ -109,8 +109,8 @@
 				q.Header.Set("X-Works", strconv.FormatInt(int64(a.Work), 10))
 				var answer *http.Response
 				if answer, err = client.Do(q); err == nil {
-					_, _ = io.Copy(io.Discard, answer.Body) // the status tells
-					answer.Body.Close()
+					_, _ = io.Copy(io.Discard, answer.Body) // only the status counts
+					_ = answer.Body.Close()
 					code = answer.StatusCode
 				}
 			}
@@ -136,11 +136,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	chance := rand.New(rand.NewSource(seed))
 	lines := bufio.NewScanner(file)
 	for number := 1; lines.Scan(); number++ {
-		var c captured
+		var c capturedRequest
 		if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
 			return nil, fmt.Errorf("capture %s line %d: %w", path, number, err)
 		}
@@ -150,15 +150,14 @@
 				a.Route = i
 			}
 		}
-		var failed error
-		if a.At, err = time.ParseDuration(c.At); err != nil {
-			failed = err
+		var errAt, errWork error
+		a.At, errAt = time.ParseDuration(c.At)
+		a.Work, errWork = time.ParseDuration(c.Work)
+		if err := errors.Join(errAt, errWork); err != nil {
+			return nil, fmt.Errorf("capture %s line %d: at and work are times: %w", path, number, err)
 		}
-		if a.Work, err = time.ParseDuration(c.Work); err != nil {
-			failed = err
-		}
-		if failed != nil || a.Route < 0 || a.At < 0 {
-			return nil, fmt.Errorf("capture %s line %d: at and work are times, type one of the mix (%q): %v", path, number, c.Type, failed)
+		if a.Route < 0 || a.At < 0 {
+			return nil, fmt.Errorf("capture %s line %d: type is one of the mix (%q), and at is 0 or more", path, number, c.Type)
 		}
 		if a.Rank == 0 {
 			a.Rank = chance.Float64()
@@ -171,7 +170,7 @@
 func saveCapture(path string, types []harness.Route, load []harness.Arrival) error {
 	var text strings.Builder
 	for _, a := range load {
-		raw, err := json.Marshal(captured{a.At.String(), types[a.Route].Name, a.Work.String(), a.Rank})
+		raw, err := json.Marshal(capturedRequest{a.At.String(), types[a.Route].Name, a.Work.String(), a.Rank})
 		if err != nil {
 			return fmt.Errorf("capture: %w", err)
 		}
--- a/cmd/quartzpoint-bench/main.go
+++ b/cmd/quartzpoint-bench/main.go
@@ -1,5 +1,5 @@
-// Command quartzpoint-bench is where the product is measured and rehearsed: it plays what stands round real daemons and
-// tells how they fare. It is no part of the daemon and may be heavy.
+// Command quartzpoint-bench measures and rehearses the product: it runs real daemons with emulated surroundings, and drills on
+// an emulated fleet. It is no part of the daemon.
 package main
 
 import (
@@ -9,23 +9,23 @@
 	"github.com/alecthomas/kong"
 )
 
-// command is what may be asked.
+// command lists the subcommands.
 type command struct {
-	Flat       flat          `cmd:"" hidden:"" help:"Serve as the daemon does, with the baseline that calls are budgeted against."`
-	Child      stateChild    `cmd:"" name:"state-child" hidden:"" help:"The process that measure state kills."`
-	Drill      playing       `cmd:"" help:"Play a drill on an emulated fleet, in simulated time."`
-	Experiment experimenting `cmd:"" help:"Run drills by policies by seeds, and write tables, charts and a report."`
-	Hollow     hollow        `cmd:"" hidden:"" help:"Hold a part of a hollow fleet; scale starts it."`
-	Watchers   watchers      `cmd:"" hidden:"" help:"Hold watchers of the configuration service; measure configuration starts it."`
-	Capacity   capacity      `cmd:"" help:"Write what the points of scale give into the capacity page."`
-	Soak       soaking       `cmd:"" help:"Play real processes under faults drawn from seeds, and hold the four rules on them."`
-	Scale      scaling       `cmd:"" help:"Measure what the programs cost up to the planned size, and write points and charts."`
-	Workers    emulating     `cmd:"" help:"Play, in real time, the worker pools, dependencies and membership of a drill, for real daemons."`
-	Load       loading       `cmd:"" help:"Play a load, drawn or captured, against a server's frames or an http URL."`
-	Measure    measuring     `cmd:"" help:"Run a measurement; it ends with code 1 where an aim is missed."`
+	Flat       flat              `cmd:"" hidden:"" help:"Serve as the daemon does, with the baseline that calls are budgeted against."`
+	Child      stateChild        `cmd:"" name:"state-child" hidden:"" help:"The process that measure state kills."`
+	Drill      drillCommand      `cmd:"" help:"Play a drill on an emulated fleet, in simulated time."`
+	Experiment experimentCommand `cmd:"" help:"Run drills by policies by seeds, and write tables, charts and a report."`
+	Hollow     hollowCommand     `cmd:"" hidden:"" help:"Hold a part of a hollow fleet; scale starts it."`
+	Watchers   watchersCommand   `cmd:"" hidden:"" help:"Hold watchers of the configuration service; measure configuration starts it."`
+	Capacity   capacityCommand   `cmd:"" help:"Write what the points of scale give into the capacity page."`
+	Soak       soakCommand       `cmd:"" help:"Play real processes under faults drawn from seeds, and hold the four rules on them."`
+	Scale      scaleCommand      `cmd:"" help:"Measure what the programs cost up to the planned size, and write points and charts."`
+	Workers    workersCommand    `cmd:"" help:"Play, in real time, the worker pools, dependencies and membership of a drill, for real daemons."`
+	Load       loadCommand       `cmd:"" help:"Play a load, drawn or captured, against a server's frames or an http URL."`
+	Measure    measureCommand    `cmd:"" help:"Run a measurement; it ends with code 1 where an aim is missed."`
 }
 
-type measuring struct {
+type measureCommand struct {
 	Library       measureLibrary       `cmd:"" help:"The library beside the daemon, baselines, and its own cost."`
 	Dependencies  measureDependencies  `cmd:"" help:"What budgets of calls gain over flat time-outs and retries."`
 	Peers         measurePeers         `cmd:"" help:"What a newcomer gains, or loses, by its peers' word."`
@@ -36,9 +36,9 @@
 }
 
 func main() {
-	asked := kong.Parse(&command{}, kong.Name("quartzpoint-bench"), kong.UsageOnError(),
+	parsed := kong.Parse(&command{}, kong.Name("quartzpoint-bench"), kong.UsageOnError(),
 		kong.Description("Measurements and rehearsals of quartzpoint, on loopback. Exit codes: 0 done; 1 failed or short of an aim; 80 wrong usage."))
-	if err := asked.Run(); err != nil {
+	if err := parsed.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "quartzpoint-bench:", err)
 		os.Exit(1)
 	}
--- a/cmd/quartzpoint-bench/peersreport.go
+++ b/cmd/quartzpoint-bench/peersreport.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// aim is a figure with the range that it must be in.
-type aim struct {
+// objective is a figure with the range that it must be in.
+type objective struct {
 	what        string
 	value       float64
 	least, most float64
@@ -85,7 +85,7 @@
 	fmt.Printf("measure peers: fresh %.3f (worst %.3f), old mean %.3f (chance down to %.3f), started ahead %.1f errors, "+
 		"asked mean %.3f (chance down to %.3f), rules broken %d, seeds %d\n",
 		sortedMedian(fresh), fresh[0], oldMean, oldLowest, ahead, askedMean, askedLowest, broken, m.Seeds)
-	return missedAims([]aim{
+	return missedObjectives([]objective{
 		{"fresh view, median", sortedMedian(fresh), 1, math.Inf(1)}, {"fresh view, worst seed", fresh[0], 0.98, math.Inf(1)},
 		{"old view, mean", oldMean, oldLowest, math.Inf(1)}, {"old view, started ahead", ahead, 0, certain},
 		{"young view, mean", youngMean, youngLowest, math.Inf(1)},
--- a/cmd/quartzpoint-bench/real.go
+++ b/cmd/quartzpoint-bench/real.go
@@ -14,24 +14,24 @@
 	"quartzpoint/scenario"
 )
 
-// errNotReal ends the error of an incident that can only be emulated. Incidents of the load are in the
+// errEmulatedOnly ends the error of an incident that can only be emulated. Incidents of the load are in the
 // arrivals, which are drawn beforehand.
-var errNotReal = errors.New("is not played on real daemons; kill, restart, deploy, pause, slow, neighbours and load are")
+var errEmulatedOnly = errors.New("is not played on real daemons; kill, restart, deploy, pause, slow, neighbours and load are")
 
-// playFleet plays a drill on real daemons behind one router, and holds what happened against the four rules.
-func playFleet(program, folder string, d *scenario.Drill, seed int64, load []harness.Arrival) (r harness.Result, found rulecheck.Report, err error) {
+// runFleet runs a drill on real daemons behind one router, and checks the run against the four rules.
+func runFleet(program, folder string, d *scenario.Drill, seed int64, load []harness.Arrival) (r harness.Result, found rulecheck.Report, err error) {
 	for _, i := range d.Incidents {
 		switch i.Kind {
 		case scenario.KillServers, scenario.RestartServers, scenario.Deploy, scenario.PauseServers, scenario.SlowPools, scenario.Neighbours, scenario.ChangeLoad:
 		default:
-			return r, found, fmt.Errorf("%s: %s at %v %w", d.Name, i.Kind, i.At, errNotReal)
+			return r, found, fmt.Errorf("%s: %s at %v %w", d.Name, i.Kind, i.At, errEmulatedOnly)
 		}
 	}
 	if folder, err = os.MkdirTemp(folder, "fleet"); err != nil {
 		return r, found, err
 	}
-	f, err := harness.NewFleet(d.Fleet.Routes, d.Fleet.Servers, max(d.Fleet.RouterOptions.MaxAttempts, 1), func(i, life int) (*harness.Daemon, error) {
-		return harness.Start(program, folder, fmt.Sprintf("f%d-%d-%d", seed, i, life), d.Fleet.Routes, d.Fleet.Machine, "")
+	f, err := harness.NewFleet(d.Fleet.Routes, d.Fleet.Servers, max(d.Fleet.RouterOptions.MaxAttempts, 1), func(i, incarnation int) (*harness.Daemon, error) {
+		return harness.Start(program, folder, fmt.Sprintf("f%d-%d-%d", seed, i, incarnation), d.Fleet.Routes, d.Fleet.Machine, "")
 	})
 	if err != nil {
 		return r, found, errors.Join(err, f.Close())
@@ -39,20 +39,18 @@
 	began, failed := time.Now(), make([]error, len(d.Incidents))
 	var incidents sync.WaitGroup
 	for n, i := range d.Incidents {
-		incidents.Add(1)
-		go func() {
-			defer incidents.Done()
+		incidents.Go(func() {
 			time.Sleep(time.Until(began.Add(i.At)))
-			failed[n] = happenReal(f, d, i, rand.New(rand.NewSource(seed+int64(n))))
-		}()
+			failed[n] = injectReal(f, d, i, rand.New(rand.NewSource(seed+int64(n))))
+		})
 	}
 	r, err = f.Run(load)
 	incidents.Wait()
 	return r, r.Check(f.Pools()...), errors.Join(append(failed, err, f.Close())...)
 }
 
-// meant are the servers that an incident means.
-func meant(d *scenario.Drill, i scenario.Incident, chance *rand.Rand) (numbers []int) {
+// incidentServers returns the servers of an incident; a share of them is drawn.
+func incidentServers(d *scenario.Drill, i scenario.Incident, rng *rand.Rand) (numbers []int) {
 	switch {
 	case i.Server >= 0:
 		return []int{i.Server}
@@ -64,16 +62,17 @@
 		}
 		return numbers
 	}
-	return chance.Perm(d.Fleet.Servers)[:max(1, int(math.Round(i.Share*float64(d.Fleet.Servers))))]
+	return rng.Perm(d.Fleet.Servers)[:max(1, int(math.Round(i.Share*float64(d.Fleet.Servers))))]
 }
 
-func happenReal(f *harness.Fleet, d *scenario.Drill, i scenario.Incident, chance *rand.Rand) error {
+// injectReal carries out an incident on real daemons, to its end.
+func injectReal(f *harness.Fleet, d *scenario.Drill, i scenario.Incident, rng *rand.Rand) error {
 	// change changes machines for the incident's span; one that is down has nothing to change.
 	change := func(numbers []int, to, back func(m *harness.Machine)) {
-		for _, what := range []func(m *harness.Machine){to, back} {
+		for _, update := range []func(m *harness.Machine){to, back} {
 			for _, n := range numbers {
-				if one := f.Daemon(n); one != nil {
-					one.Workers.Update(what)
+				if daemon := f.Daemon(n); daemon != nil {
+					daemon.Workers.Update(update)
 				}
 			}
 			if i.Duration == 0 {
@@ -85,9 +84,9 @@
 	full := d.Fleet.Machine
 	switch i.Kind {
 	case scenario.KillServers:
-		f.Kill(meant(d, i, chance), i.Duration)
+		f.Kill(incidentServers(d, i, rng), i.Duration)
 	case scenario.RestartServers:
-		for _, n := range meant(d, i, chance) {
+		for _, n := range incidentServers(d, i, rng) {
 			f.Restart(n)
 		}
 	case scenario.Deploy:
@@ -96,29 +95,26 @@
 			time.Sleep(i.Span)
 		}
 	case scenario.SlowPools:
-		change(meant(d, i, chance), func(m *harness.Machine) { m.Speed = full.Speed / i.Factor }, func(m *harness.Machine) { m.Speed = full.Speed })
+		change(incidentServers(d, i, rng), func(m *harness.Machine) { m.Speed = full.Speed / i.Factor }, func(m *harness.Machine) { m.Speed = full.Speed })
 	case scenario.Neighbours:
-		change(meant(d, i, chance), func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.Factor) }, func(m *harness.Machine) { m.Cores = full.Cores })
+		change(incidentServers(d, i, rng), func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.Factor) }, func(m *harness.Machine) { m.Cores = full.Cores })
 	case scenario.PauseServers:
-		var all sync.WaitGroup
-		numbers := meant(d, i, chance)
-		failed := make([]error, len(numbers))
+		var pauses sync.WaitGroup
+		numbers := incidentServers(d, i, rng)
+		errs := make([]error, len(numbers))
 		for at, n := range numbers {
-			if one := f.Daemon(n); one != nil {
-				all.Add(1)
-				go func() {
-					defer all.Done()
-					failed[at] = one.Pause(i.Duration)
-				}()
+			if daemon := f.Daemon(n); daemon != nil {
+				pauses.Go(func() { errs[at] = daemon.Pause(i.Duration) })
 			}
 		}
-		all.Wait()
-		return errors.Join(failed...)
+		pauses.Wait()
+		return errors.Join(errs...)
+	default: // runFleet lets only ChangeLoad come here, which is in the arrivals
 	}
 	return nil
 }
 
-func realParts(r harness.Result) parts {
+func measuredShares(r harness.Result) outcomeShares {
 	n := float64(max(r.Requests, 1))
-	return parts{r.Goodput / max(r.OfferedValue, 1e-9), float64(r.Codes[50]) / n, float64(r.Codes[51]) / n}
+	return outcomeShares{r.Goodput / max(r.OfferedValue, 1e-9), float64(r.Codes[50]) / n, float64(r.Codes[51]) / n}
 }
--- a/cmd/quartzpoint-bench/scale.go
+++ b/cmd/quartzpoint-bench/scale.go
@@ -15,14 +15,14 @@
 	"quartzpoint/internal/testkit/scale"
 )
 
-// hollow is the process that holds a part of a hollow fleet.
-type hollow struct{}
+// hollowCommand is the process of a part of a hollow fleet.
+type hollowCommand struct{}
 
-// Run holds it until the input ends.
-func (*hollow) Run() error { return scale.RunHollow(os.Stdin, os.Stdout) }
+// Run runs the part until the input ends.
+func (*hollowCommand) Run() error { return scale.RunHollow(os.Stdin, os.Stdout) }
 
-// scaling measures what the programs cost as everything round them grows.
-type scaling struct {
+// scaleCommand measures the cost of the programs up to the planned size.
+type scaleCommand struct {
 	Out    string   `default:"results/scale" help:"Folder for points (CSV) and charts (SVG)."`
 	Daemon string   `default:"bin/quartzpoint" help:"The app server's program."`
 	Seed   int64    `default:"1" help:"Of the loads and of the fleet's choices."`
@@ -30,8 +30,8 @@
 	Only   []string `enum:"slopes,fleets" default:"slopes,fleets" help:"Parts to measure: slopes of one daemon, hollow fleets."`
 }
 
-// Run measures the parts and writes a file of points and charts for each.
-func (cmd *scaling) Run() error {
+// Run measures the parts, and writes the points and charts of each.
+func (cmd *scaleCommand) Run() error {
 	points, origin, err := cmd.measure()
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 }
 
 // measure measures the parts.
-func (cmd *scaling) measure() (map[string]scale.Points, scale.Origin, error) {
+func (cmd *scaleCommand) measure() (map[string]scale.Points, scale.Origin, error) {
 	origin := scale.LocalOrigin(cmd.Seed)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, origin, err
 	}
-	defer os.RemoveAll(folder)
+	defer func() { _ = os.RemoveAll(folder) }()
 	self, err := os.Executable()
 	if err != nil {
 		return nil, origin, err
@@ -73,15 +73,15 @@
 	return all, origin, nil
 }
 
-// measureScale is the small form of scale, held against the budgets.
+// measureScale checks a small scaleCommand against the budgets.
 type measureScale struct {
 	Daemon string `default:"bin/quartzpoint" help:"The app server's program."`
 	Seed   int64  `default:"1" help:"Of the loads and of the fleet's choices."`
 }
 
-// Run measures a daemon at the planned size and small fleets, and fails where a budget is passed.
+// Run measures a daemon at the planned size and small fleets, and returns an error where one is over its budget.
 func (cmd *measureScale) Run() error {
-	run := &scaling{Daemon: cmd.Daemon, Seed: cmd.Seed, Small: true, Only: []string{"slopes", "fleets"}}
+	run := &scaleCommand{Daemon: cmd.Daemon, Seed: cmd.Seed, Small: true, Only: []string{"slopes", "fleets"}}
 	parts, _, err := run.measure()
 	if err != nil {
 		return err
@@ -93,13 +93,13 @@
 	return printFigures("scale", scale.BudgetFigures(all))
 }
 
-// capacity writes what the points give into the capacity page.
-type capacity struct {
+// capacityCommand writes the generated parts of the capacity page.
+type capacityCommand struct {
 	Points string `default:"results/scale" help:"Folder of the points."`
 	Page   string `default:"docs/CAPACITY.md" help:"The page; what stands between its two markers is replaced."`
 }
 
-// The markers of the parts of the page that are worked out.
+// The markers of the generated parts of the page.
 const (
 	figuresBegin  = "<!-- figures: written by make capacity -->\n"
 	figuresEnd    = "<!-- end of figures -->\n"
@@ -108,7 +108,7 @@
 )
 
 // Run writes the page.
-func (cmd *capacity) Run() error {
+func (cmd *capacityCommand) Run() error {
 	points, origins, err := scale.ReadParts(cmd.Points)
 	if err != nil {
 		return err
@@ -125,13 +125,13 @@
 	if err != nil {
 		return err
 	}
-	made := ""
+	originText := ""
 	for _, part := range slices.Sorted(maps.Keys(origins)) {
-		made += fmt.Sprintf("`%s.csv`: %s. ", part, origins[part])
+		originText += fmt.Sprintf("`%s.csv`: %s. ", part, origins[part])
 	}
-	text, err := between(string(raw), figuresBegin, figuresEnd, "\n"+scale.RenderCapacity(rows)+"\n"+made+"\n\n")
+	text, err := replaceBetween(string(raw), figuresBegin, figuresEnd, "\n"+scale.RenderCapacity(rows)+"\n"+originText+"\n\n")
 	if err == nil {
-		text, err = between(text, comparedBegin, comparedEnd, "\n"+scale.RenderCompared(before, points)+"\n")
+		text, err = replaceBetween(text, comparedBegin, comparedEnd, "\n"+scale.RenderCompared(before, points)+"\n")
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", cmd.Page, err)
@@ -139,12 +139,12 @@
 	return os.WriteFile(cmd.Page, []byte(text), 0o644)
 }
 
-// between replaces what stands between two markers.
-func between(text, begin, end, by string) (string, error) {
+// replaceBetween replaces the text between two markers.
+func replaceBetween(text, begin, end, replacement string) (string, error) {
 	head, rest, begun := strings.Cut(text, begin)
 	_, tail, ended := strings.Cut(rest, end)
 	if !begun || !ended {
 		return "", fmt.Errorf("marker %q or %q is missing", strings.TrimSpace(begin), strings.TrimSpace(end))
 	}
-	return head + begin + by + end + tail, nil
+	return head + begin + replacement + end + tail, nil
 }
--- a/cmd/quartzpoint-bench/soak.go
+++ b/cmd/quartzpoint-bench/soak.go
@@ -12,11 +12,11 @@
 	"quartzpoint/internal/testkit/soak"
 )
 
-// errSoak is a soak in which rules were broken, or runs failed.
+// errSoak is the error of a soak with violations or failed runs.
 var errSoak = errors.New("the soak found violations")
 
-// soaking is the command that soaks real processes in faults.
-type soaking struct {
+// soakCommand runs real processes under faults.
+type soakCommand struct {
 	Seed     int64         `default:"1" help:"The first seed."`
 	Seeds    int           `default:"50" help:"How many seeds, from the first on."`
 	Span     time.Duration `default:"8s" help:"How long the faults of a run go on."`
@@ -26,15 +26,15 @@
 	Verbose  bool          `help:"Print the plan of each run."`
 }
 
-// soaked is the outcome of one run.
-type soaked struct {
-	history *soak.History
-	broken  []soak.Violation
-	err     error
+// soakOutcome is the outcome of one run.
+type soakOutcome struct {
+	history    *soak.History
+	violations []soak.Violation
+	err        error
 }
 
-// Run plays the seeds and prints a line for each, and the violations.
-func (cmd *soaking) Run() error {
+// Run runs the seeds, and prints a line and the violations of each.
+func (cmd *soakCommand) Run() error {
 	program, err := filepath.Abs(cmd.Program)
 	if err != nil {
 		return fmt.Errorf("program: %w", err)
@@ -43,52 +43,51 @@
 	if err != nil {
 		return fmt.Errorf("folder: %w", err)
 	}
-	defer os.RemoveAll(folder)
-	outcomes := make([]soaked, cmd.Seeds)
-	turns := make(chan struct{}, max(cmd.Parallel, 1))
-	var over sync.WaitGroup
+	defer func() { _ = os.RemoveAll(folder) }()
+	outcomes := make([]soakOutcome, cmd.Seeds)
+	slots := make(chan struct{}, max(cmd.Parallel, 1))
+	var running sync.WaitGroup
 	for n := range cmd.Seeds {
-		turns <- struct{}{}
-		over.Add(1)
-		go func() {
-			defer over.Done()
-			defer func() { <-turns }()
-			outcomes[n] = cmd.play(program, folder, cmd.Seed+int64(n))
-		}()
+		slots <- struct{}{}
+		running.Go(func() {
+			defer func() { <-slots }()
+			outcomes[n] = cmd.runSeed(program, folder, cmd.Seed+int64(n))
+		})
 	}
-	over.Wait()
+	running.Wait()
 	return cmd.summary(outcomes)
 }
 
-func (cmd *soaking) play(program, folder string, seed int64) (outcome soaked) {
+// runSeed runs one seed and prints its line.
+func (cmd *soakCommand) runSeed(program, folder string, seed int64) (outcome soakOutcome) {
 	plan := soak.Draw(seed, cmd.Span)
-	own := filepath.Join(folder, fmt.Sprint(seed))
-	if outcome.err = os.Mkdir(own, 0o700); outcome.err != nil {
+	runFolder := filepath.Join(folder, fmt.Sprint(seed))
+	if outcome.err = os.Mkdir(runFolder, 0o700); outcome.err != nil {
 		return outcome
 	}
-	outcome.history, outcome.err = soak.Run(context.Background(), program, own, plan)
-	outcome.broken = soak.Check(outcome.history)
-	fmt.Println(soak.Summary(outcome.history, outcome.broken, outcome.err))
-	if cmd.Verbose || len(outcome.broken) > 0 {
+	outcome.history, outcome.err = soak.Run(context.Background(), program, runFolder, plan)
+	outcome.violations = soak.Check(outcome.history)
+	fmt.Println(soak.Summary(outcome.history, outcome.violations, outcome.err))
+	if cmd.Verbose || len(outcome.violations) > 0 {
 		for _, f := range plan.Faults {
 			fmt.Println("   ", f)
 		}
 	}
-	for _, v := range outcome.broken {
+	for _, v := range outcome.violations {
 		fmt.Println("    violation,", v)
 	}
-	if cmd.Keep != "" && len(outcome.broken) > 0 {
+	if cmd.Keep != "" && len(outcome.violations) > 0 {
 		outcome.err = errors.Join(outcome.err, soak.WriteLogs(cmd.Keep, outcome.history))
 	}
 	return outcome
 }
 
-// summary prints the last line, and is an error where anything was broken or failed.
-func (cmd *soaking) summary(outcomes []soaked) error {
+// summary prints the last line. It reslots errSoak where there was a violation or a failed run.
+func (cmd *soakCommand) summary(outcomes []soakOutcome) error {
 	var total soak.Totals
 	violations, failed := 0, 0
 	for _, o := range outcomes {
-		violations += len(o.broken)
+		violations += len(o.violations)
 		if o.err != nil {
 			failed++
 			fmt.Println("failed:", o.err)
--- a/cmd/quartzpoint-bench/state.go
+++ b/cmd/quartzpoint-bench/state.go
@@ -30,7 +30,7 @@
 
 // partResult is the outcome of one part of the measurement.
 type partResult struct {
-	aims    []aim
+	aims    []objective
 	summary string
 }
 
@@ -49,7 +49,7 @@
 	defer func() { err = errors.Join(err, os.RemoveAll(root)) }()
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "what\tmedian\tworst\tbest\t")
-	var aims []aim
+	var aims []objective
 	var summaries []string
 	for _, part := range []statePart{{"kills", m.kills}, {"disk", m.disk}, {"rounds", m.rounds}, {"restart", m.restart}} {
 		if len(m.Only) > 0 && !slices.Contains(m.Only, part.name) {
@@ -65,11 +65,11 @@
 		return err
 	}
 	fmt.Printf("measure state: %s, seeds %d\n", strings.Join(summaries, ", "), m.Seeds)
-	return missedAims(aims)
+	return missedObjectives(aims)
 }
 
-// missedAims returns an error for each target that was missed.
-func missedAims(aims []aim) error {
+// missedObjectives returns an error for each target that was missed.
+func missedObjectives(aims []objective) error {
 	var missed []error
 	for _, a := range aims {
 		if !(a.value >= a.least && a.value <= a.most) {
--- a/cmd/quartzpoint-bench/state_disk.go
+++ b/cmd/quartzpoint-bench/state_disk.go
@@ -68,16 +68,16 @@
 		return partResult{}, fmt.Errorf("%d of %d entries came back", len(recovered.Keys), recoveredKeys)
 	}
 	fmt.Fprintf(table, "start with %d entries, %.1f MB: ms\t%.0f\t\t\t\n", recoveredKeys, float64(size)/(1<<20), float64(took.Milliseconds()))
-	result.aims = append(result.aims, aim{"start, s", took.Seconds(), 0, 2}, aim{"bytes on disk", float64(size), 1, stateMB << 20})
+	result.aims = append(result.aims, objective{"start, s", took.Seconds(), 0, 2}, objective{"bytes on disk", float64(size), 1, stateMB << 20})
 	result.summary = fmt.Sprintf("start %d ms", took.Milliseconds())
 	return result, nil
 }
 
 // measureCommits has callers record keys for commitSpan, and prints how many became durable and how long each took.
-func measureCommits(dir string, interval time.Duration, table *tabwriter.Writer) (aim, error) {
+func measureCommits(dir string, interval time.Duration, table *tabwriter.Writer) (objective, error) {
 	s, _, err := store.New(storeOptions(dir, interval))
 	if err != nil {
-		return aim{}, err
+		return objective{}, err
 	}
 	var durable atomic.Int64
 	waits := hdrhistogram.New(1, 10_000_000, 3) // microseconds
@@ -103,7 +103,7 @@
 	fmt.Fprintf(table, "commit of %v: %d entries a second by %d callers, wait ms p50, p99, most\t%.1f\t%.1f\t%.1f\t\n",
 		interval, durable.Load(), commitCallers,
 		float64(waits.ValueAtQuantile(50))/1e3, float64(waits.ValueAtQuantile(99))/1e3, float64(waits.Max())/1e3)
-	return aim{"entries a second", float64(durable.Load()), 1000, math.Inf(1)}, nil
+	return objective{"entries a second", float64(durable.Load()), 1000, math.Inf(1)}, nil
 }
 
 // writeManyKeys leaves a directory with recoveredKeys keys.
--- a/cmd/quartzpoint-bench/state_kills.go
+++ b/cmd/quartzpoint-bench/state_kills.go
@@ -120,7 +120,7 @@
 	all.Wait()
 	kills, wrong, effects, bytes := m.Kills/killLanes*killLanes, tally.wrong.Load(), tally.effects.Load(), tally.maxBytes.Load()
 	fmt.Fprintf(table, "kills (real processes): %d, effects %d, wrong %d, most bytes %d\t\t\t\t\n", kills, effects, wrong, bytes)
-	return partResult{[]aim{
+	return partResult{[]objective{
 		{"kills", float64(kills), 300, math.Inf(1)}, {"effects lost or run twice", float64(wrong), 0, 0},
 		{"effects", float64(effects), float64(kills), math.Inf(1)}, {"bytes on disk", float64(bytes), 1, stateMB << 20},
 	}, fmt.Sprintf("kills %d, wrong %d", kills, wrong)}, errors.Join(failed...)
--- a/cmd/quartzpoint-bench/state_restart.go
+++ b/cmd/quartzpoint-bench/state_restart.go
@@ -69,7 +69,7 @@
 	youngAhead, youngTasks := excess(young)
 	fmt.Fprintf(table, "started ahead of cold at the most, standard errors (tasks a group): old %.1f (%.1f), young %.1f (%.1f)\t\t\t\t\n",
 		oldAhead, oldTasks, youngAhead, youngTasks)
-	return partResult{[]aim{
+	return partResult{[]objective{
 		{"restart, honoured over cold, median", fresh, 1, math.Inf(1)}, {"old folder started ahead", oldAhead, 0, certain},
 		{"young folder in a slower world started ahead", youngAhead, 0, certain}, {"rules broken", float64(broken), 0, 0},
 	}, fmt.Sprintf("restart %.3f (worst %.3f), old ahead %.1f, young ahead %.1f errors, rules broken %d",
--- a/cmd/quartzpoint-bench/state_rounds.go
+++ b/cmd/quartzpoint-bench/state_rounds.go
@@ -50,7 +50,7 @@
 	printQuantiles(table, "p99 of rounds without, us, by run", withoutP99)
 	ratio := float64(with.ValueAtQuantile(99)) / float64(without.ValueAtQuantile(99))
 	fmt.Fprintf(table, "  of all %d and %d rounds: over without\t%.3f\t\t\t\n", with.TotalCount(), without.TotalCount(), ratio)
-	return partResult{[]aim{{"p99 of rounds over without", ratio, 0, 1.05}}, fmt.Sprintf("rounds %.3f", ratio)}, nil
+	return partResult{[]objective{{"p99 of rounds over without", ratio, 0, 1.05}}, fmt.Sprintf("rounds %.3f", ratio)}, nil
 }
 
 // roundsOf measures the rounds of one gate under load.
--- a/cmd/quartzpoint-bench/workers.go
+++ b/cmd/quartzpoint-bench/workers.go
@@ -15,26 +15,26 @@
 	"quartzpoint/scenario"
 )
 
-// emulating is the command that plays, in real time, what stands round real daemons.
-type emulating struct {
+// workersCommand plays, in real time, the surroundings of real daemons: worker pools, dependencies and membership.
+type workersCommand struct {
 	File   string `arg:"" help:"The drill whose fleet is played; its incidents of pools and dependencies come when they are due."`
 	Folder string `default:"." help:"Where each server's configuration is written."`
 }
 
-// Run plays until the drill's span is over, or an interrupt.
-func (cmd *emulating) Run() (err error) {
+// Run plays the drill until its span is over, or until an interrupt.
+func (cmd *workersCommand) Run() (err error) {
 	d, err := readDrill(cmd.File)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer cancel()
-	members, err := net.ListenPacket("udp", "127.0.0.1:0")
+	membership, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("members: %w", err)
+		return fmt.Errorf("membership service: %w", err)
 	}
-	defer members.Close()
-	go reports(members)
+	defer func() { _ = membership.Close() }()
+	go discardReports(membership)
 	var pools []*harness.Workers
 	defer func() {
 		for _, p := range pools {
@@ -47,30 +47,19 @@
 			return err
 		}
 		pools = append(pools, p)
-		listen, err := harness.FreeAddress()
-		if err != nil {
+		if err := cmd.writeConfig(d, n, p.Address, membership.LocalAddr().String()); err != nil {
 			return err
 		}
-		name := fmt.Sprintf("%s-%d", d.Name, n)
-		raw, err := harness.PlatformConfig(name, listen, p.Address, members.LocalAddr().String(), d.Fleet.Routes, d.Fleet.Machine)
-		if err != nil {
-			return err
-		}
-		path := filepath.Join(cmd.Folder, name+".json")
-		if err := os.WriteFile(path, raw, 0o600); err != nil {
-			return err
-		}
-		fmt.Printf("EDGE_CONFIG=%s quartzpoint serve    # listens at %s, pool %s\n", path, listen, p.Address)
 	}
 	began := time.Now()
-	for _, dep := range d.Fleet.Dependencies {
-		one, err := harness.NewDependency(dep.Slots, dep.Mean, dep.Spread, 1, moodOf(d, dep.Name))
+	for _, stated := range d.Fleet.Dependencies {
+		dependency, err := harness.NewDependency(stated.Slots, stated.Mean, stated.Spread, 1, dependencyScript(d, stated.Name))
 		if err != nil {
 			return err
 		}
-		defer one.Close()
-		one.RestartClock()
-		fmt.Printf("[dependencies.%s] address = %q\n", dep.Name, one.Address)
+		defer dependency.Close()
+		dependency.RestartClock()
+		fmt.Printf("[dependencies.%s] address = %q\n", stated.Name, dependency.Address)
 	}
 	for _, i := range d.Incidents {
 		go func() {
@@ -79,47 +68,70 @@
 				return
 			case <-time.After(time.Until(began.Add(i.At))):
 			}
-			if what := poolIncident(pools, d, i); what != "" {
+			if what := injectPoolIncident(pools, d, i); what != "" {
 				fmt.Printf("%v: %s\n", i.At, what)
 			}
 		}()
 	}
 	fmt.Printf("playing %q for %v; interrupt to end\n", d.Title, d.Span)
 	select {
-	case <-ctx.Done():
-		return nil // as asked
+	case <-ctx.Done(): // an interrupt is no error
 	case <-time.After(d.Span):
-		return nil
 	}
+	return nil
 }
 
-const failEach = 100 * time.Millisecond
+// writeConfig writes the platform configuration of one server, and prints the command that starts it.
+func (cmd *workersCommand) writeConfig(d *scenario.Drill, server int, pool, membership string) error {
+	listen, err := harness.FreeAddress()
+	if err != nil {
+		return err
+	}
+	name := fmt.Sprintf("%s-%d", d.Name, server)
+	raw, err := harness.PlatformConfig(name, listen, pool, membership, d.Fleet.Routes, d.Fleet.Machine)
+	if err != nil {
+		return err
+	}
+	path := filepath.Join(cmd.Folder, name+".json")
+	if err := os.WriteFile(path, raw, 0o600); err != nil {
+		return err
+	}
+	fmt.Printf("EDGE_CONFIG=%s quartzpoint serve    # listens at %s, pool %s\n", path, listen, pool)
+	return nil
+}
 
-// moodOf is how a dependency does by the incidents of a drill.
-func moodOf(d *scenario.Drill, name string) harness.BehaviourScript {
-	return func(at time.Duration) (m harness.DependencyBehaviour) {
+// failurePeriod is the period in which a failing dependency rejects calls for a share of the time.
+const failurePeriod = 100 * time.Millisecond
+
+// dependencyScript returns the behaviour of a dependency by the incidents of a drill.
+func dependencyScript(d *scenario.Drill, name string) harness.BehaviourScript {
+	return func(at time.Duration) (b harness.DependencyBehaviour) {
 		for _, i := range d.Incidents {
 			if i.Name != name || at < i.At || i.Duration > 0 && at >= i.At+i.Duration {
 				continue
 			}
 			switch i.Kind {
 			case scenario.StopDependency:
-				m.Silent = true
+				b.Silent = true
 			case scenario.SlowDependency:
-				m.SlowFactor = i.Factor
+				b.SlowFactor = i.Factor
 			case scenario.FailDependency:
-				m.Rejects = at%failEach < time.Duration(i.Factor*float64(failEach)) // for that part of the time
+				b.Rejects = at%failurePeriod < time.Duration(i.Factor*float64(failurePeriod))
+			default: // not of dependencies
 			}
 		}
-		return m
+		return b
 	}
 }
 
-// poolIncident has an incident of pools come about, and says so.
-func poolIncident(pools []*harness.Workers, d *scenario.Drill, i scenario.Incident) string {
+// pausedSpeed is the speed of a paused pool: none, but for divisions by it.
+const pausedSpeed = 1e-9
+
+// injectPoolIncident injects an incident of pools, and describes it; other incidents are ignored.
+func injectPoolIncident(pools []*harness.Workers, d *scenario.Drill, i scenario.Incident) string {
 	full := d.Fleet.Machine
 	change := func(to, back func(m *harness.Machine)) string {
-		numbers := meant(d, i, rand.New(rand.NewSource(int64(i.At))))
+		numbers := incidentServers(d, i, rand.New(rand.NewSource(int64(i.At))))
 		for _, n := range numbers {
 			pools[n].Update(to)
 		}
@@ -132,20 +144,21 @@
 		}
 		return strings.TrimSpace(fmt.Sprintln(i.Kind, "of pools", numbers))
 	}
-	whole := func(m *harness.Machine) { m.Speed, m.Cores = full.Speed, full.Cores }
+	restore := func(m *harness.Machine) { m.Speed, m.Cores = full.Speed, full.Cores }
 	switch i.Kind {
 	case scenario.SlowPools:
-		return change(func(m *harness.Machine) { m.Speed = full.Speed / i.Factor }, whole)
+		return change(func(m *harness.Machine) { m.Speed = full.Speed / i.Factor }, restore)
 	case scenario.Neighbours:
-		return change(func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.Factor) }, whole)
+		return change(func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.Factor) }, restore)
 	case scenario.PauseServers:
-		return change(func(m *harness.Machine) { m.Speed = 1e-9 }, whole)
+		return change(func(m *harness.Machine) { m.Speed = pausedSpeed }, restore)
+	default:
+		return ""
 	}
-	return ""
 }
 
-// reports reads what daemons tell the membership service; nobody is listed.
-func reports(from net.PacketConn) {
+// discardReports reads the reports of daemons until the socket is closed.
+func discardReports(from net.PacketConn) {
 	raw := make([]byte, 2048)
 	for {
 		if _, _, err := from.ReadFrom(raw); err != nil {
