--- a/internal/testkit/scale/fleets_cut.go
+++ b/internal/testkit/scale/fleets_cut.go
@@ -32,25 +32,15 @@
 		defer func() { _ = link.Close() }()
 		links, via[address] = append(links, link), link.Addr()
 	}
-	region := func(first, count int) HollowSpec {
-		part := spec
-		part.First, part.Count, part.Via = first, count, map[string]string{}
-		for i, address := range spec.Servers {
-			if i < first || i >= first+count {
-				part.Via[address] = via[address]
-			}
-		}
-		return part
-	}
 	fleet := &Fleet{members: sink, servers: fewVoters}
 	defer func() { err = errors.Join(err, fleet.Stop()) }()
-	for _, part := range []HollowSpec{region(0, partitionedVoters), region(partitionedVoters, fewVoters-partitionedVoters)} {
-		one, err := startChild(f.Program, part)
+	for _, part := range []HollowSpec{spec.region(0, partitionedVoters, via), spec.region(partitionedVoters, fewVoters-partitionedVoters, via)} {
+		process, err := startChild(f.Program, part)
 		if err != nil {
 			return err
 		}
-		fleet.children = append(fleet.children, one)
-		if _, err := one.answer(); err != nil {
+		fleet.children = append(fleet.children, process)
+		if _, err := process.answer(); err != nil {
 			return err
 		}
 	}
@@ -77,6 +67,17 @@
 	return nil
 }
 
+// region returns the spec of some of the servers, which dial all others via proxies.
+func (s HollowSpec) region(first, count int, via map[string]string) HollowSpec {
+	s.First, s.Count, s.Via = first, count, map[string]string{}
+	for i, address := range s.Servers {
+		if i < first || i >= first+count {
+			s.Via[address] = via[address]
+		}
+	}
+	return s
+}
+
 // errHolderCount is a number of held leases that did not become the expected one in time.
 var errHolderCount = errors.New("duties held")
 
--- a/rulecheck/rules.go
+++ b/rulecheck/rules.go
@@ -93,55 +93,17 @@
 		}
 		c.open[e.Attempt] = &attempt{server: e.Server, deadline: e.Deadline, arrived: e.At, effect: e.Effect}
 	case Started:
-		t := c.open[e.Attempt]
-		if t == nil {
-			c.violate(1, e.At, "try %d started and not open", e.Attempt)
-			return
-		}
-		if l, leaves := c.shutdowns[t.server]; leaves && t.arrived > l.grace {
-			c.violate(3, e.At, "try %d arrived past the grace and ran", e.Attempt)
-		}
-		if t.started = true; t.effect != 0 {
-			if c.effectStarts[t.effect]++; c.effectStarts[t.effect] > 1 {
-				c.violate(2, e.At, "effect %d began %d times", t.effect, c.effectStarts[t.effect])
-			}
-		}
+		c.started(e)
 	case Answered:
-		t := c.open[e.Attempt]
-		if t == nil {
-			c.violate(1, e.At, "try %d answered and not open", e.Attempt)
-			return
-		}
-		if t.gone {
-			delete(c.open, e.Attempt)
-			return
-		}
-		c.answers++
-		if e.At > t.deadline+c.slack {
-			c.violate(1, e.At, "try %d answered %v late", e.Attempt, e.At-t.deadline)
-		}
-		if e.Rejected && t.started {
-			c.violate(2, e.At, "try %d ran and was dismissed", e.Attempt)
-		}
-		delete(c.open, e.Attempt)
+		c.answered(e)
 	case Abandoned:
-		if t := c.open[e.Attempt]; t != nil {
-			t.gone = true
+		if a := c.open[e.Attempt]; a != nil {
+			a.gone = true
 		}
 	case ShutdownNotified:
 		c.shutdowns[e.Server] = shutdown{e.Deadline}
 	case Stopped, Crashed:
-		for _, id := range slices.Sorted(maps.Keys(c.open)) {
-			t := c.open[id]
-			if t.server != e.Server {
-				continue
-			}
-			if e.Kind == Stopped && !t.gone {
-				c.violate(3, e.At, "server %d stopped with try %d unanswered", e.Server, id)
-			}
-			delete(c.open, id)
-		}
-		delete(c.shutdowns, e.Server)
+		c.ended(e)
 	case Memory:
 		if e.Value > 1 {
 			c.violate(4, e.At, "server %d has %.2f of its memory in use", e.Server, e.Value)
@@ -157,6 +119,58 @@
 	}
 }
 
+// started checks that a run may start: rules 2 and 3.
+func (c *Checker) started(e Event) {
+	a := c.open[e.Attempt]
+	if a == nil {
+		c.violate(1, e.At, "try %d started and not open", e.Attempt)
+		return
+	}
+	if s, shuttingDown := c.shutdowns[a.server]; shuttingDown && a.arrived > s.grace {
+		c.violate(3, e.At, "try %d arrived past the grace and ran", e.Attempt)
+	}
+	if a.started = true; a.effect != 0 {
+		if c.effectStarts[a.effect]++; c.effectStarts[a.effect] > 1 {
+			c.violate(2, e.At, "effect %d began %d times", a.effect, c.effectStarts[a.effect])
+		}
+	}
+}
+
+// answered checks an answer: rules 1 and 2.
+func (c *Checker) answered(e Event) {
+	a := c.open[e.Attempt]
+	if a == nil {
+		c.violate(1, e.At, "try %d answered and not open", e.Attempt)
+		return
+	}
+	delete(c.open, e.Attempt)
+	if a.gone {
+		return
+	}
+	c.answers++
+	if e.At > a.deadline+c.slack {
+		c.violate(1, e.At, "try %d answered %v late", e.Attempt, e.At-a.deadline)
+	}
+	if e.Rejected && a.started {
+		c.violate(2, e.At, "try %d ran and was dismissed", e.Attempt)
+	}
+}
+
+// ended forgets a server. One that ended its shutdown must have answered everything: rule 3.
+func (c *Checker) ended(e Event) {
+	for _, id := range slices.Sorted(maps.Keys(c.open)) {
+		a := c.open[id]
+		if a.server != e.Server {
+			continue
+		}
+		if e.Kind == Stopped && !a.gone {
+			c.violate(3, e.At, "server %d stopped with try %d unanswered", e.Server, id)
+		}
+		delete(c.open, id)
+	}
+	delete(c.shutdowns, e.Server)
+}
+
 // Finish ends the run at a moment and returns the report. An attempt that is open after its deadline violates rule 1.
 func (c *Checker) Finish(at time.Duration) Report {
 	for _, t := range c.open { // in any order: they are only counted
--- a/scenario/play.go
+++ b/scenario/play.go
@@ -110,6 +110,14 @@
 		numbers := servers(w, i)
 		w.StepClock(numbers, i.Span)
 		end(func() { w.StepClock(numbers, -i.Span) })
+	default:
+		d.injectFleet(w, i, end)
+	}
+}
+
+// injectFleet begins an incident that is not of single servers. end sets its end.
+func (d *Drill) injectFleet(w *emulator.World, i Incident, end func(do func())) {
+	switch i.Kind {
 	case ChangeLoad:
 		w.SetLoadFactor(i.Factor)
 		end(func() { w.SetLoadFactor(1) })
@@ -139,5 +147,6 @@
 	case FailDependency:
 		w.SetDependency(i.Name, 1, i.Factor, false)
 		end(func() { w.SetDependency(i.Name, 1, 0, false) })
+	default: // of single servers
 	}
 }
