--- a/baseline/nolimit.go
+++ b/baseline/nolimit.go
@@ -7,9 +7,9 @@
 	"quartzpoint/emulator"
 )
 
-// noLimit starts all that comes.
-type noLimit struct{ plain }
+// noLimit starts every request at once.
+type noLimit struct{ noopLimiter }
 
 func newNoLimit(emulator.Machine, []emulator.Route, *rand.Rand) limiter { return noLimit{} }
 
-func (noLimit) room() float64 { return math.Inf(1) }
+func (noLimit) limit() float64 { return math.Inf(1) }
--- a/baseline/tokenbucket.go
+++ b/baseline/tokenbucket.go
@@ -7,8 +7,8 @@
 	"quartzpoint/emulator"
 )
 
-// tokenBucket lets in as many tasks a second as the cores were measured to do, with a second's worth at once. It knows
-// their mean work beforehand, which a real one does not.
+// tokenBucket admits as many requests a second as the cores can do, in bursts of up to one second. It knows the mean work of
+// requests, which a real one does not.
 type tokenBucket struct {
 	fixed
 	rate, tokens float64
@@ -17,10 +17,10 @@
 
 func newTokenBucket(m emulator.Machine, types []emulator.Route, _ *rand.Rand) limiter {
 	rate := emulator.Rate(types, m, 1)
-	return &tokenBucket{fixed: fixed{limit: fixedRuns * m.Cores}, rate: rate, tokens: rate}
+	return &tokenBucket{fixed: fixed{runs: fixedRuns * m.Cores}, rate: rate, tokens: rate}
 }
 
-func (b *tokenBucket) take(now time.Duration) bool {
+func (b *tokenBucket) admit(now time.Duration) bool {
 	b.tokens = min(b.tokens+(now-b.last).Seconds()*b.rate, b.rate)
 	b.last = now
 	if b.tokens < 1 {
--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -45,7 +45,7 @@
 	replicas []string
 	keyFile  string
 	running  []*exec.Cmd
-	logs     []*harness.LogText
+	logs     []*harness.LogBuffer
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -90,7 +90,7 @@
 	t.Helper()
 	head := fmt.Sprintf("name = \"c%d\"\ndata = %q\n", i, filepath.Join(f.folder, fmt.Sprint("data", i)))
 	cmd := exec.Command(filepath.Join(programs, "quartzconfig"), "serve", "--config", f.file(t, fmt.Sprintf("c%d.toml", i), head))
-	f.logs[i] = &harness.LogText{}
+	f.logs[i] = &harness.LogBuffer{}
 	cmd.Stderr = f.logs[i]
 	require.NoError(t, cmd.Start())
 	f.running[i] = cmd
@@ -138,7 +138,7 @@
 		own += fmt.Sprintf("[[configuration.machine]]\nzone = \"z%d\"\naddress = %q\n", i, address)
 	}
 	types := []harness.Route{{Name: "base", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
-	d, err := harness.Start(filepath.Join(programs, "quartzpoint"), f.folder, "app", types, harness.Machine{Cores: 4, Speed: 1, KB: 1e6}, own)
+	d, err := harness.Start(filepath.Join(programs, "quartzpoint"), f.folder, "app", types, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6}, own)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = d.Stop() })
 	return d
--- a/cmd/quartzconfig/stored_test.go
+++ b/cmd/quartzconfig/stored_test.go
@@ -38,7 +38,7 @@
 	raw, err := io.ReadAll(from)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(filepath.Join(to, "log.bolt"), raw, 0o600))
-	f.running, f.logs = []*exec.Cmd{nil}, []*harness.LogText{nil}
+	f.running, f.logs = []*exec.Cmd{nil}, []*harness.LogBuffer{nil}
 	f.start(t, 0)
 	t.Cleanup(func() { f.kill(0) })
 	return f
--- a/cmd/quartzpoint-bench/dependencies.go
+++ b/cmd/quartzpoint-bench/dependencies.go
@@ -25,7 +25,7 @@
 // scenarioResult is the result of one run.
 type scenarioResult struct {
 	harness.Result
-	seen [3]harness.Seen
+	seen [3]harness.DependencyStats
 	err  error
 }
 
@@ -48,7 +48,7 @@
 	name := fmt.Sprintf("%s-%t-%d", strings.ReplaceAll(scenario.name, " ", "-"), flat, seed)
 	config := fmt.Sprintf(scenarioConfig, folder+"/"+name+".sock",
 		dependencies[tables].Address, dependencies[guests].Address, dependencies[waitlist].Address)
-	machine := harness.Machine{Cores: 4, Speed: 1, KB: 64000}
+	machine := harness.Machine{Cores: 4, Speed: 1, MemoryKB: 64000}
 	if scenario.overloaded {
 		machine.Cores, machine.Speed = 2, 0.3
 	}
@@ -57,18 +57,18 @@
 		program, args = m.Flat, []string{"flat"}
 		config = strings.ReplaceAll(config, "share = ", "connections = 16\nshare = ") // nothing bounds its calls
 	}
-	daemon, err := harness.StartAs(program, args, folder, name, routes, machine, config)
+	daemon, err := harness.StartWithArgs(program, args, folder, name, routes, machine, config)
 	if err != nil {
 		r.err = err
 		return r
 	}
 	for _, d := range dependencies {
-		d.Begin()
+		d.RestartClock()
 	}
 	r.Result, r.err = harness.Run(daemon.Address, routes, load, int(seed))
 	r.err = errors.Join(r.err, daemon.Stop())
 	for i, d := range dependencies {
-		r.seen[i] = d.Seen()
+		r.seen[i] = d.Stats()
 	}
 	return r
 }
--- a/cmd/quartzpoint-bench/library.go
+++ b/cmd/quartzpoint-bench/library.go
@@ -16,6 +16,7 @@
 	"golang.org/x/time/rate"
 
 	"quartzpoint"
+	"quartzpoint/cmd/quartzpoint-bench/fronts"
 	"quartzpoint/internal/testkit/conformance"
 	"quartzpoint/internal/testkit/harness"
 )
@@ -122,9 +123,9 @@
 		start func(name string) (conformance.Front, error)
 	}{
 		{"daemon", func(name string) (conformance.Front, error) { return conformance.NewDaemon(m.Daemon, folder, name) }},
-		{"library", func(string) (conformance.Front, error) { return conformance.NewLibrary() }},
-		{"net/http", func(string) (conformance.Front, error) { return conformance.NewHTTP() }},
-		{"gin", func(string) (conformance.Front, error) { return conformance.NewGin() }},
+		{"library", func(string) (conformance.Front, error) { return fronts.NewLibrary() }},
+		{"net/http", func(string) (conformance.Front, error) { return fronts.NewHTTP() }},
+		{"gin", func(string) (conformance.Front, error) { return fronts.NewGin() }},
 	}
 	names := conformance.Cases(0)
 	sums := make([][]conformance.Counts, len(starts))
@@ -137,7 +138,7 @@
 			for k, s := range starts {
 				sums[k] = append(sums[k], make([]conformance.Counts, len(names))...)[:len(names)]
 				for i, c := range conformance.Cases(int64(seed)) {
-					if c.Numbers && k == 0 {
+					if c.NeedsKeys && k == 0 {
 						continue
 					}
 					all.Add(1)
@@ -148,11 +149,11 @@
 						defer mu.Unlock()
 						failed = append(failed, err)
 						to := &sums[k][i]
-						to.Asks += n.Asks
+						to.Requests += n.Requests
 						for o := range n.Outcomes {
 							to.Outcomes[o] += n.Outcomes[o]
 						}
-						to.Late, to.Twice, to.Runs = to.Late+n.Late, to.Twice+n.Twice, to.Runs+n.Runs
+						to.LateAnswers, to.RepeatedEffects, to.Runs = to.LateAnswers+n.LateAnswers, to.RepeatedEffects+n.RepeatedEffects, to.Runs+n.Runs
 					}()
 				}
 			}
@@ -170,24 +171,24 @@
 		fmt.Fprintf(table, "%s", c.Name)
 		for k := range starts {
 			n := sums[k][i]
-			if n.Asks == 0 {
+			if n.Requests == 0 {
 				fmt.Fprint(table, "\t-")
 				continue
 			}
 			o := n.Outcomes
 			fmt.Fprintf(table, "\t%d/%d/%d/%d", o[0], o[1], o[2], o[3])
-			if wrong := o[conformance.Missing] + n.Late + n.Twice; wrong > 0 {
-				short = append(short, fmt.Errorf("%s, %s: %d missing, %d late, %d run twice", starts[k].name, c.Name, o[conformance.Missing], n.Late, n.Twice))
+			if wrong := o[conformance.Unanswered] + n.LateAnswers + n.RepeatedEffects; wrong > 0 {
+				short = append(short, fmt.Errorf("%s, %s: %d missing, %d late, %d run twice", starts[k].name, c.Name, o[conformance.Unanswered], n.LateAnswers, n.RepeatedEffects))
 			}
 			against := sums[0][i]
-			if against.Asks == 0 {
+			if against.Requests == 0 {
 				against = sums[1][i]
 			}
 			for j := range o {
 				differs[k] += max(o[j]-against.Outcomes[j], 0)
 			}
 		}
-		total += sums[1][i].Asks
+		total += sums[1][i].Requests
 		fmt.Fprintln(table, "\t")
 	}
 	for k := range starts {
@@ -219,7 +220,7 @@
 	return []string{"gate", "none", "semaphore", "token bucket"}, map[string]func(*harness.Cores) (policy, func(), error){
 		"gate": func(cores *harness.Cores) (policy, func(), error) {
 			t := quartzpoint.Options{Cores: labCores, MemoryMB: 256, Gauges: func(int) quartzpoint.Gauges {
-				cpu, crowd := cores.Gauges()
+				cpu, crowd := cores.Load()
 				return quartzpoint.Gauges{CPU: cpu, Runnable: crowd}
 			}}
 			for _, k := range types {
@@ -312,10 +313,10 @@
 		var took []time.Duration
 		late := 0
 		for seed, r := range results[name] {
-			honoured = append(honoured, r.Honoured/r.Offered)
-			over = append(over, results["gate"][seed].Honoured/max(r.Honoured, 1e-9))
-			took = append(took, r.Took...)
-			late += r.Late
+			honoured = append(honoured, r.Goodput/r.OfferedValue)
+			over = append(over, results["gate"][seed].Goodput/max(r.Goodput, 1e-9))
+			took = append(took, r.Latencies...)
+			late += r.LateAnswers
 		}
 		slices.Sort(honoured)
 		slices.Sort(over)
@@ -357,7 +358,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			t := &types[a.Type]
+			t := &types[a.Route]
 			ctx, cancel := context.WithTimeout(context.Background(), t.Deadline)
 			defer cancel()
 			asked := time.Now()
@@ -365,14 +366,14 @@
 			took := time.Since(asked)
 			mu.Lock()
 			defer mu.Unlock()
-			r.Tasks++
-			r.Offered += t.Value
-			r.Took = append(r.Took, took)
+			r.Requests++
+			r.OfferedValue += t.Value
+			r.Latencies = append(r.Latencies, took)
 			if took > t.Deadline+50*time.Millisecond {
-				r.Late++
+				r.LateAnswers++
 			}
 			if err == nil && took <= t.LatencyTarget {
-				r.Honoured += t.Value
+				r.Goodput += t.Value
 			}
 		}()
 	}
--- a/cmd/quartzpoint-bench/state_restart.go
+++ b/cmd/quartzpoint-bench/state_restart.go
@@ -69,7 +69,7 @@
 	youngAhead, youngTasks := excess(young)
 	fmt.Fprintf(table, "started ahead of cold at the most, standard errors (tasks a group): old %.1f (%.1f), young %.1f (%.1f)\t\t\t\t\n",
 		oldAhead, oldTasks, youngAhead, youngTasks)
-	return partResult{[]aim{
+	return partResult{[]objective{
 		{"restart, honoured over cold, median", fresh, 1, math.Inf(1)}, {"old folder started ahead", oldAhead, 0, certain},
 		{"young folder in a slower world started ahead", youngAhead, 0, certain}, {"rules broken", float64(broken), 0, 0},
 	}, fmt.Sprintf("restart %.3f (worst %.3f), old ahead %.1f, young ahead %.1f errors, rules broken %d",
@@ -107,7 +107,7 @@
 
 // compareRestarts runs the groups of one seed.
 func (m *measureState) compareRestarts(root string, seed int64) (r restartResult, err error) {
-	full := harness.Machine{Cores: m.Cores, Speed: 1, KB: 16000 * m.Cores}
+	full := harness.Machine{Cores: m.Cores, Speed: 1, MemoryKB: 16000 * m.Cores}
 	slower := full
 	slower.Speed *= slow
 	peers := &measurePeers{Daemon: m.Daemon, Span: m.Span, Group: m.Group}
@@ -136,7 +136,7 @@
 	}
 	half := 0.0 // the twin group may be smaller than the cold one
 	for i := range twin.results {
-		half += cold.results[i].Honoured
+		half += cold.results[i].Goodput
 	}
 	r.fresh, r.twins = fresh.honoured()/cold.honoured(), twin.honoured()/half
 	r.old, r.young = old.honoured()/slowCold.honoured(), young.honoured()/slowCold.honoured()
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -46,9 +46,9 @@
 	types        []harness.Route
 }
 
-func startComposedServer(t *testing.T, bank harness.Script) *composedServer {
+func startComposedServer(t *testing.T, bank harness.BehaviourScript) *composedServer {
 	c := &composedServer{types: []harness.Route{
-		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, Once: true, Share: 0.5,
+		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, AtMostOnce: true, Share: 0.5,
 			Work: time.Millisecond, Composed: true},
 		{Name: "guest-note", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 0.5, Work: 20 * time.Millisecond},
 	}}
@@ -62,7 +62,7 @@
 	folder := t.TempDir()
 	c.socket = filepath.Join(folder, "control.sock")
 	c.file = strings.NewReplacer("SOCKET", c.socket, "TABLES", c.tables.Address, "BANK", c.bank.Address).Replace(confirmFile)
-	c.daemon, err = harness.Start(builds["debug"], folder, "n1", c.types, harness.Machine{Cores: 2, Speed: 1, KB: 60000}, c.file)
+	c.daemon, err = harness.Start(builds["debug"], folder, "n1", c.types, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}, c.file)
 	require.NoError(t, err)
 	return c
 }
@@ -72,8 +72,8 @@
 	c := startComposedServer(t, nil)
 	done, err := harness.Run(c.daemon.Address, c.types, harness.Arrivals(c.types, 60, time.Second, 1), 1)
 	require.NoError(t, err)
-	assert.Equal(t, done.Tasks, done.Codes[20], "all complete: codes %v", done.Codes)
-	assert.Zero(t, done.Partial+done.Late+done.Twice)
+	assert.Equal(t, done.Requests, done.Codes[20], "all complete: codes %v", done.Codes)
+	assert.Zero(t, done.Partial+done.LateAnswers+done.DuplicateAnswers)
 	about, err := os.Stat(c.socket)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), about.Mode().Perm(), "the socket is its owner's")
@@ -87,7 +87,7 @@
 	require.NoError(t, json.Unmarshal([]byte(out), &states))
 	require.Len(t, states, 2)
 	assert.Equal(t, "bank", states[0].Name)
-	assert.Equal(t, c.bank.Seen().Calls, states[0].FirstAttempts)
+	assert.Equal(t, c.bank.Stats().Attempts, states[0].FirstAttempts)
 	assert.Zero(t, states[0].InFlight)
 	assert.Greater(t, states[0].QuantilesInMillis[0], 4.0)
 	require.NoError(t, c.daemon.Stop())
@@ -98,20 +98,22 @@
 // The deposit is sent and its response comes after the deadline. The request is aborted, never rejected, and the deposit made
 // once. Requests that do not need the bank are not affected.
 func TestDepositWithoutAnswer(t *testing.T) {
-	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Late: 3 * time.Second} })
+	c := startComposedServer(t, func(time.Duration) harness.DependencyBehaviour {
+		return harness.DependencyBehaviour{AnswerDelay: 3 * time.Second}
+	})
 	load := harness.Arrivals(c.types, 20, time.Second, 1)
 	done, err := harness.Run(c.daemon.Address, c.types, load, 1)
 	require.NoError(t, err)
-	assert.Zero(t, done.Unanswered+done.Late+done.Twice)
+	assert.Zero(t, done.Unanswered+done.LateAnswers+done.DuplicateAnswers)
 	notes := 0.0
 	for _, a := range load {
-		notes += float64(a.Type)
+		notes += float64(a.Route)
 	}
-	assert.Equal(t, notes, done.ByType[1])
-	seen := c.bank.Seen()
+	assert.Equal(t, notes, done.GoodputByRoute[1])
+	seen := c.bank.Stats()
 	assert.Positive(t, seen.Effects)
-	assert.Zero(t, seen.Twice)
-	assert.Equal(t, seen.Calls, seen.Numbers, "no attempt was repeated")
+	assert.Zero(t, seen.RepeatedRuns)
+	assert.Equal(t, seen.Attempts, seen.DistinctKeys, "no attempt was repeated")
 	assert.GreaterOrEqual(t, done.Codes[51], seen.Effects, "what ran is aborted, not rejected")
 	require.NoError(t, c.daemon.Stop())
 	assert.NotContains(t, c.daemon.Log(), "check failed")
@@ -120,17 +122,17 @@
 // A caller disconnects, and then the server shuts down, while calls are in flight. The other callers get their answers, and
 // the shutdown ends in time.
 func TestDrainWithOpenCalls(t *testing.T) {
-	c := startComposedServer(t, func(time.Duration) harness.Mood { return harness.Mood{Silent: true} })
+	c := startComposedServer(t, func(time.Duration) harness.DependencyBehaviour { return harness.DependencyBehaviour{Silent: true} })
 	gone := fake.Dial(t, c.daemon.Address)
-	gone.Send(t, fake.Task(1, "confirm-booking", "x"))
-	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 1 }, fake.Patience, time.Millisecond)
+	gone.Send(t, fake.RequestFrame(1, "confirm-booking", "x"))
+	require.Eventually(t, func() bool { return c.bank.Stats().Attempts == 1 }, fake.WaitLimit, time.Millisecond)
 	_ = gone.Close()
 	router := fake.Dial(t, c.daemon.Address)
 	for stream := range uint32(3) {
 		more := []string{"call", "00000000000000a" + string(rune('1'+stream))}
-		router.Send(t, fake.Task(stream+1, "confirm-booking", "x", more...))
+		router.Send(t, fake.RequestFrame(stream+1, "confirm-booking", "x", more...))
 	}
-	require.Eventually(t, func() bool { return c.bank.Seen().Calls == 4 }, fake.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return c.bank.Stats().Attempts == 4 }, fake.WaitLimit, time.Millisecond)
 	left := make(chan error, 1)
 	began := time.Now()
 	go func() { left <- c.daemon.Stop() }()
@@ -150,8 +152,8 @@
 // A plan has a fault. The check command names it and fails.
 func TestCheckPlans(t *testing.T) {
 	folder := t.TempDir()
-	site := strings.Replace(fake.Site, `"browse"`, `"confirm-booking"`, 1)
-	platform := fake.StartFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", site)
+	site := strings.Replace(fake.SiteSettings, `"browse"`, `"confirm-booking"`, 1)
+	platform := fake.WriteConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", site)
 	write := func(text string) string {
 		path := filepath.Join(folder, "own.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
--- a/cmd/quartzpoint/halfclose_test.go
+++ b/cmd/quartzpoint/halfclose_test.go
@@ -19,15 +19,15 @@
 			p.pool.Ready()
 			p.logged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
-			router.Send(t, fake.Task(1, "browse", "a"), fake.Task(2, "pay", "b"))
+			router.Send(t, fake.RequestFrame(1, "browse", "a"), fake.RequestFrame(2, "pay", "b"))
 			require.NoError(t, router.Conn.(*net.TCPConn).CloseWrite())
 			for range 2 {
 				spawn := p.pool.Next(t, "spawn")
 				time.Sleep(300 * time.Millisecond) // over some looks at its connection
-				p.pool.Finish(spawn.Task, "success", []byte("done"))
+				p.pool.Finish(spawn.RunID, "success", []byte("done"))
 			}
 			got := map[uint32]byte{}
-			for _, reply := range router.Rest(t) {
+			for _, reply := range router.ReadAll(t) {
 				if reply.Type == 11 {
 					got[reply.Stream] = reply.Code
 				}
@@ -43,10 +43,10 @@
 	p.pool.Ready()
 	p.logged(t, "pool link bound")
 	router := fake.Dial(t, p.address)
-	router.Send(t, fake.Task(1, "browse", "a"))
-	task := p.pool.Next(t, "spawn").Task
+	router.Send(t, fake.RequestFrame(1, "browse", "a"))
+	task := p.pool.Next(t, "spawn").RunID
 	begin := time.Now()
 	_ = router.Close()
-	assert.Equal(t, task, p.pool.Next(t, "suspend").Task)
+	assert.Equal(t, task, p.pool.Next(t, "suspend").RunID)
 	assert.Less(t, time.Since(begin), 5*time.Second, "stopped by its deadline only")
 }
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -17,7 +17,7 @@
 	const count = 12
 	for i := range count {
 		classes = append(classes, harness.Route{
-			Name: fmt.Sprintf("class-%d", i), Value: float64(1 + i%4), Share: 1.0 / count, Spread: 0.3, Once: i%3 == 0,
+			Name: fmt.Sprintf("class-%d", i), Value: float64(1 + i%4), Share: 1.0 / count, Spread: 0.3, AtMostOnce: i%3 == 0,
 			LatencyTarget: 400 * time.Millisecond, Deadline: 400 * time.Millisecond, Work: time.Duration(20+5*i) * time.Millisecond,
 		})
 	}
@@ -35,17 +35,17 @@
 func TestPoolSurvivesRunsThatOutliveTheirRequests(t *testing.T) {
 	troubles := map[string]func(w *harness.Workers, on bool){
 		"slow": func(w *harness.Workers, on bool) {
-			w.Change(func(m *harness.Machine) { m.Speed = map[bool]float64{true: 0.01, false: 1}[on] })
+			w.Update(func(m *harness.Machine) { m.Speed = map[bool]float64{true: 0.01, false: 1}[on] })
 		},
-		"hung": func(w *harness.Workers, on bool) { w.Hang(on) },
+		"hung": func(w *harness.Workers, on bool) { w.SetHung(on) },
 		"hung, link lost": func(w *harness.Workers, on bool) {
-			w.Hang(on)
+			w.SetHung(on)
 			w.CutLink()
 		},
 	}
 	machines := map[string]harness.Machine{
-		"few cores":     {Cores: 1, Speed: 1, KB: 1e6},
-		"little memory": {Cores: 2, Speed: 1, KB: 8 * emulator.RunKB}, // fewer runs fill it than the cores survive
+		"few cores":     {Cores: 1, Speed: 1, MemoryKB: 1e6},
+		"little memory": {Cores: 2, Speed: 1, MemoryKB: 8 * emulator.RunKB}, // fewer runs fill it than the cores survive
 	}
 	for _, halt := range []string{emulator.HaltSuspend, emulator.HaltAbort, emulator.HaltNone} {
 		for trouble, set := range troubles {
@@ -54,7 +54,7 @@
 					t.Parallel()
 					machine.Halt = halt
 					strain, log := playTrouble(t, machine, set)
-					assert.LessOrEqual(t, strain.Crowd, 1.0, "the cores were crowded past what the pool survives at %v\n%s", strain.CrowdAt, log)
+					assert.LessOrEqual(t, strain.Runs, 1.0, "the cores were crowded past what the pool survives at %v\n%s", strain.RunsAt, log)
 					assert.LessOrEqual(t, strain.Memory, 1.0, "the memory was passed at %v\n%s", strain.MemoryAt, log)
 				})
 			}
@@ -65,7 +65,7 @@
 // playTrouble loads a real server whose pool is in trouble for some seconds, and gives what its pool had to bear.
 func playTrouble(t *testing.T, machine harness.Machine, set func(w *harness.Workers, on bool)) (harness.Strain, string) {
 	classes := shortClasses()
-	daemon, err := harness.StartFor(builds["release"], t.TempDir(), "n1", classes, machine)
+	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", classes, machine)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = daemon.Stop() })
 	for at, on := range map[time.Duration]bool{troubleFrom: true, troubleUntil: false} {
@@ -76,7 +76,7 @@
 	result, err := harness.Run(daemon.Address, classes, load, 1)
 	require.NoError(t, err)
 	report := result.Check(daemon.Workers)
-	assert.Empty(t, report.Words, "the other rules")
+	assert.Empty(t, report.Messages, "the other rules")
 	assert.NotZero(t, result.Codes[20], "nothing was served")
 	return daemon.Workers.Strain(), daemon.Log()
 }
--- a/cmd/quartzpoint/peers_test.go
+++ b/cmd/quartzpoint/peers_test.go
@@ -35,8 +35,8 @@
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
-	good := fake.StartFile(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", fake.Site)
-	bad := fake.StartFile(t, "", "no port", "127.0.0.1:3", strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"later"`, 1))
+	good := fake.WriteConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", fake.SiteSettings)
+	bad := fake.WriteConfig(t, "", "no port", "127.0.0.1:3", strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"later"`, 1))
 	leased := "[peers]\nlisten = \"127.0.0.1:7401\"\nask = [\"127.0.0.1:7402\"]\n[lease]\nduties = [\"compact\"]\n"
 	cases := []struct {
 		args []string
@@ -85,7 +85,7 @@
 		Name: "browse", Value: 1, LatencyTarget: 2 * time.Second, Deadline: 3 * time.Second, Share: 1,
 		Work: 20 * time.Millisecond, Spread: 0.5,
 	}}
-	machine := harness.Machine{Cores: 2, Speed: 1, KB: 60000}
+	machine := harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}
 	folder := t.TempDir()
 	keys := filepath.Join(folder, "keys")
 	keyA, keyB := strings.Repeat("0a", 16), strings.Repeat("0b", 16)
@@ -103,13 +103,13 @@
 	}
 	logged := func(d *harness.Daemon, words string) {
 		t.Helper()
-		require.Eventually(t, func() bool { return strings.Contains(d.Log(), words) }, fake.Patience, time.Millisecond, words)
+		require.Eventually(t, func() bool { return strings.Contains(d.Log(), words) }, fake.WaitLimit, time.Millisecond, words)
 	}
 	peer := start("peer", "[peers]\nlisten = \""+address+"\"\nkey-file = \""+keys+"\"\n")
 	logged(peer, "serving estimates to peers")
 	done, err := harness.Run(peer.Address, types, harness.Arrivals(types, 60, 2500*time.Millisecond, 1), 1)
 	require.NoError(t, err)
-	assert.Zero(t, done.Unanswered+done.Twice)
+	assert.Zero(t, done.Unanswered+done.DuplicateAnswers)
 
 	out, code := ask(t, nil, "peer", "show", address, "--key-file", keys)
 	require.Zero(t, code, out)
--- a/cmd/quartzpoint/stored_test.go
+++ b/cmd/quartzpoint/stored_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	site, err := os.ReadFile(filepath.Join("testdata", "f1daac1", "settings.json"))
 	require.NoError(t, err)
-	machine := harness.Machine{Cores: 4, Speed: 1, KB: 64000}
+	machine := harness.Machine{Cores: 4, Speed: 1, MemoryKB: 64000}
 	d, err := harness.Launch(builds["release"], []string{"serve"}, t.TempDir(), "n1", machine, own,
 		func(listen, pool, members string) ([]byte, error) {
 			return fmt.Appendf(nil, `{"name":"n1","listen":%q,"pool":%q,"members":%q,"seed":"5eed","stop_ms":3000,`+
@@ -100,12 +100,12 @@
 				code, _ = askStored(t, d, "charge", "south", "hangs", 20*time.Second)
 				assert.Equal(t, byte(storedFailed), code)
 			}
-			assert.Empty(t, d.Workers.Runs(), "nothing of it has run here")
+			assert.Empty(t, d.Workers.RunStarts(), "nothing of it has run here")
 			for _, of := range [][2]string{{"south", "k2"}, {"north", "new"}} {
 				code, result := askStored(t, d, "charge", of[0], of[1], 20*time.Millisecond)
 				assert.Equal(t, []any{byte(storedHonoured), "done"}, []any{code, result}, of)
 			}
-			assert.Len(t, d.Workers.Runs(), 2)
+			assert.Len(t, d.Workers.RunStarts(), 2)
 		})
 	}
 }
@@ -135,6 +135,6 @@
 	} {
 		code, _ := askStored(t, d, c.route, "north", c.key, 5*time.Millisecond)
 		assert.Equal(t, c.code, code, c)
-		assert.Len(t, d.Workers.Runs(), c.runs, c)
+		assert.Len(t, d.Workers.RunStarts(), c.runs, c)
 	}
 }
--- a/emulator/incidents.go
+++ b/emulator/incidents.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// Incidents are called between events, by At. Those that take a share of the servers draw which; all that begin also end,
-// by a call of their own.
+// The methods in this file change a running world. They are called from events, by At. A change lasts until the next call.
 
-// At has something happen at a moment of the run.
+// At calls do at a moment of the run.
 func (w *World) At(when time.Duration, do func()) { w.at(when, do) }
 
-// Drawn draws a share of the servers that are alive, at least one where the share is over nothing.
-func (w *World) Drawn(share float64) (numbers []int) {
+// RandomServers draws a share of the running servers, at least one where the share is over 0.
+func (w *World) RandomServers(share float64) (numbers []int) {
 	var alive []int
 	for _, s := range w.servers {
 		if s.alive {
@@ -23,14 +22,14 @@
 	if share > 0 {
 		n = max(n, 1)
 	}
-	for _, i := range w.chance.Perm(len(alive))[:min(n, len(alive))] {
+	for _, i := range w.incidentRand.Perm(len(alive))[:min(n, len(alive))] {
 		numbers = append(numbers, alive[i])
 	}
 	return numbers
 }
 
-// Zone gives the servers of a zone, from 0.
-func (w *World) Zone(zone int) (numbers []int) {
+// ZoneServers returns the servers of a zone, counted from 0.
+func (w *World) ZoneServers(zone int) (numbers []int) {
 	for _, s := range w.servers {
 		if s.zone == zone {
 			numbers = append(numbers, s.number)
@@ -39,121 +38,122 @@
 	return numbers
 }
 
-// Kill ends servers at once.
+// Kill ends servers as by SIGKILL.
 func (w *World) Kill(numbers []int) {
 	for _, n := range numbers {
 		w.servers[n].kill()
-		w.heard(n, false)
+		w.updateEndpoints(n, false)
 	}
 }
 
-// Boot starts servers that are down, with nothing.
+// Boot starts servers that are down, without any state.
 func (w *World) Boot(numbers []int) {
 	for _, n := range numbers {
 		if !w.servers[n].alive {
 			w.servers[n].boot()
-			w.heard(n, true)
+			w.updateEndpoints(n, true)
 		}
 	}
 }
 
-// Restart gives servers the notice to leave, and starts them anew once they are gone.
+// Restart shuts servers down gracefully within a limit, and starts each again bootTime after its end.
 func (w *World) Restart(numbers []int, within time.Duration) {
 	for _, n := range numbers {
 		if !w.servers[n].alive {
 			continue
 		}
-		w.heard(n, false)
-		w.servers[n].leave(within, func() { w.after(bootTime, func() { w.Boot([]int{n}) }) })
+		w.updateEndpoints(n, false)
+		w.servers[n].shutdown(within, func() { w.after(bootTime, func() { w.Boot([]int{n}) }) })
 	}
 }
 
-// bootTime is from the end of a process to the start of the next.
+// bootTime is the time between the end of a process and the start of the next.
 const bootTime = 500 * time.Millisecond
 
-// Deploy restarts all servers, one after the other.
+// Deploy restarts all servers one after the other, at an interval of each.
 func (w *World) Deploy(each time.Duration, within time.Duration) {
 	for i := range w.servers {
 		w.after(time.Duration(i)*each, func() { w.Restart([]int{i}, within) })
 	}
 }
 
-// Freeze has servers stand still.
+// Freeze stops servers and their pools for a span.
 func (w *World) Freeze(numbers []int, span time.Duration) {
 	for _, n := range numbers {
 		w.servers[n].freeze(span)
 	}
 }
 
-// Slow has the pools of servers work by a factor; 1 is as before.
-func (w *World) Slow(numbers []int, by float64) {
+// SetSlowFactor makes the pools of servers slower by a factor; 1 is the usual speed.
+func (w *World) SetSlowFactor(numbers []int, by float64) {
 	for _, n := range numbers {
 		s := w.servers[n]
-		s.pool.change(func() { s.pool.factor = 1 / by })
+		s.pool.change(func() { s.pool.speedFactor = 1 / by })
 	}
 }
 
-// Neighbours take a share of the cores of servers.
-func (w *World) Neighbours(numbers []int, share float64) {
+// SetNeighbourShare takes a share of the cores from the pools of servers; 0 is none.
+func (w *World) SetNeighbourShare(numbers []int, share float64) {
 	for _, n := range numbers {
 		s := w.servers[n]
-		s.pool.change(func() { s.pool.taken = share * s.pool.machine.Cores })
+		s.pool.change(func() { s.pool.neighbourCores = share * s.pool.machine.Cores })
 	}
 }
 
-// Cut cuts the ways to servers for a span.
-func (w *World) Cut(numbers []int, span time.Duration) {
+// Disconnect cuts the routers' links to servers for a span.
+func (w *World) Disconnect(numbers []int, span time.Duration) {
 	for _, n := range numbers {
 		for _, r := range w.routers {
-			r.known[n].cut = w.now + span
+			r.views[n].disconnectedUntil = w.now + span
 		}
 	}
 }
 
-// StepClock has the wall clocks of servers jump.
+// StepClock steps the wall clocks of servers.
 func (w *World) StepClock(numbers []int, by time.Duration) {
 	for _, n := range numbers {
-		w.servers[n].clockOff += by
+		w.servers[n].clockOffset += by
 	}
 }
 
-// LoadBy has the load be more or less; 1 is as before.
-func (w *World) LoadBy(factor float64) { w.loadBy = factor }
+// SetLoadFactor multiplies the load; 1 is the usual load.
+func (w *World) SetLoadFactor(factor float64) { w.loadFactor = factor }
 
-// Lag changes how late routers hear of servers; Delay by how much longer the ways are, and Loss what part is lost.
-func (w *World) Lag(lag time.Duration) { w.lag = lag }
+// SetEndpointLag sets the delay of endpoint updates at routers.
+func (w *World) SetEndpointLag(lag time.Duration) { w.endpointLag = lag }
 
-// Delay has ways be longer by a factor.
-func (w *World) Delay(by float64) { w.delayBy = by }
+// SetDelayFactor multiplies network delays; 1 is the usual delay.
+func (w *World) SetDelayFactor(by float64) { w.delayFactor = by }
 
-// Loss has a part of what is sent be lost, and sent again.
-func (w *World) Loss(part float64) { w.loss = part }
+// SetLossRate sets the share of messages that is lost and sent again.
+func (w *World) SetLossRate(part float64) { w.lossRate = part }
 
-// Habits changes those of all routers.
-func (w *World) Habits(h Habits) {
+// SetRouterOptions sets the options of all routers.
+func (w *World) SetRouterOptions(h RouterOptions) {
 	for _, r := range w.routers {
-		r.habits = h
+		r.options = h
 	}
 }
 
-// HabitsNow are those of the first router.
-func (w *World) HabitsNow() Habits { return w.routers[0].habits }
+// RouterOptions returns the options of the first router.
+func (w *World) RouterOptions() RouterOptions { return w.routers[0].options }
 
-// Clients changes what those do who get nothing.
-func (w *World) Clients(c Clients) { w.clients = c }
+// SetClients sets how clients retry.
+func (w *World) SetClients(c Clients) { w.clients = c }
 
-// ClientsNow tells it.
-func (w *World) ClientsNow() Clients { return w.clients }
+// CurrentClients returns how clients retry.
+func (w *World) CurrentClients() Clients { return w.clients }
 
-// Dependency changes one: by how much slower it is, what share it turns away, and whether it answers at all.
-func (w *World) Dependency(name string, slow, errors float64, stops bool) (known bool) {
+// SetDependency sets the slowness, the share of rejected calls and the unresponsiveness of a dependency, and reports whether
+// there is one of this name.
+func (w *World) SetDependency(name string, slow, errors float64, stops bool) (known bool) {
 	d := w.dependencies[name]
 	if d == nil {
 		return false
 	}
-	d.slow, d.errors, d.stops = slow, errors, stops
+	d.slowFactor, d.errorRate, d.unresponsive = slow, errors, stops
 	if !stops {
-		d.goOn()
+		d.serveQueue()
 	}
 	return true
 }
--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -25,7 +25,7 @@
 }
 
 func newBench(t testing.TB, limits server.Limits) *bench {
-	return newBenchAt(t, limits, fake.Site, nil)
+	return newBenchAt(t, limits, fake.SiteSettings, nil)
 }
 
 // newBenchAt makes one for a site, whose listener may stand behind a gate.
@@ -54,7 +54,7 @@
 		owner.Drain(0)
 		select {
 		case <-left:
-		case <-time.After(fake.Patience):
+		case <-time.After(fake.WaitLimit):
 			t.Error("the server does not leave")
 		}
 		cancel()
@@ -67,7 +67,7 @@
 // waitCounted waits until something was counted.
 func (b *bench) waitCounted(t *testing.T, what string) {
 	t.Helper()
-	require.Eventually(t, func() bool { return b.counters.Times(what) > 0 }, fake.Patience, time.Millisecond, what)
+	require.Eventually(t, func() bool { return b.counters.Times(what) > 0 }, fake.WaitLimit, time.Millisecond, what)
 }
 
 // speaker is a connection that has had a check answered.
@@ -89,6 +89,6 @@
 // crossed sends a task and waits until its bytes are with the server, unread, as the owner stands still.
 func (b *bench) crossed(t *testing.T, c *conn, r *fake.Router, stream uint32) {
 	t.Helper()
-	r.Send(t, fake.Task(stream, "pay", ""))
-	require.Eventually(t, func() bool { return c.transport.Reader().Len() > 0 }, fake.Patience, time.Millisecond)
+	r.Send(t, fake.RequestFrame(stream, "pay", ""))
+	require.Eventually(t, func() bool { return c.transport.Reader().Len() > 0 }, fake.WaitLimit, time.Millisecond)
 }
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -22,13 +22,13 @@
 		joined := b.joinedCount.Load()
 		fake.Dial(t, b.Address())
 		// They are spread in time as the server sees them, however late a busy machine lets it look.
-		require.Eventually(t, func() bool { return b.joinedCount.Load() > joined }, fake.Patience, time.Millisecond/10)
+		require.Eventually(t, func() bool { return b.joinedCount.Load() > joined }, fake.WaitLimit, time.Millisecond/10)
 		time.Sleep(minConnAge / 20)
 	}
 	time.Sleep(minConnAge)
 	busy := b.speaker(t)
 	assert.Zero(t, b.counters.Times("connection drained to make room"), "silent ones go before a router's idle one")
-	busy.Send(t, fake.Task(2, "pay", ""))
+	busy.Send(t, fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	for range limits.Sockets {
 		b.speaker(t) // which all stay
@@ -36,14 +36,14 @@
 	b.waitCounted(t, "connection drained to make room")
 	b.waitCounted(t, "connection closed to make room")
 	assert.Equal(t, byte(30), first.Next(t).Type, "the one idle for longest is asked to go")
-	first.Closed(t)
-	b.pool.Finish(fake.Call(2), "success", []byte("kept"))
+	first.WaitClosed(t)
+	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
 	assert.Equal(t, "kept", busy.Next(t).Body, "one with an open task never makes room")
 
 	var all []*fake.Router
 	for stream := range uint32(limits.Sockets / 2) { // all in use
 		r := fake.Dial(t, b.Address())
-		r.Send(t, fake.Task(stream+100, "pay", ""))
+		r.Send(t, fake.RequestFrame(stream+100, "pay", ""))
 		all = append(all, r)
 	}
 	require.Eventually(t, func() bool {
@@ -56,7 +56,7 @@
 			open <- n
 		})
 		return <-open == len(all)
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	require.Positive(t, b.maxOverLimit)
 	hold := func(begun time.Duration) { // as where they have begun what is on its way
 		b.onLoop(func() {
@@ -69,13 +69,13 @@
 	}
 	for range b.maxOverLimit { // each is heard, and has its one answer
 		r := b.speaker(t)
-		r.Send(t, fake.Task(9, "pay", "", "call", fake.Call(9)))
+		r.Send(t, fake.RequestFrame(9, "pay", "", "call", fake.CallID(9)))
 		assert.Equal(t, byte(50), r.Next(t).Code)
-		hold(b.server.Now() + fake.Patience)
+		hold(b.server.Now() + fake.WaitLimit)
 	}
 	b.waitCounted(t, "request on a connection over the limit")
 	assert.Zero(t, b.counters.Times("connection refused, limit reached"))
-	fake.Dial(t, b.Address()).Closed(t)
+	fake.Dial(t, b.Address()).WaitClosed(t)
 	b.waitCounted(t, "connection refused, limit reached")
 	hold(0)
 	last := b.speaker(t) // in the place of one of them
@@ -86,9 +86,9 @@
 	require.Eventually(t, func() (within bool) {
 		b.onLoop(func() { within = b.live() <= b.maxConns })
 		return within
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	b.pool.SetEcho()
-	last.Send(t, fake.Task(10, "pay", "", "call", fake.Call(10)))
+	last.Send(t, fake.RequestFrame(10, "pay", "", "call", fake.CallID(10)))
 	assert.Equal(t, byte(20), last.Next(t).Code)
 }
 
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -51,7 +51,7 @@
 
 func (b *bench) Quiet() bool { return !b.inputPending.Load() }
 
-func newBench(t *testing.T) *bench { return newBenchAt(t, fake.Site) }
+func newBench(t *testing.T) *bench { return newBenchAt(t, fake.SiteSettings) }
 
 func newBenchAt(t *testing.T, site string) *bench {
 	return newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256}, nil)
@@ -80,7 +80,7 @@
 		b.Drain(0)
 		select {
 		case <-b.done:
-		case <-time.After(fake.Patience):
+		case <-time.After(fake.WaitLimit):
 			t.Error("the server does not leave")
 		}
 		cancel()
@@ -92,7 +92,7 @@
 func (b *bench) submitRequest(stream uint32, kind string, waits time.Duration) {
 	b.Submit(func() {
 		b.Receive(Incoming{
-			ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: waits,
+			ID: fake.CallID(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: waits,
 			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
 		})
 	})
@@ -103,7 +103,7 @@
 	select {
 	case a := <-b.answers:
 		return a
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "no answer")
 		return receivedAnswer{}
 	}
@@ -126,7 +126,7 @@
 			bound <- asked > 0 && b.polls.answered >= asked
 		})
 		return <-bound
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 }
 
 // waitAllRead waits until the pool has read all that was sent and the server knows it.
@@ -142,7 +142,7 @@
 			known <- all
 		})
 		return <-known
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 }
 
 // onLoop runs f on the event loop, and waits for it.
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -14,7 +14,7 @@
 // The kill may come before the stop that the notice was told of: all has to be answered by then.
 func TestStopIsNoLaterThanTheEarliestKill(t *testing.T) {
 	site := func(deadline string) string {
-		return strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":`+deadline+`,"goal-time":100000`).Replace(fake.Site)
+		return strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":`+deadline+`,"goal-time":100000`).Replace(fake.SiteSettings)
 	}
 	limits := Limits{MemoryMB: 96, Sockets: 256, EarlyKill: true}
 	cases := []struct {
@@ -23,9 +23,9 @@
 		told, stop time.Duration
 	}{
 		{"a short deadline", site("1200000"), limits, 8 * time.Second, 1900 * time.Millisecond},
-		{"a long deadline counts as 3 s", fake.Site, limits, 8 * time.Second, 3700 * time.Millisecond},
-		{"an earlier stop holds", fake.Site, limits, time.Second, time.Second},
-		{"a program that is not killed early", fake.Site, Limits{MemoryMB: 96, Sockets: 256}, 8 * time.Second, 8 * time.Second},
+		{"a long deadline counts as 3 s", fake.SiteSettings, limits, 8 * time.Second, 3700 * time.Millisecond},
+		{"an earlier stop holds", fake.SiteSettings, limits, time.Second, time.Second},
+		{"a program that is not killed early", fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256}, 8 * time.Second, 8 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,12 +51,12 @@
 		retired := make(chan bool)
 		b.Submit(func() { retired <- b.retired && b.Now() > b.drain.startedAt+450*time.Millisecond })
 		return <-retired
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	b.submitRequest(3, "pay", time.Minute) // past it
 	got := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(3), Rejected}, []any{got.stream, got.Verdict})
 	for stream := range uint32(2) {
-		b.pool.Finish(fake.Call(stream+1), "success", nil)
+		b.pool.Finish(fake.CallID(stream+1), "success", nil)
 		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	}
 	<-b.done
@@ -82,7 +82,7 @@
 	b.Drain(500 * time.Millisecond)
 	select {
 	case <-b.done:
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "the server does not leave")
 	}
 }
@@ -97,10 +97,10 @@
 		retired := false
 		b.onLoop(func() { retired = b.retired })
 		return retired
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	b.onLoop(func() { // read only now, past the grace of 400 ms: answered, and not run
 		b.Receive(Incoming{
-			ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.drain.startedAt + 401*time.Millisecond,
+			ID: fake.CallID(1), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.drain.startedAt + 401*time.Millisecond,
 			Timeout: time.Minute, Caller: b, Stream: 1,
 		})
 	})
@@ -111,7 +111,7 @@
 	b.inputPending.Store(false)
 	select {
 	case <-b.done:
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "the end does not come")
 	}
 }
@@ -126,15 +126,15 @@
 		came := b.Now() - 300*time.Millisecond
 		b.startDrain(came, 3*time.Second)
 		assert.Equal(t, came+3*time.Second-noticeDelay, b.drain.stopAt)
-		late := Incoming{ID: fake.Call(1), Route: "pay", HeldKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
+		late := Incoming{ID: fake.CallID(1), Route: "pay", HeldKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
 		late.Arrived = came + 401*time.Millisecond // the site's grace is 400 ms
 		b.Receive(late)
 		due := late
-		due.ID, due.Stream, due.Arrived = fake.Call(2), 2, came+399*time.Millisecond
+		due.ID, due.Stream, due.Arrived = fake.CallID(2), 2, came+399*time.Millisecond
 		b.Receive(due)
 	})
 	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.nextAnswer(t); return []any{a.stream, a.Verdict} }())
-	assert.Equal(t, fake.Call(2), b.pool.Next(t, "spawn").Task)
-	b.pool.Finish(fake.Call(2), "success", nil)
+	assert.Equal(t, fake.CallID(2), b.pool.Next(t, "spawn").RunID)
+	b.pool.Finish(fake.CallID(2), "success", nil)
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 }
--- a/internal/server/linkrecovery_test.go
+++ b/internal/server/linkrecovery_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBenchAt(t, strings.Replace(fake.Site, `"halt":"suspend"`, `"halt":"abort"`, 1))
+			b := newBenchAt(t, strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"abort"`, 1))
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
 			b.waitLinkSynced(t)
@@ -40,22 +40,22 @@
 				b.waitAllRead(t)
 			} else {
 				// The pool reads the command and tells nothing more on this link.
-				b.pool.Silence(true)
-				b.pool.SetLoses(c.loses)
+				b.pool.SetSilent(true)
+				b.pool.SetDropsSpawns(c.loses)
 				b.submitRequest(1, c.kind, time.Minute)
 				b.pool.Next(t, "spawn")
 			}
-			b.pool.Cut()
+			b.pool.CloseLink()
 			if c.ended {
-				b.pool.Finish(fake.Call(1), "success", []byte("done"))
+				b.pool.Finish(fake.CallID(1), "success", []byte("done"))
 			}
-			b.pool.Silence(false)
+			b.pool.SetSilent(false)
 			b.pool.Next(t, "bind")
 			if c.spawned {
 				b.pool.Next(t, "spawn")
 			}
 			if !c.ended && c.want == Served {
-				b.pool.Finish(fake.Call(1), "success", []byte("done"))
+				b.pool.Finish(fake.CallID(1), "success", []byte("done"))
 			}
 			begin := time.Now()
 			assert.Equal(t, c.want, b.nextAnswer(t).Verdict)
@@ -76,23 +76,23 @@
 	}{{"runs", false}, {"never begun", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(t)
-			b.pool.Pauses, b.pool.Loses = true, c.lost
+			b.pool.RunsOnAfterSuspend, b.pool.DropsSpawns = true, c.lost
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
 			b.waitLinkSynced(t)
-			b.pool.Silence(true)
+			b.pool.SetSilent(true)
 			b.submitRequest(1, "pay", time.Minute)
 			b.pool.Next(t, "spawn")
-			b.pool.Cut()
-			b.pool.SetLoses(false)
+			b.pool.CloseLink()
+			b.pool.SetDropsSpawns(false)
 			b.pool.Next(t, "bind")
-			b.pool.Silence(false)
-			assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
+			b.pool.SetSilent(false)
+			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
 			if c.lost {
 				assert.Equal(t, "body 1", string(b.pool.Next(t, "spawn").Body))
 			}
-			assert.Equal(t, fake.Call(1), b.pool.Next(t, "proceed").Task)
-			b.pool.Finish(fake.Call(1), "success", []byte("done"))
+			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "proceed").RunID)
+			b.pool.Finish(fake.CallID(1), "success", []byte("done"))
 			assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 		})
 	}
@@ -105,7 +105,7 @@
 	b.pool.Ready()
 	for range 5 {
 		b.waitLinkSynced(t)
-		b.pool.Cut()
+		b.pool.CloseLink()
 		b.pool.Next(t, "bind")
 	}
 	alarms := make(chan int)
@@ -125,24 +125,24 @@
 		b.pool.Next(t, "spawn")
 		b.waitAllRead(t)
 		if down {
-			b.pool.Cut()
+			b.pool.CloseLink()
 			require.Eventually(t, func() bool {
 				asked := true
 				b.onLoop(func() { _, asked = b.link.Poll() })
 				return !asked
-			}, fake.Patience, time.Millisecond)
+			}, fake.WaitLimit, time.Millisecond)
 		}
 		b.onLoop(func() {
-			b.Cancel(b.requests.byID[fake.Call(1)])
+			b.Cancel(b.requests.byID[fake.CallID(1)])
 			if !down {
-				b.pool.Cut() // before the word is written
+				b.pool.CloseLink() // before the word is written
 			}
 		})
-		assert.Equal(t, fake.Call(1), b.pool.Next(t, "suspend").Task)
+		assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
 		require.Eventually(t, func() bool {
 			left := 1
 			b.onLoop(func() { left = len(b.requests.byID) })
 			return left == 0
-		}, fake.Patience, time.Millisecond)
+		}, fake.WaitLimit, time.Millisecond)
 	}
 }
--- a/internal/server/requests_test.go
+++ b/internal/server/requests_test.go
@@ -18,7 +18,7 @@
 	run := func(kind string, stream uint32) {
 		b.submitRequest(stream, kind, time.Minute)
 		b.pool.Next(t, "spawn")
-		b.pool.Finish(fake.Call(stream), "success", []byte("done"))
+		b.pool.Finish(fake.CallID(stream), "success", []byte("done"))
 		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	}
 	run("pay", 1)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -20,12 +20,12 @@
 	spawn := b.pool.Next(t, "spawn")
 	assert.Equal(t, "body 1", string(spawn.Body))
 	assert.Equal(t, "pay", spawn.Handler)
-	b.pool.Finish(spawn.Task, "success", []byte("done"))
+	b.pool.Finish(spawn.RunID, "success", []byte("done"))
 	got := b.nextAnswer(t)
 	assert.Equal(t, receivedAnswer{1, Answer{Verdict: Served, Result: []byte("done")}}, got)
 
 	b.submitRequest(2, "pay", time.Second)
-	b.pool.Finish(b.pool.Next(t, "spawn").Task, "failure", nil)
+	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "failure", nil)
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 }
 
@@ -51,7 +51,7 @@
 	b.pool.Next(t, "spawn")
 	b.submitRequest(1, "pay", time.Minute)
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
-	b.pool.Finish(fake.Call(1), "success", nil)
+	b.pool.Finish(fake.CallID(1), "success", nil)
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict, "the first one is answered from its run")
 }
 
@@ -59,7 +59,7 @@
 func TestDueAnswersWithoutThePool(t *testing.T) {
 	for _, mute := range []bool{false, true} {
 		b := newBench(t)
-		b.pool.Mute = mute
+		b.pool.NoReadings = mute
 		if mute {
 			b.pool.Ready()
 		}
@@ -100,17 +100,17 @@
 	b := newBench(t)
 	b.pool.Ready()
 	b.submitRequest(1, "pay", time.Minute)
-	task := b.pool.Next(t, "spawn").Task
-	b.pool.Say(`{"verb":"unknown","outcome":"suspend","task":"` + task + `"}` + "\n")
-	b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"nobody"}` + "\n")
-	b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"` + task + `"}` + "\n")
+	task := b.pool.Next(t, "spawn").RunID
+	b.pool.WriteRaw(`{"verb":"unknown","outcome":"suspend","task":"` + task + `"}` + "\n")
+	b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"nobody"}` + "\n")
+	b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + task + `"}` + "\n")
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	assert.Equal(t, 2, b.counts.Times("pool did not carry out a spawn"))
 
 	// Calls that a bad client invents counted as broken runs, and closed this server's health to all.
 	for stream := range uint32(20) {
 		b.submitRequest(100+stream, "browse", time.Minute)
-		b.pool.Say(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").Task + `"}` + "\n")
+		b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").RunID + `"}` + "\n")
 		assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	}
 	b.Submit(func() { b.CheckHealth(b, 1, false) })
@@ -126,13 +126,13 @@
 		kind := []string{"browse", "pay"}[stream%2]
 		b.Submit(func() {
 			b.Receive(Incoming{
-				ID: fake.Call(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(),
+				ID: fake.CallID(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(),
 				Timeout: time.Minute, Router: stream, Caller: b, Stream: stream,
 			})
 		})
 		b.nextAnswer(t)
 		if stream%400 == 100 {
-			b.pool.Cut()
+			b.pool.CloseLink()
 		}
 		for len(b.pool.Commands) > 0 {
 			<-b.pool.Commands
@@ -149,9 +149,9 @@
 // whose caller says that it waits for a day was kept as long. That it is over has to be proven by the pool's readings.
 func TestNothingStaysForEver(t *testing.T) {
 	site := strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`,
-		`"late-value":0.0`, `"late-value":0.5`).Replace(fake.Site)
+		`"late-value":0.0`, `"late-value":0.5`).Replace(fake.SiteSettings)
 	b := newBenchAt(t, site)
-	b.pool.Loses = true
+	b.pool.DropsSpawns = true
 	b.pool.Ready()
 	b.submitRequest(1, "browse", 24*time.Hour)
 	b.pool.Next(t, "spawn")
@@ -160,7 +160,7 @@
 		empty := make(chan bool)
 		b.Submit(func() { empty <- len(b.requests.byID) == 0 && len(b.requests.byDecision) == 0 })
 		return <-empty
-	}, fake.Patience, time.Millisecond)
+	}, fake.WaitLimit, time.Millisecond)
 	assert.Equal(t, 1, b.counts.Times("end of a run not reported, proven by the readings"))
 }
 
@@ -178,7 +178,7 @@
 		empty := make(chan bool)
 		b.Submit(func() { empty <- len(b.requests.byID) == 0 && len(b.requests.byDecision) == 0 })
 		return <-empty
-	}, fake.Patience, time.Millisecond, "a settled task is kept")
+	}, fake.WaitLimit, time.Millisecond, "a settled task is kept")
 	assert.Empty(t, b.answers)
 }
 
@@ -200,7 +200,7 @@
 				assert.False(t, <-b.checks)
 			}
 		}
-		b.pool.Say(`{"verb":"verified","nonce":"` + b.pool.Next(t, "verify").Nonce + `","outcome":"` + outcome + `"}` + "\n")
+		b.pool.WriteRaw(`{"verb":"verified","nonce":"` + b.pool.Next(t, "verify").Nonce + `","outcome":"` + outcome + `"}` + "\n")
 		assert.Equal(t, outcome == "success", <-b.checks)
 	}
 	b.Submit(func() { b.CheckHealth(b, 1, true) })
@@ -214,7 +214,7 @@
 		"the settings name no route": {`"name":`, `"title":`},
 	}
 	for want, change := range cases {
-		told, err := settings.FromJSON([]byte(strings.ReplaceAll(fake.Site, change[0], change[1])))
+		told, err := settings.FromJSON([]byte(strings.ReplaceAll(fake.SiteSettings, change[0], change[1])))
 		require.NoError(t, err)
 		_, err = New(told, 1, Limits{MemoryMB: 96, Sockets: 256}, nil, nil)
 		assert.ErrorContains(t, err, want)
@@ -223,7 +223,7 @@
 
 // One customer without a name cost all behind it theirs, and with it their share.
 func TestTenantsWithoutNames(t *testing.T) {
-	site := strings.Replace(fake.Site, `"tenants":[]`, `"tenants":[{"quota-rps":1},{"name":"b","quota-rps":2},{}]`, 1)
+	site := strings.Replace(fake.SiteSettings, `"tenants":[]`, `"tenants":[{"quota-rps":1},{"name":"b","quota-rps":2},{}]`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
 	assert.Equal(t, 1, b.TenantIndex("b"))
 	assert.Equal(t, math.MaxInt, b.TenantIndex(""))
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -25,7 +25,7 @@
 	b.ChangeTables(change)
 	select {
 	case <-done:
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "the tables have not changed")
 	}
 }
@@ -47,13 +47,13 @@
 	second := b.pool.Next(t, "spawn")
 	late := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(3), Aborted}, []any{late.stream, late.Verdict}, "the later one has the shorter deadline")
-	b.pool.Finish(second.Task, "interrupted", nil)
+	b.pool.Finish(second.RunID, "interrupted", nil)
 
 	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "quote"}}})
 	b.submitRequest(4, "quote", time.Minute)
 	gone := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(4), Rejected}, []any{gone.stream, gone.Verdict}, "removed")
-	b.pool.Finish(first.Task, "success", []byte("done"))
+	b.pool.Finish(first.RunID, "success", []byte("done"))
 	got := b.nextAnswer(t)
 	assert.Equal(t, receivedAnswer{2, Answer{Verdict: Served, Result: []byte("done")}}, got, "what was in flight is finished")
 	assert.Empty(t, b.answers)
@@ -65,7 +65,7 @@
 	b.pool.Ready()
 	for stream := range uint32(3) {
 		b.submitRequest(stream+1, "pay", time.Minute)
-		b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
+		b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", nil)
 		b.nextAnswer(t)
 	}
 	samples := func() (n float64) {
@@ -88,7 +88,7 @@
 
 // A key that was used stays used for its window, whatever becomes of its route meanwhile: nothing runs twice.
 func TestWindowsOutlastTheirRoute(t *testing.T) {
-	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
+	b := newBenchWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	keyed := stated("charge", time.Minute)
 	keyed.Idempotency, keyed.DedupWindow = admission.Keyed, time.Hour
@@ -96,7 +96,7 @@
 	ask := func(stream uint32) {
 		b.Submit(func() {
 			b.Receive(Incoming{
-				ID: fake.Call(stream), Route: "charge", HeldKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
+				ID: fake.CallID(stream), Route: "charge", HeldKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 				Caller: b, Stream: stream, Key: "once", Fingerprint: 1,
 			})
 		})
@@ -104,7 +104,7 @@
 	b.changeTables(t, put)
 	ask(1)
 	run := b.pool.Next(t, "spawn")
-	b.pool.Finish(run.Task, "success", []byte("done"))
+	b.pool.Finish(run.RunID, "success", []byte("done"))
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "charge"}}})
 	b.changeTables(t, put)
@@ -118,7 +118,7 @@
 // Tenants come, change and go; what one has asked for counts on when its rate changes, and not for another that takes
 // its place later. A place is not taken while requests of the one that left it may still be here.
 func TestTenantsChangeInService(t *testing.T) {
-	b := newBenchWith(t, fake.Site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
+	b := newBenchWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
 	b.pool.Ready()
 	tenant := func(name string, rate float64) TableChange {
 		return TableChange{Tenants: []settings.TenantChange{{Name: name, QuotaRPS: rate}}}
@@ -144,7 +144,7 @@
 	assert.Equal(t, unknown, place("north"), "nobody's")
 	b.changeTables(t, tenant("south", 1))
 	assert.Equal(t, 1, place("south"), "a request of north is still here")
-	b.pool.Finish(run.Task, "success", nil)
+	b.pool.Finish(run.RunID, "success", nil)
 	b.nextAnswer(t)
 	b.changeTables(t, removed("south"))
 	b.changeTables(t, tenant("west", 1))
@@ -185,11 +185,11 @@
 	b.Submit(step)
 	b.ChangeTables(TableChange{Routes: []settings.RouteChange{{Name: "r0"}}, Done: func() { close(done) }})
 	b.submitRequest(1, "pay", time.Minute)
-	b.pool.Finish(b.pool.Next(t, "spawn").Task, "success", nil)
+	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", nil)
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	select {
 	case <-done:
-	case <-time.After(fake.Patience):
+	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "the change is not in force")
 	}
 	assert.Equal(t, many+2, <-counted, "with the two that were there")
--- a/internal/testkit/experiment/chart.go
+++ b/internal/testkit/experiment/chart.go
@@ -17,10 +17,10 @@
 	height = 4 * vg.Inch
 )
 
-// Format is that of a chart's file.
+// Format is the format of a chart.
 type Format string
 
-// The formats.
+// The formats of charts.
 const (
 	SVG Format = "svg"
 	PNG Format = "png"
@@ -47,7 +47,7 @@
 	return p
 }
 
-// SecondsChart draws what each policy honoured of each second's requests in one drill, as a mean over seeds.
+// SecondsChart draws the goodput share of each second of a drill by policy, as a mean over seeds.
 func SecondsChart(cells []Cell, drill, title string, as Format) ([]byte, error) {
 	p := newPlot(title, "second in which requests began", "honoured importance")
 	p.Y.Min, p.Y.Max = 0, 1.05
@@ -56,8 +56,8 @@
 		if c.Drill != drill {
 			continue
 		}
-		points := make(plotter.XYs, 0, len(c.Seconds))
-		for s, share := range c.Seconds[:max(len(c.Seconds)-1, 0)] {
+		points := make(plotter.XYs, 0, len(c.SecondShares))
+		for s, share := range c.SecondShares[:max(len(c.SecondShares)-1, 0)] {
 			points = append(points, plotter.XY{X: float64(s), Y: share})
 		}
 		line, err := plotter.NewLine(points)
@@ -75,7 +75,7 @@
 	return render(p, as)
 }
 
-// OverallChart draws each policy's honoured importance in each drill, with its interval.
+// OverallChart draws the goodput share of each drill by policy, with its interval.
 func OverallChart(cells []Cell, as Format) ([]byte, error) {
 	p := newPlot("honoured importance by drill, with 95% intervals over seeds", "", "honoured importance")
 	p.Y.Min, p.Y.Max = 0, 1.05
@@ -87,8 +87,8 @@
 		for x, drill := range names {
 			for _, c := range cells {
 				if c.Drill == drill && c.Policy == policy {
-					points = append(points, plotter.XY{X: float64(x) + (float64(at)-float64(len(all))/2)*0.09, Y: c.Share.Mean})
-					errs = append(errs, struct{ Low, High float64 }{c.Share.Half, c.Share.Half})
+					points = append(points, plotter.XY{X: float64(x) + (float64(at)-float64(len(all))/2)*0.09, Y: c.GoodputShare.Mean})
+					errs = append(errs, struct{ Low, High float64 }{c.GoodputShare.Half, c.GoodputShare.Half})
 				}
 			}
 		}
@@ -96,9 +96,9 @@
 		if err != nil {
 			return nil, fmt.Errorf("chart: %w", err)
 		}
-		scatter.GlyphStyle.Color, scatter.GlyphStyle.Shape, scatter.GlyphStyle.Radius = plotutil.Color(at), plotutil.Shape(at), vg.Points(2.5)
+		scatter.Color, scatter.Shape, scatter.Radius = plotutil.Color(at), plotutil.Shape(at), vg.Points(2.5)
 		if at == 0 {
-			scatter.GlyphStyle.Color = color.Black
+			scatter.Color = color.Black
 		}
 		if len(errs) > 0 && errs[0].High == errs[0].High { // one seed has no interval
 			bars, err := plotter.NewYErrorBars(struct {
@@ -108,7 +108,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("chart: %w", err)
 			}
-			bars.LineStyle.Color = scatter.GlyphStyle.Color
+			bars.Color = scatter.Color
 			p.Add(bars)
 		}
 		p.Add(scatter)
--- a/internal/testkit/harness/dependency.go
+++ b/internal/testkit/harness/dependency.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"io"
 	"math"
 	"math/rand"
 	"net"
@@ -11,91 +10,138 @@
 	"time"
 )
 
-// Mood is how a dependency behaves for a while.
-type Mood struct {
-	Slow    float64       // times its usual service time; 0 is as usual
-	Late    time.Duration // by which answers come later than the work is done
-	Silent  bool          // reads and never answers
-	Errors  bool          // answers at once that it failed, and does nothing
-	Refuses bool          // answers at once that it did not run
-	Garbage bool          // writes what is no frame
-	Down    bool          // no connection is taken, and those that are open end
+// DependencyBehaviour is how a dependency behaves for a while. The zero value is the usual behaviour.
+type DependencyBehaviour struct {
+	SlowFactor  float64       // times the usual service time; 0 is 1
+	AnswerDelay time.Duration // between the end of the work and its answer
+	Silent      bool          // calls are read and never answered
+	Fails       bool          // calls are answered at once as aborted, and do not run
+	Rejects     bool          // calls are answered at once as rejected
+	Garbage     bool          // calls are answered with bytes that are no frame
+	Down        bool          // connections are refused, and open ones closed
 }
 
-// Script says how a dependency behaves at a time since its start.
-type Script func(since time.Duration) Mood
+// BehaviourScript returns how a dependency behaves at a time since its start.
+type BehaviourScript func(since time.Duration) DependencyBehaviour
 
-// Dependency plays one: so many slots, a service time of log-normal spread, and a script. What it runs with a
-// number, or was asked to, is counted; a repeat of a number is answered from the first.
+// DependencyStats is what a dependency has counted so far.
+type DependencyStats struct {
+	Attempts     int // calls read
+	Effects      int // runs of calls with an idempotency key
+	DistinctKeys int
+	RepeatedRuns int // runs of a key that had run before
+	MaxOpen      int // calls open at once
+}
+
+// scriptInterval is the time between two looks at the script for whether the dependency is down.
+const scriptInterval = 10 * time.Millisecond
+
+// Dependency is a system that answers calls over the frame protocol: a number of slots, a service time with log-normal
+// spread, and a script of its behaviour. A repeated idempotency key is answered from the first call of that key.
 type Dependency struct {
 	Address string
 
-	slots  []time.Time // when each is free
-	mean   time.Duration
-	script Script
-	began  time.Time
-	over   sync.WaitGroup
-	quit   chan struct{}
+	slotFreeAt      []time.Time // by slot
+	meanServiceTime time.Duration
+	script          BehaviourScript
+	goroutines      sync.WaitGroup
+	stop            chan struct{}
 
 	mu       sync.Mutex
+	started  time.Time
 	rng      *rand.Rand
-	spread   float64
-	listener net.Listener
+	spread   float64      // sigma of the logarithm of the service time
+	listener net.Listener // nil while down
 	links    map[net.Conn]bool
-	first    map[string]*numbered
-	calls    int
-	effects  int // runs of numbered calls
-	asked    int // numbers asked for
-	twice    int
+	keyed    map[string]*keyedRequest
+	stats    DependencyStats
 	open     int
-	most     int
 }
 
-type numbered struct {
-	runs int
-	done bool
-	wait []func()
+type keyedRequest struct {
+	runs    int
+	done    bool
+	waiting []func() // answers of repeats that came before the first call was done
 }
 
-// NewDependency starts one.
-func NewDependency(slots int, mean time.Duration, spread float64, seed int64, script Script) (*Dependency, error) {
+// NewDependency starts a dependency on loopback. spread is the standard deviation of the service time over its mean; a nil
+// script is the usual behaviour.
+func NewDependency(slots int, mean time.Duration, spread float64, seed int64, script BehaviourScript) (*Dependency, error) {
 	if script == nil {
-		script = func(time.Duration) Mood { return Mood{} }
+		script = func(time.Duration) DependencyBehaviour { return DependencyBehaviour{} }
 	}
 	d := &Dependency{
-		Address: host(), slots: make([]time.Time, slots), mean: mean, script: script, began: time.Now(),
-		quit: make(chan struct{}), rng: rand.New(rand.NewSource(seed)), spread: math.Sqrt(math.Log1p(spread * spread)),
-		links: map[net.Conn]bool{}, first: map[string]*numbered{},
+		Address: randomLoopbackAddress(), slotFreeAt: make([]time.Time, slots), meanServiceTime: mean, script: script, started: time.Now(),
+		stop: make(chan struct{}), rng: rand.New(rand.NewSource(seed)), spread: math.Sqrt(math.Log1p(spread * spread)),
+		links: map[net.Conn]bool{}, keyed: map[string]*keyedRequest{},
 	}
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
-	d.Address = d.listener.Addr().String() // the same when it comes up again
-	d.over.Add(1)
-	go func() {
-		defer d.over.Done()
-		tick := time.NewTicker(10 * time.Millisecond)
-		defer tick.Stop()
-		for {
-			select {
-			case <-d.quit:
-				return
-			case <-tick.C:
-				d.follow()
-			}
-		}
-	}()
+	d.Address = d.listener.Addr().String() // stays the same when the dependency comes up again
+	d.goroutines.Go(d.followScript)
 	return d, nil
 }
 
-// Begin sets the script's clock to zero now.
-func (d *Dependency) Begin() {
+// Close ends the dependency with all its connections, and waits for its goroutines.
+func (d *Dependency) Close() {
+	close(d.stop)
 	d.mu.Lock()
-	d.began = time.Now()
+	if d.listener != nil {
+		_ = d.listener.Close()
+	}
+	for link := range d.links {
+		_ = link.Close()
+	}
 	d.mu.Unlock()
+	d.goroutines.Wait()
+}
+
+// RestartClock sets the script's clock to zero.
+func (d *Dependency) RestartClock() {
+	d.mu.Lock()
+	d.started = time.Now()
+	d.mu.Unlock()
+}
+
+// Stats returns what was counted so far.
+func (d *Dependency) Stats() DependencyStats {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.stats
+}
+
+func (d *Dependency) behaviour() DependencyBehaviour { return d.script(time.Since(d.started)) }
+
+// followScript goes down and comes up as the script says.
+func (d *Dependency) followScript() {
+	tick := time.NewTicker(scriptInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-d.stop:
+			return
+		case <-tick.C:
+			d.applyScript()
+		}
+	}
 }
 
-func (d *Dependency) mood() Mood { return d.script(time.Since(d.began)) }
+func (d *Dependency) applyScript() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	down := d.behaviour().Down
+	switch {
+	case down && d.listener != nil:
+		_ = d.listener.Close()
+		d.listener = nil
+		for link := range d.links {
+			_ = link.Close()
+		}
+	case !down && d.listener == nil:
+		_ = d.listen() // retried at the next tick
+	}
+}
 
 func (d *Dependency) listen() error {
 	listener, err := net.Listen("tcp", d.Address)
@@ -103,9 +149,7 @@
 		return fmt.Errorf("dependency: %w", err)
 	}
 	d.listener = listener
-	d.over.Add(1)
-	go func() {
-		defer d.over.Done()
+	d.goroutines.Go(func() {
 		for {
 			link, err := listener.Accept()
 			if err != nil {
@@ -114,212 +158,145 @@
 			d.mu.Lock()
 			d.links[link] = true
 			d.mu.Unlock()
-			d.over.Add(1)
-			go func() {
-				defer d.over.Done()
-				d.serve(link)
-			}()
+			d.goroutines.Go(func() { d.serve(link) })
 		}
-	}()
+	})
 	return nil
 }
 
-// follow goes down and comes up as the script says.
-func (d *Dependency) follow() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	down := d.mood().Down
-	if down && d.listener != nil {
-		d.listener.Close()
-		d.listener = nil
-		for link := range d.links {
-			link.Close()
-		}
-	} else if !down && d.listener == nil {
-		_ = d.listen() // tried again at the next look
-	}
-}
-
-// Close ends it.
-func (d *Dependency) Close() {
-	close(d.quit)
-	d.mu.Lock()
-	if d.listener != nil {
-		d.listener.Close()
-	}
-	for link := range d.links {
-		link.Close()
-	}
-	d.mu.Unlock()
-	d.over.Wait()
-}
-
-// Seen is what a dependency counted.
-type Seen struct {
-	Calls   int // attempts read
-	Effects int // runs of numbered calls
-	Numbers int // different numbers
-	Twice   int // runs of a number that had run
-	Most    int // calls open at once
-}
-
-// Seen tells what was counted so far.
-func (d *Dependency) Seen() Seen {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return Seen{d.calls, d.effects, d.asked, d.twice, d.most}
-}
-
+// serve answers calls until the link ends.
 func (d *Dependency) serve(link net.Conn) {
-	var write sync.Mutex
 	defer func() {
-		link.Close()
+		_ = link.Close()
 		d.mu.Lock()
 		delete(d.links, link)
 		d.mu.Unlock()
 	}()
+	var write sync.Mutex
 	for {
-		var head [9]byte
-		if _, err := io.ReadFull(link, head[:]); err != nil {
-			return
-		}
-		size := binary.BigEndian.Uint32(head[:])
-		if size < 5 || size > mostReply {
-			return
-		}
-		payload := make([]byte, size-5)
-		if _, err := io.ReadFull(link, payload); err != nil {
+		kind, stream, payload, err := readFrame(link)
+		if err != nil {
 			return
 		}
-		if head[4] != 10 {
-			continue // a call that is cancelled goes on here, as most would
+		if kind != FrameRequest {
+			continue // a cancelled call runs to its end
 		}
-		stream := binary.BigEndian.Uint32(head[5:])
-		d.take(payload, func(code byte) {
-			answer := append([]byte{code, 0}, "result"...)
-			whole := binary.BigEndian.AppendUint32(nil, uint32(5+len(answer)))
-			whole = binary.BigEndian.AppendUint32(append(whole, 11), stream)
+		d.handle(payload, func(frame []byte) {
 			write.Lock()
 			defer write.Unlock()
-			_, _ = link.Write(append(whole, answer...)) // its asker may be gone
-		}, func() {
-			write.Lock()
-			defer write.Unlock()
-			_, _ = io.WriteString(link, "\xff\xff\xff\xffgarbage")
-		})
+			_, _ = link.Write(frame) // the caller may be gone
+		}, stream)
 	}
 }
 
-// take serves a call.
-func (d *Dependency) take(payload []byte, answer func(code byte), garbage func()) {
-	number := field(payload, "num")
+// answerFrame returns an answer to a call.
+func answerFrame(stream uint32, code byte) []byte {
+	answer := append([]byte{code, 0}, "result"...)
+	frame := binary.BigEndian.AppendUint32(nil, uint32(frameHeadSize-4+len(answer)))
+	frame = binary.BigEndian.AppendUint32(append(frame, FrameAnswer), stream)
+	return append(frame, answer...)
+}
+
+// handle serves a call.
+func (d *Dependency) handle(payload []byte, write func(frame []byte), stream uint32) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls++
+	d.stats.Attempts++
 	d.open++
-	d.most = max(d.most, d.open)
-	mood := d.mood()
-	end := func(code byte) {
+	d.stats.MaxOpen = max(d.stats.MaxOpen, d.open)
+	behaviour := d.behaviour()
+	if frame := behaviour.immediate(stream); frame != nil {
 		d.open--
-		if !mood.Silent {
-			d.after(mood.Late, func() { answer(code) })
-		}
+		d.after(0, func() { write(frame) })
+		return
 	}
-	switch {
-	case mood.Errors, mood.Refuses, mood.Garbage:
+	succeed := func() {
 		d.open--
-		switch {
-		case mood.Garbage:
-			d.after(0, garbage)
-		case mood.Errors:
-			d.after(0, func() { answer(51) })
-		default:
-			d.after(0, func() { answer(50) })
+		if !behaviour.Silent {
+			d.after(behaviour.AnswerDelay, func() { write(answerFrame(stream, StatusServed)) })
 		}
-		return
 	}
-	if number != "" {
-		d.asked++
-		if known := d.first[number]; known != nil {
-			d.asked--
-			if known.done {
-				end(20)
+	key := requestField(payload, "num")
+	if key != "" {
+		if first := d.keyed[key]; first != nil {
+			if first.done {
+				succeed()
 			} else {
-				known.wait = append(known.wait, func() { end(20) })
+				first.waiting = append(first.waiting, succeed)
 			}
 			return
 		}
-		d.first[number] = &numbered{}
+		d.stats.DistinctKeys++
+		d.keyed[key] = &keyedRequest{}
 	}
-	least := 0
-	for i := range d.slots {
-		if d.slots[i].Before(d.slots[least]) {
-			least = i
+	d.after(d.reserveSlot(behaviour), func() {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.recordRun(key)
+		succeed()
+	})
+}
+
+// immediate returns the frame with which a call is answered at once, nil where the call runs.
+func (b DependencyBehaviour) immediate(stream uint32) []byte {
+	switch {
+	case b.Garbage:
+		return []byte("\xff\xff\xff\xffgarbage")
+	case b.Fails:
+		return answerFrame(stream, StatusAborted)
+	case b.Rejects:
+		return answerFrame(stream, StatusRejected)
+	}
+	return nil
+}
+
+// reserveSlot books the slot that is free first for one call, and returns the time until the call is done.
+func (d *Dependency) reserveSlot(behaviour DependencyBehaviour) time.Duration {
+	first := 0
+	for i := range d.slotFreeAt {
+		if d.slotFreeAt[i].Before(d.slotFreeAt[first]) {
+			first = i
 		}
 	}
-	slow := mood.Slow
+	slow := behaviour.SlowFactor
 	if slow == 0 {
 		slow = 1
 	}
-	takes := time.Duration(float64(d.mean) * slow * math.Exp(d.rng.NormFloat64()*d.spread-d.spread*d.spread/2))
+	serviceTime := time.Duration(float64(d.meanServiceTime) * slow * math.Exp(d.rng.NormFloat64()*d.spread-d.spread*d.spread/2))
 	now := time.Now()
-	if d.slots[least].Before(now) {
-		d.slots[least] = now
+	if d.slotFreeAt[first].Before(now) {
+		d.slotFreeAt[first] = now
 	}
-	d.slots[least] = d.slots[least].Add(takes)
-	d.after(d.slots[least].Sub(now), func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		if n := d.first[number]; n != nil {
-			d.effects++
-			if n.runs++; n.runs > 1 {
-				d.twice++
-			}
-			n.done = true
-			for _, w := range n.wait {
-				w()
-			}
-			n.wait = nil
-		}
-		end(20)
-	})
+	d.slotFreeAt[first] = d.slotFreeAt[first].Add(serviceTime)
+	return d.slotFreeAt[first].Sub(now)
+}
+
+// recordRun records that the call with a key has run, and answers the repeats that wait for it.
+func (d *Dependency) recordRun(key string) {
+	request := d.keyed[key]
+	if request == nil {
+		return
+	}
+	d.stats.Effects++
+	if request.runs++; request.runs > 1 {
+		d.stats.RepeatedRuns++
+	}
+	request.done = true
+	for _, answer := range request.waiting {
+		answer()
+	}
+	request.waiting = nil
 }
 
-// after does something later, unless the dependency has ended by then.
+// after runs f later, unless the dependency is closed by then.
 func (d *Dependency) after(wait time.Duration, f func()) {
-	d.over.Add(1)
-	go func() {
-		defer d.over.Done()
+	d.goroutines.Go(func() {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
-		case <-d.quit:
+		case <-d.stop:
 		case <-timer.C:
 			f()
 		}
-	}()
-}
-
-// field reads one from a task's payload; empty where it is absent.
-func field(payload []byte, wanted string) string {
-	if len(payload) == 0 {
-		return ""
-	}
-	rest := payload[1:]
-	for range payload[0] {
-		if len(rest) < 1 || len(rest) < 3+int(rest[0]) {
-			return ""
-		}
-		name := string(rest[1 : 1+rest[0]])
-		rest = rest[1+rest[0]:]
-		size := int(binary.BigEndian.Uint16(rest))
-		if len(rest) < 2+size {
-			return ""
-		}
-		if name == wanted {
-			return string(rest[2 : 2+size])
-		}
-		rest = rest[2+size:]
-	}
-	return ""
+	})
 }
--- a/internal/testkit/harness/fleet.go
+++ b/internal/testkit/harness/fleet.go
@@ -4,46 +4,48 @@
 	"errors"
 	"fmt"
 	"math/rand"
+	"slices"
 	"sync"
 	"time"
 )
 
 const (
-	fleetAway = time.Second            // that a server is left alone which did not take a connection
-	fleetBoot = 500 * time.Millisecond // from the end of a process to the start of the next
-	leastCut  = 5 * time.Millisecond
+	ejectionTime = time.Second            // of a server that refused a connection
+	restartDelay = 500 * time.Millisecond // from the end of a process to the start of the next
+	minRetryTime = 5 * time.Millisecond   // until the deadline, for another attempt
 )
 
-// Fleet is a number of real daemons behind one router, that goes round them and tries the next where one dismisses a task or
-// is gone.
+// Fleet is a number of real daemons behind one router, which sends requests round robin and retries at the next server where
+// one rejects a request or is gone.
 type Fleet struct {
-	types []Route
-	tries int
-	start func(i, life int) (*Daemon, error)
+	routes      []Route
+	maxAttempts int
+	start       func(i, incarnation int) (*Daemon, error)
 
-	mu      sync.Mutex
-	servers []*member
-	next    int
-	result  Result
-	began   time.Time
-	ids     *rand.Rand
-	pools   []*Workers
-	jobs    sync.WaitGroup // deploys and boots under way
-	failed  []error
+	mu         sync.Mutex
+	servers    []*member
+	next       int
+	result     Result
+	began      time.Time
+	requestIDs *rand.Rand
+	pools      []*Workers
+	background sync.WaitGroup // restarts under way, and retries
+	errs       []error
 }
 
 type member struct {
-	daemon *Daemon
-	router *router
-	away   time.Time
-	life   int
-	down   bool
-	past   []*router // of its earlier lives
+	daemon         *Daemon
+	router         *router
+	ejectedUntil   time.Time
+	incarnation    int
+	down           bool
+	earlierRouters []*router // of earlier incarnations
 }
 
-// NewFleet starts the daemons; start is called with each one's number and life.
-func NewFleet(types []Route, servers, tries int, start func(i, life int) (*Daemon, error)) (*Fleet, error) {
-	f := &Fleet{types: types, tries: tries, start: start, ids: rand.New(rand.NewSource(time.Now().UnixNano()))}
+// NewFleet starts the daemons. start is called with the index of a server and its incarnation, both from 0. A fleet that is
+// returned with an error has to be closed.
+func NewFleet(routes []Route, servers, maxAttempts int, start func(i, incarnation int) (*Daemon, error)) (*Fleet, error) {
+	f := &Fleet{routes: routes, maxAttempts: maxAttempts, start: start, requestIDs: rand.New(rand.NewSource(time.Now().UnixNano()))}
 	for i := range servers {
 		m := &member{}
 		f.servers = append(f.servers, m)
@@ -55,136 +57,137 @@
 }
 
 func (f *Fleet) boot(i int, m *member) error {
-	d, err := f.start(i, m.life)
+	d, err := f.start(i, m.incarnation)
 	if err != nil {
 		return err
 	}
 	r := &router{
-		address: d.Address, types: f.types, number: 1, answered: make(chan struct{}, 1),
-		result: Result{Codes: map[byte]int{}, ByType: make([]float64, len(f.types))},
+		address: d.Address, routes: f.routes, sourceID: 1, answered: make(chan struct{}, 1),
+		result: Result{Codes: map[byte]int{}, GoodputByRoute: make([]float64, len(f.routes))},
 	}
-	r.again = func(p *pending, lost bool) bool { return f.elsewhere(p, lost) }
+	r.retry = func(p *pendingRequest, lost bool) bool { return f.retryElsewhere(p, lost) }
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.router != nil {
-		m.past = append(m.past, m.router)
+		m.earlierRouters = append(m.earlierRouters, m.router)
 	}
 	f.pools = append(f.pools, d.Workers)
-	m.daemon, m.router, m.down, m.away = d, r, false, time.Time{}
-	m.life++
+	m.daemon, m.router, m.down, m.ejectedUntil = d, r, false, time.Time{}
+	m.incarnation++
 	return nil
 }
 
-// elsewhere sends a task to another server, where its type and its time allow that. A connection that was lost may have
-// carried an effect.
-func (f *Fleet) elsewhere(p *pending, lost bool) bool {
-	t := f.types[p.arrival.Type]
-	if lost && t.Once || p.tries >= f.tries || time.Until(p.sent.Add(t.Deadline)) < leastCut {
+// retryElsewhere sends a request to another server, and reports whether its route and its deadline allow that. A request
+// whose connection was lost may have had its effect.
+func (f *Fleet) retryElsewhere(p *pendingRequest, lost bool) bool {
+	t := f.routes[p.arrival.Route]
+	if lost && t.AtMostOnce || p.attempts >= f.maxAttempts || time.Until(p.sentAt.Add(t.Deadline)) < minRetryTime {
 		return false
 	}
-	f.jobs.Add(1)
-	go func() {
-		defer f.jobs.Done()
-		f.send(p)
-	}()
+	f.background.Go(func() { f.send(p) })
 	return true
 }
 
-// send sends a task to the next server that takes it.
-func (f *Fleet) send(p *pending) {
+// send sends a request to the next server that accepts it.
+func (f *Fleet) send(p *pendingRequest) {
 	for range 2 * len(f.servers) {
 		f.mu.Lock()
 		var to *router
 		for range f.servers {
 			f.next++
 			at := f.next % len(f.servers)
-			if m := f.servers[at]; !m.down && time.Now().After(m.away) && (p.tries == 0 || at != p.server) {
+			if m := f.servers[at]; !m.down && time.Now().After(m.ejectedUntil) && (p.attempts == 0 || at != p.server) {
 				to, p.server = m.router, at
 				break
 			}
 		}
-		id := f.ids.Uint64()
+		id := f.requestIDs.Uint64()
 		f.mu.Unlock()
 		if to == nil {
 			break
 		}
 		if err := to.send(p, fmt.Sprintf("%016x", id)); err == nil {
-			p.tries++
+			p.attempts++
 			return
 		}
 		f.mu.Lock()
-		f.servers[p.server].away = time.Now().Add(fleetAway)
+		f.servers[p.server].ejectedUntil = time.Now().Add(ejectionTime)
 		f.mu.Unlock()
 	}
 	f.mu.Lock()
-	f.result.Codes[50]++ // nobody would have it
+	f.result.Codes[StatusRejected]++ // no server accepted it
 	f.mu.Unlock()
 }
 
-// Run sends a load and waits for what is owed.
+// Run sends a load and waits until every request is answered or past its deadline.
 func (f *Fleet) Run(load []Arrival) (Result, error) {
-	f.result = Result{Codes: map[byte]int{}, ByType: make([]float64, len(f.types))}
+	f.result = Result{Codes: map[byte]int{}, GoodputByRoute: make([]float64, len(f.routes))}
 	f.began = time.Now()
 	longest := time.Duration(0)
 	for n := range load {
 		time.Sleep(time.Until(f.began.Add(load[n].At)))
-		t := f.types[load[n].Type]
-		f.result.Tasks++
-		f.result.Offered += t.Value
+		t := f.routes[load[n].Route]
+		f.result.Requests++
+		f.result.OfferedValue += t.Value
 		longest = max(longest, t.Deadline)
-		p := &pending{arrival: &load[n], sent: time.Now()}
-		if t.Once {
+		p := &pendingRequest{arrival: &load[n], sentAt: time.Now()}
+		if t.AtMostOnce {
 			p.effect = uint64(n) + 1
 		}
 		f.send(p)
 	}
-	for end := time.Now().Add(longest + time.Second); time.Now().Before(end) && f.waiting() > 0; {
+	for end := time.Now().Add(longest + time.Second); time.Now().Before(end) && f.openRequests() > 0; {
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.jobs.Wait()
+	f.background.Wait()
+	return f.total()
+}
+
+// total returns what all routers have recorded.
+func (f *Fleet) total() (Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sum := f.result
 	for _, m := range f.servers {
-		for _, r := range append(m.past, m.router) {
+		for _, r := range append(m.earlierRouters, m.router) {
 			r.mu.Lock()
-			sum.Honoured += r.result.Honoured
-			sum.Late += r.result.Late
-			sum.Twice += r.result.Twice
-			sum.sent = append(sum.sent, r.result.sent...)
+			sum.Goodput += r.result.Goodput
+			sum.LateAnswers += r.result.LateAnswers
+			sum.DuplicateAnswers += r.result.DuplicateAnswers
+			sum.attempts = append(sum.attempts, r.result.attempts...)
 			for code, n := range r.result.Codes {
 				sum.Codes[code] += n
 			}
 			r.mu.Unlock()
 		}
 	}
-	sum.Unanswered = sum.Tasks
+	sum.Unanswered = sum.Requests
 	for _, n := range sum.Codes {
 		sum.Unanswered -= n
 	}
-	return sum, errors.Join(f.failed...)
+	return sum, errors.Join(f.errs...)
 }
 
-func (f *Fleet) waiting() (open int) {
+func (f *Fleet) openRequests() (open int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.servers {
 		if !m.down {
-			open += m.router.waiting()
+			open += m.router.openRequests()
 		}
 	}
 	return open
 }
 
-func (f *Fleet) keep(err error) {
+func (f *Fleet) recordError(err error) {
 	if err != nil {
 		f.mu.Lock()
-		f.failed = append(f.failed, err)
+		f.errs = append(f.errs, err)
 		f.mu.Unlock()
 	}
 }
 
-func (f *Fleet) take(i int) (*member, bool) {
+func (f *Fleet) markDown(i int) (*member, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.servers[i]
@@ -195,37 +198,33 @@
 	return m, true
 }
 
-// Kill ends servers at once, and boots them again after a span.
-func (f *Fleet) Kill(numbers []int, again time.Duration) {
-	for _, i := range numbers {
-		m, up := f.take(i)
+// Kill ends servers by SIGKILL, and starts them again after a delay.
+func (f *Fleet) Kill(indexes []int, delay time.Duration) {
+	for _, i := range indexes {
+		m, up := f.markDown(i)
 		if !up {
 			continue
 		}
-		f.jobs.Add(1)
-		go func() {
-			defer f.jobs.Done()
-			f.keep(m.daemon.Kill())
-			time.Sleep(again)
-			f.keep(f.boot(i, m))
-		}()
+		f.background.Go(func() {
+			f.recordError(m.daemon.Kill())
+			time.Sleep(delay)
+			f.recordError(f.boot(i, m))
+		})
 	}
 }
 
-// Restart gives a server the notice to leave, and boots it anew.
+// Restart shuts a server down gracefully, and starts it again.
 func (f *Fleet) Restart(i int) {
-	f.jobs.Add(1)
-	go func() {
-		defer f.jobs.Done()
-		if m, up := f.take(i); up {
-			f.keep(m.daemon.Leave())
-			time.Sleep(fleetBoot)
-			f.keep(f.boot(i, m))
+	f.background.Go(func() {
+		if m, up := f.markDown(i); up {
+			f.recordError(m.daemon.Shutdown())
+			time.Sleep(restartDelay)
+			f.recordError(f.boot(i, m))
 		}
-	}()
+	})
 }
 
-// Daemon gives a server, nil while it is down.
+// Daemon returns a server, nil while it is down.
 func (f *Fleet) Daemon(i int) *Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -235,25 +234,25 @@
 	return f.servers[i].daemon
 }
 
-// Pools are those of all daemons, of earlier lives too.
+// Pools returns the worker pools of all daemons, also of earlier incarnations.
 func (f *Fleet) Pools() []*Workers {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*Workers(nil), f.pools...)
+	return slices.Clone(f.pools)
 }
 
-// Close ends all of them.
+// Close ends all servers and connections.
 func (f *Fleet) Close() error {
-	f.jobs.Wait()
-	var failed []error
+	f.background.Wait()
+	var errs []error
 	for _, m := range f.servers {
 		if m.router == nil {
 			continue
 		}
-		failed = append(failed, m.daemon.Stop())
-		for _, r := range append(m.past, m.router) {
+		errs = append(errs, m.daemon.Stop())
+		for _, r := range append(m.earlierRouters, m.router) {
 			r.close()
 		}
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
--- a/internal/testkit/scale/load.go
+++ b/internal/testkit/scale/load.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	honoured   = 20 // code of an answer with a result
-	checkFrame = 20 // type of a health check
-	talkWait   = 5 * time.Second
+	statusServed = 20 // of an answer
+	checkFrame   = 20 // type of a health check
+	talkWait     = 5 * time.Second
 )
 
-// quantile is that of some values, in any order.
+// quantile returns the quantile p of values in any order.
 func quantile(values []float64, p float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -40,14 +40,14 @@
 	return all
 }
 
-// callers hold connections to a server.
-type callers struct {
+// healthCheckers are connections that send health checks to a server.
+type healthCheckers struct {
 	address string
 	conns   []net.Conn
 }
 
-// grow opens connections until there are so many.
-func (c *callers) grow(count int) error {
+// grow opens connections up to a number.
+func (c *healthCheckers) grow(count int) error {
 	for len(c.conns) < count {
 		conn, err := net.DialTimeout("tcp", c.address, talkWait)
 		if err != nil {
@@ -58,14 +58,14 @@
 	return nil
 }
 
-func (c *callers) close() {
+func (c *healthCheckers) close() {
 	for _, conn := range c.conns {
-		conn.Close()
+		_ = conn.Close()
 	}
 }
 
-// check sends health checks at a rate, each on the next connection, until stop is called.
-func (c *callers) check(rate float64) (stop func()) {
+// startChecks sends health checks at a rate a second, round robin over the connections, until stop is called.
+func (c *healthCheckers) startChecks(rate float64) (stop func()) {
 	quit := make(chan struct{})
 	var over sync.WaitGroup
 	for _, conn := range c.conns {
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("checker: %w", err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	var over sync.WaitGroup
 	defer over.Wait()
 	if during != nil {
@@ -143,7 +143,7 @@
 	for i := range int(rate * span.Seconds()) {
 		at := (float64(i) + chance.Float64()) / rate
 		load = append(load, harness.Arrival{
-			At: time.Duration(at * float64(time.Second)), Type: i % len(types), Work: directWork, Rank: 0.5,
+			At: time.Duration(at * float64(time.Second)), Route: i % len(types), Work: directWork, Rank: 0.5,
 		})
 	}
 	return load, types
@@ -151,7 +151,7 @@
 
 // runDirect sends a load straight to workers of its own and gives how long each request took.
 func runDirect(load []harness.Arrival) ([]time.Duration, error) {
-	workers, err := harness.NewWorkers(harness.Machine{Cores: machineCores, Speed: 1, KB: 4e6})
+	workers, err := harness.NewWorkers(harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6})
 	if err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("workers: %w", err)
 	}
-	defer link.Close()
+	defer func() { _ = link.Close() }()
 	sent := make([]time.Time, len(load))
 	took := make([]time.Duration, 0, len(load))
 	ended := make(chan error, 1)
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -42,13 +42,13 @@
 
 const (
 	reloads        = 5                // before the memory after reloads is read
-	reloadWait     = 20 * time.Second // for one reload
+	reloadTimeout  = 20 * time.Second // for one reload
 	tablesAtOnce   = 4
 	fewRoutes      = 2
 	checkerConns   = 200
 	directWork     = 10 * time.Millisecond // of each request
 	machineCores   = 8
-	settleWait     = 300 * time.Millisecond // after a start, for what it left behind to be collected
+	settleDelay    = 300 * time.Millisecond // after a start, for what it left behind to be collected
 	checkEach      = 2 * time.Millisecond
 	loadedRoutes   = 64
 	keyedEvery     = 8 // every eighth route may simply be repeated; see routeSettings
@@ -77,7 +77,7 @@
 	return all, nil
 }
 
-// span is how long a share of a core is looked at.
+// span returns the time over which a share of a core is measured.
 func (s *Slopes) span() time.Duration {
 	if s.Small {
 		return 400 * time.Millisecond
@@ -88,9 +88,9 @@
 // steps are the points of a series, in parts of the largest.
 var steps = []float64{0, 0.25, 0.5, 0.75, 1}
 
-// launch starts a daemon with tables of a size.
+// launch starts a daemon with so many routes and tenants.
 func (s *Slopes) launch(name string, routes, tenants int) (*harness.Daemon, error) {
-	machine := harness.Machine{Cores: machineCores, Speed: 1, KB: 4e6}
+	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
 	return harness.Launch(s.Daemon, nil, s.Folder, name, machine, "", func(listen, pool, members string) ([]byte, error) {
 		return Site(max(routes, fewRoutes), tenants, listen, pool, members)
 	})
@@ -153,10 +153,10 @@
 	defer func() { err = errors.Join(err, d.Stop()) }()
 	points = Points{}
 	points.Add(seriesStart+job.by, job.x, float64(time.Since(began).Microseconds())/1000)
-	if about, err := os.Stat(d.Path); err == nil {
+	if about, err := os.Stat(d.ConfigPath); err == nil {
 		points.Add(seriesFile+job.by, job.x, float64(about.Size())/1e6)
 	}
-	time.Sleep(settleWait)
+	time.Sleep(settleDelay)
 	idle, err := coreShare(d.PID(), s.span())
 	if err != nil {
 		return points, err
@@ -187,7 +187,7 @@
 	}
 	slices.Sort(took)
 	points.Add(seriesReloadSame+job.by, job.x, milliseconds(took[len(took)/2]))
-	if err := rewrite(d.Path, `"halt":"suspend"`, `"halt":"abort"`); err != nil {
+	if err := rewrite(d.ConfigPath, `"halt":"suspend"`, `"halt":"abort"`); err != nil {
 		return err
 	}
 	spent, err := reload(d)
@@ -224,12 +224,12 @@
 	if err := d.Signal(syscall.SIGHUP); err != nil {
 		return 0, err
 	}
-	for end := time.Now().Add(reloadWait); strings.Count(d.Log(), told) == seen; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(reloadTimeout); strings.Count(d.Log(), told) == seen; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			return 0, fmt.Errorf("no reload within %v", reloadWait)
+			return 0, fmt.Errorf("no reload within %v", reloadTimeout)
 		}
 	}
-	after, err := atRest(d.PID())
+	after, err := waitAtRest(d.PID())
 	return after - before, err
 }
 
@@ -239,9 +239,9 @@
 	restWait = 2 * time.Second
 )
 
-// atRest waits until a process does little, as once the collector behind a reload is done, and gives the processor time
+// waitAtRest waits until a process does little, as once the collector behind a reload is done, and gives the processor time
 // that it has used by then.
-func atRest(pid int) (time.Duration, error) {
+func waitAtRest(pid int) (time.Duration, error) {
 	last, err := CPU(pid)
 	for began := time.Now(); err == nil && time.Since(began) < restWait; {
 		time.Sleep(restLook)
@@ -269,144 +269,3 @@
 	points.Add(seriesCheckReload, job.x, quantile(over, 0.99))
 	return nil
 }
-
-// connections measures memory and idle time by connections that carry nothing.
-func (s *Slopes) connections(context.Context) (points Points, err error) {
-	d, err := s.launch("connections", fewRoutes, 0)
-	if err != nil {
-		return nil, err
-	}
-	defer func() { err = errors.Join(err, d.Stop()) }()
-	points = Points{}
-	callers := &callers{address: d.Address}
-	defer callers.close()
-	for _, step := range steps {
-		count := int(step * PlannedCallers)
-		if err := callers.grow(count); err != nil {
-			return points, err
-		}
-		time.Sleep(settleWait)
-		idle, err := coreShare(d.PID(), s.span())
-		if err != nil {
-			return points, err
-		}
-		resident, err := ResidentMB(d.PID())
-		if err != nil {
-			return points, err
-		}
-		points.Add(seriesConnectionsIdle, float64(count), idle)
-		points.Add(seriesConnectionsMB, float64(count), resident)
-	}
-	return points, nil
-}
-
-// bothSizes are the numbers of routes that loads are measured at.
-func (s *Slopes) bothSizes() []int {
-	if s.Small {
-		return []int{PlannedRoutes}
-	}
-	return []int{fewRoutes, PlannedRoutes}
-}
-
-// checks measures processor time by health checks a second, each on another connection.
-func (s *Slopes) checks(context.Context) (Points, error) {
-	points := Points{}
-	for _, routes := range s.bothSizes() {
-		err := s.loaded(routes, func(d *harness.Daemon) error {
-			callers := &callers{address: d.Address}
-			defer callers.close()
-			if err := callers.grow(checkerConns); err != nil {
-				return err
-			}
-			for _, rate := range []float64{0, 250, 500, 1000, 2000} {
-				stop := callers.check(rate)
-				share, err := coreShare(d.PID(), s.span())
-				stop()
-				if err != nil {
-					return err
-				}
-				points.Add(fmt.Sprintf(seriesChecks, routes), rate, share)
-			}
-			return nil
-		})
-		if err != nil {
-			return points, err
-		}
-	}
-	return points, nil
-}
-
-// loaded runs a measurement on a daemon with so many routes, and with as large a part of the planned tenants.
-func (s *Slopes) loaded(routes int, measure func(d *harness.Daemon) error) (err error) {
-	tenants := 0
-	if routes > fewRoutes {
-		tenants = PlannedTenants
-	}
-	d, err := s.launch(fmt.Sprintf("loaded%d", routes), routes, tenants)
-	if err != nil {
-		return err
-	}
-	defer func() { err = errors.Join(err, d.Stop()) }()
-	time.Sleep(settleWait)
-	return measure(d)
-}
-
-// requests measures processor time by requests a second, and what the daemon adds to a request: the same load goes
-// through it and straight to workers of the same kind, at the same time, three times over.
-func (s *Slopes) requests(context.Context) (Points, error) {
-	points := Points{}
-	rates := []float64{0, 60, 120, 180, PlannedRequests / PlannedServers, measuredRequests}
-	if s.Small {
-		rates = []float64{PlannedRequests / PlannedServers}
-	}
-	for _, routes := range s.bothSizes() {
-		series := fmt.Sprintf(seriesRequests, routes)
-		err := s.loaded(routes, func(d *harness.Daemon) error {
-			for again := range requestRepeats {
-				for i, rate := range rates {
-					if err := s.request(d, rate, routes, int64(len(rates)*again+i), series, points); err != nil {
-						return err
-					}
-				}
-			}
-			return nil
-		})
-		if err != nil {
-			return points, err
-		}
-	}
-	return points, nil
-}
-
-// request measures one rate.
-func (s *Slopes) request(d *harness.Daemon, rate float64, routes int, place int64, series string, points Points) error {
-	load, types := steadyLoad(rate, s.span(), routes, s.Seed+place)
-	var (
-		through                   harness.Result
-		direct                    []time.Duration
-		share                     float64
-		errRun, errDirect, errCPU error
-		group                     sync.WaitGroup
-	)
-	group.Go(func() { through, errRun = harness.Run(d.Address, types, load, 1) })
-	group.Go(func() { share, errCPU = coreShare(d.PID(), s.span()) })
-	if rate > 0 { // beside it, so that what else the machine does hits both
-		group.Go(func() { direct, errDirect = runDirect(load) })
-	}
-	group.Wait()
-	if err := errors.Join(errRun, errDirect, errCPU); err != nil {
-		return err
-	}
-	points.Add(series, rate, share)
-	if routes == fewRoutes || rate == 0 {
-		return nil
-	}
-	if through.Unanswered > 0 || through.Codes[honoured] < through.Tasks {
-		return fmt.Errorf("%.0f requests a second: %d of %d honoured", rate, through.Codes[honoured], through.Tasks)
-	}
-	straight, crossed := asMilliseconds(direct), asMilliseconds(through.Took)
-	points.Add(seriesDirectP99, rate, quantile(straight, 0.99))
-	points.Add(seriesAddedP50, rate, quantile(crossed, 0.5)-quantile(straight, 0.5))
-	points.Add(seriesAddedP99, rate, quantile(crossed, 0.99)-quantile(straight, 0.99))
-	return nil
-}
--- a/internal/testkit/soak/configuration.go
+++ b/internal/testkit/soak/platform_config.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// configuration is the platform's for one server of a run.
-func (p *Plan) configuration(name, listen, pool, members, index string) ([]byte, error) {
+// platformConfig returns the platform's configuration file for one server of a run.
+func (p *Plan) platformConfig(name, listen, pool, membership, dependency string) ([]byte, error) {
 	var services []map[string]any
-	calls, skips := make([]bool, len(p.Classes)), make([]float64, len(p.Classes))
+	calls, skips := make([]bool, len(p.Routes)), make([]float64, len(p.Routes))
 	below := "none"
-	if p.Calls() {
+	if p.HasCalls() {
 		below = "shared"
 	}
-	for i, c := range p.Classes {
+	for i, c := range p.Routes {
 		calls[i] = c.Calls
 		services = append(services, map[string]any{
 			"name": c.Name, "goal-time": c.Deadline.Microseconds(), "deadline": c.Deadline.Microseconds(), "gain": c.Value,
@@ -21,22 +21,22 @@
 		})
 	}
 	raw, err := json.Marshal(map[string]any{
-		"name": name, "listen": listen, "pool": pool, "members": members, "index": index,
+		"name": name, "listen": listen, "pool": pool, "members": membership, "index": dependency,
 		"seed": fmt.Sprintf("%x", p.Seed), "stop_ms": p.KillAfter().Milliseconds(),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": p.MemoryMB, "sockets": p.Sockets},
 		"settings": map[string]any{
 			"extra": map[string]any{
 				"advert": "threshold", "below": below, "calls-by-class": calls,
-				"calls-out": p.Shared.Survives / float64(p.Servers), "calls-over": p.Shared.Over.Microseconds(), "lingers": p.Shared.Linger.Microseconds(),
+				"calls-out": p.Dependency.Survives / float64(p.Servers), "calls-over": p.Dependency.Window.Microseconds(), "lingers": p.Dependency.Linger.Microseconds(),
 				"class-skip-worth": skips,
 				"cold":             p.Machine.ColdShare > 0, "cores": p.Machine.Cores, "halt": p.Machine.Halt, "idle": 15000000,
 				"gauges":          []string{"core_use", "on_cores", "heap_share", "links"},
-				"passes-deadline": true, "ram-kb": p.Machine.KB, "run-factor": runFactor, "key-kb": 0.1,
+				"passes-deadline": true, "ram-kb": p.Machine.MemoryKB, "run-factor": runFactor, "key-kb": 0.1,
 			},
 			"limits": map[string]any{"max-retry-after": 1000000, "retry-after": true},
 			"obligations": map[string]any{
 				"cold-share": p.Machine.ColdShare, "warm-up": p.Machine.WarmUp.Microseconds(),
-				"overload-factor": p.Endurance.RunsPerCore, "fall": p.Endurance.Over.Microseconds(),
+				"overload-factor": p.Endurance.RunsPerCore, "fall": p.Endurance.Window.Microseconds(),
 				"stop-sending-within": p.Grace.Microseconds(), "grace-to-answer": answerSlack.Microseconds(),
 			},
 			"servers": p.Servers, "services": services, "tenants": []any{}, "value-by": "request",
--- /dev/null
+++ b/internal/testkit/soak/runner.go
@@ -0,0 +1,348 @@
+package soak
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"quartzpoint/internal/testkit/faultnet"
+	"quartzpoint/internal/testkit/harness"
+)
+
+const (
+	restartDelay        = 150 * time.Millisecond // between two processes of a server
+	linkCutInterval     = 60 * time.Millisecond
+	reloadInterval      = 30 * time.Millisecond
+	garbageInterval     = 10 * time.Millisecond
+	idleConnectionsTime = 2 * time.Second
+	cpuWaitInterval     = 40 * time.Millisecond
+)
+
+// slot is one server of a run, whose process may be replaced.
+type slot struct {
+	number int
+
+	mu           sync.Mutex
+	daemon       *harness.Daemon
+	proxy        *faultnet.Proxy // between the process and its pool
+	incarnation  *Incarnation
+	incarnations int
+	replacing    sync.Mutex // held by the fault that pauses or replaces the process
+}
+
+// current returns the address and the incarnation of the running process; nil while there is none.
+func (s *slot) current() (address string, incarnation *Incarnation) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.incarnation == nil {
+		return "", nil
+	}
+	return s.daemon.Address, s.incarnation
+}
+
+// process returns the running process; nil while there is none.
+func (s *slot) process() (*harness.Daemon, *faultnet.Proxy, *Incarnation) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.incarnation == nil {
+		return nil, nil, nil
+	}
+	return s.daemon, s.proxy, s.incarnation
+}
+
+// runner carries out one plan.
+type runner struct {
+	program    string
+	folder     string
+	history    *History
+	plan       *Plan
+	slots      []*slot
+	dependency *harness.HTTPDependency
+}
+
+// Run carries out a plan and returns what was recorded, also with an error.
+func Run(ctx context.Context, program, folder string, plan Plan) (*History, error) {
+	h := &History{Plan: plan}
+	p := &runner{program: program, folder: folder, history: h, plan: &h.Plan}
+	var err error
+	if p.dependency, err = harness.NewHTTPDependency(plan.Dependency.Slots, plan.Dependency.ServiceTime, plan.Dependency.Linger, plan.Dependency.Survives, plan.Dependency.Window); err != nil {
+		return h, err
+	}
+	defer func() { _ = p.dependency.Close() }()
+	for number := range plan.Servers {
+		s := &slot{number: number}
+		p.slots = append(p.slots, s)
+		if err := p.start(s); err != nil {
+			return h, errors.Join(err, p.shutdownAll())
+		}
+	}
+	watched := make(chan struct{})
+	go h.recordTimerLateness(watched)
+	go p.recordCPUWaits(watched)
+	defer close(watched)
+
+	done := make(chan struct{})
+	var senders, faults sync.WaitGroup
+	for n := range plan.Servers * plan.Senders {
+		senders.Go(func() {
+			newSender(h, p.slots[n%plan.Servers], n+1, plan.Seed<<16+int64(n)).run(done)
+		})
+	}
+	failed := make([]error, len(plan.Faults))
+	begin := time.Now()
+	for n, fault := range plan.Faults {
+		faults.Go(func() {
+			if sleep(ctx, time.Until(begin.Add(fault.At))) {
+				failed[n] = p.inject(ctx, fault, rand.New(rand.NewSource(plan.Seed+int64(n)+1)))
+			}
+		})
+	}
+	sleep(ctx, plan.Span)
+	faults.Wait()
+	err = p.shutdownAll() // senders send until the end
+	close(done)
+	senders.Wait()
+	h.CallStrain, h.Calls = p.dependency.Strain()
+	return h, errors.Join(append(failed, err)...)
+}
+
+// recordCPUWaits records how long each process has waited for a core, until done is closed.
+func (p *runner) recordCPUWaits(done <-chan struct{}) {
+	ticker := time.NewTicker(cpuWaitInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-done:
+			return
+		case <-ticker.C:
+		}
+		for _, s := range p.slots {
+			daemon, _, incarnation := s.process()
+			if incarnation == nil {
+				continue
+			}
+			total, err := harness.CPUWaitTime(daemon.ProcessID())
+			if err != nil {
+				continue // it has ended
+			}
+			p.history.update(func() { incarnation.CPUWaits = append(incarnation.CPUWaits, CPUWait{time.Now(), total}) })
+		}
+	}
+}
+
+// sleep waits for a span, and reports whether the context lasted that long.
+func sleep(ctx context.Context, span time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(span):
+		return true
+	}
+}
+
+// start starts the next process of a slot, with a pool of its own.
+func (p *runner) start(s *slot) error {
+	var proxy *faultnet.Proxy
+	name := fmt.Sprintf("s%d-%d", s.number, s.incarnations)
+	daemon, err := harness.Launch(p.program, nil, p.folder, name, p.plan.Machine, "", func(listen, pool, membership string) ([]byte, error) {
+		var err error
+		if proxy, err = faultnet.New(pool); err != nil {
+			return nil, err
+		}
+		return p.plan.platformConfig(name, listen, proxy.Addr(), membership, p.dependency.Address)
+	})
+	if err != nil {
+		return err
+	}
+	calling := map[string]bool{}
+	for _, c := range p.plan.Routes {
+		calling[c.Name] = c.Calls
+	}
+	if p.plan.HasCalls() {
+		daemon.Workers.SetCallingHandlers(calling)
+	}
+	daemon.Workers.SetEndurance(p.plan.Endurance)
+	incarnation := &Incarnation{Server: s.number, Number: s.incarnations}
+	p.history.update(func() { p.history.Incarnations = append(p.history.Incarnations, incarnation) })
+	s.mu.Lock()
+	s.daemon, s.proxy, s.incarnation = daemon, proxy, incarnation
+	s.incarnations++
+	s.mu.Unlock()
+	return nil
+}
+
+// recordEnd records the end of a process and closes its worker pool, membership service and proxy.
+func (p *runner) recordEnd(s *slot, exit int, byKill bool) error {
+	daemon, proxy, incarnation := s.process()
+	s.mu.Lock()
+	s.incarnation = nil
+	s.mu.Unlock()
+	strain, runs, log := daemon.Workers.Strain(), daemon.Workers.RunStarts(), daemon.Log()
+	p.history.update(func() {
+		incarnation.EndedAt, incarnation.ExitCode, incarnation.KilledAfterTimeout = time.Now(), exit, byKill
+		incarnation.Strain, incarnation.Runs, incarnation.Log = strain, runs, log
+	})
+	return errors.Join(daemon.Stop(), proxy.Close())
+}
+
+// kill ends a process by SIGKILL, and its pool.
+func (p *runner) kill(s *slot) error {
+	daemon, _, incarnation := s.process()
+	p.history.update(func() { incarnation.KilledAt = time.Now() })
+	if err := daemon.Crash(); err != nil {
+		return err
+	}
+	return p.recordEnd(s, 0, true)
+}
+
+// shutdown shuts a process down gracefully, and kills it after Plan.KillAfter.
+func (p *runner) shutdown(s *slot) error {
+	daemon, _, incarnation := s.process()
+	p.history.update(func() { incarnation.NotifiedAt = time.Now() })
+	exit, killed, err := daemon.ShutdownWithin(p.plan.KillAfter())
+	if err != nil {
+		return err
+	}
+	return p.recordEnd(s, exit, killed)
+}
+
+// shutdownAll shuts all running processes down.
+func (p *runner) shutdownAll() error {
+	errs := make([]error, len(p.slots))
+	var running sync.WaitGroup
+	for n, s := range p.slots {
+		if _, _, incarnation := s.process(); incarnation == nil {
+			continue
+		}
+		running.Go(func() { errs[n] = p.shutdown(s) })
+	}
+	running.Wait()
+	return errors.Join(errs...)
+}
+
+// inject carries out a fault to its end. A fault of a server without a running process is skipped.
+func (p *runner) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
+	s := p.slots[f.Server]
+	daemon, proxy, incarnation := s.process()
+	if incarnation == nil {
+		return nil
+	}
+	until := time.Now().Add(f.Duration)
+	switch f.Kind {
+	case Hang:
+		daemon.Workers.SetHung(true)
+		sleep(ctx, f.Duration)
+		daemon.Workers.SetHung(false)
+	case Slow:
+		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed / f.Size })
+		sleep(ctx, f.Duration)
+		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed })
+	case CutLink:
+		for time.Now().Before(until) {
+			proxy.Cut()
+			proxy.Heal()
+			sleep(ctx, linkCutInterval)
+		}
+	case StallLink:
+		proxy.Stall(faultnet.Up)
+		sleep(ctx, f.Duration/4)
+		proxy.Cut()
+		proxy.Heal()
+	case PauseServer:
+		return p.pause(ctx, s, f.Duration)
+	case Kill:
+		return p.replace(ctx, s, p.kill)
+	case GracefulRestart:
+		return p.replace(ctx, s, p.shutdown)
+	case Reload:
+		for time.Now().Before(until) {
+			if daemon.Signal(syscall.SIGHUP) != nil {
+				return nil // it has ended meanwhile
+			}
+			sleep(ctx, reloadInterval)
+		}
+	case SlowCalls:
+		p.dependency.SetSlowFactor(f.Size)
+		sleep(ctx, f.Duration)
+		p.dependency.SetSlowFactor(1)
+	case UnresponsiveCalls:
+		p.dependency.SetUnresponsive(true)
+		sleep(ctx, f.Duration)
+		p.dependency.SetUnresponsive(false)
+	case IdleConnections:
+		openIdleConnections(ctx, daemon.Address, int(f.Size))
+	case Garbage:
+		for time.Now().Before(until) {
+			sendGarbage(daemon.Address, rng)
+			sleep(ctx, garbageInterval)
+		}
+	}
+	return nil
+}
+
+// pause stops a process for a span. Its pool continues.
+func (p *runner) pause(ctx context.Context, s *slot, span time.Duration) error {
+	if !s.replacing.TryLock() {
+		return nil
+	}
+	defer s.replacing.Unlock()
+	daemon, _, incarnation := s.process()
+	if incarnation == nil {
+		return nil
+	}
+	from := time.Now()
+	if err := daemon.Signal(syscall.SIGSTOP); err != nil {
+		return fmt.Errorf("stopping server %d: %w", s.number, err)
+	}
+	sleep(ctx, span)
+	err := daemon.Signal(syscall.SIGCONT)
+	p.history.update(func() { incarnation.Paused = append(incarnation.Paused, Span{from, time.Now()}) })
+	return err
+}
+
+// replace ends the process of a slot by end, and starts the next.
+func (p *runner) replace(ctx context.Context, s *slot, end func(*slot) error) error {
+	if !s.replacing.TryLock() {
+		return nil
+	}
+	defer s.replacing.Unlock()
+	if _, _, incarnation := s.process(); incarnation == nil {
+		return nil
+	}
+	if err := end(s); err != nil {
+		return err
+	}
+	sleep(ctx, restartDelay)
+	return p.start(s)
+}
+
+// openIdleConnections opens connections, sends nothing and closes them after idleConnectionsTime.
+func openIdleConnections(ctx context.Context, address string, count int) {
+	var open []net.Conn
+	for range count {
+		if c, err := net.DialTimeout("tcp", address, time.Second); err == nil {
+			open = append(open, c)
+		}
+	}
+	sleep(ctx, idleConnectionsTime)
+	for _, c := range open {
+		_ = c.Close()
+	}
+}
+
+// sendGarbage is one bad client. It sends no frame, a frame that is too long, a part of a request or an invalid request.
+func sendGarbage(address string, rng *rand.Rand) {
+	c, err := net.DialTimeout("tcp", address, time.Second)
+	if err != nil {
+		return
+	}
+	defer func() { _ = c.Close() }()
+	request := harness.Frame(harness.FrameRequest, 1, "body", "op", "class-0", "call", fmt.Sprintf("%016x", rng.Uint64()), "ttl", "-1")
+	messages := [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), {0xff, 0xff, 0xff, 0xff, 10}, request[:1+rng.Intn(len(request)-1)], request}
+	_, _ = c.Write(messages[rng.Intn(len(messages))])
+}
--- a/rulecheck/rules.go
+++ b/rulecheck/rules.go
@@ -1,11 +1,12 @@
-// Package rulecheck checks the four rules on what happened, emulated or on sockets, one event after the other:
+// Package rulecheck checks a run, emulated or on sockets, against the four rules, event by event:
 //
-//  1. every task read gets exactly one answer before its due time, unless its caller is gone;
-//  2. no effect twice: a task that has run is never dismissed, and one with an effect begins once;
-//  3. after the notice to leave nothing that arrives past the grace runs, and all read is answered before the stop;
-//  4. memory, the crowd on the cores and a dependency's load stay under what they survive.
+//  1. every request received gets exactly one answer before its deadline, unless its caller is gone;
+//  2. no effect happens twice: a request that has run is never rejected, and one with an effect starts once;
+//  3. after the notification of a shutdown no request that arrives after the grace runs, and every request received is
+//     answered before the stop;
+//  4. memory, the runs on the cores and the load of dependencies stay below what they survive.
 //
-// It keeps what is open and the effects that came about, does no I/O and reads no clock.
+// It stores the open attempts and the effects so far, does no I/O and reads no clock.
 package rulecheck
 
 import (
@@ -15,168 +16,182 @@
 	"time"
 )
 
-// Kind is what happened.
+// Kind is a kind of event.
 type Kind uint8
 
-// The kinds of events.
+// The kinds of events, with the fields that they use.
 const (
-	Read      Kind = iota + 1 // Try at Server, with Due and, where it has an effect, Effect
-	Started                   // Try began to run
-	Answered                  // Try, Dismissed or not
-	Gone                      // nobody waits for Try any more
-	Notice                    // Server is told to leave; Due is the end of its grace
-	Stopped                   // Server ended as told
-	Crashed                   // Server ended at once, with all it had
-	Memory                    // Server: Value is the share in use
-	Crowd                     // Server: Value is runs a core, against what it survives
-	CallsOpen                 // dependency Server: Value is its load over what it survives
+	Received         Kind = iota + 1 // Attempt at Server, with Deadline and, where it has one, Effect
+	Started                          // Attempt began to run
+	Answered                         // Attempt, Rejected or not
+	Abandoned                        // nobody waits for Attempt any more
+	ShutdownNotified                 // of Server; Deadline is the end of its grace
+	Stopped                          // Server ended its shutdown
+	Crashed                          // Server ended with all open attempts
+	Memory                           // of Server: Value is the share in use
+	RunsPerCore                      // of Server: Value is the number over what the server survives
+	CallsOpen                        // of dependency Server: Value is its load over what it survives
 )
 
-// Event is one thing that happened. Times are since the beginning of the run.
+// Event is one event of a run. Times are since the beginning of the run.
 type Event struct {
-	Kind      Kind
-	At        time.Duration
-	Server    int
-	Try       uint64 // one task at one server; the same at no other
-	Effect    uint64 // of a task that must not run twice: the same for all its tries
-	Due       time.Duration
-	Dismissed bool
-	Value     float64
+	Kind     Kind
+	At       time.Duration
+	Server   int
+	Attempt  uint64 // id of one request at one server
+	Effect   uint64 // id of an at-most-once request: the same for all its attempts; 0 for others
+	Deadline time.Duration
+	Rejected bool
+	Value    float64
 }
 
-// mostWords bounds the violations that are told; all are counted.
-const mostWords = 20
+// maxMessages is the number of violations with a message; all are counted.
+const maxMessages = 20
 
-type try struct {
-	server  int
-	due     time.Duration
-	arrived time.Duration
-	effect  uint64
-	started bool
-	gone    bool // nobody waits: what becomes of it is of no account, but for its effect
+type attempt struct {
+	server   int
+	deadline time.Duration
+	arrived  time.Duration
+	effect   uint64
+	started  bool
+	gone     bool // nobody waits for it; only its effect still counts
 }
 
-type leaving struct{ grace time.Duration }
+type shutdown struct{ grace time.Duration }
 
-// Checker takes events in their order.
+// Checker checks events in their order of time. It is used from one goroutine.
 type Checker struct {
-	slack   time.Duration // by which an answer may be seen late, on sockets
-	open    map[uint64]*try
-	begun   map[uint64]int // effects that have begun, and how often
-	leaving map[int]leaving
-	byRule  [5]int
-	words   []string
-	reads   int
-	answers int
+	slack        time.Duration // by which an answer may be seen late
+	open         map[uint64]*attempt
+	effectStarts map[uint64]int // by effect
+	shutdowns    map[int]shutdown
+	violations   [5]int
+	messages     []string
+	received     int
+	answers      int
 }
 
-// New makes a checker; slack is by how much moments may be off, nothing where time is simulated.
+// New returns a checker. slack is the error of the times of events: 0 in simulated time.
 func New(slack time.Duration) *Checker {
-	return &Checker{slack: slack, open: map[uint64]*try{}, begun: map[uint64]int{}, leaving: map[int]leaving{}}
+	return &Checker{slack: slack, open: map[uint64]*attempt{}, effectStarts: map[uint64]int{}, shutdowns: map[int]shutdown{}}
 }
 
-func (c *Checker) broke(rule int, at time.Duration, words string, of ...any) {
-	c.byRule[rule]++
-	if len(c.words) < mostWords {
-		c.words = append(c.words, fmt.Sprintf("rule %d at %v: ", rule, at)+fmt.Sprintf(words, of...))
+func (c *Checker) violate(rule int, at time.Duration, format string, args ...any) {
+	c.violations[rule]++
+	if len(c.messages) < maxMessages {
+		c.messages = append(c.messages, fmt.Sprintf("rule %d at %v: ", rule, at)+fmt.Sprintf(format, args...))
 	}
 }
 
-// Take takes one event.
-func (c *Checker) Take(e Event) {
+// Add checks one event.
+func (c *Checker) Add(e Event) {
 	switch e.Kind {
-	case Read:
-		c.reads++
-		if c.open[e.Try] != nil {
-			c.broke(1, e.At, "try %d read twice", e.Try)
+	case Received:
+		c.received++
+		if c.open[e.Attempt] != nil {
+			c.violate(1, e.At, "try %d read twice", e.Attempt)
 		}
-		c.open[e.Try] = &try{server: e.Server, due: e.Due, arrived: e.At, effect: e.Effect}
+		c.open[e.Attempt] = &attempt{server: e.Server, deadline: e.Deadline, arrived: e.At, effect: e.Effect}
 	case Started:
-		t := c.open[e.Try]
-		if t == nil {
-			c.broke(1, e.At, "try %d started and not open", e.Try)
-			return
-		}
-		if l, leaves := c.leaving[t.server]; leaves && t.arrived > l.grace {
-			c.broke(3, e.At, "try %d arrived past the grace and ran", e.Try)
-		}
-		if t.started = true; t.effect != 0 {
-			if c.begun[t.effect]++; c.begun[t.effect] > 1 {
-				c.broke(2, e.At, "effect %d began %d times", t.effect, c.begun[t.effect])
-			}
-		}
+		c.started(e)
 	case Answered:
-		t := c.open[e.Try]
-		if t == nil {
-			c.broke(1, e.At, "try %d answered and not open", e.Try)
-			return
-		}
-		if t.gone {
-			delete(c.open, e.Try)
-			return
-		}
-		c.answers++
-		if e.At > t.due+c.slack {
-			c.broke(1, e.At, "try %d answered %v late", e.Try, e.At-t.due)
-		}
-		if e.Dismissed && t.started {
-			c.broke(2, e.At, "try %d ran and was dismissed", e.Try)
-		}
-		delete(c.open, e.Try)
-	case Gone:
-		if t := c.open[e.Try]; t != nil {
-			t.gone = true
+		c.answered(e)
+	case Abandoned:
+		if a := c.open[e.Attempt]; a != nil {
+			a.gone = true
 		}
-	case Notice:
-		c.leaving[e.Server] = leaving{e.Due}
+	case ShutdownNotified:
+		c.shutdowns[e.Server] = shutdown{e.Deadline}
 	case Stopped, Crashed:
-		for _, id := range slices.Sorted(maps.Keys(c.open)) {
-			t := c.open[id]
-			if t.server != e.Server {
-				continue
-			}
-			if e.Kind == Stopped && !t.gone {
-				c.broke(3, e.At, "server %d stopped with try %d unanswered", e.Server, id)
-			}
-			delete(c.open, id)
-		}
-		delete(c.leaving, e.Server)
+		c.ended(e)
 	case Memory:
 		if e.Value > 1 {
-			c.broke(4, e.At, "server %d has %.2f of its memory in use", e.Server, e.Value)
+			c.violate(4, e.At, "server %d has %.2f of its memory in use", e.Server, e.Value)
 		}
-	case Crowd:
+	case RunsPerCore:
 		if e.Value > 1 {
-			c.broke(4, e.At, "server %d has %.2f of the crowd that it survives on its cores", e.Server, e.Value)
+			c.violate(4, e.At, "server %d has %.2f of the crowd that it survives on its cores", e.Server, e.Value)
 		}
 	case CallsOpen:
 		if e.Value > 1 {
-			c.broke(4, e.At, "dependency %d has %.2f of the load that it survives", e.Server, e.Value)
+			c.violate(4, e.At, "dependency %d has %.2f of the load that it survives", e.Server, e.Value)
+		}
+	}
+}
+
+// started checks that a run may start: rules 2 and 3.
+func (c *Checker) started(e Event) {
+	a := c.open[e.Attempt]
+	if a == nil {
+		c.violate(1, e.At, "try %d started and not open", e.Attempt)
+		return
+	}
+	if s, shuttingDown := c.shutdowns[a.server]; shuttingDown && a.arrived > s.grace {
+		c.violate(3, e.At, "try %d arrived past the grace and ran", e.Attempt)
+	}
+	if a.started = true; a.effect != 0 {
+		if c.effectStarts[a.effect]++; c.effectStarts[a.effect] > 1 {
+			c.violate(2, e.At, "effect %d began %d times", a.effect, c.effectStarts[a.effect])
+		}
+	}
+}
+
+// answered checks an answer: rules 1 and 2.
+func (c *Checker) answered(e Event) {
+	a := c.open[e.Attempt]
+	if a == nil {
+		c.violate(1, e.At, "try %d answered and not open", e.Attempt)
+		return
+	}
+	delete(c.open, e.Attempt)
+	if a.gone {
+		return
+	}
+	c.answers++
+	if e.At > a.deadline+c.slack {
+		c.violate(1, e.At, "try %d answered %v late", e.Attempt, e.At-a.deadline)
+	}
+	if e.Rejected && a.started {
+		c.violate(2, e.At, "try %d ran and was dismissed", e.Attempt)
+	}
+}
+
+// ended forgets a server. One that ended its shutdown must have answered everything: rule 3.
+func (c *Checker) ended(e Event) {
+	for _, id := range slices.Sorted(maps.Keys(c.open)) {
+		a := c.open[id]
+		if a.server != e.Server {
+			continue
+		}
+		if e.Kind == Stopped && !a.gone {
+			c.violate(3, e.At, "server %d stopped with try %d unanswered", e.Server, id)
 		}
+		delete(c.open, id)
 	}
+	delete(c.shutdowns, e.Server)
 }
 
-// End closes the run: what is open and due by then was never answered.
-func (c *Checker) End(at time.Duration) Report {
-	for _, t := range c.open { // each by itself
-		if t.due+c.slack < at && !t.gone {
-			c.byRule[1]++
+// Finish ends the run at a moment and returns the report. An attempt that is open after its deadline violates rule 1.
+func (c *Checker) Finish(at time.Duration) Report {
+	for _, t := range c.open { // in any order: they are only counted
+		if t.deadline+c.slack < at && !t.gone {
+			c.violations[1]++
 		}
 	}
-	return Report{Broken: c.byRule, Words: c.words, Reads: c.reads, Answers: c.answers}
+	return Report{Violations: c.violations, Messages: c.messages, Received: c.received, Answers: c.answers}
 }
 
-// Report is what the checker found.
+// Report is what a checker found. The JSON names are those of stored experiments.
 type Report struct {
-	Broken  [5]int // by rule; the first is not used
-	Words   []string
-	Reads   int
-	Answers int
+	Violations [5]int   `json:"Broken"` // by rule, from 1; the first element is not used
+	Messages   []string `json:"Words"`  // of the first maxMessages violations
+	Received   int      `json:"Reads"`
+	Answers    int      `json:"Answers"`
 }
 
-// Total is the number of violations.
+// Total returns the number of violations.
 func (r Report) Total() (n int) {
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		n += b
 	}
 	return n
--- a/scenario/drill_test.go
+++ b/scenario/drill_test.go
@@ -29,12 +29,12 @@
 			require.NoError(t, err)
 			assert.NotEmpty(t, d.Title)
 			began := time.Now()
-			r := d.Emulate(emulator.Own, 1)
+			r := d.Emulate(emulator.QuartzpointPolicy, 1)
 			t.Logf("%.3f of %d requests, dismissed %d, given up %d, left %d, tries %d, rules %v, %d events in %v",
-				r.Value/r.Offered, r.Requests, r.Dismissed, r.GivenUp, r.Left, r.Tries, r.Rules.Broken, r.Events, time.Since(began))
-			assert.Zero(t, r.Rules.Total(), strings.Join(r.Rules.Words, "\n"))
-			assert.Zero(t, r.Twice)
-			assert.Equal(t, r.Requests, r.Honoured+r.Dismissed+r.GivenUp+r.Left)
+				r.Goodput/r.OfferedValue, r.Requests, r.Rejected, r.Aborted, r.Unanswered, r.Attempts, r.Rules.Violations, r.Events, time.Since(began))
+			assert.Zero(t, r.Rules.Total(), strings.Join(r.Rules.Messages, "\n"))
+			assert.Zero(t, r.DuplicateAnswers)
+			assert.Equal(t, r.Requests, r.Served+r.Rejected+r.Aborted+r.Unanswered)
 		})
 	}
 }
@@ -63,7 +63,7 @@
 	_, err := Parse("x.drill", "servers 0\nload 1000000% for 1ms\nhabits best")
 	require.Error(t, err)
 	assert.Equal(t, 4, strings.Count(err.Error(), "x.drill:"), "all at once: %v", err)
-	_, err = Parse("x.drill", strings.Repeat("# ", mostText))
+	_, err = Parse("x.drill", strings.Repeat("# ", maxScriptSize))
 	assert.ErrorContains(t, err, "at most")
 }
 
@@ -74,12 +74,12 @@
 	d, err := Parse("retry-storm.drill", string(raw))
 	require.NoError(t, err)
 	last := func(name string) float64 { // of the ten seconds that begin 20 s after the cause has gone
-		make, err := baseline.ByName(name)
+		policy, err := baseline.PolicyByName(name)
 		require.NoError(t, err)
-		r := d.Emulate(make, 1)
+		r := d.Emulate(policy, 1)
 		offered, honoured := 0.0, 0.0
 		for _, s := range r.Seconds[38:48] {
-			offered, honoured = offered+s.Offered, honoured+s.Honoured
+			offered, honoured = offered+s.OfferedValue, honoured+s.Goodput
 		}
 		return honoured / offered
 	}
--- a/scenario/play.go
+++ b/scenario/play.go
@@ -9,136 +9,144 @@
 	"quartzpoint/emulator"
 )
 
-// Rate is the drill's load in tasks a second, for the whole fleet.
+// Rate returns the load of the whole fleet in requests a second.
 func (d *Drill) Rate() float64 {
-	return float64(d.Fleet.Servers) * emulator.Rate(d.Fleet.Routes, d.Fleet.Machine, d.Share)
+	return float64(d.Fleet.Servers) * emulator.Rate(d.Fleet.Routes, d.Fleet.Machine, d.Load)
 }
 
-// Over is by how much the load is more at a moment, by its bursts and its curve.
-func (d *Drill) Over(at time.Duration) float64 {
+// LoadFactor returns the factor of the load at a moment, from its bursts and its daily curve.
+func (d *Drill) LoadFactor(at time.Duration) float64 {
 	by := 1.0
-	if d.Curve { // a day in the drill's span, from a third at night
+	if d.DailyCurve { // one day over the drill's span, from a third at night
 		by = 0.667 - 0.333*math.Cos(2*math.Pi*float64(at)/float64(d.Span))
 	}
-	if d.Burst > 0 && d.Every > 0 && at%d.Every < time.Second && at >= d.Every {
-		by *= d.Burst
+	if d.BurstFactor > 0 && d.BurstInterval > 0 && at%d.BurstInterval < time.Second && at >= d.BurstInterval {
+		by *= d.BurstFactor
 	}
 	return by
 }
 
-// Arrivals draws the drill's load beforehand, for what plays it in real time: its bursts, its curve, and the incidents of
-// its load.
+// Arrivals draws the drill's load with its bursts, its daily curve and the incidents of its load, for a run in real time.
 func (d *Drill) Arrivals(seed int64) []emulator.Arrival {
-	most, over := 1.0, func(at time.Duration) float64 {
-		by := d.Over(at)
+	maxFactor, factor := 1.0, func(at time.Duration) float64 {
+		by := d.LoadFactor(at)
 		for _, i := range d.Incidents {
-			if i.Kind == "load" && at >= i.At && (i.For == 0 || at < i.At+i.For) {
-				by *= i.By
+			if i.Kind == ChangeLoad && at >= i.At && (i.Duration == 0 || at < i.At+i.Duration) {
+				by *= i.Factor
 			}
 		}
 		return by
 	}
 	for at := time.Duration(0); at < d.Span; at += 10 * time.Millisecond {
-		most = max(most, over(at))
+		maxFactor = max(maxFactor, factor(at))
 	}
 	thin := rand.New(rand.NewSource(seed ^ 0x7417))
-	return slices.DeleteFunc(emulator.Arrivals(d.Fleet.Routes, d.Rate()*most, d.Span, seed), func(a emulator.Arrival) bool {
-		return thin.Float64()*most >= over(a.At)
+	return slices.DeleteFunc(emulator.Arrivals(d.Fleet.Routes, d.Rate()*maxFactor, d.Span, seed), func(a emulator.Arrival) bool {
+		return thin.Float64()*maxFactor >= factor(a.At)
 	})
 }
 
-// EmulateLoad plays the drill with arrivals that were drawn.
-func (d *Drill) EmulateLoad(policy emulator.Maker, seed int64, load []emulator.Arrival) emulator.Result {
+// EmulateLoad runs the drill on an emulated fleet with given arrivals.
+func (d *Drill) EmulateLoad(policy emulator.PolicyMaker, seed int64, load []emulator.Arrival) emulator.Result {
 	w := d.world(policy, seed)
-	return w.Run(emulator.Load{All: load, Span: d.Span})
+	return w.Run(emulator.Load{Arrivals: load, Span: d.Span})
 }
 
-func (d *Drill) world(policy emulator.Maker, seed int64) *emulator.World {
+func (d *Drill) world(policy emulator.PolicyMaker, seed int64) *emulator.World {
 	fleet := d.Fleet
 	fleet.Policy = policy
 	w := emulator.New(fleet, seed)
 	for _, i := range d.Incidents {
-		w.At(i.At, func() { d.happen(w, i) })
+		w.At(i.At, func() { d.inject(w, i) })
 	}
 	return w
 }
 
-// Emulate plays the drill on an emulated fleet.
-func (d *Drill) Emulate(policy emulator.Maker, seed int64) emulator.Result {
-	return d.world(policy, seed).Run(emulator.Load{Rate: d.Rate(), Span: d.Span, Over: d.Over})
+// Emulate runs the drill on an emulated fleet with arrivals drawn from the seed.
+func (d *Drill) Emulate(policy emulator.PolicyMaker, seed int64) emulator.Result {
+	return d.world(policy, seed).Run(emulator.Load{Rate: d.Rate(), Span: d.Span, Factor: d.LoadFactor})
 }
 
-// servers are those that an incident means, drawn as it happens.
+// servers returns the servers of an incident, drawn when it begins.
 func servers(w *emulator.World, i Incident) []int {
 	switch {
 	case i.Server >= 0:
 		return []int{i.Server}
 	case i.Zone >= 0:
-		return w.Zone(i.Zone)
+		return w.ZoneServers(i.Zone)
 	}
-	return w.Drawn(i.Share)
+	return w.RandomServers(i.Share)
 }
 
-// happen has an incident begin, and sets its end.
-func (d *Drill) happen(w *emulator.World, i Incident) {
+// inject begins an incident and sets its end.
+func (d *Drill) inject(w *emulator.World, i Incident) {
 	end := func(do func()) {
-		if i.For > 0 {
-			w.At(i.At+i.For, do)
+		if i.Duration > 0 {
+			w.At(i.At+i.Duration, do)
 		}
 	}
 	switch i.Kind {
-	case "kill":
+	case KillServers:
 		numbers := servers(w, i)
 		w.Kill(numbers)
 		end(func() { w.Boot(numbers) })
-	case "restart":
-		w.Restart(servers(w, i), i.Within)
-	case "deploy":
-		w.Deploy(i.Span, i.Within)
-	case "pause":
-		w.Freeze(servers(w, i), i.For)
-	case "slow":
+	case RestartServers:
+		w.Restart(servers(w, i), i.ShutdownLimit)
+	case Deploy:
+		w.Deploy(i.Span, i.ShutdownLimit)
+	case PauseServers:
+		w.Freeze(servers(w, i), i.Duration)
+	case SlowPools:
 		numbers := servers(w, i)
-		w.Slow(numbers, i.By)
-		end(func() { w.Slow(numbers, 1) })
-	case "neighbours":
+		w.SetSlowFactor(numbers, i.Factor)
+		end(func() { w.SetSlowFactor(numbers, 1) })
+	case Neighbours:
 		numbers := servers(w, i)
-		w.Neighbours(numbers, i.By)
-		end(func() { w.Neighbours(numbers, 0) })
-	case "flap":
-		w.Cut(servers(w, i), i.For)
-	case "clock":
+		w.SetNeighbourShare(numbers, i.Factor)
+		end(func() { w.SetNeighbourShare(numbers, 0) })
+	case Disconnect:
+		w.Disconnect(servers(w, i), i.Duration)
+	case StepClock:
 		numbers := servers(w, i)
 		w.StepClock(numbers, i.Span)
 		end(func() { w.StepClock(numbers, -i.Span) })
-	case "load":
-		w.LoadBy(i.By)
-		end(func() { w.LoadBy(1) })
-	case "lists":
-		w.Lag(i.Span)
-		end(func() { w.Lag(d.Fleet.Lag) })
-	case "network":
-		w.Delay(i.By)
-		end(func() { w.Delay(1) })
-	case "loss":
-		w.Loss(i.By)
-		end(func() { w.Loss(0) })
-	case "habits":
-		before := w.HabitsNow()
-		w.Habits(i.Habits)
-		end(func() { w.Habits(before) })
-	case "clients":
-		before := w.ClientsNow()
-		w.Clients(i.Clients)
-		end(func() { w.Clients(before) })
-	case "stop":
-		w.Dependency(i.Name, 1, 0, true)
-		end(func() { w.Dependency(i.Name, 1, 0, false) })
-	case "drag":
-		w.Dependency(i.Name, i.By, 0, false)
-		end(func() { w.Dependency(i.Name, 1, 0, false) })
-	case "fail":
-		w.Dependency(i.Name, 1, i.By, false)
-		end(func() { w.Dependency(i.Name, 1, 0, false) })
+	default:
+		d.injectFleet(w, i, end)
+	}
+}
+
+// injectFleet begins an incident that is not of single servers. end sets its end.
+func (d *Drill) injectFleet(w *emulator.World, i Incident, end func(do func())) {
+	switch i.Kind {
+	case ChangeLoad:
+		w.SetLoadFactor(i.Factor)
+		end(func() { w.SetLoadFactor(1) })
+	case DelayEndpoints:
+		w.SetEndpointLag(i.Span)
+		end(func() { w.SetEndpointLag(d.Fleet.EndpointLag) })
+	case SlowNetwork:
+		w.SetDelayFactor(i.Factor)
+		end(func() { w.SetDelayFactor(1) })
+	case LosePackets:
+		w.SetLossRate(i.Factor)
+		end(func() { w.SetLossRate(0) })
+	case ChangeRouters:
+		before := w.RouterOptions()
+		w.SetRouterOptions(i.RouterOptions)
+		end(func() { w.SetRouterOptions(before) })
+	case ChangeClients:
+		before := w.CurrentClients()
+		w.SetClients(i.Clients)
+		end(func() { w.SetClients(before) })
+	case StopDependency:
+		w.SetDependency(i.Name, 1, 0, true)
+		end(func() { w.SetDependency(i.Name, 1, 0, false) })
+	case SlowDependency:
+		w.SetDependency(i.Name, i.Factor, 0, false)
+		end(func() { w.SetDependency(i.Name, 1, 0, false) })
+	case FailDependency:
+		w.SetDependency(i.Name, 1, i.Factor, false)
+		end(func() { w.SetDependency(i.Name, 1, 0, false) })
+	default: // of single servers
 	}
 }
