--- a/admission/peers.go
+++ b/admission/peers.go
@@ -7,7 +7,7 @@
 )
 
 // Estimates of other servers stand beside what was measured here and never in it: they are not passed on, own samples
-// outweigh them as they come, and from estimate.MaxUndatedAge on nothing of them is left. They say how long work takes; they never
+// outweigh them as they come, and from estimate.MaxAge on nothing of them is left. They say how long work takes; they never
 // move the in-flight limit, the capacity for calls or the shed level.
 
 const (
--- a/estimate/weight.go
+++ b/estimate/weight.go
@@ -35,10 +35,10 @@
 	maxWeight = 12.0
 )
 
-// MaxUndatedAge is the age from which on an estimate of a kind is not used.
+// MaxAge is the age from which on an estimate of a kind is not used.
 func MaxAge(kind Kind) time.Duration { return maxHalfLives * halfLives[kind] }
 
-// Weight is the number of own samples that an estimate stands for at its age; 0 from MaxUndatedAge on.
+// Weight is the number of own samples that an estimate stands for at its age; 0 from MaxAge on.
 func (e Estimate) Weight(kind Kind) float64 {
 	if !e.Known() || e.Age >= MaxAge(kind) {
 		return 0
