--- a/Makefile
+++ b/Makefile
@@ -49,6 +49,12 @@
 	@for p in $(DECIDES); do \
 		bad=$$(go list -f '{{join .Imports "\n"}}' $$p | grep -xE 'net|net/.*|os|os/.*|syscall|log|log/slog'); \
 		if [ -n "$$bad" ]; then echo "$$p decides and imports $$bad" >&2; exit 1; fi; done
+	@bad=$$(go list -f '{{$$p := .ImportPath}}{{range .Imports}}{{$$p}} imports {{.}}{{"\n"}}{{end}}' \
+		$$(go list ./... | grep -vE '^quartzpoint/(internal/testkit|cmd/quartzpoint-bench)(/|$$)') | grep ' imports quartzpoint/internal/testkit'); \
+		if [ -n "$$bad" ]; then echo "test tools in programs: $$bad" >&2; exit 1; fi
+	@bad=$$(go list -f '{{$$p := .ImportPath}}{{range .Imports}}{{$$p}} imports {{.}}{{"\n"}}{{end}}' ./internal/... | \
+		grep -E ' imports quartzpoint(/middleware(/.*)?)?$$'); \
+		if [ -n "$$bad" ]; then echo "internal packages that import the library: $$bad" >&2; exit 1; fi
 
 # Real processes under faults drawn from seeds, held against the four rules: by hand, and shorter in CI.
 soak: build
