--- /dev/null
+++ b/cmd/quartzpoint-bench/library_frontends.go
@@ -0,0 +1,170 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"sync"
+	"text/tabwriter"
+
+	"quartzpoint/cmd/quartzpoint-bench/fronts"
+	"quartzpoint/internal/testkit/conformance"
+)
+
+const (
+	// concurrentSeeds is the number of seeds that run at once. More would make the front ends' own work delay each other.
+	concurrentSeeds = 5
+	// maxDifferencePercent is the objective for frontEndsResult.maxDifference, in percent.
+	maxDifferencePercent = 1
+)
+
+// frontEnd is a way to reach the admission decisions.
+type frontEnd struct {
+	name        string
+	carriesKeys bool // it carries idempotency keys
+	// start starts an instance. The name is unique among the instances.
+	start func(name string) (conformance.Front, error)
+}
+
+// frontEndsResult is how alike the front ends decide.
+type frontEndsResult struct {
+	maxDifference float64 // requests with another outcome than at the reference front end, as a share of all; the maximum
+	missed        error   // the missed objectives, nil for none
+}
+
+// frontEndTotals sums the counts of all seeds, by index of the front end, then of the case.
+type frontEndTotals [][]conformance.Counts
+
+// compareFrontEnds runs the conformance cases at all front ends and prints a table of their outcomes.
+func (m *measureLibrary) compareFrontEnds() (result frontEndsResult, err error) {
+	folder, err := os.MkdirTemp("", "quartzpoint-bench")
+	if err != nil {
+		return result, fmt.Errorf("create a folder for the daemons: %w", err)
+	}
+	defer func() { _ = os.RemoveAll(folder) }()
+	frontEnds := []frontEnd{
+		{"daemon", false, func(name string) (conformance.Front, error) { return conformance.NewDaemon(m.Daemon, folder, name) }},
+		{"library", true, func(string) (conformance.Front, error) { return fronts.NewLibrary() }},
+		{"net/http", true, func(string) (conformance.Front, error) { return fronts.NewHTTP() }},
+		{"gin", true, func(string) (conformance.Front, error) { return fronts.NewGin() }},
+	}
+	totals, err := m.runConformance(frontEnds)
+	if err != nil {
+		return result, err
+	}
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+	wrong := printOutcomes(table, frontEnds, totals)
+	result.maxDifference = totals.maxDifference()
+	if result.maxDifference > maxDifferencePercent/100. {
+		wrong = append(wrong, fmt.Errorf("counts differ by %.2f%%, %d%% is aimed at", 100*result.maxDifference, maxDifferencePercent))
+	}
+	result.missed = errors.Join(wrong...)
+	return result, table.Flush()
+}
+
+// runConformance runs all cases of all seeds, each at its own instance of each front end.
+func (m *measureLibrary) runConformance(frontEnds []frontEnd) (frontEndTotals, error) {
+	totals := make(frontEndTotals, len(frontEnds))
+	for f := range totals {
+		totals[f] = make([]conformance.Counts, len(conformance.Cases(0)))
+	}
+	var mu sync.Mutex // guards totals and failures
+	var failures []error
+	for firstSeed := 0; firstSeed < m.Seeds; firstSeed += concurrentSeeds {
+		var running sync.WaitGroup
+		for seed := firstSeed; seed < min(firstSeed+concurrentSeeds, m.Seeds); seed++ {
+			for f, front := range frontEnds {
+				for i, c := range conformance.Cases(int64(seed)) {
+					if c.NeedsKeys && !front.carriesKeys {
+						continue
+					}
+					running.Add(1)
+					go func() {
+						defer running.Done()
+						counts, err := runCase(front, fmt.Sprintf("f%d-%d-%d", f, seed, i), c)
+						mu.Lock()
+						defer mu.Unlock()
+						failures = append(failures, err)
+						addCounts(&totals[f][i], counts)
+					}()
+				}
+			}
+		}
+		running.Wait()
+	}
+	return totals, errors.Join(failures...)
+}
+
+// runCase runs a case at an instance of its own.
+func runCase(front frontEnd, instance string, c conformance.Case) (counts conformance.Counts, err error) {
+	f, err := front.start(instance)
+	if err != nil {
+		return counts, fmt.Errorf("start %s: %w", front.name, err)
+	}
+	defer f.Close()
+	return conformance.Run(f, c)
+}
+
+func addCounts(total *conformance.Counts, counts conformance.Counts) {
+	total.Requests += counts.Requests
+	for outcome := range counts.Outcomes {
+		total.Outcomes[outcome] += counts.Outcomes[outcome]
+	}
+	total.LateAnswers += counts.LateAnswers
+	total.RepeatedEffects += counts.RepeatedEffects
+	total.Runs += counts.Runs
+}
+
+// printOutcomes prints a row for each case, "-" where a front end did not run it. It returns an error for each cell with
+// requests that were unanswered, answered late or run twice.
+func printOutcomes(table io.Writer, frontEnds []frontEnd, totals frontEndTotals) (wrong []error) {
+	fmt.Fprint(table, "honoured / dismissed / given up / left")
+	for _, front := range frontEnds {
+		fmt.Fprintf(table, "\t%s", front.name)
+	}
+	fmt.Fprintln(table, "\t")
+	for i, c := range conformance.Cases(0) {
+		fmt.Fprintf(table, "%s", c.Name)
+		for f, front := range frontEnds {
+			n := totals[f][i]
+			if n.Requests == 0 {
+				fmt.Fprint(table, "\t-")
+				continue
+			}
+			fmt.Fprintf(table, "\t%d/%d/%d/%d", n.Outcomes[conformance.Served], n.Outcomes[conformance.Rejected],
+				n.Outcomes[conformance.Aborted], n.Outcomes[conformance.Canceled])
+			unanswered := n.Outcomes[conformance.Unanswered]
+			if unanswered+n.LateAnswers+n.RepeatedEffects > 0 {
+				wrong = append(wrong, fmt.Errorf("%s, %s: %d missing, %d late, %d run twice", front.name, c.Name, unanswered, n.LateAnswers, n.RepeatedEffects))
+			}
+		}
+		fmt.Fprintln(table, "\t")
+	}
+	return wrong
+}
+
+// maxDifference compares each front end with the first; a case that the first did not run is compared with the second, which
+// runs all. It returns the maximum over the front ends of the requests with another outcome, as a share of all requests.
+func (t frontEndTotals) maxDifference() (maximum float64) {
+	requests, differences := 0, make([]int, len(t))
+	for i := range t[0] {
+		reference := t[0][i]
+		if reference.Requests == 0 {
+			reference = t[1][i]
+		}
+		requests += t[1][i].Requests
+		for f := range t {
+			if t[f][i].Requests == 0 {
+				continue
+			}
+			for outcome, count := range t[f][i].Outcomes {
+				differences[f] += max(count-reference.Outcomes[outcome], 0)
+			}
+		}
+	}
+	for _, differing := range differences {
+		maximum = max(maximum, float64(differing)/float64(requests))
+	}
+	return maximum
+}
