--- a/admission/doc.go
+++ b/admission/doc.go
@@ -10,7 +10,7 @@
 //	limit.go         how many requests run at once: the in-flight limit of docs/design.md
 //	admit.go         whether the first queued request may start: limit, concurrency, memory, reads
 //	queue.go         the queue by deadline; arrival, cancellation and expiry
-//	shed.go          which queued requests are rejected because they can't be served in time, and what each is worth
+//	shed.go          which queued requests are rejected because they can't be served in time, and the value of each
 //	shedlevel.go     the level that asks callers to send less
 //	reject.go        rejecting, aborting and stopping; how long a caller is asked to stay away
 //	calls.go         when a call to the shared dependency is made, and for how long it is waited for
--- a/admission/idle.go
+++ b/admission/idle.go
@@ -47,7 +47,7 @@
 }
 
 // share is the share of requests whose router had come within the idle timeout, and whether enough were read to tell. Before
-// that the share that peers told stands in.
+// that the share that peers estimated stands in.
 func (r *connectionReuse) share(now time.Duration) (share float64, known bool) {
 	sums := r.requests.sum(now)
 	read, returned := sums[0], sums[1]
--- a/admission/peers.go
+++ b/admission/peers.go
@@ -14,7 +14,7 @@
 	scalePriorRuns = 2.0 // runs that "servers are as fast here as there" counts for
 	minPeerScale   = 0.5
 	maxPeerScale   = 8.0
-	overrunFactor  = 2.0 // times what a peer told from which on an unfinished run counts as a sample
+	overrunFactor  = 2.0 // times the peers' estimate from which on an unfinished run counts as a sample
 )
 
 // peerEstimate is an estimate of other servers.
@@ -36,35 +36,35 @@
 // peerScale sets the estimates of peers against the machine that they are used on.
 type peerScale struct {
 	present bool    // some estimate has a weight
-	scale   float64 // own times over those that peers told
+	scale   float64 // own times over the peers' estimates
 }
 
-// agePeerEstimates reweighs all estimates of peers by their age at a moment. Where own runs took longer than peers told, of whatever route, all that
-// they told is taken for as much longer.
+// agePeerEstimates reweighs all estimates of peers by their age at a moment. Where own runs took longer than the peers' estimates, of
+// whatever route, all their estimates are taken for as much longer.
 func (c *Controller) agePeerEstimates(now time.Duration) {
 	if !c.peers.present {
 		return
 	}
 	c.peers.present = false
-	took, told := 0.0, 0.0
+	measured, estimated := 0.0, 0.0
 	for _, route := range c.Routes {
 		if route.peerCoreSeconds.reweigh(now) {
 			c.peers.present = true
 			prior := scalePriorRuns / float64(len(c.Routes)) * route.peerCoreSeconds.estimate.Mean
-			took += route.coreSample.mean*route.coreSample.count + prior
-			told += route.peerCoreSeconds.estimate.Mean*route.coreSample.count + prior
+			measured += route.coreSample.mean*route.coreSample.count + prior
+			estimated += route.peerCoreSeconds.estimate.Mean*route.coreSample.count + prior
 		}
 	}
 	for _, request := range c.active {
 		spent := request.coreTime.Seconds() * c.speed()
 		if peer := &request.Route.peerCoreSeconds; peer.weight > 0 && spent > overrunFactor*peer.estimate.Mean {
-			took += spent
-			told += peer.estimate.Mean
+			measured += spent
+			estimated += peer.estimate.Mean
 		}
 	}
 	c.peers.scale = 1.0
-	if told > 0 {
-		c.peers.scale = min(max(took/told, minPeerScale), maxPeerScale)
+	if estimated > 0 {
+		c.peers.scale = min(max(measured/estimated, minPeerScale), maxPeerScale)
 	}
 	for _, peer := range []*peerEstimate{&c.work.peerHintRatio, &c.calls.peerSeconds, &c.connections.peerReturnRatio} {
 		c.peers.present = peer.reweigh(now) || c.peers.present
@@ -78,11 +78,11 @@
 	if peer.weight == 0 {
 		return own.mean, priorRuns
 	}
-	told, samples := peer.estimate.Mean*c.peers.scale/c.speed(), max(own.count, 1)
+	estimated, samples := peer.estimate.Mean*c.peers.scale/c.speed(), max(own.count, 1)
 	if own.mean == 0 {
 		samples = 0
 	}
-	return (own.mean*samples + told*peer.weight) / (samples + peer.weight), priorRuns + peer.weight*peer.weight/(own.count+peer.weight)
+	return (own.mean*samples + estimated*peer.weight) / (samples + peer.weight), priorRuns + peer.weight*peer.weight/(own.count+peer.weight)
 }
 
 // EstimateSchema says which snapshots this server can use: those of servers with the same settings digest. dynamic says
--- a/admission/request.go
+++ b/admission/request.go
@@ -45,7 +45,7 @@
 	awaitingCall           // its run waits until its call may be made
 	calling                // its call is in progress
 	awaitingOriginal       // a duplicate that waits for the answer of its original
-	stopping               // answered, and its run told to stop
+	stopping               // answered, and its run is being stopped
 )
 
 // holdsRun is whether a run of the request takes part of the machine.
--- a/admission/round.go
+++ b/admission/round.go
@@ -77,10 +77,10 @@
 	Call(request *Request, timeout time.Duration)
 	// SkipCall has the request's run go on without its call.
 	SkipCall(request *Request)
-	// SetHealth is what health checks are told from here on; fromStore says that a deep check is told it too, without asking the
+	// SetHealth is how health checks are answered from here on; fromStore says that a deep check is answered so too, without asking the
 	// workers.
 	SetHealth(healthy, fromStore bool)
-	// SetShedLevel is what routers are told with each answer from here on, in the format of the settings.
+	// SetShedLevel is what each answer carries from here on, in the format of the settings.
 	SetShedLevel(level float64)
 	// CloseIdleAfter closes connections that have carried nothing for so long.
 	CloseIdleAfter(idle time.Duration)
--- a/admission/route.go
+++ b/admission/route.go
@@ -12,7 +12,7 @@
 	AtMostOnce                    // must not be run again once it may have run
 )
 
-// Route is a kind of request: what it is owed and worth, as stated, and what was measured of it.
+// Route is a kind of request: its targets and value, as stated, and what was measured of it.
 type Route struct {
 	Name            string
 	Value           float64       // of an answer within the latency target
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -24,7 +24,7 @@
 
 	Preemption      Preemption
 	ShedLevelFormat ShedLevelFormat
-	RetryAfter      bool          // a rejected caller is told how long to stay away
+	RetryAfter      bool          // rejects carry how long the caller should stay away
 	MaxRetryAfter   time.Duration // the longest time that callers heed
 
 	CallQuota  float64       // calls in progress, on the mean over CallWindow, that the dependency survives of this server
@@ -92,7 +92,7 @@
 
 // The formats of the shed level.
 const (
-	ShedLevelNone      ShedLevelFormat = iota // routers are told none
+	ShedLevelNone      ShedLevelFormat = iota // answers carry none
 	ShedLevelThreshold                        // the rank below which routers send nothing
 	ShedLevelShare                            // the share of requests that routers do not send elsewhere
 )
--- a/admission/shedlevel.go
+++ b/admission/shedlevel.go
@@ -17,13 +17,13 @@
 	smallSample       = 4.0  // samples that are believed by half
 	shedWindow        = time.Second
 	shedWindowParts   = 10
-	shedLevelDecimals = 100 // callers are told hundredths
+	shedLevelDecimals = 100 // answers carry hundredths
 )
 
 // shedLevel is the level and what moves it.
 type shedLevel struct {
 	level      float64 // from 0 to maxShedLevel
-	advertised float64 // the value that callers were told last, in the format of the settings
+	advertised float64 // the value that answers carry, in the format of the settings
 	work       *slidingSums
 	unread     *slidingSums
 }
