--- a/cmd/quartzpoint/stored_test.go
+++ b/cmd/quartzpoint/stored_test.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"bytes"
 	"encoding/binary"
 	"fmt"
+	"hash/crc32"
 	"net"
 	"os"
 	"path/filepath"
@@ -18,7 +20,7 @@
 )
 
 // The folders below testdata were written by the program of f1daac1, killed while it served; state-torn has lost the last
-// five bytes of its log. The machine that wrote them is another, so their windows count in full, whenever the test runs.
+// five bytes of its log.
 
 // storedFolder is a folder of testdata, copied to where it may be changed.
 func storedFolder(t *testing.T, name string) string {
@@ -28,6 +30,46 @@
 	return to
 }
 
+// storedState is a state directory of testdata as another machine would have written it: there windows count in full,
+// whenever the test runs. On the recording machine they run out an hour after the recording, as long as it is not booted anew.
+func storedState(t *testing.T, name string) string {
+	t.Helper()
+	dir := storedFolder(t, name)
+	files, err := filepath.Glob(filepath.Join(dir, "*"))
+	require.NoError(t, err)
+	require.NotEmpty(t, files)
+	for _, file := range files {
+		raw, err := os.ReadFile(file)
+		require.NoError(t, err)
+		moveToAnotherMachine(t, raw)
+		require.NoError(t, os.WriteFile(file, raw, 0o600))
+	}
+	return dir
+}
+
+// moveToAnotherMachine changes the boot and the machine in a state file's header, the first frame: 2 bytes of magic, and, as
+// little-endian integers, the length of the payload, its checksum and a sequence number of 0; then the payload. The checksum
+// is over the id that other frames have (0 here), the sequence number and the length as well.
+func moveToAnotherMachine(t *testing.T, raw []byte) {
+	t.Helper()
+	const frameHead = 18
+	size := binary.LittleEndian.Uint32(raw[2:])
+	payload := raw[frameHead : frameHead+int(size)]
+	checksum := func() uint32 {
+		covered := make([]byte, 16)
+		covered = binary.LittleEndian.AppendUint32(covered, size)
+		return crc32.Checksum(append(covered, payload...), crc32.MakeTable(crc32.Castagnoli))
+	}
+	require.Equal(t, binary.LittleEndian.Uint32(raw[6:]), checksum(), "the format is as it was")
+	boot := bytes.Index(payload, []byte("1e938500-a2e7-4dc6-a0dc-9e7d376168c3"))
+	require.Positive(t, boot)
+	copy(payload[boot:], "00000000")
+	machine := bytes.Index(payload, binary.BigEndian.AppendUint64(nil, 6822207236119524394))
+	require.Positive(t, machine)
+	payload[machine] ^= 1
+	binary.LittleEndian.PutUint32(raw[6:], checksum())
+}
+
 // launchStored starts the program with the settings that the recorded one had.
 func launchStored(t *testing.T, own string) *harness.Daemon {
 	t.Helper()
@@ -82,7 +124,7 @@
 func TestGoesOnFromAStoredState(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
 		t.Run(name, func(t *testing.T) {
-			d := launchStored(t, fmt.Sprintf("[state]\ndir = %q\nsite = \"here\"\nnumbers = true\n", storedFolder(t, name)))
+			d := launchStored(t, fmt.Sprintf("[state]\ndir = %q\nsite = \"here\"\nnumbers = true\n", storedState(t, name)))
 			known, unknown := 6, 2
 			if name == "state-torn" { // the beginning of the last request is not in it
 				known, unknown = 5, 1
