--- a/internal/server/reconfigure.go
+++ b/internal/server/reconfigure.go
@@ -10,7 +10,7 @@
 // Reconfigure applies the settings that may change in service, on the event loop; next are all settings, with those changed.
 // The next round is decided by them. Requests that were admitted stay admitted, and are answered once.
 func (s *Server) Reconfigure(next *settings.Settings) {
-	adjusted := s.settings.Compare(next).Adjusted
+	adjusted := s.settings.Adjusted(next)
 	s.settings = s.settings.WithAdjustable(next)
 	now := s.settings.Adjustable()
 	s.controller.Reconfigure(now.Preemption, now.ShedLevelFormat)
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -37,9 +37,10 @@
 	Fixed []string
 }
 
-// Compare says how next differs.
-func (s *Settings) Compare(next *Settings) Change {
-	change := Change{Adjusted: map[string]any{}}
+// Adjusted says which adjustable settings of next differ, as Change.Adjusted. Unlike Compare it costs no more where there are
+// many tenants, so the event loop may call it.
+func (s *Settings) Adjusted(next *Settings) map[string]any {
+	adjusted := map[string]any{}
 	for key := range adjustableKeys {
 		before, was := s.adjustable[key]
 		after, is := next.adjustable[key]
@@ -47,11 +48,17 @@
 			continue
 		}
 		name := key[strings.LastIndexByte(key, '.')+1:]
-		change.Adjusted[name] = nil
+		adjusted[name] = nil
 		if is {
-			change.Adjusted[name] = after
+			adjusted[name] = after
 		}
 	}
+	return adjusted
+}
+
+// Compare says how next differs.
+func (s *Settings) Compare(next *Settings) Change {
+	change := Change{Adjusted: s.Adjusted(next)}
 	keys := map[string]bool{}
 	for key := range s.stated {
 		keys[key] = true
