--- a/choice/calls.go
+++ b/admission/calls.go
@@ -1,4 +1,4 @@
-package choice
+package admission
 
 // When and for how long calls go to the shared dependency: within the server's share of what it survives.
 
--- a/choice/choice.go
+++ b/admission/choice.go
@@ -1,4 +1,4 @@
-package choice
+package admission
 
 // One Choice decides for one app server. The program calls New with the terms it was started under and
 // a seed, then Decide once a round with all that came in; decisions go into the Writer in their order.
--- a/choice/lent.go
+++ b/admission/lent.go
@@ -1,14 +1,14 @@
-package choice
+package admission
 
 // What becomes of knowledge that is borrowed. It stands beside what was seen here and never in it: it is not
-// handed on, own samples outweigh it as they come, and once it is old (knowledge.OldAt) nothing of it is
+// handed on, own samples outweigh it as they come, and once it is old (estimate.OldAt) nothing of it is
 // left, so that the server decides as a cold one does. It never moves the limit, the room for calls or the
 // level: it tells how long work takes, not how much to let in. view.go takes it in and hands it out.
 
 import (
 	"time"
 
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
 )
 
 const (
@@ -20,8 +20,8 @@
 
 // lent is an estimate that another server told.
 type lent struct {
-	told   knowledge.Estimate
-	kind   knowledge.Kind
+	told   estimate.Estimate
+	kind   estimate.Kind
 	at     time.Duration // when it was borrowed
 	weight float64       // in own samples, as it stood at the last alarm
 }
--- a/choice/limit.go
+++ b/admission/limit.go
@@ -1,4 +1,4 @@
-package choice
+package admission
 
 // How many requests run at once: the in-flight limit of docs/design.md, and the room that memory and cores leave.
 
--- a/choice/ring.go
+++ b/admission/ring.go
@@ -1,10 +1,10 @@
-package choice
+package admission
 
 import (
 	"math"
 	"time"
 
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
 )
 
 // ring sums up to four quantities in buckets of time that are used again once they are too old.
@@ -78,11 +78,11 @@
 	s.when += (float64(now) - s.when) / s.count
 }
 
-func (s *sight) tell(now time.Duration) knowledge.Estimate {
+func (s *sight) tell(now time.Duration) estimate.Estimate {
 	if s.count == 0 {
-		return knowledge.Estimate{}
+		return estimate.Estimate{}
 	}
-	return knowledge.Estimate{
+	return estimate.Estimate{
 		Mean: s.mean, Spread: math.Sqrt(max(s.variance, 0)), Samples: s.count,
 		Age: max(now-time.Duration(s.when), 0),
 	}
--- a/choice/shed.go
+++ b/admission/shed.go
@@ -1,4 +1,4 @@
-package choice
+package admission
 
 // Which requests are refused or given up, and what they are worth beside each other.
 
--- a/choice/table.go
+++ b/admission/table.go
@@ -1,4 +1,4 @@
-package choice
+package admission
 
 import (
 	"cmp"
--- a/choice/task.go
+++ b/admission/task.go
@@ -1,5 +1,5 @@
-// Package choice decides, for one app server, what becomes of each task that reaches it.
-package choice
+// Package admission decides, for one app server, what becomes of each task that reaches it.
+package admission
 
 import "time"
 
--- a/choice/view.go
+++ b/admission/view.go
@@ -1,9 +1,9 @@
-package choice
+package admission
 
 import (
 	"time"
 
-	"quartzpoint/knowledge"
+	"quartzpoint/estimate"
 )
 
 // sightSpan is the number of runs that what is handed out looks back on: enough for a mean, and gone soon
@@ -11,8 +11,8 @@
 const sightSpan = 32
 
 // Frame tells which views this server can use; moving says that its routes come and go.
-func (c *Choice) Frame(origin uint64, moving bool) knowledge.Frame {
-	f := knowledge.Frame{Terms: knowledge.Digest(c.terms, moving), Origin: origin, Moving: moving}
+func (c *Choice) Frame(origin uint64, moving bool) estimate.Frame {
+	f := estimate.Frame{Terms: estimate.Digest(c.terms, moving), Origin: origin, Moving: moving}
 	for _, t := range c.Routes {
 		f.Types = append(f.Types, t.Name)
 		f.Outer = append(f.Outer, t.OuterLimit)
@@ -21,37 +21,37 @@
 }
 
 // Learned is what this server has seen itself up to a moment. Core times are told as on a warm server.
-func (c *Choice) Learned(now time.Duration, f knowledge.Frame) knowledge.View {
-	v := knowledge.View{Origin: f.Origin, Terms: f.Terms}
+func (c *Choice) Learned(now time.Duration, f estimate.Frame) estimate.View {
+	v := estimate.View{Origin: f.Origin, Terms: f.Terms}
 	v.Pace, v.Calls = c.paceSeen.tell(now), c.callSeen.tell(now)
 	for _, t := range c.Routes {
-		v.Types = append(v.Types, knowledge.TypeView{
+		v.Types = append(v.Types, estimate.TypeView{
 			Name: t.Name, Core: t.coreSeen.tell(now), Run: t.runSeen.tell(now),
 		})
 	}
 	if calls := c.called.sum(now); calls[0]+calls[2] > 0 {
 		all := calls[0] + calls[2]
-		v.Refused = knowledge.Estimate{Mean: calls[2] / all, Samples: all, Age: time.Second}
+		v.Refused = estimate.Estimate{Mean: calls[2] / all, Samples: all, Age: time.Second}
 	}
 	if came := c.known.sum(now); came[0] > 0 {
-		v.Returns = knowledge.Estimate{Mean: came[1] / came[0], Samples: came[0], Age: customerSpan / 2}
+		v.Returns = estimate.Estimate{Mean: came[1] / came[0], Samples: came[0], Age: customerSpan / 2}
 	}
 	return v
 }
 
 // Borrow takes in what others have learned, in the place of what was borrowed before. The view must have
 // passed Frame.Fit for this server; its routes are known by their names, as some may have come or gone since.
-func (c *Choice) Borrow(now time.Duration, v knowledge.View) {
-	told := make(map[string]knowledge.Estimate, len(v.Types))
+func (c *Choice) Borrow(now time.Duration, v estimate.View) {
+	told := make(map[string]estimate.Estimate, len(v.Types))
 	for _, t := range v.Types {
 		told[t.Name] = t.Core
 	}
 	for _, t := range c.Routes {
-		t.lent = lent{told: told[t.Name], kind: knowledge.CoreTime, at: now}
+		t.lent = lent{told: told[t.Name], kind: estimate.CoreTime, at: now}
 	}
-	c.lentPace = lent{told: v.Pace, kind: knowledge.Pace, at: now}
-	c.lentCalls = lent{told: v.Calls, kind: knowledge.CallTime, at: now}
-	c.lentReturns = lent{told: v.Returns, kind: knowledge.Returning, at: now}
+	c.lentPace = lent{told: v.Pace, kind: estimate.Pace, at: now}
+	c.lentCalls = lent{told: v.Calls, kind: estimate.CallTime, at: now}
+	c.lentReturns = lent{told: v.Returns, kind: estimate.Returning, at: now}
 	c.borrowed = true
 	c.weighLent(now)
 }
--- a/baseline/aimd.go
+++ b/baseline/aimd.go
@@ -5,7 +5,7 @@
 	"math/rand"
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/emulator"
 )
 
@@ -36,7 +36,7 @@
 	a.event = a.event || a.short > 2*a.long
 }
 
-func (a *aimd) gauges(now time.Duration, g choice.Gauges) {
+func (a *aimd) gauges(now time.Duration, g admission.Gauges) {
 	a.event = a.event || g.CPU > 0.9 || g.Memory > 0.75
 	if now < a.calibrated+calibration {
 		return
--- a/baseline/base.go
+++ b/baseline/base.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/emulator"
 )
 
@@ -30,7 +30,7 @@
 	// sample takes a run that ended, with how many were running.
 	sample(now, took time.Duration, running int, failed bool)
 	// gauges takes readings, once a tick.
-	gauges(now time.Duration, g choice.Gauges)
+	gauges(now time.Duration, g admission.Gauges)
 }
 
 // plain is a limiter that does nothing; others hold it for what they leave as it is.
@@ -39,7 +39,7 @@
 func (plain) take(time.Duration) bool                        { return true }
 func (plain) drop(_, _ time.Duration) bool                   { return false }
 func (plain) sample(time.Duration, time.Duration, int, bool) {}
-func (plain) gauges(time.Duration, choice.Gauges)            {}
+func (plain) gauges(time.Duration, admission.Gauges)         {}
 
 type state int
 
@@ -51,7 +51,7 @@
 )
 
 type kept struct {
-	task  *choice.Task
+	task  *admission.Task
 	state state
 	since time.Duration
 	due   time.Duration
@@ -61,7 +61,7 @@
 type server struct {
 	limiter
 	line    []*kept // held, in order
-	tasks   map[*choice.Task]*kept
+	tasks   map[*admission.Task]*kept
 	active  []*kept // begun, in order
 	began   bool
 	stopAt  time.Duration
@@ -69,18 +69,18 @@
 }
 
 func maker(make func(m emulator.Machine, types []emulator.Type, rng *rand.Rand) limiter) emulator.Maker {
-	return func(types []emulator.Type, m emulator.Machine, _ float64, seed int64) (emulator.Policy, []*choice.Route) {
-		var kinds []*choice.Route
+	return func(types []emulator.Type, m emulator.Machine, _ float64, seed int64) (emulator.Policy, []*admission.Route) {
+		var kinds []*admission.Route
 		for _, t := range types {
-			kind := &choice.Route{
+			kind := &admission.Route{
 				Importance: t.Importance, ContractTime: t.Contract, OuterLimit: t.Outer, Calls: t.Calls != "", SkipShare: t.Skips,
 			}
 			if t.Once {
-				kind.Repeats = choice.AtMostOnce
+				kind.Repeats = admission.AtMostOnce
 			}
 			kinds = append(kinds, kind)
 		}
-		return &server{limiter: make(m, types, rand.New(rand.NewSource(seed))), tasks: map[*choice.Task]*kept{}}, kinds
+		return &server{limiter: make(m, types, rand.New(rand.NewSource(seed))), tasks: map[*admission.Task]*kept{}}, kinds
 	}
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Decide implements emulator.Policy.
-func (s *server) Decide(r *choice.Round, w choice.Writer) {
+func (s *server) Decide(r *admission.Round, w admission.Writer) {
 	if !s.began {
 		s.began = true
 		w.Health(true, true)
@@ -133,7 +133,7 @@
 	}
 	for _, e := range r.Ended {
 		if k := s.tasks[e.Task]; k != nil {
-			s.sample(r.Now, e.Took, len(s.active), e.Outcome != choice.Done)
+			s.sample(r.Now, e.Took, len(s.active), e.Outcome != admission.Done)
 			s.remove(k)
 		}
 	}
@@ -163,7 +163,7 @@
 	}
 }
 
-func (s *server) arrived(t *choice.Task, now time.Duration, w choice.Writer) {
+func (s *server) arrived(t *admission.Task, now time.Duration, w admission.Writer) {
 	k := &kept{task: t, since: now, due: t.Due - early}
 	s.tasks[t] = k
 	s.line = append(s.line, k)
@@ -173,7 +173,7 @@
 	}
 }
 
-func (s *server) dismiss(k *kept, w choice.Writer) {
+func (s *server) dismiss(k *kept, w admission.Writer) {
 	s.remove(k)
 	w.Dismiss(k.task, 0, false)
 }
@@ -189,7 +189,7 @@
 }
 
 // expire answers what is late, or would be past the stop.
-func (s *server) expire(now time.Duration, w choice.Writer) {
+func (s *server) expire(now time.Duration, w admission.Writer) {
 	late := func(k *kept) bool { return now >= k.due || s.stopAt > 0 && now >= s.stopAt-early }
 	for _, k := range slices.Clone(s.line) {
 		if late(k) {
@@ -203,17 +203,17 @@
 	}
 }
 
-func (s *server) giveUp(k *kept, w choice.Writer) {
+func (s *server) giveUp(k *kept, w admission.Writer) {
 	k.state = stopping
 	w.GiveUp(k.task)
 	w.Pause(k.task)
 }
 
-func (s *server) returned(e choice.Ending, w choice.Writer) {
+func (s *server) returned(e admission.Ending, w admission.Writer) {
 	k := s.tasks[e.Task]
 	switch {
 	case k == nil || k.state != calling:
-	case e.Outcome == choice.Done:
+	case e.Outcome == admission.Done:
 		k.state = running
 	case k.task.Type.SkipShare > 0:
 		k.state = running
--- a/cmd/adapter/instance.go
+++ b/cmd/adapter/instance.go
@@ -4,14 +4,14 @@
 	"math"
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/internal/settings"
 	"quartzpoint/internal/wire"
 )
 
 // entry is what the door remembers of a task.
 type entry struct {
-	task     *choice.Task
+	task     *admission.Task
 	answered bool
 	active   bool // a run is on, so an end will still come
 }
@@ -19,12 +19,12 @@
 // instance is one app server: its module, the ids of its tasks, and the writer of its decisions.
 type instance struct {
 	who      uint16
-	module   *choice.Choice
+	module   *admission.Choice
 	settings *settings.Settings
 	tasks    map[uint64]*entry
-	ids      map[*choice.Task]uint64
-	round    choice.Round
-	reading  choice.Gauges
+	ids      map[*admission.Task]uint64
+	round    admission.Round
+	reading  admission.Gauges
 	touched  bool
 	reply    *wire.Reply
 }
@@ -36,16 +36,16 @@
 	}
 	return &instance{
 		who:      who,
-		module:   choice.New(told.Values, int64(seed)),
+		module:   admission.New(told.Values, int64(seed)),
 		settings: told,
 		tasks:    map[uint64]*entry{},
-		ids:      map[*choice.Task]uint64{},
+		ids:      map[*admission.Task]uint64{},
 		reply:    reply,
 	}, nil
 }
 
 // settle drops what no later event can concern.
-func (in *instance) settle(t *choice.Task) {
+func (in *instance) settle(t *admission.Task) {
 	id, known := in.ids[t]
 	if !known {
 		return
@@ -56,13 +56,13 @@
 	}
 }
 
-func (in *instance) act(code uint8, t *choice.Task) wire.Action {
+func (in *instance) act(code uint8, t *admission.Task) wire.Action {
 	a := in.reply.Add(code, in.who)
 	a.U64(3, in.ids[t])
 	return a
 }
 
-func (in *instance) answered(t *choice.Task) {
+func (in *instance) answered(t *admission.Task) {
 	if e := in.tasks[in.ids[t]]; e != nil {
 		e.answered = true
 		in.settle(t)
@@ -75,39 +75,39 @@
 	return uint32(min(max(us, 0), math.MaxUint32))
 }
 
-// Start implements choice.Writer, as do the methods below it.
-func (in *instance) Start(t *choice.Task) {
+// Start implements admission.Writer, as do the methods below it.
+func (in *instance) Start(t *admission.Task) {
 	in.tasks[in.ids[t]].active = true
 	in.act(wire.Launch, t)
 }
 
-func (in *instance) Pause(t *choice.Task) { in.act(wire.Preempt, t) }
+func (in *instance) Pause(t *admission.Task) { in.act(wire.Preempt, t) }
 
-func (in *instance) Dismiss(t *choice.Task, comeBack time.Duration, nowhereElse bool) {
+func (in *instance) Dismiss(t *admission.Task, comeBack time.Duration, nowhereElse bool) {
 	a := in.act(wire.Shed, t)
 	a.U32(11, micros(comeBack))
 	a.Bool(15, nowhereElse)
 	in.answered(t)
 }
 
-func (in *instance) GiveUp(t *choice.Task) {
+func (in *instance) GiveUp(t *admission.Task) {
 	in.act(wire.Fail, t)
 	in.answered(t)
 }
 
-func (in *instance) AnswerFromFirst(t *choice.Task) { in.act(wire.Echo, t) }
+func (in *instance) AnswerFromFirst(t *admission.Task) { in.act(wire.Echo, t) }
 
-func (in *instance) Remember(t *choice.Task, span time.Duration) {
+func (in *instance) Remember(t *admission.Task, span time.Duration) {
 	in.act(wire.Keep, t).U32(11, micros(span))
 }
 
-func (in *instance) Forget(t *choice.Task) { in.act(wire.Unpin, t) }
+func (in *instance) Forget(t *admission.Task) { in.act(wire.Unpin, t) }
 
-func (in *instance) Call(t *choice.Task, patience time.Duration) {
+func (in *instance) Call(t *admission.Task, patience time.Duration) {
 	in.act(wire.Call, t).U32(11, micros(patience))
 }
 
-func (in *instance) SkipCall(t *choice.Task) { in.act(wire.GoOn, t) }
+func (in *instance) SkipCall(t *admission.Task) { in.act(wire.GoOn, t) }
 
 func (in *instance) Health(good, fromStore bool) {
 	a := in.reply.Add(wire.Status, in.who)
--- a/cmd/quartzconfig/main.go
+++ b/cmd/quartzconfig/main.go
@@ -12,7 +12,7 @@
 
 	"quartzpoint/internal/config"
 	"quartzpoint/internal/configwatch"
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/peersync"
 )
 
 // The exit codes.
@@ -40,12 +40,12 @@
 }
 
 // read reads the file and the keys that it names.
-func (s *service) read() (*config.Service, exchange.Keys, error) {
+func (s *service) read() (*config.Service, peersync.Keys, error) {
 	stated, err := config.ReadService(s.Config)
 	if err != nil || stated.KeyFile == "" {
 		return stated, nil, err
 	}
-	keys, err := exchange.ReadKeys(stated.KeyFile)
+	keys, err := peersync.ReadKeys(stated.KeyFile)
 	return stated, keys, err
 }
 
--- a/cmd/qplab/configuration.go
+++ b/cmd/quartzpoint-bench/configuration.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"text/tabwriter"
 
-	"quartzpoint/internal/scale"
+	"quartzpoint/internal/testkit/scale"
 )
 
 // watchers is the process that holds hollow watchers.
--- a/cmd/qplab/experiment.go
+++ b/cmd/quartzpoint-bench/experiment.go
@@ -12,7 +12,7 @@
 	tea "github.com/charmbracelet/bubbletea"
 	"github.com/mattn/go-isatty"
 
-	"quartzpoint/internal/lab"
+	"quartzpoint/internal/testkit/experiment"
 )
 
 // experimenting is the command that runs an experiment.
@@ -23,19 +23,19 @@
 
 // Run makes what is not there yet, and writes the report.
 func (cmd *experimenting) Run() error {
-	e, err := lab.Read(cmd.File)
+	e, err := experiment.Read(cmd.File)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer cancel()
 	folder := filepath.Join(cmd.Results, e.Name)
-	var runs []lab.Run
+	var runs []experiment.Run
 	if isatty.IsTerminal(os.Stdout.Fd()) {
 		runs, err = watched(ctx, cancel, e, folder)
 	} else {
 		last := time.Now()
-		runs, err = e.Play(ctx, folder, func(r lab.Run, kept bool, n, of int) {
+		runs, err = e.Play(ctx, folder, func(r experiment.Run, kept bool, n, of int) {
 			if now := time.Now(); now.Sub(last) > 2*time.Second || n == of {
 				last = now
 				fmt.Printf("%d of %d: %s, %s, seed %d: %.3f\n", n, of, r.Drill, r.Policy, r.Seed, r.Share())
@@ -49,7 +49,7 @@
 		return err
 	}
 	fmt.Println("report:", filepath.Join(folder, "report.html"))
-	return lab.Overall(os.Stdout, lab.Cells(runs))
+	return experiment.Overall(os.Stdout, experiment.Cells(runs))
 }
 
 // progress is the terminal's picture of an experiment that runs.
@@ -63,7 +63,7 @@
 }
 
 type doneRun struct {
-	run   lab.Run
+	run   experiment.Run
 	kept  bool
 	n, of int
 }
@@ -110,12 +110,12 @@
 }
 
 // watched plays the experiment behind the terminal's picture.
-func watched(ctx context.Context, cancel context.CancelFunc, e *lab.Experiment, folder string) (runs []lab.Run, err error) {
+func watched(ctx context.Context, cancel context.CancelFunc, e *experiment.Experiment, folder string) (runs []experiment.Run, err error) {
 	screen := tea.NewProgram(progress{title: e.Title, began: time.Now(), cancel: cancel})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		runs, err = e.Play(ctx, folder, func(r lab.Run, kept bool, n, of int) { screen.Send(doneRun{r, kept, n, of}) })
+		runs, err = e.Play(ctx, folder, func(r experiment.Run, kept bool, n, of int) { screen.Send(doneRun{r, kept, n, of}) })
 		screen.Send(over{})
 	}()
 	if _, failed := screen.Run(); failed != nil {
--- a/cmd/qplab/main.go
+++ b/cmd/quartzpoint-bench/main.go
@@ -1,4 +1,4 @@
-// Command qplab is where the product is measured and rehearsed: it plays what stands round real daemons and
+// Command quartzpoint-bench is where the product is measured and rehearsed: it plays what stands round real daemons and
 // tells how they fare. It is no part of the daemon and may be heavy.
 package main
 
@@ -36,10 +36,10 @@
 }
 
 func main() {
-	asked := kong.Parse(&command{}, kong.Name("qplab"), kong.UsageOnError(),
+	asked := kong.Parse(&command{}, kong.Name("quartzpoint-bench"), kong.UsageOnError(),
 		kong.Description("Measurements and rehearsals of quartzpoint, on loopback. Exit codes: 0 done; 1 failed or short of an aim; 80 wrong usage."))
 	if err := asked.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "qplab:", err)
+		fmt.Fprintln(os.Stderr, "quartzpoint-bench:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/qplab/scale.go
+++ b/cmd/quartzpoint-bench/scale.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"quartzpoint/internal/scale"
+	"quartzpoint/internal/testkit/scale"
 )
 
 // hollow is the process that holds a part of a hollow fleet.
--- a/cmd/qplab/soak.go
+++ b/cmd/quartzpoint-bench/soak.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"quartzpoint/internal/soak"
+	"quartzpoint/internal/testkit/soak"
 )
 
 // errSoak is a soak in which rules were broken, or runs failed.
--- a/cmd/qplab/workers.go
+++ b/cmd/quartzpoint-bench/workers.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"quartzpoint/drill"
-	"quartzpoint/internal/rig"
+	"quartzpoint/internal/testkit/harness"
+	"quartzpoint/scenario"
 )
 
 // emulating is the command that plays, in real time, what stands round real daemons.
@@ -35,24 +35,24 @@
 	}
 	defer members.Close()
 	go reports(members)
-	var pools []*rig.Workers
+	var pools []*harness.Workers
 	defer func() {
 		for _, p := range pools {
 			p.Close()
 		}
 	}()
 	for n := range d.Fleet.Servers {
-		p, err := rig.NewWorkers(d.Fleet.Machine)
+		p, err := harness.NewWorkers(d.Fleet.Machine)
 		if err != nil {
 			return err
 		}
 		pools = append(pools, p)
-		listen, err := rig.FreeAddress()
+		listen, err := harness.FreeAddress()
 		if err != nil {
 			return err
 		}
 		name := fmt.Sprintf("%s-%d", d.Name, n)
-		raw, err := rig.Configuration(name, listen, p.Address, members.LocalAddr().String(), d.Fleet.Types, d.Fleet.Machine)
+		raw, err := harness.Configuration(name, listen, p.Address, members.LocalAddr().String(), d.Fleet.Types, d.Fleet.Machine)
 		if err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 	}
 	began := time.Now()
 	for _, dep := range d.Fleet.Dependencies {
-		one, err := rig.NewDependency(dep.Slots, dep.Mean, dep.Spread, 1, moodOf(d, dep.Name))
+		one, err := harness.NewDependency(dep.Slots, dep.Mean, dep.Spread, 1, moodOf(d, dep.Name))
 		if err != nil {
 			return err
 		}
@@ -96,8 +96,8 @@
 const failEach = 100 * time.Millisecond
 
 // moodOf is how a dependency does by the incidents of a drill.
-func moodOf(d *drill.Drill, name string) rig.Script {
-	return func(at time.Duration) (m rig.Mood) {
+func moodOf(d *scenario.Drill, name string) harness.Script {
+	return func(at time.Duration) (m harness.Mood) {
 		for _, i := range d.Incidents {
 			if i.Name != name || at < i.At || i.For > 0 && at >= i.At+i.For {
 				continue
@@ -116,9 +116,9 @@
 }
 
 // poolIncident has an incident of pools come about, and says so.
-func poolIncident(pools []*rig.Workers, d *drill.Drill, i drill.Incident) string {
+func poolIncident(pools []*harness.Workers, d *scenario.Drill, i scenario.Incident) string {
 	full := d.Fleet.Machine
-	change := func(to, back func(m *rig.Machine)) string {
+	change := func(to, back func(m *harness.Machine)) string {
 		numbers := meant(d, i, rand.New(rand.NewSource(int64(i.At))))
 		for _, n := range numbers {
 			pools[n].Change(to)
@@ -132,14 +132,14 @@
 		}
 		return strings.TrimSpace(fmt.Sprintln(i.Kind, "of pools", numbers))
 	}
-	whole := func(m *rig.Machine) { m.Speed, m.Cores = full.Speed, full.Cores }
+	whole := func(m *harness.Machine) { m.Speed, m.Cores = full.Speed, full.Cores }
 	switch i.Kind {
 	case "slow":
-		return change(func(m *rig.Machine) { m.Speed = full.Speed / i.By }, whole)
+		return change(func(m *harness.Machine) { m.Speed = full.Speed / i.By }, whole)
 	case "neighbours":
-		return change(func(m *rig.Machine) { m.Cores = full.Cores * (1 - i.By) }, whole)
+		return change(func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.By) }, whole)
 	case "pause":
-		return change(func(m *rig.Machine) { m.Speed = 1e-9 }, whole)
+		return change(func(m *harness.Machine) { m.Speed = 1e-9 }, whole)
 	}
 	return ""
 }
--- a/cmd/quartzpoint/check.go
+++ b/cmd/quartzpoint/check.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"quartzpoint/internal/config"
-	"quartzpoint/internal/exchange"
-	"quartzpoint/internal/folder"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/peersync"
 )
 
 // checking is the command that reads what serving would be told.
@@ -43,7 +43,7 @@
 			faults = append(faults, stateFault(ours.State.Dir))
 		}
 		if err == nil && ours.Peers != nil && ours.Peers.KeyFile != "" {
-			_, err := exchange.ReadKeys(ours.Peers.KeyFile)
+			_, err := peersync.ReadKeys(ours.Peers.KeyFile)
 			faults = append(faults, err)
 		}
 	}
@@ -60,7 +60,7 @@
 // stateFault is what a folder of state could not be opened for. One that is not there yet is made at the start, in a folder
 // that is.
 func stateFault(dir string) error {
-	in, err := folder.OpenDisk(dir, true)
+	in, err := datadir.OpenDisk(dir, true)
 	if err == nil {
 		return in.Close()
 	}
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -7,12 +7,12 @@
 	"os"
 	"time"
 
-	"quartzpoint/choice"
+	"quartzpoint/admission"
 	"quartzpoint/configuration"
+	"quartzpoint/internal/adminsocket"
 	"quartzpoint/internal/config"
 	"quartzpoint/internal/configwatch"
-	"quartzpoint/internal/control"
-	"quartzpoint/internal/folder"
+	"quartzpoint/internal/datadir"
 	"quartzpoint/internal/server"
 	"quartzpoint/internal/settings"
 	"quartzpoint/internal/store"
@@ -31,7 +31,7 @@
 	disk   *store.Configurations // nil where nothing is kept
 
 	// The tables that the platform's configuration stated, until those of the service take their place for good.
-	baseRoutes  map[string]choice.Route
+	baseRoutes  map[string]admission.Route
 	baseTenants map[string]float64
 }
 
@@ -77,7 +77,7 @@
 
 // open reads what was kept, and has it in force before the start.
 func (k *tableKeeper) open(dir string, log *slog.Logger) (*configuration.Document, error) {
-	disk, err := folder.OpenDisk(dir, false)
+	disk, err := datadir.OpenDisk(dir, false)
 	if err != nil {
 		return nil, fmt.Errorf("configuration.dir: %w", err)
 	}
@@ -167,7 +167,7 @@
 // Run asks once.
 func (cmd *configurationShow) Run() error {
 	var standing configwatch.Standing
-	if err := control.Ask(cmd.Socket, control.Question{Ask: askConfiguration}, &standing); err != nil {
+	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askConfiguration}, &standing); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/control.go
+++ b/cmd/quartzpoint/control.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
-	"quartzpoint/internal/compose"
+	"quartzpoint/internal/adminsocket"
 	"quartzpoint/internal/configwatch"
-	"quartzpoint/internal/control"
+	"quartzpoint/internal/fanout"
 	"quartzpoint/internal/leasing"
 	"quartzpoint/internal/server"
 )
@@ -25,7 +25,7 @@
 // operatorAnswers are what operators may ask a running server about. What the server does not have is nil.
 type operatorAnswers struct {
 	owner    *server.Server
-	composer *compose.Composer
+	composer *fanout.Composer
 	keeper   *leasing.Keeper
 	watcher  *configwatch.Watcher
 }
@@ -35,7 +35,7 @@
 	if path == "" {
 		return nil
 	}
-	socket, err := control.Listen(path, a.answer)
+	socket, err := adminsocket.Listen(path, a.answer)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (a operatorAnswers) answer(q control.Question) (any, error) {
+func (a operatorAnswers) answer(q adminsocket.Question) (any, error) {
 	switch {
 	case q.Ask == askLease && a.keeper != nil:
 		return a.keeper.Holdings(), nil
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -11,17 +11,17 @@
 	"time"
 
 	"quartzpoint/budget"
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/compose"
+	"quartzpoint/internal/adminsocket"
 	"quartzpoint/internal/config"
-	"quartzpoint/internal/control"
+	"quartzpoint/internal/fanout"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/server"
 )
 
 // composing starts what makes requests of calls, nil where nothing is stated. It ends with the context.
 func composing(
-	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *check.Counts, log *slog.Logger,
-) (*compose.Composer, error) {
+	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counts, log *slog.Logger,
+) (*fanout.Composer, error) {
 	if len(ours.Types) == 0 {
 		return nil, nil
 	}
@@ -29,18 +29,18 @@
 	if err != nil {
 		return nil, err
 	}
-	var dependencies []compose.Dependency
+	var dependencies []fanout.Dependency
 	for _, d := range ours.Dependencies {
-		dependencies = append(dependencies, compose.Dependency(d))
+		dependencies = append(dependencies, fanout.Dependency(d))
 	}
-	composer := compose.New(ctx, dependencies, types, memory, seed, owner.Now, counts, log, owner.Nudge)
+	composer := fanout.New(ctx, dependencies, types, memory, seed, owner.Now, counts, log, owner.Nudge)
 	owner.Compose(composer)
 	log.Info("tasks made of calls", "types", len(types), "dependencies", len(dependencies))
 	return composer, nil
 }
 
 // plans are the types' plans, checked against the time that the platform's configuration gives a task of each.
-func plans(ours *config.Config, whole map[string]time.Duration) (types []compose.Type, err error) {
+func plans(ours *config.Config, whole map[string]time.Duration) (types []fanout.Type, err error) {
 	var faults []error
 	for _, t := range ours.Types {
 		plan := t.Plan()
@@ -52,9 +52,9 @@
 		if err := plan.Check(len(ours.Dependencies), time); err != nil {
 			faults = append(faults, fmt.Errorf("types.%s: %w", t.Name, err))
 		}
-		made := compose.Type{Plan: plan}
+		made := fanout.Type{Plan: plan}
 		for _, c := range t.Calls {
-			made.Calls = append(made.Calls, compose.Call{Op: c.Op, Keep: c.Keep, Default: c.Default})
+			made.Calls = append(made.Calls, fanout.Call{Op: c.Op, Keep: c.Keep, Default: c.Default})
 		}
 		types = append(types, made)
 	}
@@ -94,7 +94,7 @@
 // Run asks once.
 func (cmd *asking) Run() error {
 	var states []budget.State
-	if err := control.Ask(cmd.Socket, control.Question{Ask: askDependencies}, &states); err != nil {
+	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askDependencies}, &states); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/lease.go
+++ b/cmd/quartzpoint/lease.go
@@ -7,8 +7,8 @@
 	"text/tabwriter"
 	"time"
 
+	"quartzpoint/internal/adminsocket"
 	"quartzpoint/internal/config"
-	"quartzpoint/internal/control"
 	"quartzpoint/internal/leasing"
 )
 
@@ -48,7 +48,7 @@
 // Run asks once.
 func (cmd *leaseShowing) Run() error {
 	var holdings []leasing.Holding
-	if err := control.Ask(cmd.Socket, control.Question{Ask: askLease}, &holdings); err != nil {
+	if err := adminsocket.Ask(cmd.Socket, adminsocket.Question{Ask: askLease}, &holdings); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -11,31 +11,31 @@
 	"text/tabwriter"
 	"time"
 
-	"quartzpoint/internal/check"
+	"quartzpoint/estimate"
 	"quartzpoint/internal/config"
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/peersync"
 	"quartzpoint/internal/server"
-	"quartzpoint/knowledge"
 )
 
 // exchanging is a server's part in the exchange of knowledge; the zero value is none.
 type exchanging struct {
 	stated *config.Peers
-	giver  *exchange.Giver
+	giver  *peersync.Giver
 }
 
 // keysOf reads a key file, where one is stated.
-func keysOf(file string) (exchange.Keys, error) {
+func keysOf(file string) (peersync.Keys, error) {
 	if file == "" {
 		return nil, nil
 	}
-	return exchange.ReadKeys(file)
+	return peersync.ReadKeys(file)
 }
 
 // begin takes the part that is stated: it gives where listen is, and asks where peers are. Both end with the
 // context. What the server learns goes to peers and to kept, which may be nil.
 func begin(
-	ctx context.Context, stated *config.Peers, owner *server.Server, k *keeping, seed int64, counts *check.Counts, log *slog.Logger,
+	ctx context.Context, stated *config.Peers, owner *server.Server, k *keeping, seed int64, counts *invariant.Counts, log *slog.Logger,
 ) (*exchanging, error) {
 	e := &exchanging{stated: stated}
 	if stated == nil {
@@ -49,7 +49,7 @@
 		log.Warn("peers without a key", "key_file", "", "so", "loopback addresses only")
 	}
 	if stated.Listen != "" {
-		if e.giver, err = exchange.Listen(stated.Listen, keys, owner.Now, counts); err != nil {
+		if e.giver, err = peersync.Listen(stated.Listen, keys, owner.Now, counts); err != nil {
 			return nil, err
 		}
 		e.giver.Serve()
@@ -57,14 +57,14 @@
 		log.Info("views given to peers", "listen", stated.Listen, "keys", len(keys))
 	}
 	var warm atomic.Bool
-	k.share = append(k.share, func(v knowledge.View, at time.Duration) {
+	k.share = append(k.share, func(v estimate.View, at time.Duration) {
 		warm.Store(!v.Cold())
 		if e.giver != nil {
 			e.giver.Put(v, at)
 		}
 	})
 	if len(stated.Ask) > 0 {
-		asker := &exchange.Asker{
+		asker := &peersync.Asker{
 			Peers: stated.Ask, Keys: keys, Total: stated.Total, Frame: k.frame, Kept: k.view, Seed: seed,
 			Cold: func() bool { return !warm.Load() }, Take: owner.Borrow, Counts: counts, Log: log,
 		}
@@ -78,7 +78,7 @@
 	if e.giver == nil || e.stated.KeyFile == "" {
 		return
 	}
-	keys, err := exchange.ReadKeys(e.stated.KeyFile)
+	keys, err := peersync.ReadKeys(e.stated.KeyFile)
 	if err != nil {
 		log.Warn("new keys refused, the old ones stay", "error", err)
 		return
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	view, err := exchange.Ask(context.Background(), cmd.Address, keys)
+	view, err := peersync.Ask(context.Background(), cmd.Address, keys)
 	if err != nil {
 		return err
 	}
@@ -122,10 +122,10 @@
 }
 
 // show prints a view as a table. A weight is the number of own samples that a newcomer would take it for.
-func show(to io.Writer, v knowledge.View) error {
+func show(to io.Writer, v estimate.View) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "what\tmean\tspread\tsamples\tage\tweight\t\n")
-	row := func(what string, e knowledge.Estimate, k knowledge.Kind) {
+	row := func(what string, e estimate.Estimate, k estimate.Kind) {
 		if !e.Known() {
 			fmt.Fprintf(table, "%s\t-\t-\t0\t-\t0\t\n", what)
 			return
@@ -134,13 +134,13 @@
 			what, e.Mean, e.Spread, e.Samples, e.Age.Round(100*time.Millisecond), e.Weight(k))
 	}
 	for _, t := range v.Types {
-		row(fmt.Sprintf("%q core s", t.Name), t.Core, knowledge.CoreTime)
-		row(fmt.Sprintf("%q run s", t.Name), t.Run, knowledge.RunTime)
+		row(fmt.Sprintf("%q core s", t.Name), t.Core, estimate.CoreTime)
+		row(fmt.Sprintf("%q run s", t.Name), t.Run, estimate.RunTime)
 	}
-	row("pace", v.Pace, knowledge.Pace)
-	row("calls s", v.Calls, knowledge.CallTime)
-	row("calls refused", v.Refused, knowledge.Refusals)
-	row("callers back", v.Returns, knowledge.Returning)
+	row("pace", v.Pace, estimate.Pace)
+	row("calls s", v.Calls, estimate.CallTime)
+	row("calls refused", v.Refused, estimate.Refusals)
+	row("callers back", v.Returns, estimate.Returning)
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
 	}
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -13,12 +13,12 @@
 	"syscall"
 	"time"
 
-	"quartzpoint/internal/check"
 	"quartzpoint/internal/config"
-	"quartzpoint/internal/front"
-	"quartzpoint/internal/membership"
-	"quartzpoint/internal/pool"
+	"quartzpoint/internal/frontend"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/registration"
 	"quartzpoint/internal/server"
+	"quartzpoint/internal/workerlink"
 )
 
 const (
@@ -63,19 +63,19 @@
 	limitMemory(s.Limits.memory())
 
 	seed := int64(s.Seed)
-	counts := check.New(log)
+	counts := invariant.New(log)
 	bounds := s.bounds()
 	bounds.Moving = ours.Configuration != nil
 	owner, err := server.New(s.settings, seed, bounds, counts, log)
 	if err != nil {
 		return err
 	}
-	reporter := membership.New(s.Name, s.Members, log)
-	routers, err := front.Listen(s.Listen, owner, s.bounds(), counts, log)
+	reporter := registration.New(s.Name, s.Members, log)
+	routers, err := frontend.Listen(s.Listen, owner, s.bounds(), counts, log)
 	if err != nil {
 		return err
 	}
-	link := pool.New(s.Pool, s.Limits.megabytes()<<20/linkShare, log, counts.Saw, owner.Nudge)
+	link := workerlink.New(s.Pool, s.Limits.megabytes()<<20/linkShare, log, counts.Saw, owner.Nudge)
 	owner.Serve(link, routers)
 	calls := calling(s, owner, link, counts, log)
 
@@ -117,7 +117,7 @@
 	if watcher != nil {
 		go watcher.Run(ctx)
 	}
-	go reporter.Run(ctx, membership.Period)
+	go reporter.Run(ctx, registration.Period)
 	go link.Run(ctx)
 	failed := make(chan error, 1)
 	go func() {
--- a/cmd/quartzpoint/start.go
+++ b/cmd/quartzpoint/start.go
@@ -17,12 +17,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"quartzpoint/internal/check"
 	"quartzpoint/internal/dependency"
-	"quartzpoint/internal/membership"
-	"quartzpoint/internal/pool"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/registration"
 	"quartzpoint/internal/server"
 	"quartzpoint/internal/settings"
+	"quartzpoint/internal/workerlink"
 )
 
 // start is what the program is told at its start.
@@ -234,7 +234,7 @@
 
 // calling makes the server call the dependency where the configuration names one, and gives what calls it, nil without.
 // Types that call and have none are turned away: all others are served.
-func calling(s start, owner *server.Server, link *pool.Link, counts *check.Counts, log *slog.Logger) *dependency.Caller {
+func calling(s start, owner *server.Server, link *workerlink.Link, counts *invariant.Counts, log *slog.Logger) *dependency.Caller {
 	if unserved := owner.Unserved(); len(unserved) > 0 {
 		log.Warn("types that call a dependency are turned away, as the configuration names none", "types", unserved)
 	}
@@ -250,7 +250,7 @@
 // can change while tasks run: the two addresses, the time to the stop, and the settings that settings.Moves
 // names, which the owner takes in its turn. It gives what is in force from then on; a file that is missing,
 // half written or wrong changes nothing.
-func (s start) again(link *pool.Link, calls *dependency.Caller, reporter *membership.Reporter, owner *server.Server,
+func (s start) again(link *workerlink.Link, calls *dependency.Caller, reporter *registration.Reporter, owner *server.Server,
 	log *slog.Logger,
 ) start {
 	n, err := toldSince(os.Getenv("EDGE_CONFIG"), s)
--- a/cmd/quartzpoint/state.go
+++ b/cmd/quartzpoint/state.go
@@ -11,27 +11,27 @@
 	"text/tabwriter"
 	"time"
 
-	"quartzpoint/internal/check"
+	"quartzpoint/estimate"
 	"quartzpoint/internal/config"
-	"quartzpoint/internal/folder"
+	"quartzpoint/internal/datadir"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/server"
 	"quartzpoint/internal/store"
-	"quartzpoint/knowledge"
 	"quartzpoint/recovery"
 )
 
 // keeping is what a server learns and to whom it goes, the folder among them where one is stated.
 type keeping struct {
-	frame knowledge.Frame
-	view  knowledge.View // what the server before this one left; not fresh for none
-	share []func(v knowledge.View, at time.Duration)
+	frame estimate.Frame
+	view  estimate.View // what the server before this one left; not fresh for none
+	share []func(v estimate.View, at time.Duration)
 	state *store.Store // nil without a folder
 }
 
 // keep opens the folder that is stated, and has the server go on from what it holds.
-func keep(stated *config.State, owner *server.Server, counts *check.Counts, log *slog.Logger) (*keeping, error) {
+func keep(stated *config.State, owner *server.Server, counts *invariant.Counts, log *slog.Logger) (*keeping, error) {
 	k := &keeping{}
-	k.frame = owner.Share(store.DrawID(), func(v knowledge.View, at time.Duration) {
+	k.frame = owner.Share(store.DrawID(), func(v estimate.View, at time.Duration) {
 		for _, put := range k.share {
 			put(v, at)
 		}
@@ -40,7 +40,7 @@
 		return k, nil
 	}
 	kept, had, err := store.New(store.Terms{
-		Open: folder.Opener(stated.Dir), Clock: store.SystemClock(), ID: store.DrawID, Site: stated.Site, Frame: k.frame,
+		Open: datadir.Opener(stated.Dir), Clock: store.SystemClock(), ID: store.DrawID, Site: stated.Site, Frame: k.frame,
 		Most: stated.Most, Commit: stated.Commit, Numbers: stated.Numbers, Counts: counts, Log: log, Nudge: owner.Nudge,
 		Late: func(r store.Recovered) { store.ResumeLate(owner, r) },
 	})
@@ -52,7 +52,7 @@
 		owner.Keep(kept)
 	}
 	k.state, k.view = kept, had.View
-	k.share = append(k.share, func(v knowledge.View, _ time.Duration) { kept.View(v) })
+	k.share = append(k.share, func(v estimate.View, _ time.Duration) { kept.View(v) })
 	return k, nil
 }
 
@@ -85,7 +85,7 @@
 }
 
 func (f *stateFolder) report() (store.Report, error) {
-	in, err := folder.OpenDisk(f.Dir, true)
+	in, err := datadir.OpenDisk(f.Dir, true)
 	if err != nil {
 		return store.Report{}, err
 	}
@@ -175,7 +175,7 @@
 
 // Run takes the folder's lock: it is refused while a server uses it.
 func (cmd *stateCompact) Run() error {
-	in, err := folder.OpenDisk(cmd.Dir, false)
+	in, err := datadir.OpenDisk(cmd.Dir, false)
 	if err != nil {
 		return err
 	}
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
+	"quartzpoint/admission"
 	"quartzpoint/budget"
-	"quartzpoint/choice"
 )
 
-// composer is a server's part that makes tasks of calls to several dependencies, by package budget, as internal/compose
+// composer is a server's part that makes tasks of calls to several dependencies, by package budget, as internal/fanout
 // does. Such tasks take no core.
 type composer struct {
 	server *server
@@ -101,13 +101,13 @@
 	w, t := c.server.world, f.Ref.(*try)
 	a := &attempt{flight: f, call: call, number: number, dependency: f.Plan().Calls[call].Dependency}
 	t.attempts[call][number] = a
-	c.ways[a.dependency].take(within, func(outcome choice.Outcome, _ time.Duration) {
+	c.ways[a.dependency].take(within, func(outcome admission.Outcome, _ time.Duration) {
 		c.server.when(c.life, func() {
 			if a.cancelled {
 				c.book.Late(a.dependency, w.now)
 			} else {
-				how := map[choice.Outcome]budget.Ended{choice.Done: budget.Good, choice.NotRun: budget.Refused}[outcome]
-				if outcome == choice.Unclear {
+				how := map[admission.Outcome]budget.Ended{admission.Done: budget.Good, admission.NotRun: budget.Refused}[outcome]
+				if outcome == admission.Unclear {
 					how = budget.Lost
 				}
 				t.attempts[call][number] = nil
@@ -141,11 +141,11 @@
 		return
 	}
 	t.active = false
-	outcome := choice.Done
+	outcome := admission.Done
 	if e.verdict == budget.GivenUp {
-		outcome = choice.Stopped
+		outcome = admission.Stopped
 	}
-	s.round.Ended = append(s.round.Ended, choice.Ending{Task: &t.Task, Outcome: outcome, Took: s.world.now - t.work.begun})
+	s.round.Ended = append(s.round.Ended, admission.Ending{Task: &t.Task, Outcome: outcome, Took: s.world.now - t.work.begun})
 	if !t.answered {
 		if t.worth = e.worth; e.verdict == budget.GivenUp {
 			s.answer(t, givenUp, 0, false)
--- a/emulator/dependency.go
+++ b/emulator/dependency.go
@@ -5,8 +5,8 @@
 	"math/rand"
 	"time"
 
-	"quartzpoint/choice"
-	"quartzpoint/rules"
+	"quartzpoint/admission"
+	"quartzpoint/rulecheck"
 )
 
 // dependency is a system that runs call: so many calls at once, the others wait in line.
@@ -25,7 +25,7 @@
 // call is one in the hands of a dependency. Its server's patience ends before it does, at times; its slot is then still
 // taken.
 type call struct {
-	told  func(outcome choice.Outcome, took time.Duration)
+	told  func(outcome admission.Outcome, took time.Duration)
 	began time.Duration
 	over  bool
 }
@@ -33,15 +33,15 @@
 // mostLine bounds the line: what is behind it is turned away, as by a full backlog.
 const mostLine = 10_000
 
-func (d *dependency) take(patience time.Duration, told func(outcome choice.Outcome, took time.Duration)) {
+func (d *dependency) take(patience time.Duration, told func(outcome admission.Outcome, took time.Duration)) {
 	w := d.world
 	c := &call{told: told, began: w.now}
-	w.after(patience, func() { d.end(c, choice.Unclear) })
-	w.rules.Take(rules.Event{Kind: rules.CallsOpen, At: w.now, Server: d.number,
+	w.after(patience, func() { d.end(c, admission.Unclear) })
+	w.rules.Take(rulecheck.Event{Kind: rulecheck.CallsOpen, At: w.now, Server: d.number,
 		Value: float64(d.busy+len(d.line)) / (dependencySurvives * float64(d.Slots))})
 	switch {
 	case d.errors > 0 && d.chance.Float64() < d.errors, len(d.line) >= mostLine:
-		w.after(w.way(), func() { d.end(c, choice.NotRun) })
+		w.after(w.way(), func() { d.end(c, admission.NotRun) })
 	case d.stops:
 	case d.busy < d.Slots:
 		d.work(c)
@@ -61,7 +61,7 @@
 	w.after(time.Duration(took), func() {
 		d.busy--
 		if !d.stops {
-			d.end(c, choice.Done)
+			d.end(c, admission.Done)
 		}
 		d.goOn()
 	})
@@ -78,7 +78,7 @@
 	}
 }
 
-func (d *dependency) end(c *call, outcome choice.Outcome) {
+func (d *dependency) end(c *call, outcome admission.Outcome) {
 	if !c.over {
 		c.over = true
 		c.told(outcome, d.world.now-c.began)
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -3,23 +3,23 @@
 import (
 	"time"
 
+	"quartzpoint/admission"
 	"quartzpoint/budget"
-	"quartzpoint/choice"
-	"quartzpoint/knowledge"
-	"quartzpoint/rules"
+	"quartzpoint/estimate"
+	"quartzpoint/rulecheck"
 )
 
-// Policy decides for one server, as choice.Choice does. Baselines are others.
+// Policy decides for one server, as admission.Choice does. Baselines are others.
 type Policy interface {
-	Decide(r *choice.Round, w choice.Writer)
+	Decide(r *admission.Round, w admission.Writer)
 }
 
 // Maker makes the policy of a server, and the traffic types that its tasks point to, in the order of the site's.
-type Maker func(types []Type, m Machine, calls float64, seed int64) (Policy, []*choice.Route)
+type Maker func(types []Type, m Machine, calls float64, seed int64) (Policy, []*admission.Route)
 
 // Own makes the project's own decisions.
-func Own(types []Type, m Machine, calls float64, seed int64) (Policy, []*choice.Route) {
-	c := choice.New(Terms(types, m, calls), seed)
+func Own(types []Type, m Machine, calls float64, seed int64) (Policy, []*admission.Route) {
+	c := admission.New(Terms(types, m, calls), seed)
 	return c, c.Routes
 }
 
@@ -35,7 +35,7 @@
 
 // try is one task at one server.
 type try struct {
-	choice.Task
+	admission.Task
 	id    uint64
 	of    *request
 	at    *server
@@ -60,14 +60,14 @@
 	life   uint64 // events of an earlier one do nothing
 	alive  bool
 	policy Policy
-	types  []*choice.Route
+	types  []*admission.Route
 	pool   *pool
 	began  time.Duration
 
-	tries    map[*choice.Task]*try
+	tries    map[*admission.Task]*try
 	parts    *composer
-	atCall   []*choice.Task // started in this round, and made of calls
-	round    choice.Round
+	atCall   []*admission.Task // started in this round, and made of calls
+	round    admission.Round
 	level    float64
 	thaw     time.Duration // until when it stands still
 	late     []func()      // what came meanwhile
@@ -82,8 +82,8 @@
 	w := s.world
 	s.life++
 	s.alive, s.began, s.level, s.noticed, s.stopAt, s.thaw, s.late = true, w.now, 0, 0, 0, 0, nil
-	s.tries = map[*choice.Task]*try{}
-	s.round = choice.Round{}
+	s.tries = map[*admission.Task]*try{}
+	s.round = admission.Round{}
 	factor, taken := 1.0, 0.0
 	if s.pool != nil { // what is the machine's stays
 		factor, taken = s.pool.factor, s.pool.taken
@@ -98,20 +98,20 @@
 			s.types[i].Waits = plan.NeededPath()
 		}
 	}
-	if c, own := s.policy.(*choice.Choice); own && w.fleet.Peers {
+	if c, own := s.policy.(*admission.Choice); own && w.fleet.Peers {
 		s.learn(c)
 	}
 	s.decide()
 }
 
 // learn asks up to three running servers what they know, as a newcomer with [peers] does.
-func (s *server) learn(c *choice.Choice) {
+func (s *server) learn(c *admission.Choice) {
 	w := s.world
 	frame := c.Frame(uint64(s.number)<<32|s.life, false)
-	var views []knowledge.View
+	var views []estimate.View
 	for _, i := range w.chance.Perm(len(w.servers)) {
 		other := w.servers[i]
-		peer, own := other.policy.(*choice.Choice)
+		peer, own := other.policy.(*admission.Choice)
 		if other == s || !other.alive || !own || len(views) == 3 {
 			continue
 		}
@@ -119,7 +119,7 @@
 			views = append(views, view)
 		}
 	}
-	if merged := knowledge.Merge(views); merged.Fresh() {
+	if merged := estimate.Merge(views); merged.Fresh() {
 		c.Borrow(w.now, merged)
 	}
 }
@@ -146,7 +146,7 @@
 	}
 	kind := s.types[t.of.kind]
 	ago := max(w.now-came+s.clockOff, 0)
-	t.Task = choice.Task{
+	t.Task = admission.Task{
 		Type: kind, HeldKB: heldKB, Arrived: w.now - ago, Rank: t.of.rank, Caller: uint32(t.of.router.number),
 		Due: w.now - ago + min(waits, kind.OuterLimit),
 	}
@@ -155,9 +155,9 @@
 	if w.fleet.Types[t.of.kind].Once {
 		effect = t.of.id
 	}
-	w.rules.Take(rules.Event{Kind: rules.Read, At: w.now, Server: s.number, Try: t.id, Effect: effect, Due: came + waits})
+	w.rules.Take(rulecheck.Event{Kind: rulecheck.Read, At: w.now, Server: s.number, Try: t.id, Effect: effect, Due: came + waits})
 	if came+waits <= w.now { // it stood still, and reads what lay there
-		w.rules.Take(rules.Event{Kind: rules.Gone, At: w.now, Try: t.id})
+		w.rules.Take(rulecheck.Event{Kind: rulecheck.Gone, At: w.now, Try: t.id})
 	}
 	s.round.Arrived = append(s.round.Arrived, &t.Task)
 	s.decide()
@@ -196,7 +196,7 @@
 		return
 	}
 	t.active = false
-	s.round.Ended = append(s.round.Ended, choice.Ending{Task: &t.Task, Outcome: choice.Done, Took: s.world.now - t.work.begun})
+	s.round.Ended = append(s.round.Ended, admission.Ending{Task: &t.Task, Outcome: admission.Done, Took: s.world.now - t.work.begun})
 	if !t.answered {
 		s.answer(t, honoured, 0, false)
 	}
@@ -204,9 +204,9 @@
 }
 
 // returned takes the end of a call.
-func (s *server) returned(t *try, outcome choice.Outcome, took time.Duration) {
-	s.round.Returned = append(s.round.Returned, choice.Ending{Task: &t.Task, Outcome: outcome, Took: took})
-	if outcome == choice.Done {
+func (s *server) returned(t *try, outcome admission.Outcome, took time.Duration) {
+	s.round.Returned = append(s.round.Returned, admission.Ending{Task: &t.Task, Outcome: outcome, Took: took})
+	if outcome == admission.Done {
 		s.goOn(t)
 	}
 	s.decide()
@@ -220,15 +220,15 @@
 	}
 }
 
-// Start implements choice.Writer, as do the methods below it.
-func (s *server) Start(c *choice.Task) {
+// Start implements admission.Writer, as do the methods below it.
+func (s *server) Start(c *admission.Task) {
 	t := s.tries[c]
 	if t == nil || t.answered {
 		return
 	}
 	if !t.started {
 		t.started, t.active, t.work.begun, t.work.place = true, true, s.world.now, -1
-		s.world.rules.Take(rules.Event{Kind: rules.Started, At: s.world.now, Server: s.number, Try: t.id})
+		s.world.rules.Take(rulecheck.Event{Kind: rulecheck.Started, At: s.world.now, Server: s.number, Try: t.id})
 		s.world.result.Starts++
 	}
 	if t.composed {
@@ -241,8 +241,8 @@
 		s.pool.start(&t.work)
 	}
 	n := float64(len(s.pool.runs))
-	s.world.rules.Take(rules.Event{Kind: rules.Crowd, At: s.world.now, Server: s.number, Value: n / (survives * s.pool.machine.Cores)})
-	s.world.rules.Take(rules.Event{Kind: rules.Memory, At: s.world.now, Server: s.number, Value: s.memory()})
+	s.world.rules.Take(rulecheck.Event{Kind: rulecheck.Crowd, At: s.world.now, Server: s.number, Value: n / (survives * s.pool.machine.Cores)})
+	s.world.rules.Take(rulecheck.Event{Kind: rulecheck.Memory, At: s.world.now, Server: s.number, Value: s.memory()})
 }
 
 func (s *server) memory() float64 {
@@ -250,7 +250,7 @@
 }
 
 // Pause stops a run; that it ended is told a little later, as by the link to a pool.
-func (s *server) Pause(c *choice.Task) {
+func (s *server) Pause(c *admission.Task) {
 	t := s.tries[c]
 	if t == nil || !t.active {
 		return
@@ -267,7 +267,7 @@
 				return
 			}
 			t.active = false
-			s.round.Ended = append(s.round.Ended, choice.Ending{Task: &t.Task, Outcome: choice.Stopped, Took: s.world.now - t.work.begun})
+			s.round.Ended = append(s.round.Ended, admission.Ending{Task: &t.Task, Outcome: admission.Stopped, Took: s.world.now - t.work.begun})
 			if !t.answered {
 				s.answer(t, givenUp, 0, false)
 			}
@@ -276,13 +276,13 @@
 	})
 }
 
-func (s *server) Dismiss(c *choice.Task, comeBack time.Duration, nowhereElse bool) {
+func (s *server) Dismiss(c *admission.Task, comeBack time.Duration, nowhereElse bool) {
 	if t := s.tries[c]; t != nil {
 		s.answer(t, dismissed, comeBack, nowhereElse)
 	}
 }
 
-func (s *server) GiveUp(c *choice.Task) {
+func (s *server) GiveUp(c *admission.Task) {
 	if t := s.tries[c]; t != nil {
 		s.answer(t, givenUp, 0, false)
 		if t.composed && t.active { // the decisions wait for its end, and do not stop it
@@ -298,19 +298,19 @@
 		return
 	}
 	t.answered = true
-	s.world.rules.Take(rules.Event{Kind: rules.Answered, At: s.world.now, Server: s.number, Try: t.id, Dismissed: v == dismissed})
+	s.world.rules.Take(rulecheck.Event{Kind: rulecheck.Answered, At: s.world.now, Server: s.number, Try: t.id, Dismissed: v == dismissed})
 	s.world.back(t, v, comeBack, nowhereElse)
 	s.settle(t)
 }
 
 // AnswerFromFirst is for numbered tasks, which are not emulated.
-func (s *server) AnswerFromFirst(*choice.Task) {}
+func (s *server) AnswerFromFirst(*admission.Task) {}
 
-func (s *server) Remember(*choice.Task, time.Duration) {}
+func (s *server) Remember(*admission.Task, time.Duration) {}
 
-func (s *server) Forget(*choice.Task) {}
+func (s *server) Forget(*admission.Task) {}
 
-func (s *server) Call(c *choice.Task, patience time.Duration) {
+func (s *server) Call(c *admission.Task, patience time.Duration) {
 	t := s.tries[c]
 	if t == nil || !t.active {
 		return
@@ -320,12 +320,12 @@
 		return
 	}
 	life := s.life
-	s.world.dependency(s.world.fleet.Types[t.of.kind].Calls).take(patience, func(outcome choice.Outcome, took time.Duration) {
+	s.world.dependency(s.world.fleet.Types[t.of.kind].Calls).take(patience, func(outcome admission.Outcome, took time.Duration) {
 		s.when(life, func() { s.returned(t, outcome, took) })
 	})
 }
 
-func (s *server) SkipCall(c *choice.Task) {
+func (s *server) SkipCall(c *admission.Task) {
 	if t := s.tries[c]; t != nil {
 		t.worth = s.world.fleet.Types[t.of.kind].Skips
 		s.goOn(t)
@@ -345,7 +345,7 @@
 	life := s.life
 	s.world.after(in, func() {
 		s.when(life, func() {
-			s.round.Gauges = &choice.Gauges{
+			s.round.Gauges = &admission.Gauges{
 				CPU: s.pool.use(), Crowd: float64(len(s.pool.runs)) + s.pool.taken, Links: 1,
 				Memory: min(1, RunKB*float64(len(s.pool.runs))/s.pool.machine.KB),
 			}
@@ -361,14 +361,14 @@
 	}
 	s.alive = false
 	w := s.world
-	w.rules.Take(rules.Event{Kind: rules.Crashed, At: w.now, Server: s.number})
+	w.rules.Take(rulecheck.Event{Kind: rulecheck.Crashed, At: w.now, Server: s.number})
 	s.lose()
 }
 
 // lose ends all that a server has with itself.
 func (s *server) lose() {
 	open := s.world.ordered(s.tries)
-	s.tries = map[*choice.Task]*try{}
+	s.tries = map[*admission.Task]*try{}
 	for _, t := range open {
 		if !t.answered {
 			t.answered = true
@@ -384,7 +384,7 @@
 	}
 	w := s.world
 	s.noticed, s.stopAt, s.left = w.now, w.now+within, then
-	w.rules.Take(rules.Event{Kind: rules.Notice, At: w.now, Server: s.number, Due: w.now + grace})
+	w.rules.Take(rulecheck.Event{Kind: rulecheck.Notice, At: w.now, Server: s.number, Due: w.now + grace})
 	s.round.StopAt = s.stopAt - stopEarly
 	life := s.life
 	s.when(life, s.decide)
@@ -412,7 +412,7 @@
 	if !s.alive || s.life != life {
 		return
 	}
-	w.rules.Take(rules.Event{Kind: rules.Stopped, At: w.now, Server: s.number})
+	w.rules.Take(rulecheck.Event{Kind: rulecheck.Stopped, At: w.now, Server: s.number})
 	s.alive = false
 	s.lose()
 	if s.left != nil {
@@ -430,7 +430,7 @@
 	s.thaw = max(s.thaw, w.now+span)
 	for _, t := range w.ordered(s.tries) {
 		if !t.answered && t.Due < s.thaw+thawTime {
-			w.rules.Take(rules.Event{Kind: rules.Gone, At: w.now, Try: t.id})
+			w.rules.Take(rulecheck.Event{Kind: rulecheck.Gone, At: w.now, Try: t.id})
 		}
 	}
 	s.pool.change(func() { s.pool.frozen = true })
--- a/knowledge/knowledge_test.go
+++ b/estimate/knowledge_test.go
@@ -1,4 +1,4 @@
-package knowledge
+package estimate
 
 import (
 	"flag"
--- a/knowledge/view.go
+++ b/estimate/view.go
@@ -1,10 +1,10 @@
-// Package knowledge holds what a server has learned of its work and of the systems round it, and decides what
+// Package estimate holds what a server has learned of its work and of the systems round it, and decides what
 // another server's word on that is worth: by its age, by its terms, and beside what others say. It does no I/O
 // and reads no clock: ages come as durations, because the clocks of two machines need not agree.
 //
 // State of the moment (the limit, the level, gauges, whether runs break) is no knowledge. It tells of one
 // server's last second and would be wrong at any other, so a view has no place for it.
-package knowledge
+package estimate
 
 import (
 	"cmp"
--- a/gate.go
+++ b/gate.go
@@ -26,11 +26,11 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"quartzpoint/internal/check"
+	"quartzpoint/estimate"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/server"
 	"quartzpoint/internal/settings"
 	"quartzpoint/internal/store"
-	"quartzpoint/knowledge"
 )
 
 // Repeats says whether a task may be run again.
@@ -139,7 +139,7 @@
 type Gate struct {
 	owner  *server.Server
 	runs   *handlers
-	counts *check.Counts
+	counts *invariant.Counts
 	over   chan struct{} // the owner has ended
 	closed chan struct{} // and what it kept is written
 	calls  sync.Pool
@@ -147,7 +147,7 @@
 	ids    atomic.Uint64 // of calls
 	stuck  int64
 	shares map[string]int // places of customers
-	view   atomic.Pointer[knowledge.View]
+	view   atomic.Pointer[estimate.View]
 	state  *store.Store // nil without one
 	good   atomic.Bool
 	level  atomic.Uint64 // bits
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gate{counts: check.New(t.Log), over: make(chan struct{}), closed: make(chan struct{}), stuck: int64(t.Stuck), shares: map[string]int{}}
+	g := &Gate{counts: invariant.New(t.Log), over: make(chan struct{}), closed: make(chan struct{}), stuck: int64(t.Stuck), shares: map[string]int{}}
 	for i, c := range t.Customers {
 		g.shares[c.Name] = i
 	}
@@ -202,7 +202,7 @@
 			return nil, err
 		}
 	} else {
-		g.owner.Share(0, func(v knowledge.View, _ time.Duration) { g.view.Store(&v) })
+		g.owner.Share(0, func(v estimate.View, _ time.Duration) { g.view.Store(&v) })
 	}
 	go func() {
 		defer close(g.closed)
@@ -470,11 +470,11 @@
 func (g *Gate) Level() float64 { return math.Float64frombits(g.level.Load()) }
 
 // View is what the gate has learned, for a newcomer; empty in its first second.
-func (g *Gate) View() knowledge.View {
+func (g *Gate) View() estimate.View {
 	if v := g.view.Load(); v != nil {
 		return *v
 	}
-	return knowledge.View{}
+	return estimate.View{}
 }
 
 // Counts is what became of tasks so far. Late are runs that go on past their answer.
--- a/handlers.go
+++ b/handlers.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"quartzpoint/choice"
-	"quartzpoint/internal/runs"
+	"quartzpoint/admission"
 	"quartzpoint/internal/server"
+	"quartzpoint/internal/workerapi"
 )
 
 // call is one task of a caller, from its arrival until nothing holds it any more: then it is used again.
@@ -365,7 +365,7 @@
 		select {
 		case within = <-c.turn:
 		case <-ctx.Done():
-			c.tell(func() { owner.Returned(c.taken, choice.NotRun, 0) })
+			c.tell(func() { owner.Returned(c.taken, admission.NotRun, 0) })
 			return ctx.Err()
 		}
 		if within < 0 {
@@ -374,12 +374,12 @@
 		began := time.Now()
 		inner, cancel := context.WithTimeout(ctx, within)
 		err := make(inner)
-		took, outcome := time.Since(began), choice.Done
+		took, outcome := time.Since(began), admission.Done
 		switch {
 		case err != nil && inner.Err() != nil:
-			outcome = choice.Unclear
+			outcome = admission.Unclear
 		case err != nil:
-			outcome = choice.Broken
+			outcome = admission.Broken
 		}
 		cancel()
 		c.tell(func() { owner.Returned(c.taken, outcome, took) })
@@ -454,7 +454,7 @@
 }
 
 // Start implements server.Pool, as do the methods below it.
-func (h *handlers) Start(r runs.Run) bool {
+func (h *handlers) Start(r workerapi.Run) bool {
 	c := h.calls[r.ID]
 	c.running, c.begun = true, h.gate.owner.Now()
 	c.inside = &runContext{caller: c.ctx, due: c.task.Due, call: c}
@@ -486,13 +486,13 @@
 	h.gate.owner.Nudge()
 }
 
-func (h *handlers) Take(into []runs.Notice) []runs.Notice {
+func (h *handlers) Take(into []workerapi.Notice) []workerapi.Notice {
 	h.mu.Lock()
 	over := h.over
 	h.over, h.spare = h.spare[:0], over
 	h.mu.Unlock()
 	for _, c := range over {
-		n := runs.Notice{Kind: runs.Finished, Task: c.id, Outcome: "success", Result: c.out, Took: h.gate.owner.Now() - c.begun}
+		n := workerapi.Notice{Kind: workerapi.Finished, Task: c.id, Outcome: "success", Result: c.out, Took: h.gate.owner.Now() - c.begun}
 		if c.outErr != nil {
 			n.Outcome = "failure"
 		}
@@ -514,8 +514,8 @@
 	if h.asked {
 		h.asked = false
 		g := h.read(h.busy)
-		into = append(into, runs.Notice{
-			Kind: runs.Polled, Nonce: h.nonce, Readings: []float64{g.CPU, g.Crowd, g.Memory, 0},
+		into = append(into, workerapi.Notice{
+			Kind: workerapi.Polled, Nonce: h.nonce, Readings: []float64{g.CPU, g.Crowd, g.Memory, 0},
 		})
 	}
 	return into
--- a/internal/control/control.go
+++ b/internal/adminsocket/control.go
@@ -1,6 +1,6 @@
-// Package control is the socket by which operators on the same machine ask a running server: a JSON line with the
+// Package adminsocket is the socket by which operators on the same machine ask a running server: a JSON line with the
 // question, and one with the answer. Only the server's own user can open it.
-package control
+package adminsocket
 
 import (
 	"bufio"
--- a/internal/configserve/server.go
+++ b/internal/configserve/server.go
@@ -10,7 +10,7 @@
 
 	"quartzpoint/configuration"
 	"quartzpoint/internal/configwatch"
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/peersync"
 )
 
 const (
@@ -33,7 +33,7 @@
 type Server struct {
 	Name    string
 	Address map[string]string // of each machine for sessions, by its name
-	Keys    exchange.Keys
+	Keys    peersync.Keys
 	Hub     *Hub
 	Log     Log
 	Logger  *slog.Logger
@@ -79,7 +79,7 @@
 
 // serve answers one connection.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
-	session, err := exchange.Accept(conn, s.Keys)
+	session, err := peersync.Accept(conn, s.Keys)
 	if err != nil {
 		s.Logger.Warn("configuration: no session", "from", conn.RemoteAddr(), "error", err)
 		return
@@ -132,7 +132,7 @@
 
 // watch tells a watcher what it lacks until the session fails. It holds no queue: what a slow watcher lacks is read from
 // the history when it can be sent, and is a snapshot once that is less.
-func (s *Server) watch(ctx context.Context, session *exchange.Session, ask configwatch.Watch) {
+func (s *Server) watch(ctx context.Context, session *peersync.Session, ask configwatch.Watch) {
 	w := s.Hub.join(ask)
 	defer s.Hub.leave(w)
 	ctx, cancel := context.WithCancel(ctx)
@@ -167,7 +167,7 @@
 }
 
 // send sends an update. Few snapshots are sent at once, and who waits for one hears meanwhile that the machine is there.
-func (s *Server) send(ctx context.Context, session *exchange.Session, update configwatch.Update) error {
+func (s *Server) send(ctx context.Context, session *peersync.Session, update configwatch.Update) error {
 	if update.Snapshot == nil {
 		return session.Send(configwatch.Encode(update))
 	}
@@ -189,7 +189,7 @@
 }
 
 // reports takes a watcher's reports until the session fails.
-func (s *Server) reports(session *exchange.Session, w *watcher) {
+func (s *Server) reports(session *peersync.Session, w *watcher) {
 	for {
 		raw, err := session.Receive(configwatch.MaxReport, 0)
 		if err != nil {
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"quartzpoint/configuration"
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/peersync"
 )
 
 // ErrNotReached tells that no control machine said what became of a change. It may have been accepted all the same; the
@@ -19,10 +19,10 @@
 const answerWait = 10 * time.Second
 
 // ask has one talk with a machine.
-func ask(ctx context.Context, address string, keys exchange.Keys, request Request, answer any) error {
+func ask(ctx context.Context, address string, keys peersync.Keys, request Request, answer any) error {
 	opening, cancel := context.WithTimeout(ctx, openWait)
 	defer cancel()
-	session, err := exchange.Open(opening, address, keys)
+	session, err := peersync.Open(opening, address, keys)
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 
 // Propose asks the machines, one after the other until the context ends, to accept a change, and gives the version that
 // it became. The error is a *configuration.Refusal where it was refused, and ErrNotReached where nobody could tell.
-func Propose(ctx context.Context, addresses []string, keys exchange.Keys, change configuration.Change) (uint64, error) {
+func Propose(ctx context.Context, addresses []string, keys peersync.Keys, change configuration.Change) (uint64, error) {
 	raw, err := json.Marshal(change)
 	if err != nil {
 		return 0, fmt.Errorf("change: %w", err)
@@ -79,7 +79,7 @@
 }
 
 // AskStatus asks one machine how it and its watchers stand.
-func AskStatus(ctx context.Context, address string, keys exchange.Keys) (status MachineStatus, err error) {
+func AskStatus(ctx context.Context, address string, keys peersync.Keys) (status MachineStatus, err error) {
 	err = ask(ctx, address, keys, Request{Status: &Status{}}, &status)
 	return status, err
 }
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"quartzpoint/configuration"
-	"quartzpoint/internal/exchange"
+	"quartzpoint/internal/peersync"
 )
 
 const (
@@ -42,7 +42,7 @@
 	Name     string // that operators know the server by
 	Zone     string // its own: machines of it are tried first
 	Machines []Machine
-	Keys     exchange.Keys
+	Keys     peersync.Keys
 	Document *configuration.Document // in force now; the watcher's own from Run on
 	// Apply has a delta, which leads to a document, come into force and returns once it is, or why it cannot; then nothing
 	// of it is in force. It keeps nothing of the document.
@@ -96,7 +96,7 @@
 		if held {
 			wait = time.Duration(chance.Int63n(int64(spreadOver)))
 		}
-		var refused *exchange.Refused
+		var refused *peersync.Refused
 		if errors.As(err, &refused) {
 			wait += min(refused.ComeBack, mostRefused)
 		}
@@ -143,7 +143,7 @@
 func (w *Watcher) follow(ctx context.Context, machine Machine) error {
 	opening, cancel := context.WithTimeout(ctx, openWait)
 	defer cancel()
-	session, err := exchange.Open(opening, machine.Address, w.Keys)
+	session, err := peersync.Open(opening, machine.Address, w.Keys)
 	if err != nil {
 		return err
 	}
--- a/internal/folder/folder.go
+++ b/internal/datadir/folder.go
@@ -1,6 +1,6 @@
-// Package folder is a folder of files that is written so that it can be told what survives a loss of power, and that a
+// Package datadir is a folder of files that is written so that it can be told what survives a loss of power, and that a
 // test can have fail. It follows no symbolic links and lets one process in at a time.
-package folder
+package datadir
 
 import (
 	"errors"
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -18,8 +18,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"quartzpoint/choice"
-	"quartzpoint/internal/runs"
+	"quartzpoint/admission"
+	"quartzpoint/internal/workerapi"
 )
 
 const (
@@ -37,7 +37,7 @@
 	max  int
 	log  *slog.Logger
 	saw  func(what string)
-	tell func(end runs.CallEnd)
+	tell func(end workerapi.CallEnd)
 
 	mu      sync.Mutex
 	address string
@@ -60,18 +60,18 @@
 
 // call is one with the end of its time.
 type call struct {
-	runs.Call
+	workerapi.Call
 	ctx context.Context
 }
 
 // New makes a caller that holds at most max connections to an address. It gives tell how each call ended, once, from any
 // goroutine, and saw what is to be counted; neither may call it back.
-func New(address string, max int, log *slog.Logger, saw func(string), tell func(runs.CallEnd)) *Caller {
+func New(address string, max int, log *slog.Logger, saw func(string), tell func(workerapi.CallEnd)) *Caller {
 	return &Caller{address: address, max: max, log: log, saw: saw, tell: tell, busy: map[uint64]*link{}}
 }
 
 // Call makes a call, or ends it at once as never made where all connections are in use.
-func (c *Caller) Call(asked runs.Call) {
+func (c *Caller) Call(asked workerapi.Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var l *link
@@ -83,7 +83,7 @@
 		go l.run()
 	default:
 		c.saw("call without a free connection")
-		c.tell(runs.CallEnd{Call: asked, Outcome: choice.NotRun})
+		c.tell(workerapi.CallEnd{Call: asked, Outcome: admission.NotRun})
 		return
 	}
 	c.busy[asked.Number] = l
@@ -126,7 +126,7 @@
 			begin := time.Now()
 			outcome, result := l.make(call)
 			l.caller.ended(l, call.Number)
-			l.caller.tell(runs.CallEnd{Call: call.Call, Outcome: outcome, Took: time.Since(begin), Result: result})
+			l.caller.tell(workerapi.CallEnd{Call: call.Call, Outcome: outcome, Took: time.Since(begin), Result: result})
 			idle.Reset(idleWait)
 		case <-idle.C:
 			l.caller.retire(l)
@@ -162,13 +162,13 @@
 
 // make makes a call. It never ran where no connection could be opened for it, or where the dependency says so; where it
 // was written and nothing came back in time, that is not known.
-func (l *link) make(call call) (choice.Outcome, []byte) {
+func (l *link) make(call call) (admission.Outcome, []byte) {
 	if l.conn != nil && l.stale() {
 		l.close()
 	}
 	if l.conn == nil {
 		if err := l.dial(call.ctx); err != nil {
-			return choice.NotRun, nil
+			return admission.NotRun, nil
 		}
 	}
 	conn := l.conn
@@ -222,7 +222,7 @@
 }
 
 // exchange writes a call and reads its reply. keep tells whether the connection can carry another.
-func (l *link) exchange(call call) (outcome choice.Outcome, result []byte, keep bool) {
+func (l *link) exchange(call call) (outcome admission.Outcome, result []byte, keep bool) {
 	c := l.caller
 	left := time.Millisecond
 	if until, stated := call.ctx.Deadline(); stated {
@@ -231,7 +231,7 @@
 	text := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Parent-Id: %s\r\nX-Budget-Ms: %d\r\nContent-Length: %d\r\n\r\n",
 		path, l.address, call.Task, left.Milliseconds(), len(call.Body))
 	if _, err := l.conn.Write(append(text, call.Body...)); err != nil {
-		return choice.Unclear, nil, false
+		return admission.Unclear, nil, false
 	}
 	l.head.N = maxHead + maxReply
 	var reply *http.Response
@@ -241,7 +241,7 @@
 			if call.ctx.Err() == nil {
 				c.saw("call broken off")
 			}
-			return choice.Unclear, nil, false
+			return admission.Unclear, nil, false
 		}
 		if reply.StatusCode >= http.StatusOK {
 			break
@@ -251,27 +251,27 @@
 	result, err := io.ReadAll(io.LimitReader(reply.Body, maxReply+1))
 	switch {
 	case err != nil:
-		return choice.Unclear, nil, false
+		return admission.Unclear, nil, false
 	case len(result) > maxReply:
 		c.saw("reply of a call too long")
-		return choice.Broken, nil, false
+		return admission.Broken, nil, false
 	}
 	return outcomeOf(reply), result, !reply.Close && l.in.Buffered() == 0
 }
 
 // outcomeOf reads a reply's head. What is turned away unseen says so by a header of its own, whatever its status is.
-func outcomeOf(reply *http.Response) choice.Outcome {
+func outcomeOf(reply *http.Response) admission.Outcome {
 	shed := reply.Header.Get("X-Shed")
 	if turnedAway, err := strconv.ParseBool(shed); shed != "" && (turnedAway || err != nil) {
-		return choice.NotRun
+		return admission.NotRun
 	}
 	switch {
 	case reply.StatusCode/100 == 2:
-		return choice.Done
+		return admission.Done
 	case reply.StatusCode == http.StatusRequestTimeout || reply.StatusCode == http.StatusGatewayTimeout:
-		return choice.Unclear
+		return admission.Unclear
 	}
-	return choice.Broken
+	return admission.Broken
 }
 
 func (l *link) close() {
--- a/internal/compose/composer.go
+++ b/internal/fanout/composer.go
@@ -1,6 +1,6 @@
-// Package compose carries tasks that are made of calls to several dependencies: the calls out, their answers in,
+// Package fanout carries tasks that are made of calls to several dependencies: the calls out, their answers in,
 // and one answer made of them. What is called when, for how long and how often is package budget's to decide.
-package compose
+package fanout
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
 	"quartzpoint/budget"
-	"quartzpoint/internal/check"
-	"quartzpoint/internal/runs"
+	"quartzpoint/internal/invariant"
+	"quartzpoint/internal/workerapi"
 )
 
 const (
@@ -50,7 +50,7 @@
 
 // Composer makes tasks of calls. All of it belongs to the owner of decisions, but for what its transports read.
 type Composer struct {
-	counts *check.Counts
+	counts *invariant.Counts
 	now    func() time.Duration
 	types  map[string]*Type
 	ways   []Transport
@@ -59,7 +59,7 @@
 	over   sync.WaitGroup
 
 	tasks   map[string]*task
-	ended   []runs.Notice
+	ended   []workerapi.Notice
 	unsent  []*Sent // for which there was no way
 	backs   []Back
 	looked  time.Duration
@@ -93,7 +93,7 @@
 // when there is something to take. The types' plans must have been checked.
 func New(
 	ctx context.Context, dependencies []Dependency, types []Type, memory int, seed int64, now func() time.Duration,
-	counts *check.Counts, log *slog.Logger, wake func(),
+	counts *invariant.Counts, log *slog.Logger, wake func(),
 ) *Composer {
 	c := &Composer{
 		counts: counts, now: now, types: map[string]*Type{}, tasks: map[string]*task{},
@@ -123,7 +123,7 @@
 func (c *Composer) Waits(kind string) time.Duration { return c.types[kind].Plan.NeededPath() }
 
 // Start begins the calls of a task.
-func (c *Composer) Start(r runs.Run) bool {
+func (c *Composer) Start(r workerapi.Run) bool {
 	kind := c.types[r.Type]
 	c.counts.That(kind != nil && c.tasks[r.ID] == nil, "a task was composed twice, or has no plan")
 	if kind == nil || c.tasks[r.ID] != nil {
@@ -153,7 +153,7 @@
 func (c *Composer) GoOn(string) bool { return false }
 
 // Take gives the ends of tasks.
-func (c *Composer) Take(into []runs.Notice) []runs.Notice {
+func (c *Composer) Take(into []workerapi.Notice) []workerapi.Notice {
 	into = append(into, c.ended...)
 	clear(c.ended)
 	c.ended = c.ended[:0]
@@ -313,7 +313,7 @@
 func (c *Composer) end(t *task, outcome string, result []byte) {
 	c.holds -= t.held
 	delete(c.tasks, t.id)
-	c.ended = append(c.ended, runs.Notice{Kind: runs.Finished, Task: t.id, Outcome: outcome, Result: result})
+	c.ended = append(c.ended, workerapi.Notice{Kind: workerapi.Finished, Task: t.id, Outcome: outcome, Result: result})
 }
 
 // Answer is the form of a composed answer.
--- a/internal/compose/frames.go
+++ b/internal/fanout/frames.go
@@ -1,4 +1,4 @@
-package compose
+package fanout
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"quartzpoint/budget"
 	"quartzpoint/internal/frame"
-	"quartzpoint/internal/outbox"
+	"quartzpoint/internal/writequeue"
 )
 
 const (
@@ -88,7 +88,7 @@
 	of      *frames
 	socket  net.Conn
 	raw     syscall.RawConn
-	out     *outbox.Box
+	out     *writequeue.Box
 	open    map[uint32]*Sent
 	streams map[*Sent]uint32
 	stream  uint32
@@ -176,7 +176,7 @@
 		socket.Close()
 		return net.ErrClosed
 	}
-	l.socket, l.raw, l.out = socket, raw, outbox.New(outBound)
+	l.socket, l.raw, l.out = socket, raw, writequeue.New(outBound)
 	l.open, l.streams = map[uint32]*Sent{}, map[*Sent]uint32{}
 	l.stream, l.closing, l.heard = 0, false, time.Now()
 	f.mu.Unlock()
--- a/internal/front/conn.go
+++ b/internal/frontend/conn.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"context"
@@ -19,10 +19,10 @@
 
 	"quartzpoint/internal/events"
 	"quartzpoint/internal/frame"
-	"quartzpoint/internal/outbox"
 	"quartzpoint/internal/poller"
 	"quartzpoint/internal/server"
 	"quartzpoint/internal/sysfault"
+	"quartzpoint/internal/writequeue"
 )
 
 const deaf = "peer does not read"
@@ -54,7 +54,7 @@
 	highest uint32                  // stream so far; they go from 1 up, so no list of those used is needed
 	part    []byte                  // the beginning of a frame whose rest has not come
 	beyond  int                     // bytes to pass over
-	out     *outbox.Box
+	out     *writequeue.Box
 	dirty   bool
 	dead    bool
 	retired bool
@@ -73,7 +73,7 @@
 func newConn(f *Front, link netpoll.Connection) *conn {
 	return &conn{
 		front: f, link: link, fd: link.(netpoll.Conn).Fd(),
-		open: map[uint32]*server.Task{}, out: outbox.New(mostOpen * mostAnswer),
+		open: map[uint32]*server.Task{}, out: writequeue.New(mostOpen * mostAnswer),
 		born: f.server.Now(), last: f.server.Now(),
 	}
 }
@@ -133,7 +133,7 @@
 func (c *conn) die() {
 	c.dead = true
 	c.front.waiting -= c.out.Size()
-	c.out = outbox.New(0)
+	c.out = writequeue.New(0)
 }
 
 // quiet tells whether nothing waits to be read: neither with netpoll nor with the system.
--- a/internal/front/front.go
+++ b/internal/frontend/front.go
@@ -1,5 +1,5 @@
-// Package front is the way in for routers: the listener and its connections, on netpoll.
-package front
+// Package frontend is the way in for routers: the listener and its connections, on netpoll.
+package frontend
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"quartzpoint/internal/check"
+	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/poller"
 	"quartzpoint/internal/server"
 	"quartzpoint/internal/sysfault"
@@ -40,7 +40,7 @@
 // Front holds the connections of routers. All but the callbacks of netpoll belong to the owner of decisions.
 type Front struct {
 	server   *server.Server
-	counts   *check.Counts
+	counts   *invariant.Counts
 	log      *slog.Logger
 	listener netpoll.Listener
 	closing  atomic.Bool
@@ -66,7 +66,7 @@
 }
 
 // Listen takes the address for a front; connections come once it serves.
-func Listen(address string, s *server.Server, limits server.Limits, counts *check.Counts, log *slog.Logger) (
+func Listen(address string, s *server.Server, limits server.Limits, counts *invariant.Counts, log *slog.Logger) (
 	*Front, error,
 ) {
 	listener, err := netpoll.CreateListener("tcp", address)
