--- a/Makefile
+++ b/Makefile
@@ -4,6 +4,10 @@
 
 KIT ?= ../given/kit
 
+# The linters' versions are pinned apart from what the programs need.
+TOOL = go tool -modfile=tools/go.mod
+LINTER = $(TOOL) golangci-lint
+
 # Packages that decide: no I/O, no clock, nothing that carries.
 DECIDES = ./admission ./estimate ./budget ./recovery ./emulator ./rulecheck ./scenario ./baseline ./classpool ./lease ./configuration ./reconcile ./wallclock
 
@@ -37,6 +41,9 @@
 	go vet -tags debug ./...
 	go tool staticcheck ./...
 	go tool staticcheck -tags debug ./...
+	$(LINTER) run ./...
+	$(LINTER) run --build-tags debug ./...
+	@dead=$$($(TOOL) deadcode -test ./...); if [ -n "$$dead" ]; then echo "reached by nothing: $$dead" >&2; exit 1; fi
 	@bad=$$(go list -deps $(DECIDES) | grep '^quartzpoint/' | grep -vxF "$$(go list $(DECIDES))"); \
 		if [ -n "$$bad" ]; then echo "packages that decide import: $$bad" >&2; exit 1; fi
 	@for p in $(DECIDES); do \
