--- a/admission/admit.go
+++ b/admission/admit.go
@@ -1,15 +1,17 @@
 package admission
 
 const (
-	// plannedShare is the part of the memory, or of the calls that the dependency survives, that is ever planned for.
+	// plannedShare is the fraction of the memory, and of the calls that the dependency survives, that is planned for at
+	// most.
 	plannedShare = 0.9
-	// maxRunsAndReadsPerCore is the number of runs and reads per core at which no further run starts.
+	// maxRunsAndReadsPerCore is the number of runs and reads per core from which no further run starts.
 	maxRunsAndReadsPerCore = 1.2
 )
 
-// mayStart is whether a queued request may start: behind a trial that holds the queue, within the concurrency that the server survives, with memory for its run,
-// behind the reading of requests, and under the in-flight limit. Beyond the limit it may still start where a core has no run
-// on it: requests in flight that wait at calls leave cores idle.
+// mayStart reports whether a queued request may start. It may not while a trial blocks the queue, beyond the
+// concurrency that the server survives, without memory for its run, or while reads of requests take the cores. Beyond
+// the in-flight limit it may still start if a core has no run and memory is below its soft limit: requests in flight
+// that wait at calls leave cores idle.
 func (c *Controller) mayStart(request *Request) bool {
 	if c.trial.holds() {
 		return false
@@ -21,8 +23,8 @@
 	if c.memoryUsedKB()+request.HeldKB*(c.settings.RunningMemoryFactor-1) > c.memoryKB() {
 		return false
 	}
-	// Reads share the cores with runs. A request that is read late is old before anything is decided on it, so reads go first;
-	// at most one per core is on at a time, so some runs always go on.
+	// Reads share the cores with runs and take precedence: a request that is read late has little time left when it is
+	// decided on. At most one read per core is in progress at a time, so some runs always continue.
 	if count.onCores+c.otherRunnable >= c.settings.Cores*maxRunsAndReadsPerCore {
 		return false
 	}
@@ -33,7 +35,7 @@
 type inFlightCount struct {
 	total        float64
 	onCores      float64
-	awaitingCall float64 // whose call may not be made yet
+	awaitingCall float64 // those whose call may not be made yet
 }
 
 func (c *Controller) inFlight() (count inFlightCount) {
@@ -51,10 +53,10 @@
 	return count
 }
 
-// memoryKB is the memory that is ever planned for, in KiB.
+// memoryKB returns the upper bound on planned memory in KiB.
 func (c *Controller) memoryKB() float64 { return c.settings.MemoryKB * plannedShare }
 
-// memoryUsedKB is the memory of what is queued, in flight and kept for idempotency keys, in KiB.
+// memoryUsedKB returns the memory of requests queued and in flight and of idempotency keys in KiB.
 func (c *Controller) memoryUsedKB() float64 {
 	kb := float64(len(c.keyed)) * c.settings.KeyKB
 	for _, request := range c.queue {
--- a/admission/callcapacity.go
+++ b/admission/callcapacity.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// How many calls to the shared dependency this server may have in progress. Its share of what the dependency survives is a
-// mean over a window and may be less than one call, and hundreds of servers with one call each would be more than the
-// dependency survives. So the capacity is a mean as well: calls in progress use up credit in call-seconds, and the next call
-// waits until the credit is made good.
+// The capacity for calls limits how many calls to the shared dependency this server may have in progress. The server's
+// quota of what the dependency survives is a mean over a window and may be less than one call; hundreds of servers with
+// one call each would be more than the dependency survives. So the capacity is a mean as well: calls in progress use up
+// credit in call-seconds, and the next call waits until the credit is positive again.
 
 const (
-	minCallQuota       = 1e-3 // calls; taken where no share is stated, so that a call goes now and then
-	maxCallShare       = 0.7  // part of the share that the capacity ever takes
-	initialCallShare   = 0.4  // part of it at the start
-	minCallShare       = 0.1  // part of it that strain leaves
-	callIncrease       = 0.05 // part of it by which the capacity grows in a calibration
-	strainedSkipShare  = 0.5  // part of the capacity open to requests that can skip their call, under strain
-	callMeanSamples    = 500  // calls that the long mean of their time looks back over
+	minCallQuota       = 1e-3 // calls; used if no quota is configured, so that a call is made now and then
+	maxCallShare       = 0.7  // fraction of the quota that the capacity takes at most
+	initialCallShare   = 0.4  // fraction of the quota at the start
+	minCallShare       = 0.1  // fraction of the quota that is left under strain
+	callIncrease       = 0.05 // fraction of the quota by which the capacity grows in a calibration
+	strainedSkipShare  = 0.5  // fraction of the capacity open to requests that can skip their call, under strain
+	callMeanSamples    = 500  // calls that the long-term mean of their time averages over
 	callOutcomeWindow  = 2 * time.Second
 	callOutcomeParts   = 8
-	recentCallParts    = 4 // parts of it that a calibration looks at: one second
+	recentCallParts    = 4 // newest parts of outcomes that a calibration looks at: one second
 	callOutcomeMeanAge = callOutcomeWindow / 2
 	callProgressParts  = 20
 	minCallSlots       = 1 // calls in progress that any capacity allows
 )
 
-// callCapacity is the capacity for calls and what moves it.
+// callCapacity is the capacity for calls and the measurements that move it.
 type callCapacity struct {
-	quota    float64 // calls in progress, on the mean, that the dependency survives of this server
-	capacity float64 // calls in progress, on the mean, that this server plans for
-	credit   float64 // call-seconds that it has left unused, or below 0 is ahead by
-	turns    float64 // turns to make a call that have passed since the start, from a random phase on
+	quota    float64 // mean number of calls in progress that the dependency survives from this server
+	capacity float64 // mean number of calls in progress that this server plans for
+	credit   float64 // unused call-seconds; below 0 if calls used more than the capacity
+	turns    float64 // pacing cycles since the start, from a random phase on
 
 	outcomes   *slidingSums // see callTotals
 	inProgress *slidingSums // call-seconds
-	seconds    movingMean   // of a call
+	seconds    movingMean   // seconds of a call
 	sample     sampleStats  // the same, for other servers
-	assumed    float64      // seconds that a call is taken to need before one is known
+	assumed    float64      // seconds that a call is assumed to take before any is measured
 
 	strained bool // calls take much longer than usual, or are rejected
 	delayed  bool // a call had to wait for capacity since the last calibration
 
 	peerSeconds peerEstimate
-	window      time.Duration // over which share counts
+	window      time.Duration // averaging window of quota
 }
 
 func newCallCapacity(settings Settings) callCapacity {
@@ -55,7 +55,8 @@
 		window:     settings.CallWindow,
 	}
 	if settings.CallsTier {
-		// The servers below protect themselves and state no share: what this server's own concurrency allows bounds the calls.
+		// The servers of the tier protect themselves and state no quota: the calls are bounded by this server's own
+		// concurrency.
 		c.quota = concurrencyShare * settings.MaxRunnablePerCore * settings.Cores
 	}
 	c.capacity = c.quota * initialCallShare
@@ -63,28 +64,28 @@
 	return c
 }
 
-// assumeAtLeast raises what a call is taken to need before one is known.
+// assumeAtLeast raises the assumed time of a call, which counts until one is measured, to at least seconds.
 func (c *callCapacity) assumeAtLeast(seconds float64) { c.assumed = max(c.assumed, seconds) }
 
-// refill adds the credit and the turns of a time in seconds.
+// refill adds the credit and the pacing cycles of a number of seconds.
 func (c *callCapacity) refill(passed float64) {
 	c.credit = min(c.credit+c.capacity*passed, c.capacity)
 	c.turns += passed * c.capacity / c.expectedSeconds()
 }
 
-// charge takes a time for which a call was the dependency's load off the credit.
+// charge deducts the time for which a call loaded the dependency from the credit.
 func (c *callCapacity) charge(now, spent time.Duration) {
 	c.inProgress.add(now, spent.Seconds())
 	c.credit -= spent.Seconds()
 }
 
-// expectedSeconds is how long a call is expected to take.
+// expectedSeconds returns how long a call is expected to take.
 func (c *callCapacity) expectedSeconds() float64 {
 	return cmp.Or(c.seconds.mean, c.peerCallSeconds(), c.assumed)
 }
 
-// peerCallSeconds is how long calls take at peers, until the first call of this server has returned; 0 where that is not
-// known. It only ever has a server wait longer, or skip a call sooner.
+// peerCallSeconds returns how long calls take at peers until the first call of this server has returned, and 0 after
+// that or if unknown. It can only make the server wait longer or skip a call sooner.
 func (c *callCapacity) peerCallSeconds() float64 {
 	if c.seconds.count > 0 || c.peerSeconds.weight == 0 {
 		return 0
@@ -92,9 +93,11 @@
 	return c.peerSeconds.estimate.Mean
 }
 
-// hasTurn spreads calls that take more than the share bears over a fleet: hundreds of servers that make one each in the same
-// moment, after a release or in a burst, pass what the dependency survives. A turn comes for each call that the capacity
-// allows, from the server's own phase on, and lasts for what the share leaves beside the capacity.
+// hasTurn reports whether the pacing of calls allows a call now. Pacing spreads calls that take more than the quota
+// bears over a fleet: hundreds of servers that make one call each at the same time, after a release or in a burst,
+// exceed what the dependency survives. There is one cycle per call that the capacity allows, with a phase of its own on
+// each server. A call may be made in the first part of a cycle: its fraction is the call-seconds per window that the
+// quota leaves above the capacity, over the seconds of a call.
 func (c *callCapacity) hasTurn() bool {
 	window := max(c.window, tickInterval).Seconds()
 	spare := (c.quota*plannedShare - c.capacity) * window
@@ -103,15 +106,15 @@
 
 // callTotals are the sums of callCapacity.outcomes.
 type callTotals struct {
-	returned float64 // calls that succeeded, or that were abandoned
-	seconds  float64 // that those took
+	returned float64 // calls that succeeded or were abandoned
+	seconds  float64 // time of the returned calls
 	rejected float64 // calls that failed
 }
 
 func callTotalsOf(sums [maxSums]float64) callTotals { return callTotals{sums[0], sums[1], sums[2]} }
 
-// recentCalls sums up the latest calls. A small server has one call in progress at a time, so one that is late counts before
-// its end.
+// recentCalls sums up the latest calls. A small server has one call in progress at a time, so a call that takes long
+// counts before its end.
 func (c *Controller) recentCalls(parts int) callTotals {
 	totals := callTotalsOf(c.calls.outcomes.recent(c.now, parts))
 	for _, request := range c.active {
@@ -123,14 +126,14 @@
 	return totals
 }
 
-// callTime is the mean time of the latest calls.
+// callTime returns the mean time of the latest calls, at least peerCallSeconds.
 func (c *Controller) callTime() time.Duration {
 	recent := c.recentCalls(callOutcomeParts)
 	return time.Duration(max(recent.seconds/max(recent.returned, 1), c.calls.peerCallSeconds()) * float64(time.Second))
 }
 
-// calibrateCalls moves the capacity as the in-flight limit is moved: up while calls wait and return as usual, down by
-// backoffFactor when calls are rejected or take much longer than usual.
+// calibrateCalls moves the capacity like the in-flight limit: up while calls wait for capacity and return as usual,
+// down by backoffFactor when calls are rejected or take much longer than usual.
 func (c *Controller) calibrateCalls() {
 	calls := &c.calls
 	recent := c.recentCalls(recentCallParts)
@@ -146,8 +149,8 @@
 	calls.delayed = false
 }
 
-// strainedCallWait is how long a request that calls the dependency waits off the cores while that is strained: a call's time
-// and the turns of the requests that wait already. At ease it is 0.
+// strainedCallWait returns how long a request that calls the dependency waits off the cores while the dependency is
+// strained: the time of its call and of the calls of requests that already wait. Without strain it returns 0.
 func (c *Controller) strainedCallWait(waiting float64) time.Duration {
 	if !c.calls.strained {
 		return 0
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	lostCallFactor       = 8.0 // times as long as usual after which a call that may be made again is abandoned
-	maxCallBackoffPower  = 6   // doublings of the wait between attempts of a call
-	minCallWorkDivisor   = 4   // part of its expected work, as a divisor, that a run at its call is taken to need at least
-	callTurnsForSlack    = 2   // turns of its call for which a request must have time, to wait for it rather than skip it
-	minWindowCallTimings = 2   // call times for which a call beyond the share is waited for at least
+	lostCallFactor       = 8.0 // multiple of the mean call time after which a call that may be repeated is abandoned
+	maxCallBackoffPower  = 6   // maximum number of doublings of the delay between attempts of a call
+	minCallWorkDivisor   = 4   // fraction of its expected work, as a divisor, that a run at its call is assumed to still need at least
+	callTurnsForSlack    = 2   // expected durations of wait and call that have to fit into the time left; otherwise the request skips its call
+	minWindowCallTimings = 2   // minimum timeout of a call beyond the quota, in mean call times
 )
 
-// endCall takes the end of a call. After a call that did not succeed, a request skips its call, waits for another attempt, or
-// is aborted where another attempt might repeat an effect.
+// endCall processes the end of a call. After a call that did not succeed, the request skips its call, waits for another
+// attempt, or is aborted if another attempt might repeat an effect.
 func (c *Controller) endCall(end Completion, w Executor) {
 	request := end.Request
 	if request.phase != calling {
@@ -39,7 +39,7 @@
 	}
 }
 
-// recordCall takes the end of a call into what is known of calls.
+// recordCall adds an ended call to the statistics of calls.
 func (c *Controller) recordCall(end Completion) {
 	calls, took := &c.calls, end.Took.Seconds()
 	switch end.Outcome {
@@ -47,7 +47,7 @@
 		calls.outcomes.add(c.now, 1, took)
 		calls.seconds.add(took, callMeanSamples)
 		calls.sample.add(took, c.now)
-	case Unknown: // abandoned: its time is only this server's patience, and it stays the dependency's load for a while
+	case Unknown: // abandoned: its time is only this server's timeout, and it still loads the dependency for a while
 		calls.outcomes.add(c.now, 1, took)
 		calls.charge(c.now, c.settings.CallLinger)
 		calls.assumeAtLeast(took)
@@ -56,8 +56,8 @@
 	}
 }
 
-// backOffCall sets when the request's call may be made again: later each time and with jitter, as a call that is rejected
-// costs the dependency work too, and many servers retry at once.
+// backOffCall sets when the request's call may be made again. The delay grows with each attempt and has jitter, as a
+// rejected call costs the dependency work too, and many servers retry at once.
 func (c *Controller) backOffCall(request *Request) {
 	request.callFailures++
 	usual := max(c.calls.seconds.mean, c.calls.peerCallSeconds(), tickInterval.Seconds())
@@ -66,20 +66,21 @@
 	request.callNotBefore = c.now + time.Duration(wait*float64(time.Second))
 }
 
-// callBackoff is the factor by which an attempt of a call waits longer than the first.
+// callBackoff returns the factor by which the delay before the request's next attempt of its call has grown.
 func callBackoff(request *Request) float64 {
 	return math.Exp2(float64(min(request.callFailures, maxCallBackoffPower)))
 }
 
-// placeCalls makes the calls that may be made now. Requests that lose most value without their call go first, then the most
-// urgent. One whose call would return too late skips it, where that earns anything.
+// placeCalls makes the calls that may be made now. The requests that lose most value without their call go first, then
+// those with the least time left. A request whose call would return too late skips it, if an answer without it earns
+// value.
 func (c *Controller) placeCalls(w Executor) {
 	waiting, inProgress := c.waitingCalls()
 	count := c.inFlight()
-	slowdown := max(1, count.total/c.settings.Cores) // by which all that is in flight slows each run down
+	slowdown := max(1, count.total/c.settings.Cores) // factor by which the requests in flight slow each run down
 	for ahead, request := range waiting {
 		if request.answered {
-			continue // its run ends here by itself
+			continue // its run ends without a call
 		}
 		rest := time.Duration(slowdown * float64(c.remainingWork(request, minCallWorkDivisor)))
 		switch {
@@ -99,8 +100,8 @@
 	}
 }
 
-// waitingCalls are the requests that wait until their call may be made, in the order in which they go, and the number of
-// calls in progress.
+// waitingCalls returns the requests that wait until their call may be made, in the order in which calls are made, and
+// the number of calls in progress.
 func (c *Controller) waitingCalls() (waiting []*Request, inProgress float64) {
 	for _, request := range c.active {
 		switch request.phase {
@@ -117,12 +118,12 @@
 	return waiting, inProgress
 }
 
-// lossWithoutCall is the value that is lost when the request skips its call.
+// lossWithoutCall returns the value that is lost if the request skips its call.
 func (r *Request) lossWithoutCall() float64 { return r.Route.Value * (1 - r.Route.SkipValueShare) }
 
-// skipsCall is whether a request that can skip its call does: while the dependency is strained and little capacity is left,
-// which then belongs to those that can't, or where there is no time for the call and its turn. Requests ahead use up the credit
-// first; rest is the time that the run takes after its call.
+// skipsCall reports whether a request that can skip its call does so: if the dependency is strained and little capacity
+// is left, as that is reserved for requests that can't skip theirs, or if there is no time for the call and the wait
+// before it. Requests ahead use up the credit first; rest is the time that the run takes after its call.
 func (c *Controller) skipsCall(request *Request, rest time.Duration, ahead, inProgress float64) bool {
 	calls := &c.calls
 	turn := c.callTime()
@@ -134,14 +135,14 @@
 	return request.Route.SkipValueShare > 0 && (!spare || c.now+rest+callTurnsForSlack*turn > request.usefulUntil)
 }
 
-// mayCall is whether one more call may be made.
+// mayCall reports whether one more call may be made.
 func (c *Controller) mayCall(inProgress, onCores float64) bool {
 	calls := &c.calls
 	return inProgress+1 <= max(minCallSlots, calls.capacity) && calls.credit > 0 && calls.hasTurn() &&
 		onCores+inProgress+1 <= c.maxConcurrency()
 }
 
-// callTimeout is how long a call is waited for: no longer than its request is useful.
+// callTimeout returns the timeout of a call: at most the time for which an answer to its request earns value.
 func (c *Controller) callTimeout(request *Request, rest time.Duration, inProgress float64) time.Duration {
 	calls := &c.calls
 	timeout := request.usefulUntil - c.now
@@ -149,14 +150,15 @@
 		timeout -= rest
 	}
 	if inProgress+1 > calls.quota {
-		// The share is survived on the mean over the window: a call beyond it may last only for what the window has left.
+		// The dependency survives the quota as a mean over the window: a call beyond it may last only for what is left
+		// in the window.
 		left := calls.quota*c.settings.CallWindow.Seconds()*plannedShare - calls.inProgress.sum(c.now)[0]
 		left -= c.settings.CallLinger.Seconds()
 		timeout = min(timeout, max(time.Duration(left*float64(time.Second)), minWindowCallTimings*c.callTime()))
 	}
 	if calls.seconds.count > 0 && request.Route.Idempotency == Retryable {
-		// A call that is never answered would keep its place until its request is aborted. It is made again, with a longer timeout
-		// each time, as the dependency may only have grown slow.
+		// A call that is never answered would occupy its place until its request is aborted. It is made again, with a
+		// longer timeout each time, as the dependency may only have become slow.
 		lost := calls.seconds.mean * lostCallFactor * callBackoff(request)
 		timeout = min(timeout, time.Duration(lost*float64(time.Second)))
 	}
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// tickInterval is the time between rounds with gauges. Every margin that must cover one round is counted in it.
+// tickInterval is the time between rounds with gauges. Margins that must cover one round are multiples of it.
 const tickInterval = 25 * time.Millisecond
 
-// Every so many ticks some rules look again.
+// Numbers of ticks after which a rule is applied again.
 const (
 	ticksPerLevelMove       = 4
 	ticksPerCallCalibration = 10
 )
 
-// Controller decides for one server. Its methods are for one goroutine.
+// Controller makes the decisions of one server. Its methods must not be called concurrently.
 //
-// A request that holds anything is in exactly one of queue and active; one with an idempotency key is in keyed as well
-// until its entry expires or is given back.
+// A request that takes any resource is in exactly one of queue and active; one with an idempotency key is also in keyed
+// until its entry expires or is released.
 type Controller struct {
-	// Routes are the routes by their index. Programs read it; PutRoute and RemoveRoute change it.
+	// Routes holds the routes by index. Programs may read it; PutRoute and RemoveRoute change it.
 	Routes []*Route
 
 	settings Settings
 	random   *rand.Rand
-	now      time.Duration // of the round in hand
-	gauges   Gauges        // the latest
-	tickedAt time.Duration // 0 before the first round
+	now      time.Duration // time of the current round
+	gauges   Gauges        // latest readings
+	tickedAt time.Duration // time of the last tick; 0 before the first round
 	ticks    int
 
-	queue  []*Request // by answerBy
-	active []*Request // running, at a call, awaiting an original, or answered with a run still on
+	queue  []*Request // ordered by answerBy
+	active []*Request // in flight, awaiting an original, or answered with an unfinished run
 	keyed  []*Request // with an entry in the table of idempotency keys
 
 	limit       inFlightLimit
@@ -46,19 +46,19 @@
 	drain       drain
 	tenants     tenantTable
 
-	otherRunnable float64 // what wanted a core at the last tick beside runs: reads of requests
+	otherRunnable float64 // reads of requests that wanted a core at the last tick: all runnable work but the runs
 
 	scratch scratch
 }
 
-// scratch is memory that is used again by each round.
+// scratch holds buffers that the rounds reuse.
 type scratch struct {
 	active, shed []*Request
 	ranking      valueRanking
 }
 
-// New starts the decisions of a server that knows its settings and nothing else. The seed draws the jitter of retries and
-// the server's turn among a fleet's.
+// New returns the controller of a server without measurements. The seed determines the jitter of retries and the phase
+// of the server's call pacing within a fleet.
 func New(settings Settings, seed int64) *Controller {
 	controller := &Controller{
 		settings:    settings,
@@ -79,8 +79,9 @@
 	return controller
 }
 
-// Decide takes a round and tells the executor what is to be done. The end of a call is taken before a new call of the same
-// request, and both before the end of its run, so that a round may hold a request's whole life.
+// Decide processes a round and passes the decisions to the executor. The end of a call is processed before a new call
+// of the same request, and both before the end of its run, so that one round may hold several successive events of a
+// request.
 func (c *Controller) Decide(r *Round, w Executor) {
 	c.now = r.Now
 	c.begin(w)
@@ -97,7 +98,7 @@
 	c.startQueued(w)
 }
 
-// begin prepares for the first round.
+// begin initializes the times and the health in the first round.
 func (c *Controller) begin(w Executor) {
 	if c.tickedAt != 0 {
 		return
@@ -107,7 +108,7 @@
 	w.WakeAfter(tickInterval)
 }
 
-// takeEvents takes what happened to requests.
+// takeEvents applies the events of the round to the requests.
 func (c *Controller) takeEvents(r *Round, w Executor) {
 	for _, end := range r.CallsEnded {
 		c.endCall(end, w)
@@ -123,12 +124,12 @@
 	for _, request := range r.Arrived {
 		c.arrive(request, w)
 	}
-	for _, request := range r.Canceled { // after the arrivals: a caller may leave in the moment its request is read
+	for _, request := range r.Canceled { // after the arrivals: a caller may leave in the round in which its request is read
 		c.cancel(request, w)
 	}
 }
 
-// tick does what is done at intervals: it charges time, calibrates the limits and moves the shed level.
+// tick does the periodic work: it charges time, calibrates the limits and moves the shed level.
 func (c *Controller) tick(gauges Gauges, age time.Duration, w Executor) {
 	c.gauges = gauges
 	c.limit.blind = age > maxGaugesAge
@@ -150,11 +151,12 @@
 	w.WakeAfter(tickInterval)
 }
 
-// chargeActive charges the time since the last tick to the phases of active requests.
+// chargeActive charges the time since the last charge to the phases of active requests, and repeats the stop of runs
+// that have not ended yet.
 func (c *Controller) chargeActive(w Executor) {
 	for _, request := range c.active {
 		if request.phase == stopping && c.settings.Preemption.Allowed() {
-			w.Pause(request) // again: a stop has no effect while the cores stand still
+			w.Pause(request) // repeated, as a stop has no effect while the cores are stalled
 		}
 		c.chargePhase(request)
 	}
@@ -175,7 +177,7 @@
 	}
 }
 
-// enterPhase charges the time of the phase that ends and begins the next.
+// enterPhase charges the time spent in the current phase and enters the next one.
 func (c *Controller) enterPhase(request *Request, next phase) {
 	c.chargePhase(request)
 	request.phase = next
@@ -198,7 +200,7 @@
 	}
 }
 
-// endRun takes the end of a run, or of the wait of a duplicate that was answered from its original.
+// endRun processes the end of a run, or of a duplicate that was answered from its original.
 func (c *Controller) endRun(end Completion) {
 	request := end.Request
 	if request.phase == awaitingOriginal {
@@ -208,7 +210,7 @@
 	c.chargePhase(request)
 	defer c.endTrial(end)
 	if request.phase == calling {
-		// The end of its call was not reported: the call is abandoned with the run, and stays the dependency's load.
+		// The end of its call was not reported: the call is abandoned with the run, and still loads the dependency.
 		c.calls.charge(c.now, c.settings.CallLinger)
 	}
 	switch end.Outcome {
@@ -221,7 +223,7 @@
 			c.work.hinted.add(c.now, 0, request.CostHint.Seconds())
 		}
 		c.recordRun(request, end.Took)
-	case NeverStarted: // it took no time, and says nothing of what others need
+	case NeverStarted: // it used no core time: what was charged is taken back, as it shows nothing about the work of requests
 		request.Route.recentRuns.add(c.now, -request.coreTime.Seconds())
 	case NotRun, Unknown, Stopped:
 	}
@@ -229,25 +231,25 @@
 	c.release(request)
 }
 
-// release takes out a request that holds nothing more.
+// release removes a request that takes no more resources.
 func (c *Controller) release(request *Request) {
 	is := func(other *Request) bool { return other == request }
 	c.queue, c.active = slices.DeleteFunc(c.queue, is), slices.DeleteFunc(c.active, is)
 }
 
-// Occupancy is what the server has booked of the machine.
+// Occupancy is the use of the machine as the controller accounts for it.
 type Occupancy struct {
 	Held           int     // queued requests
-	OnCores        int     // runs on the cores, those included whose requests are answered
+	OnCores        int     // runs on the cores, including those whose requests are answered
 	InFlight       int     // runs on the cores, at calls and waiting for them
-	Answered       int     // of those in flight, the ones whose requests are answered
-	Limit          float64 // on those in flight
-	MaxConcurrency float64 // runs on the cores and at calls that are ever allowed
-	UsedKB         float64 // memory of all that is queued, in flight and kept for idempotency keys
-	MaxKB          float64 // memory that is ever planned for
+	Answered       int     // requests in flight that are already answered
+	Limit          float64 // in-flight limit
+	MaxConcurrency float64 // upper bound on the runs on the cores and at calls
+	UsedKB         float64 // memory of requests queued and in flight and of idempotency keys, in KiB
+	MaxKB          float64 // upper bound on planned memory, in KiB
 }
 
-// Occupancy is what is booked at a moment of the clock of rounds.
+// Occupancy returns the occupancy at time now of the clock of rounds.
 func (c *Controller) Occupancy(now time.Duration) Occupancy {
 	c.now = max(c.now, now)
 	count := c.inFlight()
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -9,25 +9,25 @@
 
 // drain is the state of a graceful shutdown.
 type drain struct {
-	deadline   time.Duration // by which all is answered; 0 before the notice
+	deadline   time.Duration // latest time of all answers; 0 before the notice
 	notifiedAt time.Duration
 }
 
 func (d *drain) begun() bool { return d.deadline > 0 }
 
-// pastGrace is whether a moment is past the grace of the notice.
+// pastGrace reports whether a time is past the grace after the notice.
 func (d *drain) pastGrace(moment, grace time.Duration) bool { return moment > d.notifiedAt+grace }
 
-// limit has a request answered before the process is stopped.
+// limit lowers the deadlines of a request so that it is answered before the process is stopped.
 func (d *drain) limit(request *Request) {
 	request.answerBy, request.usefulUntil = min(request.answerBy, d.deadline), min(request.usefulUntil, d.deadline)
 }
 
-// notifiedAt is when the notice to shut down came: in the round that brings it, where that does not say otherwise.
+// notifiedAt returns when the notice to shut down was received: NotifiedAt if set, otherwise the time of the round.
 func (r *Round) notifiedAt() time.Duration { return cmp.Or(r.NotifiedAt, r.Now) }
 
-// beginDrain takes the notice to shut down, where the round brings the first: health checks fail, and nothing is planned past
-// the stop.
+// beginDrain starts the graceful shutdown if the round has the first notice: health checks fail, and nothing is planned
+// past the stop.
 func (c *Controller) beginDrain(r *Round, w Executor) {
 	if r.StopAt <= 0 || c.drain.begun() {
 		return
--- a/admission/health.go
+++ b/admission/health.go
@@ -8,14 +8,14 @@
 const (
 	healthWindow      = 3 * time.Second
 	healthWindowParts = 6
-	minRunsJudged     = 6   // ended runs in the window, under which the server never ejects itself
-	failingShare      = 0.5 // share of failed runs over which it ejects itself
+	minRunsJudged     = 6   // ended runs in the window below which the server never ejects itself
+	failingShare      = 0.5 // share of failed runs above which it ejects itself
 )
 
-// runHealth is whether the server's runs end well. Failing runs are quick, so callers that pick the fastest server choose
-// one whose runs fail, and a request that must not run twice is lost there.
+// runHealth tracks whether the server's runs succeed. Failing runs are quick, so callers that prefer the fastest server
+// choose one whose runs fail, and a request that must not run twice is lost there.
 type runHealth struct {
-	runs    *slidingSums // ended, and failed ones of them
+	runs    *slidingSums // ended runs, and the failed ones of these
 	failing bool
 }
 
@@ -32,8 +32,8 @@
 	h.runs.add(now, 1, failed)
 }
 
-// ejectWhileFailing takes the server out of service while most of its runs fail: health checks fail, callers are asked to
-// keep away, and all but one request at a time is rejected. That one shows when runs succeed again.
+// ejectWhileFailing takes the server out of service while most of its runs fail: health checks fail, callers are asked
+// to hold back requests, and all but one request at a time are rejected. That one shows when runs succeed again.
 func (c *Controller) ejectWhileFailing(w Executor) {
 	runs := c.health.runs.sum(c.now)
 	ended, failed := runs[0], runs[1]
--- a/admission/idle.go
+++ b/admission/idle.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	maxRouters           = 4096 // remembered; beyond that a known router passes for a new one, which closes connections sooner
-	minRequestsJudged    = 10   // requests read before the reuse of connections is judged
-	reuseExponent        = 4    // power of the share of reuse that is kept of the idle timeout
+	maxRouters           = 4096 // routers remembered; any further router counts as new each time, which closes connections sooner
+	minRequestsJudged    = 10   // requests read before the reuse of connections is evaluated
+	reuseExponent        = 4    // exponent of the return ratio in the idle timeout
 	minIdleTimeout       = 10 * time.Millisecond
 	reuseWindow          = 10 * time.Second
 	reuseWindowParts     = 10
 	reuseEstimateMeanAge = reuseWindow / 2
 )
 
-// connectionReuse is how often routers come back while they keep a connection open.
+// connectionReuse measures how often routers return while they still keep a connection open.
 type connectionReuse struct {
 	lastSeen map[uint32]time.Duration // by router
-	requests *slidingSums             // read, and those of routers that had come within the idle timeout
+	requests *slidingSums             // requests read, and those of routers that returned within the idle timeout
 
 	peerReturnRatio peerEstimate
 }
@@ -41,13 +41,13 @@
 	r.requests.add(now, 1, returned)
 }
 
-// forget drops routers that have closed their idle connections by now.
+// forget removes the routers that have closed their idle connections by now.
 func (r *connectionReuse) forget(now, idleTimeout time.Duration) {
 	maps.DeleteFunc(r.lastSeen, func(_ uint32, last time.Duration) bool { return last+idleTimeout <= now })
 }
 
-// share is the share of requests whose router had come within the idle timeout, and whether enough were read to tell. Before
-// that the share that peers estimated stands in.
+// share returns the fraction of requests whose router returned within the idle timeout, and whether enough requests
+// were read to tell. Until then the fraction that peers estimated is used, if any.
 func (r *connectionReuse) share(now time.Duration) (share float64, known bool) {
 	sums := r.requests.sum(now)
 	read, returned := sums[0], sums[1]
@@ -57,8 +57,8 @@
 	return returned / read, read >= minRequestsJudged
 }
 
-// tuneIdleTimeout closes connections the sooner the less they are used again. An open connection takes part of the cores and
-// of a table that is full at some number, and a full table turns callers away unseen.
+// tuneIdleTimeout closes idle connections sooner the less they are reused. An open connection takes part of the cores
+// and an entry of a table of limited size, and a full table refuses callers unnoticed.
 func (c *Controller) tuneIdleTimeout(w Executor) {
 	idleTimeout := c.settings.IdleTimeout
 	c.connections.forget(c.now, idleTimeout)
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// The in-flight limit of docs/design.md: additive increase, multiplicative decrease. Once in calibrationPeriod it grows by
-// one without a backoff event, and shrinks to backoffFactor of itself with one. A backoff event is a busy CPU, full memory, or
-// a route whose latency has risen. While the CPU is under raiseBelowCPU and requests are queued, it also grows by one every
-// ticksPerLimitRaise ticks.
+// The in-flight limit of docs/design.md: additive increase, multiplicative decrease. Once per calibrationPeriod it
+// grows by one if there was no backoff event, and is multiplied by backoffFactor if there was one. A backoff event is a
+// busy CPU, nearly full memory, or a route whose latency has risen. While the CPU is below raiseBelowCPU and requests
+// are queued, the limit also grows by one every ticksPerLimitRaise ticks.
 
 const (
 	calibrationPeriod   = time.Second
 	backoffFactor       = 0.75
-	cpuSoftLimit        = 0.90 // share of the cores from which on the CPU gauge is a backoff event
-	memorySoftLimit     = 0.75 // share of the memory from which on the memory gauge is a backoff event
-	raiseBelowCPU       = 0.70 // share of the cores under which the limit grows between calibrations
-	latencyBackoffRatio = 1.5  // ratio of a route's recent mean latency to its long mean that is a backoff event
-	minLatencySamples   = 5    // ended runs that a recent mean stands on
-	latencyParts        = 4    // parts of recentRuns that are recent: two seconds
-
-	// maxGaugesAge is the age of the gauges past which they show nothing of the machine as it is.
+	cpuSoftLimit        = 0.90 // fraction of the cores from which CPU use is a backoff event
+	memorySoftLimit     = 0.75 // fraction of the memory from which memory use is a backoff event
+	raiseBelowCPU       = 0.70 // fraction of the cores below which the limit also grows between calibrations
+	latencyBackoffRatio = 1.5  // ratio of a route's recent mean latency to its long-term mean above which it is a backoff event
+	minLatencySamples   = 5    // minimum number of ended runs in a recent mean
+	latencyParts        = 4    // newest parts of recentRuns that a recent mean covers: two seconds
+
+	// maxGaugesAge is the maximum age of gauges that calibration uses; older ones do not show the machine's current
+	// state.
 	maxGaugesAge = 4 * tickInterval
 
 	maxInFlightPerCore = 6.0 // requests
-	ticksPerLimitRaise = 4   // between raises while the CPU is under raiseBelowCPU
+	ticksPerLimitRaise = 4   // ticks between raises while the CPU is below raiseBelowCPU
 )
 
 // Backoff is a kind of backoff event.
@@ -43,32 +44,32 @@
 	BackoffLatency: "runs take longer than usual",
 }
 
-// String is the kind as logs have it.
+// String returns the kind as it is logged.
 func (b Backoff) String() string { return backoffTexts[b] }
 
-// LimitReduction is a reduction of the in-flight limit, for logs.
+// LimitReduction is a reduction of the in-flight limit. It is for logs.
 type LimitReduction struct {
-	Cause    Backoff // the first that was seen
+	Cause    Backoff // first backoff event since the calibration before
 	From, To float64 // requests
 }
 
 // inFlightLimit bounds the requests in flight: on the cores, at calls and waiting for them.
 type inFlightLimit struct {
 	value        float64 // requests
-	minimum      float64 // requests; the core count
-	backoff      Backoff // seen since the last calibration
+	minimum      float64 // requests; the number of cores
+	backoff      Backoff // first event since the last calibration
 	reduced      *LimitReduction
-	blind        bool // the gauges are too old to show that there is none
+	blind        bool // the gauges are older than maxGaugesAge
 	calibratedAt time.Duration
-	busyRoutes   map[*routeStats]bool // whose runs ended lately: the only ones whose latency can have risen
+	busyRoutes   map[*routeStats]bool // routes whose runs ended recently: only their latency can have risen
 }
 
-// newInFlightLimit starts at the minimum.
+// newInFlightLimit returns a limit at its minimum.
 func newInFlightLimit(cores float64) inFlightLimit {
 	return inFlightLimit{value: cores, minimum: cores, busyRoutes: map[*routeStats]bool{}}
 }
 
-// noteGauges notes a backoff event by CPU or memory.
+// noteGauges records a backoff event by CPU or memory use.
 func (l *inFlightLimit) noteGauges(g Gauges) {
 	switch {
 	case l.backoff != BackoffNone:
@@ -79,7 +80,7 @@
 	}
 }
 
-// noteLatencies notes a backoff event by latency. The order of routes changes nothing.
+// noteLatencies records a backoff event by latency. The result does not depend on the order of the routes.
 func (l *inFlightLimit) noteLatencies(now time.Duration) {
 	for route := range l.busyRoutes {
 		recent := runTotalsOf(route.recentRuns.recent(now, latencyParts))
@@ -91,13 +92,13 @@
 	}
 }
 
-// calibrationDue is whether a calibration period is over.
+// calibrationDue reports whether a calibration period is over.
 func (l *inFlightLimit) calibrationDue(now time.Duration) bool {
 	return now >= l.calibratedAt+calibrationPeriod
 }
 
-// calibrate moves the limit by what was noted since the last calibration. Without gauges nothing shows that no backoff event
-// came, so that the limit does not grow.
+// calibrate moves the limit according to the backoff event recorded since the last calibration. While the gauges are
+// outdated the limit does not grow, as they can't show that there was no backoff event.
 func (l *inFlightLimit) calibrate(now time.Duration, maximum float64) {
 	l.calibratedAt = now
 	before, cause := l.value, l.backoff
@@ -114,21 +115,22 @@
 	}
 }
 
-// TakeLimitReduction is the reduction of the in-flight limit in the last round, nil where there was none.
+// TakeLimitReduction returns the reduction of the in-flight limit since the last call, and nil if there was none.
 func (c *Controller) TakeLimitReduction() *LimitReduction {
 	reduced := c.limit.reduced
 	c.limit.reduced = nil
 	return reduced
 }
 
-// raise adds one to the limit between calibrations. Where memory puts the maximum under the present value it takes the
-// maximum, which may be under the minimum until the next calibration.
+// raise adds one to the limit between calibrations. If memory puts the maximum below the current value, the limit drops
+// to the maximum, which may be below the minimum until the next calibration.
 func (l *inFlightLimit) raise(maximum float64) { l.value = min(l.value+1, maximum) }
 
-// allows is whether one more request may be in flight.
+// allows reports whether one more request may be in flight.
 func (l *inFlightLimit) allows(inFlight float64) bool { return inFlight < math.Floor(l.value) }
 
-// calibrateLimit calibrates the limit once in calibrationPeriod, and raises it sooner while cores are idle and requests wait.
+// calibrateLimit calibrates the limit once per calibrationPeriod, and raises it in between while cores are idle and
+// requests are queued.
 func (c *Controller) calibrateLimit(w Executor) {
 	switch {
 	case c.limit.calibrationDue(c.now):
@@ -139,7 +141,8 @@
 	}
 }
 
-// maxLimit is the lower of a multiple of the cores and what memory allows at the mean size of what is in flight.
+// maxLimit returns the lower of a multiple of the cores and the number of requests that memory allows at the mean size
+// of those in flight.
 func (c *Controller) maxLimit() float64 {
 	count, kb := 0.0, 0.0
 	for _, request := range c.active {
--- a/admission/peers.go
+++ b/admission/peers.go
@@ -6,26 +6,26 @@
 	"quartzpoint/estimate"
 )
 
-// Estimates of other servers stand beside what was measured here and never in it: they are not passed on, own samples
-// outweigh them as they come, and from estimate.MaxAge on nothing of them is left. They say how long work takes; they never
-// move the in-flight limit, the capacity for calls or the shed level.
+// Estimates of peers are kept apart from the measurements of this server: they are not passed on, own samples outweigh
+// them as they accumulate, and from estimate.MaxAge on they have no weight. They predict how long work takes; they
+// never move the in-flight limit, the capacity for calls or the shed level.
 
 const (
-	scalePriorRuns = 2.0 // runs that "servers are as fast here as there" counts for
+	scalePriorRuns = 2.0 // weight in runs of the assumption that servers are as fast here as there
 	minPeerScale   = 0.5
 	maxPeerScale   = 8.0
-	overrunFactor  = 2.0 // times the peers' estimate from which on an unfinished run counts as a sample
+	overrunFactor  = 2.0 // multiple of the peers' estimate above which an unfinished run counts as a sample
 )
 
-// peerEstimate is an estimate of other servers.
+// peerEstimate is an estimate received from peers.
 type peerEstimate struct {
 	estimate   estimate.Estimate
 	kind       estimate.Kind
 	receivedAt time.Duration
-	weight     float64 // in own samples, at the last tick; 0 for none
+	weight     float64 // in own samples, as of the last tick; 0 for none
 }
 
-// reweigh sets the weight by the estimate's age, and says whether any is left.
+// reweigh sets the weight according to the estimate's age and reports whether any is left.
 func (e *peerEstimate) reweigh(now time.Duration) bool {
 	aged := e.estimate
 	aged.Age += now - e.receivedAt
@@ -33,14 +33,14 @@
 	return e.weight > 0
 }
 
-// peerScale sets the estimates of peers against the machine that they are used on.
+// peerScale relates the estimates of peers to the machine on which they are used.
 type peerScale struct {
-	present bool    // some estimate has a weight
-	scale   float64 // own times over the peers' estimates
+	present bool    // some estimate has a weight above 0
+	scale   float64 // ratio of own times to the peers' estimates
 }
 
-// agePeerEstimates reweighs all estimates of peers by their age at a moment. Where own runs took longer than the peers' estimates, of
-// whatever route, all their estimates are taken for as much longer.
+// agePeerEstimates sets the weights of all peer estimates according to their age at time now. It also sets the scale:
+// the ratio of own run times to the peers' estimates, over all routes together, applies to all of their estimates.
 func (c *Controller) agePeerEstimates(now time.Duration) {
 	if !c.peers.present {
 		return
@@ -71,9 +71,9 @@
 	}
 }
 
-// prior is what is expected before the recent runs are looked at, from the own mean and the peers', and the number of runs
-// that it counts for. The guess that stands in while there are no own runs counts as one run, so that the peers' estimate
-// fades into it as it ages.
+// prior returns what is expected before the recent runs are considered, from the own mean and the peers', and the
+// number of runs that it counts for. The assumed value that own holds while there are no own runs counts as one run, so
+// that the peers' estimate fades into it as it ages.
 func (c *Controller) prior(own movingMean, peer *peerEstimate) (mean, runs float64) {
 	if peer.weight == 0 {
 		return own.mean, priorRuns
@@ -85,8 +85,8 @@
 	return (own.mean*samples + estimated*peer.weight) / (samples + peer.weight), priorRuns + peer.weight*peer.weight/(own.count+peer.weight)
 }
 
-// EstimateSchema says which snapshots this server can use: those of servers with the same settings digest. dynamic says
-// that routes come and go while it runs.
+// EstimateSchema returns the schema of snapshots that this server can use: those of servers with the same settings
+// digest. dynamic states that routes are added and removed while the server runs.
 func (c *Controller) EstimateSchema(origin, settingsDigest uint64, dynamic bool) estimate.Schema {
 	schema := estimate.Schema{SettingsDigest: settingsDigest, Origin: origin, Dynamic: dynamic}
 	for _, route := range c.Routes {
@@ -96,7 +96,8 @@
 	return schema
 }
 
-// Estimates is what this server has measured itself up to a moment. Core times are given as on a warm server.
+// Estimates returns what this server itself has measured up to time now. Core times are converted to those of a warm
+// server.
 func (c *Controller) Estimates(now time.Duration, schema estimate.Schema) estimate.Snapshot {
 	snapshot := estimate.Snapshot{Origin: schema.Origin, SettingsDigest: schema.SettingsDigest}
 	snapshot.Pace, snapshot.Calls = c.work.hintSample.estimate(now), c.calls.sample.estimate(now)
@@ -115,8 +116,8 @@
 	return snapshot
 }
 
-// UsePeerEstimates takes in what other servers measured, in the place of what was taken in before. The snapshot must have
-// passed Schema.Validate for this server; its routes are known by their names, as some may have come or gone since.
+// UsePeerEstimates replaces the estimates of peers by those of a snapshot. The snapshot must have passed
+// Schema.Validate for this server; its routes are matched by name, as routes may have been added or removed since.
 func (c *Controller) UsePeerEstimates(now time.Duration, snapshot estimate.Snapshot) {
 	core := make(map[string]estimate.Estimate, len(snapshot.Routes))
 	for _, route := range snapshot.Routes {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -4,12 +4,12 @@
 	"slices"
 )
 
-// answerMargin is the time before a deadline by which a request is answered: a tick may come late by one interval, and the
-// answer takes its way.
+// answerMargin is the time before its deadline by which a request is answered: a tick may be late by one interval, and
+// the answer takes time to arrive.
 const answerMargin = 2 * tickInterval
 
-// arrive takes a request that was read: a duplicate waits for its original, one past the grace of a shutdown or without room
-// for its idempotency key is rejected, all others are queued.
+// arrive processes a request that was read: a duplicate waits for its original; a request past the grace of a shutdown
+// or without memory for its idempotency key is rejected; all others are queued.
 func (c *Controller) arrive(request *Request, w Executor) {
 	c.setDeadlines(request)
 	c.countArrival(request)
@@ -33,7 +33,7 @@
 	c.enqueue(request)
 }
 
-// setDeadlines sets until when the request is answered, and until when that earns anything.
+// setDeadlines sets when the request is answered at the latest, and until when an answer earns value.
 func (c *Controller) setDeadlines(request *Request) {
 	request.phaseSince = c.now
 	request.answerBy = request.Arrived + request.Route.Deadline
@@ -47,7 +47,7 @@
 	}
 }
 
-// countArrival counts a request in what is learned from arrivals.
+// countArrival adds a request to the statistics of arrivals.
 func (c *Controller) countArrival(request *Request) {
 	c.shedding.addRead(c.now, request)
 	c.connections.add(c.now, request.Router, c.settings.IdleTimeout)
@@ -57,8 +57,8 @@
 	}
 }
 
-// rememberKey makes the entry of the request's idempotency key, before any run, so that no duplicate passes for a new
-// request. It is false without memory for the entry.
+// rememberKey creates the entry of the request's idempotency key, before any run, so that no duplicate is taken for a
+// new request. It returns false if there is no memory for the entry.
 func (c *Controller) rememberKey(request *Request, w Executor) bool {
 	if c.memoryUsedKB()+c.settings.KeyKB+request.HeldKB > c.memoryKB() {
 		return false
@@ -69,7 +69,8 @@
 	return true
 }
 
-// releaseKey gives back the entry of a request that never ran. The key of one that ran stays known for its whole window.
+// releaseKey drops the idempotency key of a request that never ran. The key of one that ran stays known for its whole
+// dedup window.
 func (c *Controller) releaseKey(request *Request, w Executor) {
 	if request.keyExpiresAt > 0 && !request.started {
 		request.keyExpiresAt = 0
@@ -78,12 +79,12 @@
 	}
 }
 
-// expireKeys drops the entries whose window is over.
+// expireKeys removes the entries whose dedup window has ended.
 func (c *Controller) expireKeys() {
 	c.keyed = slices.DeleteFunc(c.keyed, func(request *Request) bool { return request.keyExpiresAt <= c.now })
 }
 
-// enqueue puts a request behind all that are to be answered no later.
+// enqueue inserts a request after all requests with the same or an earlier answerBy.
 func (c *Controller) enqueue(request *Request) {
 	i, _ := slices.BinarySearchFunc(c.queue, request, func(a, b *Request) int {
 		if a.answerBy <= b.answerBy {
@@ -94,8 +95,8 @@
 	c.queue = slices.Insert(c.queue, i, request)
 }
 
-// cancel frees what is held for a request that nobody waits for any more. The run of a keyed request goes on: its caller may
-// come again with the key, and is then answered from this run.
+// cancel releases the resources of a request whose caller no longer waits. Only the run of a retryable request is
+// stopped: the caller of a keyed one may retry with its key, and is then answered from this run.
 func (c *Controller) cancel(request *Request, w Executor) {
 	switch request.phase {
 	case queued, awaitingOriginal:
@@ -111,12 +112,12 @@
 	}
 }
 
-// removeAnswered takes the answered requests out of the queue, all at once: a burst may have shed thousands.
+// removeAnswered removes the answered requests from the queue in one pass, as a burst may have shed thousands.
 func (c *Controller) removeAnswered() {
 	c.queue = slices.DeleteFunc(c.queue, func(request *Request) bool { return request.answered })
 }
 
-// expireRequests answers, in whatever phase they are, the requests for which an answer earns nothing any more.
+// expireRequests answers the requests, in any phase, for which an answer no longer earns value.
 func (c *Controller) expireRequests(w Executor) {
 	expired := false
 	for _, request := range c.queue {
@@ -136,7 +137,7 @@
 	}
 }
 
-// expiryReason is the reason of a request whose time is over: its own, or the server's.
+// expiryReason returns why a request expired: by its own deadline, or by the stop of the server.
 func (c *Controller) expiryReason(request *Request) RejectReason {
 	if c.drain.begun() && request.usefulUntil == c.drain.deadline {
 		return ReasonDraining
--- a/admission/ranking.go
+++ b/admission/ranking.go
@@ -1,21 +1,22 @@
 package admission
 
-// rankedRequest is a queued request with what decides when it is shed.
+// rankedRequest is a queued request with the criteria by which it is shed.
 type rankedRequest struct {
 	request  *Request
-	density  float64 // value for a second of work
+	density  float64 // value per second of work
 	position int     // in the queue
 }
 
-// before is whether the request is shed before the other: the one of the least value density, and of equals the last one.
+// before reports whether the request is shed before the other one: the lower value density first, and of equals the
+// later in the queue.
 func (r rankedRequest) before(other rankedRequest) bool {
 	return r.density < other.density || r.density == other.density && r.position > other.position
 }
 
-// valueRanking is a binary heap of requests. The first is the one that is shed next.
+// valueRanking is a binary heap of requests. Its first element is shed next.
 type valueRanking []rankedRequest
 
-// add puts a request into the heap.
+// add inserts a request.
 func (v *valueRanking) add(added rankedRequest) {
 	heap := append(*v, added)
 	at := len(heap) - 1
@@ -30,7 +31,7 @@
 	*v = heap
 }
 
-// removeLeast takes the request out that is shed next. The heap must not be empty.
+// removeLeast removes and returns the request that is shed next. The heap must not be empty.
 func (v *valueRanking) removeLeast() *Request {
 	heap := *v
 	least := heap[0].request
--- a/admission/request.go
+++ b/admission/request.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// Request is one attempt of a caller's request, from its reading to the end of all that it left behind. The exported fields
-// are the program's to set before the request arrives in a Round; it does not change them afterwards.
+// Request is one attempt of a client's request. The controller tracks it from its reading until its run, its call and
+// the entry of its idempotency key have ended. The program sets the exported fields before the request arrives in a
+// Round, and does not change them afterwards.
 type Request struct {
 	Route      *Route
 	HeldKB     float64       // memory while it is queued, in KiB
-	CostHint   time.Duration // work that its caller expects, on a standard core; 0 where none is stated
+	CostHint   time.Duration // work expected by the caller, on a standard core; 0 if not stated
 	Arrived    time.Duration // when its first byte reached the machine, before it was read
-	LastByteAt time.Duration // when its last byte came, where it came in pieces; 0 for with Arrived
-	Deadline   time.Duration // when its caller stops waiting; 0 where that is not known
-	Rank       float64       // from 0 to under 1; routers hold back the requests whose rank is under the shed level
-	Tenant     int           // index in the table of tenants; past its end for nobody's
-	Router     uint32        // the router that sent it
-	Duplicate  bool          // its idempotency key is known: it is answered from the original request
+	LastByteAt time.Duration // when its last byte arrived, if it arrived in pieces; 0 means at Arrived
+	Deadline   time.Duration // when its caller stops waiting; 0 if unknown
+	Rank       float64       // from 0 to below 1; routers hold back requests whose rank is below the shed level
+	Tenant     int           // index in the tenant table; an index past its end means no tenant
+	Router     uint32        // ID of the router that sent it
+	Duplicate  bool          // its idempotency key is already known: it is answered from the original request
 
 	phase        phase
 	phaseSince   time.Duration
-	started      bool          // a run of it was started at some time
-	answered     bool          // it has its final answer, or its caller is gone
-	keyExpiresAt time.Duration // end of its key's entry; 0 without one
-	answerBy     time.Duration // the moment by which it is answered whatever happens
-	usefulUntil  time.Duration // the moment after which an answer earns nothing
-	coreTime     time.Duration // on the cores so far
-	queueExcess  time.Duration // by how much the queue ahead of it was too long when it was shed
-	onTrial      bool          // see trial
-	plannedLate  bool          // last planned to end past its latency target
+	started      bool          // a run of it was started, now or earlier
+	answered     bool          // it has its final answer, or its caller no longer waits
+	keyExpiresAt time.Duration // when the entry of its idempotency key expires; 0 without an entry
+	answerBy     time.Duration // latest time of its answer, whatever happens
+	usefulUntil  time.Duration // time after which an answer earns no value
+	coreTime     time.Duration // time on the cores so far
+	queueExcess  time.Duration // time by which the queue ahead was too long when the request was shed
+	onTrial      bool          // the plan keeps it for a trial, see trial
+	plannedLate  bool          // the last plan has it end past its latency target
 	reason       RejectReason
 	shedBasis    ShedBasis
 
-	callFailures  int           // calls of it that did not succeed
-	callNotBefore time.Duration // earliest moment of the next attempt of its call
+	callFailures  int           // attempts of its call that did not succeed
+	callNotBefore time.Duration // earliest time of the next attempt of its call
 	calledAt      time.Duration // when its call in progress was made
 }
 
-// ReceivedAt is when the request had been received completely, by which it is within the grace of a shutdown or past it.
+// ReceivedAt returns when the request was received completely. Whether it is within the grace of a shutdown depends on
+// this time.
 func (r *Request) ReceivedAt() time.Duration { return max(r.Arrived, r.LastByteAt) }
 
-// phase is where a request stands.
+// phase is the state of a request in the controller.
 type phase int
 
 const (
@@ -50,24 +52,24 @@
 	stopping               // answered, and its run is being stopped
 )
 
-// holdsRun is whether a run of the request takes part of the machine.
+// holdsRun reports whether the request is in flight: it has a run on the cores, at a call or waiting for one.
 func (p phase) holdsRun() bool { return p != queued && p != awaitingOriginal }
 
-// onCores is whether a run of the request is on the cores.
+// onCores reports whether a run of the request is on the cores.
 func (p phase) onCores() bool { return p == running || p == stopping }
 
-// RejectReason is why a request was answered without a result. It is for logs: no decision depends on it.
+// RejectReason is the reason why a request was answered without a result. It is for logs: no decision depends on it.
 type RejectReason int
 
-// The reasons.
+// The reasons for an answer without a result.
 const (
 	ReasonNone        RejectReason = iota
-	ReasonNoTime                   // it could not be done in time behind what is ahead of it
-	ReasonExpired                  // its time was over while it was queued or ran
+	ReasonNoTime                   // it could not be served in time after the requests ahead of it
+	ReasonExpired                  // its time ended while it was queued or in flight
 	ReasonMemory                   // there is no memory for it
-	ReasonDraining                 // it came after the grace of the shutdown, or the stop is near
+	ReasonDraining                 // it arrived after the grace of the shutdown, or the stop is near
 	ReasonRunsFail                 // most runs of this server fail
-	ReasonCallUnclear              // its call may have had its effect, and must not be made again
+	ReasonCallUnclear              // its call may have taken effect, and must not be made again
 )
 
 var rejectReasonTexts = map[RejectReason]string{
@@ -80,20 +82,21 @@
 	ReasonCallUnclear: "call of unknown outcome",
 }
 
-// String is the reason as logs have it.
+// String returns the reason as it is logged.
 func (r RejectReason) String() string { return rejectReasonTexts[r] }
 
-// RejectReason is why the request was answered without a result, once it was.
+// RejectReason returns why the request was answered without a result; ReasonNone before that.
 func (r *Request) RejectReason() RejectReason { return r.reason }
 
-// ShedBasis is what it was decided from that a request can't be done in time. It is for logs.
+// ShedBasis holds the predictions by which a request could not be served in time. It is for logs.
 type ShedBasis struct {
-	TimeLeft     time.Duration // until an answer earns nothing
-	Wait         time.Duration // predicted until the start, of the request for which there was no time
-	Work         time.Duration // predicted on the cores
-	RunsEnded    int           // of the route in the last seconds, on which the prediction rests
-	SinceLastEnd time.Duration // since the last of all its runs ended; 0 where none has
+	TimeLeft     time.Duration // time until an answer earns no value
+	Wait         time.Duration // predicted time until the start of the request that would start too late
+	Work         time.Duration // predicted core time
+	RunsEnded    int           // recently ended runs of the route, on which the prediction is based
+	SinceLastEnd time.Duration // time since a run of the route last ended; 0 if none has
 }
 
-// ShedBasis is what the request was shed by. It is for requests rejected with ReasonNoTime.
+// ShedBasis returns the predictions by which the request was shed. They are set for requests rejected with
+// ReasonNoTime.
 func (r *Request) ShedBasis() ShedBasis { return r.shedBasis }
--- a/admission/round.go
+++ b/admission/round.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Round is all that happened up to one moment, grouped by what it means to the server.
+// Round holds all events up to one point in time, grouped by kind.
 type Round struct {
-	Now              time.Duration // above 0, as 0 stands for no moment in many fields
-	StopAt           time.Duration // set in the round of the notice to shut down: when the process is stopped
-	NotifiedAt       time.Duration // with it, when the notice came; 0 for in this round
-	WorkersStartedAt time.Duration // when the machine's workers started, in the round that learns of it: they are cold from then on
+	Now              time.Duration // must be above 0, as 0 means no time in many fields
+	StopAt           time.Duration // when the process is stopped; set in the round of the notice to shut down
+	NotifiedAt       time.Duration // when that notice was received; 0 means in this round
+	WorkersStartedAt time.Duration // when the machine's workers started, set in the round that reports it: they are cold from then on
 	CallsEnded       []Completion
-	AwaitingCall     []*Request   // running requests that need a call to go on
-	RunsEnded        []Completion // and duplicates that were answered from their original, as Succeeded
-	Canceled         []*Request   // nobody waits for them any more
+	AwaitingCall     []*Request   // running requests that need a call to continue
+	RunsEnded        []Completion // includes duplicates that were answered from their original, as Succeeded
+	Canceled         []*Request   // requests whose callers no longer wait
 	Arrived          []*Request
 	Gauges           *Gauges       // set in the rounds that Executor.WakeAfter asked for
-	GaugesAge        time.Duration // of the gauges; 0 for read in this round
+	GaugesAge        time.Duration // 0 if they were read in this round
 }
 
-// Reset empties a round for the next one. It keeps the memory of its lists, and lets go of their requests.
+// Reset empties the round for reuse. It keeps the memory of its lists and drops their references to requests.
 func (r *Round) Reset() {
 	clear(r.CallsEnded)
 	clear(r.AwaitingCall)
@@ -32,9 +32,9 @@
 
 // Gauges are readings of the machine.
 type Gauges struct {
-	CPU         float64 // busy share of the cores over the last half second
-	Runnable    float64 // all that wants a core now: runs, and reads of requests
-	Memory      float64 // share in use
+	CPU         float64 // busy fraction of the cores over the last half second
+	Runnable    float64 // runs and reads of requests that currently want a core
+	Memory      float64 // fraction in use
 	Connections float64 // open
 }
 
@@ -51,42 +51,42 @@
 // The outcomes.
 const (
 	Succeeded    Outcome = iota
-	Failed               // it ran, and ended with an error
+	Failed               // it ran and ended with an error
 	NotRun               // a call that certainly had no effect
-	Unknown              // a call that may have had its effect
+	Unknown              // a call that may have taken effect
 	Stopped              // a run that was stopped
-	NeverStarted         // a run that did not begin and will not
+	NeverStarted         // a run that did not begin and never will
 )
 
-// Executor carries out the decisions of a round, in their order. Its methods must not call the Controller.
+// Executor carries out the decisions of a round in the order of the calls. Its methods must not call the Controller.
 type Executor interface {
 	// Start starts a run of a queued request, or resumes one that was paused.
 	Start(request *Request)
-	// Pause stops the run of an answered request, in the way that the settings' Preemption names.
+	// Pause stops the run of an answered request in the way that the Preemption of the settings allows.
 	Pause(request *Request)
-	// Reject answers a request that never ran. retryAfter is how long its caller is asked to stay away, 0 for not at all;
-	// noRetryElsewhere asks it not to try another server either.
+	// Reject answers a request that never ran. retryAfter is how long its caller is asked to wait before a retry, 0 for
+	// no advice; noRetryElsewhere asks it not to try another server either.
 	Reject(request *Request, retryAfter time.Duration, noRetryElsewhere bool)
 	// Abort answers a request that may have run, without a result.
 	Abort(request *Request)
-	// AnswerFromOriginal answers a duplicate with the answer of its original, once that is there.
+	// AnswerFromOriginal answers a duplicate with the answer of its original as soon as that exists.
 	AnswerFromOriginal(request *Request)
-	// RememberKey keeps the request's idempotency key for a time, ForgetKey gives it back.
+	// RememberKey keeps the request's idempotency key for lifetime; ForgetKey drops it.
 	RememberKey(request *Request, lifetime time.Duration)
 	ForgetKey(request *Request)
-	// Call makes the request's call, which is abandoned after the timeout.
+	// Call makes the request's call and abandons it after timeout.
 	Call(request *Request, timeout time.Duration)
-	// SkipCall has the request's run go on without its call.
+	// SkipCall lets the request's run continue without its call.
 	SkipCall(request *Request)
-	// SetHealth is how health checks are answered from here on; fromStore says that a deep check is answered so too, without asking the
-	// workers.
+	// SetHealth sets the answer to health checks from now on. If fromStore is set, deep checks get this answer too,
+	// without asking the workers.
 	SetHealth(healthy, fromStore bool)
-	// SetShedLevel is what each answer carries from here on, in the format of the settings.
+	// SetShedLevel sets the shed level that answers carry from now on, in the format of the settings.
 	SetShedLevel(level float64)
-	// CloseIdleAfter closes connections that have carried nothing for so long.
+	// CloseIdleAfter closes connections that have been idle for as long as idle.
 	CloseIdleAfter(idle time.Duration)
-	// WakeAfter asks for a round with Gauges after a time.
+	// WakeAfter requests a round with Gauges after wait.
 	WakeAfter(wait time.Duration)
-	// Log logs what operators may act on.
+	// Log logs a message that operators may act on.
 	Log(message string)
 }
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// plannedWaitShare is the part of the time for which a request could wait that it is ever planned to wait.
+	// plannedWaitShare is the fraction of a request's possible wait that it is planned to wait at most.
 	plannedWaitShare = 0.75
-	// medianToMean is the ratio of the median of a route's core times to their mean: a few long runs make up the mean.
+	// medianToMean is the ratio of the median to the mean of a route's core times: a few long runs dominate the mean.
 	medianToMean = 0.7
-	// minRemainingDivisor is the part of its expected work, as a divisor, that a run on the cores is taken to need at least.
+	// minRemainingDivisor is the fraction of its expected work, as a divisor, that a run on the cores is assumed to
+	// still need at least.
 	minRemainingDivisor = 2
 )
 
-// shedUnmeetable rejects the queued requests that can't be served in time, those of the least value for their work first. It
-// lays the queue, in the order of starts, one request behind the other on the cores.
+// shedUnmeetable rejects the queued requests that can't be served in time, those with the least value per second of
+// work first. It plans the queued requests one after the other on the cores, in the order of starts.
 func (c *Controller) shedUnmeetable(w Executor) {
 	p := c.newQueuePlan() // by value: a round must not allocate
 	for _, request := range c.queue {
@@ -31,21 +32,21 @@
 	c.scratch.ranking, c.scratch.shed = p.ranking, p.shed
 }
 
-// queuePlan lays queued requests on the cores.
+// queuePlan schedules queued requests on the cores.
 type queuePlan struct {
 	controller *Controller
-	ahead      time.Duration // core time of all that is planned so far
-	width      float64       // cores that it is spread over
-	callWait   time.Duration // of a request that calls the dependency
-	planned    int           // requests, from the head of the queue on, those that were shed included
+	ahead      time.Duration // core time of all work planned so far
+	width      float64       // cores that the work is spread over
+	callWait   time.Duration // wait off the cores of a request that calls the dependency
+	planned    int           // requests planned so far from the head of the queue, including shed ones
 	trying     bool          // a request is kept for a trial
-	usual      bool          // by the usual work, for a trial is to show whether that holds
+	usual      bool          // plan by usual work, as a trial is to show whether that holds
 	ranked     bool          // ranking holds the planned requests
 	ranking    valueRanking
 	shed       []*Request
 }
 
-// newQueuePlan begins with what runs.
+// newQueuePlan returns a plan that contains the remaining work of the running requests.
 func (c *Controller) newQueuePlan() queuePlan {
 	p := queuePlan{controller: c, usual: c.trial.open(), ranking: c.scratch.ranking[:0], shed: c.scratch.shed[:0]}
 	for _, request := range c.active {
@@ -59,7 +60,7 @@
 	return p
 }
 
-// work is the core time that the plan takes a request to need.
+// work returns the core time that the plan assumes for a request.
 func (p *queuePlan) work(request *Request) time.Duration {
 	if p.usual {
 		return p.controller.usualWork(request)
@@ -67,8 +68,8 @@
 	return p.controller.expectedWork(request)
 }
 
-// add plans a request behind the others. Where it would start too late, requests planned so far are shed until it does not,
-// or is shed itself.
+// add plans a request after those planned so far. If it would start too late, planned requests of less value density
+// are shed until it starts in time; if there are none, it is shed itself.
 func (p *queuePlan) add(request *Request) {
 	c := p.controller
 	work := p.work(request)
@@ -100,8 +101,8 @@
 	p.planned++
 }
 
-// keepForTrial keeps a request that there is no time for by its expected work, where it may be tried. Those behind it are planned
-// by their usual work until the trial shows that this does not hold.
+// keepForTrial reports whether a request that has no time for its expected work is kept for a trial. Unless the last
+// trial took long, the requests after it are planned by their usual work until the trial shows that this does not hold.
 func (p *queuePlan) keepForTrial(request *Request) bool {
 	if p.usual || p.trying || !p.controller.mayTry(request) {
 		return false
@@ -111,7 +112,8 @@
 	return true
 }
 
-// schedule is when the request, the next one to be planned, would start, and when it has to start at the latest.
+// schedule returns when the next request to be planned would start, and when it has to start at the latest. It also
+// sets the request's plannedLate.
 func (p *queuePlan) schedule(request *Request, work time.Duration) (start, latest time.Duration) {
 	c := p.controller
 	start = c.now + time.Duration(float64(p.ahead)/p.width)
@@ -125,7 +127,8 @@
 	return start, latest
 }
 
-// rank ranks the requests that were planned before the first one was shed. Most rounds shed nothing and need no ranking.
+// rank ranks the requests that were planned before the first one was shed. Most rounds shed nothing and need no
+// ranking.
 func (p *queuePlan) rank() {
 	if p.ranked {
 		return
@@ -136,7 +139,8 @@
 	}
 }
 
-// shedForTime takes a request out of the plan, as one would start later than it has to.
+// shedForTime sheds a request because the request being planned, this one or a later one, would start after its latest
+// start.
 func (p *queuePlan) shedForTime(request *Request, start, latest time.Duration) {
 	c := p.controller
 	request.shedBasis = ShedBasis{
@@ -149,13 +153,14 @@
 	p.shedRequest(request, start-latest, ReasonNoTime)
 }
 
-// shedRequest takes a request out of the plan.
+// shedRequest sheds a request and records why.
 func (p *queuePlan) shedRequest(request *Request, excess time.Duration, reason RejectReason) {
 	request.queueExcess, request.reason = excess, reason
 	p.shed = append(p.shed, request)
 }
 
-// shedForMemory sheds while queued requests take memory that there is not: they are read before anything is decided on them.
+// shedForMemory sheds queued requests, those with the least value density first, while the memory in use exceeds the
+// bound. It can exceed it because requests are read before anything is decided on them.
 func (p *queuePlan) shedForMemory() {
 	c := p.controller
 	excessKB := c.memoryUsedKB() - c.memoryKB()
@@ -173,8 +178,8 @@
 	}
 }
 
-// valueDensity is the value that a second of work on the request earns. What a tenant asks beyond its quota carries no mark,
-// so each of its requests counts for the mix of both.
+// valueDensity returns the value that a second of work on the request earns. Requests beyond a tenant's quota are not
+// marked, so each of its requests counts with the mean value of those within and beyond the quota.
 func (c *Controller) valueDensity(request *Request) float64 {
 	value := request.Route.Value
 	if request.plannedLate {
--- a/admission/statistics.go
+++ b/admission/statistics.go
@@ -7,11 +7,11 @@
 	"quartzpoint/estimate"
 )
 
-// maxSums is the number of quantities that a slidingSums keeps.
+// maxSums is the maximum number of quantities of a slidingSums.
 const maxSums = 4
 
-// slidingSums keeps sums of up to maxSums quantities over a sliding window, in parts that are used again once they are too
-// old.
+// slidingSums keeps sums of up to maxSums quantities over a sliding window. The window is divided into parts, which are
+// reused once they are out of the window.
 type slidingSums struct {
 	partWidth time.Duration
 	parts     []windowPart
@@ -26,7 +26,7 @@
 	return &slidingSums{partWidth: max(window/time.Duration(parts), 1), parts: make([]windowPart, parts)}
 }
 
-// add adds quantities at a moment.
+// add adds quantities at time now.
 func (s *slidingSums) add(now time.Duration, quantities ...float64) {
 	slot := int64(now / s.partWidth)
 	part := &s.parts[slot%int64(len(s.parts))]
@@ -38,13 +38,13 @@
 	}
 }
 
-// reset drops all sums.
+// reset clears all sums.
 func (s *slidingSums) reset() { clear(s.parts) }
 
-// sum is over the whole window.
+// sum returns the sums over the whole window.
 func (s *slidingSums) sum(now time.Duration) [maxSums]float64 { return s.recent(now, len(s.parts)) }
 
-// recent is over the newest parts, the present one included.
+// recent returns the sums over the newest parts, including the current one.
 func (s *slidingSums) recent(now time.Duration, parts int) (total [maxSums]float64) {
 	newest := int64(now / s.partWidth)
 	for i := range s.parts {
@@ -58,28 +58,29 @@
 	return total
 }
 
-// movingMean is an exponentially decaying mean that starts as a plain one.
+// movingMean is an exponentially decaying mean that starts as an arithmetic mean.
 type movingMean struct {
 	mean  float64
-	count float64 // samples, up to the memory
+	count float64 // number of samples, up to the memory of add
 }
 
-// add moves the mean by one sample; memory is the number of samples that it looks back over.
+// add updates the mean with one sample; memory is the number of samples that it averages over.
 func (m *movingMean) add(sample, memory float64) {
 	m.count = min(m.count+1, memory)
 	m.mean += (sample - m.mean) / m.count
 }
 
-// sampleSpan is the number of samples that a sampleStats looks back over.
+// sampleSpan is the number of samples that a sampleStats averages over.
 const sampleSpan = 32
 
-// sampleStats is a decaying mean of the last few samples with their variance and age, to be given to other servers.
+// sampleStats is a decaying mean of the last samples with their variance and mean time. It is published to other
+// servers.
 type sampleStats struct {
 	mean, variance, count float64
-	meanAt                float64 // mean moment of the samples, in nanoseconds
+	meanAt                float64 // mean time of the samples, in nanoseconds
 }
 
-// add moves mean, variance and moment by one sample.
+// add updates mean, variance and mean time with one sample.
 func (s *sampleStats) add(sample float64, now time.Duration) {
 	s.count = min(s.count+1, sampleSpan)
 	before := s.mean
@@ -88,7 +89,7 @@
 	s.meanAt += (float64(now) - s.meanAt) / s.count
 }
 
-// estimate is what other servers are given.
+// estimate returns the estimate that is published to other servers; it is empty without samples.
 func (s *sampleStats) estimate(now time.Duration) estimate.Estimate {
 	if s.count == 0 {
 		return estimate.Estimate{}
--- a/admission/tenant.go
+++ b/admission/tenant.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	tenantWindow      = 10 * time.Second // over which a tenant's rate is compared with its quota
+	tenantWindow      = 10 * time.Second // window over which a tenant's rate is compared with its quota
 	tenantWindowParts = 10
 )
 
-// tenantTable holds the tenants by their index: the quota of each, and what it asked for here. A tenant that asked for
-// nothing costs no more than its quota.
+// tenantTable holds the tenants by index: the quota of each, and its requests to this server. A tenant without requests
+// takes no memory beyond its quota.
 type tenantTable struct {
 	quotas   []float64      // requests per second over the whole fleet
-	requests []*slidingSums // nil for a tenant that has asked for nothing yet
+	requests []*slidingSums // nil for a tenant that has sent no request yet
 }
 
 func newTenantTable(stated []Tenant) (t tenantTable) {
@@ -26,7 +26,7 @@
 	return t
 }
 
-// add counts a request of a tenant; one whose index is past the table is nobody's.
+// add counts a request of a tenant. An index past the table means no tenant, and is not counted.
 func (t *tenantTable) add(index int, now time.Duration) {
 	if index >= len(t.requests) {
 		return
@@ -35,7 +35,7 @@
 	t.requests[index].add(now, 1)
 }
 
-// rate is what a tenant asked for here lately, in requests per second.
+// rate returns the recent rate of a tenant's requests to this server, in requests per second.
 func (t *tenantTable) rate(index int, now time.Duration) float64 {
 	if index >= len(t.requests) || t.requests[index] == nil {
 		return 0
@@ -43,7 +43,8 @@
 	return t.requests[index].sum(now)[0] / tenantWindow.Seconds()
 }
 
-// quota is what a tenant may ask of the whole fleet, in requests per second; without bound for nobody's requests.
+// quota returns the quota of a tenant over the whole fleet, in requests per second, and +Inf for requests without a
+// tenant.
 func (t *tenantTable) quota(index int) float64 {
 	if index >= len(t.quotas) {
 		return math.Inf(1)
@@ -51,8 +52,8 @@
 	return t.quotas[index]
 }
 
-// PutTenant states the quota of the tenant at an index, in requests per second over the whole fleet. An index one past the
-// end adds a tenant. What the tenant has asked for counts on, unless another takes its place.
+// PutTenant sets the quota of the tenant at an index, in requests per second over the whole fleet. An index one past
+// the end adds a tenant. The requests counted so far are kept, unless another tenant takes the index.
 func (c *Controller) PutTenant(index int, quota float64, another bool) {
 	if index == len(c.tenants.quotas) {
 		c.tenants.quotas = append(c.tenants.quotas, quota)
@@ -65,8 +66,8 @@
 	}
 }
 
-// TenantCount is the length of the table of tenants.
+// TenantCount returns the length of the tenant table.
 func (c *Controller) TenantCount() int { return len(c.tenants.quotas) }
 
-// TenantQuota is the quota of the tenant at an index, in requests per second over the whole fleet.
+// TenantQuota returns the quota of the tenant at an index, in requests per second over the whole fleet.
 func (c *Controller) TenantQuota(index int) float64 { return c.tenants.quota(index) }
--- a/admission/trial.go
+++ b/admission/trial.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// doubtfulRatio is how many times the usual work the expected work has to be, so that it is put to a trial.
+// doubtfulRatio is the ratio of the expected to the usual work from which the expected work is checked by a trial.
 const doubtfulRatio = 8
 
-// trial is how the server finds out that a fault is over. Where the recent runs alone say that a request takes too long, and a
-// core is free for it, nothing else would run that could show otherwise: one such request is started, if it has time by
-// the usual work of its route. When its run turns out to be usual, what the recent runs left is forgotten.
+// trial detects that a fault has ended. If only the recent runs predict that a request takes too long, while a core is
+// free for it, no other run would show whether that still holds. So one such request is started, if it has time by the
+// usual work of its route. If its run takes no longer than usual, the recent runs are forgotten.
 type trial struct {
-	request  *Request      // that is on trial, nil without one
+	request  *Request      // request on trial; nil without one
 	longest  time.Duration // core time up to which its run counts as usual
-	lastLong bool          // the last trial took longer than that
+	lastLong bool          // the last trial exceeded longest
 }
 
-// open is whether queued requests are planned by their usual work, as a trial is on that may show it to hold. Behind one that
-// took long they are shed as before it, until one turns out usual.
+// open reports whether queued requests are planned by their usual work, because a trial in progress may confirm it.
+// After a trial that took long they are shed by their expected work again, until a trial turns out usual.
 func (t *trial) open() bool {
 	return t.request != nil && !t.lastLong && t.request.coreTime <= t.longest
 }
 
-// holds is whether queued requests wait for the trial: it is on the cores, and soon shows what they need.
+// holds reports whether queued requests wait for the trial: its run is on the cores, and soon shows how long they take.
 func (t *trial) holds() bool { return t.open() && t.request.phase == running }
 
-// doubtful is whether the expected work of a request is many times its usual work.
+// doubtful reports whether the expected work of a request is many times its usual work.
 func (c *Controller) doubtful(request *Request) bool {
 	return c.expectedWork(request) >= doubtfulRatio*c.usualWork(request)
 }
 
-// mayTry is whether a request for which there is no time by its expected work is started all the same.
+// mayTry reports whether a request that has no time for its expected work may be started as a trial.
 func (c *Controller) mayTry(request *Request) bool {
 	if c.settings.EstimatesOnly || c.trial.request != nil || c.inFlight().onCores >= c.settings.Cores {
 		return false
@@ -40,15 +40,15 @@
 	return c.now+usual <= request.usefulUntil && c.doubtful(request)
 }
 
-// beginTrial notes the start of a request that is on trial. Its run counts as usual up to the middle, by factors, between
-// the usual and the expected work.
+// beginTrial records the start of the request on trial. Its run counts as usual up to the geometric mean of the usual
+// and the expected work.
 func (c *Controller) beginTrial(request *Request) {
 	expected, usual := c.expectedWork(request), c.usualWork(request)
 	c.trial.request = request
 	c.trial.longest = time.Duration(math.Sqrt(float64(expected) * float64(usual)))
 }
 
-// endTrial takes the end of a run.
+// endTrial evaluates the trial, if the run that ended is its run.
 func (c *Controller) endTrial(end Completion) {
 	if end.Request != c.trial.request {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// forgetRecentRuns drops what the recent runs say of the machine. The long means stay.
+// forgetRecentRuns clears the measurements of recent runs. The long-term means stay.
 func (c *Controller) forgetRecentRuns() {
 	for _, route := range c.Routes {
 		route.recentRuns.reset()
--- a/admission/work.go
+++ b/admission/work.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	priorRuns         = 2.0   // runs that the long mean counts for beside the recent ones
-	runMeanSamples    = 200.0 // runs that the long means look back over
+	priorRuns         = 2.0   // runs that the long-term mean counts for in addition to the recent ones
+	runMeanSamples    = 200.0 // runs that the long-term means average over
 	hintedWindow      = 6 * time.Second
 	hintedWindowParts = 12
 )
 
-// workEstimate is how long work takes here that its callers gave a hint of.
+// workEstimate measures the work of requests whose callers stated a hint.
 type workEstimate struct {
 	hinted        *slidingSums // core seconds spent on requests with a hint, and hinted seconds of those that ended
-	hintRatio     movingMean   // core seconds for a hinted second
+	hintRatio     movingMean   // core seconds per hinted second
 	hintSample    sampleStats  // the same, for other servers
 	peerHintRatio peerEstimate
 }
@@ -21,9 +21,9 @@
 	return workEstimate{hinted: newSlidingSums(hintedWindow, hintedWindowParts)}
 }
 
-// recordRun takes an ended run into the long means. A run that outlived its deadline shows a fault, which the sums of the
-// last seconds hold: in a long mean it would outlast the fault, no request of the route would be started any more, and so none
-// could show that they are short again.
+// recordRun adds an ended run to the long-term means. A run that outlived its deadline shows a fault and stays out of
+// them; the sums over the last seconds include it. In a long-term mean it would outlast the fault: no request of the
+// route would be started any more, and so none could show that runs are short again.
 func (c *Controller) recordRun(request *Request, took time.Duration) {
 	if request.answered && max(took, request.coreTime) > request.Route.Deadline {
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// usualWork is the core time that a request takes in the long run, whatever the recent runs say.
+// usualWork returns the core time that a request takes in the long run, regardless of recent runs.
 func (c *Controller) usualWork(request *Request) time.Duration {
 	if request.CostHint > 0 && (c.work.hintRatio.count > 0 || c.work.peerHintRatio.weight > 0) {
 		ratio, _ := c.prior(c.work.hintRatio, &c.work.peerHintRatio)
@@ -48,8 +48,8 @@
 	return time.Duration(mean * float64(time.Second))
 }
 
-// priorWork is the core time in seconds that runs of a route are expected to take before the recent ones are looked at, and
-// the number of runs that it counts for.
+// priorWork returns the core time in seconds that runs of a route are expected to take before recent runs are
+// considered, and the number of runs that it counts for.
 func (c *Controller) priorWork(route *Route) (mean, runs float64) {
 	known := route.coreSeconds
 	if known.count == 0 {
@@ -61,8 +61,9 @@
 	return known.mean, priorRuns
 }
 
-// expectedWork is the core time that a request is expected to take here, from the recent runs and a prior. Time spent on
-// unfinished runs counts against the runs that ended, so that a machine that has slowed down shows before the first end.
+// expectedWork returns the core time that a request is expected to take here, from the recent runs and a prior. The
+// core time of unfinished runs is attributed to the runs that ended, so that a machine that has slowed down shows
+// before the first run ends.
 func (c *Controller) expectedWork(request *Request) time.Duration {
 	if request.CostHint > 0 && (c.work.hintRatio.count > 0 || c.work.peerHintRatio.weight > 0) {
 		return c.expectedHintedWork(request.CostHint)
@@ -72,7 +73,7 @@
 	return time.Duration((max(recent.coreSeconds, 0) + runs*mean) / (recent.ended + runs) * float64(time.Second))
 }
 
-// expectedHintedWork is the core time that work with a hint is expected to take.
+// expectedHintedWork returns the core time that work with a hint is expected to take.
 func (c *Controller) expectedHintedWork(hint time.Duration) time.Duration {
 	sums := c.work.hinted.sum(c.now)
 	spent, hinted := sums[0], sums[1]
@@ -81,7 +82,7 @@
 	return time.Duration((spent + prior*ratio) / (hinted + prior) * float64(hint))
 }
 
-// workKnown is whether expectedWork rests on runs that have ended, here or at other servers.
+// workKnown reports whether expectedWork is based on runs that have ended, here or at other servers.
 func (c *Controller) workKnown(request *Request) bool {
 	route := request.Route
 	return route.coreSeconds.count > 0 || c.peers.present && route.peerCoreSeconds.weight > 0 ||
@@ -89,8 +90,8 @@
 		runTotalsOf(route.recentRuns.sum(c.now)).ended > 0
 }
 
-// plannedWork is the core time for which a request is planned to keep those behind it waiting. Nothing waits for a guess:
-// until a run of its route has ended, it is what the longest run of the route has taken so far.
+// plannedWork returns the core time by which a request is planned to delay those after it. A mere assumption must not
+// delay other requests: until a run of its route has ended, it is the longest core time of the route's runs so far.
 func (c *Controller) plannedWork(request *Request, expected time.Duration) time.Duration {
 	if !c.settings.EstimatesOnly && !c.workKnown(request) {
 		return request.Route.longestRun
@@ -98,13 +99,13 @@
 	return expected
 }
 
-// remainingWork is the core time that an unfinished request is expected to need from here on, of which a part is always
-// expected: the whole by minimumDivisor.
+// remainingWork returns the core time that an unfinished request is expected to still need, at least its expected work
+// divided by minimumDivisor.
 func (c *Controller) remainingWork(request *Request, minimumDivisor int) time.Duration {
 	return remainingOf(c.expectedWork(request), request.coreTime, minimumDivisor)
 }
 
-// remainingOf is what is left of the work expected of a request, and at least the whole by minimumDivisor.
+// remainingOf returns the expected work less the work done, at least expected divided by minimumDivisor.
 func remainingOf(expected, done time.Duration, minimumDivisor int) time.Duration {
 	return max(expected-done, expected/time.Duration(minimumDivisor))
 }
