--- a/admission/admit_test.go
+++ b/admission/admit_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Runs that wait for room for their call come back to the cores only by a call placed here, so they leave the
-// concurrency bound to others: on a slow dependency they filled it and requests without calls were rejected.
+// Guards against runs that wait for their call using up the concurrency bound. On a slow dependency they filled it, and
+// requests without calls were rejected. They return to the cores only through a call made within the bound, so they do
+// not count against it.
 func TestRunsAwaitingACallDoNotCountAgainstMaxConcurrency(t *testing.T) {
 	b := newBench(func(s *Settings) { s.MaxRunnablePerCore = 2 })
 	b.calls.capacity, b.calls.credit = 0, 0
@@ -19,7 +20,7 @@
 	}
 	b.round(Round{Arrived: parked})
 	for range room {
-		b.round(Round{AwaitingCall: parked}) // no room for calls: each waits at its call, and the next starts
+		b.round(Round{AwaitingCall: parked}) // no capacity for calls: each waits at its call, and the next starts
 	}
 	assert.Equal(t, inFlightCount{total: float64(room), awaitingCall: float64(room)}, b.inFlight())
 	assert.Equal(t, "start free", b.round(Round{Arrived: []*Request{b.request("free", 0)}}))
@@ -29,6 +30,6 @@
 	b := newBench(nil)
 	b.pass(tickInterval, Gauges{Runnable: 4})
 	two := []*Request{b.request("first", 0), b.request("second", 0)}
-	assert.Equal(t, "start first", b.round(Round{Arrived: two}), "reads leave room for one")
+	assert.Equal(t, "start first", b.round(Round{Arrived: two}), "reads leave cores for one run")
 	assert.Equal(t, "start second", b.pass(tickInterval, Gauges{Runnable: 3}))
 }
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -8,19 +8,20 @@
 
 const ms = time.Millisecond
 
-// bench drives one Controller as a program would and keeps what it decided, by request name.
+// bench drives one Controller as a program would, and records its decisions by request name.
 type bench struct {
 	*Controller
 	names            map[*Request]string
 	decisions        []string
-	retryAfter       time.Duration // the advice of the last rejection
+	retryAfter       time.Duration // advice of the last rejection
 	noRetryElsewhere bool
 	closeAfter       time.Duration
-	patience         time.Duration // of the last call
+	patience         time.Duration // timeout of the last call
 	at               time.Duration
 }
 
-// testSettings are those of a server of four cores with a route of each kind, changed where a case wants.
+// testSettings returns the settings of a server with four cores and a route of each idempotency, modified by change if
+// not nil.
 func testSettings(change func(*Settings)) Settings {
 	settings := DefaultSettings()
 	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.KeyKB = 4, 10000, 10, 50
@@ -88,7 +89,7 @@
 	b.retryAfter, b.noRetryElsewhere = retryAfter, noRetryElsewhere
 }
 func (b *bench) Abort(request *Request)                        { b.record("abort", request) }
-func (b *bench) AnswerFromOriginal(request *Request)           { b.record("echo", request) }
+func (b *bench) AnswerFromOriginal(request *Request)           { b.record("answer-from-original", request) }
 func (b *bench) RememberKey(request *Request, _ time.Duration) { b.record("remember", request) }
 func (b *bench) ForgetKey(request *Request)                    { b.record("forget", request) }
 func (b *bench) Call(request *Request, patience time.Duration) {
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -33,7 +33,7 @@
 	for _, share := range []float64{0, 0.05, 0.5, 0.9, 1.4} {
 		b := newBench(func(s *Settings) { s.CallQuota = share })
 		most, mean, n := 0.0, 0.0, 400
-		for range n { // a dependency that hangs holds each call for as long as the server waits
+		for range n { // a dependency that hangs keeps each call in progress until its timeout
 			x := b.request("x", 2)
 			b.round(Round{Arrived: []*Request{x}})
 			b.round(Round{AwaitingCall: []*Request{x}})
@@ -47,13 +47,13 @@
 			mean += b.calls.inProgress.sum(b.at)[0] / 5 / float64(n)
 		}
 		assert.LessOrEqual(t, most, max(share, 0.1), "in any window")
-		assert.LessOrEqual(t, mean, max(share, 0.02), "and in the long run, however small the share")
-		assert.Positive(t, mean, "yet calls go on")
+		assert.LessOrEqual(t, mean, max(share, 0.02), "in the long run, however small the quota")
+		assert.Positive(t, mean, "calls are still made")
 	}
 }
 
-// accra-heat-control: requests call a tier of servers that tell no share; taken as a share of nothing, a call
-// went once in minutes and every setpoint-change was aborted at its call.
+// Guards against too few calls to a tier of servers that states no quota (accra-heat-control). That was taken as a
+// quota of nearly zero, a call was made once in minutes, and every setpoint-change was aborted at its call.
 func TestCallsToATierOfServersGoByConcurrency(t *testing.T) {
 	for _, c := range []struct {
 		below string
@@ -79,14 +79,15 @@
 	b.round(Round{Arrived: []*Request{x, y}})
 	x.usefulUntil = b.at + 300*ms
 	b.round(Round{AwaitingCall: []*Request{x}})
-	assert.LessOrEqual(t, b.patience, 300*ms, "no call outlasts the time in which its request is wanted")
+	assert.LessOrEqual(t, b.patience, 300*ms, "no call outlasts the time in which its answer earns value")
 	assert.Contains(t, b.pass(300*ms, Gauges{CPU: 1}), "abort x")
 	assert.Empty(t, b.round(Round{Arrived: []*Request{large}, AwaitingCall: []*Request{y}}))
 	end := []Completion{{Request: x, Outcome: Unknown}}
 	assert.Equal(t, "call y, start large", b.round(Round{CallsEnded: end, RunsEnded: end}))
 }
 
-// The run of a request that is over ends at its call before that is reported to have ended: the dependency has it still.
+// The run of an aborted or canceled request may end at its call before the end of that is reported. The dependency
+// still works on the call, so it is charged for CallLinger.
 func TestACallLeftBehindByItsRunLingers(t *testing.T) {
 	b := newBench(nil)
 	request := b.request("a", 2)
@@ -96,7 +97,7 @@
 	b.at += 100 * ms
 	before, saved := b.calls.inProgress.sum(b.at)[0], b.calls.credit
 	b.round(Round{RunsEnded: []Completion{{Request: request, Outcome: Stopped}}})
-	assert.InDelta(t, 0.3, b.calls.inProgress.sum(b.at)[0]-before, 1e-6, "100 ms in hand, and 200 ms that it lingers")
+	assert.InDelta(t, 0.3, b.calls.inProgress.sum(b.at)[0]-before, 1e-6, "100 ms in progress and 200 ms lingering")
 	assert.InDelta(t, 0.3, saved-b.calls.credit, 1e-6)
 }
 
@@ -104,7 +105,7 @@
 	for _, c := range []struct {
 		saved float64
 		want  string
-	}{{1, "call x"}, {-0.5, ""}, {-1.5, "skip x"}} { // a second behind at a room of one is a second's wait
+	}{{1, "call x"}, {-0.5, ""}, {-1.5, "skip x"}} { // a deficit of one call-second at a capacity of one is a wait of one second
 		b := newBench(nil)
 		x := b.request("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
@@ -114,8 +115,9 @@
 	}
 }
 
-// A site whose link to its dependency was cut for seconds (split+brink): the calls that were under way were never
-// answered, each kept its place until its request was aborted, and the server stood behind one or two of them.
+// Guards against calls that are never answered blocking the server, as when the link of a site to its dependency was
+// cut for seconds (split+brink). Each call in progress kept its place until its request was aborted, and all others
+// waited for one or two of them.
 func TestACallThatIsNeverAnsweredIsMadeAgain(t *testing.T) {
 	b := newBench(func(s *Settings) { s.Routes[0].SkipValueShare = 0 })
 	for range 10 {
@@ -125,14 +127,14 @@
 		x := b.request("x", kind)
 		b.round(Round{Arrived: []*Request{x}})
 		assert.Equal(t, "call x", b.round(Round{AwaitingCall: []*Request{x}}))
-		assert.InDelta(t, within, b.patience, float64(ms), "what may not run twice is waited for")
+		assert.InDelta(t, within, b.patience, float64(ms), "a call that must not be repeated gets the full timeout")
 		if kind > 0 {
 			continue
 		}
 		for again := within * 2; again < 640*ms; again *= 2 {
 			b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Unknown, Took: within}}})
 			assert.Equal(t, "call x", b.pass(time.Second/4, Gauges{CPU: 0.5}))
-			assert.InDelta(t, again, b.patience, float64(ms), "one that has only grown slow is heard in the end")
+			assert.InDelta(t, again, b.patience, float64(ms), "the timeout doubles, so that a dependency that is only slow can still answer")
 		}
 		end := []Completion{{Request: x}}
 		b.round(Round{CallsEnded: end, RunsEnded: end})
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -33,10 +33,10 @@
 
 func TestOddSettingsDecideSanely(t *testing.T) {
 	for name, odd := range map[string]func(*Settings){
-		"nothing stated":     func(s *Settings) { s.CallQuota, s.FleetServers, s.IdleTimeout = 0, 0, 0 },
-		"one server":         func(s *Settings) { s.FleetServers, s.Tenants = 1, []Tenant{{QuotaRPS: 0}} },
-		"nothing in sharing": func(s *Settings) { s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{QuotaRPS: 0}}, 0, 0 },
-		"no time at all":     func(s *Settings) { s.CallWindow, s.CallLinger, s.WarmUp = 0, 0, 1 },
+		"nothing configured":   func(s *Settings) { s.CallQuota, s.FleetServers, s.IdleTimeout = 0, 0, 0 },
+		"one server":           func(s *Settings) { s.FleetServers, s.Tenants = 1, []Tenant{{QuotaRPS: 0}} },
+		"zero quota and fleet": func(s *Settings) { s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{QuotaRPS: 0}}, 0, 0 },
+		"zero durations":       func(s *Settings) { s.CallWindow, s.CallLinger, s.WarmUp = 0, 0, 1 },
 	} {
 		b := newBench(odd)
 		decisions := ""
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -17,5 +17,5 @@
 	b.at += 2*time.Second + ms
 	assert.Contains(t, b.round(Round{Arrived: []*Request{b.request("out", 0)}}), "reject out")
 	assert.Contains(t, b.pass(tickInterval, Gauges{}), "level 1.00")
-	assert.Contains(t, b.pass(time.Second-2*tickInterval, Gauges{}), "abort x, pause x", "answered before the stop")
+	assert.Contains(t, b.pass(time.Second-2*tickInterval, Gauges{}), "abort x, pause x", "aborted before the stop")
 }
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// sender is a server of a fleet whose requests call one dependency.
+// sender is a server of a fleet whose requests all call one dependency.
 type sender struct {
 	*bench
-	took  time.Duration // by a call
+	took  time.Duration // duration of a call
 	calls map[*Request]Completion
 	made  []time.Duration
 }
@@ -26,7 +26,7 @@
 	}
 }
 
-// step lets a sweep pass; busy keeps a request waiting for its call.
+// step advances by one tick; busy keeps a request waiting for its call.
 func (s *sender) step(busy bool) {
 	s.at += tickInterval
 	r := Round{Gauges: &Gauges{CPU: 0.3}}
@@ -53,11 +53,12 @@
 	s.Decide(&r, s)
 }
 
-// Whatever the number of servers, what they send together stays in the dependency's budget of N calls in the time that
-// it is judged over, but for chance: when all begin at once with work in hand, and when all have rested and a burst
-// comes. One call each in the same moment, at hundreds of servers, was more than it survives.
+// The calls of all servers together stay within the dependency's budget of N calls per window, but for random
+// variation, for any number of servers: when all start at once with requests waiting, and when a burst arrives after
+// all were idle. One call of each server at the same time, with hundreds of servers, was more than the dependency
+// survives.
 func TestCallsOfAFleetKeepToOneBudget(t *testing.T) {
-	const budget = 10.0 // calls in hand, on the mean
+	const budget = 10.0 // mean number of calls in progress
 	over := 5 * time.Second
 	for _, n := range []int{1, 8, 30, 350} {
 		for _, took := range []time.Duration{100 * ms, 500 * ms, 1500 * ms} {
@@ -76,7 +77,7 @@
 					}
 					span, quiet := 40*time.Second, time.Duration(0)
 					if rested {
-						quiet = 45 * time.Second // with a little work in its first half, so that all know how long a call takes
+						quiet = 45 * time.Second // with few requests in its first half, so that all servers have measured the duration of a call
 					}
 					var made []time.Duration
 					for _, s := range fleet {
@@ -106,8 +107,8 @@
 						}
 					}
 					rate := float64(late) / (span / 2).Seconds() * took.Seconds()
-					if took < time.Duration(budget/float64(n)*plannedShare*float64(over))-200*ms { // no longer than a share bears
-						assert.Greater(t, rate, budget*initialCallShare/2, "and the budget is used: calls in hand on the mean")
+					if took < time.Duration(budget/float64(n)*plannedShare*float64(over))-200*ms { // a call is no longer than one server's quota bears
+						assert.Greater(t, rate, budget*initialCallShare/2, "the budget is used: mean number of calls in progress")
 					}
 				})
 			}
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -17,5 +17,5 @@
 	decisions := b.round(Round{Arrived: []*Request{b.request("probe", 2), b.request("spared", 2)}})
 	assert.Equal(t, "reject spared, start probe", decisions)
 	assert.Equal(t, maxShedLevel, b.shedding.level)
-	assert.Contains(t, b.pass(3*time.Second, Gauges{}), "health true", "it tries again by itself")
+	assert.Contains(t, b.pass(3*time.Second, Gauges{}), "health true", "the server returns to service by itself")
 }
--- a/admission/idle_test.go
+++ b/admission/idle_test.go
@@ -19,11 +19,11 @@
 			x.Router = i % c.callers
 			b.round(Round{Arrived: []*Request{x}})
 		}
-		assert.Zero(t, b.closeAfter, "nothing is closed before anything is known")
+		assert.Zero(t, b.closeAfter, "no connection is closed before the first calibration")
 		b.pass(calibrationPeriod, Gauges{CPU: 1})
 		assert.GreaterOrEqual(t, b.closeAfter, c.want)
 		assert.LessOrEqual(t, b.closeAfter, c.want*3/2)
 		b.pass(31*time.Second, Gauges{CPU: 1})
-		assert.True(t, c.idle == 0 || len(b.connections.lastSeen) == 0, "what is known of callers does not pile up")
+		assert.True(t, c.idle == 0 || len(b.connections.lastSeen) == 0, "routers without recent requests are forgotten")
 	}
 }
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -16,11 +16,11 @@
 		after  float64
 		logged *LimitReduction
 	}{
-		{"quiet period adds one", 8, Gauges{CPU: 0.8}, 9, nil},
-		{"CPU at its soft limit cuts", 8, Gauges{CPU: 0.9}, 6, &LimitReduction{BackoffCPU, 8, 6}},
-		{"memory at its soft limit cuts", 8, Gauges{CPU: 0.8, Memory: 0.75}, 6, &LimitReduction{BackoffMemory, 8, 6}},
-		{"never under the cores", 5, Gauges{CPU: 0.95}, 4, &LimitReduction{BackoffCPU, 5, 4}},
-		{"never over the ceiling", 24, Gauges{CPU: 0.8}, 24, nil},
+		{"period without a backoff event adds one", 8, Gauges{CPU: 0.8}, 9, nil},
+		{"CPU at its soft limit reduces", 8, Gauges{CPU: 0.9}, 6, &LimitReduction{BackoffCPU, 8, 6}},
+		{"memory at its soft limit reduces", 8, Gauges{CPU: 0.8, Memory: 0.75}, 6, &LimitReduction{BackoffMemory, 8, 6}},
+		{"never below the number of cores", 5, Gauges{CPU: 0.95}, 4, &LimitReduction{BackoffCPU, 5, 4}},
+		{"never above the maximum", 24, Gauges{CPU: 0.8}, 24, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -29,10 +29,10 @@
 			b.pass(calibrationPeriod, c.gauges)
 			assert.Equal(t, c.after, b.limit.value)
 			assert.Equal(t, c.logged, b.TakeLimitReduction())
-			assert.Nil(t, b.TakeLimitReduction(), "told once")
+			assert.Nil(t, b.TakeLimitReduction(), "the reduction is reported once")
 		})
 	}
-	t.Run("latency half over its usual cuts", func(t *testing.T) {
+	t.Run("mean latency over 1.5 times the long-term mean reduces", func(t *testing.T) {
 		b := newBench(nil)
 		for range 50 {
 			b.run(b.request("usual", 0), 100*ms)
@@ -45,7 +45,7 @@
 		b.pass(tickInterval, Gauges{CPU: 0.8})
 		assert.Equal(t, 6.0, b.limit.value)
 	})
-	t.Run("climbs at once while cores idle and work is held", func(t *testing.T) {
+	t.Run("raised between calibrations while cores are idle and requests are queued", func(t *testing.T) {
 		b := newBench(nil)
 		b.limit.value = 8
 		for i := range 12 {
@@ -54,15 +54,16 @@
 		b.pass(100*ms, Gauges{CPU: 0.5})
 		assert.Equal(t, 9.0, b.limit.value)
 	})
-	t.Run("memory bounds the ceiling", func(t *testing.T) {
+	t.Run("memory bounds the maximum", func(t *testing.T) {
 		b := newBench(func(s *Settings) { s.MemoryKB = 600 })
 		b.round(Round{Arrived: []*Request{b.request("a", 0)}})
 		assert.InDelta(t, 5.4, b.maxLimit(), 0.01)
 	})
 }
 
-// The worker pool stood still, and its last gauges were taken for fresh: under an idle CPU of before the limit went up to all that the
-// machine survives, and as many requests were started into the hang.
+// Guards against raising the limit by outdated gauges. When the worker pool hung, its last gauges were used as current:
+// by the idle CPU that they showed, the limit rose to all that the machine survives, and as many requests were started
+// on the hung machine.
 func TestLimitDoesNotGrowByOldGauges(t *testing.T) {
 	for _, age := range []time.Duration{0, maxGaugesAge + ms} {
 		b := newBench(nil)
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -15,7 +15,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// TestMain draws the same cases every time; another seed is stated with -rapid.seed.
+// TestMain fixes the seed of rapid, so that each run draws the same cases; -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
 		_ = seed.Value.Set("20261201")
@@ -23,7 +23,8 @@
 	m.Run()
 }
 
-// played drives the decisions in simulated time against cores that are shared evenly, as a worker pool's are.
+// played simulates a server that runs the decisions of a controller on evenly shared cores, as those of a worker pool
+// are.
 type played struct {
 	types    []harness.Route
 	machine  harness.Machine
@@ -34,10 +35,10 @@
 	wake     time.Duration
 	running  []*playedRequest
 	of       map[*admission.Request]*playedRequest
-	honoured float64 // importance within contract time
-	starts   []int   // by 250 ms
+	honoured float64 // value of answers within the latency target
+	starts   []int   // per startsInterval
 	answers  map[*admission.Request]int
-	busy     []float64 // core seconds by alarm, of the last half second
+	busy     []float64 // core seconds spent so far, at each wake-up of the last half second
 	spent    float64
 }
 
@@ -73,7 +74,7 @@
 	return p
 }
 
-// until plays on to a moment since the beginning of the load.
+// until advances the simulation to a time since the beginning of the load.
 func (p *played) until(end time.Duration) {
 	end += time.Second
 	for p.now < end {
@@ -178,19 +179,20 @@
 func (p *played) CloseIdleAfter(time.Duration)                               {}
 func (p *played) Log(string)                                                 {}
 
-// learned is the view of this server as another gets it.
+// learned returns the snapshot that this server publishes.
 func (p *played) learned() estimate.Snapshot { return p.module.Estimates(p.now, p.frame) }
 
 var fourCores = harness.Machine{Cores: 4, Speed: 1, MemoryKB: 64000}
 
-// peerView is what a server has seen that was under load for a while.
+// peerView returns the snapshot of a peer that has been under load for eight seconds.
 func peerView(types []harness.Route, m harness.Machine, seed int64) estimate.Snapshot {
 	peer := play(types, m, harness.Arrivals(types, harness.Rate(types, m, 1.2), 10*time.Second, seed), 1)
 	peer.until(8 * time.Second)
 	return peer.learned()
 }
 
-// pair plays a cold newcomer and one that borrows under the same arrivals.
+// pair simulates the same arrivals on two servers that have just started, one without and one with the estimates of
+// peers.
 func pair(t require.TestingT, snapshot estimate.Snapshot, m harness.Machine, seed int64) (cold, borrows *played) {
 	types := harness.BookingRoutes()
 	load := harness.Arrivals(types, harness.Rate(types, fourCores, 1.2), 10*time.Second, seed+100)
@@ -208,7 +210,7 @@
 	return cold, borrows
 }
 
-// The gain that a fresh view is for, over seeds; simulated.
+// A fresh snapshot of peers has to raise the value served on average over the seeds; simulated.
 func TestFreshViewGains(t *testing.T) {
 	sum := 0.0
 	const seeds = 20
@@ -219,8 +221,8 @@
 	assert.Greater(t, sum, 1.01)
 }
 
-// A view from before a zone was lost, when servers are three times slower: whatever it says, once it is old the
-// newcomer decides exactly as a cold one does.
+// The snapshot was taken before a zone was lost, and servers are three times slower now. Whatever its estimates are,
+// once it has expired the new server decides exactly as one without a snapshot.
 func TestOldViewChangesNothing(t *testing.T) {
 	slow := fourCores
 	slow.Speed /= 3
@@ -236,7 +238,8 @@
 	})
 }
 
-// The same with a view of a few seconds, which is still believed: own runs must put it right before it costs.
+// As before, but the snapshot is a few seconds old and still has weight: own runs must correct it before it costs
+// value.
 func TestYoungViewOfFasterServers(t *testing.T) {
 	slow := fourCores
 	slow.Speed /= 3
@@ -253,10 +256,11 @@
 		starts += float64(b) / float64(a) / seeds
 	}
 	assert.Greater(t, sum, 0.97)
-	assert.InDelta(t, 1, starts, 0.1, "the limit, not the view, says how much is let in")
+	assert.InDelta(t, 1, starts, 0.1, "the limit, not the snapshot, determines how many requests start")
 }
 
-// What is borrowed is not handed on, and is gone when it is old though nothing was seen here.
+// Estimates of peers are not published again, and have no weight once they are old, even if this server has measured
+// nothing.
 func TestBorrowedIsNotLearned(t *testing.T) {
 	snapshot := peerView(harness.BookingRoutes(), fourCores, 1)
 	idle := play(harness.BookingRoutes(), fourCores, nil, 2)
@@ -265,7 +269,7 @@
 	idle.module.UsePeerEstimates(idle.now, validated)
 	idle.until(time.Second)
 	for _, published := range idle.learned().Routes {
-		assert.False(t, published.Core.Known(), "an echo")
+		assert.False(t, published.Core.Known(), "an estimate of peers was published")
 	}
 	assert.True(t, idle.learned().NeedsPeers())
 	idle.until(estimate.MaxAge(estimate.ReturnRatio))
@@ -282,7 +286,8 @@
 	assert.Equal(t, cold.starts, idle.starts)
 }
 
-// A server that starts cold takes what warm peers told as so much longer; at the end of the warm-up as told.
+// During a cold start the estimates of warm peers are scaled by the current speed, and used as they are at the end of
+// the warm-up.
 func TestColdMachine(t *testing.T) {
 	m := fourCores
 	m.ColdShare, m.WarmUp = 0.25, 10*time.Second
@@ -295,7 +300,7 @@
 	assert.Greater(t, sum, 0.99)
 }
 
-// BenchmarkDecide is a server at 120% of what it can do; simulated.
+// BenchmarkDecide measures the decisions of a server at 120% of its capacity; simulated.
 func BenchmarkDecide(b *testing.B) {
 	types := harness.BookingRoutes()
 	for b.Loop() {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -17,9 +17,9 @@
 	assert.Equal(t, "start 0, start 1, start 2, start 3", b.round(Round{Arrived: first}))
 	late, soon := b.request("late", 0), b.request("soon", 0)
 	late.Deadline, soon.Deadline = b.at+4*time.Second, b.at+3*time.Second
-	assert.Empty(t, b.round(Round{Arrived: []*Request{late, soon}}), "the limit keeps them held")
+	assert.Empty(t, b.round(Round{Arrived: []*Request{late, soon}}), "the limit keeps them queued")
 	assert.Equal(t, "start soon", b.round(Round{RunsEnded: []Completion{{Request: first[0], Outcome: Succeeded}}}))
-	assert.Equal(t, "call 1, start late", b.round(Round{AwaitingCall: []*Request{first[1]}}), "a core left is room")
+	assert.Equal(t, "call 1, start late", b.round(Round{AwaitingCall: []*Request{first[1]}}), "a core without a run admits one beyond the limit")
 }
 
 func TestEveryKindIsAnsweredAtItsLastMoment(t *testing.T) {
@@ -29,17 +29,17 @@
 		into func(b *bench, x *Request)
 		want string
 	}{
-		{"held reissuable", 0, func(b *bench, x *Request) { b.limit.value, b.limit.minimum, b.settings.Cores = 0, 0, 0 }, "reject x"},
-		{"held numbered", 1, func(b *bench, x *Request) { b.limit.value, b.limit.minimum, b.settings.Cores = 0, 0, 0 }, "forget x, reject x"},
-		{"running reissuable", 0, nil, "abort x, pause x"},
-		{"running numbered", 1, nil, "abort x, pause x"},
+		{"queued retryable", 0, func(b *bench, x *Request) { b.limit.value, b.limit.minimum, b.settings.Cores = 0, 0, 0 }, "reject x"},
+		{"queued keyed", 1, func(b *bench, x *Request) { b.limit.value, b.limit.minimum, b.settings.Cores = 0, 0, 0 }, "forget x, reject x"},
+		{"running retryable", 0, nil, "abort x, pause x"},
+		{"running keyed", 1, nil, "abort x, pause x"},
 		{"running at-most-once", 2, nil, "abort x, pause x"},
 		{"at a call", 2, func(b *bench, x *Request) { b.round(Round{AwaitingCall: []*Request{x}}) }, "abort x"},
 		{"waiting for its call", 2, func(b *bench, x *Request) {
 			b.calls.capacity = 0
 			b.round(Round{AwaitingCall: []*Request{x}})
 		}, "abort x"},
-		{"repeat of a numbered", 1, nil, "abort x"},
+		{"duplicate of a keyed", 1, nil, "abort x"},
 	}
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 			assert.NotContains(t, b.pass(75*ms, Gauges{CPU: 1}), "x")
 			assert.Contains(t, b.pass(25*ms, Gauges{CPU: 1}), c.want)
 			x.phase = max(x.phase, queued)
-			assert.NotContains(t, b.pass(time.Second, Gauges{CPU: 1}), "abort", "one answer only")
+			assert.NotContains(t, b.pass(time.Second, Gauges{CPU: 1}), "abort", "answered more than once")
 		})
 	}
 	t.Run("a stall of the process", func(t *testing.T) {
@@ -65,7 +65,7 @@
 		x := b.request("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
 		b.at += 10 * time.Second
-		assert.Equal(t, "abort x, pause x", b.round(Round{}), "any event answers what is overdue")
+		assert.Equal(t, "abort x, pause x", b.round(Round{}), "any round answers overdue requests")
 	})
 }
 
@@ -73,8 +73,8 @@
 	b := newBench(nil)
 	x, again := b.request("x", 1), b.request("again", 1)
 	again.Duplicate = true
-	assert.Equal(t, "remember x, start x", b.round(Round{Arrived: []*Request{x}}), "an entry comes before the run")
-	assert.Equal(t, "echo again", b.round(Round{Arrived: []*Request{again}}))
+	assert.Equal(t, "remember x, start x", b.round(Round{Arrived: []*Request{x}}), "the entry is created before the run")
+	assert.Equal(t, "answer-from-original again", b.round(Round{Arrived: []*Request{again}}))
 	b.round(Round{AwaitingCall: []*Request{x}})
 	decisions := b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Unknown}}})
 	assert.Equal(t, "abort x", decisions, "a call that may have taken effect is not made again")
@@ -82,21 +82,21 @@
 	y := b.request("y", 1)
 	b.round(Round{Arrived: []*Request{y}})
 	b.round(Round{AwaitingCall: []*Request{y}})
-	assert.Empty(t, b.round(Round{CallsEnded: []Completion{{Request: y, Outcome: NotRun}}}), "not again at once")
-	assert.Contains(t, b.pass(time.Second, Gauges{CPU: 1}), "call y", "but later, as it never ran")
+	assert.Empty(t, b.round(Round{CallsEnded: []Completion{{Request: y, Outcome: NotRun}}}), "the retry is delayed")
+	assert.Contains(t, b.pass(time.Second, Gauges{CPU: 1}), "call y", "retried later, as the call never ran")
 }
 
 func TestMemoryIsReservedAndAQueueBeyondItIsCut(t *testing.T) {
 	b := newBench(func(s *Settings) { s.MemoryKB = 200 })
 	assert.Equal(t, "remember a, start a", b.round(Round{Arrived: []*Request{b.request("a", 1)}}))
-	assert.Equal(t, "reject b", b.round(Round{Arrived: []*Request{b.request("b", 1)}}), "no run without an entry")
-	assert.Empty(t, b.round(Round{Arrived: []*Request{b.request("c", 0)}}), "no start past the memory")
+	assert.Equal(t, "reject b", b.round(Round{Arrived: []*Request{b.request("b", 1)}}), "no run without memory for the key's entry")
+	assert.Empty(t, b.round(Round{Arrived: []*Request{b.request("c", 0)}}), "no start beyond the memory bound")
 	b = newBench(func(s *Settings) { s.MemoryKB, s.Cores = 600, 0 })
 	var heap []*Request
 	for i := range 56 {
 		heap = append(heap, b.request("low", i/55*2))
 	}
-	assert.Equal(t, "reject low, reject low", b.round(Round{Arrived: heap}), "not the one of importance")
+	assert.Equal(t, "reject low, reject low", b.round(Round{Arrived: heap}), "not the one of higher value")
 	assert.Contains(t, b.queue, heap[55])
 }
 
@@ -104,9 +104,9 @@
 	b := newBench(nil)
 	x, n := b.request("x", 0), b.request("n", 1)
 	b.round(Round{Arrived: []*Request{x, n}})
-	assert.Equal(t, "pause x", b.round(Round{Canceled: []*Request{x, n}}), "a numbered run goes on for its repeats")
-	assert.Empty(t, b.round(Round{RunsEnded: []Completion{{Request: x}}, AwaitingCall: []*Request{n}}), "no call for what has ended")
-	assert.Empty(t, b.pass(10*time.Second, Gauges{CPU: 1}), "and no answer")
+	assert.Equal(t, "pause x", b.round(Round{Canceled: []*Request{x, n}}), "a keyed run continues for its duplicates")
+	assert.Empty(t, b.round(Round{RunsEnded: []Completion{{Request: x}}, AwaitingCall: []*Request{n}}), "no call for a canceled request")
+	assert.Empty(t, b.pass(10*time.Second, Gauges{CPU: 1}), "no answer to a canceled request")
 }
 
 func TestACallerMayLeaveAsItsRequestIsRead(t *testing.T) {
@@ -114,6 +114,6 @@
 		b := newBench(nil)
 		x := b.request("x", kind)
 		assert.Equal(t, want, b.round(Round{Arrived: []*Request{x}, Canceled: []*Request{x}}))
-		assert.NotContains(t, b.pass(10*time.Second, Gauges{CPU: 1}), "x", "no answer is owed")
+		assert.NotContains(t, b.pass(10*time.Second, Gauges{CPU: 1}), "x", "no answer to a canceled request")
 	}
 }
--- a/admission/ranking_test.go
+++ b/admission/ranking_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The ranking gives requests out by their value density, and of equals the last one first.
+// The ranking removes requests in the order of their value density, and of equals the last one first.
 func TestRankingGivesTheLeastValuableFirst(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkBurst is the time of the round that brings a burst of requests to an idle server.
+// BenchmarkBurst measures the round that brings a burst of requests to an idle server.
 func BenchmarkBurst(b *testing.B) {
 	for _, burst := range []int{1, 250, 1000, 4000} {
 		b.Run(fmt.Sprint(burst), func(b *testing.B) {
@@ -47,7 +47,7 @@
 			})
 			arrived := make([]*Request, burst)
 			for b.Loop() {
-				server.at += 20 * time.Second // all that was before is over
+				server.at += 20 * time.Second // all requests of the burst before have ended
 				server.round(Round{})
 				for i := range arrived {
 					arrived[i] = server.request("", 0)
--- a/admission/reject_test.go
+++ b/admission/reject_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Where the site allows no stop, a Preempt is a fault that ends the day: runs that are aborted or whose
-// caller left go on to their ends, and count on the cores until then.
+// If the settings do not allow preemption, a Preempt is a fault that ends the simulated day. Runs of requests that are
+// aborted or canceled continue to their end, and count on the cores until then.
 func TestNoPreemptionWhereSettingsAllowNone(t *testing.T) {
-	for _, how := range []string{"given up", "caller gone"} {
+	for _, how := range []string{"aborted", "canceled"} {
 		t.Run(how, func(t *testing.T) {
 			b := newBench(func(s *Settings) { s.Preemption = PreemptionNone })
 			x := b.request("x", 0)
 			b.round(Round{Arrived: []*Request{x}})
-			if how == "caller gone" {
+			if how == "canceled" {
 				assert.Empty(t, b.round(Round{Canceled: []*Request{x}}))
 			} else {
 				x.usefulUntil = b.at + 50*ms
@@ -34,10 +34,10 @@
 		change func(*Settings)
 		want   time.Duration
 	}{
-		{"a hopeless one read at once", 0, nil, ms},
-		{"as long as it lay unread and the hold is too long", 400 * ms, nil, 500 * ms},
-		{"never longer than is heeded", 3 * time.Second, nil, time.Second},
-		{"nothing where advice is not passed on", 400 * ms, func(s *Settings) { s.RetryAfter = false }, 0},
+		{"an unmeetable request read at once", 0, nil, ms},
+		{"time spent unread plus excess of the queue", 400 * ms, nil, 500 * ms},
+		{"at most MaxRetryAfter", 3 * time.Second, nil, time.Second},
+		{"none if RetryAfter is off", 400 * ms, func(s *Settings) { s.RetryAfter = false }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/admission/shed_test.go
+++ b/admission/shed_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// While the dependency is strained, a request that calls it waits for its turn, and is rejected at once where
-// that turn comes too late; at ease the same request is kept.
+// While the dependency is strained, a request that calls it has to wait for its call, and is rejected at once if that
+// would be too late. Without strain the same request is started.
 func TestStrainedCallsCountInTheQueue(t *testing.T) {
 	for _, strained := range []bool{false, true} {
 		b := newBench(nil)
@@ -18,21 +18,21 @@
 		x := b.request("x", 2)
 		decisions := b.round(Round{Arrived: []*Request{x}})
 		if strained {
-			assert.Equal(t, "reject x", decisions, "a call of three seconds lies past its contract time")
+			assert.Equal(t, "reject x", decisions, "a call of three seconds exceeds its latency target")
 		} else {
 			assert.Equal(t, "start x", decisions)
 		}
 	}
 }
 
-// Where cores are short, a request that can only answer late earns its late value share alone, so it is left out
-// before one of the same value that would still be answered in time.
+// If cores are short, a request that can only be answered late earns only its late value share, so it is shed before
+// one of the same value that would still be answered in time.
 func TestLateAnswersAreShedFirstWhereCoresAreShort(t *testing.T) {
 	b := newBench(func(s *Settings) {
 		s.Cores, s.ValueByWork, s.Routes[0].LateValueShare = 1, true, 0.2
 		s.Routes[1].Idempotency, s.Routes[1].Value = Retryable, 1
 	})
-	for kind := range 2 { // how long runs take is known: nothing is shed by a guess
+	for kind := range 2 { // measure how long runs take: nothing is shed by an assumption
 		b.run(b.request("usual", kind), b.Routes[kind].LatencyTarget/unknownWorkDivisor)
 	}
 	b.round(Round{Arrived: []*Request{b.request("running", 1)}})
@@ -46,7 +46,7 @@
 		line = append(line, b.request(fmt.Sprint("fresh", i), 1))
 	}
 	decisions := b.round(Round{Arrived: line})
-	assert.Equal(t, "reject late2, reject late1, reject late0, reject fresh3", decisions, "before the fresh ones")
+	assert.Equal(t, "reject late2, reject late1, reject late0, reject fresh3", decisions, "late ones before fresh ones")
 }
 
 func TestUnmeetableRequestsAreShedByValue(t *testing.T) {
@@ -89,8 +89,8 @@
 	assert.InDelta(t, 0.525*b.valueDensity(within), b.valueDensity(over), 0.001)
 }
 
-// A burst that came before the first run of its route had ended was shed by the guess that each request takes a sixth of its
-// latency target, on an idle machine that does a hundred of them in that time.
+// Guards against shedding a burst that arrives before the first run of its route has ended. Each request was assumed to
+// take a sixth of its latency target, although the idle machine completes a hundred of them in that time.
 func TestBurstOfAnUnmeasuredRouteIsKept(t *testing.T) {
 	b := newBench(nil)
 	var burst []*Request
@@ -106,10 +106,10 @@
 			ended = append(ended, Completion{Request: request, Outcome: Succeeded, Took: 20 * ms})
 		}
 	}
-	assert.NotContains(t, b.round(Round{RunsEnded: ended}), "reject", "and they are short, so the others have time")
+	assert.NotContains(t, b.round(Round{RunsEnded: ended}), "reject", "the runs are short, so the others have time")
 }
 
-// Where the runs of such a route do not end, the time that they have taken tells that the burst has too little left: it is
+// If the runs of such a route do not end, their core time so far shows that the burst has too little time left: it is
 // shed long before its deadline.
 func TestBurstOfAnUnmeasuredRouteIsShedWhereItsRunsTakeLong(t *testing.T) {
 	b := newBench(nil)
--- a/admission/shedlevel_test.go
+++ b/admission/shedlevel_test.go
@@ -9,10 +9,10 @@
 
 func TestShedLevelFollowsWhatManyRequestsShow(t *testing.T) {
 	for name, c := range map[string]struct {
-		every                      int // a request each so many sweeps
+		every                      int // ticks between requests
 		lain, dismissed, most, min float64
 	}{
-		"many dismissed": {1, 0, 1, 0.95, 0.4}, "few dismissed": {16, 0, 1, 0.1, 0}, "many read late": {1, 0.5, 0, 0.95, 0.1},
+		"many shed": {1, 0, 1, 0.95, 0.4}, "few shed": {16, 0, 1, 0.1, 0}, "many read late": {1, 0.5, 0, 0.95, 0.1},
 	} {
 		b := newBench(nil)
 		for i := range 64 {
@@ -25,6 +25,6 @@
 		assert.LessOrEqual(t, b.shedding.level, c.most, name)
 		assert.GreaterOrEqual(t, b.shedding.level, c.min, name)
 		b.pass(6*time.Second, Gauges{CPU: 0.5})
-		assert.Zero(t, b.shedding.level, "it falls back by itself")
+		assert.Zero(t, b.shedding.level, "the level falls back to zero without requests")
 	}
 }
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -17,7 +17,7 @@
 	assert.InDelta(t, 0.8*4*4, cold.maxConcurrency(), 0.01)
 }
 
-// Workers that come up behind the program are as cold as they are, not as the program is old.
+// Workers that start after the program are cold from their own start on, not from the start of the program.
 func TestWorkersThatStartLaterAreColdFromThenOn(t *testing.T) {
 	b := newBench(func(s *Settings) { s.Cold, s.ColdSpeed, s.WarmUp = true, 0.2, 10*time.Second })
 	b.pass(8*time.Second, Gauges{})
@@ -25,5 +25,5 @@
 	b.round(Round{WorkersStartedAt: b.at - time.Second})
 	assert.InDelta(t, 0.28, b.speed(), 0.01)
 	b.round(Round{WorkersStartedAt: b.at - 5*time.Second})
-	assert.InDelta(t, 0.28, b.speed(), 0.01, "an earlier start makes nothing warmer")
+	assert.InDelta(t, 0.28, b.speed(), 0.01, "an earlier start does not raise the speed")
 }
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever comes and goes, in any order, the table holds what is stated and nothing else, each route at its place, and
-// what was learned of one outlasts its being stated anew.
+// After any sequence of additions, changes and removals the table holds exactly the configured routes, each at its
+// index, and a route keeps its measurements when its settings change.
 func TestTableOfRoutes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -43,7 +43,7 @@
 	})
 }
 
-// Only routes whose runs ended lately are looked at for a latency that has risen; that one is still seen.
+// Latencies are checked only for routes whose runs ended recently, and a rise on one of these is still detected.
 func TestOnlyBusyRoutesAreLookedAt(t *testing.T) {
 	b := newBench(nil)
 	for i := range 50 {
@@ -59,16 +59,16 @@
 	}
 	assert.Len(t, b.limit.busyRoutes, 1)
 	b.pass(10*time.Second, Gauges{})
-	assert.Empty(t, b.limit.busyRoutes, "its runs ended long ago")
+	assert.Empty(t, b.limit.busyRoutes, "the runs of the route ended long ago")
 	for range 8 {
 		ends(time.Second)
 	}
 	b.limit.backoff = BackoffNone
 	b.pass(tickInterval, Gauges{})
-	assert.Equal(t, BackoffLatency, b.limit.backoff, "latency has risen")
+	assert.Equal(t, BackoffLatency, b.limit.backoff, "latency has risen on the busy route")
 }
 
-// A tenant that has asked for nothing costs no more than its rate, and one past the table is nobody's.
+// A tenant without requests takes no memory beyond its quota, and an index past the table means no tenant.
 func TestTableOfTenants(t *testing.T) {
 	settings := DefaultSettings()
 	settings.Tenants = []Tenant{{QuotaRPS: 4}, DefaultTenant()}
@@ -82,8 +82,8 @@
 	assert.Zero(t, controller.tenants.rate(7, time.Second))
 	assert.Nil(t, controller.tenants.requests[0])
 	controller.PutTenant(2, 3, false)
-	assert.Equal(t, 0.1, controller.tenants.rate(2, time.Second), "its rate moved, not what it asked for")
+	assert.Equal(t, 0.1, controller.tenants.rate(2, time.Second), "its quota changed, not its counted requests")
 	assert.Equal(t, 3.0, controller.TenantQuota(2))
 	controller.PutTenant(2, 3, true)
-	assert.Zero(t, controller.tenants.rate(2, time.Second), "another's place now")
+	assert.Zero(t, controller.tenants.rate(2, time.Second), "another tenant has taken the index")
 }
--- a/admission/trial_test.go
+++ b/admission/trial_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// hungBench is a bench whose runs took 50 ms until its machine stood still for eight seconds with a run on each core; now
-// all of those have ended.
+// hungBench returns a bench whose runs took 50 ms until its machine hung for eight seconds with a run on each core. Now
+// all of those runs have ended.
 func hungBench(outcome Outcome) *bench {
 	b := newBench(func(s *Settings) { s.Preemption = PreemptionNone })
 	for range 20 {
@@ -28,14 +28,15 @@
 	return b
 }
 
-// Behind a hang that was over everything was refused on an idle machine, as the stuck runs were taken for what requests need.
-// One is started, the others wait for its end, and as it takes no longer than usual all are served.
+// Guards against rejecting everything on an idle machine after a hang has ended, when the stuck runs count as the work
+// that requests need. One request is started, the others wait for its end, and as it takes no longer than usual all are
+// served.
 func TestATrialShowsThatAHangIsOver(t *testing.T) {
 	for _, outcome := range []Outcome{Succeeded, Stopped} {
 		b := hungBench(outcome)
 		first, second, third := b.request("first", 0), b.request("second", 0), b.request("third", 0)
 		assert.Equal(t, "start first", b.round(Round{Arrived: []*Request{first}}))
-		assert.Empty(t, b.round(Round{Arrived: []*Request{second, third}}), "they wait")
+		assert.Empty(t, b.round(Round{Arrived: []*Request{second, third}}), "they wait for the trial")
 		b.at += 50 * ms
 		decisions := b.round(Round{RunsEnded: []Completion{{Request: first, Outcome: Succeeded, Took: 50 * ms}}})
 		assert.Equal(t, "start second, start third", decisions)
@@ -43,8 +44,8 @@
 	}
 }
 
-// The machine is still slow: the request on trial takes long, those that wait are rejected in time, and from then on one
-// request at a time is tried while the others are rejected at once.
+// The machine is still slow: the request on trial takes long and those that wait are rejected in time. From then on one
+// request at a time is tried, and the others are rejected at once.
 func TestATrialOnASlowMachine(t *testing.T) {
 	b := hungBench(Succeeded)
 	first, second := b.request("first", 0), b.request("second", 0)
@@ -55,14 +56,14 @@
 	third, fourth := b.request("third", 0), b.request("fourth", 0)
 	assert.Equal(t, "reject fourth, start third", b.round(Round{Arrived: []*Request{third, fourth}}))
 	fifth := b.request("fifth", 0)
-	assert.Equal(t, "reject fifth", b.round(Round{Arrived: []*Request{fifth}}), "one at a time")
+	assert.Equal(t, "reject fifth", b.round(Round{Arrived: []*Request{fifth}}), "one trial at a time")
 	b.at += 50 * ms
 	b.round(Round{RunsEnded: []Completion{{Request: third, Outcome: Succeeded, Took: 50 * ms}}})
 	assert.Equal(t, "start sixth", b.round(Round{Arrived: []*Request{b.request("sixth", 0)}}))
-	assert.Less(t, b.expectedWork(fifth), 100*ms, "it goes on")
+	assert.Less(t, b.expectedWork(fifth), 100*ms, "the short trial restores the estimate")
 }
 
-// A trial needs a core of its own, and time by the usual work.
+// A trial needs a core without a run, and time for the usual work.
 func TestNoTrialWithoutACoreOrTime(t *testing.T) {
 	b := hungBench(Succeeded)
 	hopeless := b.request("hopeless", 0)
@@ -81,5 +82,5 @@
 	b.round(Round{Arrived: []*Request{first}})
 	b.round(Round{RunsEnded: []Completion{{Request: first, Outcome: Failed, Took: ms}}})
 	assert.Greater(t, b.expectedWork(first), time.Second)
-	assert.Equal(t, "start second", b.round(Round{Arrived: []*Request{b.request("second", 0)}}), "the next trial")
+	assert.Equal(t, "start second", b.round(Round{Arrived: []*Request{b.request("second", 0)}}), "the next trial starts")
 }
--- a/admission/work_test.go
+++ b/admission/work_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What callers invent moves no belief: an age, a number of callers, calls that the pool does not know.
+// Requests with forged properties must not change the estimates: a false arrival time, many router IDs, and runs that
+// the pool does not know.
 func TestInventedRequestsTeachNothing(t *testing.T) {
 	b := newBench(func(s *Settings) { s.IdleTimeout = 30 * time.Second })
 	need := b.expectedWork(b.request("real", 0))
@@ -18,7 +19,7 @@
 	}
 	assert.LessOrEqual(t, len(b.connections.lastSeen), maxRouters)
 	lain := b.shedding.unread.sum(b.at)
-	assert.LessOrEqual(t, lain[1], lain[0], "old ones pass for more than they are")
+	assert.LessOrEqual(t, lain[1], lain[0], "a request counts at most one latency target as unread")
 	for range 100 {
 		unknown := b.request("unknown", 0)
 		b.round(Round{Arrived: []*Request{unknown}})
