--- a/admission/calls.go
+++ b/admission/calls.go
@@ -10,8 +10,8 @@
 const (
 	lostCallFactor       = 8.0 // multiple of the mean call time after which a call that may be repeated is abandoned
 	maxCallBackoffPower  = 6   // maximum number of doublings of the delay between attempts of a call
-	minCallWorkDivisor   = 4   // fraction of its expected work, as a divisor, that a run at its call is assumed to still need at least
-	callTurnsForSlack    = 2   // expected durations of wait and call that have to fit into the time left; otherwise the request skips its call
+	minCallWorkDivisor   = 4   // divisor of a run's expected work that gives the least work assumed to be left at its call
+	callTurnsForSlack    = 2   // turnarounds (wait and call) for which there has to be time; otherwise the request skips its call
 	minWindowCallTimings = 2   // minimum timeout of a call beyond the quota, in mean call times
 )
 
@@ -66,7 +66,8 @@
 	request.callNotBefore = c.now + time.Duration(wait*float64(time.Second))
 }
 
-// callBackoff returns the factor by which the delay before the request's next attempt of its call has grown.
+// callBackoff returns the backoff factor of the request's call. It doubles with each attempt that did not succeed, up
+// to maxCallBackoffPower times.
 func callBackoff(request *Request) float64 {
 	return math.Exp2(float64(min(request.callFailures, maxCallBackoffPower)))
 }
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Guards against too few calls to a tier of servers that states no quota (accra-heat-control). That was taken as a
-// quota of nearly zero, a call was made once in minutes, and every setpoint-change was aborted at its call.
+// Guards against too few calls to a tier of servers that states no quota (accra-heat-control). The missing quota was
+// taken as nearly zero, a call was made once in minutes, and every setpoint-change was aborted at its call.
 func TestCallsToATierOfServersGoByConcurrency(t *testing.T) {
 	for _, c := range []struct {
 		below string
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -286,7 +286,7 @@
 	assert.Equal(t, cold.starts, idle.starts)
 }
 
-// During a cold start the estimates of warm peers are scaled by the current speed, and used as they are at the end of
+// During a cold start the estimates of warm peers are divided by the current speed, and used as they are at the end of
 // the warm-up.
 func TestColdMachine(t *testing.T) {
 	m := fourCores
