--- a/admission/admit.go
+++ b/admission/admit.go
@@ -13,7 +13,7 @@
 // the in-flight limit it may still start if a core has no run and memory is below its soft limit: requests in flight
 // that wait at calls leave cores idle.
 func (c *Controller) mayStart(request *Request) bool {
-	if c.trial.holds() {
+	if c.trial.blocksQueue() {
 		return false
 	}
 	count := c.inFlight()
@@ -25,7 +25,7 @@
 	}
 	// Reads share the cores with runs and take precedence: a request that is read late has little time left when it is
 	// decided on. At most one read per core is in progress at a time, so some runs always continue.
-	if count.onCores+c.otherRunnable >= c.settings.Cores*maxRunsAndReadsPerCore {
+	if count.onCores+c.runnableReads >= c.settings.Cores*maxRunsAndReadsPerCore {
 		return false
 	}
 	return c.limit.allows(count.total) || count.onCores < c.settings.Cores && c.gauges.Memory < memorySoftLimit
@@ -40,7 +40,7 @@
 
 func (c *Controller) inFlight() (count inFlightCount) {
 	for _, request := range c.active {
-		if request.phase.holdsRun() {
+		if request.phase.inFlight() {
 			count.total++
 		}
 		if request.phase.onCores() {
--- a/admission/admit_test.go
+++ b/admission/admit_test.go
@@ -13,16 +13,16 @@
 func TestRunsAwaitingACallDoNotCountAgainstMaxConcurrency(t *testing.T) {
 	b := newBench(func(s *Settings) { s.MaxRunnablePerCore = 2 })
 	b.calls.capacity, b.calls.credit = 0, 0
-	room := int(b.maxConcurrency())
-	var parked []*Request
-	for i := range room {
-		parked = append(parked, b.request(fmt.Sprint("p", i), 2))
+	maxConcurrency := int(b.maxConcurrency())
+	var waiting []*Request
+	for i := range maxConcurrency {
+		waiting = append(waiting, b.request(fmt.Sprint("p", i), 2))
 	}
-	b.round(Round{Arrived: parked})
-	for range room {
-		b.round(Round{AwaitingCall: parked}) // no capacity for calls: each waits at its call, and the next starts
+	b.round(Round{Arrived: waiting})
+	for range maxConcurrency {
+		b.round(Round{AwaitingCall: waiting}) // no capacity for calls: each waits at its call, and the next starts
 	}
-	assert.Equal(t, inFlightCount{total: float64(room), awaitingCall: float64(room)}, b.inFlight())
+	assert.Equal(t, inFlightCount{total: float64(maxConcurrency), awaitingCall: float64(maxConcurrency)}, b.inFlight())
 	assert.Equal(t, "start free", b.round(Round{Arrived: []*Request{b.request("free", 0)}}))
 }
 
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -16,7 +16,7 @@
 	retryAfter       time.Duration // advice of the last rejection
 	noRetryElsewhere bool
 	closeAfter       time.Duration
-	patience         time.Duration // timeout of the last call
+	lastTimeout      time.Duration // timeout of the last call
 	at               time.Duration
 }
 
@@ -92,9 +92,9 @@
 func (b *bench) AnswerFromOriginal(request *Request)           { b.record("answer-from-original", request) }
 func (b *bench) RememberKey(request *Request, _ time.Duration) { b.record("remember", request) }
 func (b *bench) ForgetKey(request *Request)                    { b.record("forget", request) }
-func (b *bench) Call(request *Request, patience time.Duration) {
+func (b *bench) Call(request *Request, timeout time.Duration) {
 	b.record("call", request)
-	b.patience = patience
+	b.lastTimeout = timeout
 }
 func (b *bench) SkipCall(request *Request) { b.record("skip", request) }
 func (b *bench) SetHealth(good, _ bool) {
--- a/admission/callcapacity.go
+++ b/admission/callcapacity.go
@@ -29,16 +29,16 @@
 
 // callCapacity is the capacity for calls and the measurements that move it.
 type callCapacity struct {
-	quota    float64 // mean number of calls in progress that the dependency survives from this server
-	capacity float64 // mean number of calls in progress that this server plans for
-	credit   float64 // unused call-seconds; below 0 if calls used more than the capacity
-	turns    float64 // pacing cycles since the start, from a random phase on
+	quota        float64 // mean number of calls in progress that the dependency survives from this server
+	capacity     float64 // mean number of calls in progress that this server plans for
+	credit       float64 // unused call-seconds; below 0 if calls used more than the capacity
+	pacingCycles float64 // pacing cycles since the start, from a random phase on
 
-	outcomes   *slidingSums // see callTotals
-	inProgress *slidingSums // call-seconds
-	seconds    movingMean   // seconds of a call
-	sample     sampleStats  // the same, for other servers
-	assumed    float64      // seconds that a call is assumed to take before any is measured
+	outcomes       *slidingSums // see callTotals
+	inProgress     *slidingSums // call-seconds
+	seconds        movingMean   // seconds of a call
+	sample         sampleStats  // the same, for other servers
+	assumedSeconds float64      // seconds that a call is assumed to take before any is measured
 
 	strained bool // calls take much longer than usual, or are rejected
 	delayed  bool // a call had to wait for capacity since the last calibration
@@ -65,12 +65,14 @@
 }
 
 // assumeAtLeast raises the assumed time of a call, which counts until one is measured, to at least seconds.
-func (c *callCapacity) assumeAtLeast(seconds float64) { c.assumed = max(c.assumed, seconds) }
+func (c *callCapacity) assumeAtLeast(seconds float64) {
+	c.assumedSeconds = max(c.assumedSeconds, seconds)
+}
 
 // refill adds the credit and the pacing cycles of a number of seconds.
 func (c *callCapacity) refill(passed float64) {
 	c.credit = min(c.credit+c.capacity*passed, c.capacity)
-	c.turns += passed * c.capacity / c.expectedSeconds()
+	c.pacingCycles += passed * c.capacity / c.expectedSeconds()
 }
 
 // charge deducts the time for which a call loaded the dependency from the credit.
@@ -81,7 +83,7 @@
 
 // expectedSeconds returns how long a call is expected to take.
 func (c *callCapacity) expectedSeconds() float64 {
-	return cmp.Or(c.seconds.mean, c.peerCallSeconds(), c.assumed)
+	return cmp.Or(c.seconds.mean, c.peerCallSeconds(), c.assumedSeconds)
 }
 
 // peerCallSeconds returns how long calls take at peers until the first call of this server has returned, and 0 after
@@ -93,15 +95,15 @@
 	return c.peerSeconds.estimate.Mean
 }
 
-// hasTurn reports whether the pacing of calls allows a call now. Pacing spreads calls that take more than the quota
+// pacingAllows reports whether the pacing of calls allows a call now. Pacing spreads calls that take more than the quota
 // bears over a fleet: hundreds of servers that make one call each at the same time, after a release or in a burst,
 // exceed what the dependency survives. There is one cycle per call that the capacity allows, with a phase of its own on
 // each server. A call may be made in the first part of a cycle: its fraction is the call-seconds per window that the
 // quota leaves above the capacity, over the seconds of a call.
-func (c *callCapacity) hasTurn() bool {
+func (c *callCapacity) pacingAllows() bool {
 	window := max(c.window, tickInterval).Seconds()
 	spare := (c.quota*plannedShare - c.capacity) * window
-	return c.quota <= minCallQuota || math.Mod(c.turns, 1) < spare/c.expectedSeconds()
+	return c.quota <= minCallQuota || math.Mod(c.pacingCycles, 1) < spare/c.expectedSeconds()
 }
 
 // callTotals are the sums of callCapacity.outcomes.
@@ -138,7 +140,7 @@
 	calls := &c.calls
 	recent := c.recentCalls(recentCallParts)
 	// The mean of a few calls varies widely.
-	slow := latencyBackoffRatio * (1 + smallSample/max(recent.returned, 1)) * calls.seconds.mean
+	slow := latencyBackoffRatio * (1 + halfWeightSamples/max(recent.returned, 1)) * calls.seconds.mean
 	calls.strained = recent.rejected > 0 || calls.seconds.count > 0 && recent.returned > 0 && recent.seconds/recent.returned > slow
 	switch {
 	case calls.strained:
@@ -155,6 +157,6 @@
 	if !c.calls.strained {
 		return 0
 	}
-	turn := c.callTime()
-	return turn + time.Duration(waiting/max(minCallSlots, c.calls.capacity)*float64(turn))
+	callTime := c.callTime()
+	return callTime + time.Duration(waiting/max(minCallSlots, c.calls.capacity)*float64(callTime))
 }
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	lostCallFactor       = 8.0 // multiple of the mean call time after which a call that may be repeated is abandoned
-	maxCallBackoffPower  = 6   // maximum number of doublings of the delay between attempts of a call
-	minCallWorkDivisor   = 4   // divisor of a run's expected work that gives the least work assumed to be left at its call
-	callTurnsForSlack    = 2   // turnarounds (wait and call) for which there has to be time; otherwise the request skips its call
-	minWindowCallTimings = 2   // minimum timeout of a call beyond the quota, in mean call times
+	lostCallFactor        = 8.0 // multiple of the mean call time after which a call that may be repeated is abandoned
+	maxCallBackoffPower   = 6   // maximum number of doublings of the delay between attempts of a call
+	minCallWorkDivisor    = 4   // divisor of a run's expected work that gives the least work assumed to be left at its call
+	minCallTurnarounds    = 2   // turnarounds (wait and call) for which there has to be time; otherwise the request skips its call
+	minOverQuotaCallTimes = 2   // minimum timeout of a call beyond the quota, in mean call times
 )
 
 // endCall processes the end of a call. After a call that did not succeed, the request skips its call, waits for another
 // attempt, or is aborted if another attempt might repeat an effect.
-func (c *Controller) endCall(end Completion, w Executor) {
+func (c *Controller) endCall(end Completion, executor Executor) {
 	request := end.Request
 	if request.phase != calling {
 		return
@@ -33,9 +33,9 @@
 	case request.answered || end.Outcome == NotRun:
 	case request.Route.SkipValueShare > 0:
 		c.enterPhase(request, running)
-		w.SkipCall(request)
+		executor.SkipCall(request)
 	case request.Route.Idempotency != Retryable:
-		c.abort(request, ReasonCallUnclear, w)
+		c.abort(request, ReasonCallUnclear, executor)
 	}
 }
 
@@ -75,7 +75,7 @@
 // placeCalls makes the calls that may be made now. The requests that lose most value without their call go first, then
 // those with the least time left. A request whose call would return too late skips it, if an answer without it earns
 // value.
-func (c *Controller) placeCalls(w Executor) {
+func (c *Controller) placeCalls(executor Executor) {
 	waiting, inProgress := c.waitingCalls()
 	count := c.inFlight()
 	slowdown := max(1, count.total/c.settings.Cores) // factor by which the requests in flight slow each run down
@@ -87,7 +87,7 @@
 		switch {
 		case c.skipsCall(request, rest, float64(ahead), inProgress):
 			c.enterPhase(request, running)
-			w.SkipCall(request)
+			executor.SkipCall(request)
 		case c.now < request.callNotBefore:
 		case !c.mayCall(inProgress, count.onCores):
 			c.calls.delayed = true
@@ -96,7 +96,7 @@
 			inProgress++
 			request.calledAt = c.now
 			c.enterPhase(request, calling)
-			w.Call(request, timeout)
+			executor.Call(request, timeout)
 		}
 	}
 }
@@ -127,19 +127,19 @@
 // before it. Requests ahead use up the credit first; rest is the time that the run takes after its call.
 func (c *Controller) skipsCall(request *Request, rest time.Duration, ahead, inProgress float64) bool {
 	calls := &c.calls
-	turn := c.callTime()
-	if behind := (ahead+inProgress)*turn.Seconds() - calls.credit; behind > 0 {
-		turn += time.Duration(behind / calls.capacity * float64(time.Second))
+	turnaround := c.callTime()
+	if deficit := (ahead+inProgress)*turnaround.Seconds() - calls.credit; deficit > 0 {
+		turnaround += time.Duration(deficit / calls.capacity * float64(time.Second))
 	}
-	spare := !calls.strained ||
+	hasSpare := !calls.strained ||
 		inProgress+1 <= max(minCallSlots, calls.capacity*strainedSkipShare) && calls.credit > calls.capacity*strainedSkipShare
-	return request.Route.SkipValueShare > 0 && (!spare || c.now+rest+callTurnsForSlack*turn > request.usefulUntil)
+	return request.Route.SkipValueShare > 0 && (!hasSpare || c.now+rest+minCallTurnarounds*turnaround > request.usefulUntil)
 }
 
 // mayCall reports whether one more call may be made.
 func (c *Controller) mayCall(inProgress, onCores float64) bool {
 	calls := &c.calls
-	return inProgress+1 <= max(minCallSlots, calls.capacity) && calls.credit > 0 && calls.hasTurn() &&
+	return inProgress+1 <= max(minCallSlots, calls.capacity) && calls.credit > 0 && calls.pacingAllows() &&
 		onCores+inProgress+1 <= c.maxConcurrency()
 }
 
@@ -155,7 +155,7 @@
 		// in the window.
 		left := calls.quota*c.settings.CallWindow.Seconds()*plannedShare - calls.inProgress.sum(c.now)[0]
 		left -= c.settings.CallLinger.Seconds()
-		timeout = min(timeout, max(time.Duration(left*float64(time.Second)), minWindowCallTimings*c.callTime()))
+		timeout = min(timeout, max(time.Duration(left*float64(time.Second)), minOverQuotaCallTimes*c.callTime()))
 	}
 	if calls.seconds.count > 0 && request.Route.Idempotency == Retryable {
 		// A call that is never answered would occupy its place until its request is aborted. It is made again, with a
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -15,8 +15,8 @@
 	b.round(Round{Arrived: []*Request{skips, cannot}})
 	assert.Equal(t, "call cannot, skip skips", b.round(Round{AwaitingCall: []*Request{skips, cannot}}))
 	for _, c := range []struct {
-		outcome Outcome
-		room    float64
+		outcome  Outcome
+		capacity float64
 	}{{Succeeded, 8}, {NotRun, 6}, {Unknown, 8}} {
 		b := newBench(nil)
 		x := b.request("x", 0)
@@ -25,29 +25,29 @@
 		b.calls.capacity = 8
 		b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: c.outcome, Took: ms}}})
 		b.calibrateCalls()
-		assert.Equal(t, c.room, b.calls.capacity)
+		assert.Equal(t, c.capacity, b.calls.capacity)
 	}
 }
 
-func TestCallsKeepToAShareOfLessThanOne(t *testing.T) {
-	for _, share := range []float64{0, 0.05, 0.5, 0.9, 1.4} {
-		b := newBench(func(s *Settings) { s.CallQuota = share })
-		most, mean, n := 0.0, 0.0, 400
+func TestCallsKeepToAQuotaOfLessThanOne(t *testing.T) {
+	for _, quota := range []float64{0, 0.05, 0.5, 0.9, 1.4} {
+		b := newBench(func(s *Settings) { s.CallQuota = quota })
+		highest, mean, n := 0.0, 0.0, 400
 		for range n { // a dependency that hangs keeps each call in progress until its timeout
 			x := b.request("x", 2)
 			b.round(Round{Arrived: []*Request{x}})
 			b.round(Round{AwaitingCall: []*Request{x}})
 			b.pass(100*ms, Gauges{CPU: 0.5})
 			for _, request := range b.active {
-				if request.phase == calling && b.at >= request.calledAt+b.patience {
+				if request.phase == calling && b.at >= request.calledAt+b.lastTimeout {
 					b.round(Round{CallsEnded: []Completion{{Request: request, Outcome: Unknown}}})
 				}
 			}
-			most = max(most, b.calls.inProgress.sum(b.at)[0]/5)
+			highest = max(highest, b.calls.inProgress.sum(b.at)[0]/5)
 			mean += b.calls.inProgress.sum(b.at)[0] / 5 / float64(n)
 		}
-		assert.LessOrEqual(t, most, max(share, 0.1), "in any window")
-		assert.LessOrEqual(t, mean, max(share, 0.02), "in the long run, however small the quota")
+		assert.LessOrEqual(t, highest, max(quota, 0.1), "in any window")
+		assert.LessOrEqual(t, mean, max(quota, 0.02), "in the long run, however small the quota")
 		assert.Positive(t, mean, "calls are still made")
 	}
 }
@@ -56,9 +56,9 @@
 // taken as nearly zero, a call was made once in minutes, and every setpoint-change was aborted at its call.
 func TestCallsToATierOfServersGoByConcurrency(t *testing.T) {
 	for _, c := range []struct {
-		below string
-		tier  bool
-		calls int
+		dependency string
+		tier       bool
+		calls      int
 	}{{"tier", true, 4}, {"shared", false, 1}} {
 		b := newBench(func(s *Settings) { s.CallQuota, s.CallsTier = 0, c.tier })
 		var xs []*Request
@@ -68,7 +68,7 @@
 		b.round(Round{Arrived: xs})
 		b.pass(calibrationPeriod, Gauges{CPU: 0.5})
 		decisions := b.round(Round{AwaitingCall: xs})
-		assert.Equal(t, c.calls, strings.Count(decisions, "call x"), c.below)
+		assert.Equal(t, c.calls, strings.Count(decisions, "call x"), c.dependency)
 	}
 }
 
@@ -79,7 +79,7 @@
 	b.round(Round{Arrived: []*Request{x, y}})
 	x.usefulUntil = b.at + 300*ms
 	b.round(Round{AwaitingCall: []*Request{x}})
-	assert.LessOrEqual(t, b.patience, 300*ms, "no call outlasts the time in which its answer earns value")
+	assert.LessOrEqual(t, b.lastTimeout, 300*ms, "no call outlasts the time in which its answer earns value")
 	assert.Contains(t, b.pass(300*ms, Gauges{CPU: 1}), "abort x")
 	assert.Empty(t, b.round(Round{Arrived: []*Request{large}, AwaitingCall: []*Request{y}}))
 	end := []Completion{{Request: x, Outcome: Unknown}}
@@ -88,28 +88,28 @@
 
 // The run of an aborted or canceled request may end at its call before the end of that is reported. The dependency
 // still works on the call, so it is charged for CallLinger.
-func TestACallLeftBehindByItsRunLingers(t *testing.T) {
+func TestACallAbandonedByItsRunLingers(t *testing.T) {
 	b := newBench(nil)
 	request := b.request("a", 2)
 	b.round(Round{Arrived: []*Request{request}})
 	b.round(Round{AwaitingCall: []*Request{request}})
 	assert.Equal(t, calling, request.phase)
 	b.at += 100 * ms
-	before, saved := b.calls.inProgress.sum(b.at)[0], b.calls.credit
+	before, credit := b.calls.inProgress.sum(b.at)[0], b.calls.credit
 	b.round(Round{RunsEnded: []Completion{{Request: request, Outcome: Stopped}}})
 	assert.InDelta(t, 0.3, b.calls.inProgress.sum(b.at)[0]-before, 1e-6, "100 ms in progress and 200 ms lingering")
-	assert.InDelta(t, 0.3, saved-b.calls.credit, 1e-6)
+	assert.InDelta(t, 0.3, credit-b.calls.credit, 1e-6)
 }
 
 func TestACallIsSkippedWhenItsTurnComesTooLate(t *testing.T) {
 	for _, c := range []struct {
-		saved float64
-		want  string
+		credit float64
+		want   string
 	}{{1, "call x"}, {-0.5, ""}, {-1.5, "skip x"}} { // a deficit of one call-second at a capacity of one is a wait of one second
 		b := newBench(nil)
 		x := b.request("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
-		b.calls.capacity, b.calls.credit = 1, c.saved
+		b.calls.capacity, b.calls.credit = 1, c.credit
 		x.usefulUntil = b.at + b.expectedWork(x) + 2*time.Second
 		assert.Equal(t, c.want, b.round(Round{AwaitingCall: []*Request{x}}))
 	}
@@ -123,18 +123,18 @@
 	for range 10 {
 		b.calls.seconds.add(0.02, 500)
 	}
-	for kind, within := range []time.Duration{160 * ms, 2 * time.Second, 2 * time.Second} {
+	for kind, timeout := range []time.Duration{160 * ms, 2 * time.Second, 2 * time.Second} {
 		x := b.request("x", kind)
 		b.round(Round{Arrived: []*Request{x}})
 		assert.Equal(t, "call x", b.round(Round{AwaitingCall: []*Request{x}}))
-		assert.InDelta(t, within, b.patience, float64(ms), "a call that must not be repeated gets the full timeout")
+		assert.InDelta(t, timeout, b.lastTimeout, float64(ms), "a call that must not be repeated gets the full timeout")
 		if kind > 0 {
 			continue
 		}
-		for again := within * 2; again < 640*ms; again *= 2 {
-			b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Unknown, Took: within}}})
+		for next := timeout * 2; next < 640*ms; next *= 2 {
+			b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Unknown, Took: timeout}}})
 			assert.Equal(t, "call x", b.pass(time.Second/4, Gauges{CPU: 0.5}))
-			assert.InDelta(t, again, b.patience, float64(ms), "the timeout doubles, so that a dependency that is only slow can still answer")
+			assert.InDelta(t, next, b.lastTimeout, float64(ms), "the timeout doubles, so that a dependency that is only slow can still answer")
 		}
 		end := []Completion{{Request: x}}
 		b.round(Round{CallsEnded: end, RunsEnded: end})
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -46,7 +46,7 @@
 	drain       drain
 	tenants     tenantTable
 
-	otherRunnable float64 // reads of requests that wanted a core at the last tick: all runnable work but the runs
+	runnableReads float64 // reads of requests that wanted a core at the last tick: all runnable work but the runs
 
 	scratch scratch
 }
@@ -72,7 +72,7 @@
 		health:      newRunHealth(),
 		tenants:     newTenantTable(settings.Tenants),
 	}
-	controller.calls.turns = controller.random.Float64()
+	controller.calls.pacingCycles = controller.random.Float64()
 	for _, route := range settings.Routes {
 		controller.PutRoute(nil, route)
 	}
@@ -82,36 +82,36 @@
 // Decide processes a round and passes the decisions to the executor. The end of a call is processed before a new call
 // of the same request, and both before the end of its run, so that one round may hold several successive events of a
 // request.
-func (c *Controller) Decide(r *Round, w Executor) {
+func (c *Controller) Decide(r *Round, executor Executor) {
 	c.now = r.Now
-	c.begin(w)
-	c.slowStart.workersStarted(r.WorkersStartedAt)
-	c.beginDrain(r, w)
-	c.takeEvents(r, w)
+	c.begin(executor)
+	c.slowStart.recordWorkersStart(r.WorkersStartedAt)
+	c.beginDrain(r, executor)
+	c.applyEvents(r, executor)
 	if r.Gauges != nil {
-		c.tick(*r.Gauges, r.GaugesAge, w)
+		c.tick(*r.Gauges, r.GaugesAge, executor)
 	}
-	c.expireRequests(w)
-	c.ejectWhileFailing(w)
-	c.shedUnmeetable(w)
-	c.placeCalls(w)
-	c.startQueued(w)
+	c.expireRequests(executor)
+	c.ejectWhileFailing(executor)
+	c.shedUnmeetable(executor)
+	c.placeCalls(executor)
+	c.startQueued(executor)
 }
 
 // begin initializes the times and the health in the first round.
-func (c *Controller) begin(w Executor) {
+func (c *Controller) begin(executor Executor) {
 	if c.tickedAt != 0 {
 		return
 	}
 	c.slowStart.since, c.tickedAt, c.limit.calibratedAt = c.now, c.now, c.now
-	w.SetHealth(true, true)
-	w.WakeAfter(tickInterval)
+	executor.SetHealth(true, true)
+	executor.WakeAfter(tickInterval)
 }
 
-// takeEvents applies the events of the round to the requests.
-func (c *Controller) takeEvents(r *Round, w Executor) {
+// applyEvents applies the events of the round to the requests.
+func (c *Controller) applyEvents(r *Round, executor Executor) {
 	for _, end := range r.CallsEnded {
-		c.endCall(end, w)
+		c.endCall(end, executor)
 	}
 	for _, request := range r.AwaitingCall {
 		if request.phase == running {
@@ -122,48 +122,48 @@
 		c.endRun(end)
 	}
 	for _, request := range r.Arrived {
-		c.arrive(request, w)
+		c.arrive(request, executor)
 	}
 	for _, request := range r.Canceled { // after the arrivals: a caller may leave in the round in which its request is read
-		c.cancel(request, w)
+		c.cancel(request, executor)
 	}
 }
 
 // tick does the periodic work: it charges time, calibrates the limits and moves the shed level.
-func (c *Controller) tick(gauges Gauges, age time.Duration, w Executor) {
+func (c *Controller) tick(gauges Gauges, age time.Duration, executor Executor) {
 	c.gauges = gauges
-	c.limit.blind = age > maxGaugesAge
-	c.otherRunnable = min(gauges.Runnable-c.inFlight().onCores, c.settings.Cores) // at most one request per core is read at a time
+	c.limit.gaugesOutdated = age > maxGaugesAge
+	c.runnableReads = min(gauges.Runnable-c.inFlight().onCores, c.settings.Cores) // at most one request per core is read at a time
 	passed := (c.now - c.tickedAt).Seconds()
 	c.tickedAt = c.now
 	c.ticks++
 	c.expireKeys()
 	c.calls.refill(passed)
 	c.agePeerEstimates(c.now)
-	c.chargeActive(w)
-	c.limit.noteGauges(gauges)
-	c.limit.noteLatencies(c.now)
+	c.chargeActive(executor)
+	c.limit.recordGauges(gauges)
+	c.limit.recordLatencies(c.now)
 	if c.ticks%ticksPerCallCalibration == 0 {
 		c.calibrateCalls()
 	}
-	c.calibrateLimit(w)
-	c.moveShedLevel(w)
-	w.WakeAfter(tickInterval)
+	c.calibrateLimit(executor)
+	c.moveShedLevel(executor)
+	executor.WakeAfter(tickInterval)
 }
 
 // chargeActive charges the time since the last charge to the phases of active requests, and repeats the stop of runs
 // that have not ended yet.
-func (c *Controller) chargeActive(w Executor) {
+func (c *Controller) chargeActive(executor Executor) {
 	for _, request := range c.active {
 		if request.phase == stopping && c.settings.Preemption.Allowed() {
-			w.Pause(request) // repeated, as a stop has no effect while the cores are stalled
+			executor.Pause(request) // repeated, as a stop has no effect while the cores are stalled
 		}
 		c.chargePhase(request)
 	}
 }
 
 // startQueued starts requests from the head of the queue while they may start.
-func (c *Controller) startQueued(w Executor) {
+func (c *Controller) startQueued(executor Executor) {
 	for len(c.queue) > 0 && c.mayStart(c.queue[0]) {
 		request := c.queue[0]
 		c.queue = slices.Delete(c.queue, 0, 1)
@@ -173,7 +173,7 @@
 		if request.onTrial {
 			c.beginTrial(request)
 		}
-		w.Start(request)
+		executor.Start(request)
 	}
 }
 
@@ -233,8 +233,8 @@
 
 // release removes a request that takes no more resources.
 func (c *Controller) release(request *Request) {
-	is := func(other *Request) bool { return other == request }
-	c.queue, c.active = slices.DeleteFunc(c.queue, is), slices.DeleteFunc(c.active, is)
+	isRequest := func(other *Request) bool { return other == request }
+	c.queue, c.active = slices.DeleteFunc(c.queue, isRequest), slices.DeleteFunc(c.active, isRequest)
 }
 
 // Occupancy is the use of the machine as the controller accounts for it.
@@ -253,14 +253,14 @@
 func (c *Controller) Occupancy(now time.Duration) Occupancy {
 	c.now = max(c.now, now)
 	count := c.inFlight()
-	sum := Occupancy{
+	occupancy := Occupancy{
 		Held: len(c.queue), OnCores: int(count.onCores), InFlight: int(count.total), Limit: c.limit.value,
 		MaxConcurrency: c.maxConcurrency(), UsedKB: c.memoryUsedKB(), MaxKB: c.memoryKB(),
 	}
 	for _, request := range c.active {
-		if request.answered && request.phase.holdsRun() {
-			sum.Answered++
+		if request.answered && request.phase.inFlight() {
+			occupancy.Answered++
 		}
 	}
-	return sum
+	return occupancy
 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -8,18 +8,18 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestOneRoundMayHoldARequestsWholeLife(t *testing.T) {
+func TestOneRoundMayHoldSeveralEventsOfARequest(t *testing.T) {
 	b := newBench(nil)
 	x := b.request("x", 2)
 	b.round(Round{Arrived: []*Request{x}})
 	b.round(Round{AwaitingCall: []*Request{x}})
 	end, all := []Completion{{Request: x, Outcome: Succeeded}}, []*Request{x}
-	story := Round{CallsEnded: end, AwaitingCall: all, RunsEnded: end, Canceled: all, Arrived: []*Request{b.request("y", 0)}}
-	assert.Equal(t, "start y", b.round(story))
+	round := Round{CallsEnded: end, AwaitingCall: all, RunsEnded: end, Canceled: all, Arrived: []*Request{b.request("y", 0)}}
+	assert.Equal(t, "start y", b.round(round))
 }
 
 func TestSameEventsSameDecisions(t *testing.T) {
-	story := func() (all string) {
+	decide := func() (all string) {
 		b := newBench(nil)
 		for i := range 400 {
 			x := b.request(fmt.Sprint(i), i%3)
@@ -28,17 +28,17 @@
 		}
 		return all
 	}
-	assert.Equal(t, story(), story())
+	assert.Equal(t, decide(), decide())
 }
 
-func TestOddSettingsDecideSanely(t *testing.T) {
-	for name, odd := range map[string]func(*Settings){
+func TestDecisionsWithZeroSettings(t *testing.T) {
+	for name, change := range map[string]func(*Settings){
 		"nothing configured":   func(s *Settings) { s.CallQuota, s.FleetServers, s.IdleTimeout = 0, 0, 0 },
 		"one server":           func(s *Settings) { s.FleetServers, s.Tenants = 1, []Tenant{{QuotaRPS: 0}} },
 		"zero quota and fleet": func(s *Settings) { s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{QuotaRPS: 0}}, 0, 0 },
 		"zero durations":       func(s *Settings) { s.CallWindow, s.CallLinger, s.WarmUp = 0, 0, 1 },
 	} {
-		b := newBench(odd)
+		b := newBench(change)
 		decisions := ""
 		for range 40 {
 			x := b.request("x", 2)
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -18,8 +18,8 @@
 // pastGrace reports whether a time is past the grace after the notice.
 func (d *drain) pastGrace(moment, grace time.Duration) bool { return moment > d.notifiedAt+grace }
 
-// limit lowers the deadlines of a request so that it is answered before the process is stopped.
-func (d *drain) limit(request *Request) {
+// capDeadlines lowers the deadlines of a request so that it is answered before the process is stopped.
+func (d *drain) capDeadlines(request *Request) {
 	request.answerBy, request.usefulUntil = min(request.answerBy, d.deadline), min(request.usefulUntil, d.deadline)
 }
 
@@ -28,14 +28,14 @@
 
 // beginDrain starts the graceful shutdown if the round has the first notice: health checks fail, and nothing is planned
 // past the stop.
-func (c *Controller) beginDrain(r *Round, w Executor) {
+func (c *Controller) beginDrain(r *Round, executor Executor) {
 	if r.StopAt <= 0 || c.drain.begun() {
 		return
 	}
 	c.drain = drain{deadline: r.StopAt - answerMargin, notifiedAt: r.notifiedAt()}
-	w.SetHealth(false, true)
+	executor.SetHealth(false, true)
 	for _, request := range slices.Concat(c.queue, c.active) {
-		c.drain.limit(request)
+		c.drain.capDeadlines(request)
 	}
-	w.Log(fmt.Sprintf("leaving: %d held, %.0f in flight", len(c.queue), c.inFlight().total))
+	executor.Log(fmt.Sprintf("leaving: %d held, %.0f in flight", len(c.queue), c.inFlight().total))
 }
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -13,16 +13,16 @@
 // sender is a server of a fleet whose requests all call one dependency.
 type sender struct {
 	*bench
-	took  time.Duration // duration of a call
-	calls map[*Request]Completion
-	made  []time.Duration
+	took        time.Duration // duration of a call
+	calls       map[*Request]Completion
+	callsMadeAt []time.Duration
 }
 
-func (s *sender) Call(request *Request, patience time.Duration) {
-	s.made = append(s.made, s.at)
+func (s *sender) Call(request *Request, timeout time.Duration) {
+	s.callsMadeAt = append(s.callsMadeAt, s.at)
 	s.calls[request] = Completion{Request: request, Outcome: Succeeded, Took: s.took}
-	if patience < s.took {
-		s.calls[request] = Completion{Request: request, Outcome: Unknown, Took: patience}
+	if timeout < s.took {
+		s.calls[request] = Completion{Request: request, Outcome: Unknown, Took: timeout}
 	}
 }
 
@@ -59,55 +59,55 @@
 // survives.
 func TestCallsOfAFleetKeepToOneBudget(t *testing.T) {
 	const budget = 10.0 // mean number of calls in progress
-	over := 5 * time.Second
+	window := 5 * time.Second
 	for _, n := range []int{1, 8, 30, 350} {
 		for _, took := range []time.Duration{100 * ms, 500 * ms, 1500 * ms} {
-			for _, rested := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%d servers, %v a call, rested %t", n, took, rested), func(t *testing.T) {
-					draws := rand.New(rand.NewSource(int64(n)))
+			for _, idleBefore := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%d servers, %v a call, rested %t", n, took, idleBefore), func(t *testing.T) {
+					random := rand.New(rand.NewSource(int64(n)))
 					var fleet []*sender
 					for range n {
 						b := &bench{names: map[*Request]string{}, at: time.Second}
 						b.Controller = New(testSettings(func(s *Settings) {
-							s.Cold, s.CallQuota, s.CallWindow = true, budget/float64(n), over
+							s.Cold, s.CallQuota, s.CallWindow = true, budget/float64(n), window
 							s.Routes[0].SkipValueShare, s.Routes[0].LateValueShare = 0, 0.5
 							s.Routes[0].LatencyTarget, s.Routes[0].Deadline = 3*time.Second, 20*time.Second
-						}), draws.Int63())
+						}), random.Int63())
 						fleet = append(fleet, &sender{bench: b, took: took, calls: map[*Request]Completion{}})
 					}
 					span, quiet := 40*time.Second, time.Duration(0)
-					if rested {
+					if idleBefore {
 						quiet = 45 * time.Second // with few requests in its first half, so that all servers have measured the duration of a call
 					}
-					var made []time.Duration
+					var callsMadeAt []time.Duration
 					for _, s := range fleet {
 						s.Decide(&Round{Now: s.at}, s)
 						for at := time.Duration(0); at < quiet+span; at += tickInterval {
-							s.step(at >= quiet || at < quiet/2 && draws.Intn(100) == 0)
+							s.step(at >= quiet || at < quiet/2 && random.Intn(100) == 0)
 						}
-						made = append(made, s.made...)
+						callsMadeAt = append(callsMadeAt, s.callsMadeAt...)
 					}
-					calls := budget * over.Seconds() / took.Seconds()
+					calls := budget * window.Seconds() / took.Seconds()
 					bound := calls + 2*math.Sqrt(calls) + 2
-					most := 0
+					highest := 0
 					for begin := time.Second; begin < time.Second+quiet+span; begin += tickInterval {
-						in := 0
-						for _, at := range made {
-							if at >= begin && at < begin+over {
-								in++
+						count := 0
+						for _, at := range callsMadeAt {
+							if at >= begin && at < begin+window {
+								count++
 							}
 						}
-						most = max(most, in)
+						highest = max(highest, count)
 					}
-					assert.LessOrEqual(t, float64(most), bound, "N is %.0f", calls)
+					assert.LessOrEqual(t, float64(highest), bound, "N is %.0f", calls)
 					late := 0
-					for _, at := range made {
+					for _, at := range callsMadeAt {
 						if at >= time.Second+quiet+span/2 {
 							late++
 						}
 					}
 					rate := float64(late) / (span / 2).Seconds() * took.Seconds()
-					if took < time.Duration(budget/float64(n)*plannedShare*float64(over))-200*ms { // a call is no longer than one server's quota bears
+					if took < time.Duration(budget/float64(n)*plannedShare*float64(window))-200*ms { // a call is no longer than one server's quota bears
 						assert.Greater(t, rate, budget*initialCallShare/2, "the budget is used: mean number of calls in progress")
 					}
 				})
--- a/admission/health.go
+++ b/admission/health.go
@@ -34,13 +34,13 @@
 
 // ejectWhileFailing takes the server out of service while most of its runs fail: health checks fail, callers are asked
 // to hold back requests, and all but one request at a time are rejected. That one shows when runs succeed again.
-func (c *Controller) ejectWhileFailing(w Executor) {
+func (c *Controller) ejectWhileFailing(executor Executor) {
 	runs := c.health.runs.sum(c.now)
 	ended, failed := runs[0], runs[1]
 	failing := ended >= minRunsJudged && failed > ended*failingShare
 	if failing != c.health.failing && !c.drain.begun() {
-		w.SetHealth(!failing, true)
-		w.Log(fmt.Sprintf("erring: %t, %.0f of %.0f runs broken", failing, failed, ended))
+		executor.SetHealth(!failing, true)
+		executor.Log(fmt.Sprintf("erring: %t, %.0f of %.0f runs broken", failing, failed, ended))
 	}
 	c.health.failing = failing
 	if !failing {
@@ -53,6 +53,6 @@
 		request := c.queue[last]
 		c.queue[last] = nil
 		c.queue = c.queue[:last]
-		c.answerRejected(request, ReasonRunsFail, w)
+		c.answerRejected(request, ReasonRunsFail, executor)
 	}
 }
--- a/admission/idle.go
+++ b/admission/idle.go
@@ -46,9 +46,9 @@
 	maps.DeleteFunc(r.lastSeen, func(_ uint32, last time.Duration) bool { return last+idleTimeout <= now })
 }
 
-// share returns the fraction of requests whose router returned within the idle timeout, and whether enough requests
+// returnRatio returns the fraction of requests whose router returned within the idle timeout, and whether enough requests
 // were read to tell. Until then the fraction that peers estimated is used, if any.
-func (r *connectionReuse) share(now time.Duration) (share float64, known bool) {
+func (r *connectionReuse) returnRatio(now time.Duration) (ratio float64, known bool) {
 	sums := r.requests.sum(now)
 	read, returned := sums[0], sums[1]
 	if read < minRequestsJudged && r.peerReturnRatio.weight > 0 {
@@ -59,11 +59,11 @@
 
 // tuneIdleTimeout closes idle connections sooner the less they are reused. An open connection takes part of the cores
 // and an entry of a table of limited size, and a full table refuses callers unnoticed.
-func (c *Controller) tuneIdleTimeout(w Executor) {
+func (c *Controller) tuneIdleTimeout(executor Executor) {
 	idleTimeout := c.settings.IdleTimeout
 	c.connections.forget(c.now, idleTimeout)
-	share, known := c.connections.share(c.now)
+	ratio, known := c.connections.returnRatio(c.now)
 	if known && idleTimeout > 0 {
-		w.CloseIdleAfter(max(minIdleTimeout, time.Duration(math.Pow(share, reuseExponent)*float64(idleTimeout))))
+		executor.CloseIdleAfter(max(minIdleTimeout, time.Duration(math.Pow(ratio, reuseExponent)*float64(idleTimeout))))
 	}
 }
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -55,13 +55,13 @@
 
 // inFlightLimit bounds the requests in flight: on the cores, at calls and waiting for them.
 type inFlightLimit struct {
-	value        float64 // requests
-	minimum      float64 // requests; the number of cores
-	backoff      Backoff // first event since the last calibration
-	reduced      *LimitReduction
-	blind        bool // the gauges are older than maxGaugesAge
-	calibratedAt time.Duration
-	busyRoutes   map[*routeStats]bool // routes whose runs ended recently: only their latency can have risen
+	value          float64 // requests
+	minimum        float64 // requests; the number of cores
+	backoff        Backoff // first event since the last calibration
+	reduction      *LimitReduction
+	gaugesOutdated bool // the gauges are older than maxGaugesAge
+	calibratedAt   time.Duration
+	busyRoutes     map[*routeStats]bool // routes whose runs ended recently: only their latency can have risen
 }
 
 // newInFlightLimit returns a limit at its minimum.
@@ -69,8 +69,8 @@
 	return inFlightLimit{value: cores, minimum: cores, busyRoutes: map[*routeStats]bool{}}
 }
 
-// noteGauges records a backoff event by CPU or memory use.
-func (l *inFlightLimit) noteGauges(g Gauges) {
+// recordGauges records a backoff event by CPU or memory use.
+func (l *inFlightLimit) recordGauges(g Gauges) {
 	switch {
 	case l.backoff != BackoffNone:
 	case g.CPU >= cpuSoftLimit:
@@ -80,8 +80,8 @@
 	}
 }
 
-// noteLatencies records a backoff event by latency. The result does not depend on the order of the routes.
-func (l *inFlightLimit) noteLatencies(now time.Duration) {
+// recordLatencies records a backoff event by latency. The result does not depend on the order of the routes.
+func (l *inFlightLimit) recordLatencies(now time.Duration) {
 	for route := range l.busyRoutes {
 		recent := runTotalsOf(route.recentRuns.recent(now, latencyParts))
 		if recent.ended == 0 {
@@ -105,21 +105,21 @@
 	switch {
 	case cause != BackoffNone:
 		l.value *= backoffFactor
-	case !l.blind:
+	case !l.gaugesOutdated:
 		l.value++
 	}
 	l.backoff = BackoffNone
 	l.value = max(min(l.value, maximum), l.minimum)
 	if cause != BackoffNone && l.value < before {
-		l.reduced = &LimitReduction{Cause: cause, From: before, To: l.value}
+		l.reduction = &LimitReduction{Cause: cause, From: before, To: l.value}
 	}
 }
 
 // TakeLimitReduction returns the reduction of the in-flight limit since the last call, and nil if there was none.
 func (c *Controller) TakeLimitReduction() *LimitReduction {
-	reduced := c.limit.reduced
-	c.limit.reduced = nil
-	return reduced
+	reduction := c.limit.reduction
+	c.limit.reduction = nil
+	return reduction
 }
 
 // raise adds one to the limit between calibrations. If memory puts the maximum below the current value, the limit drops
@@ -131,12 +131,12 @@
 
 // calibrateLimit calibrates the limit once per calibrationPeriod, and raises it in between while cores are idle and
 // requests are queued.
-func (c *Controller) calibrateLimit(w Executor) {
+func (c *Controller) calibrateLimit(executor Executor) {
 	switch {
 	case c.limit.calibrationDue(c.now):
 		c.limit.calibrate(c.now, c.maxLimit())
-		c.tuneIdleTimeout(w)
-	case !c.limit.blind && c.gauges.CPU < raiseBelowCPU && len(c.queue) > 0 && c.ticks%ticksPerLimitRaise == 0:
+		c.tuneIdleTimeout(executor)
+	case !c.limit.gaugesOutdated && c.gauges.CPU < raiseBelowCPU && len(c.queue) > 0 && c.ticks%ticksPerLimitRaise == 0:
 		c.limit.raise(c.maxLimit())
 	}
 }
@@ -146,7 +146,7 @@
 func (c *Controller) maxLimit() float64 {
 	count, kb := 0.0, 0.0
 	for _, request := range c.active {
-		if request.phase.holdsRun() {
+		if request.phase.inFlight() {
 			count++
 			kb += request.HeldKB * c.settings.RunningMemoryFactor
 		}
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestLimitFollowsTheDesign(t *testing.T) {
+func TestLimitCalibration(t *testing.T) {
 	cases := []struct {
 		name   string
 		before float64
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -23,62 +23,62 @@
 	m.Run()
 }
 
-// played simulates a server that runs the decisions of a controller on evenly shared cores, as those of a worker pool
+// simulatedServer simulates a server that runs the decisions of a controller on evenly shared cores, as those of a worker pool
 // are.
-type played struct {
-	types    []harness.Route
-	machine  harness.Machine
-	module   *admission.Controller
-	frame    estimate.Schema
-	load     []harness.Arrival
-	now      time.Duration
-	wake     time.Duration
-	running  []*playedRequest
-	of       map[*admission.Request]*playedRequest
-	honoured float64 // value of answers within the latency target
-	starts   []int   // per startsInterval
-	answers  map[*admission.Request]int
-	busy     []float64 // core seconds spent so far, at each wake-up of the last half second
-	spent    float64
+type simulatedServer struct {
+	routes         []harness.Route
+	machine        harness.Machine
+	controller     *admission.Controller
+	schema         estimate.Schema
+	load           []harness.Arrival
+	now            time.Duration
+	wakeAt         time.Duration
+	running        []*simulatedRequest
+	requests       map[*admission.Request]*simulatedRequest
+	valueInTime    float64 // value of answers within the latency target
+	starts         []int   // per startsInterval
+	answers        map[*admission.Request]int
+	spentAtWakeUps []float64 // core seconds spent so far, at each wake-up of the last half second
+	spent          float64
 }
 
-type playedRequest struct {
+type simulatedRequest struct {
 	*admission.Request
-	arrival harness.Arrival
-	left    float64
-	began   time.Duration
-	settled bool
+	arrival   harness.Arrival
+	left      float64
+	startedAt time.Duration
+	answered  bool
 }
 
-const slice = 250 * time.Millisecond
+const startsInterval = 250 * time.Millisecond
 
-func play(types []harness.Route, m harness.Machine, load []harness.Arrival, origin uint64) *played {
+func simulate(types []harness.Route, m harness.Machine, load []harness.Arrival, origin uint64) *simulatedServer {
 	settings := admission.DefaultSettings()
 	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.MaxRunnablePerCore = m.Cores, m.MemoryKB, 8, 6
 	settings.ShedLevelFormat, settings.RetryAfter, settings.MaxRetryAfter = admission.ShedLevelThreshold, true, time.Second
 	settings.Cold, settings.ColdSpeed, settings.WarmUp = m.ColdShare > 0, m.ColdShare, m.WarmUp
 	settings.IdleTimeout = 15 * time.Second
 	for _, route := range types {
-		stated := admission.Route{Name: route.Name, Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline}
+		configured := admission.Route{Name: route.Name, Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline}
 		if route.AtMostOnce {
-			stated.Idempotency = admission.AtMostOnce
+			configured.Idempotency = admission.AtMostOnce
 		}
-		settings.Routes = append(settings.Routes, stated)
+		settings.Routes = append(settings.Routes, configured)
 	}
-	p := &played{
-		types: types, machine: m, module: admission.New(settings, 1), load: load, now: time.Second,
-		of: map[*admission.Request]*playedRequest{}, answers: map[*admission.Request]int{},
+	p := &simulatedServer{
+		routes: types, machine: m, controller: admission.New(settings, 1), load: load, now: time.Second,
+		requests: map[*admission.Request]*simulatedRequest{}, answers: map[*admission.Request]int{},
 	}
-	p.frame = p.module.EstimateSchema(origin, 0, false)
-	p.module.Decide(&admission.Round{Now: p.now}, p)
+	p.schema = p.controller.EstimateSchema(origin, 0, false)
+	p.controller.Decide(&admission.Round{Now: p.now}, p)
 	return p
 }
 
-// until advances the simulation to a time since the beginning of the load.
-func (p *played) until(end time.Duration) {
+// advanceTo advances the simulation to a time since the beginning of the load.
+func (p *simulatedServer) advanceTo(end time.Duration) {
 	end += time.Second
 	for p.now < end {
-		next := min(p.wake, end)
+		next := min(p.wakeAt, end)
 		if len(p.load) > 0 {
 			next = min(next, time.Second+p.load[0].At)
 		}
@@ -97,12 +97,12 @@
 				kept = append(kept, t)
 				continue
 			}
-			r.RunsEnded = append(r.RunsEnded, admission.Completion{Request: t.Request, Outcome: admission.Succeeded, Took: p.now - t.began})
-			if !t.settled {
-				t.settled = true
+			r.RunsEnded = append(r.RunsEnded, admission.Completion{Request: t.Request, Outcome: admission.Succeeded, Took: p.now - t.startedAt})
+			if !t.answered {
+				t.answered = true
 				p.answers[t.Request]++
-				if kind := p.types[t.arrival.Route]; p.now-t.Arrived <= kind.LatencyTarget {
-					p.honoured += kind.Value
+				if kind := p.routes[t.arrival.Route]; p.now-t.Arrived <= kind.LatencyTarget {
+					p.valueInTime += kind.Value
 				}
 			}
 		}
@@ -110,27 +110,27 @@
 		for len(p.load) > 0 && time.Second+p.load[0].At <= p.now {
 			a := p.load[0]
 			p.load = p.load[1:]
-			t := &playedRequest{arrival: a, left: a.Work.Seconds() / p.machine.Speed, Request: &admission.Request{
-				Route: p.module.Routes[a.Route], HeldKB: 20, Arrived: p.now, Deadline: p.now + p.types[a.Route].Deadline, Rank: a.Rank,
+			t := &simulatedRequest{arrival: a, left: a.Work.Seconds() / p.machine.Speed, Request: &admission.Request{
+				Route: p.controller.Routes[a.Route], HeldKB: 20, Arrived: p.now, Deadline: p.now + p.routes[a.Route].Deadline, Rank: a.Rank,
 			}}
-			p.of[t.Request] = t
+			p.requests[t.Request] = t
 			r.Arrived = append(r.Arrived, t.Request)
 		}
-		if p.now >= p.wake {
-			p.busy = append(p.busy, p.spent)
-			if len(p.busy) > 21 {
-				p.busy = p.busy[1:]
+		if p.now >= p.wakeAt {
+			p.spentAtWakeUps = append(p.spentAtWakeUps, p.spent)
+			if len(p.spentAtWakeUps) > 21 {
+				p.spentAtWakeUps = p.spentAtWakeUps[1:]
 			}
 			r.Gauges = &admission.Gauges{
-				CPU:      (p.spent - p.busy[0]) / (0.025 * float64(max(len(p.busy)-1, 1))) / p.machine.Cores,
+				CPU:      (p.spent - p.spentAtWakeUps[0]) / (0.025 * float64(max(len(p.spentAtWakeUps)-1, 1))) / p.machine.Cores,
 				Runnable: float64(len(p.running)), Memory: 160 * float64(len(p.running)) / p.machine.MemoryKB,
 			}
 		}
-		p.module.Decide(&r, p)
+		p.controller.Decide(&r, p)
 	}
 }
 
-func (p *played) rate() float64 {
+func (p *simulatedServer) rate() float64 {
 	if len(p.running) == 0 {
 		return 1
 	}
@@ -141,117 +141,121 @@
 	return speed * min(1, p.machine.Cores/float64(len(p.running)))
 }
 
-func (p *played) Start(request *admission.Request) {
-	of := p.of[request]
-	of.began = p.now
+func (p *simulatedServer) Start(request *admission.Request) {
+	of := p.requests[request]
+	of.startedAt = p.now
 	p.running = append(p.running, of)
-	for at := int((p.now - time.Second) / slice); len(p.starts) <= at; {
+	for at := int((p.now - time.Second) / startsInterval); len(p.starts) <= at; {
 		p.starts = append(p.starts, 0)
 	}
-	p.starts[int((p.now-time.Second)/slice)]++
+	p.starts[int((p.now-time.Second)/startsInterval)]++
 }
 
-func (p *played) Pause(request *admission.Request) {
+func (p *simulatedServer) Pause(request *admission.Request) {
 	for i, r := range p.running {
 		if r.Request == request {
 			p.running = append(p.running[:i], p.running[i+1:]...)
-			p.module.Decide(&admission.Round{Now: p.now, RunsEnded: []admission.Completion{{Request: request, Outcome: admission.Stopped}}}, p)
+			p.controller.Decide(&admission.Round{Now: p.now, RunsEnded: []admission.Completion{{Request: request, Outcome: admission.Stopped}}}, p)
 			return
 		}
 	}
 }
 
-func (p *played) answer(request *admission.Request) {
-	p.of[request].settled = true
+func (p *simulatedServer) answer(request *admission.Request) {
+	p.requests[request].answered = true
 	p.answers[request]++
 }
 
-func (p *played) Reject(request *admission.Request, _ time.Duration, _ bool) { p.answer(request) }
-func (p *played) Abort(request *admission.Request)                           { p.answer(request) }
-func (p *played) WakeAfter(in time.Duration)                                 { p.wake = p.now + in }
-func (p *played) AnswerFromOriginal(*admission.Request)                      {}
-func (p *played) RememberKey(*admission.Request, time.Duration)              {}
-func (p *played) ForgetKey(*admission.Request)                               {}
-func (p *played) Call(*admission.Request, time.Duration)                     {}
-func (p *played) SkipCall(*admission.Request)                                {}
-func (p *played) SetHealth(bool, bool)                                       {}
-func (p *played) SetShedLevel(float64)                                       {}
-func (p *played) CloseIdleAfter(time.Duration)                               {}
-func (p *played) Log(string)                                                 {}
+func (p *simulatedServer) Reject(request *admission.Request, _ time.Duration, _ bool) {
+	p.answer(request)
+}
+func (p *simulatedServer) Abort(request *admission.Request)              { p.answer(request) }
+func (p *simulatedServer) WakeAfter(in time.Duration)                    { p.wakeAt = p.now + in }
+func (p *simulatedServer) AnswerFromOriginal(*admission.Request)         {}
+func (p *simulatedServer) RememberKey(*admission.Request, time.Duration) {}
+func (p *simulatedServer) ForgetKey(*admission.Request)                  {}
+func (p *simulatedServer) Call(*admission.Request, time.Duration)        {}
+func (p *simulatedServer) SkipCall(*admission.Request)                   {}
+func (p *simulatedServer) SetHealth(bool, bool)                          {}
+func (p *simulatedServer) SetShedLevel(float64)                          {}
+func (p *simulatedServer) CloseIdleAfter(time.Duration)                  {}
+func (p *simulatedServer) Log(string)                                    {}
 
-// learned returns the snapshot that this server publishes.
-func (p *played) learned() estimate.Snapshot { return p.module.Estimates(p.now, p.frame) }
+// snapshot returns the snapshot that this server publishes.
+func (p *simulatedServer) snapshot() estimate.Snapshot {
+	return p.controller.Estimates(p.now, p.schema)
+}
 
 var fourCores = harness.Machine{Cores: 4, Speed: 1, MemoryKB: 64000}
 
-// peerView returns the snapshot of a peer that has been under load for eight seconds.
-func peerView(types []harness.Route, m harness.Machine, seed int64) estimate.Snapshot {
-	peer := play(types, m, harness.Arrivals(types, harness.Rate(types, m, 1.2), 10*time.Second, seed), 1)
-	peer.until(8 * time.Second)
-	return peer.learned()
+// peerSnapshot returns the snapshot of a peer that has been under load for eight seconds.
+func peerSnapshot(types []harness.Route, m harness.Machine, seed int64) estimate.Snapshot {
+	peer := simulate(types, m, harness.Arrivals(types, harness.Rate(types, m, 1.2), 10*time.Second, seed), 1)
+	peer.advanceTo(8 * time.Second)
+	return peer.snapshot()
 }
 
 // pair simulates the same arrivals on two servers that have just started, one without and one with the estimates of
 // peers.
-func pair(t require.TestingT, snapshot estimate.Snapshot, m harness.Machine, seed int64) (cold, borrows *played) {
+func pair(t require.TestingT, snapshot estimate.Snapshot, m harness.Machine, seed int64) (cold, withPeers *simulatedServer) {
 	types := harness.BookingRoutes()
 	load := harness.Arrivals(types, harness.Rate(types, fourCores, 1.2), 10*time.Second, seed+100)
-	cold, borrows = play(types, m, load, 2), play(types, m, load, 3)
-	validated, err := borrows.frame.Validate(snapshot)
+	cold, withPeers = simulate(types, m, load, 2), simulate(types, m, load, 3)
+	validated, err := withPeers.schema.Validate(snapshot)
 	require.NoError(t, err)
-	borrows.module.UsePeerEstimates(borrows.now, validated)
-	for _, p := range []*played{cold, borrows} {
-		p.until(16 * time.Second)
+	withPeers.controller.UsePeerEstimates(withPeers.now, validated)
+	for _, p := range []*simulatedServer{cold, withPeers} {
+		p.advanceTo(16 * time.Second)
 		for _, n := range p.answers {
 			require.Equal(t, 1, n, "answers to one request")
 		}
 		require.Len(t, p.answers, len(load))
 	}
-	return cold, borrows
+	return cold, withPeers
 }
 
 // A fresh snapshot of peers has to raise the value served on average over the seeds; simulated.
-func TestFreshViewGains(t *testing.T) {
+func TestFreshSnapshotGains(t *testing.T) {
 	sum := 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		cold, fresh := pair(t, peerView(harness.BookingRoutes(), fourCores, seed), fourCores, seed)
-		sum += fresh.honoured / cold.honoured / seeds
+		cold, fresh := pair(t, peerSnapshot(harness.BookingRoutes(), fourCores, seed), fourCores, seed)
+		sum += fresh.valueInTime / cold.valueInTime / seeds
 	}
 	assert.Greater(t, sum, 1.01)
 }
 
 // The snapshot was taken before a zone was lost, and servers are three times slower now. Whatever its estimates are,
 // once it has expired the new server decides exactly as one without a snapshot.
-func TestOldViewChangesNothing(t *testing.T) {
+func TestExpiredSnapshotChangesNothing(t *testing.T) {
 	slow := fourCores
 	slow.Speed /= 3
 	rapid.Check(t, func(t *rapid.T) {
-		snapshot := peerView(harness.BookingRoutes(), fourCores, 7)
+		snapshot := peerSnapshot(harness.BookingRoutes(), fourCores, 7)
 		for i := range snapshot.Routes {
 			snapshot.Routes[i].Core.Mean *= rapid.Float64Range(0.01, 3).Draw(t, "factor")
 		}
 		snapshot = snapshot.Aged(estimate.MaxAge(estimate.ReturnRatio))
-		cold, old := pair(t, snapshot, slow, rapid.Int64Range(0, 1000).Draw(t, "seed"))
-		assert.Equal(t, cold.starts, old.starts)
-		assert.Equal(t, cold.honoured, old.honoured)
+		cold, expired := pair(t, snapshot, slow, rapid.Int64Range(0, 1000).Draw(t, "seed"))
+		assert.Equal(t, cold.starts, expired.starts)
+		assert.Equal(t, cold.valueInTime, expired.valueInTime)
 	})
 }
 
 // As before, but the snapshot is a few seconds old and still has weight: own runs must correct it before it costs
 // value.
-func TestYoungViewOfFasterServers(t *testing.T) {
+func TestRecentSnapshotOfFasterServers(t *testing.T) {
 	slow := fourCores
 	slow.Speed /= 3
 	sum, starts := 0.0, 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		snapshot := peerView(harness.BookingRoutes(), fourCores, seed).Aged(5 * time.Second)
-		cold, young := pair(t, snapshot, slow, seed)
-		sum += young.honoured / cold.honoured / seeds
+		snapshot := peerSnapshot(harness.BookingRoutes(), fourCores, seed).Aged(5 * time.Second)
+		cold, recent := pair(t, snapshot, slow, seed)
+		sum += recent.valueInTime / cold.valueInTime / seeds
 		a, b := 0, 0
-		for i := range min(len(cold.starts), len(young.starts)) {
-			a, b = a+cold.starts[i], b+young.starts[i]
+		for i := range min(len(cold.starts), len(recent.starts)) {
+			a, b = a+cold.starts[i], b+recent.starts[i]
 		}
 		starts += float64(b) / float64(a) / seeds
 	}
@@ -261,28 +265,28 @@
 
 // Estimates of peers are not published again, and have no weight once they are old, even if this server has measured
 // nothing.
-func TestBorrowedIsNotLearned(t *testing.T) {
-	snapshot := peerView(harness.BookingRoutes(), fourCores, 1)
-	idle := play(harness.BookingRoutes(), fourCores, nil, 2)
-	validated, err := idle.frame.Validate(snapshot)
+func TestPeerEstimatesAreNotPublished(t *testing.T) {
+	snapshot := peerSnapshot(harness.BookingRoutes(), fourCores, 1)
+	idle := simulate(harness.BookingRoutes(), fourCores, nil, 2)
+	validated, err := idle.schema.Validate(snapshot)
 	require.NoError(t, err)
-	idle.module.UsePeerEstimates(idle.now, validated)
-	idle.until(time.Second)
-	for _, published := range idle.learned().Routes {
+	idle.controller.UsePeerEstimates(idle.now, validated)
+	idle.advanceTo(time.Second)
+	for _, published := range idle.snapshot().Routes {
 		assert.False(t, published.Core.Known(), "an estimate of peers was published")
 	}
-	assert.True(t, idle.learned().NeedsPeers())
-	idle.until(estimate.MaxAge(estimate.ReturnRatio))
+	assert.True(t, idle.snapshot().NeedsPeers())
+	idle.advanceTo(estimate.MaxAge(estimate.ReturnRatio))
 	load := harness.Arrivals(harness.BookingRoutes(), harness.Rate(harness.BookingRoutes(), fourCores, 1.2), 5*time.Second, 3)
 	later := estimate.MaxAge(estimate.ReturnRatio)
 	for i := range load {
 		load[i].At += later
 	}
-	cold := play(harness.BookingRoutes(), fourCores, nil, 2)
-	cold.until(later)
+	cold := simulate(harness.BookingRoutes(), fourCores, nil, 2)
+	cold.advanceTo(later)
 	cold.load, idle.load = load, load
-	cold.until(later + 10*time.Second)
-	idle.until(later + 10*time.Second)
+	cold.advanceTo(later + 10*time.Second)
+	idle.advanceTo(later + 10*time.Second)
 	assert.Equal(t, cold.starts, idle.starts)
 }
 
@@ -294,8 +298,8 @@
 	sum := 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		cold, fresh := pair(t, peerView(harness.BookingRoutes(), fourCores, seed), m, seed)
-		sum += fresh.honoured / cold.honoured / seeds
+		cold, fresh := pair(t, peerSnapshot(harness.BookingRoutes(), fourCores, seed), m, seed)
+		sum += fresh.valueInTime / cold.valueInTime / seeds
 	}
 	assert.Greater(t, sum, 0.99)
 }
@@ -304,7 +308,7 @@
 func BenchmarkDecide(b *testing.B) {
 	types := harness.BookingRoutes()
 	for b.Loop() {
-		play(types, fourCores, harness.Arrivals(types, harness.Rate(types, fourCores, 1.2), 10*time.Second, 1), 1).
-			until(12 * time.Second)
+		simulate(types, fourCores, harness.Arrivals(types, harness.Rate(types, fourCores, 1.2), 10*time.Second, 1), 1).
+			advanceTo(12 * time.Second)
 	}
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -10,24 +10,24 @@
 
 // arrive processes a request that was read: a duplicate waits for its original; a request past the grace of a shutdown
 // or without memory for its idempotency key is rejected; all others are queued.
-func (c *Controller) arrive(request *Request, w Executor) {
+func (c *Controller) arrive(request *Request, executor Executor) {
 	c.setDeadlines(request)
 	c.countArrival(request)
 	if request.Duplicate {
 		c.enterPhase(request, awaitingOriginal)
 		c.active = append(c.active, request)
-		w.AnswerFromOriginal(request)
+		executor.AnswerFromOriginal(request)
 		return
 	}
 	if c.drain.begun() {
-		c.drain.limit(request)
+		c.drain.capDeadlines(request)
 		if c.drain.pastGrace(request.ReceivedAt(), c.settings.Grace) {
-			c.answerRejected(request, ReasonDraining, w)
+			c.answerRejected(request, ReasonDraining, executor)
 			return
 		}
 	}
-	if request.Route.Idempotency == Keyed && !c.rememberKey(request, w) {
-		c.answerRejected(request, ReasonMemory, w)
+	if request.Route.Idempotency == Keyed && !c.rememberKey(request, executor) {
+		c.answerRejected(request, ReasonMemory, executor)
 		return
 	}
 	c.enqueue(request)
@@ -59,23 +59,23 @@
 
 // rememberKey creates the entry of the request's idempotency key, before any run, so that no duplicate is taken for a
 // new request. It returns false if there is no memory for the entry.
-func (c *Controller) rememberKey(request *Request, w Executor) bool {
+func (c *Controller) rememberKey(request *Request, executor Executor) bool {
 	if c.memoryUsedKB()+c.settings.KeyKB+request.HeldKB > c.memoryKB() {
 		return false
 	}
 	request.keyExpiresAt = request.Arrived + request.Route.DedupWindow + tickInterval
 	c.keyed = append(c.keyed, request)
-	w.RememberKey(request, request.keyExpiresAt-c.now)
+	executor.RememberKey(request, request.keyExpiresAt-c.now)
 	return true
 }
 
 // releaseKey drops the idempotency key of a request that never ran. The key of one that ran stays known for its whole
 // dedup window.
-func (c *Controller) releaseKey(request *Request, w Executor) {
+func (c *Controller) releaseKey(request *Request, executor Executor) {
 	if request.keyExpiresAt > 0 && !request.started {
 		request.keyExpiresAt = 0
 		c.keyed = slices.DeleteFunc(c.keyed, func(other *Request) bool { return other == request })
-		w.ForgetKey(request)
+		executor.ForgetKey(request)
 	}
 }
 
@@ -97,16 +97,16 @@
 
 // cancel releases the resources of a request whose caller no longer waits. Only the run of a retryable request is
 // stopped: the caller of a keyed one may retry with its key, and is then answered from this run.
-func (c *Controller) cancel(request *Request, w Executor) {
+func (c *Controller) cancel(request *Request, executor Executor) {
 	switch request.phase {
 	case queued, awaitingOriginal:
-		c.releaseKey(request, w)
+		c.releaseKey(request, executor)
 		request.answered = true
 		c.release(request)
 	case running, awaitingCall, calling:
 		request.answered = true
 		if request.phase == running && request.Route.Idempotency == Retryable {
-			c.preempt(request, w)
+			c.preempt(request, executor)
 		}
 	case stopping:
 	}
@@ -118,11 +118,11 @@
 }
 
 // expireRequests answers the requests, in any phase, for which an answer no longer earns value.
-func (c *Controller) expireRequests(w Executor) {
+func (c *Controller) expireRequests(executor Executor) {
 	expired := false
 	for _, request := range c.queue {
 		if c.now >= request.usefulUntil {
-			c.answerRejected(request, c.expiryReason(request), w)
+			c.answerRejected(request, c.expiryReason(request), executor)
 			expired = true
 		}
 	}
@@ -132,7 +132,7 @@
 	c.scratch.active = append(c.scratch.active[:0], c.active...)
 	for _, request := range c.scratch.active {
 		if c.now >= request.usefulUntil && !request.answered {
-			c.abort(request, c.expiryReason(request), w)
+			c.abort(request, c.expiryReason(request), executor)
 		}
 	}
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -22,7 +22,7 @@
 	assert.Equal(t, "call 1, start late", b.round(Round{AwaitingCall: []*Request{first[1]}}), "a core without a run admits one beyond the limit")
 }
 
-func TestEveryKindIsAnsweredAtItsLastMoment(t *testing.T) {
+func TestEveryKindIsAnsweredAtItsDeadline(t *testing.T) {
 	cases := []struct {
 		name string
 		kind int
@@ -71,10 +71,10 @@
 
 func TestKeyedRequestsTakeEffectOnce(t *testing.T) {
 	b := newBench(nil)
-	x, again := b.request("x", 1), b.request("again", 1)
-	again.Duplicate = true
+	x, duplicate := b.request("x", 1), b.request("again", 1)
+	duplicate.Duplicate = true
 	assert.Equal(t, "remember x, start x", b.round(Round{Arrived: []*Request{x}}), "the entry is created before the run")
-	assert.Equal(t, "answer-from-original again", b.round(Round{Arrived: []*Request{again}}))
+	assert.Equal(t, "answer-from-original again", b.round(Round{Arrived: []*Request{duplicate}}))
 	b.round(Round{AwaitingCall: []*Request{x}})
 	decisions := b.round(Round{CallsEnded: []Completion{{Request: x, Outcome: Unknown}}})
 	assert.Equal(t, "abort x", decisions, "a call that may have taken effect is not made again")
@@ -86,7 +86,7 @@
 	assert.Contains(t, b.pass(time.Second, Gauges{CPU: 1}), "call y", "retried later, as the call never ran")
 }
 
-func TestMemoryIsReservedAndAQueueBeyondItIsCut(t *testing.T) {
+func TestMemoryIsReservedAndAQueueBeyondItIsShed(t *testing.T) {
 	b := newBench(func(s *Settings) { s.MemoryKB = 200 })
 	assert.Equal(t, "remember a, start a", b.round(Round{Arrived: []*Request{b.request("a", 1)}}))
 	assert.Equal(t, "reject b", b.round(Round{Arrived: []*Request{b.request("b", 1)}}), "no run without memory for the key's entry")
--- a/admission/ranking.go
+++ b/admission/ranking.go
@@ -7,9 +7,9 @@
 	position int     // in the queue
 }
 
-// before reports whether the request is shed before the other one: the lower value density first, and of equals the
+// shedBefore reports whether the request is shed before the other one: the lower value density first, and of equals the
 // later in the queue.
-func (r rankedRequest) before(other rankedRequest) bool {
+func (r rankedRequest) shedBefore(other rankedRequest) bool {
 	return r.density < other.density || r.density == other.density && r.position > other.position
 }
 
@@ -22,7 +22,7 @@
 	at := len(heap) - 1
 	for at > 0 {
 		parent := (at - 1) / 2
-		if !heap[at].before(heap[parent]) {
+		if !heap[at].shedBefore(heap[parent]) {
 			break
 		}
 		heap[at], heap[parent] = heap[parent], heap[at]
@@ -42,7 +42,7 @@
 	for at := 0; ; {
 		first := at
 		for child := 2*at + 1; child <= 2*at+2 && child < len(heap); child++ {
-			if heap[child].before(heap[first]) {
+			if heap[child].shedBefore(heap[first]) {
 				first = child
 			}
 		}
--- a/admission/ranking_test.go
+++ b/admission/ranking_test.go
@@ -10,7 +10,7 @@
 )
 
 // The ranking removes requests in the order of their value density, and of equals the last one first.
-func TestRankingGivesTheLeastValuableFirst(t *testing.T) {
+func TestRankingRemovesTheLeastValuableFirst(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
 		var ranking valueRanking
--- a/admission/reject_test.go
+++ b/admission/reject_test.go
@@ -9,7 +9,7 @@
 
 // If the settings do not allow preemption, a Preempt is a fault that ends the simulated day. Runs of requests that are
 // aborted or canceled continue to their end, and count on the cores until then.
-func TestNoPreemptionWhereSettingsAllowNone(t *testing.T) {
+func TestNoPreemptionWhenSettingsAllowNone(t *testing.T) {
 	for _, how := range []string{"aborted", "canceled"} {
 		t.Run(how, func(t *testing.T) {
 			b := newBench(func(s *Settings) { s.Preemption = PreemptionNone })
--- a/admission/request.go
+++ b/admission/request.go
@@ -52,8 +52,8 @@
 	stopping               // answered, and its run is being stopped
 )
 
-// holdsRun reports whether the request is in flight: it has a run on the cores, at a call or waiting for one.
-func (p phase) holdsRun() bool { return p != queued && p != awaitingOriginal }
+// inFlight reports whether the request is in flight: it has a run on the cores, at a call or waiting for one.
+func (p phase) inFlight() bool { return p != queued && p != awaitingOriginal }
 
 // onCores reports whether a run of the request is on the cores.
 func (p phase) onCores() bool { return p == running || p == stopping }
--- a/admission/route.go
+++ b/admission/route.go
@@ -63,17 +63,17 @@
 
 // Settings returns the route as configured, without its measurements.
 func (r *Route) Settings() Route {
-	stated := *r
-	stated.index, stated.routeStats = 0, nil
-	return stated
+	configured := *r
+	configured.index, configured.routeStats = 0, nil
+	return configured
 }
 
-// PutRoute adds a route, or changes the settings of the route was, if not nil. Requests that arrived earlier keep the
+// PutRoute adds a route, or changes the settings of previous if that is not nil. Requests that arrived earlier keep the
 // settings under which they arrived, and the measurements of the route are kept. It returns the route for new requests.
-func (c *Controller) PutRoute(was *Route, stated Route) *Route {
-	route := &stated
-	if was != nil {
-		route.index, route.routeStats = was.index, was.routeStats
+func (c *Controller) PutRoute(previous *Route, configured Route) *Route {
+	route := &configured
+	if previous != nil {
+		route.index, route.routeStats = previous.index, previous.routeStats
 		c.Routes[route.index] = route
 	} else {
 		route.index, route.routeStats = len(c.Routes), &routeStats{recentRuns: newSlidingSums(recentRunsWindow, recentRunsParts)}
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -14,7 +14,7 @@
 
 // shedUnmeetable rejects the queued requests that can't be served in time, those with the least value per second of
 // work first. It plans the queued requests one after the other on the cores, in the order of starts.
-func (c *Controller) shedUnmeetable(w Executor) {
+func (c *Controller) shedUnmeetable(executor Executor) {
 	p := c.newQueuePlan() // by value: a round must not allocate
 	for _, request := range c.queue {
 		p.add(request)
@@ -24,7 +24,7 @@
 		if request.Rank >= c.shedding.level {
 			c.shedding.addShed(c.now, c.expectedWork(request))
 		}
-		c.answerRejected(request, request.reason, w)
+		c.answerRejected(request, request.reason, executor)
 	}
 	if len(p.shed) > 0 {
 		c.removeAnswered()
@@ -34,35 +34,35 @@
 
 // queuePlan schedules queued requests on the cores.
 type queuePlan struct {
-	controller *Controller
-	ahead      time.Duration // core time of all work planned so far
-	width      float64       // cores that the work is spread over
-	callWait   time.Duration // wait off the cores of a request that calls the dependency
-	planned    int           // requests planned so far from the head of the queue, including shed ones
-	trying     bool          // a request is kept for a trial
-	usual      bool          // plan by usual work, as a trial is to show whether that holds
-	ranked     bool          // ranking holds the planned requests
-	ranking    valueRanking
-	shed       []*Request
+	controller   *Controller
+	workAhead    time.Duration // core time of all work planned so far
+	cores        float64       // cores that the work is spread over
+	callWait     time.Duration // wait off the cores of a request that calls the dependency
+	planned      int           // requests planned so far from the head of the queue, including shed ones
+	hasTrial     bool          // a request is kept for a trial
+	useUsualWork bool          // plan by usual work, as a trial is to show whether that holds
+	ranked       bool          // ranking holds the planned requests
+	ranking      valueRanking
+	shed         []*Request
 }
 
 // newQueuePlan returns a plan that contains the remaining work of the running requests.
 func (c *Controller) newQueuePlan() queuePlan {
-	p := queuePlan{controller: c, usual: c.trial.open(), ranking: c.scratch.ranking[:0], shed: c.scratch.shed[:0]}
+	p := queuePlan{controller: c, useUsualWork: c.trial.usesUsualWork(), ranking: c.scratch.ranking[:0], shed: c.scratch.shed[:0]}
 	for _, request := range c.active {
 		if request.phase == running {
-			p.ahead += remainingOf(c.plannedWork(request, p.work(request)), request.coreTime, minRemainingDivisor)
+			p.workAhead += remainingOf(c.plannedWork(request, p.work(request)), request.coreTime, minRemainingDivisor)
 		}
 	}
 	count := c.inFlight()
-	p.width = max(c.settings.Cores, count.onCores)
+	p.cores = max(c.settings.Cores, count.onCores)
 	p.callWait = c.strainedCallWait(count.awaitingCall)
 	return p
 }
 
 // work returns the core time that the plan assumes for a request.
 func (p *queuePlan) work(request *Request) time.Duration {
-	if p.usual {
+	if p.useUsualWork {
 		return p.controller.usualWork(request)
 	}
 	return p.controller.expectedWork(request)
@@ -85,16 +85,16 @@
 		}
 		p.rank()
 		own := rankedRequest{request, c.valueDensity(request), p.planned}
-		if len(p.ranking) == 0 || !p.ranking[0].before(own) {
+		if len(p.ranking) == 0 || !p.ranking[0].shedBefore(own) {
 			p.planned++
 			p.shedForTime(request, start, latest)
 			return
 		}
 		least := p.ranking.removeLeast()
 		p.shedForTime(least, start, latest)
-		p.ahead -= c.plannedWork(least, p.work(least))
+		p.workAhead -= c.plannedWork(least, p.work(least))
 	}
-	p.ahead += c.plannedWork(request, work)
+	p.workAhead += c.plannedWork(request, work)
 	if p.ranked {
 		p.ranking.add(rankedRequest{request, c.valueDensity(request), p.planned})
 	}
@@ -104,11 +104,11 @@
 // keepForTrial reports whether a request that has no time for its expected work is kept for a trial. Unless the last
 // trial took long, the requests after it are planned by their usual work until the trial shows that this does not hold.
 func (p *queuePlan) keepForTrial(request *Request) bool {
-	if p.usual || p.trying || !p.controller.mayTry(request) {
+	if p.useUsualWork || p.hasTrial || !p.controller.mayStartTrial(request) {
 		return false
 	}
-	request.onTrial, p.trying = true, true
-	p.usual = !p.controller.trial.lastLong
+	request.onTrial, p.hasTrial = true, true
+	p.useUsualWork = !p.controller.trial.lastTookLong
 	return true
 }
 
@@ -116,7 +116,7 @@
 // sets the request's plannedLate.
 func (p *queuePlan) schedule(request *Request, work time.Duration) (start, latest time.Duration) {
 	c := p.controller
-	start = c.now + time.Duration(float64(p.ahead)/p.width)
+	start = c.now + time.Duration(float64(p.workAhead)/p.cores)
 	wait, run := request.Route.CallWait, time.Duration(medianToMean*float64(work))
 	if request.Route.CallsDependency {
 		wait = max(wait, p.callWait)
--- a/admission/shed_test.go
+++ b/admission/shed_test.go
@@ -27,7 +27,7 @@
 
 // If cores are short, a request that can only be answered late earns only its late value share, so it is shed before
 // one of the same value that would still be answered in time.
-func TestLateAnswersAreShedFirstWhereCoresAreShort(t *testing.T) {
+func TestLateAnswersAreShedFirstWhenCoresAreShort(t *testing.T) {
 	b := newBench(func(s *Settings) {
 		s.Cores, s.ValueByWork, s.Routes[0].LateValueShare = 1, true, 0.2
 		s.Routes[1].Idempotency, s.Routes[1].Value = Retryable, 1
@@ -36,16 +36,16 @@
 		b.run(b.request("usual", kind), b.Routes[kind].LatencyTarget/unknownWorkDivisor)
 	}
 	b.round(Round{Arrived: []*Request{b.request("running", 1)}})
-	var line []*Request
+	var requests []*Request
 	for i := range 3 {
-		old := b.request(fmt.Sprint("late", i), 0)
-		old.Arrived -= 1500 * ms
-		line = append(line, old)
+		late := b.request(fmt.Sprint("late", i), 0)
+		late.Arrived -= 1500 * ms
+		requests = append(requests, late)
 	}
 	for i := range 4 {
-		line = append(line, b.request(fmt.Sprint("fresh", i), 1))
+		requests = append(requests, b.request(fmt.Sprint("fresh", i), 1))
 	}
-	decisions := b.round(Round{Arrived: line})
+	decisions := b.round(Round{Arrived: requests})
 	assert.Equal(t, "reject late2, reject late1, reject late0, reject fresh3", decisions, "late ones before fresh ones")
 }
 
@@ -55,11 +55,11 @@
 		b.run(b.request("usual", 0), 500*ms)
 		b.run(b.request("usual", 2), 500*ms)
 	}
-	var crowd []*Request
+	var burst []*Request
 	for range 20 {
-		crowd = append(crowd, b.request("low", 0))
+		burst = append(burst, b.request("low", 0))
 	}
-	b.round(Round{Arrived: crowd})
+	b.round(Round{Arrived: burst})
 	assert.Equal(t, "reject low", b.round(Round{Arrived: []*Request{b.request("high", 2)}}))
 }
 
@@ -73,7 +73,7 @@
 	assert.Equal(t, "start x", b.round(Round{Arrived: []*Request{x}}))
 }
 
-func TestTenantsOverTheirQuotaGiveWayFirst(t *testing.T) {
+func TestRequestsOfATenantOverItsQuotaHaveLessValue(t *testing.T) {
 	b := newBench(func(s *Settings) {
 		s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{QuotaRPS: 10}, {QuotaRPS: 10}}, 10, 0.05
 	})
@@ -111,7 +111,7 @@
 
 // If the runs of such a route do not end, their core time so far shows that the burst has too little time left: it is
 // shed long before its deadline.
-func TestBurstOfAnUnmeasuredRouteIsShedWhereItsRunsTakeLong(t *testing.T) {
+func TestBurstOfAnUnmeasuredRouteIsShedWhenItsRunsTakeLong(t *testing.T) {
 	b := newBench(nil)
 	var burst []*Request
 	for range 30 {
--- a/admission/shedlevel.go
+++ b/admission/shedlevel.go
@@ -14,10 +14,10 @@
 	tolerableShed     = 0.05 // share of the work that may be shed without a rise
 	maxShedLevel      = 0.95 // requests of the highest rank are never held back altogether
 	unreadWeight      = 3.0  // share of shed work that one latency target spent unread counts as
-	smallSample       = 4.0  // number of samples that gets half of the full weight
+	halfWeightSamples = 4.0  // number of samples that gets half of the full weight
 	shedWindow        = time.Second
 	shedWindowParts   = 10
-	shedLevelDecimals = 100 // per unit: answers carry hundredths
+	shedLevelSteps    = 100 // per unit: answers carry hundredths
 )
 
 // shedLevel holds the shed level and the measurements that move it.
@@ -52,11 +52,11 @@
 	work, unread := s.work.sum(now), s.unread.sum(now)
 	offered, shed := work[0], work[1]
 	read, unreadTargets := unread[0], unread[1]
-	short := min(1, max(shed/max(offered, 1e-9), unreadWeight*unreadTargets/max(read, 1)))
+	overload := min(1, max(shed/max(offered, 1e-9), unreadWeight*unreadTargets/max(read, 1)))
 	// A small server reads few requests in the window: if one of two is shed, that does not show that half are too
 	// many.
-	short *= read / (read + smallSample)
-	change := shedLevelRise * (short*short - tolerableShed*tolerableShed)
+	overload *= read / (read + halfWeightSamples)
+	change := shedLevelRise * (overload*overload - tolerableShed*tolerableShed)
 	if change < 0 || cpu < cpuSoftLimit {
 		change = -shedLevelFall
 	}
@@ -65,21 +65,21 @@
 
 // moveShedLevel moves the level every ticksPerLevelMove ticks and advertises it. A draining server keeps the level
 // until the grace is over, as requests that arrive within it may still run, and then asks for no more requests.
-func (c *Controller) moveShedLevel(w Executor) {
+func (c *Controller) moveShedLevel(executor Executor) {
 	switch {
 	case c.drain.begun():
 		if c.drain.pastGrace(c.now, c.settings.Grace) {
-			c.advertiseShedLevel(1, w)
+			c.advertiseShedLevel(1, executor)
 		}
 	case c.ticks%ticksPerLevelMove == 0:
 		c.shedding.move(c.now, c.gauges.CPU)
-		c.advertiseShedLevel(math.Round(c.shedding.level*shedLevelDecimals)/shedLevelDecimals, w)
+		c.advertiseShedLevel(math.Round(c.shedding.level*shedLevelSteps)/shedLevelSteps, executor)
 	}
 }
 
 // advertiseShedLevel passes the level to callers in the format of the settings, if it has changed. As a share it is the
 // fraction of requests that the level admits if ranks are evenly distributed.
-func (c *Controller) advertiseShedLevel(level float64, w Executor) {
+func (c *Controller) advertiseShedLevel(level float64, executor Executor) {
 	value := level
 	switch c.settings.ShedLevelFormat {
 	case ShedLevelNone:
@@ -89,7 +89,7 @@
 		value = 1 - level
 	}
 	if value != c.shedding.advertised {
-		w.SetShedLevel(value)
+		executor.SetShedLevel(value)
 		c.shedding.advertised = value
 	}
 }
--- a/admission/shedlevel_test.go
+++ b/admission/shedlevel_test.go
@@ -7,22 +7,22 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestShedLevelFollowsWhatManyRequestsShow(t *testing.T) {
+func TestShedLevelFollowsManyRequests(t *testing.T) {
 	for name, c := range map[string]struct {
-		every                      int // ticks between requests
-		lain, dismissed, most, min float64
+		ticks                  int // ticks between requests
+		unread, shed, max, min float64
 	}{
 		"many shed": {1, 0, 1, 0.95, 0.4}, "few shed": {16, 0, 1, 0.1, 0}, "many read late": {1, 0.5, 0, 0.95, 0.1},
 	} {
 		b := newBench(nil)
 		for i := range 64 {
-			if i%c.every == 0 {
-				b.shedding.unread.add(b.at, 1, c.lain)
-				b.shedding.work.add(b.at, 1, c.dismissed)
+			if i%c.ticks == 0 {
+				b.shedding.unread.add(b.at, 1, c.unread)
+				b.shedding.work.add(b.at, 1, c.shed)
 			}
 			b.pass(tickInterval, Gauges{CPU: 1})
 		}
-		assert.LessOrEqual(t, b.shedding.level, c.most, name)
+		assert.LessOrEqual(t, b.shedding.level, c.max, name)
 		assert.GreaterOrEqual(t, b.shedding.level, c.min, name)
 		b.pass(6*time.Second, Gauges{CPU: 0.5})
 		assert.Zero(t, b.shedding.level, "the level falls back to zero without requests")
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// concurrencyShare is the fraction of the concurrency that the server survives that is used at most.
+// concurrencyShare is the maximum used fraction of the concurrency that the server survives.
 const concurrencyShare = 0.8
 
 // slowStart is the speed of a server that is warming up after a cold start. The server is assumed to be as cold as the
@@ -21,8 +21,8 @@
 	return s
 }
 
-// workersStarted records a later start of the machine's workers; 0 means none was reported.
-func (s *slowStart) workersStarted(at time.Duration) { s.since = max(s.since, at) }
+// recordWorkersStart records a later start of the machine's workers; 0 means none was reported.
+func (s *slowStart) recordWorkersStart(at time.Duration) { s.since = max(s.since, at) }
 
 // speed returns the assumed speed at time now, as a fraction of the warm speed.
 func (s *slowStart) speed(now time.Duration) float64 {
--- a/admission/statistics.go
+++ b/admission/statistics.go
@@ -61,12 +61,12 @@
 // movingMean is an exponentially decaying mean that starts as an arithmetic mean.
 type movingMean struct {
 	mean  float64
-	count float64 // number of samples, up to the memory of add
+	count float64 // number of samples, up to the span of add
 }
 
-// add updates the mean with one sample; memory is the number of samples that it averages over.
-func (m *movingMean) add(sample, memory float64) {
-	m.count = min(m.count+1, memory)
+// add updates the mean with one sample; span is the number of samples that it averages over.
+func (m *movingMean) add(sample, span float64) {
+	m.count = min(m.count+1, span)
 	m.mean += (sample - m.mean) / m.count
 }
 
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -19,32 +19,32 @@
 		live := map[string]*Route{"first": controller.Routes[0]}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name := fmt.Sprint("r", rapid.IntRange(0, 5).Draw(t, "name"))
-			was := live[name]
-			if was != nil && rapid.Bool().Draw(t, "remove") {
-				controller.limit.busyRoutes[was.routeStats] = true
-				controller.RemoveRoute(was)
-				assert.False(t, controller.limit.busyRoutes[was.routeStats])
+			previous := live[name]
+			if previous != nil && rapid.Bool().Draw(t, "remove") {
+				controller.limit.busyRoutes[previous.routeStats] = true
+				controller.RemoveRoute(previous)
+				assert.False(t, controller.limit.busyRoutes[previous.routeStats])
 				delete(live, name)
 				continue
 			}
-			stated := Route{Name: name, Value: rapid.Float64Range(0, 9).Draw(t, "value"), LatencyTarget: time.Second}
-			now := controller.PutRoute(was, stated)
-			if was != nil {
-				assert.Same(t, was.routeStats, now.routeStats)
+			configured := Route{Name: name, Value: rapid.Float64Range(0, 9).Draw(t, "value"), LatencyTarget: time.Second}
+			current := controller.PutRoute(previous, configured)
+			if previous != nil {
+				assert.Same(t, previous.routeStats, current.routeStats)
 			}
-			assert.Equal(t, stated, now.Settings())
-			live[name] = now
+			assert.Equal(t, configured, current.Settings())
+			live[name] = current
 		}
 		assert.Len(t, controller.Routes, len(live))
-		for place, route := range controller.Routes {
-			assert.Equal(t, place, route.index)
+		for index, route := range controller.Routes {
+			assert.Equal(t, index, route.index)
 			assert.Same(t, live[route.Name], route)
 		}
 	})
 }
 
 // Latencies are checked only for routes whose runs ended recently, and a rise on one of these is still detected.
-func TestOnlyBusyRoutesAreLookedAt(t *testing.T) {
+func TestOnlyBusyRoutesAreChecked(t *testing.T) {
 	b := newBench(nil)
 	for i := range 50 {
 		b.PutRoute(nil, Route{Name: fmt.Sprint("idle", i), LatencyTarget: time.Second, Deadline: time.Second})
--- a/admission/tenant.go
+++ b/admission/tenant.go
@@ -18,8 +18,8 @@
 	requests []*slidingSums // nil for a tenant that has sent no request yet
 }
 
-func newTenantTable(stated []Tenant) (t tenantTable) {
-	for _, tenant := range stated {
+func newTenantTable(configured []Tenant) (t tenantTable) {
+	for _, tenant := range configured {
 		t.quotas = append(t.quotas, tenant.QuotaRPS)
 	}
 	t.requests = make([]*slidingSums, len(t.quotas))
@@ -53,15 +53,16 @@
 }
 
 // PutTenant sets the quota of the tenant at an index, in requests per second over the whole fleet. An index one past
-// the end adds a tenant. The requests counted so far are kept, unless another tenant takes the index.
-func (c *Controller) PutTenant(index int, quota float64, another bool) {
+// the end adds a tenant. The requests counted so far are kept, unless replaced states that another tenant takes the
+// index.
+func (c *Controller) PutTenant(index int, quota float64, replaced bool) {
 	if index == len(c.tenants.quotas) {
 		c.tenants.quotas = append(c.tenants.quotas, quota)
 		c.tenants.requests = append(c.tenants.requests, nil)
 		return
 	}
 	c.tenants.quotas[index] = quota
-	if another {
+	if replaced {
 		c.tenants.requests[index] = nil
 	}
 }
--- a/admission/trial.go
+++ b/admission/trial.go
@@ -12,27 +12,27 @@
 // free for it, no other run would show whether that still holds. So one such request is started, if it has time by the
 // usual work of its route. If its run takes no longer than usual, the recent runs are forgotten.
 type trial struct {
-	request  *Request      // request on trial; nil without one
-	longest  time.Duration // core time up to which its run counts as usual
-	lastLong bool          // the last trial exceeded longest
+	request      *Request      // request on trial; nil without one
+	maxUsualWork time.Duration // core time up to which its run counts as usual
+	lastTookLong bool          // the run of the last trial exceeded maxUsualWork
 }
 
-// open reports whether queued requests are planned by their usual work, because a trial in progress may confirm it.
+// usesUsualWork reports whether queued requests are planned by their usual work, because a trial in progress may confirm it.
 // After a trial that took long they are shed by their expected work again, until a trial turns out usual.
-func (t *trial) open() bool {
-	return t.request != nil && !t.lastLong && t.request.coreTime <= t.longest
+func (t *trial) usesUsualWork() bool {
+	return t.request != nil && !t.lastTookLong && t.request.coreTime <= t.maxUsualWork
 }
 
-// holds reports whether queued requests wait for the trial: its run is on the cores, and soon shows how long they take.
-func (t *trial) holds() bool { return t.open() && t.request.phase == running }
+// blocksQueue reports whether queued requests wait for the trial: its run is on the cores, and soon shows how long they take.
+func (t *trial) blocksQueue() bool { return t.usesUsualWork() && t.request.phase == running }
 
 // doubtful reports whether the expected work of a request is many times its usual work.
 func (c *Controller) doubtful(request *Request) bool {
 	return c.expectedWork(request) >= doubtfulRatio*c.usualWork(request)
 }
 
-// mayTry reports whether a request that has no time for its expected work may be started as a trial.
-func (c *Controller) mayTry(request *Request) bool {
+// mayStartTrial reports whether a request that has no time for its expected work may be started as a trial.
+func (c *Controller) mayStartTrial(request *Request) bool {
 	if c.settings.EstimatesOnly || c.trial.request != nil || c.inFlight().onCores >= c.settings.Cores {
 		return false
 	}
@@ -45,7 +45,7 @@
 func (c *Controller) beginTrial(request *Request) {
 	expected, usual := c.expectedWork(request), c.usualWork(request)
 	c.trial.request = request
-	c.trial.longest = time.Duration(math.Sqrt(float64(expected) * float64(usual)))
+	c.trial.maxUsualWork = time.Duration(math.Sqrt(float64(expected) * float64(usual)))
 }
 
 // endTrial evaluates the trial, if the run that ended is its run.
@@ -55,10 +55,10 @@
 	}
 	c.trial.request = nil
 	switch {
-	case end.Request.coreTime > c.trial.longest:
-		c.trial.lastLong = true
+	case end.Request.coreTime > c.trial.maxUsualWork:
+		c.trial.lastTookLong = true
 	case end.Outcome == Succeeded:
-		c.trial.lastLong = false
+		c.trial.lastTookLong = false
 		c.forgetRecentRuns()
 	}
 }
--- a/admission/work.go
+++ b/admission/work.go
@@ -51,14 +51,14 @@
 // priorWork returns the core time in seconds that runs of a route are expected to take before recent runs are
 // considered, and the number of runs that it counts for.
 func (c *Controller) priorWork(route *Route) (mean, runs float64) {
-	known := route.coreSeconds
-	if known.count == 0 {
-		known.mean = route.LatencyTarget.Seconds() / unknownWorkDivisor
+	own := route.coreSeconds
+	if own.count == 0 {
+		own.mean = route.LatencyTarget.Seconds() / unknownWorkDivisor
 	}
 	if c.peers.present {
-		return c.prior(known, &route.peerCoreSeconds)
+		return c.prior(own, &route.peerCoreSeconds)
 	}
-	return known.mean, priorRuns
+	return own.mean, priorRuns
 }
 
 // expectedWork returns the core time that a request is expected to take here, from the recent runs and a prior. The
--- a/admission/work_test.go
+++ b/admission/work_test.go
@@ -9,23 +9,23 @@
 
 // Requests with forged properties must not change the estimates: a false arrival time, many router IDs, and runs that
 // the pool does not know.
-func TestInventedRequestsTeachNothing(t *testing.T) {
+func TestForgedRequestsDoNotChangeEstimates(t *testing.T) {
 	b := newBench(func(s *Settings) { s.IdleTimeout = 30 * time.Second })
-	need := b.expectedWork(b.request("real", 0))
+	before := b.expectedWork(b.request("real", 0))
 	for i := range 2 * maxRouters {
-		invented := b.request("invented", 0)
-		invented.Arrived, invented.Router = b.at-10*time.Minute, uint32(i)
-		b.round(Round{Arrived: []*Request{invented}})
+		forged := b.request("invented", 0)
+		forged.Arrived, forged.Router = b.at-10*time.Minute, uint32(i)
+		b.round(Round{Arrived: []*Request{forged}})
 	}
 	assert.LessOrEqual(t, len(b.connections.lastSeen), maxRouters)
-	lain := b.shedding.unread.sum(b.at)
-	assert.LessOrEqual(t, lain[1], lain[0], "a request counts at most one latency target as unread")
+	unread := b.shedding.unread.sum(b.at)
+	assert.LessOrEqual(t, unread[1], unread[0], "a request counts at most one latency target as unread")
 	for range 100 {
 		unknown := b.request("unknown", 0)
 		b.round(Round{Arrived: []*Request{unknown}})
 		b.at += 10 * ms
 		b.round(Round{RunsEnded: []Completion{{Request: unknown, Outcome: NeverStarted}}})
 	}
-	assert.InDelta(t, float64(need), float64(b.expectedWork(b.request("real", 0))), float64(ms))
+	assert.InDelta(t, float64(before), float64(b.expectedWork(b.request("real", 0))), float64(ms))
 	assert.False(t, b.health.failing)
 }
