--- a/admission/callcapacity.go
+++ b/admission/callcapacity.go
@@ -32,7 +32,7 @@
 	quota        float64 // mean number of calls in progress that the dependency survives from this server
 	capacity     float64 // mean number of calls in progress that this server plans for
 	credit       float64 // unused call-seconds; below 0 if calls used more than the capacity
-	pacingCycles float64 // pacing cycles since the start, from a random phase on
+	pacingCycles float64 // elapsed since the start, offset by a random phase
 
 	outcomes       *slidingSums // see callTotals
 	inProgress     *slidingSums // call-seconds
@@ -95,11 +95,11 @@
 	return c.peerSeconds.estimate.Mean
 }
 
-// pacingAllows reports whether the pacing of calls allows a call now. Pacing spreads calls that take more than the quota
-// bears over a fleet: hundreds of servers that make one call each at the same time, after a release or in a burst,
-// exceed what the dependency survives. There is one cycle per call that the capacity allows, with a phase of its own on
-// each server. A call may be made in the first part of a cycle: its fraction is the call-seconds per window that the
-// quota leaves above the capacity, over the seconds of a call.
+// pacingAllows reports whether the pacing of calls allows a call now. Pacing spreads calls that take longer than the
+// quota covers over a fleet: hundreds of servers that make one call each at the same time, after a release or in a
+// burst, exceed what the dependency survives. There is one pacing cycle per call that the capacity allows, with a
+// random phase on each server. A call may be made only in the first part of a cycle. The fraction of that part is the
+// call-seconds per window that the quota leaves above the capacity, divided by the expected seconds of a call.
 func (c *callCapacity) pacingAllows() bool {
 	window := max(c.window, tickInterval).Seconds()
 	spare := (c.quota*plannedShare - c.capacity) * window
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -63,7 +63,7 @@
 	for _, n := range []int{1, 8, 30, 350} {
 		for _, took := range []time.Duration{100 * ms, 500 * ms, 1500 * ms} {
 			for _, idleBefore := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%d servers, %v a call, rested %t", n, took, idleBefore), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d servers, %v a call, idle before %t", n, took, idleBefore), func(t *testing.T) {
 					random := rand.New(rand.NewSource(int64(n)))
 					var fleet []*sender
 					for range n {
--- a/admission/idle.go
+++ b/admission/idle.go
@@ -46,8 +46,8 @@
 	maps.DeleteFunc(r.lastSeen, func(_ uint32, last time.Duration) bool { return last+idleTimeout <= now })
 }
 
-// returnRatio returns the fraction of requests whose router returned within the idle timeout, and whether enough requests
-// were read to tell. Until then the fraction that peers estimated is used, if any.
+// returnRatio returns the fraction of requests whose router returned within the idle timeout, and whether enough
+// requests were read to tell. Until then the fraction that peers estimated is used, if any.
 func (r *connectionReuse) returnRatio(now time.Duration) (ratio float64, known bool) {
 	sums := r.requests.sum(now)
 	read, returned := sums[0], sums[1]
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -23,8 +23,8 @@
 	m.Run()
 }
 
-// simulatedServer simulates a server that runs the decisions of a controller on evenly shared cores, as those of a worker pool
-// are.
+// simulatedServer simulates a server that runs the decisions of a controller on cores that all runs share evenly, as
+// those of a worker pool.
 type simulatedServer struct {
 	routes         []harness.Route
 	machine        harness.Machine
@@ -52,13 +52,13 @@
 
 const startsInterval = 250 * time.Millisecond
 
-func simulate(types []harness.Route, m harness.Machine, load []harness.Arrival, origin uint64) *simulatedServer {
+func simulate(routes []harness.Route, m harness.Machine, load []harness.Arrival, origin uint64) *simulatedServer {
 	settings := admission.DefaultSettings()
 	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.MaxRunnablePerCore = m.Cores, m.MemoryKB, 8, 6
 	settings.ShedLevelFormat, settings.RetryAfter, settings.MaxRetryAfter = admission.ShedLevelThreshold, true, time.Second
 	settings.Cold, settings.ColdSpeed, settings.WarmUp = m.ColdShare > 0, m.ColdShare, m.WarmUp
 	settings.IdleTimeout = 15 * time.Second
-	for _, route := range types {
+	for _, route := range routes {
 		configured := admission.Route{Name: route.Name, Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline}
 		if route.AtMostOnce {
 			configured.Idempotency = admission.AtMostOnce
@@ -66,7 +66,7 @@
 		settings.Routes = append(settings.Routes, configured)
 	}
 	p := &simulatedServer{
-		routes: types, machine: m, controller: admission.New(settings, 1), load: load, now: time.Second,
+		routes: routes, machine: m, controller: admission.New(settings, 1), load: load, now: time.Second,
 		requests: map[*admission.Request]*simulatedRequest{}, answers: map[*admission.Request]int{},
 	}
 	p.schema = p.controller.EstimateSchema(origin, 0, false)
@@ -189,18 +189,18 @@
 var fourCores = harness.Machine{Cores: 4, Speed: 1, MemoryKB: 64000}
 
 // peerSnapshot returns the snapshot of a peer that has been under load for eight seconds.
-func peerSnapshot(types []harness.Route, m harness.Machine, seed int64) estimate.Snapshot {
-	peer := simulate(types, m, harness.Arrivals(types, harness.Rate(types, m, 1.2), 10*time.Second, seed), 1)
+func peerSnapshot(routes []harness.Route, m harness.Machine, seed int64) estimate.Snapshot {
+	peer := simulate(routes, m, harness.Arrivals(routes, harness.Rate(routes, m, 1.2), 10*time.Second, seed), 1)
 	peer.advanceTo(8 * time.Second)
 	return peer.snapshot()
 }
 
-// pair simulates the same arrivals on two servers that have just started, one without and one with the estimates of
+// simulatePair simulates the same arrivals on two servers that have just started, one without and one with the estimates of
 // peers.
-func pair(t require.TestingT, snapshot estimate.Snapshot, m harness.Machine, seed int64) (cold, withPeers *simulatedServer) {
-	types := harness.BookingRoutes()
-	load := harness.Arrivals(types, harness.Rate(types, fourCores, 1.2), 10*time.Second, seed+100)
-	cold, withPeers = simulate(types, m, load, 2), simulate(types, m, load, 3)
+func simulatePair(t require.TestingT, snapshot estimate.Snapshot, m harness.Machine, seed int64) (cold, withPeers *simulatedServer) {
+	routes := harness.BookingRoutes()
+	load := harness.Arrivals(routes, harness.Rate(routes, fourCores, 1.2), 10*time.Second, seed+100)
+	cold, withPeers = simulate(routes, m, load, 2), simulate(routes, m, load, 3)
 	validated, err := withPeers.schema.Validate(snapshot)
 	require.NoError(t, err)
 	withPeers.controller.UsePeerEstimates(withPeers.now, validated)
@@ -219,7 +219,7 @@
 	sum := 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		cold, fresh := pair(t, peerSnapshot(harness.BookingRoutes(), fourCores, seed), fourCores, seed)
+		cold, fresh := simulatePair(t, peerSnapshot(harness.BookingRoutes(), fourCores, seed), fourCores, seed)
 		sum += fresh.valueInTime / cold.valueInTime / seeds
 	}
 	assert.Greater(t, sum, 1.01)
@@ -236,7 +236,7 @@
 			snapshot.Routes[i].Core.Mean *= rapid.Float64Range(0.01, 3).Draw(t, "factor")
 		}
 		snapshot = snapshot.Aged(estimate.MaxAge(estimate.ReturnRatio))
-		cold, expired := pair(t, snapshot, slow, rapid.Int64Range(0, 1000).Draw(t, "seed"))
+		cold, expired := simulatePair(t, snapshot, slow, rapid.Int64Range(0, 1000).Draw(t, "seed"))
 		assert.Equal(t, cold.starts, expired.starts)
 		assert.Equal(t, cold.valueInTime, expired.valueInTime)
 	})
@@ -251,7 +251,7 @@
 	const seeds = 20
 	for seed := range int64(seeds) {
 		snapshot := peerSnapshot(harness.BookingRoutes(), fourCores, seed).Aged(5 * time.Second)
-		cold, recent := pair(t, snapshot, slow, seed)
+		cold, recent := simulatePair(t, snapshot, slow, seed)
 		sum += recent.valueInTime / cold.valueInTime / seeds
 		a, b := 0, 0
 		for i := range min(len(cold.starts), len(recent.starts)) {
@@ -298,7 +298,7 @@
 	sum := 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		cold, fresh := pair(t, peerSnapshot(harness.BookingRoutes(), fourCores, seed), m, seed)
+		cold, fresh := simulatePair(t, peerSnapshot(harness.BookingRoutes(), fourCores, seed), m, seed)
 		sum += fresh.valueInTime / cold.valueInTime / seeds
 	}
 	assert.Greater(t, sum, 0.99)
@@ -306,9 +306,9 @@
 
 // BenchmarkDecide measures the decisions of a server at 120% of its capacity; simulated.
 func BenchmarkDecide(b *testing.B) {
-	types := harness.BookingRoutes()
+	routes := harness.BookingRoutes()
 	for b.Loop() {
-		simulate(types, fourCores, harness.Arrivals(types, harness.Rate(types, fourCores, 1.2), 10*time.Second, 1), 1).
+		simulate(routes, fourCores, harness.Arrivals(routes, harness.Rate(routes, fourCores, 1.2), 10*time.Second, 1), 1).
 			advanceTo(12 * time.Second)
 	}
 }
--- a/admission/trial.go
+++ b/admission/trial.go
@@ -17,13 +17,15 @@
 	lastTookLong bool          // the run of the last trial exceeded maxUsualWork
 }
 
-// usesUsualWork reports whether queued requests are planned by their usual work, because a trial in progress may confirm it.
-// After a trial that took long they are shed by their expected work again, until a trial turns out usual.
+// usesUsualWork reports whether queued requests are planned by their usual work, because a trial in progress may
+// confirm it. After a trial that took long they are shed by their expected work again, until a trial takes no longer
+// than usual.
 func (t *trial) usesUsualWork() bool {
 	return t.request != nil && !t.lastTookLong && t.request.coreTime <= t.maxUsualWork
 }
 
-// blocksQueue reports whether queued requests wait for the trial: its run is on the cores, and soon shows how long they take.
+// blocksQueue reports whether queued requests wait for the trial: its run is on the cores, and soon shows how long they
+// take.
 func (t *trial) blocksQueue() bool { return t.usesUsualWork() && t.request.phase == running }
 
 // doubtful reports whether the expected work of a request is many times its usual work.
--- a/admission/work_test.go
+++ b/admission/work_test.go
@@ -13,7 +13,7 @@
 	b := newBench(func(s *Settings) { s.IdleTimeout = 30 * time.Second })
 	before := b.expectedWork(b.request("real", 0))
 	for i := range 2 * maxRouters {
-		forged := b.request("invented", 0)
+		forged := b.request("forged", 0)
 		forged.Arrived, forged.Router = b.at-10*time.Minute, uint32(i)
 		b.round(Round{Arrived: []*Request{forged}})
 	}
