--- a/admission/request.go
+++ b/admission/request.go
@@ -10,7 +10,7 @@
 	HeldKB     float64       // memory while it is queued, in KiB
 	CostHint   time.Duration // work expected by the caller, on a standard core; 0 if not stated
 	Arrived    time.Duration // when its first byte reached the machine, before it was read
-	LastByteAt time.Duration // when its last byte arrived, if it arrived in pieces; 0 means at Arrived
+	LastByteAt time.Duration // when its last byte arrived, if it arrived in pieces; 0 if with the first one
 	Deadline   time.Duration // when its caller stops waiting; 0 if unknown
 	Rank       float64       // from 0 to below 1; routers hold back requests whose rank is below the shed level
 	Tenant     int           // index in the tenant table; an index past its end means no tenant
--- a/admission/round.go
+++ b/admission/round.go
@@ -58,7 +58,8 @@
 	NeverStarted         // a run that did not begin and never will
 )
 
-// Executor carries out the decisions of a round in the order of the calls. Its methods must not call the Controller.
+// Executor carries out the decisions of a round in the order in which its methods are called. Its methods must not call
+// the Controller.
 type Executor interface {
 	// Start starts a run of a queued request, or resumes one that was paused.
 	Start(request *Request)
--- a/admission/route.go
+++ b/admission/route.go
@@ -44,11 +44,11 @@
 const (
 	recentRunsWindow = 6 * time.Second
 	recentRunsParts  = 12
-	// unknownWorkDivisor is the fraction of its latency target, as a divisor, that a request of an unmeasured route is
-	// assumed to need.
+	// unknownWorkDivisor is the divisor of a route's latency target that gives the assumed work of a request while the
+	// route is unmeasured.
 	unknownWorkDivisor = 6
-	// coldCallDivisor is the fraction of the latency target, as a divisor, that a call is assumed to take while the
-	// whole fleet may be as cold as this server.
+	// coldCallDivisor is the divisor of a route's latency target that gives the assumed time of a call while the whole
+	// fleet may be as cold as this server.
 	coldCallDivisor = 2
 )
 
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -7,8 +7,8 @@
 	plannedWaitShare = 0.75
 	// medianToMean is the ratio of the median to the mean of a route's core times: a few long runs dominate the mean.
 	medianToMean = 0.7
-	// minRemainingDivisor is the fraction of its expected work, as a divisor, that a run on the cores is assumed to
-	// still need at least.
+	// minRemainingDivisor is the divisor of a run's expected work that gives the least work assumed to be left while
+	// the run is on the cores.
 	minRemainingDivisor = 2
 )
 
