--- a/admission/controller.go
+++ b/admission/controller.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// tickInterval is the time between rounds with gauges. Every margin that must cover one round is counted in it.
+// tickInterval is the time between rounds with gauges. Margins that must cover one round are multiples of it.
 const tickInterval = 25 * time.Millisecond
 
-// Every so many ticks some rules look again.
+// Numbers of ticks after which a rule is applied again.
 const (
 	ticksPerLevelMove       = 4
 	ticksPerCallCalibration = 10
 )
 
-// Controller decides for one server. Its methods are for one goroutine.
+// Controller makes the decisions of one server. Its methods must not be called concurrently.
 //
-// A request that holds anything is in exactly one of queue and active; one with an idempotency key is in keyed as well
-// until its entry expires or is given back.
+// A request that takes any resource is in exactly one of queue and active; one with an idempotency key is also in keyed
+// until its entry expires or is released.
 type Controller struct {
-	// Routes are the routes by their index. Programs read it; PutRoute and RemoveRoute change it.
+	// Routes holds the routes by index. Programs may read it; PutRoute and RemoveRoute change it.
 	Routes []*Route
 
 	settings Settings
 	random   *rand.Rand
-	now      time.Duration // of the round in hand
-	gauges   Gauges        // the latest
-	tickedAt time.Duration // 0 before the first round
+	now      time.Duration // time of the current round
+	gauges   Gauges        // latest readings
+	tickedAt time.Duration // time of the last tick; 0 before the first round
 	ticks    int
 
-	queue  []*Request // by answerBy
-	active []*Request // running, at a call, awaiting an original, or answered with a run still on
+	queue  []*Request // ordered by answerBy
+	active []*Request // in flight, awaiting an original, or answered with an unfinished run
 	keyed  []*Request // with an entry in the table of idempotency keys
 
 	limit       inFlightLimit
@@ -46,19 +46,19 @@
 	drain       drain
 	tenants     tenantTable
 
-	otherRunnable float64 // what wanted a core at the last tick beside runs: reads of requests
+	runnableReads float64 // reads of requests that wanted a core at the last tick: all runnable work but the runs
 
 	scratch scratch
 }
 
-// scratch is memory that is used again by each round.
+// scratch holds buffers that the rounds reuse.
 type scratch struct {
 	active, shed []*Request
 	ranking      valueRanking
 }
 
-// New starts the decisions of a server that knows its settings and nothing else. The seed draws the jitter of retries and
-// the server's turn among a fleet's.
+// New returns the controller of a server without measurements. The seed determines the jitter of retries and the phase
+// of the server's call pacing within a fleet.
 func New(settings Settings, seed int64) *Controller {
 	controller := &Controller{
 		settings:    settings,
@@ -72,45 +72,46 @@
 		health:      newRunHealth(),
 		tenants:     newTenantTable(settings.Tenants),
 	}
-	controller.calls.turns = controller.random.Float64()
+	controller.calls.pacingCycles = controller.random.Float64()
 	for _, route := range settings.Routes {
 		controller.PutRoute(nil, route)
 	}
 	return controller
 }
 
-// Decide takes a round and tells the executor what is to be done. The end of a call is taken before a new call of the same
-// request, and both before the end of its run, so that a round may hold a request's whole life.
-func (c *Controller) Decide(r *Round, w Executor) {
+// Decide processes a round and passes the decisions to the executor. The end of a call is processed before a new call
+// of the same request, and both before the end of its run, so that one round may hold several successive events of a
+// request.
+func (c *Controller) Decide(r *Round, executor Executor) {
 	c.now = r.Now
-	c.begin(w)
-	c.slowStart.workersStarted(r.WorkersStartedAt)
-	c.beginDrain(r, w)
-	c.takeEvents(r, w)
+	c.begin(executor)
+	c.slowStart.recordWorkersStart(r.WorkersStartedAt)
+	c.beginDrain(r, executor)
+	c.applyEvents(r, executor)
 	if r.Gauges != nil {
-		c.tick(*r.Gauges, r.GaugesAge, w)
+		c.tick(*r.Gauges, r.GaugesAge, executor)
 	}
-	c.expireRequests(w)
-	c.ejectWhileFailing(w)
-	c.shedUnmeetable(w)
-	c.placeCalls(w)
-	c.startQueued(w)
+	c.expireRequests(executor)
+	c.ejectWhileFailing(executor)
+	c.shedUnmeetable(executor)
+	c.placeCalls(executor)
+	c.startQueued(executor)
 }
 
-// begin prepares for the first round.
-func (c *Controller) begin(w Executor) {
+// begin initializes the times and the health in the first round.
+func (c *Controller) begin(executor Executor) {
 	if c.tickedAt != 0 {
 		return
 	}
 	c.slowStart.since, c.tickedAt, c.limit.calibratedAt = c.now, c.now, c.now
-	w.SetHealth(true, true)
-	w.WakeAfter(tickInterval)
+	executor.SetHealth(true, true)
+	executor.WakeAfter(tickInterval)
 }
 
-// takeEvents takes what happened to requests.
-func (c *Controller) takeEvents(r *Round, w Executor) {
+// applyEvents applies the events of the round to the requests.
+func (c *Controller) applyEvents(r *Round, executor Executor) {
 	for _, end := range r.CallsEnded {
-		c.endCall(end, w)
+		c.endCall(end, executor)
 	}
 	for _, request := range r.AwaitingCall {
 		if request.phase == running {
@@ -121,47 +122,48 @@
 		c.endRun(end)
 	}
 	for _, request := range r.Arrived {
-		c.arrive(request, w)
+		c.arrive(request, executor)
 	}
-	for _, request := range r.Canceled { // after the arrivals: a caller may leave in the moment its request is read
-		c.cancel(request, w)
+	for _, request := range r.Canceled { // after the arrivals: a caller may leave in the round in which its request is read
+		c.cancel(request, executor)
 	}
 }
 
-// tick does what is done at intervals: it charges time, calibrates the limits and moves the shed level.
-func (c *Controller) tick(gauges Gauges, age time.Duration, w Executor) {
+// tick does the periodic work: it charges time, calibrates the limits and moves the shed level.
+func (c *Controller) tick(gauges Gauges, age time.Duration, executor Executor) {
 	c.gauges = gauges
-	c.limit.blind = age > maxGaugesAge
-	c.otherRunnable = min(gauges.Runnable-c.inFlight().onCores, c.settings.Cores) // at most one request per core is read at a time
+	c.limit.gaugesOutdated = age > maxGaugesAge
+	c.runnableReads = min(gauges.Runnable-c.inFlight().onCores, c.settings.Cores) // at most one request per core is read at a time
 	passed := (c.now - c.tickedAt).Seconds()
 	c.tickedAt = c.now
 	c.ticks++
 	c.expireKeys()
 	c.calls.refill(passed)
 	c.agePeerEstimates(c.now)
-	c.chargeActive(w)
-	c.limit.noteGauges(gauges)
-	c.limit.noteLatencies(c.now)
+	c.chargeActive(executor)
+	c.limit.recordGauges(gauges)
+	c.limit.recordLatencies(c.now)
 	if c.ticks%ticksPerCallCalibration == 0 {
 		c.calibrateCalls()
 	}
-	c.calibrateLimit(w)
-	c.moveShedLevel(w)
-	w.WakeAfter(tickInterval)
+	c.calibrateLimit(executor)
+	c.moveShedLevel(executor)
+	executor.WakeAfter(tickInterval)
 }
 
-// chargeActive charges the time since the last tick to the phases of active requests.
-func (c *Controller) chargeActive(w Executor) {
+// chargeActive charges the time since the last charge to the phases of active requests, and repeats the stop of runs
+// that have not ended yet.
+func (c *Controller) chargeActive(executor Executor) {
 	for _, request := range c.active {
 		if request.phase == stopping && c.settings.Preemption.Allowed() {
-			w.Pause(request) // again: a stop has no effect while the cores stand still
+			executor.Pause(request) // repeated, as a stop has no effect while the cores are stalled
 		}
 		c.chargePhase(request)
 	}
 }
 
 // startQueued starts requests from the head of the queue while they may start.
-func (c *Controller) startQueued(w Executor) {
+func (c *Controller) startQueued(executor Executor) {
 	for len(c.queue) > 0 && c.mayStart(c.queue[0]) {
 		request := c.queue[0]
 		c.queue = slices.Delete(c.queue, 0, 1)
@@ -171,11 +173,11 @@
 		if request.onTrial {
 			c.beginTrial(request)
 		}
-		w.Start(request)
+		executor.Start(request)
 	}
 }
 
-// enterPhase charges the time of the phase that ends and begins the next.
+// enterPhase charges the time spent in the current phase and enters the next one.
 func (c *Controller) enterPhase(request *Request, next phase) {
 	c.chargePhase(request)
 	request.phase = next
@@ -198,7 +200,7 @@
 	}
 }
 
-// endRun takes the end of a run, or of the wait of a duplicate that was answered from its original.
+// endRun processes the end of a run, or of a duplicate that was answered from its original.
 func (c *Controller) endRun(end Completion) {
 	request := end.Request
 	if request.phase == awaitingOriginal {
@@ -208,7 +210,7 @@
 	c.chargePhase(request)
 	defer c.endTrial(end)
 	if request.phase == calling {
-		// The end of its call was not reported: the call is abandoned with the run, and stays the dependency's load.
+		// The end of its call was not reported: the call is abandoned with the run, and still loads the dependency.
 		c.calls.charge(c.now, c.settings.CallLinger)
 	}
 	switch end.Outcome {
@@ -221,7 +223,7 @@
 			c.work.hinted.add(c.now, 0, request.CostHint.Seconds())
 		}
 		c.recordRun(request, end.Took)
-	case NeverStarted: // it took no time, and says nothing of what others need
+	case NeverStarted: // it used no core time: what was charged is taken back, as it shows nothing about the work of requests
 		request.Route.recentRuns.add(c.now, -request.coreTime.Seconds())
 	case NotRun, Unknown, Stopped:
 	}
@@ -229,36 +231,36 @@
 	c.release(request)
 }
 
-// release takes out a request that holds nothing more.
+// release removes a request that takes no more resources.
 func (c *Controller) release(request *Request) {
-	is := func(other *Request) bool { return other == request }
-	c.queue, c.active = slices.DeleteFunc(c.queue, is), slices.DeleteFunc(c.active, is)
+	isRequest := func(other *Request) bool { return other == request }
+	c.queue, c.active = slices.DeleteFunc(c.queue, isRequest), slices.DeleteFunc(c.active, isRequest)
 }
 
-// Occupancy is what the server has booked of the machine.
+// Occupancy is the use of the machine as the controller accounts for it.
 type Occupancy struct {
 	Held           int     // queued requests
-	OnCores        int     // runs on the cores, those included whose requests are answered
+	OnCores        int     // runs on the cores, including those whose requests are answered
 	InFlight       int     // runs on the cores, at calls and waiting for them
-	Answered       int     // of those in flight, the ones whose requests are answered
-	Limit          float64 // on those in flight
-	MaxConcurrency float64 // runs on the cores and at calls that are ever allowed
-	UsedKB         float64 // memory of all that is queued, in flight and kept for idempotency keys
-	MaxKB          float64 // memory that is ever planned for
+	Answered       int     // requests in flight that are already answered
+	Limit          float64 // in-flight limit
+	MaxConcurrency float64 // upper bound on the runs on the cores and at calls
+	UsedKB         float64 // memory of requests queued and in flight and of idempotency keys, in KiB
+	MaxKB          float64 // upper bound on planned memory, in KiB
 }
 
-// Occupancy is what is booked at a moment of the clock of rounds.
+// Occupancy returns the occupancy at time now of the clock of rounds.
 func (c *Controller) Occupancy(now time.Duration) Occupancy {
 	c.now = max(c.now, now)
 	count := c.inFlight()
-	sum := Occupancy{
+	occupancy := Occupancy{
 		Held: len(c.queue), OnCores: int(count.onCores), InFlight: int(count.total), Limit: c.limit.value,
 		MaxConcurrency: c.maxConcurrency(), UsedKB: c.memoryUsedKB(), MaxKB: c.memoryKB(),
 	}
 	for _, request := range c.active {
-		if request.answered && request.phase.holdsRun() {
-			sum.Answered++
+		if request.answered && request.phase.inFlight() {
+			occupancy.Answered++
 		}
 	}
-	return sum
+	return occupancy
 }
--- a/admission/health.go
+++ b/admission/health.go
@@ -8,14 +8,14 @@
 const (
 	healthWindow      = 3 * time.Second
 	healthWindowParts = 6
-	minRunsJudged     = 6   // ended runs in the window, under which the server never ejects itself
-	failingShare      = 0.5 // share of failed runs over which it ejects itself
+	minRunsJudged     = 6   // ended runs in the window below which the server never ejects itself
+	failingShare      = 0.5 // share of failed runs above which it ejects itself
 )
 
-// runHealth is whether the server's runs end well. Failing runs are quick, so callers that pick the fastest server choose
-// one whose runs fail, and a request that must not run twice is lost there.
+// runHealth tracks whether the server's runs succeed. Failing runs are quick, so callers that prefer the fastest server
+// choose one whose runs fail, and a request that must not run twice is lost there.
 type runHealth struct {
-	runs    *slidingSums // ended, and failed ones of them
+	runs    *slidingSums // ended runs, and the failed ones of these
 	failing bool
 }
 
@@ -32,15 +32,15 @@
 	h.runs.add(now, 1, failed)
 }
 
-// ejectWhileFailing takes the server out of service while most of its runs fail: health checks fail, callers are asked to
-// keep away, and all but one request at a time is rejected. That one shows when runs succeed again.
-func (c *Controller) ejectWhileFailing(w Executor) {
+// ejectWhileFailing takes the server out of service while most of its runs fail: health checks fail, callers are asked
+// to hold back requests, and all but one request at a time are rejected. That one shows when runs succeed again.
+func (c *Controller) ejectWhileFailing(executor Executor) {
 	runs := c.health.runs.sum(c.now)
 	ended, failed := runs[0], runs[1]
 	failing := ended >= minRunsJudged && failed > ended*failingShare
 	if failing != c.health.failing && !c.drain.begun() {
-		w.SetHealth(!failing, true)
-		w.Log(fmt.Sprintf("erring: %t, %.0f of %.0f runs broken", failing, failed, ended))
+		executor.SetHealth(!failing, true)
+		executor.Log(fmt.Sprintf("erring: %t, %.0f of %.0f runs broken", failing, failed, ended))
 	}
 	c.health.failing = failing
 	if !failing {
@@ -53,6 +53,6 @@
 		request := c.queue[last]
 		c.queue[last] = nil
 		c.queue = c.queue[:last]
-		c.answerRejected(request, ReasonRunsFail, w)
+		c.answerRejected(request, ReasonRunsFail, executor)
 	}
 }
