--- a/estimate/digest.go
+++ b/estimate/digest.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest is over the settings on which estimates depend, a line each as name=value, in any order.
+// Digest returns the hash of the settings on which estimates depend. Each setting is a line of the form name=value;
+// their order does not matter.
 func Digest(settings []string) uint64 {
 	return xxhash.Sum64String(strings.Join(slices.Sorted(slices.Values(settings)), "\n"))
 }
--- a/estimate/limiter.go
+++ b/estimate/limiter.go
@@ -3,33 +3,33 @@
 import "time"
 
 const (
-	requestsPerAddress = 10.0  // a second
-	requestsTotal      = 40.0  // a second
-	bytesPerAddress    = 256e3 // a second
-	bytesTotal         = 1e6   // a second
-	burstSeconds       = 1.0   // of each rate that may be used at once
+	requestsPerAddress = 10.0  // per second
+	requestsTotal      = 40.0  // per second
+	bytesPerAddress    = 256e3 // per second
+	bytesTotal         = 1e6   // per second
+	burstSeconds       = 1.0   // size of a burst, in seconds of each rate
 	maxConnsPerAddress = 4
 	maxConns           = 16
-	maxAddresses       = 1024 // remembered; more than there can be with a connection
+	maxAddresses       = 1024 // addresses with buckets; more than maxConns
 	retryAfter         = time.Second
 )
 
-// ServeLimiter decides which requests of peers a running server answers, by token buckets for each address and for all
-// together: peers must cost it no more than these rates, and one that asks without end must not keep others from being
-// answered. It is not safe for concurrent use.
+// ServeLimiter decides which requests of peers a server answers. Token buckets for each address and for all addresses
+// together bound what peers cost the server, and keep a peer that sends requests without pause from starving the
+// others. It is not safe for concurrent use.
 type ServeLimiter struct {
 	addresses map[string]*tokenBuckets
 	total     tokenBuckets
 }
 
-// tokenBuckets is what may still be used, and the connections that are open.
+// tokenBuckets holds the remaining tokens and the number of open connections of one address, or of all addresses.
 type tokenBuckets struct {
 	conns           int
 	requests, bytes float64
 	filledAt        time.Duration
 }
 
-// NewServeLimiter returns a limiter that has not seen any address.
+// NewServeLimiter returns a limiter with full buckets and without connections.
 func NewServeLimiter(now time.Duration) *ServeLimiter {
 	return &ServeLimiter{
 		addresses: map[string]*tokenBuckets{},
@@ -37,7 +37,7 @@
 	}
 }
 
-// fill adds what came free since the last call, at rates a second.
+// fill adds the tokens earned since the last call, up to a full burst. The rates are per second.
 func (b *tokenBuckets) fill(now time.Duration, requestRate, byteRate float64) {
 	passed := max(now-b.filledAt, 0).Seconds()
 	b.filledAt = max(now, b.filledAt)
@@ -45,7 +45,8 @@
 	b.bytes = min(b.bytes+passed*byteRate, byteRate*burstSeconds)
 }
 
-// Connect reports whether an address may open one more connection. Where it may, Disconnect must follow.
+// Connect reports whether an address may open one more connection. Each connection that it allows must be ended with
+// Disconnect.
 func (l *ServeLimiter) Connect(address string, now time.Duration) bool {
 	buckets := l.addresses[address]
 	if l.total.conns >= maxConns || buckets != nil && buckets.conns >= maxConnsPerAddress {
@@ -65,11 +66,11 @@
 	return true
 }
 
-// evictOldest forgets the address without connections whose last request is the longest ago, and of several the smallest.
-// There is one, as there are fewer connections than addresses.
+// evictOldest removes the address that was filled least recently among those without open connections; of several it
+// removes the smallest. There always is one, because maxConns is less than maxAddresses.
 func (l *ServeLimiter) evictOldest() {
 	oldest := ""
-	for address, buckets := range l.addresses { // the order of the map does not change the result
+	for address, buckets := range l.addresses { // the iteration order of the map does not change the result
 		if buckets.conns > 0 {
 			continue
 		}
@@ -87,8 +88,8 @@
 	l.total.conns--
 }
 
-// Allow reports whether a request of a connected address is to be answered, with as many bytes, and else after how long it
-// may be repeated.
+// Allow reports whether a request from a connected address may be answered with that many bytes, and if not, after how
+// long the peer may repeat it.
 func (l *ServeLimiter) Allow(address string, bytes int, now time.Duration) (allowed bool, after time.Duration) {
 	buckets := l.addresses[address]
 	buckets.fill(now, requestsPerAddress, bytesPerAddress)
--- a/estimate/limiter_test.go
+++ b/estimate/limiter_test.go
@@ -8,17 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client that asks without end, or for more than its share, must be held to its rates, and others must still be answered.
+// A client that sends requests without pause, or asks for more bytes than its rate, is limited to its rates, and others
+// are still answered.
 func TestServeLimiter(t *testing.T) {
 	limiter := NewServeLimiter(0)
 	for range maxConnsPerAddress {
 		assert.True(t, limiter.Connect("a", 0))
 	}
-	assert.False(t, limiter.Connect("a", 0), "of one address")
+	assert.False(t, limiter.Connect("a", 0), "connections of one address are limited")
 	for i := range maxConns - maxConnsPerAddress {
 		assert.True(t, limiter.Connect(string(rune('b'+i)), 0))
 	}
-	assert.False(t, limiter.Connect("z", 0), "in all")
+	assert.False(t, limiter.Connect("z", 0), "all connections together are limited")
 	limiter.Disconnect("a")
 	assert.True(t, limiter.Connect("z", 0))
 
@@ -32,11 +33,11 @@
 	}
 	assert.Equal(t, int(requestsPerAddress*burstSeconds), given)
 	ok, _ := limiter.Allow("b", 100, 0)
-	assert.True(t, ok, "a client that asks without end keeps nobody out")
+	assert.True(t, ok, "a client at its limit does not block others")
 	ok, _ = limiter.Allow("a", 100, time.Second/time.Duration(requestsPerAddress))
 	assert.True(t, ok)
 	ok, _ = limiter.Allow("c", bytesPerAddress*2, 0)
-	assert.False(t, ok, "more bytes than one address is given")
+	assert.False(t, ok, "more bytes than the burst of one address")
 
 	limiter = NewServeLimiter(0)
 	for i := range 10 * maxAddresses {
@@ -47,13 +48,14 @@
 	assert.LessOrEqual(t, len(limiter.addresses), maxAddresses)
 }
 
-// A thousand servers ask in turn. If one were forgotten meanwhile, it would get its whole burst anew each time.
+// A thousand servers send requests in turn. If the limiter evicted the address of one of them meanwhile, that server
+// would get its whole burst again each time.
 func TestServeLimiterRemembersALargeFleet(t *testing.T) {
 	limiter := NewServeLimiter(0)
 	name := func(i int) string { return "10.0." + string(rune('A'+i)) }
 	now := time.Duration(0)
 	for i := range 1024 {
-		now += time.Second // in which the total rate refills
+		now += time.Second // the total buckets refill
 		require.True(t, limiter.Connect(name(i), now))
 		for range int(requestsPerAddress * burstSeconds) {
 			given, _ := limiter.Allow(name(i), 1, now)
@@ -61,9 +63,9 @@
 		}
 		limiter.Disconnect(name(i))
 	}
-	for i := range 1024 { // no time passes
+	for i := range 1024 { // no time has passed
 		of := limiter.addresses[name(i)]
-		require.NotNil(t, of, "%d is forgotten, and would be given all anew", i)
+		require.NotNil(t, of, "address %d was evicted and would get a full burst again", i)
 		assert.Less(t, of.requests, 1.0)
 	}
 }
--- a/estimate/merge.go
+++ b/estimate/merge.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	maxDisagreement = 3.0 // times by which two means may differ for both to be used
-	maxPaceRatio    = 4.0 // by which times are scaled for the difference between two machines
+	maxDisagreement = 3.0 // largest ratio of two means of which both are used
+	maxPaceRatio    = 4.0 // largest factor by which times are scaled between two machines
 )
 
-// Merge makes one snapshot of several that Schema.Validate has passed; their order does not matter. Each estimate is merged
-// by itself:
+// Merge merges snapshots that Schema.Validate has accepted into one. Their order does not matter. Each estimate is
+// merged separately:
 //
-//   - snapshots of one origin count as one, so an echo adds nothing;
-//   - of three or more origins the median of mean, spread, samples and age each is used, so a single one that is wrong can at
-//     most choose between two values of others;
-//   - of two there is no majority: where they differ by more than three times neither is used, else the larger mean, the
-//     fewer samples and the greater age;
-//   - core and run times are first scaled to the median pace, where all snapshots have one.
+//   - Snapshots of one origin count as one, so a repeated snapshot adds no weight.
+//   - Of three or more origins, the median of each of mean, spread, samples and age is used, so a single wrong origin can at
+//     most choose between two values of the others.
+//   - Two origins have no majority. If their means differ by more than a factor of three, neither is used; otherwise the
+//     larger mean, spread and age and the fewer samples are.
+//   - Core and run times are first scaled to the median pace, if all snapshots have one.
 func Merge(snapshots []Snapshot) Snapshot {
 	if len(snapshots) == 0 {
 		return Snapshot{}
@@ -41,7 +41,8 @@
 	return merged
 }
 
-// mergeEstimates merges one estimate of snapshots that are sorted by origin.
+// mergeEstimates merges one estimate of the snapshots, which are sorted by origin. Estimates without weight are
+// ignored.
 func mergeEstimates(snapshots []Snapshot, kind Kind, get func(*Snapshot) Estimate) Estimate {
 	var origins []Estimate
 	for from := 0; from < len(snapshots); {
@@ -60,8 +61,9 @@
 	return mergeOrigins(origins)
 }
 
-// normalizePace scales core and run times to the median pace of all origins. Without a pace from each, machines are taken to
-// be alike, and own samples correct what is wrong in that. The snapshots are sorted by origin.
+// normalizePace scales core and run times to the median pace of all origins. Unless every snapshot has a pace, all
+// machines are assumed to be equally fast; a server's own samples later correct the error. The snapshots are sorted by
+// origin.
 func normalizePace(snapshots []Snapshot) {
 	var paces []float64
 	for i, snapshot := range snapshots {
@@ -87,8 +89,8 @@
 	}
 }
 
-// mergeOrigin merges estimates with the same origin. Copies count as one. Where they contradict each other none is used, as
-// one of them is not of the origin that it states.
+// mergeOrigin merges estimates with the same origin. Copies count as one. If the estimates contradict each other, none
+// is used, because one of them does not come from the origin that it states.
 func mergeOrigin(same []Estimate) Estimate {
 	if len(same) < 2 {
 		return mergeOrigins(same)
@@ -105,7 +107,7 @@
 	return merged
 }
 
-// pessimistic takes of two estimates the larger mean, spread and age and the fewer samples.
+// pessimistic returns the larger mean, spread and age and the fewer samples of two estimates.
 func pessimistic(a, b Estimate) Estimate {
 	return Estimate{
 		Mean: max(a.Mean, b.Mean), Spread: max(a.Spread, b.Spread), Samples: min(a.Samples, b.Samples),
@@ -113,7 +115,7 @@
 	}
 }
 
-// mergeOrigins merges estimates of different origins.
+// mergeOrigins merges estimates of different origins, as described at Merge.
 func mergeOrigins(origins []Estimate) Estimate {
 	switch len(origins) {
 	case 0:
@@ -135,7 +137,8 @@
 	}
 }
 
-// upperMedian is the median, and of an even number the larger of the middle two: means and ages err upwards.
+// upperMedian returns the median, or the larger of the two middle values of an even number, so that means and ages are
+// rather over- than underestimated.
 func upperMedian(estimates []Estimate, get func(Estimate) float64) float64 {
 	values := make([]float64, len(estimates))
 	for i, e := range estimates {
--- a/estimate/merge_test.go
+++ b/estimate/merge_test.go
@@ -8,21 +8,22 @@
 	"pgregory.net/rapid"
 )
 
-// One of several peers is wrong, echoes another or poses as another. Its estimates must not decide.
+// One of several peers sends wrong estimates, repeats another's snapshot, or uses another's origin. Its estimates do
+// not decide the result.
 func TestMerge(t *testing.T) {
 	cases := []struct {
 		name  string
 		views []Snapshot
-		mean  float64 // 0: not believed
+		mean  float64 // 0 if no estimate is used
 	}{
-		{"one", []Snapshot{snapshotOf(1, 0.1)}, 0.1},
-		{"two that agree: the larger need", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.2)}, 0.2},
-		{"two that don't", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.4)}, 0},
-		{"a liar among three, far up", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.12), snapshotOf(3, 100)}, 0.12},
-		{"a liar among three, far down", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.12), snapshotOf(3, 1e-6)}, 0.1},
-		{"a liar under another's name", []Snapshot{snapshotOf(1, 0.1), snapshotOf(1, 50), snapshotOf(3, 0.12)}, 0.12},
-		{"an echo of the lie", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.12), snapshotOf(3, 5), snapshotOf(3, 5), snapshotOf(3, 5)}, 0.12},
-		{"an old one has no vote", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 9).Aged(time.Hour)}, 0.1},
+		{"one snapshot", []Snapshot{snapshotOf(1, 0.1)}, 0.1},
+		{"two that agree: the larger mean", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.2)}, 0.2},
+		{"two that disagree", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.4)}, 0},
+		{"one of three is far too high", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.12), snapshotOf(3, 100)}, 0.12},
+		{"one of three is far too low", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.12), snapshotOf(3, 1e-6)}, 0.1},
+		{"a wrong snapshot with another's origin", []Snapshot{snapshotOf(1, 0.1), snapshotOf(1, 50), snapshotOf(3, 0.12)}, 0.12},
+		{"copies of a wrong snapshot", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.12), snapshotOf(3, 5), snapshotOf(3, 5), snapshotOf(3, 5)}, 0.12},
+		{"an expired snapshot is ignored", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 9).Aged(time.Hour)}, 0.1},
 	}
 	for _, c := range cases {
 		got := Merge(c.views).Routes[0].Core
@@ -34,7 +35,7 @@
 	assert.Empty(t, Merge(nil))
 }
 
-// drawSnapshot is a snapshot of any origin with figures in range.
+// drawSnapshot draws a snapshot of one of five origins with figures in range.
 func drawSnapshot(t *rapid.T) Snapshot {
 	e := func(most float64) Estimate {
 		return Estimate{
@@ -50,15 +51,15 @@
 	return snapshot
 }
 
-// Whatever snapshots come: their order, an echo and more time must never add weight.
+// For any snapshots, their order, a repeated snapshot and age never add weight to the result.
 func TestMergeProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		snapshots := rapid.SliceOfN(rapid.Custom(drawSnapshot), 1, 6).Draw(t, "views")
+		snapshots := rapid.SliceOfN(rapid.Custom(drawSnapshot), 1, 6).Draw(t, "snapshots")
 		merged := Merge(snapshots)
-		assert.Equal(t, merged, Merge(rapid.Permutation(snapshots).Draw(t, "order")), "order decides")
+		assert.Equal(t, merged, Merge(rapid.Permutation(snapshots).Draw(t, "order")), "the order changes the result")
 
-		echoed := append(append([]Snapshot{}, snapshots...), rapid.SampledFrom(snapshots).Draw(t, "echo"))
-		assert.Equal(t, merged, Merge(echoed), "an echo adds to it")
+		echoed := append(append([]Snapshot{}, snapshots...), rapid.SampledFrom(snapshots).Draw(t, "repeated"))
+		assert.Equal(t, merged, Merge(echoed), "a repeated snapshot changes the result")
 		assert.Equal(t, merged.Aged(0), merged)
 
 		for i := range merged.Routes {
@@ -68,14 +69,14 @@
 				heaviest = max(heaviest, snapshot.Routes[i].Core.Weight(CoreTime))
 			}
 			assert.LessOrEqual(t, merged.Routes[i].Core.Mean, most)
-			assert.LessOrEqual(t, merged.Routes[i].Core.Weight(CoreTime), heaviest, "weighs more than any of them")
+			assert.LessOrEqual(t, merged.Routes[i].Core.Weight(CoreTime), heaviest, "weighs more than each of the merged estimates")
 			older := merged.Aged(time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "later")))
 			assert.LessOrEqual(t, older.Routes[i].Core.Weight(CoreTime), merged.Routes[i].Core.Weight(CoreTime))
 		}
 	})
 }
 
-// One of three peers may be wrong in every figure. The result must stay between those of the other two.
+// One of three peers sends arbitrary figures. The merged mean stays between those of the other two.
 func TestOneOfThreeLies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Float64Range(0.01, 1).Draw(t, "a"), rapid.Float64Range(0.01, 1).Draw(t, "b")
--- a/estimate/poll.go
+++ b/estimate/poll.go
@@ -8,24 +8,24 @@
 const (
 	minBackoff = time.Second
 	maxBackoff = 15 * time.Second
-	// maxPeers is how many peers' answers a new server wants. The median of a few says as much as that of hundreds, and what
-	// a start costs must not grow with the fleet.
+	// maxPeers is the number of peers from which a new server wants estimates. The median of a few is as accurate as
+	// that of hundreds, and the cost of a start must not grow with the fleet.
 	maxPeers = 16
-	// pollFor bounds how long after its start a server polls: it has enough samples of its own by then, or is so idle that it
-	// needs none.
+	// pollFor is the time after its start for which a server polls. By then it has enough samples of its own, or is so
+	// idle that it needs none.
 	pollFor = 2 * time.Minute
-	// maxBackoffShift keeps the doubled backoff within a time.Duration.
+	// maxBackoffShift keeps the doubled backoff in the range of a time.Duration.
 	maxBackoffShift = 8
 )
 
-// PollSchedule decides which peers a new server polls for estimates, and when. A peer that has answered is not polled again.
-// One that failed is, after a backoff that doubles from one to 15 seconds, with jitter so that a fleet which starts together
-// does not poll together. It is not safe for concurrent use.
+// PollSchedule decides which peers a new server polls for estimates, and when. A peer that has answered is not polled
+// again. A failed poll is repeated after a backoff that doubles from one to 15 seconds, with jitter so that the servers
+// of a fleet that starts at once do not poll at the same time. It is not safe for concurrent use.
 type PollSchedule struct {
 	rng   *rand.Rand
 	start time.Duration
 	peers []polledPeer
-	order []int // in which peers are polled: as listed, or drawn where there are more than maxPeers
+	order []int // order of polls: as listed, or random with more than maxPeers
 }
 
 type polledPeer struct {
@@ -35,7 +35,8 @@
 	next       time.Duration
 }
 
-// NewPollSchedule returns a schedule that begins at a moment, for peers by their index.
+// NewPollSchedule returns a schedule that starts at now. Peers are identified by their index; seed makes the random
+// order and the jitter repeatable.
 func NewPollSchedule(peers int, now time.Duration, seed int64) *PollSchedule {
 	s := &PollSchedule{rng: rand.New(rand.NewSource(seed)), start: now, peers: make([]polledPeer, peers)}
 	for i := range s.peers {
@@ -48,8 +49,8 @@
 	return s
 }
 
-// Due returns the peers to poll now, each of which must be reported to Finished. needed is whether the server still needs
-// estimates; once it does not, no peer is due.
+// Due returns the peers to poll now. The end of each poll must be reported to Finished. needed states whether the
+// server still needs estimates; if not, no peer is due.
 func (s *PollSchedule) Due(now time.Duration, needed bool) (due []int) {
 	if !needed || now > s.start+pollFor {
 		return nil
@@ -72,16 +73,16 @@
 	return due
 }
 
-// Finished reports how a poll ended. retryAfter is what the peer asked for, 0 for nothing.
+// Finished records the end of a poll. retryAfter is the delay that the peer asked for, or 0.
 func (s *PollSchedule) Finished(peer int, now time.Duration, answered bool, retryAfter time.Duration) {
 	p := &s.peers[peer]
 	p.inProgress, p.answered = false, answered
 	backoff := min(minBackoff<<min(p.attempts-1, maxBackoffShift), maxBackoff)
-	backoff = backoff/2 + time.Duration(s.rng.Int63n(int64(backoff))) // half to one and a half
+	backoff = backoff/2 + time.Duration(s.rng.Int63n(int64(backoff))) // 0.5 to 1.5 times the backoff
 	p.next = now + max(backoff, min(retryAfter, maxBackoff))
 }
 
-// Done reports whether no peer will be due any more.
+// Done reports whether polling has ended: no peer will be due again.
 func (s *PollSchedule) Done(now time.Duration, needed bool) bool {
 	if !needed || now > s.start+pollFor {
 		return true
@@ -95,7 +96,8 @@
 	return answered >= min(len(s.peers), maxPeers)
 }
 
-// Next is when a peer may be due next, or when polling ends where polls in progress alone are left.
+// Next returns the earliest time at which a peer may be due. If only polls in progress are left, it returns the end of
+// polling.
 func (s *PollSchedule) Next() time.Duration {
 	next := s.start + pollFor
 	for _, peer := range s.peers {
--- a/estimate/poll_test.go
+++ b/estimate/poll_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// One peer answers, the other is down. The first must not be polled again, the second with a growing backoff and no sooner
-// than it asks for, until the server needs no estimates or the time for polling is over.
+// One peer answers and the other is down. The first is not polled again. The second is polled with a growing backoff,
+// and not before the delay that it asks for, until the server needs no estimates or the time for polling is over.
 func TestPollSchedule(t *testing.T) {
 	schedule := NewPollSchedule(2, 0, 1)
 	assert.Equal(t, []int{0, 1}, schedule.Due(0, true))
@@ -21,15 +21,15 @@
 		schedule.Finished(1, last, false, 0)
 		next := schedule.Next()
 		assert.Empty(t, schedule.Due(next-1, true))
-		assert.Equal(t, []int{1}, schedule.Due(next, true), "the one that was down, again")
+		assert.Equal(t, []int{1}, schedule.Due(next, true), "the failed peer is polled again")
 		pauses = append(pauses, next-last)
 		last = next
 	}
 	assert.Less(t, pauses[0], 2*time.Second)
-	assert.Greater(t, pauses[5], 5*time.Second, "pauses grow")
+	assert.Greater(t, pauses[5], 5*time.Second, "the backoff grows")
 	assert.LessOrEqual(t, pauses[5], 2*maxBackoff)
 	schedule.Finished(1, last, false, maxBackoff)
-	assert.GreaterOrEqual(t, schedule.Next(), last+maxBackoff, "it asked to stay away")
+	assert.GreaterOrEqual(t, schedule.Next(), last+maxBackoff, "the peer asked for this delay")
 	assert.Empty(t, schedule.Due(schedule.Next(), false), "no estimates are needed")
 	assert.True(t, schedule.Done(last, false))
 	assert.False(t, schedule.Done(last, true))
@@ -37,7 +37,7 @@
 	assert.Empty(t, schedule.Due(pollFor+1, true))
 }
 
-// A server with hundreds of peers must poll a few, and others in the place of those that are down.
+// A server with hundreds of peers polls a few of them, and others in place of those that are down.
 func TestPollScheduleOfALargeFleet(t *testing.T) {
 	schedule := NewPollSchedule(500, 0, 3)
 	asked := map[int]bool{}
@@ -49,7 +49,7 @@
 	}
 	for now := 2 * time.Millisecond; !schedule.Done(now, true); now += time.Millisecond {
 		due := schedule.Due(now, true)
-		require.NotEmpty(t, due, "others are asked at once")
+		require.NotEmpty(t, due, "other peers are polled at once")
 		for _, peer := range due {
 			asked[peer] = true
 			schedule.Finished(peer, now, true, 0)
--- a/estimate/schema_test.go
+++ b/estimate/schema_test.go
@@ -10,30 +10,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A peer may state anything: other settings, another's name, figures that nothing can measure. What is out of range must be
-// dropped, and nothing else; what does not fit at all must be an error.
+// A peer may send anything: other settings, another server's origin, figures that cannot have been measured. Validate
+// removes figures that are out of range and nothing else, and returns an error for a snapshot that does not fit at all.
 func TestValidate(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*Snapshot)
 		err    error
-		text   string // of the error
-		known  bool   // the first route's core time
+		text   string // text of the error
+		known  bool   // whether the first route's core time is kept
 	}{
-		{"as it is", func(*Snapshot) {}, nil, "", true},
-		{"other settings", func(s *Snapshot) { s.SettingsDigest = 8 }, ErrOtherSettings, "other terms", false},
-		{"its own", func(s *Snapshot) { s.Origin = 99 }, ErrOwnSnapshot, "own", false},
-		{"a route too few", func(s *Snapshot) { s.Routes = s.Routes[:1] }, ErrOtherRoutes, "1 routes", false},
-		{"another route", func(s *Snapshot) { s.Routes[1].Name = "x" }, ErrOtherRoutes, "route 1 is another", false},
+		{"valid", func(*Snapshot) {}, nil, "", true},
+		{"other settings", func(s *Snapshot) { s.SettingsDigest = 8 }, ErrOtherSettings, "other settings: digest", false},
+		{"own snapshot", func(s *Snapshot) { s.Origin = 99 }, ErrOwnSnapshot, "own", false},
+		{"a missing route", func(s *Snapshot) { s.Routes = s.Routes[:1] }, ErrOtherRoutes, "1 routes", false},
+		{"another route", func(s *Snapshot) { s.Routes[1].Name = "x" }, ErrOtherRoutes, "route 1 has another name", false},
 		{"not a number", func(s *Snapshot) { s.Routes[0].Core.Mean = math.NaN() }, nil, "", false},
 		{"spread not a number", func(s *Snapshot) { s.Routes[0].Core.Spread = math.NaN() }, nil, "", false},
-		{"no end", func(s *Snapshot) { s.Routes[0].Core.Mean = math.Inf(1) }, nil, "", false},
+		{"infinite", func(s *Snapshot) { s.Routes[0].Core.Mean = math.Inf(1) }, nil, "", false},
 		{"negative", func(s *Snapshot) { s.Routes[0].Core.Mean = -1 }, nil, "", false},
-		{"nothing", func(s *Snapshot) { s.Routes[0].Core.Mean = 0 }, nil, "", false},
-		{"past four deadlines", func(s *Snapshot) { s.Routes[0].Core.Mean = 8.1 }, nil, "", false},
-		{"from the future", func(s *Snapshot) { s.Routes[0].Core.Age = -1 }, nil, "", false},
-		{"of last week", func(s *Snapshot) { s.Routes[0].Core.Age = 7 * 24 * time.Hour }, nil, "", false},
-		{"more samples than can be", func(s *Snapshot) { s.Routes[0].Core.Samples = 1e12 }, nil, "", false},
+		{"zero", func(s *Snapshot) { s.Routes[0].Core.Mean = 0 }, nil, "", false},
+		{"above four deadlines", func(s *Snapshot) { s.Routes[0].Core.Mean = 8.1 }, nil, "", false},
+		{"negative age", func(s *Snapshot) { s.Routes[0].Core.Age = -1 }, nil, "", false},
+		{"a week old", func(s *Snapshot) { s.Routes[0].Core.Age = 7 * 24 * time.Hour }, nil, "", false},
+		{"too many samples", func(s *Snapshot) { s.Routes[0].Core.Samples = 1e12 }, nil, "", false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -47,13 +47,13 @@
 			}
 			require.NoError(t, err)
 			assert.Equal(t, c.known, validated.Routes[0].Core.Known())
-			assert.True(t, validated.Routes[1].Core.Known(), "the rest stays")
+			assert.True(t, validated.Routes[1].Core.Known(), "other estimates are kept")
 		})
 	}
 }
 
-// A server of thousands of routes publishes the busiest that have samples. They must come back in the order of the settings,
-// and a snapshot with a route twice, or with an unknown one, must be an error.
+// A server with thousands of routes publishes the busiest ones that have samples. Align restores the order of the
+// settings, and returns an error for a snapshot with a duplicate or an unknown route.
 func TestPublishedAndAligned(t *testing.T) {
 	const routes = 3300
 	schema, full := Schema{SettingsDigest: 7, Origin: 1}, Snapshot{Origin: 2, SettingsDigest: 7}
@@ -68,7 +68,7 @@
 	}
 	published := full.Published()
 	require.Len(t, published.Routes, MaxPublishedRoutes)
-	assert.Len(t, full.Routes, routes, "the snapshot itself stays as it was")
+	assert.Len(t, full.Routes, routes, "the original snapshot is not changed")
 	aligned, err := schema.Align(published)
 	require.NoError(t, err)
 	validated, err := schema.Validate(aligned)
@@ -80,8 +80,8 @@
 	}
 
 	for why, change := range map[string]func(s *Snapshot){
-		"not here": func(s *Snapshot) { s.Routes[3].Name = "elsewhere" },
-		"twice":    func(s *Snapshot) { s.Routes[3].Name = s.Routes[4].Name },
+		"this server lacks": func(s *Snapshot) { s.Routes[3].Name = "elsewhere" },
+		"duplicate":         func(s *Snapshot) { s.Routes[3].Name = s.Routes[4].Name },
 	} {
 		bad := full.Published()
 		change(&bad)
--- a/estimate/snapshot.go
+++ b/estimate/snapshot.go
@@ -1,10 +1,11 @@
-// Package estimate is what a server has learned of the cost of its requests and of the systems around it, and decides what
-// the estimates of another server are worth, by their age, the settings under which they were made, and those of other
-// servers. It also decides which peers are polled for estimates and how many requests of peers are served. It does no I/O and
-// reads no clock: ages are durations, because the clocks of two machines need not agree.
+// Package estimate holds what a server has measured of the cost of its requests and of the systems around it, and
+// decides how much weight the estimates of another server get: by their age, the settings under which they were made,
+// and the estimates of further servers. It also decides which peers are polled for estimates and how many requests of
+// peers are answered. It does no I/O and reads no clock: ages are durations, because the clocks of two machines need
+// not agree.
 //
-// State of the moment (the limit, the shed level, gauges, whether runs fail) is no estimate: it holds for one server's last
-// second, and a Snapshot has no place for it.
+// Current state (the in-flight limit, the shed level, gauges, whether runs fail) is not an estimate: it describes the
+// last second of one server only, so a Snapshot does not include it.
 package estimate
 
 import (
@@ -14,43 +15,43 @@
 )
 
 const (
-	// MaxPublishedRoutes is the number of routes in a snapshot for other servers: a new server needs those that carry the
-	// load, and a peer's snapshot must not fill its memory.
+	// MaxPublishedRoutes is the maximum number of routes in a snapshot for other servers. A new server needs the routes
+	// that carry the load, and a peer's snapshot must not fill its memory.
 	MaxPublishedRoutes = 256
-	// maxRoutes is the number of routes of a server whose snapshots are used.
+	// maxRoutes is the maximum number of routes in a snapshot that is used.
 	maxRoutes = 1 << 14
 )
 
-// Estimate is what was observed of one quantity.
+// Estimate summarizes the observations of one quantity.
 type Estimate struct {
 	Mean    float64       `cbor:"1,keyasint" json:"mean"`
 	Spread  float64       `cbor:"2,keyasint" json:"spread"`  // standard deviation, in the unit of the mean
-	Samples float64       `cbor:"3,keyasint" json:"samples"` // that the mean rests on
-	Age     time.Duration `cbor:"4,keyasint" json:"age"`     // of those samples, in the mean
+	Samples float64       `cbor:"3,keyasint" json:"samples"` // on which the mean is based
+	Age     time.Duration `cbor:"4,keyasint" json:"age"`     // mean age of these samples
 }
 
-// Known reports whether there are samples.
+// Known reports whether the estimate has samples.
 func (e Estimate) Known() bool { return e.Samples > 0 }
 
-// RouteEstimates is what was observed of one route.
+// RouteEstimates holds the estimates of one route.
 type RouteEstimates struct {
 	Name string   `cbor:"1,keyasint" json:"name"`
-	Core Estimate `cbor:"2,keyasint" json:"core"` // core seconds of a run
+	Core Estimate `cbor:"2,keyasint" json:"core"` // core seconds per run
 	Run  Estimate `cbor:"3,keyasint" json:"run"`  // seconds from a run's start to its end
 }
 
 func (r RouteEstimates) samples() float64 { return max(r.Core.Samples, r.Run.Samples) }
 
-// Snapshot is what one server has observed itself. It has no estimates of other servers: servers that pass on each other's
-// would take the echo of their own for confirmation.
+// Snapshot holds what one server has measured itself. It never includes estimates of other servers: if servers passed
+// these on, they would take the echo of their own estimates for confirmation.
 type Snapshot struct {
-	Origin         uint64           `cbor:"1,keyasint" json:"origin"` // of the process, drawn at its start
+	Origin         uint64           `cbor:"1,keyasint" json:"origin"` // id of the process, random at each start
 	SettingsDigest uint64           `cbor:"2,keyasint" json:"terms"`  // Digest of the settings in force
 	Routes         []RouteEstimates `cbor:"3,keyasint" json:"types"`  // in the order of the settings
-	Pace           Estimate         `cbor:"4,keyasint" json:"pace"`   // core seconds for a second of hinted work
-	Calls          Estimate         `cbor:"5,keyasint" json:"calls"`  // seconds of a call to the shared dependency
+	Pace           Estimate         `cbor:"4,keyasint" json:"pace"`   // core seconds per second of hinted work
+	Calls          Estimate         `cbor:"5,keyasint" json:"calls"`  // seconds per call to the shared dependency
 	RejectRatio    Estimate         `cbor:"6,keyasint" json:"refused"`
-	ReturnRatio    Estimate         `cbor:"7,keyasint" json:"returns"` // fraction of requests whose caller came within the idle time before
+	ReturnRatio    Estimate         `cbor:"7,keyasint" json:"returns"` // fraction of requests read within the idle timeout after another of the same router
 }
 
 // Aged returns the snapshot with a duration added to all ages.
@@ -63,7 +64,7 @@
 	return s
 }
 
-// estimates yields all estimates in place, with their kinds.
+// estimates yields pointers to all estimates of the snapshot, with their kinds.
 func (s *Snapshot) estimates() func(yield func(*Estimate, Kind) bool) {
 	return func(yield func(*Estimate, Kind) bool) {
 		for i := range s.Routes {
@@ -76,8 +77,8 @@
 	}
 }
 
-// Published returns the snapshot for other servers: only routes with samples, and of those the MaxPublishedRoutes with the
-// most.
+// Published returns the snapshot for other servers: only routes with samples, and at most the MaxPublishedRoutes with
+// the most samples.
 func (s Snapshot) Published() Snapshot {
 	known := slices.DeleteFunc(slices.Clone(s.Routes), func(r RouteEstimates) bool { return !r.Core.Known() && !r.Run.Known() })
 	if len(known) > MaxPublishedRoutes {
--- a/estimate/snapshot_test.go
+++ b/estimate/snapshot_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestMain has rapid draw the same cases every time; another seed is stated with -rapid.seed.
+// TestMain makes rapid draw the same cases in every run, unless -rapid.seed states a seed.
 func TestMain(m *testing.M) {
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
 		_ = seed.Value.Set("20261201")
--- a/estimate/weight_test.go
+++ b/estimate/weight_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An estimate that is old or claims many samples must not outweigh what a server sees itself.
+// An estimate that is old or states many samples does not outweigh a server's own measurements.
 func TestWeight(t *testing.T) {
 	e := estimateOf(1)
 	e.Age = 0
-	assert.Equal(t, maxWeight, e.Weight(CoreTime), "no claim of samples counts for more")
+	assert.Equal(t, maxWeight, e.Weight(CoreTime), "the weight of stated samples is limited")
 	e.Age = halfLives[CoreTime]
 	assert.InDelta(t, maxWeight/2, e.Weight(CoreTime), 1e-9)
 	e.Age = MaxAge(CoreTime)
