--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -1,44 +1,46 @@
-// Package reconcile decides which runs that were not reported to have ended must have ended all the same, by what the
-// worker machine reports of its load.
+// Package reconcile decides which runs must have ended although their end was not reported, by the load that the worker
+// machine reports.
 //
-// A run that was not reported to have ended may still hold a core and memory, and giving these to another run would
-// overload the machine. Time proves nothing, as a slow or hung machine holds its runs for as long as it likes. Load
-// readings do: the number of runnable processes is at least that of runnable runs, and the memory in use at least that of
-// all runs. So where the tracked runs need more of both than the machine reports, as much of them has ended.
+// A run whose end was not reported may still use a core and memory, and giving these to another run would overload the
+// machine. Elapsed time proves nothing, because a slow or hung machine may keep its runs for any time. Load readings
+// do: the number of runnable processes is at least that of runnable runs, and the memory in use is at least that of all
+// runs. So if the tracked runs need more of both than the machine reports, runs that account for the excess have ended.
 //
-// It decides only: no I/O and no clock.
+// It does no I/O and reads no clock.
 package reconcile
 
 const (
-	// minReadings is the number of consecutive readings that must prove an end. Exact readings would need one; these are
-	// rounded, and taken by another program.
+	// minReadings is the number of consecutive readings that must prove an end. One exact reading would be enough, but
+	// these are rounded and taken by another program.
 	minReadings = 3
-	// minMemoryGap is the part of a run's memory by which the tracked runs must exceed the reading, which is rounded.
+	// minMemoryGap is the fraction of a run's memory by which the tracked runs must exceed the reading, because the
+	// reading is rounded.
 	minMemoryGap = 0.5
 )
 
-// Run is a tracked run at the moment of a reading: it started before, and its end was not reported by then.
+// Run is a run that is tracked at the time of a reading: it started before the reading, and its end had not been
+// reported by then.
 type Run struct {
 	ID           string
-	MemoryKB     float64 // that it holds unless it has ended
-	Runnable     bool    // unless it has ended or waits for a disk, it is on a core or waits for one
+	MemoryKB     float64 // in use unless the run has ended
+	Runnable     bool    // on a core or waiting for one, unless the run has ended or waits for a disk
 	MayHaveEnded bool    // its end is overdue, or it is not known to have started
 }
 
-// Readings are the machine's load at a moment.
+// Readings is the load of the machine at one moment.
 type Readings struct {
-	Runnable  float64 // processes on a core or waiting for one: runs and others
+	Runnable  float64 // processes on a core or waiting for one, runs and others
 	MemoryKB  float64 // in use by all requests
-	WaitingKB float64 // lower bound of the part of MemoryKB that requests without a run hold
+	WaitingKB float64 // lower bound of the part of MemoryKB that requests without a run use
 }
 
-// Reviewer remembers which runs the latest readings proved to have ended. The zero value is ready for use.
+// Reviewer counts, for each run, the latest consecutive readings that prove its end. The zero value is ready for use.
 type Reviewer struct {
-	evidence map[string]int // consecutive readings, by run
+	evidence map[string]int // consecutive readings that prove the end, by run id
 }
 
-// Review takes a reading and the tracked runs of its moment, the oldest first, and returns the ids of those that are proven
-// to have ended. The caller must stop tracking them.
+// Review takes a reading and the runs tracked at its time, oldest first, and returns the ids of the runs that are
+// proven to have ended. The caller must stop tracking these.
 func (r *Reviewer) Review(readings Readings, tracked []Run) (ended []string) {
 	runnable, memoryKB := excess(readings, tracked)
 	evidence := map[string]int{}
@@ -60,7 +62,7 @@
 	return ended
 }
 
-// excess is by how much the tracked runs exceed the readings: in runnable runs, and in memory.
+// excess returns by how much the tracked runs exceed the readings, in runnable runs and in memory.
 func excess(readings Readings, tracked []Run) (runnable, memoryKB float64) {
 	runnable, memoryKB = -readings.Runnable, -max(readings.MemoryKB-readings.WaitingKB, 0)
 	for _, run := range tracked {
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -18,7 +18,7 @@
 	return tracked
 }
 
-// reviewRepeatedly returns what a number of equal readings proves.
+// reviewRepeatedly returns the runs that a number of equal readings prove to have ended.
 func reviewRepeatedly(times int, readings Readings, tracked []Run) (ended []string) {
 	var r Reviewer
 	for range times {
@@ -27,9 +27,9 @@
 	return ended
 }
 
-// A run may have ended without a report. It is taken to have ended only where the readings prove it, several in a row.
+// A run may have ended without a report. It counts as ended only if several consecutive readings prove it.
 func TestRunsAreOverOnlyWhereTheReadingsLeaveThemNoRoom(t *testing.T) {
-	sure := Run{ID: "sure", MemoryKB: runKB, Runnable: true}
+	sure := Run{ID: "not overdue", MemoryKB: runKB, Runnable: true}
 	atCall := Run{ID: "at call", MemoryKB: runKB, MayHaveEnded: true}
 	cases := []struct {
 		name     string
@@ -38,16 +38,16 @@
 		ended    []string
 	}{
 		{"an idle machine", Readings{}, mayHaveEnded("a", "b"), []string{"a", "b"}},
-		{"both still want a core", Readings{Runnable: 2, MemoryKB: 2 * runKB}, mayHaveEnded("a", "b"), nil},
-		{"one of two is over", Readings{Runnable: 1, MemoryKB: runKB}, mayHaveEnded("a", "b"), []string{"a"}},
-		{"off the cores, but its memory is in use: it waits for a disk", Readings{Runnable: 0, MemoryKB: runKB}, mayHaveEnded("a"), nil},
-		{"memory free, but a core is wanted", Readings{Runnable: 1}, mayHaveEnded("a"), nil},
-		{"what is held takes the memory", Readings{MemoryKB: 80, WaitingKB: 80}, mayHaveEnded("a"), []string{"a"}},
-		{"more is held than was counted", Readings{MemoryKB: 80, WaitingKB: 20}, mayHaveEnded("a"), nil},
-		{"a run that is sure is never over", Readings{}, []Run{sure}, nil},
-		{"a run that is sure takes its part of the readings", Readings{Runnable: 1, MemoryKB: runKB}, append(mayHaveEnded("a"), sure), []string{"a"}},
-		{"at a call it wants no core", Readings{Runnable: 7}, []Run{atCall}, []string{"at call"}},
-		{"readings that are rounded", Readings{Runnable: 1, MemoryKB: 1.04 * runKB}, mayHaveEnded("a", "b"), []string{"a"}},
+		{"both still use a core", Readings{Runnable: 2, MemoryKB: 2 * runKB}, mayHaveEnded("a", "b"), nil},
+		{"one of two has ended", Readings{Runnable: 1, MemoryKB: runKB}, mayHaveEnded("a", "b"), []string{"a"}},
+		{"on no core, but its memory is in use: it waits for a disk", Readings{Runnable: 0, MemoryKB: runKB}, mayHaveEnded("a"), nil},
+		{"its memory is free, but a core is in use", Readings{Runnable: 1}, mayHaveEnded("a"), nil},
+		{"the memory in use is that of waiting requests", Readings{MemoryKB: 80, WaitingKB: 80}, mayHaveEnded("a"), []string{"a"}},
+		{"waiting requests may use more than the lower bound", Readings{MemoryKB: 80, WaitingKB: 20}, mayHaveEnded("a"), nil},
+		{"a run that is not overdue never counts as ended", Readings{}, []Run{sure}, nil},
+		{"a run that is not overdue accounts for its part of the readings", Readings{Runnable: 1, MemoryKB: runKB}, append(mayHaveEnded("a"), sure), []string{"a"}},
+		{"a run that waits for a call needs no core", Readings{Runnable: 7}, []Run{atCall}, []string{"at call"}},
+		{"rounded readings", Readings{Runnable: 1, MemoryKB: 1.04 * runKB}, mayHaveEnded("a", "b"), []string{"a"}},
 	}
 	for _, c := range cases {
 		assert.Equal(t, c.ended, reviewRepeatedly(minReadings, c.readings, c.tracked), c.name)
@@ -55,7 +55,8 @@
 	}
 }
 
-// A reading that leaves room for a run comes between others that do not. The evidence against the run starts again.
+// Readings that prove the end of a run alternate with readings that do not. The count of consecutive readings restarts
+// each time.
 func TestAReadingThatLeavesRoomBeginsAnew(t *testing.T) {
 	var r Reviewer
 	for range 5 {
@@ -65,11 +66,12 @@
 		assert.Empty(t, r.Review(Readings{Runnable: 1, MemoryKB: runKB}, mayHaveEnded("a")))
 	}
 	assert.Empty(t, r.Review(Readings{}, nil))
-	assert.Empty(t, r.evidence, "a run that is not tracked any more is remembered")
+	assert.Empty(t, r.evidence, "the count of a run that is no longer tracked is kept")
 }
 
-// Machines have runs on cores and at disks, waiting requests and other work; some tracked runs have ended unseen. At least as
-// many runs stay tracked as there are, and on an idle machine no run that may have ended does.
+// Machines have runs on cores and at disks, waiting requests and other work; some tracked runs have ended without a
+// report. The number of tracked runs never falls below that of live runs, and on an idle machine no run that may have
+// ended stays tracked.
 func TestTheBooksNeverFallBelowTheMachine(t *testing.T) {
 	for seed := range int64(300) {
 		rng := rand.New(rand.NewSource(seed))
--- a/recovery/estimates.go
+++ b/recovery/estimates.go
@@ -6,7 +6,7 @@
 	"quartzpoint/estimate"
 )
 
-// chooseEstimates uses the newest snapshot that is complete, of this machine and these settings, and not too old.
+// chooseEstimates uses the newest snapshot that is complete, from this machine and these settings, and not too old.
 func (p *Plan) chooseEstimates(files []File, environment Environment) {
 	sortNewestFirst(files)
 	for _, f := range files {
@@ -22,7 +22,7 @@
 		if len(environment.Schema.Routes) == 0 {
 			continue
 		}
-		// The same validation as for a peer's estimates: what passes can be acted on.
+		// Stored estimates pass the same validation as those of peers before they are used.
 		aligned, err := environment.Schema.Align(*f.Estimates)
 		if err == nil {
 			aligned, err = environment.Schema.Validate(aligned)
@@ -40,11 +40,11 @@
 	}
 }
 
-// ShouldPersist reports whether a snapshot replaces the one persisted sincePersisted ago.
+// ShouldPersist reports whether a snapshot is to replace the persisted one, which was written sincePersisted ago.
 //
-// A cold server must not replace what the server before it left: a server that crashes soon after each start would
-// otherwise lose everything with its second start. A snapshot in which nothing is newer is not written either, as the
-// persisted one ages by itself.
+// A cold server must not replace the snapshot of its previous incarnation: a server that crashes soon after each start
+// would otherwise lose all estimates at its second start. A snapshot without newer samples is not written either,
+// because the persisted one ages by itself.
 func ShouldPersist(snapshot, persisted estimate.Snapshot, sincePersisted time.Duration) bool {
 	if snapshot.NeedsPeers() {
 		return false
--- a/recovery/keytable.go
+++ b/recovery/keytable.go
@@ -7,16 +7,18 @@
 	"time"
 )
 
-// RecordKind says what happened to the request of an idempotency key.
+// RecordKind states what happened to the request of an idempotency key.
 type RecordKind uint8
 
-// The kinds. Their values are stored. A request that started and is not known to have finished may have had its effect.
+// The kinds of records. Their values are stored. A request that started and is not known to have finished may have
+// taken effect.
 const (
 	KeyStarted  RecordKind = 1
 	KeyFinished RecordKind = 2
 )
 
-// Record is one event of an idempotency key. It stands by itself: it holds all that is known of the key.
+// Record is one event of an idempotency key. It holds all that is known of the key, so it does not depend on other
+// records.
 type Record struct {
 	Sequence    uint64        `cbor:"-" json:"seq"`
 	Kind        RecordKind    `cbor:"1,keyasint" json:"kind"`
@@ -28,8 +30,8 @@
 	Result      []byte        `cbor:"7,keyasint,omitempty" json:"result,omitempty"`
 }
 
-// KeyEntry is what is known of an idempotency key. A repeat of a key that is not Served is aborted and not run: the
-// original started, so it may have had its effect.
+// KeyEntry holds what is known of an idempotency key. A repeat of a key that is not Served is aborted and not run: the
+// original started, so it may have taken effect.
 type KeyEntry struct {
 	Key         string
 	Fingerprint uint64        // of the request's content
@@ -38,7 +40,7 @@
 	Result      []byte
 }
 
-// entryOverheadBytes bounds what an entry takes on disk beside its key and result, its frame included.
+// entryOverheadBytes is an upper bound of an entry's size on disk without its key and result; it includes the frame.
 const entryOverheadBytes = 64
 
 // KeyTable is the table of idempotency keys. It is not safe for concurrent use.
@@ -50,7 +52,7 @@
 // NewKeyTable returns an empty table.
 func NewKeyTable() *KeyTable { return &KeyTable{entries: map[string]KeyEntry{}} }
 
-// Put stores an entry in place of the one with the same key.
+// Put stores an entry, which replaces any other with the same key.
 func (t *KeyTable) Put(entry KeyEntry) {
 	t.remove(entry.Key)
 	t.entries[entry.Key] = entry
@@ -66,7 +68,7 @@
 
 func entrySize(entry KeyEntry) int { return entryOverheadBytes + len(entry.Key) + len(entry.Result) }
 
-// Get returns the entry of a key.
+// Get returns the entry of a key, and whether there is one.
 func (t *KeyTable) Get(key string) (entry KeyEntry, known bool) {
 	entry, known = t.entries[key]
 	return entry, known
@@ -84,7 +86,7 @@
 // Len returns the number of entries.
 func (t *KeyTable) Len() int { return len(t.entries) }
 
-// SizeBytes returns about what the entries take, on disk or in memory.
+// SizeBytes returns the approximate size of the entries, on disk or in memory.
 func (t *KeyTable) SizeBytes() int { return t.sizeBytes }
 
 // Entries returns all entries, sorted by key.
@@ -92,11 +94,11 @@
 	return slices.SortedFunc(maps.Values(t.entries), func(a, b KeyEntry) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// apply stores what a record says. fileAge is the least time that has passed since the record's file was created. An
-// unverified record may stand behind others that are lost: only that the request started is taken from it.
+// apply stores the content of a record. fileAge is the minimum time since the record's file was created. Of an
+// unverified record, which may follow others that are lost, only the fact that the request started is used.
 func (t *KeyTable) apply(r Record, fileAge, now time.Duration, unverified bool) {
-	// The window counts as run down only as far as the clocks prove: a key is then kept for longer than was promised,
-	// and never for shorter. A file can hold more time than has passed for certain, hence the min.
+	// The window is shortened only by the time that the clocks prove to have passed: a key may be kept for longer than
+	// promised, but never for less. A record's Elapsed can exceed fileAge, hence the min.
 	remaining := min(r.Remaining, r.Remaining-(fileAge-r.Elapsed))
 	entry := KeyEntry{Key: r.Key, Fingerprint: r.Fingerprint, ExpiresAt: now + remaining}
 	if r.Kind == KeyFinished && !unverified {
--- a/recovery/plan.go
+++ b/recovery/plan.go
@@ -1,6 +1,6 @@
-// Package recovery decides which of the state that a server left on disk is used after a start: which files, up to
-// which byte, how old their contents count as, and what becomes of idempotency keys whose requests started and are not
-// known to have finished. It does no I/O and reads no clock: package internal/store reads and writes the files.
+// Package recovery decides which of the state that a server left on disk is used after a restart: which files, up to
+// which byte, at which age, and how idempotency keys are treated whose requests started and are not known to have
+// finished. It does no I/O and reads no clock: package internal/store reads and writes the files.
 package recovery
 
 import (
@@ -11,38 +11,38 @@
 	"quartzpoint/estimate"
 )
 
-// Environment is what the starting server knows for certain.
+// Environment describes the server that starts.
 type Environment struct {
 	Now    Timestamp
 	Site   string
-	Schema estimate.Schema // of the estimates that fit; its zero value if no estimates are wanted
+	Schema estimate.Schema // required of estimates; its zero value if none are wanted
 }
 
-// Quarantined names data that was not used and is kept for inspection: a whole file, or its bytes from FromByte on.
+// Quarantined names data that is not used but kept for inspection: a whole file, or its bytes from FromByte on.
 type Quarantined struct {
 	Name     string
 	FromByte int64 // 0 for the whole file
 }
 
-// Finding says why a file, or a part of it, was not used.
+// Finding states why a file, or a part of it, is not used.
 type Finding struct {
 	File   string `json:"Name"`
 	Reason string `json:"Why"`
 }
 
-// Plan says what a start uses of the files it found, and what becomes of the rest.
+// Plan states what a start uses of the files that it found, and which data is quarantined.
 type Plan struct {
-	Estimates     estimate.Snapshot // aged to now; without a fresh one (HasFresh) if none are used
+	Estimates     estimate.Snapshot // aged to now; without a fresh estimate (HasFresh) if none are used
 	EstimatesFrom string            // name of their file
 	Keys          *KeyTable
-	UnservedKeys  int    // of requests that started and are not known to have been served; their duplicates are aborted
-	NextSequence  uint64 // of the next record: above every sequence number that was ever seen
+	UnservedKeys  int    // keys whose requests started and are not known to have been served; their repeats are aborted
+	NextSequence  uint64 // of the next record: above all sequence numbers found
 	NextEstimates uint64 // sequence number of the next EstimatesFile
 	Quarantine    []Quarantined
 	Findings      []Finding
 }
 
-// NewPlan decides what is used of the files. The result does not depend on their order.
+// NewPlan decides which parts of the files are used. The result does not depend on the order of the files.
 func NewPlan(files []File, environment Environment) Plan {
 	p := Plan{Keys: NewKeyTable(), NextSequence: 1, NextEstimates: 1}
 	var estimates, tables, logs []File
@@ -64,7 +64,7 @@
 			logs = append(logs, f)
 			p.NextSequence = max(p.NextSequence, nextSequence(f))
 		default:
-			p.reject(f.Name, "content unknown")
+			p.reject(f.Name, "unknown content type")
 		}
 	}
 	p.chooseEstimates(estimates, environment)
@@ -72,7 +72,7 @@
 	return p
 }
 
-// admit migrates a file and checks that it is of this site.
+// admit migrates a file and returns an error if it cannot be used or belongs to another site.
 func admit(f *File, site string) error {
 	if f.Err != nil {
 		return f.Err
@@ -81,12 +81,12 @@
 		return err
 	}
 	if f.Header.Site != site {
-		return fmt.Errorf("of site %q, and this is %q", f.Header.Site, site)
+		return fmt.Errorf("file of site %q, want %q", f.Header.Site, site)
 	}
 	return nil
 }
 
-// nextSequence returns the first sequence number above all that a log holds.
+// nextSequence returns the sequence number after all those of a log's records, or the log's own if it has none.
 func nextSequence(log File) uint64 {
 	next := log.Header.Sequence
 	for _, r := range log.Salvaged {
@@ -102,7 +102,7 @@
 	p.Findings = append(p.Findings, Finding{File: name, Reason: reason})
 }
 
-// reject has a whole file quarantined.
+// reject quarantines a whole file.
 func (p *Plan) reject(name, reason string) {
 	p.addFinding(name, reason)
 	p.Quarantine = append(p.Quarantine, Quarantined{Name: name})
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -14,7 +14,7 @@
 	"quartzpoint/estimate"
 )
 
-// TestMain fixes the seed of the drawn cases, unless -rapid.seed sets another.
+// TestMain makes rapid draw the same cases in every run, unless -rapid.seed states a seed.
 func TestMain(m *testing.M) {
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
 		_ = seed.Value.Set("20261201")
@@ -38,17 +38,17 @@
 		then           Timestamp
 		minAge, maxAge time.Duration
 	}{
-		{"one boot", before(time.Minute, time.Minute), time.Minute, time.Minute},
+		{"same boot", before(time.Minute, time.Minute), time.Minute, time.Minute},
 		{"wall clock set forward", before(time.Hour, time.Minute), time.Minute, time.Hour},
 		{"wall clock set back a little", before(time.Second, time.Minute), time.Minute, time.Minute},
-		{"a file from the future, or set back past it", before(-time.Second, time.Minute), time.Minute, MaxUndatedAge},
-		{"the boot's clock ran backwards", before(time.Minute, -time.Second), 0, MaxUndatedAge},
-		{"the boot before", other(before(time.Minute, 0), "a", 7), now.SinceBoot, now.SinceBoot},
-		{"many boots before", other(before(400*time.Hour, 0), "a", 7), now.SinceBoot, 400 * time.Hour},
+		{"timestamp in the future, or wall clock set back before it", before(-time.Second, time.Minute), time.Minute, MaxUndatedAge},
+		{"boot clock ran backwards", before(time.Minute, -time.Second), 0, MaxUndatedAge},
+		{"previous boot", other(before(time.Minute, 0), "a", 7), now.SinceBoot, now.SinceBoot},
+		{"many boots ago", other(before(400*time.Hour, 0), "a", 7), now.SinceBoot, 400 * time.Hour},
 		{"another machine", other(before(time.Minute, time.Minute), "b", 8), 0, time.Minute},
-		{"machine not known", other(before(time.Minute, time.Minute), "b", 0), 0, time.Minute},
-		{"boot not known", other(before(time.Minute, time.Minute), "", 7), 0, time.Minute},
-		{"nothing known", Timestamp{}, 0, MaxUndatedAge},
+		{"unknown machine", other(before(time.Minute, time.Minute), "b", 0), 0, time.Minute},
+		{"unknown boot", other(before(time.Minute, time.Minute), "", 7), 0, time.Minute},
+		{"empty timestamp", Timestamp{}, 0, MaxUndatedAge},
 	}
 	for _, c := range cases {
 		minAge, maxAge := Age(c.then, now)
@@ -57,7 +57,8 @@
 	}
 }
 
-// However the wall clock was set, minAge is never more than the time that has passed. Within one boot maxAge is never less.
+// Whatever the wall clock is set to, minAge never exceeds the time that has passed. Within one boot, maxAge is never
+// less than that time.
 func TestAgeBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		passed := time.Duration(rapid.Int64Range(0, int64(90*time.Hour)).Draw(t, "passed"))
@@ -65,7 +66,7 @@
 		then := before(passed+step, passed)
 		reboot := rapid.Bool().Draw(t, "reboot")
 		later := now
-		if reboot { // at any time between
+		if reboot { // at any time since then
 			later.BootID, later.SinceBoot = "c", time.Duration(rapid.Int64Range(0, int64(passed)).Draw(t, "up"))
 		}
 		minAge, maxAge := Age(then, later)
@@ -97,19 +98,19 @@
 	cases := []struct {
 		name   string
 		files  []File
-		mean   float64 // 0 for none
+		mean   float64 // 0 if no estimates are used
 		reason string
 	}{
-		{"none", nil, 0, ""},
-		{"the newest", []File{estimatesFile(1, 0.1, recent), estimatesFile(2, 0.2, recent)}, 0.2, ""},
-		{"the newest is not whole", []File{estimatesFile(1, 0.1, recent), with(estimatesFile(2, 0.2, recent), func(f *File) { f.Complete, f.Estimates = false, nil })}, 0.1, "not whole"},
+		{"no files", nil, 0, ""},
+		{"the newest is used", []File{estimatesFile(1, 0.1, recent), estimatesFile(2, 0.2, recent)}, 0.2, ""},
+		{"the newest is incomplete", []File{estimatesFile(1, 0.1, recent), with(estimatesFile(2, 0.2, recent), func(f *File) { f.Complete, f.Estimates = false, nil })}, 0.1, "not whole"},
 		{"old", []File{estimatesFile(1, 0.1, old)}, 0, "old"},
-		{"from the future", []File{estimatesFile(1, 0.1, before(-time.Minute, time.Second))}, 0, "old"},
-		{"of another site", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.Site = "x" })}, 0, `of site "x", and this is "s"`},
+		{"timestamp in the future", []File{estimatesFile(1, 0.1, before(-time.Minute, time.Second))}, 0, "old"},
+		{"of another site", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.Site = "x" })}, 0, `file of site "x", want "s"`},
 		{"of another machine", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.CreatedAt.MachineID = 8 })}, 0, "of another machine"},
-		{"of other terms", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Estimates.SettingsDigest = 8 })}, 0, "other terms"},
-		{"of a newer version, and one known", []File{estimatesFile(1, 0.1, recent), with(estimatesFile(2, 0.2, recent), func(f *File) { f.Header.Version = FormatVersion + 1 })}, 0.1, "version 3, and 2 at the most is known here"},
-		{"of a version that never was", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.Version = 0 })}, 0, "version 0, from which no step leads here"},
+		{"made under other settings", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Estimates.SettingsDigest = 8 })}, 0, "other settings: digest"},
+		{"of a newer version, with an older supported file", []File{estimatesFile(1, 0.1, recent), with(estimatesFile(2, 0.2, recent), func(f *File) { f.Header.Version = FormatVersion + 1 })}, 0.1, "version 3 is newer than version 2, the newest supported"},
+		{"of a version that never existed", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.Version = 0 })}, 0, "no migration from version 0"},
 		{"of version 1", []File{with(estimatesFile(1, 0.1, recent), func(f *File) {
 			f.Header.Version, f.Header.CreatedAt, f.Header.LegacyWall = 1, Timestamp{}, int64(recent.Wall)
 		})}, 0.1, ""},
@@ -168,19 +169,19 @@
 	cases := []struct {
 		name        string
 		files       []File
-		want        map[string]string // results by key; "?" if the outcome is not known
+		want        map[string]string // results by key; "?" if the outcome is unknown
 		next        uint64
 		quarantined int
 	}{
-		{"begun and ended", []File{logFile(1, true, started("a"), started("b"), finished("a", "1"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
-		{"a snapshot and what came after it", []File{tableFile(2, finished("a", "1")), logFile(1, true, started("a"), started("x"), started("b"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
+		{"started and finished", []File{logFile(1, true, started("a"), started("b"), finished("a", "1"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
+		{"a snapshot and later records", []File{tableFile(2, finished("a", "1")), logFile(1, true, started("a"), started("x"), started("b"))}, map[string]string{"a": "1", "b": "?"}, 4, 0},
 		{"two logs", []File{logFile(3, true, finished("b", "2")), logFile(1, true, started("a"), started("b"))}, map[string]string{"a": "?", "b": "2"}, 4, 0},
-		{"a torn end", []File{damaged(logFile(1, false, started("a")))}, map[string]string{"a": "?"}, 2, 1},
-		{"behind what is torn only that something began is taken", []File{damaged(logFile(1, false, started("a")), at(3, finished("a", "no")), at(4, started("c")))}, map[string]string{"a": "?", "c": "?"}, 5, 1},
-		{"so with a whole log behind a torn one", []File{damaged(logFile(1, false, started("a"))), logFile(3, true, finished("a", "no"), finished("d", "no"))}, map[string]string{"a": "?", "d": "?"}, 5, 1},
+		{"a log with a damaged end", []File{damaged(logFile(1, false, started("a")))}, map[string]string{"a": "?"}, 2, 1},
+		{"of records after damage only the start is used", []File{damaged(logFile(1, false, started("a")), at(3, finished("a", "no")), at(4, started("c")))}, map[string]string{"a": "?", "c": "?"}, 5, 1},
+		{"the same for an undamaged log after a damaged one", []File{damaged(logFile(1, false, started("a"))), logFile(3, true, finished("a", "no"), finished("d", "no"))}, map[string]string{"a": "?", "d": "?"}, 5, 1},
 		{"a log in between is missing", []File{logFile(1, true, finished("a", "1")), logFile(5, true, finished("e", "no"))}, map[string]string{"a": "1", "e": "?"}, 6, 0},
 		{"the newest snapshot is damaged", []File{damagedTable, tableFile(2, finished("a", "1")), logFile(3, true, started("b"), finished("b", "2")), logFile(5, true, started("c"))}, map[string]string{"a": "1", "b": "2", "c": "?"}, 6, 1},
-		{"no snapshot, and the first logs are gone", []File{logFile(9, true, started("a"), finished("a", "1"))}, map[string]string{"a": "1"}, 11, 0},
+		{"no snapshot, and the first logs are missing", []File{logFile(9, true, started("a"), finished("a", "1"))}, map[string]string{"a": "1"}, 11, 0},
 		{"an empty log", []File{tableFile(3, finished("a", "1")), logFile(4, true)}, map[string]string{"a": "1"}, 4, 0},
 	}
 	for _, c := range cases {
@@ -211,12 +212,12 @@
 	}{
 		{"a minute ago", before(time.Minute, time.Minute), 0, 59 * time.Minute},
 		{"late in its file", before(time.Minute, time.Minute), 50 * time.Second, 59*time.Minute + 50*time.Second},
-		{"over", before(time.Hour, time.Hour), 0, 0},
-		{"over by a wall clock that was set", before(time.Hour, time.Minute), 0, 59 * time.Minute},
+		{"expired", before(time.Hour, time.Hour), 0, 0},
+		{"expired only by a wall clock that was set forward", before(time.Hour, time.Minute), 0, 59 * time.Minute},
 		{"a wall clock that was set back", before(-time.Hour, time.Minute), 0, 59 * time.Minute},
-		{"on another machine nothing is sure", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 9}, 0, time.Hour},
-		{"before a boot long ago", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 7}, 0, 0},
-		{"longer in its file than has passed for sure", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 9}, time.Hour, time.Hour},
+		{"no time is certain on another machine", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 9}, 0, time.Hour},
+		{"before a reboot long ago", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 7}, 0, 0},
+		{"recorded later in its file than the time that is certain to have passed", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 9}, time.Hour, time.Hour},
 	}
 	for _, c := range cases {
 		f := logFile(1, true, started("a"))
@@ -232,8 +233,8 @@
 	warm, cold := *snapshotOf(0.1), *snapshotOf(0.1)
 	cold.Routes[0].Core.Samples = 2
 	assert.True(t, ShouldPersist(warm, estimate.Snapshot{}, 0))
-	assert.False(t, ShouldPersist(cold, estimate.Snapshot{}, 0), "what the one before left is worth more")
-	assert.False(t, ShouldPersist(warm.Aged(time.Second), warm, time.Second), "nothing was seen since")
+	assert.False(t, ShouldPersist(cold, estimate.Snapshot{}, 0), "a cold server keeps the snapshot of its previous incarnation")
+	assert.False(t, ShouldPersist(warm.Aged(time.Second), warm, time.Second), "no newer samples")
 	assert.True(t, ShouldPersist(warm.Aged(time.Second/2), warm, time.Second))
 }
 
--- a/recovery/replay.go
+++ b/recovery/replay.go
@@ -9,14 +9,14 @@
 type keyReplay struct {
 	plan         *Plan
 	now          Timestamp
-	lastSequence uint64 // last record up to which nothing is missing
+	lastSequence uint64 // last record before the first gap
 	haveTable    bool
-	gap          bool // a record is missing or damaged: those behind it are unverified
+	gap          bool // a record is missing or damaged: later ones are unverified
 }
 
-// replayKeys makes the key table from the newest complete snapshot and the records behind it, up to the first that is
-// missing or damaged. Of the records behind such a gap only one thing is used: that a request started. That can only
-// prevent a second run; a result from there may be outdated, so it is not used.
+// replayKeys builds the key table from the newest complete snapshot and the records after it, up to the first that is
+// missing or damaged. Of the records after such a gap only the fact that a request started is used: it can only prevent
+// a second run, whereas a result from there may be outdated.
 func (p *Plan) replayKeys(tables, logs []File, now Timestamp) {
 	r := keyReplay{plan: p, now: now}
 	r.loadTable(tables)
@@ -41,7 +41,7 @@
 	}
 }
 
-// loadTable starts from the newest snapshot that is complete.
+// loadTable loads the newest complete snapshot and rejects incomplete ones.
 func (r *keyReplay) loadTable(tables []File) {
 	sortNewestFirst(tables)
 	for _, f := range tables {
--- a/wallclock/stamp.go
+++ b/wallclock/stamp.go
@@ -1,11 +1,12 @@
 // Package wallclock maps timestamps of a wall clock, which may be stepped, to a monotonic clock.
 //
-// A timestamp was written by this machine's wall clock, before or after a step, or by one whose steps this process does not
-// see. Each offset between the two clocks that was seen lately explains it as some moment; of those, the latest that is
-// not in the future is taken. Where no offset explains it, it is taken as written now, and its offset is remembered. A
-// process that was merely stopped reads old timestamps too: its offset has not changed, so they stay old.
+// A timestamp was written by this machine's wall clock, before or after a step, or by a clock whose steps this process
+// does not see. Each recently seen offset between the two clocks maps it to a moment; of these moments, the latest that
+// is neither in the future nor too old is used. If there is none, the timestamp is taken as written now, and its offset
+// is kept. A process that was only suspended reads old timestamps, too: its offset has not changed, so they keep their
+// age.
 //
-// It decides only: no I/O and no clock. All moments are durations since any fixed origin.
+// It does no I/O and reads no clock. All moments are durations since any fixed origin.
 package wallclock
 
 import (
@@ -14,20 +15,21 @@
 )
 
 const (
-	maxAge     = 10 * time.Minute       // of a timestamp when it is read; an older one was written at another offset
-	rounding   = 5 * time.Millisecond   // by which a timestamp may be ahead of the clock
-	minStep    = 100 * time.Millisecond // of the wall clock; less is drift, which its offset follows
-	maxStep    = 2 * time.Hour          // of the wall clock: a change of the hour, twice
-	maxOffsets = 8                      // remembered of each kind
+	maxAge     = 10 * time.Minute       // maximum age of a timestamp when it is read; an older one is taken as written at another offset
+	rounding   = 5 * time.Millisecond   // maximum by which a timestamp may be ahead of the clock
+	minStep    = 100 * time.Millisecond // minimum step of the wall clock; a smaller change is drift and updates the latest offset
+	maxStep    = 2 * time.Hour          // maximum step of the wall clock: two daylight saving changes
+	maxOffsets = 8                      // maximum number of offsets kept of each kind
 )
 
-// Mapper maps timestamps. The zero value is ready for use.
+// Mapper maps timestamps to the monotonic clock. The zero value is ready for use.
 type Mapper struct {
 	observed []time.Duration // offsets of this process's wall clock, newest last
-	learned  []time.Duration // offsets of timestamps that no other explained, newest last
+	learned  []time.Duration // offsets of timestamps to which no known offset applied, newest last
 }
 
-// Observe takes the offset by which this process's wall clock is ahead of the monotonic clock. To be called now and then.
+// Observe records the offset by which this process's wall clock is ahead of the monotonic clock. It must be called
+// regularly.
 func (m *Mapper) Observe(offset time.Duration) {
 	if last := len(m.observed) - 1; last >= 0 && (offset-m.observed[last]).Abs() < minStep {
 		m.observed[last] = offset
@@ -36,10 +38,10 @@
 	m.observed = remember(m.observed, offset)
 }
 
-// Plausible reports whether a stepped clock may have written a timestamp, when this process's wall clock shows wall.
+// Plausible reports whether a timestamp may come from a stepped clock, given that this process's wall clock reads wall.
 func Plausible(timestamp, wall time.Duration) bool { return (wall - timestamp).Abs() <= maxStep }
 
-// Arrival is the moment of a timestamp by the monotonic clock; it is not after now.
+// Arrival returns the moment of a timestamp by the monotonic clock. It is never after now.
 func (m *Mapper) Arrival(timestamp, now time.Duration) time.Duration {
 	latest, found := time.Duration(0), false
 	for _, offsets := range [][]time.Duration{m.observed, m.learned} {
@@ -51,14 +53,14 @@
 			latest, found = moment, true
 		}
 	}
-	if !found { // as of now: a wrong clock must not let its request miss its deadline at once
+	if !found { // taken as written now: a wrong clock must not make its request miss its deadline at once
 		m.learned = remember(m.learned, timestamp-now)
 		return now
 	}
 	return min(latest, now)
 }
 
-// remember appends the newest offset, and drops the oldest where there are too many.
+// remember appends the newest offset, and removes the oldest if there are too many.
 func remember(offsets []time.Duration, newest time.Duration) []time.Duration {
 	offsets = slices.DeleteFunc(offsets, func(o time.Duration) bool { return o == newest })
 	if len(offsets) >= maxOffsets {
--- a/wallclock/stamp_test.go
+++ b/wallclock/stamp_test.go
@@ -12,7 +12,8 @@
 	now = 100 * time.Hour // by the monotonic clock
 )
 
-// stepped is a mapper of a process that saw its wall clock step, in turn, by steps.
+// stepped returns the mapper of a process whose wall clock was stepped by each of steps in turn, and the resulting
+// offset.
 func stepped(steps ...time.Duration) (m *Mapper, wallAhead time.Duration) {
 	m = &Mapper{}
 	m.Observe(0)
@@ -23,19 +24,20 @@
 	return m, wallAhead
 }
 
-// The wall clock steps. Timestamps from before and from after the step are mapped to the moment at which they were written.
+// The wall clock is stepped. Timestamps from before and after the step are mapped to the moment at which they were
+// written.
 func TestArrivalsAcrossSteps(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
-		for name, stamped := range map[string]time.Duration{"before the step": 0, "after it": step} {
+		for name, stamped := range map[string]time.Duration{"before the step": 0, "after the step": step} {
 			m, _ := stepped(step)
 			for _, age := range []time.Duration{0, 30 * ms, 700 * ms} {
-				assert.Equal(t, now-age, m.Arrival(now+stamped-age, now), "%v, stamped %s, %v old", step, name, age)
+				assert.Equal(t, now-age, m.Arrival(now+stamped-age, now), "step %v, timestamp written %s, %v old", step, name, age)
 			}
 		}
 	}
 }
 
-// The process was stopped for a while and reads timestamps late. They keep their age.
+// The process was suspended for a while and reads timestamps late. They keep their age.
 func TestAProcessThatWasStoppedReadsOldStamps(t *testing.T) {
 	m, _ := stepped()
 	assert.Equal(t, now-3*time.Second, m.Arrival(now-3*time.Second, now))
@@ -43,15 +45,15 @@
 	assert.Equal(t, now-3*time.Second, m.Arrival(now+ahead-3*time.Second, now))
 }
 
-// Only the writers' clock stepped, or this process started after the step. The first timestamp is taken as of now, and the
-// others by its offset.
+// Only the clock of the writer was stepped, or this process started after the step. The first timestamp is taken as
+// written now, and later ones are mapped by its offset.
 func TestOffsetsThatTheProcessDoesNotSee(t *testing.T) {
 	for _, offset := range []time.Duration{2 * time.Second, time.Hour, -time.Hour} {
 		m, _ := stepped()
 		assert.Equal(t, now, m.Arrival(now+offset, now))
 		later := now + time.Minute
 		assert.Equal(t, later-40*ms, m.Arrival(later+offset-40*ms, later))
-		assert.Equal(t, later-40*ms, m.Arrival(later-40*ms, later), "stamps of the old clock are still read right")
+		assert.Equal(t, later-40*ms, m.Arrival(later-40*ms, later), "timestamps of the clock before its step are still mapped correctly")
 	}
 }
 
@@ -76,7 +78,8 @@
 	assert.Empty(t, m.learned)
 }
 
-// A client invents timestamps. They do not move the arrival of any other, and are remembered up to a bound.
+// A client sends invented timestamps. They do not change the arrival of any other, and only a bounded number of their
+// offsets is kept.
 func TestInventedStampsHarmNobody(t *testing.T) {
 	m, _ := stepped(2 * time.Second)
 	for i := range 100 {
