--- a/budget/attempts.go
+++ b/budget/attempts.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// maxRetryDelay bounds the delay of a retry, which is uniform from 0 (full jitter).
+// maxRetryDelay is the upper bound of the delay before a retry, which is drawn uniformly from 0 (full jitter).
 const maxRetryDelay = 40 * time.Millisecond
 
-// startCall sends a call's first attempt, or queues it for a slot, or settles it where time or the breaker forbid it.
+// startCall sends a call's first attempt, queues it if no slot is free, or settles it if the time left or the breaker
+// rules it out.
 func (s *Scheduler) startCall(execution *Execution, call int, now time.Duration) {
 	state, c := &execution.calls[call], &execution.plan.Calls[call]
 	d := s.dependencies[c.Dependency]
@@ -27,7 +28,7 @@
 	}
 }
 
-// send sends the next attempt of a call, for which a slot was taken.
+// send sends the next attempt of a call. Its slot must have been taken before.
 func (s *Scheduler) send(execution *Execution, call int, now time.Duration) {
 	state, c := &execution.calls[call], &execution.plan.Calls[call]
 	d := s.dependencies[c.Dependency]
@@ -46,8 +47,9 @@
 	s.executor.Send(execution, call, attempt, max(state.deadline-now, 0))
 }
 
-// scheduleRetry sets the timer of a retry where plan, effect, time and retry tokens allow one. The effect is checked
-// although Validate rejects plans that retry an AtMostOnce call: sending one twice can't be undone.
+// scheduleRetry sets the timer of a retry if plan, effect, time and retry tokens allow one, and reports whether they
+// do. The effect is checked although Validate rejects plans that retry an AtMostOnce call, because sending one twice
+// cannot be undone.
 func (s *Scheduler) scheduleRetry(execution *Execution, call int, now time.Duration) bool {
 	state, c := &execution.calls[call], &execution.plan.Calls[call]
 	d := s.dependencies[c.Dependency]
@@ -61,7 +63,8 @@
 	return true
 }
 
-// retry sends a scheduled retry. It does not queue: there is no time for that.
+// retry sends a scheduled retry, or settles the call if no slot is free. It does not queue, because too little time is
+// left.
 func (s *Scheduler) retry(execution *Execution, call int, now time.Duration) {
 	execution.calls[call].retryOrHedgeAt = 0
 	if admitted, _ := s.dependencies[execution.plan.Calls[call].Dependency].Admit(now); admitted {
@@ -71,7 +74,7 @@
 	}
 }
 
-// hedge sends a second attempt beside a slow first one, where a slot and a retry token are free.
+// hedge sends a second attempt in parallel with a slow first one if a slot and a retry token are available.
 func (s *Scheduler) hedge(execution *Execution, call int, now time.Duration) {
 	state, c := &execution.calls[call], &execution.plan.Calls[call]
 	d := s.dependencies[c.Dependency]
@@ -84,7 +87,7 @@
 	}
 }
 
-// cancelAttempts cancels the attempts of a call that are in flight.
+// cancelAttempts cancels the attempts of a call that are in flight. If timedOut is set, they count as lost.
 func (s *Scheduler) cancelAttempts(execution *Execution, call int, timedOut bool, now time.Duration) {
 	state := &execution.calls[call]
 	for attempt := range state.inFlight {
@@ -96,7 +99,7 @@
 	}
 }
 
-// failedStatus is that of a call whose attempts ended without success.
+// failedStatus returns the status of a call whose attempts ended without success.
 func failedStatus(c *Call, outcome Outcome) PartStatus {
 	if c.Effect == AtMostOnce && outcome == Lost {
 		return EffectUnknown
@@ -104,7 +107,7 @@
 	return CallFailed
 }
 
-// timedOutStatus is that of a call whose attempts were cancelled at its deadline.
+// timedOutStatus returns the status of a call whose attempts were cancelled at its deadline.
 func timedOutStatus(c *Call) PartStatus {
 	if c.Effect == AtMostOnce {
 		return EffectUnknown
--- a/budget/bench_test.go
+++ b/budget/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// discardExecutor keeps the last execution alone.
+// discardExecutor discards all decisions but keeps the latest execution.
 type discardExecutor struct{ last *Execution }
 
 func (d *discardExecutor) Send(execution *Execution, _, _ int, _ time.Duration) { d.last = execution }
@@ -13,7 +13,7 @@
 func (*discardExecutor) Fallback(*Execution, int) bool                          { return false }
 func (*discardExecutor) Finish(*Execution, Verdict)                             {}
 
-// BenchmarkCall measures the decisions of one request of three calls: its start, and three ends.
+// BenchmarkCall measures the decisions on one request of three calls: its start, and the ends of the calls.
 func BenchmarkCall(b *testing.B) {
 	executor := &discardExecutor{}
 	deps := []*Dependency{NewDependency(testOptions(100), 1)}
--- a/budget/breaker.go
+++ b/budget/breaker.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	minBreakerCalls        = 5   // recent calls from which the breaker judges by their failure ratio
-	breakerFailureRatio    = 0.5 // of recent calls, over which the breaker opens
+	minBreakerCalls        = 5   // minimum number of recent calls for which the failure ratio is judged
+	breakerFailureRatio    = 0.5 // ratio of recent calls that failed above which the breaker opens
 	maxConsecutiveFailures = 2 * minBreakerCalls
-	minOpenDuration        = 100 * time.Millisecond // doubles each time in a row
+	minOpenDuration        = 100 * time.Millisecond // doubles each time that the breaker opens again without having closed
 	maxOpenDuration        = 500 * time.Millisecond
 	minProbeTimeout        = 50 * time.Millisecond // after which another probe may be sent
-	probesToClose          = 2                     // that must succeed in a row
-	slowStartRatio         = 0.5                   // of its former limit that a recovered dependency starts with
+	probesToClose          = 2                     // consecutive successful probes after which the breaker closes
+	slowStartRatio         = 0.5                   // fraction of its former limit with which a recovered dependency starts
 )
 
-// BreakerState says whether calls are sent to a dependency.
+// BreakerState states whether calls are sent to a dependency.
 type BreakerState int
 
 // The states of a breaker.
 const (
 	Closed   BreakerState = iota // calls are sent
-	Open                         // none are sent
+	Open                         // no calls are sent
 	HalfOpen                     // one probe at a time is sent
 )
 
-// String is the name that State and logs use.
+// String returns the name that State and logs use.
 func (b BreakerState) String() string { return [...]string{"closed", "open", "half-open"}[b] }
 
-// updateBreaker moves the breaker and slow start by the outcome of a call.
+// updateBreaker updates the breaker and slow start after a call has ended.
 func (d *Dependency) updateBreaker(outcome Outcome, took, now time.Duration) {
 	switch d.breaker {
 	case HalfOpen:
@@ -44,18 +44,18 @@
 		if recent.calls >= minBreakerCalls && recent.failed > breakerFailureRatio*recent.calls ||
 			d.consecutiveFailures >= maxConsecutiveFailures {
 			d.openBreaker(now, 0)
-		} else if d.slowStartTarget > 0 && outcome == Succeeded { // slow start: one slot more for each success
+		} else if d.slowStartTarget > 0 && outcome == Succeeded { // slow start: each success adds one slot
 			if d.limit++; d.limit >= d.slowStartTarget {
 				d.slowStartTarget = 0
 			}
 			d.clampLimit()
 		}
-	case Open: // a call from before it opened: it says nothing new
+	case Open: // the call was sent before the breaker opened and adds no information
 	}
 }
 
-// openBreaker keeps calls away for a time that doubles each time in a row, with jitter, so that servers do not return
-// to a recovering dependency together. The time that a failed probe took counts towards it.
+// openBreaker stops calls for a time that doubles each time in a row, with jitter so that servers do not return to a
+// recovering dependency all at once. The duration of a failed probe counts towards that time.
 func (d *Dependency) openBreaker(now, probeTook time.Duration) {
 	if d.breaker == Closed {
 		d.slowStartTarget = d.limit
@@ -66,8 +66,8 @@
 	d.openDuration = min(2*d.openDuration, maxOpenDuration)
 }
 
-// closeBreaker lets calls through again, in a slow start. Counts from before it opened are dropped: they say nothing of
-// the dependency as it is now.
+// closeBreaker admits calls again, in a slow start. Counts from before are dropped, because they do not describe the
+// recovered dependency.
 func (d *Dependency) closeBreaker(now time.Duration) {
 	d.breaker, d.consecutiveFailures, d.openDuration = Closed, 0, minOpenDuration
 	d.recent = [bucketCount]callBucket{}
--- a/budget/deadline.go
+++ b/budget/deadline.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	optionalTimeoutFactor = 4  // times its configured duration that an optional call may take
-	requiredTimeoutFactor = 12 // times its expected duration that a required call may take: after that it is most likely lost
-	minTimeDivisor        = 4  // a required call is not started in less than this part of its expected duration
+	optionalTimeoutFactor = 4  // maximum timeout of an optional call, as a multiple of its configured duration
+	requiredTimeoutFactor = 12 // maximum timeout of a required call, as a multiple of its expected duration: after that it is most likely lost
+	minTimeDivisor        = 4  // a required call is not started if its timeout is below its expected duration divided by this
 )
 
-// callTimeout is the time that a call gets: of the time left to the request, the part that the call's expected duration
-// has in the longest expected path from it to the end. So the timeouts along any path never add up to more than the time
-// left, and a call that ends early leaves the rest to those behind it.
+// callTimeout returns the timeout of a call: the time left to the request, times the call's expected duration, divided
+// by that of the longest expected path from the call to the end. So the timeouts along any path never add up to more
+// than the time left, and time that a call leaves unused is available to the calls that depend on it.
 //
-// An optional call gets optionalTimeoutFactor times its configured duration at the most: while a request waits for it, it
-// holds a place in flight that requests without this dependency could use.
+// The timeout of an optional call is at most optionalTimeoutFactor times its configured duration: a request that waits
+// for it is in flight and uses capacity that requests without this dependency could use.
 func (s *Scheduler) callTimeout(execution *Execution, call int, now time.Duration) time.Duration {
 	remaining := execution.deadline - now
 	if remaining <= 0 {
@@ -29,9 +29,9 @@
 	return min(timeout, requiredTimeoutFactor*max(own, c.Expected))
 }
 
-// worthStarting reports whether a call has a chance to end in time. An optional call is started even where its timeout is
-// under its expected duration: else a dependency that was slow once would never be measured again, and stay skipped after
-// it has recovered. The breaker keeps such calls few.
+// worthStarting reports whether a call has a chance to end in time. An optional call is started even if its timeout is
+// below its expected duration: otherwise a dependency that was slow once would never be measured again, and would stay
+// skipped after it has recovered. The breaker limits the number of such calls.
 func (s *Scheduler) worthStarting(execution *Execution, call int, timeout, expected, now time.Duration) bool {
 	if timeout <= 0 {
 		return false
@@ -42,13 +42,14 @@
 	return execution.deadline-now >= expected
 }
 
-// expectedDuration of a call; above 0, as it is divided by.
+// expectedDuration returns the expected duration of a call. It is above 0, because it is used as a divisor.
 func (s *Scheduler) expectedDuration(execution *Execution, call int) time.Duration {
 	c := &execution.plan.Calls[call]
 	return max(s.dependencies[c.Dependency].ExpectedDuration(c.Expected), time.Microsecond)
 }
 
-// remainingPaths are, for each call, the longest expected path of unsettled calls behind it.
+// remainingPaths returns, for each call, the duration of the longest expected path of unsettled calls that depend on
+// it.
 func (s *Scheduler) remainingPaths(execution *Execution) (paths [MaxCalls]time.Duration) {
 	order := execution.plan.order
 	for at := len(order) - 1; at >= 0; at-- {
@@ -66,8 +67,8 @@
 	return paths
 }
 
-// skipOptional settles optional calls, the one of least value for its time first, until the longest expected path fits
-// into the time left or has no optional calls any more.
+// skipOptional settles optional calls, the one of least value per expected duration first, until the longest expected
+// path fits into the time left or has no more optional calls.
 func (s *Scheduler) skipOptional(execution *Execution, now time.Duration) {
 	for {
 		call := s.leastValuable(execution, now)
@@ -78,8 +79,8 @@
 	}
 }
 
-// leastValuable is the optional call of least value for its time among those on paths that take longer than the time
-// left, or -1 without one.
+// leastValuable returns the optional call of least value per expected duration among those on paths that take longer
+// than the time left, or -1 if there is none.
 func (s *Scheduler) leastValuable(execution *Execution, now time.Duration) int {
 	after := s.remainingPaths(execution)
 	var before [MaxCalls]time.Duration
@@ -105,7 +106,7 @@
 	return least
 }
 
-// finishAtDeadline answers a request with the parts that are there.
+// finishAtDeadline answers a request with the parts that are available.
 func (s *Scheduler) finishAtDeadline(execution *Execution, now time.Duration) {
 	for i := range execution.plan.Calls {
 		state, c := &execution.calls[i], &execution.plan.Calls[i]
--- a/budget/dependency.go
+++ b/budget/dependency.go
@@ -8,40 +8,42 @@
 )
 
 const (
-	limitInterval     = time.Second // between adjustments of the limit
+	limitInterval     = time.Second // time between adjustments of the limit
 	limitBackoff      = 0.75        // factor on the limit after an interval with a backoff event
-	initialLimitRatio = 0.5         // of Options.MaxInFlight
-	maxRetryTokens    = 10.0        // retries and hedged requests that can be saved up
+	initialLimitRatio = 0.5         // initial limit, as a fraction of Options.MaxInFlight
+	maxRetryTokens    = 10.0        // maximum number of unused retry tokens
 )
 
-// Options configure a dependency.
+// Options configures a dependency.
 type Options struct {
 	Name        string
-	MaxInFlight int // upper bound of the limit; cancelled calls that may still run there count
+	MaxInFlight int // upper bound of the limit; cancelled calls that may still run at the dependency count
 	QueueLimit  int // calls that may wait for a slot
-	// CancelledTimeout is after how long a cancelled call is taken to have ended at the dependency if no end is reported.
+	// CancelledTimeout is the time after which a cancelled call is assumed to have ended at the dependency, if its end
+	// is not reported.
 	CancelledTimeout time.Duration
 	RetryRatio       float64 // retry tokens that a successful first attempt earns
 }
 
-// Outcome is how an attempt ended.
+// Outcome states how an attempt ended.
 type Outcome int
 
-// The outcomes. NotSent and Rejected prove that the call did not run; Lost leaves it open.
+// The outcomes. NotSent and Rejected prove that the call did not run; after Lost it may have run.
 const (
 	Succeeded Outcome = iota
 	Failed
-	Rejected // by the dependency, unseen: also a backoff event
-	NotSent  // no connection took it
-	Lost     // sent, and no response came
+	Rejected // by the dependency, without running; also a backoff event
+	NotSent  // no connection accepted it
+	Lost     // sent, but no response arrived
 )
 
-// Dependency holds what this server knows of one dependency: its concurrency limit, breaker, retry tokens and measured
-// durations.
+// Dependency is the state of one dependency as this server observes it: its concurrency limit, breaker, retry tokens
+// and measured durations.
 //
-// The limit is additive-increase, multiplicative-decrease: each limitInterval it grows by one if a call found no slot, or
-// is multiplied by limitBackoff after a backoff event. Invariants: 1 <= limit <= Options.MaxInFlight. A call holds its
-// slot until it has ended or, once cancelled, until Options.CancelledTimeout has passed.
+// The limit follows additive increase, multiplicative decrease: every limitInterval it is multiplied by limitBackoff
+// after a backoff event or while the dependency is degraded, or else grows by one if a call found no slot. Invariants:
+// 1 <= limit <= Options.MaxInFlight. A call uses its slot until it has ended or, once cancelled, until
+// Options.CancelledTimeout has passed.
 type Dependency struct {
 	options Options
 	rng     *rand.Rand
@@ -49,10 +51,10 @@
 	limit           float64
 	limitUpdatedAt  time.Duration
 	backoffEvent    bool    // since the last update
-	limitReached    bool    // since the last update a call found no slot
-	slowStartTarget float64 // limit at which slow start ends; 0 while there is none
+	limitReached    bool    // a call found no slot since the last update
+	slowStartTarget float64 // limit at which slow start ends; 0 without slow start
 	inFlight        int
-	cancelledUntil  []time.Duration // when cancelled calls that hold a slot are taken to have ended, ascending
+	cancelledUntil  []time.Duration // when the slots of cancelled calls are freed at the latest, ascending
 
 	recent           [bucketCount]callBucket
 	meanSeconds      float64                 // long-run mean duration of successful calls
@@ -63,19 +65,20 @@
 
 	breaker             BreakerState
 	openUntil           time.Duration
-	openDuration        time.Duration // of the next time that it opens
-	probeDeadline       time.Duration // until then no other probe is sent; 0 without one in flight
-	probeSuccesses      int           // in a row
+	openDuration        time.Duration // of the next opening
+	probeDeadline       time.Duration // until then no other probe is sent; 0 if none is in flight
+	probeSuccesses      int           // consecutive
 	consecutiveFailures int
 
 	retryTokens float64
-	queue       []queuedCall // by deadline
+	queue       []queuedCall // sorted by deadline
 
-	// Counts since the start. ExtraAttempts are retry tokens taken, each for a retry or a hedged request; LateResponses ends of cancelled calls.
+	// Counts since the start. ExtraAttempts counts the retry tokens taken, each for a retry or a hedged request;
+	// LateResponses counts the ends of cancelled calls.
 	FirstAttempts, ExtraAttempts, LateResponses, BreakerOpened int
 }
 
-// NewDependency returns a dependency of which nothing was measured yet. seed makes the breaker's jitter repeatable.
+// NewDependency returns a dependency without measurements. seed makes the breaker's jitter repeatable.
 func NewDependency(options Options, seed int64) *Dependency {
 	return &Dependency{
 		options: options, rng: rand.New(rand.NewSource(seed)), limit: max(1, float64(options.MaxInFlight)*initialLimitRatio),
@@ -83,7 +86,7 @@
 	}
 }
 
-// Tick moves the limit and the breaker on to a moment. It must be called before anything else at that moment.
+// Tick updates the limit and the breaker to the time now. It must be called before anything else at that time.
 func (d *Dependency) Tick(now time.Duration) {
 	for len(d.cancelledUntil) > 0 && d.cancelledUntil[0] <= now {
 		d.dropOldestCancelled()
@@ -111,14 +114,15 @@
 
 func (d *Dependency) clampLimit() { d.limit = min(max(d.limit, 1), float64(d.options.MaxInFlight)) }
 
-// slotsInUse counts calls in flight and cancelled ones that may still run.
+// slotsInUse returns the number of calls in flight and of cancelled ones that may still run.
 func (d *Dependency) slotsInUse() int { return d.inFlight + len(d.cancelledUntil) }
 
 func (d *Dependency) dropOldestCancelled() {
 	d.cancelledUntil = d.cancelledUntil[:copy(d.cancelledUntil, d.cancelledUntil[1:])]
 }
 
-// Admit takes a slot for a call. Without one, broken tells whether that is the breaker's doing; else the limit is reached.
+// Admit takes a slot for a call. If it does not admit the call, broken reports whether the breaker is the reason;
+// otherwise the limit is reached.
 func (d *Dependency) Admit(now time.Duration) (admitted, broken bool) {
 	d.Tick(now)
 	switch {
@@ -129,17 +133,17 @@
 		return false, false
 	}
 	if d.breaker == HalfOpen {
-		// A probe that hangs until its own timeout would keep the breaker of a recovered dependency open for that long. So
-		// the next probe may follow after a few times the usual duration.
+		// A probe that hangs until its timeout would keep the breaker of a recovered dependency from closing for that
+		// long, so the next probe may be sent after a few times the usual duration.
 		d.probeDeadline = now + max(minProbeTimeout, time.Duration(slowFactor*d.meanSeconds*float64(time.Second)))
 	}
 	d.inFlight++
 	return true, false
 }
 
-// TakeRetryToken spends a token for a retry or a hedged request, if there is one. Successful first attempts earn tokens.
-// None is given while the dependency is degraded or its breaker is not closed: more attempts would multiply load just when
-// it fails.
+// TakeRetryToken takes a token for a retry or a hedged request, and reports whether there was one. Successful first
+// attempts earn tokens. None is available while the dependency is degraded or its breaker is not closed, because more
+// attempts would multiply the load on a failing dependency.
 func (d *Dependency) TakeRetryToken(now time.Duration) bool {
 	if d.retryTokens < 1 || d.breaker != Closed || d.Degraded(now) {
 		return false
@@ -149,17 +153,19 @@
 	return true
 }
 
-// CallEnded frees the slot of a call that was not cancelled. first tells a first attempt from a retry or hedged request.
+// CallEnded frees the slot of a call that was not cancelled. first distinguishes a first attempt from a retry or hedged
+// request.
 func (d *Dependency) CallEnded(outcome Outcome, took time.Duration, first bool, now time.Duration) {
 	d.inFlight--
 	d.record(outcome, took, first, now)
 }
 
-// CallCancelled counts a call as cancelled after elapsed; timedOut tells whether it counts as lost, too. It holds its slot
-// until CancelledCallEnded or for Options.CancelledTimeout: what the dependency still works on is part of its load.
+// CallCancelled records that a call was cancelled after elapsed. If timedOut is set, the call also counts as lost. It
+// keeps its slot until CancelledCallEnded or for Options.CancelledTimeout, because work that the dependency still does
+// is part of its load.
 func (d *Dependency) CallCancelled(elapsed time.Duration, timedOut bool, now time.Duration) {
 	d.inFlight--
-	d.cancelledUntil = append(d.cancelledUntil, now+d.options.CancelledTimeout) // one timeout for all keeps it ascending
+	d.cancelledUntil = append(d.cancelledUntil, now+d.options.CancelledTimeout) // ascending, because the timeout is the same for all
 	if timedOut {
 		d.record(Lost, elapsed, false, now)
 	} else {
--- a/budget/dependency_test.go
+++ b/budget/dependency_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A dependency is slow for a while, which lowers the limit, and then fails all calls, which opens the breaker. Probes close
-// it, and the limit starts again from less than before.
+// A dependency is slow for a while, which lowers the limit, and then fails all calls, which opens the breaker.
+// Successful probes close the breaker, and the limit restarts from a lower value than before.
 func TestLimitAndBreaker(t *testing.T) {
 	d := NewDependency(testOptions(8), 1)
 	now := time.Duration(0)
@@ -24,19 +24,19 @@
 		require.True(t, call(Succeeded, 10*ms))
 		now += 25 * ms
 	}
-	assert.Equal(t, 4.0, d.limit, "nobody waited")
+	assert.Equal(t, 4.0, d.limit, "no call found the limit reached")
 	d.limitReached = true
 	now += limitInterval
 	d.Tick(now)
 	assert.Equal(t, 5.0, d.limit)
-	for range 10 { // slower, though none fails
+	for range 10 { // slower, but without failures
 		call(Succeeded, 60*ms)
 		now += 25 * ms
 	}
 	now += limitInterval - 250*ms
 	d.Tick(now)
 	assert.InDelta(t, 3.75, d.limit, 1e-9, "a backoff event")
-	assert.False(t, d.TakeRetryToken(now), "degraded, whatever was earned")
+	assert.False(t, d.TakeRetryToken(now), "no token while degraded")
 
 	now += 5 * time.Second
 	sent := 0
@@ -46,13 +46,13 @@
 		}
 		now += 10 * ms
 	}
-	assert.Less(t, sent, 20, "the breaker keeps calls away")
+	assert.Less(t, sent, 20, "the breaker stops calls")
 	assert.Positive(t, d.BreakerOpened)
 	now += maxOpenDuration * 2
 	admitted, broken := d.Admit(now)
 	assert.True(t, admitted && !broken, "a probe")
 	_, broken = d.Admit(now)
-	assert.True(t, broken, "one at a time")
+	assert.True(t, broken, "one probe at a time")
 	d.CallEnded(Succeeded, 5*ms, true, now)
 	assert.Equal(t, HalfOpen, d.breaker)
 	call(Succeeded, 5*ms)
@@ -60,8 +60,8 @@
 	assert.Less(t, d.limit, 3.0, "slow start")
 }
 
-// A dependency still works on calls that were cancelled. They hold their slots until they have ended or their timeout has
-// passed, so that it never has more calls than its limit.
+// A dependency still works on cancelled calls. They keep their slots until they have ended or their timeout has passed,
+// so that it never has more calls than its limit.
 func TestCancelledCallsHoldSlots(t *testing.T) {
 	executor := newRecorder()
 	scheduler, d := newTestScheduler(executor, 2)
@@ -80,8 +80,8 @@
 	assert.Equal(t, 1, d.LateResponses)
 }
 
-// A dependency fails for long. Retries and hedged requests stay under what was saved up before, as each is earned by ten
-// successful first attempts: they do not multiply its load.
+// A dependency fails for a long time. Retries and hedged requests are limited to the tokens earned before, one for
+// every ten successful first attempts: they do not multiply the load.
 func TestRetryBudget(t *testing.T) {
 	executor := newRecorder()
 	scheduler, d := newTestScheduler(executor, 100)
@@ -106,10 +106,10 @@
 		round(Failed)
 	}
 	assert.LessOrEqual(t, float64(d.ExtraAttempts), maxRetryTokens)
-	assert.Less(t, len(executor.sent), 600, "and few first ones")
+	assert.Less(t, len(executor.sent), 600, "few first attempts are sent, too")
 }
 
-// Large bounds allocate nothing before they are used.
+// Dependencies with large limits allocate no memory for queues before they are used.
 func TestNothingIsLaidOutForABound(t *testing.T) {
 	d := NewDependency(Options{MaxInFlight: 1000, QueueLimit: 4096}, 1)
 	assert.Zero(t, cap(d.queue)+cap(d.cancelledUntil))
--- a/budget/execution.go
+++ b/budget/execution.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// maxAttempts of a call: the first, and one retry or hedged request.
+// maxAttempts is the maximum number of attempts of a call: the first, and one retry or hedged request.
 const maxAttempts = 2
 
-// Verdict is how a request is answered.
+// Verdict states how a request is answered.
 type Verdict int
 
 // The verdicts.
 const (
-	Complete Verdict = iota // all parts are there and fresh
-	Partial                 // all required parts are there; others are missing or replaced by fallbacks
+	Complete Verdict = iota // all parts are available and fresh
+	Partial                 // all required parts are available; some part is missing or a fallback
 	Aborted                 // a required part is missing
 )
 
-// PartStatus is why a call's part is there or missing.
+// PartStatus states why a call's part is available or missing.
 type PartStatus int
 
-// The statuses. With Fresh and UsedFallback the part is there.
+// The statuses. The part is available with Fresh and UsedFallback, and missing with the others.
 const (
 	Fresh PartStatus = iota
 	UsedFallback
 	DeadlineTooClose // not started, or skipped: too little time was left
-	OverLimit        // no slot came free in time, or the queue was full
+	OverLimit        // no slot became free in time, or the queue was full
 	BreakerOpen
 	CallFailed
 	TimedOut
 	EffectUnknown // an at-most-once call that may or may not have taken effect
 )
 
-// String is the name that answers carry.
+// String returns the name that answers carry.
 func (p PartStatus) String() string {
 	return [...]string{"fresh", "fell back", "no time", "no room", "breaker open", "failed", "late", "unclear"}[p]
 }
 
-// phase is where a call stands.
+// phase is the progress of a call.
 type phase int
 
 const (
@@ -43,39 +43,40 @@
 	phaseQueued                    // waits for a slot
 	phaseInFlight                  // has attempts in flight
 	phaseRetryBackoff              // waits before its retry
-	phaseSettled                   // its part is there, or will not come
+	phaseSettled                   // its part is available, or will stay missing
 )
 
-// callState is what became of one call so far.
+// callState is the state of one call of an execution.
 type callState struct {
 	phase          phase
-	available      bool // its part is there; only once settled
+	available      bool // whether its part is available; valid once settled
 	status         PartStatus
 	attempts       int
 	inFlight       [maxAttempts]bool
 	startedAt      [maxAttempts]time.Duration
 	deadline       time.Duration // of the attempts in flight, or of waiting in the queue
-	retryOrHedgeAt time.Duration // 0 without one due
+	retryOrHedgeAt time.Duration // 0 if none is due
 }
 
 // Execution is one request in progress.
 type Execution struct {
-	Ref      any // of the Executor; not touched here
+	Ref      any // the Executor's own value, cleared when the execution is recycled
 	plan     *Plan
-	deadline time.Duration // of the last part: the request's own less the plan's reserve
+	deadline time.Duration // of the last part: the request's deadline minus the plan's reserve
 	calls    [MaxCalls]callState
 	finished bool
 }
 
-// Plan is the plan that the request follows.
+// Plan returns the plan that the request follows.
 func (e *Execution) Plan() *Plan { return e.plan }
 
-// PartStatus is what became of a call; available tells whether its part is there.
+// PartStatus returns the status of a call's part, and whether the part is available.
 func (e *Execution) PartStatus(call int) (available bool, status PartStatus) {
 	return e.calls[call].available, e.calls[call].status
 }
 
-// Value is the summed value of the available parts over that of all parts, from 0 to 1.
+// Value returns the total value of the available parts divided by that of all parts, from 0 to 1. It is 1 if no part
+// has a value.
 func (e *Execution) Value() float64 {
 	available, total := 0.0, 0.0
 	for i, c := range e.plan.Calls {
@@ -90,7 +91,7 @@
 	return available / total
 }
 
-// verdict follows from the calls once all that will come is there.
+// verdict returns the verdict on the available parts, once no more are awaited.
 func (e *Execution) verdict() Verdict {
 	verdict := Complete
 	for i, c := range e.plan.Calls {
@@ -105,7 +106,7 @@
 	return verdict
 }
 
-// ready reports whether all that a call depends on is settled.
+// ready reports whether all calls that a call depends on are settled.
 func (e *Execution) ready(call int) bool {
 	for i := range e.plan.Calls {
 		if e.plan.dependsOn[call][i] && e.calls[i].phase != phaseSettled {
--- a/budget/fakes_test.go
+++ b/budget/fakes_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMain draws the same cases every time; another seed is stated with -rapid.seed.
+// TestMain makes rapid draw the same cases in every run, unless -rapid.seed states a seed.
 func TestMain(m *testing.M) {
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
 		_ = seed.Value.Set("20261201")
@@ -22,7 +22,7 @@
 // recorder is an Executor that records the decisions.
 type recorder struct {
 	log       []string
-	fallbacks map[int]bool // by call, whether it has a fallback
+	fallbacks map[int]bool // whether there is a fallback, by call
 	sent      []sentCall
 	verdicts  map[*Execution]Verdict
 	parts     map[*Execution][]PartStatus
@@ -64,7 +64,8 @@
 	return Options{Name: "d", MaxInFlight: maxInFlight, QueueLimit: 4, CancelledTimeout: time.Second, RetryRatio: 0.1}
 }
 
-// testPlan is a required read, an optional one beside it, and a required at-most-once call behind the first.
+// testPlan returns a plan of a required read, an optional read in parallel, and a required at-most-once call that
+// depends on the first.
 func testPlan(t require.TestingT, change func(*Plan)) *Plan {
 	plan := &Plan{Route: "t", Reserve: 10 * ms, Calls: []Call{
 		{Name: "a", Required: true, Value: 2, Expected: 20 * ms, Retry: true},
--- a/budget/health.go
+++ b/budget/health.go
@@ -4,29 +4,29 @@
 
 const (
 	bucketWidth = 250 * time.Millisecond
-	bucketCount = 8 // of bucketWidth: calls are judged over two seconds
+	bucketCount = 8 // recent calls are those of the last two seconds
 
-	degradedFactor    = 1.5   // recent mean duration over the long-run one from which a dependency is degraded
-	slowFactor        = 4.0   // times the long-run mean duration from which a call is slow
-	maxUnhealthyRatio = 0.2   // of recent calls, slow and failed together
-	priorSamples      = 4.0   // weight, in calls, of what is assumed before anything was measured
-	maxMeanSamples    = 200.0 // calls that the long-run mean looks back over
+	degradedFactor    = 1.5   // ratio of recent to long-run mean duration above which a dependency is degraded
+	slowFactor        = 4.0   // multiple of the long-run mean duration above which a call is slow
+	maxUnhealthyRatio = 0.2   // ratio of recent calls that were slow or failed above which a dependency is degraded
+	priorSamples      = 4.0   // weight, in calls, of assumptions against measurements
+	maxMeanSamples    = 200.0 // maximum weight of the long-run mean, in calls
 
-	maxLatencyMicros = int64(60 * time.Second / time.Microsecond) // longer calls are recorded as this
+	maxLatencyMicros = int64(60 * time.Second / time.Microsecond) // maximum of recorded latencies; longer ones are recorded as this
 	latencyDigits    = 2                                          // significant decimal digits of recorded latencies
-	latencyWindow    = time.Minute                                // after which latencies are recorded anew
+	latencyWindow    = time.Minute                                // time after which recorded latencies are reset
 
-	hedgePercentile = 95.0 // of latencies, after which a hedged request is sent
-	minHedgeSamples = 20   // latencies from which the percentile is used
+	hedgePercentile = 95.0 // percentile of latencies after which a hedged request is sent
+	minHedgeSamples = 20   // minimum number of latencies for which the percentile is used
 )
 
-// callBucket counts the calls that ended in one bucketWidth of time.
+// callBucket counts the calls that ended in one interval of bucketWidth.
 type callBucket struct {
-	index                        int64 // bucketWidths since the clock's origin
+	index                        int64 // number of intervals since the clock's origin
 	calls, failed, slow, seconds float64
 }
 
-// currentBucket is that of a moment, emptied if it still holds counts of an earlier round.
+// currentBucket returns the bucket for a time. It is reset if it contains counts of an earlier interval.
 func (d *Dependency) currentBucket(now time.Duration) *callBucket {
 	index := int64(now / bucketWidth)
 	b := &d.recent[index%bucketCount]
@@ -36,7 +36,7 @@
 	return b
 }
 
-// recentCalls sums the buckets that are not too old.
+// recentCalls returns the sum of the buckets of the last bucketCount intervals.
 func (d *Dependency) recentCalls(now time.Duration) (sum callBucket) {
 	newest := int64(now / bucketWidth)
 	for _, b := range d.recent {
@@ -48,8 +48,8 @@
 	return sum
 }
 
-// Degraded reports whether recent calls take much longer than usual, or too many of them are slow or failed. The factor
-// is wider for few calls, whose mean says little.
+// Degraded reports whether recent calls take much longer than usual, or too many of them were slow or failed. The
+// threshold of the duration is higher for few calls, whose mean is less reliable.
 func (d *Dependency) Degraded(now time.Duration) bool {
 	recent := d.recentCalls(now)
 	if recent.calls < minBreakerCalls {
@@ -60,14 +60,14 @@
 		d.meanSamples > 0 && recent.seconds/recent.calls > factor*d.meanSeconds
 }
 
-// ExpectedDuration is how long a call takes: the measured mean, weighted with the configured duration while few calls
-// were measured.
+// ExpectedDuration returns the expected duration of a call: the measured mean, weighted with the configured duration
+// while few calls were measured.
 func (d *Dependency) ExpectedDuration(configured time.Duration) time.Duration {
 	prior := priorSamples
 	return time.Duration((d.meanSeconds*d.meanSamples + configured.Seconds()*prior) / (d.meanSamples + prior) * float64(time.Second))
 }
 
-// record counts an ended call, and moves the breaker and slow start by it.
+// record counts a call that has ended, and updates the breaker and slow start.
 func (d *Dependency) record(outcome Outcome, took time.Duration, first bool, now time.Duration) {
 	b := d.currentBucket(now)
 	b.calls++
@@ -78,7 +78,7 @@
 		}
 		d.meanSamples = min(d.meanSamples+1, maxMeanSamples)
 		d.meanSeconds += (took.Seconds() - d.meanSeconds) / d.meanSamples
-		_ = d.latencies.RecordValue(min(max(took.Microseconds(), 1), maxLatencyMicros)) // fails only out of its range
+		_ = d.latencies.RecordValue(min(max(took.Microseconds(), 1), maxLatencyMicros)) // fails only for values out of range
 		if first {
 			d.retryTokens = min(d.retryTokens+d.options.RetryRatio, maxRetryTokens)
 		}
@@ -93,7 +93,7 @@
 	d.updateBreaker(outcome, took, now)
 }
 
-// updateHedgeDelay takes the latency percentile over, and begins a new window after a while.
+// updateHedgeDelay sets the hedge delay to the latency percentile, and starts a new window after latencyWindow.
 func (d *Dependency) updateHedgeDelay(now time.Duration) {
 	if d.latencies.TotalCount() >= minHedgeSamples {
 		d.hedgeDelay = time.Duration(d.latencies.ValueAtPercentile(hedgePercentile)) * time.Microsecond
--- a/budget/plan.go
+++ b/budget/plan.go
@@ -1,10 +1,10 @@
-// Package budget decides how a request that is made of calls to several dependencies spends its caller's remaining
-// time: the timeout of each call, which calls run concurrently, which optional ones are skipped, which are retried or
-// hedged, and when the request is answered with the parts that are there. For each dependency it holds a concurrency
-// limit, a circuit breaker and a retry budget.
+// Package budget decides how a request that is composed of calls to several dependencies spends the time left until its
+// deadline: the timeout of each call, which calls run concurrently, which optional ones are skipped, which are retried
+// or hedged, and when the request is answered with the parts that are available. For each dependency it keeps a
+// concurrency limit, a circuit breaker and a retry budget.
 //
-// It does no I/O and reads no clock: callers pass the moment, as a time since any fixed origin, and an Executor carries
-// out what is decided.
+// It does no I/O and reads no clock: callers pass the current time as a duration since any fixed origin, and an
+// Executor carries out the decisions.
 package budget
 
 import (
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// MaxCalls is the largest number of calls in a plan.
+// MaxCalls is the maximum number of calls in a plan.
 const MaxCalls = 16
 
-// Effect says what repeating a call does, and so whether it may be repeated.
+// Effect states what repeating a call does, and so whether it may be repeated.
 type Effect int
 
 // The effects of a call.
@@ -32,30 +32,30 @@
 	Name       string
 	Dependency int           // index among the scheduler's dependencies
 	Required   bool          // without its part the request is aborted
-	After      []int         // indexes in the plan of calls that must be settled before
+	After      []int         // indexes in the plan of the calls that must be settled first
 	Value      float64       // weight of its part in the answer's value
-	Expected   time.Duration // configured duration, used until enough calls were measured; above 0
+	Expected   time.Duration // configured duration, used until enough calls are measured; above 0
 	Effect     Effect
 	Fallback   bool // a stored result or a constant may replace its part; reads only
 	Retry      bool // a failed attempt may be retried; never for AtMostOnce
-	Hedge      bool // a slow attempt may get a hedged request beside it; reads only
+	Hedge      bool // a hedged request may be sent if an attempt is slow; reads only
 }
 
-// Plan lists the calls that requests of a route are made of. Validate must have accepted it before it is used.
+// Plan lists the calls of which requests of a route are composed. It must pass Validate before it is used.
 type Plan struct {
 	Route   string
 	Calls   []Call
-	Reserve time.Duration // part of a request's time that is kept for composing and sending the answer
+	Reserve time.Duration // part of a request's time that is reserved for composing and sending the answer
 
-	order     []int // topological: each call stands behind those it depends on
+	order     []int // topological: each call follows those it depends on
 	dependsOn [MaxCalls][MaxCalls]bool
 }
 
-// Validate prepares a plan for use. available is the time a request has from its arrival to its deadline. The error
-// joins all faults that were found.
+// Validate checks a plan and prepares it for use. dependencies is the number of dependencies; available is the time of
+// a request from its arrival to its deadline. Errors of several calls are joined.
 func (p *Plan) Validate(dependencies int, available time.Duration) error {
 	if len(p.Calls) == 0 || len(p.Calls) > MaxCalls {
-		return fmt.Errorf("%d calls; 1 to %d are allowed", len(p.Calls), MaxCalls)
+		return fmt.Errorf("%d calls, want 1 to %d", len(p.Calls), MaxCalls)
 	}
 	var faults []error
 	anyRequired := false
@@ -64,14 +64,14 @@
 		faults = append(faults, c.faults(dependencies)...)
 		for _, a := range c.After {
 			if a < 0 || a >= len(p.Calls) || a == i {
-				faults = append(faults, fmt.Errorf("call %q: waits for a call that is not there", c.Name))
+				faults = append(faults, fmt.Errorf("call %q: waits for itself or an unknown call", c.Name))
 				continue
 			}
 			p.dependsOn[i][a] = true
 		}
 	}
 	if !anyRequired {
-		faults = append(faults, errors.New("no call is needed, so the task would be answered without any"))
+		faults = append(faults, errors.New("no call is needed, so the request would be answered without any call"))
 	}
 	if len(faults) > 0 {
 		return errors.Join(faults...)
@@ -80,33 +80,34 @@
 		return err
 	}
 	if path := p.requiredCallsPath(); path+p.Reserve > available {
-		return fmt.Errorf("needed calls take %v on their longest way and %v is kept back, of %v in all", path, p.Reserve, available)
+		return fmt.Errorf("needed calls take %v on their longest path and %v is reserved, of %v in total", path, p.Reserve, available)
 	}
 	return nil
 }
 
-// faults checks a call by itself.
+// faults returns the errors of a call by itself.
 func (c *Call) faults(dependencies int) (faults []error) {
 	fault := func(text string) { faults = append(faults, fmt.Errorf("call %q: %s", c.Name, text)) }
 	if c.Dependency < 0 || c.Dependency >= dependencies {
-		fault("no such dependency")
+		fault("unknown dependency")
 	}
 	if c.Effect == AtMostOnce && (c.Retry || c.Hedge) {
 		fault("an at-most-once call can't have a second attempt")
 	}
 	if c.Hedge && c.Effect != Read {
-		fault("only reads are hedged")
+		fault("only reads can be hedged")
 	}
 	if c.Fallback && c.Effect != Read {
-		fault("nothing takes the place of an effect")
+		fault("only reads can have a fallback")
 	}
 	if c.Expected <= 0 {
-		fault("its expected time must be above 0")
+		fault("the expected duration must be above 0")
 	}
 	return faults
 }
 
-// sort orders the calls topologically, or names those that form a cycle.
+// sort orders the calls topologically, or returns an error that names the calls that cannot be ordered because of a
+// cycle.
 func (p *Plan) sort() error {
 	p.order = p.order[:0]
 	var placed [MaxCalls]bool
--- a/budget/properties_test.go
+++ b/budget/properties_test.go
@@ -15,12 +15,12 @@
 	plan := &Plan{Route: "t", Reserve: time.Duration(rapid.IntRange(0, 20).Draw(t, "reserve")) * ms}
 	for i := range rapid.IntRange(1, 8).Draw(t, "calls") {
 		c := Call{
-			Name: fmt.Sprint("call ", i), Required: i == 0 || rapid.Bool().Draw(t, "needed"),
+			Name: fmt.Sprint("call ", i), Required: i == 0 || rapid.Bool().Draw(t, "required"),
 			Expected: time.Duration(rapid.IntRange(1, 100).Draw(t, "expected")) * ms,
-			Value:    float64(rapid.IntRange(0, 5).Draw(t, "importance")), Dependency: rapid.IntRange(0, 1).Draw(t, "dependency"),
+			Value:    float64(rapid.IntRange(0, 5).Draw(t, "value")), Dependency: rapid.IntRange(0, 1).Draw(t, "dependency"),
 			Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
 		}
-		c.Retry = c.Effect != AtMostOnce && rapid.Bool().Draw(t, "seconds")
+		c.Retry = c.Effect != AtMostOnce && rapid.Bool().Draw(t, "retry")
 		c.Hedge = c.Effect == Read && rapid.Bool().Draw(t, "hedge")
 		for a := range i {
 			if rapid.IntRange(0, 3).Draw(t, "after") == 0 {
@@ -33,7 +33,7 @@
 	return plan
 }
 
-// invariantChecker checks each attempt that is sent.
+// invariantChecker is a recorder that checks each attempt that is sent.
 type invariantChecker struct {
 	*recorder
 	t         *rapid.T
@@ -50,7 +50,8 @@
 	}
 }
 
-// endOrCancel ends one attempt in flight or, without any, perhaps cancels a request; it returns how many it cancelled.
+// endOrCancel ends one attempt in flight. If there is none, it may cancel a request. It returns the number of requests
+// cancelled.
 func (c *invariantChecker) endOrCancel(t *rapid.T, scheduler *Scheduler) (cancelled int) {
 	var inFlight []sentCall
 	for _, s := range c.sent {
@@ -60,8 +61,8 @@
 	}
 	if len(inFlight) > 0 {
 		s := rapid.SampledFrom(inFlight).Draw(t, "ends")
-		scheduler.CallEnded(s.execution, s.call, s.attempt, Outcome(rapid.IntRange(0, 4).Draw(t, "how")), c.now)
-	} else if len(scheduler.executions) > 0 && rapid.Bool().Draw(t, "abandon") {
+		scheduler.CallEnded(s.execution, s.call, s.attempt, Outcome(rapid.IntRange(0, 4).Draw(t, "outcome")), c.now)
+	} else if len(scheduler.executions) > 0 && rapid.Bool().Draw(t, "cancel") {
 		scheduler.Cancel(scheduler.executions[0], c.now)
 		return 1
 	}
@@ -78,24 +79,25 @@
 	}
 }
 
-// Attempts end in any order, requests start and are cancelled at any time. Limits stay within their bounds, no at-most-once
-// call is sent twice, no request is finished twice or past its deadline, and no slot or queue place is leaked.
+// Attempts end in any order, and requests start and are cancelled at any time. Limits stay within their bounds, no
+// at-most-once call is sent twice, no request is finished twice or past its deadline, and no slot or queue place is
+// leaked.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		checker := &invariantChecker{recorder: newRecorder(), t: t, deadlines: map[*Execution]time.Duration{}}
-		maxInFlight := rapid.IntRange(1, 6).Draw(t, "share")
+		maxInFlight := rapid.IntRange(1, 6).Draw(t, "max in flight")
 		deps := []*Dependency{NewDependency(testOptions(maxInFlight), 1), NewDependency(testOptions(maxInFlight), 2)}
 		scheduler := NewScheduler(deps, checker, 3)
 		plan := drawPlan(t)
 		started, cancelled := 0, 0
 		latest := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			checker.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "passes")) * ms
+			checker.now += time.Duration(rapid.IntRange(0, 60).Draw(t, "elapsed")) * ms
 			scheduler.Advance(checker.now)
 			for _, execution := range scheduler.executions {
 				assert.Less(t, checker.now, execution.deadline, "a request outlasts its deadline")
 			}
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0, 1:
 				ref := &Execution{}
 				deadline := checker.now + time.Duration(rapid.IntRange(1, 500).Draw(t, "time"))*ms
@@ -118,13 +120,13 @@
 		}
 		assert.Equal(t, started, finished+cancelled, "each request is finished once")
 		for _, d := range deps {
-			assert.Zero(t, d.slotsInUse(), "a slot is lost")
+			assert.Zero(t, d.slotsInUse(), "a slot is leaked")
 			assert.Empty(t, d.queue)
 		}
 	})
 }
 
-// Each call takes all of its timeout. Along any path of a plan the timeouts never add up to more than the time left.
+// Each call uses its whole timeout. Along any path of a plan, the timeouts never add up to more than the time left.
 func TestTimeoutsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plan := drawPlan(t)
--- a/budget/queue.go
+++ b/budget/queue.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// queuedCall waits for a slot of its dependency.
+// queuedCall is a call that waits for a slot of its dependency.
 type queuedCall struct {
 	execution *Execution
 	call      int
 	deadline  time.Duration // of its request
 }
 
-// enqueue inserts a call by deadline. In a full queue, the one with the latest deadline is dropped.
+// enqueue inserts a call in the order of deadlines. If the queue is full, the call with the latest deadline is dropped.
 func (s *Scheduler) enqueue(queued queuedCall, now time.Duration) {
 	d := s.dependencies[queued.execution.plan.Calls[queued.call].Dependency]
 	at := len(d.queue)
@@ -37,7 +37,7 @@
 	d.queue = slices.DeleteFunc(d.queue, func(q queuedCall) bool { return q.execution == execution && q.call == call })
 }
 
-// sendQueued gives free slots of a dependency to its queue, earliest deadline first.
+// sendQueued sends the queued calls of a dependency while it has free slots, earliest deadline first.
 func (s *Scheduler) sendQueued(dependency int, now time.Duration) {
 	d := s.dependencies[dependency]
 	for len(d.queue) > 0 {
--- a/budget/scheduler.go
+++ b/budget/scheduler.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// never is the moment of a timer that is not set.
+// never is the time of a timer that is not set.
 const never = time.Duration(1<<63 - 1)
 
 // Executor carries out the scheduler's decisions. Its methods must not call the scheduler.
 type Executor interface {
-	// Send sends an attempt of a call: 0 is the first, 1 a retry or hedged request, which carries the same idempotency key.
+	// Send sends an attempt of a call. attempt is 0 for the first, and 1 for a retry or hedged request, which carries
+	// the same idempotency key.
 	Send(execution *Execution, call, attempt int, timeout time.Duration)
-	// Cancel reports that the response of an attempt is not awaited any more. If its end becomes known all the same, it goes
-	// to CancelledCallEnded.
+	// Cancel cancels an attempt whose response is no longer awaited. If its end becomes known all the same, it is
+	// reported to CancelledCallEnded.
 	Cancel(execution *Execution, call, attempt int)
-	// Fallback replaces a part by a stored result or a constant, and reports whether there is one.
+	// Fallback replaces a part with a stored result or a constant, and reports whether there is one.
 	Fallback(execution *Execution, call int) bool
-	// Finish answers the request. The execution is reused afterwards and must not be kept.
+	// Finish answers the request. The execution is reused afterwards and must not be retained.
 	Finish(execution *Execution, verdict Verdict)
 }
 
 // Scheduler runs the plans of all requests in progress against their dependencies. It is not safe for concurrent use.
-// Invariants: each request gets exactly one Finish, or none if it was cancelled; no attempt's timeout reaches past its
-// request's deadline; an AtMostOnce call is sent once at the most.
+// Invariants: each request gets exactly one Finish, or none if it was cancelled; no attempt's timeout extends past its
+// request's deadline; an AtMostOnce call is sent at most once.
 type Scheduler struct {
 	dependencies []*Dependency
 	executor     Executor
 	rng          *rand.Rand
-	executions   []*Execution // in progress, by start; finished ones until recycle
+	executions   []*Execution // in progress, in order of their start; finished ones stay until recycle
 	free         []*Execution
-	anyFinished  bool // executions holds finished ones
+	anyFinished  bool // executions contains finished ones
 	nextTimer    time.Duration
 }
 
-// NewScheduler returns a scheduler without requests. The indexes of dependencies are those that plans name; seed makes
-// the jitter of retries repeatable.
+// NewScheduler returns a scheduler without requests. Plans refer to dependencies by their index; seed makes the jitter
+// of retries repeatable.
 func NewScheduler(dependencies []*Dependency, executor Executor, seed int64) *Scheduler {
 	return &Scheduler{dependencies: dependencies, executor: executor, rng: rand.New(rand.NewSource(seed)), nextTimer: never}
 }
 
-// InFlight is the number of requests in progress.
+// InFlight returns the number of requests in progress.
 func (s *Scheduler) InFlight() int { return len(s.executions) }
 
-// NextTimer is when Advance must be called at the latest.
+// NextTimer returns the latest time at which Advance must be called.
 func (s *Scheduler) NextTimer() time.Duration { return s.nextTimer }
 
-// Start starts a request that must be answered by its deadline. It returns nil where the request was finished at once.
+// Start starts a request that must be answered by its deadline. It returns nil if the request has finished already.
 func (s *Scheduler) Start(plan *Plan, now, deadline time.Duration, ref any) *Execution {
 	var execution *Execution
 	if n := len(s.free); n > 0 {
@@ -68,7 +69,7 @@
 	return execution
 }
 
-// CallEnded takes the outcome of an attempt that was not cancelled.
+// CallEnded records the outcome of an attempt that was not cancelled.
 func (s *Scheduler) CallEnded(execution *Execution, call, attempt int, outcome Outcome, now time.Duration) {
 	state, c := &execution.calls[call], &execution.plan.Calls[call]
 	d := s.dependencies[c.Dependency]
@@ -90,14 +91,14 @@
 	s.recycle()
 }
 
-// CancelledCallEnded takes the end of a cancelled attempt at a dependency: its slot becomes free.
+// CancelledCallEnded records that a cancelled attempt has ended at a dependency, which frees its slot.
 func (s *Scheduler) CancelledCallEnded(dependency int, now time.Duration) {
 	s.dependencies[dependency].CancelledCallEnded(now)
 	s.sendQueued(dependency, now)
 	s.recycle()
 }
 
-// Cancel ends a request without an answer, as its caller is gone or it was answered elsewhere.
+// Cancel ends a request without an answer, because its caller has disconnected or it was answered elsewhere.
 func (s *Scheduler) Cancel(execution *Execution, now time.Duration) {
 	if execution.finished {
 		return
@@ -106,7 +107,7 @@
 	s.recycle()
 }
 
-// Advance moves limits and breakers on and runs the timers that are due.
+// Advance updates limits and breakers, sends queued calls and runs the timers that are due.
 func (s *Scheduler) Advance(now time.Duration) {
 	for i := range s.dependencies {
 		s.sendQueued(i, now)
@@ -115,7 +116,7 @@
 	if now < s.nextTimer {
 		return
 	}
-	for i := 0; i < len(s.executions); i++ { // not a range: more may start meanwhile
+	for i := 0; i < len(s.executions); i++ { // not a range loop: executions may be added meanwhile
 		s.runTimers(s.executions[i], now)
 	}
 	s.recycle()
@@ -125,7 +126,7 @@
 	}
 }
 
-// nextTimer is the earliest timer of a request.
+// nextTimer returns the time of a request's earliest timer.
 func (e *Execution) nextTimer() time.Duration {
 	next := e.deadline
 	for i := range e.plan.Calls {
@@ -170,8 +171,8 @@
 	}
 }
 
-// settle ends a call. Where a required part is missing, the request is aborted at once: waiting for the others would only
-// delay its caller.
+// settle ends a call. If a required part is missing, the request is aborted at once, because waiting for the others
+// would only delay its caller.
 func (s *Scheduler) settle(execution *Execution, call int, available bool, status PartStatus, now time.Duration) {
 	state, c := &execution.calls[call], &execution.plan.Calls[call]
 	if execution.finished || state.phase == phaseSettled {
@@ -186,7 +187,7 @@
 	s.startReadyCalls(execution, now)
 }
 
-// setPart marks a call as settled, with a fallback in place of a missing part where there is one.
+// setPart marks a call as settled, and replaces a missing part with a fallback if there is one.
 func (s *Scheduler) setPart(execution *Execution, call int, available bool, status PartStatus) {
 	state := &execution.calls[call]
 	state.phase, state.available, state.status = phaseSettled, available, status
@@ -195,8 +196,8 @@
 	}
 }
 
-// startReadyCalls starts all calls whose dependencies are settled, concurrently, and finishes a request whose calls are
-// all settled.
+// startReadyCalls starts, concurrently, all calls whose own dependencies in the plan are settled. It finishes the
+// request if all its calls are settled.
 func (s *Scheduler) startReadyCalls(execution *Execution, now time.Duration) {
 	unsettled := false
 	for _, i := range execution.plan.order {
@@ -208,7 +209,7 @@
 		}
 		unsettled = true
 		if execution.calls[i].phase == phasePending && execution.ready(i) {
-			s.startCall(execution, i, now) // may settle it, and so recurse
+			s.startCall(execution, i, now) // may settle the call, and so recurse
 		}
 	}
 	if !unsettled && !execution.finished {
@@ -216,7 +217,7 @@
 	}
 }
 
-// finish answers a request by what became of its calls.
+// finish answers a request according to its verdict.
 func (s *Scheduler) finish(execution *Execution, now time.Duration) {
 	verdict := execution.verdict()
 	s.release(execution, now)
@@ -235,13 +236,13 @@
 			if execution.plan.Calls[i].Effect == AtMostOnce {
 				execution.calls[i].status = EffectUnknown
 			}
-		case phasePending, phaseRetryBackoff, phaseSettled: // hold nothing
+		case phasePending, phaseRetryBackoff, phaseSettled: // use no slot or queue place
 		}
 	}
 }
 
 // recycle keeps finished executions for later requests. It runs last in each exported method, so that no caller on the
-// stack still uses one that starts anew.
+// stack still uses an execution that is reused.
 func (s *Scheduler) recycle() {
 	if !s.anyFinished {
 		return
--- a/budget/scheduler_test.go
+++ b/budget/scheduler_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// step is something that happens to a request at a moment, and what the scheduler decides by it.
+// step is an action on a request at a time, and the decisions that the scheduler makes.
 type step struct {
 	at        time.Duration
-	act       func(scheduler *Scheduler, execution *Execution, now time.Duration) // nil: time passes
+	act       func(scheduler *Scheduler, execution *Execution, now time.Duration) // nil: only time passes
 	decisions []string
 }
 
-// ends is the end of a call's first attempt.
+// ends returns an action that ends a call's first attempt.
 func ends(call int, outcome Outcome) func(*Scheduler, *Execution, time.Duration) {
 	return func(scheduler *Scheduler, execution *Execution, now time.Duration) {
 		scheduler.CallEnded(execution, call, 0, outcome, now)
@@ -38,16 +38,16 @@
 		{20 * ms, ends(1, Succeeded), nil},
 		{30 * ms, ends(2, Succeeded), []string{"finish 0"}},
 	}},
-	{"the optional one late: partial, with what is there", nil, nil, []step{
+	{"an optional call is late: partial, with the available parts", nil, nil, []step{
 		bothSent, firstSucceeded,
 		{30 * ms, ends(2, Succeeded), nil},
 		{80 * ms, nil, []string{"cancel b/0", "finish 1"}},
 	}},
-	{"a required one failed: aborted at once", func(plan *Plan) { plan.Calls[0].Retry = false }, nil, []step{
+	{"a required call failed: aborted at once", func(plan *Plan) { plan.Calls[0].Retry = false }, nil, []step{
 		bothSent,
 		{10 * ms, ends(0, Failed), []string{"cancel b/0", "finish 2"}},
 	}},
-	{"it falls back", func(plan *Plan) { plan.Calls[0].Retry, plan.Calls[0].Fallback = false, true }, []int{0}, []step{
+	{"a fallback replaces a required part", func(plan *Plan) { plan.Calls[0].Retry, plan.Calls[0].Fallback = false, true }, []int{0}, []step{
 		bothSent,
 		{10 * ms, ends(0, Failed), []string{"send c/0"}},
 	}},
@@ -60,7 +60,7 @@
 		{20 * ms, ends(2, Lost), []string{"cancel b/0", "finish 2"}},
 		{25 * ms, func(scheduler *Scheduler, _ *Execution, now time.Duration) { scheduler.CancelledCallEnded(0, now) }, nil},
 	}},
-	{"the caller is gone", nil, nil, []step{
+	{"the caller has disconnected", nil, nil, []step{
 		bothSent,
 		{10 * ms, (*Scheduler).Cancel, []string{"cancel a/0", "cancel b/0"}},
 		{time.Second, nil, nil},
@@ -89,8 +89,8 @@
 	}
 }
 
-// A request has less time left than its longest expected path takes. It skips the optional call of least value for its
-// time, instead of missing its deadline.
+// A request has less time left than its longest expected path takes. It skips the optional call of least value per
+// expected duration instead of missing its deadline.
 func TestSkipsOptionalCalls(t *testing.T) {
 	executor := newRecorder()
 	scheduler, _ := newTestScheduler(executor, 10)
@@ -107,7 +107,7 @@
 	assert.Equal(t, []string{"send last/0"}, executor.takeLog())
 }
 
-// More calls wait for a slot than the queue holds. The one with the latest deadline is dropped, and the one with the
+// More calls wait for a slot than fit into the queue. The one with the latest deadline is dropped, and the one with the
 // earliest is sent first; none waits past its deadline.
 func TestWaiting(t *testing.T) {
 	executor := newRecorder()
@@ -128,6 +128,6 @@
 	assert.Same(t, soon, executor.sent[1].execution)
 	assert.Len(t, d.queue, 3)
 	scheduler.Advance(700 * ms)
-	assert.Empty(t, d.queue, "waiting has an end")
+	assert.Empty(t, d.queue, "no call waits past its deadline")
 	assert.Zero(t, scheduler.InFlight())
 }
--- a/budget/timeline.go
+++ b/budget/timeline.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Span is when a call is expected to run, counted from the start of a request that has all its time.
+// Span is the time in which a call is expected to run, relative to the start of a request that has all its time.
 type Span struct {
 	Name       string
-	Start, End time.Duration // as expected
-	Timeout    time.Duration // that the call gets if it starts then
+	Start, End time.Duration // expected
+	Timeout    time.Duration // of the call if it starts at Start
 	Required   bool
 	Dependency string
 }
 
-// Spans lays the plan out on a time line, in the order in which calls start. available is the time of a request from its
-// arrival to its deadline; dependencies are the names that the calls' indexes stand for.
+// Spans returns the expected time line of the plan's calls, in topological order. available is the time of a request
+// from its arrival to its deadline; dependencies are the names of the dependencies, by index.
 func (p *Plan) Spans(available time.Duration, dependencies []string) (spans []Span) {
 	var ends [MaxCalls]time.Duration
 	execution := Execution{plan: p, deadline: available - p.Reserve}
@@ -37,11 +37,11 @@
 	return spans
 }
 
-// RequiredPath is how long the required calls are expected to take on their longest path, with the reserve.
+// RequiredPath returns the expected duration of the longest path of required calls, plus the reserve.
 func (p *Plan) RequiredPath() time.Duration { return p.requiredCallsPath() + p.Reserve }
 
-// requiredCallsPath is the longest path of required calls, by their configured durations. Optional calls on it take no
-// time, as they are skipped where time is short.
+// requiredCallsPath returns the configured duration of the longest path of required calls. Optional calls on it count
+// as 0, because they are skipped if time is short.
 func (p *Plan) requiredCallsPath() (longest time.Duration) {
 	var ends [MaxCalls]time.Duration
 	for _, i := range p.order {
