--- a/budget/breaker.go
+++ b/budget/breaker.go
@@ -4,7 +4,7 @@
 
 const (
 	minBreakerCalls        = 5   // minimum number of recent calls for which the failure ratio is judged
-	breakerFailureRatio    = 0.5 // ratio of recent calls that failed above which the breaker opens
+	breakerFailureRatio    = 0.5 // fraction of recent calls that failed, above which the breaker opens
 	maxConsecutiveFailures = 2 * minBreakerCalls
 	minOpenDuration        = 100 * time.Millisecond // doubles each time that the breaker opens again without having closed
 	maxOpenDuration        = 500 * time.Millisecond
@@ -54,7 +54,7 @@
 	}
 }
 
-// openBreaker stops calls for a time that doubles each time in a row, with jitter so that servers do not return to a
+// openBreaker stops calls for a time that doubles with each consecutive opening, with jitter so that servers do not return to a
 // recovering dependency all at once. The duration of a failed probe counts towards that time.
 func (d *Dependency) openBreaker(now, probeTook time.Duration) {
 	if d.breaker == Closed {
--- a/budget/dependency_test.go
+++ b/budget/dependency_test.go
@@ -106,7 +106,7 @@
 		round(Failed)
 	}
 	assert.LessOrEqual(t, float64(d.ExtraAttempts), maxRetryTokens)
-	assert.Less(t, len(executor.sent), 600, "few first attempts are sent, too")
+	assert.Less(t, len(executor.sent), 600, "the breaker limits first attempts, too")
 }
 
 // Dependencies with large limits allocate no memory for queues before they are used.
--- a/budget/health.go
+++ b/budget/health.go
@@ -4,12 +4,12 @@
 
 const (
 	bucketWidth = 250 * time.Millisecond
-	bucketCount = 8 // recent calls are those of the last two seconds
+	bucketCount = 8 // buckets: recent calls are those of the last two seconds
 
 	degradedFactor    = 1.5   // ratio of recent to long-run mean duration above which a dependency is degraded
 	slowFactor        = 4.0   // multiple of the long-run mean duration above which a call is slow
-	maxUnhealthyRatio = 0.2   // ratio of recent calls that were slow or failed above which a dependency is degraded
-	priorSamples      = 4.0   // weight, in calls, of assumptions against measurements
+	maxUnhealthyRatio = 0.2   // fraction of recent calls, slow or failed, above which a dependency is degraded
+	priorSamples      = 4.0   // weight, in calls, of what is assumed before calls are measured
 	maxMeanSamples    = 200.0 // maximum weight of the long-run mean, in calls
 
 	maxLatencyMicros = int64(60 * time.Second / time.Microsecond) // maximum of recorded latencies; longer ones are recorded as this
--- a/budget/scheduler.go
+++ b/budget/scheduler.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// startReadyCalls starts, concurrently, all calls whose own dependencies in the plan are settled. It finishes the
-// request if all its calls are settled.
+// startReadyCalls starts all calls for which the calls they depend on are settled, so that they run concurrently, and
+// finishes the request if all its calls are settled.
 func (s *Scheduler) startReadyCalls(execution *Execution, now time.Duration) {
 	unsettled := false
 	for _, i := range execution.plan.order {
--- a/budget/scheduler_test.go
+++ b/budget/scheduler_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// step is an action on a request at a time, and the decisions that the scheduler makes.
+// step is an action on a request at a given time, and the decisions that the scheduler then makes.
 type step struct {
 	at        time.Duration
 	act       func(scheduler *Scheduler, execution *Execution, now time.Duration) // nil: only time passes
--- a/budget/state.go
+++ b/budget/state.go
@@ -14,7 +14,7 @@
 	Degraded          bool       `json:"degraded"`
 	FirstAttempts     int        `json:"first_attempts"`         // since the start, as are the counts below
 	ExtraAttempts     int        `json:"second_attempts"`        // retries and hedged requests
-	RetryTokens       float64    `json:"second_attempts_earned"` // unused now
+	RetryTokens       float64    `json:"second_attempts_earned"` // currently available
 	LateResponses     int        `json:"late_answers"`           // to cancelled calls
 	BreakerOpened     int        `json:"breaker_opened"`
 	QuantilesInMillis [3]float64 `json:"p50_p95_p99_ms"` // of successful calls in the current window
--- a/budget/timeline.go
+++ b/budget/timeline.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Span is the time in which a call is expected to run, relative to the start of a request that has all its time.
+// Span is the time in which a call is expected to run, relative to the start of a request with its full time left.
 type Span struct {
 	Name       string
 	Start, End time.Duration // expected
--- a/estimate/limiter.go
+++ b/estimate/limiter.go
@@ -66,8 +66,8 @@
 	return true
 }
 
-// evictOldest removes the address that was filled least recently among those without open connections; of several it
-// removes the smallest. There always is one, because maxConns is less than maxAddresses.
+// evictOldest removes the address without open connections whose buckets were filled least recently, and of several the
+// smallest. There always is one, because maxConns is less than maxAddresses.
 func (l *ServeLimiter) evictOldest() {
 	oldest := ""
 	for address, buckets := range l.addresses { // the iteration order of the map does not change the result
--- a/estimate/merge.go
+++ b/estimate/merge.go
@@ -138,7 +138,7 @@
 }
 
 // upperMedian returns the median, or the larger of the two middle values of an even number, so that means and ages are
-// rather over- than underestimated.
+// overestimated rather than underestimated.
 func upperMedian(estimates []Estimate, get func(Estimate) float64) float64 {
 	values := make([]float64, len(estimates))
 	for i, e := range estimates {
--- a/estimate/merge_test.go
+++ b/estimate/merge_test.go
@@ -51,7 +51,7 @@
 	return snapshot
 }
 
-// For any snapshots, their order, a repeated snapshot and age never add weight to the result.
+// Neither the order of snapshots nor a repeated one changes the merged result, and ageing never adds weight to it.
 func TestMergeProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshots := rapid.SliceOfN(rapid.Custom(drawSnapshot), 1, 6).Draw(t, "snapshots")
--- a/estimate/snapshot.go
+++ b/estimate/snapshot.go
@@ -51,7 +51,7 @@
 	Pace           Estimate         `cbor:"4,keyasint" json:"pace"`   // core seconds per second of hinted work
 	Calls          Estimate         `cbor:"5,keyasint" json:"calls"`  // seconds per call to the shared dependency
 	RejectRatio    Estimate         `cbor:"6,keyasint" json:"refused"`
-	ReturnRatio    Estimate         `cbor:"7,keyasint" json:"returns"` // fraction of requests read within the idle timeout after another of the same router
+	ReturnRatio    Estimate         `cbor:"7,keyasint" json:"returns"` // fraction of requests within the idle timeout after one of the same router
 }
 
 // Aged returns the snapshot with a duration added to all ages.
--- a/recovery/plan.go
+++ b/recovery/plan.go
@@ -1,6 +1,6 @@
 // Package recovery decides which of the state that a server left on disk is used after a restart: which files, up to
-// which byte, at which age, and how idempotency keys are treated whose requests started and are not known to have
-// finished. It does no I/O and reads no clock: package internal/store reads and writes the files.
+// which byte, how old their contents count as, and how idempotency keys are treated whose requests started and are not
+// known to have finished. It does no I/O and reads no clock: package internal/store reads and writes the files.
 package recovery
 
 import (
