--- a/budget/plan.go
+++ b/budget/plan.go
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// faults returns the errors of a call by itself.
+// faults returns the errors in a call, regardless of the other calls.
 func (c *Call) faults(dependencies int) (faults []error) {
 	fault := func(text string) { faults = append(faults, fmt.Errorf("call %q: %s", c.Name, text)) }
 	if c.Dependency < 0 || c.Dependency >= dependencies {
