--- a/budget/attempts.go
+++ b/budget/attempts.go
@@ -11,7 +11,7 @@
 	state, c := &execution.calls[call], &execution.plan.Calls[call]
 	d := s.dependencies[c.Dependency]
 	timeout, expected := s.callTimeout(execution, call, now), d.ExpectedDuration(c.Expected)
-	if !s.worthStarting(execution, call, timeout, expected, now) {
+	if !s.canEndInTime(execution, call, timeout, expected, now) {
 		s.settle(execution, call, false, DeadlineTooClose, now)
 		return
 	}
--- a/budget/deadline.go
+++ b/budget/deadline.go
@@ -19,20 +19,20 @@
 	if remaining <= 0 {
 		return 0
 	}
-	own := s.expectedDuration(execution, call)
-	path := own + s.remainingPaths(execution)[call]
-	timeout := time.Duration(float64(remaining) * float64(own) / float64(path))
+	expected := s.expectedDuration(execution, call)
+	path := expected + s.remainingPaths(execution)[call]
+	timeout := time.Duration(float64(remaining) * float64(expected) / float64(path))
 	c := &execution.plan.Calls[call]
 	if !c.Required {
 		return min(timeout, optionalTimeoutFactor*c.Expected)
 	}
-	return min(timeout, requiredTimeoutFactor*max(own, c.Expected))
+	return min(timeout, requiredTimeoutFactor*max(expected, c.Expected))
 }
 
-// worthStarting reports whether a call has a chance to end in time. An optional call is started even if its timeout is
+// canEndInTime reports whether a call has a chance to end in time. An optional call is started even if its timeout is
 // below its expected duration: otherwise a dependency that was slow once would never be measured again, and would stay
 // skipped after it has recovered. The breaker limits the number of such calls.
-func (s *Scheduler) worthStarting(execution *Execution, call int, timeout, expected, now time.Duration) bool {
+func (s *Scheduler) canEndInTime(execution *Execution, call int, timeout, expected, now time.Duration) bool {
 	if timeout <= 0 {
 		return false
 	}
--- a/budget/dependency_test.go
+++ b/budget/dependency_test.go
@@ -89,7 +89,7 @@
 	require.NoError(t, plan.Validate(1, time.Minute))
 	now := time.Duration(0)
 	next := 0
-	round := func(outcome Outcome) {
+	runOnce := func(outcome Outcome) {
 		scheduler.Start(plan, now, now+time.Second, nil)
 		for ; next < len(executor.sent); next++ {
 			s := executor.sent[next]
@@ -99,18 +99,18 @@
 		scheduler.Advance(now)
 	}
 	for range 400 {
-		round(Succeeded)
+		runOnce(Succeeded)
 	}
 	assert.Equal(t, maxRetryTokens, d.retryTokens)
 	for range 2000 {
-		round(Failed)
+		runOnce(Failed)
 	}
 	assert.LessOrEqual(t, float64(d.ExtraAttempts), maxRetryTokens)
 	assert.Less(t, len(executor.sent), 600, "the breaker limits first attempts, too")
 }
 
 // Dependencies with large limits allocate no memory for queues before they are used.
-func TestNothingIsLaidOutForABound(t *testing.T) {
+func TestLargeLimitsAllocateNothing(t *testing.T) {
 	d := NewDependency(Options{MaxInFlight: 1000, QueueLimit: 4096}, 1)
 	assert.Zero(t, cap(d.queue)+cap(d.cancelledUntil))
 }
--- a/budget/plan.go
+++ b/budget/plan.go
@@ -57,24 +57,24 @@
 	if len(p.Calls) == 0 || len(p.Calls) > MaxCalls {
 		return fmt.Errorf("%d calls, want 1 to %d", len(p.Calls), MaxCalls)
 	}
-	var faults []error
+	var errs []error
 	anyRequired := false
 	for i, c := range p.Calls {
 		anyRequired = anyRequired || c.Required
-		faults = append(faults, c.faults(dependencies)...)
+		errs = append(errs, c.validate(dependencies)...)
 		for _, a := range c.After {
 			if a < 0 || a >= len(p.Calls) || a == i {
-				faults = append(faults, fmt.Errorf("call %q: waits for itself or an unknown call", c.Name))
+				errs = append(errs, fmt.Errorf("call %q: waits for itself or an unknown call", c.Name))
 				continue
 			}
 			p.dependsOn[i][a] = true
 		}
 	}
 	if !anyRequired {
-		faults = append(faults, errors.New("no call is needed, so the request would be answered without any call"))
+		errs = append(errs, errors.New("no call is needed, so the request would be answered without any call"))
 	}
-	if len(faults) > 0 {
-		return errors.Join(faults...)
+	if len(errs) > 0 {
+		return errors.Join(errs...)
 	}
 	if err := p.sort(); err != nil {
 		return err
@@ -85,25 +85,25 @@
 	return nil
 }
 
-// faults returns the errors in a call, regardless of the other calls.
-func (c *Call) faults(dependencies int) (faults []error) {
-	fault := func(text string) { faults = append(faults, fmt.Errorf("call %q: %s", c.Name, text)) }
+// validate returns the errors in a call, regardless of the other calls.
+func (c *Call) validate(dependencies int) (errs []error) {
+	addError := func(text string) { errs = append(errs, fmt.Errorf("call %q: %s", c.Name, text)) }
 	if c.Dependency < 0 || c.Dependency >= dependencies {
-		fault("unknown dependency")
+		addError("unknown dependency")
 	}
 	if c.Effect == AtMostOnce && (c.Retry || c.Hedge) {
-		fault("an at-most-once call can't have a second attempt")
+		addError("an at-most-once call can't have a second attempt")
 	}
 	if c.Hedge && c.Effect != Read {
-		fault("only reads can be hedged")
+		addError("only reads can be hedged")
 	}
 	if c.Fallback && c.Effect != Read {
-		fault("only reads can have a fallback")
+		addError("only reads can have a fallback")
 	}
 	if c.Expected <= 0 {
-		fault("the expected duration must be above 0")
+		addError("the expected duration must be above 0")
 	}
-	return faults
+	return errs
 }
 
 // sort orders the calls topologically, or returns an error that names the calls that cannot be ordered because of a
--- a/estimate/limiter_test.go
+++ b/estimate/limiter_test.go
@@ -23,15 +23,15 @@
 	limiter.Disconnect("a")
 	assert.True(t, limiter.Connect("z", 0))
 
-	given := 0
+	allowed := 0
 	for range 1000 {
 		if ok, retryAfter := limiter.Allow("a", 100, 0); ok {
-			given++
+			allowed++
 		} else {
 			assert.Positive(t, retryAfter)
 		}
 	}
-	assert.Equal(t, int(requestsPerAddress*burstSeconds), given)
+	assert.Equal(t, int(requestsPerAddress*burstSeconds), allowed)
 	ok, _ := limiter.Allow("b", 100, 0)
 	assert.True(t, ok, "a client at its limit does not block others")
 	ok, _ = limiter.Allow("a", 100, time.Second/time.Duration(requestsPerAddress))
@@ -58,14 +58,14 @@
 		now += time.Second // the total buckets refill
 		require.True(t, limiter.Connect(name(i), now))
 		for range int(requestsPerAddress * burstSeconds) {
-			given, _ := limiter.Allow(name(i), 1, now)
-			require.True(t, given)
+			allowed, _ := limiter.Allow(name(i), 1, now)
+			require.True(t, allowed)
 		}
 		limiter.Disconnect(name(i))
 	}
 	for i := range 1024 { // no time has passed
-		of := limiter.addresses[name(i)]
-		require.NotNil(t, of, "address %d was evicted and would get a full burst again", i)
-		assert.Less(t, of.requests, 1.0)
+		buckets := limiter.addresses[name(i)]
+		require.NotNil(t, buckets, "address %d was evicted and would get a full burst again", i)
+		assert.Less(t, buckets.requests, 1.0)
 	}
 }
--- a/estimate/merge_test.go
+++ b/estimate/merge_test.go
@@ -12,9 +12,9 @@
 // not decide the result.
 func TestMerge(t *testing.T) {
 	cases := []struct {
-		name  string
-		views []Snapshot
-		mean  float64 // 0 if no estimate is used
+		name      string
+		snapshots []Snapshot
+		mean      float64 // 0 if no estimate is used
 	}{
 		{"one snapshot", []Snapshot{snapshotOf(1, 0.1)}, 0.1},
 		{"two that agree: the larger mean", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 0.2)}, 0.2},
@@ -26,7 +26,7 @@
 		{"an expired snapshot is ignored", []Snapshot{snapshotOf(1, 0.1), snapshotOf(2, 9).Aged(time.Hour)}, 0.1},
 	}
 	for _, c := range cases {
-		got := Merge(c.views).Routes[0].Core
+		got := Merge(c.snapshots).Routes[0].Core
 		assert.InDelta(t, c.mean, got.Mean, 1e-9, c.name)
 	}
 	fast, slow := snapshotOf(1, 0.1), snapshotOf(2, 0.2)
@@ -37,9 +37,9 @@
 
 // drawSnapshot draws a snapshot of one of five origins with figures in range.
 func drawSnapshot(t *rapid.T) Snapshot {
-	e := func(most float64) Estimate {
+	e := func(maxMean float64) Estimate {
 		return Estimate{
-			Mean: rapid.Float64Range(1e-4, most).Draw(t, "mean"), Samples: rapid.Float64Range(0, 50).Draw(t, "samples"),
+			Mean: rapid.Float64Range(1e-4, maxMean).Draw(t, "mean"), Samples: rapid.Float64Range(0, 50).Draw(t, "samples"),
 			Age: time.Duration(rapid.Int64Range(0, int64(2*time.Minute)).Draw(t, "age")),
 		}
 	}
@@ -63,13 +63,13 @@
 		assert.Equal(t, merged.Aged(0), merged)
 
 		for i := range merged.Routes {
-			most, heaviest := 0.0, 0.0
+			largestMean, largestWeight := 0.0, 0.0
 			for _, snapshot := range snapshots {
-				most = max(most, snapshot.Routes[i].Core.Mean*maxPaceRatio)
-				heaviest = max(heaviest, snapshot.Routes[i].Core.Weight(CoreTime))
+				largestMean = max(largestMean, snapshot.Routes[i].Core.Mean*maxPaceRatio)
+				largestWeight = max(largestWeight, snapshot.Routes[i].Core.Weight(CoreTime))
 			}
-			assert.LessOrEqual(t, merged.Routes[i].Core.Mean, most)
-			assert.LessOrEqual(t, merged.Routes[i].Core.Weight(CoreTime), heaviest, "weighs more than each of the merged estimates")
+			assert.LessOrEqual(t, merged.Routes[i].Core.Mean, largestMean)
+			assert.LessOrEqual(t, merged.Routes[i].Core.Weight(CoreTime), largestWeight, "weighs more than each of the merged estimates")
 			older := merged.Aged(time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "later")))
 			assert.LessOrEqual(t, older.Routes[i].Core.Weight(CoreTime), merged.Routes[i].Core.Weight(CoreTime))
 		}
@@ -77,13 +77,13 @@
 }
 
 // One of three peers sends arbitrary figures. The merged mean stays between those of the other two.
-func TestOneOfThreeLies(t *testing.T) {
+func TestOneOfThreeIsWrong(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Float64Range(0.01, 1).Draw(t, "a"), rapid.Float64Range(0.01, 1).Draw(t, "b")
-		lie := drawSnapshot(t)
-		lie.Origin, lie.Pace = 3, estimateOf(1)
-		lie.Routes[0].Core.Samples, lie.Routes[0].Core.Age = 1, 0
-		got := Merge([]Snapshot{snapshotOf(1, a), snapshotOf(2, b), lie}).Routes[0].Core
+		wrong := drawSnapshot(t)
+		wrong.Origin, wrong.Pace = 3, estimateOf(1)
+		wrong.Routes[0].Core.Samples, wrong.Routes[0].Core.Age = 1, 0
+		got := Merge([]Snapshot{snapshotOf(1, a), snapshotOf(2, b), wrong}).Routes[0].Core
 		assert.GreaterOrEqual(t, got.Mean, min(a, b)-1e-12)
 		assert.LessOrEqual(t, got.Mean, max(a, b)+1e-12)
 	})
--- a/estimate/poll.go
+++ b/estimate/poll.go
@@ -11,9 +11,9 @@
 	// maxPeers is the number of peers from which a new server wants estimates. The median of a few is as accurate as
 	// that of hundreds, and the cost of a start must not grow with the fleet.
 	maxPeers = 16
-	// pollFor is the time after its start for which a server polls. By then it has enough samples of its own, or is so
-	// idle that it needs none.
-	pollFor = 2 * time.Minute
+	// pollDuration is the time after its start for which a server polls. By then it has enough samples of its own, or is
+	// so idle that it needs none.
+	pollDuration = 2 * time.Minute
 	// maxBackoffShift keeps the doubled backoff in the range of a time.Duration.
 	maxBackoffShift = 8
 )
@@ -52,7 +52,7 @@
 // Due returns the peers to poll now. The end of each poll must be reported to Finished. needed states whether the
 // server still needs estimates; if not, no peer is due.
 func (s *PollSchedule) Due(now time.Duration, needed bool) (due []int) {
-	if !needed || now > s.start+pollFor {
+	if !needed || now > s.start+pollDuration {
 		return nil
 	}
 	wanted := maxPeers
@@ -84,7 +84,7 @@
 
 // Done reports whether polling has ended: no peer will be due again.
 func (s *PollSchedule) Done(now time.Duration, needed bool) bool {
-	if !needed || now > s.start+pollFor {
+	if !needed || now > s.start+pollDuration {
 		return true
 	}
 	answered := 0
@@ -99,7 +99,7 @@
 // Next returns the earliest time at which a peer may be due. If only polls in progress are left, it returns the end of
 // polling.
 func (s *PollSchedule) Next() time.Duration {
-	next := s.start + pollFor
+	next := s.start + pollDuration
 	for _, peer := range s.peers {
 		if !peer.answered && !peer.inProgress {
 			next = min(next, peer.next)
--- a/estimate/schema.go
+++ b/estimate/schema.go
@@ -43,23 +43,23 @@
 	if len(snapshot.Routes) == len(s.Routes) && !s.Dynamic {
 		return snapshot, nil // Validate compares the names
 	}
-	places := make(map[string]int, len(snapshot.Routes))
+	indexes := make(map[string]int, len(snapshot.Routes))
 	for i, route := range snapshot.Routes {
-		if _, twice := places[route.Name]; twice {
+		if _, duplicate := indexes[route.Name]; duplicate {
 			return Snapshot{}, fmt.Errorf("%w: duplicate route %q", ErrOtherRoutes, route.Name)
 		}
-		places[route.Name] = i
+		indexes[route.Name] = i
 	}
 	aligned := make([]RouteEstimates, len(s.Routes))
 	for i, name := range s.Routes {
 		aligned[i].Name = name
-		if place, known := places[name]; known {
-			aligned[i] = snapshot.Routes[place]
-			delete(places, name)
+		if index, known := indexes[name]; known {
+			aligned[i] = snapshot.Routes[index]
+			delete(indexes, name)
 		}
 	}
-	if len(places) > 0 && !s.Dynamic {
-		return Snapshot{}, fmt.Errorf("%w: %d routes that this server lacks", ErrOtherRoutes, len(places))
+	if len(indexes) > 0 && !s.Dynamic {
+		return Snapshot{}, fmt.Errorf("%w: %d routes that this server lacks", ErrOtherRoutes, len(indexes))
 	}
 	snapshot.Routes = aligned
 	return snapshot, nil
--- a/estimate/schema_test.go
+++ b/estimate/schema_test.go
@@ -79,14 +79,14 @@
 		assert.Equal(t, busy, got.Core.Known(), got.Name)
 	}
 
-	for why, change := range map[string]func(s *Snapshot){
+	for wantText, change := range map[string]func(s *Snapshot){
 		"this server lacks": func(s *Snapshot) { s.Routes[3].Name = "elsewhere" },
 		"duplicate":         func(s *Snapshot) { s.Routes[3].Name = s.Routes[4].Name },
 	} {
 		bad := full.Published()
 		change(&bad)
 		_, err := schema.Align(bad)
-		assert.ErrorContains(t, err, why)
+		assert.ErrorContains(t, err, wantText)
 		assert.ErrorIs(t, err, ErrOtherRoutes)
 	}
 }
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -52,8 +52,8 @@
 			runnable--
 		}
 		memoryKB -= run.MemoryKB
-		if seen := r.evidence[run.ID] + 1; seen < minReadings {
-			evidence[run.ID] = seen
+		if count := r.evidence[run.ID] + 1; count < minReadings {
+			evidence[run.ID] = count
 		} else {
 			ended = append(ended, run.ID)
 		}
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -28,8 +28,8 @@
 }
 
 // A run may have ended without a report. It counts as ended only if several consecutive readings prove it.
-func TestRunsAreOverOnlyWhereTheReadingsLeaveThemNoRoom(t *testing.T) {
-	sure := Run{ID: "not overdue", MemoryKB: runKB, Runnable: true}
+func TestRunsEndOnlyIfReadingsProveIt(t *testing.T) {
+	notOverdue := Run{ID: "not overdue", MemoryKB: runKB, Runnable: true}
 	atCall := Run{ID: "at call", MemoryKB: runKB, MayHaveEnded: true}
 	cases := []struct {
 		name     string
@@ -44,8 +44,8 @@
 		{"its memory is free, but a core is in use", Readings{Runnable: 1}, mayHaveEnded("a"), nil},
 		{"the memory in use is that of waiting requests", Readings{MemoryKB: 80, WaitingKB: 80}, mayHaveEnded("a"), []string{"a"}},
 		{"waiting requests may use more than the lower bound", Readings{MemoryKB: 80, WaitingKB: 20}, mayHaveEnded("a"), nil},
-		{"a run that is not overdue never counts as ended", Readings{}, []Run{sure}, nil},
-		{"a run that is not overdue accounts for its part of the readings", Readings{Runnable: 1, MemoryKB: runKB}, append(mayHaveEnded("a"), sure), []string{"a"}},
+		{"a run that is not overdue never counts as ended", Readings{}, []Run{notOverdue}, nil},
+		{"a run that is not overdue accounts for its part of the readings", Readings{Runnable: 1, MemoryKB: runKB}, append(mayHaveEnded("a"), notOverdue), []string{"a"}},
 		{"a run that waits for a call needs no core", Readings{Runnable: 7}, []Run{atCall}, []string{"at call"}},
 		{"rounded readings", Readings{Runnable: 1, MemoryKB: 1.04 * runKB}, mayHaveEnded("a", "b"), []string{"a"}},
 	}
@@ -57,7 +57,7 @@
 
 // Readings that prove the end of a run alternate with readings that do not. The count of consecutive readings restarts
 // each time.
-func TestAReadingThatLeavesRoomBeginsAnew(t *testing.T) {
+func TestContraryReadingRestartsCount(t *testing.T) {
 	var r Reviewer
 	for range 5 {
 		for range minReadings - 1 {
@@ -72,7 +72,7 @@
 // Machines have runs on cores and at disks, waiting requests and other work; some tracked runs have ended without a
 // report. The number of tracked runs never falls below that of live runs, and on an idle machine no run that may have
 // ended stays tracked.
-func TestTheBooksNeverFallBelowTheMachine(t *testing.T) {
+func TestTrackedRunsCoverLiveRuns(t *testing.T) {
 	for seed := range int64(300) {
 		rng := rand.New(rand.NewSource(seed))
 		var r Reviewer
@@ -83,10 +83,10 @@
 		rng.Shuffle(len(tracked), func(i, j int) { tracked[i], tracked[j] = tracked[j], tracked[i] })
 		for range 50 {
 			atDisk := rng.Intn(live + 1)
-			heldKB := rng.Float64() * 300
+			waitingKB := rng.Float64() * 300
 			ended := r.Review(Readings{
 				Runnable: float64(live-atDisk) + rng.Float64()*2,
-				MemoryKB: float64(live)*runKB + heldKB, WaitingKB: heldKB * rng.Float64(),
+				MemoryKB: float64(live)*runKB + waitingKB, WaitingKB: waitingKB * rng.Float64(),
 			}, tracked)
 			tracked = without(tracked, ended)
 			assert.GreaterOrEqual(t, len(tracked), live, "seed %d", seed)
@@ -100,15 +100,15 @@
 	}
 }
 
-func without(tracked []Run, ended []string) (left []Run) {
+func without(tracked []Run, ended []string) (remaining []Run) {
 	for _, run := range tracked {
 		found := false
 		for _, id := range ended {
 			found = found || id == run.ID
 		}
 		if !found {
-			left = append(left, run)
+			remaining = append(remaining, run)
 		}
 	}
-	return left
+	return remaining
 }
--- a/recovery/plan.go
+++ b/recovery/plan.go
@@ -49,7 +49,7 @@
 	files = slices.Clone(files)
 	slices.SortFunc(files, func(a, b File) int { return cmp.Compare(a.Name, b.Name) })
 	for _, f := range files {
-		if err := admit(&f, environment.Site); err != nil {
+		if err := checkFile(&f, environment.Site); err != nil {
 			p.reject(f.Name, err.Error())
 			continue
 		}
@@ -72,8 +72,8 @@
 	return p
 }
 
-// admit migrates a file and returns an error if it cannot be used or belongs to another site.
-func admit(f *File, site string) error {
+// checkFile migrates a file and returns an error if it cannot be used or belongs to another site.
+func checkFile(f *File, site string) error {
 	if f.Err != nil {
 		return f.Err
 	}
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -24,7 +24,7 @@
 
 var now = Timestamp{Wall: 1000 * time.Hour, SinceBoot: 100 * time.Hour, BootID: "b", MachineID: 7}
 
-func before(wall, sinceBoot time.Duration) Timestamp {
+func timestampBefore(wall, sinceBoot time.Duration) Timestamp {
 	return Timestamp{Wall: now.Wall - wall, SinceBoot: now.SinceBoot - sinceBoot, BootID: "b", MachineID: 7}
 }
 
@@ -38,16 +38,16 @@
 		then           Timestamp
 		minAge, maxAge time.Duration
 	}{
-		{"same boot", before(time.Minute, time.Minute), time.Minute, time.Minute},
-		{"wall clock set forward", before(time.Hour, time.Minute), time.Minute, time.Hour},
-		{"wall clock set back a little", before(time.Second, time.Minute), time.Minute, time.Minute},
-		{"timestamp in the future, or wall clock set back before it", before(-time.Second, time.Minute), time.Minute, MaxUndatedAge},
-		{"boot clock ran backwards", before(time.Minute, -time.Second), 0, MaxUndatedAge},
-		{"previous boot", other(before(time.Minute, 0), "a", 7), now.SinceBoot, now.SinceBoot},
-		{"many boots ago", other(before(400*time.Hour, 0), "a", 7), now.SinceBoot, 400 * time.Hour},
-		{"another machine", other(before(time.Minute, time.Minute), "b", 8), 0, time.Minute},
-		{"unknown machine", other(before(time.Minute, time.Minute), "b", 0), 0, time.Minute},
-		{"unknown boot", other(before(time.Minute, time.Minute), "", 7), 0, time.Minute},
+		{"same boot", timestampBefore(time.Minute, time.Minute), time.Minute, time.Minute},
+		{"wall clock set forward", timestampBefore(time.Hour, time.Minute), time.Minute, time.Hour},
+		{"wall clock set back a little", timestampBefore(time.Second, time.Minute), time.Minute, time.Minute},
+		{"timestamp in the future, or wall clock set back before it", timestampBefore(-time.Second, time.Minute), time.Minute, MaxUndatedAge},
+		{"boot clock ran backwards", timestampBefore(time.Minute, -time.Second), 0, MaxUndatedAge},
+		{"previous boot", other(timestampBefore(time.Minute, 0), "a", 7), now.SinceBoot, now.SinceBoot},
+		{"many boots ago", other(timestampBefore(400*time.Hour, 0), "a", 7), now.SinceBoot, 400 * time.Hour},
+		{"another machine", other(timestampBefore(time.Minute, time.Minute), "b", 8), 0, time.Minute},
+		{"unknown machine", other(timestampBefore(time.Minute, time.Minute), "b", 0), 0, time.Minute},
+		{"unknown boot", other(timestampBefore(time.Minute, time.Minute), "", 7), 0, time.Minute},
 		{"empty timestamp", Timestamp{}, 0, MaxUndatedAge},
 	}
 	for _, c := range cases {
@@ -63,7 +63,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		passed := time.Duration(rapid.Int64Range(0, int64(90*time.Hour)).Draw(t, "passed"))
 		step := time.Duration(rapid.Int64Range(-int64(200*time.Hour), int64(200*time.Hour)).Draw(t, "step"))
-		then := before(passed+step, passed)
+		then := timestampBefore(passed+step, passed)
 		reboot := rapid.Bool().Draw(t, "reboot")
 		later := now
 		if reboot { // at any time since then
@@ -93,7 +93,7 @@
 }
 
 func TestEstimates(t *testing.T) {
-	recent, old := before(time.Second, time.Second), before(time.Hour, time.Hour)
+	recent, old := timestampBefore(time.Second, time.Second), timestampBefore(time.Hour, time.Hour)
 	with := func(f File, change func(*File)) File { change(&f); return f }
 	cases := []struct {
 		name   string
@@ -105,7 +105,7 @@
 		{"the newest is used", []File{estimatesFile(1, 0.1, recent), estimatesFile(2, 0.2, recent)}, 0.2, ""},
 		{"the newest is incomplete", []File{estimatesFile(1, 0.1, recent), with(estimatesFile(2, 0.2, recent), func(f *File) { f.Complete, f.Estimates = false, nil })}, 0.1, "not whole"},
 		{"old", []File{estimatesFile(1, 0.1, old)}, 0, "old"},
-		{"timestamp in the future", []File{estimatesFile(1, 0.1, before(-time.Minute, time.Second))}, 0, "old"},
+		{"timestamp in the future", []File{estimatesFile(1, 0.1, timestampBefore(-time.Minute, time.Second))}, 0, "old"},
 		{"of another site", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.Site = "x" })}, 0, `file of site "x", want "s"`},
 		{"of another machine", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.CreatedAt.MachineID = 8 })}, 0, "of another machine"},
 		{"made under other settings", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Estimates.SettingsDigest = 8 })}, 0, "other settings: digest"},
@@ -142,7 +142,7 @@
 	}
 	return File{
 		Name: "log-" + string(rune('a'+sequence)), Complete: complete, Records: records,
-		Header: Header{Version: FormatVersion, Content: KeyLogFile, Site: "s", Sequence: sequence, CreatedAt: before(time.Minute, time.Minute)},
+		Header: Header{Version: FormatVersion, Content: KeyLogFile, Site: "s", Sequence: sequence, CreatedAt: timestampBefore(time.Minute, time.Minute)},
 	}
 }
 
@@ -189,9 +189,9 @@
 			rand.New(rand.NewSource(1)).Shuffle(len(c.files), func(i, j int) { c.files[i], c.files[j] = c.files[j], c.files[i] })
 			plan := NewPlan(c.files, Environment{Now: now, Site: "s"})
 			got, unknown := map[string]string{}, 0
-			for _, n := range plan.Keys.Entries() {
-				if got[n.Key] = string(n.Result); !n.Served {
-					got[n.Key] = "?"
+			for _, entry := range plan.Keys.Entries() {
+				if got[entry.Key] = string(entry.Result); !entry.Served {
+					got[entry.Key] = "?"
 					unknown++
 				}
 			}
@@ -210,11 +210,11 @@
 		elapsed   time.Duration // from the file's creation to the record
 		remaining time.Duration // of a window of an hour; 0 if it has ended
 	}{
-		{"a minute ago", before(time.Minute, time.Minute), 0, 59 * time.Minute},
-		{"late in its file", before(time.Minute, time.Minute), 50 * time.Second, 59*time.Minute + 50*time.Second},
-		{"expired", before(time.Hour, time.Hour), 0, 0},
-		{"expired only by a wall clock that was set forward", before(time.Hour, time.Minute), 0, 59 * time.Minute},
-		{"a wall clock that was set back", before(-time.Hour, time.Minute), 0, 59 * time.Minute},
+		{"a minute ago", timestampBefore(time.Minute, time.Minute), 0, 59 * time.Minute},
+		{"late in its file", timestampBefore(time.Minute, time.Minute), 50 * time.Second, 59*time.Minute + 50*time.Second},
+		{"expired", timestampBefore(time.Hour, time.Hour), 0, 0},
+		{"expired only by a wall clock that was set forward", timestampBefore(time.Hour, time.Minute), 0, 59 * time.Minute},
+		{"a wall clock that was set back", timestampBefore(-time.Hour, time.Minute), 0, 59 * time.Minute},
 		{"no time is certain on another machine", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 9}, 0, time.Hour},
 		{"before a reboot long ago", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 7}, 0, 0},
 		{"recorded later in its file than the time that is certain to have passed", Timestamp{Wall: 1, SinceBoot: 1, BootID: "x", MachineID: 9}, time.Hour, time.Hour},
@@ -222,9 +222,9 @@
 	for _, c := range cases {
 		f := logFile(1, true, started("a"))
 		f.Header.CreatedAt, f.Records[0].Elapsed = c.then, c.elapsed
-		n, known := NewPlan([]File{f}, Environment{Now: now, Site: "s"}).Keys.Get("a")
+		entry, known := NewPlan([]File{f}, Environment{Now: now, Site: "s"}).Keys.Get("a")
 		if assert.Equal(t, c.remaining > 0, known, c.name); known {
-			assert.Equal(t, c.remaining, n.ExpiresAt-now.SinceBoot, c.name)
+			assert.Equal(t, c.remaining, entry.ExpiresAt-now.SinceBoot, c.name)
 		}
 	}
 }
--- a/wallclock/stamp.go
+++ b/wallclock/stamp.go
@@ -35,7 +35,7 @@
 		m.observed[last] = offset
 		return
 	}
-	m.observed = remember(m.observed, offset)
+	m.observed = appendOffset(m.observed, offset)
 }
 
 // Plausible reports whether a timestamp may come from a stepped clock, given that this process's wall clock reads wall.
@@ -54,14 +54,14 @@
 		}
 	}
 	if !found { // taken as written now: a wrong clock must not make its request miss its deadline at once
-		m.learned = remember(m.learned, timestamp-now)
+		m.learned = appendOffset(m.learned, timestamp-now)
 		return now
 	}
 	return min(latest, now)
 }
 
-// remember appends the newest offset, and removes the oldest if there are too many.
-func remember(offsets []time.Duration, newest time.Duration) []time.Duration {
+// appendOffset appends the newest offset, and removes the oldest if there are too many.
+func appendOffset(offsets []time.Duration, newest time.Duration) []time.Duration {
 	offsets = slices.DeleteFunc(offsets, func(o time.Duration) bool { return o == newest })
 	if len(offsets) >= maxOffsets {
 		offsets = slices.Delete(offsets, 0, 1)
--- a/wallclock/stamp_test.go
+++ b/wallclock/stamp_test.go
@@ -28,10 +28,10 @@
 // written.
 func TestArrivalsAcrossSteps(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
-		for name, stamped := range map[string]time.Duration{"before the step": 0, "after the step": step} {
+		for name, offset := range map[string]time.Duration{"before the step": 0, "after the step": step} {
 			m, _ := stepped(step)
 			for _, age := range []time.Duration{0, 30 * ms, 700 * ms} {
-				assert.Equal(t, now-age, m.Arrival(now+stamped-age, now), "step %v, timestamp written %s, %v old", step, name, age)
+				assert.Equal(t, now-age, m.Arrival(now+offset-age, now), "step %v, timestamp written %s, %v old", step, name, age)
 			}
 		}
 	}
@@ -80,12 +80,12 @@
 
 // A client sends invented timestamps. They do not change the arrival of any other, and only a bounded number of their
 // offsets is kept.
-func TestInventedStampsHarmNobody(t *testing.T) {
+func TestInventedStampsChangeNoOther(t *testing.T) {
 	m, _ := stepped(2 * time.Second)
 	for i := range 100 {
 		invented := time.Duration(i) * time.Minute
-		for _, stamp := range []time.Duration{now + invented, now - invented} {
-			assert.LessOrEqual(t, m.Arrival(stamp, now), now)
+		for _, timestamp := range []time.Duration{now + invented, now - invented} {
+			assert.LessOrEqual(t, m.Arrival(timestamp, now), now)
 		}
 		assert.Equal(t, now-50*ms, m.Arrival(now-50*ms, now))
 		assert.Equal(t, now-50*ms, m.Arrival(now+2*time.Second-50*ms, now))
