--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -107,7 +107,7 @@
 		{"old", []File{estimatesFile(1, 0.1, old)}, 0, "old"},
 		{"timestamp in the future", []File{estimatesFile(1, 0.1, timestampBefore(-time.Minute, time.Second))}, 0, "old"},
 		{"of another site", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.Site = "x" })}, 0, `file of site "x", want "s"`},
-		{"of another machine", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.CreatedAt.MachineID = 8 })}, 0, "of another machine"},
+		{"of another machine", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.CreatedAt.MachineID = 8 })}, 0, "written by another machine"},
 		{"made under other settings", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Estimates.SettingsDigest = 8 })}, 0, "other settings: digest"},
 		{"of a newer version, with an older supported file", []File{estimatesFile(1, 0.1, recent), with(estimatesFile(2, 0.2, recent), func(f *File) { f.Header.Version = FormatVersion + 1 })}, 0.1, "version 3 is newer than version 2, the newest supported"},
 		{"of a version that never existed", []File{with(estimatesFile(1, 0.1, recent), func(f *File) { f.Header.Version = 0 })}, 0, "no migration from version 0"},
