--- a/lease/history_test.go
+++ b/lease/history_test.go
@@ -7,20 +7,20 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fencedOperation is an operation under a lease as a fence saw it.
+// fencedOperation is an operation under a lease, with the decision of the fence.
 type fencedOperation struct {
 	lease    string
 	process  string
 	token    Token
 	admitted bool
-	sequence int64 // orders the operations of a fence
+	sequence int64 // position in the order of the fence's operations
 }
 
-// checkHistory returns an error for the first moment at which two holders operated under valid tokens: an operation was
-// admitted under a token older than one admitted before it, or one token was admitted for two processes. It is the one
-// checker of the lease tests.
+// checkHistory returns an error for the first operation which shows that two processes held a lease at once: it was
+// admitted under an older token than an operation before it, or under a token that was admitted for another process. It
+// also returns an error for operations out of order. All tests of the lease use this checker.
 func checkHistory(history []fencedOperation) error {
-	last := map[string]fencedOperation{} // that was admitted, by lease
+	last := map[string]fencedOperation{} // last admitted operation, by lease
 	for i, current := range history {
 		if i > 0 && current.sequence < history[i-1].sequence {
 			return fmt.Errorf("operation %d out of order: %d after %d", i, current.sequence, history[i-1].sequence)
@@ -42,13 +42,13 @@
 	return nil
 }
 
-// The checker must fail where a lease had two holders, or the tests that rest on it show nothing.
+// The checker must fail if a lease had two holders; otherwise the tests that use it prove nothing.
 func TestTheCheckerFailsOnAPlantedDoubleHold(t *testing.T) {
 	cases := map[string][]fencedOperation{
-		// operations of a stalled holder, admitted without a fence, beside those of its successor
-		"an older token after a newer": {{"d", "next", 2, true, 1}, {"d", "old", 1, true, 2}},
-		"one token for two":            {{"d", "a", 3, true, 1}, {"d", "b", 3, true, 2}},
-		"out of order":                 {{"d", "a", 1, true, 2}, {"d", "a", 1, true, 1}},
+		// operations of a stalled holder, admitted without a fence, after those of its successor
+		"older token after a newer one": {{"d", "next", 2, true, 1}, {"d", "old", 1, true, 2}},
+		"same token for two processes":  {{"d", "a", 3, true, 1}, {"d", "b", 3, true, 2}},
+		"sequence decreases":            {{"d", "a", 1, true, 2}, {"d", "a", 1, true, 1}},
 	}
 	for name, history := range cases {
 		assert.Error(t, checkHistory(history), name)
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -12,21 +12,21 @@
 
 const ms = time.Millisecond
 
-// process is one app server in a simulated fleet: its clock runs at its own rate from its own offset.
+// process is one app server of a simulated fleet. Its clock has its own rate and offset.
 type process struct {
 	name         string
 	rate         float64
 	offset       time.Duration
 	voter        *Voter
 	candidate    *Candidate
-	stalledUntil time.Duration // in true time; before it the process does nothing
+	stalledUntil time.Duration // in true time; until then the process does nothing
 }
 
 func (p *process) clock(at time.Duration) time.Duration {
 	return p.offset + time.Duration(p.rate*float64(at))
 }
 
-// message is a request or a response in flight, which arrives at true time at.
+// message is a request or a response in flight; at is its arrival in true time.
 type message struct {
 	at       time.Duration
 	to       int
@@ -34,7 +34,7 @@
 	response *VoteResponse
 }
 
-// fleet simulates processes that compete for one lease over links that lose and delay messages, a millisecond a step.
+// fleet simulates processes that compete for one lease over links that lose and delay messages, in steps of 1 ms.
 type fleet struct {
 	rng        *rand.Rand
 	config     Config
@@ -42,7 +42,7 @@
 	inFlight   []message
 	fence      *Fence
 	history    []fencedOperation
-	overlaps   int // steps at which two processes believed that they held the lease
+	overlaps   int // steps in which two processes believed that they held the lease
 	operations int
 }
 
@@ -51,7 +51,7 @@
 	f.config = Config{Duration: 500 * ms, MaxClockDrift: drift, Voters: n}
 	for i := range n {
 		name := string(rune('a' + i))
-		// Rates are within half the margin on either side, so any two differ by the margin at most.
+		// Rates are within half the drift on either side of 1, so any two differ by the drift at most.
 		rate := 1 + (f.rng.Float64()-0.5)*drift
 		p := &process{name: name, rate: rate, offset: time.Duration(f.rng.Int63n(int64(time.Hour)))}
 		p.voter, p.candidate = NewVoter(name, f.config), NewCandidate("compact", name, f.config, seed*10+int64(i))
@@ -76,7 +76,7 @@
 		f.inFlight = f.inFlight[1:]
 		p := f.processes[m.to]
 		if at < p.stalledUntil {
-			m.at = p.stalledUntil // read once it wakes
+			m.at = p.stalledUntil // read when the process runs again
 			f.inFlight = append(f.inFlight, m)
 			continue
 		}
@@ -95,7 +95,7 @@
 		now := p.clock(at)
 		if p.candidate.Holds(now) {
 			holders++
-			if f.rng.Float64() < 0.05 { // operates now and then, under its token
+			if f.rng.Float64() < 0.05 { // carries out operations at random, under its token
 				f.operate(p, at)
 			}
 		}
@@ -103,7 +103,7 @@
 			continue // renews in the second half of its lease
 		}
 		if at%(20*ms) != time.Duration(i)*ms {
-			continue // each sends at its own moments, one round in 20 ms at most
+			continue // each process sends at its own offset, at most one round in 20 ms
 		}
 		if request, ok := p.candidate.NextRequest(now); ok {
 			for to := range f.processes {
@@ -116,7 +116,7 @@
 	}
 }
 
-// operate has a process carry out an operation under its token.
+// operate lets a process attempt an operation under its token and records it.
 func (f *fleet) operate(p *process, at time.Duration) {
 	f.operations++
 	token := p.candidate.Token()
@@ -125,14 +125,14 @@
 
 func (f *fleet) index(name string) int { return int(name[0] - 'a') }
 
-// Messages are lost and late, a holder stalls past its lease every two seconds, and a voter loses its grants. A lease that
-// had two holders would let both do what only one may.
+// Messages are lost and delayed, a holder stalls past its lease every two seconds, and a voter loses its grants. If the
+// lease had two holders at a time, both would do the work that only one may do.
 func TestOneHolderAtATimeThroughLossStallsAndRestarts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		n     int
 		drift float64
-	}{{"three, no drift", 3, 0}, {"three, 2% drift", 3, 0.02}, {"five, 5% drift", 5, 0.05}} {
+	}{{"three processes, no drift", 3, 0}, {"three processes, 2% drift", 3, 0.02}, {"five processes, 5% drift", 5, 0.05}} {
 		t.Run(c.name, func(t *testing.T) {
 			held, operations := 0, 0
 			for seed := range int64(40) {
@@ -153,21 +153,21 @@
 						}
 					}
 				}
-				require.Zero(t, f.overlaps, "seed %d: two held at once", seed)
+				require.Zero(t, f.overlaps, "seed %d: the lease had two holders at a time", seed)
 				require.NoError(t, checkHistory(f.history), "seed %d", seed)
 				operations += f.operations
 			}
-			assert.Positive(t, operations, "holders operated")
+			assert.Positive(t, operations, "operations were attempted")
 			t.Logf("held %.0f%% of the time", 100*float64(held)/(40*8000))
 			// A stalled holder keeps the lease from all others until it expires, and candidates that split the votes
 			// wait as long, so the lease is not held all the time.
-			assert.Greater(t, held, 40*8000/4, "someone held for a quarter of the time at least")
+			assert.Greater(t, held, 40*8000/4, "the lease was held for less than a quarter of the time")
 		})
 	}
 }
 
-// round sends a round of requests to every voter, if the candidate does not back off; at is the time on the voters'
-// clocks, own on the candidate's.
+// round sends a round of requests to every voter and reports whether it did; it does not while the candidate backs off.
+// at is the time on the voters' clocks, own on the candidate's.
 func round(c *Candidate, voters []*Voter, at, own time.Duration) bool {
 	request, ok := c.NextRequest(own)
 	for _, voter := range voters {
@@ -178,8 +178,8 @@
 	return ok
 }
 
-// A holder stalls past its lease and wakes with a clock that did not run meanwhile. It still believes that it holds the
-// lease, which another has now; the fence must refuse its operations by its token.
+// A holder stalls past its lease, and its clock stops meanwhile. It still believes that it holds the lease, which
+// another process holds now; the fence must refuse its operations because of its token.
 func TestAStaleHolderIsRefusedByItsToken(t *testing.T) {
 	config := Config{Duration: 500 * ms, Voters: 3}
 	voters := []*Voter{NewVoter("a", config), NewVoter("b", config), NewVoter("c", config)}
@@ -192,17 +192,17 @@
 	request, _ := next.NextRequest(100 * ms)
 	for _, voter := range voters {
 		response := voter.HandleRequest(request, 100*ms)
-		assert.False(t, response.Granted, "no grant while a lease runs")
+		assert.False(t, response.Granted, "no grant while the lease is held")
 		assert.Equal(t, 400*ms, response.RetryAfter)
 		next.HandleResponse(response, 100*ms)
 	}
-	win(next, 800*ms) // after the lease and the wait drawn on refusal
+	win(next, 800*ms) // after the lease and the random backoff
 	require.True(t, next.Holds(800*ms))
 	assert.Greater(t, next.Token(), old.Token())
 	assert.True(t, fence.Admit("d", next.Token()))
-	// old was stopped and its clock says 300 ms, so it still believes that it holds the lease.
+	// old was stopped while its clock stood at 300 ms, so it still believes that it holds the lease.
 	assert.True(t, old.Holds(300*ms))
-	assert.False(t, fence.Admit("d", old.Token()), "its operations are refused")
+	assert.False(t, fence.Admit("d", old.Token()), "an operation under the stale token must be refused")
 	history := []fencedOperation{
 		{"d", "old", old.Token(), true, 1}, {"d", "next", next.Token(), true, 2},
 		{"d", "old", old.Token(), false, 3},
@@ -210,8 +210,8 @@
 	assert.NoError(t, checkHistory(history))
 }
 
-// A voter that restarts has forgotten its grants. If it granted at once, it could help a second majority while the first
-// holder's lease still runs.
+// A voter that restarts has lost its grants. If it granted at once, it could give another candidate a majority while
+// the first holder's lease has not expired.
 func TestARestartedVoterWaitsOutWhatItMayHaveGranted(t *testing.T) {
 	config := Config{Duration: time.Second, MaxClockDrift: 0.1, Voters: 1}
 	voter := NewVoter("a", config)
@@ -219,7 +219,7 @@
 	voter.Restart(500 * ms)
 	response := voter.HandleRequest(VoteRequest{"d", "y", 2}, 600*ms)
 	assert.False(t, response.Granted)
-	assert.Equal(t, 1100*ms, response.RetryAfter, "the lease and twice the margin from the restart")
+	assert.Equal(t, 1100*ms, response.RetryAfter, "Duration and twice the margin after the restart")
 	assert.True(t, voter.HandleRequest(VoteRequest{"d", "y", 2}, 1700*ms).Granted)
 }
 
@@ -234,34 +234,35 @@
 	assert.NoError(t, Config{Duration: time.Second, MaxClockDrift: 0.01, Voters: 3}.Validate())
 }
 
-// A holder whose clock runs slow believes for longer, in true time, that it holds the lease. Within the stated drift it
-// stops before any voter's grant expires. Past it another is granted the lease meanwhile, and only the token keeps the old
-// holder's operations out.
+// A holder whose clock runs slow believes for longer, in true time, that it holds the lease. Within the configured
+// drift its lease ends before any voter's grant expires. Beyond that, another process is granted the lease in the
+// meantime, and only the token makes the fence refuse the old holder's operations.
 func TestTheDriftBoundAndWhatBreaksPastIt(t *testing.T) {
 	config := Config{Duration: time.Second, MaxClockDrift: 0.1, Voters: 3}
 	for _, c := range []struct {
 		name    string
-		rate    float64 // of the holder's clock against the voters'
+		rate    float64 // of the holder's clock, relative to the voters'
 		overlap bool
-	}{{"at the bound", 0.9, false}, {"fast", 1.1, false}, {"past the bound", 0.7, true}} {
+	}{{"slow by the bound", 0.9, false}, {"fast by the bound", 1.1, false}, {"slow beyond the bound", 0.7, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			voters := []*Voter{NewVoter("a", config), NewVoter("b", config), NewVoter("c", config)}
 			old, next := NewCandidate("d", "old", config, 1), NewCandidate("d", "next", config, 2)
 			own := func(at time.Duration) time.Duration { return time.Duration(c.rate * float64(at)) }
 			round(old, voters, 0, own(0))
 			require.True(t, old.Holds(own(0)))
-			// next tries every millisecond of true time from the moment at which the voters' grants expire
+			// next requests the lease every millisecond of true time from the moment at which the voters' grants
+			// expire.
 			granted := time.Duration(0)
 			for at := config.Duration + config.margin(); granted == 0 && at < 2*config.Duration; at += ms {
 				if round(next, voters, at, at); next.Holds(at) {
 					granted = at
 				}
 			}
-			require.NotZero(t, granted, "another holder follows")
-			assert.Equal(t, c.overlap, old.Holds(own(granted)), "the old holder still believes that it holds when the next one does")
+			require.NotZero(t, granted, "no other candidate was granted the lease")
+			assert.Equal(t, c.overlap, old.Holds(own(granted)), "whether the old holder still believes that it holds the lease when the next one holds it")
 			fence := NewFence()
 			assert.True(t, fence.Admit("d", next.Token()))
-			assert.False(t, fence.Admit("d", old.Token()), "whatever it believes, its operations are refused")
+			assert.False(t, fence.Admit("d", old.Token()), "an operation under the stale token must be refused")
 		})
 	}
 }
--- a/lease/voter.go
+++ b/lease/voter.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Voter is one process's vote on all leases. It is not safe for concurrent use. Its grants are in memory alone: after a
-// restart, call Restart before it handles a request.
+// Voter votes on all leases for one process. It is not safe for concurrent use. Its grants are kept in memory only:
+// after a restart, call Restart before the voter handles a request.
 type Voter struct {
 	name        string
 	config      Config
 	grants      map[string]*grant // by lease
-	silentUntil time.Duration     // after a restart it grants nothing before this
+	silentUntil time.Duration     // time before which it grants nothing after a restart
 }
 
 // grant is a voter's last grant of one lease.
 type grant struct {
 	holder string
-	token  Token // never granted again to another
+	token  Token // never granted to another candidate again
 	expiry time.Duration
 }
 
@@ -23,8 +23,8 @@
 	return &Voter{name: name, config: config, grants: map[string]*grant{}}
 }
 
-// Restart is for a voter that lost its grants. One of them may still run, so the voter grants nothing until the last that it
-// could have made has expired.
+// Restart resets a voter that lost its grants. One of them may not have expired yet, so the voter grants nothing until
+// every grant that it could have made has.
 func (v *Voter) Restart(now time.Duration) {
 	v.grants = map[string]*grant{}
 	v.silentUntil = now + v.config.Duration + 2*v.config.margin()
@@ -47,7 +47,7 @@
 		(request.Token == last.token && now < last.expiry || request.Token > last.token)
 	switch {
 	case renews:
-	case request.Token <= last.token: // the candidate learns the highest token, and asks again above it
+	case request.Token <= last.token: // the candidate learns the highest token and retries with a larger one
 		response.RetryAfter = max(retryAfter, 0)
 		return response
 	case retryAfter > 0:
@@ -59,14 +59,15 @@
 	return response
 }
 
-// Release ends a grant before it expires, where candidate holds the lease under token.
+// Release ends a grant before it expires, if candidate holds the lease under token.
 func (v *Voter) Release(lease, candidate string, token Token, now time.Duration) {
 	if last := v.grants[lease]; last != nil && last.holder == candidate && last.token == token {
 		last.expiry = min(last.expiry, now)
 	}
 }
 
-// LastGrant returns the candidate to which this voter last granted a lease, and the token; "" and 0 where there is none.
+// LastGrant returns the candidate to which this voter last granted a lease, and its token. They are "" and 0 if there
+// was no grant.
 func (v *Voter) LastGrant(lease string) (holder string, token Token) {
 	if last := v.grants[lease]; last != nil {
 		return last.holder, last.token
