--- a/configuration/change.go
+++ b/configuration/change.go
@@ -1,9 +1,10 @@
-// Package configuration decides about versioned changes of a fleet's routes and tenants: whether a change is valid, which
-// tables follow from it, and which deltas a watcher of an older version still needs. It does no I/O and reads no clock.
+// Package configuration implements versioned changes of a fleet's routes and tenants: it validates a change, computes
+// the tables that result from it, and selects the deltas that a watcher of an older version still needs. It does no I/O
+// and reads no clock.
 //
 // A Document holds the tables at one version. A Change is a proposal; an accepted Change becomes a Delta, which takes
-// the document of one version to the next and is the only way a document changes. A document is therefore the same
-// whether it was reached by deltas from version 0 or by deltas from any snapshot.
+// the document from one version to the next. Documents change in no other way, so a document is the same whether it was
+// reached by deltas from version 0 or by deltas from any snapshot.
 package configuration
 
 // Bounds of a document and of a change.
@@ -15,26 +16,28 @@
 	MaxChangeBytes = 8 << 20 // of an encoded change
 )
 
-// Idempotency says whether a request of a route may run more than once. Its values are those of the platform's settings.
+// Idempotency specifies whether a request of a route may run more than once. Its values are those of the platform's
+// settings.
 type Idempotency string
 
 // The kinds of idempotency.
 const (
 	Retryable  Idempotency = "retryable" // may run again at any time
-	Keyed      Idempotency = "dedup"     // carries an idempotency key, by which repeats are recognized
+	Keyed      Idempotency = "dedup"     // carries an idempotency key, by which repeated requests are recognized
 	AtMostOnce Idempotency = "fragile"   // must not run again
 )
 
-// Route is the configuration of a route. Times are in microseconds. JSON names are those of the platform's settings.
+// Route is the configuration of a route. Times are in microseconds. The JSON names are those of the platform's
+// settings.
 type Route struct {
 	LatencyTarget   int64       `json:"goal-time" cbor:"1,keyasint"`
 	Deadline        int64       `json:"deadline" cbor:"2,keyasint"`
 	Value           float64     `json:"gain" cbor:"3,keyasint"`
-	LateValueShare  float64     `json:"late-value" cbor:"4,keyasint,omitempty"` // of Value, for an answer after the latency target
+	LateValueShare  float64     `json:"late-value" cbor:"4,keyasint,omitempty"` // fraction of Value, for an answer after the latency target
 	Idempotency     Idempotency `json:"idempotency" cbor:"5,keyasint"`
-	DedupWindow     int64       `json:"dedup-window" cbor:"6,keyasint,omitempty"` // required where Idempotency is Keyed
+	DedupWindow     int64       `json:"dedup-window" cbor:"6,keyasint,omitempty"` // required if Idempotency is Keyed
 	CallsDependency bool        `json:"calls" cbor:"7,keyasint,omitempty"`        // whether requests call the shared dependency
-	SkipValueShare  float64     `json:"skip-worth" cbor:"8,keyasint,omitempty"`   // of Value, for an answer without that call
+	SkipValueShare  float64     `json:"skip-worth" cbor:"8,keyasint,omitempty"`   // fraction of Value, for an answer without that call
 }
 
 // Tenant is the configuration of a tenant.
@@ -46,9 +49,10 @@
 // Change is a proposed change. A route or tenant with a nil value (JSON null) is removed; any other value replaces the
 // whole entry.
 type Change struct {
-	// ID identifies the change: a change that is proposed again under the same ID is accepted only once.
+	// ID identifies the change: if it is proposed again under the same ID, it is not applied again.
 	ID string `json:"id,omitempty"`
-	// Base is the version that the change was made on. It is rejected where that is not the latest one. Nil means any.
+	// Base is the version on which the change was prepared. The change is rejected if that is not the latest version.
+	// Nil accepts any version.
 	Base *uint64 `json:"base,omitempty"`
 	// ReplaceAll removes every entry that the change does not name.
 	ReplaceAll bool               `json:"whole,omitempty"`
--- a/configuration/codec.go
+++ b/configuration/codec.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// encMode encodes deterministically: equal content has equal bytes, which the digest relies on.
+// encMode encodes deterministically: equal content is encoded as equal bytes, on which the digest relies.
 var encMode = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -15,7 +15,7 @@
 	return mode
 }()
 
-// decMode bounds the memory that a received message can make its reader allocate.
+// decMode limits how much memory a received message can make its decoder allocate.
 var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
@@ -43,13 +43,13 @@
 	Digest  Digest            `cbor:"4,keyasint"`
 }
 
-// Snapshot encodes the whole document, for the wire and for files. Equal documents have equal snapshots.
+// Snapshot encodes the whole document for transmission and storage. Equal documents have equal snapshots.
 func (d *Document) Snapshot() []byte {
 	return encode(documentRecord{Version: d.Version, Routes: d.Routes, Tenants: d.Tenants, Digest: d.Digest})
 }
 
-// DecodeSnapshot decodes a document. It returns ErrCorrupt where the bytes are malformed or the content does not match
-// its digest.
+// DecodeSnapshot decodes a document. It returns ErrCorrupt if the bytes are malformed or the content does not match its
+// digest.
 func DecodeSnapshot(raw []byte) (*Document, error) {
 	var record documentRecord
 	if err := decMode.Unmarshal(raw, &record); err != nil {
@@ -72,10 +72,11 @@
 	return d, nil
 }
 
-// Encode encodes the delta, for the wire and for files.
+// Encode encodes the delta for transmission and storage.
 func (d Delta) Encode() []byte { return encode(d) }
 
-// DecodeDelta decodes a delta. It returns ErrCorrupt where the bytes are malformed; Document.Apply checks the content.
+// DecodeDelta decodes a delta. It returns ErrCorrupt if the bytes are malformed. It does not check the content;
+// Document.Apply does.
 func DecodeDelta(raw []byte) (Delta, error) {
 	var delta Delta
 	if err := decMode.Unmarshal(raw, &delta); err != nil {
@@ -92,14 +93,14 @@
 	IDOrder     []string          `cbor:"4,keyasint,omitempty"`
 }
 
-// Encode encodes the whole history.
+// Encode encodes the document, the stored deltas and the IDs of the latest changes.
 func (h *History) Encode() []byte {
 	return encode(historyRecord{
 		Snapshot: h.Document.Snapshot(), Deltas: h.deltas, VersionByID: h.versionByID, IDOrder: h.idOrder,
 	})
 }
 
-// DecodeHistory decodes a history. It returns ErrCorrupt where the bytes are malformed or the document does not match its
+// DecodeHistory decodes a history. It returns ErrCorrupt if the bytes are malformed or the document does not match its
 // digest.
 func DecodeHistory(raw []byte) (*History, error) {
 	var record historyRecord
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain draws the same cases every time; another seed is stated with -rapid.seed.
+// TestMain sets a fixed seed, so that every run draws the same cases. The flag -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
 		_ = seed.Value.Set("20261202")
@@ -25,7 +25,8 @@
 	return &Route{LatencyTarget: 1000, Deadline: deadline, Value: 1, Idempotency: Retryable}
 }
 
-// drawChange draws a valid change of a document. It uses few names, so that entries are changed and removed again.
+// drawChange draws a valid change of a document. It uses few names, so that later changes replace and remove the same
+// entries.
 func drawChange(t *rapid.T, d *Document) Change {
 	change := Change{ReplaceAll: rapid.Float64Range(0, 1).Draw(t, "whole") > 0.9, Routes: map[string]*Route{"always": route(1)}, Tenants: map[string]*Tenant{}}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 6, rapid.ID).Draw(t, "names") {
@@ -44,8 +45,8 @@
 	return change
 }
 
-// A watcher may be at any version when it connects. The snapshot of that version and the deltas after it must lead to the
-// latest document, equal in content, digest and bytes, also after the history was encoded and decoded.
+// A watcher may be at any version when it connects. The snapshot of that version and the deltas after it must lead to
+// the latest document, equal in content, digest and bytes, also after the history was encoded and decoded.
 func TestSnapshotAndDeltasReachTheDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHistory(NewDocument())
@@ -85,8 +86,9 @@
 	return d.Apply(delta)
 }
 
-// Deltas and snapshots can be damaged on the network or on disk, or arrive out of order. A delta that does not follow or
-// was altered must change nothing, and a snapshot with a flipped bit must be rejected unless its content is the same.
+// Deltas and snapshots can be damaged on the network or on disk, or arrive out of order. A delta that is not the next
+// one or was altered must change nothing. A snapshot with a flipped bit must be rejected unless its content is the
+// same.
 func TestCorruptContentIsRejected(t *testing.T) {
 	h := NewHistory(NewDocument())
 	for i := range 3 {
@@ -99,7 +101,7 @@
 	require.NoError(t, err)
 	require.NoError(t, d.Apply(first))
 	before := d.Clone()
-	for name, raw := range map[string][]byte{"again": deltas[0], "one left out": deltas[2]} {
+	for name, raw := range map[string][]byte{"same delta twice": deltas[0], "one delta skipped": deltas[2]} {
 		delta, err := DecodeDelta(raw)
 		require.NoError(t, err, name)
 		assert.ErrorIs(t, d.Apply(delta), ErrCorrupt, name)
@@ -123,11 +125,11 @@
 			}
 		}
 		_, err := DecodeSnapshot(snapshot[:i])
-		assert.ErrorIs(t, err, ErrCorrupt, "cut at %d", i)
+		assert.ErrorIs(t, err, ErrCorrupt, "truncated to %d bytes", i)
 	}
 }
 
-// An operator gets all violations of a change at once, by key, and none of the change is applied.
+// An invalid change must be rejected with all its violations at once, sorted by key, and none of it may be applied.
 func TestFaults(t *testing.T) {
 	h := NewHistory(NewDocument())
 	_, err := h.Accept(Change{ID: "first", Routes: map[string]*Route{"pay": route(9)}, Tenants: map[string]*Tenant{"north": {QuotaRPS: 1}}})
@@ -153,12 +155,12 @@
 	assert.Equal(t, before, h.Document)
 
 	for name, c := range map[string]Change{
-		"nothing named":     {},
-		"no route left":     {Routes: map[string]*Route{"pay": nil}},
-		"whole, without":    {ReplaceAll: true, Tenants: map[string]*Tenant{"north": {}}},
-		"an id too long":    {ID: string(make([]byte, MaxIDBytes+1)), Routes: map[string]*Route{"pay": route(1)}},
-		"a name too long":   {Routes: map[string]*Route{string(make([]byte, MaxNameBytes+1)): route(1)}},
-		"a rate of no size": {Tenants: map[string]*Tenant{"north": {QuotaRPS: nan()}}},
+		"empty change":                 {},
+		"all routes removed":           {Routes: map[string]*Route{"pay": nil}},
+		"replaces all, without routes": {ReplaceAll: true, Tenants: map[string]*Tenant{"north": {}}},
+		"ID too long":                  {ID: string(make([]byte, MaxIDBytes+1)), Routes: map[string]*Route{"pay": route(1)}},
+		"name too long":                {Routes: map[string]*Route{string(make([]byte, MaxNameBytes+1)): route(1)}},
+		"quota is NaN":                 {Tenants: map[string]*Tenant{"north": {QuotaRPS: nan()}}},
 	} {
 		_, err := h.Accept(c)
 		assert.ErrorAs(t, err, &validationErr, name)
@@ -168,8 +170,8 @@
 
 func nan() float64 { zero := 0.0; return zero / zero }
 
-// The response to a change may be lost, so the operator proposes it again: the same ID is accepted once, also after a
-// restart. A change that was made on an older version is rejected.
+// The response to a change may be lost, so the operator proposes the change again: the same ID must be accepted only
+// once, also after a restart. A change with an outdated base version must be rejected.
 func TestOnceAndInOrder(t *testing.T) {
 	h := NewHistory(NewDocument())
 	change := Change{ID: "a", Routes: map[string]*Route{"pay": route(1)}}
@@ -187,10 +189,11 @@
 	require.NoError(t, err)
 	version, err := again.Accept(change)
 	require.NoError(t, err)
-	assert.Equal(t, uint64(1), version, "IDs survive a restart")
+	assert.Equal(t, uint64(1), version, "IDs must survive a restart")
 }
 
-// The stored deltas are bounded. A watcher that is too far behind, or ahead of this history, needs a snapshot.
+// The number and size of the stored deltas are bounded. A watcher whose version is older than the first stored delta,
+// or newer than the latest version, needs a snapshot.
 func TestSince(t *testing.T) {
 	h := NewHistory(NewDocument())
 	for i := range maxDeltas + 10 {
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -8,10 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrCorrupt says that content does not match its digest or version. The receiver discards all of it.
-var ErrCorrupt = errors.New("configuration: content is corrupt or of another history")
+// ErrCorrupt reports that content is malformed or does not match its digest or version. The receiver discards all of
+// it.
+var ErrCorrupt = errors.New("configuration: content is corrupt or belongs to another history")
 
-// Document is the tables at one version. It is not safe for concurrent use.
+// Document holds the tables at one version. It is not safe for concurrent use.
 type Document struct {
 	Version uint64
 	Routes  map[string]Route
@@ -19,14 +20,14 @@
 	Digest  Digest // of all entries
 }
 
-// Digest is a hash of a document's content, without its version. It is the sum of the hashes of all entries, so updating
-// it costs only the entries that change, and their order does not matter.
+// Digest is a hash of a document's content, without its version. It is the sum of the hashes of all entries, so an
+// update costs only as much as the entries that change, and the order of entries does not matter.
 type Digest uint64
 
-// Delta takes a document from the version before to its own.
+// Delta takes a document from the previous version to its own.
 type Delta struct {
 	Version uint64             `cbor:"1,keyasint"`
-	Routes  map[string]*Route  `cbor:"2,keyasint,omitempty"` // nil for a removed entry
+	Routes  map[string]*Route  `cbor:"2,keyasint,omitempty"` // nil: the entry is removed
 	Tenants map[string]*Tenant `cbor:"3,keyasint,omitempty"`
 	Digest  Digest             `cbor:"4,keyasint"` // of the document after the delta
 }
@@ -36,14 +37,14 @@
 	return &Document{Routes: map[string]Route{}, Tenants: map[string]Tenant{}}
 }
 
-// Clone returns a copy that shares nothing with the document.
+// Clone returns a copy that shares no tables with the document.
 func (d *Document) Clone() *Document {
 	clone := *d
 	clone.Routes, clone.Tenants = maps.Clone(d.Routes), maps.Clone(d.Tenants)
 	return &clone
 }
 
-// Accept applies a change that passed Validate, and returns the delta that it became.
+// Accept applies a change that passed Validate, and returns the resulting delta.
 func (d *Document) Accept(change Change) Delta {
 	delta := Delta{Version: d.Version + 1}
 	delta.Routes = diffTable(d.Routes, change.Routes, change.ReplaceAll)
@@ -53,22 +54,22 @@
 	return delta
 }
 
-// Apply applies the delta of the next version. It returns ErrCorrupt, and leaves the document as it was, where the delta
-// is not of the next version or does not lead to the content of its digest.
+// Apply applies the delta of the next version. If the delta is not of the next version or does not lead to the content
+// of its digest, Apply returns ErrCorrupt and leaves the document unchanged.
 func (d *Document) Apply(delta Delta) error {
 	if delta.Version != d.Version+1 {
-		return fmt.Errorf("%w: version %d after version %d", ErrCorrupt, delta.Version, d.Version)
+		return fmt.Errorf("%w: delta of version %d does not follow version %d", ErrCorrupt, delta.Version, d.Version)
 	}
 	inverse := d.Inverse(delta)
 	d.applyUnchecked(delta)
 	if d.Digest != delta.Digest {
 		d.Revert(inverse)
-		return fmt.Errorf("%w: version %d leads to different content", ErrCorrupt, delta.Version)
+		return fmt.Errorf("%w: delta of version %d does not lead to the content of its digest", ErrCorrupt, delta.Version)
 	}
 	return nil
 }
 
-// Inverse returns the delta that Revert needs to take the document back to its present state after delta was applied.
+// Inverse returns the delta by which Revert restores the present state of the document after delta was applied.
 func (d *Document) Inverse(delta Delta) Delta {
 	return Delta{
 		Version: d.Version, Digest: d.Digest,
@@ -76,11 +77,11 @@
 	}
 }
 
-// Revert undoes a delta by its inverse.
+// Revert undoes a delta by applying its inverse.
 func (d *Document) Revert(inverse Delta) { d.applyUnchecked(inverse) }
 
-// Diff returns the delta that takes one document straight to another, of any version. It updates running tables; it is
-// not part of a History.
+// Diff returns the delta that takes one document directly to another; the versions need not be consecutive. It serves
+// to update tables in use and is not part of a History.
 func Diff(from, to *Document) Delta {
 	return Delta{
 		Version: to.Version, Digest: to.Digest,
@@ -99,7 +100,7 @@
 	d.Version = delta.Version
 }
 
-// setEntry sets an entry of a table, or removes it where value is nil, and updates the digest.
+// setEntry sets an entry of a table, or removes it if value is nil, and updates the digest.
 func setEntry[T any](d *Document, kind string, table map[string]T, name string, value *T) {
 	if before, exists := table[name]; exists {
 		d.Digest -= entryHash(kind, name, before)
@@ -118,7 +119,7 @@
 	return Digest(h.Sum64())
 }
 
-// diffTable returns the entries of a table that a change makes different; entries that stay equal are left out.
+// diffTable returns the entries of a table that differ after a change. It omits entries that stay equal.
 func diffTable[T comparable](table map[string]T, change map[string]*T, replaceAll bool) map[string]*T {
 	delta := map[string]*T{}
 	if replaceAll {
@@ -139,7 +140,7 @@
 	return delta
 }
 
-// inverseTable returns the present entries under the names of a delta.
+// inverseTable returns the present entries under the names of a delta, nil for those that do not exist.
 func inverseTable[T any](table map[string]T, delta map[string]*T) map[string]*T {
 	before := make(map[string]*T, len(delta))
 	for name := range delta {
--- a/configuration/parse.go
+++ b/configuration/parse.go
@@ -8,8 +8,8 @@
 	"io"
 )
 
-// ParseChange parses a file: either a Change as JSON, where unknown keys are an error, or a platform configuration (an
-// object with "settings"), which becomes the change that replaces all routes and tenants by its own.
+// ParseChange parses a file: either a Change as JSON, in which unknown keys are an error, or a platform configuration
+// (an object with "settings"), which becomes a change that replaces all routes and tenants with its own.
 func ParseChange(raw []byte) (Change, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil {
@@ -25,12 +25,12 @@
 		return Change{}, fmt.Errorf("change: %w", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return Change{}, errors.New("change: more than one JSON value")
+		return Change{}, errors.New("change: the file has more than one JSON value")
 	}
 	return change, nil
 }
 
-// platformConfig is the part of the platform's settings that a document holds.
+// platformConfig is the part of the platform's settings that a document contains.
 type platformConfig struct {
 	Services []struct {
 		Name string `json:"name"`
@@ -46,7 +46,7 @@
 	} `json:"extra"`
 }
 
-// parsePlatform returns the change that replaces everything by the routes and tenants of a platform configuration.
+// parsePlatform returns the change that replaces everything with the routes and tenants of a platform configuration.
 func parsePlatform(raw []byte) (Change, error) {
 	var settings platformConfig
 	if err := json.Unmarshal(raw, &settings); err != nil {
@@ -62,13 +62,13 @@
 			route.SkipValueShare = settings.Extra.SkipValueShares[i]
 		}
 		if change.Routes[service.Name] != nil {
-			return Change{}, fmt.Errorf("settings: services.%d.name: %q stands twice", i, service.Name)
+			return Change{}, fmt.Errorf("settings: services.%d.name: duplicate name %q", i, service.Name)
 		}
 		change.Routes[service.Name] = &route
 	}
 	for i, tenant := range settings.Tenants {
 		if change.Tenants[tenant.Name] != nil {
-			return Change{}, fmt.Errorf("settings: tenants.%d.name: %q stands twice", i, tenant.Name)
+			return Change{}, fmt.Errorf("settings: tenants.%d.name: duplicate name %q", i, tenant.Name)
 		}
 		change.Tenants[tenant.Name] = &tenant.Tenant
 	}
--- a/configuration/validate.go
+++ b/configuration/validate.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxViolations bounds what is reported of one change: a file that is no change at all may have thousands.
+	// maxViolations limits how many violations of one change are reported: an arbitrary file may have thousands.
 	maxViolations = 256
 
 	maxMicroseconds = 10 * 365 * 24 * 3600 * 1e6 // ten years, the bound of the platform's settings
@@ -17,14 +17,14 @@
 	maxQuotaRPS     = 1e9
 )
 
-// Violation is one thing that is wrong with a change.
+// Violation is one rule that a change violates. Its texts are part of the response to the client.
 type Violation struct {
-	Key     string `json:"key"`             // path of the entry, as "routes.NAME.deadline"
-	Value   string `json:"value,omitempty"` // as it was stated; empty where there is none
+	Key     string `json:"key"`             // path of the entry, such as "routes.NAME.deadline"
+	Value   string `json:"value,omitempty"` // as given in the change; empty if there is none
 	Allowed string `json:"allowed"`
 }
 
-// String is the violation on one line.
+// String returns the violation on one line.
 func (v Violation) String() string {
 	if v.Value == "" {
 		return v.Key + ": " + v.Allowed
@@ -32,12 +32,12 @@
 	return v.Key + " = " + v.Value + ": " + v.Allowed
 }
 
-// ValidationError says why a change is rejected: all its violations, sorted by key.
+// ValidationError reports why a change is rejected: all its violations, sorted by key.
 type ValidationError struct {
 	Violations []Violation `json:"faults"`
 }
 
-// Error lists the violations, one a line.
+// Error returns the violations, one on each line.
 func (e *ValidationError) Error() string {
 	lines := make([]string, len(e.Violations))
 	for i, violation := range e.Violations {
@@ -68,7 +68,8 @@
 	return v.err()
 }
 
-// validateTable checks the part of a change that concerns one table, and returns the number of entries after the change.
+// validateTable checks the part of a change that concerns one table, and returns the number of entries after the
+// change.
 func validateTable[T any](
 	v *validator, kind string, table map[string]T, change map[string]*T, replaceAll bool, check func(string, *T),
 ) int {
@@ -102,7 +103,7 @@
 	v.violations = append(v.violations, violation)
 }
 
-// err is the sorted and bounded violations as an error, or nil.
+// err returns the violations as an error, sorted and cut off after maxViolations, or nil if there are none.
 func (v *validator) err() error {
 	if len(v.violations) == 0 {
 		return nil
@@ -117,7 +118,7 @@
 }
 
 func (v *validator) checkRange(key string, value, low, high float64) {
-	if !(value >= low && value <= high) { // NaN is rejected too
+	if !(value >= low && value <= high) { // also rejects NaN
 		v.add(key, value, fmt.Sprintf("from %g to %g is allowed", low, high))
 	}
 }
