--- a/classpool/allocate.go
+++ b/classpool/allocate.go
@@ -1,20 +1,22 @@
 package classpool
 
-// insignificant is the share, or the part of one, under which allocate stops dividing.
+// insignificant is the tolerance for rounding: fill treats a claim this close to its limit as full, and a rest of the
+// share this small as used up.
 const insignificant = 1e-12
 
-// claim is what one of several siblings may get of a share. Floor and ceiling are parts of the share; demand is absolute.
+// claim is the claim of one sibling on a share. Floor and ceiling are fractions of the share; demand is absolute.
 type claim struct {
 	demand, floor, ceiling, weight float64
 }
 
-// allocate divides a share among siblings: weighted max-min fairness with floors and ceilings.
+// allocate divides a share among siblings by weighted max-min fairness with floors and ceilings:
 //
-//   - Each gets its floor, or its demand if that is less; floors that add up to more than the share are scaled.
-//   - What is left goes to those with more demand, by weight, up to their demand and ceilings.
-//   - What nobody demands is lent by weight, up to the ceilings, so that new work finds capacity at once.
+//   - Each sibling gets its floor, or its demand if that is less. Floors that add up to more than the share are scaled down.
+//   - The rest goes by weight to siblings with more demand, up to their demand and ceilings.
+//   - Capacity without demand is distributed by weight, up to the ceilings, so that new work finds capacity at once.
 //
-// The first two are the max-min fair allocation above the floors (D. Bertsekas, R. Gallager, Data Networks, 6.5.2).
+// The first two steps are the max-min fair allocation above the floors (D. Bertsekas, R. Gallager, Data Networks,
+// 6.5.2).
 func allocate(share float64, claims []claim) []float64 {
 	allocated := make([]float64, len(claims))
 	sum := 0.0
@@ -32,8 +34,8 @@
 	return allocated
 }
 
-// fill divides what is left of a share, by weight, among the claims that are under their limit. Each pass brings at least
-// one to its limit, so there are as many passes as claims at the most.
+// fill divides the rest of a share by weight among the claims that are below their limit. Each pass brings at least one
+// claim to its limit, so there are at most as many passes as claims.
 func fill(share float64, claims []claim, allocated []float64, limit func(claim) float64) {
 	for range claims {
 		left, weight := share, 0.0
--- a/classpool/classpool_test.go
+++ b/classpool/classpool_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain draws the same cases every time; another seed is stated with -rapid.seed.
+// TestMain sets a fixed seed, so that every run draws the same cases. The flag -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
 		_ = seed.Value.Set("20261201")
@@ -25,24 +25,24 @@
 		options []Options
 		want    string
 	}{
-		{"none", nil, "0 pools"},
+		{"no pools", nil, "0 pools"},
 		{"no name", []Options{{}}, "without a name"},
-		{"twice", []Options{{Name: "a"}, {Name: "a"}}, `"a" stands twice`},
-		{"no parent", []Options{{Name: "a", Parent: "b"}}, `no pool "b"`},
-		{"a ring", []Options{{Name: "a", Parent: "b"}, {Name: "b", Parent: "a"}}, "or a ring"},
+		{"duplicate name", []Options{{Name: "a"}, {Name: "a"}}, `duplicate pool name "a"`},
+		{"no parent", []Options{{Name: "a", Parent: "b"}}, `pool "b", does not exist`},
+		{"a cycle", []Options{{Name: "a", Parent: "b"}, {Name: "b", Parent: "a"}}, "or a cycle"},
 		{"too deep", []Options{{Name: "a"}, {Name: "b", Parent: "a"}, {Name: "c", Parent: "b"}, {Name: "d", Parent: "c"}, {Name: "e", Parent: "d"}}, "more than 4"},
-		{"floor", []Options{{Name: "a", Floor: 1.5}}, "floor = 1.5"},
-		{"floor over ceiling", []Options{{Name: "a", Floor: 0.5, Ceiling: 0.2}}, "over its ceiling"},
+		{"floor out of range", []Options{{Name: "a", Floor: 1.5}}, "floor = 1.5"},
+		{"floor above ceiling", []Options{{Name: "a", Floor: 0.5, Ceiling: 0.2}}, "is above its ceiling"},
 	}
 	for _, c := range cases {
 		_, err := NewTree(c.options)
 		assert.ErrorContains(t, err, c.want, c.name)
 	}
 	tree, err := NewTree([]Options{{Name: "b", Parent: "a", Floor: 0.8}, {Name: "a"}, {Name: "c", Parent: "a", Floor: 0.7}})
-	require.NoError(t, err, "in any order")
+	require.NoError(t, err, "a child may be listed before its parent")
 	assert.Equal(t, []string{"a"}, tree.Overcommitted())
 	_, is := tree.Leaf("a")
-	assert.False(t, is, "it has others inside")
+	assert.False(t, is, "a pool with children is no leaf")
 	_, is = tree.Leaf("c")
 	assert.True(t, is)
 }
@@ -61,21 +61,21 @@
 		asks, floors, ceilings, weight []float64
 		want                           []float64
 	}{
-		{"all ask for more: by weight", []float64{9, 9, 9}, []float64{0, 0, 0}, one, []float64{2, 1, 1}, []float64{0.5, 0.25, 0.25}},
-		{"what one leaves goes to the others", []float64{0.1, 9, 9}, []float64{0, 0, 0}, one, one, []float64{0.1, 0.45, 0.45}},
-		{"a floor", []float64{9, 9, 9}, []float64{0.6, 0, 0}, one, one, []float64{0.6 + 0.4/3, 0.4 / 3, 0.4 / 3}},
-		{"a floor that is not asked for", []float64{0.1, 9, 9}, []float64{0.6, 0, 0}, one, one, []float64{0.1, 0.45, 0.45}},
-		{"floors that are too many", []float64{9, 9, 9}, []float64{1, 0.5, 0.5}, one, one, []float64{0.5, 0.25, 0.25}},
-		{"a ceiling", []float64{9, 9, 9}, []float64{0, 0, 0}, []float64{0.1, 1, 1}, one, []float64{0.1, 0.45, 0.45}},
-		{"nobody asks: lent by weight", []float64{0, 0, 0}, []float64{0.5, 0, 0}, one, []float64{2, 1, 1}, []float64{0.5, 0.25, 0.25}},
+		{"all demand more than there is: by weight", []float64{9, 9, 9}, []float64{0, 0, 0}, one, []float64{2, 1, 1}, []float64{0.5, 0.25, 0.25}},
+		{"capacity that one does not need goes to the others", []float64{0.1, 9, 9}, []float64{0, 0, 0}, one, one, []float64{0.1, 0.45, 0.45}},
+		{"floor with demand", []float64{9, 9, 9}, []float64{0.6, 0, 0}, one, one, []float64{0.6 + 0.4/3, 0.4 / 3, 0.4 / 3}},
+		{"floor above the demand", []float64{0.1, 9, 9}, []float64{0.6, 0, 0}, one, one, []float64{0.1, 0.45, 0.45}},
+		{"floors add up to more than the share", []float64{9, 9, 9}, []float64{1, 0.5, 0.5}, one, one, []float64{0.5, 0.25, 0.25}},
+		{"ceiling below the demand", []float64{9, 9, 9}, []float64{0, 0, 0}, []float64{0.1, 1, 1}, one, []float64{0.1, 0.45, 0.45}},
+		{"no demand: by weight", []float64{0, 0, 0}, []float64{0.5, 0, 0}, one, []float64{2, 1, 1}, []float64{0.5, 0.25, 0.25}},
 	}
 	for _, c := range cases {
 		assert.InDeltaSlice(t, c.want, allocate(1, claimsOf(c.asks, c.floors, c.ceilings, c.weight)), 1e-9, c.name)
 	}
 }
 
-// For any claims: the share is divided up to the ceilings, none gets more than its ceiling, and each gets its floor as far
-// as it has demand, scaled where the floors add up to more than the share.
+// For any claims: the share is divided up to the ceilings, none gets more than its ceiling, and each gets its floor as
+// far as it has demand, scaled down if the floors add up to more than the share.
 func TestAllocateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "n")
@@ -93,15 +93,15 @@
 			sum += got[i]
 			could += ceilings[i] * room
 			floorSum += min(floors[i]*room, asks[i])
-			assert.LessOrEqual(t, got[i], ceilings[i]*room+1e-9, "over its ceiling")
+			assert.LessOrEqual(t, got[i], ceilings[i]*room+1e-9, "above its ceiling")
 		}
-		assert.InDelta(t, min(room, could), sum, 1e-6, "room is left, or more is given than there is")
+		assert.InDelta(t, min(room, could), sum, 1e-6, "the allocations do not add up to the share")
 		for i := range got {
 			owed := min(floors[i]*room, asks[i])
 			if floorSum > room {
 				owed *= room / floorSum
 			}
-			assert.GreaterOrEqual(t, got[i], owed-1e-9, "under its floor")
+			assert.GreaterOrEqual(t, got[i], owed-1e-9, "below its floor")
 		}
 	})
 }
@@ -110,22 +110,22 @@
 type class struct {
 	name string
 	rate float64 // requests per second
-	cost float64 // core seconds
+	cost float64 // core seconds per request
 	from time.Duration
 	to   time.Duration
 }
 
-// simulation runs classes of load on a number of cores: requests are queued, started as the pools say while a core is free,
-// and run for their cost.
+// simulation runs classes of load on a number of cores: requests are queued, started in the order that the pools choose
+// while a core is free, and occupy a core for their cost.
 type simulation struct {
 	pools   *Pools
 	classes []class
 	costAt  func(c class, now time.Duration) float64 // nil: the class's cost
 
 	leaves  []int             // by class, as are the next three
-	queued  [][]time.Duration // when they arrived
+	queued  [][]time.Duration // arrival times
 	used    []float64         // core seconds
-	waited  []time.Duration   // longest
+	waited  []time.Duration   // longest time in the queue
 	running []simulatedRun
 }
 
@@ -135,7 +135,8 @@
 	cost   float64
 }
 
-// simulate returns the core time that each class used, and the longest that a request of each waited.
+// simulate returns the core time that each class used in core seconds, and the longest time that one of its requests
+// was queued. It panics if a core is idle while a request is queued.
 func simulate(p *Pools, cores int, span time.Duration, classes []class, costAt func(c class, now time.Duration) float64) (used []float64, waited []time.Duration) {
 	rng := rand.New(rand.NewSource(1))
 	s := &simulation{
@@ -160,7 +161,7 @@
 	return s.used, s.waited
 }
 
-// arrive queues new requests, and drops those that have waited for two seconds.
+// arrive queues new requests and drops those that have been queued for two seconds.
 func (s *simulation) arrive(rng *rand.Rand, step, now time.Duration) {
 	for i, c := range s.classes {
 		if now >= c.from && (c.to == 0 || now < c.to) && rng.Float64() < c.rate*step.Seconds() {
@@ -174,7 +175,7 @@
 	}
 }
 
-// end ends the runs that are due.
+// end ends the runs whose cost has been spent.
 func (s *simulation) end(now time.Duration) {
 	running := s.running[:0]
 	for _, r := range s.running {
@@ -187,7 +188,7 @@
 	s.running = running
 }
 
-// start starts the request that the pools name, if any.
+// start starts a request of the leaf that the pools choose and reports whether there was one.
 func (s *simulation) start(now time.Duration) bool {
 	leaf, reserved, found := s.pools.Next(now, func(leaf int) bool {
 		for i := range s.classes {
@@ -228,13 +229,13 @@
 		name    string
 		options []Options
 		classes []class
-		want    []float64 // of the cores' time
+		want    []float64 // fraction of all core time
 	}{
-		{"two at 200%, by weight", []Options{{Name: "a", Weight: 3}, {Name: "b"}}, []class{{"a", 400, 0.02, 0, 0}, {"b", 400, 0.02, 0, 0}}, []float64{0.75, 0.25}},
-		{"core time is parted, not the count", []Options{{Name: "a"}, {Name: "b"}}, []class{{"a", 800, 0.005, 0, 0}, {"b", 40, 0.1, 0, 0}}, []float64{0.5, 0.5}},
+		{"two classes, each with a load of 200%: by weight", []Options{{Name: "a", Weight: 3}, {Name: "b"}}, []class{{"a", 400, 0.02, 0, 0}, {"b", 400, 0.02, 0, 0}}, []float64{0.75, 0.25}},
+		{"core time is divided, not the number of requests", []Options{{Name: "a"}, {Name: "b"}}, []class{{"a", 800, 0.005, 0, 0}, {"b", 40, 0.1, 0, 0}}, []float64{0.5, 0.5}},
 		{"one expensive class at 95% of the requests", []Options{{Name: "a", Floor: 0.2}, {Name: "b"}}, []class{{"a", 40, 0.02, 0, 0}, {"b", 760, 0.05, 0, 0}}, []float64{0.2, 0.8}},
-		{"a small one has all that it asks for", []Options{{Name: "a"}, {Name: "b"}, {Name: "c"}}, []class{{"a", 20, 0.01, 0, 0}, {"b", 400, 0.02, 0, 0}, {"c", 400, 0.02, 0, 0}}, []float64{0.05, 0.475, 0.475}},
-		{"inside a parent's floor", []Options{{Name: "p", Floor: 0.5}, {Name: "a", Parent: "p"}, {Name: "b", Parent: "p"}, {Name: "c", Weight: 100}},
+		{"a class with little load gets all its demand", []Options{{Name: "a"}, {Name: "b"}, {Name: "c"}}, []class{{"a", 20, 0.01, 0, 0}, {"b", 400, 0.02, 0, 0}, {"c", 400, 0.02, 0, 0}}, []float64{0.05, 0.475, 0.475}},
+		{"children divide their parent's floor", []Options{{Name: "p", Floor: 0.5}, {Name: "a", Parent: "p"}, {Name: "b", Parent: "p"}, {Name: "c", Weight: 100}},
 			[]class{{"a", 400, 0.02, 0, 0}, {"b", 400, 0.02, 0, 0}, {"c", 400, 0.02, 0, 0}}, []float64{0.25, 0.25, 0.5}},
 	}
 	for _, c := range cases {
@@ -248,23 +249,24 @@
 	}
 }
 
-// A class has no load for a while. The others get its share, and it has that again soon after it returns; it does not keep
-// the others out with all that it did not use.
+// A class has no load for a while. The other classes get its share in the meantime. When its load returns, the class
+// must regain its share soon, but must not starve the others to recover the time that it did not use.
 func TestVanishesAndComesBack(t *testing.T) {
 	p := newPools(t, 4, Options{Name: "a", Floor: 0.5}, Options{Name: "b"})
 	classes := []class{{"a", 400, 0.02, 0, 10 * time.Second}, {"b", 800, 0.02, 0, 0}}
 	used, _ := simulate(p, 4, 20*time.Second, classes, nil)
-	assert.InDelta(t, 4*20, used[0]+used[1], 2, "no core stood idle")
+	assert.InDelta(t, 4*20, used[0]+used[1], 2, "no core is idle")
 
 	p = newPools(t, 4, Options{Name: "a"}, Options{Name: "b"})
 	back := []class{{"a", 400, 0.02, 20 * time.Second, 0}, {"b", 800, 0.02, 0, 0}}
 	used, waited := simulate(p, 4, 24*time.Second, back, nil)
-	assert.InDelta(t, 0.5*4*4, used[0], 3, "half of what there was since it came back")
+	assert.InDelta(t, 0.5*4*4, used[0], 3, "half of the core time since its load returned")
 	assert.Less(t, waited[1], 2*time.Second+time.Millisecond)
-	assert.Greater(t, used[1], 4*20+0.35*4*4, "and the other goes on meanwhile")
+	assert.Greater(t, used[1], 4*20+0.35*4*4, "the other class keeps running")
 }
 
-// The cheapest class waits less with a reserve. One that is declared cheap and becomes expensive loses its place.
+// The cheapest class waits less with a reserve. A class that is declared cheap and becomes expensive must lose the
+// reserve.
 func TestReserve(t *testing.T) {
 	options := []Options{{Name: "look", Weight: 0.01}, {Name: "book"}, {Name: "refresh"}}
 	classes := []class{{"look", 100, 0.001, 0, 0}, {"book", 100, 0.04, 0, 0}, {"refresh", 100, 0.06, 0, 0}}
@@ -279,14 +281,14 @@
 	farmed.Reserve = NewReserve(0.05, 0.2)
 	used, _ := simulate(farmed, 4, 30*time.Second, classes, func(c class, now time.Duration) float64 {
 		if c.name == "look" && now > 5*time.Second {
-			return 0.05 // called cheap, and as dear as the others
+			return 0.05 // declared cheap, but as expensive as the other classes
 		}
 		return c.cost
 	})
-	assert.Less(t, used[0]/(4*30), 0.1, "what it overspent is owed, and its place is lost")
+	assert.Less(t, used[0]/(4*30), 0.1, "what the class overspent counts against the reserve, and it loses its eligibility")
 }
 
-// The cost of a class doubles. Its share of core time stays the same.
+// The cost of a class doubles. Its share of core time must stay the same.
 func TestCostDrifts(t *testing.T) {
 	p := newPools(t, 4, Options{Name: "a"}, Options{Name: "b"})
 	classes := []class{{"a", 400, 0.02, 0, 0}, {"b", 400, 0.02, 0, 0}}
@@ -299,7 +301,7 @@
 	assert.InDelta(t, 0.5, used[0]/(4*40), 0.03)
 }
 
-// For any loads: no class is starved, and no core is idle while a request is queued (simulate checks that).
+// For any load, no class may starve, and no core may be idle while a request is queued (simulate checks the latter).
 func TestNoStarvation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "n")
@@ -318,7 +320,8 @@
 	})
 }
 
-// One caller of ten thousand uses half of all. Its share is seen, and that of none of the others is overestimated by much.
+// One caller of ten thousand accounts for half of all use. Its share must be estimated correctly, and no other caller's
+// share may be overestimated by much.
 func TestUsageSketch(t *testing.T) {
 	c := NewUsageSketch(7)
 	rng := rand.New(rand.NewSource(2))
@@ -335,6 +338,6 @@
 	}
 	assert.Less(t, most, 0.05)
 	c.Add(1, 0, now+10*useWindow)
-	assert.LessOrEqual(t, c.total, 1e-2, "what was is forgotten")
+	assert.LessOrEqual(t, c.total, 1e-2, "earlier use has decayed")
 	assert.Zero(t, NewUsageSketch(1).Share(5))
 }
--- a/classpool/pools.go
+++ b/classpool/pools.go
@@ -6,45 +6,46 @@
 )
 
 const (
-	updateInterval  = 100 * time.Millisecond // of demands and shares
+	updateInterval  = 100 * time.Millisecond // between updates of demands and shares
 	demandWindow    = 2 * time.Second        // time constant of the decay of demand
-	followRatio     = 0.3                    // part of the way to its target that a share moves in an update
-	minShareChange  = 0.02                   // of all core time; closer targets are not followed: hysteresis
-	maxSavedSeconds = 0.5                    // core seconds over its share that an idle leaf may save up
-	maxCostSamples  = 100.0                  // runs that the mean cost looks back over
-	minCostSamples  = 5                      // runs from which the mean cost is known
+	followRatio     = 0.3                    // fraction of the distance to its target that a share moves in one update
+	minShareChange  = 0.02                   // of all core time; a target that is closer to the share is not followed (hysteresis)
+	maxSavedSeconds = 0.5                    // virtual time in seconds by which a leaf that becomes active may lag behind the others
+	maxCostSamples  = 100.0                  // number of latest runs that the mean cost covers
+	minCostSamples  = 5                      // number of runs from which on the mean cost is used
 	minCost         = 1e-6                   // core seconds
-	minShare        = 1e-3                   // of all core time that a leaf is charged by: without a share it still runs, slowly
+	minShare        = 1e-3                   // least fraction of all core time by which a leaf is charged: a leaf without a share still runs, slowly
 )
 
-// account is what a leaf has used and requested.
+// account records the core time that a leaf used and requested.
 type account struct {
-	virtualTime float64 // core seconds used, over its share of the cores
+	virtualTime float64 // core seconds used, divided by the leaf's share of the cores
 	cost        float64 // mean core seconds of a run
-	costSamples float64 // runs in cost
+	costSamples float64 // number of runs in cost
 	requested   float64 // core seconds, decaying with demandWindow
 	running     int
 	queued      int
 }
 
-// idle reports whether a leaf has no requests at all.
+// idle reports whether a leaf has neither queued requests nor runs.
 func (a *account) idle() bool { return a.queued+a.running == 0 }
 
-// Pools divide the core time of one server among the leaves of a tree, by weighted fair queueing on measured core time:
-// the leaf that has used least for its share goes next. It is not safe for concurrent use.
+// Pools divides the core time of one server among the leaves of a tree by weighted fair queueing on measured core time:
+// the leaf that has used the least relative to its share runs next. It is not safe for concurrent use.
 type Pools struct {
 	tree        *Tree
 	cores       float64
-	leaves      []int       // tree indexes
-	leafIndex   map[int]int // by tree index
-	accounts    []account   // by leaf, as are leaves
+	leaves      []int       // indexes in the tree
+	leafIndex   map[int]int // by index in the tree
+	accounts    []account   // by leaf, in the order of leaves
 	now         time.Duration
 	updatedAt   time.Duration
-	virtualTime float64  // the least of all leaves with requests
-	Reserve     *Reserve // nil: none
+	virtualTime float64  // minimum over all leaves with requests
+	Reserve     *Reserve // nil: no reserve
 }
 
-// New returns the pools of a server. Until demand is known, each leaf has its share by floor and weight.
+// New returns the pools of a server with a number of cores. Until demand is known, each leaf's share follows from its
+// floor and weight.
 func New(tree *Tree, cores float64, now time.Duration) *Pools {
 	p := &Pools{tree: tree, cores: cores, leafIndex: map[int]int{}, now: now, updatedAt: now}
 	for i := range tree.pools {
@@ -61,7 +62,7 @@
 	return p
 }
 
-// Leaf returns the number of the leaf with a name, for the other methods.
+// Leaf returns the number by which the other methods identify the leaf with a name.
 func (p *Pools) Leaf(name string) (leaf int, found bool) {
 	index, found := p.tree.Leaf(name)
 	if !found {
@@ -70,19 +71,20 @@
 	return p.leafIndex[index], true
 }
 
-// Enqueued counts a request that waits in a leaf's queue. expected is the core time that it needs, in seconds; 0 if unknown.
+// Enqueued records a request that was added to a leaf's queue. expected is the core time that it needs in seconds, 0 if
+// unknown.
 func (p *Pools) Enqueued(leaf int, expected float64) {
 	a := &p.accounts[leaf]
 	if a.idle() {
-		// While it was idle, the others' virtual time moved on. It begins a little behind them, but not by all that: else it
-		// would keep them out until it has made up for it.
+		// The other leaves' virtual time advanced while this leaf was idle. It may start behind them by maxSavedSeconds
+		// only: with the whole difference it would keep them from running until it has caught up.
 		a.virtualTime = max(a.virtualTime, p.virtualTime-maxSavedSeconds)
 	}
 	a.queued++
 	a.requested += a.expectedCost(expected)
 }
 
-// expectedCost is the measured mean, or the expected cost as long as few runs were measured.
+// expectedCost returns the measured mean cost, or the expected cost while too few runs were measured.
 func (a *account) expectedCost(expected float64) float64 {
 	switch {
 	case a.costSamples >= minCostSamples && a.cost > 0:
@@ -95,12 +97,12 @@
 	return minCost
 }
 
-// Dropped counts a queued request that is gone without a run.
+// Dropped records that a queued request left the queue without a run.
 func (p *Pools) Dropped(leaf int) { p.accounts[leaf].queued-- }
 
-// Next returns the leaf whose request starts next, of those for which wants returns true. The reserve's come first while it
-// has a balance (reserved), and leaves at their ceiling after all others, so that no core stays idle for a ceiling. found
-// is false where no leaf wants a run.
+// Next returns the leaf whose request is to start next, among those for which wants returns true. A leaf of the reserve
+// comes first while the reserve has a balance; reserved is true then. Leaves at their ceiling are chosen last, so that
+// no core stays idle because of a ceiling. found is false if no leaf wants a run.
 func (p *Pools) Next(now time.Duration, wants func(leaf int) bool) (leaf int, reserved, found bool) {
 	p.update(now)
 	if p.Reserve != nil {
@@ -123,20 +125,21 @@
 	return leaf, false, leaf >= 0
 }
 
-// atCeiling reports whether a leaf runs as many requests as its ceiling allows; one is always allowed.
+// atCeiling reports whether a leaf has as many runs as its ceiling allows; one run is always allowed.
 func (p *Pools) atCeiling(leaf int) bool {
 	pool := &p.tree.pools[p.leaves[leaf]]
 	return pool.Ceiling < 1 && float64(p.accounts[leaf].running) >= math.Max(1, pool.Ceiling*p.tree.parentShare(pool)*p.cores)
 }
 
-// Ticket is a run of a leaf, from Started to Ended.
+// Ticket identifies a run of a leaf from Started to Ended.
 type Ticket struct {
 	leaf     int
 	charged  float64
 	reserved bool
 }
 
-// Started charges a run with its expected cost; Ended corrects that. reserved is as Next returned it.
+// Started records the start of a queued request and charges its expected cost to the leaf; Ended corrects the charge.
+// reserved is the value that Next returned.
 func (p *Pools) Started(leaf int, expected float64, reserved bool) Ticket {
 	a := &p.accounts[leaf]
 	a.queued--
@@ -146,7 +149,8 @@
 	return ticket
 }
 
-// Ended counts the end of a run that took so many core seconds. What a leaf overspent stays charged to it.
+// Ended records the end of a run that took this many core seconds. It corrects the charge of the expected cost, so a
+// leaf pays for what it overspent.
 func (p *Pools) Ended(ticket Ticket, took float64) {
 	a := &p.accounts[ticket.leaf]
 	a.running--
@@ -156,7 +160,7 @@
 	p.charge(ticket, took-ticket.charged)
 }
 
-// charge adds core seconds to a leaf's virtual time, and to the reserve's use for a reserved run.
+// charge adds core seconds to a leaf's virtual time and, for a reserved run, deducts them from the reserve's balance.
 func (p *Pools) charge(ticket Ticket, seconds float64) {
 	if ticket.reserved && p.Reserve != nil {
 		p.Reserve.balance -= seconds
@@ -175,7 +179,7 @@
 	}
 }
 
-// update moves demands, targets and shares on with time.
+// update recomputes demands, targets and shares if updateInterval has passed.
 func (p *Pools) update(now time.Duration) {
 	p.now = max(p.now, now)
 	passed := p.now - p.updatedAt
@@ -187,7 +191,7 @@
 	for i := range p.accounts {
 		a := &p.accounts[i]
 		a.requested *= decay
-		// The queue is demand too, however long ago it came.
+		// Queued requests are demand regardless of how long ago they arrived.
 		p.tree.pools[p.leaves[i]].demand = a.requested/demandWindow.Seconds() + float64(a.queued)*a.cost/demandWindow.Seconds()
 	}
 	p.tree.updateTargets(p.cores)
--- a/classpool/reserve.go
+++ b/classpool/reserve.go
@@ -2,25 +2,28 @@
 
 import "time"
 
-// maxReserveSeconds of its share are the most that the reserve saves up.
+// maxReserveSeconds limits the balance of the reserve to what its share yields in this many seconds.
 const maxReserveSeconds = 0.5
 
-// Reserve keeps the cheapest work going under any load: a share of core time for leaves whose measured mean cost is far under
-// the others'. A leaf that becomes expensive loses its place by its measured cost, and what it overspent is made up for
-// before the reserve serves again; so declaring expensive work as cheap gains nothing that lasts.
+// Reserve keeps the cheapest work running under any load: it is a share of core time for leaves whose measured mean
+// cost is far below that of the others. A leaf that becomes expensive loses its eligibility by its measured cost, and
+// the core time that it overspent is recovered before the reserve serves any leaf again. Declaring expensive work as
+// cheap therefore has no lasting benefit.
 type Reserve struct {
-	share        float64 // of the cores
-	maxCostRatio float64 // of the mean of the leaves' costs
+	share        float64 // fraction of all core time
+	maxCostRatio float64 // fraction of the mean of all leaves' costs
 	balance      float64 // core seconds; negative while overspent
 	updatedAt    time.Duration
 }
 
-// NewReserve returns a reserve of a share of the cores, for leaves whose cost is under maxCostRatio of the mean.
+// NewReserve returns a reserve with a share of the cores, for leaves whose cost is below maxCostRatio times the mean
+// cost of all leaves.
 func NewReserve(share, maxCostRatio float64) *Reserve {
 	return &Reserve{share: share, maxCostRatio: maxCostRatio}
 }
 
-// next is the cheapest eligible leaf that wants a run, while there is a balance.
+// next returns the cheapest eligible leaf for which wants returns true. found is false if there is none or the balance
+// is used up.
 func (r *Reserve) next(p *Pools, now time.Duration, wants func(leaf int) bool) (leaf int, found bool) {
 	passed := max(now-r.updatedAt, 0).Seconds()
 	r.updatedAt = max(now, r.updatedAt)
@@ -37,7 +40,8 @@
 	return leaf, leaf >= 0
 }
 
-// eligible reports whether a leaf's measured cost is low enough. Without a measured cost it is not.
+// eligible reports whether a leaf's measured cost is low enough. A leaf without a measured cost is not eligible, and no
+// leaf is if only one has a measured cost.
 func (r *Reserve) eligible(p *Pools, leaf int) bool {
 	sum, measured := 0.0, 0.0
 	for _, a := range p.accounts {
--- a/classpool/sketch.go
+++ b/classpool/sketch.go
@@ -12,12 +12,12 @@
 	decayInterval = useWindow / 20
 )
 
-// UsageSketch estimates each caller's part of a pool's use, of any number of callers. It is a count-min sketch of decaying
-// use (G. Cormode, S. Muthukrishnan, 2005) of 8 KiB. An estimate is never too low, and too high by more than a 94th of all
-// use with a probability of 2 %.
+// UsageSketch estimates each caller's fraction of a pool's use, for any number of callers. It is a count-min sketch of
+// decaying use (G. Cormode, S. Muthukrishnan, 2005) and takes 8 KiB. An estimate is never too low; the probability that
+// it is too high by more than 1/94 of all use is 2%.
 //
-// Shuffle shards are the alternative. They give each caller fixed slots, so two callers that share theirs affect each
-// other as long as they stay.
+// The alternative is shuffle sharding. It gives each caller fixed slots, so two callers with the same slots affect each
+// other as long as both are active.
 type UsageSketch struct {
 	used      [sketchRows][sketchColumns]float64 // core seconds
 	total     float64                            // core seconds
@@ -25,8 +25,8 @@
 	seeds     [sketchRows]uint64
 }
 
-// NewUsageSketch returns an empty sketch. Seeds should differ between servers, so that the same callers do not collide on
-// all of them.
+// NewUsageSketch returns an empty sketch. Seeds should differ between servers, so that the same callers do not collide
+// on all of them.
 func NewUsageSketch(seed uint64) *UsageSketch {
 	s := &UsageSketch{}
 	for i := range s.seeds {
@@ -43,7 +43,7 @@
 	return x ^ x>>31
 }
 
-// Add counts core seconds of a caller.
+// Add records a caller's use in core seconds.
 func (s *UsageSketch) Add(caller uint64, seconds float64, now time.Duration) {
 	if passed := now - s.decayedAt; passed > decayInterval {
 		decay := math.Exp(-float64(passed) / float64(useWindow))
@@ -61,7 +61,7 @@
 	}
 }
 
-// Share is the estimated part of all use that is a caller's, from 0 to 1.
+// Share returns the estimate of a caller's fraction of all use, from 0 to 1.
 func (s *UsageSketch) Share(caller uint64) float64 {
 	if s.total <= 0 {
 		return 0
--- a/classpool/tree.go
+++ b/classpool/tree.go
@@ -1,5 +1,5 @@
-// Package classpool divides the server's one limit of requests in flight among classes of work: a tree of pools with
-// floors, ceilings and weights, by measured demand and core time. It does not change the limit, preempts nothing, and is
+// Package classpool divides a server's limit of requests in flight among classes of work: a tree of pools with floors,
+// ceilings and weights, based on measured demand and core time. It does not change the limit, preempts nothing, and is
 // work-conserving: no core stays idle while a request is queued. It does no I/O and reads no clock.
 package classpool
 
@@ -13,38 +13,38 @@
 	maxPools  = 256
 	maxDepth  = 4
 	maxWeight = 1e6
-	epsilon   = 1e-9 // by which sums of floors may exceed 1 through rounding
+	epsilon   = 1e-9 // by which a sum of floors may exceed 1 because of rounding
 )
 
-// Options configure a pool. Floor and Ceiling are parts of its parent's share.
+// Options configures a pool. Floor and Ceiling are fractions of its parent's share.
 type Options struct {
 	Name    string
 	Parent  string  // empty for a root
-	Floor   float64 // guaranteed as far as there is demand; 0 to 1
-	Ceiling float64 // not exceeded while other pools have demand; 0 to 1, and 0 means 1
-	Weight  float64 // of its part in what floors leave; 0 means 1
+	Floor   float64 // from 0 to 1; guaranteed as far as there is demand
+	Ceiling float64 // from 0 to 1, and 0 means 1; not exceeded while other pools have demand
+	Weight  float64 // for the division of the capacity above the floors; 0 means 1
 }
 
-// pool is one of the tree.
+// pool is one pool of a tree.
 type pool struct {
 	Options
 	parent   int // -1 for a root
 	children []int
 
-	demand float64 // core seconds per second that its requests need, with all below it
-	target float64 // share of all core time that updateTargets gave it
-	share  float64 // share of all core time that it has; follows target
+	demand float64 // core seconds per second needed by its requests and those of its descendants
+	target float64 // share of all core time that updateTargets computed
+	share  float64 // share of all core time in use; approaches target
 }
 
-// Tree is a valid tree of pools.
+// Tree is a validated tree of pools.
 type Tree struct {
 	pools []pool // parents before their children
 	roots []int
 	index map[string]int // in pools, by name
 }
 
-// NewTree validates the options and builds a tree. The error joins all faults. Floors of siblings that add up to more than
-// 1 are allowed: they are scaled, and Overcommitted names their parent.
+// NewTree validates the options and builds a tree. The error joins all faults. Floors of siblings may add up to more
+// than 1: they are scaled down, and Overcommitted returns their parent's name.
 func NewTree(all []Options) (*Tree, error) {
 	if len(all) == 0 || len(all) > maxPools {
 		return nil, fmt.Errorf("%d pools; 1 to %d are allowed", len(all), maxPools)
@@ -53,10 +53,10 @@
 	byName := map[string]Options{}
 	for _, options := range all {
 		if options.Name == "" {
-			faults = append(faults, errors.New("a pool without a name"))
+			faults = append(faults, errors.New("pool without a name"))
 		}
 		if _, twice := byName[options.Name]; twice {
-			faults = append(faults, fmt.Errorf("pool %q stands twice", options.Name))
+			faults = append(faults, fmt.Errorf("duplicate pool name %q", options.Name))
 		}
 		byName[options.Name] = options
 		faults = append(faults, options.faults()...)
@@ -70,7 +70,7 @@
 	return buildTree(all), nil
 }
 
-// faults checks the numbers of a pool.
+// faults returns the numbers of a pool that are out of range.
 func (o Options) faults() (faults []error) {
 	if o.Ceiling == 0 {
 		o.Ceiling = 1
@@ -79,34 +79,35 @@
 		name       string
 		value, max float64
 	}{{"floor", o.Floor, 1}, {"ceiling", o.Ceiling, 1}, {"weight", o.Weight, maxWeight}} {
-		if !(option.value >= 0 && option.value <= option.max) { // so that NaN is a fault, too
+		if !(option.value >= 0 && option.value <= option.max) { // also rejects NaN
 			faults = append(faults, fmt.Errorf("pool %q: %s = %g: 0 to %g is allowed", o.Name, option.name, option.value, option.max))
 		}
 	}
 	if o.Floor > o.Ceiling {
-		faults = append(faults, fmt.Errorf("pool %q: floor %g over its ceiling %g", o.Name, o.Floor, o.Ceiling))
+		faults = append(faults, fmt.Errorf("pool %q: floor %g is above its ceiling %g", o.Name, o.Floor, o.Ceiling))
 	}
 	return faults
 }
 
-// depthFaults checks the pools above one. A cycle is too deep.
+// depthFaults returns the faults of a pool's ancestors: one that does not exist, or too many of them. A cycle counts as
+// too many.
 func (o Options) depthFaults(byName map[string]Options) (faults []error) {
 	depth := 1
 	for above := o.Parent; above != "" && depth <= maxDepth; depth++ {
 		parent, known := byName[above]
 		if !known {
-			faults = append(faults, fmt.Errorf("pool %q: no pool %q", o.Name, above))
+			faults = append(faults, fmt.Errorf("pool %q: its parent, pool %q, does not exist", o.Name, above))
 			break
 		}
 		above = parent.Parent
 	}
 	if depth > maxDepth {
-		faults = append(faults, fmt.Errorf("pool %q: more than %d pools one inside the other, or a ring", o.Name, maxDepth))
+		faults = append(faults, fmt.Errorf("pool %q: nested more than %d levels deep, or a cycle", o.Name, maxDepth))
 	}
 	return faults
 }
 
-// buildTree adds, as long as there are any left, the pools whose parents were added, in the given order.
+// buildTree adds all pools to a tree, in passes: each pass adds the pools whose parents were added, in the given order.
 func buildTree(all []Options) *Tree {
 	t := &Tree{index: map[string]int{}}
 	for len(t.pools) < len(all) {
@@ -121,7 +122,7 @@
 	return t
 }
 
-// add appends a pool with its defaults. parent counts only where the options name one.
+// add appends a pool with its defaults. parent is used only if the options name a parent.
 func (t *Tree) add(options Options, parent int) {
 	if options.Ceiling == 0 {
 		options.Ceiling = 1
@@ -141,7 +142,8 @@
 	t.pools = append(t.pools, p)
 }
 
-// Overcommitted names the parents whose pools' floors add up to more than 1; "" stands for the roots.
+// Overcommitted returns the names of the parents whose children's floors add up to more than 1; "" represents the
+// roots.
 func (t *Tree) Overcommitted() (names []string) {
 	sum := func(pools []int) (floors float64) {
 		for _, i := range pools {
@@ -160,13 +162,13 @@
 	return names
 }
 
-// Leaf returns the index of a pool that requests can be in: one without children.
+// Leaf returns the index of a pool without children; only such a pool can have requests.
 func (t *Tree) Leaf(name string) (index int, found bool) {
 	index, known := t.index[name]
 	return index, known && len(t.pools[index].children) == 0
 }
 
-// parentShare is the share of all core time that a pool's own share is part of.
+// parentShare returns the share of all core time that is divided among a pool and its siblings.
 func (t *Tree) parentShare(p *pool) float64 {
 	if p.parent < 0 {
 		return 1
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -99,9 +99,9 @@
 	cases := []struct{ name, text, want string }{
 		{"a floor out of range", "[pools.a]\nfloor = 2", `x.toml:2: pools.a.floor = 2: a number from 0 to 1 is allowed`},
 		{"an unknown key", "[pools.a]\nshare = 1", `pools.a.share = 1: unknown; allowed are ceiling, floor, parent, weight`},
-		{"a parent that is not there", "[pools.a]\nparent = \"b\"", `pool "a": no pool "b"`},
-		{"a floor over the ceiling", "[pools.a]\nfloor = 0.9\nceiling = 0.5", `pool "a": floor 0.9 over its ceiling 0.5`},
-		{"a ring", "[pools.a]\nparent = \"b\"\n[pools.b]\nparent = \"a\"", `or a ring`},
+		{"a parent that does not exist", "[pools.a]\nparent = \"b\"", `pool "a": its parent, pool "b", does not exist`},
+		{"a floor above the ceiling", "[pools.a]\nfloor = 0.9\nceiling = 0.5", `pool "a": floor 0.9 is above its ceiling 0.5`},
+		{"a cycle", "[pools.a]\nparent = \"b\"\n[pools.b]\nparent = \"a\"", `or a cycle`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
