--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// bounds is what a number may be.
+// bounds is the range of values that a number may have.
 type bounds int
 
 const (
-	anything bounds = iota // that is finite
+	anything bounds = iota // any finite number
 	notNegative
 	aboveZero
 	share // from 0 to 1
 )
 
-// problem says what is wrong with a number, "" where it is within the bounds.
+// problem returns how a number violates the bounds, or "" if it is within them.
 func (b bounds) problem(v float64) string {
 	switch {
 	case math.IsNaN(v) || math.IsInf(v, 0):
-		return "no finite number"
+		return "not a finite number"
 	case b == aboveZero && v <= 0:
 		return "not above 0"
 	case b != anything && v < 0:
@@ -31,17 +31,18 @@
 	return ""
 }
 
-// MaxDuration is what longer durations are taken for: no process lives that long, and moments that far ahead still have
-// room for what is added to them.
+// MaxDuration is the bound to which longer durations are reduced. No process runs that long, and a time that far ahead
+// can still be added to without overflow.
 const MaxDuration = 10 * 365 * 24 * time.Hour
 
-// microseconds reads a whole number of them, in whichever way it is written.
+// microseconds parses a number of microseconds in any notation of a float. whole is false if the text is not a whole
+// number.
 func microseconds(text string) (v float64, whole bool) {
 	v, err := strconv.ParseFloat(text, 64)
 	return v, err == nil && v == math.Trunc(v)
 }
 
-// spanOf is a duration of microseconds, within MaxDuration either way.
+// spanOf returns a number of microseconds as a duration, limited to MaxDuration in either direction.
 func spanOf(microseconds float64) time.Duration {
 	most := float64(MaxDuration / time.Microsecond)
 	return time.Duration(max(min(microseconds, most), -most)) * time.Microsecond
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -8,18 +8,18 @@
 	"quartzpoint/admission"
 )
 
-// Adjustable are the settings that may change while a server runs.
+// Adjustable contains the settings that may change while a server runs.
 type Adjustable struct {
 	Preemption      admission.Preemption
 	ShedLevelFormat admission.ShedLevelFormat
 }
 
-// Adjustable are those in force.
+// Adjustable returns the values of the adjustable settings.
 func (s *Settings) Adjustable() Adjustable {
 	return Adjustable{s.Admission.Preemption, s.Admission.ShedLevelFormat}
 }
 
-// WithAdjustable are the settings with the adjustable ones of others.
+// WithAdjustable returns a copy of the settings with the adjustable settings of another value.
 func (s *Settings) WithAdjustable(of *Settings) *Settings {
 	changed := *s
 	changed.adjustable = of.adjustable
@@ -28,17 +28,17 @@
 	return &changed
 }
 
-// Change is how other settings differ from those in force.
+// Change is the difference between two settings.
 type Change struct {
-	// Adjusted holds the adjustable settings that differ, by the last word of the platform's key; nil is a value that is
-	// no longer stated, and then as at a start without it.
+	// Adjusted contains the new values of the adjustable settings that differ, by the last element of the platform's
+	// key. Nil means that the setting is no longer given, so the default applies as after a start without it.
 	Adjusted map[string]any
-	// Fixed names the keys that differ and need a restart, sorted.
+	// Fixed lists the keys that differ and need a restart, sorted.
 	Fixed []string
 }
 
-// Adjusted says which adjustable settings of next differ, as Change.Adjusted. Unlike Compare it costs no more where there are
-// many tenants, so the event loop may call it.
+// Adjusted returns the adjustable settings of next that differ, as in Change.Adjusted. Unlike that of Compare, its cost
+// does not grow with the number of tenants, so the event loop may call it.
 func (s *Settings) Adjusted(next *Settings) map[string]any {
 	adjusted := map[string]any{}
 	for key := range adjustableKeys {
@@ -56,7 +56,7 @@
 	return adjusted
 }
 
-// Compare says how next differs.
+// Compare returns how next differs from the settings.
 func (s *Settings) Compare(next *Settings) Change {
 	change := Change{Adjusted: s.Adjusted(next)}
 	keys := map[string]bool{}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -15,22 +15,23 @@
 	"quartzpoint/admission"
 )
 
-// The platform's lists.
+// Keys of the platform's lists of objects.
 const (
 	listRoutes  = "services"
 	listTenants = "tenants"
 )
 
-// Fault is what is wrong with one setting.
+// Fault is an error in one setting.
 type Fault struct {
-	Key     string // the platform's
+	Key     string // the platform's key
 	Problem string
 }
 
 func (f *Fault) Error() string { return "setting " + f.Key + ": " + f.Problem }
 
-// FromLines reads the flat form: a line for each setting, its path and its value separated by "=". Values out of range are
-// taken as they come: the simulator states them. The error joins a *Fault for each that can't be read.
+// FromLines decodes the flat form: one line for each setting, with its path and its value separated by "=". Values out
+// of range are accepted, because the simulator uses them. The error joins a *Fault for each setting that cannot be
+// parsed.
 func FromLines(info string) (*Settings, error) {
 	d := newDecoder(false)
 	for line := range strings.SplitSeq(info, "\n") {
@@ -41,30 +42,30 @@
 	return d.finish()
 }
 
-// FromJSON reads the nested form. The error joins a *Fault for each setting that can't be read or is out of range.
+// FromJSON decodes the nested form. The error joins a *Fault for each setting that cannot be parsed or is out of range.
 func FromJSON(raw []byte) (*Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.UseNumber() // microseconds stay the whole number that they were written as
+	decoder.UseNumber() // keeps microseconds as the whole number in the text
 	var tree any
 	if err := decoder.Decode(&tree); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("settings: more than one JSON value")
+		return nil, fmt.Errorf("settings: the text has more than one JSON value")
 	}
 	d := newDecoder(true)
 	d.walk("", tree)
 	return d.finish()
 }
 
-// decoder collects settings and what is wrong with them.
+// decoder collects settings and their faults.
 type decoder struct {
 	settings    *Settings
 	routes      map[int]*admission.Route
 	tenants     map[int]*admission.Tenant
 	routeCount  float64
 	tenantCount float64
-	strict      bool // a value out of range is a fault
+	strict      bool // values out of range are faults
 	faults      []error
 }
 
@@ -81,7 +82,7 @@
 	d.faults = append(d.faults, &Fault{key, fmt.Sprintf(format, args...)})
 }
 
-// finish puts the lists together.
+// finish returns the settings with the lists of routes and tenants, or an error that joins all faults.
 func (d *decoder) finish() (*Settings, error) {
 	if len(d.faults) > 0 {
 		return nil, errors.Join(d.faults...)
@@ -103,16 +104,16 @@
 	return d.settings, nil
 }
 
-// walk goes down the nested form and takes each value by the path that it has in the flat form.
+// walk traverses the nested form and decodes each value under the path that it has in the flat form.
 func (d *decoder) walk(path string, node any) {
 	isList := path == listRoutes || path == listTenants
 	switch v := node.(type) {
 	case map[string]any:
-		if isList { // its count would be whatever stands there
-			d.fault(path, "is no list")
+		if isList { // as an object, the list could set its own count
+			d.fault(path, "is not a list")
 			return
 		}
-		for _, name := range slices.Sorted(maps.Keys(v)) { // in one order, so that faults come in one
+		for _, name := range slices.Sorted(maps.Keys(v)) { // sorted, so that faults have a fixed order
 			d.walk(join(path, name), v[name])
 		}
 	case []any:
@@ -120,18 +121,18 @@
 	case nil:
 	default:
 		if isList {
-			d.fault(path, "%v is no list", v)
+			d.fault(path, "%v is not a list", v)
 			return
 		}
 		if path == "" {
-			d.fault(path, "%v is no object", v)
+			d.fault(path, "%v is not an object", v)
 			return
 		}
 		d.take(path, fmt.Sprint(v))
 	}
 }
 
-// walkList takes a list of objects item by item, and a list of plain values as a row separated by commas.
+// walkList decodes a list of objects item by item, and a list of plain values as a row separated by commas.
 func (d *decoder) walkList(path string, items []any, ofObjects bool) {
 	plain := make([]string, 0, len(items))
 	for i, item := range items {
@@ -139,7 +140,7 @@
 		case map[string]any:
 			d.walk(join(path, strconv.Itoa(i)), item)
 		case nil:
-			plain = append(plain, "") // its place counts, and it states nothing
+			plain = append(plain, "") // sets nothing, but keeps the index of the items after it
 		default:
 			plain = append(plain, fmt.Sprint(item))
 		}
@@ -148,7 +149,7 @@
 	case len(items) > 0 && len(plain) == 0:
 		d.take(join(path, "count"), strconv.Itoa(len(items)))
 	case ofObjects && len(items) > 0:
-		d.fault(path, "holds what is no object")
+		d.fault(path, "has an item that is not an object")
 	default:
 		d.take(path, strings.Join(plain, ","))
 	}
@@ -161,7 +162,7 @@
 	return path + "." + name
 }
 
-// take stores one setting by its path. Those that the tables don't know are passed over.
+// take decodes and stores one setting by its path. Unknown keys are ignored.
 func (d *decoder) take(key, text string) {
 	switch key {
 	case keyGauges:
@@ -193,7 +194,7 @@
 	d.takeListed(key, text)
 }
 
-// takeListed stores a setting of an item of a list: its path is list, place and name.
+// takeListed decodes a setting of a list item, whose path consists of list, index and name.
 func (d *decoder) takeListed(key, text string) {
 	parts := strings.SplitN(key, ".", 3)
 	if len(parts) != 3 {
@@ -216,7 +217,7 @@
 	}
 }
 
-// spellIdempotency gives a stated idempotency the spelling that the digest knows.
+// spellIdempotency replaces the recorded idempotency of a route by the spelling that the digest uses.
 func (d *decoder) spellIdempotency(key, name string) {
 	stated, is := d.settings.stated[key]
 	if kind, known := idempotencies[stated]; is && name == "idempotency" && known {
@@ -240,12 +241,12 @@
 	return d.tenants[place]
 }
 
-// count reads the length of a list.
+// count parses the length of a list.
 func (d *decoder) count(key, text string) float64 {
 	n, err := strconv.ParseFloat(text, 64)
 	switch {
 	case err != nil:
-		d.fault(key, "%s is no number", text)
+		d.fault(key, "%s is not a number", text)
 	case d.strict && (math.IsNaN(n) || math.IsInf(n, 0)):
 		d.fault(key, "%s is %s", text, anything.problem(n))
 	default:
@@ -254,7 +255,7 @@
 	return n
 }
 
-// put reads a value, checks it and stores it in its place; statedAs is the key under which it counts as stated.
+// put parses and checks a value, stores it and records its spelling under the key statedAs.
 func put[T any](d *decoder, s setting[T], into *T, key, statedAs, text string, stated map[string]string) {
 	v, spelling, problem := s.read(text)
 	if problem != "" {
@@ -273,19 +274,20 @@
 	stated[statedAs] = spelling
 }
 
-// read takes the text of a value, and gives the value in its one spelling.
+// read parses the text of a value. spelling is the value in its canonical spelling, and problem is "" if the text is
+// valid.
 func (s setting[T]) read(text string) (v value, spelling, problem string) {
 	switch s.kind {
 	case kindNumber:
 		n, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return v, "", text + " is no number"
+			return v, "", text + " is not a number"
 		}
 		return value{number: n}, fmt.Sprint(n), ""
 	case kindDuration:
 		n, whole := microseconds(text)
 		if !whole {
-			return v, "", text + " is no whole number of microseconds"
+			return v, "", text + " is not a whole number of microseconds"
 		}
 		v = value{number: n, duration: spanOf(n)}
 		if s.minimum > 0 {
@@ -303,10 +305,10 @@
 	return value{text: text}, text, ""
 }
 
-// check says what is wrong with a value, "" where it is allowed.
+// check returns why a value is not allowed, or "" if it is.
 func (s setting[T]) check(v value, text string) string {
 	if s.allow != nil && !slices.Contains(s.allow, text) {
-		return fmt.Sprintf("%s is none of %v", text, s.allow)
+		return fmt.Sprintf("%s is not one of %v", text, s.allow)
 	}
 	if problem := s.bounds.problem(v.number); problem != "" {
 		return text + " is " + problem
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -7,7 +7,7 @@
 	"quartzpoint/admission"
 )
 
-// The platform's names of the pool's readings.
+// The platform's names of the worker pool's readings.
 const (
 	gaugeCPU         = "core_use"
 	gaugeRunnable    = "on_cores"
@@ -15,10 +15,10 @@
 	gaugeConnections = "links"
 )
 
-// Readings are the names of all readings, in the order of admission.Gauges.
+// Readings contains the names of all readings, in the order of admission.Gauges.
 var Readings = []string{gaugeCPU, gaugeRunnable, gaugeMemory, gaugeConnections}
 
-// The platform's keys that code names beside the tables.
+// The platform's keys that are used outside the tables.
 const (
 	keyGauges           = "extra.gauges"
 	keyCallsByClass     = "extra.calls-by-class"
@@ -32,7 +32,7 @@
 	keyShedLevelFormat  = "extra.advert"
 )
 
-// kind is how the text of a setting is read.
+// kind determines how the text of a setting is parsed.
 type kind int
 
 const (
@@ -42,7 +42,7 @@
 	kindText
 )
 
-// value is a setting's value; the field of its kind is set.
+// value is the value of a setting; the field for its kind is set.
 type value struct {
 	number   float64
 	duration time.Duration
@@ -50,13 +50,13 @@
 	text     string
 }
 
-// setting is how one key is read, and where its value goes in a T.
+// setting specifies how the value of one key is parsed and checked, and where it is stored in a T.
 type setting[T any] struct {
 	kind    kind
 	bounds  bounds
-	minimum time.Duration          // that a shorter duration is taken for
-	allow   []string               // the texts that are allowed; nil for any
-	store   func(into *T, v value) // nil: the value is checked, and nothing reads it
+	minimum time.Duration          // to which a shorter duration is raised
+	allow   []string               // allowed texts; nil: any
+	store   func(into *T, v value) // nil: the value is checked but not used
 }
 
 func numberOf[T any](holds bounds, field func(*T) *float64) setting[T] {
@@ -67,7 +67,7 @@
 	return setting[T]{kind: kindDuration, bounds: holds, store: func(into *T, v value) { *field(into) = v.duration }}
 }
 
-// atLeast takes a shorter duration for the minimum.
+// atLeast returns the setting with a minimum to which shorter durations are raised.
 func (s setting[T]) atLeast(minimum time.Duration) setting[T] {
 	s.minimum = minimum
 	return s
@@ -83,7 +83,7 @@
 
 func checkedOnly[T any](k kind, holds bounds) setting[T] { return setting[T]{kind: k, bounds: holds} }
 
-// serverKeys are the settings that stand alone.
+// serverKeys contains the settings outside of lists and rows that need a restart.
 var serverKeys = map[string]setting[Settings]{
 	"extra.cores":                     numberOf(aboveZero, func(s *Settings) *float64 { return &s.Admission.Cores }),
 	keyMemory:                         numberOf(aboveZero, func(s *Settings) *float64 { return &s.Admission.MemoryKB }),
@@ -123,8 +123,8 @@
 	"prices.handshake":            checkedOnly[Settings](kindNumber, anything),
 }
 
-// adjustableKeys are the settings that may change in service. Nothing that was admitted depends on them: a new value holds
-// from the next decision on. Every other setting needs a restart.
+// adjustableKeys contains the settings that may change while the server runs. No earlier decision depends on them: a
+// new value applies from the next decision on. Every other setting needs a restart.
 var adjustableKeys = map[string]setting[admission.Settings]{
 	keyPreemption: textOf(func(s *admission.Settings, v string) {
 		s.Preemption = preemptions[v]
@@ -138,12 +138,12 @@
 	"none": admission.PreemptionNone, "abort": admission.PreemptionAbort, "suspend": admission.PreemptionSuspend,
 }
 
-// shedLevelFormats has no "window": a server says no level there.
+// shedLevelFormats does not contain "window": with that value a server sends no shed level.
 var shedLevelFormats = map[string]admission.ShedLevelFormat{
 	"threshold": admission.ShedLevelThreshold, "share_of": admission.ShedLevelShare,
 }
 
-// routeKeys are the settings of one item of the list "services".
+// routeKeys contains the settings of one item of the list "services".
 var routeKeys = map[string]setting[admission.Route]{
 	"gain":         numberOf(notNegative, func(r *admission.Route) *float64 { return &r.Value }),
 	"late-value":   numberOf(share, func(r *admission.Route) *float64 { return &r.LateValueShare }),
@@ -156,45 +156,46 @@
 	"name": textOf(func(r *admission.Route, v string) { r.Name = v }),
 }
 
-// requiredOfRoute are the settings that each route states; without them nobody can say how it is to be served.
+// requiredOfRoute lists the settings that each route must have: without them the server cannot decide how to serve its
+// requests.
 var requiredOfRoute = []string{"name", "idempotency", "deadline", "goal-time"}
 
 var idempotencies = map[string]admission.Idempotency{
 	"retryable": admission.Retryable, "dedup": admission.Keyed, "fragile": admission.AtMostOnce,
 }
 
-// routeRows are the settings that carry one value for each route, separated by commas.
+// routeRows contains the settings that have one value for each route, separated by commas.
 var routeRows = map[string]setting[admission.Route]{
 	keyCallsByClass:     flagOf(func(r *admission.Route) *bool { return &r.CallsDependency }),
 	keySkipValueByClass: numberOf(share, func(r *admission.Route) *float64 { return &r.SkipValueShare }),
 }
 
-// tenantKeys are the settings of one item of the list "tenants".
+// tenantKeys contains the settings of one item of the list "tenants".
 var tenantKeys = map[string]setting[admission.Tenant]{
 	"quota-rps": numberOf(notNegative, func(t *admission.Tenant) *float64 { return &t.QuotaRPS }),
 	"fraction":  checkedOnly[admission.Tenant](kindNumber, share),
 	"name":      textOf(func(t *admission.Tenant, v string) { t.Name = v }),
 }
 
-// digestNames are the names under which Settings.Digest knows the platform's keys. Another name or spelling would make
-// the estimates of earlier versions unusable.
+// digestNames contains the names by which Settings.Digest identifies the platform's keys. Another name or spelling
+// would change the digest, and so make the estimates of earlier versions unusable.
 var digestNames = map[string]string{keyIdleTimeout: "idle", keyValueBy: "importance-by"}
 
-// digestRouteNames are those of a route's settings.
+// digestRouteNames contains the digest's names of a route's settings.
 var digestRouteNames = map[string]string{
 	"gain": "importance", "late-value": "late-share", "goal-time": "contract-time", "deadline": "outer-limit",
 	"dedup-window": "window", "idempotency": "repeats", "name": "name",
 }
 
-// digestRowNames are those of the settings that come as a row over all routes.
+// digestRowNames contains the digest's names of the settings that are given as a row over all routes.
 var digestRowNames = map[string]string{keyCallsByClass: "calls", keySkipValueByClass: "skip-share"}
 
-// digestIdempotency are the spellings of a route's idempotency.
+// digestIdempotency contains the digest's spellings of a route's idempotency.
 var digestIdempotency = map[admission.Idempotency]string{
 	admission.Retryable: "reissuable", admission.Keyed: "numbered", admission.AtMostOnce: "at-most-once",
 }
 
-// digestName is the name of a stated key under the digest, "" where it does not count, and whether it is a route's.
+// digestName returns the digest's name of a key, "" if the digest omits it, and whether the key belongs to a route.
 func digestName(key string) (name string, ofRoute bool) {
 	if name := digestNames[key]; name != "" {
 		return name, false
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings decodes the settings that the platform starts a server under. They come as flat lines (the simulator's
-// wire) or as nested JSON (a configuration); one table maps the platform's keys, of both forms, to the typed settings that
-// decisions read, and states the bounds of each.
+// Package settings decodes the platform's settings for a server. They are given as flat lines (the simulator's wire
+// format) or as nested JSON (a configuration file). One table maps the platform's keys, which both forms share, to the
+// typed settings that decisions use, and specifies the bounds of each.
 package settings
 
 import (
@@ -14,25 +14,25 @@
 	"quartzpoint/estimate"
 )
 
-// Settings are the platform's settings, decoded and checked. A value is not changed once it is made: settings that change
-// while a server runs make a new one.
+// Settings contains the platform's settings, decoded and checked. It is immutable: a change of settings while the
+// server runs creates a new value.
 type Settings struct {
 	Admission admission.Settings
 
-	RoutersSendDeadlines bool // each request says how long its caller waits
-	RoutersReportCancel  bool // routers report requests that nobody waits for any more
+	RoutersSendDeadlines bool // each request carries how long its caller waits
+	RoutersReportCancel  bool // routers report requests for which nobody waits any longer
 
-	gauges []string // names of the pool's readings, in their order
+	gauges []string // names of the worker pool's readings, in the order in which they are reported
 
-	// stated holds the settings that were stated and need a restart to change, by the platform's key: the value in one
-	// spelling, however it was written.
+	// stated contains the settings that were given and need a restart to change, by the platform's key. Each value has
+	// its canonical spelling, regardless of how it was written.
 	stated map[string]string
-	// adjustable holds those that were stated and may change in service, by the platform's key.
+	// adjustable contains the settings that were given and may change while the server runs, by the platform's key.
 	adjustable map[string]string
 }
 
-// FromAdmission are the settings of a program that has no platform, and states them itself. gauges names the readings in
-// the order in which they come, by the platform's names.
+// FromAdmission returns the settings of a program that runs without a platform and sets them itself. gauges lists the
+// platform's names of the readings, in the order in which they are reported.
 func FromAdmission(a admission.Settings, gauges ...string) *Settings {
 	s := &Settings{Admission: a, gauges: gauges, stated: map[string]string{}, adjustable: map[string]string{}}
 	s.stated[keyIdleTimeout] = fmt.Sprint(a.IdleTimeout)
@@ -57,19 +57,20 @@
 	return s
 }
 
-// Len is the number of settings that were stated.
+// Len returns the number of settings that were given.
 func (s *Settings) Len() int { return len(s.stated) + len(s.adjustable) }
 
-// MemoryKB is the memory for requests in KiB, and whether it was stated.
+// MemoryKB returns the memory for requests in KiB, and whether it was given.
 func (s *Settings) MemoryKB() (kb float64, stated bool) {
 	_, stated = s.stated[keyMemory]
 	return s.Admission.MemoryKB, stated
 }
 
-// Missing joins what a server can't do without and the settings do not state, or state twice.
+// Missing returns an error that joins all faults of required settings: those that are missing, and route names that are
+// used twice.
 func (s *Settings) Missing() error {
 	if len(s.Admission.Routes) == 0 {
-		return errors.New("setting services: is missing, or names no traffic type")
+		return errors.New("setting services: is missing or has no routes")
 	}
 	var faults []error
 	firstOf := map[string]int{}
@@ -82,7 +83,7 @@
 		}
 		first, duplicate := firstOf[route.Name]
 		if duplicate && route.Name != "" {
-			faults = append(faults, &Fault{fmt.Sprintf("services.%d.name", i), fmt.Sprintf("%s is the name of services.%d", route.Name, first)})
+			faults = append(faults, &Fault{fmt.Sprintf("services.%d.name", i), fmt.Sprintf("%s is also the name of services.%d", route.Name, first)})
 			continue
 		}
 		firstOf[route.Name] = i
@@ -90,10 +91,11 @@
 	return errors.Join(faults...)
 }
 
-// Digest is over the settings on which estimates depend: servers with the same digest can use each other's. withSkips says
-// whether the server lets requests go on without their calls. Where routes come and go in service (dynamic), they are left
-// out. The names and spellings under the digest are those of all versions before: they are compared between servers of
-// different versions, and with what is on disk.
+// Digest returns a hash of the settings on which estimates depend: servers with the same digest can use each other's
+// estimates. withSkips is whether the server may run requests without their calls; if it is false, the values of
+// answers without a call are omitted. dynamic is whether routes change while the server runs; if it is true, the
+// settings of routes are omitted. The names and spellings in the digest must stay those of all earlier versions,
+// because digests are compared between servers of different versions and with those stored on disk.
 func (s *Settings) Digest(dynamic, withSkips bool) uint64 {
 	var lines []string
 	for key, value := range s.stated {
@@ -106,8 +108,8 @@
 	return estimate.Digest(lines)
 }
 
-// Gauges puts the pool's readings, in the order that the settings name, into their fields. Where fewer come than were
-// named, the rest keep what they had.
+// Gauges copies the worker pool's readings, which are in the order that the settings specify, into their fields. If
+// there are fewer readings than names, the other fields keep their values.
 func (s *Settings) Gauges(into *admission.Gauges, readings []float64) {
 	for i, name := range s.gauges[:min(len(readings), len(s.gauges))] {
 		switch name {
@@ -123,8 +125,9 @@
 	}
 }
 
-// Occupied are the readings of what is taken of the machine: all that wants a core, and the share of memory in use.
-// complete is false where the settings do not name both, or too few readings came.
+// Occupied returns the readings of the machine's occupied resources: the runnable work (runs and reads of requests that
+// need a core), and the share of memory in use. complete is false if the settings do not name both readings or there
+// are too few readings.
 func (s *Settings) Occupied(readings []float64) (onCores, memory float64, complete bool) {
 	cores, heap := slices.Index(s.gauges, gaugeRunnable), slices.Index(s.gauges, gaugeMemory)
 	if cores < 0 || heap < 0 || max(cores, heap) >= len(readings) {
@@ -133,5 +136,5 @@
 	return readings[cores], readings[heap], true
 }
 
-// minLatencyTarget keeps a latency target above zero: decisions divide by it.
+// minLatencyTarget keeps a latency target above zero, because decisions divide by it.
 const minLatencyTarget = time.Microsecond
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -92,9 +92,9 @@
 	cases := []struct {
 		name, halt, fault string
 	}{
-		{"stated and known", `"halt":"none"`, ""},
-		{"not stated", `"tick":5000`, ""},
-		{"unknown", `"halt":"later"`, "setting extra.halt: later is none of [none abort suspend]"},
+		{"known value", `"halt":"none"`, ""},
+		{"not given", `"tick":5000`, ""},
+		{"unknown value", `"halt":"later"`, "setting extra.halt: later is not one of [none abort suspend]"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -117,7 +117,7 @@
 	was := read("extra.halt=suspend\nextra.advert=threshold\nextra.cores=4\nobligations.stop-sending-within=1000000")
 	next := read("extra.halt=none\nextra.cores=4.0\nobligations.stop-sending-within=2000000")
 	change := was.Compare(next)
-	assert.Equal(t, map[string]any{"halt": "none", "advert": nil}, change.Adjusted, "one no longer stated is as at a start")
+	assert.Equal(t, map[string]any{"halt": "none", "advert": nil}, change.Adjusted, "nil for a setting that is no longer given")
 	assert.Equal(t, []string{"obligations.stop-sending-within"}, change.Fixed)
 	change = was.Compare(was)
 	assert.Empty(t, change.Adjusted)
@@ -125,13 +125,14 @@
 
 	adjusted := was.WithAdjustable(next)
 	assert.Equal(t, Adjustable{admission.PreemptionNone, admission.ShedLevelNone}, adjusted.Adjustable())
-	assert.Equal(t, time.Second, adjusted.Admission.Grace, "the rest needs a restart")
+	assert.Equal(t, time.Second, adjusted.Admission.Grace, "all other settings need a restart")
 	assert.Empty(t, adjusted.Compare(next).Adjusted)
-	assert.Equal(t, admission.PreemptionSuspend, was.Admission.Preemption, "a change makes a new value")
+	assert.Equal(t, admission.PreemptionSuspend, was.Admission.Preemption, "the original settings must not change")
 }
 
-// Estimates are used by servers whose settings have the same digest: by peers of another version, and by the next version
-// from disk. The figures are those of f1daac1, which digested a map under names of its own.
+// Servers use estimates from servers whose settings have the same digest: from peers of another version, and from disk
+// after an upgrade. The digest must therefore stay the same across versions. The expected digests are those of commit
+// f1daac1, which digested a map under its own names.
 func TestDigestIsThatOfEarlierVersions(t *testing.T) {
 	odd := `{"extra":{"idle":3e7,"class-skip-worth":[0.25,null,1,0.5],"calls-by-class":[null,true]},"value-by":"work",
 "services":[{"name":"a","idempotency":"retryable","deadline":9000000,"goal-time":0,"gain":1e21,"late-value":0.1},
@@ -145,7 +146,7 @@
 	}{
 		{"flat", func() (*Settings, error) { return lines, nil }, 0x157bcb0acdda3d57, 0x84dcfe74bcd8030e, 0xef46db3751d8e999, 0xef46db3751d8e999},
 		{"nested", func() (*Settings, error) { return FromJSON([]byte(nested)) }, 0x157bcb0acdda3d57, 0x84dcfe74bcd8030e, 0xef46db3751d8e999, 0xef46db3751d8e999},
-		{"odd", func() (*Settings, error) { return FromJSON([]byte(odd)) }, 0xcc039db41e8b0609, 0x693cd96e58a29594, 0x6b4594699ea74b, 0x6b4594699ea74b},
+		{"unusual values", func() (*Settings, error) { return FromJSON([]byte(odd)) }, 0xcc039db41e8b0609, 0x693cd96e58a29594, 0x6b4594699ea74b, 0x6b4594699ea74b},
 	} {
 		s, err := c.read()
 		require.NoError(t, err)
@@ -158,7 +159,7 @@
 
 const types = `"services":[{"name":"a","idempotency":"dedup","deadline":9000000,"goal-time":8000000}]`
 
-// The first fault hid all others, and what is out of range was taken.
+// All faults must be reported at once. Formerly, the first fault hid all others, and values out of range were accepted.
 func TestAllFaultsAtOnce(t *testing.T) {
 	told, err := FromJSON([]byte(`{"extra":{"cores":-1,"ram-kb":0,"idle":-5,"cold":"maybe","halt":"later","advert":"louder",
 "run-factor":"NaN","key-kb":1e999,"class-skip-worth":[0.5,1.5],"calls-by-class":[null,true,3]},
@@ -185,17 +186,17 @@
 		`{}`:                          "services: is missing",
 		`null`:                        "services: is missing",
 		`{"services":[]}`:             "services: is missing",
-		`{"services":[null]}`:         "services: holds what is no object",
-		`{"services":[{},"a"]}`:       "services: holds what is no object",
-		`{"services":"a"}`:            "services: a is no list",
-		`{"services":{"count":1e12}}`: "services: is no list",
-		`7`:                           "7 is no object",
+		`{"services":[null]}`:         "services: has an item that is not an object",
+		`{"services":[{},"a"]}`:       "services: has an item that is not an object",
+		`{"services":"a"}`:            "services: a is not a list",
+		`{"services":{"count":1e12}}`: "services: is not a list",
+		`7`:                           "7 is not an object",
 		`{"services":[{"name":"a","idempotency":"dedup"},{"name":""}]}`: "services.0.deadline: is missing\n" +
 			"setting services.0.goal-time: is missing\nsetting services.1.name: is missing\n" +
 			"setting services.1.idempotency: is missing\nsetting services.1.deadline: is missing\n" +
 			"setting services.1.goal-time: is missing",
 		`{"services":[{"name":"a","idempotency":"dedup","deadline":1,"goal-time":1},
-{"name":"a","idempotency":"dedup","deadline":1,"goal-time":1}]}`: "services.1.name: a is the name of services.0",
+{"name":"a","idempotency":"dedup","deadline":1,"goal-time":1}]}`: "services.1.name: a is also the name of services.0",
 	} {
 		told, err := FromJSON([]byte(text))
 		if err == nil {
@@ -205,7 +206,7 @@
 	}
 }
 
-// Values that settings may hold: some were refused, and a start with them.
+// Unusual but valid values must be accepted. Formerly, some were rejected, and so a server with them did not start.
 func TestValidValues(t *testing.T) {
 	idle := func(s *Settings) any { return s.Admission.IdleTimeout }
 	calls := func(s *Settings) any { return s.Admission.Routes[0].CallsDependency }
@@ -245,13 +246,14 @@
 			assert.Equal(t, c.want, c.of(told), c.settings)
 		}
 	}
-	// Decisions divide by the latency target.
+	// Decisions divide by the latency target, so it must not be zero.
 	told, err := FromJSON([]byte(`{"services":[{"name":"a","goal-time":0}]}`))
 	require.NoError(t, err)
 	assert.Equal(t, time.Microsecond, told.Admission.Routes[0].LatencyTarget)
 }
 
-// A type named like a kind of repeats got another name, so its tasks were taken for those of no type.
+// A route may have the same name as a kind of idempotency. Formerly, such a name was translated as if it were the
+// idempotency, so the route's requests were treated as those of no route.
 func TestTypeNamedLikeAKindOfRepeats(t *testing.T) {
 	for theirs, ours := range idempotencies {
 		told, err := FromJSON([]byte(`{"services":[{"name":"` + theirs + `","idempotency":"` + theirs + `"}]}`))
--- a/internal/settings/tables.go
+++ b/internal/settings/tables.go
@@ -7,26 +7,26 @@
 	"quartzpoint/configuration"
 )
 
-// RouteChange is what becomes of one route.
+// RouteChange is the change of one route.
 type RouteChange struct {
 	Name  string
-	Route *admission.Route // nil where it is removed
+	Route *admission.Route // nil: the route is removed
 }
 
-// TenantChange is what becomes of one tenant.
+// TenantChange is the change of one tenant.
 type TenantChange struct {
 	Name     string
-	QuotaRPS float64 // requests a second over the whole fleet
+	QuotaRPS float64 // requests per second over the whole fleet
 	Removed  bool
 }
 
-// idempotencyOf are the kinds of a configuration's routes.
+// idempotencyOf maps the idempotency of a configuration's routes to that of package admission.
 var idempotencyOf = map[configuration.Idempotency]admission.Idempotency{
 	configuration.Retryable: admission.Retryable, configuration.Keyed: admission.Keyed, configuration.AtMostOnce: admission.AtMostOnce,
 }
 
-// RouteOf is a route of the configuration as the decisions know it, under the bounds that the platform's settings are
-// read under.
+// RouteOf converts a route of the configuration to one of package admission, within the bounds that also apply to the
+// platform's settings.
 func RouteOf(name string, stated configuration.Route) admission.Route {
 	return admission.Route{
 		Name: name, Value: stated.Value, LateValueShare: stated.LateValueShare, CallsDependency: stated.CallsDependency, SkipValueShare: stated.SkipValueShare,
@@ -36,7 +36,7 @@
 	}
 }
 
-// Changes are those of a delta.
+// Changes returns the changes of routes and tenants that a delta makes.
 func Changes(delta configuration.Delta) (routes []RouteChange, tenants []TenantChange) {
 	for name, stated := range delta.Routes {
 		change := RouteChange{Name: name}
