--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the product's configuration file: TOML, with a section for each subsystem. All sections are
-// optional; without its section a subsystem is off. All errors of a file are reported at once, each with file, line, key,
-// value and what is allowed. The package also reads the file of the configuration service (ControlService).
+// Package config reads the configuration file of the app server: TOML, with a section for each subsystem. All sections
+// are optional; a subsystem without its section is off. All errors of a file are reported at once, each with file,
+// line, key, value and what is allowed. The package also reads the file of the configuration service (ControlService).
 package config
 
 import (
@@ -9,14 +9,14 @@
 	"quartzpoint/classpool"
 )
 
-// Config is the content of the product's configuration file.
+// Config is the content of the app server's configuration file.
 type Config struct {
 	Peers         *Peers              // nil: no exchange with peers
-	ControlSocket string              // path of the socket that operators query; empty: none
-	Dependencies  []Dependency        // that requests may call
-	Routes        []RoutePlan         // routes whose requests are made of calls
-	State         *State              // nil: nothing is stored for the next start
-	Pools         []classpool.Options // empty: no pools; read and validated, not yet used in decisions
+	ControlSocket string              // path of the socket for operators' queries; empty: none
+	Dependencies  []Dependency        // services that requests may call
+	Routes        []RoutePlan         // routes whose requests consist of calls
+	State         *State              // nil: no state is stored for the next start
+	Pools         []classpool.Options // empty: no pools; validated but not used in decisions yet
 	Lease         *Lease              // nil: no leases
 	Configuration *Source             // nil: routes and tenants are always those of the platform's configuration
 }
@@ -24,13 +24,13 @@
 // FieldError is one error in a file.
 type FieldError struct {
 	File    string
-	Line    int // of the key, or of the section that lacks it; 0 where there is neither
+	Line    int // line of the key, or of the section without it; 0 if there is neither
 	Key     string
-	Value   string // empty where it is the absence of the key
+	Value   string // empty if the key is missing
 	Allowed string
 }
 
-// Error is the error on one line.
+// Error returns the error on one line.
 func (e *FieldError) Error() string {
 	at := e.File
 	if e.Line > 0 {
@@ -51,7 +51,7 @@
 	return c, nil
 }
 
-// Parse parses the content of a file; path is for errors. The error joins all FieldErrors.
+// Parse parses the content of a file; path is used in errors only. The error joins all FieldErrors.
 func Parse(path string, raw []byte) (*Config, error) {
 	c := &Config{}
 	if err := parse(path, raw, c.read); err != nil {
--- a/internal/config/control_service.go
+++ b/internal/config/control_service.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// maxControlMachines bounds the list; three or five machines are usual.
+// maxControlMachines limits the list; three or five machines are usual.
 const maxControlMachines = 1024
 
 // ControlService is the content of the configuration service's own file.
 type ControlService struct {
-	Name     string // of this machine; empty where the file is only read to reach the others
+	Name     string // of this machine; empty if the file is only read to reach the machines
 	Data     string // directory of the replicated log
-	KeyFile  string // shared secrets; empty: loopback addresses only
+	KeyFile  string // file of the shared secrets; empty: loopback addresses only
 	Machines []ControlMachine
 }
 
@@ -20,12 +20,12 @@
 type ControlMachine struct {
 	Name        string
 	Zone        string
-	Replication string // address of its replicated log, by which all machines know it
+	Replication string // address of its replicated log, which also identifies it among all machines
 	Sessions    string // address for watchers and operators
-	DialAddress string // where this machine dials the other's replicated log; empty: Replication
+	DialAddress string // address at which this machine dials the other's replicated log; empty: Replication
 }
 
-// ReadControlService reads and parses the file. The error joins all FieldErrors.
+// ReadControlService reads and parses the configuration service's file. The error joins all FieldErrors.
 func ReadControlService(path string) (*ControlService, error) {
 	service := &ControlService{}
 	if err := readFile(path, service.read); err != nil {
@@ -52,13 +52,13 @@
 		top.addError("machine", nil, "at least one [[machine]] is needed")
 	}
 	if c.Name != "" && !slices.Contains(names, c.Name) {
-		top.addError("name", c.Name, fmt.Sprintf("is none of the machines, which are %v", names))
+		top.addError("name", c.Name, fmt.Sprintf("is not one of the machines, which are %v", names))
 	}
 	top.rejectUnknown()
 }
 
 func readControlMachine(s *section, hasKeys bool) ControlMachine {
-	const allowed = "an address and port without a name, as \"127.0.0.1:7500\", is allowed"
+	const allowed = "an IP address and port, such as \"127.0.0.1:7500\", is allowed"
 	m := ControlMachine{
 		Name:        s.stringValue("name", "", "a name is allowed", isNotEmpty),
 		Zone:        s.stringValue("zone", "", "a name is allowed", isNotEmpty),
@@ -67,12 +67,12 @@
 		DialAddress: s.stringValue("reach", "", allowed, isAddress),
 	}
 	if !s.has("name") {
-		s.addError("name", nil, "is needed")
+		s.addError("name", nil, "is missing")
 	}
 	checkAddress := func(key, address string) {
 		switch {
 		case !s.has(key):
-			s.addError(key, nil, "is needed")
+			s.addError(key, nil, "is missing")
 		case address != "" && !hasKeys && !isLoopback(address):
 			s.addError(key, address, needsKeyFile)
 		}
--- a/internal/config/dependencies.go
+++ b/internal/config/dependencies.go
@@ -18,7 +18,7 @@
 	budget.Options
 	Address        string
 	Connections    int
-	SilenceTimeout time.Duration // without a byte, after which a connection with calls in flight is considered dead
+	SilenceTimeout time.Duration // time without a received byte after which a connection with calls in flight counts as dead
 }
 
 func readDependencies(s *section) []Dependency {
@@ -32,7 +32,7 @@
 				CancelledTimeout: sub.duration("linger", 2*time.Second, 10*time.Millisecond, time.Minute),
 				RetryRatio:       sub.float("second-attempts", 0.1, 0.5),
 			},
-			Address: sub.stringValue("address", "", "an address and port without a name, as \"127.0.0.1:9501\", is allowed",
+			Address: sub.stringValue("address", "", "an IP address and port, such as \"127.0.0.1:9501\", is allowed",
 				isAddress),
 			Connections:    sub.integer("connections", 2, 1, maxConnections),
 			SilenceTimeout: sub.duration("silence", 2*time.Second, 100*time.Millisecond, time.Minute),
--- a/internal/config/lease.go
+++ b/internal/config/lease.go
@@ -9,11 +9,11 @@
 const (
 	maxDuties            = 64
 	defaultLeaseDuration = 2 * time.Second
-	defaultMaxClockDrift = 0.01 // part by which two clocks' rates may differ
+	defaultMaxClockDrift = 0.01 // fraction by which the rates of two clocks may differ
 )
 
-// Lease names the duties that only one server of the fleet may hold at a time, and the settings of their leases. This
-// server and those under [peers] vote; a majority grants a lease.
+// Lease contains the names of the leases that this server requests, and their common settings. Only one server of the
+// fleet may hold a lease at a time. This server and those under [peers] vote; a majority grants a lease.
 type Lease struct {
 	Duties []string
 	Config lease.Config
@@ -21,17 +21,17 @@
 
 func readLease(s *section, peers *Peers) *Lease {
 	l := &Lease{
-		Duties: s.stringList("duties", maxDuties, "names of duties, different and not empty, are allowed", isNotEmpty),
+		Duties: s.stringList("duties", maxDuties, "a lease name that is not empty", isNotEmpty),
 		Config: lease.Config{
 			Duration:      s.duration("lease", defaultLeaseDuration, 100*time.Millisecond, time.Minute),
 			MaxClockDrift: s.float("drift", defaultMaxClockDrift, 0.2),
 		},
 	}
 	if !s.has("duties") {
-		s.addError("duties", nil, "the names of the duties held by lease are needed")
+		s.addError("duties", nil, "the list of lease names is missing")
 	}
 	if peers == nil || len(peers.Addresses) == 0 || peers.Listen == "" {
-		s.addError("", nil, "needs [peers] with listen, where this server votes, and the servers that vote, under ask")
+		s.addError("", nil, "needs [peers] with this server's address in listen and the other voters' addresses in ask")
 	} else {
 		l.Config.Voters = len(peers.Addresses) + 1
 	}
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -11,17 +11,17 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxFileBytes bounds a file; a larger one is not a configuration file.
+// maxFileBytes limits the size of a file; a larger one is not a configuration file.
 const maxFileBytes = 1 << 20
 
-// readFile reads and parses a file; read reads its top section.
+// readFile reads a file and parses it with parse.
 func readFile(path string, read func(top *section)) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return fmt.Errorf("configuration file: %w", err)
 	}
 	if info.Size() > maxFileBytes {
-		return fmt.Errorf("configuration file %s: %d bytes, %d at most", path, info.Size(), maxFileBytes)
+		return fmt.Errorf("configuration file %s: %d bytes, at most %d are allowed", path, info.Size(), maxFileBytes)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -30,12 +30,13 @@
 	return parse(path, raw, read)
 }
 
-// parse parses the content of a file; read reads its top section. The error joins all FieldErrors, by line.
+// parse parses the content of a file and calls read with its top section. The error joins all FieldErrors, sorted by
+// line.
 func parse(path string, raw []byte, read func(top *section)) error {
 	var values map[string]any
 	if err := toml.Unmarshal(raw, &values); err != nil {
 		var syntaxErr *toml.DecodeError
-		if errors.As(err, &syntaxErr) { // nothing after it can be read
+		if errors.As(err, &syntaxErr) { // the rest of the file cannot be parsed
 			line, column := syntaxErr.Position()
 			return &FieldError{File: path, Line: line, Key: fmt.Sprintf("column %d", column), Allowed: syntaxErr.Error()}
 		}
@@ -51,7 +52,7 @@
 	return errors.Join(all...)
 }
 
-// parser is the state of the parsing of one file, shared by its sections.
+// parser is the state of parsing one file, which its sections share.
 type parser struct {
 	file  string
 	lines map[string]int // by key path
@@ -62,11 +63,11 @@
 	return &section{parser: p, path: path, values: values}
 }
 
-// lineIndex returns the line of each key and table, by its path. An item of a list of tables has its index in the path.
-// The first line counts where a path is repeated.
+// lineIndex returns the line of each key and table by its path. The path of an item in a list of tables contains its
+// index. If a path is repeated, its first line is returned.
 func lineIndex(raw []byte) map[string]int {
 	index := map[string]int{}
-	items := map[string]int{} // of the lists of tables so far
+	items := map[string]int{} // number of items so far in each list of tables
 	table := ""
 	p := unstable.Parser{}
 	p.Reset(raw)
@@ -95,7 +96,7 @@
 	return index
 }
 
-// keyPosition is the dotted key of an expression, and the line of its last part.
+// keyPosition returns the dotted key of an expression and the line of its last part.
 func keyPosition(p *unstable.Parser, expression *unstable.Node) (key string, line int) {
 	var parts []string
 	for keys := expression.Key(); keys.Next(); {
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -10,16 +10,16 @@
 	defaultPeerTimeout = 300 * time.Millisecond
 )
 
-// Peers are the servers with which estimates are exchanged.
+// Peers configures the exchange of estimates with other servers.
 type Peers struct {
-	Listen    string        // where peers poll this server; empty: nowhere
+	Listen    string        // address at which peers poll this server; empty: it is not polled
 	Addresses []string      // of the peers that this server polls when it starts
 	Timeout   time.Duration // of polling all of them
-	KeyFile   string        // shared secrets; empty: loopback addresses only
+	KeyFile   string        // file of the shared secrets; empty: loopback addresses only
 }
 
 func readPeers(s *section) *Peers {
-	const allowed = "an address and port without a name, as \"127.0.0.1:7400\","
+	const allowed = "an IP address and port, such as \"127.0.0.1:7400\","
 	p := &Peers{
 		Listen:    s.stringValue("listen", "", allowed+" is allowed", isAddress),
 		Addresses: s.stringList("ask", maxPeers, allowed, isAddress),
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -7,9 +7,9 @@
 	maxPoolWeight = 1e6
 )
 
-// readPools reads the tree of pools that divides the limit of requests in flight among classes of work. Each is a
-// [pools.NAME] table with its parent (none for a root), floor and ceiling as parts of the parent's capacity, and the
-// weight by which the rest is divided. The tree itself is validated by classpool.
+// readPools reads the tree of pools that divides the limit of requests in flight among classes of work. Each pool is a
+// [pools.NAME] table with its parent (none for a root), its floor and ceiling as fractions of the parent's capacity,
+// and the weight by which the rest is divided. Package classpool validates the tree.
 func readPools(s *section) []classpool.Options {
 	var all []classpool.Options
 	before := len(s.errs)
@@ -23,7 +23,7 @@
 		})
 		sub.rejectUnknown()
 	}
-	if len(s.errs) > before { // the tree would repeat the errors of its pools
+	if len(s.errs) > before { // validating the tree would repeat the errors of its pools
 		return all
 	}
 	if _, err := classpool.NewTree(all); err != nil {
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -12,25 +12,25 @@
 	maxRoutes       = 64
 	maxDefaultBytes = 2 << 10
 	maxOpBytes      = 128
-	maxPlanTime     = 24 * time.Hour // a plan is checked against the route's deadline later, once that is known
+	maxPlanTime     = 24 * time.Hour // the plan is validated against the route's deadline later, when that is known
 )
 
-// RoutePlan is a route whose requests are made of calls to dependencies.
+// RoutePlan is a route whose requests consist of calls to dependencies.
 type RoutePlan struct {
 	Name    string
-	Reserve time.Duration // of the deadline, for what follows the calls
+	Reserve time.Duration // part of the deadline that is kept for the work after the calls
 	Calls   []Call
 }
 
 // Call is one call of a plan.
 type Call struct {
 	budget.Call
-	Op       string        // the operation of the dependency
-	MaxStale time.Duration // age up to which the last good result may replace a failed call; 0: never
-	Default  []byte        // replaces a failed call otherwise; nil: nothing does
+	Op       string        // operation of the dependency
+	MaxStale time.Duration // maximum age of a stored result that may replace a failed call; 0: never
+	Default  []byte        // replaces a failed call if no stored result does; nil: none
 }
 
-// Plan returns the plan of the route's calls.
+// Plan returns the plan of the route's calls. It is not validated.
 func (r RoutePlan) Plan() *budget.Plan {
 	plan := &budget.Plan{Route: r.Name, Reserve: r.Reserve}
 	for _, call := range r.Calls {
@@ -62,8 +62,8 @@
 	s.rejectUnknown()
 	switch {
 	case len(calls) == 0:
-		s.addError("calls", nil, "a type that is made of calls needs some, each as [["+s.keyPath("calls")+"]]")
-	case len(s.errs) == before: // otherwise the plan would repeat the errors of its calls
+		s.addError("calls", nil, "a route of calls needs at least one, each as [["+s.keyPath("calls")+"]]")
+	case len(s.errs) == before: // validating the plan would repeat the errors of its calls
 		for _, err := range splitJoined(route.Plan().Validate(len(dependencies), maxPlanTime)) {
 			s.addError("calls", nil, err.Error())
 		}
@@ -71,10 +71,10 @@
 	return route
 }
 
-// effectByName are the effects of a call, by their names in the file.
+// effectByName maps the names in the file to the effects of a call.
 var effectByName = map[string]budget.Effect{"read": budget.Read, "numbered": budget.Keyed, "at-most-once": budget.AtMostOnce}
 
-// readCall reads the call with an index in the list of names.
+// readCall reads the call at an index in the list of names.
 func readCall(s *section, names []string, index int, dependencies []Dependency) Call {
 	call := Call{Call: budget.Call{
 		Name:     names[index],
@@ -90,16 +90,16 @@
 		s.addError("name", call.Name, "stands twice in the plan")
 	}
 	call.Dependency = readDependencyIndex(s, dependencies)
-	call.Op = s.stringValue("op", call.Name, "a word is allowed", func(op string) bool { return op != "" && len(op) <= maxOpBytes })
+	call.Op = s.stringValue("op", call.Name, "a text of 1 to 128 bytes is allowed", func(op string) bool { return op != "" && len(op) <= maxOpBytes })
 	call.Effect = effectByName[s.stringValue("effect", "read", "\"read\", \"numbered\" or \"at-most-once\" is allowed",
 		func(name string) bool { _, known := effectByName[name]; return known })]
 	isOtherCall := func(name string) bool { return slices.Contains(names, name) && name != call.Name }
-	for _, name := range s.stringList("after", budget.MaxCalls, "a name of a call of the same type", isOtherCall) {
+	for _, name := range s.stringList("after", budget.MaxCalls, "a name of a call of the same route", isOtherCall) {
 		call.After = append(call.After, slices.Index(names, name))
 	}
 	call.MaxStale = s.duration("keep", 0, 10*time.Millisecond, 24*time.Hour)
-	if s.has("default") { // an empty default is one too
-		call.Default = []byte(s.stringValue("default", "", "a text of 2048 bytes at most is allowed",
+	if s.has("default") { // an empty default counts as one
+		call.Default = []byte(s.stringValue("default", "", "a text of at most 2048 bytes is allowed",
 			func(text string) bool { return len(text) <= maxDefaultBytes }))
 	}
 	call.Fallback = call.MaxStale > 0 || call.Default != nil
@@ -107,7 +107,7 @@
 	return call
 }
 
-// readDependencyIndex reads the name of a call's dependency and returns its index, or -1.
+// readDependencyIndex reads the name of a call's dependency and returns the dependency's index, or -1.
 func readDependencyIndex(s *section, dependencies []Dependency) int {
 	var names []string
 	for _, d := range dependencies {
@@ -121,7 +121,7 @@
 	return slices.Index(names, name)
 }
 
-// splitJoined returns the errors that errors.Join joined, or the one error, or none.
+// splitJoined returns the errors that errors.Join joined, a single error as it is, or nil.
 func splitJoined(err error) []error {
 	var joined interface{ Unwrap() []error }
 	switch {
--- a/internal/config/section.go
+++ b/internal/config/section.go
@@ -8,27 +8,26 @@
 	"time"
 )
 
-// section is a table of the file. Its keys are read one by one; rejectUnknown reports those that were not.
+// section is a table of the file. Its keys are read one at a time; rejectUnknown reports the keys that were not read.
 //
-// The methods that read a key return the fallback where the key is absent, or where its value is not allowed, which they
-// report.
+// The methods that read a key return the fallback if the key is absent. They also return it if the value is not
+// allowed, and report that.
 type section struct {
 	*parser
 	path   string
-	name   string // last part of the path, which may contain dots itself; empty in a list
+	name   string // last part of the path, which may itself contain dots; empty for an item of a list
 	values map[string]any
 	known  []string // keys that were read
 }
 
 func (s *section) keyPath(key string) string {
-	if s.path == "" || key == "" { // without a key: the section itself
+	if s.path == "" || key == "" { // without a key, the section itself
 		return s.path + key
 	}
 	return s.path + "." + key
 }
 
-// addError reports an error of a key, or of the section itself where the key is empty. The value is nil where there is
-// none.
+// addError reports an error of a key, or of the section itself if the key is empty. The value is nil if there is none.
 func (s *section) addError(key string, value any, allowed string) {
 	e := &FieldError{File: s.file, Line: s.lines[s.keyPath(key)], Key: s.keyPath(key), Allowed: allowed}
 	if e.Line == 0 {
@@ -75,7 +74,7 @@
 	}
 	table, ok := value.(map[string]any)
 	if !ok {
-		s.addError(key, value, "a section, as ["+s.keyPath(key)+"], is allowed")
+		s.addError(key, value, "a section, written as ["+s.keyPath(key)+"], is allowed")
 		return nil
 	}
 	subsection := s.section(s.keyPath(key), table)
@@ -83,12 +82,12 @@
 	return subsection
 }
 
-// subsections returns all sections inside this one, by name, up to a limit.
+// subsections returns all sections inside this one, sorted by name, and reports an error beyond the limit.
 func (s *section) subsections(limit int) []*section {
 	var all []*section
 	for _, name := range slices.Sorted(maps.Keys(s.values)) {
 		if len(all) == limit {
-			s.addError(name, nil, fmt.Sprintf("%d at most are allowed", limit))
+			s.addError(name, nil, fmt.Sprintf("at most %d are allowed", limit))
 			return all
 		}
 		if subsection := s.subsection(name); subsection != nil {
@@ -98,7 +97,7 @@
 	return all
 }
 
-// tables returns the sections of a list of tables, up to a limit.
+// tables returns the items of a list of tables. A list longer than the limit is an error.
 func (s *section) tables(key string, limit int) []*section {
 	value, present := s.lookup(key)
 	if !present {
@@ -106,14 +105,14 @@
 	}
 	list, ok := value.([]any)
 	if !ok || len(list) > limit {
-		s.addError(key, value, fmt.Sprintf("a list of %d at most, each as [[%s]], is allowed", limit, s.keyPath(key)))
+		s.addError(key, value, fmt.Sprintf("a list of at most %d tables, each written as [[%s]], is allowed", limit, s.keyPath(key)))
 		return nil
 	}
 	var all []*section
 	for i, item := range list {
 		table, ok := item.(map[string]any)
 		if !ok {
-			s.addError(key, item, "in the list, a table is allowed")
+			s.addError(key, item, "in the list, only a table is allowed")
 			continue
 		}
 		all = append(all, s.section(fmt.Sprintf("%s.%d", s.keyPath(key), i), table))
@@ -134,7 +133,8 @@
 	return text
 }
 
-// stringList reads a list of distinct strings, up to a limit. There is no fallback.
+// stringList reads a list of distinct strings and returns those that are valid. A list longer than the limit is an
+// error. There is no fallback.
 func (s *section) stringList(key string, limit int, allowed string, valid func(string) bool) []string {
 	value, present := s.lookup(key)
 	if !present {
@@ -142,7 +142,7 @@
 	}
 	list, ok := value.([]any)
 	if !ok || len(list) > limit {
-		s.addError(key, value, fmt.Sprintf("a list of %d at most, each %s, is allowed", limit, allowed))
+		s.addError(key, value, fmt.Sprintf("a list of at most %d items, each %s, is allowed", limit, allowed))
 		return nil
 	}
 	var all []string
@@ -150,9 +150,9 @@
 		text, ok := item.(string)
 		switch {
 		case !ok || !valid(text):
-			s.addError(key, item, "in the list, "+allowed+" is allowed")
+			s.addError(key, item, "in the list, only "+allowed+" is allowed")
 		case slices.Contains(all, text):
-			s.addError(key, item, "stands twice in the list")
+			s.addError(key, item, "is listed twice")
 		default:
 			all = append(all, text)
 		}
@@ -169,7 +169,7 @@
 	text, ok := value.(string)
 	d, err := time.ParseDuration(text)
 	if !ok || err != nil || d < lowest || d > highest {
-		s.addError(key, value, fmt.Sprintf("a time from %q to %q is allowed", lowest, highest))
+		s.addError(key, value, fmt.Sprintf("a duration from %q to %q is allowed", lowest, highest))
 		return fallback
 	}
 	return d
@@ -185,7 +185,7 @@
 	if integer, isInteger := value.(int64); isInteger {
 		number, ok = float64(integer), true
 	}
-	if !ok || !(number >= 0 && number <= highest) { // NaN is rejected too
+	if !ok || !(number >= 0 && number <= highest) { // also rejects NaN
 		s.addError(key, value, fmt.Sprintf("a number from 0 to %g is allowed", highest))
 		return fallback
 	}
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// maxControlEndpoints bounds the list of control machines of an app server.
+// maxControlEndpoints limits the list of configuration service machines that an app server uses.
 const maxControlEndpoints = 1024
 
-// Source is the configuration service that an app server takes its routes and tenants from.
+// Source configures the configuration service from which an app server gets its routes and tenants.
 type Source struct {
-	Name      string // of the server, in the status of the service; empty: that of the platform's configuration
-	Zone      string // of the server; endpoints of it are tried first
-	Dir       string // where the version in force is stored; empty: nowhere
-	KeyFile   string // shared secrets; empty: loopback addresses only
+	Name      string // of the server, in the status of the service; empty: the name in the platform's configuration
+	Zone      string // of the server; endpoints in the same zone are tried first
+	Dir       string // directory in which the version in force is stored; empty: it is not stored
+	KeyFile   string // file of the shared secrets; empty: loopback addresses only
 	Endpoints []ControlEndpoint
 }
 
-// ControlEndpoint is where an app server reaches a control machine.
+// ControlEndpoint is a machine of the configuration service as an app server reaches it.
 type ControlEndpoint struct {
 	Zone    string
 	Address string
@@ -31,13 +31,13 @@
 	for _, table := range s.tables("machine", maxControlEndpoints) {
 		endpoint := ControlEndpoint{
 			Zone:    table.stringValue("zone", "", "a name is allowed", isNotEmpty),
-			Address: table.stringValue("address", "", "an address and port without a name, as \"127.0.0.1:7600\", is allowed", isAddress),
+			Address: table.stringValue("address", "", "an IP address and port, such as \"127.0.0.1:7600\", is allowed", isAddress),
 		}
 		switch {
 		case !table.has("address"):
-			table.addError("address", nil, "is needed")
+			table.addError("address", nil, "is missing")
 		case slices.Contains(addresses, endpoint.Address) && endpoint.Address != "":
-			table.addError("address", endpoint.Address, "stands twice in the list")
+			table.addError("address", endpoint.Address, "is listed twice")
 		case endpoint.Address != "" && source.KeyFile == "" && !isLoopback(endpoint.Address):
 			table.addError("address", endpoint.Address, needsKeyFile)
 		}
