--- a/classpool/classpool_test.go
+++ b/classpool/classpool_test.go
@@ -85,8 +85,8 @@
 			}
 			return v
 		}
-		asks, floors, ceilings, weights := draw("asks", 0, 2), draw("floors", 0, 0.5), draw("ceilings", 0.5, 1), draw("weights", 0.1, 10)
-		room := rapid.Float64Range(0.1, 1).Draw(t, "room")
+		asks, floors, ceilings, weights := draw("demands", 0, 2), draw("floors", 0, 0.5), draw("ceilings", 0.5, 1), draw("weights", 0.1, 10)
+		room := rapid.Float64Range(0.1, 1).Draw(t, "share")
 		got := allocate(room, claimsOf(asks, floors, ceilings, weights))
 		sum, could, floorSum := 0.0, 0.0, 0.0
 		for i := range got {
