--- a/classpool/classpool_test.go
+++ b/classpool/classpool_test.go
@@ -42,7 +42,7 @@
 	require.NoError(t, err, "a child may be listed before its parent")
 	assert.Equal(t, []string{"a"}, tree.Overcommitted())
 	_, is := tree.Leaf("a")
-	assert.False(t, is, "a pool with children is no leaf")
+	assert.False(t, is, "a pool with children is not a leaf")
 	_, is = tree.Leaf("c")
 	assert.True(t, is)
 }
