--- a/classpool/allocate.go
+++ b/classpool/allocate.go
@@ -1,8 +1,8 @@
 package classpool
 
-// insignificant is the tolerance for rounding: fill treats a claim this close to its limit as full, and a rest of the
-// share this small as used up.
-const insignificant = 1e-12
+// tolerance allows for rounding: fill treats a claim this close to its limit as full, and a rest of the share this
+// small as used up.
+const tolerance = 1e-12
 
 // claim is the claim of one sibling on a share. Floor and ceiling are fractions of the share; demand is absolute.
 type claim struct {
@@ -41,15 +41,15 @@
 		left, weight := share, 0.0
 		for i, c := range claims {
 			left -= allocated[i]
-			if allocated[i] < limit(c)-insignificant {
+			if allocated[i] < limit(c)-tolerance {
 				weight += c.weight
 			}
 		}
-		if left <= insignificant*max(share, 1) || weight == 0 {
+		if left <= tolerance*max(share, 1) || weight == 0 {
 			return
 		}
 		for i, c := range claims {
-			if allocated[i] < limit(c)-insignificant {
+			if allocated[i] < limit(c)-tolerance {
 				allocated[i] = min(allocated[i]+left*c.weight/weight, limit(c))
 			}
 		}
--- a/classpool/classpool_test.go
+++ b/classpool/classpool_test.go
@@ -28,7 +28,7 @@
 		{"no pools", nil, "0 pools"},
 		{"no name", []Options{{}}, "without a name"},
 		{"duplicate name", []Options{{Name: "a"}, {Name: "a"}}, `duplicate pool name "a"`},
-		{"no parent", []Options{{Name: "a", Parent: "b"}}, `pool "b", does not exist`},
+		{"no parent", []Options{{Name: "a", Parent: "b"}}, `ancestor "b" does not exist`},
 		{"a cycle", []Options{{Name: "a", Parent: "b"}, {Name: "b", Parent: "a"}}, "or a cycle"},
 		{"too deep", []Options{{Name: "a"}, {Name: "b", Parent: "a"}, {Name: "c", Parent: "b"}, {Name: "d", Parent: "c"}, {Name: "e", Parent: "d"}}, "more than 4"},
 		{"floor out of range", []Options{{Name: "a", Floor: 1.5}}, "floor = 1.5"},
@@ -41,10 +41,10 @@
 	tree, err := NewTree([]Options{{Name: "b", Parent: "a", Floor: 0.8}, {Name: "a"}, {Name: "c", Parent: "a", Floor: 0.7}})
 	require.NoError(t, err, "a child may be listed before its parent")
 	assert.Equal(t, []string{"a"}, tree.Overcommitted())
-	_, is := tree.Leaf("a")
-	assert.False(t, is, "a pool with children is not a leaf")
-	_, is = tree.Leaf("c")
-	assert.True(t, is)
+	_, isLeaf := tree.Leaf("a")
+	assert.False(t, isLeaf, "a pool with children is not a leaf")
+	_, isLeaf = tree.Leaf("c")
+	assert.True(t, isLeaf)
 }
 
 func claimsOf(demands, floors, ceilings, weights []float64) (claims []claim) {
@@ -57,9 +57,9 @@
 func TestAllocate(t *testing.T) {
 	one := []float64{1, 1, 1}
 	cases := []struct {
-		name                           string
-		asks, floors, ceilings, weight []float64
-		want                           []float64
+		name                              string
+		demands, floors, ceilings, weight []float64
+		want                              []float64
 	}{
 		{"all demand more than there is: by weight", []float64{9, 9, 9}, []float64{0, 0, 0}, one, []float64{2, 1, 1}, []float64{0.5, 0.25, 0.25}},
 		{"capacity that one does not need goes to the others", []float64{0.1, 9, 9}, []float64{0, 0, 0}, one, one, []float64{0.1, 0.45, 0.45}},
@@ -70,7 +70,7 @@
 		{"no demand: by weight", []float64{0, 0, 0}, []float64{0.5, 0, 0}, one, []float64{2, 1, 1}, []float64{0.5, 0.25, 0.25}},
 	}
 	for _, c := range cases {
-		assert.InDeltaSlice(t, c.want, allocate(1, claimsOf(c.asks, c.floors, c.ceilings, c.weight)), 1e-9, c.name)
+		assert.InDeltaSlice(t, c.want, allocate(1, claimsOf(c.demands, c.floors, c.ceilings, c.weight)), 1e-9, c.name)
 	}
 }
 
@@ -85,23 +85,23 @@
 			}
 			return v
 		}
-		asks, floors, ceilings, weights := draw("demands", 0, 2), draw("floors", 0, 0.5), draw("ceilings", 0.5, 1), draw("weights", 0.1, 10)
-		room := rapid.Float64Range(0.1, 1).Draw(t, "share")
-		got := allocate(room, claimsOf(asks, floors, ceilings, weights))
-		sum, could, floorSum := 0.0, 0.0, 0.0
+		demands, floors, ceilings, weights := draw("demands", 0, 2), draw("floors", 0, 0.5), draw("ceilings", 0.5, 1), draw("weights", 0.1, 10)
+		share := rapid.Float64Range(0.1, 1).Draw(t, "share")
+		got := allocate(share, claimsOf(demands, floors, ceilings, weights))
+		sum, ceilingSum, floorSum := 0.0, 0.0, 0.0
 		for i := range got {
 			sum += got[i]
-			could += ceilings[i] * room
-			floorSum += min(floors[i]*room, asks[i])
-			assert.LessOrEqual(t, got[i], ceilings[i]*room+1e-9, "above its ceiling")
+			ceilingSum += ceilings[i] * share
+			floorSum += min(floors[i]*share, demands[i])
+			assert.LessOrEqual(t, got[i], ceilings[i]*share+1e-9, "above its ceiling")
 		}
-		assert.InDelta(t, min(room, could), sum, 1e-6, "the allocations do not add up to the share")
+		assert.InDelta(t, min(share, ceilingSum), sum, 1e-6, "the allocations do not add up to the share")
 		for i := range got {
-			owed := min(floors[i]*room, asks[i])
-			if floorSum > room {
-				owed *= room / floorSum
+			guaranteed := min(floors[i]*share, demands[i])
+			if floorSum > share {
+				guaranteed *= share / floorSum
 			}
-			assert.GreaterOrEqual(t, got[i], owed-1e-9, "below its floor")
+			assert.GreaterOrEqual(t, got[i], guaranteed-1e-9, "below its floor")
 		}
 	})
 }
@@ -251,15 +251,15 @@
 
 // A class has no load for a while. The other classes get its share in the meantime. When its load returns, the class
 // must regain its share soon, but must not starve the others to recover the time that it did not use.
-func TestVanishesAndComesBack(t *testing.T) {
+func TestClassRegainsItsShareWhenItsLoadReturns(t *testing.T) {
 	p := newPools(t, 4, Options{Name: "a", Floor: 0.5}, Options{Name: "b"})
 	classes := []class{{"a", 400, 0.02, 0, 10 * time.Second}, {"b", 800, 0.02, 0, 0}}
 	used, _ := simulate(p, 4, 20*time.Second, classes, nil)
 	assert.InDelta(t, 4*20, used[0]+used[1], 2, "no core is idle")
 
 	p = newPools(t, 4, Options{Name: "a"}, Options{Name: "b"})
-	back := []class{{"a", 400, 0.02, 20 * time.Second, 0}, {"b", 800, 0.02, 0, 0}}
-	used, waited := simulate(p, 4, 24*time.Second, back, nil)
+	returning := []class{{"a", 400, 0.02, 20 * time.Second, 0}, {"b", 800, 0.02, 0, 0}}
+	used, waited := simulate(p, 4, 24*time.Second, returning, nil)
 	assert.InDelta(t, 0.5*4*4, used[0], 3, "half of the core time since its load returned")
 	assert.Less(t, waited[1], 2*time.Second+time.Millisecond)
 	assert.Greater(t, used[1], 4*20+0.35*4*4, "the other class keeps running")
@@ -277,9 +277,9 @@
 	_, after := simulate(with, 4, 20*time.Second, classes, nil)
 	assert.Less(t, after[0], before[0])
 
-	farmed := newPools(t, 4, options...)
-	farmed.Reserve = NewReserve(0.05, 0.2)
-	used, _ := simulate(farmed, 4, 30*time.Second, classes, func(c class, now time.Duration) float64 {
+	declaredCheap := newPools(t, 4, options...)
+	declaredCheap.Reserve = NewReserve(0.05, 0.2)
+	used, _ := simulate(declaredCheap, 4, 30*time.Second, classes, func(c class, now time.Duration) float64 {
 		if c.name == "look" && now > 5*time.Second {
 			return 0.05 // declared cheap, but as expensive as the other classes
 		}
--- a/classpool/pools.go
+++ b/classpool/pools.go
@@ -8,9 +8,9 @@
 const (
 	updateInterval  = 100 * time.Millisecond // between updates of demands and shares
 	demandWindow    = 2 * time.Second        // time constant of the decay of demand
-	followRatio     = 0.3                    // fraction of the distance to its target that a share moves in one update
+	smoothingFactor = 0.3                    // fraction of the distance to its target that a share moves in one update
 	minShareChange  = 0.02                   // of all core time; a target that is closer to the share is not followed (hysteresis)
-	maxSavedSeconds = 0.5                    // virtual time in seconds by which a leaf that becomes active may lag behind the others
+	maxIdleCredit   = 0.5                    // virtual time in seconds by which a leaf that becomes active may lag behind the others
 	maxCostSamples  = 100.0                  // number of latest runs that the mean cost covers
 	minCostSamples  = 5                      // number of runs from which on the mean cost is used
 	minCost         = 1e-6                   // core seconds
@@ -76,9 +76,9 @@
 func (p *Pools) Enqueued(leaf int, expected float64) {
 	a := &p.accounts[leaf]
 	if a.idle() {
-		// The other leaves' virtual time advanced while this leaf was idle. It may start behind them by maxSavedSeconds
+		// The other leaves' virtual time advanced while this leaf was idle. It may start behind them by maxIdleCredit
 		// only: with the whole difference it would keep them from running until it has caught up.
-		a.virtualTime = max(a.virtualTime, p.virtualTime-maxSavedSeconds)
+		a.virtualTime = max(a.virtualTime, p.virtualTime-maxIdleCredit)
 	}
 	a.queued++
 	a.requested += a.expectedCost(expected)
@@ -100,20 +100,20 @@
 // Dropped records that a queued request left the queue without a run.
 func (p *Pools) Dropped(leaf int) { p.accounts[leaf].queued-- }
 
-// Next returns the leaf whose request is to start next, among those for which wants returns true. A leaf of the reserve
+// Next returns the leaf whose request is to start next, among those for which ready returns true. A leaf of the reserve
 // comes first while the reserve has a balance; reserved is true then. Leaves at their ceiling are chosen last, so that
-// no core stays idle because of a ceiling. found is false if no leaf wants a run.
-func (p *Pools) Next(now time.Duration, wants func(leaf int) bool) (leaf int, reserved, found bool) {
+// no core stays idle because of a ceiling. found is false if no leaf is ready.
+func (p *Pools) Next(now time.Duration, ready func(leaf int) bool) (leaf int, reserved, found bool) {
 	p.update(now)
 	if p.Reserve != nil {
-		if leaf, found := p.Reserve.next(p, now, wants); found {
+		if leaf, found := p.Reserve.next(p, now, ready); found {
 			return leaf, true, true
 		}
 	}
 	leaf = -1
 	leafAtCeiling := true
 	for i := range p.accounts {
-		if !wants(i) {
+		if !ready(i) {
 			continue
 		}
 		atCeiling := p.atCeiling(i)
@@ -151,13 +151,13 @@
 
 // Ended records the end of a run that took this many core seconds. It corrects the charge of the expected cost, so a
 // leaf pays for what it overspent.
-func (p *Pools) Ended(ticket Ticket, took float64) {
+func (p *Pools) Ended(ticket Ticket, coreSeconds float64) {
 	a := &p.accounts[ticket.leaf]
 	a.running--
-	took = max(took, minCost)
+	coreSeconds = max(coreSeconds, minCost)
 	a.costSamples = min(a.costSamples+1, maxCostSamples)
-	a.cost += (took - a.cost) / a.costSamples
-	p.charge(ticket, took-ticket.charged)
+	a.cost += (coreSeconds - a.cost) / a.costSamples
+	p.charge(ticket, coreSeconds-ticket.charged)
 }
 
 // charge adds core seconds to a leaf's virtual time and, for a reserved run, deducts them from the reserve's balance.
--- a/classpool/reserve.go
+++ b/classpool/reserve.go
@@ -22,9 +22,9 @@
 	return &Reserve{share: share, maxCostRatio: maxCostRatio}
 }
 
-// next returns the cheapest eligible leaf for which wants returns true. found is false if there is none or the balance
+// next returns the cheapest eligible leaf for which ready returns true. found is false if there is none or the balance
 // is used up.
-func (r *Reserve) next(p *Pools, now time.Duration, wants func(leaf int) bool) (leaf int, found bool) {
+func (r *Reserve) next(p *Pools, now time.Duration, ready func(leaf int) bool) (leaf int, found bool) {
 	passed := max(now-r.updatedAt, 0).Seconds()
 	r.updatedAt = max(now, r.updatedAt)
 	r.balance = min(r.balance+passed*r.share*p.cores, maxReserveSeconds*r.share*p.cores)
@@ -33,7 +33,7 @@
 	}
 	leaf = -1
 	for i := range p.accounts {
-		if r.eligible(p, i) && wants(i) && (leaf < 0 || p.accounts[i].cost < p.accounts[leaf].cost) {
+		if r.eligible(p, i) && ready(i) && (leaf < 0 || p.accounts[i].cost < p.accounts[leaf].cost) {
 			leaf = i
 		}
 	}
--- a/classpool/tree.go
+++ b/classpool/tree.go
@@ -43,35 +43,35 @@
 	index map[string]int // in pools, by name
 }
 
-// NewTree validates the options and builds a tree. The error joins all faults. Floors of siblings may add up to more
-// than 1: they are scaled down, and Overcommitted returns their parent's name.
+// NewTree validates the options and builds a tree. The error joins all errors in the options. Floors of siblings may
+// add up to more than 1: they are scaled down, and Overcommitted returns their parent's name.
 func NewTree(all []Options) (*Tree, error) {
 	if len(all) == 0 || len(all) > maxPools {
 		return nil, fmt.Errorf("%d pools; 1 to %d are allowed", len(all), maxPools)
 	}
-	var faults []error
+	var errs []error
 	byName := map[string]Options{}
 	for _, options := range all {
 		if options.Name == "" {
-			faults = append(faults, errors.New("pool without a name"))
+			errs = append(errs, errors.New("pool without a name"))
 		}
 		if _, twice := byName[options.Name]; twice {
-			faults = append(faults, fmt.Errorf("duplicate pool name %q", options.Name))
+			errs = append(errs, fmt.Errorf("duplicate pool name %q", options.Name))
 		}
 		byName[options.Name] = options
-		faults = append(faults, options.faults()...)
+		errs = append(errs, options.rangeErrors()...)
 	}
 	for _, options := range all {
-		faults = append(faults, options.depthFaults(byName)...)
+		errs = append(errs, options.ancestorErrors(byName)...)
 	}
-	if err := errors.Join(faults...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
 	return buildTree(all), nil
 }
 
-// faults returns the numbers of a pool that are out of range.
-func (o Options) faults() (faults []error) {
+// rangeErrors returns an error for each number of a pool that is out of range.
+func (o Options) rangeErrors() (errs []error) {
 	if o.Ceiling == 0 {
 		o.Ceiling = 1
 	}
@@ -80,31 +80,31 @@
 		value, max float64
 	}{{"floor", o.Floor, 1}, {"ceiling", o.Ceiling, 1}, {"weight", o.Weight, maxWeight}} {
 		if !(option.value >= 0 && option.value <= option.max) { // also rejects NaN
-			faults = append(faults, fmt.Errorf("pool %q: %s = %g: 0 to %g is allowed", o.Name, option.name, option.value, option.max))
+			errs = append(errs, fmt.Errorf("pool %q: %s = %g: 0 to %g is allowed", o.Name, option.name, option.value, option.max))
 		}
 	}
 	if o.Floor > o.Ceiling {
-		faults = append(faults, fmt.Errorf("pool %q: floor %g is above its ceiling %g", o.Name, o.Floor, o.Ceiling))
+		errs = append(errs, fmt.Errorf("pool %q: floor %g is above its ceiling %g", o.Name, o.Floor, o.Ceiling))
 	}
-	return faults
+	return errs
 }
 
-// depthFaults returns the faults of a pool's ancestors: one that does not exist, or too many of them. A cycle counts as
+// ancestorErrors returns an error if an ancestor of a pool does not exist or there are too many of them. A cycle counts as
 // too many.
-func (o Options) depthFaults(byName map[string]Options) (faults []error) {
+func (o Options) ancestorErrors(byName map[string]Options) (errs []error) {
 	depth := 1
-	for above := o.Parent; above != "" && depth <= maxDepth; depth++ {
-		parent, known := byName[above]
+	for ancestor := o.Parent; ancestor != "" && depth <= maxDepth; depth++ {
+		parent, known := byName[ancestor]
 		if !known {
-			faults = append(faults, fmt.Errorf("pool %q: its parent, pool %q, does not exist", o.Name, above))
+			errs = append(errs, fmt.Errorf("pool %q: its ancestor %q does not exist", o.Name, ancestor))
 			break
 		}
-		above = parent.Parent
+		ancestor = parent.Parent
 	}
 	if depth > maxDepth {
-		faults = append(faults, fmt.Errorf("pool %q: nested more than %d levels deep, or a cycle", o.Name, maxDepth))
+		errs = append(errs, fmt.Errorf("pool %q: nested more than %d levels deep, or a cycle", o.Name, maxDepth))
 	}
-	return faults
+	return errs
 }
 
 // buildTree adds all pools to a tree, in passes: each pass adds the pools whose parents were added, in the given order.
@@ -219,7 +219,7 @@
 		if math.Abs(p.target-p.share) < minShareChange && p.share > 0 {
 			continue
 		}
-		p.share += (p.target - p.share) * followRatio
+		p.share += (p.target - p.share) * smoothingFactor
 		p.share = max(p.share, min(p.target, p.Floor*t.parentShare(p)))
 	}
 }
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -31,12 +31,12 @@
 	change := Change{ReplaceAll: rapid.Float64Range(0, 1).Draw(t, "whole") > 0.9, Routes: map[string]*Route{"always": route(1)}, Tenants: map[string]*Tenant{}}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 6, rapid.ID).Draw(t, "names") {
 		name := fmt.Sprint("name", i)
-		if _, there := d.Routes[name]; there && rapid.Bool().Draw(t, "remove") {
+		if _, exists := d.Routes[name]; exists && rapid.Bool().Draw(t, "remove") {
 			change.Routes[name] = nil
 		} else {
 			change.Routes[name] = route(rapid.Int64Range(1, 3).Draw(t, "deadline"))
 		}
-		if _, there := d.Tenants[name]; there && rapid.Bool().Draw(t, "remove") {
+		if _, exists := d.Tenants[name]; exists && rapid.Bool().Draw(t, "remove") {
 			change.Tenants[name] = nil
 		} else {
 			change.Tenants[name] = &Tenant{QuotaRPS: rapid.Float64Range(0, 3).Draw(t, "rate")}
@@ -185,9 +185,9 @@
 	require.NoError(t, err)
 	_, err = h.Accept(Change{ID: "c", Base: &base, Routes: map[string]*Route{"pay": route(3)}})
 	assert.ErrorContains(t, err, "base = 1: is not the newest version, which is 2")
-	again, err := DecodeHistory(h.Encode())
+	decoded, err := DecodeHistory(h.Encode())
 	require.NoError(t, err)
-	version, err := again.Accept(change)
+	version, err := decoded.Accept(change)
 	require.NoError(t, err)
 	assert.Equal(t, uint64(1), version, "IDs must survive a restart")
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -71,8 +71,8 @@
 	if dependencies := top.subsection("dependencies"); dependencies != nil {
 		c.Dependencies = readDependencies(dependencies)
 	}
-	if types := top.subsection("types"); types != nil {
-		c.Routes = readRoutes(types, c.Dependencies)
+	if routes := top.subsection("types"); routes != nil {
+		c.Routes = readRoutes(routes, c.Dependencies)
 	}
 	if state := top.subsection("state"); state != nil {
 		c.State = readState(state)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -66,7 +66,7 @@
 	assert.Equal(t, &Lease{Duties: []string{"compact"}, Config: lease.Config{Duration: 3 * time.Second, MaxClockDrift: 0.02, Voters: 3}},
 		got.Lease)
 	require.NoError(t, got.Lease.Config.Validate())
-	for name, c := range map[string]struct{ text, fault string }{
+	for name, c := range map[string]struct{ text, wantErr string }{
 		"no names":    {peers + "[lease]\n", "x.toml:4: lease.duties: the list of lease names is missing"},
 		"no voters":   {"[lease]\nduties = [\"d\"]", "x.toml:1: lease: needs [peers] with this server's address in listen"},
 		"no listen":   {"[peers]\nask = [\"127.0.0.1:7402\"]\n[lease]\nduties = [\"d\"]", "lease: needs [peers] with this server's address in listen"},
@@ -74,7 +74,7 @@
 		"too short":   {peers + "[lease]\nduties = [\"d\"]\nlease = \"1ms\"", "x.toml:6: lease.lease = \"1ms\""},
 	} {
 		_, err := Parse("x.toml", []byte(c.text))
-		assert.ErrorContains(t, err, c.fault, name)
+		assert.ErrorContains(t, err, c.wantErr, name)
 	}
 }
 
@@ -99,7 +99,7 @@
 	cases := []struct{ name, text, want string }{
 		{"floor out of range", "[pools.a]\nfloor = 2", `x.toml:2: pools.a.floor = 2: a number from 0 to 1 is allowed`},
 		{"unknown key", "[pools.a]\nshare = 1", `pools.a.share = 1: unknown; allowed are ceiling, floor, parent, weight`},
-		{"parent does not exist", "[pools.a]\nparent = \"b\"", `pool "a": its parent, pool "b", does not exist`},
+		{"parent does not exist", "[pools.a]\nparent = \"b\"", `pool "a": its ancestor "b" does not exist`},
 		{"floor above ceiling", "[pools.a]\nfloor = 0.9\nceiling = 0.5", `pool "a": floor 0.9 is above its ceiling 0.5`},
 		{"cycle", "[pools.a]\nparent = \"b\"\n[pools.b]\nparent = \"a\"", `or a cycle`},
 	}
--- a/internal/config/dependencies.go
+++ b/internal/config/dependencies.go
@@ -8,8 +8,8 @@
 
 const (
 	maxDependencies = 16
-	maxShare        = 1000 // concurrent calls
-	maxQueue        = 4096 // calls
+	maxInFlight     = 1000 // concurrent calls
+	maxQueueLimit   = 4096 // calls
 	maxConnections  = 16
 )
 
@@ -27,8 +27,8 @@
 		all = append(all, Dependency{
 			Options: budget.Options{
 				Name:             sub.name,
-				MaxInFlight:      sub.integer("share", 8, 1, maxShare),
-				QueueLimit:       sub.integer("waiting", 64, 0, maxQueue),
+				MaxInFlight:      sub.integer("share", 8, 1, maxInFlight),
+				QueueLimit:       sub.integer("waiting", 64, 0, maxQueueLimit),
 				CancelledTimeout: sub.duration("linger", 2*time.Second, 10*time.Millisecond, time.Minute),
 				RetryRatio:       sub.float("second-attempts", 0.1, 0.5),
 			},
--- a/internal/config/lease.go
+++ b/internal/config/lease.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxDuties            = 64
+	maxLeases            = 64
 	defaultLeaseDuration = 2 * time.Second
 	defaultMaxClockDrift = 0.01 // fraction by which the rates of two clocks may differ
 )
@@ -21,7 +21,7 @@
 
 func readLease(s *section, peers *Peers) *Lease {
 	l := &Lease{
-		Duties: s.stringList("duties", maxDuties, "a lease name that is not empty", isNotEmpty),
+		Duties: s.stringList("duties", maxLeases, "a lease name that is not empty", isNotEmpty),
 		Config: lease.Config{
 			Duration:      s.duration("lease", defaultLeaseDuration, 100*time.Millisecond, time.Minute),
 			MaxClockDrift: s.float("drift", defaultMaxClockDrift, 0.2),
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -10,10 +10,10 @@
 type bounds int
 
 const (
-	anything bounds = iota // any finite number
-	notNegative
-	aboveZero
-	share // from 0 to 1
+	anyFinite bounds = iota
+	nonNegative
+	positive
+	fraction // from 0 to 1
 )
 
 // problem returns how a number violates the bounds, or "" if it is within them.
@@ -21,11 +21,11 @@
 	switch {
 	case math.IsNaN(v) || math.IsInf(v, 0):
 		return "not a finite number"
-	case b == aboveZero && v <= 0:
+	case b == positive && v <= 0:
 		return "not above 0"
-	case b != anything && v < 0:
+	case b != anyFinite && v < 0:
 		return "below 0"
-	case b == share && v > 1:
+	case b == fraction && v > 1:
 		return "above 1"
 	}
 	return ""
@@ -35,15 +35,15 @@
 // can still be added to without overflow.
 const MaxDuration = 10 * 365 * 24 * time.Hour
 
-// microseconds parses a number of microseconds in any notation of a float. whole is false if the text is not a whole
+// parseMicroseconds parses a number of microseconds in any notation of a float. whole is false if the text is not a whole
 // number.
-func microseconds(text string) (v float64, whole bool) {
+func parseMicroseconds(text string) (v float64, whole bool) {
 	v, err := strconv.ParseFloat(text, 64)
 	return v, err == nil && v == math.Trunc(v)
 }
 
-// spanOf returns a number of microseconds as a duration, limited to MaxDuration in either direction.
-func spanOf(microseconds float64) time.Duration {
-	most := float64(MaxDuration / time.Microsecond)
-	return time.Duration(max(min(microseconds, most), -most)) * time.Microsecond
+// boundedDuration returns a number of microseconds as a duration, limited to MaxDuration in either direction.
+func boundedDuration(microseconds float64) time.Duration {
+	limit := float64(MaxDuration / time.Microsecond)
+	return time.Duration(max(min(microseconds, limit), -limit)) * time.Microsecond
 }
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -60,15 +60,15 @@
 func (s *Settings) Compare(next *Settings) Change {
 	change := Change{Adjusted: s.Adjusted(next)}
 	keys := map[string]bool{}
-	for key := range s.stated {
+	for key := range s.fixed {
 		keys[key] = true
 	}
-	for key := range next.stated {
+	for key := range next.fixed {
 		keys[key] = true
 	}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		before, was := s.stated[key]
-		after, is := next.stated[key]
+		before, was := s.fixed[key]
+		after, is := next.fixed[key]
 		if was != is || before != after {
 			change.Fixed = append(change.Fixed, key)
 		}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -21,28 +21,29 @@
 	listTenants = "tenants"
 )
 
-// Fault is an error in one setting.
-type Fault struct {
+// FieldError is an error in one setting.
+type FieldError struct {
 	Key     string // the platform's key
 	Problem string
 }
 
-func (f *Fault) Error() string { return "setting " + f.Key + ": " + f.Problem }
+func (f *FieldError) Error() string { return "setting " + f.Key + ": " + f.Problem }
 
 // FromLines decodes the flat form: one line for each setting, with its path and its value separated by "=". Values out
-// of range are accepted, because the simulator uses them. The error joins a *Fault for each setting that cannot be
+// of range are accepted, because the simulator uses them. The error joins a *FieldError for each setting that cannot be
 // parsed.
 func FromLines(info string) (*Settings, error) {
 	d := newDecoder(false)
 	for line := range strings.SplitSeq(info, "\n") {
 		if key, value, found := strings.Cut(strings.TrimSpace(line), "="); found {
-			d.take(key, value)
+			d.decodeSetting(key, value)
 		}
 	}
 	return d.finish()
 }
 
-// FromJSON decodes the nested form. The error joins a *Fault for each setting that cannot be parsed or is out of range.
+// FromJSON decodes the nested form. The error joins a *FieldError for each setting that cannot be parsed or is out of
+// range.
 func FromJSON(raw []byte) (*Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber() // keeps microseconds as the whole number in the text
@@ -58,46 +59,46 @@
 	return d.finish()
 }
 
-// decoder collects settings and their faults.
+// decoder collects settings and the errors in them.
 type decoder struct {
 	settings    *Settings
 	routes      map[int]*admission.Route
 	tenants     map[int]*admission.Tenant
 	routeCount  float64
 	tenantCount float64
-	strict      bool // values out of range are faults
-	faults      []error
+	strict      bool // values out of range are errors
+	errs        []error
 }
 
 func newDecoder(strict bool) *decoder {
 	return &decoder{
 		settings: &Settings{
-			Admission: admission.DefaultSettings(), stated: map[string]string{}, adjustable: map[string]string{},
+			Admission: admission.DefaultSettings(), fixed: map[string]string{}, adjustable: map[string]string{},
 		},
 		routes: map[int]*admission.Route{}, tenants: map[int]*admission.Tenant{}, strict: strict,
 	}
 }
 
-func (d *decoder) fault(key, format string, args ...any) {
-	d.faults = append(d.faults, &Fault{key, fmt.Sprintf(format, args...)})
+func (d *decoder) addError(key, format string, args ...any) {
+	d.errs = append(d.errs, &FieldError{key, fmt.Sprintf(format, args...)})
 }
 
-// finish returns the settings with the lists of routes and tenants, or an error that joins all faults.
+// finish returns the settings with the lists of routes and tenants, or an error that joins all FieldErrors.
 func (d *decoder) finish() (*Settings, error) {
-	if len(d.faults) > 0 {
-		return nil, errors.Join(d.faults...)
+	if len(d.errs) > 0 {
+		return nil, errors.Join(d.errs...)
 	}
 	for i := range int(d.routeCount) {
 		route := admission.DefaultRoute()
-		if stated := d.routes[i]; stated != nil {
-			route = *stated
+		if decoded := d.routes[i]; decoded != nil {
+			route = *decoded
 		}
 		d.settings.Admission.Routes = append(d.settings.Admission.Routes, route)
 	}
 	for i := range int(d.tenantCount) {
 		tenant := admission.DefaultTenant()
-		if stated := d.tenants[i]; stated != nil {
-			tenant = *stated
+		if decoded := d.tenants[i]; decoded != nil {
+			tenant = *decoded
 		}
 		d.settings.Admission.Tenants = append(d.settings.Admission.Tenants, tenant)
 	}
@@ -110,10 +111,10 @@
 	switch v := node.(type) {
 	case map[string]any:
 		if isList { // as an object, the list could set its own count
-			d.fault(path, "is not a list")
+			d.addError(path, "is not a list")
 			return
 		}
-		for _, name := range slices.Sorted(maps.Keys(v)) { // sorted, so that faults have a fixed order
+		for _, name := range slices.Sorted(maps.Keys(v)) { // sorted, so that errors have a fixed order
 			d.walk(join(path, name), v[name])
 		}
 	case []any:
@@ -121,14 +122,14 @@
 	case nil:
 	default:
 		if isList {
-			d.fault(path, "%v is not a list", v)
+			d.addError(path, "%v is not a list", v)
 			return
 		}
 		if path == "" {
-			d.fault(path, "%v is not an object", v)
+			d.addError(path, "%v is not an object", v)
 			return
 		}
-		d.take(path, fmt.Sprint(v))
+		d.decodeSetting(path, fmt.Sprint(v))
 	}
 }
 
@@ -147,11 +148,11 @@
 	}
 	switch {
 	case len(items) > 0 && len(plain) == 0:
-		d.take(join(path, "count"), strconv.Itoa(len(items)))
+		d.decodeSetting(join(path, "count"), strconv.Itoa(len(items)))
 	case ofObjects && len(items) > 0:
-		d.fault(path, "has an item that is not an object")
+		d.addError(path, "has an item that is not an object")
 	default:
-		d.take(path, strings.Join(plain, ","))
+		d.decodeSetting(path, strings.Join(plain, ","))
 	}
 }
 
@@ -162,11 +163,11 @@
 	return path + "." + name
 }
 
-// take decodes and stores one setting by its path. Unknown keys are ignored.
-func (d *decoder) take(key, text string) {
+// decodeSetting decodes and stores one setting by its path. Unknown keys are ignored.
+func (d *decoder) decodeSetting(key, text string) {
 	switch key {
 	case keyGauges:
-		d.settings.gauges = strings.Split(text, ",")
+		d.settings.readingNames = strings.Split(text, ",")
 		return
 	case keyRouteCount:
 		d.routeCount = d.count(key, text)
@@ -176,69 +177,69 @@
 		return
 	}
 	if s, known := serverKeys[key]; known {
-		put(d, s, d.settings, key, key, text, d.settings.stated)
+		decodeValue(d, s, d.settings, key, key, text, d.settings.fixed)
 		return
 	}
 	if s, known := adjustableKeys[key]; known {
-		put(d, s, &d.settings.Admission, key, key, text, d.settings.adjustable)
+		decodeValue(d, s, &d.settings.Admission, key, key, text, d.settings.adjustable)
 		return
 	}
 	if s, known := routeRows[key]; known && text != "" {
 		for i, item := range strings.Split(text, ",") {
 			if item != "" {
-				put(d, s, d.route(i), key, fmt.Sprintf("%s.%d", key, i), item, d.settings.stated)
+				decodeValue(d, s, d.route(i), key, fmt.Sprintf("%s.%d", key, i), item, d.settings.fixed)
 			}
 		}
 		return
 	}
-	d.takeListed(key, text)
+	d.decodeListItem(key, text)
 }
 
-// takeListed decodes a setting of a list item, whose path consists of list, index and name.
-func (d *decoder) takeListed(key, text string) {
+// decodeListItem decodes a setting of a list item, whose path consists of list, index and name.
+func (d *decoder) decodeListItem(key, text string) {
 	parts := strings.SplitN(key, ".", 3)
 	if len(parts) != 3 {
 		return
 	}
-	place, err := strconv.Atoi(parts[1])
+	index, err := strconv.Atoi(parts[1])
 	if err != nil {
 		return
 	}
 	switch parts[0] {
 	case listRoutes:
 		if s, known := routeKeys[parts[2]]; known {
-			put(d, s, d.route(place), key, key, text, d.settings.stated)
-			d.spellIdempotency(key, parts[2])
+			decodeValue(d, s, d.route(index), key, key, text, d.settings.fixed)
+			d.normalizeIdempotency(key, parts[2])
 		}
 	case listTenants:
 		if s, known := tenantKeys[parts[2]]; known {
-			put(d, s, d.tenant(place), key, key, text, d.settings.stated)
+			decodeValue(d, s, d.tenant(index), key, key, text, d.settings.fixed)
 		}
 	}
 }
 
-// spellIdempotency replaces the recorded idempotency of a route by the spelling that the digest uses.
-func (d *decoder) spellIdempotency(key, name string) {
-	stated, is := d.settings.stated[key]
-	if kind, known := idempotencies[stated]; is && name == "idempotency" && known {
-		d.settings.stated[key] = digestIdempotency[kind]
+// normalizeIdempotency replaces the recorded idempotency of a route by the spelling that the digest uses.
+func (d *decoder) normalizeIdempotency(key, name string) {
+	spelling, given := d.settings.fixed[key]
+	if kind, known := idempotencies[spelling]; given && name == "idempotency" && known {
+		d.settings.fixed[key] = digestIdempotency[kind]
 	}
 }
 
-func (d *decoder) route(place int) *admission.Route {
-	if d.routes[place] == nil {
+func (d *decoder) route(index int) *admission.Route {
+	if d.routes[index] == nil {
 		route := admission.DefaultRoute()
-		d.routes[place] = &route
+		d.routes[index] = &route
 	}
-	return d.routes[place]
+	return d.routes[index]
 }
 
-func (d *decoder) tenant(place int) *admission.Tenant {
-	if d.tenants[place] == nil {
+func (d *decoder) tenant(index int) *admission.Tenant {
+	if d.tenants[index] == nil {
 		tenant := admission.DefaultTenant()
-		d.tenants[place] = &tenant
+		d.tenants[index] = &tenant
 	}
-	return d.tenants[place]
+	return d.tenants[index]
 }
 
 // count parses the length of a list.
@@ -246,32 +247,32 @@
 	n, err := strconv.ParseFloat(text, 64)
 	switch {
 	case err != nil:
-		d.fault(key, "%s is not a number", text)
+		d.addError(key, "%s is not a number", text)
 	case d.strict && (math.IsNaN(n) || math.IsInf(n, 0)):
-		d.fault(key, "%s is %s", text, anything.problem(n))
+		d.addError(key, "%s is %s", text, anyFinite.problem(n))
 	default:
-		d.settings.stated[key] = fmt.Sprint(n)
+		d.settings.fixed[key] = fmt.Sprint(n)
 	}
 	return n
 }
 
-// put parses and checks a value, stores it and records its spelling under the key statedAs.
-func put[T any](d *decoder, s setting[T], into *T, key, statedAs, text string, stated map[string]string) {
+// decodeValue parses and checks a value, stores it and records its spelling in recorded under recordedKey.
+func decodeValue[T any](d *decoder, s setting[T], into *T, key, recordedKey, text string, recorded map[string]string) {
 	v, spelling, problem := s.read(text)
 	if problem != "" {
-		d.fault(key, "%s", problem)
+		d.addError(key, "%s", problem)
 		return
 	}
 	if d.strict {
 		if problem := s.check(v, text); problem != "" {
-			d.fault(key, "%s", problem)
+			d.addError(key, "%s", problem)
 			return
 		}
 	}
 	if s.store != nil {
 		s.store(into, v)
 	}
-	stated[statedAs] = spelling
+	recorded[recordedKey] = spelling
 }
 
 // read parses the text of a value. spelling is the value in its canonical spelling, and problem is "" if the text is
@@ -285,11 +286,11 @@
 		}
 		return value{number: n}, fmt.Sprint(n), ""
 	case kindDuration:
-		n, whole := microseconds(text)
+		n, whole := parseMicroseconds(text)
 		if !whole {
 			return v, "", text + " is not a whole number of microseconds"
 		}
-		v = value{number: n, duration: spanOf(n)}
+		v = value{number: n, duration: boundedDuration(n)}
 		if s.minimum > 0 {
 			v.duration = max(v.duration, s.minimum)
 		}
@@ -307,8 +308,8 @@
 
 // check returns why a value is not allowed, or "" if it is.
 func (s setting[T]) check(v value, text string) string {
-	if s.allow != nil && !slices.Contains(s.allow, text) {
-		return fmt.Sprintf("%s is not one of %v", text, s.allow)
+	if s.allowed != nil && !slices.Contains(s.allowed, text) {
+		return fmt.Sprintf("%s is not one of %v", text, s.allowed)
 	}
 	if problem := s.bounds.problem(v.number); problem != "" {
 		return text + " is " + problem
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -55,16 +55,16 @@
 	kind    kind
 	bounds  bounds
 	minimum time.Duration          // to which a shorter duration is raised
-	allow   []string               // allowed texts; nil: any
+	allowed []string               // allowed texts; nil: any
 	store   func(into *T, v value) // nil: the value is checked but not used
 }
 
-func numberOf[T any](holds bounds, field func(*T) *float64) setting[T] {
-	return setting[T]{kind: kindNumber, bounds: holds, store: func(into *T, v value) { *field(into) = v.number }}
+func numberOf[T any](within bounds, field func(*T) *float64) setting[T] {
+	return setting[T]{kind: kindNumber, bounds: within, store: func(into *T, v value) { *field(into) = v.number }}
 }
 
-func durationOf[T any](holds bounds, field func(*T) *time.Duration) setting[T] {
-	return setting[T]{kind: kindDuration, bounds: holds, store: func(into *T, v value) { *field(into) = v.duration }}
+func durationOf[T any](within bounds, field func(*T) *time.Duration) setting[T] {
+	return setting[T]{kind: kindDuration, bounds: within, store: func(into *T, v value) { *field(into) = v.duration }}
 }
 
 // atLeast returns the setting with a minimum to which shorter durations are raised.
@@ -77,50 +77,50 @@
 	return setting[T]{kind: kindFlag, store: func(into *T, v value) { *field(into) = v.flag }}
 }
 
-func textOf[T any](store func(*T, string), allow ...string) setting[T] {
-	return setting[T]{kind: kindText, allow: allow, store: func(into *T, v value) { store(into, v.text) }}
+func textOf[T any](store func(*T, string), allowed ...string) setting[T] {
+	return setting[T]{kind: kindText, allowed: allowed, store: func(into *T, v value) { store(into, v.text) }}
 }
 
-func checkedOnly[T any](k kind, holds bounds) setting[T] { return setting[T]{kind: k, bounds: holds} }
+func checkedOnly[T any](k kind, within bounds) setting[T] { return setting[T]{kind: k, bounds: within} }
 
 // serverKeys contains the settings outside of lists and rows that need a restart.
 var serverKeys = map[string]setting[Settings]{
-	"extra.cores":                     numberOf(aboveZero, func(s *Settings) *float64 { return &s.Admission.Cores }),
-	keyMemory:                         numberOf(aboveZero, func(s *Settings) *float64 { return &s.Admission.MemoryKB }),
-	"extra.run-factor":                numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.RunningMemoryFactor }),
-	"extra.key-kb":                    numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.KeyKB }),
+	"extra.cores":                     numberOf(positive, func(s *Settings) *float64 { return &s.Admission.Cores }),
+	keyMemory:                         numberOf(positive, func(s *Settings) *float64 { return &s.Admission.MemoryKB }),
+	"extra.run-factor":                numberOf(nonNegative, func(s *Settings) *float64 { return &s.Admission.RunningMemoryFactor }),
+	"extra.key-kb":                    numberOf(nonNegative, func(s *Settings) *float64 { return &s.Admission.KeyKB }),
 	"extra.cold":                      flagOf(func(s *Settings) *bool { return &s.Admission.Cold }),
 	"extra.below":                     textOf(func(s *Settings, v string) { s.Admission.CallsTier = v == "tier" }),
-	"extra.calls-out":                 numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.CallQuota }),
-	"extra.calls-over":                durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.CallWindow }),
-	"extra.lingers":                   durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.CallLinger }),
-	keyIdleTimeout:                    durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.IdleTimeout }),
+	"extra.calls-out":                 numberOf(nonNegative, func(s *Settings) *float64 { return &s.Admission.CallQuota }),
+	"extra.calls-over":                durationOf(nonNegative, func(s *Settings) *time.Duration { return &s.Admission.CallWindow }),
+	"extra.lingers":                   durationOf(nonNegative, func(s *Settings) *time.Duration { return &s.Admission.CallLinger }),
+	keyIdleTimeout:                    durationOf(nonNegative, func(s *Settings) *time.Duration { return &s.Admission.IdleTimeout }),
 	"extra.tells-gone":                flagOf(func(s *Settings) *bool { return &s.RoutersReportCancel }),
 	"extra.passes-deadline":           flagOf(func(s *Settings) *bool { return &s.RoutersSendDeadlines }),
 	"limits.retry-after":              flagOf(func(s *Settings) *bool { return &s.Admission.RetryAfter }),
-	"limits.max-retry-after":          durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.MaxRetryAfter }),
-	"obligations.cold-share":          numberOf(share, func(s *Settings) *float64 { return &s.Admission.ColdSpeed }),
-	"obligations.warm-up":             durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.WarmUp }),
-	"obligations.overload-factor":     numberOf(aboveZero, func(s *Settings) *float64 { return &s.Admission.MaxRunnablePerCore }),
-	"obligations.stop-sending-within": durationOf(notNegative, func(s *Settings) *time.Duration { return &s.Admission.Grace }),
-	"over-share-worth":                numberOf(share, func(s *Settings) *float64 { return &s.Admission.OverQuotaValue }),
+	"limits.max-retry-after":          durationOf(nonNegative, func(s *Settings) *time.Duration { return &s.Admission.MaxRetryAfter }),
+	"obligations.cold-share":          numberOf(fraction, func(s *Settings) *float64 { return &s.Admission.ColdSpeed }),
+	"obligations.warm-up":             durationOf(nonNegative, func(s *Settings) *time.Duration { return &s.Admission.WarmUp }),
+	"obligations.overload-factor":     numberOf(positive, func(s *Settings) *float64 { return &s.Admission.MaxRunnablePerCore }),
+	"obligations.stop-sending-within": durationOf(nonNegative, func(s *Settings) *time.Duration { return &s.Admission.Grace }),
+	"over-share-worth":                numberOf(fraction, func(s *Settings) *float64 { return &s.Admission.OverQuotaValue }),
 	keyValueBy:                        textOf(func(s *Settings, v string) { s.Admission.ValueByWork = v == "work" }),
-	"servers":                         numberOf(notNegative, func(s *Settings) *float64 { return &s.Admission.FleetServers }),
-
-	"extra.heeded":                checkedOnly[Settings](kindDuration, notNegative),
-	"extra.upstreams":             checkedOnly[Settings](kindNumber, notNegative),
-	"extra.deep-checks":           checkedOnly[Settings](kindFlag, anything),
-	"extra.readiness":             checkedOnly[Settings](kindFlag, anything),
-	"obligations.fall":            checkedOnly[Settings](kindDuration, notNegative),
-	"obligations.grace-to-answer": checkedOnly[Settings](kindDuration, notNegative),
-	"tick":                        checkedOnly[Settings](kindDuration, notNegative),
-	"scoring-mix.whole":           checkedOnly[Settings](kindNumber, notNegative),
-	"scoring-mix.worst-window":    checkedOnly[Settings](kindNumber, notNegative),
-	"scoring-mix.worst-class":     checkedOnly[Settings](kindNumber, notNegative),
-	"scoring-mix.worst-tenant":    checkedOnly[Settings](kindNumber, notNegative),
-	"prices.waste":                checkedOnly[Settings](kindNumber, anything),
-	"prices.late-fail":            checkedOnly[Settings](kindNumber, anything),
-	"prices.handshake":            checkedOnly[Settings](kindNumber, anything),
+	"servers":                         numberOf(nonNegative, func(s *Settings) *float64 { return &s.Admission.FleetServers }),
+
+	"extra.heeded":                checkedOnly[Settings](kindDuration, nonNegative),
+	"extra.upstreams":             checkedOnly[Settings](kindNumber, nonNegative),
+	"extra.deep-checks":           checkedOnly[Settings](kindFlag, anyFinite),
+	"extra.readiness":             checkedOnly[Settings](kindFlag, anyFinite),
+	"obligations.fall":            checkedOnly[Settings](kindDuration, nonNegative),
+	"obligations.grace-to-answer": checkedOnly[Settings](kindDuration, nonNegative),
+	"tick":                        checkedOnly[Settings](kindDuration, nonNegative),
+	"scoring-mix.whole":           checkedOnly[Settings](kindNumber, nonNegative),
+	"scoring-mix.worst-window":    checkedOnly[Settings](kindNumber, nonNegative),
+	"scoring-mix.worst-class":     checkedOnly[Settings](kindNumber, nonNegative),
+	"scoring-mix.worst-tenant":    checkedOnly[Settings](kindNumber, nonNegative),
+	"prices.waste":                checkedOnly[Settings](kindNumber, anyFinite),
+	"prices.late-fail":            checkedOnly[Settings](kindNumber, anyFinite),
+	"prices.handshake":            checkedOnly[Settings](kindNumber, anyFinite),
 }
 
 // adjustableKeys contains the settings that may change while the server runs. No earlier decision depends on them: a
@@ -145,11 +145,11 @@
 
 // routeKeys contains the settings of one item of the list "services".
 var routeKeys = map[string]setting[admission.Route]{
-	"gain":         numberOf(notNegative, func(r *admission.Route) *float64 { return &r.Value }),
-	"late-value":   numberOf(share, func(r *admission.Route) *float64 { return &r.LateValueShare }),
-	"goal-time":    durationOf(notNegative, func(r *admission.Route) *time.Duration { return &r.LatencyTarget }).atLeast(minLatencyTarget),
-	"deadline":     durationOf(aboveZero, func(r *admission.Route) *time.Duration { return &r.Deadline }),
-	"dedup-window": durationOf(notNegative, func(r *admission.Route) *time.Duration { return &r.DedupWindow }),
+	"gain":         numberOf(nonNegative, func(r *admission.Route) *float64 { return &r.Value }),
+	"late-value":   numberOf(fraction, func(r *admission.Route) *float64 { return &r.LateValueShare }),
+	"goal-time":    durationOf(nonNegative, func(r *admission.Route) *time.Duration { return &r.LatencyTarget }).atLeast(minLatencyTarget),
+	"deadline":     durationOf(positive, func(r *admission.Route) *time.Duration { return &r.Deadline }),
+	"dedup-window": durationOf(nonNegative, func(r *admission.Route) *time.Duration { return &r.DedupWindow }),
 	"idempotency": textOf(func(r *admission.Route, v string) {
 		r.Idempotency = idempotencies[v]
 	}, "retryable", "dedup", "fragile"),
@@ -167,13 +167,13 @@
 // routeRows contains the settings that have one value for each route, separated by commas.
 var routeRows = map[string]setting[admission.Route]{
 	keyCallsByClass:     flagOf(func(r *admission.Route) *bool { return &r.CallsDependency }),
-	keySkipValueByClass: numberOf(share, func(r *admission.Route) *float64 { return &r.SkipValueShare }),
+	keySkipValueByClass: numberOf(fraction, func(r *admission.Route) *float64 { return &r.SkipValueShare }),
 }
 
 // tenantKeys contains the settings of one item of the list "tenants".
 var tenantKeys = map[string]setting[admission.Tenant]{
-	"quota-rps": numberOf(notNegative, func(t *admission.Tenant) *float64 { return &t.QuotaRPS }),
-	"fraction":  checkedOnly[admission.Tenant](kindNumber, share),
+	"quota-rps": numberOf(nonNegative, func(t *admission.Tenant) *float64 { return &t.QuotaRPS }),
+	"fraction":  checkedOnly[admission.Tenant](kindNumber, fraction),
 	"name":      textOf(func(t *admission.Tenant, v string) { t.Name = v }),
 }
 
@@ -201,15 +201,15 @@
 		return name, false
 	}
 	if list, rest, found := strings.Cut(key, "."); found && list == listRoutes {
-		place, field, _ := strings.Cut(rest, ".")
+		index, field, _ := strings.Cut(rest, ".")
 		if name := digestRouteNames[field]; name != "" {
-			return "type." + place + "." + name, true
+			return "type." + index + "." + name, true
 		}
 		return "", true
 	}
 	for row, name := range digestRowNames {
-		if place, found := strings.CutPrefix(key, row+"."); found {
-			return "type." + place + "." + name, true
+		if index, found := strings.CutPrefix(key, row+"."); found {
+			return "type." + index + "." + name, true
 		}
 	}
 	return "", false
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,11 +22,11 @@
 	RoutersSendDeadlines bool // each request carries how long its caller waits
 	RoutersReportCancel  bool // routers report requests for which nobody waits any longer
 
-	gauges []string // names of the worker pool's readings, in the order in which they are reported
+	readingNames []string // names of the worker pool's readings, in the order in which they are reported
 
-	// stated contains the settings that were given and need a restart to change, by the platform's key. Each value has
+	// fixed contains the settings that were given and need a restart to change, by the platform's key. Each value has
 	// its canonical spelling, regardless of how it was written.
-	stated map[string]string
+	fixed map[string]string
 	// adjustable contains the settings that were given and may change while the server runs, by the platform's key.
 	adjustable map[string]string
 }
@@ -34,9 +34,9 @@
 // FromAdmission returns the settings of a program that runs without a platform and sets them itself. gauges lists the
 // platform's names of the readings, in the order in which they are reported.
 func FromAdmission(a admission.Settings, gauges ...string) *Settings {
-	s := &Settings{Admission: a, gauges: gauges, stated: map[string]string{}, adjustable: map[string]string{}}
-	s.stated[keyIdleTimeout] = fmt.Sprint(a.IdleTimeout)
-	s.stated[keyMemory] = fmt.Sprint(a.MemoryKB)
+	s := &Settings{Admission: a, readingNames: gauges, fixed: map[string]string{}, adjustable: map[string]string{}}
+	s.fixed[keyIdleTimeout] = fmt.Sprint(a.IdleTimeout)
+	s.fixed[keyMemory] = fmt.Sprint(a.MemoryKB)
 	for i, route := range a.Routes {
 		for _, field := range []struct {
 			key   string
@@ -49,46 +49,46 @@
 			{"deadline", route.Deadline},
 			{"dedup-window", route.DedupWindow},
 		} {
-			s.stated[fmt.Sprintf("services.%d.%s", i, field.key)] = fmt.Sprint(field.value)
+			s.fixed[fmt.Sprintf("services.%d.%s", i, field.key)] = fmt.Sprint(field.value)
 		}
-		s.stated[fmt.Sprintf("%s.%d", keyCallsByClass, i)] = fmt.Sprint(route.CallsDependency)
-		s.stated[fmt.Sprintf("%s.%d", keySkipValueByClass, i)] = fmt.Sprint(route.SkipValueShare)
+		s.fixed[fmt.Sprintf("%s.%d", keyCallsByClass, i)] = fmt.Sprint(route.CallsDependency)
+		s.fixed[fmt.Sprintf("%s.%d", keySkipValueByClass, i)] = fmt.Sprint(route.SkipValueShare)
 	}
 	return s
 }
 
 // Len returns the number of settings that were given.
-func (s *Settings) Len() int { return len(s.stated) + len(s.adjustable) }
+func (s *Settings) Len() int { return len(s.fixed) + len(s.adjustable) }
 
 // MemoryKB returns the memory for requests in KiB, and whether it was given.
-func (s *Settings) MemoryKB() (kb float64, stated bool) {
-	_, stated = s.stated[keyMemory]
-	return s.Admission.MemoryKB, stated
+func (s *Settings) MemoryKB() (kb float64, given bool) {
+	_, given = s.fixed[keyMemory]
+	return s.Admission.MemoryKB, given
 }
 
-// Missing returns an error that joins all faults of required settings: those that are missing, and route names that are
-// used twice.
+// Missing returns an error if the settings have no routes. Otherwise it returns an error that joins a *FieldError for
+// each required setting that is missing and each route name that is used twice.
 func (s *Settings) Missing() error {
 	if len(s.Admission.Routes) == 0 {
 		return errors.New("setting services: is missing or has no routes")
 	}
-	var faults []error
-	firstOf := map[string]int{}
+	var errs []error
+	firstIndex := map[string]int{}
 	for i, route := range s.Admission.Routes {
 		for _, key := range requiredOfRoute {
 			path := fmt.Sprintf("services.%d.%s", i, key)
-			if s.stated[path] == "" {
-				faults = append(faults, &Fault{path, "is missing"})
+			if s.fixed[path] == "" {
+				errs = append(errs, &FieldError{path, "is missing"})
 			}
 		}
-		first, duplicate := firstOf[route.Name]
+		first, duplicate := firstIndex[route.Name]
 		if duplicate && route.Name != "" {
-			faults = append(faults, &Fault{fmt.Sprintf("services.%d.name", i), fmt.Sprintf("%s is also the name of services.%d", route.Name, first)})
+			errs = append(errs, &FieldError{fmt.Sprintf("services.%d.name", i), fmt.Sprintf("%s is also the name of services.%d", route.Name, first)})
 			continue
 		}
-		firstOf[route.Name] = i
+		firstIndex[route.Name] = i
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 // Digest returns a hash of the settings on which estimates depend: servers with the same digest can use each other's
@@ -98,7 +98,7 @@
 // because digests are compared between servers of different versions and with those stored on disk.
 func (s *Settings) Digest(dynamic, withSkips bool) uint64 {
 	var lines []string
-	for key, value := range s.stated {
+	for key, value := range s.fixed {
 		name, ofRoute := digestName(key)
 		if name == "" || ofRoute && dynamic || strings.HasSuffix(name, ".skip-share") && !withSkips {
 			continue
@@ -111,7 +111,7 @@
 // Gauges copies the worker pool's readings, which are in the order that the settings specify, into their fields. If
 // there are fewer readings than names, the other fields keep their values.
 func (s *Settings) Gauges(into *admission.Gauges, readings []float64) {
-	for i, name := range s.gauges[:min(len(readings), len(s.gauges))] {
+	for i, name := range s.readingNames[:min(len(readings), len(s.readingNames))] {
 		switch name {
 		case gaugeCPU:
 			into.CPU = readings[i]
@@ -129,7 +129,7 @@
 // need a core), and the share of memory in use. complete is false if the settings do not name both readings or there
 // are too few readings.
 func (s *Settings) Occupied(readings []float64) (onCores, memory float64, complete bool) {
-	cores, heap := slices.Index(s.gauges, gaugeRunnable), slices.Index(s.gauges, gaugeMemory)
+	cores, heap := slices.Index(s.readingNames, gaugeRunnable), slices.Index(s.readingNames, gaugeMemory)
 	if cores < 0 || heap < 0 || max(cores, heap) >= len(readings) {
 		return 0, 0, false
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -64,14 +64,14 @@
 		"extra.calls-by-class.0": "true", "extra.class-skip-worth.0": "0.5", "services.1.name": "pay",
 		"services.1.idempotency": "at-most-once", "extra.calls-by-class.1": "false", "extra.class-skip-worth.1": "0",
 		"tenants.count": "1", "tenants.0.quota-rps": "12.5",
-	}, tree.stated)
+	}, tree.fixed)
 
 	gauges := admission.Gauges{Runnable: 7}
 	tree.Gauges(&gauges, []float64{1, 2, 3, 4})
 	assert.Equal(t, admission.Gauges{Connections: 1, CPU: 2, Memory: 4, Runnable: 7}, gauges)
 }
 
-func TestBroken(t *testing.T) {
+func TestMalformedValues(t *testing.T) {
 	_, err := FromLines("extra.cores=many")
 	assert.ErrorContains(t, err, "extra.cores")
 	for text, want := range map[string]string{
@@ -88,9 +88,9 @@
 	}
 }
 
-func TestMovingSettingsAreChecked(t *testing.T) {
+func TestAdjustableSettingsAreChecked(t *testing.T) {
 	cases := []struct {
-		name, halt, fault string
+		name, halt, wantErr string
 	}{
 		{"known value", `"halt":"none"`, ""},
 		{"not given", `"tick":5000`, ""},
@@ -99,10 +99,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := FromJSON([]byte(`{"extra":{` + c.halt + `}}`))
-			if c.fault == "" {
+			if c.wantErr == "" {
 				assert.NoError(t, err)
 			} else {
-				assert.EqualError(t, err, c.fault)
+				assert.EqualError(t, err, c.wantErr)
 			}
 		})
 	}
@@ -134,7 +134,7 @@
 // after an upgrade. The digest must therefore stay the same across versions. The expected digests are those of commit
 // f1daac1, which digested a map under its own names.
 func TestDigestIsThatOfEarlierVersions(t *testing.T) {
-	odd := `{"extra":{"idle":3e7,"class-skip-worth":[0.25,null,1,0.5],"calls-by-class":[null,true]},"value-by":"work",
+	unusual := `{"extra":{"idle":3e7,"class-skip-worth":[0.25,null,1,0.5],"calls-by-class":[null,true]},"value-by":"work",
 "services":[{"name":"a","idempotency":"retryable","deadline":9000000,"goal-time":0,"gain":1e21,"late-value":0.1},
 {"name":"b","idempotency":"fragile","deadline":1.5e6,"goal-time":8000000}]}`
 	lines, err := FromLines(flat)
@@ -146,7 +146,7 @@
 	}{
 		{"flat", func() (*Settings, error) { return lines, nil }, 0x157bcb0acdda3d57, 0x84dcfe74bcd8030e, 0xef46db3751d8e999, 0xef46db3751d8e999},
 		{"nested", func() (*Settings, error) { return FromJSON([]byte(nested)) }, 0x157bcb0acdda3d57, 0x84dcfe74bcd8030e, 0xef46db3751d8e999, 0xef46db3751d8e999},
-		{"unusual values", func() (*Settings, error) { return FromJSON([]byte(odd)) }, 0xcc039db41e8b0609, 0x693cd96e58a29594, 0x6b4594699ea74b, 0x6b4594699ea74b},
+		{"unusual values", func() (*Settings, error) { return FromJSON([]byte(unusual)) }, 0xcc039db41e8b0609, 0x693cd96e58a29594, 0x6b4594699ea74b, 0x6b4594699ea74b},
 	} {
 		s, err := c.read()
 		require.NoError(t, err)
@@ -157,16 +157,16 @@
 	}
 }
 
-const types = `"services":[{"name":"a","idempotency":"dedup","deadline":9000000,"goal-time":8000000}]`
+const routesJSON = `"services":[{"name":"a","idempotency":"dedup","deadline":9000000,"goal-time":8000000}]`
 
-// All faults must be reported at once. Formerly, the first fault hid all others, and values out of range were accepted.
+// All errors must be reported at once. Formerly, the first error hid all others, and values out of range were accepted.
 func TestAllFaultsAtOnce(t *testing.T) {
-	told, err := FromJSON([]byte(`{"extra":{"cores":-1,"ram-kb":0,"idle":-5,"cold":"maybe","halt":"later","advert":"louder",
+	got, err := FromJSON([]byte(`{"extra":{"cores":-1,"ram-kb":0,"idle":-5,"cold":"maybe","halt":"later","advert":"louder",
 "run-factor":"NaN","key-kb":1e999,"class-skip-worth":[0.5,1.5],"calls-by-class":[null,true,3]},
 "obligations":{"cold-share":-0.1,"overload-factor":0,"stop-sending-within":-1,"warm-up":"soon"},"over-share-worth":2,"servers":"Inf",
 "services":[{"deadline":0,"idempotency":"often","gain":-1,"goal-time":1.5,"late-value":1.1,"dedup-window":-1}],
 "tenants":{"count":1000000000000}}`))
-	assert.Nil(t, told)
+	assert.Nil(t, got)
 	require.Error(t, err)
 	for _, key := range []string{
 		"extra.cores", "extra.ram-kb", "extra.idle", "extra.cold", "extra.halt", "extra.advert", "extra.run-factor",
@@ -180,7 +180,7 @@
 	assert.Len(t, err.(interface{ Unwrap() []error }).Unwrap(), 23)
 }
 
-func TestShapesThatAreNone(t *testing.T) {
+func TestMalformedStructure(t *testing.T) {
 	for text, want := range map[string]string{
 		`[]`:                          "services: is missing",
 		`{}`:                          "services: is missing",
@@ -198,9 +198,9 @@
 		`{"services":[{"name":"a","idempotency":"dedup","deadline":1,"goal-time":1},
 {"name":"a","idempotency":"dedup","deadline":1,"goal-time":1}]}`: "services.1.name: a is also the name of services.0",
 	} {
-		told, err := FromJSON([]byte(text))
+		got, err := FromJSON([]byte(text))
 		if err == nil {
-			err = told.Missing()
+			err = got.Missing()
 		}
 		assert.ErrorContains(t, err, want, text)
 	}
@@ -210,10 +210,10 @@
 func TestValidValues(t *testing.T) {
 	idle := func(s *Settings) any { return s.Admission.IdleTimeout }
 	calls := func(s *Settings) any { return s.Admission.Routes[0].CallsDependency }
-	statedAs := func(key string) func(s *Settings) any {
+	recordedAs := func(key string) func(s *Settings) any {
 		return func(s *Settings) any {
-			spelling, stated := s.stated[key]
-			return fmt.Sprint(stated, " ", spelling)
+			spelling, given := s.fixed[key]
+			return fmt.Sprint(given, " ", spelling)
 		}
 	}
 	cases := []struct {
@@ -226,39 +226,39 @@
 		{`"extra":{"idle":0}`, idle, time.Duration(0)},
 		{`"extra":{"idle":9223372036854775807}`, idle, MaxDuration},
 		{`"extra":{"idle":1e300}`, idle, MaxDuration},
-		{`"extra":{"idle":null}`, statedAs("extra.idle"), "false "},
+		{`"extra":{"idle":null}`, recordedAs("extra.idle"), "false "},
 		{`"extra":{"cores":0.25}`, func(s *Settings) any { return s.Admission.Cores }, 0.25},
 		{`"extra":{"ram-kb":1e15}`, func(s *Settings) any { return s.Admission.MemoryKB }, 1e15},
-		{`"extra":{"upstreams":2.5}`, statedAs("extra.upstreams"), "true 2.5"},
-		{`"extra":{"calls-by-class":[null]}`, statedAs("extra.calls-by-class.0"), "false "},
-		{`"extra":{"calls-by-class":[]}`, statedAs("extra.calls-by-class.0"), "false "},
+		{`"extra":{"upstreams":2.5}`, recordedAs("extra.upstreams"), "true 2.5"},
+		{`"extra":{"calls-by-class":[null]}`, recordedAs("extra.calls-by-class.0"), "false "},
+		{`"extra":{"calls-by-class":[]}`, recordedAs("extra.calls-by-class.0"), "false "},
 		{`"extra":{"calls-by-class":[true,true,true]}`, calls, true},
-		{`"extra":{"below":"elsewhere"}`, statedAs("extra.below"), "true elsewhere"},
-		{`"prices":{"waste":-0.5}`, statedAs("prices.waste"), "true -0.5"},
+		{`"extra":{"below":"elsewhere"}`, recordedAs("extra.below"), "true elsewhere"},
+		{`"prices":{"waste":-0.5}`, recordedAs("prices.waste"), "true -0.5"},
 		{`"tenants":[{"quota-rps":0},{"name":"b"}]`, func(s *Settings) any { return len(s.Admission.Tenants) }, 2},
 		{`"tenants":null`, func(s *Settings) any { return len(s.Admission.Tenants) }, 0},
 		{`"later":{"keys":[1,{"a":[[]]}]}`, func(s *Settings) any { return len(s.Admission.Routes) }, 1},
 	}
 	for _, c := range cases {
-		told, err := FromJSON([]byte(`{` + types + `,` + c.settings + `}`))
+		got, err := FromJSON([]byte(`{` + routesJSON + `,` + c.settings + `}`))
 		if assert.NoError(t, err, c.settings) {
-			assert.NoError(t, told.Missing(), c.settings)
-			assert.Equal(t, c.want, c.of(told), c.settings)
+			assert.NoError(t, got.Missing(), c.settings)
+			assert.Equal(t, c.want, c.of(got), c.settings)
 		}
 	}
 	// Decisions divide by the latency target, so it must not be zero.
-	told, err := FromJSON([]byte(`{"services":[{"name":"a","goal-time":0}]}`))
+	got, err := FromJSON([]byte(`{"services":[{"name":"a","goal-time":0}]}`))
 	require.NoError(t, err)
-	assert.Equal(t, time.Microsecond, told.Admission.Routes[0].LatencyTarget)
+	assert.Equal(t, time.Microsecond, got.Admission.Routes[0].LatencyTarget)
 }
 
 // A route may have the same name as a kind of idempotency. Formerly, such a name was translated as if it were the
 // idempotency, so the route's requests were treated as those of no route.
-func TestTypeNamedLikeAKindOfRepeats(t *testing.T) {
+func TestRouteNamedLikeAnIdempotency(t *testing.T) {
 	for theirs, ours := range idempotencies {
-		told, err := FromJSON([]byte(`{"services":[{"name":"` + theirs + `","idempotency":"` + theirs + `"}]}`))
+		got, err := FromJSON([]byte(`{"services":[{"name":"` + theirs + `","idempotency":"` + theirs + `"}]}`))
 		require.NoError(t, err)
-		assert.Equal(t, theirs, told.Admission.Routes[0].Name)
-		assert.Equal(t, ours, told.Admission.Routes[0].Idempotency)
+		assert.Equal(t, theirs, got.Admission.Routes[0].Name)
+		assert.Equal(t, ours, got.Admission.Routes[0].Idempotency)
 	}
 }
--- a/internal/settings/tables.go
+++ b/internal/settings/tables.go
@@ -27,29 +27,29 @@
 
 // RouteOf converts a route of the configuration to one of package admission, within the bounds that also apply to the
 // platform's settings.
-func RouteOf(name string, stated configuration.Route) admission.Route {
+func RouteOf(name string, configured configuration.Route) admission.Route {
 	return admission.Route{
-		Name: name, Value: stated.Value, LateValueShare: stated.LateValueShare, CallsDependency: stated.CallsDependency, SkipValueShare: stated.SkipValueShare,
-		LatencyTarget: max(spanOf(float64(stated.LatencyTarget)), time.Microsecond),
-		Deadline:      spanOf(float64(stated.Deadline)), DedupWindow: spanOf(float64(stated.DedupWindow)),
-		Idempotency: idempotencyOf[stated.Idempotency],
+		Name: name, Value: configured.Value, LateValueShare: configured.LateValueShare, CallsDependency: configured.CallsDependency, SkipValueShare: configured.SkipValueShare,
+		LatencyTarget: max(boundedDuration(float64(configured.LatencyTarget)), time.Microsecond),
+		Deadline:      boundedDuration(float64(configured.Deadline)), DedupWindow: boundedDuration(float64(configured.DedupWindow)),
+		Idempotency: idempotencyOf[configured.Idempotency],
 	}
 }
 
 // Changes returns the changes of routes and tenants that a delta makes.
 func Changes(delta configuration.Delta) (routes []RouteChange, tenants []TenantChange) {
-	for name, stated := range delta.Routes {
+	for name, configured := range delta.Routes {
 		change := RouteChange{Name: name}
-		if stated != nil {
-			route := RouteOf(name, *stated)
+		if configured != nil {
+			route := RouteOf(name, *configured)
 			change.Route = &route
 		}
 		routes = append(routes, change)
 	}
-	for name, stated := range delta.Tenants {
-		change := TenantChange{Name: name, Removed: stated == nil}
-		if stated != nil {
-			change.QuotaRPS = stated.QuotaRPS
+	for name, configured := range delta.Tenants {
+		change := TenantChange{Name: name, Removed: configured == nil}
+		if configured != nil {
+			change.QuotaRPS = configured.QuotaRPS
 		}
 		tenants = append(tenants, change)
 	}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -134,7 +134,7 @@
 		drift float64
 	}{{"three processes, no drift", 3, 0}, {"three processes, 2% drift", 3, 0.02}, {"five processes, 5% drift", 5, 0.05}} {
 		t.Run(c.name, func(t *testing.T) {
-			held, operations := 0, 0
+			heldSteps, operations := 0, 0
 			for seed := range int64(40) {
 				f := newFleet(seed, c.n, c.drift)
 				for at := time.Duration(0); at < 8*time.Second; at += ms {
@@ -148,7 +148,7 @@
 					f.step(at)
 					for _, p := range f.processes {
 						if p.candidate.Holds(p.clock(at)) {
-							held++
+							heldSteps++
 							break
 						}
 					}
@@ -158,21 +158,21 @@
 				operations += f.operations
 			}
 			assert.Positive(t, operations, "operations were attempted")
-			t.Logf("held %.0f%% of the time", 100*float64(held)/(40*8000))
+			t.Logf("held %.0f%% of the time", 100*float64(heldSteps)/(40*8000))
 			// A stalled holder keeps the lease from all others until it expires, and candidates that split the votes
 			// wait as long, so the lease is not held all the time.
-			assert.Greater(t, held, 40*8000/4, "the lease was held for less than a quarter of the time")
+			assert.Greater(t, heldSteps, 40*8000/4, "the lease was held for less than a quarter of the time")
 		})
 	}
 }
 
 // round sends a round of requests to every voter and reports whether it did; it does not while the candidate backs off.
-// at is the time on the voters' clocks, own on the candidate's.
-func round(c *Candidate, voters []*Voter, at, own time.Duration) bool {
-	request, ok := c.NextRequest(own)
+// voterTime is the time on the voters' clocks, candidateTime that on the candidate's clock.
+func round(c *Candidate, voters []*Voter, voterTime, candidateTime time.Duration) bool {
+	request, ok := c.NextRequest(candidateTime)
 	for _, voter := range voters {
 		if ok {
-			c.HandleResponse(voter.HandleRequest(request, at), own)
+			c.HandleResponse(voter.HandleRequest(request, voterTime), candidateTime)
 		}
 	}
 	return ok
@@ -247,9 +247,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			voters := []*Voter{NewVoter("a", config), NewVoter("b", config), NewVoter("c", config)}
 			old, next := NewCandidate("d", "old", config, 1), NewCandidate("d", "next", config, 2)
-			own := func(at time.Duration) time.Duration { return time.Duration(c.rate * float64(at)) }
-			round(old, voters, 0, own(0))
-			require.True(t, old.Holds(own(0)))
+			oldClock := func(at time.Duration) time.Duration { return time.Duration(c.rate * float64(at)) }
+			round(old, voters, 0, oldClock(0))
+			require.True(t, old.Holds(oldClock(0)))
 			// next requests the lease every millisecond of true time from the moment at which the voters' grants
 			// expire.
 			granted := time.Duration(0)
@@ -259,7 +259,7 @@
 				}
 			}
 			require.NotZero(t, granted, "no other candidate was granted the lease")
-			assert.Equal(t, c.overlap, old.Holds(own(granted)), "whether the old holder still believes that it holds the lease when the next one holds it")
+			assert.Equal(t, c.overlap, old.Holds(oldClock(granted)), "whether the old holder still believes that it holds the lease when the next one holds it")
 			fence := NewFence()
 			assert.True(t, fence.Admit("d", next.Token()))
 			assert.False(t, fence.Admit("d", old.Token()), "an operation under the stale token must be refused")
