--- a/classpool/reserve.go
+++ b/classpool/reserve.go
@@ -41,7 +41,7 @@
 }
 
 // eligible reports whether a leaf's measured cost is low enough. A leaf without a measured cost is not eligible, and no
-// leaf is if only one has a measured cost.
+// leaf is eligible while fewer than two have a measured cost.
 func (r *Reserve) eligible(p *Pools, leaf int) bool {
 	sum, measured := 0.0, 0.0
 	for _, a := range p.accounts {
--- a/classpool/tree.go
+++ b/classpool/tree.go
@@ -89,8 +89,8 @@
 	return errs
 }
 
-// ancestorErrors returns an error if an ancestor of a pool does not exist or there are too many of them. A cycle counts as
-// too many.
+// ancestorErrors returns an error if an ancestor of a pool does not exist or there are too many of them. A cycle counts
+// as too many.
 func (o Options) ancestorErrors(byName map[string]Options) (errs []error) {
 	depth := 1
 	for ancestor := o.Parent; ancestor != "" && depth <= maxDepth; depth++ {
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -35,8 +35,8 @@
 // can still be added to without overflow.
 const MaxDuration = 10 * 365 * 24 * time.Hour
 
-// parseMicroseconds parses a number of microseconds in any notation of a float. whole is false if the text is not a whole
-// number.
+// parseMicroseconds parses a number of microseconds in any notation of a float. whole is false if the text is not a
+// whole number.
 func parseMicroseconds(text string) (v float64, whole bool) {
 	v, err := strconv.ParseFloat(text, 64)
 	return v, err == nil && v == math.Trunc(v)
