--- a/call.go
+++ b/call.go
@@ -7,11 +7,12 @@
 	"quartzpoint/admission"
 )
 
-// Call makes a call to the dependency that Options.Calls describes. ctx is the context of a run, or derived from it. Call
-// waits until the dependency has capacity for the call, and retries with a backoff where it failed and the route allows that.
+// Call makes a call to the dependency that Options.Calls describes. ctx must be the context of a run or derived from
+// it. Call waits until the dependency has capacity for the call. If the call fails and the route allows it, Call
+// retries with backoff.
 //
-// It returns nil once the call succeeded, ErrCallSkipped where the run is to go on without it, or the context's error. Outside
-// a run the call is made once, as it is.
+// It returns nil once a call succeeds, ErrCallSkipped if the run should continue without the call, or the context's
+// error. Outside a run it calls the function once, without a limit or retries.
 func Call(ctx context.Context, call func(context.Context) error) error {
 	inside, ok := ctx.Value(runContextKey{}).(*runContext)
 	if !ok {
@@ -19,7 +20,7 @@
 	}
 	e := inside.reference()
 	if e == nil {
-		return context.Canceled // its run is over
+		return context.Canceled // the run has ended
 	}
 	defer e.release()
 	loop := e.gate.loop
@@ -43,7 +44,8 @@
 	}
 }
 
-// attempt makes a call once.
+// attempt makes the call once, with the given timeout, and returns its outcome and duration. The outcome of a call
+// whose context ended is unknown.
 func attempt(ctx context.Context, timeout time.Duration, call func(context.Context) error) (admission.Outcome, time.Duration) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -60,7 +62,7 @@
 	}
 }
 
-// submit has the event loop call a function, unless the run has ended by then.
+// submit runs report on the event loop, unless the run has ended by then.
 func (e *execution) submit(report func()) {
 	e.references.Add(1)
 	e.gate.loop.Submit(func() {
@@ -80,6 +82,6 @@
 func (e *execution) sendTurn(turn time.Duration) {
 	select {
 	case e.callTurn <- turn:
-	default: // the run has gone on by itself, as its context has ended
+	default: // the run's context has ended, so it no longer waits
 	}
 }
--- a/doc.go
+++ b/doc.go
@@ -1,25 +1,26 @@
-// Package quartzpoint admits, runs and rejects requests inside the process that imports it, by the same decisions as the
-// server of the same name: requests in flight stay under a limit that adapts, the rest queue by deadline, and what can't be
-// done in time is rejected at once.
+// Package quartzpoint provides admission control and request scheduling inside the process that imports it. It makes
+// the same decisions as the server of the same name: an adaptive limit bounds the requests in flight, further requests
+// are queued by deadline, and requests that can't be finished in time are rejected at once.
 //
 // A Gate keeps these invariants:
 //
 //   - Each request that it receives gets one answer, before its deadline.
 //   - A request with an idempotency key runs once within its route's DedupWindow, however often it is sent.
-//   - After Shutdown, no request that arrives past the grace runs, and all that were received are answered before the stop.
-//   - What is in flight and queued stays within bounds.
+//   - After Shutdown, no request that arrives after the grace period runs, and all received requests are answered before the
+//     shutdown deadline.
+//   - The number of requests in flight and queued is bounded.
 //
-// A function that runs can't be stopped from outside. One that ignores its context is in flight until it returns, while its
-// caller is answered in time.
+// A running function can't be stopped from outside. If it ignores its context, its request stays in flight until the
+// function returns; the caller is still answered in time.
 //
-// Where each part stands:
+// The source files:
 //
-//	options.go      Options, their defaults and checks; optionsfile.go reads them from a file
+//	options.go      Options, their defaults and validation; optionsfile.go reads them from a file
 //	request.go      Request; errors.go has the errors of requests
-//	gate.go         Gate: New, Do, Shutdown and what it reports
-//	ticket.go       requests that run in their caller's own goroutine
-//	execution.go    a request from its arrival until nothing refers to it; runcontext.go has the context of its run
+//	gate.go         Gate: New, Do, Shutdown and its counts
+//	ticket.go       requests that run in their caller's goroutine
+//	execution.go    state of one request; runcontext.go has the context of its run
 //	call.go         calls of runs to the shared dependency
-//	pool.go         the gate as worker pool and frontend of the event loop; gauges.go has the readings of this process
-//	state.go        the directory that the next process starts from
+//	pool.go         worker pool and frontend of the event loop; gauges.go has the readings of this process
+//	state.go        directory with the state that the next process loads
 package quartzpoint
--- a/errors.go
+++ b/errors.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// The errors of requests, beside RejectedError.
+// Errors of requests, in addition to RejectedError.
 var (
-	// ErrAborted is the error of a request that may have run, or runs still, and has no result.
+	// ErrAborted is returned for a request that has no result but may have run or may still be running.
 	ErrAborted = errors.New("quartzpoint: aborted")
-	// ErrShutDown is the error of a request that never ran, as the gate is shut down.
+	// ErrShutDown is returned for a request that never ran because the gate is shut down.
 	ErrShutDown = errors.New("quartzpoint: the gate is shut down")
-	// ErrKeyConflict is the error of a request that never ran, as its idempotency key came before with another fingerprint.
+	// ErrKeyConflict is returned for a request that never ran because its idempotency key was used before with a
+	// different fingerprint.
 	ErrKeyConflict = errors.New("quartzpoint: the idempotency key belongs to another request")
-	// ErrStateNotStored is the error of a Shutdown whose state is not on disk completely: the next process may lack
-	// idempotency keys that this one knew.
+	// ErrStateNotStored is returned by Shutdown if the state was not completely written to disk: the next process may
+	// lack idempotency keys that this one knew.
 	ErrStateNotStored = errors.New("quartzpoint: state not stored")
-	// ErrCallSkipped is the error of Call where the run is to go on without the call.
-	ErrCallSkipped = errors.New("quartzpoint: go on without the call")
+	// ErrCallSkipped is returned by Call if the run should continue without the call.
+	ErrCallSkipped = errors.New("quartzpoint: call skipped")
 )
 
-// RejectedError is the error of a request that was rejected and never ran.
+// RejectedError is returned for a request that was rejected and never ran.
 type RejectedError struct {
-	RetryAfter       time.Duration // how long the caller should stay away; 0 where that is not known
-	NoRetryElsewhere bool          // an attempt at another server would be rejected too
+	RetryAfter       time.Duration // how long the caller should wait before it retries; 0 if unknown
+	NoRetryElsewhere bool          // another server would reject the request too
 }
 
 func (e *RejectedError) Error() string {
@@ -34,7 +35,7 @@
 	return "quartzpoint: rejected"
 }
 
-// panicError is the end of a run that panicked.
+// panicError is the error of a run that panicked.
 type panicError struct{ value any }
 
 func (*panicError) Error() string { return "quartzpoint: the run panicked" }
--- a/execution.go
+++ b/execution.go
@@ -11,25 +11,26 @@
 	"quartzpoint/internal/server"
 )
 
-// execution is a request from its arrival until nothing refers to it. Then it goes back to the gate's pool of executions.
+// execution is the state of one request, from its arrival until nothing refers to it. It is then returned to the gate's
+// pool of executions.
 //
-// The caller, the event loop and the run each hold a reference, and so does what was submitted to the event loop and not
-// handled yet: an execution is not used for another request before all have released it.
+// The caller, the event loop and the run each hold a reference, and so does each function that was submitted to the
+// event loop and has not run yet. An execution is reused only after all references are released.
 type execution struct {
 	gate     *Gate
 	id       string
-	arrive   func() // handleArrival, made once
-	cancel   func() // handleCancel, made once
+	arrive   func() // handleArrival as a function value, allocated once
+	cancel   func() // handleCancel as a function value, allocated once
 	started  chan struct{}
 	answered chan struct{}
-	callTurn chan time.Duration // how long the run's call may take, below 0 to go on without it
+	callTurn chan time.Duration // timeout of the run's next call; below 0 to continue without the call
 
 	// Set before the request is submitted.
 	ctx       context.Context
 	request   Request
 	arrivedAt time.Duration
 	run       func(context.Context) ([]byte, error)
-	runPlain  func(context.Context) error // in place of run, without a result
+	runPlain  func(context.Context) error // used instead of run if there is no result
 	onAbort   func()
 
 	// Set before answered is sent to.
@@ -37,24 +38,24 @@
 	err    error
 
 	references atomic.Int32
-	answeredBy atomic.Int32 // who answers is who moves it from nobody
+	answeredBy atomic.Int32 // notAnswered until the run or the event loop answers
 
-	// Of the event loop alone.
-	decided   *server.Request // nil until the decisions have received it
+	// Used by the event loop only.
+	decided   *server.Request // nil until the event loop has received the request
 	running   bool
 	startedAt time.Duration
 	settled   bool // answered or canceled
-	overruns  bool // it runs on past its answer
+	overruns  bool // the run continues after the request was answered
 
-	runCtx    *runContext // set as the run starts
-	runResult []byte      // set as it ends, with runErr
+	runCtx    *runContext // set when the run starts
+	runResult []byte      // set when the run ends, as is runErr
 	runErr    error
 }
 
 var _ server.DependencyCaller = (*execution)(nil)
 
-// The values of answeredBy. The end of a run and the event loop may both want to answer. The one that moves the value does, so
-// that the answer of a run need not wait for the event loop.
+// Values of answeredBy. The end of a run and the event loop may both try to answer; the one whose compare-and-swap
+// succeeds does. A run can thus answer without waiting for the event loop.
 const (
 	nobody int32 = iota
 	byRun
@@ -69,7 +70,8 @@
 	return e
 }
 
-// newRequest counts a request and returns its execution, ready to be submitted.
+// newRequest counts a request and returns its execution, ready to be submitted. It returns an error if the context or
+// the event loop has ended.
 func (g *Gate) newRequest(ctx context.Context, request Request) (*execution, error) {
 	if err := context.Cause(ctx); err != nil {
 		return nil, err
@@ -80,7 +82,7 @@
 	default:
 	}
 	e := g.executions.Get().(*execution)
-	// New with each use: the event loop may still have to forget the one before.
+	// A new id for each use, because the event loop may still refer to the previous one.
 	e.id = strconv.FormatUint(g.lastID.Add(1), 36)
 	e.ctx, e.request, e.arrivedAt = ctx, request, g.loop.Now()
 	e.references.Store(2) // of the caller and of the event loop
@@ -88,7 +90,7 @@
 	return e, nil
 }
 
-// release gives up one reference.
+// release drops one reference. The last release resets the execution and returns it to the pool.
 func (e *execution) release() {
 	if e.references.Add(-1) > 0 {
 		return
@@ -112,7 +114,7 @@
 	e.gate.executions.Put(e)
 }
 
-// handleArrival hands the request to the decisions, in the event loop.
+// handleArrival passes the request to the server. It runs on the event loop.
 func (e *execution) handleArrival() {
 	g := e.gate
 	g.pool.executions[e.id] = e
@@ -135,7 +137,7 @@
 	e.forget() // answered at once
 }
 
-// earlierDeadline is the earlier of a context's deadline and another; zero is none.
+// earlierDeadline returns the earlier of the context's deadline and the given one; the zero time means no deadline.
 func earlierDeadline(ctx context.Context, deadline time.Time) time.Time {
 	if ofContext, ok := ctx.Deadline(); ok && (deadline.IsZero() || ofContext.Before(deadline)) {
 		return ofContext
@@ -143,14 +145,14 @@
 	return deadline
 }
 
-// submitCancel reports to the event loop that the caller is gone.
+// submitCancel reports to the event loop that the caller no longer waits.
 func (e *execution) submitCancel() {
-	e.answeredBy.CompareAndSwap(nobody, byLoop) // nobody is left to answer
+	e.answeredBy.CompareAndSwap(nobody, byLoop) // no caller is left to answer
 	e.references.Add(1)
 	e.gate.loop.Submit(e.cancel)
 }
 
-// handleCancel cancels the request, in the event loop.
+// handleCancel cancels the request. It runs on the event loop.
 func (e *execution) handleCancel() {
 	defer e.release()
 	if e.settled || e.decided == nil {
@@ -166,15 +168,15 @@
 	}
 }
 
-// cancelFor cancels a request whose caller's context has ended, and returns the caller's error.
+// cancelFor cancels the request because its caller's context ended, and returns that context's cause.
 func (e *execution) cancelFor(ctx context.Context) error {
 	e.gate.canceled.Add(1)
 	e.submitCancel()
 	return context.Cause(ctx)
 }
 
-// awaitAnswer waits until the request is answered, and returns nil then. It returns the caller's error where the context ends
-// first, and ErrShutDown where the event loop ended and had not come to the request.
+// awaitAnswer waits until the request is answered and then returns nil. If the context ends first, it returns the
+// context's cause. If the event loop has ended without handling the request, it returns ErrShutDown.
 func (e *execution) awaitAnswer(ctx context.Context) error {
 	select {
 	case <-e.answered:
@@ -186,8 +188,7 @@
 	}
 }
 
-// errAfterShutdown is nil for a request that the event loop had answered as it ended, and ErrShutDown for one that it did not
-// come to.
+// errAfterShutdown returns nil if the request was answered before the event loop ended, and ErrShutDown if it was not.
 func (e *execution) errAfterShutdown() error {
 	select {
 	case <-e.answered:
@@ -203,7 +204,7 @@
 	e.release()
 }
 
-// Answer implements server.Caller. The answer of a run that has ended was given by its end.
+// Answer implements server.Caller. If the end of the run has already answered, the caller gets no second answer.
 func (e *execution) Answer(_ uint32, answer server.Answer) {
 	e.settled = true
 	if e.answeredBy.CompareAndSwap(nobody, byLoop) {
@@ -213,7 +214,7 @@
 			e.gate.overruns.Add(1)
 			e.runCtx.cancel(ErrAborted)
 			if e.onAbort != nil {
-				go e.onAbort() // not in the event loop: it may write to a slow peer
+				go e.onAbort() // not on the event loop: onAbort may write to a slow peer
 			}
 		}
 		e.answered <- struct{}{}
@@ -223,12 +224,12 @@
 	}
 }
 
-// setAnswer sets result, err and the counts by the decisions' answer.
+// setAnswer sets result and err from the server's answer and updates the counts.
 func (e *execution) setAnswer(answer server.Answer) {
 	switch answer.Verdict {
-	case server.Served: // a duplicate
+	case server.Served: // the request is a duplicate
 		e.gate.served.Add(1)
-		e.result = bytes.Clone(answer.Result) // the table of keys keeps its own for further duplicates
+		e.result = bytes.Clone(answer.Result) // the key table keeps its copy for further duplicates
 	case server.Rejected:
 		e.gate.rejected.Add(1)
 		e.err = &RejectedError{RetryAfter: answer.RetryAfter, NoRetryElsewhere: answer.NoRetryElsewhere}
@@ -240,10 +241,11 @@
 	}
 }
 
-// ReportHealth implements server.Caller. Health checks of a gate come by Gate.Healthy.
+// ReportHealth implements server.Caller. It does nothing: health checks of a gate use Gate.Healthy.
 func (e *execution) ReportHealth(uint32, bool, string) {}
 
-// runFunc runs the request's function in a goroutine of its own, so that the caller is answered in time whatever it does.
+// runFunc runs the request's function in a separate goroutine, so that the caller is answered in time even if the
+// function blocks.
 func (e *execution) runFunc() {
 	defer func() {
 		if value := recover(); value != nil {
@@ -258,11 +260,12 @@
 	e.finish(result, err)
 }
 
-// finish answers with the end of the run, unless the request was answered before, and reports the end to the event loop.
+// finish ends the run: it answers the request unless that has happened, and reports the end to the event loop. It
+// returns whether it answered.
 func (e *execution) finish(result []byte, err error) (answers bool) {
 	e.runCtx.end()
 	if e.runResult, e.runErr = result, err; e.request.IdempotencyKey != "" {
-		e.runResult = bytes.Clone(result) // for duplicates: the caller may change its own as soon as it has it
+		e.runResult = bytes.Clone(result) // stored for duplicates; the caller may modify the original
 	}
 	if answers = e.answeredBy.CompareAndSwap(nobody, byRun); answers {
 		if err == nil {
--- a/gate.go
+++ b/gate.go
@@ -17,14 +17,15 @@
 )
 
 const (
-	// defaultShutdownTimeout is the time for Shutdown under a context without a deadline.
+	// defaultShutdownTimeout is the timeout of Shutdown if its context has no deadline.
 	defaultShutdownTimeout = 2500 * time.Millisecond
-	// maxIdleYields is how often the event loop yields before it sleeps: some microseconds, so that it sees the end of a short
-	// run at once.
+	// maxIdleYields is how often the event loop yields before it blocks. That takes a few microseconds, so the loop
+	// notices the end of a short run without being woken.
 	maxIdleYields = 20
 )
 
-// Gate admits requests. Make one with New and end it with Shutdown; its methods may be called from any goroutine.
+// Gate admits, queues and rejects requests. Create one with New and end it with Shutdown. Its methods are safe for
+// concurrent use.
 type Gate struct {
 	loop         *server.Server // the event loop, which makes all decisions
 	pool         *workerPool
@@ -32,24 +33,24 @@
 	store        *store.Store // nil without Options.State
 	tenants      map[string]int
 	overrunLimit int64
-	queuedKB     float64 // memory that a queued request counts with
+	queuedKB     float64 // memory in KiB that a queued request is counted with
 
 	executions sync.Pool     // of *execution
-	lastID     atomic.Uint64 // of executions
+	lastID     atomic.Uint64 // id of the latest execution
 
 	shutdown  sync.Once
 	loopEnded chan struct{} // closed once the event loop has ended
-	closed    chan struct{} // closed once the store is closed too
-	storeErr  error         // of closing the store, set before closed is closed
+	closed    chan struct{} // closed once the store is closed, after loopEnded
+	storeErr  error         // error of closing the store; set before closed is closed
 
 	accepting atomic.Bool
-	shedLevel atomic.Uint64 // bits of a float64
+	shedLevel atomic.Uint64 // math.Float64bits of the shed level
 	estimates atomic.Pointer[estimate.Snapshot]
 
 	received, served, rejected, aborted, canceled, overruns atomic.Int64
 }
 
-// New starts a gate, which runs until Shutdown. The error says which of the options is out of range, or that another process
+// New starts a gate, which runs until Shutdown. It returns an error if an option is out of range or if another process
 // uses the directory of Options.State.
 func New(options Options) (*Gate, error) {
 	options = options.withDefaults()
@@ -96,32 +97,33 @@
 func (g *Gate) run() {
 	defer close(g.closed)
 	g.loop.Run()
-	close(g.loopEnded) // before the store closes: a request that arrives now must not wait for the disk
+	close(g.loopEnded) // before the store is closed, so that a request that arrives now does not wait for the disk
 	if g.store != nil {
 		g.storeErr = g.store.Close()
 	}
 }
 
-// Do runs a function as a request, and returns its error. Or it returns
+// Do runs a function as a request and returns the function's error, or one of these:
 //
 //   - *RejectedError, ErrShutDown or ErrKeyConflict: the function did not run;
-//   - ErrAborted: it may have run, or runs still;
-//   - the context's error: it may have run, or runs still.
+//   - ErrAborted: the function may have run or may still be running;
+//   - the cause of the context's end: the function may have run or may still be running.
 //
-// The function runs in a goroutine of its own, and its context ends once the request is answered. A panic of the function is
-// raised again here; one that comes after the answer is counted and logged.
+// The function runs in a separate goroutine. Its context ends once the request is answered. If the function panics
+// before the request is answered, Do panics with the same value; a later panic is counted and logged.
 func (g *Gate) Do(ctx context.Context, request Request, run func(context.Context) error) error {
 	_, err := g.do(ctx, request, nil, run)
 	return err
 }
 
-// DoOnce is Do for a function with a result, which a duplicate of a request with an idempotency key gets without another run.
-// A run that ends with an error leaves no result: its duplicates get ErrAborted for as long as the key is known.
+// DoOnce is Do for a function with a result. A duplicate of a request with an idempotency key gets that result without
+// another run. A run that ends with an error stores no result: duplicates get ErrAborted for as long as the key is
+// known.
 func (g *Gate) DoOnce(ctx context.Context, request Request, run func(context.Context) ([]byte, error)) ([]byte, error) {
 	return g.do(ctx, request, run, nil)
 }
 
-// do runs the one of the two functions that is not nil.
+// do runs whichever of the two functions is not nil.
 func (g *Gate) do(
 	ctx context.Context, request Request, run func(context.Context) ([]byte, error), runPlain func(context.Context) error,
 ) ([]byte, error) {
@@ -141,10 +143,12 @@
 	return e.result, e.err
 }
 
-// Shutdown drains the gate: Healthy turns false, requests that arrive within Options.Grace may still run, and all that were
-// received are answered before the context's deadline, or within 2.5 s without one. It returns nil once that is so and the
-// state is on disk, and ErrStateNotStored where the directory fails or takes longer than a quarter of a second. Functions that
-// ignore their contexts may run on. The gate receives nothing after it; a further Shutdown waits for the first.
+// Shutdown drains the gate. Healthy returns false from then on, requests that arrive within Options.Grace may still
+// run, and all received requests are answered before the context's deadline, or within 2.5 s if it has none.
+//
+// Shutdown returns nil once all requests are answered and the state is on disk. It returns ErrStateNotStored if writing
+// the state fails or takes longer than a quarter of a second. Functions that ignore their contexts may still be
+// running. The gate receives no requests afterwards; further calls of Shutdown wait for the first one.
 func (g *Gate) Shutdown(ctx context.Context) error {
 	timeout := defaultShutdownTimeout
 	if deadline, ok := ctx.Deadline(); ok {
@@ -154,8 +158,8 @@
 		g.accepting.Store(false)
 		g.loop.Drain(timeout)
 	})
-	// Not cut short by the context: the event loop ends at its deadline, and a request that it has answered must not pass for
-	// one that never ran. The store takes a quarter of a second at most to close.
+	// These waits don't end with the context: the event loop ends by its deadline, and a request that the loop has
+	// answered must not be reported as one that never ran. The store closes within a quarter of a second.
 	<-g.loopEnded
 	<-g.closed
 	if g.storeErr != nil {
@@ -164,14 +168,14 @@
 	return nil
 }
 
-// Healthy is whether new requests should come here: the gate is not shut down, and has fewer overruns than
-// Options.OverrunLimit.
+// Healthy reports whether the gate should receive new requests: it is not shut down, and fewer than
+// Options.OverrunLimit runs continue after their answer.
 func (g *Gate) Healthy() bool { return g.accepting.Load() && g.overruns.Load() < g.overrunLimit }
 
-// ShedLevel is the rank, from 0 to 1, under which callers should send nothing.
+// ShedLevel returns the rank, from 0 to 1, below which callers should send no requests.
 func (g *Gate) ShedLevel() float64 { return math.Float64frombits(g.shedLevel.Load()) }
 
-// Estimates are what the gate has learned of its routes, for a gate that starts. They are empty in its first second.
+// Estimates returns what the gate has learned about its routes. The snapshot is empty in the gate's first second.
 func (g *Gate) Estimates() estimate.Snapshot {
 	if snapshot := g.estimates.Load(); snapshot != nil {
 		return *snapshot
@@ -179,17 +183,17 @@
 	return estimate.Snapshot{}
 }
 
-// Counts are the numbers of requests since the start of a gate.
+// Counts are the numbers of requests since the gate was started.
 type Counts struct {
-	Received int64 // all that were asked for before the gate was shut down
+	Received int64 // requests received before the gate was shut down
 	Served   int64 // answered with a result
 	Rejected int64 // answered with a RejectedError
 	Aborted  int64 // answered with ErrAborted or the error of their run
-	Canceled int64 // whose caller's context ended first
-	Overruns int64 // whose run goes on at this moment although they are answered
+	Canceled int64 // requests whose caller's context ended before the answer
+	Overruns int64 // answered requests whose run has not ended yet
 }
 
-// Counts reads the counts.
+// Counts returns the current counts.
 func (g *Gate) Counts() Counts {
 	return Counts{
 		Received: g.received.Load(), Served: g.served.Load(), Rejected: g.rejected.Load(), Aborted: g.aborted.Load(),
--- a/gauges.go
+++ b/gauges.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Gauges are readings of what requests run on. A guard whose reading is 0 is off.
+// Gauges are readings of the resources that requests run on. A reading of 0 disables the checks that use it.
 type Gauges struct {
-	CPU      float64 // busy share of the cores over the last half second
-	Runnable float64 // all that wants a core now; what waits for something else does not count
-	Memory   float64 // share in use
+	CPU      float64 // share of the cores that was busy over the last half second
+	Runnable float64 // work that runs or waits for a core; blocked work doesn't count
+	Memory   float64 // share of the memory limit in use
 }
 
-// cpuWindow is the time over which the CPU reading is a mean.
+// cpuWindow is the time over which the CPU reading is averaged.
 const cpuWindow = time.Second / 2
 
-// The metrics of the Go runtime that are read, by index.
+// Indexes of processGauges.metrics.
 const (
 	metricMemory = iota
 	metricMemoryReleased
@@ -24,15 +24,15 @@
 	metricGoroutinesRunnable
 )
 
-// processGauges reads the gauges of this process. It is for the event loop alone.
+// processGauges reads the gauges of this process. Only the event loop may use it.
 type processGauges struct {
 	cores      float64
 	memory     uint64     // limit in bytes
-	cpuSamples []cpuUsage // those of cpuWindow
+	cpuSamples []cpuUsage // samples within cpuWindow, oldest first
 	metrics    []metrics.Sample
 }
 
-// cpuUsage is the CPU time that the process had used at a moment.
+// cpuUsage is the CPU time that the process had used at a point in time.
 type cpuUsage struct {
 	at   time.Time
 	used time.Duration
@@ -47,7 +47,7 @@
 	}}
 }
 
-// read reads the gauges. What can't be read is 0, and the runs where it is the goroutines.
+// read returns the gauges. A reading that is not available is 0, except that Runnable is then the number of runs.
 func (p *processGauges) read(running int) Gauges {
 	gauges := Gauges{CPU: p.readCPU(), Runnable: float64(running)}
 	metrics.Read(p.metrics)
@@ -57,12 +57,13 @@
 	}
 	onCores, known := p.metric(metricGoroutinesRunning)
 	if runnable, ok := p.metric(metricGoroutinesRunnable); known && ok {
-		gauges.Runnable = max(onCores-1, 0) + runnable // without the event loop, which reads this
+		gauges.Runnable = max(onCores-1, 0) + runnable // excludes the event loop, which executes this code
 	}
 	return gauges
 }
 
-// readCPU is the busy share of the cores since the latest sample that is at least cpuWindow old, or else the first.
+// readCPU returns the share of the cores that was busy since the latest sample that is at least cpuWindow old, or since
+// the first sample if there is none.
 func (p *processGauges) readCPU() float64 {
 	var usage syscall.Rusage
 	now := cpuUsage{at: time.Now()}
@@ -81,7 +82,7 @@
 	return min(float64(now.used-first.used)/float64(elapsed)/p.cores, 1)
 }
 
-// metric is the value of a runtime metric, if the runtime has it.
+// metric returns the value of a runtime metric. known is false if this Go version does not provide the metric.
 func (p *processGauges) metric(index int) (value float64, known bool) {
 	if p.metrics[index].Value.Kind() != metrics.KindUint64 {
 		return 0, false
--- a/memory.go
+++ b/memory.go
@@ -8,10 +8,12 @@
 	"strconv"
 )
 
-// maxCgroupLimit is the limit from which on a control group counts as unlimited: version 1 states a huge number for none.
+// maxCgroupLimit is the value from which a control group's memory limit counts as unlimited: cgroup version 1 reports a
+// huge number if there is no limit.
 const maxCgroupLimit = 1 << 50
 
-// memoryLimit is the memory limit of the process in bytes, 0 if there is none.
+// memoryLimit returns the memory limit of the process in bytes, or 0 if there is none: the Go runtime's limit if one is
+// set, otherwise the control group's.
 func memoryLimit() uint64 {
 	if limit := debug.SetMemoryLimit(-1); limit < math.MaxInt64 {
 		return uint64(limit)
@@ -19,7 +21,8 @@
 	return cgroupMemoryLimit()
 }
 
-// cgroupMemoryLimit is the memory limit of the process's control group in bytes, 0 if there is none that can be read.
+// cgroupMemoryLimit returns the memory limit of the process's control group in bytes, or 0 if there is none or it can't
+// be read.
 func cgroupMemoryLimit() uint64 {
 	for _, path := range []string{"/sys/fs/cgroup/memory.max", "/sys/fs/cgroup/memory/memory.limit_in_bytes"} {
 		raw, err := os.ReadFile(path)
--- a/options.go
+++ b/options.go
@@ -19,76 +19,77 @@
 
 	defaultValue          = 1.0
 	defaultLatencyTarget  = time.Second
-	defaultDeadlineFactor = 2 // the deadline over the latency target
+	defaultDeadlineFactor = 2 // deadline as a multiple of the latency target
 	defaultDedupWindow    = time.Minute
 )
 
-// Settings of the decisions that programs can't change.
+// Settings of the admission decisions that are fixed for the library.
 const (
-	adoptedRoutes      = 32 // routes that are taken in when their first request arrives
-	runningOverQueued  = 16 // memory of a running request over that of the same request queued
-	keyKB              = 1  // memory of an entry in the table of idempotency keys
+	adoptedRoutes      = 32 // number of routes that can be added when their first request arrives
+	runningOverQueued  = 16 // memory of a running request relative to that of a queued one
+	keyKB              = 1  // memory of an entry in the idempotency key table in KiB
 	maxRunnablePerCore = 6
 	idleTimeout        = 30 * time.Second
 	maxRetryAfter      = time.Second
 )
 
-// Options are what a Gate is made from. The zero value works; defaults stand in parentheses.
+// Options configure a Gate. The zero value is valid; defaults are given in parentheses.
 type Options struct {
 	Routes       []Route       `toml:"Types"`
-	Cores        float64       // processor cores that requests may fill (GOMAXPROCS)
+	Cores        float64       // processor cores that requests may use (GOMAXPROCS)
 	MemoryMB     int           // memory of the process in MiB (GOMEMLIMIT, else the control group's limit, else 1,024)
-	RequestKB    float64       `toml:"TaskKB"` // memory of a running request in KiB (64); so many run at once that nine tenths of MemoryMB hold them
-	Grace        time.Duration // after Shutdown, in which requests that arrive may still run (100 ms)
-	Seed         int64         // of the jitter of retries and of the turn among servers
-	OverrunLimit int           `toml:"Stuck"` // runs past their answer at which Healthy turns false (16)
-	Log          *slog.Logger  // one line for each event that operators act on (none)
+	RequestKB    float64       `toml:"TaskKB"` // memory of a running request in KiB (64); the running requests together may use nine tenths of MemoryMB
+	Grace        time.Duration // time after Shutdown in which requests that arrive may still run (100 ms)
+	Seed         int64         // random seed for the jitter of retries and the phase of dependency calls among servers
+	OverrunLimit int           `toml:"Stuck"` // number of runs continuing after their answer at which Healthy returns false (16)
+	Log          *slog.Logger  // gets one line for each event that matters to operators (no log)
 	Calls        CallOptions
 	Tenants      []Tenant `toml:"Customers"`
-	FleetServers float64  `toml:"Servers"` // servers of the fleet, this one included (1)
-	// OverQuotaValue is the value of what a tenant asks beyond its quota, as a share of the value within it, from 0 to 1.
-	// 0 stands for 1.
+	FleetServers float64  `toml:"Servers"` // number of servers in the fleet, including this one (1)
+	// OverQuotaValue is the value of a tenant's requests beyond its quota relative to those within it, from 0 to 1. 0
+	// means the default, 1.
 	OverQuotaValue float64                  `toml:"OverShare"`
-	State          *State                   // directory that the gate starts from and stores to (none)
-	Gauges         func(running int) Gauges `toml:"-"` // readings that the decisions use (those of this process)
-	ObserveRound   func(took time.Duration) `toml:"-"` // called with the duration of each round of decisions; must not block (none)
+	State          *State                   // directory from which the gate loads its state and to which it writes it (none)
+	Gauges         func(running int) Gauges `toml:"-"` // source of the readings for admission decisions (this process)
+	ObserveRound   func(took time.Duration) `toml:"-"` // called after each round of decisions with its duration; must not block (none)
 }
 
-// Route is a kind of request. The zero value of each field but Name stands for its default.
+// Route is a kind of request. Each field but Name has a default, given in parentheses, that replaces its zero value.
 type Route struct {
-	Name           string        // unique, and not empty
-	Value          float64       `toml:"Importance"` // of an answer, against that of other routes (1)
-	LatencyTarget  time.Duration `toml:"Contract"`   // from arrival; a later answer has no value (1 s)
-	Deadline       time.Duration `toml:"Outer"`      // from arrival; nobody waits longer (twice LatencyTarget)
-	Idempotency    Idempotency   `toml:"Repeats"`    // (Retryable)
-	DedupWindow    time.Duration `toml:"Window"`     // from arrival, for which an idempotency key is known (1 min)
-	SkipValueShare float64       `toml:"SkipShare"`  // value of an answer without the call, as a share of Value (0: the call can't be skipped)
+	Name           string        // unique and not empty
+	Value          float64       `toml:"Importance"` // value of an answer relative to those of other routes (1)
+	LatencyTarget  time.Duration `toml:"Contract"`   // time from arrival after which an answer has no value (1 s)
+	Deadline       time.Duration `toml:"Outer"`      // time from arrival after which callers stop waiting (twice LatencyTarget)
+	Idempotency    Idempotency   `toml:"Repeats"`    // whether a request may be run again (Retryable)
+	DedupWindow    time.Duration `toml:"Window"`     // time from arrival for which an idempotency key is known (1 min)
+	SkipValueShare float64       `toml:"SkipShare"`  // value of an answer without the dependency call, as a share of Value (0: the call can't be skipped)
 }
 
-// Idempotency says whether a request may be run again.
+// Idempotency states whether a request may be run again.
 type Idempotency string
 
-// The kinds of idempotency, as options files spell them.
+// Values of Idempotency, as spelled in options files.
 const (
 	Retryable  Idempotency = "reissuable"   // may be run again at any time
-	Keyed      Idempotency = "numbered"     // carries an idempotency key by which a duplicate is known
-	AtMostOnce Idempotency = "at-most-once" // must not be run again once it may have run
+	Keyed      Idempotency = "numbered"     // carries an idempotency key, by which duplicates are recognized
+	AtMostOnce Idempotency = "at-most-once" // must not be run again if it may have run
 )
 
-// CallOptions describe the dependency that runs call through Call and that other processes call too.
+// CallOptions describe a dependency that runs call through Call and that other processes call too.
 type CallOptions struct {
-	Share  float64       // calls in progress, on the mean over Window, that the dependency survives of this process (no calls)
-	Window time.Duration `toml:"Over"` // (5 s)
-	Linger time.Duration // for which an abandoned call still loads the dependency (0)
+	Share  float64       // mean number of concurrent calls over Window that the dependency can take from this process (no calls)
+	Window time.Duration `toml:"Over"` // averaging window of Share (5 s)
+	Linger time.Duration // time for which an abandoned call still loads the dependency (0)
 }
 
-// Tenant is one of those who share the fleet. What it asks beyond its quota has the value of Options.OverQuotaValue.
+// Tenant is a customer that shares the fleet with others. Requests beyond its quota have the value that
+// Options.OverQuotaValue states.
 type Tenant struct {
 	Name string
-	Rate float64 // quota in requests per second over the whole fleet, above 0
+	Rate float64 // quota in requests per second over the whole fleet; above 0
 }
 
-// withDefaults returns a copy whose zero values are replaced by the defaults.
+// withDefaults returns a copy in which zero values are replaced by the defaults.
 func (o Options) withDefaults() Options {
 	if o.Cores == 0 {
 		o.Cores = float64(runtime.GOMAXPROCS(0))
@@ -120,7 +121,8 @@
 	return o
 }
 
-// settings are the options, with their defaults, as the decisions take them.
+// settings returns the options, with their defaults, as admission settings. The error states which options are out of
+// range.
 func (o Options) settings() (admission.Settings, error) {
 	o = o.withDefaults()
 	settings := admission.DefaultSettings()
@@ -141,12 +143,12 @@
 	settings.FleetServers, settings.OverQuotaValue = o.FleetServers, o.OverQuotaValue
 	for _, tenant := range o.Tenants {
 		if tenant.Rate <= 0 || o.FleetServers < 1 || o.OverQuotaValue < 0 || o.OverQuotaValue > 1 {
-			return settings, fmt.Errorf("quartzpoint: tenant %q: Rate, FleetServers or OverQuotaValue out of range", tenant.Name)
+			return settings, fmt.Errorf("quartzpoint: tenant %q: want Rate > 0, FleetServers >= 1 and OverQuotaValue from 0 to 1", tenant.Name)
 		}
 		settings.Tenants = append(settings.Tenants, admission.Tenant{QuotaRPS: tenant.Rate})
 	}
 	if o.Cores <= 0 || o.MemoryMB <= 0 || o.RequestKB <= 0 || o.Grace < 0 {
-		return settings, errors.New("quartzpoint: Cores, MemoryMB, RequestKB and Grace must not be below 0")
+		return settings, errors.New("quartzpoint: Cores, MemoryMB, RequestKB and Grace must not be negative")
 	}
 	if o.RequestKB > float64(o.MemoryMB<<10) {
 		return settings, fmt.Errorf("quartzpoint: a request of %v KiB does not fit into %d MiB", o.RequestKB, o.MemoryMB)
@@ -156,19 +158,20 @@
 	return settings, err
 }
 
-// routes are the routes as the decisions take them, and behind them the free ones that are taken in later.
+// routes returns the admission routes of the options, followed by the spare routes for names that are first seen in a
+// request.
 func (o Options) routes() ([]admission.Route, error) {
 	var routes []admission.Route
 	names := map[string]bool{}
 	for i := range len(o.Routes) + adoptedRoutes {
-		// A name that starts with a zero byte marks a free route. It is part of the settings' digest, by which stored
-		// estimates are recognized.
+		// A name that starts with a zero byte marks a spare route. The name is part of the settings digest, which
+		// decides whether stored estimates may be used.
 		stated := Route{Name: fmt.Sprintf("\x00%d", i-len(o.Routes))}
 		if i < len(o.Routes) {
 			stated = o.Routes[i]
 		}
 		if stated.Name == "" || names[stated.Name] {
-			return nil, fmt.Errorf("quartzpoint: route %d: a unique name is needed, not %q", i, stated.Name)
+			return nil, fmt.Errorf("quartzpoint: route %d: want a unique, non-empty name, got %q", i, stated.Name)
 		}
 		names[stated.Name] = true
 		route, err := stated.route()
@@ -185,7 +188,7 @@
 	Retryable: admission.Retryable, Keyed: admission.Keyed, AtMostOnce: admission.AtMostOnce,
 }
 
-// route is the route, with its defaults, as the decisions take it.
+// route returns the admission route, with defaults.
 func (r Route) route() (admission.Route, error) {
 	if r.Value == 0 {
 		r.Value = defaultValue
--- a/optionsfile.go
+++ b/optionsfile.go
@@ -11,13 +11,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ReadOptions reads Options from a TOML file. Its keys are listed in docs/operators/library.md; they are the names that the
-// fields had first. Durations are strings such as "300ms". A key that is not known is an error that names it. An error that
-// the file can't be read wraps that of the file system.
+// ReadOptions reads Options from a TOML file. docs/operators/library.md lists its keys, which are the original names of
+// the fields. Durations are strings such as "300ms". It returns an error that names the key if a key is unknown, and
+// wraps the file system's error if the file can't be read.
 func ReadOptions(path string) (Options, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return Options{}, fmt.Errorf("quartzpoint: reading options: %w", err)
+		return Options{}, fmt.Errorf("quartzpoint: read options: %w", err)
 	}
 	options, err := parseOptions(raw)
 	if err != nil {
@@ -26,7 +26,8 @@
 	return options, nil
 }
 
-// parseOptions decodes a file. The durations are parsed first, as go-toml decodes a time.Duration from whole nanoseconds only.
+// parseOptions decodes an options file. It converts the durations first, because go-toml decodes a time.Duration only
+// from an integer number of nanoseconds.
 func parseOptions(raw []byte) (options Options, err error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(raw, &tree); err != nil {
@@ -49,7 +50,7 @@
 	return options, err
 }
 
-// parseDurations replaces the durations of a decoded file by nanoseconds.
+// parseDurations replaces the duration strings in a decoded file by nanoseconds.
 func parseDurations(node any) error {
 	switch node := node.(type) {
 	case []any:
@@ -65,7 +66,7 @@
 				text, isString := value.(string)
 				duration, err := time.ParseDuration(text)
 				if !isString || err != nil {
-					return fmt.Errorf("%s = %v: a duration such as \"300ms\" is needed", key, value)
+					return fmt.Errorf("key %s: want a duration such as \"300ms\", got %v", key, value)
 				}
 				node[key] = int64(duration)
 			default:
--- a/pool.go
+++ b/pool.go
@@ -10,26 +10,27 @@
 	"quartzpoint/internal/workerapi"
 )
 
-// Outcomes of runs, in the words of the worker pool's wire.
+// Outcomes of runs, as in the worker pool's protocol.
 const (
 	outcomeSuccess = workerapi.OutcomeSucceeded
 	outcomeFailure = workerapi.OutcomeFailed
 )
 
-// workerPool is the event loop's worker pool: a run is a function in this process. A run can't be stopped or paused.
+// workerPool implements the event loop's worker pool with functions of this process as runs. Runs can't be stopped or
+// paused.
 type workerPool struct {
 	gate       *Gate
 	readGauges func(running int) Gauges
 
 	mu    sync.Mutex
-	ended []*execution // whose runs have ended since the last AppendNotices
-	spare []*execution // memory for the next such list
+	ended []*execution // executions whose runs have ended since the last AppendNotices
+	spare []*execution // backing array for the next ended list
 
-	// Of the event loop alone.
-	executions map[string]*execution // by id, those that the event loop refers to
+	// Used by the event loop only.
+	executions map[string]*execution // by id; those that the event loop refers to
 	running    int
 	pollNonce  uint64
-	polled     bool // the gauges are to be reported
+	polled     bool // the next AppendNotices reports the gauges
 }
 
 var _ server.WorkerLink = (*workerPool)(nil)
@@ -38,12 +39,13 @@
 	return &workerPool{gate: g, readGauges: readGauges, executions: map[string]*execution{}}
 }
 
-// Start implements server.WorkerLink, as do the methods below it.
+// Start implements server.WorkerLink, as do the methods below. It starts the request's function, or lets the goroutine
+// in Gate.Admit continue.
 func (p *workerPool) Start(run workerapi.Run) bool {
 	e := p.executions[run.ID]
 	e.running, e.startedAt = true, p.gate.loop.Now()
 	e.runCtx = &runContext{caller: e.ctx, deadline: e.request.Deadline, execution: e}
-	e.references.Add(1) // the run's
+	e.references.Add(1) // released by endRun
 	p.running++
 	if e.run != nil || e.runPlain != nil {
 		go e.runFunc()
@@ -53,7 +55,7 @@
 	return true
 }
 
-// Pause asks a run to end, by its context. The decisions ask again while it goes on.
+// Pause asks a run to end by canceling its context. The server repeats the request while the run continues.
 func (p *workerPool) Pause(id string) bool {
 	if e := p.executions[id]; e != nil && e.runCtx != nil {
 		e.runCtx.cancel(ErrAborted)
@@ -63,7 +65,7 @@
 
 func (p *workerPool) Resume(string) bool { return true }
 
-// reportEnd reports the end of a run, from its goroutine.
+// reportEnd queues the end of a run for the event loop. The goroutine of the run calls it.
 func (p *workerPool) reportEnd(e *execution) {
 	p.mu.Lock()
 	p.ended = append(p.ended, e)
@@ -90,7 +92,7 @@
 	return notices
 }
 
-// endRun takes the end of a run in the event loop, and returns the notice of it.
+// endRun records the end of a run and returns its notice. It runs on the event loop.
 func (p *workerPool) endRun(e *execution) workerapi.Notice {
 	notice := workerapi.Notice{
 		Kind: workerapi.RunFinished, RequestID: e.id, Outcome: outcomeSuccess, Result: e.runResult,
@@ -110,14 +112,14 @@
 		}
 		e.forget()
 	}
-	e.release() // the run's reference
+	e.release() // acquired by Start
 	return notice
 }
 
 func (p *workerPool) Flush() {}
 
-// Poll has the next AppendNotices report the gauges. They are read there, behind the ends of runs: a run that has ended and
-// still counts as runnable would pass for something else that wants its core.
+// Poll requests the gauges, which the next AppendNotices reports. They are read there, after the ended runs have been
+// counted: an ended run still counted as runnable would look like another process's demand for its core.
 func (p *workerPool) Poll() (uint64, bool) {
 	p.pollNonce++
 	p.polled = true
@@ -129,13 +131,14 @@
 
 func (p *workerPool) Verify(uint64) bool { return false }
 
-// frontend is the gate as the event loop's frontend. It has no connections: requests are submitted one by one.
+// frontend implements the event loop's frontend for the gate. It has no connections, as requests are submitted one by
+// one.
 type frontend struct{ gate *Gate }
 
-// CloseIdle implements server.Frontend, as do the methods below it.
+// CloseIdle implements server.Frontend, as do the methods below.
 func (frontend) CloseIdle(time.Duration) {}
 
-// Flush is called after each round.
+// Flush publishes the shed level after each round.
 func (f frontend) Flush() bool {
 	f.gate.shedLevel.Store(math.Float64bits(f.gate.loop.ShedLevel()))
 	return true
--- a/request.go
+++ b/request.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// Request is what a caller asks a Gate to run. The zero value is a request of the route "" that nobody sets a deadline for.
+// Request describes a request to a Gate. The zero value is a request of the route "" without a deadline of its own.
 type Request struct {
-	// Route is a route of the Options, or a name seen for the first time: the first 32 of those have the defaults of a Route,
-	// and requests of further ones are rejected.
+	// Route is the name of a route of the Options or any other name. The first 32 other names become routes with the
+	// defaults of Route; requests of further names are rejected.
 	Route string
-	// Deadline is when the caller stops waiting; zero for the route's. The context's deadline holds where it is earlier.
+	// Deadline is the time at which the caller stops waiting; zero means the route's deadline. An earlier deadline of
+	// the context takes precedence.
 	Deadline time.Time
-	// IdempotencyKey marks duplicates of a request of a Keyed route. A request of such a route without a key is rejected.
+	// IdempotencyKey identifies duplicates of a request of a Keyed route. A request of such a route is rejected if it
+	// has no key.
 	IdempotencyKey string
-	// Fingerprint is a hash of what is asked under the key. A request with the same key and another fingerprint has
-	// ErrKeyConflict.
+	// Fingerprint is a hash of the request's content. A request with the same key and a different fingerprint fails
+	// with ErrKeyConflict.
 	Fingerprint uint64
-	// Tenant is a tenant of the Options; any other name is nobody's, and has no quota.
+	// Tenant is the name of a tenant of the Options. Requests with any other name are subject to no quota.
 	Tenant string
-	// Rank, from 0 to under 1, is the importance of the request to callers that heed Gate.ShedLevel.
+	// Rank is the criticality of the request, from 0 to under 1, for callers that observe Gate.ShedLevel.
 	Rank float64
-	// CallerID identifies where the request comes from.
+	// CallerID identifies the caller that sent the request.
 	CallerID uint32
 }
--- a/runcontext.go
+++ b/runcontext.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// runContext is the context of a run. It is no part of the execution, which is used again: what a run has started may refer to
-// its context long after the run.
+// runContext is the context of a run. It is separate from the execution, which is reused: goroutines that a run started
+// may refer to its context long after the run.
 //
-// It is written here, and not made by the context package, as most runs never ask for Done: then it costs one allocation.
+// It implements context.Context itself because most runs never use Done, so that a run costs one allocation.
 type runContext struct {
 	caller   context.Context
-	deadline time.Time // the request's; zero for none
+	deadline time.Time // of the request; zero for none
 
 	mu        sync.Mutex
 	execution *execution // nil once the run has ended
 	done      chan struct{}
-	err       error       // why it ended; nil before
-	detach    func() bool // from the caller's context
+	err       error       // cause of the end; nil before
+	detach    func() bool // stops the propagation of the caller's cancellation
 }
 
-// end ends the context with its run.
+// end detaches the execution and cancels the context when the run ends.
 func (r *runContext) end() {
 	r.mu.Lock()
 	r.execution = nil
@@ -29,7 +29,7 @@
 	r.cancel(context.Canceled)
 }
 
-// cancel ends the context; only the first call has an effect.
+// cancel ends the context with the given cause; only the first call has an effect.
 func (r *runContext) cancel(why error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// reference returns the execution with a reference that the caller must release, or nil if the run has ended.
+// reference acquires a reference to the execution, which the caller must release. It returns nil if the run has ended.
 func (r *runContext) reference() *execution {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,13 +55,13 @@
 	return r.execution
 }
 
-// Deadline implements context.Context, as do the methods below it.
+// Deadline implements context.Context, as do the methods below.
 func (r *runContext) Deadline() (time.Time, bool) {
 	deadline := earlierDeadline(r.caller, r.deadline)
 	return deadline, !deadline.IsZero()
 }
 
-// Done makes the channel when it is first asked for.
+// Done creates the channel on the first call.
 func (r *runContext) Done() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,5 +92,5 @@
 	return r.caller.Value(key)
 }
 
-// runContextKey is the key under which a run's context is found in those derived from it.
+// runContextKey is the key under which contexts derived from a run's context return that context.
 type runContextKey struct{}
--- a/state.go
+++ b/state.go
@@ -17,24 +17,24 @@
 	defaultStateCommit = time.Millisecond
 )
 
-// State names a directory in which a gate stores what the next process starts from: its estimates, and its table of
-// idempotency keys. A request with an idempotency key then runs only once its key is durable, so that a repeat is
-// recognized after a crash too: it is answered with the original's result, or aborted if the original's outcome is not
-// known.
+// State configures a directory in which a gate stores its estimates and its table of idempotency keys for the next
+// process. A request with an idempotency key then runs only after its key is durable, so that a duplicate is recognized
+// even after a crash: it gets the result of the original, or is aborted if the original's outcome is unknown.
 //
-// Only a directory that another process uses makes New fail. If the directory cannot be used for another reason, the gate
-// serves without it, logs that, and retries.
+// New fails only if another process uses the directory. If the directory can't be used for another reason, the gate
+// runs without it, logs the error, and retries.
 type State struct {
-	Dir            string        // used by this gate alone, mode 0700; its last element is created if missing
-	Site           string        // label; files of another site are not used
-	MaxMB          int           `toml:"MostMB"`    // limit of all files together, in MiB, 8 or more (64)
-	CommitInterval time.Duration `toml:"Commit"`    // for which keys are gathered before they are written together (1 ms); negative for none
-	EstimatesOnly  bool          `toml:"NoNumbers"` // store only the estimates
+	Dir            string        // used by this gate only, mode 0700; its last element is created if missing
+	Site           string        // label of the site; files of other sites are ignored
+	MaxMB          int           `toml:"MostMB"`    // limit of the total file size in MiB; at least 8 (64)
+	CommitInterval time.Duration `toml:"Commit"`    // time for which keys are collected before they are written together (1 ms); negative for none
+	EstimatesOnly  bool          `toml:"NoNumbers"` // store the estimates but no idempotency keys
 
-	open func(readOnly bool) (datadir.Dir, error) // set by tests, in place of Dir
+	open func(readOnly bool) (datadir.Dir, error) // set by tests to replace the directory Dir
 }
 
-// withDefaults returns a copy whose zero values are replaced by the defaults.
+// withDefaults returns a copy in which zero values are replaced by the defaults. It returns an error if the options are
+// invalid.
 func (s State) withDefaults() (State, error) {
 	if s.MaxMB == 0 {
 		s.MaxMB = defaultStateMB
@@ -43,7 +43,7 @@
 		s.CommitInterval = defaultStateCommit
 	}
 	if s.Dir == "" || s.MaxMB < minStateMB {
-		return s, fmt.Errorf("quartzpoint: State: Dir is needed, and MaxMB of %d or more", minStateMB)
+		return s, fmt.Errorf("quartzpoint: State: Dir is needed, and MaxMB must be %d or more", minStateMB)
 	}
 	if s.open == nil {
 		s.open = datadir.Opener(s.Dir)
@@ -51,7 +51,8 @@
 	return s, nil
 }
 
-// openState opens the state directory and has the gate start from it. origin marks the estimates as this process's.
+// openState opens the state directory and loads its content into the gate. origin identifies this process as the source
+// of its estimates.
 func (g *Gate) openState(state *State, origin uint64, log *slog.Logger) error {
 	filled, err := state.withDefaults()
 	if err != nil {
--- a/ticket.go
+++ b/ticket.go
@@ -2,17 +2,17 @@
 
 import "context"
 
-// Ticket is a request that was admitted and runs in its caller's own goroutine. Finish must be called once its work is over.
+// Ticket is an admitted request that runs in its caller's goroutine. The caller must call Finish when the work is done.
 type Ticket struct {
 	execution *execution
 	result    []byte
 	duplicate bool
 }
 
-// Admit waits until a request may run in the caller's own goroutine and returns its ticket, or an error as Do does.
+// Admit waits until the request may run in the caller's goroutine and returns its ticket. Its errors are those of Do.
 //
-// onAbort, which may be nil, is called at most once, from a goroutine of its own, if the request is answered while it runs:
-// the caller is to be answered then, and the work to end.
+// onAbort, which may be nil, is called at most once, in a separate goroutine, if the request is aborted while it runs.
+// It should answer the caller and end the work.
 func (g *Gate) Admit(ctx context.Context, request Request, onAbort func()) (*Ticket, error) {
 	e, err := g.newRequest(ctx, request)
 	if err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// answeredTicket is the ticket of a request that was answered without a run of its own, or its error.
+// answeredTicket returns the ticket or the error of a request that was answered without a run of its own.
 func (e *execution) answeredTicket() (*Ticket, error) {
 	if e.err != nil {
 		return nil, e.err
@@ -46,21 +46,23 @@
 	return &Ticket{duplicate: true, result: e.result}, nil
 }
 
-// Duplicate is whether the request is a duplicate that is answered with the result of its original. It must not run then.
+// Duplicate reports whether the request is a duplicate, and returns the result of the original. A duplicate must not be
+// run.
 func (t *Ticket) Duplicate() (result []byte, duplicate bool) { return t.result, t.duplicate }
 
-// Context is the context of the work: it ends when the request is aborted or canceled. It must not be called for a duplicate.
+// Context returns the context of the run, which ends when the request is aborted or canceled. It must not be called for
+// a duplicate.
 func (t *Ticket) Context() context.Context { return t.execution.runCtx }
 
-// Cancel reports that nobody waits for the request any more. Its work may go on, up to Finish.
+// Cancel reports that the caller no longer waits for the answer. The work may continue until Finish.
 func (t *Ticket) Cancel() {
 	if !t.duplicate {
 		t.execution.submitCancel()
 	}
 }
 
-// Finish ends the request with its result, or the error of its work. It returns whether that is the answer: false where the
-// request was aborted or canceled before. The ticket must not be used after it.
+// Finish ends the request with its result, or with the error of the work. answers is false if the request was aborted
+// or canceled before. The ticket must not be used afterwards.
 func (t *Ticket) Finish(result []byte, err error) (answers bool) {
 	if t.duplicate {
 		return true
