--- a/call_test.go
+++ b/call_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Calls of runs keep to the share of their dependency. A call that fails is retried, or the run goes on without it.
+// Concurrent calls of runs must stay within the dependency's quota. A failed call is retried, or skipped if the route
+// allows it.
 func TestCalls(t *testing.T) {
 	g := newGate(t, Options{Cores: 4, Calls: CallOptions{Share: 4}, Routes: []Route{
 		{Name: "needs", LatencyTarget: 5 * time.Second}, {Name: "can do without", LatencyTarget: 5 * time.Second, SkipValueShare: 0.5},
@@ -55,6 +56,6 @@
 	assert.ErrorIs(t, g.Do(t.Context(), Request{Route: "once"}, func(ctx context.Context) error {
 		return Call(ctx, func(context.Context) error { tries.Add(1); return fails })
 	}), ErrAborted)
-	assert.Equal(t, int32(1), tries.Load(), "never again")
+	assert.Equal(t, int32(1), tries.Load(), "a call of an at-most-once route was retried")
 	assert.NoError(t, Call(t.Context(), func(context.Context) error { return nil }), "outside a run")
 }
--- a/docs_test.go
+++ b/docs_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A page that sends a reader to a file that was renamed costs minutes at night. Each path in backticks on the pages that
-// show where things are, relative to the root or, as a file's bare name, to the directory named just before it, exists.
+// Guards against pages that point to files which were renamed or removed. Each path in backticks on these pages must
+// exist, relative to the root; a bare file name is relative to the directory of the path before it on the line, or to
+// admission.
 func TestPagesNamePathsThatExist(t *testing.T) {
 	code := regexp.MustCompile("`([a-z]+(?:/[a-zA-Z0-9_.-]*)*|[a-z]+\\.go)`")
 	for _, page := range []string{"README.md", "docs/architecture.md", "docs/glossary.md"} {
@@ -20,7 +21,7 @@
 		require.NoError(t, err)
 		found := 0
 		for number, line := range strings.Split(string(text), "\n") {
-			directory := "admission" // the rules of the decisions are named by file
+			directory := "admission" // directory of the files that the pages name without a path
 			for _, match := range code.FindAllStringSubmatch(line, -1) {
 				name := strings.TrimSuffix(match[1], "/")
 				isFile := strings.HasSuffix(name, ".go") && !strings.Contains(name, "/")
@@ -28,9 +29,9 @@
 				case isFile:
 					name = path.Join(directory, name)
 				case !strings.Contains(name, "/"):
-					continue // a word of the protocol, or a package's name alone
+					continue // a field of a protocol, or a bare package name
 				case strings.HasPrefix(name, "bin/"):
-					continue // built
+					continue // build output
 				default:
 					directory = path.Dir(name + "/x")
 					if strings.HasSuffix(name, ".go") {
--- a/example_test.go
+++ b/example_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		panic(err)
 	}
-	defer func() { _ = gate.Shutdown(context.Background()) }() // returns nil once all is answered
+	defer func() { _ = gate.Shutdown(context.Background()) }() // returns nil once all requests are answered
 	err = gate.Do(context.Background(), quartzpoint.Request{Route: "slot-check"}, func(context.Context) error {
 		fmt.Println("running")
 		return nil
--- a/examples/booking/main.go
+++ b/examples/booking/main.go
@@ -1,4 +1,5 @@
-// Command booking is a small server behind a gate. Start it, and watch it shed:
+// Command booking is a small HTTP server with a gate in front of its handlers. Start it and send enough requests that
+// it sheds some:
 //
 //	go run ./examples/booking &
 //	for i in $(seq 200); do curl -s -o /dev/null -w '%{http_code} %{time_total}\n' localhost:8080/slots & done | sort | uniq -c
@@ -27,12 +28,12 @@
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	if err := run(log); err != nil {
-		log.Error("booking", "error", err)
+		log.Error("booking server failed", "error", err)
 		os.Exit(1)
 	}
 }
 
-// run serves until SIGTERM or SIGINT, and then shuts down the gate before the server.
+// run serves until SIGTERM or SIGINT, then shuts down the gate and after it the server.
 func run(log *slog.Logger) error {
 	signaled, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -59,7 +60,7 @@
 	return errors.Join(err, gate.Shutdown(ctx), server.Shutdown(ctx))
 }
 
-// newHandler puts the gate behind the mux, so that the pattern of a request is its route.
+// newHandler installs the gate after the mux, so that the pattern of a request is its route.
 func newHandler(gate *quartzpoint.Gate) http.Handler {
 	mux, admit := http.NewServeMux(), middleware.New(gate, middleware.Options{})
 	mux.Handle("GET /slots", admit(work(50*time.Millisecond, "a table for two")))
@@ -73,7 +74,7 @@
 	return mux
 }
 
-// work stands for a request that takes some time, such as a query or a payment.
+// work simulates a request that takes some time, such as a query or a payment.
 func work(duration time.Duration, answer string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
--- a/gate_test.go
+++ b/gate_test.go
@@ -33,7 +33,7 @@
 	return g
 }
 
-// A program that states nothing: what its function returns comes back, and so does a panic.
+// A gate with zero Options and requests without settings: Do returns the function's error and propagates its panic.
 func TestTwoLines(t *testing.T) {
 	g := newGate(t, Options{})
 	ran := false
@@ -44,7 +44,7 @@
 	assert.PanicsWithValue(t, "oh", func() {
 		_ = g.Do(t.Context(), Request{Route: "anything"}, func(context.Context) error { panic("oh") })
 	})
-	for i := range adoptedRoutes + 5 { // the routes that are adopted are bounded
+	for i := range adoptedRoutes + 5 { // the number of adopted routes is bounded
 		err := g.Do(t.Context(), Request{Route: fmt.Sprint(i)}, func(context.Context) error { return nil })
 		var rejected *RejectedError
 		assert.Equal(t, i >= adoptedRoutes-2, errors.As(err, &rejected), i)
@@ -52,8 +52,8 @@
 	assert.Equal(t, int64(adoptedRoutes+5+3), g.Counts().Received)
 }
 
-// A function ignores its context and runs past the deadline. Its caller must be answered in time all the same; the run stays in
-// flight and counts as an overrun until it returns, and meanwhile the gate is unhealthy.
+// A function ignores its context and runs past the deadline. Its caller must still be answered in time. The run stays
+// in flight and counts as an overrun until it returns, and the gate is unhealthy meanwhile.
 func TestIgnoresDeadline(t *testing.T) {
 	g := newGate(t, Options{Cores: 1, OverrunLimit: 1, Routes: []Route{{Name: "slow", LatencyTarget: 200 * ms}}})
 	end := make(chan struct{})
@@ -69,13 +69,13 @@
 	assert.Less(t, time.Since(began), 200*ms+waitLimit/100)
 	require.Eventually(t, cancelled.Load, waitLimit, ms)
 	assert.Equal(t, int64(1), g.Counts().Overruns)
-	assert.False(t, g.Healthy(), "it says so")
+	assert.False(t, g.Healthy(), "healthy in spite of an overrun")
 	close(end)
 	require.Eventually(t, func() bool { return g.Counts().Overruns == 0 }, waitLimit, ms)
 	assert.True(t, g.Healthy())
 }
 
-// A hundred goroutines send the same idempotency key at the same moment. One run must take place, and all get its result.
+// A hundred goroutines send the same idempotency key at once. The request must run once, and all must get its result.
 func TestKeyed(t *testing.T) {
 	g := newGate(t, Options{Routes: []Route{{Name: "confirm-booking", Idempotency: Keyed, LatencyTarget: 5 * time.Second}}})
 	var ran atomic.Int32
@@ -97,14 +97,14 @@
 	all.Wait()
 	got, err := g.DoOnce(t.Context(), request, run)
 	require.NoError(t, err)
-	assert.Equal(t, "run 1", string(got), "and later, within its window")
+	assert.Equal(t, "run 1", string(got), "a later duplicate within the dedup window")
 	clash := request
 	clash.Fingerprint = 2
 	_, err = g.DoOnce(t.Context(), clash, run)
 	assert.ErrorIs(t, err, ErrKeyConflict)
 	assert.Equal(t, int32(1), ran.Load())
 
-	// One whose run failed is never run again; one without a key is rejected.
+	// A request whose run failed is not run again; one without a key is rejected.
 	request.IdempotencyKey = "n2"
 	broken := errors.New("broken")
 	_, err = g.DoOnce(t.Context(), request, func(context.Context) ([]byte, error) { ran.Add(1); return nil, broken })
@@ -118,7 +118,7 @@
 	assert.Equal(t, int32(2), ran.Load())
 }
 
-// The caller of a request with an idempotency key goes while it runs. The run goes on, and a duplicate is answered from it.
+// The context of the caller of a keyed request ends during the run. The run continues, and a duplicate gets its result.
 func TestKeyedCallerGone(t *testing.T) {
 	g := newGate(t, Options{Routes: []Route{{Name: "pay", Idempotency: Keyed, LatencyTarget: 5 * time.Second}}})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -140,10 +140,10 @@
 	got, err := g.DoOnce(t.Context(), request, func(context.Context) ([]byte, error) { return []byte("twice"), nil })
 	require.NoError(t, err)
 	assert.Equal(t, "paid", string(got))
-	assert.Equal(t, int64(1), g.Counts().Served, "the one nobody waited for is not counted")
+	assert.Equal(t, int64(1), g.Counts().Served, "the canceled request must not be counted")
 }
 
-// A tenant asks for far more than its quota. What is beyond the quota must be shed before the requests of another tenant.
+// A tenant sends far more than its quota. Its requests beyond the quota must be shed before those of another tenant.
 func TestTenants(t *testing.T) {
 	g := newGate(t, Options{Cores: 1, OverQuotaValue: 0.1, Tenants: []Tenant{{"greedy", 1}, {"modest", 50}},
 		Routes: []Route{{Name: "a", LatencyTarget: 300 * ms}}})
@@ -153,7 +153,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			who := i % 4 / 3 // one of four is modest
+			who := i % 4 / 3 // every fourth request is the modest tenant's
 			if g.Do(t.Context(), Request{Route: "a", Tenant: []string{"greedy", "modest"}[who]}, func(context.Context) error {
 				time.Sleep(80 * ms)
 				return nil
@@ -167,7 +167,7 @@
 	assert.Greater(t, float64(served[1].Load())/40, 1.3*float64(served[0].Load())/120)
 }
 
-// Ten thousand requests arrive at once. Most must be rejected, memory stays bounded, and each has one answer.
+// Ten thousand requests arrive at once. Most must be rejected, memory must stay bounded, and each must get one answer.
 func TestTenThousand(t *testing.T) {
 	g := newGate(t, Options{Cores: 2, MemoryMB: 64, Routes: []Route{{Name: "a", LatencyTarget: 300 * ms}}})
 	var before, after runtime.MemStats
@@ -206,9 +206,10 @@
 	assert.Less(t, after.HeapAlloc, before.HeapAlloc+64<<20)
 }
 
-// Requests are stated to be large. RequestKB was checked and not used: all cores were filled, whatever fits into the memory.
+// Guards against a RequestKB that is validated but not used: large requests then filled all cores although only a few
+// fit into the memory.
 func TestLargeRequestsAreBoundedByMemory(t *testing.T) {
-	const fit = 7 // of 8 MiB into nine tenths of 64
+	const fit = 7 // requests of 8 MiB that fit into nine tenths of 64 MiB
 	g := newGate(t, Options{Cores: 16, MemoryMB: 64, RequestKB: 8 << 10, Routes: []Route{{Name: "a", LatencyTarget: 5 * time.Second}}})
 	var running, most, served atomic.Int32
 	var all sync.WaitGroup
@@ -225,7 +226,7 @@
 				served.Add(1)
 				return nil
 			})
-			if err != nil { // queued requests take memory too: beside seven that run there is none for a crowd
+			if err != nil { // queued requests take memory too, so the other requests may be rejected while seven run
 				var rejected *RejectedError
 				assert.ErrorAs(t, err, &rejected)
 			}
@@ -238,13 +239,14 @@
 	assert.ErrorContains(t, err, "does not fit")
 }
 
-// A gate is shut down while functions run that never return. Their callers must be answered before the stop.
+// The gate is shut down while functions run that don't return. Their callers must be answered before the shutdown
+// deadline.
 func TestShutdown(t *testing.T) {
 	g, err := New(Options{Cores: 1, Grace: 50 * ms, Routes: []Route{{Name: "a", LatencyTarget: 10 * time.Second}}})
 	require.NoError(t, err)
 	end := make(chan struct{})
 	answers := make(chan error, 3)
-	for range 3 { // some run, some are queued, and none returns
+	for range 3 { // some run and some are queued; none returns by itself
 		go func() {
 			answers <- g.Do(t.Context(), Request{Route: "a"}, func(context.Context) error { <-end; return nil })
 		}()
@@ -257,12 +259,12 @@
 	require.NoError(t, g.Shutdown(ctx))
 	assert.Less(t, time.Since(began), time.Second)
 	for range 3 {
-		assert.Error(t, <-answers, "all were answered before the stop")
+		assert.Error(t, <-answers, "an unfinished request must be answered with an error")
 	}
 	assert.False(t, g.Healthy())
 	assert.ErrorIs(t, g.Do(t.Context(), Request{Route: "a"}, func(context.Context) error { return nil }), ErrShutDown)
 	close(end)
-	require.NoError(t, g.Shutdown(t.Context()), "again is no harm")
+	require.NoError(t, g.Shutdown(t.Context()), "second call of Shutdown")
 }
 
 func BenchmarkDo(b *testing.B) {
@@ -276,8 +278,8 @@
 	}
 }
 
-// A request ran and was answered just as the event loop ended. Its caller saw both at once, and half of the time was told
-// that the gate is shut down, which promises that nothing ran.
+// A request is answered just as the event loop ends, so that its caller sees both events at once. Guards against
+// answering half of these requests with ErrShutDown, which promises that nothing ran.
 func TestAnswerAtTheEndOfTheEventLoop(t *testing.T) {
 	g := &Gate{loopEnded: make(chan struct{})}
 	close(g.loopEnded)
@@ -286,5 +288,5 @@
 		e.answered <- struct{}{}
 		require.NoError(t, e.awaitAnswer(t.Context()))
 	}
-	assert.ErrorIs(t, e.awaitAnswer(t.Context()), ErrShutDown, "not answered")
+	assert.ErrorIs(t, e.awaitAnswer(t.Context()), ErrShutDown, "the request has no answer")
 }
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		panic(err)
 	}
-	defer func() { _ = gate.Shutdown(context.Background()) }() // returns nil once all is answered
+	defer func() { _ = gate.Shutdown(context.Background()) }() // returns nil once all requests are answered
 	handler := middleware.New(gate, middleware.Options{})(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "a table for two")
 	}))
--- a/middleware/ginmw/ginmw.go
+++ b/middleware/ginmw/ginmw.go
@@ -1,5 +1,5 @@
-// Package ginmw puts a quartzpoint gate in front of gin's handlers, as package middleware does for net/http. The route is the
-// method and the full path of gin's route, unless the options say otherwise.
+// Package ginmw puts a quartzpoint gate in front of gin handlers, as package middleware does for net/http. Unless the
+// options set a route, it is the request's method and the full path of the gin route.
 package ginmw
 
 import (
@@ -11,7 +11,7 @@
 	"quartzpoint/middleware"
 )
 
-// New returns the middleware. Put it behind gin.Recovery, which then sees a handler's panic.
+// New returns the middleware. Register it after gin.Recovery, which then handles a handler's panic.
 func New(gate *quartzpoint.Gate, options middleware.Options) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		options := options
@@ -23,7 +23,7 @@
 		defer func() {
 			c.Writer, c.Request = ginWriter, request
 			if !admitted {
-				c.Abort() // it was answered without its handlers
+				c.Abort() // the request was answered without the remaining handlers
 			}
 		}()
 		middleware.Serve(gate, options, ginWriter, request, func(w http.ResponseWriter, r *http.Request) {
--- a/middleware/ginmw/writer.go
+++ b/middleware/ginmw/writer.go
@@ -9,13 +9,13 @@
 	"github.com/gin-gonic/gin"
 )
 
-// notWritten is the size of a response of which nothing is written, as gin has it.
+// notWritten is gin's value for the size of a response to which nothing has been written.
 const notWritten = -1
 
-// writer is a gin.ResponseWriter over the response writer of package middleware.
+// writer implements gin.ResponseWriter on top of the response writer of package middleware.
 type writer struct {
 	w         http.ResponseWriter
-	ginWriter gin.ResponseWriter // the server's
+	ginWriter gin.ResponseWriter // the original writer of the gin context
 	status    int
 	size      int
 }
@@ -26,7 +26,7 @@
 	return &writer{w: w, ginWriter: ginWriter, size: notWritten, status: http.StatusOK}
 }
 
-// Header implements gin.ResponseWriter, as do the methods below it.
+// Header implements gin.ResponseWriter, as do the methods below.
 func (w *writer) Header() http.Header { return w.w.Header() }
 
 func (w *writer) WriteHeader(status int) {
@@ -65,11 +65,11 @@
 	w.w.(http.Flusher).Flush()
 }
 
-// Hijack fails: the request of a connection that is taken over can't be answered in time.
+// Hijack always fails, because the request of a hijacked connection could not be answered in time.
 func (w *writer) Hijack() (net.Conn, *bufio.ReadWriter, error) { return nil, nil, http.ErrNotSupported }
 
-// CloseNotify reports that the caller is gone, as the request's context does.
+// CloseNotify returns the channel of the original writer, which reports that the caller has disconnected.
 func (w *writer) CloseNotify() <-chan bool { return w.ginWriter.CloseNotify() }
 
-// Pusher is nil: server push is not supported.
+// Pusher returns nil: server push is not supported.
 func (w *writer) Pusher() http.Pusher { return nil }
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -13,7 +13,7 @@
 	"quartzpoint"
 )
 
-// errUnfinished is the end of a run whose handler panicked or ended its goroutine.
+// errUnfinished is the error of a run whose handler panicked or ended its goroutine.
 var errUnfinished = errors.New("middleware: the handler did not return")
 
 // New returns middleware that puts a gate in front of handlers.
@@ -25,8 +25,8 @@
 	}
 }
 
-// Serve serves one request through a gate, and calls next if it is admitted. New is made of it; it is for middleware of other
-// frameworks.
+// Serve passes one request through a gate and calls next if it is admitted. It is for middleware of other frameworks;
+// New is based on it.
 func Serve(
 	gate *quartzpoint.Gate, options Options, w http.ResponseWriter, r *http.Request, next func(http.ResponseWriter, *http.Request),
 ) {
@@ -51,7 +51,7 @@
 		}
 		value := recover()
 		ticket.Finish(nil, errUnfinished)
-		response.close() // the server's writer must not be used once this returns
+		response.close() // the server's writer must not be used after this function returns
 		if value != nil {
 			panic(value)
 		}
@@ -66,11 +66,11 @@
 	if ticket.Finish(result, nil) {
 		response.send()
 	} else {
-		response.abort() // no effect, unless the gate was shut down without an answer to this request
+		response.abort() // has an effect only if the gate was shut down without answering this request
 	}
 }
 
-// writeError answers a request that does not run.
+// writeError answers a request that was not admitted.
 func writeError(w http.ResponseWriter, gate *quartzpoint.Gate, err error) {
 	status := http.StatusGatewayTimeout
 	var rejected *quartzpoint.RejectedError
@@ -89,20 +89,20 @@
 	http.Error(w, err.Error(), status)
 }
 
-// shedLevel is the value of ShedLevelHeader.
+// shedLevel returns the value of ShedLevelHeader.
 func shedLevel(gate *quartzpoint.Gate) string {
 	return strconv.FormatFloat(gate.ShedLevel(), 'f', 2, 64)
 }
 
-// recordedResponse is a response as it is stored for duplicates, in CBOR.
+// recordedResponse is a response as stored for duplicates, encoded in CBOR.
 type recordedResponse struct {
 	Status int         `cbor:"1,keyasint"`
 	Header http.Header `cbor:"2,keyasint"`
 	Body   []byte      `cbor:"3,keyasint"`
 }
 
-// replay answers a duplicate with the recorded response. A response that was too long to be recorded ran all the same, and is
-// not run again.
+// replay answers a duplicate with the recorded response. If the original's response was too long to be recorded, the
+// duplicate is answered as aborted, since the request must not run again.
 func replay(w http.ResponseWriter, gate *quartzpoint.Gate, recorded []byte) {
 	var response recordedResponse
 	if err := cbor.Unmarshal(recorded, &response); err != nil || response.Status == 0 {
@@ -113,5 +113,5 @@
 	w.Header().Set(ShedLevelHeader, shedLevel(gate))
 	w.Header().Set(replayedHeader, "true")
 	w.WriteHeader(response.Status)
-	_, _ = w.Write(response.Body) // the caller may be gone
+	_, _ = w.Write(response.Body) // fails if the caller has disconnected
 }
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -32,7 +32,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// framework is one framework with the gate in front of a handler.
+// framework is an HTTP framework under test; make returns a handler with the gate in front of h.
 type framework struct {
 	name string
 	make func(g *quartzpoint.Gate, o middleware.Options, h http.HandlerFunc) http.Handler
@@ -80,7 +80,7 @@
 	return quartzpoint.Options{Cores: 2, Routes: []quartzpoint.Route{{Name: "a", LatencyTarget: latencyTarget, Idempotency: idempotency}}}
 }
 
-// send sends a request with headers as names and values in turn.
+// send sends a request. headers are alternating names and values.
 func (s *testServer) send(t *testing.T, method, path, body string, headers ...string) (status int, answer string, head http.Header) {
 	t.Helper()
 	q, err := http.NewRequest(method, s.URL+path, strings.NewReader(body))
@@ -107,7 +107,7 @@
 	}
 }
 
-// What handlers write reaches the caller: buffered, streamed, and nothing of what a panic cut short.
+// Responses of handlers reach the caller, buffered or streamed. A response that a panic interrupted is not sent.
 func TestAnswers(t *testing.T) {
 	eachFramework(t, func(t *testing.T, f framework) {
 		s := start(t, f, oneRoute(time.Second, ""), middleware.Options{BufferBytes: 100}, func(w http.ResponseWriter, q *http.Request) {
@@ -150,14 +150,14 @@
 		_, body, _ = s.send(t, "POST", "/upload", strings.Repeat("x", 5<<20))
 		assert.Equal(t, "5242880", body)
 		status, body, _ = s.send(t, "GET", "/panic", "")
-		assert.NotEqual(t, http.StatusOK, status, "half a body is no answer")
+		assert.NotEqual(t, http.StatusOK, status, "a partial body was sent as a complete response")
 		assert.NotContains(t, body, "half")
-		assert.Equal(t, int64(1), s.gate.Counts().Aborted, "a broken run")
+		assert.Equal(t, int64(1), s.gate.Counts().Aborted, "the run that panicked")
 	})
 }
 
-// A handler runs on past the deadline. Its caller must be answered in time all the same, and what the handler writes later must
-// fail and not be sent.
+// A handler continues past the deadline. Its caller must still be answered in time, and later writes of the handler
+// must fail without being sent.
 func TestRunsOn(t *testing.T) {
 	eachFramework(t, func(t *testing.T, f framework) {
 		end, wrote := make(chan struct{}), make(chan error, 1)
@@ -174,7 +174,7 @@
 		require.NoError(t, err)
 		raw, err := io.ReadAll(a.Body)
 		require.NoError(t, err)
-		assert.Less(t, time.Since(began), 150*ms+waitLimit/40, "complete, though the handler runs on")
+		assert.Less(t, time.Since(began), 150*ms+waitLimit/40, "the response must be complete while the handler runs")
 		assert.Equal(t, http.StatusGatewayTimeout, a.StatusCode)
 		assert.Contains(t, string(raw), "aborted")
 		assert.Equal(t, int64(1), s.gate.Counts().Overruns)
@@ -184,7 +184,7 @@
 	})
 }
 
-// A request is aborted while its response is streamed. The response must be cut off, and not look complete.
+// A request is aborted while its response is being streamed. The response must be cut off and must not look complete.
 func TestCutOff(t *testing.T) {
 	eachFramework(t, func(t *testing.T, f framework) {
 		s := start(t, f, oneRoute(150*ms, ""), middleware.Options{BufferBytes: -1}, func(w http.ResponseWriter, q *http.Request) {
@@ -200,8 +200,8 @@
 	})
 }
 
-// A caller goes while the handler runs, and its framework would buffer the response. The request must not count as served; the
-// handler has run all the same, so a duplicate must get the recorded response and not another run.
+// The caller disconnects while the handler runs, and its framework would buffer the response. The request must not
+// count as served. Its handler has run, so a duplicate must get the recorded response without another run.
 func TestCallerGone(t *testing.T) {
 	eachFramework(t, func(t *testing.T, f framework) {
 		var ran atomic.Int32
@@ -227,19 +227,19 @@
 		<-began
 		cancel()
 		assert.ErrorIs(t, <-gone, context.Canceled)
-		time.Sleep(50 * ms) // for the server to see it
+		time.Sleep(50 * ms) // for the server to notice the disconnect
 		close(end)
 		status, body, head := s.send(t, "POST", "/", "", "Idempotency-Key", "k")
 		assert.Equal(t, http.StatusOK, status)
 		assert.Equal(t, "booked", body)
 		assert.Equal(t, "true", head.Get("Idempotent-Replayed"))
 		assert.Equal(t, int32(1), ran.Load())
-		assert.Equal(t, int64(1), s.gate.Counts().Served, "the repeat alone")
+		assert.Equal(t, int64(1), s.gate.Counts().Served, "only the duplicate counts as served")
 	})
 }
 
-// A hundred callers send one idempotency key at the same moment. One run must take place, and all get its response; another body
-// under the same key is an error.
+// A hundred callers send the same idempotency key at once. The request must run once, and all must get its response; a
+// different body under the same key is an error.
 func TestIdempotencyKeys(t *testing.T) {
 	eachFramework(t, func(t *testing.T, f framework) {
 		var ran atomic.Int32
@@ -269,7 +269,7 @@
 	})
 }
 
-// Requests come to a server whose handlers stand still, with no time left, and after its shutdown: none of these may run.
+// Requests must not run if they arrive while all handlers are blocked, without any time left, or after the shutdown.
 func TestRejected(t *testing.T) {
 	eachFramework(t, func(t *testing.T, f framework) {
 		end := make(chan struct{})
@@ -288,8 +288,8 @@
 		for range cap(statuses) {
 			seen[<-statuses]++
 		}
-		assert.Positive(t, seen[http.StatusServiceUnavailable], "queued past their deadline: never ran")
-		assert.Positive(t, seen[http.StatusGatewayTimeout], "those that ran")
+		assert.Positive(t, seen[http.StatusServiceUnavailable], "requests that were queued until their deadline and never ran")
+		assert.Positive(t, seen[http.StatusGatewayTimeout], "requests that ran")
 		assert.Zero(t, seen[http.StatusOK])
 		close(end)
 		status, _, _ := s.send(t, "GET", "/", "", "X-Remaining-Time", "0m")
--- a/middleware/options.go
+++ b/middleware/options.go
@@ -15,34 +15,34 @@
 
 // Headers of requests and responses.
 const (
-	// ShedLevelHeader carries the rank under which callers should send nothing, from 0.00 to 1.00. Each response of a gate has
-	// it.
+	// ShedLevelHeader carries the rank, from 0.00 to 1.00, below which callers should send no requests. Each response
+	// that passes through a gate has it.
 	ShedLevelHeader = "X-Quartzpoint-Level"
 
 	timeoutHeader        = "X-Remaining-Time"
 	idempotencyKeyHeader = "Idempotency-Key"
 	replayedHeader       = "Idempotent-Replayed"
-	retryAfterHeader     = "Retry-After"    // in seconds
-	retryAfterMSHeader   = "X-Come-Back-Ms" // the same in milliseconds
+	retryAfterHeader     = "Retry-After"    // delay in seconds
+	retryAfterMSHeader   = "X-Come-Back-Ms" // the same delay in milliseconds
 )
 
 const (
 	defaultBufferBytes = 64 << 10
-	maxKeyBytes        = 255 // of an idempotency key; a longer one is cut, and its hash appended
+	maxKeyBytes        = 255 // of an idempotency key; a longer one is truncated and its hash appended
 )
 
-// Options say how HTTP requests become requests of a gate. The zero value works; defaults stand in parentheses. The functions
-// may be called from many goroutines at once.
+// Options define how HTTP requests become requests of a gate. The zero value is valid; defaults are given in
+// parentheses. The functions must be safe for concurrent use.
 type Options struct {
-	Route          func(*http.Request) string  // (the pattern that matched, or else the method)
-	TimeoutHeader  string                      // header with the time that is left, as ParseTimeout reads it (X-Remaining-Time)
-	IdempotencyKey func(*http.Request) string  // empty for none (the header Idempotency-Key)
-	Rank           func(*http.Request) float64 // from 0 to under 1; other values are cut to that (0)
-	CallerID       func(*http.Request) uint32  // (a hash of the remote address)
-	BufferBytes    int                         // of a response that are buffered (64 KiB); below 0 for none
+	Route          func(*http.Request) string  // name of the route (the matched pattern, or the method if there is none)
+	TimeoutHeader  string                      // name of the header with the remaining time, in a format of ParseTimeout (X-Remaining-Time)
+	IdempotencyKey func(*http.Request) string  // the empty string means no key (the header Idempotency-Key)
+	Rank           func(*http.Request) float64 // from 0 to under 1; other values are clamped (0)
+	CallerID       func(*http.Request) uint32  // identifies the caller (a hash of the remote address)
+	BufferBytes    int                         // maximum size of a buffered response (64 KiB); negative for no buffering
 }
 
-// withDefaults returns a copy whose zero values are replaced by the defaults.
+// withDefaults returns a copy in which zero values are replaced by the defaults.
 func (o Options) withDefaults() Options {
 	if o.Route == nil {
 		o.Route = patternOrMethod
@@ -77,10 +77,10 @@
 	return uint32(xxhash.Sum64String(host))
 }
 
-// Request makes the gate's request of an HTTP request.
+// Request returns the gate's request for an HTTP request.
 func (o Options) Request(r *http.Request) quartzpoint.Request { return o.withDefaults().request(r) }
 
-// request is Request for options that have their defaults.
+// request implements Request for options that have their defaults.
 func (o Options) request(r *http.Request) quartzpoint.Request {
 	key := o.IdempotencyKey(r)
 	if len(key) > maxKeyBytes {
@@ -96,7 +96,8 @@
 	return request
 }
 
-// fingerprint is stored with idempotency keys, and must not change between versions.
+// fingerprint returns a hash of the request's method, URI, body length and content type. It is stored with idempotency
+// keys and must not change between versions.
 func fingerprint(r *http.Request) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s %s %d %s", r.Method, r.URL.RequestURI(), r.ContentLength, r.Header.Get("Content-Type")))
 }
--- a/middleware/response.go
+++ b/middleware/response.go
@@ -14,29 +14,29 @@
 	"quartzpoint"
 )
 
-// abortedBody is the body of the answer in a handler's place.
+// abortedBody is the body of the response to an aborted request.
 const abortedBody = "aborted: the time for this request is over\n"
 
-// response is the handler's http.ResponseWriter. It buffers the response until it is complete, or until it has to be streamed.
-// The handler and the gate, which may answer in its place, use it at the same time.
+// response is the http.ResponseWriter that the handler gets. It buffers the response until it is complete or has to be
+// streamed. It is used concurrently by the handler and by the gate, which may answer instead of the handler.
 type response struct {
 	gate        *quartzpoint.Gate
 	bufferBytes int
-	header      http.Header // of the handler; the one of w belongs to who answers
+	header      http.Header // set by the handler; copied to w when the handler's response is sent
 
 	mu       sync.Mutex
-	w        http.ResponseWriter // of the server
-	status   int                 // 0 before the handler states one
-	body     bytes.Buffer        // empty once streamed
+	w        http.ResponseWriter // writer of the HTTP server
+	status   int                 // 0 until the handler sets it
+	body     bytes.Buffer        // buffered part; empty once streamed
 	streamed bool
-	closed   bool // answered in the handler's place, sent, or the handler has ended
+	closed   bool // answered or sent, or the handler has panicked or ended its goroutine
 }
 
 func newResponse(w http.ResponseWriter, gate *quartzpoint.Gate, bufferBytes int) *response {
 	return &response{w: w, gate: gate, bufferBytes: bufferBytes, header: http.Header{}}
 }
 
-// Header implements http.ResponseWriter, as do the methods below it.
+// Header implements http.ResponseWriter, as do the methods below.
 func (r *response) Header() http.Header { return r.header }
 
 func (r *response) WriteHeader(status int) {
@@ -68,14 +68,14 @@
 	return r.body.Write(p)
 }
 
-// stream sends what is buffered; what follows is sent as it comes. The caller holds mu.
+// stream sends the buffered part; later writes are sent immediately. The caller must hold mu.
 func (r *response) stream() {
 	r.streamed = true
 	r.writeBuffered()
 	r.body.Reset()
 }
 
-// writeBuffered sends the header and what is buffered. The caller holds mu.
+// writeBuffered sends the header and the buffered part. The caller must hold mu.
 func (r *response) writeBuffered() {
 	maps.Copy(r.w.Header(), r.header)
 	r.w.Header().Set(ShedLevelHeader, shedLevel(r.gate))
@@ -83,13 +83,13 @@
 		r.status = http.StatusOK
 	}
 	r.w.WriteHeader(r.status)
-	_, _ = r.w.Write(r.body.Bytes()) // the caller may be gone; a further write fails too
+	_, _ = r.w.Write(r.body.Bytes()) // if the caller has disconnected, later writes fail too
 }
 
 // Flush implements http.Flusher.
 func (r *response) Flush() { _ = r.FlushError() }
 
-// FlushError streams the response from here on, as http.ResponseController expects.
+// FlushError implements the flusher interface of http.ResponseController. The response is streamed from here on.
 func (r *response) FlushError() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,12 +102,12 @@
 	return http.NewResponseController(r.w).Flush()
 }
 
-// ReadFrom implements io.ReaderFrom by Write, so that io.Copy does not pass the buffer by.
+// ReadFrom implements io.ReaderFrom. It uses Write, so that io.Copy does not bypass the buffer.
 func (r *response) ReadFrom(from io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{r}, from)
 }
 
-// record is the response as it is stored for duplicates; empty where it was streamed.
+// record returns the response in the form that is stored for duplicates, or nil if it was streamed.
 func (r *response) record() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +125,8 @@
 	return raw
 }
 
-// send sends what is left of a complete response: all of it, or the trailers of a streamed one.
+// send completes the response of a handler that has returned: it sends a buffered response, or the trailers of a
+// streamed one.
 func (r *response) send() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,14 +145,15 @@
 	r.writeBuffered()
 }
 
-// close has further writes fail.
+// close makes further writes fail.
 func (r *response) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
 }
 
-// abort answers in the handler's place, unless the request is answered. A response that is streamed is cut off.
+// abort answers with status 504 instead of the handler, unless the request is already answered. A streamed response is
+// cut off.
 func (r *response) abort() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,5 +171,5 @@
 	header.Set(ShedLevelHeader, shedLevel(r.gate))
 	r.w.WriteHeader(http.StatusGatewayTimeout)
 	_, _ = io.WriteString(r.w, abortedBody)
-	_ = http.NewResponseController(r.w).Flush() // complete by its length, though the handler runs on
+	_ = http.NewResponseController(r.w).Flush() // the response is complete by its Content-Length even if the handler continues
 }
--- a/middleware/timeout.go
+++ b/middleware/timeout.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// maxTimeout is the longest timeout that counts as stated.
+// maxTimeout is the longest timeout that ParseTimeout accepts.
 const maxTimeout = 24 * time.Hour
 
-// timeoutUnits are the units of grpc-timeout.
+// timeoutUnits are the units of the grpc-timeout header.
 var timeoutUnits = map[byte]time.Duration{
 	'n': time.Nanosecond, 'u': time.Microsecond, 'm': time.Millisecond, 'S': time.Second, 'M': time.Minute, 'H': time.Hour,
 }
 
-// ParseTimeout reads the time that a caller still waits: "250m" or "2S" as in grpc-timeout (units n, u, m, S, M, H), a Go
-// duration ("250ms"), or a moment (RFC 3339, or @ and Unix milliseconds). A time that is over is one nanosecond, so that the
-// request is rejected and not run without a deadline.
+// ParseTimeout parses the time for which a caller still waits. text is "250m" or "2S" as in grpc-timeout (units n, u,
+// m, S, M, H), a Go duration ("250ms"), or a point in time (RFC 3339, or @ and Unix milliseconds). For a time that has
+// passed it returns one nanosecond, so that the request is rejected instead of running without a deadline.
 //
-// ok is false for what can't be read, and for more than a day: a header must not make a request wait longer than its route.
+// ok is false if text can't be parsed or the timeout exceeds one day: a header must not make a request wait longer than
+// its route allows.
 func ParseTimeout(text string, now time.Time) (timeout time.Duration, ok bool) {
 	timeout, ok = parseTimeout(text, now)
 	if !ok || timeout > maxTimeout {
@@ -27,7 +28,7 @@
 	return max(timeout, time.Nanosecond), true
 }
 
-// parseTimeout reads a timeout of any length, which may be over.
+// parseTimeout parses a timeout without limits; the result may be negative.
 func parseTimeout(text string, now time.Time) (timeout time.Duration, ok bool) {
 	if text == "" {
 		return 0, false
--- a/optionsfile_test.go
+++ b/optionsfile_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// everyKey states each key that an options file may hold, under the names that files have had since the first version.
+// everyKey contains each key of an options file, spelled as in the first version.
 const everyKey = `
 Cores = 2.5
 MemoryMB = 512
@@ -55,8 +55,8 @@
 NoNumbers = true
 `
 
-// The fields of Options have been renamed while files of older programs stay in use. Each key of such a file must still set
-// the field that it set before, and a key that no field ever had must still be an error that names it.
+// Options files of older programs stay in use although fields of Options were renamed. Each key must still set the same
+// field, and a key that never existed, such as a new field name, must be an error.
 func TestOptionsFileKeepsItsKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "options.toml")
 	require.NoError(t, os.WriteFile(path, []byte(everyKey), 0o600))
--- a/runcontext_test.go
+++ b/runcontext_test.go
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller's context ends before its request is sent, while it is queued, while it runs, and after.
+// The caller's context ends before the request is sent, while it is queued, while it runs, and after it is answered.
 func TestContexts(t *testing.T) {
 	g := newGate(t, Options{Cores: 1, Routes: []Route{{Name: "a", LatencyTarget: 10 * time.Second}}})
 	over, cancel := context.WithCancel(t.Context())
 	cancel()
-	never := func(context.Context) error { t.Error("it ran"); return nil }
+	never := func(context.Context) error { t.Error("a request ran whose caller's context had ended"); return nil }
 	assert.ErrorIs(t, g.Do(over, Request{Route: "a"}, never), context.Canceled)
 
 	end := make(chan struct{})
 	var running sync.WaitGroup
-	for range 2 { // all that a core takes
+	for range 2 { // fills the capacity of one core
 		running.Add(1)
 		go func() {
 			defer running.Done()
@@ -32,7 +32,7 @@
 	short, stop := context.WithTimeout(t.Context(), 30*ms)
 	defer stop()
 	err := g.Do(short, Request{Route: "a"}, never)
-	assert.Error(t, err, "queued, and its time is over")
+	assert.Error(t, err, "its context ended while it was queued")
 	close(end)
 	running.Wait()
 
@@ -49,7 +49,7 @@
 	assert.NoError(t, g.Do(t.Context(), Request{Route: "a"}, func(inner context.Context) error { return inner.Err() }))
 }
 
-// A caller's context ends after its request. Executions are used again, so it must not end the run of a later request.
+// Executions are reused, so the end of a caller's context after its request must not cancel the run of a later request.
 func TestContextEndsLater(t *testing.T) {
 	g := newGate(t, Options{Routes: []Route{{Name: "a", LatencyTarget: 10 * time.Second}}})
 	for range 200 {
@@ -66,8 +66,8 @@
 	}
 }
 
-// What a run has started may refer to the run's context long after. The context must have ended with the run, and not be that
-// of the request that uses the execution by then.
+// Goroutines that a run started may use the run's context long after the run. The context must have ended with the run,
+// and must not refer to the request that uses the execution by then.
 func TestContextOutlivesRun(t *testing.T) {
 	g := newGate(t, Options{Routes: []Route{{Name: "a", LatencyTarget: 10 * time.Second}}})
 	var kept []context.Context
@@ -82,6 +82,6 @@
 	for _, ctx := range kept {
 		<-ctx.Done()
 		assert.ErrorIs(t, ctx.Err(), context.Canceled)
-		assert.ErrorIs(t, Call(ctx, func(context.Context) error { t.Error("called"); return nil }), context.Canceled)
+		assert.ErrorIs(t, Call(ctx, func(context.Context) error { t.Error("a call was made after its run had ended"); return nil }), context.Canceled)
 	}
 }
--- a/state_test.go
+++ b/state_test.go
@@ -16,7 +16,7 @@
 	"quartzpoint/internal/testkit/faultdisk"
 )
 
-// stateOptions are those of a gate with a state directory and one route with idempotency keys.
+// stateOptions returns options with a state directory and one route with idempotency keys.
 func stateOptions(state *State) Options {
 	state.CommitInterval = time.Millisecond
 	return Options{State: state, Routes: []Route{{Name: "pay", Idempotency: Keyed, LatencyTarget: 400 * ms, Deadline: 500 * ms, DedupWindow: time.Hour}}}
@@ -34,21 +34,21 @@
 	require.NoError(t, g.Shutdown(ctx))
 }
 
-// A gate starts from the directory of the one before it: results are returned to repeats, what failed is not run again, and
-// callers may change the results they got.
+// A gate loads the state of the previous one: duplicates get the stored result, a request whose run failed is not run
+// again, and callers may modify the results that they received.
 func TestStateRestart(t *testing.T) {
 	state := &State{Dir: filepath.Join(t.TempDir(), "state"), Site: "s"}
 	g, err := New(stateOptions(state))
 	require.NoError(t, err)
 	var runs atomic.Int32
 	run := func(context.Context) ([]byte, error) { return []byte("paid"), nil }
-	for range 20 { // enough to have learned something
+	for range 20 { // enough for estimates to be learned
 		_, err := g.DoOnce(t.Context(), pay(string(rune('a'+runs.Add(1)))), run)
 		require.NoError(t, err)
 	}
 	_, err = g.DoOnce(t.Context(), pay("breaks"), func(context.Context) ([]byte, error) { return nil, os.ErrInvalid })
 	assert.ErrorIs(t, err, os.ErrInvalid)
-	time.Sleep(1100 * ms) // the owner shares what it learned once a second
+	time.Sleep(1100 * ms) // the event loop publishes its estimates once a second
 	shutDownNow(t, g)
 
 	g = newGate(t, stateOptions(state))
@@ -60,11 +60,11 @@
 	assert.ErrorIs(t, err, ErrAborted)
 	changed, err := g.DoOnce(t.Context(), pay("mine"), func(context.Context) ([]byte, error) { return []byte("paid"), nil })
 	require.NoError(t, err)
-	copy(changed, "lost") // the caller's own
+	copy(changed, "lost") // the result belongs to the caller
 	for range 2 {
 		repeat, err := g.DoOnce(t.Context(), pay("mine"), again)
 		require.NoError(t, err)
-		assert.Equal(t, "paid", string(repeat), "and so is each repeat's")
+		assert.Equal(t, "paid", string(repeat), "a caller modified the stored result")
 		copy(repeat, "lost")
 	}
 	other := pay("b")
@@ -79,13 +79,14 @@
 	g = newGate(t, stateOptions(state))
 	got, err = g.DoOnce(t.Context(), pay("mine"), again)
 	require.NoError(t, err)
-	assert.Equal(t, "paid", string(got), "what a caller does with his result is not what is stored")
+	assert.Equal(t, "paid", string(got), "a caller modified the stored result")
 	files, err := filepath.Glob(filepath.Join(state.Dir, "view-*"))
 	require.NoError(t, err)
 	assert.NotEmpty(t, files)
 }
 
-// The power fails while a request runs. The next gate does not run its repeat, as the original may have had its effect.
+// Power is lost while a request runs. The next gate must not run its duplicate, because the original may have had its
+// effect.
 func TestStatePowerLoss(t *testing.T) {
 	disk := faultdisk.New()
 	g, err := New(stateOptions(stateOnDisk(disk)))
@@ -104,14 +105,14 @@
 
 	g = newGate(t, stateOptions(stateOnDisk(after)))
 	_, err = g.DoOnce(t.Context(), pay("x"), func(context.Context) ([]byte, error) {
-		assert.Fail(t, "ran again")
+		assert.Fail(t, "a duplicate ran again")
 		return nil, nil
 	})
 	assert.ErrorIs(t, err, ErrAborted)
 }
 
-// A disk neither fails nor answers. A request waits for it only until its caller leaves or its deadline, and then never runs.
-// After a second the gate serves without the disk, until that answers again.
+// Writes to the disk block without an error. A request waits for the disk only until its caller's context ends or its
+// deadline passes, and then never runs. After a second the gate serves without the disk, until the disk responds again.
 func TestStateStalls(t *testing.T) {
 	disk := faultdisk.New()
 	g := newGate(t, stateOptions(stateOnDisk(disk)))
@@ -132,7 +133,7 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*ms)
 	defer cancel()
-	assert.Error(t, ask(ctx, "gone"), "its caller left")
+	assert.Error(t, ask(ctx, "gone"), "its caller's context ended")
 	assert.Error(t, ask(t.Context(), "late"), "its deadline passed")
 	assert.Less(t, time.Since(began), 900*ms)
 	require.Eventually(t, func() bool { return g.store.DurableMark() > 1<<60 }, 5*time.Second, ms)
@@ -145,8 +146,8 @@
 	assert.Empty(t, ran)
 }
 
-// The disk fails, or does not answer, as the gate is shut down. Shutdown returned nil although the next process would not know
-// what this one had run.
+// The disk fails or blocks while the gate is shut down. Guards against a Shutdown that returns nil although the next
+// process would not know which requests had run.
 func TestShutdownTellsThatTheStateIsNotStored(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -171,7 +172,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 500*ms)
 			defer cancel()
 			assert.ErrorIs(t, g.Shutdown(ctx), ErrStateNotStored)
-			assert.ErrorIs(t, g.Shutdown(ctx), ErrStateNotStored, "and the next call too")
+			assert.ErrorIs(t, g.Shutdown(ctx), ErrStateNotStored, "second call of Shutdown")
 		})
 	}
 }
@@ -188,8 +189,8 @@
 	assert.Equal(t, &State{Dir: "d", CommitInterval: 3 * ms}, options.State)
 }
 
-// A gate uses the estimates that one of an earlier version left on disk only under the same digest of the settings. The
-// figures are those of f1daac1.
+// Stored estimates of an earlier version are used only if the settings digest is the same. The expected digests are
+// those of commit f1daac1.
 func TestSettingsDigestIsThatOfEarlierVersions(t *testing.T) {
 	decisions, err := Options{
 		Routes: []Route{
