--- a/internal/acceptloop/acceptloop.go
+++ b/internal/acceptloop/acceptloop.go
@@ -1,4 +1,4 @@
-// Package acceptloop accepts connections of a listener and serves a bounded number of them at once.
+// Package acceptloop accepts connections of a listener and serves a bounded number of them concurrently.
 package acceptloop
 
 import (
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// errorPause is the wait after a failed Accept. Out of file descriptors, Accept fails at once, time after time, while the
-// connection stays in the kernel's queue: without a pause the loop would use a core until one is free.
+// errorPause is the delay after a failed Accept. Without file descriptors, Accept fails immediately each time while the
+// connection stays in the kernel's queue. Without the delay, the loop would use a full core until a descriptor is free.
 const errorPause = 50 * time.Millisecond
 
-// Loop is the settings of an accept loop.
+// Loop is the configuration of an accept loop.
 type Loop struct {
-	// MaxConns bounds the connections that are served at once, each in a goroutine of its own. One beyond it is closed.
-	// With 0, connections are served one after the other, and those to come wait in the kernel's queue.
+	// MaxConns bounds the connections that are served concurrently, each in its own goroutine. Connections beyond it
+	// are closed. With 0, connections are served one at a time, and others wait in the kernel's queue.
 	MaxConns int
 	// Serve serves a connection and closes it.
 	Serve func(conn net.Conn)
-	// OnError is called with the error of an Accept that failed while the listener is open.
+	// OnError is called with the error of a failed Accept while the listener is open.
 	OnError func(err error)
 }
 
-// Run accepts connections until the listener is closed, waits until all calls of Serve have returned, and returns the
-// error of the last Accept, which wraps net.ErrClosed.
+// Run accepts connections until the listener is closed. It then waits until all calls of Serve have returned, and
+// returns the error of the last Accept, which wraps net.ErrClosed.
 func (l Loop) Run(listener net.Listener) error {
 	var conns sync.WaitGroup
 	defer conns.Wait()
--- a/internal/acceptloop/acceptloop_test.go
+++ b/internal/acceptloop/acceptloop_test.go
@@ -17,7 +17,7 @@
 
 const patience = 20 * time.Second
 
-// failingOnce is a listener whose first Accept fails, as when the process is out of file descriptors.
+// failingOnce is a listener whose first Accept fails, as if the process had no file descriptors left.
 type failingOnce struct {
 	net.Listener
 	failed atomic.Bool
@@ -30,8 +30,8 @@
 	return f.Listener.Accept()
 }
 
-// A failed Accept must not end the loop; a connection beyond the bound is closed while those served go on; a served
-// connection that ends makes place for another; and Run returns only after the last Serve.
+// A failed Accept must not end the loop. A connection beyond the limit is closed without affecting the others. After a
+// served connection ends, a new one is served. Run must return only after the last Serve.
 func TestLoop(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -66,9 +66,9 @@
 	assert.True(t, echoes(first))
 	assert.Equal(t, int64(1), reported.Load())
 	beyond := dial()
-	assert.False(t, echoes(beyond), "closed")
+	assert.False(t, echoes(beyond), "a connection beyond the limit was served")
 	_ = beyond.Close()
-	assert.True(t, echoes(first), "goes on")
+	assert.True(t, echoes(first), "a served connection must not be affected")
 	require.NoError(t, first.Close())
 	require.Eventually(t, func() bool { return serving.Load() == 0 }, patience, time.Millisecond)
 	var last net.Conn
@@ -77,7 +77,7 @@
 	require.NoError(t, inner.Close())
 	select {
 	case <-done:
-		t.Fatal("returned before the last connection was served")
+		t.Fatal("Run returned before the last call of Serve")
 	case <-time.After(50 * time.Millisecond):
 	}
 	require.NoError(t, last.Close())
@@ -85,7 +85,7 @@
 	assert.Zero(t, serving.Load())
 }
 
-// With MaxConns 0 a second connection waits for the first one instead of being closed.
+// With MaxConns 0 further connections wait for the first one instead of being closed.
 func TestSequential(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,5 +1,5 @@
-// Package events logs what becomes of requests, runs and connections, with the reason for each, at a bounded rate. A process
-// that is killed leaves these lines as the only record of what it decided.
+// Package events logs decisions about requests, runs and connections, with their reasons, at a bounded rate. If the
+// process is killed, these lines are the only record of its decisions.
 package events
 
 import (
@@ -12,31 +12,31 @@
 )
 
 const (
-	// maxLinesPerSecond is how many events of one kind and reason are logged one by one in a second; the others of that second
-	// are counted, and logged in one line in the next.
+	// maxLinesPerSecond is the number of events of one kind and reason that are logged individually in a second.
+	// Further events of that second are counted, and logged as totals in one line in the next second.
 	maxLinesPerSecond = 2
-	// maxCounters bounds the kinds and reasons that are counted apart; past it an event is counted by its kind alone. Both are
-	// the program's own texts, so that a peer can't add to them.
+	// maxCounters bounds the pairs of kind and reason that are counted separately. Beyond it, events are counted by
+	// kind only. Kinds and reasons are texts of this program, so a peer can't add any.
 	maxCounters = 256
 )
 
-// Kind is what happened.
+// Kind is a kind of event.
 type Kind string
 
 // The kinds of events.
 const (
-	RequestRejected    Kind = "request rejected"        // answered as never run
+	RequestRejected    Kind = "request rejected"        // answered without having run
 	RequestAborted     Kind = "request aborted"         // answered without a result after it may have run
-	RunOverdue         Kind = "run overdue"             // not reported to have ended, or to have begun, in its time
-	RunEndedLate       Kind = "run ended late"          // the end of one that was overdue
+	RunOverdue         Kind = "run overdue"             // no report of its start or end within the expected time
+	RunEndedLate       Kind = "run ended late"          // the end of an overdue run was reported
 	RunReleased        Kind = "run released"            // counted as ended without a report of its end
 	RunRetried         Kind = "run retried"             // sent to the worker pool again
-	CallRetried        Kind = "call retried"            // made to the dependency again
+	CallRetried        Kind = "call retried"            // the call to the dependency was made again
 	ConnectionClosed   Kind = "connection closed"       // by this side
-	ConnectionDraining Kind = "connection draining"     // asked to send no new request
-	Overcommitted      Kind = "overcommitted"           // the workers' gauges exceed what this process has running
+	ConnectionDraining Kind = "connection draining"     // the peer was asked to send no new requests
+	Overcommitted      Kind = "overcommitted"           // the workers' gauges exceed what this process has started
 	LimitReduced       Kind = "in-flight limit reduced" // by a backoff event
-	SlowRound          Kind = "slow round"              // a turn of the event loop kept answers waiting
+	SlowRound          Kind = "slow round"              // a round of the event loop delayed answers
 )
 
 // Log writes events to a logger. It is safe for concurrent use.
@@ -47,10 +47,10 @@
 	mu          sync.Mutex
 	secondStart time.Time
 	counters    map[key]*counter
-	dropped     int64 // in this second, of all counters
+	dropped     int64 // events of all counters that were not logged individually in this second
 }
 
-// key is what events are counted by.
+// key identifies a counter.
 type key struct {
 	kind   Kind
 	reason string
@@ -59,17 +59,17 @@
 // counter counts the events of one key.
 type counter struct {
 	total   int64
-	lines   int   // logged in this second
-	dropped int64 // counted only, in this second
+	lines   int   // lines logged in this second
+	dropped int64 // events counted but not logged in this second
 }
 
-// New makes a log that writes to log.
+// New returns a Log that writes to log.
 func New(log *slog.Logger) *Log {
 	return &Log{log: log, now: time.Now, counters: map[key]*counter{}}
 }
 
-// Record logs an event, or counts it where its second already has enough lines of its kind and reason. reason is one of the
-// program's own texts; what comes from outside belongs into attributes, as for slog.
+// Record logs an event, or only counts it if maxLinesPerSecond is reached for its kind and reason. reason must be a
+// text of this program; external data belongs in the attributes.
 func (l *Log) Record(kind Kind, reason string, attributes ...slog.Attr) {
 	l.mu.Lock()
 	l.flush()
@@ -88,7 +88,7 @@
 	l.log.LogAttrs(context.Background(), level(kind), string(kind), attributes...)
 }
 
-// Times is how often an event was recorded.
+// Times returns how often an event was recorded.
 func (l *Log) Times(kind Kind, reason string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,15 +98,15 @@
 	return 0
 }
 
-// Flush logs the totals of what the last second only counted, once it is over. Record does the same; Flush is for a process in
-// which nothing more happens.
+// Flush logs the totals of the events that were only counted, once their second has passed. Record does so too; Flush
+// is for a process that records no more events.
 func (l *Log) Flush() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.flush()
 }
 
-// flush begins a new second where the last one is over. l.mu is held.
+// flush starts a new second if the current one has passed. The caller must hold l.mu.
 func (l *Log) flush() {
 	now := l.now()
 	if passed := now.Sub(l.secondStart); passed >= 0 && passed < time.Second {
@@ -122,7 +122,7 @@
 	}
 }
 
-// droppedTotals are the totals of what the last second did not log one by one.
+// droppedTotals returns the totals of the counters with events that were not logged individually in the last second.
 func (l *Log) droppedTotals() (attributes []slog.Attr) {
 	for at, t := range l.counters {
 		if t.dropped > 0 {
@@ -144,7 +144,7 @@
 	return l.counters[at]
 }
 
-// level is a warning where more may run than was decided.
+// level returns the log level of a kind: a warning if more may be running than the controller assumes.
 func level(kind Kind) slog.Level {
 	switch kind {
 	case RunOverdue, RunEndedLate, RunReleased, Overcommitted:
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -33,14 +33,14 @@
 	text.Reset()
 	pass(time.Second)
 	l.Flush()
-	assert.Empty(t, text.String(), "told again though nothing happened")
+	assert.Empty(t, text.String(), "the totals were logged again without new events")
 	l.Record(RequestRejected, "no time left")
 	assert.Contains(t, text.String(), "times=101")
 	assert.EqualValues(t, 101, l.Times(RequestRejected, "no time left"))
 	assert.Zero(t, l.Times(RequestRejected, "no memory left"))
 }
 
-// A wall clock that steps back must not silence the log until it has caught up.
+// A wall clock that is set back must not stop the logging until it reaches the old time again.
 func TestClockThatStepsBack(t *testing.T) {
 	l, text, pass := newLog()
 	for range 10 {
--- a/internal/invariant/counters.go
+++ b/internal/invariant/counters.go
@@ -1,5 +1,5 @@
-// Package invariant checks what must hold, and counts what should not happen. A debug build panics at the first invariant that
-// does not hold; a release build counts it, logs the first of its kind and goes on.
+// Package invariant checks invariants and counts unexpected events. On a violated invariant a debug build panics; a
+// release build counts it, logs the first occurrence and continues.
 package invariant
 
 import (
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// Counters are the counters of one process, by what happened. They are safe for concurrent use.
+// Counters count the events of one process by name. They are safe for concurrent use.
 type Counters struct {
 	log *slog.Logger
 
@@ -17,10 +17,10 @@
 	times map[string]int
 }
 
-// New makes counters that log to log.
+// New returns counters that log to log.
 func New(log *slog.Logger) *Counters { return &Counters{log: log, times: map[string]int{}} }
 
-// Assert checks an invariant; violation says what happened where it does not hold.
+// Assert checks that an invariant holds; violation describes the event if it does not.
 func (c *Counters) Assert(holds bool, violation string) {
 	if holds {
 		return
@@ -31,19 +31,19 @@
 	c.Count("check failed: " + violation)
 }
 
-// Count counts an event, and logs the first of its kind. what is one of the program's own texts: with a peer's words in it each
-// would be a counter, and a log line, of its own.
+// Count counts an event and logs its first occurrence. what must be a text of this program: if it contained data from a
+// peer, each value would add a counter and a log line.
 func (c *Counters) Count(what string) {
 	c.mu.Lock()
 	c.times[what]++
 	first := c.times[what] == 1
 	c.mu.Unlock()
 	if first {
-		c.log.Warn("first occurrence, counted from here on", "what", what)
+		c.log.Warn("first occurrence; further occurrences are only counted", "what", what)
 	}
 }
 
-// Report logs all counters, by name.
+// Report logs all counters in the order of their names.
 func (c *Counters) Report() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// Times is how often an event was counted.
+// Times returns how often an event was counted.
 func (c *Counters) Times(what string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/invariant/counters_test.go
+++ b/internal/invariant/counters_test.go
@@ -17,7 +17,7 @@
 		c.Count("odd line")
 	}
 	assert.Equal(t, 3, c.Times("odd line"))
-	assert.Equal(t, 1, strings.Count(log.String(), "\n"), "only the first is logged when it comes")
+	assert.Equal(t, 1, strings.Count(log.String(), "\n"), "only the first occurrence is logged")
 	broken := func() { c.Assert(false, "two answers") }
 	if Debug {
 		assert.Panics(t, broken)
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug says that this build panics where an invariant does not hold.
+// Debug is whether a violated invariant panics, as it does in this build.
 const Debug = true
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug says that this build goes on where an invariant does not hold.
+// Debug is whether a violated invariant panics. In this build it is counted and logged.
 const Debug = false
--- a/internal/poller/deferredclose.go
+++ b/internal/poller/deferredclose.go
@@ -6,26 +6,28 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// DeferredClose closes a connection once netpoll has registered it with its poller. Netpoll reports a new connection first and
-// registers it behind that; closed in between, on another goroutine, netpoll goes on with what was freed, and the process
-// panics with a nil pointer. All methods are for the event loop, where Registered comes as a callback.
+// DeferredClose closes a connection after netpoll has registered it with its poller. Netpoll announces a new connection
+// before it registers it. If the connection is closed in between by another goroutine, netpoll uses freed memory and
+// the process panics with a nil pointer dereference. All methods must be called on the event loop; netpoll's callback
+// calls Registered there.
 type DeferredClose struct{ registered, requested bool }
 
-// Registered reports that the connection is registered; it is closed where Close was called before.
+// Registered records that the connection is registered, and closes it if Close was called before.
 func (c *DeferredClose) Registered(conn netpoll.Connection) {
 	if c.registered = true; c.requested {
-		_ = conn.Close() // its end is reported by a callback
+		_ = conn.Close() // the end of the connection is reported by a callback
 	}
 }
 
-// Close closes the connection, or has it closed once it is registered.
+// Close closes the connection, or requests that Registered closes it.
 func (c *DeferredClose) Close(conn netpoll.Connection) {
 	if c.requested = true; c.registered {
-		_ = conn.Close() // its end is reported by a callback
+		_ = conn.Close() // the end of the connection is reported by a callback
 	}
 }
 
-// OnRegistered has netpoll call Registered; closerOf finds a connection's DeferredClose by its context.
+// OnRegistered returns the netpoll option that calls Registered. closerOf returns the DeferredClose of a connection
+// from its context.
 func OnRegistered(closerOf func(ctx context.Context) *DeferredClose) netpoll.Option {
 	return netpoll.WithOnConnect(func(ctx context.Context, conn netpoll.Connection) context.Context {
 		closerOf(ctx).Registered(conn)
--- a/internal/poller/poller.go
+++ b/internal/poller/poller.go
@@ -1,5 +1,5 @@
-// Package poller sets netpoll up for the whole process: one poller, and callbacks that run on the event loop that a connection
-// belongs to.
+// Package poller configures netpoll for the whole process: one poller, and callbacks that run on the event loop to
+// which a connection belongs.
 package poller
 
 import (
@@ -15,16 +15,17 @@
 	"quartzpoint/internal/sysfault"
 )
 
-// acceptPause is how long the poller pauses where there is no descriptor for a connection that waits in a listener.
+// acceptPause is how long the poller pauses if no descriptor is available for a connection that waits to be accepted.
 const acceptPause = 5 * time.Millisecond
 
-// EventLoop runs functions on its own goroutine, in the order in which they were submitted.
+// EventLoop runs submitted functions on its goroutine, in the order of their submission.
 type EventLoop interface{ Submit(f func()) }
 
-// eventLoopKey finds the event loop of a connection in its context.
+// eventLoopKey is the context key of a connection's event loop.
 type eventLoopKey struct{}
 
-// netpoll reads its configuration once its first poller runs, so its documentation asks for it here.
+// netpoll reads its configuration when its first poller starts, so its documentation asks for the configuration in an
+// init function.
 func init() {
 	err := netpoll.Configure(netpoll.Config{PollerNum: 1, Runner: runOnEventLoop, LoggerOutput: logWriter{}})
 	if err != nil {
@@ -32,22 +33,24 @@
 	}
 }
 
-// Context is the context of a connection whose callbacks run on an event loop.
+// Context returns the context of a connection whose callbacks run on loop.
 func Context(loop EventLoop) context.Context {
 	return context.WithValue(context.Background(), eventLoopKey{}, loop)
 }
 
-// runOnEventLoop submits netpoll's callbacks to the event loop, so that reading needs no locks and no goroutine. They can't run
-// on the poller itself: a connection closed there would wait for the poller, for ever.
+// runOnEventLoop submits netpoll's callbacks to the event loop, so that reads need neither locks nor extra goroutines.
+// Callbacks can't run on the poller itself: closing a connection there would wait for the poller forever.
 func runOnEventLoop(ctx context.Context, callback func()) {
 	ctx.Value(eventLoopKey{}).(EventLoop).Submit(callback)
 }
 
-// Accept accepts a connection, for the Accept of the listener that netpoll is given. Where descriptors, or the system's memory
-// for them, have run out it calls exhausted, which must not block, and returns no connection and no error, as where none
-// waits: the connection stays in the listener, and netpoll tries again shortly. Netpoll must not see that error: from the
-// second time on it would try again without a pause, with a goroutine and two log lines at each attempt. An error of one
-// connection is not returned either, as netpoll would stop serving the listener.
+// Accept accepts a connection; it implements the Accept method of the listener that is passed to netpoll.
+//
+// If no descriptors, or no kernel memory for them, are left, it calls exhausted, which must not block, and returns
+// neither a connection nor an error, as if no connection were waiting. The connection stays in the listener's queue,
+// and netpoll retries shortly. Netpoll must not see this error: from the second one on it would retry without a pause,
+// with a goroutine and two log lines for each attempt. An error of a single connection is not returned either, because
+// netpoll would stop serving the listener.
 func Accept(from netpoll.Listener, exhausted func()) (net.Conn, error) {
 	conn, err := from.Accept()
 	switch {
@@ -61,11 +64,11 @@
 	return nil, nil
 }
 
-// logWriter writes what netpoll logs to our log.
+// logWriter forwards the log lines of netpoll to slog.
 type logWriter struct{}
 
 func (logWriter) Write(line []byte) (int, error) {
 	_, message, _ := strings.Cut(strings.TrimSpace(string(line)), "NETPOLL: ")
-	slog.Warn("netpoll", "said", message)
+	slog.Warn("message from netpoll", "said", message)
 	return len(line), nil
 }
--- a/internal/registration/reporter.go
+++ b/internal/registration/reporter.go
@@ -1,4 +1,4 @@
-// Package registration reports this server's state to the membership service, in datagrams.
+// Package registration reports this server's state to the membership service in UDP datagrams.
 package registration
 
 import (
@@ -13,14 +13,16 @@
 	"time"
 )
 
-// ReportInterval is the time between reports. The service removes a server three seconds after its last report, which leaves
-// room for twelve: where a quarter of all datagrams are lost, twelve in a row are lost once in 17 million times.
+// ReportInterval is the time between reports. The service removes a server three seconds after its last report, which
+// allows for the loss of twelve reports in a row. If a quarter of all datagrams are lost, that happens once in 17
+// million cases.
 const ReportInterval = 240 * time.Millisecond
 
-// dialTimeout bounds a dial, which blocks only where the service's host is a name.
+// dialTimeout bounds a dial, which blocks only while it resolves a host name.
 const dialTimeout = time.Second
 
-// Reporter sends a server's state in single datagrams. None is answered. Run is for one goroutine; all else is safe for any.
+// Reporter sends a server's state in single datagrams, which the service does not answer. Run must be called from one
+// goroutine; the other methods are safe for concurrent use.
 type Reporter struct {
 	name           string
 	draining       atomic.Bool
@@ -30,18 +32,18 @@
 	mu      sync.Mutex
 	address string
 
-	// Of the goroutine in Run.
-	socket        net.Conn // nil until the service could be dialled
-	dialedAddress string   // of socket
+	// Used by the goroutine in Run only.
+	socket        net.Conn // nil until the first successful dial
+	dialedAddress string   // address to which socket is connected
 }
 
-// New makes a reporter of a server's name to the service's address. It dials when it reports, so the service need not be
-// reachable yet.
+// New returns a reporter for the server with the given name. address is the service's. The reporter dials when it
+// reports, so the service need not be reachable yet.
 func New(name, address string, log *slog.Logger) *Reporter {
 	return &Reporter{name: name, address: address, addressChanged: make(chan struct{}, 1), log: log}
 }
 
-// SetAddress has the reports go to another address of the service, the next one at once.
+// SetAddress changes the address of the service. The next report is sent there immediately.
 func (r *Reporter) SetAddress(address string) {
 	r.mu.Lock()
 	r.address = address
@@ -52,8 +54,8 @@
 	}
 }
 
-// Run reports at once and then every interval, until ctx ends. It needs a goroutine of its own, so that no long round of the
-// event loop delays a report.
+// Run sends a report immediately and then every interval, until ctx ends. It needs its own goroutine, so that a long
+// round of the event loop does not delay a report.
 func (r *Reporter) Run(ctx context.Context, interval time.Duration) {
 	defer r.closeSocket()
 	ticker := time.NewTicker(interval)
@@ -73,10 +75,11 @@
 	}
 }
 
-// SetDraining has the reports say that the server is draining.
+// SetDraining makes the reports state that the server is draining.
 func (r *Reporter) SetDraining() { r.draining.Store(true) }
 
-// report sends one report. The error may be that of the report before: it comes back with the next one.
+// report sends one report. The returned error may be caused by the previous report, because a socket returns the error
+// of a datagram on the next write.
 func (r *Reporter) report(ctx context.Context) error {
 	r.mu.Lock()
 	address := r.address
@@ -89,19 +92,19 @@
 	err := r.send()
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		// The error of a datagram that found no service comes with the next one, which is then not sent. So it is sent again:
-		// the service may be back by now, and would remove the server without it.
-		_ = r.send() // its error comes with the next one
+		// This is the error of the previous datagram, and this one was not sent. It is sent again because the service
+		// may be back by now and would remove the server without a report.
+		_ = r.send() // an error is returned by the next write
 	case err != nil: // the socket may be bound to an address that this machine no longer has
 		if r.dial(ctx, address) == nil {
-			_ = r.send() // its error comes with the next one
+			_ = r.send() // an error is returned by the next write
 		}
 	}
 	return err
 }
 
-// dial opens a socket to the service. One to the same address is closed only then: where there is no descriptor for another,
-// it may still work.
+// dial opens a socket to the service. An existing socket to the same address is closed only after the new one is open:
+// if no descriptor is available for a new one, the existing one may still work.
 func (r *Reporter) dial(ctx context.Context, address string) error {
 	if r.dialedAddress != address {
 		r.closeSocket()
@@ -118,12 +121,12 @@
 
 func (r *Reporter) closeSocket() {
 	if r.socket != nil {
-		_ = r.socket.Close() // nothing waits to be written
+		_ = r.socket.Close() // no unwritten data can be lost
 		r.socket = nil
 	}
 }
 
-// The words of the protocol for a server's state.
+// States of a server in the protocol.
 const (
 	stateServing  = "UP"
 	stateDraining = "OUT"
--- a/internal/registration/reporter_test.go
+++ b/internal/registration/reporter_test.go
@@ -22,7 +22,7 @@
 	require.Eventually(t, func() bool { return members.Next(t) == "HB n7 OUT" }, fake.WaitLimit, time.Millisecond)
 }
 
-// At a new address the next report comes at once, and the old one gets none.
+// After SetAddress the next report is sent to the new address immediately.
 func TestSetAddress(t *testing.T) {
 	old, members := fake.NewMembership(t), fake.NewMembership(t)
 	r := New("n7", old.Address, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -32,7 +32,7 @@
 	assert.Equal(t, "HB n7 UP", members.Next(t))
 }
 
-// lines takes what is logged, a line at a time.
+// lines receives the log, one line at a time.
 type lines chan string
 
 func (l lines) Write(line []byte) (int, error) {
@@ -40,8 +40,8 @@
 	return len(line), nil
 }
 
-// A service that was down and came back was told nothing for a further period, as the error of the report
-// before kept the first one back.
+// Guards against a service that is back after an outage but gets no report for another interval, because the error of
+// the previous datagram kept the first report from being sent.
 func TestServiceBack(t *testing.T) {
 	members := fake.NewMembership(t)
 	address := members.Address
@@ -56,10 +56,10 @@
 	for range 3 {
 		members.Next(t)
 	}
-	assert.Empty(t, lines, "a line for each report")
+	assert.Empty(t, lines, "only changes are logged, not each report")
 }
 
-// next is the line that is logged next.
+// next returns the next line of the log.
 func next(t *testing.T, l lines) string {
 	t.Helper()
 	select {
@@ -71,13 +71,13 @@
 	}
 }
 
-// A service that can't be dialled kept the process from starting, and a move to one was refused. It is waited for: one
-// line says so, reports go on being tried, and the address that is told next is heard at once.
+// Guards against a process that can't start, or rejects a new address, because the service can't be dialed. The
+// reporter must log the failure once, keep trying, and use a new address immediately.
 func TestServiceThatCannotBeDialed(t *testing.T) {
 	for name, address := range map[string]string{
-		"no way to it": "[fe80::1]:8761", // link-local, on no link
-		"no such name": "members.invalid:8761",
-		"no address":   "nowhere",
+		"no route":          "[fe80::1]:8761", // link-local, on no link
+		"unknown host name": "members.invalid:8761",
+		"no port":           "nowhere",
 	} {
 		t.Run(name, func(t *testing.T) {
 			lines := make(lines, 100)
@@ -94,7 +94,7 @@
 				r.SetAddress(address)
 				assert.Contains(t, next(t, lines), "refused=true")
 			}
-			assert.Empty(t, lines, "a line for each report")
+			assert.Empty(t, lines, "only changes are logged, not each report")
 		})
 	}
 }
--- a/internal/strictcbor/strict.go
+++ b/internal/strictcbor/strict.go
@@ -1,4 +1,4 @@
-// Package strictcbor reads CBOR from sources that are not trusted: peers, and files that may be damaged.
+// Package strictcbor decodes CBOR from untrusted sources: peers, and files that may be damaged.
 package strictcbor
 
 import (
@@ -8,12 +8,13 @@
 )
 
 const (
-	mostDepth = 6  // nesting; a view needs four
-	mostPairs = 64 // of a map
+	mostDepth = 6  // nesting levels; a view file needs four
+	mostPairs = 64 // pairs in a map
 )
 
-// Decoding is strict about what could make a small message large or two readings of one possible. Arrays hold
-// mostItems at the most; text may be any bytes where anyText says so, as where it holds what callers chose.
+// Decoding returns a decoding mode that rejects input which could make a small message large in memory or have more
+// than one interpretation. Arrays may have up to mostItems elements. anyText accepts text that is not valid UTF-8, as
+// in data that callers have chosen.
 func Decoding(mostItems int, anyText bool) cbor.DecMode {
 	text := cbor.UTF8RejectInvalid
 	if anyText {
--- a/internal/sysfault/sysfault.go
+++ b/internal/sysfault/sysfault.go
@@ -1,4 +1,5 @@
-// Package sysfault tells transient errors of system calls from lasting ones, by the manual pages of Linux.
+// Package sysfault distinguishes transient errors of system calls from permanent ones, according to the Linux manual
+// pages.
 package sysfault
 
 import (
@@ -8,21 +9,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// IsTransient is whether a read or write on a socket failed only for now: it was interrupted, the socket is not ready, or the
-// system has no memory or queue for it. The connection is as it was, and the call is to be made again.
+// IsTransient reports whether a read or write on a socket failed temporarily: it was interrupted, the socket is not
+// ready, or the system has no memory or queue space for it. The connection is unaffected, and the call should be
+// repeated.
 func IsTransient(err error) bool {
 	return isAny(err, unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM)
 }
 
-// IsTransientAccept is whether accept failed for one connection, or for now, and the listener is as it was. Network errors that
-// are pending on a new connection come out of accept, and accept(2) says to treat them as EAGAIN; a firewall's rule shows as
-// EPERM.
+// IsTransientAccept reports whether accept failed for one connection or temporarily, and the listener is unaffected.
+// accept returns network errors that are pending on the new connection, and accept(2) says to treat them like EAGAIN. A
+// firewall rule can cause EPERM.
 func IsTransientAccept(err error) bool {
 	return isAny(err, unix.EINTR, unix.EAGAIN, unix.ECONNABORTED, unix.EPERM, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT,
 		unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT)
 }
 
-// IsExhausted is whether there is no new descriptor, as the process or the system has too few of them or too little memory.
+// IsExhausted reports whether no new descriptor is available because the process or the system has no descriptors or no
+// memory left.
 func IsExhausted(err error) bool {
 	return isAny(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM)
 }
--- a/internal/workerapi/calls.go
+++ b/internal/workerapi/calls.go
@@ -6,15 +6,15 @@
 	"quartzpoint/admission"
 )
 
-// Call is a call to the dependency that a run waits for.
+// Call is a call to the dependency for which a run waits.
 type Call struct {
-	CallID    uint64 // unique
+	CallID    uint64 // unique among all calls
 	RequestID string
-	Body      []byte // never changed
+	Body      []byte // must not be modified
 	Timeout   time.Duration
 }
 
-// CallEnd is how a call ended.
+// CallEnd reports the end of a call.
 type CallEnd struct {
 	Call
 	Outcome  admission.Outcome
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -1,49 +1,49 @@
-// Package workerapi holds the messages between the event loop of a server and what runs its requests.
+// Package workerapi defines the messages between a server's event loop and the workers that run its requests.
 package workerapi
 
 import "time"
 
-// Run is a request to be run.
+// Run describes a request to be run.
 type Run struct {
-	ID       string // unique among requests
+	ID       string // unique among all requests
 	Route    string
-	Body     []byte        // as it came; kept by whoever runs it, and never changed
-	Deadline time.Duration // by the clock of rounds, when its end is of no use any more; 0 where that is not known
+	Body     []byte        // body of the request as received; the workers keep it, so it must not be modified
+	Deadline time.Duration // time on the event loop's clock after which the result has no use; 0 if unknown
 }
 
-// NoticeKind says what a notice reports, and which of its fields are set.
+// NoticeKind states what a notice reports and which of its fields are set.
 type NoticeKind int
 
-// The kinds of notices.
+// Kinds of notices, with the fields that are set.
 const (
-	LinkDown      NoticeKind = iota // the link was lost: what was sent last may not have been read
-	LinkBound                       // the workers took the link; Duration is for how long they have been up
-	LinkSynced                      // all notices from before the link was bound have come
-	RunFinished                     // RequestID, Outcome, Duration, Result
-	RunBlocked                      // the run waits for a call: RequestID, and the call's body as Result
-	CommandFailed                   // a command was not carried out: RequestID, Command
-	Polled                          // Nonce of the poll, Readings
-	Verified                        // Nonce of the deep health check, Healthy
+	LinkDown      NoticeKind = iota // the link was lost; the last commands may not have been read
+	LinkBound                       // the workers accepted the link; Duration is their uptime
+	LinkSynced                      // all notices from before LinkBound have been received
+	RunFinished                     // the run has ended: RequestID, Outcome, Duration, Result
+	RunBlocked                      // the run waits for a call: RequestID, the call's body in Result
+	CommandFailed                   // the workers did not carry out a command: RequestID, Command
+	Polled                          // the gauges were read: Nonce of the poll, Readings
+	Verified                        // the deep health check has ended: its Nonce, Healthy
 )
 
-// How a run ended, as RunFinished reports it.
+// Outcomes of runs in RunFinished.
 const (
-	OutcomeSucceeded    = "success"     // with a result
-	OutcomeFailed       = "failure"     // the run itself went wrong, which counts against this server's health
-	OutcomeStopped      = "interrupted" // it was stopped, or ended for a reason that does not lie here
+	OutcomeSucceeded    = "success"     // ended with a result
+	OutcomeFailed       = "failure"     // failed by itself, which counts against this server's health
+	OutcomeStopped      = "interrupted" // was stopped, or ended for a reason outside this server
 	OutcomeNeverStarted = "nothing"
 )
 
-// Command is what the workers were told to do with a run.
+// Command is the kind of a command to the workers.
 type Command int
 
-// The commands that a failure is told apart by.
+// Commands that failures distinguish.
 const (
 	OtherCommand Command = iota
 	StartCommand
 )
 
-// Notice reports one thing about a run or about the link. Kind says which fields are set.
+// Notice reports one event of a run or of the link. Kind states which fields are set.
 type Notice struct {
 	Kind      NoticeKind
 	RequestID string
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -1,4 +1,4 @@
-// Package writequeue holds what is to be written to one peer, and writes it in gathered writes that never block.
+// Package writequeue queues data for one peer and writes it with gathered writes that never block.
 package writequeue
 
 import (
@@ -14,31 +14,31 @@
 // writev is the system call; tests replace it.
 var writev = unix.Writev
 
-// maxParts is how many pieces one write gathers, under Linux's limit of 1024.
+// maxParts is the number of pieces that one write gathers; Linux allows up to 1024.
 const maxParts = 256
 
-// ErrFull is the error of a queue over its bound: the peer reads too little.
+// ErrFull is returned if the queue would exceed its limit because the peer reads too slowly.
 var ErrFull = errors.New("peer does not read")
 
-// Queue is what is to be written to one peer, in order. Pieces are not copied, and must not change before they are written. It
-// is not safe for concurrent use.
+// Queue contains the pieces to be written to one peer, in order. Pieces are not copied and must not be modified until
+// they are written. A Queue is not safe for concurrent use.
 type Queue struct {
 	parts    [][]byte
-	size     int // bytes
+	size     int // in bytes
 	maxBytes int
 }
 
-// New makes a queue of at most maxBytes.
+// New returns a queue of at most maxBytes bytes.
 func New(maxBytes int) *Queue { return &Queue{maxBytes: maxBytes} }
 
-// Add appends pieces. Where they would exceed the bound it adds none and returns ErrFull.
+// Add appends pieces. If they would exceed the limit, it appends none of them and returns an error that wraps ErrFull.
 func (q *Queue) Add(parts ...[]byte) error {
 	more := 0
 	for _, p := range parts {
 		more += len(p)
 	}
 	if q.size+more > q.maxBytes {
-		return fmt.Errorf("%w: %d bytes wait", ErrFull, q.size)
+		return fmt.Errorf("%w: %d bytes are queued", ErrFull, q.size)
 	}
 	for _, p := range parts {
 		if len(p) > 0 {
@@ -49,14 +49,14 @@
 	return nil
 }
 
-// Empty is whether nothing is queued.
+// Empty reports whether the queue is empty.
 func (q *Queue) Empty() bool { return q.size == 0 }
 
-// Size is the number of queued bytes.
+// Size returns the number of queued bytes.
 func (q *Queue) Size() int { return q.size }
 
-// Flush writes as much as the descriptor takes now; the rest is left for the next call. Netpoll's own Flush would block its
-// caller, the event loop, until the peer reads again.
+// Flush writes as much as the descriptor accepts without blocking; the rest stays queued. It replaces netpoll's Flush,
+// which would block its caller, the event loop, until the peer reads. It returns nil after a transient error.
 func (q *Queue) Flush(fd int) error {
 	for q.size > 0 {
 		n, err := writev(fd, q.parts[:min(len(q.parts), maxParts)])
@@ -73,17 +73,17 @@
 	return nil
 }
 
-// FlushTo is Flush for a connection that is not netpoll's.
+// FlushTo does the same as Flush for a connection that netpoll does not manage.
 func (q *Queue) FlushTo(raw syscall.RawConn) error {
 	var writeErr error
 	err := raw.Write(func(fd uintptr) bool {
 		writeErr = q.Flush(int(fd))
-		return true // and not when the socket is writable again
+		return true // don't wait until the socket is writable
 	})
 	return errors.Join(err, writeErr)
 }
 
-// drop removes written bytes.
+// drop removes the first n bytes, which have been written.
 func (q *Queue) drop(n int) {
 	q.size -= n
 	done := 0
@@ -92,7 +92,7 @@
 		done++
 	}
 	left := copy(q.parts, q.parts[done:])
-	clear(q.parts[left:]) // so that written pieces can be collected
+	clear(q.parts[left:]) // allows written pieces to be garbage collected
 	q.parts = q.parts[:left]
 	if n > 0 {
 		q.parts[0] = q.parts[0][n:]
--- a/internal/writequeue/queue_test.go
+++ b/internal/writequeue/queue_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// A peer that does not read once held up the one goroutine that answers all others: Flush has to come back.
+// Guards against a peer that does not read and thereby blocks the goroutine that answers all other peers: Flush must
+// return without waiting.
 func TestFlushNeverWaits(t *testing.T) {
 	write, read := pair(t)
 	queue, want := New(8<<20), []byte(nil)
@@ -45,7 +46,7 @@
 		assert.Equal(t, before-queue.Size(), len(part))
 		got = append(got, part...)
 	}
-	assert.Greater(t, rounds, 1, "the socket took all at once, so nothing was shown")
+	assert.Greater(t, rounds, 1, "the socket accepted all data at once, so the test shows nothing")
 	assert.True(t, bytes.Equal(want, got))
 }
 
@@ -64,7 +65,7 @@
 	assert.ErrorIs(t, queue.Flush(write), unix.EPIPE)
 }
 
-// A write that failed for a moment closed the connection, and lost all that was open on it.
+// Guards against closing the connection, and losing its open requests, after a transient error of a write.
 func TestFlushAcrossFailuresThatPass(t *testing.T) {
 	whole := writev
 	t.Cleanup(func() { writev = whole })
@@ -78,9 +79,9 @@
 			failures = failures[1:]
 			return -1, failure
 		}
-		return unix.Write(fd, parts[0][:1]) // short each time
+		return unix.Write(fd, parts[0][:1]) // a short write each time
 	}
-	for range 3 { // the interrupted one is made again at once
+	for range 3 { // ENOBUFS, ENOMEM and EAGAIN; an interrupted write is retried immediately
 		require.NoError(t, queue.Flush(write))
 		assert.Equal(t, 12, queue.Size())
 	}
