--- a/call.go
+++ b/call.go
@@ -14,30 +14,30 @@
 // It returns nil once a call succeeds, ErrCallSkipped if the run should continue without the call, or the context's
 // error. Outside a run it calls the function once, without a limit or retries.
 func Call(ctx context.Context, call func(context.Context) error) error {
-	inside, ok := ctx.Value(runContextKey{}).(*runContext)
+	runCtx, ok := ctx.Value(runContextKey{}).(*runContext)
 	if !ok {
 		return call(ctx)
 	}
-	e := inside.reference()
+	e := runCtx.reference()
 	if e == nil {
 		return context.Canceled // the run has ended
 	}
 	defer e.release()
 	loop := e.gate.loop
-	e.submit(func() { loop.AwaitCall(e.decided) })
+	e.submit(func() { loop.AwaitCall(e.serverRequest) })
 	for {
 		var timeout time.Duration
 		select {
-		case timeout = <-e.callTurn:
+		case timeout = <-e.callDecision:
 		case <-ctx.Done():
-			e.submit(func() { loop.RecordCallEnd(e.decided, admission.NotRun, 0) })
+			e.submit(func() { loop.RecordCallEnd(e.serverRequest, admission.NotRun, 0) })
 			return ctx.Err()
 		}
 		if timeout < 0 {
 			return ErrCallSkipped
 		}
 		outcome, took := attempt(ctx, timeout, call)
-		e.submit(func() { loop.RecordCallEnd(e.decided, outcome, took) })
+		e.submit(func() { loop.RecordCallEnd(e.serverRequest, outcome, took) })
 		if outcome == admission.Succeeded {
 			return nil
 		}
@@ -74,14 +74,14 @@
 }
 
 // AllowCall implements server.DependencyCaller.
-func (e *execution) AllowCall(timeout time.Duration) { e.sendTurn(timeout) }
+func (e *execution) AllowCall(timeout time.Duration) { e.sendCallDecision(timeout) }
 
 // SkipCall implements server.DependencyCaller.
-func (e *execution) SkipCall() { e.sendTurn(-1) }
+func (e *execution) SkipCall() { e.sendCallDecision(-1) }
 
-func (e *execution) sendTurn(turn time.Duration) {
+func (e *execution) sendCallDecision(timeout time.Duration) {
 	select {
-	case e.callTurn <- turn:
+	case e.callDecision <- timeout:
 	default: // the run's context has ended, so it no longer waits
 	}
 }
--- a/call_test.go
+++ b/call_test.go
@@ -19,7 +19,7 @@
 		{Name: "needs", LatencyTarget: 5 * time.Second}, {Name: "can do without", LatencyTarget: 5 * time.Second, SkipValueShare: 0.5},
 		{Name: "once", LatencyTarget: 5 * time.Second, Idempotency: AtMostOnce},
 	}})
-	var now, most, tries atomic.Int32
+	var running, peak, attempts atomic.Int32
 	var all sync.WaitGroup
 	for range 12 {
 		all.Add(1)
@@ -27,35 +27,35 @@
 			defer all.Done()
 			assert.NoError(t, g.Do(t.Context(), Request{Route: "needs"}, func(ctx context.Context) error {
 				return Call(ctx, func(context.Context) error {
-					for n := now.Add(1); n > most.Load(); {
-						most.Store(n)
+					for n := running.Add(1); n > peak.Load(); {
+						peak.Store(n)
 					}
 					time.Sleep(5 * ms)
-					now.Add(-1)
+					running.Add(-1)
 					return nil
 				})
 			}))
 		}()
 	}
 	all.Wait()
-	assert.LessOrEqual(t, most.Load(), int32(4))
+	assert.LessOrEqual(t, peak.Load(), int32(4))
 	fails := errors.New("fails")
 	require.NoError(t, g.Do(t.Context(), Request{Route: "needs"}, func(ctx context.Context) error {
 		return Call(ctx, func(context.Context) error {
-			if tries.Add(1) == 1 {
+			if attempts.Add(1) == 1 {
 				return fails
 			}
 			return nil
 		})
 	}))
-	assert.Equal(t, int32(2), tries.Load())
+	assert.Equal(t, int32(2), attempts.Load())
 	assert.ErrorIs(t, g.Do(t.Context(), Request{Route: "can do without"}, func(ctx context.Context) error {
 		return Call(ctx, func(context.Context) error { return fails })
 	}), ErrCallSkipped)
-	tries.Store(0)
+	attempts.Store(0)
 	assert.ErrorIs(t, g.Do(t.Context(), Request{Route: "once"}, func(ctx context.Context) error {
-		return Call(ctx, func(context.Context) error { tries.Add(1); return fails })
+		return Call(ctx, func(context.Context) error { attempts.Add(1); return fails })
 	}), ErrAborted)
-	assert.Equal(t, int32(1), tries.Load(), "a call of an at-most-once route was retried")
+	assert.Equal(t, int32(1), attempts.Load(), "a call of an at-most-once route was retried")
 	assert.NoError(t, Call(t.Context(), func(context.Context) error { return nil }), "outside a run")
 }
--- a/execution.go
+++ b/execution.go
@@ -17,13 +17,13 @@
 // The caller, the event loop and the run each hold a reference, and so does each function that was submitted to the
 // event loop and has not run yet. An execution is reused only after all references are released.
 type execution struct {
-	gate     *Gate
-	id       string
-	arrive   func() // handleArrival as a function value, allocated once
-	cancel   func() // handleCancel as a function value, allocated once
-	started  chan struct{}
-	answered chan struct{}
-	callTurn chan time.Duration // timeout of the run's next call; below 0 to continue without the call
+	gate         *Gate
+	id           string
+	arrive       func() // handleArrival as a function value, allocated once
+	cancel       func() // handleCancel as a function value, allocated once
+	started      chan struct{}
+	answered     chan struct{}
+	callDecision chan time.Duration // timeout of the run's next call; below 0 to continue without the call
 
 	// Set before the request is submitted.
 	ctx       context.Context
@@ -41,11 +41,11 @@
 	answeredBy atomic.Int32 // notAnswered until the run or the event loop answers
 
 	// Used by the event loop only.
-	decided   *server.Request // nil until the event loop has received the request
-	running   bool
-	startedAt time.Duration
-	settled   bool // answered or canceled
-	overruns  bool // the run continues after the request was answered
+	serverRequest *server.Request // nil until the event loop has received the request
+	running       bool
+	startedAt     time.Duration
+	settled       bool // answered or canceled
+	overruns      bool // the run continues after the request was answered
 
 	runCtx    *runContext // set when the run starts
 	runResult []byte      // set when the run ends, as is runErr
@@ -57,14 +57,14 @@
 // Values of answeredBy. The end of a run and the event loop may both try to answer; the one whose compare-and-swap
 // succeeds does. A run can thus answer without waiting for the event loop.
 const (
-	nobody int32 = iota
-	byRun
-	byLoop
+	notAnswered int32 = iota
+	answeredByRun
+	answeredByLoop
 )
 
 func newExecution(g *Gate) *execution {
 	e := &execution{
-		gate: g, callTurn: make(chan time.Duration, 1), started: make(chan struct{}, 1), answered: make(chan struct{}, 1),
+		gate: g, callDecision: make(chan time.Duration, 1), started: make(chan struct{}, 1), answered: make(chan struct{}, 1),
 	}
 	e.arrive, e.cancel = e.handleArrival, e.handleCancel
 	return e
@@ -96,9 +96,9 @@
 		return
 	}
 	e.ctx, e.request, e.run, e.runPlain, e.onAbort, e.result, e.err = nil, Request{}, nil, nil, nil, nil, nil
-	e.decided, e.running, e.settled, e.overruns = nil, false, false, false
+	e.serverRequest, e.running, e.settled, e.overruns = nil, false, false, false
 	e.runCtx, e.runResult, e.runErr = nil, nil, nil
-	e.answeredBy.Store(nobody)
+	e.answeredBy.Store(notAnswered)
 	select {
 	case <-e.started:
 	default:
@@ -108,7 +108,7 @@
 	default:
 	}
 	select {
-	case <-e.callTurn:
+	case <-e.callDecision:
 	default:
 	}
 	e.gate.executions.Put(e)
@@ -130,8 +130,8 @@
 		incoming.Timeout = max(time.Until(deadline)+g.loop.Now()-e.arrivedAt, 1)
 	}
 	g.loop.AdoptRoute(e.request.Route)
-	if decided := g.loop.Receive(incoming); decided != nil && !e.settled {
-		e.decided = decided
+	if received := g.loop.Receive(incoming); received != nil && !e.settled {
+		e.serverRequest = received
 		return
 	}
 	e.forget() // answered at once
@@ -147,7 +147,7 @@
 
 // submitCancel reports to the event loop that the caller no longer waits.
 func (e *execution) submitCancel() {
-	e.answeredBy.CompareAndSwap(nobody, byLoop) // no caller is left to answer
+	e.answeredBy.CompareAndSwap(notAnswered, answeredByLoop) // no caller is left to answer
 	e.references.Add(1)
 	e.gate.loop.Submit(e.cancel)
 }
@@ -155,14 +155,14 @@
 // handleCancel cancels the request. It runs on the event loop.
 func (e *execution) handleCancel() {
 	defer e.release()
-	if e.settled || e.decided == nil {
+	if e.settled || e.serverRequest == nil {
 		return
 	}
 	e.settled = true
 	if e.runCtx != nil {
 		e.runCtx.cancel(context.Canceled)
 	}
-	e.gate.loop.Cancel(e.decided)
+	e.gate.loop.Cancel(e.serverRequest)
 	if !e.running {
 		e.forget()
 	}
@@ -207,7 +207,7 @@
 // Answer implements server.Caller. If the end of the run has already answered, the caller gets no second answer.
 func (e *execution) Answer(_ uint32, answer server.Answer) {
 	e.settled = true
-	if e.answeredBy.CompareAndSwap(nobody, byLoop) {
+	if e.answeredBy.CompareAndSwap(notAnswered, answeredByLoop) {
 		e.setAnswer(answer)
 		if e.running {
 			e.overruns = true
@@ -219,7 +219,7 @@
 		}
 		e.answered <- struct{}{}
 	}
-	if e.decided != nil && !e.running {
+	if e.serverRequest != nil && !e.running {
 		e.forget()
 	}
 }
@@ -267,7 +267,7 @@
 	if e.runResult, e.runErr = result, err; e.request.IdempotencyKey != "" {
 		e.runResult = bytes.Clone(result) // stored for duplicates; the caller may modify the original
 	}
-	if answers = e.answeredBy.CompareAndSwap(nobody, byRun); answers {
+	if answers = e.answeredBy.CompareAndSwap(notAnswered, answeredByRun); answers {
 		if err == nil {
 			e.gate.served.Add(1)
 		} else {
--- a/gate.go
+++ b/gate.go
@@ -54,13 +54,13 @@
 // uses the directory of Options.State.
 func New(options Options) (*Gate, error) {
 	options = options.withDefaults()
-	decisions, err := options.settings()
+	admissionSettings, err := options.settings()
 	if err != nil {
 		return nil, err
 	}
 	g := &Gate{
 		counters: invariant.New(options.Log), tenants: map[string]int{}, overrunLimit: int64(options.OverrunLimit),
-		queuedKB:  options.RequestKB / runningOverQueued,
+		queuedKB:  options.RequestKB / runningMemoryFactor,
 		loopEnded: make(chan struct{}), closed: make(chan struct{}),
 	}
 	for index, tenant := range options.Tenants {
@@ -68,7 +68,7 @@
 	}
 	g.accepting.Store(true)
 	g.executions.New = func() any { return newExecution(g) }
-	g.loop, err = server.New(settings.FromAdmission(decisions, settings.Readings...), options.Seed, server.Limits{
+	g.loop, err = server.New(settings.FromAdmission(admissionSettings, settings.Readings...), options.Seed, server.Limits{
 		MemoryMB: options.MemoryMB, Keys: true, Tenants: true, Calls: true, SkippableCalls: true, HoldUntilRunEnds: true,
 		MaxIdleYields: maxIdleYields,
 	}, g.counters, options.Log)
--- a/gate_test.go
+++ b/gate_test.go
@@ -34,7 +34,7 @@
 }
 
 // A gate with zero Options and requests without settings: Do returns the function's error and propagates its panic.
-func TestTwoLines(t *testing.T) {
+func TestZeroOptions(t *testing.T) {
 	g := newGate(t, Options{})
 	ran := false
 	require.NoError(t, g.Do(t.Context(), Request{Route: "anything"}, func(context.Context) error { ran = true; return nil }))
@@ -44,12 +44,12 @@
 	assert.PanicsWithValue(t, "oh", func() {
 		_ = g.Do(t.Context(), Request{Route: "anything"}, func(context.Context) error { panic("oh") })
 	})
-	for i := range adoptedRoutes + 5 { // the number of adopted routes is bounded
+	for i := range spareRoutes + 5 { // the number of adopted routes is bounded
 		err := g.Do(t.Context(), Request{Route: fmt.Sprint(i)}, func(context.Context) error { return nil })
 		var rejected *RejectedError
-		assert.Equal(t, i >= adoptedRoutes-2, errors.As(err, &rejected), i)
+		assert.Equal(t, i >= spareRoutes-2, errors.As(err, &rejected), i)
 	}
-	assert.Equal(t, int64(adoptedRoutes+5+3), g.Counts().Received)
+	assert.Equal(t, int64(spareRoutes+5+3), g.Counts().Received)
 }
 
 // A function ignores its context and runs past the deadline. Its caller must still be answered in time. The run stays
@@ -98,9 +98,9 @@
 	got, err := g.DoOnce(t.Context(), request, run)
 	require.NoError(t, err)
 	assert.Equal(t, "run 1", string(got), "a later duplicate within the dedup window")
-	clash := request
-	clash.Fingerprint = 2
-	_, err = g.DoOnce(t.Context(), clash, run)
+	conflicting := request
+	conflicting.Fingerprint = 2
+	_, err = g.DoOnce(t.Context(), conflicting, run)
 	assert.ErrorIs(t, err, ErrKeyConflict)
 	assert.Equal(t, int32(1), ran.Load())
 
@@ -153,12 +153,12 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			who := i % 4 / 3 // every fourth request is the modest tenant's
-			if g.Do(t.Context(), Request{Route: "a", Tenant: []string{"greedy", "modest"}[who]}, func(context.Context) error {
+			tenant := i % 4 / 3 // every fourth request is the modest tenant's
+			if g.Do(t.Context(), Request{Route: "a", Tenant: []string{"greedy", "modest"}[tenant]}, func(context.Context) error {
 				time.Sleep(80 * ms)
 				return nil
 			}) == nil {
-				served[who].Add(1)
+				served[tenant].Add(1)
 			}
 		}()
 		time.Sleep(5 * ms)
@@ -172,25 +172,25 @@
 	g := newGate(t, Options{Cores: 2, MemoryMB: 64, Routes: []Route{{Name: "a", LatencyTarget: 300 * ms}}})
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	var served, rejected, others, most, now atomic.Int32
+	var served, rejected, others, peak, running atomic.Int32
 	var all sync.WaitGroup
 	for range 10000 {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			err := g.Do(t.Context(), Request{Route: "a"}, func(context.Context) error {
-				for n := now.Add(1); n > most.Load(); {
-					most.Store(n)
+				for n := running.Add(1); n > peak.Load(); {
+					peak.Store(n)
 				}
 				time.Sleep(5 * ms)
-				now.Add(-1)
+				running.Add(-1)
 				return nil
 			})
-			var no *RejectedError
+			var rejection *RejectedError
 			switch {
 			case err == nil:
 				served.Add(1)
-			case errors.As(err, &no):
+			case errors.As(err, &rejection):
 				rejected.Add(1)
 			default:
 				others.Add(1)
@@ -202,7 +202,7 @@
 	assert.Equal(t, int32(10000), served.Load()+rejected.Load()+others.Load())
 	assert.Positive(t, served.Load())
 	assert.Greater(t, rejected.Load(), int32(5000))
-	assert.LessOrEqual(t, most.Load(), int32(12), "runs in flight on two cores")
+	assert.LessOrEqual(t, peak.Load(), int32(12), "runs in flight on two cores")
 	assert.Less(t, after.HeapAlloc, before.HeapAlloc+64<<20)
 }
 
@@ -211,13 +211,13 @@
 func TestLargeRequestsAreBoundedByMemory(t *testing.T) {
 	const fit = 7 // requests of 8 MiB that fit into nine tenths of 64 MiB
 	g := newGate(t, Options{Cores: 16, MemoryMB: 64, RequestKB: 8 << 10, Routes: []Route{{Name: "a", LatencyTarget: 5 * time.Second}}})
-	var running, most, served atomic.Int32
+	var running, peak, served atomic.Int32
 	var all sync.WaitGroup
 	for range 40 {
 		all.Go(func() {
 			err := g.Do(t.Context(), Request{Route: "a"}, func(context.Context) error {
 				for n := running.Add(1); ; {
-					if before := most.Load(); n <= before || most.CompareAndSwap(before, n) {
+					if before := peak.Load(); n <= before || peak.CompareAndSwap(before, n) {
 						break
 					}
 				}
@@ -233,7 +233,7 @@
 		})
 	}
 	all.Wait()
-	assert.LessOrEqual(t, most.Load(), int32(fit))
+	assert.LessOrEqual(t, peak.Load(), int32(fit))
 	assert.GreaterOrEqual(t, served.Load(), int32(fit))
 	_, err := New(Options{MemoryMB: 64, RequestKB: 65 << 10})
 	assert.ErrorContains(t, err, "does not fit")
--- a/internal/acceptloop/acceptloop_test.go
+++ b/internal/acceptloop/acceptloop_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const waitLimit = 20 * time.Second
 
 // failingOnce is a listener whose first Accept fails, as if the process had no file descriptors left.
 type failingOnce struct {
@@ -52,7 +52,7 @@
 	dial := func() net.Conn {
 		conn, err := net.Dial("tcp", inner.Addr().String())
 		require.NoError(t, err)
-		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+		require.NoError(t, conn.SetDeadline(time.Now().Add(waitLimit)))
 		return conn
 	}
 	echoes := func(conn net.Conn) bool {
@@ -70,9 +70,9 @@
 	_ = beyond.Close()
 	assert.True(t, echoes(first), "a served connection must not be affected")
 	require.NoError(t, first.Close())
-	require.Eventually(t, func() bool { return serving.Load() == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return serving.Load() == 0 }, waitLimit, time.Millisecond)
 	var last net.Conn
-	require.Eventually(t, func() bool { last = dial(); return echoes(last) || last.Close() != nil }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { last = dial(); return echoes(last) || last.Close() != nil }, waitLimit, time.Millisecond)
 
 	require.NoError(t, inner.Close())
 	select {
@@ -89,10 +89,10 @@
 func TestSequential(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var serving, most atomic.Int64
+	var serving, peak atomic.Int64
 	release := make(chan struct{})
 	loop := Loop{Serve: func(conn net.Conn) {
-		most.Store(max(most.Load(), serving.Add(1)))
+		peak.Store(max(peak.Load(), serving.Add(1)))
 		<-release
 		_, _ = conn.Write([]byte{1})
 		_ = conn.Close()
@@ -104,7 +104,7 @@
 	for range 3 {
 		conn, err := net.Dial("tcp", listener.Addr().String())
 		require.NoError(t, err)
-		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+		require.NoError(t, conn.SetDeadline(time.Now().Add(waitLimit)))
 		conns = append(conns, conn)
 	}
 	close(release)
@@ -114,7 +114,7 @@
 		assert.Equal(t, []byte{1}, answer, i)
 		require.NoError(t, conn.Close())
 	}
-	assert.Equal(t, int64(1), most.Load())
+	assert.Equal(t, int64(1), peak.Load())
 	require.NoError(t, listener.Close())
 	assert.ErrorIs(t, <-done, net.ErrClosed)
 }
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func newLog() (l *Log, text *bytes.Buffer, pass func(time.Duration)) {
+func newLog() (l *Log, text *bytes.Buffer, advance func(time.Duration)) {
 	text = &bytes.Buffer{}
 	now := time.Unix(1000, 0)
 	l = New(slog.New(slog.NewTextHandler(text, nil)))
@@ -20,18 +20,18 @@
 }
 
 func TestLinesOfASecondAreBounded(t *testing.T) {
-	l, text, pass := newLog()
+	l, text, advance := newLog()
 	for i := range 100 {
 		l.Record(RequestRejected, "no time left", slog.String("request", fmt.Sprint("r", i)))
 	}
 	assert.Equal(t, maxLinesPerSecond, strings.Count(text.String(), "msg=\"request rejected\""))
 	assert.Contains(t, text.String(), `request=r1 reason="no time left" times=2`)
 
-	pass(time.Second)
+	advance(time.Second)
 	l.Flush()
 	assert.Contains(t, text.String(), `msg=events "request rejected: no time left"=100`)
 	text.Reset()
-	pass(time.Second)
+	advance(time.Second)
 	l.Flush()
 	assert.Empty(t, text.String(), "the totals were logged again without new events")
 	l.Record(RequestRejected, "no time left")
@@ -42,11 +42,11 @@
 
 // A wall clock that is set back must not stop the logging until it reaches the old time again.
 func TestClockThatStepsBack(t *testing.T) {
-	l, text, pass := newLog()
+	l, text, advance := newLog()
 	for range 10 {
 		l.Record(RequestAborted, "deadline")
 	}
-	pass(-time.Hour)
+	advance(-time.Hour)
 	text.Reset()
 	l.Record(RequestAborted, "deadline")
 	assert.Contains(t, text.String(), "times=11")
--- a/internal/registration/reporter_test.go
+++ b/internal/registration/reporter_test.go
@@ -13,29 +13,29 @@
 )
 
 func TestReports(t *testing.T) {
-	members := fake.NewMembership(t)
-	r := New("n7", members.Address, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	service := fake.NewMembership(t)
+	r := New("n7", service.Address, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go r.Run(t.Context(), time.Millisecond)
-	assert.Equal(t, "HB n7 UP", members.Next(t))
-	assert.Equal(t, "HB n7 UP", members.Next(t))
+	assert.Equal(t, "HB n7 UP", service.Next(t))
+	assert.Equal(t, "HB n7 UP", service.Next(t))
 	r.SetDraining()
-	require.Eventually(t, func() bool { return members.Next(t) == "HB n7 OUT" }, fake.WaitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return service.Next(t) == "HB n7 OUT" }, fake.WaitLimit, time.Millisecond)
 }
 
 // After SetAddress the next report is sent to the new address immediately.
 func TestSetAddress(t *testing.T) {
-	old, members := fake.NewMembership(t), fake.NewMembership(t)
+	old, service := fake.NewMembership(t), fake.NewMembership(t)
 	r := New("n7", old.Address, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	go r.Run(t.Context(), time.Hour)
 	old.Next(t)
-	r.SetAddress(members.Address)
-	assert.Equal(t, "HB n7 UP", members.Next(t))
+	r.SetAddress(service.Address)
+	assert.Equal(t, "HB n7 UP", service.Next(t))
 }
 
-// lines receives the log, one line at a time.
-type lines chan string
+// logLines receives the log, one line at a time.
+type logLines chan string
 
-func (l lines) Write(line []byte) (int, error) {
+func (l logLines) Write(line []byte) (int, error) {
 	l <- string(line)
 	return len(line), nil
 }
@@ -43,24 +43,24 @@
 // Guards against a service that is back after an outage but gets no report for another interval, because the error of
 // the previous datagram kept the first report from being sent.
 func TestServiceBack(t *testing.T) {
-	members := fake.NewMembership(t)
-	address := members.Address
-	members.Stop()
-	lines := make(lines, 100)
+	service := fake.NewMembership(t)
+	address := service.Address
+	service.Stop()
+	lines := make(logLines, 100)
 	r := New("n7", address, slog.New(slog.NewTextHandler(lines, nil)))
 	go r.Run(t.Context(), 10*time.Millisecond)
 	assert.Contains(t, <-lines, "refused=true")
-	members = fake.NewMembershipAt(t, address)
-	assert.Equal(t, "HB n7 UP", members.Next(t))
+	service = fake.NewMembershipAt(t, address)
+	assert.Equal(t, "HB n7 UP", service.Next(t))
 	assert.Contains(t, <-lines, "refused=false")
 	for range 3 {
-		members.Next(t)
+		service.Next(t)
 	}
 	assert.Empty(t, lines, "only changes are logged, not each report")
 }
 
 // next returns the next line of the log.
-func next(t *testing.T, l lines) string {
+func next(t *testing.T, l logLines) string {
 	t.Helper()
 	select {
 	case line := <-l:
@@ -80,16 +80,16 @@
 		"no port":           "nowhere",
 	} {
 		t.Run(name, func(t *testing.T) {
-			lines := make(lines, 100)
+			lines := make(logLines, 100)
 			r := New("n7", address, slog.New(slog.NewTextHandler(lines, nil)))
 			go r.Run(t.Context(), time.Millisecond)
 			line := next(t, lines)
 			assert.Contains(t, line, "refused=true")
 			assert.Contains(t, line, address)
 			for range 2 {
-				members := fake.NewMembership(t)
-				r.SetAddress(members.Address)
-				assert.Equal(t, "HB n7 UP", members.Next(t))
+				service := fake.NewMembership(t)
+				r.SetAddress(service.Address)
+				assert.Equal(t, "HB n7 UP", service.Next(t))
 				assert.Contains(t, next(t, lines), "refused=false")
 				r.SetAddress(address)
 				assert.Contains(t, next(t, lines), "refused=true")
--- a/internal/strictcbor/strict.go
+++ b/internal/strictcbor/strict.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	mostDepth = 6  // nesting levels; a view file needs four
-	mostPairs = 64 // pairs in a map
+	maxNesting  = 6  // nesting levels; a view file needs four
+	maxMapPairs = 64 // pairs in a map
 )
 
 // Decoding returns a decoding mode that rejects input which could make a small message large in memory or have more
-// than one interpretation. Arrays may have up to mostItems elements. anyText accepts text that is not valid UTF-8, as
-// in data that callers have chosen.
-func Decoding(mostItems int, anyText bool) cbor.DecMode {
+// than one interpretation. Arrays may have up to maxItems elements. If allowInvalidUTF8 is set, text need not be valid
+// UTF-8, as in data that callers have chosen.
+func Decoding(maxItems int, allowInvalidUTF8 bool) cbor.DecMode {
 	text := cbor.UTF8RejectInvalid
-	if anyText {
+	if allowInvalidUTF8 {
 		text = cbor.UTF8DecodeInvalid
 	}
 	mode, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxNestedLevels: mostDepth, MaxArrayElements: mostItems, MaxMapPairs: mostPairs, UTF8: text,
+		MaxNestedLevels: maxNesting, MaxArrayElements: maxItems, MaxMapPairs: maxMapPairs, UTF8: text,
 	}.DecMode()
 	if err != nil {
 		panic(fmt.Errorf("cbor: %w", err))
--- a/internal/sysfault/sysfault.go
+++ b/internal/sysfault/sysfault.go
@@ -30,7 +30,7 @@
 	return isAny(err, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM)
 }
 
-func isAny(err error, numbers ...unix.Errno) bool {
-	var number unix.Errno
-	return errors.As(err, &number) && slices.Contains(numbers, number)
+func isAny(err error, errnos ...unix.Errno) bool {
+	var errno unix.Errno
+	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestFailuresThatPass(t *testing.T) {
+func TestIsTransient(t *testing.T) {
 	for _, number := range []unix.Errno{unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM} {
 		assert.True(t, IsTransient(number), number)
 		assert.True(t, IsTransient(fmt.Errorf("write: %w", number)), number)
@@ -22,11 +22,11 @@
 }
 
 func TestAccept(t *testing.T) {
-	passing := []unix.Errno{
+	transient := []unix.Errno{
 		unix.ECONNABORTED, unix.EINTR, unix.EAGAIN, unix.EPERM, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN,
 		unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH,
 	}
-	for _, number := range passing {
+	for _, number := range transient {
 		wrapped := &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", number)}
 		assert.True(t, IsTransientAccept(wrapped), number)
 		assert.False(t, IsExhausted(wrapped), number)
--- a/internal/writequeue/queue_test.go
+++ b/internal/writequeue/queue_test.go
@@ -66,9 +66,9 @@
 }
 
 // Guards against closing the connection, and losing its open requests, after a transient error of a write.
-func TestFlushAcrossFailuresThatPass(t *testing.T) {
-	whole := writev
-	t.Cleanup(func() { writev = whole })
+func TestFlushAcrossTransientErrors(t *testing.T) {
+	original := writev
+	t.Cleanup(func() { writev = original })
 	write, read := pair(t)
 	queue := New(1 << 20)
 	require.NoError(t, queue.Add([]byte("first "), []byte("second")))
--- a/options.go
+++ b/options.go
@@ -25,12 +25,12 @@
 
 // Settings of the admission decisions that are fixed for the library.
 const (
-	adoptedRoutes      = 32 // number of routes that can be added when their first request arrives
-	runningOverQueued  = 16 // memory of a running request relative to that of a queued one
-	keyKB              = 1  // memory of an entry in the idempotency key table in KiB
-	maxRunnablePerCore = 6
-	idleTimeout        = 30 * time.Second
-	maxRetryAfter      = time.Second
+	spareRoutes         = 32 // number of routes that can be added when their first request arrives
+	runningMemoryFactor = 16 // memory of a running request relative to that of a queued one
+	keyKB               = 1  // memory of an entry in the idempotency key table in KiB
+	maxRunnablePerCore  = 6
+	idleTimeout         = 30 * time.Second
+	maxRetryAfter       = time.Second
 )
 
 // Options configure a Gate. The zero value is valid; defaults are given in parentheses.
@@ -128,7 +128,7 @@
 	settings := admission.DefaultSettings()
 	settings.Cores = o.Cores
 	settings.MemoryKB = float64(o.MemoryMB) * 1024 / 2
-	settings.RunningMemoryFactor = runningOverQueued
+	settings.RunningMemoryFactor = runningMemoryFactor
 	settings.KeyKB = keyKB
 	settings.ShedLevelFormat = admission.ShedLevelThreshold
 	settings.MaxRunnablePerCore = maxRunnablePerCore
@@ -163,18 +163,18 @@
 func (o Options) routes() ([]admission.Route, error) {
 	var routes []admission.Route
 	names := map[string]bool{}
-	for i := range len(o.Routes) + adoptedRoutes {
+	for i := range len(o.Routes) + spareRoutes {
 		// A name that starts with a zero byte marks a spare route. The name is part of the settings digest, which
 		// decides whether stored estimates may be used.
-		stated := Route{Name: fmt.Sprintf("\x00%d", i-len(o.Routes))}
+		configured := Route{Name: fmt.Sprintf("\x00%d", i-len(o.Routes))}
 		if i < len(o.Routes) {
-			stated = o.Routes[i]
+			configured = o.Routes[i]
 		}
-		if stated.Name == "" || names[stated.Name] {
-			return nil, fmt.Errorf("quartzpoint: route %d: want a unique, non-empty name, got %q", i, stated.Name)
+		if configured.Name == "" || names[configured.Name] {
+			return nil, fmt.Errorf("quartzpoint: route %d: want a unique, non-empty name, got %q", i, configured.Name)
 		}
-		names[stated.Name] = true
-		route, err := stated.route()
+		names[configured.Name] = true
+		route, err := configured.route()
 		if err != nil {
 			return nil, err
 		}
--- a/runcontext.go
+++ b/runcontext.go
@@ -30,13 +30,13 @@
 }
 
 // cancel ends the context with the given cause; only the first call has an effect.
-func (r *runContext) cancel(why error) {
+func (r *runContext) cancel(cause error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.err != nil {
 		return
 	}
-	r.err = why
+	r.err = cause
 	if r.done != nil {
 		close(r.done)
 	}
--- a/runcontext_test.go
+++ b/runcontext_test.go
@@ -13,10 +13,10 @@
 // The caller's context ends before the request is sent, while it is queued, while it runs, and after it is answered.
 func TestContexts(t *testing.T) {
 	g := newGate(t, Options{Cores: 1, Routes: []Route{{Name: "a", LatencyTarget: 10 * time.Second}}})
-	over, cancel := context.WithCancel(t.Context())
+	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	never := func(context.Context) error { t.Error("a request ran whose caller's context had ended"); return nil }
-	assert.ErrorIs(t, g.Do(over, Request{Route: "a"}, never), context.Canceled)
+	assert.ErrorIs(t, g.Do(ended, Request{Route: "a"}, never), context.Canceled)
 
 	end := make(chan struct{})
 	var running sync.WaitGroup
--- a/state.go
+++ b/state.go
@@ -54,7 +54,7 @@
 // openState opens the state directory and loads its content into the gate. origin identifies this process as the source
 // of its estimates.
 func (g *Gate) openState(state *State, origin uint64, log *slog.Logger) error {
-	filled, err := state.withDefaults()
+	effective, err := state.withDefaults()
 	if err != nil {
 		return err
 	}
@@ -63,8 +63,8 @@
 		g.store.SaveEstimates(snapshot)
 	})
 	g.store, _, err = store.Attach(g.loop, store.Options{
-		OpenDir: filled.open, Site: filled.Site, Schema: schema, MaxBytes: int64(filled.MaxMB) << 20,
-		CommitInterval: max(filled.CommitInterval, 0), PersistKeys: !filled.EstimatesOnly, Counts: g.counters, Log: log,
+		OpenDir: effective.open, Site: effective.Site, Schema: schema, MaxBytes: int64(effective.MaxMB) << 20,
+		CommitInterval: max(effective.CommitInterval, 0), PersistKeys: !effective.EstimatesOnly, Counts: g.counters, Log: log,
 	})
 	if err != nil {
 		return fmt.Errorf("quartzpoint: State: %w", err)
--- a/state_test.go
+++ b/state_test.go
@@ -92,15 +92,15 @@
 	g, err := New(stateOptions(stateOnDisk(disk)))
 	require.NoError(t, err)
 	began, end := make(chan struct{}), make(chan struct{})
-	over := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
 		_, err := g.DoOnce(t.Context(), pay("x"), func(context.Context) ([]byte, error) { close(began); <-end; return nil, nil })
-		over <- err
+		done <- err
 	}()
 	<-began
 	after := disk.Crash(faultdisk.LoseAll{})
 	close(end)
-	assert.NoError(t, <-over)
+	assert.NoError(t, <-done)
 	shutDownNow(t, g)
 
 	g = newGate(t, stateOptions(stateOnDisk(after)))
@@ -116,47 +116,47 @@
 func TestStateStalls(t *testing.T) {
 	disk := faultdisk.New()
 	g := newGate(t, stateOptions(stateOnDisk(disk)))
-	hold := make(chan struct{})
+	unblock := make(chan struct{})
 	disk.Set(func() {
 		disk.Fail = func(kind string) error {
 			if kind == "sync" {
-				<-hold
+				<-unblock
 			}
 			return nil
 		}
 	})
 	ran := make(chan string, 3)
-	ask := func(ctx context.Context, key string) error {
+	send := func(ctx context.Context, key string) error {
 		_, err := g.DoOnce(ctx, pay(key), func(context.Context) ([]byte, error) { ran <- key; return nil, nil })
 		return err
 	}
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*ms)
 	defer cancel()
-	assert.Error(t, ask(ctx, "gone"), "its caller's context ended")
-	assert.Error(t, ask(t.Context(), "late"), "its deadline passed")
+	assert.Error(t, send(ctx, "gone"), "its caller's context ended")
+	assert.Error(t, send(t.Context(), "late"), "its deadline passed")
 	assert.Less(t, time.Since(began), 900*ms)
 	require.Eventually(t, func() bool { return g.store.DurableMark() > 1<<60 }, 5*time.Second, ms)
-	assert.NoError(t, ask(t.Context(), "without"))
+	assert.NoError(t, send(t.Context(), "without"))
 	assert.Equal(t, "without", <-ran)
-	close(hold)
+	close(unblock)
 	require.Eventually(t, func() bool { return g.store.DurableMark() < 1<<60 }, 5*time.Second, ms)
-	assert.NoError(t, ask(t.Context(), "after"))
+	assert.NoError(t, send(t.Context(), "after"))
 	assert.Equal(t, "after", <-ran)
 	assert.Empty(t, ran)
 }
 
 // The disk fails or blocks while the gate is shut down. Guards against a Shutdown that returns nil although the next
 // process would not know which requests had run.
-func TestShutdownTellsThatTheStateIsNotStored(t *testing.T) {
-	hold := make(chan struct{})
-	defer close(hold)
+func TestShutdownReportsThatTheStateIsNotStored(t *testing.T) {
+	unblock := make(chan struct{})
+	defer close(unblock)
 	failing := func(string) error { return os.ErrInvalid }
 	stalling := func(kind string) error {
 		if kind != "sync" {
 			return nil
 		}
-		<-hold
+		<-unblock
 		return os.ErrInvalid
 	}
 	for name, fault := range map[string]func(kind string) error{"every call fails": failing, "syncs stall": stalling} {
@@ -192,7 +192,7 @@
 // Stored estimates of an earlier version are used only if the settings digest is the same. The expected digests are
 // those of commit f1daac1.
 func TestSettingsDigestIsThatOfEarlierVersions(t *testing.T) {
-	decisions, err := Options{
+	admissionSettings, err := Options{
 		Routes: []Route{
 			{Name: "a"},
 			{Name: "b", Idempotency: Keyed, Value: 2.5, LatencyTarget: 300 * time.Millisecond, SkipValueShare: 0.25},
@@ -200,7 +200,7 @@
 		Cores: 2, MemoryMB: 64, RequestKB: 64, Calls: CallOptions{Share: 3},
 	}.settings()
 	require.NoError(t, err)
-	s := settings.FromAdmission(decisions, settings.Readings...)
+	s := settings.FromAdmission(admissionSettings, settings.Readings...)
 	assert.Equal(t, uint64(0xed7afa671ea5905a), s.Digest(false, true))
 	assert.Equal(t, uint64(0xaf35d81566381a9e), s.Digest(true, true))
 }
