--- a/call.go
+++ b/call.go
@@ -7,43 +7,45 @@
 	"quartzpoint/admission"
 )
 
-// Call makes a call to the dependency that Options.Calls describes. ctx is the context of a run, or derived from it. Call
-// waits until the dependency has capacity for the call, and retries with a backoff where it failed and the route allows that.
+// Call makes a call to the dependency that Options.Calls describes. ctx must be the context of a run or derived from
+// it. Call waits until the dependency has capacity for the call. If the call fails and the route allows it, Call
+// retries with backoff.
 //
-// It returns nil once the call succeeded, ErrCallSkipped where the run is to go on without it, or the context's error. Outside
-// a run the call is made once, as it is.
+// It returns nil once a call succeeds, ErrCallSkipped if the run should continue without the call, or the context's
+// error. Outside a run it calls the function once, without a limit or retries.
 func Call(ctx context.Context, call func(context.Context) error) error {
-	inside, ok := ctx.Value(runContextKey{}).(*runContext)
+	runCtx, ok := ctx.Value(runContextKey{}).(*runContext)
 	if !ok {
 		return call(ctx)
 	}
-	e := inside.reference()
+	e := runCtx.reference()
 	if e == nil {
-		return context.Canceled // its run is over
+		return context.Canceled // the run has ended
 	}
 	defer e.release()
 	loop := e.gate.loop
-	e.submit(func() { loop.AwaitCall(e.decided) })
+	e.submit(func() { loop.AwaitCall(e.serverRequest) })
 	for {
 		var timeout time.Duration
 		select {
-		case timeout = <-e.callTurn:
+		case timeout = <-e.callDecision:
 		case <-ctx.Done():
-			e.submit(func() { loop.RecordCallEnd(e.decided, admission.NotRun, 0) })
+			e.submit(func() { loop.RecordCallEnd(e.serverRequest, admission.NotRun, 0) })
 			return ctx.Err()
 		}
 		if timeout < 0 {
 			return ErrCallSkipped
 		}
 		outcome, took := attempt(ctx, timeout, call)
-		e.submit(func() { loop.RecordCallEnd(e.decided, outcome, took) })
+		e.submit(func() { loop.RecordCallEnd(e.serverRequest, outcome, took) })
 		if outcome == admission.Succeeded {
 			return nil
 		}
 	}
 }
 
-// attempt makes a call once.
+// attempt makes the call once, with the given timeout, and returns its outcome and duration. The outcome of a call
+// whose context ended is unknown.
 func attempt(ctx context.Context, timeout time.Duration, call func(context.Context) error) (admission.Outcome, time.Duration) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -60,7 +62,7 @@
 	}
 }
 
-// submit has the event loop call a function, unless the run has ended by then.
+// submit runs report on the event loop, unless the run has ended by then.
 func (e *execution) submit(report func()) {
 	e.references.Add(1)
 	e.gate.loop.Submit(func() {
@@ -72,14 +74,14 @@
 }
 
 // AllowCall implements server.DependencyCaller.
-func (e *execution) AllowCall(timeout time.Duration) { e.sendTurn(timeout) }
+func (e *execution) AllowCall(timeout time.Duration) { e.sendCallDecision(timeout) }
 
 // SkipCall implements server.DependencyCaller.
-func (e *execution) SkipCall() { e.sendTurn(-1) }
+func (e *execution) SkipCall() { e.sendCallDecision(-1) }
 
-func (e *execution) sendTurn(turn time.Duration) {
+func (e *execution) sendCallDecision(timeout time.Duration) {
 	select {
-	case e.callTurn <- turn:
-	default: // the run has gone on by itself, as its context has ended
+	case e.callDecision <- timeout:
+	default: // the run's context has ended, so it no longer waits
 	}
 }
--- a/internal/strictcbor/strict.go
+++ b/internal/strictcbor/strict.go
@@ -1,4 +1,4 @@
-// Package strictcbor reads CBOR from sources that are not trusted: peers, and files that may be damaged.
+// Package strictcbor decodes CBOR from untrusted sources: peers, and files that may be damaged.
 package strictcbor
 
 import (
@@ -8,20 +8,21 @@
 )
 
 const (
-	mostDepth = 6  // nesting; a view needs four
-	mostPairs = 64 // of a map
+	maxNesting  = 6  // nesting levels; a view file needs four
+	maxMapPairs = 64 // pairs in a map
 )
 
-// Decoding is strict about what could make a small message large or two readings of one possible. Arrays hold
-// mostItems at the most; text may be any bytes where anyText says so, as where it holds what callers chose.
-func Decoding(mostItems int, anyText bool) cbor.DecMode {
+// Decoding returns a decoding mode that rejects input which could make a small message large in memory or have more
+// than one interpretation. Arrays may have up to maxItems elements. If allowInvalidUTF8 is set, text need not be valid
+// UTF-8, as in data that callers have chosen.
+func Decoding(maxItems int, allowInvalidUTF8 bool) cbor.DecMode {
 	text := cbor.UTF8RejectInvalid
-	if anyText {
+	if allowInvalidUTF8 {
 		text = cbor.UTF8DecodeInvalid
 	}
 	mode, err := cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxNestedLevels: mostDepth, MaxArrayElements: mostItems, MaxMapPairs: mostPairs, UTF8: text,
+		MaxNestedLevels: maxNesting, MaxArrayElements: maxItems, MaxMapPairs: maxMapPairs, UTF8: text,
 	}.DecMode()
 	if err != nil {
 		panic(fmt.Errorf("cbor: %w", err))
