--- a/internal/server/alarms.go
+++ b/internal/server/alarms.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	gaugeTimeout = 5 * time.Millisecond // that an alarm's round waits for the workers' gauges
-	maxAlarms    = 8                    // set at once
+	gaugeTimeout = 5 * time.Millisecond // for which an alarm's round waits for the workers' gauges
+	maxAlarms    = 8                    // set at the same time
 )
 
-// polls are the controller's alarms, and the polls of the workers' gauges that they bring.
+// polls holds the controller's alarms, and the state of the polls of the workers' gauges that they cause.
 type polls struct {
 	alarms   []time.Duration
-	nonce    uint64        // of the alarm's poll, 0 without one
-	deadline time.Duration // when the alarm's round comes without an answer
-	ready    bool          // gauges came for that round
+	nonce    uint64        // of the poll that an alarm's round waits for, 0 without one
+	deadline time.Duration // when the alarm's round takes place without an answer
+	ready    bool          // the alarm's round need not wait any longer
 	answered uint64        // nonce of the last poll that was answered
 	gauges   admission.Gauges
-	readAt   time.Duration // when the gauges came, 0 before the first
+	readAt   time.Duration // when the gauges were received, 0 before the first
 }
 
-// WakeAfter sets an alarm. The controller sets one whenever one fires; more would grow without end.
+// WakeAfter sets an alarm. The controller sets a new one whenever one fires, so the number of alarms would grow without
+// bound if it set more than that.
 func (s *Server) WakeAfter(in time.Duration) {
 	s.counters.Assert(len(s.polls.alarms) < maxAlarms, "too many alarms")
 	if len(s.polls.alarms) < maxAlarms {
@@ -30,8 +31,8 @@
 	}
 }
 
-// runAlarms polls the workers' gauges for an alarm that is due. Its round waits for them for gaugeTimeout, and then comes
-// with the last ones: answers that are due must not depend on the workers.
+// runAlarms polls the workers' gauges when an alarm is due. The alarm's round waits at most gaugeTimeout for them, and
+// then uses the last gauges received, as answers that are due must not depend on the workers.
 func (s *Server) runAlarms(now time.Duration) {
 	left := s.polls.alarms[:0]
 	fired := false
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -7,13 +7,14 @@
 	"quartzpoint/internal/workerapi"
 )
 
-// callReply is the reply that a run last resumed with from its call.
+// callReply is the reply with which a run last resumed from its call.
 type callReply struct {
 	body []byte
-	sent bool // the workers were told
+	sent bool // to the workers
 }
 
-// handleBlocked takes that a run waits for a call. Where its request was answered already the run ends by itself.
+// handleBlocked handles the notice that a run waits for a call. If its request is already answered the call is not
+// made, and the run ends without it.
 func (s *Server) handleBlocked(notice *workerapi.Notice) {
 	request := s.requests.byID[notice.RequestID]
 	if request == nil || !request.active || s.callReplier == nil {
@@ -21,13 +22,13 @@
 		return
 	}
 	request.blockedAtCall, request.callBody, request.callReply, request.callAttempts = true, notice.Result, nil, 0
-	request.startUnknown, request.startNonce = false, 0 // it has begun, and has read all that it was told before
+	request.startUnknown, request.startNonce = false, 0 // it has begun, so it has read all earlier commands
 	if !request.answered {
 		s.AwaitCall(request)
 	}
 }
 
-// AwaitCall has a run wait until the controller lets its call begin.
+// AwaitCall reports to the controller that a run waits for it to allow a call.
 func (s *Server) AwaitCall(request *Request) {
 	s.round.AwaitingCall = append(s.round.AwaitingCall, &request.Request)
 	s.round.pending = true
@@ -46,13 +47,14 @@
 	})
 }
 
-// HandleCallEnd takes how a call ended. Any goroutine may call it, once for each call that was made.
+// HandleCallEnd handles the end of a call. It must be called once for each call that was made. Any goroutine may call
+// it.
 func (s *Server) HandleCallEnd(e workerapi.CallEnd) { s.Submit(func() { s.handleCallEnd(e) }) }
 
 func (s *Server) handleCallEnd(e workerapi.CallEnd) {
 	request := s.requests.byID[e.RequestID]
 	if request == nil || request.callID != e.CallID {
-		return // its run has ended meanwhile
+		return // the run has ended, or waits for another call
 	}
 	request.callID = 0
 	if e.Outcome == admission.Succeeded && !request.answered {
@@ -61,21 +63,21 @@
 	s.RecordCallEnd(request, e.Outcome, e.Duration)
 }
 
-// RecordCallEnd reports to the controller how a call ended. It may let one that failed be made again, or skip it.
+// RecordCallEnd reports to the controller how a call ended. The controller may then retry or skip a call that failed.
 func (s *Server) RecordCallEnd(request *Request, outcome admission.Outcome, took time.Duration) {
 	s.round.CallsEnded = append(s.round.CallsEnded, admission.Completion{Request: &request.Request, Outcome: outcome, Took: took})
 	s.round.pending = true
 }
 
-// replyToCall has a run resume from its call, or keeps the reply for the next link.
+// replyToCall has a run resume from its call with the reply. If there is no link, the reply is kept for the next one.
 func (s *Server) replyToCall(request *Request, reply *callReply) {
 	request.blockedAtCall, request.callReply, request.startUnknown = false, reply, false
 	request.startNonce = s.link.NextPollNonce()
 	reply.sent = s.callReplier.ReplyToCall(request.id, reply.body)
 }
 
-// cancelCalls ends the calls of a request that nobody waits for any more. The controller stops runs by itself, but not those
-// that wait for a call: there it waits for the call's end.
+// cancelCalls cancels the calls of a request that nobody waits for any longer. The controller pauses runs itself,
+// except those that wait for a call: for these it waits for the end of the call.
 func (s *Server) cancelCalls(request *Request) {
 	if request.composite && request.sent && request.active {
 		s.composer.Pause(request.id)
@@ -85,7 +87,7 @@
 	}
 }
 
-// dependencyCallerOf is the caller of a request whose run makes its calls itself.
+// dependencyCallerOf returns the caller of a request whose run makes its calls itself; calls reports whether it is one.
 func dependencyCallerOf(request *Request) (c DependencyCaller, calls bool) {
 	if request == nil || request.composite {
 		return nil, false
@@ -94,7 +96,7 @@
 	return c, calls
 }
 
-// maxRetryAfter is the longest time for which callers may be asked to send nothing, 0 where they may not be asked.
+// maxRetryAfter returns the longest Retry-After that answers may carry, or 0 if the settings allow none.
 func (s *Server) maxRetryAfter() time.Duration {
 	if !s.settings.Admission.RetryAfter {
 		return 0
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -3,37 +3,39 @@
 import "time"
 
 const (
-	// stopAcceptingBefore is how long before the stop no connection is accepted any more, even if the grace lasts longer.
+	// stopAcceptingBefore is how long before the stop the server stops accepting connections, even if the grace lasts
+	// longer.
 	stopAcceptingBefore = 400 * time.Millisecond
-	// exitBefore is how long before the stop the process ends, even if peers do not read or close.
+	// exitBefore is how long before the stop the process ends, even if peers have not read their answers or closed
+	// their connections.
 	exitBefore = 40 * time.Millisecond
-	// maxLateness is by how much the process may be late in reading the signal and in ending, on a busy machine.
+	// maxLateness is the time that a busy machine may add to reading the signal and to ending the process.
 	maxLateness     = 65 * time.Millisecond
 	drainPollPeriod = 5 * time.Millisecond // between checks whether the drain is complete
-	// The platform may kill the process killDelay and the longest deadline of its routes after the signal, whatever stop the
-	// configuration states; a deadline counts for maxKillDeadline at most.
+	// The platform may kill the process after killDelay plus the longest deadline of its routes, counted from the
+	// signal, whatever stop the configuration states. A deadline counts for maxKillDeadline at most.
 	killDelay       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 )
 
-// drain is the graceful shutdown. Times are by the clock of rounds.
+// drain is the state of the graceful shutdown. Times are by the clock of rounds.
 type drain struct {
-	startedAt       time.Duration // 0 before it
+	startedAt       time.Duration // 0 before the drain
 	stopAcceptingAt time.Duration // from when connections are no longer accepted
-	stopAt          time.Duration // when all has to be answered
+	stopAt          time.Duration // by when all requests must be answered
 	notAccepting    bool
 }
 
 func (d *drain) started() bool { return d.startedAt > 0 }
 
-// Drain starts the graceful shutdown, which ends within the given time. Any goroutine may call it; the time runs from here,
-// not from the loop's next turn.
+// Drain starts the graceful shutdown, which ends within the given time. The time counts from the call, not from the
+// next round. Any goroutine may call it.
 func (s *Server) Drain(within time.Duration) {
 	calledAt := s.Now()
 	s.Submit(func() { s.startDrain(calledAt, within) })
 }
 
-// startDrain starts the drain. A second call changes nothing: the time runs from the first.
+// startDrain starts the drain. Further calls have no effect.
 func (s *Server) startDrain(calledAt, within time.Duration) {
 	if s.drain.started() {
 		return
@@ -53,8 +55,8 @@
 	s.log.Info("drain started", "stop_in", within, "no_more_connections_in", s.drain.stopAcceptingAt-now, "requests", len(s.requests.byID))
 }
 
-// earliestKill is the earliest time after Drain at which the platform may kill the process: the longest deadline, 3 s at
-// most, and 0.7 s.
+// earliestKill returns the earliest time after Drain at which the platform may kill the process: killDelay plus the
+// longest route deadline, which counts for maxKillDeadline at most.
 func (s *Server) earliestKill() time.Duration {
 	longest := time.Duration(0)
 	for _, route := range s.tables.routes {
@@ -63,8 +65,10 @@
 	return min(longest, maxKillDeadline) + killDelay
 }
 
-// advanceDrain goes through the drain: connections are no longer accepted once nothing that arrives would run; then the
-// process ends as soon as all is answered and read by its caller, or at the stop. written is whether peers have read all.
+// advanceDrain advances the drain, and reports whether it is done. After stopAcceptingAt, when a request that arrives
+// would no longer run, connections are no longer accepted. The drain is done once all requests are answered, peers have
+// read all output (written) and closed their connections, and no input is left. From exitBefore before the stop it no
+// longer waits for peers, and at the stop it is done in any case.
 func (s *Server) advanceDrain(now time.Duration, written bool) (done bool) {
 	if !s.drain.started() || now < s.drain.stopAcceptingAt {
 		return false
@@ -88,7 +92,7 @@
 		}
 	}
 	s.counters.Assert(unanswered == 0 || now < s.drain.stopAt, "the stop came with requests unanswered")
-	// A router that neither reads nor closes must not keep the process until it is killed.
+	// A router that neither reads nor closes must not keep the process alive until it is killed.
 	complete := unanswered == 0 && (written && open == 0 || now >= s.drain.stopAt-exitBefore)
 	if now < s.drain.stopAt && (!complete || !s.inputDrained()) {
 		return false
@@ -97,8 +101,9 @@
 	return true
 }
 
-// inputDrained is whether nothing waits to be accepted or read. A process that ends resets the connections that it has not
-// accepted, and those with bytes that it has not read: a request on them would be lost, and answers sent with it.
+// inputDrained reports whether no input is left to accept or read. A process that ends resets the connections that it
+// has not accepted, and those with unread bytes: a request on them would be lost, and so would answers already sent on
+// them.
 func (s *Server) inputDrained() bool {
 	for _, f := range s.frontends {
 		if !f.Quiet() {
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	maxPasses     = 4           // over the input before a round
-	maxIdlePeriod = time.Second // between two turns of the loop
-	// slowRound is the time from which on a round is logged: answers are given twice as long before their deadlines.
+	maxPasses     = 4           // passes over the input per round
+	maxIdlePeriod = time.Second // between two rounds
+	// slowRound is the duration from which a round is logged as slow. It is half of the margin before their deadlines
+	// by which answers are sent.
 	slowRound = 25 * time.Millisecond
 )
 
-// round is what the controller is told next, and what is left to do behind its decision.
+// round collects the input of the controller's next decision, and the work that is left once it has decided.
 type round struct {
 	admission.Round
-	pending    bool                 // there is something to decide
-	duplicates []*admission.Request // answered from their original in this round
-	composites []*admission.Request // started in this round, and made of calls
-	notStarted []*Request           // that the composer did not take
+	pending    bool                 // there is input to decide on
+	duplicates []*admission.Request // answered from their originals in this round
+	composites []*admission.Request // started in this round, and consisting of calls
+	notStarted []*Request           // that the composer did not accept
 }
 
-// Run goes from round to round until the server has drained.
+// Run runs rounds until the server has drained.
 func (s *Server) Run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var firesAt time.Duration // when timer fires
-	s.decide(s.Now())         // the first round is empty: the controller states its health and sets its alarm
+	var firesAt time.Duration // when timer fires next
+	s.decide(s.Now())         // the first round is empty: in it the controller sets its health and its first alarm
 	for {
 		began := s.Now()
 		s.detectStall(began)
@@ -42,7 +43,8 @@
 		s.observe(now)
 		s.expireChecks(now)
 		s.sweep(now)
-		// A process that was stopped across stopAt has had no round in which the controller could answer what is left.
+		// A process that was suspended past stopAt has had no round in which the controller could answer the remaining
+		// requests.
 		decides := s.round.pending || s.drain.started() && now >= s.drain.stopAt
 		arrived := len(s.round.Arrived)
 		if decides {
@@ -57,7 +59,8 @@
 		if s.advanceDrain(now, written) {
 			return
 		}
-		// Setting the timer costs as much as an idle turn; one that fires too soon finds nothing to do.
+		// Resetting the timer costs as much as an idle round, so it is only reset to fire earlier; a round that comes
+		// too early finds nothing to do.
 		if next := s.nextTimer(ended); next < firesAt || firesAt <= ended {
 			firesAt = next
 			timer.Reset(max(next-ended, 0))
@@ -68,12 +71,12 @@
 	}
 }
 
-// roundTimes are the moments at which the parts of a round ended.
+// roundTimes holds the times at which the parts of a round ended.
 type roundTimes struct {
 	began, read, decided, written time.Duration
 }
 
-// longestPart is what the round took longest for.
+// longestPart returns the name of the part that took longest.
 func (at roundTimes) longestPart() string {
 	reading, deciding, writing := at.read-at.began, at.decided-at.read, at.written-at.decided
 	switch {
@@ -86,7 +89,7 @@
 	}
 }
 
-// recordRound reports how long a round took, and logs one that kept what it read from its answers.
+// recordRound reports the duration of a round to the observer, and logs a slow round.
 func (s *Server) recordRound(at roundTimes, arrived int) {
 	took := at.written - at.began
 	if s.observeRound != nil {
@@ -100,8 +103,9 @@
 		slog.Int("arrived", arrived), slog.Int("submitted", s.submittedLeft()))
 }
 
-// readInput takes in all that was reported. What comes meanwhile belongs to the same round, up to maxPasses and a moment: a
-// flood must not keep the round, and the answers that are due in it, from coming. What is left belongs to the next round.
+// readInput handles all input that was reported. Input that arrives meanwhile belongs to the same round, for up to
+// maxPasses passes and until a time limit, so that a flood of input delays neither the round nor the answers due in it.
+// The remaining input belongs to the next round.
 func (s *Server) readInput(until time.Duration) {
 	for pass, again := 0, true; again && pass < maxPasses; pass++ {
 		called := s.callSubmitted(until)
@@ -119,8 +123,8 @@
 	}
 }
 
-// flush writes all output. written is false while peers have yet to read some of it. Answers leave before commands: what is
-// stopped has been answered.
+// flush writes all output, and reports whether peers have read all of it. Answers are written before commands to the
+// workers, as a run is only stopped once its request is answered.
 func (s *Server) flush() (written bool) {
 	written = true
 	for _, f := range s.frontends {
@@ -131,7 +135,7 @@
 	return written
 }
 
-// wait blocks until there is input or the timer fires.
+// wait blocks until there is input or the timer fires, and reports whether the timer fired.
 func (s *Server) wait(timer *time.Timer) (fired bool) {
 	for yields := s.limits.MaxIdleYields; yields > 0 && len(s.inbox.wake) == 0; yields-- {
 		runtime.Gosched()
@@ -144,9 +148,9 @@
 	}
 }
 
-// nextTimer is the time of the earliest timer.
+// nextTimer returns the time at which the next round is due without new input.
 func (s *Server) nextTimer(now time.Duration) time.Duration {
-	if s.round.pending { // by what the round itself led to
+	if s.round.pending { // set while the last round was decided
 		return 0
 	}
 	first := min(now+maxIdlePeriod, s.composer.NextTimer())
@@ -162,13 +166,13 @@
 	if s.drain.started() {
 		first = min(first, now+drainPollPeriod)
 	}
-	if len(s.keys.awaitingLedger) > 0 { // a ledger that stalls wakes nobody
+	if len(s.keys.awaitingLedger) > 0 { // a ledger that stalls does not wake the loop
 		first = min(first, now+ledgerPollPeriod)
 	}
 	return first
 }
 
-// decide has the controller decide the round.
+// decide lets the controller decide the round.
 func (s *Server) decide(now time.Duration) {
 	s.round.Now = now
 	s.controller.Decide(&s.round.Round, s)
@@ -180,7 +184,7 @@
 	}
 	s.round.Reset()
 	s.round.pending = false
-	for len(s.round.composites) > 0 { // a composite that was started waits for its calls from the same moment on
+	for len(s.round.composites) > 0 { // a composite that was started waits for its calls from the same time on
 		s.round.Now = now
 		s.round.AwaitingCall = append(s.round.AwaitingCall, s.round.composites...)
 		s.round.composites = s.round.composites[:0]
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -12,7 +12,7 @@
 
 var _ admission.Executor = (*Server)(nil)
 
-// Start runs a request, or has a paused run resume.
+// Start starts the run of a request, or resumes a paused run.
 func (s *Server) Start(decided *admission.Request) {
 	request := s.requests.byDecision[decided]
 	s.counters.Assert(request != nil && !request.answered, "an answered request was started")
@@ -36,7 +36,7 @@
 	}
 }
 
-// Pause stops a run, for good or until Start.
+// Pause stops a run, for good or until Start resumes it.
 func (s *Server) Pause(decided *admission.Request) {
 	request := s.requests.byDecision[decided]
 	switch {
@@ -54,7 +54,7 @@
 	s.counters.Assert(request != nil && !request.active && !request.sent, "a request that may have run was rejected")
 	switch {
 	case request == nil:
-	case request.answered: // its caller left in the moment it was read; its key is given back all the same
+	case request.answered: // its caller canceled before the request was decided; its key is released all the same
 		s.completeKeyOnAnswer(request, Answer{Verdict: Rejected})
 	default:
 		s.recordAnswer(events.RequestRejected, request)
@@ -71,7 +71,7 @@
 	}
 }
 
-// SetHealth sets what health checks are answered with.
+// SetHealth sets the answer to health checks. If fromStore is set, deep checks get it too, without asking the workers.
 func (s *Server) SetHealth(healthy, fromStore bool) {
 	if healthy != s.health.healthy {
 		s.log.Info("health", "good", healthy)
@@ -79,23 +79,23 @@
 	s.health.healthy, s.health.fromStore = healthy, fromStore
 }
 
-// SetShedLevel sets the level that answers carry from here on.
+// SetShedLevel sets the shed level that answers carry from now on.
 func (s *Server) SetShedLevel(level float64) {
 	s.shedLevel = shedLevel{value: level, text: strconv.FormatFloat(level, 'f', -1, 64)}
 }
 
-// CloseIdleAfter has the front ends close connections that carry nothing for timeout.
+// CloseIdleAfter has the front ends close connections that were idle for timeout.
 func (s *Server) CloseIdleAfter(timeout time.Duration) {
 	for _, f := range s.frontends {
 		f.CloseIdle(timeout)
 	}
 }
 
-// Log logs a note of the controller's on something that operators may act on.
+// Log logs a note of the controller that operators may act on.
 func (s *Server) Log(note string) { s.log.Info("admission note", "note", note) }
 
-// Call lets the calls of a request begin. timeout ends them before the controller would abort the request, so that what is
-// there by then is still answered.
+// Call lets the call of a request begin. timeout ends it before the controller would abort the request, so that the
+// results available by then can still be sent.
 func (s *Server) Call(decided *admission.Request, timeout time.Duration) {
 	request := s.requests.byDecision[decided]
 	if c, calls := dependencyCallerOf(request); calls {
@@ -118,7 +118,7 @@
 	}
 }
 
-// SkipCall has a request go on without its call.
+// SkipCall lets a request continue without its call.
 func (s *Server) SkipCall(decided *admission.Request) {
 	c, calls := dependencyCallerOf(s.requests.byDecision[decided])
 	s.counters.Assert(calls, "a skipped call of a request without any")
@@ -127,14 +127,14 @@
 	}
 }
 
-// RememberKey keeps an idempotency key for its window.
+// RememberKey keeps an idempotency key for its dedup window, from now on.
 func (s *Server) RememberKey(decided *admission.Request, window time.Duration) {
 	if request := s.requests.byDecision[decided]; request != nil && s.keys.entries[request.key] != nil {
 		s.keys.entries[request.key].until = s.round.Now + window
 	}
 }
 
-// ForgetKey gives back the key of a request that never ran.
+// ForgetKey releases the idempotency key of a request that never ran.
 func (s *Server) ForgetKey(decided *admission.Request) {
 	if request := s.requests.byDecision[decided]; request != nil {
 		s.dropKey(s.keys.entries[request.key], Answer{Verdict: Rejected})
@@ -155,7 +155,7 @@
 	request.original.waiting = append(request.original.waiting, request)
 }
 
-// workersOf is what runs a request.
+// workersOf returns the workers that run a request.
 func (s *Server) workersOf(request *Request) Workers {
 	if request.composite {
 		return s.composer
@@ -163,7 +163,7 @@
 	return s.link
 }
 
-// recordCallRetry records that a call is made once more.
+// recordCallRetry records that a call is made again.
 func (s *Server) recordCallRetry(request *Request) {
 	s.events.Record(events.CallRetried, "the call before did not go well",
 		slog.String("request", request.id), slog.Int("calls", request.callAttempts))
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// maxReadDelay is the time in which a request is read that waited while the process was stopped. A key is kept for so
-	// long behind its window: a duplicate belongs to the window in which it arrived, whenever it is read.
+	// maxReadDelay is the time within which requests are read that arrived while the process was suspended. A key is
+	// kept for this long after its window, as a duplicate belongs to the window in which it arrived, whenever it is
+	// read.
 	maxReadDelay = time.Second
-	// stallAfter is the time between two turns of the loop past which the process counts as having been stopped.
+	// stallAfter is the time between two rounds above which the process counts as having been suspended.
 	stallAfter = 100 * time.Millisecond
-	// unwindowed is how long a key is kept before the controller has stated its window.
+	// unwindowed is added to the dedup window of a key until the controller has set the key's lifetime.
 	unwindowed = time.Minute
 )
 
-// keyTable holds the idempotency keys in their windows.
+// keyTable holds the idempotency keys that are within their dedup window.
 type keyTable struct {
 	entries        map[string]*keyEntry
 	maxEntries     int
@@ -24,41 +25,43 @@
 	maxResultBytes int
 
 	ledger         Ledger     // nil without one
-	awaitingLedger []*Request // whose key it does not have yet
+	awaitingLedger []*Request // started requests whose key the ledger has not stored yet
 
-	// A process that was stopped has requests to read that arrived meanwhile: before unreadUntil no key expires.
+	// After the process was suspended, requests that arrived meanwhile are still unread: no key expires before
+	// unreadUntil.
 	lastTurn    time.Duration
 	unreadUntil time.Duration
 }
 
-// keyEntry is an idempotency key. The controller states its window, and when it is given back. A duplicate is answered from
-// the original and never runs.
+// keyEntry is an idempotency key with the answer of its original request. The controller sets its lifetime, and may
+// drop it earlier. A duplicate is answered from the original and never runs.
 type keyEntry struct {
 	key         string
 	fingerprint uint64 // of the body
 	until       time.Duration
-	completed   bool // the original has ended, or can't any more; answer says how
+	completed   bool // the original has ended, or never will; answer holds its outcome
 	answer      Answer
 	waiting     []*Request
 }
 
-// keyOf is the key of a request in the table: two routes never share one.
+// keyOf returns the key of a request in the table. It includes the route, so that two routes never share an entry.
 func keyOf(route, key string) string { return route + "\x00" + key }
 
-// keyConflicts is whether a request has the key of another with another body.
+// keyConflicts reports whether a request has the key of another request with another body.
 func (s *Server) keyConflicts(in *Incoming) bool {
 	entry := s.keys.entries[keyOf(in.Route, in.Key)]
 	return entry != nil && entry.fingerprint != in.Fingerprint
 }
 
-// expireKey drops a key for a request that arrived behind its window, as that is a new request.
+// expireKey drops a completed key if a request with it arrived after its window, as that is a new request.
 func (s *Server) expireKey(key string, arrived time.Duration) {
 	if entry := s.keys.entries[key]; entry != nil && entry.completed && arrived > entry.until {
 		s.dropKey(entry, Answer{Verdict: Aborted})
 	}
 }
 
-// attachKey gives a request its key, and its original where it is a duplicate.
+// attachKey gives a keyed request its key. A duplicate also gets its original's entry; for an original an entry is
+// added.
 func (s *Server) attachKey(request *Request, in *Incoming) {
 	if request.Route.Idempotency != admission.Keyed {
 		return
@@ -66,23 +69,24 @@
 	request.key = keyOf(in.Route, in.Key)
 	request.original = s.keys.entries[request.key]
 	request.Duplicate = request.original != nil
-	if request.original == nil { // known from here on: a duplicate in the same round must not count as an original
+	if request.original == nil { // added before the decision: a duplicate in the same round must not count as an original
 		s.keys.entries[request.key] = &keyEntry{
 			key: request.key, fingerprint: in.Fingerprint, until: s.Now() + request.Route.DedupWindow + unwindowed,
 		}
 	}
 }
 
-// answerDuplicate answers a duplicate and reports that to the controller.
+// answerDuplicate answers a duplicate, and has this reported to the controller.
 func (s *Server) answerDuplicate(request *Request, a Answer) {
-	if request.answered { // its time was up, or its caller is gone
+	if request.answered { // its deadline has passed, or its caller has canceled
 		return
 	}
 	s.round.duplicates = append(s.round.duplicates, &request.Request)
 	s.answer(request, a)
 }
 
-// completeKeyOnAnswer stores the answer of an original for its duplicates. One that was aborted may still succeed.
+// completeKeyOnAnswer stores the answer to an original for its duplicates. If an original was aborted while its run is
+// active, the key stays incomplete, as the run may still succeed.
 func (s *Server) completeKeyOnAnswer(request *Request, a Answer) {
 	entry := s.keys.entries[request.key]
 	if request.key == "" || request.Duplicate || entry == nil || entry.completed {
@@ -90,13 +94,13 @@
 	}
 	switch {
 	case a.Verdict == Rejected:
-		s.dropKey(entry, a) // it never ran, whoever rejected it
+		s.dropKey(entry, a) // it never ran, whether the controller or the server rejected it
 	case a.Verdict == Served || !request.active:
 		s.completeKey(entry, a)
 	}
 }
 
-// completeKeyOnEnd stores how the run of an original ended that was answered before.
+// completeKeyOnEnd stores how the run of an original ended that was answered before its run ended.
 func (s *Server) completeKeyOnEnd(request *Request, outcome admission.Outcome, result []byte) {
 	entry := s.keys.entries[request.key]
 	if request.key == "" || request.Duplicate || entry == nil || entry.completed || !request.answered {
@@ -109,7 +113,8 @@
 	}
 }
 
-// completeKey completes a key. A result that there is no room for is not stored: duplicates are then aborted, and never run.
+// completeKey completes a key. A result that exceeds the memory limit for results is not stored: duplicates are then
+// aborted, and never run.
 func (s *Server) completeKey(entry *keyEntry, a Answer) {
 	if s.keys.resultBytes+len(a.Result) > s.keys.maxResultBytes {
 		s.counters.Count("result of a keyed request beyond the program's own memory")
@@ -131,7 +136,8 @@
 	}
 }
 
-// dropKey removes a key; duplicates that wait for its original get the answer.
+// dropKey removes a key. Duplicates that wait for its original get a as their answer if the key is not complete, and
+// the original's answer otherwise.
 func (s *Server) dropKey(entry *keyEntry, a Answer) {
 	if entry == nil {
 		return
@@ -144,7 +150,8 @@
 	s.answerWaiting(entry)
 }
 
-// detectStall notes that the loop's turn came late: what was sent meanwhile is still to be read.
+// detectStall detects that the loop did not run for a time, after which requests that arrived meanwhile are still
+// unread.
 func (s *Server) detectStall(now time.Duration) {
 	if s.keys.lastTurn > 0 && now > s.keys.lastTurn+stallAfter {
 		s.keys.unreadUntil = now + maxReadDelay
@@ -152,12 +159,12 @@
 	s.keys.lastTurn = now
 }
 
-// expireKeys drops keys whose window is over, and of which no duplicate can be unread.
+// expireKeys drops the keys whose window is over and of which no duplicate can still be unread.
 func (s *Server) expireKeys(now time.Duration) {
 	if now < s.keys.unreadUntil {
 		return
 	}
-	for _, entry := range s.keys.entries { // the order does not matter
+	for _, entry := range s.keys.entries { // in any order
 		if now >= entry.until+maxReadDelay && len(entry.waiting) == 0 {
 			s.dropKey(entry, Answer{Verdict: Aborted})
 		}
--- a/internal/server/ledger.go
+++ b/internal/server/ledger.go
@@ -6,33 +6,35 @@
 	"quartzpoint/admission"
 )
 
-const ledgerPollPeriod = 20 * time.Millisecond // between looks whether the ledger has what waits for it
+const ledgerPollPeriod = 20 * time.Millisecond // between checks whether the ledger has stored the keys that runs wait for
 
-// Ledger stores idempotency keys where they survive a crash. The event loop makes all calls, and they must not block. Each is
-// told how much of the key's window is left.
+// Ledger stores idempotency keys so that they survive a crash. The event loop makes all calls, and they must not block.
+// remaining is the time left of the key's dedup window.
 type Ledger interface {
-	// RecordStart stores that a key is about to run; the run waits until DurableMark has reached the mark.
+	// RecordStart stores that a request with the key is about to run. The run waits until DurableMark has reached mark.
 	RecordStart(key string, fingerprint uint64, remaining time.Duration) (mark uint64)
-	// RecordEnd stores how the run ended. The result must not be changed afterwards.
+	// RecordEnd stores how the run ended. The caller must not change result afterwards.
 	RecordEnd(key string, fingerprint uint64, remaining time.Duration, served bool, result []byte)
-	// DurableMark is the mark up to which all is stored, or can't be for now: what waits for it goes on. Wake reports a change.
+	// DurableMark returns the mark up to which all records are stored, or can't be stored for now: their runs need not
+	// wait any longer. The ledger calls Wake after the mark has changed.
 	DurableMark() uint64
 }
 
-// KeyRecord is a key of an earlier process. One that was not served has begun, and how it ended is not known: duplicates of it
-// are aborted, as it may have had its effect.
+// KeyRecord is a key that an earlier process stored. If Served is false the request had started and its outcome is
+// unknown: duplicates of it are aborted, as it may have had its effect.
 type KeyRecord struct {
 	Key         string
 	Fingerprint uint64
-	Remaining   time.Duration // of its window
+	Remaining   time.Duration // time left of the dedup window
 	Served      bool
 	Result      []byte
 }
 
-// SetLedger has keyed requests run only once the ledger has their keys, before Run.
+// SetLedger sets the ledger; keyed requests then run only once it has stored their keys. It must be called before Run.
 func (s *Server) SetLedger(l Ledger) { s.keys.ledger = l }
 
-// RestoreKeys takes in what an earlier process stored, on the event loop or before Run. What is known here already is newer.
+// RestoreKeys adds the keys that an earlier process stored. A key that is already in the table is newer and stays. It
+// must be called on the event loop, or before Run.
 func (s *Server) RestoreKeys(records []KeyRecord) {
 	for _, record := range records {
 		if s.keys.entries[record.Key] != nil {
@@ -50,10 +52,10 @@
 	}
 }
 
-// recordStart has the ledger store that a request is about to run. startRecorded starts it.
+// recordStart has the ledger store that a request is about to run. startRecorded then starts the run.
 func (s *Server) recordStart(request *Request) {
 	entry := s.keys.entries[request.key]
-	if entry == nil { // its window was over before it could start
+	if entry == nil { // its window ended before it could start
 		s.startRun(request)
 		return
 	}
@@ -62,7 +64,8 @@
 	s.keys.awaitingLedger = append(s.keys.awaitingLedger, request)
 }
 
-// startRecorded starts the runs whose keys the ledger has, and ends those that were answered before: they never ran.
+// startRecorded starts the runs whose keys the ledger has stored, and ends as never started the runs whose requests
+// were answered meanwhile.
 func (s *Server) startRecorded() {
 	if len(s.keys.awaitingLedger) == 0 {
 		return
--- a/internal/server/linkrecovery.go
+++ b/internal/server/linkrecovery.go
@@ -9,41 +9,47 @@
 	"quartzpoint/internal/events"
 )
 
-// When the worker link is lost, commands on it may or may not have been read. The next link first reports what is left of the
-// one before; then a run of which nothing was heard either runs, or its start was never read. What must not run twice is
-// paused first, and started again once the pause was read: then it can't end while it is started again.
+// When the worker link is lost, the workers may or may not have read the last commands on it. The next link first
+// reports all notices left from the lost one. After that, a run without a notice either still runs, or its start
+// command was never read. A run that must not run twice is first paused, and started again once the workers have read
+// the pause, so that it can't end while it is started again.
 
-// linkRecovery is what a lost link left open.
+// linkRecovery is the state of the recovery after a lost link.
 type linkRecovery struct {
-	paused     []*Request // to be started again once the poll behind their pauses is answered
+	paused     []*Request // runs to resume or restart once the poll after their pauses is answered
 	pauseNonce uint64     // of that poll
 }
 
-// pauseState is how far the recovery of a run has come of which it is not known whether it began.
+// pauseState is the progress in recovering a run that is not known to have begun.
 type pauseState int
 
 const (
 	pauseNone      pauseState = iota
-	pauseRequested            // the workers were told to pause it
-	pauseConfirmed            // they did, so it had begun
+	pauseRequested            // the pause command was sent
+	pauseConfirmed            // the workers reported the pause, so the run had begun
 )
 
-// handleLinkDown marks the runs whose start, or whose resumption, may not have been read: those sent after the last poll that
-// was answered.
+// handleLinkDown marks the runs whose last command (start, reply or resume) the workers may not have read: those for
+// which it was sent after the last poll that was answered.
 func (s *Server) handleLinkDown() {
 	s.recovery.paused = s.recovery.paused[:0]
-	for _, request := range s.requests.byID { // the order does not matter
+	for _, request := range s.requests.byID { // in any order
 		if s.holdsWorker(request) && request.startNonce > s.polls.answered {
 			request.startUnknown = true
 		}
 	}
 }
 
-// handleLinkSynced recovers what the lost link left open. All notices up to now have been read, so a run that has not ended
-// either runs, or never came to the workers. What was never sent is sent now. What may have been sent is sent again where a
-// second run does no harm; the workers ignore it while the first runs. A run that must not run twice might end just while it
-// is sent again, so it is paused first where the settings pause runs, and sent again by resumePaused. Elsewhere it stays as it
-// is, and so does a run whose request is answered: it holds its place until its end is reported, or proven by the gauges.
+// handleLinkSynced recovers the runs after a lost link. All earlier notices have been read, so a run that has not ended
+// either runs or never reached the workers.
+//
+//   - A run that was never sent is sent now.
+//   - A run that may have been sent is sent again if a second run does no harm; the workers ignore the command while the
+//     first runs.
+//   - A run that must not run twice might end just while it is sent again. If the settings allow runs to be paused it is
+//     paused first, and resumePaused sends it again. Otherwise it stays as it is.
+//   - A run whose request is answered stays as it is, too: it counts as in flight until its end is reported, or proven by
+//     the gauges.
 func (s *Server) handleLinkSynced() {
 	pauses := s.settings.Admission.Preemption.Resumable()
 	for _, request := range s.activeRuns() {
@@ -51,16 +57,16 @@
 	}
 	if len(s.recovery.paused) > 0 {
 		s.recovery.pauseNonce, _ = s.link.Poll()
-		if s.recovery.pauseNonce == 0 { // lost again meanwhile
+		if s.recovery.pauseNonce == 0 { // the link was lost again
 			s.recovery.pauseNonce = math.MaxUint64
 		}
 	}
-	for _, c := range s.health.checks { // the work of one that went with the link is asked for again
+	for _, c := range s.health.checks { // a check that was lost with the link is sent again
 		s.link.Verify(c.nonce)
 	}
 }
 
-// activeRuns are the workers' runs that have not ended, by arrival.
+// activeRuns returns the workers' runs that have not ended, by arrival.
 func (s *Server) activeRuns() (active []*Request) {
 	for _, request := range s.requests.byID {
 		if request.active && !request.composite {
@@ -73,14 +79,15 @@
 	return active
 }
 
-// recoverRun sends what the lost link may not have carried; pauses says that the settings pause runs.
+// recoverRun resends what the workers may not have received on the lost link; pauses reports whether runs can be paused
+// and resumed.
 func (s *Server) recoverRun(request *Request, pauses bool) {
 	reply := request.callReply
 	retryable := request.Route.Idempotency == admission.Retryable
 	switch {
 	case request.awaitsLedger: // never sent
 	case reply != nil && !request.answered && (!reply.sent || request.startUnknown && !pauses):
-		s.replyToCall(request, reply) // a run that has resumed already ignores it
+		s.replyToCall(request, reply) // ignored by a run that has already resumed
 	case !request.sent && request.answered:
 		s.endRun(request, admission.Stopped, 0, nil)
 	case !request.sent, request.startUnknown && !request.answered && reply == nil && retryable:
@@ -98,8 +105,8 @@
 	}
 }
 
-// resumePaused goes on with the paused runs once the workers have read their pauses, as the answer to a poll shows. Each has
-// ended, which was reported before, or is paused, or never began.
+// resumePaused resumes or restarts the paused runs once the workers have read the pauses, as the answer to the poll
+// after them shows. By then each run has ended, which was reported before, or is paused, or never began.
 func (s *Server) resumePaused(answeredPoll uint64) {
 	if len(s.recovery.paused) == 0 || answeredPoll < s.recovery.pauseNonce {
 		return
@@ -111,22 +118,22 @@
 	s.recovery.paused = s.recovery.paused[:0]
 }
 
-// resumeOrRestart resumes a run that was paused, or starts one that never began. Nothing is sent behind Resume, as from there
-// on the run may end.
+// resumeOrRestart resumes a run that was paused, or starts one that never began. No command follows Resume, as the run
+// may end from then on.
 func (s *Server) resumeOrRestart(request *Request) {
 	paused := request.pauseState == pauseConfirmed
 	request.pauseState, request.startUnknown = pauseNone, false
 	switch {
 	case !request.active:
 	case request.answered && paused:
-		s.endRun(request, admission.Stopped, 0, nil) // no further end will be reported
+		s.endRun(request, admission.Stopped, 0, nil) // no other end will be reported
 	case request.answered:
 	case paused:
-		if request.callReply != nil { // first, as behind Resume it might be taken for the reply to its next call
+		if request.callReply != nil { // sent before Resume: after it, the reply might be taken for the reply to the run's next call
 			s.replyToCall(request, request.callReply)
 		}
 		request.startNonce = s.link.NextPollNonce()
-		request.startUnknown = !s.link.Resume(request.id) // the link was lost again
+		request.startUnknown = !s.link.Resume(request.id) // true if the link was lost again
 	case request.blockedAtCall: // it has resumed, and waits for its next call
 	case request.callReply != nil:
 		s.counters.Count("run not known to have resumed from its call, reply sent again")
@@ -137,7 +144,7 @@
 		s.recordRun(events.RunRetried, "not known to have begun when the link was lost", request)
 		request.sent = false
 		s.startRun(request)
-		s.link.Resume(request.id) // ignored by one that runs; one whose Resume was lost before goes on
+		s.link.Resume(request.id) // ignored by a run that is not paused; a run whose last Resume was lost continues
 		request.sent, request.startUnknown = true, !request.sent
 	}
 }
--- a/internal/server/overdue.go
+++ b/internal/server/overdue.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	sweepPeriod     = time.Second            // between looks for what is overdue
-	heldMemoryDelay = 150 * time.Millisecond // from reading a request until its memory shows in the gauges
+	sweepPeriod     = time.Second            // between two maintenance passes
+	heldMemoryDelay = 150 * time.Millisecond // from reading a request until the gauges include its memory
 )
 
-// overdueRuns are the workers' runs that may have ended without a report.
+// overdueRuns tracks the workers' runs that may have ended without a report.
 type overdueRuns struct {
-	count    int // as of the last sweep, and marked since
+	count    int // counted in the last pass, plus those marked since
 	sweptAt  time.Duration
 	reviewer reconcile.Reviewer
 }
 
-// sweep looks, once a second, for overdue runs and for expired entries of tables.
+// sweep, once per sweepPeriod, drops expired entries of the key table and of the executed requests, and marks and
+// counts the overdue runs.
 func (s *Server) sweep(now time.Duration) {
 	if now < s.overdue.sweptAt+sweepPeriod {
 		return
@@ -43,21 +44,22 @@
 	}
 }
 
-// holdsWorker is whether a request has a run of the workers whose end was not reported.
+// holdsWorker reports whether the workers have a run of a request whose end was not reported.
 func (s *Server) holdsWorker(request *Request) bool {
 	return request.active && request.sent && !request.composite
 }
 
-// markOverdue marks a run that may have ended, or may never have begun. It holds its place until that is proven: counted as
-// ended, it would have its cores and memory used a second time while the machine is slow or hung.
+// markOverdue marks a run that may have ended, or may never have begun. It counts as in flight until its end is
+// reported or proven: if it counted as ended, its cores and memory would be given to another run while the machine is
+// slow or hung.
 func (s *Server) markOverdue(request *Request, reason string) {
 	request.overdue = true
 	s.overdue.count++
 	s.recordRun(events.RunOverdue, reason, request)
 }
 
-// releaseProvenEnds ends the overdue runs of which the gauges prove that they are over. It is for the moment in which the
-// gauges came: all that the workers reported before has been handled.
+// releaseProvenEnds ends the overdue runs that the gauges prove to have ended. It must be called when the gauges
+// arrive, after all notices that the workers sent before them were handled.
 func (s *Server) releaseProvenEnds(polled *workerapi.Notice) {
 	if s.overdue.count == 0 || s.limits.HoldUntilRunEnds {
 		return
@@ -70,11 +72,11 @@
 		request := s.requests.byID[id]
 		s.counters.Count("end of a run not reported, proven by the readings")
 		s.recordRun(events.RunReleased, "the machine's readings leave no room for it", request)
-		s.endRun(request, admission.Stopped, 0, nil) // not Failed: it says nothing of this server's health
+		s.endRun(request, admission.Stopped, 0, nil) // not Failed, as it says nothing of this server's health
 	}
 }
 
-// readings are the gauges of one answer; complete is false where it does not hold all that a proof needs.
+// readings returns the load readings of the gauges; complete is false if they lack a value that a proof needs.
 func (s *Server) readings(polled *workerapi.Notice) (r reconcile.Readings, complete bool) {
 	runnable, memoryShare, complete := s.settings.Occupied(polled.Readings)
 	memoryKB, stated := s.settings.MemoryKB()
@@ -91,7 +93,7 @@
 	return r, true
 }
 
-// runsBefore are the runs that the workers had been told of before a poll, the oldest first.
+// runsBefore returns the runs whose last command was sent before a poll, oldest first.
 func (s *Server) runsBefore(poll uint64) (runs []reconcile.Run) {
 	factor := s.settings.Admission.RunningMemoryFactor
 	var begun []*Request
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -8,14 +8,14 @@
 	"quartzpoint/internal/events"
 )
 
-// Incoming is a request as a front end has read it.
+// Incoming is a request as read by a front end.
 type Incoming struct {
 	ID         string // unique
 	Route      string
-	HeldKB     float64 // memory of the worker that it takes while queued
-	Rank       float64 // importance from 0 to 1
+	HeldKB     float64 // memory of the worker pool that the request takes while queued
+	Rank       float64 // criticality, from 0 to 1
 	Router     uint32
-	SentUnixMS int64 // by the system's Unix clock
+	SentUnixMS int64 // by the system's wall clock; used if Arrived is 0
 	Timeout    time.Duration
 	Body       []byte // must not be changed afterwards
 	Caller     Caller
@@ -23,13 +23,14 @@
 	OverLimit  bool // its connection is over the front end's limit, so it is rejected
 
 	Key         string // idempotency key, the same for all duplicates
-	Fingerprint uint64 // of the body: duplicates have the same
+	Fingerprint uint64 // of the body; equal for all duplicates
 	Tenant      int
 	Arrived     time.Duration // by the clock of rounds, in place of SentUnixMS
-	LastByteAt  time.Duration // when its last byte was read, where it came in pieces
+	LastByteAt  time.Duration // when the last byte was read, if the request came in pieces
 }
 
-// Receive takes a request that a front end has read. It returns nil where the request was answered at once.
+// Receive accepts a request that a front end has read for the next round. It returns nil if it answered the request at
+// once.
 func (s *Server) Receive(in Incoming) *Request {
 	route := s.tables.routes[in.Route]
 	now := s.Now()
@@ -47,7 +48,8 @@
 	if reason := s.rejectReason(&in, route); reason != "" {
 		answer := Answer{Verdict: Rejected}
 		if keyed && s.keys.entries[keyOf(in.Route, in.Key)] != nil {
-			// Its original may have run: with a promise of no effect its caller would have it run elsewhere.
+			// The original may have run. Rejected would state that the request had no effect, and its caller might have
+			// it run elsewhere.
 			answer.Verdict = Aborted
 		}
 		s.rejectIncoming(&in, reason, answer)
@@ -60,7 +62,8 @@
 	return s.enqueue(&in, route, now)
 }
 
-// answerUnrun is the answer to a request that must not run whatever room there is, with the reason; an empty reason for others.
+// answerUnrun returns the answer to a request that must not run even if there is capacity, with the reason. The reason
+// is empty for a request that may run.
 func (s *Server) answerUnrun(in *Incoming, route *admission.Route) (reason string, answer Answer) {
 	known := s.requests.byID[in.ID]
 	switch {
@@ -69,16 +72,16 @@
 	case s.tables.unserved[in.Route]:
 		return "request for a route that calls, without a dependency", Answer{Verdict: Rejected, RetryAfter: s.maxRetryAfter()}
 	case known != nil && (known.active || known.sent):
-		// Rejected would say that it never ran, and its caller might have it run elsewhere.
+		// Rejected would state that the request never ran, and its caller might have it run elsewhere.
 		return "request whose id is known already", Answer{Verdict: Aborted}
 	case known == nil && s.executed.until[in.ID] > 0:
-		// Its caller has, or had, an answer: what has run never runs again, and is never rejected.
+		// Its caller was sent an answer. A request that may have run is never run again, and never rejected.
 		return "request that may have run before", Answer{Verdict: Aborted}
 	}
 	return "", Answer{}
 }
 
-// rejectReason is why a request that did not run is not taken in, empty where it is.
+// rejectReason returns why a request that did not run is not accepted, or an empty text if it is.
 func (s *Server) rejectReason(in *Incoming, route *admission.Route) string {
 	if route == nil {
 		return "request for an unknown route"
@@ -111,8 +114,8 @@
 		id: in.ID, route: in.Route, body: in.Body, caller: in.Caller, stream: in.Stream, readAt: now,
 	}
 	if in.Timeout > 0 {
-		// Past its route's deadline a request earns nothing, whatever its caller says: with a timeout of a day it would take
-		// part of the memory for as long.
+		// A request earns nothing after its route's deadline, however long its caller is willing to wait. With a
+		// timeout of a day it would occupy memory for a day.
 		request.Deadline = request.Arrived + min(in.Timeout, route.Deadline)
 	}
 	request.composite = s.composer.Handles(request.route)
@@ -123,7 +126,7 @@
 	return request
 }
 
-// rejectIncoming answers a request that is not taken in. The controller never hears of it.
+// rejectIncoming answers a request that is not accepted. The controller never sees it.
 func (s *Server) rejectIncoming(in *Incoming, reason string, answer Answer) {
 	s.counters.Count(reason)
 	kind := events.RequestRejected
@@ -135,7 +138,7 @@
 	in.Caller.Answer(in.Stream, answer)
 }
 
-// RejectUnparsed rejects what a front end could not parse. The controller never hears of it.
+// RejectUnparsed rejects input that a front end could not parse. The controller never sees it.
 func (s *Server) RejectUnparsed(c Caller, stream uint32, reason string) {
 	s.events.Record(events.RequestRejected, reason, slog.Uint64("stream", uint64(stream)))
 	c.Answer(stream, Answer{Verdict: Rejected, ShedLevel: s.shedLevel.text})
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -8,7 +8,7 @@
 	"quartzpoint/internal/events"
 )
 
-// Request is a request and what the server keeps for it until nothing more can come of it: it was answered, and its run ended.
+// Request is a request with the state that the server keeps until it is answered and its run has ended.
 type Request struct {
 	admission.Request
 	id     string
@@ -21,32 +21,32 @@
 	answered   bool
 	answeredAt time.Duration
 
-	// The run. startNonce and startUnknown are for a lost link, see linkRecovery.
-	composite    bool   // made of calls, and run by the composer
-	active       bool   // started, and its end not reported yet
-	sent         bool   // the workers were told to run it
-	startNonce   uint64 // of the first poll behind that: once it is answered, the command was read
-	startUnknown bool   // whether the command was read is not known
+	// The state of the run. startNonce and startUnknown serve the recovery after a lost link, see linkRecovery.
+	composite    bool   // consists of calls, and is run by the composer
+	active       bool   // started, and its end is not reported yet
+	sent         bool   // the start command was sent to the workers
+	startNonce   uint64 // of the first poll after the last command to start or resume the run; once that poll is answered, the command was read
+	startUnknown bool   // the link was lost, and whether the workers read that command is unknown
 	pauseState   pauseState
-	overdue      bool // the run may have ended, or never have begun
+	overdue      bool // the run may have ended, or may never have begun
 
 	// The idempotency key.
 	key               string
-	original          *keyEntry // whose answer a duplicate waits for
-	inLedger          bool      // the ledger was given the key
-	awaitsLedger      bool      // the run starts once the ledger has it
+	original          *keyEntry // entry that a duplicate is answered from
+	inLedger          bool      // the key was passed to the ledger
+	awaitsLedger      bool      // the run starts once the ledger has stored the key
 	ledgerMark        uint64
-	pausedBeforeStart bool // paused meanwhile
+	pausedBeforeStart bool // the controller paused the run while it awaited the ledger
 
 	// The call that the run waits for.
 	blockedAtCall bool
 	callBody      []byte
-	callID        uint64     // that the dependency has, 0 without one
-	callReply     *callReply // that the run last resumed with
+	callID        uint64     // of the call in progress at the dependency; 0 without one
+	callReply     *callReply // with which the run last resumed
 	callAttempts  int
 }
 
-// forgetIfDone forgets a request of which nothing more can come.
+// forgetIfDone forgets a request that is answered and has no active run.
 func (s *Server) forgetIfDone(request *Request) {
 	if request == nil || !request.answered || request.active {
 		return
@@ -58,7 +58,7 @@
 	delete(s.requests.byDecision, &request.Request)
 }
 
-// answer gives a request its one answer.
+// answer sends the one final answer to a request.
 func (s *Server) answer(request *Request, a Answer) {
 	s.counters.Assert(!request.answered, "a request was answered twice")
 	if request.answered {
@@ -71,7 +71,7 @@
 	s.forgetIfDone(request)
 }
 
-// Cancel takes that nobody waits for a request any longer.
+// Cancel records that nobody waits for a request any longer. The request then counts as answered.
 func (s *Server) Cancel(request *Request) {
 	if request.answered {
 		return
@@ -96,15 +96,15 @@
 	s.events.Record(kind, reason.String(), attributes...)
 }
 
-// executedTable holds the IDs of at-most-once requests that may have run and were forgotten, for as long as a copy of one may
-// arrive. Without it a copy would run a second time, as when the connection broke behind the answer.
+// executedTable holds the IDs of forgotten at-most-once requests that may have run, for as long as a copy of one may
+// arrive. Without it a copy would run a second time, for example if the connection broke after the answer.
 type executedTable struct {
 	until map[string]time.Duration
-	order []string // the same IDs, the oldest first
+	order []string // the same IDs, oldest first
 }
 
-// rememberRun keeps the ID of a request that may have run. Where the table is full the oldest goes, as it is the likeliest to
-// have no copy left.
+// rememberRun stores the ID of a request that may have run. If the table is full it drops the oldest ID, as no copy of
+// that is the most likely to arrive.
 func (s *Server) rememberRun(request *Request) {
 	if len(s.executed.order) >= s.requests.max {
 		s.executed.dropOldest()
@@ -118,7 +118,7 @@
 	e.order = e.order[1:]
 }
 
-// expire forgets IDs of which no copy can arrive any more.
+// expire drops the IDs of which no copy can arrive any more.
 func (e *executedTable) expire(now time.Duration) {
 	for len(e.order) > 0 && e.until[e.order[0]] <= now {
 		e.dropOldest()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,8 +1,8 @@
-// Package server is the event loop of one server. It gathers what front ends, timers and the worker pool report into rounds,
-// has the admission controller decide each round, and carries out what that decides. It knows no protocol.
+// Package server is the event loop of one app server. Each round, it collects what front ends, timers and the worker
+// pool report, lets the admission controller decide on it, and carries out the decisions. It knows no wire protocol.
 //
-// All state belongs to one goroutine, the one in Run. Other goroutines hand it functions with Submit, or have it look for
-// input with Wake.
+// All state belongs to the goroutine that runs Run. Other goroutines pass it functions with Submit, or make it check
+// for input with Wake.
 package server
 
 import (
@@ -21,31 +21,31 @@
 )
 
 const (
-	maxRequestKB         = 12  // KB of the program's own memory that one request may take
-	requestMemoryDivisor = 4   // requests take at most this part of that memory
-	maxKeyEntryBytes     = 512 // of that memory for an entry of the key table, its result aside
-	keyMemoryDivisor     = 8   // entries of the key table take at most this part of that memory
-	resultMemoryDivisor  = 16  // results stored for duplicates take at most this part of that memory
-	minTableEntries      = 64  // entries that any memory is enough for
-	unlimitedCalls       = 1e9 // calls in flight at once
+	maxRequestKB         = 12  // KB of this process's own memory that one request may take
+	requestMemoryDivisor = 4   // requests take at most that memory divided by this
+	maxKeyEntryBytes     = 512 // bytes of that memory that an entry of the key table takes at most, without its result
+	keyMemoryDivisor     = 8   // entries of the key table take at most that memory divided by this
+	resultMemoryDivisor  = 16  // results stored for duplicates take at most that memory divided by this
+	minTableEntries      = 64  // lower bound of the table sizes, however little memory there is
+	unlimitedCalls       = 1e9 // calls in flight
 )
 
-// Limits are what the program itself may use, and what its front ends and workers support.
+// Limits states what this process may use, and which features its front ends and workers support.
 type Limits struct {
-	MemoryMB         int  // of the program itself
-	Sockets          int  // descriptors for connections
+	MemoryMB         int  // of this process
+	Sockets          int  // file descriptors for connections
 	Keys             bool // requests carry idempotency keys
-	Tenants          bool // requests carry their tenant
-	Calls            bool // runs report that they wait for a call, and there is a dependency for it
-	SkippableCalls   bool // runs can go on without their call
-	MaxIdleYields    int  // yields to other goroutines before the loop blocks; waking it costs more than a few of them
-	DynamicTables    bool // routes and tenants change in service
-	HoldUntilRunEnds bool // a run holds its place until it ends, however long ago it was answered
-	EarlyKill        bool // the process may be killed before the stop that Drain states: see earliestKill
+	Tenants          bool // requests carry their tenant's name
+	Calls            bool // runs report that they wait for a call, and a dependency to call is configured
+	SkippableCalls   bool // runs can continue without their call
+	MaxIdleYields    int  // yields to other goroutines before the loop blocks, as waking it costs more than a few yields
+	DynamicTables    bool // routes and tenants may change while the server runs
+	HoldUntilRunEnds bool // a run counts as in flight until its end is reported; gauges never prove that it has ended
+	EarlyKill        bool // the process may be killed before the stop that Drain is called with: see earliestKill
 }
 
-// Server is the event loop. Its methods are for its own goroutine, but for Submit, Wake, Drain, ChangeTables, HandleCallEnd,
-// UsePeerEstimates, Now and Events.
+// Server is the event loop. Its methods are to be called on its own goroutine, except for Submit, Wake, Drain,
+// ChangeTables, HandleCallEnd, UsePeerEstimates, Now and Events.
 type Server struct {
 	controller *admission.Controller
 	settings   *settings.Settings
@@ -55,13 +55,13 @@
 	events     *events.Log
 
 	link         WorkerLink
-	composer     Composer // of requests that consist of calls only
+	composer     Composer // runs requests that consist of calls only
 	frontends    []Frontend
-	dependency   Dependency  // of the workers' runs, nil without one
-	callReplier  CallReplier // the worker pool, where its runs wait for calls
+	dependency   Dependency  // makes the calls of the workers' runs; nil if none is configured
+	callReplier  CallReplier // worker pool whose runs wait for calls
 	lastCallID   uint64
 	observeRound func(took time.Duration) // nil without an observer
-	notices      []workerapi.Notice       // reused by each pass
+	notices      []workerapi.Notice       // reused by each input pass
 
 	clock     clock
 	inbox     inbox
@@ -80,21 +80,21 @@
 	observer  observer
 }
 
-// requestTable holds the requests that the server has read and not forgotten.
+// requestTable holds the requests that the server has read and not yet forgotten.
 type requestTable struct {
 	byID       map[string]*Request
 	byDecision map[*admission.Request]*Request
 	max        int
 }
 
-// shedLevel is the level under which callers are asked to send nothing.
+// shedLevel is the advertised shed level: callers are asked not to send requests that rank below it.
 type shedLevel struct {
 	value float64
-	text  string // the same, as answers carry it; empty before the first
+	text  string // the level as answers carry it; empty until it is first set
 }
 
-// New makes the server for its settings. Settings that ask for what limits do not support are an error: a request must not
-// be found unservable only once it was read.
+// New returns a server for its settings. It returns an error if the settings require a feature that limits does not
+// support, so that a request is not found to be unservable only after it was read.
 func New(stated *settings.Settings, seed int64, limits Limits, counters *invariant.Counters, log *slog.Logger) (*Server, error) {
 	memory := limits.MemoryMB << 20
 	s := &Server{
@@ -109,7 +109,7 @@
 		executed: executedTable{until: map[string]time.Duration{}},
 		keys: keyTable{
 			entries: map[string]*keyEntry{}, maxResultBytes: memory / resultMemoryDivisor,
-			// Keys in the worker's memory are bounded by the controller, by a setting.
+			// The controller limits the keys in the workers' memory, by a setting.
 			maxEntries: max(minTableEntries, memory/keyMemoryDivisor/maxKeyEntryBytes),
 		},
 		tables: tables{routes: map[string]*admission.Route{}, tenants: map[string]int{}, unserved: map[string]bool{}},
@@ -128,7 +128,8 @@
 	return s, nil
 }
 
-// initTables fills the tables with the names of the settings' routes and tenants, and sees that limits support them.
+// initTables fills the tables with the names of the settings' routes and tenants, and returns an error if limits does
+// not support them.
 func (s *Server) initTables() error {
 	stated := &s.settings.Admission
 	for _, route := range stated.Routes {
@@ -149,7 +150,7 @@
 	if len(stated.Tenants) > 0 && !s.limits.Tenants {
 		return errors.New("the settings name tenants, which this program does not support")
 	}
-	for i, tenant := range stated.Tenants { // one without a name leaves the others their index
+	for i, tenant := range stated.Tenants { // a tenant without a name is skipped; the others keep their index
 		if tenant.Name != "" {
 			s.tables.tenants[tenant.Name] = i
 		}
@@ -157,11 +158,11 @@
 	return nil
 }
 
-// admissionSettings are the settings as they hold for what limits support.
+// admissionSettings returns the settings of the controller, adapted to what limits supports.
 func (s *Server) admissionSettings() admission.Settings {
 	adapted := s.settings.Admission
 	if !s.limits.Calls {
-		adapted.CallQuota = unlimitedCalls // the composer limits calls by itself
+		adapted.CallQuota = unlimitedCalls // the composer limits its calls itself
 	}
 	if !s.limits.SkippableCalls { // each call is waited for, whatever an answer without it would earn
 		adapted.Routes = slices.Clone(adapted.Routes)
@@ -172,25 +173,25 @@
 	return adapted
 }
 
-// Events is the log of what becomes of requests, runs and connections.
+// Events returns the event log of requests, runs and connections.
 func (s *Server) Events() *events.Log { return s.events }
 
-// Attach gives the server its workers and its front ends, before Run.
+// Attach sets the worker pool and the front ends. It must be called before Run.
 func (s *Server) Attach(link WorkerLink, frontends ...Frontend) {
 	s.link, s.frontends = link, frontends
 }
 
-// SetDependency gives the server what makes the calls of the workers' runs, and the worker pool that reports them. It is for
-// before Run, and for Limits with Calls.
+// SetDependency sets the dependency that makes the calls of the workers' runs, and the worker pool that reports those
+// calls. It must be called before Run, and only if Limits.Calls is set.
 func (s *Server) SetDependency(dependency Dependency, replier CallReplier) {
 	s.dependency, s.callReplier = dependency, replier
 }
 
-// SetComposer gives the server what runs requests that consist of calls, before Run. The composer limits those calls by
-// itself, so the controller lets them go without a limit of its own.
+// SetComposer sets the composer that runs requests consisting of calls. It must be called before Run. The composer
+// limits these calls itself, so the controller starts them without a limit of its own.
 func (s *Server) SetComposer(c Composer) {
 	s.composer = c
-	for name, route := range s.tables.routes { // the order does not matter
+	for name, route := range s.tables.routes { // in any order
 		if c.Handles(name) {
 			route.CallWait = c.ExpectedWait(name)
 			delete(s.tables.unserved, name)
@@ -198,18 +199,19 @@
 	}
 }
 
-// ObserveRounds has observe called with the duration of each round that decided something, from reading the input to
-// writing the output. observe runs on the event loop and must not block. It is for before Run.
+// ObserveRounds sets a function that is called with the duration of each round that decided something, from reading the
+// input to writing the output. observe runs on the event loop and must not block. ObserveRounds must be called before
+// Run.
 func (s *Server) ObserveRounds(observe func(took time.Duration)) { s.observeRound = observe }
 
-// ShedLevel is the shed level as last set, from 0 to 1.
+// ShedLevel returns the shed level last set, from 0 to 1.
 func (s *Server) ShedLevel() float64 { return s.shedLevel.value }
 
-// RoutersReportCancel is whether routers report that nobody waits for a request any longer.
+// RoutersReportCancel reports whether routers send a cancellation once nobody waits for a request any longer.
 func (s *Server) RoutersReportCancel() bool { return s.settings.RoutersReportCancel }
 
-// TenantIndex is the index of a tenant in the settings. A tenant that they do not name has none, no quota, and counts
-// against nobody's.
+// TenantIndex returns the index of a tenant in the controller's table, or math.MaxInt for an unknown one. An unknown
+// tenant has no quota and counts against no other tenant's.
 func (s *Server) TenantIndex(name string) int {
 	if index, known := s.tables.tenants[name]; known {
 		return index
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -11,49 +11,50 @@
 	"quartzpoint/internal/settings"
 )
 
-// changesPerRound is how many entries of the tables change in one round; the rest of a change waits for the next ones,
-// so that no request waits for a large change.
+// changesPerRound is the number of table entries that change in one round. The rest of a change waits for the next
+// rounds, so that no request waits for a large change.
 const changesPerRound = 128
 
 // TableChange is a change of the tables of routes and tenants.
 type TableChange struct {
 	Routes  []settings.RouteChange
 	Tenants []settings.TenantChange
-	// Done is called on the event loop once all of it is in force; it may be nil.
+	// Done is called on the event loop once the whole change is in force; it may be nil.
 	Done func()
 }
 
-// tables are the routes and tenants in force, and the changes that are to come, in their order.
+// tables holds the routes and tenants in force, and the pending changes in their order.
 type tables struct {
 	routes   map[string]*admission.Route
-	unserved map[string]bool // routes that call a dependency, where there is none
-	adopted  int             // spare routes that were given a name
-	tenants  map[string]int  // their index in the controller
+	unserved map[string]bool // routes that call a dependency although none is configured
+	adopted  int             // number of spare routes that were given a name
+	tenants  map[string]int  // name to index in the controller
 
-	changes []TableChange // the first may have been made in part
-	free    []freeIndex   // of tenants that were removed, the oldest first
+	changes []TableChange // pending; the first may have been made in part
+	free    []freeIndex   // of removed tenants, oldest first
 }
 
-// freeIndex is the index of a removed tenant, whose requests may still be under way.
+// freeIndex is the index of a removed tenant, whose requests may still be queued or in flight.
 type freeIndex struct {
 	index       int
-	availableAt time.Duration // when another tenant may have it
+	availableAt time.Duration // when another tenant may take it
 }
 
-// ChangeTables changes the tables, a part in each round. Changes are made in the order in which they were submitted, and each
-// entry at once: a request is taken in under what its route is in that moment, and ends under that. Any goroutine may call it,
-// and submits the next change once Done was called, so the queue is bounded.
+// ChangeTables changes the tables over one or more rounds. Changes are made in the order of submission, and each entry
+// changes at once: a request is accepted under the definition that its route has at that moment, and keeps that
+// definition until it ends. Any goroutine may call ChangeTables. A caller must wait for Done before it submits its next
+// change, which bounds the queue.
 func (s *Server) ChangeTables(change TableChange) {
 	s.Submit(func() { s.tables.changes = append(s.tables.changes, change) })
 }
 
-// SetTables makes a change at once. It is for before Run.
+// SetTables makes a whole change at once. It must be called before Run.
 func (s *Server) SetTables(change TableChange) {
 	s.tables.changes = append(s.tables.changes, change)
 	s.applyChanges(math.MaxInt)
 }
 
-// applyTableChanges makes a part of the changes.
+// applyTableChanges makes one round's part of the pending changes.
 func (s *Server) applyTableChanges() {
 	s.applyChanges(changesPerRound)
 	if len(s.tables.changes) > 0 {
@@ -61,7 +62,7 @@
 	}
 }
 
-// applyChanges changes limit entries at most.
+// applyChanges changes at most limit entries.
 func (s *Server) applyChanges(limit int) {
 	for limit > 0 && len(s.tables.changes) > 0 {
 		change := &s.tables.changes[0]
@@ -122,7 +123,7 @@
 	}
 }
 
-// freeTenantIndex is the index of a removed tenant of which no request can be left; else one past the table's end.
+// freeTenantIndex returns the index of a removed tenant of which no request can be left, or one past the table's end.
 func (s *Server) freeTenantIndex() int {
 	if len(s.tables.free) > 0 && s.tables.free[0].availableAt <= s.Now() {
 		index := s.tables.free[0].index
@@ -132,7 +133,8 @@
 	return s.controller.TenantCount()
 }
 
-// longestDeadline is how long any request that is here now may stay.
+// longestDeadline returns the longest route deadline of the requests that the server now has, which bounds how long
+// they may stay.
 func (s *Server) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, request := range s.requests.byID {
@@ -141,7 +143,7 @@
 	return longest
 }
 
-// Tables are the routes and the tenants' rates in force, by name. It is for before Run.
+// Tables returns the routes and the tenants' quotas in force, by name. It must be called before Run.
 func (s *Server) Tables() (routes map[string]admission.Route, tenants map[string]float64) {
 	routes = make(map[string]admission.Route, len(s.tables.routes))
 	for name, route := range s.tables.routes {
@@ -154,10 +156,11 @@
 	return routes, tenants
 }
 
-// UnservedRoutes are the routes whose requests are rejected, as they call a dependency and there is none.
+// UnservedRoutes returns the sorted names of the routes whose requests are rejected because they call a dependency and
+// none is configured.
 func (s *Server) UnservedRoutes() []string { return slices.Sorted(maps.Keys(s.tables.unserved)) }
 
-// RouteTimeouts are the routes by name, with the time that a request of each has in all: what is answered later earns nothing.
+// RouteTimeouts returns for each route the time from arrival after which an answer earns nothing.
 func (s *Server) RouteTimeouts() map[string]time.Duration {
 	timeouts := map[string]time.Duration{}
 	for name, route := range s.tables.routes {
@@ -169,8 +172,8 @@
 	return timeouts
 }
 
-// AdoptRoute gives a name that the settings do not state one of their spare routes, whose names begin with a NUL byte. Once
-// all are given away, requests of other names are rejected.
+// AdoptRoute assigns one of the settings' spare routes, whose names begin with a NUL byte, to a route name that the
+// settings do not define. Once no spare route is left, requests for other names are rejected.
 func (s *Server) AdoptRoute(name string) {
 	if s.tables.routes[name] != nil {
 		return
