--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -17,13 +17,14 @@
 	"quartzpoint/internal/workerlink"
 )
 
-// receivedAnswer is what a caller was told on a stream.
+// receivedAnswer is an answer that a caller was sent on a stream.
 type receivedAnswer struct {
 	stream uint32
 	Answer
 }
 
-// bench is a server with a stand-in pool and a front that only keeps what it is told.
+// bench is a server with a fake worker pool. It is also the server's front end and the requests' caller, and records
+// the answers.
 type bench struct {
 	*Server
 	pool         *fake.Pool
@@ -33,8 +34,8 @@
 	checks       chan bool
 	done         chan struct{}
 	retired      bool
-	peersStalled bool        // the front's peers do not read
-	inputPending atomic.Bool // something came that is not taken yet
+	peersStalled bool        // the front end's peers do not read
+	inputPending atomic.Bool // input has arrived that is not read yet
 }
 
 func (b *bench) Answer(stream uint32, a Answer) { b.answers <- receivedAnswer{stream, a} }
@@ -81,14 +82,14 @@
 		select {
 		case <-b.done:
 		case <-time.After(fake.WaitLimit):
-			t.Error("the server does not leave")
+			t.Error("the server does not end")
 		}
 		cancel()
 	})
 	return b
 }
 
-// submitRequest has the owner take a task.
+// submitRequest has the event loop receive a request.
 func (b *bench) submitRequest(stream uint32, kind string, waits time.Duration) {
 	b.Submit(func() {
 		b.Receive(Incoming{
@@ -109,10 +110,10 @@
 	}
 }
 
-// waitLinkSynced waits until the link is up and commands are taken.
+// waitLinkSynced waits until the link is up and answers a poll.
 func (b *bench) waitLinkSynced(t *testing.T) {
 	t.Helper()
-	asked := uint64(0) // of this link: an answer on one before it says nothing
+	asked := uint64(0) // poll on the current link; an answer on an earlier link proves nothing
 	require.Eventually(t, func() bool {
 		bound := make(chan bool)
 		b.Submit(func() {
@@ -129,7 +130,7 @@
 	}, fake.WaitLimit, time.Millisecond)
 }
 
-// waitAllRead waits until the pool has read all that was sent and the server knows it.
+// waitAllRead waits until the worker pool has read all commands that were sent, and the server knows it.
 func (b *bench) waitAllRead(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -145,7 +146,7 @@
 	}, fake.WaitLimit, time.Millisecond)
 }
 
-// onLoop runs f on the event loop, and waits for it.
+// onLoop runs f on the event loop, and waits until it returns.
 func (b *bench) onLoop(f func()) {
 	done := make(chan struct{})
 	b.Submit(func() { f(); close(done) })
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -13,7 +13,7 @@
 	"quartzpoint/internal/workerapi"
 )
 
-// recordingDependency is a dependency that keeps what it is asked; a test ends the calls.
+// recordingDependency records the calls that it is asked for and their cancellations. The test ends the calls.
 type recordingDependency struct {
 	calls     chan workerapi.Call
 	abandoned chan uint64
@@ -33,7 +33,7 @@
 	}
 }
 
-// callSite is the usual site, where both types call a dependency that bears many calls.
+// callSite is the usual site, with both routes calling a dependency that allows many calls.
 var callSite = strings.NewReplacer(`"below":"none","calls-by-class":[false,false]`,
 	`"below":"shared","calls-out":20,"calls-over":5000000,"calls-by-class":[true,true]`).Replace(fake.SiteSettings)
 
@@ -45,7 +45,7 @@
 	return b, d
 }
 
-// blockedAtCall starts a task whose run then stands at a call.
+// runToCall submits a request, and returns the call that its run waits for.
 func (b *bench) runToCall(t *testing.T, d *recordingDependency, stream uint32, kind string, waits time.Duration) workerapi.Call {
 	t.Helper()
 	b.submitRequest(stream, kind, waits)
@@ -54,7 +54,7 @@
 	return d.next(t)
 }
 
-// A type that calls kept the whole server from starting.
+// A route that calls a dependency kept the whole server from starting.
 func TestRunStandsAtItsCalls(t *testing.T) {
 	b, d := newCallBench(t, callSite)
 	c := b.runToCall(t, d, 1, "browse", time.Minute)
@@ -68,7 +68,7 @@
 	c = d.next(t)
 	assert.Equal(t, "and more", string(c.Body))
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.NotRun})
-	c = d.next(t) // what never ran is asked again
+	c = d.next(t) // a call that was not carried out is retried
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("this")})
 	b.pool.Next(t, "supply")
 	b.pool.Finish(fake.CallID(1), "success", []byte("done"))
@@ -80,7 +80,7 @@
 	b, d := newCallBench(t, callSite)
 	c := b.runToCall(t, d, 1, "pay", time.Minute)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Unknown})
-	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict, "an at-most-once task makes no call twice")
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict, "a call of an at-most-once request is not retried")
 	b.pool.Finish(fake.CallID(1), "interrupted", nil)
 
 	c = b.runToCall(t, d, 2, "browse", time.Minute)
@@ -90,7 +90,7 @@
 	b.pool.Next(t, "supply")
 }
 
-// A call goes with its task, and its end then finds nobody.
+// A call is canceled when its request is aborted or its run ends. The end of the call then has no effect.
 func TestCallOfARequestThatIsOver(t *testing.T) {
 	b, d := newCallBench(t, callSite)
 	c := b.runToCall(t, d, 1, "browse", 2500*time.Millisecond)
@@ -110,7 +110,8 @@
 	}
 }
 
-// A reply that was on a link when it was lost is told again, and one that came while there was none is told then.
+// A reply that was on the link when it was lost is sent again. A reply that arrives while there is no link is sent on
+// the next one.
 func TestReplyAcrossALostLink(t *testing.T) {
 	for _, halt := range []string{"suspend", "none"} {
 		t.Run(halt, func(t *testing.T) {
@@ -118,13 +119,13 @@
 			c := b.runToCall(t, d, 1, "pay", time.Minute)
 			b.onLoop(func() {
 				b.handleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("that")})
-				b.pool.CloseLink() // before the word is written
+				b.pool.CloseLink() // before the reply is written
 			})
 			assert.Equal(t, "that", string(b.pool.Next(t, "supply").Body))
 			b.waitLinkSynced(t)
 			b.pool.Block(fake.CallID(1), []byte("more"))
 			c = d.next(t)
-			b.pool.Relocate(t) // nobody is where the link would come back
+			b.pool.Relocate(t) // nothing listens at the link's address, so it can't reconnect
 			b.pool.CloseLink()
 			require.Eventually(t, func() bool {
 				asked := true
@@ -142,7 +143,7 @@
 	}
 }
 
-// Where no dependency is named, what calls it is turned away as never run, and all else is served.
+// If no dependency is configured, requests of a route that calls one are rejected, and all others are served.
 func TestRoutesThatCallNobody(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"calls-by-class":[false,false]`, `"calls-by-class":[true,false]`, 1)
 	b := newBenchAt(t, site)
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -11,7 +11,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// The kill may come before the stop that the notice was told of: all has to be answered by then.
+// The platform may kill the process before the stop that Drain is called with. All requests have to be answered before
+// the kill.
 func TestStopIsNoLaterThanTheEarliestKill(t *testing.T) {
 	site := func(deadline string) string {
 		return strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":`+deadline+`,"goal-time":100000`).Replace(fake.SiteSettings)
@@ -24,8 +25,8 @@
 	}{
 		{"a short deadline", site("1200000"), limits, 8 * time.Second, 1900 * time.Millisecond},
 		{"a long deadline counts as 3 s", fake.SiteSettings, limits, 8 * time.Second, 3700 * time.Millisecond},
-		{"an earlier stop holds", fake.SiteSettings, limits, time.Second, time.Second},
-		{"a program that is not killed early", fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256}, 8 * time.Second, 8 * time.Second},
+		{"a stop before the kill is kept", fake.SiteSettings, limits, time.Second, time.Second},
+		{"a process that is not killed early", fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256}, 8 * time.Second, 8 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -52,7 +53,7 @@
 		b.Submit(func() { retired <- b.retired && b.Now() > b.drain.startedAt+450*time.Millisecond })
 		return <-retired
 	}, fake.WaitLimit, time.Millisecond)
-	b.submitRequest(3, "pay", time.Minute) // past it
+	b.submitRequest(3, "pay", time.Minute) // after the grace
 	got := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(3), Rejected}, []any{got.stream, got.Verdict})
 	for stream := range uint32(2) {
@@ -62,7 +63,7 @@
 	<-b.done
 }
 
-// At the stop all that was read has its answer, whatever it waits for.
+// At the stop all requests that were read are answered, whatever they wait for.
 func TestStopAnswersAll(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -75,7 +76,7 @@
 	assert.Len(t, b.answers, 40)
 }
 
-// A peer that does not read its answers kept the process from leaving until it was killed.
+// A peer that does not read its answers kept the process from ending until it was killed.
 func TestDrainWithAPeerThatDoesNotRead(t *testing.T) {
 	b := newBench(t)
 	b.Submit(func() { b.peersStalled = true })
@@ -83,11 +84,12 @@
 	select {
 	case <-b.done:
 	case <-time.After(fake.WaitLimit):
-		require.FailNow(t, "the server does not leave")
+		require.FailNow(t, "the server does not end")
 	}
 }
 
-// A process that ends with a connection untaken, or bytes unread, loses a task. It stays for them, up to the stop.
+// A process that ends with a connection not accepted, or bytes not read, loses a request. It waits for them until the
+// stop.
 func TestEndWaitsForWhatIsUnread(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -98,25 +100,26 @@
 		b.onLoop(func() { retired = b.retired })
 		return retired
 	}, fake.WaitLimit, time.Millisecond)
-	b.onLoop(func() { // read only now, past the grace of 400 ms: answered, and not run
+	b.onLoop(func() { // read only now, after the grace of 400 ms: it is answered, and does not run
 		b.Receive(Incoming{
 			ID: fake.CallID(1), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: b.drain.startedAt + 401*time.Millisecond,
 			Timeout: time.Minute, Caller: b, Stream: 1,
 		})
 	})
 	assert.Equal(t, Rejected, b.nextAnswer(t).Verdict)
-	for range 20 { // rounds of a process that stays
+	for range 20 { // rounds of a process that continues
 		b.onLoop(func() {})
 	}
 	b.inputPending.Store(false)
 	select {
 	case <-b.done:
 	case <-time.After(fake.WaitLimit):
-		require.FailNow(t, "the end does not come")
+		require.FailNow(t, "the server does not end")
 	}
 }
 
-// The round that heard of the notice late let run what came past the grace, and planned past the stop.
+// The notice to shut down is handled late. The round that did so started requests that had arrived after the grace, and
+// planned past the stop.
 func TestGraceAndStopRunFromTheNotice(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
--- a/internal/server/estimates.go
+++ b/internal/server/estimates.go
@@ -8,15 +8,16 @@
 
 const publishPeriod = time.Second // between two snapshots of the estimates
 
-// estimates are what the controller learned, as it is published to peers and to the disk.
+// estimates is the state of publishing the controller's estimates to peers and to disk.
 type estimates struct {
-	publish     func(snapshot estimate.Snapshot, at time.Duration) // nil where nobody asks for them
+	publish     func(snapshot estimate.Snapshot, at time.Duration) // nil if estimates are not published
 	schema      estimate.Schema
 	publishedAt time.Duration
 }
 
-// PublishEstimates has publish called with what the controller learned, once a second at most. publish runs on the event loop
-// and must not block. It is for before Run. The schema says which snapshots UsePeerEstimates takes.
+// PublishEstimates makes the server call publish with the controller's estimates, at most once a second. publish runs
+// on the event loop and must not block. PublishEstimates must be called before Run. It returns the schema of the
+// snapshots that UsePeerEstimates accepts.
 func (s *Server) PublishEstimates(origin uint64, publish func(snapshot estimate.Snapshot, at time.Duration)) estimate.Schema {
 	digest := s.settings.Digest(s.limits.DynamicTables, s.limits.SkippableCalls)
 	s.estimates.schema = s.controller.EstimateSchema(origin, digest, s.limits.DynamicTables)
@@ -24,8 +25,8 @@
 	return s.estimates.schema
 }
 
-// UsePeerEstimates has the controller use what other servers learned; the snapshot must fit the schema. Any goroutine may
-// call it.
+// UsePeerEstimates passes the estimates of other servers to the controller; the snapshot must fit the schema. Any
+// goroutine may call it.
 func (s *Server) UsePeerEstimates(snapshot estimate.Snapshot) {
 	receivedAt := s.Now()
 	s.Submit(func() { s.controller.UsePeerEstimates(s.Now(), snapshot.Aged(s.Now()-receivedAt)) })
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	verifyTimeout = time.Second // until a deep check without an answer counts as failed
-	maxChecks     = 8           // deep checks that the workers have at once
+	verifyTimeout = time.Second // after which a deep check without an answer counts as failed
+	maxChecks     = 8           // deep checks that the workers have at the same time
 )
 
-// health is what health checks are answered with.
+// health is the state from which health checks are answered.
 type health struct {
 	healthy   bool
-	fromStore bool // the controller wants checks answered by healthy alone, also deep ones
+	fromStore bool // deep checks are answered with healthy too, without asking the workers
 	checks    []deepCheck
 	lastNonce uint64
 }
 
-// deepCheck is a check that the workers are to answer.
+// deepCheck is a health check that the workers are to answer.
 type deepCheck struct {
 	caller   Caller
 	stream   uint32
@@ -23,8 +23,8 @@
 	deadline time.Duration
 }
 
-// CheckHealth answers a health check as the controller last decided; a deep one is answered by the workers where it decided
-// that.
+// CheckHealth answers a health check with the health that the controller last set. A deep check of a healthy server is
+// passed on to the workers, unless the controller has set that it is not.
 func (s *Server) CheckHealth(c Caller, stream uint32, deep bool) {
 	h := &s.health
 	if !deep || h.fromStore || !h.healthy {
@@ -36,11 +36,11 @@
 		c.ReportHealth(stream, false, s.shedLevel.text)
 		return
 	}
-	s.link.Verify(h.lastNonce) // without a link it is sent as soon as there is one
+	s.link.Verify(h.lastNonce) // without a link it is sent once there is one
 	h.checks = append(h.checks, deepCheck{c, stream, h.lastNonce, s.Now() + verifyTimeout})
 }
 
-// finishCheck answers the deep check that the workers have answered.
+// finishCheck answers a deep check with the workers' answer.
 func (s *Server) finishCheck(nonce uint64, healthy bool) {
 	for i, c := range s.health.checks {
 		if c.nonce == nonce {
@@ -51,7 +51,7 @@
 	}
 }
 
-// expireChecks fails deep checks that the workers have not answered in time.
+// expireChecks answers as failed the deep checks that the workers have not answered in time.
 func (s *Server) expireChecks(now time.Duration) {
 	left := s.health.checks[:0]
 	for _, c := range s.health.checks {
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// maxReadTime is how long one round goes on taking in what was submitted: the request that was read first waits for the
-	// decision of its round meanwhile.
+	// maxReadTime is how long one round may take in submitted functions. The request that was read first waits
+	// meanwhile for the decision of its round.
 	maxReadTime = 5 * time.Millisecond
-	// callsPerClockReading is how many submitted functions are called between two looks at the clock.
+	// callsPerClockReading is the number of submitted functions that are called between two readings of the clock.
 	callsPerClockReading = 16
 )
 
-// inbox is how other goroutines reach the event loop.
+// inbox passes functions and wakeups from other goroutines to the event loop.
 type inbox struct {
 	mu        sync.Mutex
 	submitted []func()
-	wake      chan struct{} // holds one signal while there is something to look for
+	wake      chan struct{} // holds one signal while there is input to check for
 
-	// Of the event loop alone.
+	// Used by the event loop only.
 	batch  []func() // taken from submitted
-	called int      // of the batch, its first ones
+	called int      // number of functions of the batch that were called
 }
 
-// Wake has the event loop look for input. Any goroutine may call it; it never blocks.
+// Wake makes the event loop check for input. Any goroutine may call it; it never blocks.
 func (s *Server) Wake() {
 	select {
 	case s.inbox.wake <- struct{}{}:
@@ -32,8 +32,8 @@
 	}
 }
 
-// Submit has the event loop call f. Any goroutine may call it; it never blocks. The queue is bounded by its callers: a
-// connection has one callback of netpoll in it at a time, beside those of its beginning and its end.
+// Submit makes the event loop call f. Any goroutine may call it; it never blocks. Its callers bound the queue: a
+// connection has at most one netpoll callback in it at a time, in addition to those for its start and its end.
 func (s *Server) Submit(f func()) {
 	s.inbox.mu.Lock()
 	s.inbox.submitted = append(s.inbox.submitted, f)
@@ -41,8 +41,8 @@
 	s.Wake()
 }
 
-// callSubmitted calls what was submitted, in its order, until there is no more or a moment has passed. called is whether
-// there was any.
+// callSubmitted calls the submitted functions in their order, until none is left or the time reaches until. called
+// reports whether there was any.
 func (s *Server) callSubmitted(until time.Duration) (called bool) {
 	box := &s.inbox
 	if box.called == len(box.batch) {
@@ -62,7 +62,7 @@
 	return box.called > first
 }
 
-// takeSubmitted swaps what was submitted for an empty slice.
+// takeSubmitted returns the submitted functions, and stores empty in their place.
 func (s *Server) takeSubmitted(empty []func()) (submitted []func()) {
 	s.inbox.mu.Lock()
 	defer s.inbox.mu.Unlock()
@@ -70,10 +70,10 @@
 	return submitted
 }
 
-// nothingSubmitted is whether all that was submitted has been called.
+// nothingSubmitted reports whether all submitted functions have been called.
 func (s *Server) nothingSubmitted() bool { return s.submittedLeft() == 0 }
 
-// submittedLeft is how much of what was submitted has not been called.
+// submittedLeft returns the number of submitted functions that have not been called.
 func (s *Server) submittedLeft() int {
 	s.inbox.mu.Lock()
 	defer s.inbox.mu.Unlock()
--- a/internal/server/inbox_test.go
+++ b/internal/server/inbox_test.go
@@ -9,7 +9,7 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// floodedCaller records how much of a flood was read when it is answered.
+// floodedCaller records how much of the flood had been read when its request is answered.
 type floodedCaller struct {
 	*bench
 	read       *int
@@ -18,8 +18,8 @@
 
 func (c floodedCaller) Answer(uint32, Answer) { c.readBefore <- *c.read }
 
-// A flood of input that took 0.3 s to read was read as a whole before anything was decided: the request that was read first
-// waited for all of it.
+// A flood of input that took 0.3 s to read was read completely before anything was decided. The request that was read
+// first waited for all of it.
 func TestFloodDoesNotKeepTheFirstDecision(t *testing.T) {
 	const flood = 300
 	b := newBench(t)
@@ -35,5 +35,5 @@
 	}
 	close(submitted)
 	assert.Less(t, <-caller.readBefore, flood/10)
-	b.onLoop(func() { assert.Equal(t, flood, read, "all of it is read, in its order") })
+	b.onLoop(func() { assert.Equal(t, flood, read, "all of the flood is read") })
 }
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -10,8 +10,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// A repeat that is turned away for want of room was refused with a promise of no effect, though its first had run: its
-// caller would have it run elsewhere.
+// A duplicate that exceeded a limit was rejected, which states that it had no effect, although its original had run.
+// Its caller would have had it run elsewhere.
 func TestDuplicatesAreNeverRejectedOnceTheirOriginalMayHaveRun(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
@@ -40,7 +40,8 @@
 	}
 }
 
-// A process that stood still reads a repeat behind the window in which it came. It ran, or was refused, as a new one.
+// A process that was suspended reads a duplicate after the window in which it arrived. The duplicate ran, or was
+// rejected, as a new request.
 func TestADuplicateBelongsToTheWindowInWhichItArrived(t *testing.T) {
 	const window = 400 * time.Millisecond
 	site := strings.Replace(fake.SiteSettings, `"fragile"`, `"dedup","dedup-window":400000`, 1)
@@ -58,22 +59,22 @@
 	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", []byte("done"))
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 
-	b.onLoop(func() { time.Sleep(window + 800*time.Millisecond) }) // the owner stands still, as in a stopped process
+	b.onLoop(func() { time.Sleep(window + 800*time.Millisecond) }) // blocks the event loop, as in a suspended process
 	for range 3 {
-		b.onLoop(func() { b.overdue.sweptAt = 0 }) // turns in which what is over is forgotten
+		b.onLoop(func() { b.overdue.sweptAt = 0 }) // rounds in which expired entries are dropped
 	}
 	b.onLoop(func() { b.Receive(asked(2, first+window/2)) })
 	again := b.nextAnswer(t)
-	assert.Equal(t, []any{Served, "done"}, []any{again.Verdict, string(again.Result)}, "a repeat is answered from its first")
+	assert.Equal(t, []any{Served, "done"}, []any{again.Verdict, string(again.Result)}, "a duplicate is answered from its original")
 	assert.Empty(t, b.pool.Commands)
 
-	b.onLoop(func() { b.Receive(asked(3, first+2*window)) }) // this one came behind the window
+	b.onLoop(func() { b.Receive(asked(3, first+2*window)) }) // this one arrived after the window
 	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", []byte("anew"))
 	assert.Equal(t, "anew", string(b.nextAnswer(t).Result))
 }
 
-// A numbered task whose caller leaves in the moment it is read, and for which the decisions have no room, kept its
-// number for the whole window, as one that would still run: a repeat was neither run nor turned away.
+// A keyed request is canceled in the round in which it is read, and the controller rejects it for lack of memory. Its
+// key was kept for the whole window, as if it would still run: a duplicate was neither run nor rejected.
 func TestKeyOfARequestWhoseCallerLeftAsItWasRead(t *testing.T) {
 	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.SiteSettings)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
@@ -86,7 +87,7 @@
 		})
 		b.Cancel(task)
 	})
-	for decided := false; !decided; { // what is submitted next may still be taken into the same round
+	for decided := false; !decided; { // functions submitted next may still be called in the same round
 		b.onLoop(func() { decided = !b.round.pending })
 	}
 	b.onLoop(func() {
--- a/internal/server/linkrecovery_test.go
+++ b/internal/server/linkrecovery_test.go
@@ -11,22 +11,23 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// What the pool may or may not have read when its link broke is sent again only where that can't run twice.
+// Commands that the worker pool may not have read when the link was lost are sent again only if that can't cause a
+// second run.
 func TestLinkLost(t *testing.T) {
 	cases := []struct {
 		name, kind string
-		mute       bool // no poll is answered, so nothing shows that the pool read the command
-		loses      bool // the command goes with the link
-		ended      bool // while no link was there
+		mute       bool // no poll is answered, so nothing proves that the pool read the command
+		loses      bool // the command is lost with the link
+		ended      bool // while there was no link
 		want       Verdict
 		spawned    bool // a second time
 	}{
 		{"known to run", "pay", false, false, false, Served, false},
 		{"ended without a link", "pay", false, false, true, Served, false},
-		{"unsure and ended without a link", "pay", true, false, true, Served, false},
-		{"unsure, at most once, runs", "pay", true, false, false, Served, false},
-		{"unsure, at most once, never begun", "pay", true, true, false, Aborted, false},
-		{"unsure, reissuable", "browse", true, false, false, Served, true},
+		{"not known to run, and ended without a link", "pay", true, false, true, Served, false},
+		{"not known to run, at most once, runs", "pay", true, false, false, Served, false},
+		{"not known to run, at most once, never begun", "pay", true, true, false, Aborted, false},
+		{"not known to run, retryable", "browse", true, false, false, Served, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -39,7 +40,7 @@
 				b.pool.Next(t, "spawn")
 				b.waitAllRead(t)
 			} else {
-				// The pool reads the command and tells nothing more on this link.
+				// The pool reads the command but answers no poll on this link.
 				b.pool.SetSilent(true)
 				b.pool.SetDropsSpawns(c.loses)
 				b.submitRequest(1, c.kind, time.Minute)
@@ -59,20 +60,20 @@
 			}
 			begin := time.Now()
 			assert.Equal(t, c.want, b.nextAnswer(t).Verdict)
-			assert.Less(t, time.Since(begin), 5*time.Second, "answered by its deadline, not by what is known")
+			assert.Less(t, time.Since(begin), 5*time.Second, "answered only at its deadline")
 			for len(b.pool.Commands) > 0 {
-				assert.NotEqual(t, "spawn", (<-b.pool.Commands).Verb, "the run was begun once more")
+				assert.NotEqual(t, "spawn", (<-b.pool.Commands).Verb, "the run was started again")
 			}
 		})
 	}
 }
 
-// Where runs can be paused, an at-most-once task whose beginning is in doubt is not given away: it is paused, so
-// that it can't end meanwhile, and sent again, whether or not the pool had read it.
+// If runs can be paused, an at-most-once request that is not known to have begun is not aborted. It is paused, so that
+// its run can't end meanwhile, and resumed, or sent again if the pool had not read it.
 func TestLinkLostWhereRunsPause(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		lost bool // the spawn, with the link
+		lost bool // the spawn is lost with the link
 	}{{"runs", false}, {"never begun", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBench(t)
@@ -98,8 +99,8 @@
 	}
 }
 
-// Each lost link once set one more alarm, and each alarm the next: the rounds, and the rate at which limit and
-// level move, doubled with every loss.
+// Each lost link added one more alarm, and each alarm sets the next. The rounds, and the rate at which the in-flight
+// limit and the shed level change, doubled with each loss.
 func TestLinkLostSetsNoAlarms(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -113,8 +114,8 @@
 	assert.LessOrEqual(t, <-alarms, 1)
 }
 
-// A run that was given up is stopped though the link is lost on which that was said, or there was none: its core is free
-// for others. (The decisions say it again while it is not told to have ended.)
+// A run whose request was canceled is stopped even if the link is lost before the pause is written, or was down. Its
+// core is then free for other runs. (The controller repeats the pause until the end is reported.)
 func TestStopOfARunAcrossALostLink(t *testing.T) {
 	for _, down := range []bool{false, true} {
 		b := newBench(t)
@@ -135,7 +136,7 @@
 		b.onLoop(func() {
 			b.Cancel(b.requests.byID[fake.CallID(1)])
 			if !down {
-				b.pool.CloseLink() // before the word is written
+				b.pool.CloseLink() // before the pause is written
 			}
 		})
 		assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -9,22 +9,22 @@
 
 const (
 	observePeriod   = time.Second // between two comparisons that are logged
-	excessTolerance = 1.0         // runs by which the gauges may exceed the server's own count for a moment
+	excessTolerance = 1.0         // runs by which the gauges may exceed the server's own count without being logged
 )
 
 // observer compares the workers' gauges with the server's own count of runs, for the log only.
 type observer struct {
-	since     time.Duration // of the period that is compared now
-	minExcess float64       // the least by which the gauges exceeded the count in it, in runs
+	since     time.Duration // start of the current comparison period
+	minExcess float64       // smallest excess of the gauges over the count in this period, in runs
 	samples   int
 }
 
-// observe logs the server's count of runs beside the gauges, once a second at most: while runs may have ended that were not
-// reported to, and where the gauges exceeded the count in every sample of the period.
+// observe logs the server's count of runs together with the gauges, at most once a second, if runs may have ended
+// without a report, or if the gauges exceeded the count in every sample of the period.
 func (s *Server) observe(now time.Duration) {
 	o := &s.observer
 	if s.round.Gauges != nil {
-		// One request a core may be in the middle of being read, which takes part of it.
+		// Reading a request may take part of each core, so one runnable per core is deducted.
 		excess := s.polls.gauges.Runnable - float64(s.controller.Occupancy(now).OnCores) - s.settings.Admission.Cores
 		if o.samples == 0 || excess < o.minExcess {
 			o.minExcess = excess
--- a/internal/server/overdue_test.go
+++ b/internal/server/overdue_test.go
@@ -12,12 +12,12 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// shortSite has deadlines of 300 ms, and as many cores as the stand-in's pool.
+// shortSite has deadlines of 300 ms, and as many cores as the fake worker pool.
 var shortSite = strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`).Replace(fake.SiteSettings)
 
 const siteCores = 4
 
-// fillCores has as many runs on the cores as may be, and waits until their requests are answered without them.
+// fillCores starts a run on each core, and waits until their requests are aborted at their deadlines.
 func (b *bench) fillCores(t *testing.T) {
 	for stream := range uint32(siteCores) {
 		b.submitRequest(stream, []string{"browse", "pay"}[stream%2], time.Minute)
@@ -28,7 +28,8 @@
 	}
 }
 
-// countStarts counts the runs that the pool was told to begin while the server was asked for more for a span.
+// countStarts submits requests one after the other for a span, and returns the number of runs that the pool was sent
+// meanwhile.
 func (b *bench) countStarts(t *testing.T, span time.Duration) (spawned int) {
 	for begin, stream := time.Now(), uint32(100); time.Since(begin) < span; stream++ {
 		b.submitRequest(stream, "browse", time.Minute)
@@ -42,8 +43,8 @@
 	return spawned
 }
 
-// Report f19453: behind twice their deadline, runs were taken for ended though the machine was only hung, and others
-// were begun in their place.
+// Report f19453: at twice their deadline, runs were taken to have ended although the machine was only hung, and others
+// were started in their place.
 func TestRunsKeepTheirPlaceWhileTheMachineHoldsThem(t *testing.T) {
 	for _, halt := range []string{"suspend", "abort", "none"} {
 		t.Run(halt, func(t *testing.T) {
@@ -57,7 +58,7 @@
 			assert.EqualValues(t, siteCores, b.Events().Times(events.RunOverdue, "its end was not reported by a deadline after its answer"))
 			b.onLoop(func() { assert.Equal(t, siteCores, b.overdue.count) })
 
-			b.pool.SetEcho() // the machine goes on: all that it holds ends
+			b.pool.SetEcho() // the machine continues: all its runs end
 			require.Eventually(t, func() bool {
 				b.submitRequest(1000, "browse", time.Minute)
 				return b.nextAnswer(t).Verdict == Served
@@ -68,7 +69,7 @@
 	}
 }
 
-// Readings that are not whole prove nothing: what an older answer said is no reading of now.
+// Incomplete readings prove nothing: values of an earlier poll say nothing of the present.
 func TestNothingIsProvenByHalfOfTheReadings(t *testing.T) {
 	b := newBenchAt(t, shortSite)
 	b.pool.DropsSpawns = true
@@ -84,8 +85,8 @@
 	require.Eventually(t, func() bool { return b.counts.Times(proven) >= siteCores }, fake.WaitLimit, time.Millisecond)
 }
 
-// The link is lost behind commands that the pool may not have read. A run that was answered meanwhile, and holds its
-// place on a hung machine, was taken for ended as soon as the link was there again.
+// The link is lost after commands that the worker pool may not have read. A run whose request was answered meanwhile,
+// and which a hung machine still holds, was taken to have ended as soon as the link was up again.
 func TestRunsInDoubtKeepTheirPlace(t *testing.T) {
 	for _, halt := range []string{"suspend", "abort", "none"} {
 		t.Run(halt, func(t *testing.T) {
--- a/internal/server/reconfigure.go
+++ b/internal/server/reconfigure.go
@@ -7,8 +7,9 @@
 	"quartzpoint/internal/settings"
 )
 
-// Reconfigure applies the settings that may change in service, on the event loop; next are all settings, with those changed.
-// The next round is decided by them. Requests that were admitted stay admitted, and are answered once.
+// Reconfigure applies the settings that may change while the server runs; next holds all settings, including the
+// changed ones. They are used from the next decision on. Requests that were admitted stay admitted, and are answered
+// once. Reconfigure must be called on the event loop.
 func (s *Server) Reconfigure(next *settings.Settings) {
 	adjusted := s.settings.Adjusted(next)
 	s.settings = s.settings.WithAdjustable(next)
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -12,15 +12,15 @@
 	"quartzpoint/internal/settings"
 )
 
-// Settings that move in service hold from the next round on, both ways, and what was taken in before stays
-// answered once: the run of a task whose caller left is stopped where the site stops runs and left to its end
-// where it doesn't, and no run is begun twice.
+// Settings that change while the server runs are used from the next decision on, in both directions. After its caller
+// canceled, a run is stopped if the settings in force allow preemption, and left to end otherwise. No run is started
+// twice, and a request that was admitted before the changes is answered once.
 func TestSettingsMoveInService(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
 	b.pool.Next(t, "bind")
 	b.waitLinkSynced(t)
-	b.submitRequest(1, "browse", time.Minute) // taken in before the first switch, answered after the last
+	b.submitRequest(1, "browse", time.Minute) // admitted before the first change, answered after the last
 	first := b.pool.Next(t, "spawn")
 	adjusted := func(halt string) *settings.Settings {
 		next, err := settings.FromLines(halt)
@@ -40,7 +40,7 @@
 		for waited := time.After(200 * time.Millisecond); waited != nil; {
 			select {
 			case c := <-b.pool.Commands:
-				assert.NotEqual(t, "spawn", c.Verb, "begun once only")
+				assert.NotEqual(t, "spawn", c.Verb, "started more than once")
 				stopped = stopped || c.Verb == "suspend" && c.RunID == id
 			case <-waited:
 				waited = nil
@@ -58,5 +58,5 @@
 	b.pool.Finish(first.RunID, "success", []byte("done"))
 	got := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(1), Served}, []any{got.stream, got.Verdict})
-	assert.Empty(t, b.answers, "one answer each, and none for those whose callers left")
+	assert.Empty(t, b.answers, "one answer per request, and none for canceled ones")
 }
--- a/internal/server/requests_test.go
+++ b/internal/server/requests_test.go
@@ -10,8 +10,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// A call that comes again after its run was answered, as when its router's connection broke behind the answer, ran an
-// at-most-once task a second time.
+// A request that arrived again after its run was answered, for example after its router's connection broke, ran a
+// second time although its route is at-most-once.
 func TestCallComesAgainAfterItsAnswer(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -23,17 +23,17 @@
 	}
 	run("pay", 1)
 	b.submitRequest(1, "pay", time.Minute)
-	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict, "what has run is neither run again nor dismissed")
+	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict, "a request that has run is neither run again nor rejected")
 	assert.Empty(t, b.pool.Commands)
 	run("browse", 2)
-	run("browse", 2) // harmless, and its caller wants an answer
+	run("browse", 2) // a second run does no harm, and its caller needs an answer
 
 	b.onLoop(func() {
 		b.requests.max = 3
 		for _, id := range []string{"a", "b", "c"} {
 			b.rememberRun(&Request{id: id, Request: admission.Request{Route: b.tables.routes["pay"]}})
 		}
-		assert.Equal(t, []string{"a", "b", "c"}, b.executed.order, "the oldest goes where the table is full")
+		assert.Equal(t, []string{"a", "b", "c"}, b.executed.order, "the oldest is dropped if the table is full")
 		assert.Len(t, b.executed.until, 3)
 		b.executed.expire(b.Now() + time.Minute)
 		assert.Empty(t, b.executed.until)
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -9,7 +9,7 @@
 	"quartzpoint/internal/workerapi"
 )
 
-// handleNotice takes one notice of the workers.
+// handleNotice handles one notice of the workers.
 func (s *Server) handleNotice(notice *workerapi.Notice) {
 	switch notice.Kind {
 	case workerapi.Polled:
@@ -37,7 +37,7 @@
 	}
 }
 
-// outcomes are the ends of runs as the controller knows them.
+// outcomes maps the outcomes that the workers report to those of the controller.
 var outcomes = map[string]admission.Outcome{
 	workerapi.OutcomeSucceeded:    admission.Succeeded,
 	workerapi.OutcomeFailed:       admission.Failed,
@@ -45,14 +45,14 @@
 	workerapi.OutcomeNeverStarted: admission.NeverStarted,
 }
 
-// startRun has the workers run a request, or keeps it for the next link.
+// startRun has the workers run a request. If there is no link, the request is sent on the next one.
 func (s *Server) startRun(request *Request) {
 	s.counters.Assert(!request.sent, "a run was sent twice")
 	request.startNonce = s.link.NextPollNonce()
 	request.sent = s.link.Start(workerapi.Run{ID: request.id, Route: request.route, Body: request.body})
 }
 
-// handleFinished takes the end of a run.
+// handleFinished handles the end of a run.
 func (s *Server) handleFinished(notice *workerapi.Notice) {
 	request := s.requests.byID[notice.RequestID]
 	if request == nil || !request.active {
@@ -60,7 +60,7 @@
 		return
 	}
 	if request.pauseState == pauseRequested && notice.Outcome == workerapi.OutcomeStopped && !request.answered {
-		request.pauseState = pauseConfirmed // not its end: it is paused and waits for resumePaused
+		request.pauseState = pauseConfirmed // not its end: the run is paused until resumePaused
 		return
 	}
 	if request.overdue {
@@ -74,7 +74,8 @@
 	s.endRun(request, outcome, notice.Duration, notice.Result)
 }
 
-// endRun files the end of a run. An unanswered request is answered with its result, or aborted.
+// endRun reports the end of a run to the controller. If the request is unanswered it is answered with the result, or
+// aborted.
 func (s *Server) endRun(request *Request, outcome admission.Outcome, took time.Duration, result []byte) {
 	request.active, request.blockedAtCall, request.callReply = false, false, nil
 	if request.callID > 0 {
@@ -88,15 +89,15 @@
 	case outcome == admission.Succeeded:
 		s.answer(request, Answer{Verdict: Served, Result: result})
 	case request.composite:
-		s.answer(request, Answer{Verdict: Aborted, Result: result}) // the result says what is known of its calls
+		s.answer(request, Answer{Verdict: Aborted, Result: result}) // the result states what is known of its calls
 	default:
 		s.answer(request, Answer{Verdict: Aborted})
 	}
 }
 
-// handleCommandFailed takes that the workers did not carry out a command. A run that they do not know has not begun and will
-// not. That says something of a caller that invents request IDs, and nothing of this server: as a failed run it would count
-// against its health, and as a short one it would make all requests of the route look short.
+// handleCommandFailed handles a command that the workers did not carry out. A run that they did not start has not begun
+// and never will. The cause is a caller that invents request IDs, not this server: counted as a failed run it would
+// count against the server's health, and counted as a short run it would make all runs of the route look short.
 func (s *Server) handleCommandFailed(notice *workerapi.Notice) {
 	if notice.Command != workerapi.StartCommand {
 		s.counters.Count("pool did not carry out a command")
@@ -108,7 +109,7 @@
 	}
 }
 
-// recordRun records what became of a run.
+// recordRun records an event of a run.
 func (s *Server) recordRun(kind events.Kind, reason string, request *Request) {
 	s.events.Record(kind, reason, slog.String("request", request.id), slog.String("class", request.route),
 		slog.Duration("age", s.Now()-request.Arrived), slog.Bool("answered", request.answered),
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -93,8 +93,9 @@
 	text  string // the level as answers carry it; empty until it is first set
 }
 
-// New returns a server for its settings. It returns an error if the settings require a feature that limits does not
-// support, so that a request is not found to be unservable only after it was read.
+// New returns a server for its settings. It returns an error if the settings require idempotency keys or tenants and
+// limits does not support them, so that a request is not found to be unservable only after it was read. The requests of
+// routes that call a dependency are rejected if none is configured.
 func New(stated *settings.Settings, seed int64, limits Limits, counters *invariant.Counters, log *slog.Logger) (*Server, error) {
 	memory := limits.MemoryMB << 20
 	s := &Server{
@@ -128,8 +129,8 @@
 	return s, nil
 }
 
-// initTables fills the tables with the names of the settings' routes and tenants, and returns an error if limits does
-// not support them.
+// initTables fills the tables with the names of the settings' routes and tenants. It returns an error if the settings
+// name no route, or if limits does not support them.
 func (s *Server) initTables() error {
 	stated := &s.settings.Admission
 	for _, route := range stated.Routes {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -36,14 +36,14 @@
 	for range 2 {
 		assert.Equal(t, Rejected, b.nextAnswer(t).Verdict)
 	}
-	b.Submit(func() { // in one round, so that the first is still held
+	b.Submit(func() { // in one round, so that the first request is still queued
 		b.submitRequest(3, "pay", time.Minute)
 		b.submitRequest(3, "pay", time.Minute)
 	})
-	assert.Equal(t, Rejected, b.nextAnswer(t).Verdict, "a call that is known was taken again")
+	assert.Equal(t, Rejected, b.nextAnswer(t).Verdict, "a request with a known id was accepted again")
 }
 
-// A call sent again while its first run is on was dismissed, which says that it never ran.
+// A request sent again while its first run was in progress was answered as rejected, which states that it never ran.
 func TestKnownCallThatRuns(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -52,10 +52,11 @@
 	b.submitRequest(1, "pay", time.Minute)
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	b.pool.Finish(fake.CallID(1), "success", nil)
-	assert.Equal(t, Served, b.nextAnswer(t).Verdict, "the first one is answered from its run")
+	assert.Equal(t, Served, b.nextAnswer(t).Verdict, "the first request is answered from its run")
 }
 
-// The due answer must not hang on the pool: neither one that is not there nor one that tells no gauges.
+// Answers that are due must not depend on the worker pool: neither if it is not connected nor if it does not answer
+// polls.
 func TestDueAnswersWithoutThePool(t *testing.T) {
 	for _, mute := range []bool{false, true} {
 		b := newBench(t)
@@ -68,7 +69,8 @@
 	}
 }
 
-// What came late, or from a clock that is ahead, is answered like any other.
+// A request that is read a minute after its timestamp keeps its arrival time. A timestamp ahead of the clock is mapped
+// to now.
 func TestArrivalFollowsTheSystemClock(t *testing.T) {
 	b := newBench(t)
 	b.onLoop(func() {
@@ -78,14 +80,15 @@
 	})
 }
 
-// A step of the clock made requests hopeless, or refused them as not understood, and shortened windows.
+// Guards against a step of the wall clock: it made requests miss their deadlines, had them rejected as unparsable, and
+// shortened dedup windows.
 func TestArrivalAcrossAStepOfTheClock(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		b := newBench(t)
 		b.onLoop(func() { b.clock.wallOffset = func() time.Duration { return step } })
-		b.onLoop(func() {}) // a turn in which it is seen
+		b.onLoop(func() {}) // a round that observes the new offset
 		b.onLoop(func() {
-			for name, stamped := range map[string]time.Duration{"before it": 0, "behind it": step} {
+			for name, stamped := range map[string]time.Duration{"before it": 0, "after it": step} {
 				now := b.Now().Truncate(time.Millisecond)
 				came := now - 50*time.Millisecond
 				stamp := (came + stamped).Milliseconds()
@@ -107,17 +110,18 @@
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	assert.Equal(t, 2, b.counts.Times("pool did not carry out a spawn"))
 
-	// Calls that a bad client invents counted as broken runs, and closed this server's health to all.
+	// Guards against requests that a faulty client invents: they counted as failed runs, and made this server unhealthy
+	// for all.
 	for stream := range uint32(20) {
 		b.submitRequest(100+stream, "browse", time.Minute)
 		b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").RunID + `"}` + "\n")
 		assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	}
 	b.Submit(func() { b.CheckHealth(b, 1, false) })
-	assert.True(t, <-b.checks, "the server's health was closed")
+	assert.True(t, <-b.checks, "the server became unhealthy")
 }
 
-// After many tasks of ever new names from ever new routers, over links that break, the tables are empty again.
+// After many requests with new IDs from new routers, over links that are lost, the tables are empty again.
 func TestTablesAfterManyRequests(t *testing.T) {
 	b := newBench(t)
 	b.pool.Echo = true
@@ -145,8 +149,9 @@
 	assert.Equal(t, []int{0, 0, 0, 0, 0}, <-sizes)
 }
 
-// A run whose end the pool never reported stayed in the tables, and under the limit, until the process ended; a task
-// whose caller says that it waits for a day was kept as long. That it is over has to be proven by the pool's readings.
+// A run whose end the worker pool never reported stayed in the tables, and counted against the in-flight limit, until
+// the process ended. A request whose caller states a timeout of a day was kept for a day. That the run has ended has to
+// be proven by the pool's gauges.
 func TestNothingStaysForEver(t *testing.T) {
 	site := strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`,
 		`"late-value":0.0`, `"late-value":0.5`).Replace(fake.SiteSettings)
@@ -178,7 +183,7 @@
 		empty := make(chan bool)
 		b.Submit(func() { empty <- len(b.requests.byID) == 0 && len(b.requests.byDecision) == 0 })
 		return <-empty
-	}, fake.WaitLimit, time.Millisecond, "a settled task is kept")
+	}, fake.WaitLimit, time.Millisecond, "a request that is done is kept")
 	assert.Empty(t, b.answers)
 }
 
@@ -187,12 +192,12 @@
 	b.Submit(func() { b.CheckHealth(b, 1, true) })
 	assert.True(t, <-b.checks)
 	b.Submit(func() { b.SetHealth(true, false); b.CheckHealth(b, 1, true) })
-	assert.False(t, <-b.checks, "a deep check was good without a pool")
+	assert.False(t, <-b.checks, "a deep check succeeded without a worker pool")
 	b.pool.Ready()
 	b.waitLinkSynced(t)
 	for _, outcome := range []string{"success", "failure"} {
 		var sent bool
-		for !sent { // until the link is bound
+		for !sent { // until the link is synced
 			done := make(chan struct{})
 			b.Submit(func() { b.CheckHealth(b, 1, true); sent = len(b.health.checks) > 0; close(done) })
 			<-done
@@ -204,7 +209,7 @@
 		assert.Equal(t, outcome == "success", <-b.checks)
 	}
 	b.Submit(func() { b.CheckHealth(b, 1, true) })
-	assert.False(t, <-b.checks, "a deep check without an answer is a bad one in time")
+	assert.False(t, <-b.checks, "a deep check without an answer fails after its timeout")
 }
 
 func TestUnsupportedSettings(t *testing.T) {
@@ -221,7 +226,7 @@
 	}
 }
 
-// One customer without a name cost all behind it theirs, and with it their share.
+// A tenant without a name made all tenants after it lose their index, and with it their quota.
 func TestTenantsWithoutNames(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"tenants":[]`, `"tenants":[{"quota-rps":1},{"name":"b","quota-rps":2},{}]`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -17,7 +17,7 @@
 	return &admission.Route{Name: name, Value: 1, LateValueShare: 0.5, LatencyTarget: time.Second, Deadline: deadline}
 }
 
-// changeTables has the tables become different and waits until all of it is in force.
+// changeTables changes the tables and waits until the whole change is in force.
 func (b *bench) changeTables(t *testing.T, change TableChange) {
 	t.Helper()
 	done := make(chan struct{})
@@ -30,8 +30,8 @@
 	}
 }
 
-// A route is added, stated anew and removed while requests of it run: each ends under what it was taken in under, and is
-// answered once; a new request of a removed route gets the answer of an unknown one.
+// A route is added, changed and removed while requests of it run. Each request ends under the definition with which it
+// was accepted, and is answered once. A new request of a removed route is answered as one of an unknown route.
 func TestRoutesChangeInService(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -46,7 +46,7 @@
 	b.submitRequest(3, "quote", time.Minute)
 	second := b.pool.Next(t, "spawn")
 	late := b.nextAnswer(t)
-	assert.Equal(t, []any{uint32(3), Aborted}, []any{late.stream, late.Verdict}, "the later one has the shorter deadline")
+	assert.Equal(t, []any{uint32(3), Aborted}, []any{late.stream, late.Verdict}, "the later request has the shorter deadline")
 	b.pool.Finish(second.RunID, "interrupted", nil)
 
 	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "quote"}}})
@@ -55,11 +55,11 @@
 	assert.Equal(t, []any{uint32(4), Rejected}, []any{gone.stream, gone.Verdict}, "removed")
 	b.pool.Finish(first.RunID, "success", []byte("done"))
 	got := b.nextAnswer(t)
-	assert.Equal(t, receivedAnswer{2, Answer{Verdict: Served, Result: []byte("done")}}, got, "what was in flight is finished")
+	assert.Equal(t, receivedAnswer{2, Answer{Verdict: Served, Result: []byte("done")}}, got, "the run in flight is finished")
 	assert.Empty(t, b.answers)
 }
 
-// What was learned of a route stays when it is stated anew, and is gone with it when it is removed.
+// The estimates of a route are kept when it is changed, and dropped when it is removed.
 func TestWhatWasLearnedStays(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -86,7 +86,8 @@
 	assert.Zero(t, samples())
 }
 
-// A key that was used stays used for its window, whatever becomes of its route meanwhile: nothing runs twice.
+// A key that was used stays in use for its window, even if its route is removed or changed meanwhile: nothing runs
+// twice.
 func TestWindowsOutlastTheirRoute(t *testing.T) {
 	b := newBenchWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
@@ -112,11 +113,12 @@
 	shorter.DedupWindow = time.Millisecond
 	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: &shorter}}})
 	ask(2)
-	assert.Equal(t, receivedAnswer{2, Answer{Verdict: Served, Result: []byte("done")}}, b.nextAnswer(t), "answered from the first")
+	assert.Equal(t, receivedAnswer{2, Answer{Verdict: Served, Result: []byte("done")}}, b.nextAnswer(t), "answered from the original")
 }
 
-// Tenants come, change and go; what one has asked for counts on when its rate changes, and not for another that takes
-// its place later. A place is not taken while requests of the one that left it may still be here.
+// Tenants are added, changed and removed. The requests of a tenant still count against its quota after the quota
+// changes, but not against another tenant that takes its index later. The index of a removed tenant is not reused while
+// requests of it may be left.
 func TestTenantsChangeInService(t *testing.T) {
 	b := newBenchWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
 	b.pool.Ready()
@@ -141,21 +143,21 @@
 	_, rates := b.Tables()
 	assert.Equal(t, map[string]float64{"north": 7}, rates)
 	b.changeTables(t, removed("north"))
-	assert.Equal(t, unknown, place("north"), "nobody's")
+	assert.Equal(t, unknown, place("north"), "no tenant's index")
 	b.changeTables(t, tenant("south", 1))
-	assert.Equal(t, 1, place("south"), "a request of north is still here")
+	assert.Equal(t, 1, place("south"), "a request of north is in flight")
 	b.pool.Finish(run.RunID, "success", nil)
 	b.nextAnswer(t)
 	b.changeTables(t, removed("south"))
 	b.changeTables(t, tenant("west", 1))
-	assert.Equal(t, 2, place("west"), "the place of north is the oldest, and not free for the deadline of what was here")
+	assert.Equal(t, 2, place("west"), "the index of north is the oldest, and not available until the deadline of the requests that were left")
 	b.onLoop(func() { b.tables.free[0].availableAt = 0 })
 	b.changeTables(t, tenant("east", 1))
 	assert.Equal(t, 0, place("east"))
 }
 
-// A change of a whole table is made a part in each round: requests are answered meanwhile, and it is in force in order
-// with those before and behind it.
+// A large change is made over many rounds. Requests are answered meanwhile, and changes come into force in the order of
+// their submission.
 func TestALargeChangeIsSpread(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -176,7 +178,7 @@
 			left = len(b.tables.changes[0].Routes)
 		}
 		if seen > 0 && left > 0 {
-			assert.LessOrEqual(t, seen-left, (maxPasses+1)*changesPerRound, "a part in each round")
+			assert.LessOrEqual(t, seen-left, (maxPasses+1)*changesPerRound, "at most one part per round")
 		}
 		if seen = left; left > 0 {
 			b.Submit(step)
@@ -192,6 +194,6 @@
 	case <-time.After(fake.WaitLimit):
 		require.FailNow(t, "the change is not in force")
 	}
-	assert.Equal(t, many+2, <-counted, "with the two that were there")
+	assert.Equal(t, many+2, <-counted, "with the two routes of the site")
 	b.onLoop(func() { assert.Len(t, b.tables.routes, many+1) })
 }
