--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// AwaitCall reports to the controller that a run waits for it to allow a call.
+// AwaitCall reports to the controller that a run waits for its call to be allowed.
 func (s *Server) AwaitCall(request *Request) {
 	s.round.AwaitingCall = append(s.round.AwaitingCall, &request.Request)
 	s.round.pending = true
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -9,7 +9,7 @@
 	// exitBefore is how long before the stop the process ends, even if peers have not read their answers or closed
 	// their connections.
 	exitBefore = 40 * time.Millisecond
-	// maxLateness is the time that a busy machine may add to reading the signal and to ending the process.
+	// maxLateness is the time by which a busy machine may delay the reading of the signal and the end of the process.
 	maxLateness     = 65 * time.Millisecond
 	drainPollPeriod = 5 * time.Millisecond // between checks whether the drain is complete
 	// The platform may kill the process after killDelay plus the longest deadline of its routes, counted from the
@@ -67,8 +67,8 @@
 
 // advanceDrain advances the drain, and reports whether it is done. After stopAcceptingAt, when a request that arrives
 // would no longer run, connections are no longer accepted. The drain is done once all requests are answered, peers have
-// read all output (written) and closed their connections, and no input is left. From exitBefore before the stop it no
-// longer waits for peers, and at the stop it is done in any case.
+// read all output (written) and closed their connections, and no input is left. In the last exitBefore before the stop
+// it no longer waits for peers, and at the stop it is done in any case.
 func (s *Server) advanceDrain(now time.Duration, written bool) (done bool) {
 	if !s.drain.started() || now < s.drain.stopAcceptingAt {
 		return false
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -12,8 +12,8 @@
 const (
 	maxPasses     = 4           // passes over the input per round
 	maxIdlePeriod = time.Second // between two rounds
-	// slowRound is the duration from which a round is logged as slow. It is half of the margin before their deadlines
-	// by which answers are sent.
+	// slowRound is the duration from which a round is logged as slow: half of the time by which answers are sent before
+	// their deadlines.
 	slowRound = 25 * time.Millisecond
 )
 
@@ -26,7 +26,7 @@
 	notStarted []*Request           // that the composer did not accept
 }
 
-// Run runs rounds until the server has drained.
+// Run runs the event loop until the server has drained.
 func (s *Server) Run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -59,8 +59,8 @@
 		if s.advanceDrain(now, written) {
 			return
 		}
-		// Resetting the timer costs as much as an idle round, so it is only reset to fire earlier; a round that comes
-		// too early finds nothing to do.
+		// Resetting the timer costs as much as an idle round, so it is reset only if it has fired or must fire earlier.
+		// A round that comes too early finds nothing to do.
 		if next := s.nextTimer(ended); next < firesAt || firesAt <= ended {
 			firesAt = next
 			timer.Reset(max(next-ended, 0))
@@ -71,7 +71,7 @@
 	}
 }
 
-// roundTimes holds the times at which the parts of a round ended.
+// roundTimes holds the time at which a round began, and those at which its parts ended.
 type roundTimes struct {
 	began, read, decided, written time.Duration
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// recordRound reports the duration of a round to the observer, and logs a slow round.
+// recordRound reports the duration of a round to the observer, and logs a round that took slowRound or longer.
 func (s *Server) recordRound(at roundTimes, arrived int) {
 	took := at.written - at.began
 	if s.observeRound != nil {
@@ -150,7 +150,7 @@
 
 // nextTimer returns the time at which the next round is due without new input.
 func (s *Server) nextTimer(now time.Duration) time.Duration {
-	if s.round.pending { // set while the last round was decided
+	if s.round.pending { // set while the round was decided
 		return 0
 	}
 	first := min(now+maxIdlePeriod, s.composer.NextTimer())
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Verdict is the outcome of a request that an answer states.
+// Verdict is the outcome of a request, as stated in its answer.
 type Verdict int
 
 // The verdicts.
@@ -22,7 +22,7 @@
 	Result           []byte
 }
 
-// Caller is the origin of requests and health checks. The event loop makes all calls.
+// Caller is the origin of requests and health checks. The event loop calls its methods.
 type Caller interface {
 	Answer(stream uint32, a Answer)
 	ReportHealth(stream uint32, healthy bool, shedLevel string)
@@ -38,7 +38,7 @@
 	SkipCall()
 }
 
-// Frontend reads requests from connections. The event loop makes all calls.
+// Frontend reads requests from connections. The event loop calls its methods.
 type Frontend interface {
 	// CloseIdle sets how long a connection may be idle before it is closed.
 	CloseIdle(timeout time.Duration)
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -24,7 +24,7 @@
 }
 
 // CheckHealth answers a health check with the health that the controller last set. A deep check of a healthy server is
-// passed on to the workers, unless the controller has set that it is not.
+// passed on to the workers, unless SetHealth has ruled that out; it fails at once if maxChecks are pending.
 func (s *Server) CheckHealth(c Caller, stream uint32, deep bool) {
 	h := &s.health
 	if !deep || h.fromStore || !h.healthy {
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -41,8 +41,8 @@
 	s.Wake()
 }
 
-// callSubmitted calls the submitted functions in their order, until none is left or the time reaches until. called
-// reports whether there was any.
+// callSubmitted calls the functions of the current batch in order, or of a new batch if all of them were called. It
+// stops when the time reaches until. called reports whether it called any.
 func (s *Server) callSubmitted(until time.Duration) (called bool) {
 	box := &s.inbox
 	if box.called == len(box.batch) {
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// completeKeyOnEnd stores how the run of an original ended that was answered before its run ended.
+// completeKeyOnEnd stores the outcome of the run of an original that was already answered.
 func (s *Server) completeKeyOnEnd(request *Request, outcome admission.Outcome, result []byte) {
 	entry := s.keys.entries[request.key]
 	if request.key == "" || request.Duplicate || entry == nil || entry.completed || !request.answered {
@@ -136,8 +136,7 @@
 	}
 }
 
-// dropKey removes a key. Duplicates that wait for its original get a as their answer if the key is not complete, and
-// the original's answer otherwise.
+// dropKey removes a key. Duplicates that wait for its original are answered with a.
 func (s *Server) dropKey(entry *keyEntry, a Answer) {
 	if entry == nil {
 		return
@@ -150,8 +149,8 @@
 	s.answerWaiting(entry)
 }
 
-// detectStall detects that the loop did not run for a time, after which requests that arrived meanwhile are still
-// unread.
+// detectStall detects that the event loop did not run for longer than stallAfter. Requests that arrived meanwhile are
+// still unread.
 func (s *Server) detectStall(now time.Duration) {
 	if s.keys.lastTurn > 0 && now > s.keys.lastTurn+stallAfter {
 		s.keys.unreadUntil = now + maxReadDelay
@@ -164,7 +163,7 @@
 	if now < s.keys.unreadUntil {
 		return
 	}
-	for _, entry := range s.keys.entries { // in any order
+	for _, entry := range s.keys.entries { // the order does not matter
 		if now >= entry.until+maxReadDelay && len(entry.waiting) == 0 {
 			s.dropKey(entry, Answer{Verdict: Aborted})
 		}
--- a/internal/server/ledger.go
+++ b/internal/server/ledger.go
@@ -8,15 +8,15 @@
 
 const ledgerPollPeriod = 20 * time.Millisecond // between checks whether the ledger has stored the keys that runs wait for
 
-// Ledger stores idempotency keys so that they survive a crash. The event loop makes all calls, and they must not block.
-// remaining is the time left of the key's dedup window.
+// Ledger stores idempotency keys so that they survive a crash. The event loop calls its methods, and they must not
+// block. remaining is the time left of the key's dedup window.
 type Ledger interface {
 	// RecordStart stores that a request with the key is about to run. The run waits until DurableMark has reached mark.
 	RecordStart(key string, fingerprint uint64, remaining time.Duration) (mark uint64)
 	// RecordEnd stores how the run ended. The caller must not change result afterwards.
 	RecordEnd(key string, fingerprint uint64, remaining time.Duration, served bool, result []byte)
 	// DurableMark returns the mark up to which all records are stored, or can't be stored for now: their runs need not
-	// wait any longer. The ledger calls Wake after the mark has changed.
+	// wait any longer. The ledger calls Server.Wake after the mark has changed.
 	DurableMark() uint64
 }
 
--- a/internal/server/linkrecovery.go
+++ b/internal/server/linkrecovery.go
@@ -33,7 +33,7 @@
 // which it was sent after the last poll that was answered.
 func (s *Server) handleLinkDown() {
 	s.recovery.paused = s.recovery.paused[:0]
-	for _, request := range s.requests.byID { // in any order
+	for _, request := range s.requests.byID { // the order does not matter
 		if s.holdsWorker(request) && request.startNonce > s.polls.answered {
 			request.startUnknown = true
 		}
@@ -43,13 +43,14 @@
 // handleLinkSynced recovers the runs after a lost link. All earlier notices have been read, so a run that has not ended
 // either runs or never reached the workers.
 //
-//   - A run that was never sent is sent now.
+//   - A run that was never sent is sent now, or ended if its request is answered.
 //   - A run that may have been sent is sent again if a second run does no harm; the workers ignore the command while the
 //     first runs.
 //   - A run that must not run twice might end just while it is sent again. If the settings allow runs to be paused it is
-//     paused first, and resumePaused sends it again. Otherwise it stays as it is.
-//   - A run whose request is answered stays as it is, too: it counts as in flight until its end is reported, or proven by
-//     the gauges.
+//     paused first, and resumePaused resumes or restarts it. Otherwise it stays as it is.
+//   - A reply to a call that may not have reached its run is sent again.
+//   - Any other run whose request is answered stays as it is: it counts as in flight until its end is reported, or proven
+//     by the gauges.
 func (s *Server) handleLinkSynced() {
 	pauses := s.settings.Admission.Preemption.Resumable()
 	for _, request := range s.activeRuns() {
@@ -129,7 +130,7 @@
 		s.endRun(request, admission.Stopped, 0, nil) // no other end will be reported
 	case request.answered:
 	case paused:
-		if request.callReply != nil { // sent before Resume: after it, the reply might be taken for the reply to the run's next call
+		if request.callReply != nil { // sent first: after Resume it might be taken for the reply to the next call
 			s.replyToCall(request, request.callReply)
 		}
 		request.startNonce = s.link.NextPollNonce()
--- a/internal/server/overdue.go
+++ b/internal/server/overdue.go
@@ -13,7 +13,7 @@
 
 const (
 	sweepPeriod     = time.Second            // between two maintenance passes
-	heldMemoryDelay = 150 * time.Millisecond // from reading a request until the gauges include its memory
+	heldMemoryDelay = 150 * time.Millisecond // from reading a request until its memory shows in the gauges
 )
 
 // overdueRuns tracks the workers' runs that may have ended without a report.
--- a/internal/server/overdue_test.go
+++ b/internal/server/overdue_test.go
@@ -43,7 +43,7 @@
 	return spawned
 }
 
-// Report f19453: at twice their deadline, runs were taken to have ended although the machine was only hung, and others
+// Report f19453: after twice their deadline, runs were taken to have ended although the machine was only hung, and others
 // were started in their place.
 func TestRunsKeepTheirPlaceWhileTheMachineHoldsThem(t *testing.T) {
 	for _, halt := range []string{"suspend", "abort", "none"} {
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -29,7 +29,7 @@
 	LastByteAt  time.Duration // when the last byte was read, if the request came in pieces
 }
 
-// Receive accepts a request that a front end has read for the next round. It returns nil if it answered the request at
+// Receive adds a request that a front end has read to the next round. It returns nil if it answered the request at
 // once.
 func (s *Server) Receive(in Incoming) *Request {
 	route := s.tables.routes[in.Route]
@@ -75,7 +75,7 @@
 		// Rejected would state that the request never ran, and its caller might have it run elsewhere.
 		return "request whose id is known already", Answer{Verdict: Aborted}
 	case known == nil && s.executed.until[in.ID] > 0:
-		// Its caller was sent an answer. A request that may have run is never run again, and never rejected.
+		// It was answered, or its caller canceled. A request that may have run is never run again, and never rejected.
 		return "request that may have run before", Answer{Verdict: Aborted}
 	}
 	return "", Answer{}
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -12,9 +12,9 @@
 	"quartzpoint/internal/settings"
 )
 
-// Settings that change while the server runs are used from the next decision on, in both directions. After its caller
-// canceled, a run is stopped if the settings in force allow preemption, and left to end otherwise. No run is started
-// twice, and a request that was admitted before the changes is answered once.
+// Settings that change while the server runs are used from the next decision on. After its caller canceled, a run is
+// stopped if the settings in force allow preemption, and left to end otherwise. No run is started twice, and a request
+// that was admitted before the changes is answered once.
 func TestSettingsMoveInService(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -25,7 +25,7 @@
 	composite    bool   // consists of calls, and is run by the composer
 	active       bool   // started, and its end is not reported yet
 	sent         bool   // the start command was sent to the workers
-	startNonce   uint64 // of the first poll after the last command to start or resume the run; once that poll is answered, the command was read
+	startNonce   uint64 // of the first poll after the last start, reply or resume; once it is answered, that command was read
 	startUnknown bool   // the link was lost, and whether the workers read that command is unknown
 	pauseState   pauseState
 	overdue      bool // the run may have ended, or may never have begun
@@ -103,8 +103,8 @@
 	order []string // the same IDs, oldest first
 }
 
-// rememberRun stores the ID of a request that may have run. If the table is full it drops the oldest ID, as no copy of
-// that is the most likely to arrive.
+// rememberRun stores the ID of a request that may have run. If the table is full it drops the oldest ID, of which a
+// copy is the least likely to arrive.
 func (s *Server) rememberRun(request *Request) {
 	if len(s.executed.order) >= s.requests.max {
 		s.executed.dropOldest()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -35,7 +35,7 @@
 	MemoryMB         int  // of this process
 	Sockets          int  // file descriptors for connections
 	Keys             bool // requests carry idempotency keys
-	Tenants          bool // requests carry their tenant's name
+	Tenants          bool // requests carry their tenant
 	Calls            bool // runs report that they wait for a call, and a dependency to call is configured
 	SkippableCalls   bool // runs can continue without their call
 	MaxIdleYields    int  // yields to other goroutines before the loop blocks, as waking it costs more than a few yields
@@ -130,7 +130,7 @@
 }
 
 // initTables fills the tables with the names of the settings' routes and tenants. It returns an error if the settings
-// name no route, or if limits does not support them.
+// name no route, or if they require idempotency keys or tenants that limits does not support.
 func (s *Server) initTables() error {
 	stated := &s.settings.Admission
 	for _, route := range stated.Routes {
@@ -192,7 +192,7 @@
 // limits these calls itself, so the controller starts them without a limit of its own.
 func (s *Server) SetComposer(c Composer) {
 	s.composer = c
-	for name, route := range s.tables.routes { // in any order
+	for name, route := range s.tables.routes { // the order does not matter
 		if c.Handles(name) {
 			route.CallWait = c.ExpectedWait(name)
 			delete(s.tables.unserved, name)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -80,8 +80,8 @@
 	})
 }
 
-// Guards against a step of the wall clock: it made requests miss their deadlines, had them rejected as unparsable, and
-// shortened dedup windows.
+// A step of the wall clock made requests miss their deadlines, had them rejected as unparsable, and shortened dedup
+// windows.
 func TestArrivalAcrossAStepOfTheClock(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		b := newBench(t)
@@ -110,8 +110,8 @@
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	assert.Equal(t, 2, b.counts.Times("pool did not carry out a spawn"))
 
-	// Guards against requests that a faulty client invents: they counted as failed runs, and made this server unhealthy
-	// for all.
+	// A faulty client sends requests with invented IDs. They counted as failed runs, and made this server unhealthy for
+	// all.
 	for stream := range uint32(20) {
 		b.submitRequest(100+stream, "browse", time.Minute)
 		b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + b.pool.Next(t, "spawn").RunID + `"}` + "\n")
@@ -197,7 +197,7 @@
 	b.waitLinkSynced(t)
 	for _, outcome := range []string{"success", "failure"} {
 		var sent bool
-		for !sent { // until the link is synced
+		for !sent { // until a deep check is passed on to the workers
 			done := make(chan struct{})
 			b.Submit(func() { b.CheckHealth(b, 1, true); sent = len(b.health.checks) > 0; close(done) })
 			<-done
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -6,7 +6,7 @@
 	"quartzpoint/internal/workerapi"
 )
 
-// Workers run requests. The event loop makes all calls, and none may block: commands are written by Flush, and
+// Workers run requests. The event loop calls their methods, and none may block: commands are written by Flush, and
 // AppendNotices returns the notices. The end of each run that was started is reported at most once, by a notice of kind
 // RunFinished.
 type Workers interface {
@@ -39,8 +39,8 @@
 	ReplyToCall(id string, reply []byte) (sent bool)
 }
 
-// Dependency makes the calls that the workers' runs wait for. The event loop makes all calls of its methods, and none
-// may block. The end of each call is reported once, by Server.HandleCallEnd.
+// Dependency makes the calls that the workers' runs wait for. The event loop calls its methods, and none may block. The
+// end of each call is reported once, by Server.HandleCallEnd.
 type Dependency interface {
 	Call(c workerapi.Call)
 	// Cancel cancels a call whose reply is no longer needed.
