--- a/internal/server/alarms.go
+++ b/internal/server/alarms.go
@@ -24,26 +24,26 @@
 
 // WakeAfter sets an alarm. The controller sets a new one whenever one fires, so the number of alarms would grow without
 // bound if it set more than that.
-func (s *Server) WakeAfter(in time.Duration) {
+func (s *Server) WakeAfter(delay time.Duration) {
 	s.counters.Assert(len(s.polls.alarms) < maxAlarms, "too many alarms")
 	if len(s.polls.alarms) < maxAlarms {
-		s.polls.alarms = append(s.polls.alarms, s.Now()+in)
+		s.polls.alarms = append(s.polls.alarms, s.Now()+delay)
 	}
 }
 
 // runAlarms polls the workers' gauges when an alarm is due. The alarm's round waits at most gaugeTimeout for them, and
 // then uses the last gauges received, as answers that are due must not depend on the workers.
 func (s *Server) runAlarms(now time.Duration) {
-	left := s.polls.alarms[:0]
+	remaining := s.polls.alarms[:0]
 	fired := false
 	for _, at := range s.polls.alarms {
 		if at <= now {
 			fired = true
 		} else {
-			left = append(left, at)
+			remaining = append(remaining, at)
 		}
 	}
-	s.polls.alarms = left
+	s.polls.alarms = remaining
 	if fired && s.polls.nonce == 0 {
 		if nonce, sent := s.link.Poll(); sent {
 			s.polls.nonce, s.polls.deadline = nonce, now+gaugeTimeout
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -27,26 +27,26 @@
 // the answers.
 type bench struct {
 	*Server
-	pool         *fake.Pool
-	workerLink   *workerlink.Link
-	counts       *invariant.Counters
-	answers      chan receivedAnswer
-	checks       chan bool
-	done         chan struct{}
-	retired      bool
-	peersStalled bool        // the front end's peers do not read
-	inputPending atomic.Bool // input has arrived that is not read yet
+	pool             *fake.Pool
+	workerLink       *workerlink.Link
+	counts           *invariant.Counters
+	answers          chan receivedAnswer
+	checks           chan bool
+	done             chan struct{}
+	stoppedAccepting bool
+	peersStalled     bool        // the front end's peers do not read
+	inputPending     atomic.Bool // input has arrived that is not read yet
 }
 
 func (b *bench) Answer(stream uint32, a Answer) { b.answers <- receivedAnswer{stream, a} }
 
-func (b *bench) ReportHealth(_ uint32, good bool, _ string) { b.checks <- good }
+func (b *bench) ReportHealth(_ uint32, healthy bool, _ string) { b.checks <- healthy }
 
 func (b *bench) CloseIdle(time.Duration) {}
 
 func (b *bench) Flush() bool { return !b.peersStalled }
 
-func (b *bench) StopAccepting() { b.retired = true }
+func (b *bench) StopAccepting() { b.stoppedAccepting = true }
 
 func (b *bench) Open() int { return 0 }
 
@@ -58,21 +58,21 @@
 	return newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256}, nil)
 }
 
-func newBenchWith(t *testing.T, site string, limits Limits, on Dependency) *bench {
+func newBenchWith(t *testing.T, site string, limits Limits, dependency Dependency) *bench {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	told, err := settings.FromJSON([]byte(site))
+	parsed, err := settings.FromJSON([]byte(site))
 	require.NoError(t, err)
 	b := &bench{
 		pool: fake.NewPool(t), counts: invariant.New(log), done: make(chan struct{}),
 		answers: make(chan receivedAnswer, 100), checks: make(chan bool, 100),
 	}
-	b.Server, err = New(told, 1, limits, b.counts, log)
+	b.Server, err = New(parsed, 1, limits, b.counts, log)
 	require.NoError(t, err)
 	link := workerlink.New(b.pool.Address, 1<<20, log, b.counts.Count, b.Wake)
 	b.workerLink = link
 	b.Attach(link, b)
-	if on != nil {
-		b.SetDependency(on, link)
+	if dependency != nil {
+		b.SetDependency(dependency, link)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go link.Run(ctx)
@@ -90,10 +90,10 @@
 }
 
 // submitRequest has the event loop receive a request.
-func (b *bench) submitRequest(stream uint32, kind string, waits time.Duration) {
+func (b *bench) submitRequest(stream uint32, route string, timeout time.Duration) {
 	b.Submit(func() {
 		b.Receive(Incoming{
-			ID: fake.CallID(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: waits,
+			ID: fake.CallID(stream), Route: route, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: timeout,
 			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
 		})
 	})
@@ -113,20 +113,20 @@
 // waitLinkSynced waits until the link is up and answers a poll.
 func (b *bench) waitLinkSynced(t *testing.T) {
 	t.Helper()
-	asked := uint64(0) // poll on the current link; an answer on an earlier link proves nothing
+	pollNonce := uint64(0) // poll on the current link; an answer on an earlier link proves nothing
 	require.Eventually(t, func() bool {
-		bound := make(chan bool)
+		synced := make(chan bool)
 		b.Submit(func() {
 			nonce, up := b.link.Poll()
 			switch {
 			case !up:
-				asked = 0
-			case asked == 0:
-				asked = nonce
+				pollNonce = 0
+			case pollNonce == 0:
+				pollNonce = nonce
 			}
-			bound <- asked > 0 && b.polls.answered >= asked
+			synced <- pollNonce > 0 && b.polls.answered >= pollNonce
 		})
-		return <-bound
+		return <-synced
 	}, fake.WaitLimit, time.Millisecond)
 }
 
@@ -137,8 +137,8 @@
 		known := make(chan bool)
 		b.Submit(func() {
 			all := true
-			for _, task := range b.requests.byID {
-				all = all && (!task.active || task.sent && task.startNonce <= b.polls.answered)
+			for _, request := range b.requests.byID {
+				all = all && (!request.active || request.sent && request.startNonce <= b.polls.answered)
 			}
 			known <- all
 		})
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -15,12 +15,12 @@
 
 // recordingDependency records the calls that it is asked for and their cancellations. The test ends the calls.
 type recordingDependency struct {
-	calls     chan workerapi.Call
-	abandoned chan uint64
+	calls    chan workerapi.Call
+	canceled chan uint64
 }
 
 func (d *recordingDependency) Call(c workerapi.Call) { d.calls <- c }
-func (d *recordingDependency) Cancel(number uint64)  { d.abandoned <- number }
+func (d *recordingDependency) Cancel(callID uint64)  { d.canceled <- callID }
 
 func (d *recordingDependency) next(t *testing.T) workerapi.Call {
 	t.Helper()
@@ -46,24 +46,24 @@
 }
 
 // runToCall submits a request, and returns the call that its run waits for.
-func (b *bench) runToCall(t *testing.T, d *recordingDependency, stream uint32, kind string, waits time.Duration) workerapi.Call {
+func (b *bench) runToCall(t *testing.T, d *recordingDependency, stream uint32, route string, timeout time.Duration) workerapi.Call {
 	t.Helper()
-	b.submitRequest(stream, kind, waits)
+	b.submitRequest(stream, route, timeout)
 	b.pool.Next(t, "spawn")
 	b.pool.Block(fake.CallID(stream), []byte("what"))
 	return d.next(t)
 }
 
 // A route that calls a dependency kept the whole server from starting.
-func TestRunStandsAtItsCalls(t *testing.T) {
+func TestRunWaitsForItsCalls(t *testing.T) {
 	b, d := newCallBench(t, callSite)
 	c := b.runToCall(t, d, 1, "browse", time.Minute)
 	assert.Equal(t, fake.CallID(1), c.RequestID)
 	assert.Equal(t, "what", string(c.Body))
 	assert.Positive(t, c.Timeout)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Duration: time.Millisecond, Result: []byte("that")})
-	supplied := b.pool.Next(t, "supply")
-	assert.Equal(t, "that", string(supplied.Body))
+	reply := b.pool.Next(t, "supply")
+	assert.Equal(t, "that", string(reply.Body))
 	b.pool.Block(fake.CallID(1), []byte("and more"))
 	c = d.next(t)
 	assert.Equal(t, "and more", string(c.Body))
@@ -73,7 +73,7 @@
 	b.pool.Next(t, "supply")
 	b.pool.Finish(fake.CallID(1), "success", []byte("done"))
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
-	assert.Empty(t, d.abandoned)
+	assert.Empty(t, d.canceled)
 }
 
 func TestCallThatMayHaveRun(t *testing.T) {
@@ -96,13 +96,13 @@
 	c := b.runToCall(t, d, 1, "browse", 2500*time.Millisecond)
 	assert.Less(t, c.Timeout, 2500*time.Millisecond)
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
-	assert.Equal(t, c.CallID, <-d.abandoned)
+	assert.Equal(t, c.CallID, <-d.canceled)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("late")})
 	b.pool.Finish(fake.CallID(1), "interrupted", nil)
 	c = b.runToCall(t, d, 2, "browse", time.Minute)
 	b.pool.Finish(fake.CallID(2), "failure", nil)
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
-	assert.Equal(t, c.CallID, <-d.abandoned)
+	assert.Equal(t, c.CallID, <-d.canceled)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded})
 	b.waitAllRead(t)
 	for len(b.pool.Commands) > 0 {
@@ -128,9 +128,9 @@
 			b.pool.Relocate(t) // nothing listens at the link's address, so it can't reconnect
 			b.pool.CloseLink()
 			require.Eventually(t, func() bool {
-				asked := true
-				b.onLoop(func() { _, asked = b.link.Poll() })
-				return !asked
+				linkUp := true
+				b.onLoop(func() { _, linkUp = b.link.Poll() })
+				return !linkUp
 			}, fake.WaitLimit, time.Millisecond)
 			b.onLoop(func() {
 				b.handleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("this")})
@@ -144,7 +144,7 @@
 }
 
 // If no dependency is configured, requests of a route that calls one are rejected, and all others are served.
-func TestRoutesThatCallNobody(t *testing.T) {
+func TestRoutesWithoutADependency(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"calls-by-class":[false,false]`, `"calls-by-class":[true,false]`, 1)
 	b := newBenchAt(t, site)
 	b.pool.Ready()
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -6,14 +6,14 @@
 	"quartzpoint/wallclock"
 )
 
-const maxStampMS = 1 << 43 // in Unix milliseconds, some centuries: a larger one might overflow a time.Duration
+const maxTimestampMS = 1 << 43 // in Unix milliseconds, some centuries: a larger one might overflow a time.Duration
 
 // clock is the clock of rounds, which never steps, and its offset to the system's wall clock, which may.
 type clock struct {
 	startedAt  time.Time
 	epoch      time.Duration        // of startedAt, since the Unix epoch
 	wallOffset func() time.Duration // returns how far the wall clock is ahead of the clock of rounds
-	stamps     wallclock.Mapper
+	timestamps wallclock.Mapper
 }
 
 func newClock() clock {
@@ -24,7 +24,7 @@
 		now := time.Now() // reads both clocks at once
 		return time.Duration(now.UnixNano()) - epoch - now.Sub(startedAt)
 	}
-	c.stamps.Observe(c.wallOffset())
+	c.timestamps.Observe(c.wallOffset())
 	return c
 }
 
@@ -36,11 +36,11 @@
 // arrivalTime maps a timestamp of the system's wall clock, which may step, to the clock of rounds. A timestamp in the
 // future is mapped to now.
 func (s *Server) arrivalTime(unixMS int64, now time.Duration) time.Duration {
-	return s.clock.stamps.Arrival(time.Duration(unixMS)*time.Millisecond, now)
+	return s.clock.timestamps.Arrival(time.Duration(unixMS)*time.Millisecond, now)
 }
 
 // PlausibleStamp reports whether a clock that was stepped may have written a request's timestamp, in Unix milliseconds.
 func (s *Server) PlausibleStamp(unixMS int64) bool {
-	return unixMS >= 0 && unixMS < maxStampMS &&
+	return unixMS >= 0 && unixMS < maxTimestampMS &&
 		wallclock.Plausible(time.Duration(unixMS)*time.Millisecond, s.Now()+s.clock.wallOffset())
 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -110,5 +110,5 @@
 			return false
 		}
 	}
-	return s.nothingSubmitted()
+	return s.inboxEmpty()
 }
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -19,9 +19,9 @@
 	}
 	limits := Limits{MemoryMB: 96, Sockets: 256, EarlyKill: true}
 	cases := []struct {
-		name, site string
-		limits     Limits
-		told, stop time.Duration
+		name, site   string
+		limits       Limits
+		within, stop time.Duration
 	}{
 		{"a short deadline", site("1200000"), limits, 8 * time.Second, 1900 * time.Millisecond},
 		{"a long deadline counts as 3 s", fake.SiteSettings, limits, 8 * time.Second, 3700 * time.Millisecond},
@@ -32,9 +32,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBenchWith(t, c.site, c.limits, nil)
 			b.onLoop(func() {
-				came := b.Now()
-				b.startDrain(came, c.told)
-				assert.Equal(t, came+c.stop-maxLateness, b.drain.stopAt)
+				notifiedAt := b.Now()
+				b.startDrain(notifiedAt, c.within)
+				assert.Equal(t, notifiedAt+c.stop-maxLateness, b.drain.stopAt)
 			})
 		})
 	}
@@ -49,9 +49,9 @@
 	b.submitRequest(2, "pay", time.Minute) // within the grace of 400 ms
 	b.pool.Next(t, "spawn")
 	require.Eventually(t, func() bool {
-		retired := make(chan bool)
-		b.Submit(func() { retired <- b.retired && b.Now() > b.drain.startedAt+450*time.Millisecond })
-		return <-retired
+		stopped := make(chan bool)
+		b.Submit(func() { stopped <- b.stoppedAccepting && b.Now() > b.drain.startedAt+450*time.Millisecond })
+		return <-stopped
 	}, fake.WaitLimit, time.Millisecond)
 	b.submitRequest(3, "pay", time.Minute) // after the grace
 	got := b.nextAnswer(t)
@@ -90,15 +90,15 @@
 
 // A process that ends with a connection not accepted, or bytes not read, loses a request. It waits for them until the
 // stop.
-func TestEndWaitsForWhatIsUnread(t *testing.T) {
+func TestDrainWaitsForUnreadInput(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
 	b.inputPending.Store(true)
 	b.Drain(4 * time.Second)
 	require.Eventually(t, func() bool {
-		retired := false
-		b.onLoop(func() { retired = b.retired })
-		return retired
+		stopped := false
+		b.onLoop(func() { stopped = b.stoppedAccepting })
+		return stopped
 	}, fake.WaitLimit, time.Millisecond)
 	b.onLoop(func() { // read only now, after the grace of 400 ms: it is answered, and does not run
 		b.Receive(Incoming{
@@ -126,14 +126,14 @@
 	b.pool.Next(t, "bind")
 	b.waitLinkSynced(t)
 	b.onLoop(func() {
-		came := b.Now() - 300*time.Millisecond
-		b.startDrain(came, 3*time.Second)
-		assert.Equal(t, came+3*time.Second-maxLateness, b.drain.stopAt)
+		notifiedAt := b.Now() - 300*time.Millisecond
+		b.startDrain(notifiedAt, 3*time.Second)
+		assert.Equal(t, notifiedAt+3*time.Second-maxLateness, b.drain.stopAt)
 		late := Incoming{ID: fake.CallID(1), Route: "pay", HeldKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
-		late.Arrived = came + 401*time.Millisecond // the site's grace is 400 ms
+		late.Arrived = notifiedAt + 401*time.Millisecond // the site's grace is 400 ms
 		b.Receive(late)
 		due := late
-		due.ID, due.Stream, due.Arrived = fake.CallID(2), 2, came+399*time.Millisecond
+		due.ID, due.Stream, due.Arrived = fake.CallID(2), 2, notifiedAt+399*time.Millisecond
 		b.Receive(due)
 	})
 	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.nextAnswer(t); return []any{a.stream, a.Verdict} }())
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -35,25 +35,25 @@
 	for {
 		began := s.Now()
 		s.detectStall(began)
-		s.clock.stamps.Observe(s.clock.wallOffset())
+		s.clock.timestamps.Observe(s.clock.wallOffset())
 		s.readInput(began + maxReadTime)
 		s.applyTableChanges()
 		now := s.Now()
 		s.runAlarms(now)
-		s.observe(now)
+		s.monitorOccupancy(now)
 		s.expireChecks(now)
-		s.sweep(now)
+		s.runMaintenance(now)
 		// A process that was suspended past stopAt has had no round in which the controller could answer the remaining
 		// requests.
-		decides := s.round.pending || s.drain.started() && now >= s.drain.stopAt
+		needsDecision := s.round.pending || s.drain.started() && now >= s.drain.stopAt
 		arrived := len(s.round.Arrived)
-		if decides {
+		if needsDecision {
 			s.decide(now)
 		}
 		decided := s.Now()
 		written := s.flush()
 		ended := s.Now()
-		if decides {
+		if needsDecision {
 			s.recordRound(roundTimes{began: began, read: now, decided: decided, written: ended}, arrived)
 		}
 		if s.advanceDrain(now, written) {
@@ -77,8 +77,8 @@
 }
 
 // longestPart returns the name of the part that took longest.
-func (at roundTimes) longestPart() string {
-	reading, deciding, writing := at.read-at.began, at.decided-at.read, at.written-at.decided
+func (times roundTimes) longestPart() string {
+	reading, deciding, writing := times.read-times.began, times.decided-times.read, times.written-times.decided
 	switch {
 	case reading >= max(deciding, writing):
 		return "reading"
@@ -89,28 +89,28 @@
 	}
 }
 
-// recordRound reports the duration of a round to the observer, and logs a round that took slowRound or longer.
-func (s *Server) recordRound(at roundTimes, arrived int) {
-	took := at.written - at.began
+// recordRound reports the duration of a round to observeRound, and logs a round that took slowRound or longer.
+func (s *Server) recordRound(times roundTimes, arrived int) {
+	took := times.written - times.began
 	if s.observeRound != nil {
 		s.observeRound(took)
 	}
 	if took < slowRound {
 		return
 	}
-	s.events.Record(events.SlowRound, at.longestPart(), slog.Duration("reading", at.read-at.began),
-		slog.Duration("deciding", at.decided-at.read), slog.Duration("writing", at.written-at.decided),
-		slog.Int("arrived", arrived), slog.Int("submitted", s.submittedLeft()))
+	s.events.Record(events.SlowRound, times.longestPart(), slog.Duration("reading", times.read-times.began),
+		slog.Duration("deciding", times.decided-times.read), slog.Duration("writing", times.written-times.decided),
+		slog.Int("arrived", arrived), slog.Int("submitted", s.submittedCount()))
 }
 
 // readInput handles all input that was reported. Input that arrives meanwhile belongs to the same round, for up to
 // maxPasses passes and until a time limit, so that a flood of input delays neither the round nor the answers due in it.
 // The remaining input belongs to the next round.
 func (s *Server) readInput(until time.Duration) {
-	for pass, again := 0, true; again && pass < maxPasses; pass++ {
+	for pass, repeat := 0, true; repeat && pass < maxPasses; pass++ {
 		called := s.callSubmitted(until)
 		now := s.Now()
-		again = called && now < until
+		repeat = called && now < until
 		s.composer.Advance(now)
 		s.startRecorded()
 		s.notices = s.composer.AppendNotices(s.link.AppendNotices(s.notices[:0]))
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -71,12 +71,13 @@
 	}
 }
 
-// SetHealth sets the answer to health checks. If fromStore is set, deep checks get it too, without asking the workers.
-func (s *Server) SetHealth(healthy, fromStore bool) {
+// SetHealth sets the answer to health checks. If withoutWorkers is set, deep checks get it too, without asking the
+// workers.
+func (s *Server) SetHealth(healthy, withoutWorkers bool) {
 	if healthy != s.health.healthy {
 		s.log.Info("health", "good", healthy)
 	}
-	s.health.healthy, s.health.fromStore = healthy, fromStore
+	s.health.healthy, s.health.withoutWorkers = healthy, withoutWorkers
 }
 
 // SetShedLevel sets the shed level that answers carry from now on.
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -9,10 +9,10 @@
 
 // health is the state from which health checks are answered.
 type health struct {
-	healthy   bool
-	fromStore bool // deep checks are answered with healthy too, without asking the workers
-	checks    []deepCheck
-	lastNonce uint64
+	healthy        bool
+	withoutWorkers bool // deep checks are answered with healthy too, without asking the workers
+	checks         []deepCheck
+	lastNonce      uint64
 }
 
 // deepCheck is a health check that the workers are to answer.
@@ -27,7 +27,7 @@
 // passed on to the workers, unless SetHealth has ruled that out; it fails at once if maxChecks are pending.
 func (s *Server) CheckHealth(c Caller, stream uint32, deep bool) {
 	h := &s.health
-	if !deep || h.fromStore || !h.healthy {
+	if !deep || h.withoutWorkers || !h.healthy {
 		c.ReportHealth(stream, h.healthy, s.shedLevel.text)
 		return
 	}
@@ -53,13 +53,13 @@
 
 // expireChecks answers as failed the deep checks that the workers have not answered in time.
 func (s *Server) expireChecks(now time.Duration) {
-	left := s.health.checks[:0]
+	remaining := s.health.checks[:0]
 	for _, c := range s.health.checks {
 		if now < c.deadline {
-			left = append(left, c)
+			remaining = append(remaining, c)
 			continue
 		}
 		c.caller.ReportHealth(c.stream, false, s.shedLevel.text)
 	}
-	s.health.checks = left
+	s.health.checks = remaining
 }
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -44,22 +44,22 @@
 // callSubmitted calls the functions of the current batch in order, or of a new batch if all of them were called. It
 // stops when the time reaches until. called reports whether it called any.
 func (s *Server) callSubmitted(until time.Duration) (called bool) {
-	box := &s.inbox
-	if box.called == len(box.batch) {
-		box.batch = s.takeSubmitted(box.batch[:0])
-		box.called = 0
+	input := &s.inbox
+	if input.called == len(input.batch) {
+		input.batch = s.takeSubmitted(input.batch[:0])
+		input.called = 0
 	}
-	first := box.called
-	for box.called < len(box.batch) {
-		submitted := box.batch[box.called]
-		box.batch[box.called] = nil
-		box.called++
+	first := input.called
+	for input.called < len(input.batch) {
+		submitted := input.batch[input.called]
+		input.batch[input.called] = nil
+		input.called++
 		submitted()
-		if (box.called-first)%callsPerClockReading == 0 && s.Now() >= until {
+		if (input.called-first)%callsPerClockReading == 0 && s.Now() >= until {
 			break
 		}
 	}
-	return box.called > first
+	return input.called > first
 }
 
 // takeSubmitted returns the submitted functions, and stores empty in their place.
@@ -70,11 +70,11 @@
 	return submitted
 }
 
-// nothingSubmitted reports whether all submitted functions have been called.
-func (s *Server) nothingSubmitted() bool { return s.submittedLeft() == 0 }
+// inboxEmpty reports whether all submitted functions have been called.
+func (s *Server) inboxEmpty() bool { return s.submittedCount() == 0 }
 
-// submittedLeft returns the number of submitted functions that have not been called.
-func (s *Server) submittedLeft() int {
+// submittedCount returns the number of submitted functions that have not been called.
+func (s *Server) submittedCount() int {
 	s.inbox.mu.Lock()
 	defer s.inbox.mu.Unlock()
 	return len(s.inbox.submitted) + len(s.inbox.batch) - s.inbox.called
--- a/internal/server/inbox_test.go
+++ b/internal/server/inbox_test.go
@@ -20,7 +20,7 @@
 
 // A flood of input that took 0.3 s to read was read completely before anything was decided. The request that was read
 // first waited for all of it.
-func TestFloodDoesNotKeepTheFirstDecision(t *testing.T) {
+func TestFloodDoesNotDelayTheFirstDecision(t *testing.T) {
 	const flood = 300
 	b := newBench(t)
 	read := 0
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -13,8 +13,8 @@
 	maxReadDelay = time.Second
 	// stallAfter is the time between two rounds above which the process counts as having been suspended.
 	stallAfter = 100 * time.Millisecond
-	// unwindowed is added to the dedup window of a key until the controller has set the key's lifetime.
-	unwindowed = time.Minute
+	// initialKeyMargin is added to the dedup window of a key until the controller has set the key's lifetime.
+	initialKeyMargin = time.Minute
 )
 
 // keyTable holds the idempotency keys that are within their dedup window.
@@ -71,7 +71,7 @@
 	request.Duplicate = request.original != nil
 	if request.original == nil { // added before the decision: a duplicate in the same round must not count as an original
 		s.keys.entries[request.key] = &keyEntry{
-			key: request.key, fingerprint: in.Fingerprint, until: s.Now() + request.Route.DedupWindow + unwindowed,
+			key: request.key, fingerprint: in.Fingerprint, until: s.Now() + request.Route.DedupWindow + initialKeyMargin,
 		}
 	}
 }
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -17,23 +17,23 @@
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
-	asked := func(stream uint32, number string) Incoming {
+	incoming := func(stream uint32, key string) Incoming {
 		return Incoming{
 			ID: fake.CallID(stream), Route: "pay", HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
-			Caller: b, Stream: stream, Key: number,
+			Caller: b, Stream: stream, Key: key,
 		}
 	}
-	b.onLoop(func() { b.Receive(asked(1, "n")) })
+	b.onLoop(func() { b.Receive(incoming(1, "n")) })
 	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", nil)
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 
 	b.onLoop(func() {
-		crowded := asked(2, "n")
-		crowded.OverLimit = true
-		b.Receive(crowded)
+		overLimit := incoming(2, "n")
+		overLimit.OverLimit = true
+		b.Receive(overLimit)
 		b.requests.max = 0
-		b.Receive(asked(3, "n"))
-		b.Receive(asked(4, "new"))
+		b.Receive(incoming(3, "n"))
+		b.Receive(incoming(4, "new"))
 	})
 	for _, want := range []Verdict{Aborted, Aborted, Rejected} {
 		assert.Equal(t, want, b.nextAnswer(t).Verdict)
@@ -48,44 +48,44 @@
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
-	asked := func(stream uint32, arrived time.Duration) Incoming {
+	incoming := func(stream uint32, arrived time.Duration) Incoming {
 		return Incoming{
 			ID: fake.CallID(stream), Route: "pay", HeldKB: 20, Rank: 0.9, Arrived: arrived, Timeout: time.Minute,
 			Caller: b, Stream: stream, Key: "n",
 		}
 	}
 	var first time.Duration
-	b.onLoop(func() { first = b.Now(); b.Receive(asked(1, first)) })
+	b.onLoop(func() { first = b.Now(); b.Receive(incoming(1, first)) })
 	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", []byte("done"))
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 
 	b.onLoop(func() { time.Sleep(window + 800*time.Millisecond) }) // blocks the event loop, as in a suspended process
 	for range 3 {
-		b.onLoop(func() { b.overdue.sweptAt = 0 }) // rounds in which expired entries are dropped
+		b.onLoop(func() { b.overdue.maintainedAt = 0 }) // rounds in which expired entries are dropped
 	}
-	b.onLoop(func() { b.Receive(asked(2, first+window/2)) })
-	again := b.nextAnswer(t)
-	assert.Equal(t, []any{Served, "done"}, []any{again.Verdict, string(again.Result)}, "a duplicate is answered from its original")
+	b.onLoop(func() { b.Receive(incoming(2, first+window/2)) })
+	duplicate := b.nextAnswer(t)
+	assert.Equal(t, []any{Served, "done"}, []any{duplicate.Verdict, string(duplicate.Result)}, "a duplicate is answered from its original")
 	assert.Empty(t, b.pool.Commands)
 
-	b.onLoop(func() { b.Receive(asked(3, first+2*window)) }) // this one arrived after the window
+	b.onLoop(func() { b.Receive(incoming(3, first+2*window)) }) // this one arrived after the window
 	b.pool.Finish(b.pool.Next(t, "spawn").RunID, "success", []byte("anew"))
 	assert.Equal(t, "anew", string(b.nextAnswer(t).Result))
 }
 
 // A keyed request is canceled in the round in which it is read, and the controller rejects it for lack of memory. Its
 // key was kept for the whole window, as if it would still run: a duplicate was neither run nor rejected.
-func TestKeyOfARequestWhoseCallerLeftAsItWasRead(t *testing.T) {
+func TestKeyOfARequestCanceledAsItWasRead(t *testing.T) {
 	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.SiteSettings)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
 	b.onLoop(func() {
-		task := b.Receive(Incoming{
+		request := b.Receive(Incoming{
 			ID: fake.CallID(1), Route: "pay", HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: 1, Key: "n",
 		})
-		b.Cancel(task)
+		b.Cancel(request)
 	})
 	for decided := false; !decided; { // functions submitted next may still be called in the same round
 		b.onLoop(func() { decided = !b.round.pending })
--- a/internal/server/ledger.go
+++ b/internal/server/ledger.go
@@ -70,20 +70,20 @@
 	if len(s.keys.awaitingLedger) == 0 {
 		return
 	}
-	safe := s.keys.ledger.DurableMark()
-	left := s.keys.awaitingLedger[:0]
+	durable := s.keys.ledger.DurableMark()
+	remaining := s.keys.awaitingLedger[:0]
 	for _, request := range s.keys.awaitingLedger {
 		switch {
 		case request.answered:
 			request.awaitsLedger = false
 			s.endRun(request, admission.NeverStarted, 0, nil)
-		case request.ledgerMark > safe, request.pausedBeforeStart:
-			left = append(left, request)
+		case request.ledgerMark > durable, request.pausedBeforeStart:
+			remaining = append(remaining, request)
 		default:
 			request.awaitsLedger = false
 			s.startRun(request)
 		}
 	}
-	clear(s.keys.awaitingLedger[len(left):])
-	s.keys.awaitingLedger = left
+	clear(s.keys.awaitingLedger[len(remaining):])
+	s.keys.awaitingLedger = remaining
 }
--- a/internal/server/linkrecovery.go
+++ b/internal/server/linkrecovery.go
@@ -34,7 +34,7 @@
 func (s *Server) handleLinkDown() {
 	s.recovery.paused = s.recovery.paused[:0]
 	for _, request := range s.requests.byID { // the order does not matter
-		if s.holdsWorker(request) && request.startNonce > s.polls.answered {
+		if s.hasWorkerRun(request) && request.startNonce > s.polls.answered {
 			request.startUnknown = true
 		}
 	}
@@ -52,9 +52,9 @@
 //   - Any other run whose request is answered stays as it is: it counts as in flight until its end is reported, or proven
 //     by the gauges.
 func (s *Server) handleLinkSynced() {
-	pauses := s.settings.Admission.Preemption.Resumable()
+	resumable := s.settings.Admission.Preemption.Resumable()
 	for _, request := range s.activeRuns() {
-		s.recoverRun(request, pauses)
+		s.recoverRun(request, resumable)
 	}
 	if len(s.recovery.paused) > 0 {
 		s.recovery.pauseNonce, _ = s.link.Poll()
@@ -82,20 +82,20 @@
 
 // recoverRun resends what the workers may not have received on the lost link; pauses reports whether runs can be paused
 // and resumed.
-func (s *Server) recoverRun(request *Request, pauses bool) {
+func (s *Server) recoverRun(request *Request, resumable bool) {
 	reply := request.callReply
 	retryable := request.Route.Idempotency == admission.Retryable
 	switch {
 	case request.awaitsLedger: // never sent
-	case reply != nil && !request.answered && (!reply.sent || request.startUnknown && !pauses):
+	case reply != nil && !request.answered && (!reply.sent || request.startUnknown && !resumable):
 		s.replyToCall(request, reply) // ignored by a run that has already resumed
 	case !request.sent && request.answered:
 		s.endRun(request, admission.Stopped, 0, nil)
 	case !request.sent, request.startUnknown && !request.answered && reply == nil && retryable:
 		request.sent, request.startUnknown = false, false
-		s.recordRun(events.RunRetried, "not known to have begun when the link was lost", request)
+		s.recordRunEvent(events.RunRetried, "not known to have begun when the link was lost", request)
 		s.startRun(request)
-	case request.startUnknown && !request.answered && pauses:
+	case request.startUnknown && !request.answered && resumable:
 		s.link.Pause(request.id)
 		if request.pauseState == pauseNone {
 			request.pauseState = pauseRequested
@@ -142,7 +142,7 @@
 		s.link.Resume(request.id)
 	default:
 		s.counters.Count("run not known to have begun, sent again")
-		s.recordRun(events.RunRetried, "not known to have begun when the link was lost", request)
+		s.recordRunEvent(events.RunRetried, "not known to have begun when the link was lost", request)
 		request.sent = false
 		s.startRun(request)
 		s.link.Resume(request.id) // ignored by a run that is not paused; a run whose last Resume was lost continues
--- a/internal/server/linkrecovery_test.go
+++ b/internal/server/linkrecovery_test.go
@@ -15,12 +15,12 @@
 // second run.
 func TestLinkLost(t *testing.T) {
 	cases := []struct {
-		name, kind string
-		mute       bool // no poll is answered, so nothing proves that the pool read the command
-		loses      bool // the command is lost with the link
-		ended      bool // while there was no link
-		want       Verdict
-		spawned    bool // a second time
+		name, route string
+		silent      bool // no poll is answered, so nothing proves that the pool read the command
+		dropped     bool // the command is lost with the link
+		ended       bool // while there was no link
+		want        Verdict
+		restarted   bool // a second time
 	}{
 		{"known to run", "pay", false, false, false, Served, false},
 		{"ended without a link", "pay", false, false, true, Served, false},
@@ -35,15 +35,15 @@
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
 			b.waitLinkSynced(t)
-			if !c.mute {
-				b.submitRequest(1, c.kind, time.Minute)
+			if !c.silent {
+				b.submitRequest(1, c.route, time.Minute)
 				b.pool.Next(t, "spawn")
 				b.waitAllRead(t)
 			} else {
 				// The pool reads the command but answers no poll on this link.
 				b.pool.SetSilent(true)
-				b.pool.SetDropsSpawns(c.loses)
-				b.submitRequest(1, c.kind, time.Minute)
+				b.pool.SetDropsSpawns(c.dropped)
+				b.submitRequest(1, c.route, time.Minute)
 				b.pool.Next(t, "spawn")
 			}
 			b.pool.CloseLink()
@@ -52,15 +52,15 @@
 			}
 			b.pool.SetSilent(false)
 			b.pool.Next(t, "bind")
-			if c.spawned {
+			if c.restarted {
 				b.pool.Next(t, "spawn")
 			}
 			if !c.ended && c.want == Served {
 				b.pool.Finish(fake.CallID(1), "success", []byte("done"))
 			}
-			begin := time.Now()
+			start := time.Now()
 			assert.Equal(t, c.want, b.nextAnswer(t).Verdict)
-			assert.Less(t, time.Since(begin), 5*time.Second, "answered only at its deadline")
+			assert.Less(t, time.Since(start), 5*time.Second, "answered only at its deadline")
 			for len(b.pool.Commands) > 0 {
 				assert.NotEqual(t, "spawn", (<-b.pool.Commands).Verb, "the run was started again")
 			}
@@ -128,9 +128,9 @@
 		if down {
 			b.pool.CloseLink()
 			require.Eventually(t, func() bool {
-				asked := true
-				b.onLoop(func() { _, asked = b.link.Poll() })
-				return !asked
+				linkUp := true
+				b.onLoop(func() { _, linkUp = b.link.Poll() })
+				return !linkUp
 			}, fake.WaitLimit, time.Millisecond)
 		}
 		b.onLoop(func() {
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	observePeriod   = time.Second // between two comparisons that are logged
+	occupancyPeriod = time.Second // between two comparisons that are logged
 	excessTolerance = 1.0         // runs by which the gauges may exceed the server's own count without being logged
 )
 
-// observer compares the workers' gauges with the server's own count of runs, for the log only.
-type observer struct {
+// occupancyMonitor compares the workers' gauges with the server's own count of runs, for the log only.
+type occupancyMonitor struct {
 	since     time.Duration // start of the current comparison period
 	minExcess float64       // smallest excess of the gauges over the count in this period, in runs
 	samples   int
 }
 
-// observe logs the server's count of runs together with the gauges, at most once a second, if runs may have ended
-// without a report, or if the gauges exceeded the count in every sample of the period.
-func (s *Server) observe(now time.Duration) {
-	o := &s.observer
+// monitorOccupancy logs the server's count of runs together with the gauges, at most once a second, if runs may have
+// ended without a report, or if the gauges exceeded the count in every sample of the period.
+func (s *Server) monitorOccupancy(now time.Duration) {
+	o := &s.occupancyMonitor
 	if s.round.Gauges != nil {
 		// Reading a request may take part of each core, so one runnable per core is deducted.
 		excess := s.polls.gauges.Runnable - float64(s.controller.Occupancy(now).OnCores) - s.settings.Admission.Cores
@@ -31,7 +31,7 @@
 		}
 		o.samples++
 	}
-	if now < o.since+observePeriod {
+	if now < o.since+occupancyPeriod {
 		return
 	}
 	s.events.Flush()
@@ -41,13 +41,13 @@
 	case o.samples > 0 && o.minExcess > excessTolerance:
 		s.recordOccupancy(now, "readings over the books for a second")
 	}
-	s.observer = observer{since: now}
+	s.occupancyMonitor = occupancyMonitor{since: now}
 }
 
 func (s *Server) recordOccupancy(now time.Duration, reason string) {
 	occupancy := s.controller.Occupancy(now)
-	memoryKB, stated := s.settings.MemoryKB()
-	if !stated {
+	memoryKB, configured := s.settings.MemoryKB()
+	if !configured {
 		memoryKB = 0
 	}
 	gauges := s.polls.gauges
--- a/internal/server/overdue.go
+++ b/internal/server/overdue.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	sweepPeriod     = time.Second            // between two maintenance passes
-	heldMemoryDelay = 150 * time.Millisecond // from reading a request until its memory shows in the gauges
+	maintenancePeriod = time.Second            // between two maintenance passes
+	queuedMemoryDelay = 150 * time.Millisecond // from reading a request until its memory shows in the gauges
 )
 
 // overdueRuns tracks the workers' runs that may have ended without a report.
 type overdueRuns struct {
-	count    int // counted in the last pass, plus those marked since
-	sweptAt  time.Duration
-	reviewer reconcile.Reviewer
+	count        int // counted in the last pass, plus those marked since
+	maintainedAt time.Duration
+	reviewer     reconcile.Reviewer
 }
 
-// sweep, once per sweepPeriod, drops expired entries of the key table and of the executed requests, and marks and
-// counts the overdue runs.
-func (s *Server) sweep(now time.Duration) {
-	if now < s.overdue.sweptAt+sweepPeriod {
+// runMaintenance drops expired entries of the key table and of the executed requests, and marks and counts the overdue
+// runs, once per maintenancePeriod.
+func (s *Server) runMaintenance(now time.Duration) {
+	if now < s.overdue.maintainedAt+maintenancePeriod {
 		return
 	}
-	s.overdue.sweptAt = now
+	s.overdue.maintainedAt = now
 	s.expireKeys(now)
 	s.executed.expire(now)
 	s.overdue.count = 0
 	for _, request := range s.requests.byID {
 		// The time runs from the answer, as arrivals are stamped by a clock that may step.
-		if s.holdsWorker(request) && request.answered && !request.overdue && now > request.answeredAt+request.Route.Deadline {
+		if s.hasWorkerRun(request) && request.answered && !request.overdue && now > request.answeredAt+request.Route.Deadline {
 			s.markOverdue(request, "its end was not reported by a deadline after its answer")
 		}
 		if request.active && request.overdue {
@@ -44,8 +44,8 @@
 	}
 }
 
-// holdsWorker reports whether the workers have a run of a request whose end was not reported.
-func (s *Server) holdsWorker(request *Request) bool {
+// hasWorkerRun reports whether the workers have a run of a request whose end was not reported.
+func (s *Server) hasWorkerRun(request *Request) bool {
 	return request.active && request.sent && !request.composite
 }
 
@@ -55,7 +55,7 @@
 func (s *Server) markOverdue(request *Request, reason string) {
 	request.overdue = true
 	s.overdue.count++
-	s.recordRun(events.RunOverdue, reason, request)
+	s.recordRunEvent(events.RunOverdue, reason, request)
 }
 
 // releaseProvenEnds ends the overdue runs that the gauges prove to have ended. It must be called when the gauges
@@ -71,7 +71,7 @@
 	for _, id := range s.overdue.reviewer.Review(readings, s.runsBefore(polled.Nonce)) {
 		request := s.requests.byID[id]
 		s.counters.Count("end of a run not reported, proven by the readings")
-		s.recordRun(events.RunReleased, "the machine's readings leave no room for it", request)
+		s.recordRunEvent(events.RunReleased, "the machine's readings leave no room for it", request)
 		s.endRun(request, admission.Stopped, 0, nil) // not Failed, as it says nothing of this server's health
 	}
 }
@@ -79,14 +79,14 @@
 // readings returns the load readings of the gauges; complete is false if they lack a value that a proof needs.
 func (s *Server) readings(polled *workerapi.Notice) (r reconcile.Readings, complete bool) {
 	runnable, memoryShare, complete := s.settings.Occupied(polled.Readings)
-	memoryKB, stated := s.settings.MemoryKB()
-	if !complete || !stated {
+	memoryKB, configured := s.settings.MemoryKB()
+	if !complete || !configured {
 		return r, false
 	}
 	r = reconcile.Readings{Runnable: runnable, MemoryKB: memoryShare * memoryKB}
 	now := s.Now()
 	for _, request := range s.requests.byID {
-		if !request.active && !request.answered && now > request.readAt+heldMemoryDelay {
+		if !request.active && !request.answered && now > request.readAt+queuedMemoryDelay {
 			r.WaitingKB += request.HeldKB
 		}
 	}
@@ -98,7 +98,7 @@
 	factor := s.settings.Admission.RunningMemoryFactor
 	var begun []*Request
 	for _, request := range s.requests.byID {
-		if s.holdsWorker(request) && !request.awaitsLedger && request.startNonce <= poll {
+		if s.hasWorkerRun(request) && !request.awaitsLedger && request.startNonce <= poll {
 			begun = append(begun, request)
 		}
 	}
--- a/internal/server/overdue_test.go
+++ b/internal/server/overdue_test.go
@@ -30,22 +30,22 @@
 
 // countStarts submits requests one after the other for a span, and returns the number of runs that the pool was sent
 // meanwhile.
-func (b *bench) countStarts(t *testing.T, span time.Duration) (spawned int) {
-	for begin, stream := time.Now(), uint32(100); time.Since(begin) < span; stream++ {
+func (b *bench) countStarts(t *testing.T, span time.Duration) (starts int) {
+	for start, stream := time.Now(), uint32(100); time.Since(start) < span; stream++ {
 		b.submitRequest(stream, "browse", time.Minute)
 		b.nextAnswer(t)
 		for len(b.pool.Commands) > 0 {
 			if c := <-b.pool.Commands; c.Verb == "spawn" {
-				spawned++
+				starts++
 			}
 		}
 	}
-	return spawned
+	return starts
 }
 
 // Report f19453: after twice their deadline, runs were taken to have ended although the machine was only hung, and others
 // were started in their place.
-func TestRunsKeepTheirPlaceWhileTheMachineHoldsThem(t *testing.T) {
+func TestOverdueRunsStayInFlightOnAHungMachine(t *testing.T) {
 	for _, halt := range []string{"suspend", "abort", "none"} {
 		t.Run(halt, func(t *testing.T) {
 			t.Parallel()
@@ -70,7 +70,7 @@
 }
 
 // Incomplete readings prove nothing: values of an earlier poll say nothing of the present.
-func TestNothingIsProvenByHalfOfTheReadings(t *testing.T) {
+func TestIncompleteReadingsProveNothing(t *testing.T) {
 	b := newBenchAt(t, shortSite)
 	b.pool.DropsSpawns = true
 	b.pool.SetPartialReadings(true)
@@ -87,7 +87,7 @@
 
 // The link is lost after commands that the worker pool may not have read. A run whose request was answered meanwhile,
 // and which a hung machine still holds, was taken to have ended as soon as the link was up again.
-func TestRunsInDoubtKeepTheirPlace(t *testing.T) {
+func TestRunsOfUnknownStateStayInFlight(t *testing.T) {
 	for _, halt := range []string{"suspend", "abort", "none"} {
 		t.Run(halt, func(t *testing.T) {
 			t.Parallel()
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -41,7 +41,7 @@
 	if keyed {
 		s.expireKey(keyOf(in.Route, in.Key), in.Arrived)
 	}
-	if reason, answer := s.answerUnrun(&in, route); reason != "" {
+	if reason, answer := s.answerWithoutRun(&in, route); reason != "" {
 		s.rejectIncoming(&in, reason, answer)
 		return nil
 	}
@@ -62,9 +62,9 @@
 	return s.enqueue(&in, route, now)
 }
 
-// answerUnrun returns the answer to a request that must not run even if there is capacity, with the reason. The reason
-// is empty for a request that may run.
-func (s *Server) answerUnrun(in *Incoming, route *admission.Route) (reason string, answer Answer) {
+// answerWithoutRun returns the answer to a request that must not run even if there is capacity, with the reason. The
+// reason is empty for a request that may run.
+func (s *Server) answerWithoutRun(in *Incoming, route *admission.Route) (reason string, answer Answer) {
 	known := s.requests.byID[in.ID]
 	switch {
 	case route == nil:
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -15,7 +15,7 @@
 // Settings that change while the server runs are used from the next decision on. After its caller canceled, a run is
 // stopped if the settings in force allow preemption, and left to end otherwise. No run is started twice, and a request
 // that was admitted before the changes is answered once.
-func TestSettingsMoveInService(t *testing.T) {
+func TestSettingsChangeWhileRunning(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
 	b.pool.Next(t, "bind")
@@ -29,13 +29,13 @@
 	}
 	for i, halt := range []string{"none", "suspend", "none"} {
 		id := fmt.Sprint("gone-", i)
-		var task *Request
+		var request *Request
 		b.Submit(func() {
 			b.Reconfigure(adjusted("extra.halt=" + halt))
-			task = b.Receive(Incoming{ID: id, Route: "browse", HeldKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
+			request = b.Receive(Incoming{ID: id, Route: "browse", HeldKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 		})
 		assert.Equal(t, id, b.pool.Next(t, "spawn").RunID)
-		b.Submit(func() { b.Cancel(task) })
+		b.Submit(func() { b.Cancel(request) })
 		stopped := false
 		for waited := time.After(200 * time.Millisecond); waited != nil; {
 			select {
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -96,8 +96,8 @@
 	s.events.Record(kind, reason.String(), attributes...)
 }
 
-// executedTable holds the IDs of forgotten at-most-once requests that may have run, for as long as a copy of one may
-// arrive. Without it a copy would run a second time, for example if the connection broke after the answer.
+// executedTable holds the IDs of at-most-once requests that may have run and were forgotten, for as long as a copy of
+// one may arrive. Without it a copy would run a second time, for example if the connection broke after the answer.
 type executedTable struct {
 	until map[string]time.Duration
 	order []string // the same IDs, oldest first
--- a/internal/server/requests_test.go
+++ b/internal/server/requests_test.go
@@ -12,11 +12,11 @@
 
 // A request that arrived again after its run was answered, for example after its router's connection broke, ran a
 // second time although its route is at-most-once.
-func TestCallComesAgainAfterItsAnswer(t *testing.T) {
+func TestRepeatedIDAfterTheAnswer(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
-	run := func(kind string, stream uint32) {
-		b.submitRequest(stream, kind, time.Minute)
+	run := func(route string, stream uint32) {
+		b.submitRequest(stream, route, time.Minute)
 		b.pool.Next(t, "spawn")
 		b.pool.Finish(fake.CallID(stream), "success", []byte("done"))
 		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -64,7 +64,7 @@
 		return
 	}
 	if request.overdue {
-		s.recordRun(events.RunEndedLate, notice.Outcome, request)
+		s.recordRunEvent(events.RunEndedLate, notice.Outcome, request)
 	}
 	outcome, known := outcomes[notice.Outcome]
 	if !known {
@@ -109,8 +109,8 @@
 	}
 }
 
-// recordRun records an event of a run.
-func (s *Server) recordRun(kind events.Kind, reason string, request *Request) {
+// recordRunEvent records an event of a run.
+func (s *Server) recordRunEvent(kind events.Kind, reason string, request *Request) {
 	s.events.Record(kind, reason, slog.String("request", request.id), slog.String("class", request.route),
 		slog.Duration("age", s.Now()-request.Arrived), slog.Bool("answered", request.answered),
 		slog.Bool("known_to_have_begun", !request.startUnknown))
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -63,21 +63,21 @@
 	observeRound func(took time.Duration) // nil without an observer
 	notices      []workerapi.Notice       // reused by each input pass
 
-	clock     clock
-	inbox     inbox
-	round     round
-	polls     polls
-	requests  requestTable
-	executed  executedTable
-	keys      keyTable
-	tables    tables
-	recovery  linkRecovery
-	overdue   overdueRuns
-	health    health
-	shedLevel shedLevel
-	drain     drain
-	estimates estimates
-	observer  observer
+	clock            clock
+	inbox            inbox
+	round            round
+	polls            polls
+	requests         requestTable
+	executed         executedTable
+	keys             keyTable
+	tables           tables
+	recovery         linkRecovery
+	overdue          overdueRuns
+	health           health
+	shedLevel        shedLevel
+	drain            drain
+	estimates        estimates
+	occupancyMonitor occupancyMonitor
 }
 
 // requestTable holds the requests that the server has read and not yet forgotten.
@@ -96,10 +96,10 @@
 // New returns a server for its settings. It returns an error if the settings require idempotency keys or tenants and
 // limits does not support them, so that a request is not found to be unservable only after it was read. The requests of
 // routes that call a dependency are rejected if none is configured.
-func New(stated *settings.Settings, seed int64, limits Limits, counters *invariant.Counters, log *slog.Logger) (*Server, error) {
+func New(configured *settings.Settings, seed int64, limits Limits, counters *invariant.Counters, log *slog.Logger) (*Server, error) {
 	memory := limits.MemoryMB << 20
 	s := &Server{
-		settings: stated, limits: limits, counters: counters, log: log, events: events.New(log),
+		settings: configured, limits: limits, counters: counters, log: log, events: events.New(log),
 		composer: noComposer{},
 		clock:    newClock(),
 		inbox:    inbox{wake: make(chan struct{}, 1)},
@@ -132,8 +132,8 @@
 // initTables fills the tables with the names of the settings' routes and tenants. It returns an error if the settings
 // name no route, or if they require idempotency keys or tenants that limits does not support.
 func (s *Server) initTables() error {
-	stated := &s.settings.Admission
-	for _, route := range stated.Routes {
+	configured := &s.settings.Admission
+	for _, route := range configured.Routes {
 		if route.Name == "" {
 			break
 		}
@@ -148,10 +148,10 @@
 	if len(s.tables.routes) == 0 {
 		return errors.New("the settings name no route")
 	}
-	if len(stated.Tenants) > 0 && !s.limits.Tenants {
+	if len(configured.Tenants) > 0 && !s.limits.Tenants {
 		return errors.New("the settings name tenants, which this program does not support")
 	}
-	for i, tenant := range stated.Tenants { // a tenant without a name is skipped; the others keep their index
+	for i, tenant := range configured.Tenants { // a tenant without a name is skipped; the others keep their index
 		if tenant.Name != "" {
 			s.tables.tenants[tenant.Name] = i
 		}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -44,7 +44,7 @@
 }
 
 // A request sent again while its first run was in progress was answered as rejected, which states that it never ran.
-func TestKnownCallThatRuns(t *testing.T) {
+func TestRepeatedIDOfARunningRequest(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
 	b.submitRequest(1, "pay", time.Minute)
@@ -58,10 +58,10 @@
 // Answers that are due must not depend on the worker pool: neither if it is not connected nor if it does not answer
 // polls.
 func TestDueAnswersWithoutThePool(t *testing.T) {
-	for _, mute := range []bool{false, true} {
+	for _, silent := range []bool{false, true} {
 		b := newBench(t)
-		b.pool.NoReadings = mute
-		if mute {
+		b.pool.NoReadings = silent
+		if silent {
 			b.pool.Ready()
 		}
 		b.submitRequest(1, "pay", 300*time.Millisecond)
@@ -90,23 +90,23 @@
 		b.onLoop(func() {
 			for name, stamped := range map[string]time.Duration{"before it": 0, "after it": step} {
 				now := b.Now().Truncate(time.Millisecond)
-				came := now - 50*time.Millisecond
-				stamp := (came + stamped).Milliseconds()
+				arrived := now - 50*time.Millisecond
+				stamp := (arrived + stamped).Milliseconds()
 				assert.True(t, b.PlausibleStamp(stamp))
-				assert.InDelta(t, float64(came), float64(b.arrivalTime(stamp, now)), 1e6, "%v, stamped %s", step, name)
+				assert.InDelta(t, float64(arrived), float64(b.arrivalTime(stamp, now)), 1e6, "%v, stamped %s", step, name)
 			}
 		})
 	}
 }
 
-func TestPoolKnowsNothing(t *testing.T) {
+func TestCommandNotCarriedOut(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
 	b.submitRequest(1, "pay", time.Minute)
-	task := b.pool.Next(t, "spawn").RunID
-	b.pool.WriteRaw(`{"verb":"unknown","outcome":"suspend","task":"` + task + `"}` + "\n")
+	runID := b.pool.Next(t, "spawn").RunID
+	b.pool.WriteRaw(`{"verb":"unknown","outcome":"suspend","task":"` + runID + `"}` + "\n")
 	b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"nobody"}` + "\n")
-	b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + task + `"}` + "\n")
+	b.pool.WriteRaw(`{"verb":"unknown","outcome":"spawn","task":"` + runID + `"}` + "\n")
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	assert.Equal(t, 2, b.counts.Times("pool did not carry out a spawn"))
 
@@ -127,10 +127,10 @@
 	b.pool.Echo = true
 	b.pool.Ready()
 	for stream := range uint32(2000) {
-		kind := []string{"browse", "pay"}[stream%2]
+		route := []string{"browse", "pay"}[stream%2]
 		b.Submit(func() {
 			b.Receive(Incoming{
-				ID: fake.CallID(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(),
+				ID: fake.CallID(stream), Route: route, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(),
 				Timeout: time.Minute, Router: stream, Caller: b, Stream: stream,
 			})
 		})
@@ -152,7 +152,7 @@
 // A run whose end the worker pool never reported stayed in the tables, and counted against the in-flight limit, until
 // the process ended. A request whose caller states a timeout of a day was kept for a day. That the run has ended has to
 // be proven by the pool's gauges.
-func TestNothingStaysForEver(t *testing.T) {
+func TestUnreportedEndIsProvenByGauges(t *testing.T) {
 	site := strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`,
 		`"late-value":0.0`, `"late-value":0.5`).Replace(fake.SiteSettings)
 	b := newBenchAt(t, site)
@@ -169,15 +169,15 @@
 	assert.Equal(t, 1, b.counts.Times("end of a run not reported, proven by the readings"))
 }
 
-func TestCallerGone(t *testing.T) {
+func TestCanceledRequestIsForgotten(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
-	var task *Request
+	var request *Request
 	b.Submit(func() {
-		task = b.Receive(Incoming{ID: "x", Route: "browse", HeldKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
+		request = b.Receive(Incoming{ID: "x", Route: "browse", HeldKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 	})
 	b.pool.Next(t, "spawn")
-	b.Submit(func() { b.Cancel(task); b.Cancel(task) })
+	b.Submit(func() { b.Cancel(request); b.Cancel(request) })
 	b.pool.Next(t, "suspend")
 	require.Eventually(t, func() bool {
 		empty := make(chan bool)
@@ -219,9 +219,9 @@
 		"the settings name no route": {`"name":`, `"title":`},
 	}
 	for want, change := range cases {
-		told, err := settings.FromJSON([]byte(strings.ReplaceAll(fake.SiteSettings, change[0], change[1])))
+		parsed, err := settings.FromJSON([]byte(strings.ReplaceAll(fake.SiteSettings, change[0], change[1])))
 		require.NoError(t, err)
-		_, err = New(told, 1, Limits{MemoryMB: 96, Sockets: 256}, nil, nil)
+		_, err = New(parsed, 1, Limits{MemoryMB: 96, Sockets: 256}, nil, nil)
 		assert.ErrorContains(t, err, want)
 	}
 }
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -95,14 +95,14 @@
 		}
 		return
 	}
-	stated := *change.Route
+	route := *change.Route
 	composite := s.composer.Handles(name)
 	if composite {
-		stated.CallWait = s.composer.ExpectedWait(name)
+		route.CallWait = s.composer.ExpectedWait(name)
 	}
-	s.tables.routes[name] = s.controller.PutRoute(current, stated)
+	s.tables.routes[name] = s.controller.PutRoute(current, route)
 	delete(s.tables.unserved, name)
-	if stated.CallsDependency && !s.limits.Calls && !composite {
+	if route.CallsDependency && !s.limits.Calls && !composite {
 		s.tables.unserved[name] = true
 	}
 }
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -13,7 +13,7 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-func stated(name string, deadline time.Duration) *admission.Route {
+func newRoute(name string, deadline time.Duration) *admission.Route {
 	return &admission.Route{Name: name, Value: 1, LateValueShare: 0.5, LatencyTarget: time.Second, Deadline: deadline}
 }
 
@@ -38,11 +38,11 @@
 	b.submitRequest(1, "quote", time.Minute)
 	assert.Equal(t, Rejected, b.nextAnswer(t).Verdict, "not known yet")
 
-	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "quote", Route: stated("quote", time.Minute)}}})
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "quote", Route: newRoute("quote", time.Minute)}}})
 	b.submitRequest(2, "quote", time.Minute)
 	first := b.pool.Next(t, "spawn")
 
-	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "quote", Route: stated("quote", 2*time.Second)}}})
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "quote", Route: newRoute("quote", 2*time.Second)}}})
 	b.submitRequest(3, "quote", time.Minute)
 	second := b.pool.Next(t, "spawn")
 	late := b.nextAnswer(t)
@@ -51,8 +51,8 @@
 
 	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "quote"}}})
 	b.submitRequest(4, "quote", time.Minute)
-	gone := b.nextAnswer(t)
-	assert.Equal(t, []any{uint32(4), Rejected}, []any{gone.stream, gone.Verdict}, "removed")
+	rejected := b.nextAnswer(t)
+	assert.Equal(t, []any{uint32(4), Rejected}, []any{rejected.stream, rejected.Verdict}, "removed")
 	b.pool.Finish(first.RunID, "success", []byte("done"))
 	got := b.nextAnswer(t)
 	assert.Equal(t, receivedAnswer{2, Answer{Verdict: Served, Result: []byte("done")}}, got, "the run in flight is finished")
@@ -60,7 +60,7 @@
 }
 
 // The estimates of a route are kept when it is changed, and dropped when it is removed.
-func TestWhatWasLearnedStays(t *testing.T) {
+func TestEstimatesOutlastARouteChange(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
 	for stream := range uint32(3) {
@@ -79,22 +79,22 @@
 		return n
 	}
 	require.Equal(t, 3.0, samples())
-	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "pay", Route: stated("pay", time.Minute)}}})
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "pay", Route: newRoute("pay", time.Minute)}}})
 	assert.Equal(t, 3.0, samples())
 	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "pay"}}})
-	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "pay", Route: stated("pay", time.Minute)}}})
+	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "pay", Route: newRoute("pay", time.Minute)}}})
 	assert.Zero(t, samples())
 }
 
 // A key that was used stays in use for its window, even if its route is removed or changed meanwhile: nothing runs
 // twice.
-func TestWindowsOutlastTheirRoute(t *testing.T) {
+func TestKeysOutlastTheirRoute(t *testing.T) {
 	b := newBenchWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
-	keyed := stated("charge", time.Minute)
+	keyed := newRoute("charge", time.Minute)
 	keyed.Idempotency, keyed.DedupWindow = admission.Keyed, time.Hour
 	put := TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: keyed}}}
-	ask := func(stream uint32) {
+	submit := func(stream uint32) {
 		b.Submit(func() {
 			b.Receive(Incoming{
 				ID: fake.CallID(stream), Route: "charge", HeldKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
@@ -103,7 +103,7 @@
 		})
 	}
 	b.changeTables(t, put)
-	ask(1)
+	submit(1)
 	run := b.pool.Next(t, "spawn")
 	b.pool.Finish(run.RunID, "success", []byte("done"))
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
@@ -112,7 +112,7 @@
 	shorter := *keyed
 	shorter.DedupWindow = time.Millisecond
 	b.changeTables(t, TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: &shorter}}})
-	ask(2)
+	submit(2)
 	assert.Equal(t, receivedAnswer{2, Answer{Verdict: Served, Result: []byte("done")}}, b.nextAnswer(t), "answered from the original")
 }
 
@@ -128,13 +128,13 @@
 	removed := func(name string) TableChange {
 		return TableChange{Tenants: []settings.TenantChange{{Name: name, Removed: true}}}
 	}
-	place := func(name string) (place int) {
-		b.onLoop(func() { place = b.TenantIndex(name) })
-		return place
+	index := func(name string) (index int) {
+		b.onLoop(func() { index = b.TenantIndex(name) })
+		return index
 	}
-	unknown := place("north")
+	unknown := index("north")
 	b.changeTables(t, tenant("north", 5))
-	assert.Equal(t, 0, place("north"))
+	assert.Equal(t, 0, index("north"))
 	b.Submit(func() {
 		b.Receive(Incoming{ID: "a", Route: "pay", HeldKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 	})
@@ -143,17 +143,17 @@
 	_, rates := b.Tables()
 	assert.Equal(t, map[string]float64{"north": 7}, rates)
 	b.changeTables(t, removed("north"))
-	assert.Equal(t, unknown, place("north"), "no tenant's index")
+	assert.Equal(t, unknown, index("north"), "no tenant's index")
 	b.changeTables(t, tenant("south", 1))
-	assert.Equal(t, 1, place("south"), "a request of north is in flight")
+	assert.Equal(t, 1, index("south"), "a request of north is in flight")
 	b.pool.Finish(run.RunID, "success", nil)
 	b.nextAnswer(t)
 	b.changeTables(t, removed("south"))
 	b.changeTables(t, tenant("west", 1))
-	assert.Equal(t, 2, place("west"), "the index of north is the oldest, and not available until the deadline of the requests that were left")
+	assert.Equal(t, 2, index("west"), "the index of north is the oldest, and not available until the deadline of the requests that were left")
 	b.onLoop(func() { b.tables.free[0].availableAt = 0 })
 	b.changeTables(t, tenant("east", 1))
-	assert.Equal(t, 0, place("east"))
+	assert.Equal(t, 0, index("east"))
 }
 
 // A large change is made over many rounds. Requests are answered meanwhile, and changes come into force in the order of
@@ -164,23 +164,23 @@
 	const many = 40 * changesPerRound
 	large := TableChange{}
 	for i := range many {
-		large.Routes = append(large.Routes, settings.RouteChange{Name: fmt.Sprint("r", i), Route: stated("r", time.Second)})
+		large.Routes = append(large.Routes, settings.RouteChange{Name: fmt.Sprint("r", i), Route: newRoute("r", time.Second)})
 	}
 	done := make(chan struct{})
 	counted := make(chan int, 1)
 	large.Done = func() { counted <- len(b.tables.routes) }
 	b.ChangeTables(large)
-	seen := 0
+	previous := 0
 	var step func()
 	step = func() {
 		left := 0
 		if len(b.tables.changes) > 0 {
 			left = len(b.tables.changes[0].Routes)
 		}
-		if seen > 0 && left > 0 {
-			assert.LessOrEqual(t, seen-left, (maxPasses+1)*changesPerRound, "at most one part per round")
+		if previous > 0 && left > 0 {
+			assert.LessOrEqual(t, previous-left, (maxPasses+1)*changesPerRound, "at most one part per round")
 		}
-		if seen = left; left > 0 {
+		if previous = left; left > 0 {
 			b.Submit(step)
 		}
 	}
