--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -17,35 +17,36 @@
 	"quartzpoint/internal/workerlink"
 )
 
-// receivedAnswer is what a caller was told on a stream.
+// receivedAnswer is an answer that a caller was sent on a stream.
 type receivedAnswer struct {
 	stream uint32
 	Answer
 }
 
-// bench is a server with a stand-in pool and a front that only keeps what it is told.
+// bench is a server with a fake worker pool. It is also the server's front end and the requests' caller, and records
+// the answers.
 type bench struct {
 	*Server
-	pool         *fake.Pool
-	workerLink   *workerlink.Link
-	counts       *invariant.Counters
-	answers      chan receivedAnswer
-	checks       chan bool
-	done         chan struct{}
-	retired      bool
-	peersStalled bool        // the front's peers do not read
-	inputPending atomic.Bool // something came that is not taken yet
+	pool             *fake.Pool
+	workerLink       *workerlink.Link
+	counts           *invariant.Counters
+	answers          chan receivedAnswer
+	checks           chan bool
+	done             chan struct{}
+	stoppedAccepting bool
+	peersStalled     bool        // the front end's peers do not read
+	inputPending     atomic.Bool // input has arrived that is not read yet
 }
 
 func (b *bench) Answer(stream uint32, a Answer) { b.answers <- receivedAnswer{stream, a} }
 
-func (b *bench) ReportHealth(_ uint32, good bool, _ string) { b.checks <- good }
+func (b *bench) ReportHealth(_ uint32, healthy bool, _ string) { b.checks <- healthy }
 
 func (b *bench) CloseIdle(time.Duration) {}
 
 func (b *bench) Flush() bool { return !b.peersStalled }
 
-func (b *bench) StopAccepting() { b.retired = true }
+func (b *bench) StopAccepting() { b.stoppedAccepting = true }
 
 func (b *bench) Open() int { return 0 }
 
@@ -57,21 +58,21 @@
 	return newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256}, nil)
 }
 
-func newBenchWith(t *testing.T, site string, limits Limits, on Dependency) *bench {
+func newBenchWith(t *testing.T, site string, limits Limits, dependency Dependency) *bench {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	told, err := settings.FromJSON([]byte(site))
+	parsed, err := settings.FromJSON([]byte(site))
 	require.NoError(t, err)
 	b := &bench{
 		pool: fake.NewPool(t), counts: invariant.New(log), done: make(chan struct{}),
 		answers: make(chan receivedAnswer, 100), checks: make(chan bool, 100),
 	}
-	b.Server, err = New(told, 1, limits, b.counts, log)
+	b.Server, err = New(parsed, 1, limits, b.counts, log)
 	require.NoError(t, err)
 	link := workerlink.New(b.pool.Address, 1<<20, log, b.counts.Count, b.Wake)
 	b.workerLink = link
 	b.Attach(link, b)
-	if on != nil {
-		b.SetDependency(on, link)
+	if dependency != nil {
+		b.SetDependency(dependency, link)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go link.Run(ctx)
@@ -81,18 +82,18 @@
 		select {
 		case <-b.done:
 		case <-time.After(fake.WaitLimit):
-			t.Error("the server does not leave")
+			t.Error("the server does not end")
 		}
 		cancel()
 	})
 	return b
 }
 
-// submitRequest has the owner take a task.
-func (b *bench) submitRequest(stream uint32, kind string, waits time.Duration) {
+// submitRequest has the event loop receive a request.
+func (b *bench) submitRequest(stream uint32, route string, timeout time.Duration) {
 	b.Submit(func() {
 		b.Receive(Incoming{
-			ID: fake.CallID(stream), Route: kind, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: waits,
+			ID: fake.CallID(stream), Route: route, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: timeout,
 			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
 		})
 	})
@@ -109,35 +110,35 @@
 	}
 }
 
-// waitLinkSynced waits until the link is up and commands are taken.
+// waitLinkSynced waits until the link is up and answers a poll.
 func (b *bench) waitLinkSynced(t *testing.T) {
 	t.Helper()
-	asked := uint64(0) // of this link: an answer on one before it says nothing
+	pollNonce := uint64(0) // poll on the current link; an answer on an earlier link proves nothing
 	require.Eventually(t, func() bool {
-		bound := make(chan bool)
+		synced := make(chan bool)
 		b.Submit(func() {
 			nonce, up := b.link.Poll()
 			switch {
 			case !up:
-				asked = 0
-			case asked == 0:
-				asked = nonce
+				pollNonce = 0
+			case pollNonce == 0:
+				pollNonce = nonce
 			}
-			bound <- asked > 0 && b.polls.answered >= asked
+			synced <- pollNonce > 0 && b.polls.answered >= pollNonce
 		})
-		return <-bound
+		return <-synced
 	}, fake.WaitLimit, time.Millisecond)
 }
 
-// waitAllRead waits until the pool has read all that was sent and the server knows it.
+// waitAllRead waits until the worker pool has read all commands that were sent, and the server knows it.
 func (b *bench) waitAllRead(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		known := make(chan bool)
 		b.Submit(func() {
 			all := true
-			for _, task := range b.requests.byID {
-				all = all && (!task.active || task.sent && task.startNonce <= b.polls.answered)
+			for _, request := range b.requests.byID {
+				all = all && (!request.active || request.sent && request.startNonce <= b.polls.answered)
 			}
 			known <- all
 		})
@@ -145,7 +146,7 @@
 	}, fake.WaitLimit, time.Millisecond)
 }
 
-// onLoop runs f on the event loop, and waits for it.
+// onLoop runs f on the event loop, and waits until it returns.
 func (b *bench) onLoop(f func()) {
 	done := make(chan struct{})
 	b.Submit(func() { f(); close(done) })
