--- a/admission/admit.go
+++ b/admission/admit.go
@@ -20,7 +20,7 @@
 	if count.total-count.awaitingCall+1 > c.maxConcurrency() {
 		return false
 	}
-	if c.memoryUsedKB()+request.HeldKB*(c.settings.RunningMemoryFactor-1) > c.memoryKB() {
+	if c.memoryUsedKB()+request.QueuedKB*(c.settings.RunningMemoryFactor-1) > c.memoryKB() {
 		return false
 	}
 	// Reads share the cores with runs and take precedence: a request that is read late has little time left when it is
@@ -60,13 +60,13 @@
 func (c *Controller) memoryUsedKB() float64 {
 	kb := float64(len(c.keyed)) * c.settings.KeyKB
 	for _, request := range c.queue {
-		kb += request.HeldKB
+		kb += request.QueuedKB
 	}
 	for _, request := range c.active {
 		if request.phase == awaitingOriginal {
-			kb += request.HeldKB
+			kb += request.QueuedKB
 		} else {
-			kb += request.HeldKB * c.settings.RunningMemoryFactor
+			kb += request.QueuedKB * c.settings.RunningMemoryFactor
 		}
 	}
 	return kb
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -49,7 +49,7 @@
 }
 
 func (b *bench) request(name string, kind int) *Request {
-	request := &Request{Route: b.Routes[kind], HeldKB: 10, Arrived: b.at, Rank: 0.99}
+	request := &Request{Route: b.Routes[kind], QueuedKB: 10, Arrived: b.at, Rank: 0.99}
 	b.names[request] = name
 	return request
 }
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -75,7 +75,7 @@
 func TestAnAbandonedCallHoldsCapacityAndMemoryUntilItsEnd(t *testing.T) {
 	b := newBench(func(s *Settings) { s.CallQuota, s.MemoryKB = 1.2, 600 })
 	x, y, large := b.request("x", 2), b.request("y", 2), b.request("large", 0)
-	large.HeldKB = 40
+	large.QueuedKB = 40
 	b.round(Round{Arrived: []*Request{x, y}})
 	x.usefulUntil = b.at + 300*ms
 	b.round(Round{AwaitingCall: []*Request{x}})
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -239,7 +239,7 @@
 
 // Occupancy is the use of the machine as the controller accounts for it.
 type Occupancy struct {
-	Held           int     // queued requests
+	Queued         int     // queued requests
 	OnCores        int     // runs on the cores, including those whose requests are answered
 	InFlight       int     // runs on the cores, at calls and waiting for them
 	Answered       int     // requests in flight that are already answered
@@ -254,7 +254,7 @@
 	c.now = max(c.now, now)
 	count := c.inFlight()
 	occupancy := Occupancy{
-		Held: len(c.queue), OnCores: int(count.onCores), InFlight: int(count.total), Limit: c.limit.value,
+		Queued: len(c.queue), OnCores: int(count.onCores), InFlight: int(count.total), Limit: c.limit.value,
 		MaxConcurrency: c.maxConcurrency(), UsedKB: c.memoryUsedKB(), MaxKB: c.memoryKB(),
 	}
 	for _, request := range c.active {
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -148,7 +148,7 @@
 	for _, request := range c.active {
 		if request.phase.inFlight() {
 			count++
-			kb += request.HeldKB * c.settings.RunningMemoryFactor
+			kb += request.QueuedKB * c.settings.RunningMemoryFactor
 		}
 	}
 	maximum := maxInFlightPerCore * c.settings.Cores
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -111,7 +111,7 @@
 			a := p.load[0]
 			p.load = p.load[1:]
 			t := &simulatedRequest{arrival: a, left: a.Work.Seconds() / p.machine.Speed, Request: &admission.Request{
-				Route: p.controller.Routes[a.Route], HeldKB: 20, Arrived: p.now, Deadline: p.now + p.routes[a.Route].Deadline, Rank: a.Rank,
+				Route: p.controller.Routes[a.Route], QueuedKB: 20, Arrived: p.now, Deadline: p.now + p.routes[a.Route].Deadline, Rank: a.Rank,
 			}}
 			p.requests[t.Request] = t
 			r.Arrived = append(r.Arrived, t.Request)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -60,7 +60,7 @@
 // rememberKey creates the entry of the request's idempotency key, before any run, so that no duplicate is taken for a
 // new request. It returns false if there is no memory for the entry.
 func (c *Controller) rememberKey(request *Request, executor Executor) bool {
-	if c.memoryUsedKB()+c.settings.KeyKB+request.HeldKB > c.memoryKB() {
+	if c.memoryUsedKB()+c.settings.KeyKB+request.QueuedKB > c.memoryKB() {
 		return false
 	}
 	request.keyExpiresAt = request.Arrived + request.Route.DedupWindow + tickInterval
--- a/admission/request.go
+++ b/admission/request.go
@@ -7,7 +7,7 @@
 // Round, and does not change them afterwards.
 type Request struct {
 	Route      *Route
-	HeldKB     float64       // memory while it is queued, in KiB
+	QueuedKB   float64       // memory while it is queued, in KiB
 	CostHint   time.Duration // work expected by the caller, on a standard core; 0 if not stated
 	Arrived    time.Duration // when its first byte reached the machine, before it was read
 	LastByteAt time.Duration // when its last byte arrived, if it arrived in pieces; 0 if with the first one
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -165,7 +165,7 @@
 	c := p.controller
 	excessKB := c.memoryUsedKB() - c.memoryKB()
 	for _, request := range p.shed {
-		excessKB -= request.HeldKB
+		excessKB -= request.QueuedKB
 	}
 	if excessKB <= 0 {
 		return
@@ -174,7 +174,7 @@
 	for excessKB > 0 && len(p.ranking) > 0 {
 		request := p.ranking.removeLeast()
 		p.shedRequest(request, 0, ReasonMemory)
-		excessKB -= request.HeldKB
+		excessKB -= request.QueuedKB
 	}
 }
 
--- a/cmd/adapter/server.go
+++ b/cmd/adapter/server.go
@@ -115,7 +115,7 @@
 	}
 	request := &admission.Request{
 		Route:     s.controller.Routes[arrival.Route],
-		HeldKB:    arrival.HeldKB,
+		QueuedKB:  arrival.HeldKB,
 		Arrived:   s.round.Now - arrival.Age,
 		Deadline:  arrival.Deadline,
 		Rank:      arrival.Rank,
@@ -134,7 +134,7 @@
 	if s.readings, err = event.AppendGauges(s.readings[:0]); err != nil {
 		return err
 	}
-	s.settings.Gauges(&s.gauges, s.readings)
+	s.settings.SetGauges(&s.gauges, s.readings)
 	s.round.Gauges = &s.gauges
 	return nil
 }
--- a/cmd/quartzpoint/lease.go
+++ b/cmd/quartzpoint/lease.go
@@ -23,13 +23,13 @@
 		return nil, err
 	}
 	manager, err := leasing.New(leasing.Options{
-		Address: file.Peers.Listen, Leases: file.Lease.Duties, Config: file.Lease.Config, Peers: file.Peers.Addresses,
+		Address: file.Peers.Listen, Leases: file.Lease.Names, Config: file.Lease.Config, Peers: file.Peers.Addresses,
 		Keys: keys, Seed: seed, Log: log,
 	})
 	if err != nil {
 		return nil, err
 	}
-	log.Info("leases configured", "leases", len(file.Lease.Duties), "voters", file.Lease.Config.Voters,
+	log.Info("leases configured", "leases", len(file.Lease.Names), "voters", file.Lease.Config.Voters,
 		"duration", file.Lease.Config.Duration, "max_clock_drift", file.Lease.Config.MaxClockDrift)
 	return manager, nil
 }
--- a/cmd/quartzpoint/platformconfig.go
+++ b/cmd/quartzpoint/platformconfig.go
@@ -111,7 +111,7 @@
 	}
 	read, err := settings.FromJSON(f.keys["settings"])
 	if err == nil {
-		err = read.Missing()
+		err = read.CheckRequired()
 	}
 	if err != nil {
 		all := []error{err}
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -99,7 +99,7 @@
 	kind := s.routes[t.origin.route]
 	ago := max(w.now-came+s.clockOffset, 0)
 	t.Request = admission.Request{
-		Route: kind, HeldKB: queuedKB, Arrived: w.now - ago, Rank: t.origin.rank, Router: uint32(t.origin.router.number),
+		Route: kind, QueuedKB: queuedKB, Arrived: w.now - ago, Rank: t.origin.rank, Router: uint32(t.origin.router.number),
 		Deadline: w.now - ago + min(waits, kind.Deadline),
 	}
 	s.attempts[&t.Request] = t
--- a/execution.go
+++ b/execution.go
@@ -119,7 +119,7 @@
 	g := e.gate
 	g.pool.executions[e.id] = e
 	incoming := server.Incoming{
-		ID: e.id, Route: e.request.Route, HeldKB: g.queuedKB, Rank: e.request.Rank, Router: e.request.CallerID,
+		ID: e.id, Route: e.request.Route, QueuedKB: g.queuedKB, Rank: e.request.Rank, Router: e.request.CallerID,
 		Arrived: e.arrivedAt, Key: e.request.IdempotencyKey, Fingerprint: e.request.Fingerprint, Tenant: math.MaxInt, Caller: e,
 	}
 	if index, known := g.tenants[e.request.Tenant]; known {
--- a/gate.go
+++ b/gate.go
@@ -68,8 +68,8 @@
 	}
 	g.accepting.Store(true)
 	g.executions.New = func() any { return newExecution(g) }
-	g.loop, err = server.New(settings.FromAdmission(admissionSettings, settings.Readings...), options.Seed, server.Limits{
-		MemoryMB: options.MemoryMB, Keys: true, Tenants: true, Calls: true, SkippableCalls: true, HoldUntilRunEnds: true,
+	g.loop, err = server.New(settings.FromAdmission(admissionSettings, settings.ReadingNames...), options.Seed, server.Limits{
+		MemoryMB: options.MemoryMB, Keys: true, Tenants: true, Calls: true, SkippableCalls: true, RunsEndOnlyByReport: true,
 		MaxIdleYields: maxIdleYields,
 	}, g.counters, options.Log)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -63,7 +63,7 @@
 	peers := "[peers]\nlisten = \"127.0.0.1:7401\"\nask = [\"127.0.0.1:7402\", \"127.0.0.1:7403\"]\n"
 	got, err := Parse("x.toml", []byte(peers+"[lease]\nduties = [\"compact\"]\nlease = \"3s\"\ndrift = 0.02"))
 	require.NoError(t, err)
-	assert.Equal(t, &Lease{Duties: []string{"compact"}, Config: lease.Config{Duration: 3 * time.Second, MaxClockDrift: 0.02, Voters: 3}},
+	assert.Equal(t, &Lease{Names: []string{"compact"}, Config: lease.Config{Duration: 3 * time.Second, MaxClockDrift: 0.02, Voters: 3}},
 		got.Lease)
 	require.NoError(t, got.Lease.Config.Validate())
 	for name, c := range map[string]struct{ text, wantErr string }{
--- a/internal/config/lease.go
+++ b/internal/config/lease.go
@@ -15,13 +15,13 @@
 // Lease contains the names of the leases that this server requests, and their common settings. Only one server of the
 // fleet may hold a lease at a time. This server and those under [peers] vote; a majority grants a lease.
 type Lease struct {
-	Duties []string
+	Names  []string
 	Config lease.Config
 }
 
 func readLease(s *section, peers *Peers) *Lease {
 	l := &Lease{
-		Duties: s.stringList("duties", maxLeases, "a lease name that is not empty", isNotEmpty),
+		Names: s.stringList("duties", maxLeases, "a lease name that is not empty", isNotEmpty),
 		Config: lease.Config{
 			Duration:      s.duration("lease", defaultLeaseDuration, 100*time.Millisecond, time.Minute),
 			MaxClockDrift: s.float("drift", defaultMaxClockDrift, 0.2),
--- a/internal/configwatch/messages.go
+++ b/internal/configwatch/messages.go
@@ -101,7 +101,7 @@
 
 // decMode bounds the memory that a received message can make its reader allocate. The encoded documents and deltas
 // inside are decoded by package configuration, under its own bounds.
-var decMode = strictcbor.Decoding(maxArrayElements, false)
+var decMode = strictcbor.NewDecMode(maxArrayElements, false)
 
 // Encode encodes a message of this package.
 func Encode(message any) []byte {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Open is the number of connections.
-func (f *Frontend) Open() int { return len(f.conns) }
+// OpenConnections is the number of connections.
+func (f *Frontend) OpenConnections() int { return len(f.conns) }
 
 // CloseIdle sets for how long a connection may carry nothing.
 func (f *Frontend) CloseIdle(timeout time.Duration) { f.idleTimeout = timeout }
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -226,7 +226,7 @@
 	b.onLoop(func() {
 		b.StopAccepting()
 		b.Flush()
-		assert.False(t, b.Quiet(), "the process would end with a task unread")
+		assert.False(t, b.InputDrained(), "the process would end with a task unread")
 	})
 	close(held.open)
 	b.pool.Next(t, "spawn")
@@ -242,7 +242,7 @@
 		_, err := net.Dial("tcp", b.Address())
 		return err != nil
 	}, fake.WaitLimit, time.Millisecond)
-	b.onLoop(func() { assert.True(t, b.Quiet()) })
+	b.onLoop(func() { assert.True(t, b.InputDrained()) })
 }
 
 // scarce has no descriptors for connections while it is told so.
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -43,7 +43,7 @@
 		return in, invalidBody
 	}
 	sentMS, err := strconv.ParseInt(text(frame.FieldSentMS), 10, 64)
-	if err != nil || !c.frontend.server.PlausibleStamp(sentMS) {
+	if err != nil || !c.frontend.server.PlausibleTimestamp(sentMS) {
 		return in, invalidField(frame.FieldSentMS)
 	}
 	if timeout := text(frame.FieldTimeoutMS); timeout != "" {
@@ -53,8 +53,8 @@
 		}
 		in.Timeout = time.Duration(ms) * time.Millisecond
 	}
-	in.HeldKB, err = strconv.ParseFloat(text(frame.FieldHeldKB), 64)
-	if err != nil || !(in.HeldKB > 0 && in.HeldKB < maxHeldKB) {
+	in.QueuedKB, err = strconv.ParseFloat(text(frame.FieldHeldKB), 64)
+	if err != nil || !(in.QueuedKB > 0 && in.QueuedKB < maxHeldKB) {
 		return in, invalidField(frame.FieldHeldKB)
 	}
 	// Rank and router only steer: without them the request is the first to be shed, of an unnamed router.
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// Quiet is whether nothing waits to be accepted or read: no connection in the listener, none without its first turn, no bytes
+// InputDrained is whether nothing waits to be accepted or read: no connection in the listener, none without its first turn, no bytes
 // on any.
-func (f *Frontend) Quiet() bool {
+func (f *Frontend) InputDrained() bool {
 	// In this order: a connection is counted before it leaves the listener.
 	if (!f.listenerShut || f.shutFailed) && readable(f.listener.Fd()) || f.acceptedCount.Load() != f.joinedCount.Load() {
 		return false
--- a/internal/peersync/message.go
+++ b/internal/peersync/message.go
@@ -124,7 +124,7 @@
 	return encodeFrame(message{Kind: kindRefusal, Reason: reason, RetryAfter: retryAfter})
 }
 
-var decoder = strictcbor.Decoding(estimate.MaxPublishedRoutes, false)
+var decoder = strictcbor.NewDecMode(estimate.MaxPublishedRoutes, false)
 
 // encodeFrame returns a message as a frame.
 func encodeFrame(m message) []byte {
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -48,9 +48,9 @@
 
 func (b *bench) StopAccepting() { b.stoppedAccepting = true }
 
-func (b *bench) Open() int { return 0 }
+func (b *bench) OpenConnections() int { return 0 }
 
-func (b *bench) Quiet() bool { return !b.inputPending.Load() }
+func (b *bench) InputDrained() bool { return !b.inputPending.Load() }
 
 func newBench(t *testing.T) *bench { return newBenchAt(t, fake.SiteSettings) }
 
@@ -93,7 +93,7 @@
 func (b *bench) submitRequest(stream uint32, route string, timeout time.Duration) {
 	b.Submit(func() {
 		b.Receive(Incoming{
-			ID: fake.CallID(stream), Route: route, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: timeout,
+			ID: fake.CallID(stream), Route: route, QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: timeout,
 			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
 		})
 	})
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -39,8 +39,8 @@
 	return s.clock.timestamps.Arrival(time.Duration(unixMS)*time.Millisecond, now)
 }
 
-// PlausibleStamp reports whether a clock that was stepped may have written a request's timestamp, in Unix milliseconds.
-func (s *Server) PlausibleStamp(unixMS int64) bool {
+// PlausibleTimestamp reports whether a clock that was stepped may have written a request's timestamp, in Unix milliseconds.
+func (s *Server) PlausibleTimestamp(unixMS int64) bool {
 	return unixMS >= 0 && unixMS < maxTimestampMS &&
 		wallclock.Plausible(time.Duration(unixMS)*time.Millisecond, s.Now()+s.clock.wallOffset())
 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -78,7 +78,7 @@
 		if !s.drain.notAccepting {
 			f.StopAccepting()
 		}
-		open += f.Open()
+		open += f.OpenConnections()
 	}
 	if !s.drain.notAccepting {
 		s.drain.notAccepting = true
@@ -106,7 +106,7 @@
 // them.
 func (s *Server) inputDrained() bool {
 	for _, f := range s.frontends {
-		if !f.Quiet() {
+		if !f.InputDrained() {
 			return false
 		}
 	}
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -46,8 +46,8 @@
 	Flush() (written bool)
 	// StopAccepting stops accepting connections, and asks peers to send no more requests on the open ones.
 	StopAccepting()
-	// Open returns the number of open connections.
-	Open() int
-	// Quiet reports whether no input is left to accept or read.
-	Quiet() bool
+	// OpenConnections returns the number of open connections.
+	OpenConnections() int
+	// InputDrained reports whether no input is left to accept or read.
+	InputDrained() bool
 }
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -53,7 +53,7 @@
 	gauges := s.polls.gauges
 	s.events.Record(events.Overcommitted, reason,
 		slog.Int("doubtful", s.overdue.count), slog.Int("on_cores", occupancy.OnCores), slog.Int("in_flight", occupancy.InFlight),
-		slog.Int("answered", occupancy.Answered), slog.Int("held", occupancy.Held), slog.Float64("limit", occupancy.Limit),
+		slog.Int("answered", occupancy.Answered), slog.Int("held", occupancy.Queued), slog.Float64("limit", occupancy.Limit),
 		slog.Float64("max_crowd", occupancy.MaxConcurrency), slog.Float64("used_kb", occupancy.UsedKB),
 		slog.Float64("max_kb", occupancy.MaxKB), slog.Float64("read_crowd", gauges.Runnable),
 		slog.Float64("read_cpu", gauges.CPU), slog.Float64("read_kb", gauges.Memory*memoryKB))
--- a/internal/server/overdue.go
+++ b/internal/server/overdue.go
@@ -20,7 +20,7 @@
 type overdueRuns struct {
 	count        int // counted in the last pass, plus those marked since
 	maintainedAt time.Duration
-	reviewer     reconcile.Reviewer
+	reviewer     reconcile.Reconciler
 }
 
 // runMaintenance drops expired entries of the key table and of the executed requests, and marks and counts the overdue
@@ -61,14 +61,14 @@
 // releaseProvenEnds ends the overdue runs that the gauges prove to have ended. It must be called when the gauges
 // arrive, after all notices that the workers sent before them were handled.
 func (s *Server) releaseProvenEnds(polled *workerapi.Notice) {
-	if s.overdue.count == 0 || s.limits.HoldUntilRunEnds {
+	if s.overdue.count == 0 || s.limits.RunsEndOnlyByReport {
 		return
 	}
 	readings, complete := s.readings(polled)
 	if !complete {
 		return
 	}
-	for _, id := range s.overdue.reviewer.Review(readings, s.runsBefore(polled.Nonce)) {
+	for _, id := range s.overdue.reviewer.Reconcile(readings, s.runsBefore(polled.Nonce)) {
 		request := s.requests.byID[id]
 		s.counters.Count("end of a run not reported, proven by the readings")
 		s.recordRunEvent(events.RunReleased, "the machine's readings leave no room for it", request)
@@ -78,7 +78,7 @@
 
 // readings returns the load readings of the gauges; complete is false if they lack a value that a proof needs.
 func (s *Server) readings(polled *workerapi.Notice) (r reconcile.Readings, complete bool) {
-	runnable, memoryShare, complete := s.settings.Occupied(polled.Readings)
+	runnable, memoryShare, complete := s.settings.Occupancy(polled.Readings)
 	memoryKB, configured := s.settings.MemoryKB()
 	if !complete || !configured {
 		return r, false
@@ -87,7 +87,7 @@
 	now := s.Now()
 	for _, request := range s.requests.byID {
 		if !request.active && !request.answered && now > request.readAt+queuedMemoryDelay {
-			r.WaitingKB += request.HeldKB
+			r.WaitingKB += request.QueuedKB
 		}
 	}
 	return r, true
@@ -105,7 +105,7 @@
 	slices.SortFunc(begun, func(a, b *Request) int { return cmp.Or(cmp.Compare(a.readAt, b.readAt), cmp.Compare(a.id, b.id)) })
 	for _, request := range begun {
 		runs = append(runs, reconcile.Run{
-			ID: request.id, MemoryKB: request.HeldKB * factor, MayHaveEnded: request.overdue,
+			ID: request.id, MemoryKB: request.QueuedKB * factor, MayHaveEnded: request.overdue,
 			Runnable: !request.blockedAtCall && request.pauseState != pauseConfirmed,
 		})
 	}
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -12,7 +12,7 @@
 type Incoming struct {
 	ID         string // unique
 	Route      string
-	HeldKB     float64 // memory of the worker pool that the request takes while queued
+	QueuedKB   float64 // memory of the worker pool that the request takes while queued
 	Rank       float64 // criticality, from 0 to 1
 	Router     uint32
 	SentUnixMS int64 // by the system's wall clock; used if Arrived is 0
@@ -108,7 +108,7 @@
 func (s *Server) enqueue(in *Incoming, route *admission.Route, now time.Duration) *Request {
 	request := &Request{
 		Request: admission.Request{
-			Route: route, HeldKB: in.HeldKB, Arrived: in.Arrived, Rank: in.Rank, Router: in.Router,
+			Route: route, QueuedKB: in.QueuedKB, Arrived: in.Arrived, Rank: in.Rank, Router: in.Router,
 			Tenant: in.Tenant, LastByteAt: in.LastByteAt,
 		},
 		id: in.ID, route: in.Route, body: in.Body, caller: in.Caller, stream: in.Stream, readAt: now,
--- a/internal/server/runs.go
+++ b/internal/server/runs.go
@@ -15,7 +15,7 @@
 	case workerapi.Polled:
 		s.polls.answered = notice.Nonce
 		s.resumePaused(notice.Nonce)
-		s.settings.Gauges(&s.polls.gauges, notice.Readings)
+		s.settings.SetGauges(&s.polls.gauges, notice.Readings)
 		s.polls.readAt = s.Now()
 		s.releaseProvenEnds(notice)
 		s.polls.ready = s.polls.ready || s.polls.nonce > 0 && notice.Nonce >= s.polls.nonce
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -32,16 +32,16 @@
 
 // Limits states what this process may use, and which features its front ends and workers support.
 type Limits struct {
-	MemoryMB         int  // of this process
-	Sockets          int  // file descriptors for connections
-	Keys             bool // requests carry idempotency keys
-	Tenants          bool // requests carry their tenant
-	Calls            bool // runs report that they wait for a call, and a dependency to call is configured
-	SkippableCalls   bool // runs can continue without their call
-	MaxIdleYields    int  // yields to other goroutines before the loop blocks, as waking it costs more than a few yields
-	DynamicTables    bool // routes and tenants may change while the server runs
-	HoldUntilRunEnds bool // a run counts as in flight until its end is reported; gauges never prove that it has ended
-	EarlyKill        bool // the process may be killed before the stop that Drain is called with: see earliestKill
+	MemoryMB            int  // of this process
+	Sockets             int  // file descriptors for connections
+	Keys                bool // requests carry idempotency keys
+	Tenants             bool // requests carry their tenant
+	Calls               bool // runs report that they wait for a call, and a dependency to call is configured
+	SkippableCalls      bool // runs can continue without their call
+	MaxIdleYields       int  // yields to other goroutines before the loop blocks, as waking it costs more than a few yields
+	DynamicTables       bool // routes and tenants may change while the server runs
+	RunsEndOnlyByReport bool // a run counts as in flight until its end is reported; gauges never prove that it has ended
+	EarlyKill           bool // the process may be killed before the stop that Drain is called with: see earliestKill
 }
 
 // Server is the event loop. Its methods are to be called on its own goroutine, except for Submit, Wake, Drain,
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -92,7 +92,7 @@
 				now := b.Now().Truncate(time.Millisecond)
 				arrived := now - 50*time.Millisecond
 				stamp := (arrived + stamped).Milliseconds()
-				assert.True(t, b.PlausibleStamp(stamp))
+				assert.True(t, b.PlausibleTimestamp(stamp))
 				assert.InDelta(t, float64(arrived), float64(b.arrivalTime(stamp, now)), 1e6, "%v, stamped %s", step, name)
 			}
 		})
@@ -130,7 +130,7 @@
 		route := []string{"browse", "pay"}[stream%2]
 		b.Submit(func() {
 			b.Receive(Incoming{
-				ID: fake.CallID(stream), Route: route, HeldKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(),
+				ID: fake.CallID(stream), Route: route, QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(),
 				Timeout: time.Minute, Router: stream, Caller: b, Stream: stream,
 			})
 		})
@@ -174,7 +174,7 @@
 	b.pool.Ready()
 	var request *Request
 	b.Submit(func() {
-		request = b.Receive(Incoming{ID: "x", Route: "browse", HeldKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
+		request = b.Receive(Incoming{ID: "x", Route: "browse", QueuedKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 	})
 	b.pool.Next(t, "spawn")
 	b.Submit(func() { b.Cancel(request); b.Cancel(request) })
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -97,7 +97,7 @@
 	submit := func(stream uint32) {
 		b.Submit(func() {
 			b.Receive(Incoming{
-				ID: fake.CallID(stream), Route: "charge", HeldKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
+				ID: fake.CallID(stream), Route: "charge", QueuedKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 				Caller: b, Stream: stream, Key: "once", Fingerprint: 1,
 			})
 		})
@@ -136,7 +136,7 @@
 	b.changeTables(t, tenant("north", 5))
 	assert.Equal(t, 0, index("north"))
 	b.Submit(func() {
-		b.Receive(Incoming{ID: "a", Route: "pay", HeldKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
+		b.Receive(Incoming{ID: "a", Route: "pay", QueuedKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 	})
 	run := b.pool.Next(t, "spawn")
 	b.changeTables(t, tenant("north", 7))
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -15,8 +15,8 @@
 	gaugeConnections = "links"
 )
 
-// Readings contains the names of all readings, in the order of admission.Gauges.
-var Readings = []string{gaugeCPU, gaugeRunnable, gaugeMemory, gaugeConnections}
+// ReadingNames contains the names of all readings, in the order of admission.Gauges.
+var ReadingNames = []string{gaugeCPU, gaugeRunnable, gaugeMemory, gaugeConnections}
 
 // The platform's keys that are used outside the tables.
 const (
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -66,9 +66,9 @@
 	return s.Admission.MemoryKB, given
 }
 
-// Missing returns an error if the settings have no routes. Otherwise it returns an error that joins a *FieldError for
+// CheckRequired returns an error if the settings have no routes. Otherwise it returns an error that joins a *FieldError for
 // each required setting that is missing and each route name that is used twice.
-func (s *Settings) Missing() error {
+func (s *Settings) CheckRequired() error {
 	if len(s.Admission.Routes) == 0 {
 		return errors.New("setting services: is missing or has no routes")
 	}
@@ -108,9 +108,9 @@
 	return estimate.Digest(lines)
 }
 
-// Gauges copies the worker pool's readings, which are in the order that the settings specify, into their fields. If
+// SetGauges copies the worker pool's readings, which are in the order that the settings specify, into their fields. If
 // there are fewer readings than names, the other fields keep their values.
-func (s *Settings) Gauges(into *admission.Gauges, readings []float64) {
+func (s *Settings) SetGauges(into *admission.Gauges, readings []float64) {
 	for i, name := range s.readingNames[:min(len(readings), len(s.readingNames))] {
 		switch name {
 		case gaugeCPU:
@@ -125,10 +125,10 @@
 	}
 }
 
-// Occupied returns the readings of the machine's occupied resources: the runnable work (runs and reads of requests that
+// Occupancy returns the readings of the machine's occupied resources: the runnable work (runs and reads of requests that
 // need a core), and the share of memory in use. complete is false if the settings do not name both readings or there
 // are too few readings.
-func (s *Settings) Occupied(readings []float64) (onCores, memory float64, complete bool) {
+func (s *Settings) Occupancy(readings []float64) (onCores, memory float64, complete bool) {
 	cores, heap := slices.Index(s.readingNames, gaugeRunnable), slices.Index(s.readingNames, gaugeMemory)
 	if cores < 0 || heap < 0 || max(cores, heap) >= len(readings) {
 		return 0, 0, false
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -67,7 +67,7 @@
 	}, tree.fixed)
 
 	gauges := admission.Gauges{Runnable: 7}
-	tree.Gauges(&gauges, []float64{1, 2, 3, 4})
+	tree.SetGauges(&gauges, []float64{1, 2, 3, 4})
 	assert.Equal(t, admission.Gauges{Connections: 1, CPU: 2, Memory: 4, Runnable: 7}, gauges)
 }
 
@@ -200,7 +200,7 @@
 	} {
 		got, err := FromJSON([]byte(text))
 		if err == nil {
-			err = got.Missing()
+			err = got.CheckRequired()
 		}
 		assert.ErrorContains(t, err, want, text)
 	}
@@ -242,7 +242,7 @@
 	for _, c := range cases {
 		got, err := FromJSON([]byte(`{` + routesJSON + `,` + c.settings + `}`))
 		if assert.NoError(t, err, c.settings) {
-			assert.NoError(t, got.Missing(), c.settings)
+			assert.NoError(t, got.CheckRequired(), c.settings)
 			assert.Equal(t, c.want, c.of(got), c.settings)
 		}
 	}
--- a/internal/store/parse.go
+++ b/internal/store/parse.go
@@ -20,7 +20,7 @@
 var errNoHeader = errors.New("no whole header")
 
 // decoding is strict but for text that is not UTF-8: idempotency keys are the clients' own bytes.
-var decoding = strictcbor.Decoding(estimate.MaxPublishedRoutes, true)
+var decoding = strictcbor.NewDecMode(estimate.MaxPublishedRoutes, true)
 
 // readHeader reads a file's header and returns the bytes behind it.
 func readHeader(raw []byte) (header recovery.Header, rest []byte, err error) {
--- a/internal/strictcbor/strict.go
+++ b/internal/strictcbor/strict.go
@@ -12,10 +12,10 @@
 	maxMapPairs = 64 // pairs in a map
 )
 
-// Decoding returns a decoding mode that rejects input which could make a small message large in memory or have more
+// NewDecMode returns a decoding mode that rejects input which could make a small message large in memory or have more
 // than one interpretation. Arrays may have up to maxItems elements. If allowInvalidUTF8 is set, text need not be valid
 // UTF-8, as in data that callers have chosen.
-func Decoding(maxItems int, allowInvalidUTF8 bool) cbor.DecMode {
+func NewDecMode(maxItems int, allowInvalidUTF8 bool) cbor.DecMode {
 	text := cbor.UTF8RejectInvalid
 	if allowInvalidUTF8 {
 		text = cbor.UTF8DecodeInvalid
--- a/internal/testkit/replay/adapter_test.go
+++ b/internal/testkit/replay/adapter_test.go
@@ -140,12 +140,12 @@
 
 func (s *subject) books(now time.Duration) books {
 	o := s.decisions.Occupancy(now)
-	return books{o.Held, o.OnCores, o.InFlight, o.Answered, bits(o.Limit), bits(o.MaxConcurrency), bits(o.UsedKB), bits(o.MaxKB)}
+	return books{o.Queued, o.OnCores, o.InFlight, o.Answered, bits(o.Limit), bits(o.MaxConcurrency), bits(o.UsedKB), bits(o.MaxKB)}
 }
 
 func (s *subject) know(q request) {
 	t := &admission.Request{
-		Route: s.routes[q.route-1], HeldKB: q.heldKB, CostHint: q.hint, Arrived: q.arrived, LastByteAt: q.whole, Deadline: q.due, Rank: q.rank,
+		Route: s.routes[q.route-1], QueuedKB: q.heldKB, CostHint: q.hint, Arrived: q.arrived, LastByteAt: q.whole, Deadline: q.due, Rank: q.rank,
 		Tenant: q.tenant, Router: q.caller, Duplicate: q.again,
 	}
 	s.requests = append(s.requests, t)
--- a/pool.go
+++ b/pool.go
@@ -146,6 +146,6 @@
 
 func (frontend) StopAccepting() {}
 
-func (frontend) Open() int { return 0 }
+func (frontend) OpenConnections() int { return 0 }
 
-func (frontend) Quiet() bool { return true }
+func (frontend) InputDrained() bool { return true }
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -34,14 +34,14 @@
 	WaitingKB float64 // lower bound of the part of MemoryKB that requests without a run use
 }
 
-// Reviewer counts, for each run, the latest consecutive readings that prove its end. The zero value is ready for use.
-type Reviewer struct {
+// Reconciler counts, for each run, the latest consecutive readings that prove its end. The zero value is ready for use.
+type Reconciler struct {
 	evidence map[string]int // consecutive readings that prove the end, by run id
 }
 
-// Review takes a reading and the runs tracked at its time, oldest first, and returns the ids of the runs that are
+// Reconcile takes a reading and the runs tracked at its time, oldest first, and returns the ids of the runs that are
 // proven to have ended. The caller must stop tracking these.
-func (r *Reviewer) Review(readings Readings, tracked []Run) (ended []string) {
+func (r *Reconciler) Reconcile(readings Readings, tracked []Run) (ended []string) {
 	runnable, memoryKB := excess(readings, tracked)
 	evidence := map[string]int{}
 	for _, run := range tracked {
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -18,11 +18,11 @@
 	return tracked
 }
 
-// reviewRepeatedly returns the runs that a number of equal readings prove to have ended.
-func reviewRepeatedly(times int, readings Readings, tracked []Run) (ended []string) {
-	var r Reviewer
+// reconcileRepeatedly returns the runs that a number of equal readings prove to have ended.
+func reconcileRepeatedly(times int, readings Readings, tracked []Run) (ended []string) {
+	var r Reconciler
 	for range times {
-		ended = append(ended, r.Review(readings, tracked)...)
+		ended = append(ended, r.Reconcile(readings, tracked)...)
 	}
 	return ended
 }
@@ -50,22 +50,22 @@
 		{"rounded readings", Readings{Runnable: 1, MemoryKB: 1.04 * runKB}, mayHaveEnded("a", "b"), []string{"a"}},
 	}
 	for _, c := range cases {
-		assert.Equal(t, c.ended, reviewRepeatedly(minReadings, c.readings, c.tracked), c.name)
-		assert.Empty(t, reviewRepeatedly(minReadings-1, c.readings, c.tracked), c.name)
+		assert.Equal(t, c.ended, reconcileRepeatedly(minReadings, c.readings, c.tracked), c.name)
+		assert.Empty(t, reconcileRepeatedly(minReadings-1, c.readings, c.tracked), c.name)
 	}
 }
 
 // Readings that prove the end of a run alternate with readings that do not. The count of consecutive readings restarts
 // each time.
 func TestContraryReadingRestartsCount(t *testing.T) {
-	var r Reviewer
+	var r Reconciler
 	for range 5 {
 		for range minReadings - 1 {
-			assert.Empty(t, r.Review(Readings{}, mayHaveEnded("a")))
+			assert.Empty(t, r.Reconcile(Readings{}, mayHaveEnded("a")))
 		}
-		assert.Empty(t, r.Review(Readings{Runnable: 1, MemoryKB: runKB}, mayHaveEnded("a")))
+		assert.Empty(t, r.Reconcile(Readings{Runnable: 1, MemoryKB: runKB}, mayHaveEnded("a")))
 	}
-	assert.Empty(t, r.Review(Readings{}, nil))
+	assert.Empty(t, r.Reconcile(Readings{}, nil))
 	assert.Empty(t, r.evidence, "the count of a run that is no longer tracked is kept")
 }
 
@@ -75,7 +75,7 @@
 func TestTrackedRunsCoverLiveRuns(t *testing.T) {
 	for seed := range int64(300) {
 		rng := rand.New(rand.NewSource(seed))
-		var r Reviewer
+		var r Reconciler
 		live, tracked := rng.Intn(8), []Run(nil)
 		for i := range live + rng.Intn(6) {
 			tracked = append(tracked, Run{ID: fmt.Sprint(i), MemoryKB: runKB, Runnable: true, MayHaveEnded: rng.Float64() < 0.7})
@@ -84,7 +84,7 @@
 		for range 50 {
 			atDisk := rng.Intn(live + 1)
 			waitingKB := rng.Float64() * 300
-			ended := r.Review(Readings{
+			ended := r.Reconcile(Readings{
 				Runnable: float64(live-atDisk) + rng.Float64()*2,
 				MemoryKB: float64(live)*runKB + waitingKB, WaitingKB: waitingKB * rng.Float64(),
 			}, tracked)
@@ -92,7 +92,7 @@
 			assert.GreaterOrEqual(t, len(tracked), live, "seed %d", seed)
 		}
 		for range minReadings {
-			tracked = without(tracked, r.Review(Readings{}, tracked))
+			tracked = without(tracked, r.Reconcile(Readings{}, tracked))
 		}
 		for _, run := range tracked {
 			assert.False(t, run.MayHaveEnded, "seed %d", seed)
--- a/state_test.go
+++ b/state_test.go
@@ -200,7 +200,7 @@
 		Cores: 2, MemoryMB: 64, RequestKB: 64, Calls: CallOptions{Share: 3},
 	}.settings()
 	require.NoError(t, err)
-	s := settings.FromAdmission(admissionSettings, settings.Readings...)
+	s := settings.FromAdmission(admissionSettings, settings.ReadingNames...)
 	assert.Equal(t, uint64(0xed7afa671ea5905a), s.Digest(false, true))
 	assert.Equal(t, uint64(0xaf35d81566381a9e), s.Digest(true, true))
 }
