--- a/admission/round.go
+++ b/admission/round.go
@@ -79,9 +79,9 @@
 	Call(request *Request, timeout time.Duration)
 	// SkipCall lets the request's run continue without its call.
 	SkipCall(request *Request)
-	// SetHealth sets the answer to health checks from now on. If fromStore is set, deep checks get this answer too,
+	// SetHealth sets the answer to health checks from now on. If withoutWorkers is set, deep checks get this answer too,
 	// without asking the workers.
-	SetHealth(healthy, fromStore bool)
+	SetHealth(healthy, withoutWorkers bool)
 	// SetShedLevel sets the shed level that answers carry from now on, in the format of the settings.
 	SetShedLevel(level float64)
 	// CloseIdleAfter closes connections that have been idle for as long as idle.
--- a/internal/server/overdue.go
+++ b/internal/server/overdue.go
@@ -20,7 +20,7 @@
 type overdueRuns struct {
 	count        int // counted in the last pass, plus those marked since
 	maintainedAt time.Duration
-	reviewer     reconcile.Reconciler
+	reconciler   reconcile.Reconciler
 }
 
 // runMaintenance drops expired entries of the key table and of the executed requests, and marks and counts the overdue
@@ -68,7 +68,7 @@
 	if !complete {
 		return
 	}
-	for _, id := range s.overdue.reviewer.Reconcile(readings, s.runsBefore(polled.Nonce)) {
+	for _, id := range s.overdue.reconciler.Reconcile(readings, s.runsBefore(polled.Nonce)) {
 		request := s.requests.byID[id]
 		s.counters.Count("end of a run not reported, proven by the readings")
 		s.recordRunEvent(events.RunReleased, "the machine's readings leave no room for it", request)
--- a/internal/testkit/replay/adapter_test.go
+++ b/internal/testkit/replay/adapter_test.go
@@ -221,8 +221,8 @@
 func (s *subject) SkipCall(t *admission.Request) { s.write(decision{what: 'K'}, t) }
 
 // SetHealth is H.
-func (s *subject) SetHealth(good, fromStore bool) {
-	s.write(decision{what: 'H', yes: good, yesToo: fromStore}, nil)
+func (s *subject) SetHealth(good, withoutWorkers bool) {
+	s.write(decision{what: 'H', yes: good, yesToo: withoutWorkers}, nil)
 }
 
 // SetShedLevel is L.
