--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -33,7 +33,7 @@
 	FieldRequestID = "call"
 	FieldSentMS    = "recv" // Unix milliseconds
 	FieldTimeoutMS = "ttl"
-	FieldHeldKB    = "heap"
+	FieldQueuedKB  = "heap"
 	FieldRank      = "crit" // from 0 to below 1
 	FieldTenant    = "org"
 	FieldKey       = "dedupe" // idempotency key
@@ -78,42 +78,42 @@
 }
 
 // Parse parses the first frame that a router wrote, and returns the bytes after it as rest. If there is no complete
-// frame, ok is false and rest is read.
-func Parse(read []byte) (f Frame, rest []byte, ok bool, err error) {
-	return parse(read, Request, HealthCheck, Cancel)
+// frame, ok is false and rest is the whole input.
+func Parse(input []byte) (f Frame, rest []byte, ok bool, err error) {
+	return parse(input, Request, HealthCheck, Cancel)
 }
 
 // ParseAnswer parses the first frame that a server wrote, and returns the bytes after it as rest. If there is no
-// complete frame, ok is false and rest is read.
-func ParseAnswer(read []byte) (f Frame, rest []byte, ok bool, err error) {
-	return parse(read, Answer, GoAway)
+// complete frame, ok is false and rest is the whole input.
+func ParseAnswer(input []byte) (f Frame, rest []byte, ok bool, err error) {
+	return parse(input, Answer, GoAway)
 }
 
-func parse(read []byte, allowed ...byte) (f Frame, rest []byte, ok bool, err error) {
-	if len(read) < lengthBytes {
-		return f, read, false, nil
+func parse(input []byte, allowed ...byte) (f Frame, rest []byte, ok bool, err error) {
+	if len(input) < lengthBytes {
+		return f, input, false, nil
 	}
-	length := binary.BigEndian.Uint32(read)
+	length := binary.BigEndian.Uint32(input)
 	if length < minLength || length > maxLength {
-		return f, read, false, errLength
+		return f, input, false, errLength
 	}
-	if len(read) < headBytes {
-		return f, read, false, nil
+	if len(input) < headBytes {
+		return f, input, false, nil
 	}
-	f.Type, f.Stream = read[lengthBytes], binary.BigEndian.Uint32(read[lengthBytes+1:])
+	f.Type, f.Stream = input[lengthBytes], binary.BigEndian.Uint32(input[lengthBytes+1:])
 	if bytes.IndexByte(allowed, f.Type) < 0 {
-		return f, read, false, ErrUnknownType
+		return f, input, false, ErrUnknownType
 	}
 	total := lengthBytes + int(length)
 	if total > MaxBuffered {
 		f.SkipBytes = total - headBytes
-		return f, read[headBytes:], true, nil
+		return f, input[headBytes:], true, nil
 	}
-	if len(read) < total {
-		return f, read, false, nil
+	if len(input) < total {
+		return f, input, false, nil
 	}
-	f.Payload = read[headBytes:total]
-	return f, read[total:], true, nil
+	f.Payload = input[headBytes:total]
+	return f, input[total:], true, nil
 }
 
 // AppendHead appends a frame's head, and its code and fields if its type has them. The body is not copied: the caller
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func whole(parts ...string) []byte {
+func concat(parts ...string) []byte {
 	var all []byte
 	for _, p := range parts {
 		all = append(all, p...)
@@ -17,25 +17,25 @@
 }
 
 var (
-	request = whole("\x00\x00\x00\x12\x0a\x00\x00\x00\x07", "\x01\x02op\x00\x05pay-x", "\x00body"[1:3])
-	check   = whole("\x00\x00\x00\x06\x14\x00\x00\x00\x01", "\x00")
+	request = concat("\x00\x00\x00\x12\x0a\x00\x00\x00\x07", "\x01\x02op\x00\x05pay-x", "\x00body"[1:3])
+	check   = concat("\x00\x00\x00\x06\x14\x00\x00\x00\x01", "\x00")
 )
 
-func TestCutAtEveryByte(t *testing.T) {
+func TestParseSplitAtEveryByte(t *testing.T) {
 	both := append(append([]byte(nil), request...), check...)
 	for at := range both {
 		var got []Frame
-		var waiting []byte
+		var unread []byte
 		for _, part := range [][]byte{both[:at], both[at:]} {
-			waiting = append(waiting, part...)
+			unread = append(unread, part...)
 			for {
-				f, rest, ok, err := Parse(waiting)
+				f, rest, ok, err := Parse(unread)
 				require.NoError(t, err, "cut at %d", at)
 				if !ok {
-					assert.Equal(t, waiting, rest)
+					assert.Equal(t, unread, rest)
 					break
 				}
-				got, waiting = append(got, f), rest
+				got, unread = append(got, f), rest
 			}
 		}
 		require.Len(t, got, 2, "cut at %d", at)
@@ -46,11 +46,11 @@
 		assert.Equal(t, "pay-x", string(op))
 		assert.Equal(t, "bo", string(body))
 		assert.Equal(t, byte(HealthCheck), got[1].Type)
-		assert.Empty(t, waiting)
+		assert.Empty(t, unread)
 	}
 }
 
-func TestCutBroken(t *testing.T) {
+func TestParseInvalidFrames(t *testing.T) {
 	cases := []struct {
 		name, read string
 		want       error
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestCutPassesLongFramesOver(t *testing.T) {
+func TestParseSkipsLongFrames(t *testing.T) {
 	f, rest, ok, err := Parse([]byte("\x00\x03\x00\x00\x0a\x00\x00\x00\x09abc"))
 	require.NoError(t, err)
 	assert.True(t, ok)
@@ -78,7 +78,7 @@
 	assert.Equal(t, "abc", string(rest))
 }
 
-func TestSplitBroken(t *testing.T) {
+func TestSplitPayloadRejectsIncompleteFields(t *testing.T) {
 	for _, payload := range []string{"", "\x01", "\x01\x02o", "\x01\x02op", "\x01\x02op\x00\x05four", "\x02\x02op\x00\x00"} {
 		_, _, err := SplitPayload([]byte(payload))
 		assert.ErrorIs(t, err, errFields, "%q", payload)
@@ -95,7 +95,7 @@
 	assert.False(t, found)
 }
 
-func TestBegin(t *testing.T) {
+func TestAppendHead(t *testing.T) {
 	got := AppendHead([]byte("x"), Answer, 258, Rejected, []Field{{"load", "0.2"}, {"stop", "1"}}, 3)
 	assert.Equal(t, "x\x00\x00\x00\x1c\x0b\x00\x00\x01\x02\x32\x02\x04load\x00\x030.2\x04stop\x00\x011", string(got))
 	assert.Equal(t, "\x00\x00\x00\x05\x1e\x00\x00\x00\x00", string(AppendHead(nil, GoAway, 0, 0, nil, 0)))
@@ -105,13 +105,13 @@
 	f.Add(request)
 	f.Add(check)
 	f.Add([]byte("\x00\x03\x00\x00\x0a\x00\x00\x00\x09abc"))
-	f.Fuzz(func(t *testing.T, read []byte) {
-		got, rest, ok, err := Parse(read)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		got, rest, ok, err := Parse(input)
 		if !ok || err != nil {
-			assert.True(t, bytes.Equal(read, rest), "input was consumed without a complete frame")
+			assert.True(t, bytes.Equal(input, rest), "input was consumed without a complete frame")
 			return
 		}
-		assert.Less(t, len(rest), len(read))
+		assert.Less(t, len(rest), len(input))
 		if fields, body, err := SplitPayload(got.Payload); err == nil {
 			assert.Equal(t, len(got.Payload), len(fields)+len(body))
 			fields.Get("op")
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -46,12 +46,12 @@
 }
 
 // handleNoDescriptors evicts a connection if descriptors ran out below the connection limit, because something else
-// uses them. It is called on the poller, again and again while a connection waits in the listener.
+// uses them. It is called on the poller, repeatedly while a connection waits in the listener.
 func (f *Frontend) handleNoDescriptors() {
 	f.counters.Count("connection waits, descriptors ran out")
-	if f.makingRoom.CompareAndSwap(false, true) {
+	if f.evictionPending.CompareAndSwap(false, true) {
 		f.server.Submit(func() {
-			f.makingRoom.Store(false)
+			f.evictionPending.Store(false)
 			if least := f.leastNeeded(nil, true); least != nil {
 				f.counters.Count("connection closed to make room")
 				least.close("to make room: descriptors ran out")
@@ -76,14 +76,14 @@
 // turned out to be silent by then.
 func (f *Frontend) join(c *conn) {
 	f.conns = append(f.conns, c)
-	if f.place(c) {
+	if f.applyLimit(c) {
 		f.joinedCount.Add(1)
 		return
 	}
 	time.AfterFunc(minConnAge, func() { // their number is limited by maxUnjoined
 		f.server.Submit(func() {
 			f.joinedCount.Add(1)
-			if !f.place(c) {
+			if !f.applyLimit(c) {
 				f.counters.Count("connection refused, limit reached")
 				c.close("the limit is reached")
 			}
@@ -93,14 +93,14 @@
 
 // applyLimit drains or evicts another connection for a new one if the limit requires it. allowed is false if the new
 // connection must be refused.
-func (f *Frontend) place(c *conn) (placed bool) {
+func (f *Frontend) applyLimit(c *conn) (allowed bool) {
 	open := f.live()
 	switch {
 	case c.dead:
 	case f.draining:
 		c.drain("draining")
 	case open > f.maxConns:
-		if c.overLimit = !f.makeRoom(c); c.overLimit {
+		if c.overLimit = !f.evictIfOverLimit(c); c.overLimit {
 			f.counters.Count("connection over the limit, all in use")
 			return f.live() <= f.maxConns+f.maxOverLimit
 		}
--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -29,31 +29,31 @@
 }
 
 // newBenchAt returns a bench for a site. If wrap is not nil, the front end accepts from the listener that it returns.
-func newBenchAt(t testing.TB, limits server.Limits, site string, gated func(netpoll.Listener) netpoll.Listener) *bench {
+func newBenchAt(t testing.TB, limits server.Limits, site string, wrap func(netpoll.Listener) netpoll.Listener) *bench {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	told, err := settings.FromJSON([]byte(site))
+	configured, err := settings.FromJSON([]byte(site))
 	require.NoError(t, err)
-	counts := invariant.New(log)
-	owner, err := server.New(told, 1, limits, counts, log)
+	counters := invariant.New(log)
+	srv, err := server.New(configured, 1, limits, counters, log)
 	require.NoError(t, err)
 	b := &bench{pool: fake.NewPool(t).Ready()}
-	b.Frontend, err = Listen("127.0.0.1:0", owner, limits, counts, log)
+	b.Frontend, err = Listen("127.0.0.1:0", srv, limits, counters, log)
 	require.NoError(t, err)
-	if gated != nil {
-		counts := b.listener.(*countingListener)
-		counts.Listener = gated(counts.Listener)
+	if wrap != nil {
+		counting := b.listener.(*countingListener)
+		counting.Listener = wrap(counting.Listener)
 	}
-	link := workerlink.New(b.pool.Address, 1<<20, log, counts.Count, owner.Wake)
-	owner.Attach(link, b.Frontend)
+	link := workerlink.New(b.pool.Address, 1<<20, log, counters.Count, srv.Wake)
+	srv.Attach(link, b.Frontend)
 	ctx, cancel := context.WithCancel(context.Background())
-	left := make(chan struct{})
+	stopped := make(chan struct{})
 	go link.Run(ctx)
 	go func() { _ = b.Serve() }()
-	go func() { owner.Run(); close(left) }()
+	go func() { srv.Run(); close(stopped) }()
 	t.Cleanup(func() {
-		owner.Drain(0)
+		srv.Drain(0)
 		select {
-		case <-left:
+		case <-stopped:
 		case <-time.After(fake.WaitLimit):
 			t.Error("the server does not stop")
 		}
@@ -62,7 +62,7 @@
 	return b
 }
 
-func usual() server.Limits { return server.Limits{MemoryMB: 96, Sockets: 256} }
+func defaultLimits() server.Limits { return server.Limits{MemoryMB: 96, Sockets: 256} }
 
 // waitCounted waits until an event was counted.
 func (b *bench) waitCounted(t *testing.T, what string) {
@@ -71,7 +71,7 @@
 }
 
 // dialActive opens a connection and waits for the answer to a health check on it.
-func (b *bench) speaker(t testing.TB) *fake.Router {
+func (b *bench) dialActive(t testing.TB) *fake.Router {
 	t.Helper()
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
@@ -88,7 +88,7 @@
 
 // sendUnread sends a request and waits until netpoll has read it. It must be called on the event loop, which can't
 // parse the request meanwhile.
-func (b *bench) crossed(t *testing.T, c *conn, r *fake.Router, stream uint32) {
+func (b *bench) sendUnread(t *testing.T, c *conn, r *fake.Router, stream uint32) {
 	t.Helper()
 	r.Send(t, fake.RequestFrame(stream, "pay", ""))
 	require.Eventually(t, func() bool { return c.transport.Reader().Len() > 0 }, fake.WaitLimit, time.Millisecond)
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -32,15 +32,15 @@
 	frontend  *Frontend
 	transport netpoll.Connection
 
-	mu         sync.Mutex
-	fd         int
-	closed     bool        // fd may already refer to another file
-	halfClosed bool        // the peer has ended its side, netpoll has released the connection, and fd is our own duplicate
-	closedHere atomic.Bool // this side closed the connection, not the peer
+	mu            sync.Mutex
+	fd            int
+	closed        bool        // fd may already refer to another file
+	halfClosed    bool        // the peer has ended its side, netpoll has released the connection, and fd is our own duplicate
+	closedLocally atomic.Bool // this side closed the connection, not the peer
 
 	// Reading.
 	requests     map[uint32]*server.Request // open requests by stream; no value is nil
-	lastStream   uint32                     // highest stream used; streams only increase, so no list of used ones is needed
+	lastStream   uint32                     // highest stream used; streams increase from 1, so no list of used ones is needed
 	partial      []byte                     // the beginning of an incomplete frame
 	skipBytes    int                        // bytes of a frame that is too long, still to be received and skipped
 	sawFrame     bool                       // a valid frame was received
@@ -54,10 +54,10 @@
 	overLimit  bool // accepted while all others were in use
 	draining   bool // the router was asked to send no new request
 	broken     bool // no more input is parsed; open requests are still answered
-	writeShut  bool // the router was told, by the end of this side, that no more answers follow
+	writeShut  bool // this side was ended, which tells the router that no more answers follow
 	dead       bool // closed, or to be closed as soon as netpoll allows it
 	openedAt   time.Duration
-	activeAt   time.Duration // time of the last complete frame or write, or of the last request to drain
+	activeAt   time.Duration // time of the last complete frame, write, drain, failure or half-close
 	drainingAt time.Duration // time at which draining began
 	closer     poller.DeferredClose
 }
@@ -77,7 +77,7 @@
 // descriptor is closed and possibly reused for another file.
 func (c *conn) onClosed(netpoll.Connection) error {
 	c.mu.Lock()
-	c.halfClosed = !c.closedHere.Load() && c.duplicateDescriptor()
+	c.halfClosed = !c.closedLocally.Load() && c.duplicateDescriptor()
 	c.closed = !c.halfClosed
 	half := c.halfClosed
 	c.mu.Unlock()
@@ -116,7 +116,7 @@
 		return
 	}
 	c.release()
-	c.closedHere.Store(true)
+	c.closedLocally.Store(true)
 	c.closer.Close(c.transport)
 }
 
@@ -156,7 +156,8 @@
 	c.enqueue(frame.AppendHead(nil, frame.Answer, 0, frame.Aborted, nil, len(reason)), []byte(reason))
 }
 
-// cutOff closes a connection with all its open requests, because its peer takes up what all other connections need.
+// cutOff closes a connection with all its open requests, because its peer uses resources that all other connections
+// need.
 func (c *conn) cutOff(reason string) {
 	c.frontend.counters.Count("connection closed: " + reason)
 	c.close(reason)
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -21,11 +21,11 @@
 
 // socketLimit returns how many of the given descriptors the system allows the process to use.
 func socketLimit(sockets int) int {
-	var held unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &held); err != nil || held.Cur > math.MaxInt32 {
+	var rlimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &rlimit); err != nil || rlimit.Cur > math.MaxInt32 {
 		return sockets
 	}
-	return min(sockets, int(held.Cur))
+	return min(sockets, int(rlimit.Cur))
 }
 
 // splitSockets divides descriptors: conns for connections, overLimit for further connections while all of those are in
@@ -54,7 +54,7 @@
 
 // evictIfOverLimit closes the connection that is needed least if the limit is exceeded. withinLimit reports whether the
 // limit is met after that.
-func (f *Frontend) makeRoom(newcomer *conn) (made bool) {
+func (f *Frontend) evictIfOverLimit(newcomer *conn) (withinLimit bool) {
 	open := f.live()
 	if open <= f.maxConns {
 		return true
@@ -90,11 +90,11 @@
 // leastNeeded returns the connection that a new one may replace: the one idle for longest among those that had time for
 // a valid frame and never sent one, or else among the others. Draining connections are considered only if
 // includeDraining is set. It returns nil if no connection may be replaced.
-func (f *Frontend) leastNeeded(newcomer *conn, full bool) (least *conn) {
+func (f *Frontend) leastNeeded(newcomer *conn, includeDraining bool) (least *conn) {
 	now := f.server.Now()
 	for _, c := range f.conns {
 		switch {
-		case c == newcomer || c.dead || c.isHalfClosed() || len(c.requests) > 0 || !c.out.Empty() || c.draining && !full:
+		case c == newcomer || c.dead || c.isHalfClosed() || len(c.requests) > 0 || !c.out.Empty() || c.draining && !includeDraining:
 		case !c.sawFrame && now < c.openedAt+minConnAge:
 		case c.frameBegunAt > 0 && now < c.frameBegunAt+minConnAge: // the rest of a request may be on its way
 		case least == nil, least.sawFrame && !c.sawFrame, least.sawFrame == c.sawFrame && c.activeAt < least.activeAt:
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -20,8 +20,8 @@
 	readAheadDivisor   = 32 // unparsed input of one connection takes at most that memory divided by this
 )
 
-// Frontend is a listener and the connections that routers opened to it. It belongs to the server's event loop, except
-// for Serve and netpoll's callbacks, which run on netpoll's poller.
+// Frontend is a listener and the connections that routers opened to it. It belongs to the server's event loop. Serve
+// and the callbacks that run on netpoll's poller use only its atomic fields and the fields that Listen sets.
 type Frontend struct {
 	server    *server.Server
 	counters  *invariant.Counters
@@ -38,16 +38,16 @@
 	idleTimeout    time.Duration
 	routersCancel  bool // routers send a cancellation once nobody waits for a request any longer
 
-	conns       []*conn
-	unflushed   []*conn
-	queuedBytes int // in all connections' write queues
-	sweptAt     time.Duration
+	conns             []*conn
+	unflushed         []*conn
+	queuedBytes       int // in all connections' write queues
+	timeoutsCheckedAt time.Duration
 
 	// A connection is counted as accepted before it leaves the listener, and as joined once the event loop has kept or
 	// refused it.
-	acceptedCount atomic.Int64
-	joinedCount   atomic.Int64
-	makingRoom    atomic.Bool // a submitted function that evicts a connection has not run yet
+	acceptedCount   atomic.Int64
+	joinedCount     atomic.Int64
+	evictionPending atomic.Bool // a submitted function that evicts a connection has not run yet
 
 	draining     bool
 	stopping     atomic.Bool // same as draining, for Serve's goroutine
@@ -111,31 +111,31 @@
 // connection whose last request was answered in this round is idle only once that answer was sent. written reports
 // whether all answers were written.
 func (f *Frontend) Flush() (written bool) {
-	left := f.unflushed[:0]
+	remaining := f.unflushed[:0]
 	for _, c := range f.unflushed {
 		if c.flush() {
 			c.unflushed = false
 			c.shutWrite()
 		} else {
-			left = append(left, c)
+			remaining = append(remaining, c)
 		}
 	}
-	clear(f.unflushed[len(left):])
-	f.unflushed = left
+	clear(f.unflushed[len(remaining):])
+	f.unflushed = remaining
 	f.shutListener()
-	f.sweepWhenDue(f.server.Now())
+	f.checkTimeoutsWhenDue(f.server.Now())
 	return len(f.unflushed) == 0
 }
 
 // checkTimeoutsWhenDue calls checkTimeouts once per period.
-func (f *Frontend) sweepWhenDue(now time.Duration) {
-	period := sweepPeriod
+func (f *Frontend) checkTimeoutsWhenDue(now time.Duration) {
+	period := timeoutCheckPeriod
 	if f.draining {
-		period = drainSweepPeriod
+		period = drainTimeoutCheckPeriod
 	}
-	if now >= f.sweptAt+period {
-		f.sweptAt = now
-		f.sweep(now)
+	if now >= f.timeoutsCheckedAt+period {
+		f.timeoutsCheckedAt = now
+		f.checkTimeouts(now)
 	}
 }
 
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestRequestsSplitAtEveryByte(t *testing.T) {
-	b := newBench(t, usual())
+	b := newBench(t, defaultLimits())
 	b.pool.Echo = true
 	router := fake.Dial(t, b.Address())
 	body := "\x00\xffbody\n"
@@ -38,7 +38,7 @@
 }
 
 func TestAnswersInAnyOrder(t *testing.T) {
-	b := newBench(t, usual())
+	b := newBench(t, defaultLimits())
 	router := fake.Dial(t, b.Address())
 	for stream := range uint32(3) {
 		router.Send(t, fake.RequestFrame(stream+1, "pay", ""))
@@ -55,30 +55,30 @@
 
 // A violation of the framing ends its connection and no other.
 func TestBrokenConnections(t *testing.T) {
-	good := fake.RequestFrame(1, "pay", "")
-	cut := fake.RequestFrame(1, "pay", "")
-	cut[9] = 200 // more fields than the frame contains
+	valid := fake.RequestFrame(1, "pay", "")
+	truncated := fake.RequestFrame(1, "pay", "")
+	truncated[9] = 200 // more fields than the frame contains
 	var many []byte
 	for stream := range uint32(maxOpenRequests + 1) {
 		many = append(many, fake.RequestFrame(stream+1, "pay", "", "call", fake.CallID(1000+stream))...)
 	}
 	cases := map[string]struct {
 		bytes []byte
-		good  int // number of valid requests before the violation, each of which is answered
+		valid int // number of valid requests before the violation, each of which is answered
 		want  string
 	}{
 		"short length":  {[]byte{0, 0, 0, 4, 10}, 0, "length out of bounds"},
 		"huge length":   {[]byte{0, 4, 0, 1}, 0, "length out of bounds"},
 		"unknown type":  {fake.Frame(13, 1, ""), 0, "unknown frame type"},
 		"cancel":        {fake.Frame(12, 1, ""), 0, "unknown frame type"}, // the site's routers send no cancellations
-		"cut fields":    {cut, 0, "field list cut short"},
+		"cut fields":    {truncated, 0, "field list cut short"},
 		"cut check":     {[]byte{0, 0, 0, 6, 20, 0, 0, 0, 1, 9}, 0, "field list cut short"},
 		"stream 0":      {fake.RequestFrame(0, "pay", ""), 0, "stream used before"},
-		"stream in use": {append(good, fake.RequestFrame(1, "pay", "", "call", fake.CallID(9))...), 1, "stream used before"},
-		"stream of old": {append(fake.RequestFrame(8, "unheard-of", ""), good...), 1, "stream used before"},
+		"stream in use": {append(valid, fake.RequestFrame(1, "pay", "", "call", fake.CallID(9))...), 1, "stream used before"},
+		"an old stream": {append(fake.RequestFrame(8, "unheard-of", ""), valid...), 1, "stream used before"},
 		"too many open": {many, maxOpenRequests, "too many open tasks"},
 	}
-	b := newBench(t, usual())
+	b := newBench(t, defaultLimits())
 	b.pool.Echo = true
 	bystander := fake.Dial(t, b.Address())
 	for name, c := range cases {
@@ -97,7 +97,7 @@
 				}
 			}
 			assert.Equal(t, []string{c.want}, errors)
-			assert.Len(t, answered, c.good)
+			assert.Len(t, answered, c.valid)
 			for stream, times := range answered {
 				assert.Equal(t, 1, times, "stream %d", stream)
 			}
@@ -108,7 +108,7 @@
 }
 
 func TestRejectedRequests(t *testing.T) {
-	b := newBench(t, usual())
+	b := newBench(t, defaultLimits())
 	router := fake.Dial(t, b.Address())
 	now := time.Now()
 	cases := [][]string{
@@ -132,8 +132,8 @@
 	assert.Equal(t, "after it", string(b.pool.Next(t, "spawn").Body), "another request ran, or the rest of the skipped frame was parsed")
 }
 
-func TestCallerGone(t *testing.T) {
-	b := newBench(t, usual())
+func TestClosedConnectionCancelsRequests(t *testing.T) {
+	b := newBench(t, defaultLimits())
 	router := fake.Dial(t, b.Address())
 	router.Send(t, fake.RequestFrame(1, "browse", ""))
 	b.pool.Next(t, "spawn")
@@ -143,7 +143,7 @@
 
 // A router that does not read is cut off at a limit, and answers to others are delayed neither before nor after.
 func TestPeerThatDoesNotRead(t *testing.T) {
-	b := newBench(t, usual())
+	b := newBench(t, defaultLimits())
 	b.pool.Echo = true
 	stalled, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	checks := bytes.Repeat(fake.Frame(20, 1, "", "e2e", "0"), 1000)
@@ -156,11 +156,11 @@
 			}
 		}
 	}()
-	cut := func() bool { // which of the two limits is reached first depends on the scheduling of the machine
+	closed := func() bool { // which of the two limits is reached first depends on the scheduling of the machine
 		return b.counters.Times("connection closed: peer does not read")+
 			b.counters.Times("connection closed: sends faster than can be read") > 0
 	}
-	for stream := uint32(1); !cut(); stream++ {
+	for stream := uint32(1); !closed(); stream++ {
 		other.Send(t, fake.RequestFrame(stream, "browse", fmt.Sprint(stream)))
 		assert.Equal(t, fmt.Sprint(stream), other.Next(t).Body)
 	}
@@ -170,33 +170,33 @@
 // A connection that sends no valid frame, or does not complete one, receives the reason and is closed in time, even if
 // it sends a byte now and then. A connection that has sent a valid frame may be idle.
 func TestSilentConnections(t *testing.T) {
-	b := newBench(t, usual())
-	rests := b.speaker(t)
-	silent, half, drips := fake.Dial(t, b.Address()), b.speaker(t), fake.Dial(t, b.Address())
+	b := newBench(t, defaultLimits())
+	idle := b.dialActive(t)
+	silent, partial, dripping := fake.Dial(t, b.Address()), b.dialActive(t), fake.Dial(t, b.Address())
 	began := time.Now()
 	frame := fake.RequestFrame(1, "pay", "")
-	half.Send(t, frame[:len(frame)/2])
+	partial.Send(t, frame[:len(frame)/2])
 	go func() {
 		for i := range frame[:20] {
-			if _, err := drips.Write(frame[i : i+1]); err != nil {
+			if _, err := dripping.Write(frame[i : i+1]); err != nil {
 				return
 			}
 			time.Sleep(frameTimeout / 15)
 		}
 	}()
-	for want, r := range map[string]*fake.Router{"nothing understood": silent, "frame not ended": half} {
+	for want, r := range map[string]*fake.Router{"nothing understood": silent, "frame not ended": partial} {
 		got := r.Next(t)
 		assert.Equal(t, []any{byte(11), uint32(0), byte(51), want}, []any{got.Type, got.Stream, got.Code, got.Body})
 		r.WaitClosed(t)
 	}
-	drips.WaitClosed(t)
+	dripping.WaitClosed(t)
 	assert.GreaterOrEqual(t, time.Since(began), frameTimeout)
-	rests.Send(t, fake.Frame(20, 2, "", "e2e", "0"))
-	assert.Equal(t, byte(21), rests.Next(t).Type)
+	idle.Send(t, fake.Frame(20, 2, "", "e2e", "0"))
+	assert.Equal(t, byte(21), idle.Next(t).Type)
 }
 
-func TestIdleConnectionsAreAskedToGo(t *testing.T) {
-	b := newBench(t, usual())
+func TestIdleConnectionsAreDrained(t *testing.T) {
+	b := newBench(t, defaultLimits())
 	busy, idle := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	busy.Send(t, fake.RequestFrame(1, "pay", ""))
 	b.pool.Next(t, "spawn")
@@ -208,24 +208,24 @@
 }
 
 // Guards against a fault: connections that routers kept open delayed the end of a server until its last moment.
-func TestDrainClosesWhatStays(t *testing.T) {
-	b := newBench(t, usual())
-	stays := b.speaker(t)
+func TestDrainClosesOpenConnections(t *testing.T) {
+	b := newBench(t, defaultLimits())
+	open := b.dialActive(t)
 	b.server.Submit(b.StopAccepting)
-	assert.Equal(t, byte(30), stays.Next(t).Type)
-	stays.WaitClosed(t)
+	assert.Equal(t, byte(30), open.Next(t).Type)
+	open.WaitClosed(t)
 }
 
 // Guards against a fault: a draining connection was closed before an answer queued long after the drain began was
 // written.
-func TestLateAnswerOnAConnectionAskedToGo(t *testing.T) {
-	b := newBench(t, usual())
+func TestLateAnswerOnADrainingConnection(t *testing.T) {
+	b := newBench(t, defaultLimits())
 	router := fake.Dial(t, b.Address())
 	router.Send(t, fake.RequestFrame(1, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.server.Submit(func() {
 		c := b.conns[0]
-		c.draining, c.activeAt, b.sweptAt = true, 0, 0
+		c.draining, c.activeAt, b.timeoutsCheckedAt = true, 0, 0
 		c.Answer(1, server.Answer{Verdict: server.Aborted})
 	})
 	assert.Equal(t, byte(51), router.Next(t).Code)
@@ -233,9 +233,9 @@
 
 // Guards against a fault: a connection that had received much at a time kept a buffer of that size for the beginning of
 // a frame.
-func TestBeginningsHoldNoLargeBuffer(t *testing.T) {
-	b := newBench(t, usual())
-	b.speaker(t)
+func TestPartialFramesKeepNoLargeBuffer(t *testing.T) {
+	b := newBench(t, defaultLimits())
+	b.dialActive(t)
 	check := fake.Frame(20, 1, "", "e2e", "0")
 	sizes := make(chan [2]int)
 	b.server.Submit(func() {
@@ -250,14 +250,14 @@
 // For any sequence of frames or parts of them on one connection, another connection is still answered, and no entry is
 // left in the tables.
 func FuzzConnection(f *testing.F) {
-	task := func(stream uint32, more ...string) []byte { return fake.RequestFrame(stream, "browse", "b", more...) }
-	f.Add(append(task(1), task(2, "heap", "-1")...), uint16(7))
-	f.Add(append(task(1), task(1)...), uint16(0))
-	f.Add(append(fake.Frame(20, 1, "", "e2e", "1"), task(3, "call", fake.CallID(9))[:40]...), uint16(30))
-	f.Add(append(fake.Frame(10, 1, strings.Repeat("x", 2*frame.MaxBuffered)), task(2)...), uint16(9000))
-	b := newBench(f, usual())
+	request := func(stream uint32, more ...string) []byte { return fake.RequestFrame(stream, "browse", "b", more...) }
+	f.Add(append(request(1), request(2, "heap", "-1")...), uint16(7))
+	f.Add(append(request(1), request(1)...), uint16(0))
+	f.Add(append(fake.Frame(20, 1, "", "e2e", "1"), request(3, "call", fake.CallID(9))[:40]...), uint16(30))
+	f.Add(append(fake.Frame(10, 1, strings.Repeat("x", 2*frame.MaxBuffered)), request(2)...), uint16(9000))
+	b := newBench(f, defaultLimits())
 	b.pool.Echo = true
-	bystander, stream := b.speaker(f), uint32(1)
+	bystander, stream := b.dialActive(f), uint32(1)
 	f.Fuzz(func(t *testing.T, bytes []byte, at uint16) {
 		r := fake.Dial(t, b.Address())
 		for _, part := range [][]byte{bytes[:min(int(at), len(bytes))], bytes[min(int(at), len(bytes)):]} {
@@ -265,7 +265,7 @@
 		}
 		stream++
 		_ = bystander.SetDeadline(time.Now().Add(fake.WaitLimit))
-		bystander.Send(t, task(stream, "call", fmt.Sprintf("%016x", 0xdef0000+uint64(stream))))
+		bystander.Send(t, request(stream, "call", fmt.Sprintf("%016x", 0xdef0000+uint64(stream))))
 		for got := bystander.Next(t); got.Stream != stream; got = bystander.Next(t) {
 			require.Equal(t, byte(frame.GoAway), got.Type, "an answer to another request")
 		}
--- a/internal/frontend/halfclose.go
+++ b/internal/frontend/halfclose.go
@@ -9,8 +9,8 @@
 )
 
 // A router may end its side of a connection after its last request, and still read. Netpoll releases a connection whose
-// peer has ended its side, so the open requests are answered over a duplicate of its descriptor. A router that has
-// ended altogether ends its side in the same way; this shows by a reset as soon as something is written to it.
+// peer has ended its side, so the open requests are answered over a duplicate of its descriptor. A router that no
+// longer exists ends its side in the same way. That shows by a reset as soon as something is written to it.
 
 // duplicateDescriptor replaces fd by a duplicate if the peer ended its side in order, and reports whether it did. It
 // must be called from netpoll's callback, before the descriptor is closed, with c.mu held.
@@ -37,7 +37,7 @@
 // handleHalfClose handles, on the event loop, that the peer has ended its side. Open requests are still answered. The
 // go-away frame is written to find out whether the peer still exists.
 func (c *conn) handleHalfClose() {
-	if c.dead || c.nothingOwed() {
+	if c.dead || c.nothingPending() {
 		c.handleClosed()
 		return
 	}
@@ -48,18 +48,18 @@
 }
 
 // nothingPending reports whether no request is open and no answer unwritten.
-func (c *conn) nothingOwed() bool { return len(c.requests) == 0 && c.out.Empty() }
+func (c *conn) nothingPending() bool { return len(c.requests) == 0 && c.out.Empty() }
 
 // checkHalfClosed ends a connection whose peer has ended its side, once nothing is pending on it, it has ended
 // altogether, or its peer has not read for unreadTimeout.
-func (c *conn) sweepHalfClosed(now time.Duration) {
-	if c.nothingOwed() || c.peerGone() || !c.out.Empty() && now >= c.activeAt+unreadTimeout {
+func (c *conn) checkHalfClosed(now time.Duration) {
+	if c.nothingPending() || c.fullyClosed() || !c.out.Empty() && now >= c.activeAt+unreadTimeout {
 		c.handleClosed()
 	}
 }
 
 // fullyClosed reports whether the connection was reset, or both of its sides have ended.
-func (c *conn) peerGone() bool {
+func (c *conn) fullyClosed() bool {
 	polled := []unix.PollFd{{Fd: int32(c.fd)}}
 	n, err := unix.Poll(polled, 0)
 	return err == nil && n > 0 && polled[0].Revents&(unix.POLLERR|unix.POLLHUP|unix.POLLNVAL) != 0
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -17,7 +17,7 @@
 func TestTableFull(t *testing.T) {
 	limits := server.Limits{MemoryMB: 96, Sockets: 40}
 	b := newBench(t, limits)
-	first := b.speaker(t)
+	first := b.dialActive(t)
 	for range 2 * limits.Sockets {
 		joined := b.joinedCount.Load()
 		fake.Dial(t, b.Address())
@@ -26,12 +26,12 @@
 		time.Sleep(minConnAge / 20)
 	}
 	time.Sleep(minConnAge)
-	busy := b.speaker(t)
+	busy := b.dialActive(t)
 	assert.Zero(t, b.counters.Times("connection drained to make room"), "silent connections are closed before an idle one of a router is drained")
 	busy.Send(t, fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	for range limits.Sockets {
-		b.speaker(t) // all of them stay open
+		b.dialActive(t) // all of them stay open
 	}
 	b.waitCounted(t, "connection drained to make room")
 	b.waitCounted(t, "connection closed to make room")
@@ -40,11 +40,11 @@
 	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
 	assert.Equal(t, "kept", busy.Next(t).Body, "a connection with an open request is never evicted")
 
-	var all []*fake.Router
+	var inUse []*fake.Router
 	for stream := range uint32(limits.Sockets / 2) { // so that all are in use
 		r := fake.Dial(t, b.Address())
 		r.Send(t, fake.RequestFrame(stream+100, "pay", ""))
-		all = append(all, r)
+		inUse = append(inUse, r)
 	}
 	require.Eventually(t, func() bool {
 		open := make(chan int)
@@ -55,10 +55,10 @@
 			}
 			open <- n
 		})
-		return <-open == len(all)
+		return <-open == len(inUse)
 	}, fake.WaitLimit, time.Millisecond)
 	require.Positive(t, b.maxOverLimit)
-	hold := func(begun time.Duration) { // makes them look as if the rest of a frame were on its way
+	setFrameBegun := func(begun time.Duration) { // makes connections over the limit look as if the rest of a frame were on its way
 		b.onLoop(func() {
 			for _, c := range b.conns {
 				if c.overLimit {
@@ -68,19 +68,19 @@
 		})
 	}
 	for range b.maxOverLimit { // each one's request is read and gets one answer
-		r := b.speaker(t)
+		r := b.dialActive(t)
 		r.Send(t, fake.RequestFrame(9, "pay", "", "call", fake.CallID(9)))
 		assert.Equal(t, byte(50), r.Next(t).Code)
-		hold(b.server.Now() + fake.WaitLimit)
+		setFrameBegun(b.server.Now() + fake.WaitLimit)
 	}
 	b.waitCounted(t, "request on a connection over the limit")
 	assert.Zero(t, b.counters.Times("connection refused, limit reached"))
 	fake.Dial(t, b.Address()).WaitClosed(t)
 	b.waitCounted(t, "connection refused, limit reached")
-	hold(0)
-	last := b.speaker(t) // takes the place of one of them
+	setFrameBegun(0)
+	last := b.dialActive(t) // takes the place of one of them
 
-	for _, r := range all { // a connection accepted over the limit is like any other once the limit is met
+	for _, r := range inUse { // a connection accepted over the limit is like any other once the limit is met
 		_ = r.Close()
 	}
 	require.Eventually(t, func() (within bool) {
@@ -94,18 +94,18 @@
 
 // For any number of descriptors, the process itself keeps its part, and each other use gets at least one.
 func TestDescriptorsAreDivided(t *testing.T) {
-	for _, c := range []struct{ sockets, most, crowd, untried int }{
+	for _, c := range []struct{ sockets, conns, overLimit, unjoined int }{
 		{4, 1, 1, 1}, {24, 4, 2, 2}, {32, 12, 2, 2}, {48, 24, 4, 4}, {64, 32, 8, 8}, {100, 50, 8, 16}, {128, 64, 8, 16},
 		{256, 192, 8, 16}, {4096, 4032, 8, 16},
 	} {
-		most, crowd, untried := splitSockets(c.sockets)
-		assert.Equal(t, []int{c.most, c.crowd, c.untried}, []int{most, crowd, untried}, "%d", c.sockets)
+		conns, overLimit, unjoined := splitSockets(c.sockets)
+		assert.Equal(t, []int{c.conns, c.overLimit, c.unjoined}, []int{conns, overLimit, unjoined}, "%d", c.sockets)
 		if c.sockets > processSockets+3 {
-			assert.LessOrEqual(t, most+crowd+untried, c.sockets-processSockets)
+			assert.LessOrEqual(t, conns+overLimit+unjoined, c.sockets-processSockets)
 		}
 	}
 	assert.Equal(t, 1, socketLimit(1))
-	var held unix.Rlimit
-	require.NoError(t, unix.Getrlimit(unix.RLIMIT_NOFILE, &held))
-	assert.Equal(t, min(int(held.Cur), math.MaxInt32), socketLimit(math.MaxInt32))
+	var rlimit unix.Rlimit
+	require.NoError(t, unix.Getrlimit(unix.RLIMIT_NOFILE, &rlimit))
+	assert.Equal(t, min(int(rlimit.Cur), math.MaxInt32), socketLimit(math.MaxInt32))
 }
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -25,16 +25,16 @@
 	closes := map[string]func(b *bench, c *conn){
 		"draining": func(b *bench, c *conn) {
 			c.draining, c.activeAt = true, 0
-			b.sweep(b.server.Now())
+			b.checkTimeouts(b.server.Now())
 		},
 		"draining with the server": func(b *bench, c *conn) {
 			b.draining, b.listenerShut, c.draining, c.activeAt = true, true, true, 0
-			b.sweep(b.server.Now())
+			b.checkTimeouts(b.server.Now())
 			b.draining, b.listenerShut = false, false
 		},
 		"no frame in time": func(b *bench, c *conn) {
 			c.sawFrame, c.openedAt = false, 0
-			b.sweep(b.server.Now())
+			b.checkTimeouts(b.server.Now())
 		},
 		"evicted": func(b *bench, _ *conn) {
 			b.maxConns = 0
@@ -46,11 +46,11 @@
 	}
 	for name, closing := range closes {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, usual())
-			r := b.speaker(t)
+			b := newBench(t, defaultLimits())
+			r := b.dialActive(t)
 			b.onLoop(func() {
 				c := b.conns[0]
-				b.crossed(t, c, r, 2)
+				b.sendUnread(t, c, r, 2)
 				closing(b, c)
 			})
 			b.pool.Next(t, "spawn")
@@ -64,8 +64,8 @@
 // Guards against a fault: an answer that its router had yet to read, as the buffers were full, was lost when the
 // draining connection was closed.
 func TestAnswerWaitsForItsReaderAcrossTheClose(t *testing.T) {
-	b := newBench(t, usual())
-	r := b.speaker(t)
+	b := newBench(t, defaultLimits())
+	r := b.dialActive(t)
 	result := strings.Repeat("r", 4<<10)
 	b.onLoop(func() {
 		c := b.conns[0]
@@ -74,7 +74,7 @@
 			c.Answer(9, server.Answer{Verdict: server.Served, Result: []byte(result)})
 		}
 		c.draining, c.activeAt = true, b.server.Now()-2*closeTimeout
-		b.sweep(b.server.Now())
+		b.checkTimeouts(b.server.Now())
 	})
 	for range 8 {
 		got := r.Next(t)
@@ -85,8 +85,8 @@
 
 // Guards against two faults: the open requests of a connection were lost when its router violated the framing later,
 // and the unread rest of the input reset the connection, which lost answers already sent.
-func TestRequestsOutliveWhatIsBrokenBehindThem(t *testing.T) {
-	b := newBench(t, usual())
+func TestRequestsOutliveABrokenConnection(t *testing.T) {
+	b := newBench(t, defaultLimits())
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.RequestFrame(1, "pay", ""), fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
@@ -107,7 +107,7 @@
 // Guards against a fault: the end of a connection that its router broke and did not close was logged twice, when it
 // broke and when this side closed it a second later.
 func TestEndOfABrokenConnectionIsRecordedOnce(t *testing.T) {
-	b := newBench(t, usual())
+	b := newBench(t, defaultLimits())
 	r := fake.Dial(t, b.Address())
 	r.Send(t, bytes.Repeat([]byte{0xff}, 100))
 	require.Eventually(t, func() bool {
@@ -122,19 +122,19 @@
 // Guards against a fault: peers that do not read filled the memory for unread answers, and the next peer to be answered
 // was cut off, though it reads.
 func TestPeersThatDoNotReadCostNoOther(t *testing.T) {
-	b := newBench(t, usual())
-	stalled, reads := b.speaker(t), b.speaker(t)
+	b := newBench(t, defaultLimits())
+	stalled, reads := b.dialActive(t), b.dialActive(t)
 	reads.Send(t, fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.onLoop(func() {
-		of := map[bool]*conn{}
+		conns := map[bool]*conn{}
 		for _, c := range b.conns {
-			of[len(c.requests) > 0] = c
+			conns[len(c.requests) > 0] = c
 		}
 		b.maxQueuedBytes = 10_000
-		of[false].enqueue(make([]byte, b.maxQueuedBytes-10))
-		of[true].Answer(2, server.Answer{Verdict: server.Served, Result: make([]byte, 100)})
-		assert.Equal(t, []bool{true, false}, []bool{of[false].dead, of[true].dead})
+		conns[false].enqueue(make([]byte, b.maxQueuedBytes-10))
+		conns[true].Answer(2, server.Answer{Verdict: server.Served, Result: make([]byte, 100)})
+		assert.Equal(t, []bool{true, false}, []bool{conns[false].dead, conns[true].dead})
 		assert.Less(t, b.queuedBytes, b.maxQueuedBytes, "the bytes queued for the closed connection are released at once")
 	})
 	assert.Equal(t, byte(20), reads.Next(t).Code)
@@ -144,26 +144,26 @@
 
 // Guards against a fault: at a site whose routers report cancellations, a cancellation was treated as a violation of
 // the framing, and all requests on the connection lost their answers.
-func TestRouterReportsACallerGone(t *testing.T) {
+func TestRouterCancelsARequest(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"cold":false`, `"tells-gone":true,"cold":false`, 1)
-	b := newBenchAt(t, usual(), site, nil)
+	b := newBenchAt(t, defaultLimits(), site, nil)
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.RequestFrame(1, "browse", ""), fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.pool.Next(t, "spawn")
-	gone := func(stream uint32) []byte { return frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0) }
-	r.Send(t, gone(1), gone(77))
+	cancel := func(stream uint32) []byte { return frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0) }
+	r.Send(t, cancel(1), cancel(77))
 	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
 	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
 	got := r.Next(t)
 	assert.Equal(t, []any{uint32(2), byte(20), "kept"}, []any{got.Stream, got.Code, got.Body})
-	r.Send(t, gone(2), fake.RequestFrame(3, "browse", "")) // the cancellation of request 2 crossed its answer
+	r.Send(t, cancel(2), fake.RequestFrame(3, "browse", "")) // the cancellation of request 2 crossed its answer
 	b.pool.Next(t, "spawn")
 	b.pool.Finish(fake.CallID(3), "success", []byte("on"))
 	assert.Equal(t, "on", r.Next(t).Body)
 }
 
-const numberedSite = `{"extra":{"cores":4,"gauges":["core_use","on_cores","heap_share","links"],"halt":"suspend",
+const keyedSite = `{"extra":{"cores":4,"gauges":["core_use","on_cores","heap_share","links"],"halt":"suspend",
 "passes-deadline":true,"ram-kb":60000.0,"run-factor":8.0,"key-kb":50.0},"servers":3,"over-share-worth":0.1,
 "obligations":{"overload-factor":8.0,"stop-sending-within":400000,"warm-up":9000000},
 "services":[{"name":"file","deadline":9000000,"goal-time":8000000,"gain":1.0,"idempotency":"dedup",
@@ -173,26 +173,26 @@
 // A duplicate that arrives before or after the first request's answer, on any connection, gets the first result and
 // never runs. It never answers the request of another tenant.
 func TestDuplicatesOfAKeyedRequest(t *testing.T) {
-	limits := usual()
+	limits := defaultLimits()
 	limits.Keys, limits.Tenants = true, true
-	b := newBenchAt(t, limits, numberedSite, nil)
+	b := newBenchAt(t, limits, keyedSite, nil)
 	one, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
-	ask := func(r *fake.Router, stream uint32, call uint32, org, body string) {
+	send := func(r *fake.Router, stream uint32, call uint32, org, body string) {
 		r.Send(t, fake.RequestFrame(stream, "file", body, "call", fake.CallID(call), "org", org, "dedupe", "k1"))
 	}
-	ask(one, 1, 1, "north", "b")
+	send(one, 1, 1, "north", "b")
 	first := b.pool.Next(t, "spawn")
-	ask(other, 1, 2, "north", "b") // while the first runs
-	ask(other, 2, 3, "south", "b")
+	send(other, 1, 2, "north", "b") // while the first runs
+	send(other, 2, 3, "south", "b")
 	second := b.pool.Next(t, "spawn")
 	assert.Equal(t, []string{fake.CallID(1), fake.CallID(3)}, []string{first.RunID, second.RunID})
 	b.pool.Finish(fake.CallID(1), "success", []byte("the north's"))
 	assert.Equal(t, "the north's", one.Next(t).Body)
 	got := other.Next(t)
 	assert.Equal(t, []any{uint32(1), byte(20), "the north's"}, []any{got.Stream, got.Code, got.Body})
-	ask(one, 2, 4, "north", "b") // after the first has ended
+	send(one, 2, 4, "north", "b") // after the first has ended
 	assert.Equal(t, "the north's", one.Next(t).Body)
-	ask(one, 3, 5, "north", "something else")
+	send(one, 3, 5, "north", "something else")
 	assert.Equal(t, byte(51), one.Next(t).Code, "the request of its key may have run, so it is not rejected")
 	one.Send(t, fake.RequestFrame(4, "file", "b", "org", "north", "dedupe", strings.Repeat("k", maxKeyBytes+1)))
 	assert.Equal(t, byte(50), one.Next(t).Code)
@@ -204,12 +204,12 @@
 }
 
 // blockedListener accepts no connections until open is closed.
-type gate struct {
+type blockedListener struct {
 	netpoll.Listener
 	open chan struct{}
 }
 
-func (g *gate) Accept() (net.Conn, error) {
+func (g *blockedListener) Accept() (net.Conn, error) {
 	<-g.open
 	return g.Listener.Accept()
 }
@@ -217,10 +217,10 @@
 // Guards against a fault: a request on a connection that the kernel had established and the server not yet accepted was
 // lost by a reset when the listener was shut down at the end of the grace, and when the process ended.
 func TestRequestOnAConnectionNotYetAccepted(t *testing.T) {
-	held := &gate{open: make(chan struct{})}
-	b := newBenchAt(t, usual(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
-		held.Listener = l
-		return held
+	blocked := &blockedListener{open: make(chan struct{})}
+	b := newBenchAt(t, defaultLimits(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
+		blocked.Listener = l
+		return blocked
 	})
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.RequestFrame(1, "pay", ""))
@@ -229,7 +229,7 @@
 		b.Flush()
 		assert.False(t, b.InputDrained(), "the process would end with a request unread")
 	})
-	close(held.open)
+	close(blocked.open)
 	b.pool.Next(t, "spawn")
 	b.pool.Finish(fake.CallID(1), "success", []byte("whole"))
 	var codes []byte
@@ -247,13 +247,13 @@
 }
 
 // scarceListener fails to accept connections for lack of descriptors while short is set.
-type scarce struct {
+type scarceListener struct {
 	netpoll.Listener
 	short atomic.Bool
 	tries atomic.Int64
 }
 
-func (s *scarce) Accept() (net.Conn, error) {
+func (s *scarceListener) Accept() (net.Conn, error) {
 	s.tries.Add(1)
 	if s.short.Load() {
 		return nil, syscall.EMFILE
@@ -265,26 +265,26 @@
 // a pause. Idle connections are evicted one after the other, those in use stay open, and connections that wait in the
 // listener are accepted once descriptors are free again.
 func TestDescriptorsRunOutAgain(t *testing.T) {
-	held := &scarce{}
-	b := newBenchAt(t, usual(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
-		held.Listener = l
-		return held
+	listener := &scarceListener{}
+	b := newBenchAt(t, defaultLimits(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
+		listener.Listener = l
+		return listener
 	})
-	busy := b.speaker(t)
+	busy := b.dialActive(t)
 	busy.Send(t, fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	for range 3 {
-		idle := b.speaker(t)
-		held.short.Store(true)
-		waits := fake.Dial(t, b.Address())
-		waits.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
+		idle := b.dialActive(t)
+		listener.short.Store(true)
+		waiting := fake.Dial(t, b.Address())
+		waiting.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 		idle.WaitClosed(t)
-		first := held.tries.Load()
+		first := listener.tries.Load()
 		time.Sleep(200 * time.Millisecond) // at most 100 attempts are allowed in this time
-		assert.LessOrEqual(t, held.tries.Load()-first, int64(100))
-		held.short.Store(false)
-		assert.Equal(t, byte(21), waits.Next(t).Type)
-		_ = waits.Close()
+		assert.LessOrEqual(t, listener.tries.Load()-first, int64(100))
+		listener.short.Store(false)
+		assert.Equal(t, byte(21), waiting.Next(t).Type)
+		_ = waiting.Close()
 	}
 	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
 	assert.Equal(t, "kept", busy.Next(t).Body)
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -17,12 +17,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// In this order: bytes move from the kernel to netpoll, never back.
-	return c.closed || c.halfClosed || !c.unreadInSystem() && c.transport.Reader().Len() == 0
+	return c.closed || c.halfClosed || !c.unreadInKernel() && c.transport.Reader().Len() == 0
 }
 
 // unreadInKernel reports whether the kernel holds unread bytes from the peer. The end of the peer's side does not
 // count.
-func (c *conn) unreadInSystem() bool {
+func (c *conn) unreadInKernel() bool {
 	n, err := peek(c.fd)
 	switch {
 	case errors.Is(err, unix.EAGAIN):
@@ -170,7 +170,7 @@
 	if inPieces { // its last byte may have arrived long after its timestamp
 		in.LastByteAt = c.activeAt
 	}
-	c.overLimit = c.overLimit && !c.frontend.makeRoom(c)
+	c.overLimit = c.overLimit && !c.frontend.evictIfOverLimit(c)
 	in.OverLimit = c.overLimit && c.frontend.inUse() >= c.frontend.maxConns
 	if request := c.frontend.server.Receive(in); request != nil {
 		c.requests[f.Stream], c.sawFrame = request, true
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -13,7 +13,7 @@
 
 const (
 	maxBodyBytes = 2 << 10
-	maxHeldKB    = 2000.0 // KB of the workers' memory that a request must stay below
+	maxQueuedKB  = 2000.0 // KB of the workers' memory that a request must stay below
 	maxKeyBytes  = 256    // of an idempotency key
 	maxTimeout   = 24 * time.Hour
 )
@@ -53,9 +53,9 @@
 		}
 		in.Timeout = time.Duration(ms) * time.Millisecond
 	}
-	in.QueuedKB, err = strconv.ParseFloat(text(frame.FieldHeldKB), 64)
-	if err != nil || !(in.QueuedKB > 0 && in.QueuedKB < maxHeldKB) {
-		return in, invalidField(frame.FieldHeldKB)
+	in.QueuedKB, err = strconv.ParseFloat(text(frame.FieldQueuedKB), 64)
+	if err != nil || !(in.QueuedKB > 0 && in.QueuedKB < maxQueuedKB) {
+		return in, invalidField(frame.FieldQueuedKB)
 	}
 	// Rank and router only influence decisions, so they are optional: a request without a valid rank is the first to be
 	// shed, and one without a router counts as router 0.
--- a/internal/frontend/sweep.go
+++ b/internal/frontend/sweep.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	sweepPeriod       = 100 * time.Millisecond
-	drainSweepPeriod  = 5 * time.Millisecond   // the same while the server drains: its last 0.1 s must not fall between two checks
-	closeTimeout      = time.Second            // for a router to close a drained connection
-	drainCloseTimeout = 300 * time.Millisecond // the same while the server drains: connections left open must not delay its end
-	unreadTimeout     = 10 * time.Second       // for a router to continue reading before its answers are dropped
-	frameTimeout      = 2 * time.Second        // for the first frame of a connection, and for the rest of an incomplete frame
+	timeoutCheckPeriod      = 100 * time.Millisecond
+	drainTimeoutCheckPeriod = 5 * time.Millisecond   // the same while the server drains: its last 0.1 s must not fall between two checks
+	closeTimeout            = time.Second            // for a router to close a drained connection
+	drainCloseTimeout       = 300 * time.Millisecond // the same while the server drains: connections left open must not delay its end
+	unreadTimeout           = 10 * time.Second       // for a router to continue reading before its answers are dropped
+	frameTimeout            = 2 * time.Second        // for the first frame of a connection, and for the rest of an incomplete frame
 )
 
 // checkTimeouts drains idle connections, and closes drained ones that their routers leave open. A connection is drained
 // first so that no request crosses the close; a router that ignores that must not keep a descriptor. A connection that
 // sends no valid frame, or does not complete one that it began, fails, even if it sends a byte now and then.
-func (f *Frontend) sweep(now time.Duration) {
+func (f *Frontend) checkTimeouts(now time.Duration) {
 	timeout := closeTimeout
 	if f.draining {
 		timeout = drainCloseTimeout
@@ -23,7 +23,7 @@
 		c := f.conns[i]
 		switch {
 		case !c.dead && c.isHalfClosed():
-			c.sweepHalfClosed(now)
+			c.checkHalfClosed(now)
 		case c.dead || len(c.requests) > 0:
 		case c.broken:
 			if now >= c.activeAt+timeout {
@@ -38,7 +38,7 @@
 				c.fail("frame not ended")
 			}
 		case !c.out.Empty() && now < c.activeAt+unreadTimeout: // the router has yet to read its answers
-		case c.draining && c.frameBegunAt == 0 && now >= f.idleSince(c)+timeout:
+		case c.draining && c.frameBegunAt == 0 && now >= f.closeTimerStart(c)+timeout:
 			if c.inputEmpty() { // closing with bytes unread would be a reset, and a request among them lost
 				c.close("drained, and not closed by its peer")
 			}
@@ -52,7 +52,7 @@
 // the connection was asked to drain: a router that sends requests nevertheless would keep the connection open until the
 // process ends, and lose the requests sent last. If the connection is closed between two requests, the router learns
 // that at once.
-func (f *Frontend) idleSince(c *conn) time.Duration {
+func (f *Frontend) closeTimerStart(c *conn) time.Duration {
 	if f.draining {
 		return c.drainingAt
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,8 +18,8 @@
 func frame(t *testing.T, lines ...string) []byte {
 	var all []byte
 	for _, line := range lines {
-		size, text, filled := strings.Cut(line, "|")
-		if !filled {
+		size, text, padded := strings.Cut(line, "|")
+		if !padded {
 			size, text = "", line
 		}
 		b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
@@ -35,14 +35,14 @@
 	return all
 }
 
-func read(b []byte) (Batch, error) {
+func readBatch(b []byte) (Batch, error) {
 	var batch Batch
 	err := batch.Read(bufio.NewReader(bytes.NewReader(b)))
 	return batch, err
 }
 
 func TestBatchWithRecords(t *testing.T) {
-	batch, err := read(frame(t, "5a5c800000000000 c4000000 03000000",
+	batch, err := readBatch(frame(t, "5a5c800000000000 c4000000 03000000",
 		"event|14 0300 c4913a5d03100e00 0000c441 0100 640ad2557c3bf091 da05840000000000 00000000 0000203f"+
 			"192b6f0e08920500 11000000 e02e0000 00 3a070000",
 		"event|50 0300 4d000000 04 52b81e3f 00004040 85ebd13e 0000f042",
@@ -90,13 +90,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := read(frame(t, c.hex))
+			_, err := readBatch(frame(t, c.hex))
 			assert.ErrorContains(t, err, c.want)
 		})
 	}
-	_, err := read(nil)
+	_, err := readBatch(nil)
 	assert.Equal(t, io.EOF, err, "the end between frames is not an error")
-	empty, err := read(frame(t, "5a5c800000000000 04000000 00000000"))
+	empty, err := readBatch(frame(t, "5a5c800000000000 04000000 00000000"))
 	require.NoError(t, err)
 	_, err = empty.text(0, 1)
 	assert.ErrorContains(t, err, "outside the tail")
--- a/internal/workerlink/commands.go
+++ b/internal/workerlink/commands.go
@@ -116,6 +116,6 @@
 	if plain {
 		return append(append(append(to, '"'), text...), '"')
 	}
-	escaped, _ := json.Marshal(text) // a string can always be marshaled
+	escaped, _ := json.Marshal(text) // marshaling a string never fails
 	return append(to, escaped...)
 }
--- a/internal/workerlink/link_test.go
+++ b/internal/workerlink/link_test.go
@@ -20,10 +20,10 @@
 // bench is a link to a fake worker pool, with the notices that were read from it.
 type bench struct {
 	*Link
-	pool   *fake.Pool
-	counts *invariant.Counters
-	woken  chan struct{}
-	told   []workerapi.Notice
+	pool    *fake.Pool
+	counts  *invariant.Counters
+	woken   chan struct{}
+	notices []workerapi.Notice
 }
 
 func newBench(t *testing.T) *bench {
@@ -43,15 +43,15 @@
 func (b *bench) next(t *testing.T, kind workerapi.NoticeKind) workerapi.Notice {
 	t.Helper()
 	for limit := time.After(fake.WaitLimit); ; {
-		for len(b.told) > 0 {
-			n := b.told[0]
-			if b.told = b.told[1:]; n.Kind == kind {
+		for len(b.notices) > 0 {
+			n := b.notices[0]
+			if b.notices = b.notices[1:]; n.Kind == kind {
 				return n
 			}
 		}
 		select {
 		case <-b.woken:
-			b.told = b.AppendNotices(b.told)
+			b.notices = b.AppendNotices(b.notices)
 		case <-limit:
 			require.FailNow(t, "the notice was not received in time")
 		}
@@ -103,9 +103,9 @@
 	assert.Equal(t, []any{uint64(4), false}, []any{verified.Nonce, verified.Healthy})
 }
 
-// Guards against a fault: a pool that started long after the server rejected the one poll sent before it was up, so its
-// link was never treated as usable. No request ran from a crash to the end of the day.
-func TestPoolLate(t *testing.T) {
+// Guards against a fault: a pool that started long after the server had rejected the only poll, which was sent before
+// the pool was up, and its link was never treated as usable. No request ran from a crash to the end of the day.
+func TestPoolStartsLate(t *testing.T) {
 	b := newBench(t)
 	b.pool.Next(t, "bind")
 	_, sent := b.Poll()
@@ -116,7 +116,7 @@
 }
 
 // Guards against a fault: the end of a run was lost if its notice could not be parsed.
-func TestANoticeThatDidNotComeIsAskedForAgain(t *testing.T) {
+func TestMissedNoticeIsRequestedAgain(t *testing.T) {
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
 	for _, id := range []string{"a", "b", "c"} {
@@ -174,7 +174,7 @@
 
 // Guards against a fault: a line that could not be parsed ended the link, was sent again at each bind, and ended the
 // link again.
-func TestNonsenseIsPassedOver(t *testing.T) {
+func TestInvalidLinesAreSkipped(t *testing.T) {
 	for name, text := range map[string]string{
 		"no JSON":       "hello\n",
 		"cut JSON":      `{"verb":"polled"` + "\n",
@@ -199,7 +199,7 @@
 	b := newBench(t).synced(t)
 	b.pool.Next(t, "bind")
 	b.Start(workerapi.Run{ID: "a", Route: "pay", Body: nil})
-	mark := b.NextPollNonce()
+	nextNonce := b.NextPollNonce()
 	b.Flush()
 	b.pool.Next(t, "spawn")
 	b.pool.Finish("a", "success", nil)
@@ -212,7 +212,7 @@
 	b.pool.Next(t, "spawn")
 	b.pool.Relocate(t)
 	b.SetAddress(b.pool.Address)
-	assert.GreaterOrEqual(t, b.next(t, workerapi.Polled).Nonce, mark, "all commands sent before are known to have been read")
+	assert.GreaterOrEqual(t, b.next(t, workerapi.Polled).Nonce, nextNonce, "all commands sent before are known to have been read")
 	b.next(t, workerapi.LinkDown)
 	assert.Equal(t, 1, b.pool.Next(t, "bind").Index)
 	b.next(t, workerapi.LinkSynced)
@@ -254,13 +254,13 @@
 	f.Add(`{"verb":"polled","nonce":"7","readings":[1,2,3,4]}`)
 	f.Add(`{"verb":"bound","outcome":"booting","spent":0}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		var told line
-		if json.Unmarshal([]byte(text), &told) != nil {
+		var parsed line
+		if json.Unmarshal([]byte(text), &parsed) != nil {
 			return
 		}
 		l := New("", 1<<20, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {}, func() {})
 		l.out, l.lastIndex = writequeue.New(1<<20), 3
-		_ = l.handleLine(&told) // a missed notice is not a fault here
+		_ = l.handleLine(&parsed) // a missed notice is not a fault here
 		assert.LessOrEqual(t, len(l.inbox), 2)
 		assert.GreaterOrEqual(t, l.lastIndex, uint64(3))
 	})
--- a/internal/workerlink/notices.go
+++ b/internal/workerlink/notices.go
@@ -64,8 +64,8 @@
 			l.count("pool line that is no notice")
 			continue
 		}
-		ahead, _ := in.Peek(in.Buffered())
-		if err := l.receive(ctx, &notice, bytes.IndexByte(ahead, '\n') < 0); err != nil {
+		buffered, _ := in.Peek(in.Buffered())
+		if err := l.receive(ctx, &notice, bytes.IndexByte(buffered, '\n') < 0); err != nil {
 			return err
 		}
 		if notice.Verb == verbBound {
