--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -129,7 +129,7 @@
 	router.Send(t, fake.Frame(10, 101, strings.Repeat("x", 3*frame.MaxBuffered), "op", "pay"))
 	assert.Equal(t, byte(50), router.Next(t).Code, "a frame that is too long")
 	router.Send(t, fake.RequestFrame(102, "pay", "after it"))
-	assert.Equal(t, "after it", string(b.pool.Next(t, "spawn").Body), "another request ran, or the rest of the skipped frame was parsed")
+	assert.Equal(t, "after it", string(b.pool.Next(t, "spawn").Body), "another request ran, or the skipped frame's rest was parsed")
 }
 
 func TestClosedConnectionCancelsRequests(t *testing.T) {
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -27,7 +27,7 @@
 	}
 	time.Sleep(minConnAge)
 	busy := b.dialActive(t)
-	assert.Zero(t, b.counters.Times("connection drained to make room"), "silent connections are closed before an idle one of a router is drained")
+	assert.Zero(t, b.counters.Times("connection drained to make room"), "a router's idle connection was drained before silent ones")
 	busy.Send(t, fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	for range limits.Sockets {
--- a/internal/frontend/sweep.go
+++ b/internal/frontend/sweep.go
@@ -4,7 +4,7 @@
 
 const (
 	timeoutCheckPeriod      = 100 * time.Millisecond
-	drainTimeoutCheckPeriod = 5 * time.Millisecond   // the same while the server drains: its last 0.1 s must not fall between two checks
+	drainTimeoutCheckPeriod = 5 * time.Millisecond   // the same while the server drains: its last 0.1 s must not fall between checks
 	closeTimeout            = time.Second            // for a router to close a drained connection
 	drainCloseTimeout       = 300 * time.Millisecond // the same while the server drains: connections left open must not delay its end
 	unreadTimeout           = 10 * time.Second       // for a router to continue reading before its answers are dropped
--- a/internal/workerlink/link_test.go
+++ b/internal/workerlink/link_test.go
@@ -68,7 +68,7 @@
 	b := newBench(t)
 	bind := b.pool.Next(t, "bind")
 	assert.Zero(t, bind.Index)
-	assert.False(t, b.Start(workerapi.Run{ID: "early", Route: "browse", Body: nil}), "a command was accepted before the pool was bound")
+	assert.False(t, b.Start(workerapi.Run{ID: "early", Route: "browse", Body: nil}), "a command was sent before the pool was bound")
 	b.synced(t)
 
 	body := []byte("\x00\xff\"\n body")
