--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,12 +13,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// frame decodes lines of hex; one that starts with "event|" or "action|" is filled up to the size of such a record.
+// frame decodes lines of hex. A line that starts with "event|" or "action|" is padded with zeros to the size of such a
+// record.
 func frame(t *testing.T, lines ...string) []byte {
 	var all []byte
 	for _, line := range lines {
-		size, text, filled := strings.Cut(line, "|")
-		if !filled {
+		size, text, padded := strings.Cut(line, "|")
+		if !padded {
 			size, text = "", line
 		}
 		b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
@@ -34,14 +35,14 @@
 	return all
 }
 
-func read(b []byte) (Batch, error) {
+func readBatch(b []byte) (Batch, error) {
 	var batch Batch
 	err := batch.Read(bufio.NewReader(bytes.NewReader(b)))
 	return batch, err
 }
 
 func TestBatchWithRecords(t *testing.T) {
-	batch, err := read(frame(t, "5a5c800000000000 c4000000 03000000",
+	batch, err := readBatch(frame(t, "5a5c800000000000 c4000000 03000000",
 		"event|14 0300 c4913a5d03100e00 0000c441 0100 640ad2557c3bf091 da05840000000000 00000000 0000203f"+
 			"192b6f0e08920500 11000000 e02e0000 00 3a070000",
 		"event|50 0300 4d000000 04 52b81e3f 00004040 85ebd13e 0000f042",
@@ -85,17 +86,17 @@
 		{"cut header", "5a5c80", "header: frame cut short"},
 		{"cut body", "5a5c800000000000 44000000 01000000 1403", "body: frame cut short"},
 		{"too many records", "5a5c800000000000 44000000 02000000", "can't hold 2 records"},
-		{"no room for the count", "5a5c800000000000 00000000 00000000", "can't hold 0 records"},
+		{"size below that of the count", "5a5c800000000000 00000000 00000000", "can't hold 0 records"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := read(frame(t, c.hex))
+			_, err := readBatch(frame(t, c.hex))
 			assert.ErrorContains(t, err, c.want)
 		})
 	}
-	_, err := read(nil)
-	assert.Equal(t, io.EOF, err, "the end between frames is no error")
-	empty, err := read(frame(t, "5a5c800000000000 04000000 00000000"))
+	_, err := readBatch(nil)
+	assert.Equal(t, io.EOF, err, "the end between frames is not an error")
+	empty, err := readBatch(frame(t, "5a5c800000000000 04000000 00000000"))
 	require.NoError(t, err)
 	_, err = empty.text(0, 1)
 	assert.ErrorContains(t, err, "outside the tail")
