--- a/recovery/estimates.go
+++ b/recovery/estimates.go
@@ -16,7 +16,7 @@
 			p.reject(f.Name, "not whole")
 			continue
 		case f.Header.CreatedAt.MachineID != 0 && f.Header.CreatedAt.MachineID != environment.Now.MachineID:
-			p.addFinding(f.Name, "written by another machine")
+			p.addFinding(f.Name, "of another machine")
 			continue
 		}
 		if len(environment.Schema.Routes) == 0 {
--- a/recovery/replay.go
+++ b/recovery/replay.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		if !r.haveTable && i == 0 && log.Header.Sequence > 1 {
-			p.addFinding(log.Name, "earlier records are missing")
+			p.addFinding(log.Name, "what came before it is missing")
 			r.lastSequence = log.Header.Sequence - 1
 		}
 		r.replayLog(log)
