--- a/internal/datadir/osdir.go
+++ b/internal/datadir/osdir.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	lockName       = "lock"
-	dirMode        = 0o700
-	fileMode       = 0o600
-	writableByRest = 0o022 // mode bits that let others than the owner write
+	lockName         = "lock"
+	dirMode          = 0o700
+	fileMode         = 0o600
+	writableByOthers = 0o022 // mode bits that let others than the owner write
 )
 
 // OSDir is a directory of the operating system, locked against other processes until it is closed. All access goes
@@ -80,7 +80,7 @@
 	if err := unix.Fstat(d.fd, &stat); err != nil {
 		return err
 	}
-	if stat.Mode&writableByRest != 0 {
+	if stat.Mode&writableByOthers != 0 {
 		return fmt.Errorf("mode %04o lets others write to it; 0700 is needed", stat.Mode&0o777)
 	}
 	lockFD, err := unix.Openat(d.fd, lockName, unix.O_RDWR|unix.O_CREAT|unix.O_NOFOLLOW|unix.O_CLOEXEC, fileMode)
--- a/internal/store/configuration_store_test.go
+++ b/internal/store/configuration_store_test.go
@@ -52,9 +52,9 @@
 // written, completely.
 func TestConfigurationAcrossPowerLoss(t *testing.T) {
 	const changes = 30
-	whole := faultdisk.New()
-	require.NoError(t, storeChanges(whole, changes, func(*configuration.Document) {}))
-	for at := 1; at <= whole.Operations(); at++ {
+	uninterrupted := faultdisk.New()
+	require.NoError(t, storeChanges(uninterrupted, changes, func(*configuration.Document) {}))
+	for at := 1; at <= uninterrupted.Operations(); at++ {
 		for draw := range int64(4) {
 			disk, last := faultdisk.New(), configuration.NewDocument()
 			disk.PowerLossAt = at
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -28,9 +28,9 @@
 func TestPowerLossAtEveryOperation(t *testing.T) {
 	crashes := 0
 	for seed := int64(1); seed <= 4; seed++ {
-		whole := faultdisk.New()
-		require.NoError(t, runScript(newTestWriter(whole, 0), newModel(), seed, 60))
-		for at := 1; at <= whole.Operations(); at++ {
+		uninterrupted := faultdisk.New()
+		require.NoError(t, runScript(newTestWriter(uninterrupted, 0), newModel(), seed, 60))
+		for at := 1; at <= uninterrupted.Operations(); at++ {
 			for draw := int64(0); draw < 6; draw++ {
 				disk, ref := faultdisk.New(), newModel()
 				disk.PowerLossAt = at
@@ -61,23 +61,23 @@
 // The log is cut short at every byte. Complete records stay, and nothing is made of the rest.
 func TestTornAtEveryByte(t *testing.T) {
 	disk, ref := faultdisk.New(), newModel()
-	b := newTestWriter(disk, 0)
-	_, err := b.restart()
+	w := newTestWriter(disk, 0)
+	_, err := w.restart()
 	require.NoError(t, err)
 	for i := range 5 {
-		n := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: b.now.SinceBoot + window, Served: true, Result: []byte("seat")}
-		ref.add(n)
-		b.appendRecord(n, true, b.now.SinceBoot)
+		entry := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: w.now.SinceBoot + window, Served: true, Result: []byte("seat")}
+		ref.add(entry)
+		w.appendRecord(entry, true, w.now.SinceBoot)
 	}
-	require.NoError(t, b.commit())
+	require.NoError(t, w.commit())
 	name := fileName(logPrefix, 1)
 	raw := disk.Get(name)
 	for cut := range raw {
 		disk.Put(name, raw[:cut])
-		p, err := newTestWriter(disk, 9).plan(b.environment())
+		plan, err := newTestWriter(disk, 9).plan(w.environment())
 		require.NoError(t, err)
-		require.NoError(t, ref.check(p), "cut at %d", cut)
-		assert.LessOrEqual(t, p.Keys.Len(), cut*5/len(raw)+1)
+		require.NoError(t, ref.check(plan), "cut at %d", cut)
+		assert.LessOrEqual(t, plan.Keys.Len(), cut*5/len(raw)+1)
 	}
 }
 
@@ -85,28 +85,28 @@
 // not known; behind a damaged snapshot there is an older one.
 func TestEveryBitFlipped(t *testing.T) {
 	disk, ref := faultdisk.New(), newModel()
-	b := newTestWriter(disk, 0)
-	_, err := b.restart()
+	w := newTestWriter(disk, 0)
+	_, err := w.restart()
 	require.NoError(t, err)
-	give := func(i int) {
-		n := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: b.now.SinceBoot + window}
-		ref.add(n)
-		b.appendRecord(n, false, b.now.SinceBoot)
-		n.Served, n.Result = true, []byte("seat")
-		ref.add(n)
-		b.appendRecord(n, true, b.now.SinceBoot)
-		require.NoError(t, b.commit())
+	recordKey := func(i int) {
+		entry := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: w.now.SinceBoot + window}
+		ref.add(entry)
+		w.appendRecord(entry, false, w.now.SinceBoot)
+		entry.Served, entry.Result = true, []byte("seat")
+		ref.add(entry)
+		w.appendRecord(entry, true, w.now.SinceBoot)
+		require.NoError(t, w.commit())
 	}
 	for round := range 3 {
 		for i := range 2 {
-			give(10*round + i)
+			recordKey(10*round + i)
 		}
 		ref.lastSnapshot++
-		require.NoError(t, b.estimatesJob(numberedSnapshot(ref.lastSnapshot))())
-		require.NoError(t, b.keyTableJob()())
-		require.NoError(t, b.rotateLog())
+		require.NoError(t, w.estimatesJob(numberedSnapshot(ref.lastSnapshot))())
+		require.NoError(t, w.keyTableJob()())
+		require.NoError(t, w.rotateLog())
 	}
-	give(99)
+	recordKey(99)
 	flips := 0
 	for _, name := range disk.Names() {
 		raw := disk.Get(name)
@@ -114,14 +114,14 @@
 			flipped := slices.Clone(raw)
 			flipped[bit/8] ^= 1 << (bit % 8)
 			disk.Put(name, flipped)
-			p, err := newTestWriter(disk, 9).plan(b.environment())
+			plan, err := newTestWriter(disk, 9).plan(w.environment())
 			require.NoError(t, err)
-			require.NoError(t, ref.check(p), "%s bit %d", name, bit)
+			require.NoError(t, ref.check(plan), "%s bit %d", name, bit)
 			for i := range 2 { // started before the last table but one: in two snapshots and in the log
-				_, known := p.Keys.Get(fmt.Sprint("pay\x00", i))
+				_, known := plan.Keys.Get(fmt.Sprint("pay\x00", i))
 				require.True(t, known, "%s bit %d", name, bit)
 			}
-			require.True(t, p.Estimates.HasFresh())
+			require.True(t, plan.Estimates.HasFresh())
 			flips++
 		}
 		disk.Put(name, raw)
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -45,13 +45,13 @@
 const problemQuarantined = "kept aside"
 
 // resolveSite returns the stated site, or that of the first file that has one.
-func resolveSite(files []recovery.File, stated string) string {
+func resolveSite(files []recovery.File, site string) string {
 	for _, f := range files {
-		if stated == "" && f.Err == nil {
-			stated = f.Header.Site
+		if site == "" && f.Err == nil {
+			site = f.Header.Site
 		}
 	}
-	return stated
+	return site
 }
 
 // Inspect reads a directory, which may be in use. Without a site in the environment it takes that of the files.
--- a/internal/store/keylog.go
+++ b/internal/store/keylog.go
@@ -65,7 +65,7 @@
 		return nil
 	}
 	if w.bytesSinceTable+int64(len(raw)) > 2*w.maxBytes/sizeParts {
-		return errWriterBehind
+		return errTableOverdue
 	}
 	if _, err := w.log.Write(raw); err != nil {
 		return fmt.Errorf("log: %w", err)
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -55,8 +55,8 @@
 		}
 	}
 	path := filepath.Join(dir, "effects")
-	before, _ := os.ReadFile(path) // none at the first start
-	for _, key := range strings.Fields(string(before)) {
+	previous, _ := os.ReadFile(path) // none at the first start
+	for _, key := range strings.Fields(string(previous)) {
 		if !known[key] {
 			fmt.Fprintf(os.Stderr, "%s had its effect and is not known\n", key)
 			os.Exit(exitLostEffect)
@@ -118,9 +118,9 @@
 			files, err := os.ReadDir(filepath.Join(dir, "state"))
 			assert.NoError(t, err)
 			for _, f := range files {
-				about, err := f.Info()
+				info, err := f.Info()
 				assert.NoError(t, err)
-				size += about.Size()
+				size += info.Size()
 				entries++
 			}
 			assert.LessOrEqual(t, size, int64(maxTestBytes))
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -87,9 +87,9 @@
 
 // check compares a recovery with the model. What was reported durable must be there as it was. What was not may be there,
 // as it was or as started. Nothing else may be there.
-func (m *model) check(p recovery.Plan) error {
+func (m *model) check(plan recovery.Plan) error {
 	for key, history := range m.keys {
-		n, known := p.Keys.Get(key)
+		entry, known := plan.Keys.Get(key)
 		if !known {
 			if history.durable > 0 {
 				return fmt.Errorf("%q was durable and is lost", key)
@@ -97,26 +97,26 @@
 			continue
 		}
 		fits := false
-		for i, s := range history.states {
-			same := s.Served == n.Served && string(s.Result) == string(n.Result) && s.Fingerprint == n.Fingerprint
+		for i, state := range history.states {
+			same := state.Served == entry.Served && string(state.Result) == string(entry.Result) && state.Fingerprint == entry.Fingerprint
 			fits = fits || same && i+1 >= history.durable
 		}
-		if onlyStarted := !n.Served && n.Result == nil; !fits && (!onlyStarted || history.durable >= len(history.states)) {
-			return fmt.Errorf("%q is recovered with served=%v result %q, after %d states, %d durable", key, n.Served, n.Result, len(history.states), history.durable)
+		if onlyStarted := !entry.Served && entry.Result == nil; !fits && (!onlyStarted || history.durable >= len(history.states)) {
+			return fmt.Errorf("%q is recovered with served=%v result %q, after %d states, %d durable", key, entry.Served, entry.Result, len(history.states), history.durable)
 		}
 	}
-	for _, n := range p.Keys.Entries() {
-		if m.keys[n.Key] == nil {
-			return fmt.Errorf("%q was never recorded", n.Key)
+	for _, entry := range plan.Keys.Entries() {
+		if m.keys[entry.Key] == nil {
+			return fmt.Errorf("%q was never recorded", entry.Key)
 		}
 	}
-	if m.durableSnapshot > 0 && !p.Estimates.HasFresh() {
+	if m.durableSnapshot > 0 && !plan.Estimates.HasFresh() {
 		return errors.New("a snapshot was durable and is lost")
 	}
-	if p.Estimates.HasFresh() {
-		n := int((p.Estimates.Routes[0].Core.Mean-0.1)*1e4 + 0.5)
-		if n < m.durableSnapshot || n > m.lastSnapshot {
-			return fmt.Errorf("snapshot %d is recovered, and %d was durable, %d written", n, m.durableSnapshot, m.lastSnapshot)
+	if plan.Estimates.HasFresh() {
+		number := int((plan.Estimates.Routes[0].Core.Mean-0.1)*1e4 + 0.5)
+		if number < m.durableSnapshot || number > m.lastSnapshot {
+			return fmt.Errorf("snapshot %d is recovered, and %d was durable, %d written", number, m.durableSnapshot, m.lastSnapshot)
 		}
 	}
 	return nil
@@ -128,26 +128,26 @@
 	if _, err := w.restart(); err != nil {
 		return err
 	}
-	var open []recovery.KeyEntry
+	var unfinished []recovery.KeyEntry
 	for i := range steps {
 		w.now.SinceBoot += time.Millisecond
 		w.now.Wall += time.Millisecond
 		switch step := rng.Intn(10); {
 		case step < 4:
-			n := recovery.KeyEntry{Key: fmt.Sprintf("pay\x00%d\xff-%d", seed, i), Fingerprint: uint64(i), ExpiresAt: w.now.SinceBoot + window}
-			m.add(n)
-			open = append(open, n)
-			w.appendRecord(n, false, w.now.SinceBoot)
-		case step < 7 && len(open) > 0:
-			at := rng.Intn(len(open))
-			n := open[at]
-			open = slices.Delete(open, at, at+1)
-			if n.Served = rng.Intn(3) > 0; n.Served {
-				n.Result = make([]byte, rng.Intn(700))
-				rng.Read(n.Result)
+			entry := recovery.KeyEntry{Key: fmt.Sprintf("pay\x00%d\xff-%d", seed, i), Fingerprint: uint64(i), ExpiresAt: w.now.SinceBoot + window}
+			m.add(entry)
+			unfinished = append(unfinished, entry)
+			w.appendRecord(entry, false, w.now.SinceBoot)
+		case step < 7 && len(unfinished) > 0:
+			at := rng.Intn(len(unfinished))
+			entry := unfinished[at]
+			unfinished = slices.Delete(unfinished, at, at+1)
+			if entry.Served = rng.Intn(3) > 0; entry.Served {
+				entry.Result = make([]byte, rng.Intn(700))
+				rng.Read(entry.Result)
 			}
-			m.add(n)
-			w.appendRecord(n, true, w.now.SinceBoot)
+			m.add(entry)
+			w.appendRecord(entry, true, w.now.SinceBoot)
 		case step < 8:
 			if err := w.commit(); err != nil {
 				return err
--- a/internal/store/run.go
+++ b/internal/store/run.go
@@ -130,7 +130,7 @@
 		return
 	}
 	if keys.SizeBytes()+len(r.entry.Result) > s.maxTableBytes() {
-		s.options.Counts.Count(countResultNoRoom)
+		s.options.Counts.Count(countResultTableFull)
 		r.entry.Served, r.entry.Result = false, nil
 	}
 	if s.writer != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -25,33 +25,33 @@
 // testOptions are the options of a store on a disk in memory, with a clock that the test sets.
 type testOptions struct {
 	Options
-	disk   *faultdisk.Disk
-	now    atomic.Int64
-	late   chan Recovered
-	opened error
+	disk           *faultdisk.Disk
+	now            atomic.Int64
+	lateRecoveries chan Recovered
+	openErr        error
 }
 
 func newTestOptions(disk *faultdisk.Disk) *testOptions {
-	o := &testOptions{disk: disk, late: make(chan Recovered, 4)}
+	o := &testOptions{disk: disk, lateRecoveries: make(chan Recovered, 4)}
 	o.now.Store(int64(time.Hour))
 	var ids atomic.Uint64
 	o.Options = Options{
-		OpenDir: func(bool) (datadir.Dir, error) { return o.disk, o.opened },
+		OpenDir: func(bool) (datadir.Dir, error) { return o.disk, o.openErr },
 		Clock: func() recovery.Timestamp {
 			return recovery.Timestamp{Wall: 1e18 + time.Duration(o.now.Load()), SinceBoot: time.Duration(o.now.Load()), BootID: "b", MachineID: 1}
 		},
 		NewID: func() uint64 { return ids.Add(1) }, Schema: testSchema, MaxBytes: 8 << 20, PersistKeys: true,
 		Counts: invariant.New(slog.New(slog.DiscardHandler)), Log: slog.New(slog.DiscardHandler), OnDurable: func() {},
-		OnLateRecovery: func(r Recovered) { o.late <- r },
+		OnLateRecovery: func(r Recovered) { o.lateRecoveries <- r },
 	}
 	return o
 }
 
 func (o *testOptions) advance(d time.Duration) { o.now.Add(int64(d)) }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, holds, 5*time.Second, time.Millisecond, what)
+	require.Eventually(t, condition, 5*time.Second, time.Millisecond, what)
 }
 
 // isDurable reports whether a record is durable, and not only released because the disk failed.
@@ -78,9 +78,9 @@
 	require.NoError(t, err)
 	defer func() { assert.NoError(t, s.Close()) }()
 	remaining := map[string]time.Duration{}
-	for _, n := range recovered.Keys {
-		remaining[n.Key] = n.ExpiresAt - recovered.ReadAt
-		assert.Equal(t, n.Key == "a", n.Served, n.Key)
+	for _, entry := range recovered.Keys {
+		remaining[entry.Key] = entry.ExpiresAt - recovered.ReadAt
+		assert.Equal(t, entry.Key == "a", entry.Served, entry.Key)
 	}
 	assert.Equal(t, map[string]time.Duration{"a": 50 * time.Second, "b": 50 * time.Second, "c": 50 * time.Second, "big": 50 * time.Second}, remaining)
 	assert.Equal(t, []byte("seat 4"), recovered.Keys[0].Result)
@@ -109,9 +109,9 @@
 // again all keys are stored anew, also those recorded meanwhile.
 func TestDiskFails(t *testing.T) {
 	cases := []struct {
-		name string
-		fail func(o *testOptions)
-		mend func(o *testOptions)
+		name   string
+		fail   func(o *testOptions)
+		repair func(o *testOptions)
 	}{
 		{"full in the middle", func(o *testOptions) { o.disk.Space = 10 }, func(o *testOptions) { o.disk.Space = -1 }},
 		{"read-only", func(o *testOptions) { o.disk.ReadOnly = true }, func(o *testOptions) { o.disk.ReadOnly = false }},
@@ -123,7 +123,7 @@
 				return nil
 			}
 		}, func(o *testOptions) { o.disk.Fail = nil }},
-		{"gone", func(o *testOptions) { o.disk.ReadOnly, o.opened = true, faultdisk.ErrIO }, func(o *testOptions) { o.disk.ReadOnly, o.opened = false, nil }},
+		{"gone", func(o *testOptions) { o.disk.ReadOnly, o.openErr = true, faultdisk.ErrIO }, func(o *testOptions) { o.disk.ReadOnly, o.openErr = false, nil }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,8 +133,8 @@
 			o.Log = slog.New(slog.NewTextHandler(lines, nil))
 			s, _, err := New(o.Options)
 			require.NoError(t, err)
-			kept := s.RecordStart("kept", 1, time.Hour)
-			eventually(t, "kept", isDurable(s, kept))
+			firstMark := s.RecordStart("kept", 1, time.Hour)
+			eventually(t, "kept", isDurable(s, firstMark))
 
 			o.disk.Set(func() { c.fail(o) })
 			s.RecordStart("in vain", 1, time.Hour)
@@ -148,7 +148,7 @@
 			assert.GreaterOrEqual(t, s.DurableMark(), mark, "served on without it")
 			assert.Equal(t, 1, lines.count("serving without it"), "one line")
 
-			o.disk.Set(func() { c.mend(o) })
+			o.disk.Set(func() { c.repair(o) })
 			o.advance(maxRetryDelay)
 			s.wakeWriter()
 			mark = s.RecordStart("after", 1, time.Hour)
@@ -159,11 +159,11 @@
 			require.NoError(t, err)
 			assert.NoError(t, s.Close())
 			var keys []string
-			for _, n := range recovered.Keys {
-				keys = append(keys, n.Key)
+			for _, entry := range recovered.Keys {
+				keys = append(keys, entry.Key)
 			}
 			assert.ElementsMatch(t, []string{"kept", "in vain", "meanwhile", "after"}, keys, "all that was known is written anew")
-			assert.Empty(t, o.late, "nothing of its own is told as new")
+			assert.Empty(t, o.lateRecoveries, "nothing of its own is told as new")
 		})
 	}
 }
@@ -176,16 +176,16 @@
 	s.RecordStart("before", 1, time.Hour)
 	assert.NoError(t, s.Close())
 
-	o.opened = faultdisk.ErrIO
+	o.openErr = faultdisk.ErrIO
 	s, recovered, err := New(o.Options)
 	require.NoError(t, err, "it serves without")
 	defer func() { assert.NoError(t, s.Close()) }()
 	assert.Empty(t, recovered.Keys)
 	s.RecordStart("new", 1, time.Hour)
-	o.disk.Set(func() { o.opened = nil })
+	o.disk.Set(func() { o.openErr = nil })
 	o.advance(maxRetryDelay)
 	s.wakeWriter()
-	got := <-o.late
+	got := <-o.lateRecoveries
 	require.Len(t, got.Keys, 1)
 	assert.Equal(t, "before", got.Keys[0].Key)
 }
@@ -220,13 +220,13 @@
 	o := newTestOptions(faultdisk.New())
 	s, _, err := New(o.Options)
 	require.NoError(t, err)
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	var once sync.Once
-	defer once.Do(func() { close(hold) })
+	defer once.Do(func() { close(release) })
 	o.disk.Set(func() {
 		o.disk.Fail = func(kind string) error {
 			if kind == "sync" {
-				<-hold
+				<-release
 			}
 			return nil
 		}
@@ -241,7 +241,7 @@
 	}
 	assert.LessOrEqual(t, s.queuedBytes, maxQueueBytes)
 	assert.Positive(t, o.Counts.Times(countQueueFull))
-	once.Do(func() { close(hold) })
+	once.Do(func() { close(release) })
 	eventually(t, "kept", isDurable(s, s.lastMark))
 	assert.NoError(t, s.Close())
 }
@@ -295,21 +295,21 @@
 	s, _, err := New(options(state))
 	require.NoError(t, err)
 	s.RecordEnd("a", 1, time.Hour, true, []byte("r"))
-	began := time.Now()
+	start := time.Now()
 	_, _, err = New(options(state))
 	assert.ErrorIs(t, err, datadir.ErrInUse, "two processes")
-	assert.GreaterOrEqual(t, time.Since(began), lockTimeout, "one that leaves is waited for")
+	assert.GreaterOrEqual(t, time.Since(start), lockTimeout, "one that leaves is waited for")
 	assert.NoError(t, s.Close())
 	files, err := os.ReadDir(state)
 	require.NoError(t, err)
 	for _, f := range files {
-		about, err := f.Info()
+		info, err := f.Info()
 		require.NoError(t, err)
-		assert.Equal(t, os.FileMode(0o600), about.Mode().Perm(), f.Name())
+		assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), f.Name())
 	}
-	about, err := os.Stat(state)
+	info, err := os.Stat(state)
 	require.NoError(t, err)
-	assert.Equal(t, os.FileMode(0o700), about.Mode().Perm())
+	assert.Equal(t, os.FileMode(0o700), info.Mode().Perm())
 
 	// A symbolic link in the place of a file is not followed, nor one in the place of the folder.
 	secret := filepath.Join(dir, "secret")
@@ -361,7 +361,7 @@
 	assert.NoError(t, s.Close())
 	quarantined := 0
 	for _, name := range o.disk.Names() {
-		if _, is := parseFileName(quarantinePrefix, name); is {
+		if _, ok := parseFileName(quarantinePrefix, name); ok {
 			quarantined++
 			if raw := o.disk.Get(name); len(raw) < 20 {
 				assert.Equal(t, "#!/bin/sh", string(raw))
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -28,8 +28,8 @@
 // The folders below testdata were written by the program of f1daac1, killed while it served; those that are named torn
 // have lost the last five bytes of their newest file.
 
-// copied is a folder of testdata, copied to where it may be changed.
-func copied(t *testing.T, name string) string {
+// copyTestdata is a folder of testdata, copied to where it may be changed.
+func copyTestdata(t *testing.T, name string) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), name)
 	require.NoError(t, os.CopyFS(to, os.DirFS(filepath.Join("testdata", "f1daac1", name))))
@@ -44,39 +44,39 @@
 	}
 }
 
-// storedFrame is the frame of a server of this version under the settings under which the folder was written.
-func storedFrame(t *testing.T) estimate.Schema {
+// storedSchema is the frame of a server of this version under the settings under which the folder was written.
+func storedSchema(t *testing.T) estimate.Schema {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "f1daac1", "settings.json"))
 	require.NoError(t, err)
-	told, err := settings.FromJSON(raw)
+	parsed, err := settings.FromJSON(raw)
 	require.NoError(t, err)
 	log := slog.New(slog.DiscardHandler)
 	limits := server.Limits{MemoryMB: 128, Sockets: 512, Keys: true, Tenants: true}
-	s, err := server.New(told, 1, limits, invariant.New(log), log)
+	s, err := server.New(parsed, 1, limits, invariant.New(log), log)
 	require.NoError(t, err)
 	return s.PublishEstimates(9, func(estimate.Snapshot, time.Duration) {})
 }
 
-func storedTerms(t *testing.T, dir string) store.Options {
-	frame := storedFrame(t)
+func storedOptions(t *testing.T, dir string) store.Options {
+	schema := storedSchema(t)
 	log := slog.New(slog.DiscardHandler)
 	var ids atomic.Uint64
 	return store.Options{
-		OpenDir: datadir.Opener(dir), Clock: storedAt, NewID: func() uint64 { return ids.Add(1) }, Site: "here", Schema: frame,
+		OpenDir: datadir.Opener(dir), Clock: storedAt, NewID: func() uint64 { return ids.Add(1) }, Site: "here", Schema: schema,
 		MaxBytes: 64 << 20, PersistKeys: true, Counts: invariant.New(log), Log: log, OnDurable: func() {},
 	}
 }
 
-// estimated writes an estimate with all its digits.
-func estimated(e estimate.Estimate) string {
+// formatEstimate writes an estimate with all its digits.
+func formatEstimate(e estimate.Estimate) string {
 	return fmt.Sprintf("%v %v %v %d", e.Mean, e.Spread, e.Samples, int64(e.Age))
 }
 
-func keyed(numbers []recovery.KeyEntry) (lines []string) {
-	for _, n := range numbers {
+func formatKeys(entries []recovery.KeyEntry) (lines []string) {
+	for _, entry := range entries {
 		lines = append(lines,
-			fmt.Sprintf("%q shape %016x until %d honoured %t %q", n.Key, n.Fingerprint, int64(n.ExpiresAt), n.Served, n.Result))
+			fmt.Sprintf("%q shape %016x until %d honoured %t %q", entry.Key, entry.Fingerprint, int64(entry.ExpiresAt), entry.Served, entry.Result))
 	}
 	slices.Sort(lines)
 	return lines
@@ -86,26 +86,26 @@
 func TestStoredStateIsRead(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
 		t.Run(name, func(t *testing.T) {
-			dir := copied(t, name)
-			s, had, err := store.New(storedTerms(t, dir))
+			dir := copyTestdata(t, name)
+			s, recovered, err := store.New(storedOptions(t, dir))
 			require.NoError(t, err)
 			assert.NoError(t, s.Close())
-			require.True(t, had.Estimates.HasFresh(), "the view fits the settings")
+			require.True(t, recovered.Estimates.HasFresh(), "the view fits the settings")
 			got := map[string]any{
-				"numbers": keyed(had.Keys), "unknown": had.UnservedKeys, "terms": fmt.Sprintf("%016x", had.Estimates.SettingsDigest),
-				"returns": estimated(had.Estimates.ReturnRatio),
+				"numbers": formatKeys(recovered.Keys), "unknown": recovered.UnservedKeys, "terms": fmt.Sprintf("%016x", recovered.Estimates.SettingsDigest),
+				"returns": formatEstimate(recovered.Estimates.ReturnRatio),
 			}
-			for _, r := range had.Estimates.Routes {
-				got["core of "+r.Name], got["run of "+r.Name] = estimated(r.Core), estimated(r.Run)
+			for _, r := range recovered.Estimates.Routes {
+				got["core of "+r.Name], got["run of "+r.Name] = formatEstimate(r.Core), formatEstimate(r.Run)
 			}
 			golden(t, name+".json", got)
 
 			// What is written anew is read as it was.
-			s, again, err := store.New(storedTerms(t, dir))
+			s, reread, err := store.New(storedOptions(t, dir))
 			require.NoError(t, err)
 			assert.NoError(t, s.Close())
-			assert.Equal(t, keyed(had.Keys), keyed(again.Keys))
-			assert.Equal(t, had.UnservedKeys, again.UnservedKeys)
+			assert.Equal(t, formatKeys(recovered.Keys), formatKeys(reread.Keys))
+			assert.Equal(t, recovered.UnservedKeys, reread.UnservedKeys)
 			names, err := filepath.Glob(filepath.Join(dir, "aside-*"))
 			require.NoError(t, err)
 			assert.Len(t, names, strings.Count(name, "torn"), "what is not whole is kept aside")
@@ -116,22 +116,22 @@
 // golden compares with what the recorded code gave, as JSON.
 func golden(t *testing.T, name string, got any) {
 	t.Helper()
-	is, err := json.MarshalIndent(got, "", "  ")
+	encoded, err := json.MarshalIndent(got, "", "  ")
 	require.NoError(t, err)
 	want, err := os.ReadFile(filepath.Join("testdata", "f1daac1", name))
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(is)+"\n")
+	assert.Equal(t, string(want), string(encoded)+"\n")
 }
 
 // The commands that look at a folder tell the same of it.
 func TestStoredStateIsInspected(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
-		dir := copied(t, name)
-		in, err := datadir.Open(dir, true)
+		dir := copyTestdata(t, name)
+		opened, err := datadir.Open(dir, true)
 		require.NoError(t, err)
-		r, err := store.Inspect(in, recovery.Environment{Now: storedAt()}, 64<<20)
+		r, err := store.Inspect(opened, recovery.Environment{Now: storedAt()}, 64<<20)
 		require.NoError(t, err)
-		require.NoError(t, in.Close())
+		require.NoError(t, opened.Close())
 		golden(t, name+"-inspected.json", map[string]any{"report": r, "faults": r.Problems()})
 	}
 }
@@ -139,20 +139,20 @@
 // Another boot of the machine, another machine, and a site that is not the folder's: what is used then is as before.
 func TestStoredStateElsewhere(t *testing.T) {
 	got := map[string]any{}
-	for name, change := range map[string]func(terms *store.Options, now *recovery.Timestamp){
+	for name, change := range map[string]func(options *store.Options, now *recovery.Timestamp){
 		"another boot":    func(_ *store.Options, now *recovery.Timestamp) { now.BootID, now.SinceBoot = "other", 20*time.Second },
 		"another machine": func(_ *store.Options, now *recovery.Timestamp) { now.MachineID, now.SinceBoot = 5, 20*time.Second },
 		"an hour later":   func(_ *store.Options, now *recovery.Timestamp) { now.Wall += time.Hour; now.SinceBoot += time.Hour },
 		"clock set back":  func(_ *store.Options, now *recovery.Timestamp) { now.Wall -= time.Hour },
-		"another site":    func(terms *store.Options, _ *recovery.Timestamp) { terms.Site = "there" },
+		"another site":    func(options *store.Options, _ *recovery.Timestamp) { options.Site = "there" },
 	} {
-		terms, now := storedTerms(t, copied(t, "state")), storedAt()
-		change(&terms, &now)
-		terms.Clock = func() recovery.Timestamp { return now }
-		s, had, err := store.New(terms)
+		options, now := storedOptions(t, copyTestdata(t, "state")), storedAt()
+		change(&options, &now)
+		options.Clock = func() recovery.Timestamp { return now }
+		s, recovered, err := store.New(options)
 		require.NoError(t, err)
 		assert.NoError(t, s.Close())
-		got[name] = map[string]any{"numbers": keyed(had.Keys), "unknown": had.UnservedKeys, "fresh": had.Estimates.HasFresh()}
+		got[name] = map[string]any{"numbers": formatKeys(recovered.Keys), "unknown": recovered.UnservedKeys, "fresh": recovered.Estimates.HasFresh()}
 	}
 	golden(t, "state-elsewhere.json", got)
 }
@@ -161,26 +161,26 @@
 // the version before.
 func TestStoredConfigurationIsRead(t *testing.T) {
 	for _, name := range []string{"configuration", "configuration-torn"} {
-		in, err := datadir.Open(copied(t, name), false)
+		dir, err := datadir.Open(copyTestdata(t, name), false)
 		require.NoError(t, err)
-		c, kept, err := store.OpenConfigurationStore(in)
+		c, recovered, err := store.OpenConfigurationStore(dir)
 		require.NoError(t, err)
-		require.NotNil(t, kept.Document)
+		require.NotNil(t, recovered.Document)
 		golden(t, name+".json", map[string]any{
-			"version": kept.Document.Version, "digest": fmt.Sprintf("%016x", uint64(kept.Document.Digest)),
-			"routes": kept.Document.Routes, "tenants": kept.Document.Tenants, "written": kept.WrittenAt.UnixMilli(), "passed": kept.Skipped,
+			"version": recovered.Document.Version, "digest": fmt.Sprintf("%016x", uint64(recovered.Document.Digest)),
+			"routes": recovered.Document.Routes, "tenants": recovered.Document.Tenants, "written": recovered.WrittenAt.UnixMilli(), "passed": recovered.Skipped,
 		})
 		// A document of the same content has the same digest.
 		again := configuration.NewDocument()
 		change := configuration.Change{Routes: map[string]*configuration.Route{}, Tenants: map[string]*configuration.Tenant{}}
-		for name, r := range kept.Document.Routes {
+		for name, r := range recovered.Document.Routes {
 			change.Routes[name] = &r
 		}
-		for name, tenant := range kept.Document.Tenants {
+		for name, tenant := range recovered.Document.Tenants {
 			change.Tenants[name] = &tenant
 		}
 		again.Accept(change)
-		assert.Equal(t, kept.Document.Digest, again.Digest)
+		assert.Equal(t, recovered.Document.Digest, again.Digest)
 		require.NoError(t, c.Close())
 	}
 }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -22,7 +22,7 @@
 
 var (
 	errDiskFull     = errors.New("no space left on the disk, or too little")
-	errWriterBehind = errors.New("more to be written than the disk takes")
+	errTableOverdue = errors.New("more to be written than the disk takes")
 )
 
 // writer writes the state files of a directory. Its methods are called by one goroutine. The jobs that it returns may
