--- a/internal/datadir/dir.go
+++ b/internal/datadir/dir.go
@@ -1,5 +1,5 @@
-// Package datadir gives access to a directory of files in a way that says what survives a loss of power, and that tests
-// can make fail.
+// Package datadir provides access to a directory of files through an interface that defines what survives a power loss,
+// and whose operations tests can make fail.
 package datadir
 
 import (
@@ -7,21 +7,21 @@
 	"io"
 )
 
-// Dir is a directory of files. Names are single path elements. Changes may be lost with the power until they are synced:
-// a file's contents with File.Sync, names with Dir.Sync.
+// Dir is a directory of files. Names are single path elements. Changes may be lost in a power loss until they are
+// synced: the contents of a file with File.Sync, names with Dir.Sync.
 type Dir interface {
 	// List returns all entries, sorted by name.
 	List() ([]Entry, error)
-	// Read returns a file's contents, or ErrTooLarge if it has over maxBytes.
+	// Read returns the contents of a file, or ErrTooLarge if it is larger than maxBytes.
 	Read(name string, maxBytes int64) ([]byte, error)
-	// Create makes a file to be written. It fails if the name exists.
+	// Create creates a file for writing. It fails if the name exists.
 	Create(name string) (File, error)
-	// Rename replaces a file that has the new name.
+	// Rename renames a file, and replaces any other that has the new name.
 	Rename(from, to string) error
 	Remove(name string) error
 	// Sync makes all earlier changes of names durable.
 	Sync() error
-	// FreeBytes returns how much can still be written to the disk.
+	// FreeBytes returns the free space of the disk.
 	FreeBytes() (int64, error)
 	Close() error
 }
@@ -30,7 +30,7 @@
 type Entry struct {
 	Name    string
 	Size    int64 // bytes
-	Regular bool  // a regular file, and no link, directory or device
+	Regular bool  // a regular file, not a link, directory or device
 }
 
 // File is a file that is being written.
@@ -42,10 +42,10 @@
 }
 
 var (
-	// ErrInUse says that another process has the directory's lock.
+	// ErrInUse means that another process has the lock of the directory.
 	ErrInUse = errors.New("in use by another process")
-	// ErrTooLarge says that a file has more bytes than were to be read.
+	// ErrTooLarge means that a file is larger than the limit passed to Read.
 	ErrTooLarge = errors.New("larger than such a file gets")
-	// errNotDir says that a path is no directory, or a symbolic link to one.
-	errNotDir = errors.New("no folder; a symbolic link is not followed")
+	// errNotDir means that a path is not a directory, or is a symbolic link to one.
+	errNotDir = errors.New("not a directory; a symbolic link is not followed")
 )
--- a/internal/datadir/osdir.go
+++ b/internal/datadir/osdir.go
@@ -16,12 +16,12 @@
 	lockName         = "lock"
 	dirMode          = 0o700
 	fileMode         = 0o600
-	writableByOthers = 0o022 // mode bits that let others than the owner write
+	writableByOthers = 0o022 // mode bits that let users other than the owner write
 )
 
 // OSDir is a directory of the operating system, locked against other processes until it is closed. All access goes
-// through its descriptor and follows no symbolic links, so that whoever may write beside the directory cannot redirect
-// the server elsewhere.
+// through its descriptor and follows no symbolic links, so that a user with write access to the parent directory cannot
+// redirect the server to other files.
 type OSDir struct {
 	path   string
 	fd     int
@@ -33,19 +33,19 @@
 	return func(readOnly bool) (Dir, error) {
 		d, err := Open(path, readOnly)
 		if err != nil {
-			return nil, err // not d, which would be a nil *OSDir in a Dir that is not nil
+			return nil, err // not d: a nil *OSDir would make a Dir that is not nil
 		}
 		return d, nil
 	}
 }
 
-// Open opens a directory. Unless it is read-only, Open creates it with mode 0700 if only its last element is missing,
-// fails if others than its owner may write to it, and takes its lock or fails with ErrInUse.
+// Open opens a directory. Unless readOnly is set, Open creates the directory with mode 0700 if only the last element of
+// its path is missing, fails if users other than the owner may write to it, and takes its lock or fails with ErrInUse.
 func Open(path string, readOnly bool) (*OSDir, error) {
 	path = filepath.Clean(path)
 	d, err := open(path, readOnly)
 	if err != nil {
-		return nil, fmt.Errorf("folder %s: %w", path, err)
+		return nil, fmt.Errorf("directory %s: %w", path, err)
 	}
 	return d, nil
 }
@@ -116,12 +116,12 @@
 func (d *OSDir) readNames() ([]string, error) {
 	fd, err := unix.Openat(d.fd, ".", unix.O_RDONLY|unix.O_DIRECTORY|unix.O_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("folder %s: %w", d.path, err)
+		return nil, fmt.Errorf("directory %s: %w", d.path, err)
 	}
 	listing := os.NewFile(uintptr(fd), d.path)
 	names, err := listing.Readdirnames(-1)
 	if err = errors.Join(err, listing.Close()); err != nil {
-		return nil, fmt.Errorf("folder: %w", err)
+		return nil, fmt.Errorf("directory: %w", err)
 	}
 	return names, nil
 }
@@ -138,7 +138,7 @@
 	return os.NewFile(uintptr(fd), filepath.Join(d.path, name)), nil
 }
 
-// Read implements Dir. A pipe in the place of a file does not block it.
+// Read implements Dir. It does not block if a pipe is in the place of the file.
 func (d *OSDir) Read(name string, maxBytes int64) ([]byte, error) {
 	file, err := d.openFile(name, unix.O_RDONLY|unix.O_NONBLOCK)
 	if err != nil {
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// FreeBytes implements Dir. It returns what is free to unprivileged users.
+// FreeBytes implements Dir. It returns the space that is available to unprivileged users.
 func (d *OSDir) FreeBytes() (int64, error) {
 	var stat unix.Statfs_t
 	if err := unix.Fstatfs(d.fd, &stat); err != nil {
@@ -199,7 +199,7 @@
 // Close releases the lock and the directory.
 func (d *OSDir) Close() error {
 	if d.lockFD >= 0 {
-		_ = unix.Close(d.lockFD) // released either way
+		_ = unix.Close(d.lockFD) // the lock is released even if Close fails
 	}
 	return unix.Close(d.fd)
 }
--- a/internal/datadir/osdir_test.go
+++ b/internal/datadir/osdir_test.go
@@ -53,7 +53,7 @@
 	assert.Positive(t, free)
 }
 
-// The lock is exclusive among processes that write, does not hinder readers, and is released by Close.
+// The lock excludes other processes that write, but not readers, and Close releases it.
 func TestLock(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	d, err := Open(path, false)
@@ -69,8 +69,8 @@
 	assert.NoError(t, d.Close())
 }
 
-// Whoever may write into the directory puts a link or a pipe in the place of a file. The link must not lead to another file,
-// and the pipe must not block the reader.
+// A user with write access to the directory replaces a file by a link or a pipe. Reading the link must not lead to
+// another file, and reading the pipe must not block.
 func TestNoLinksNoPipes(t *testing.T) {
 	d, path := openTemp(t)
 	secret := filepath.Join(t.TempDir(), "secret")
--- a/internal/store/attach.go
+++ b/internal/store/attach.go
@@ -4,9 +4,9 @@
 	"quartzpoint/internal/server"
 )
 
-// Attach opens a store for a server that does not run yet, and has the server start from what the directory held. With
-// PersistKeys, the server's requests with idempotency keys run only once the store has their keys. Attach sets the
-// options' clock, ids and callbacks.
+// Attach opens a store for a server that is not running yet, and restores the server's state from it. With PersistKeys,
+// the server runs a keyed request only once the store has its key. Attach sets the clock, ids and callbacks of the
+// options.
 func Attach(owner *server.Server, options Options) (*Store, Recovered, error) {
 	options.Clock, options.NewID = SystemClock(), RandomID
 	options.OnDurable = owner.Wake
@@ -24,7 +24,8 @@
 
 var _ server.Ledger = (*Store)(nil)
 
-// restore gives a server that does not run yet what was recovered. The estimates count for as much as a peer's.
+// restore passes recovered state to a server that is not running yet. The estimates get the same weight as those of a
+// peer.
 func restore(owner *server.Server, recovered Recovered) {
 	owner.RestoreKeys(recovered.keyRecords())
 	if recovered.Estimates.HasFresh() {
@@ -32,8 +33,8 @@
 	}
 }
 
-// restoreLate gives a running server the keys of a directory that could not be read at the start. It leaves out the
-// estimates: by then the server has its own, or its peers'.
+// restoreLate passes the keys of a directory that could not be read at the start to a running server. It omits the
+// estimates: by then the server has its own or those of its peers.
 func restoreLate(owner *server.Server, recovered Recovered) {
 	owner.Submit(func() { owner.RestoreKeys(recovered.keyRecords()) })
 }
--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -13,8 +13,8 @@
 	"quartzpoint/recovery"
 )
 
-// SystemClock returns a function that reads this machine's clocks. If the ids of the machine or the boot cannot be read
-// they stay unknown, and package recovery makes the weakest assumptions about ages.
+// SystemClock returns a function that reads the clocks of this machine. If the id of the machine or of the boot cannot
+// be read, it stays unknown, and package recovery makes the weakest assumptions about ages.
 func SystemClock() func() recovery.Timestamp {
 	boot, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	base := recovery.Timestamp{BootID: strings.TrimSpace(string(boot))}
--- a/internal/store/configuration_store.go
+++ b/internal/store/configuration_store.go
@@ -10,28 +10,29 @@
 	"quartzpoint/internal/datadir"
 )
 
-// ConfigurationStore stores the configuration in force. A file is a complete document with the deltas accepted since. A
-// new file is started by the first change after a start, and once the deltas are larger than the document. Of a file that
-// a crash cut short, the items before the first incomplete one are used. It is not safe for concurrent use.
+// ConfigurationStore stores the current configuration. A file contains a complete document and the deltas accepted
+// since. The first change after a start begins a new file, and so does a change after the deltas have grown larger than
+// the document. If a crash cut a file short, the items before the first incomplete one are used. It is not safe for
+// concurrent use.
 type ConfigurationStore struct {
 	dir           datadir.Dir
-	file          datadir.File // gets the next delta; nil if the next change starts a new file
+	file          datadir.File // receives the next delta; nil if the next change starts a new file
 	id            uint64       // of the files written since the start
 	fileNumber    uint64       // of the newest file
 	sequence      uint64       // of the last frame in the file
 	documentBytes int          // of the document in the file
-	deltaBytes    int          // of the deltas behind it
+	deltaBytes    int          // of the deltas after the document
 }
 
 const (
 	configurationPrefix   = "configuration-"
-	configurationKind     = 0xC0      // in the header; no other file of this package has it
-	chunkBytes            = 128 << 10 // of one frame's part of an item
-	minRetainedDeltaBytes = 256 << 10 // deltas up to this size never cause a new file
+	configurationKind     = 0xC0      // Kind of the header; other files of this package do not have it
+	chunkBytes            = 128 << 10 // maximum size of the part of an item in one frame
+	minRetainedDeltaBytes = 256 << 10 // deltas up to this size do not cause a new file
 	maxConfigurationBytes = 128 << 20
 )
 
-var errNoDocument = errors.New("no whole document")
+var errNoDocument = errors.New("no complete document")
 
 // configurationHeader is the first frame of a file.
 type configurationHeader struct {
@@ -39,7 +40,7 @@
 	ID   uint64 `cbor:"2,keyasint"`
 }
 
-// configurationChunk is one frame's part of an item: a document or a delta.
+// configurationChunk is the part of an item in one frame. An item is a document or a delta.
 type configurationChunk struct {
 	WrittenAtMillis int64  `cbor:"1,keyasint"` // Unix time
 	Delta           bool   `cbor:"2,keyasint,omitempty"`
@@ -47,15 +48,15 @@
 	Bytes           []byte `cbor:"4,keyasint"`
 }
 
-// RecoveredConfiguration is what a start reads.
+// RecoveredConfiguration is the result of reading the directory at a start.
 type RecoveredConfiguration struct {
-	Document  *configuration.Document // nil if no file holds one
-	WrittenAt time.Time               // of the last item that is used
-	Skipped   []string                // files that could not be used, with the reason
+	Document  *configuration.Document // nil if no file has a complete one
+	WrittenAt time.Time               // time of the last item that is used
+	Skipped   []string                // names of files that could not be used, each with the reason
 }
 
-// OpenConfigurationStore reads the newest file of a directory that holds a complete document. The store owns the
-// directory from then on.
+// OpenConfigurationStore reads the newest file of a directory that has a complete document. From then on the store owns
+// the directory.
 func OpenConfigurationStore(dir datadir.Dir) (*ConfigurationStore, RecoveredConfiguration, error) {
 	entries, err := dir.List()
 	if err != nil {
@@ -82,7 +83,7 @@
 	return c, recovered, nil
 }
 
-// readConfiguration reads the items of a file up to the first that is incomplete or does not fit.
+// readConfiguration reads the items of a file up to the first that is incomplete or cannot be applied.
 func readConfiguration(raw []byte) (document *configuration.Document, writtenAt time.Time, err error) {
 	sequence, payload, rest, ok := readFrame(raw, 0)
 	var header configurationHeader
@@ -110,7 +111,8 @@
 	return document, writtenAt, nil
 }
 
-// applyItem reads a document, or applies a delta to the one before it. A delta that does not fit leaves that unchanged.
+// applyItem decodes a document, or applies a delta to the given document. A delta that cannot be applied leaves the
+// document unchanged.
 func applyItem(document *configuration.Document, item []byte, isDelta bool) (*configuration.Document, error) {
 	if !isDelta {
 		next, err := configuration.DecodeSnapshot(item)
@@ -129,7 +131,7 @@
 	return document, document.Apply(delta)
 }
 
-// Replace starts a new file with a document, and removes the files before it.
+// Replace starts a new file with a document, and removes the earlier files.
 func (c *ConfigurationStore) Replace(document *configuration.Document) error {
 	c.fileNumber++
 	name, snapshot := fileName(configurationPrefix, c.fileNumber), document.Snapshot()
@@ -151,7 +153,7 @@
 	return errors.Join(err, c.removeAllBut(name))
 }
 
-// removeAllBut removes all configuration files but one.
+// removeAllBut removes all configuration files except keep.
 func (c *ConfigurationStore) removeAllBut(keep string) error {
 	entries, err := c.dir.List()
 	if err != nil {
@@ -180,7 +182,8 @@
 	}
 }
 
-// Append stores a delta, after which the configuration is document. It returns once the delta is durable.
+// Append stores a delta; document is the configuration after it, and is stored instead if a new file is due. Append
+// returns once the change is durable.
 func (c *ConfigurationStore) Append(delta configuration.Delta, document *configuration.Document) error {
 	if c.file == nil || c.deltaBytes > max(c.documentBytes, minRetainedDeltaBytes) {
 		return c.Replace(document)
@@ -192,7 +195,7 @@
 		err = c.file.Sync()
 	}
 	if err != nil {
-		// What is behind an incomplete item is not read, so the next change starts a new file.
+		// Items after an incomplete one are not read, so the next change starts a new file.
 		err = errors.Join(err, c.file.Close())
 		c.file = nil
 		return fmt.Errorf("configuration: %w", err)
--- a/internal/store/counters.go
+++ b/internal/store/counters.go
@@ -1,6 +1,6 @@
 package store
 
-// Names of the counters, as they are logged.
+// The names of the counters, as they are logged.
 const (
 	countDirFailed       = "state directory failed"
 	countDiskStalled     = "state disk stalled, keyed requests run without it"
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -10,17 +10,18 @@
 	"quartzpoint/recovery"
 )
 
-// A file's name is its content type and its sequence number, so that the order of files is known before they are read.
+// A file name consists of a prefix for the content type and a sequence number, so that the order of files is known
+// before they are read.
 const (
 	estimatesPrefix  = "view-"
 	tablePrefix      = "table-"
 	logPrefix        = "log-"
 	quarantinePrefix = "aside-"
-	temporaryPrefix  = "temp-" // of a file that is not complete yet
+	temporaryPrefix  = "temp-" // of a file that is being written
 )
 
 const (
-	// maxFiles bounds the state files of a directory. A server never leaves that many.
+	// maxFiles is the maximum number of state files that are read. A server never leaves that many in a directory.
 	maxFiles       = 256
 	sequenceDigits = 16
 )
@@ -29,7 +30,8 @@
 
 func fileName(prefix string, sequence uint64) string { return fmt.Sprintf("%s%016x", prefix, sequence) }
 
-// parseFileName returns the sequence number in a name. ok is false if the name does not have the prefix's form.
+// parseFileName returns the sequence number in a file name. ok is false if the name does not have the format of files
+// with the prefix.
 func parseFileName(prefix, name string) (sequence uint64, ok bool) {
 	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok || len(digits) < sequenceDigits {
@@ -39,7 +41,7 @@
 	return sequence, n == 1 && err == nil && (prefix == quarantinePrefix || len(digits) == sequenceDigits)
 }
 
-// sortedFiles returns the names of the regular files with a prefix, in order of their sequence numbers.
+// sortedFiles returns the names of the regular files that have the prefix, sorted by sequence number.
 func sortedFiles(entries []datadir.Entry, prefix string) (names []string) {
 	for _, e := range entries {
 		if _, ok := parseFileName(prefix, e.Name); ok && e.Regular {
@@ -50,8 +52,8 @@
 	return names
 }
 
-// readFiles reads the state files of a directory, of keys only if they are wanted. A file of over maxBytes is returned
-// with its Err set.
+// readFiles reads the state files of a directory, and those with idempotency keys only if withKeys is set. A file that
+// is larger than maxBytes or is not a regular file is returned with Err set.
 func readFiles(dir datadir.Dir, maxBytes int64, withKeys bool) (files []recovery.File, err error) {
 	entries, err := dir.List()
 	if err != nil {
@@ -62,7 +64,7 @@
 			continue
 		}
 		if len(files) == maxFiles {
-			return nil, fmt.Errorf("over %d files of state", maxFiles)
+			return nil, fmt.Errorf("directory has more than %d state files", maxFiles)
 		}
 		if !e.Regular {
 			files = append(files, recovery.File{Name: e.Name, Err: errNotRegular})
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -1,9 +1,10 @@
-// Package store keeps what a server knows in a directory, across crashes and power loss: snapshots of its estimates, and
-// a log of its idempotency keys with snapshots of their table. It carries out what package recovery decides.
+// Package store persists the state of a server in a directory, across crashes and power loss: snapshots of its
+// estimates, and a log of its idempotency keys with snapshots of the key table. Package recovery decides which of that
+// state is used after a restart. The package also stores the configuration.
 //
-// A file is a row of frames: magic (2 bytes), length of the payload (4), checksum (4), sequence (8), payload; integers are
-// little-endian. The first frame is the header, with sequence 0. A snapshot closes with a trailer that counts the frames
-// between the two.
+// A file is a sequence of frames: magic (2 bytes), payload length (4), checksum (4), sequence number (8), payload;
+// integers are little-endian. The first frame is the header, with sequence number 0. The last frame of a snapshot is a
+// trailer that counts the frames between the header and itself.
 package store
 
 import (
@@ -21,11 +22,12 @@
 
 var magic = [2]byte{0xC5, 'q'}
 
-// castagnoli is the polynomial of CRC-32C. It finds every flipped bit and every burst of up to 32 bits with certainty,
-// where a hash finds them by chance, and processors compute it.
+// castagnoli is the table of CRC-32C. This checksum is certain to detect every flipped bit and every burst error of up
+// to 32 bits, which a hash detects only with high probability, and processors have an instruction for it.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum covers the file's id too, so that frames left by an earlier file in the same disk blocks do not match.
+// checksum returns the checksum of a frame. It also covers the id of the file, so that frames that an earlier file left
+// in the same disk blocks do not match.
 func checksum(id, sequence uint64, payload []byte) uint32 {
 	var head [20]byte
 	binary.LittleEndian.PutUint64(head[:], id)
@@ -47,7 +49,7 @@
 	return append(to, payload...)
 }
 
-// readFrame reads the frame that raw begins with. ok is false if there is none, or it is damaged; rest is then raw.
+// readFrame reads the first frame of raw. If there is none or it is damaged, ok is false and rest is raw.
 func readFrame(raw []byte, id uint64) (sequence uint64, payload, rest []byte, ok bool) {
 	if len(raw) < frameHeaderBytes || raw[0] != magic[0] || raw[1] != magic[1] {
 		return 0, nil, raw, false
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -17,7 +17,7 @@
 	Header   *recovery.Header `json:"header,omitempty"` // nil if the file cannot be used
 	Records  int              `json:"records"`
 	Complete bool             `json:"whole"`
-	Salvaged int              `json:"beyond,omitempty"` // undamaged records behind the first damage
+	Salvaged int              `json:"beyond,omitempty"` // undamaged records after the first damage
 	Problem  string           `json:"why,omitempty"`    // why the file cannot be used
 }
 
@@ -30,21 +30,21 @@
 	Result    []byte        `json:"result,omitempty"`
 }
 
-// Report describes what a directory holds, and what a start would use of it.
+// Report describes the contents of a directory, and which of them a start would use.
 type Report struct {
 	Files         []FileReport       `json:"files"`
 	Findings      []recovery.Finding `json:"notes"`
 	Keys          []KeyReport        `json:"numbers"`
 	UnservedKeys  int                `json:"unknown"`
-	EstimatesFile string             `json:"view,omitempty"`    // the newest that is complete
+	EstimatesFile string             `json:"view,omitempty"`    // name of the newest complete estimates file
 	Estimates     *estimate.Snapshot `json:"learned,omitempty"` // of that file, aged to now
 	Bytes         int64              `json:"bytes"`             // of all files
 }
 
-// problemQuarantined marks files that a start never reads.
+// problemQuarantined is the Problem of quarantined files, which a start never reads.
 const problemQuarantined = "kept aside"
 
-// resolveSite returns the stated site, or that of the first file that has one.
+// resolveSite returns site or, if it is empty, the site of the first usable file that has one.
 func resolveSite(files []recovery.File, site string) string {
 	for _, f := range files {
 		if site == "" && f.Err == nil {
@@ -54,7 +54,7 @@
 	return site
 }
 
-// Inspect reads a directory, which may be in use. Without a site in the environment it takes that of the files.
+// Inspect reads a directory, which may be in use. If the environment has no site, Inspect uses the site of the files.
 func Inspect(dir datadir.Dir, environment recovery.Environment, maxBytes int64) (r Report, err error) {
 	entries, err := dir.List()
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// addEstimates takes the estimates of the newest complete file. Files are sorted by name, so it is the last one.
+// addEstimates adds the estimates of the newest complete file. Files are sorted by name, so it is the last one.
 func (r *Report) addEstimates(files []recovery.File, now recovery.Timestamp) {
 	for _, f := range files {
 		if f.Estimates != nil && f.Complete && f.Header.Version == recovery.FormatVersion {
@@ -113,7 +113,7 @@
 	}
 }
 
-// Problems lists what a start would not use, completely or in part. It is empty for a directory that was left in order.
+// Problems lists the state that a start would not use, completely or in part. It is empty for an undamaged directory.
 func (r Report) Problems() (problems []string) {
 	for _, f := range r.Files {
 		switch {
--- a/internal/store/keylog.go
+++ b/internal/store/keylog.go
@@ -8,7 +8,7 @@
 	"quartzpoint/recovery"
 )
 
-// rotateLog starts a new log file. Its name is durable before any of its records counts as durable.
+// rotateLog starts a new log file. The name of the file is made durable before any of its records counts as durable.
 func (w *writer) rotateLog() error {
 	if err := w.closeLog(); err != nil {
 		return err
@@ -19,7 +19,7 @@
 		return err
 	}
 	if slices.Contains(sortedFiles(entries, logPrefix), name) {
-		// A crash left it without a complete record, or nextSequence would be higher.
+		// The file was left by a crash and has no complete record: otherwise nextSequence would be higher.
 		if err := w.dir.Remove(name); err != nil {
 			return err
 		}
@@ -45,8 +45,8 @@
 
 func (w *writer) maxSegmentBytes() int64 { return w.maxBytes / sizeParts / segmentsPerTable }
 
-// appendRecord stores an entry in the key table and has the next commit write it. finished says that the request's
-// outcome is known, whether it was served or not. now is of the boot clock.
+// appendRecord stores an entry in the key table and adds its record to the next commit. finished reports whether the
+// outcome of the request is known, served or not. now is the boot clock.
 func (w *writer) appendRecord(entry recovery.KeyEntry, finished bool, now time.Duration) {
 	w.keys.Put(entry)
 	record := newRecord(entry, now, w.logHeader.CreatedAt.SinceBoot)
@@ -57,7 +57,8 @@
 	w.nextSequence++
 }
 
-// commit makes the appended records durable.
+// commit writes and syncs the appended records. It returns errTableOverdue if that would be too much for the time since
+// the last key table.
 func (w *writer) commit() error {
 	raw := w.pending
 	w.pending = w.pending[:0]
@@ -84,5 +85,5 @@
 	return nil
 }
 
-// needsKeyTable reports whether enough records were written to replace them by a new key table.
+// needsKeyTable reports whether enough records were written since the last key table for a new one to replace them.
 func (w *writer) needsKeyTable() bool { return w.bytesSinceTable > w.maxBytes/sizeParts }
--- a/internal/store/parse.go
+++ b/internal/store/parse.go
@@ -14,15 +14,16 @@
 
 // trailer is the last frame of a snapshot.
 type trailer struct {
-	Frames uint64 `cbor:"1,keyasint"` // between the header and the trailer
+	Frames uint64 `cbor:"1,keyasint"` // number of frames between the header and the trailer
 }
 
 var errNoHeader = errors.New("no whole header")
 
-// decoding is strict but for text that is not UTF-8: idempotency keys are the clients' own bytes.
+// decoding rejects anything that is not strictly encoded, except for text that is not valid UTF-8: idempotency keys are
+// arbitrary bytes chosen by clients.
 var decoding = strictcbor.NewDecMode(estimate.MaxPublishedRoutes, true)
 
-// readHeader reads a file's header and returns the bytes behind it.
+// readHeader decodes the header of a file and returns the bytes after it.
 func readHeader(raw []byte) (header recovery.Header, rest []byte, err error) {
 	sequence, payload, rest, ok := readFrame(raw, 0)
 	if !ok || sequence != 0 {
@@ -34,7 +35,7 @@
 	return header, rest, nil
 }
 
-// parseFile reads a file's bytes. The result does not point into raw.
+// parseFile decodes the contents of a file. The result does not refer to raw.
 func parseFile(name string, raw []byte) recovery.File {
 	f := recovery.File{Name: name}
 	header, rest, err := readHeader(raw)
@@ -61,7 +62,7 @@
 	return r, true
 }
 
-// parseLog reads the records up to the first damage, and salvages those behind it.
+// parseLog reads the records up to the first damage, and salvages those after it.
 func parseLog(f *recovery.File, raw, rest []byte) {
 	id, next := f.Header.ID, f.Header.Sequence
 	for len(rest) > 0 {
@@ -80,7 +81,8 @@
 	f.Salvaged = salvage(rest, id, next)
 }
 
-// salvage finds the undamaged records of a log from sequence number next on, wherever their frames begin.
+// salvage returns the undamaged records of a log with sequence numbers from next on. It searches raw for their frames,
+// which may begin at any offset.
 func salvage(raw []byte, id, next uint64) (records []recovery.Record) {
 	for len(raw) > 0 {
 		if sequence, payload, after, ok := readFrame(raw, id); ok && sequence >= next {
@@ -99,7 +101,7 @@
 	return records
 }
 
-// parseSnapshot reads a snapshot of the estimates or the key table. It is used completely or not at all.
+// parseSnapshot reads a snapshot of the estimates or of the key table. It returns no content of an incomplete snapshot.
 func parseSnapshot(f *recovery.File, raw, rest []byte) {
 	for next := uint64(1); ; next++ {
 		sequence, payload, after, ok := readFrame(rest, f.Header.ID)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -8,7 +8,8 @@
 	"quartzpoint/recovery"
 )
 
-// The delay before the directory is retried doubles from the first to the second.
+// The delay before the directory is retried is minRetryDelay at first. It doubles with each failure, up to
+// maxRetryDelay.
 const (
 	minRetryDelay = time.Second
 	maxRetryDelay = 30 * time.Second
@@ -21,7 +22,8 @@
 	}
 }
 
-// readState plans what is used of a directory, and adds its keys to the unwritten ones. It returns those that are new.
+// readState decides which state in a directory is used, and adds the keys to the unwritten ones. Recovered contains
+// only the keys that were not among those yet.
 func (s *Store) readState(w *writer) (recovery.Plan, Recovered, error) {
 	plan, err := w.plan(recovery.Environment{Now: s.options.Clock(), Site: s.options.Site, Schema: s.options.Schema})
 	recovered := Recovered{Estimates: plan.Estimates, UnservedKeys: plan.UnservedKeys, ReadAt: s.now()}
@@ -40,8 +42,8 @@
 	return plan, recovered, nil
 }
 
-// open reads the directory and writes all that is known anew. What it read and was not known is returned with an error
-// too.
+// open reads the directory and rewrites all known state. If it fails after reading, it returns the state that it has
+// read together with the error.
 func (s *Store) open() (Recovered, error) {
 	start := s.now()
 	dir, err := s.options.OpenDir(false)
@@ -63,7 +65,7 @@
 	return recovered, nil
 }
 
-// openReadOnly reads a directory that cannot be written to: what has run must not run again for that.
+// openReadOnly reads a directory that cannot be written to, so that requests that have run do not run again.
 func (s *Store) openReadOnly() Recovered {
 	dir, err := s.options.OpenDir(true)
 	if err != nil {
@@ -74,19 +76,19 @@
 	return recovered
 }
 
-// suspend goes on without the directory after a failure.
+// suspend continues without the directory after a failure, and schedules a retry.
 func (s *Store) suspend(err error) {
 	s.options.Counts.Count(countDirFailed)
 	if !s.suspended.Swap(true) {
 		s.options.Log.Error("state directory failed, serving without it", "error", err, "retry_in", s.retryDelay)
 	}
 	if s.writer != nil {
-		if s.job != nil { // it writes to the same directory
+		if s.job != nil { // the job writes to the same directory
 			<-s.job
 			s.job = nil
 		}
 		s.unwritten = s.writer.keys
-		_ = s.writer.close() // its files no longer count: all is written anew
+		_ = s.writer.close() // its files no longer matter: open rewrites all state
 		s.writer = nil
 	}
 	s.retryAt = s.now() + s.retryDelay
--- a/internal/store/retention.go
+++ b/internal/store/retention.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// retainedTables key tables are kept, and the logs behind the older one, so that there is another if one is damaged.
+	// retainedTables is the number of key tables that are kept, with the logs written after the older one, so that the
+	// older table can be used if the newer one is damaged.
 	retainedTables    = 2
 	retainedEstimates = 2
 	maxQuarantined    = 8 // files
 )
 
-// quarantine keeps what a start did not use, under names that no start reads.
+// quarantine keeps the data that a start does not use, under names that no start reads.
 func (w *writer) quarantine(all []recovery.Quarantined) error {
 	if len(all) == 0 {
 		return nil
@@ -35,9 +36,9 @@
 		to := fmt.Sprintf("%s-%s", fileName(quarantinePrefix, next), q.Name)
 		next++
 		switch {
-		case q.FromByte > 0: // the file stays: its complete part is needed until a snapshot holds it
+		case q.FromByte > 0: // the file stays: its undamaged part is needed until a snapshot contains it
 			err = w.copyFrom(q.Name, q.FromByte, to)
-		case sizes[q.Name] == 0: // created just before a power loss
+		case sizes[q.Name] == 0: // empty: created just before a power loss
 			err = w.dir.Remove(q.Name)
 		default:
 			err = w.dir.Rename(q.Name, to)
@@ -49,7 +50,7 @@
 	return errors.Join(w.dir.Sync(), w.trimQuarantine())
 }
 
-// copyFrom copies the bytes of a file from an offset on.
+// copyFrom copies the bytes of a file from an offset on to a new file.
 func (w *writer) copyFrom(name string, offset int64, to string) error {
 	raw, err := w.dir.Read(name, w.maxBytes)
 	if err != nil {
@@ -58,7 +59,8 @@
 	return w.createFile(to, raw[min(offset, int64(len(raw))):])
 }
 
-// trimQuarantine removes the oldest quarantined files over maxQuarantined, or over one part of the size limit.
+// trimQuarantine removes the oldest quarantined files while there are more than maxQuarantined, or while they exceed
+// one part of the size limit (see sizeParts). The newest one always stays.
 func (w *writer) trimQuarantine() error {
 	entries, err := w.dir.List()
 	if err != nil {
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// keepNewest removes all files with a prefix but the newest few.
+// keepNewest removes the files with a prefix, except for the newest ones, of which keep stay.
 func (w *writer) keepNewest(prefix string, keep int) error {
 	entries, err := w.dir.List()
 	if err != nil {
@@ -98,7 +100,8 @@
 	return nil
 }
 
-// prune removes all key tables but the newest retainedTables, and the logs that the oldest remaining table covers completely.
+// prune removes all key tables except the newest retainedTables, and the logs that the oldest remaining table covers
+// completely.
 func (w *writer) prune() error {
 	if err := w.keepNewest(tablePrefix, retainedTables); err != nil {
 		return err
--- a/internal/store/run.go
+++ b/internal/store/run.go
@@ -10,14 +10,14 @@
 
 const (
 	idleCommitsBeforeSleep = 20          // commit intervals without a record, after which the goroutine stops polling
-	sleepInterval          = time.Hour   // between wake-ups without any work
-	expireInterval         = time.Second // between searches of a full key table for expired entries
-	// estimatesInterval is a little less than the second in which the server publishes its estimates, so that each
-	// publication is written although its time varies.
+	sleepInterval          = time.Hour   // longest wait if there is nothing to do
+	expireInterval         = time.Second // minimum time between searches of a full key table for expired entries
+	// estimatesInterval is the minimum time between two writes of estimates. It is a little less than the second in
+	// which the server publishes its estimates, so that each publication is written although its time varies.
 	estimatesInterval = 900 * time.Millisecond
 )
 
-// batch is what was queued since the last turn of the store's goroutine.
+// batch holds what was queued since the previous iteration of run.
 type batch struct {
 	records   []queuedRecord
 	lastMark  uint64
@@ -25,7 +25,7 @@
 	closing   bool
 }
 
-// run is the store's goroutine. Records that arrive within one commit interval are written together.
+// run is the main loop of the store's goroutine. It writes records that arrive within one commit interval together.
 func (s *Store) run() {
 	defer close(s.stopped)
 	timer := time.NewTimer(0)
@@ -35,7 +35,7 @@
 		select {
 		case <-s.wake:
 		case <-timer.C:
-		case err := <-s.job: // nil if no job runs, and never ready then
+		case err := <-s.job: // nil if no job runs; a nil channel is never ready
 			if s.job = nil; err != nil {
 				s.suspend(err)
 			}
@@ -59,7 +59,7 @@
 	}
 }
 
-// nextWait decides whether the goroutine polls, and returns how long it waits for more to do.
+// nextWait decides whether the goroutine polls, and returns how long it waits for new work.
 func (s *Store) nextWait(idleCommits int) time.Duration {
 	wait := sleepInterval
 	if s.writer == nil {
@@ -71,13 +71,14 @@
 	switch {
 	case s.polling:
 		return s.options.CommitInterval
-	case len(s.queue) > 0: // queued while the goroutine was polling, so nobody woke it
+	case len(s.queue) > 0: // queued while the goroutine was polling, so no caller woke it
 		return 0
 	}
 	return wait
 }
 
-// dequeue gathers records for the commit interval, unless the goroutine did so while it was polling, and takes them.
+// dequeue returns everything that is queued. It first waits for the commit interval so that more records are queued,
+// unless the goroutine has just done so by polling.
 func (s *Store) dequeue() batch {
 	s.mu.Lock()
 	gather := len(s.queue) > 0 && s.writer != nil && !s.closing && !s.polling
@@ -113,8 +114,8 @@
 	s.options.OnDurable()
 }
 
-// putRecord adds a record to the key table, and to the next commit if there is a writer. A key that the table has no
-// room for is not stored, nor is such a result.
+// putRecord adds a record to the key table, and to the next commit if there is a writer. If the table is full, a new
+// key is not stored at all, and a known key is stored without its result.
 func (s *Store) putRecord(r queuedRecord, now time.Duration) {
 	keys := s.unwritten
 	if s.writer != nil {
@@ -142,7 +143,7 @@
 
 func (s *Store) maxTableBytes() int { return int(s.options.MaxBytes / sizeParts) }
 
-// startDueJob starts the job that is due, if any. One runs at a time.
+// startDueJob starts the job that is due, if any. Only one job runs at a time.
 func (s *Store) startDueJob() {
 	switch {
 	case s.writer == nil || s.job != nil:
@@ -155,7 +156,7 @@
 	}
 }
 
-// estimatesJob returns the job of writing the newest estimates, or nil if they should not be persisted.
+// estimatesJob returns the job that writes the newest estimates, or nil if they should not be persisted.
 func (s *Store) estimatesJob() func() error {
 	snapshot, now := s.pendingEstimates, s.now()
 	s.pendingEstimates = nil
@@ -166,15 +167,15 @@
 	return s.writer.estimatesJob(*snapshot)
 }
 
-// startJob runs a job beside the store's goroutine, which waits for it before it closes the directory.
+// startJob runs a job on a separate goroutine. The store's goroutine waits for it before it closes the directory.
 func (s *Store) startJob(job func() error) {
 	done := make(chan error, 1)
 	s.job = done
 	go func() { done <- job() }()
 }
 
-// finish waits for the running job, writes the newest estimates, and closes the directory. It returns an error where not all
-// of the state is on disk.
+// finish waits for the running job, writes the newest estimates, and closes the directory. It returns an error if not
+// all state is on disk.
 func (s *Store) finish() error {
 	if s.writer == nil {
 		return errSuspended
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -17,55 +17,57 @@
 
 const (
 	maxKeyBytes = 8 << 10
-	// maxResultBytes bounds a stored result. After a restart, repeats of a key with a larger one are aborted and still
-	// not run.
+	// maxResultBytes is the maximum size of a stored result. If the result of a key is larger, repeats of the key after
+	// a restart are aborted, but still not run.
 	maxResultBytes    = 64 << 10
-	maxQueueBytes     = 4 << 20 // of records that wait for the disk
-	recordMemoryBytes = 128     // of a queued record beside its key and result
+	maxQueueBytes     = 4 << 20 // of records that wait to be written
+	recordMemoryBytes = 128     // of a queued record without its key and result
 
-	stallTimeout      = time.Second     // of a write, after which requests no longer wait for it
-	lockTimeout       = 3 * time.Second // over the 2.5 s that the process before may take to shut down
+	stallTimeout      = time.Second     // duration of a write from which on requests no longer wait for it
+	lockTimeout       = 3 * time.Second // more than the 2.5 s that the previous process may take to shut down
 	lockRetryInterval = 50 * time.Millisecond
 	closeTimeout      = 250 * time.Millisecond
 )
 
-// The errors of Close, beside those of the directory.
+// The errors that Close returns in addition to those of the directory.
 var (
 	errCloseTimeout = fmt.Errorf("state not written completely within %v", closeTimeout)
-	errSuspended    = errors.New("the state directory cannot be used")
+	errSuspended    = errors.New("state directory cannot be used")
 )
 
 // Options configure a Store.
 type Options struct {
-	// OpenDir opens the directory, read-only without taking its lock.
+	// OpenDir opens the directory. If readOnly is set, it does not take the lock of the directory.
 	OpenDir func(readOnly bool) (datadir.Dir, error)
 	Clock   func() recovery.Timestamp
-	NewID   func() uint64 // random; those of two files must differ
+	NewID   func() uint64 // random; unique to each file
 	Site    string        // files of another site are not used
 	Schema  estimate.Schema
-	// MaxBytes limits the size of all files together.
+	// MaxBytes is the limit for the total size of all files.
 	MaxBytes int64
-	// CommitInterval is the time for which records are gathered before they are written together; 0 for none.
+	// CommitInterval is the time for which records are collected before they are written together; 0 for none.
 	CommitInterval time.Duration
-	PersistKeys    bool // whether idempotency keys are stored, beside the estimates
+	PersistKeys    bool // whether idempotency keys are stored in addition to the estimates
 	Counts         *invariant.Counters
 	Log            *slog.Logger
-	// OnDurable is called when DurableMark has changed: from the store's goroutine, or during New from its caller's.
+	// OnDurable is called after DurableMark has changed: on the store's goroutine or, during New, on that of its
+	// caller.
 	OnDurable func()
-	// OnLateRecovery gets what could be read only after the start, from the store's goroutine. It may be nil.
+	// OnLateRecovery receives the state that could be read only after the start. It is called on the store's goroutine
+	// and may be nil.
 	OnLateRecovery func(Recovered)
 }
 
-// Recovered is what a directory held.
+// Recovered is the state that was read from a directory.
 type Recovered struct {
-	Estimates    estimate.Snapshot // aged to ReadAt; without a fresh one (HasFresh) if none can be used
+	Estimates    estimate.Snapshot // aged to ReadAt; without a fresh estimate (HasFresh) if none can be used
 	Keys         []recovery.KeyEntry
-	UnservedKeys int           // keys that started and are not known to have been served
-	ReadAt       time.Duration // by the boot clock
-	Duration     time.Duration // of reading the directory and writing it anew
+	UnservedKeys int           // keys whose requests started and are not known to have been served
+	ReadAt       time.Duration // boot clock
+	Duration     time.Duration // of reading and rewriting the directory
 }
 
-// merge adds what was read later. Of two snapshots of the estimates the first is kept.
+// merge adds state that was read later. Fresh estimates are kept, not replaced by later ones.
 func (r *Recovered) merge(later Recovered) {
 	if !r.Estimates.HasFresh() {
 		r.Estimates = later.Estimates
@@ -75,11 +77,13 @@
 	r.ReadAt = max(r.ReadAt, later.ReadAt)
 }
 
-// Store writes what it is given and never blocks its callers. If the disk fails, the server runs on without it: the store
-// logs that once, retries the directory with growing delays, and then writes all that is still known anew.
+// Store writes records and estimates to a directory and never blocks its callers. If the disk fails, the server
+// continues without it: the store logs the failure once, retries the directory with growing delays, and then rewrites
+// all state that is still known.
 //
-// After New, which reads the directory in its caller's goroutine, one goroutine owns the directory until Close. It hands single
-// operations that may stall to a goroutine of their own, one at a time, and waits for them only so long.
+// After New, which reads the directory on its caller's goroutine, one goroutine owns the directory until Close. It
+// writes estimates and key tables on a separate goroutine, one file at a time, and waits for that goroutine only before
+// it closes the directory.
 type Store struct {
 	options Options
 	wake    chan struct{}
@@ -90,29 +94,29 @@
 	mu              sync.Mutex
 	queue           []queuedRecord
 	queuedBytes     int
-	lastMark        uint64 // of the last record that was queued
+	lastMark        uint64 // of the last queued record
 	queuedEstimates *estimate.Snapshot
 	closing         bool
-	polling         bool // the goroutine looks at the queue by itself, which spares the caller the cost of waking it
+	polling         bool // the store's goroutine polls the queue, which spares the callers the cost of waking it
 
 	durableMark  atomic.Uint64
 	suspended    atomic.Bool  // the directory cannot be used
-	writingSince atomic.Int64 // boot clock when the current write started; 0 while there is none
+	writingSince atomic.Int64 // boot clock when the current write started; 0 if there is none
 
-	// Of the store's goroutine alone.
+	// Used by New, and then only by the store's goroutine.
 	writer             *writer            // nil while suspended
 	unwritten          *recovery.KeyTable // the key table while there is no writer
 	retryAt            time.Duration      // boot clock
 	retryDelay         time.Duration
-	job                chan error // gets the result of the running job; nil if none runs
+	job                chan error // receives the result of the running job; nil if none runs
 	pendingEstimates   *estimate.Snapshot
 	writtenEstimates   estimate.Snapshot
 	estimatesWrittenAt time.Duration // boot clock
 	expiredAt          time.Duration // boot clock when a full key table was last searched for expired entries
 }
 
-// queuedRecord is a record that waits to be written. Its window is counted from when it is dequeued, a little late,
-// which makes it longer and never shorter.
+// queuedRecord is a record that waits to be written. Its dedup window is counted from the time when it is dequeued. As
+// that is a little late, the stored window can be longer than the remaining one, but never shorter.
 type queuedRecord struct {
 	entry     recovery.KeyEntry // without ExpiresAt
 	remaining time.Duration
@@ -123,9 +127,9 @@
 	return len(r.entry.Key) + len(r.entry.Result) + recordMemoryBytes
 }
 
-// New reads a directory and starts to store what it is given. If another process holds the directory's lock, New waits
-// for it and then fails with datadir.ErrInUse: two servers with one directory would each run what the other has run.
-// After any other failure the store starts suspended, and New returns no error.
+// New reads a directory and starts a store that writes to it. If another process has the lock of the directory, New
+// retries for lockTimeout and then returns datadir.ErrInUse: two servers with one directory would each run requests
+// that the other has run already. After any other failure the store starts suspended, and New returns no error.
 func New(options Options) (*Store, Recovered, error) {
 	s := &Store{
 		options: options, wake: make(chan struct{}, 1), stopped: make(chan struct{}), retryDelay: minRetryDelay,
@@ -149,15 +153,16 @@
 	return s, recovered, nil
 }
 
-// RecordStart stores that the request of a key is about to run. remaining is what is left of its deduplication window.
-// The request may run once DurableMark has reached the mark.
+// RecordStart stores that the request of a key is about to run. remaining is the time left of its dedup window. The
+// request may run once DurableMark has reached mark.
 func (s *Store) RecordStart(key string, fingerprint uint64, remaining time.Duration) (mark uint64) {
 	return s.enqueue(queuedRecord{
 		entry: recovery.KeyEntry{Key: key, Fingerprint: fingerprint}, remaining: remaining,
 	})
 }
 
-// RecordEnd stores the outcome of a request. The result is not copied and must not be changed: later snapshots hold it.
+// RecordEnd stores the outcome of a request. The result is not copied and must not be changed afterwards: later
+// snapshots include it.
 func (s *Store) RecordEnd(key string, fingerprint uint64, remaining time.Duration, served bool, result []byte) {
 	s.enqueue(queuedRecord{
 		entry:     recovery.KeyEntry{Key: key, Fingerprint: fingerprint, Served: served, Result: result},
@@ -165,7 +170,7 @@
 	})
 }
 
-// enqueue returns the record's mark, or 0 if it is not going to be stored.
+// enqueue queues a record and returns its mark, or 0 if the record will not be stored.
 func (s *Store) enqueue(r queuedRecord) (mark uint64) {
 	if !s.options.PersistKeys {
 		return 0
@@ -193,8 +198,9 @@
 	return s.lastMark
 }
 
-// DurableMark returns the mark up to which requests need not wait any longer: the records are durable, or cannot be made
-// so for now, as the server runs on without the disk. A write that takes over stallTimeout counts as a failed disk.
+// DurableMark returns the mark up to which requests need not wait any longer: their records are durable, or cannot be
+// made durable for now and the server runs without the disk. A write that takes longer than stallTimeout counts as a
+// disk failure.
 func (s *Store) DurableMark() uint64 {
 	if s.suspended.Load() {
 		return math.MaxUint64
@@ -206,7 +212,7 @@
 	return s.durableMark.Load()
 }
 
-// SaveEstimates stores a snapshot in place of the one before it. The newest is written about once a second.
+// SaveEstimates stores a snapshot in place of the previous one. The newest is written about once a second.
 func (s *Store) SaveEstimates(snapshot estimate.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,8 +220,8 @@
 	s.wakeWriter()
 }
 
-// Close has what is queued written and the directory closed. It waits for that up to closeTimeout, and returns an error where
-// not all of the state is on disk by then.
+// Close writes the queued state and closes the directory. It waits up to closeTimeout for that, and returns an error if
+// not all state is on disk by then.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	s.closing = true
@@ -237,5 +243,5 @@
 	}
 }
 
-// now reads the boot clock.
+// now returns the boot clock.
 func (s *Store) now() time.Duration { return s.options.Clock().SinceBoot }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	minFreeBytes = 4 << 20 // left on the disk beside what is to be written
-	// sizeParts divides the directory's size limit. The key table takes up to one part, and so do the records after which
-	// a new table is written; the rest is for the generation before, quarantined files and a table being written.
+	minFreeBytes = 4 << 20 // free space that must remain on the disk after a write
+	// sizeParts is the number of parts into which the size limit of the directory is divided. The key table takes up to
+	// one part, and so do the records after which a new table is written; the other parts are for the previous
+	// generation, quarantined files and the table that is being written.
 	sizeParts        = 8
-	segmentsPerTable = 4       // log files that the records between two key tables are spread over
-	maxIdleBuffer    = 1 << 20 // bytes; a buffer that a burst made larger is dropped
+	segmentsPerTable = 4       // log files for the records between two key tables
+	maxIdleBuffer    = 1 << 20 // bytes; a buffer that has grown larger in a burst is released
 )
 
 var (
-	errDiskFull     = errors.New("no space left on the disk, or too little")
-	errTableOverdue = errors.New("more to be written than the disk takes")
+	errDiskFull     = errors.New("not enough free space on the disk")
+	errTableOverdue = errors.New("too many records since the last key table: the disk is too slow")
 )
 
 // writer writes the state files of a directory. Its methods are called by one goroutine. The jobs that it returns may
-// run beside that goroutine, one at a time.
+// run concurrently with that goroutine, one at a time.
 type writer struct {
 	dir         datadir.Dir
 	clock       func() recovery.Timestamp
-	newID       func() uint64 // of a file
+	newID       func() uint64 // of the next file
 	site        string
-	maxBytes    int64 // of all files
+	maxBytes    int64 // limit for all files together
 	persistKeys bool
 
 	keys            *recovery.KeyTable
 	log             datadir.File
 	logHeader       recovery.Header
 	nextSequence    uint64 // of the next record
-	nextEstimates   uint64 // of the next file of estimates
+	nextEstimates   uint64 // of the next estimates file
 	pending         []byte // frames to be written by the next commit
 	segmentBytes    int64  // of the current log file
 	bytesSinceTable int64  // of all log files since the last key table
 }
 
-// plan decides what is used of the directory. It changes nothing.
+// plan decides which state in the directory is used. It changes nothing.
 func (w *writer) plan(environment recovery.Environment) (recovery.Plan, error) {
 	files, err := readFiles(w.dir, w.maxBytes, w.persistKeys)
 	if err != nil {
@@ -54,8 +55,8 @@
 	return recovery.NewPlan(files, environment), nil
 }
 
-// apply carries out a plan: it quarantines what is not used, writes a snapshot of the key table, and starts a log behind
-// it. Nothing is removed before what replaces it is durable.
+// apply carries out a plan: it quarantines data that is not used, writes a snapshot of the key table, and starts a new
+// log. Nothing is removed before its replacement is durable.
 func (w *writer) apply(plan recovery.Plan, keys *recovery.KeyTable) error {
 	w.keys, w.nextSequence, w.nextEstimates = keys, plan.NextSequence, plan.NextEstimates
 	if err := w.quarantine(plan.Quarantine); err != nil {
@@ -70,7 +71,7 @@
 	return w.rotateLog()
 }
 
-// removeTemporary removes files that a crash left incomplete.
+// removeTemporary removes incomplete files that a crash left.
 func (w *writer) removeTemporary() error {
 	entries, err := w.dir.List()
 	if err != nil {
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// createFile writes a file and syncs it. Its name is not durable yet.
+// createFile writes and syncs a new file. Its name becomes durable only when the directory is synced.
 func (w *writer) createFile(name string, raw []byte) error {
 	if err := w.requireFree(int64(len(raw))); err != nil {
 		return err
@@ -102,7 +103,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// requireFree fails if the disk has no space for bytes more.
+// requireFree returns errDiskFull if the disk would have less than minFreeBytes free after a write of that many bytes.
 func (w *writer) requireFree(bytes int64) error {
 	free, err := w.dir.FreeBytes()
 	if err != nil {
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// replaceFile writes a file that appears under its name completely or not at all.
+// replaceFile writes a file atomically: the name refers either to the complete file or to what it referred to before.
 func (w *writer) replaceFile(name string, raw []byte) error {
 	temporary := temporaryPrefix + name
 	if err := w.createFile(temporary, raw); err != nil {
@@ -133,7 +134,7 @@
 	}
 }
 
-// estimatesJob returns the job of writing a snapshot of the estimates.
+// estimatesJob returns the job that writes a snapshot of the estimates.
 func (w *writer) estimatesJob(snapshot estimate.Snapshot) func() error {
 	header := w.newHeader(recovery.EstimatesFile, w.nextEstimates)
 	header.SettingsDigest = snapshot.SettingsDigest
@@ -149,7 +150,7 @@
 	}
 }
 
-// keyTableJob returns the job of writing a snapshot of the key table. It then removes the logs and tables that are no
+// keyTableJob returns the job that writes a snapshot of the key table and then removes the logs and tables that are no
 // longer needed.
 func (w *writer) keyTableJob() func() error {
 	header := w.newHeader(recovery.KeyTableFile, w.nextSequence-1)
@@ -170,7 +171,7 @@
 	}
 }
 
-// newRecord makes the record of an entry. now and fileCreated are of the boot clock.
+// newRecord returns the record of an entry. now and fileCreated are readings of the boot clock.
 func newRecord(entry recovery.KeyEntry, now, fileCreated time.Duration) recovery.Record {
 	r := recovery.Record{
 		Kind: recovery.KeyStarted, Key: entry.Key, Fingerprint: entry.Fingerprint,
