--- a/internal/store/configuration_store_test.go
+++ b/internal/store/configuration_store_test.go
@@ -13,7 +13,7 @@
 	"quartzpoint/internal/testkit/faultdisk"
 )
 
-// storeChanges stores some versions, large ones among them, and reports each that is durable.
+// storeChanges stores a number of versions, some of them large, and calls durable with each version that is durable.
 func storeChanges(dir datadir.Dir, changes int, durable func(d *configuration.Document)) error {
 	c, recovered, err := OpenConfigurationStore(dir)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// The power fails at every operation. A start must then read the last version that was durable, or the one that was being
+// The power fails at every operation. The next start must read the last durable version, or the version that was being
 // written, completely.
 func TestConfigurationAcrossPowerLoss(t *testing.T) {
 	const changes = 30
@@ -72,7 +72,7 @@
 			} else {
 				require.Equal(t, last.Version+1, recovered.Document.Version, "at %d", at)
 			}
-			require.NoError(t, storeChanges(after, 3, func(d *configuration.Document) { last = d }), "goes on")
+			require.NoError(t, storeChanges(after, 3, func(d *configuration.Document) { last = d }), "further changes are stored")
 			_, recovered, err = OpenConfigurationStore(after)
 			require.NoError(t, err)
 			require.Equal(t, last, recovered.Document)
@@ -80,8 +80,8 @@
 	}
 }
 
-// A file with any one byte wrong is read as a version that was stored, or not at all. The directory holds one file, whose
-// size is bounded by that of the document.
+// A file with one corrupted byte is read as a version that was stored, or not at all. The directory holds one file,
+// whose size is bounded by that of the document.
 func TestDamagedConfiguration(t *testing.T) {
 	disk := faultdisk.New()
 	versions := map[uint64]*configuration.Document{}
@@ -108,7 +108,7 @@
 	assert.Less(t, many.TotalBytes(), int64(3*minRetainedDeltaBytes))
 }
 
-// A disk fails: the change is reported as not stored, and the next version is stored again.
+// The disk fails: the change is reported as not stored, and the next version is stored once the disk works again.
 func TestConfigurationDiskFails(t *testing.T) {
 	disk := faultdisk.New()
 	c, _, err := OpenConfigurationStore(disk)
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -23,8 +23,8 @@
 	m.Run()
 }
 
-// The power fails at every operation of some recorded runs, and again during the starts after it. What was reported
-// durable must be there after each, and the next start must read the same.
+// The power fails at every operation of several scripted runs, and again during the starts that follow. After each
+// power loss, the state that was reported durable must be recovered, and again by the next start.
 func TestPowerLossAtEveryOperation(t *testing.T) {
 	crashes := 0
 	for seed := int64(1); seed <= 4; seed++ {
@@ -38,7 +38,7 @@
 				loss := faultdisk.RandomLoss{Rand: rand.New(rand.NewSource(draw*1e6 + int64(at)))}
 				after := disk.Crash(loss)
 				crashes++
-				for again := at % 7; again > 0; again -= 3 { // the power fails during the start, too
+				for again := at % 7; again > 0; again -= 3 { // the power fails again during the start
 					after.PowerLossAt = again
 					if _, err := newTestWriter(after, 1000).restart(); err == nil {
 						break
@@ -49,7 +49,7 @@
 				plan, err := newTestWriter(after, 2000).restart()
 				require.NoError(t, err, "seed %d at %d draw %d", seed, at, draw)
 				require.NoError(t, ref.check(plan), "seed %d at %d draw %d", seed, at, draw)
-				plan, err = newTestWriter(after, 3000).restart() // reads what the start before wrote
+				plan, err = newTestWriter(after, 3000).restart() // reads the files that the previous start wrote
 				require.NoError(t, err)
 				require.NoError(t, ref.check(plan), "seed %d at %d draw %d, second start", seed, at, draw)
 			}
@@ -58,7 +58,8 @@
 	t.Logf("%d crashes", crashes)
 }
 
-// The log is cut short at every byte. Complete records stay, and nothing is made of the rest.
+// The log is truncated at every byte. Recovery must return only recorded states, and at most as many keys as fit into
+// the remaining bytes.
 func TestTornAtEveryByte(t *testing.T) {
 	disk, ref := faultdisk.New(), newModel()
 	w := newTestWriter(disk, 0)
@@ -81,8 +82,9 @@
 	}
 }
 
-// Any one bit of any file flips. What is read must then be what was written, or nothing of it, or a key whose outcome is
-// not known; behind a damaged snapshot there is an older one.
+// Every bit of every file is flipped in turn. A key must then be recovered as it was written, with an unknown outcome,
+// or not at all. If a snapshot is damaged, an older one is used: the keys of the first round and the estimates must
+// always be recovered.
 func TestEveryBitFlipped(t *testing.T) {
 	disk, ref := faultdisk.New(), newModel()
 	w := newTestWriter(disk, 0)
@@ -117,7 +119,7 @@
 			plan, err := newTestWriter(disk, 9).plan(w.environment())
 			require.NoError(t, err)
 			require.NoError(t, ref.check(plan), "%s bit %d", name, bit)
-			for i := range 2 { // started before the last table but one: in two snapshots and in the log
+			for i := range 2 { // started before the second to last table: in two snapshots and in the log
 				_, known := plan.Keys.Get(fmt.Sprint("pay\x00", i))
 				require.True(t, known, "%s bit %d", name, bit)
 			}
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// Problems lists the state that a start would not use, completely or in part. It is empty for an undamaged directory.
+// Problems lists the files that a start would not use, completely or in part, each with the reason. It is empty if there
+// are none; quarantined files do not count.
 func (r Report) Problems() (problems []string) {
 	for _, f := range r.Files {
 		switch {
--- a/internal/store/inspect_test.go
+++ b/internal/store/inspect_test.go
@@ -12,7 +12,7 @@
 	"quartzpoint/recovery"
 )
 
-// The JSON of a report is read by operators' scripts, so its member names must not change with those of the fields.
+// Operators' scripts read the JSON of a report, so its member names must stay when the fields are renamed.
 func TestReportMemberNames(t *testing.T) {
 	w := newTestWriter(faultdisk.New(), 0)
 	_, err := w.restart()
--- a/internal/store/keylog.go
+++ b/internal/store/keylog.go
@@ -57,8 +57,8 @@
 	w.nextSequence++
 }
 
-// commit writes and syncs the appended records. It returns errTableOverdue if that would be too much for the time since
-// the last key table.
+// commit writes and syncs the appended records. It returns errTableOverdue if the records since the last key table would
+// then take more than two parts of the size limit (see sizeParts).
 func (w *writer) commit() error {
 	raw := w.pending
 	w.pending = w.pending[:0]
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	maxTestBytes   = 64 << 20 // enough that no key is left out for its size, which the test would take for a loss
+	maxTestBytes   = 64 << 20 // large enough that no key is dropped for lack of space, which the test would report as a loss
 	childVariable  = "QUARTZPOINT_STORE_CHILD"
-	exitLostEffect = 7 // exit code of a child that does not know a key whose effect had happened
+	exitLostEffect = 7 // exit code of a child that did not recover a key whose effect has happened, or recovered a wrong result
 )
 
 func osDirOptions(dir string, counts *invariant.Counters) Options {
@@ -33,9 +33,9 @@
 	}
 }
 
-// runChild is the process that is killed. It recovers the directory, compares that with the effects that have happened,
-// and causes new ones. An effect is a line in a file, written by one call once the store has the key; a kill does not undo
-// it. runChild reports whether this process is such a child.
+// runChild is the process that is killed. It recovers the directory, checks that the keys of all effects so far are
+// recovered, and causes new effects. An effect is a line in a file, written by one call once the store has the key; a
+// kill does not undo it. runChild reports whether this process is such a child.
 func runChild() bool {
 	dir := os.Getenv(childVariable)
 	if dir == "" {
@@ -55,10 +55,10 @@
 		}
 	}
 	path := filepath.Join(dir, "effects")
-	previous, _ := os.ReadFile(path) // none at the first start
+	previous, _ := os.ReadFile(path) // no file at the first start
 	for _, key := range strings.Fields(string(previous)) {
 		if !known[key] {
-			fmt.Fprintf(os.Stderr, "%s had its effect and is not known\n", key)
+			fmt.Fprintf(os.Stderr, "key %s is not recovered although its effect has happened\n", key)
 			os.Exit(exitLostEffect)
 		}
 	}
@@ -85,8 +85,8 @@
 	return true
 }
 
-// Processes are killed at random moments of a fixed seed, also during their start. None may miss an effect of those before
-// it, and the directory stays within its size limit.
+// Processes are killed at random times drawn from a fixed seed, also during their start. Each must recover the keys of
+// all effects of earlier processes, and the directory must stay within its size limit.
 func TestKills(t *testing.T) {
 	const lanes, kills = 4, 50
 	var all sync.WaitGroup
@@ -130,6 +130,6 @@
 	all.Wait()
 	t.Logf("%d kills, effects %v", lanes*kills, effects)
 	for _, n := range effects {
-		require.Greater(t, n, kills, "the children got to work at all")
+		require.Greater(t, n, kills, "the children caused effects before they were killed")
 	}
 }
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -33,7 +33,7 @@
 	ids uint64
 }
 
-// newTestWriter draws file ids above ids. Its clock is a millisecond later for each of them.
+// newTestWriter returns a writer whose file ids are above ids. Its clock is that many milliseconds later.
 func newTestWriter(dir datadir.Dir, ids uint64) *testWriter {
 	later := time.Duration(ids) * time.Millisecond
 	w := &testWriter{now: recovery.Timestamp{Wall: 1e18 + later, SinceBoot: 1e12 + later, BootID: "boot", MachineID: 3}, ids: ids}
@@ -48,7 +48,7 @@
 	return recovery.Environment{Now: w.now, Site: "s", Schema: testSchema}
 }
 
-// restart reads what is there, and starts behind it.
+// restart recovers the state in the directory, and prepares the writer to append to it.
 func (w *testWriter) restart() (recovery.Plan, error) {
 	plan, err := w.plan(w.environment())
 	if err != nil {
@@ -57,17 +57,17 @@
 	return plan, w.apply(plan, plan.Keys)
 }
 
-// keyHistory is what was recorded for one key, in order.
+// keyHistory holds the states that were recorded for one key, in order.
 type keyHistory struct {
 	states  []recovery.KeyEntry
-	durable int // how many of the states were reported durable
+	durable int // number of states that were reported durable
 }
 
-// model is the reference in memory that a recovery is compared with.
+// model is the in-memory reference that recovered state is compared with.
 type model struct {
 	keys            map[string]*keyHistory
-	durableSnapshot int // the newest that was reported durable; 0 for none
-	lastSnapshot    int // the newest that was written
+	durableSnapshot int // number of the newest snapshot that was reported durable; 0 for none
+	lastSnapshot    int // number of the newest snapshot that was written
 }
 
 func newModel() *model { return &model{keys: map[string]*keyHistory{}} }
@@ -85,14 +85,15 @@
 	}
 }
 
-// check compares a recovery with the model. What was reported durable must be there as it was. What was not may be there,
-// as it was or as started. Nothing else may be there.
+// check compares recovered state with the model. A key with durable states must be recovered, in the last of them or a
+// later state. A state that was not durable may be recovered as it was recorded or as started. No other keys may be
+// recovered.
 func (m *model) check(plan recovery.Plan) error {
 	for key, history := range m.keys {
 		entry, known := plan.Keys.Get(key)
 		if !known {
 			if history.durable > 0 {
-				return fmt.Errorf("%q was durable and is lost", key)
+				return fmt.Errorf("durable key %q is not recovered", key)
 			}
 			continue
 		}
@@ -102,27 +103,28 @@
 			fits = fits || same && i+1 >= history.durable
 		}
 		if onlyStarted := !entry.Served && entry.Result == nil; !fits && (!onlyStarted || history.durable >= len(history.states)) {
-			return fmt.Errorf("%q is recovered with served=%v result %q, after %d states, %d durable", key, entry.Served, entry.Result, len(history.states), history.durable)
+			return fmt.Errorf("key %q is recovered with served=%v, result %q after %d recorded states, %d of them durable", key, entry.Served, entry.Result, len(history.states), history.durable)
 		}
 	}
 	for _, entry := range plan.Keys.Entries() {
 		if m.keys[entry.Key] == nil {
-			return fmt.Errorf("%q was never recorded", entry.Key)
+			return fmt.Errorf("key %q is recovered but was never recorded", entry.Key)
 		}
 	}
 	if m.durableSnapshot > 0 && !plan.Estimates.HasFresh() {
-		return errors.New("a snapshot was durable and is lost")
+		return errors.New("no snapshot is recovered although one was durable")
 	}
 	if plan.Estimates.HasFresh() {
 		number := int((plan.Estimates.Routes[0].Core.Mean-0.1)*1e4 + 0.5)
 		if number < m.durableSnapshot || number > m.lastSnapshot {
-			return fmt.Errorf("snapshot %d is recovered, and %d was durable, %d written", number, m.durableSnapshot, m.lastSnapshot)
+			return fmt.Errorf("snapshot %d is recovered; the last durable one is %d, the last written one %d", number, m.durableSnapshot, m.lastSnapshot)
 		}
 	}
 	return nil
 }
 
-// runScript runs a random script of so many steps until it ends or the disk fails.
+// runScript executes a random script with the given number of steps. It stops at the first error of the disk and
+// returns it.
 func runScript(w *testWriter, m *model, seed int64, steps int) error {
 	rng := rand.New(rand.NewSource(seed))
 	if _, err := w.restart(); err != nil {
--- a/internal/store/operations_test.go
+++ b/internal/store/operations_test.go
@@ -11,10 +11,10 @@
 	"quartzpoint/recovery"
 )
 
-// operations are those of the exhaustive test; the last three crash.
+// operations are the operations of the exhaustive test; the last three are crashes.
 var operations = []string{"begin", "end", "commit", "table", "rotate", "lose all", "lose none", "lose half"}
 
-// All sequences of operations of one length are run against the model.
+// All sequences of operations of one length are executed and compared with the model.
 func TestModelExhaustively(t *testing.T) {
 	depth := 5
 	if testing.Short() {
@@ -51,10 +51,10 @@
 	disk    *faultdisk.Disk
 	writer  *testWriter
 	model   *model
-	started int // keys
+	started int // number of keys
 }
 
-// runOperations runs one sequence, and loses all that is not durable at its end.
+// runOperations executes one sequence, followed by a crash that loses everything that is not durable.
 func runOperations(sequence []int) error {
 	disk := faultdisk.New()
 	r := &operationRun{disk: disk, writer: newTestWriter(disk, 0), model: newModel()}
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// crash loses what was not synced, starts again, and checks what is recovered. The model then holds only that, durable.
+// crash applies a loss to data that was not synced, restarts, and checks the recovered state. After that the model
+// holds only the recovered state, as durable.
 func (r *operationRun) crash(loss faultdisk.Loss, ids uint64) error {
 	r.disk = r.disk.Crash(loss)
 	r.writer = newTestWriter(r.disk, ids)
--- a/internal/store/parse_test.go
+++ b/internal/store/parse_test.go
@@ -8,7 +8,7 @@
 	"quartzpoint/recovery"
 )
 
-// Whatever bytes a file holds, reading them ends, and returns no more records than they have room for.
+// For a file of arbitrary bytes, reading must end and return no more records than fit into the bytes.
 func FuzzRead(f *testing.F) {
 	dir := faultdisk.New()
 	w := newTestWriter(dir, 0)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -42,8 +42,8 @@
 	return plan, recovered, nil
 }
 
-// open reads the directory and rewrites all known state. If it fails after reading, it returns the state that it has
-// read together with the error.
+// open reads the directory and rewrites all known state. If it fails after reading, it returns the newly recovered
+// state together with the error.
 func (s *Store) open() (Recovered, error) {
 	start := s.now()
 	dir, err := s.options.OpenDir(false)
--- a/internal/store/retention.go
+++ b/internal/store/retention.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// keepNewest removes the files with a prefix, except for the newest ones, of which keep stay.
+// keepNewest removes the oldest files with a prefix until keep files are left.
 func (w *writer) keepNewest(prefix string, keep int) error {
 	entries, err := w.dir.List()
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -17,8 +17,8 @@
 
 const (
 	maxKeyBytes = 8 << 10
-	// maxResultBytes is the maximum size of a stored result. If the result of a key is larger, repeats of the key after
-	// a restart are aborted, but still not run.
+	// maxResultBytes is the maximum size of a stored result. After a restart, repeats of a key with a larger result
+	// are aborted, and still not run.
 	maxResultBytes    = 64 << 10
 	maxQueueBytes     = 4 << 20 // of records that wait to be written
 	recordMemoryBytes = 128     // of a queued record without its key and result
@@ -81,9 +81,9 @@
 // continues without it: the store logs the failure once, retries the directory with growing delays, and then rewrites
 // all state that is still known.
 //
-// After New, which reads the directory on its caller's goroutine, one goroutine owns the directory until Close. It
-// writes estimates and key tables on a separate goroutine, one file at a time, and waits for that goroutine only before
-// it closes the directory.
+// After New, which reads the directory on its caller's goroutine, one goroutine owns the directory until Close. Jobs
+// that write estimates or a new key table may stall, so they run on a separate goroutine, one at a time. The store's
+// goroutine waits for them only before it closes the directory.
 type Store struct {
 	options Options
 	wake    chan struct{}
@@ -243,5 +243,5 @@
 	}
 }
 
-// now returns the boot clock.
+// now returns the reading of the boot clock.
 func (s *Store) now() time.Duration { return s.options.Clock().SinceBoot }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,7 +22,7 @@
 	"quartzpoint/recovery"
 )
 
-// testOptions are the options of a store on a disk in memory, with a clock that the test sets.
+// testOptions are the options of a store on an in-memory disk, with a clock that the test sets.
 type testOptions struct {
 	Options
 	disk           *faultdisk.Disk
@@ -54,7 +54,7 @@
 	require.Eventually(t, condition, 5*time.Second, time.Millisecond, what)
 }
 
-// isDurable reports whether a record is durable, and not only released because the disk failed.
+// isDurable returns a condition that is true once a record is durable, not merely released because the disk failed.
 func isDurable(s *Store, mark uint64) func() bool {
 	return func() bool { at := s.DurableMark(); return at >= mark && at != math.MaxUint64 }
 }
@@ -101,19 +101,19 @@
 	for i := range 500 {
 		mark = s.RecordStart(fmt.Sprint(i), 0, time.Minute)
 	}
-	eventually(t, "kept", isDurable(s, mark))
+	eventually(t, "durable", isDurable(s, mark))
 	assert.LessOrEqual(t, o.disk.Operations()-before, 2*4, "writes and syncs")
 }
 
-// A disk fails in one of several ways. Requests that wait for it are released, one line is logged, and once the disk works
-// again all keys are stored anew, also those recorded meanwhile.
+// A disk fails in one of several ways. Requests that wait for it are released, one line is logged, and once the disk
+// works again all keys are rewritten, including those recorded in the meantime.
 func TestDiskFails(t *testing.T) {
 	cases := []struct {
 		name   string
 		fail   func(o *testOptions)
 		repair func(o *testOptions)
 	}{
-		{"full in the middle", func(o *testOptions) { o.disk.Space = 10 }, func(o *testOptions) { o.disk.Space = -1 }},
+		{"full during a write", func(o *testOptions) { o.disk.Space = 10 }, func(o *testOptions) { o.disk.Space = -1 }},
 		{"read-only", func(o *testOptions) { o.disk.ReadOnly = true }, func(o *testOptions) { o.disk.ReadOnly = false }},
 		{"syncs fail", func(o *testOptions) {
 			o.disk.Fail = func(kind string) error {
@@ -123,7 +123,7 @@
 				return nil
 			}
 		}, func(o *testOptions) { o.disk.Fail = nil }},
-		{"gone", func(o *testOptions) { o.disk.ReadOnly, o.openErr = true, faultdisk.ErrIO }, func(o *testOptions) { o.disk.ReadOnly, o.openErr = false, nil }},
+		{"unavailable", func(o *testOptions) { o.disk.ReadOnly, o.openErr = true, faultdisk.ErrIO }, func(o *testOptions) { o.disk.ReadOnly, o.openErr = false, nil }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -134,25 +134,25 @@
 			s, _, err := New(o.Options)
 			require.NoError(t, err)
 			firstMark := s.RecordStart("kept", 1, time.Hour)
-			eventually(t, "kept", isDurable(s, firstMark))
+			eventually(t, "durable", isDurable(s, firstMark))
 
 			o.disk.Set(func() { c.fail(o) })
 			s.RecordStart("in vain", 1, time.Hour)
-			eventually(t, "let go", func() bool { return s.DurableMark() == math.MaxUint64 })
+			eventually(t, "requests released", func() bool { return s.DurableMark() == math.MaxUint64 })
 			for range 5 { // retries
 				o.advance(maxRetryDelay)
 				s.wakeWriter()
 				time.Sleep(2 * time.Millisecond)
 			}
 			mark := s.RecordStart("meanwhile", 1, time.Hour)
-			assert.GreaterOrEqual(t, s.DurableMark(), mark, "served on without it")
-			assert.Equal(t, 1, lines.count("serving without it"), "one line")
+			assert.GreaterOrEqual(t, s.DurableMark(), mark, "requests do not wait for the failed disk")
+			assert.Equal(t, 1, lines.count("serving without it"), "one log line")
 
 			o.disk.Set(func() { c.repair(o) })
 			o.advance(maxRetryDelay)
 			s.wakeWriter()
 			mark = s.RecordStart("after", 1, time.Hour)
-			eventually(t, "kept again", isDurable(s, mark))
+			eventually(t, "durable again", isDurable(s, mark))
 			assert.Equal(t, 1, lines.count("state directory works again"))
 			assert.NoError(t, s.Close())
 			s, recovered, err := New(o.Options)
@@ -162,13 +162,14 @@
 			for _, entry := range recovered.Keys {
 				keys = append(keys, entry.Key)
 			}
-			assert.ElementsMatch(t, []string{"kept", "in vain", "meanwhile", "after"}, keys, "all that was known is written anew")
-			assert.Empty(t, o.lateRecoveries, "nothing of its own is told as new")
+			assert.ElementsMatch(t, []string{"kept", "in vain", "meanwhile", "after"}, keys, "all known keys are rewritten")
+			assert.Empty(t, o.lateRecoveries, "the store's own keys are not reported as recovered")
 		})
 	}
 }
 
-// A directory that cannot be read at the start is read as soon as it can be, and its keys are reported late.
+// A directory that cannot be read at the start is read as soon as it can be, and its keys are reported to
+// OnLateRecovery.
 func TestLateRecovery(t *testing.T) {
 	o := newTestOptions(faultdisk.New())
 	s, _, err := New(o.Options)
@@ -178,7 +179,7 @@
 
 	o.openErr = faultdisk.ErrIO
 	s, recovered, err := New(o.Options)
-	require.NoError(t, err, "it serves without")
+	require.NoError(t, err, "the store starts suspended")
 	defer func() { assert.NoError(t, s.Close()) }()
 	assert.Empty(t, recovered.Keys)
 	s.RecordStart("new", 1, time.Hour)
@@ -190,7 +191,8 @@
 	assert.Equal(t, "before", got.Keys[0].Key)
 }
 
-// A directory cannot be written to at the start. What it holds is used all the same: what has run must not run again.
+// A directory cannot be written to at the start. Its contents are used nevertheless: requests that have run must not
+// run again.
 func TestReadOnlyAtTheStart(t *testing.T) {
 	o := newTestOptions(faultdisk.New())
 	s, _, err := New(o.Options)
@@ -198,7 +200,7 @@
 	s.RecordStart("before", 1, time.Hour)
 	s.SaveEstimates(numberedSnapshot(1))
 	assert.NoError(t, s.Close())
-	for _, readOnly := range []bool{false, true} { // it opens but cannot be written to, or opens only read-only
+	for _, readOnly := range []bool{false, true} { // the directory opens but cannot be written to, or opens only read-only
 		o.disk.ReadOnly = true
 		o.OpenDir = func(openReadOnly bool) (datadir.Dir, error) {
 			if readOnly && !openReadOnly {
@@ -215,7 +217,7 @@
 	}
 }
 
-// A disk neither fails nor answers. No request waits for it longer than stallTimeout, and the queue stays bounded.
+// A sync neither fails nor returns. No request waits for it longer than stallTimeout, and the queue stays bounded.
 func TestStall(t *testing.T) {
 	o := newTestOptions(faultdisk.New())
 	s, _, err := New(o.Options)
@@ -232,21 +234,21 @@
 		}
 	})
 	mark := s.RecordStart("a", 1, time.Hour)
-	eventually(t, "the disk has it", func() bool { return s.writingSince.Load() > 0 })
+	eventually(t, "the write has started", func() bool { return s.writingSince.Load() > 0 })
 	assert.Less(t, s.DurableMark(), mark)
 	o.advance(stallTimeout + 1)
 	assert.GreaterOrEqual(t, s.DurableMark(), mark)
-	for i := range 2 * maxQueueBytes / 128 { // the queue has a limit
+	for i := range 2 * maxQueueBytes / 128 { // more than the queue can take
 		s.RecordStart(fmt.Sprint(i), 1, time.Hour)
 	}
 	assert.LessOrEqual(t, s.queuedBytes, maxQueueBytes)
 	assert.Positive(t, o.Counts.Times(countQueueFull))
 	once.Do(func() { close(release) })
-	eventually(t, "kept", isDurable(s, s.lastMark))
+	eventually(t, "durable", isDurable(s, s.lastMark))
 	assert.NoError(t, s.Close())
 }
 
-// However much is recorded, the directory stays within its size limit, and what has no room is not stored.
+// The directory stays within its size limit, however much is recorded; what does not fit is not stored.
 func TestBound(t *testing.T) {
 	o := newTestOptions(faultdisk.New())
 	s, _, err := New(o.Options)
@@ -258,17 +260,17 @@
 		mark := s.RecordStart(fmt.Sprint(i), 1, time.Duration(1+i%4)*time.Second/4)
 		s.RecordEnd(fmt.Sprint(i), 1, time.Duration(1+i%4)*time.Second/4, true, result)
 		if i%8 == 0 {
-			eventually(t, "kept", func() bool { return s.DurableMark() >= mark })
+			eventually(t, "durable", func() bool { return s.DurableMark() >= mark })
 			maxBytes = max(maxBytes, o.disk.TotalBytes())
 		}
 		o.advance(50 * time.Millisecond)
 	}
 	assert.LessOrEqual(t, maxBytes, o.MaxBytes)
-	assert.Greater(t, maxBytes, o.MaxBytes/4, "the bound was come near to")
+	assert.Greater(t, maxBytes, o.MaxBytes/4, "more than a quarter of the limit was used")
 	assert.Less(t, o.disk.Operations(), 40*3000)
 }
 
-// Ten crashes in a row lose nothing that was durable, and leave few files.
+// Ten crashes in a row lose no durable state, and leave few files.
 func TestTenCrashes(t *testing.T) {
 	o := newTestOptions(faultdisk.New())
 	for i := range 10 {
@@ -276,8 +278,8 @@
 		require.NoError(t, err)
 		assert.Len(t, recovered.Keys, i)
 		mark := s.RecordStart(fmt.Sprint(i), 1, time.Hour)
-		eventually(t, "kept", isDurable(s, mark))
-		o.disk.Set(func() { o.disk.ReadOnly = true }) // nothing more of this process reaches it
+		eventually(t, "durable", isDurable(s, mark))
+		o.disk.Set(func() { o.disk.ReadOnly = true }) // no later write of this process reaches the disk
 		after := o.disk.Crash(faultdisk.TornHalf{})
 		assert.NoError(t, s.Close())
 		o.disk = after
@@ -287,7 +289,8 @@
 	assert.LessOrEqual(t, o.disk.TotalBytes(), int64(64<<10))
 }
 
-// A directory of the operating system: its lock, the modes of its files, and symbolic links in their place.
+// A store in a directory of the operating system: the lock, the modes of the files, and symbolic links in place of
+// files.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
 	options := func(path string) Options { return osDirOptions(path, invariant.New(slog.New(slog.DiscardHandler))) }
@@ -297,8 +300,8 @@
 	s.RecordEnd("a", 1, time.Hour, true, []byte("r"))
 	start := time.Now()
 	_, _, err = New(options(state))
-	assert.ErrorIs(t, err, datadir.ErrInUse, "two processes")
-	assert.GreaterOrEqual(t, time.Since(start), lockTimeout, "one that leaves is waited for")
+	assert.ErrorIs(t, err, datadir.ErrInUse, "the lock is exclusive")
+	assert.GreaterOrEqual(t, time.Since(start), lockTimeout, "New waits for a process that may be shutting down")
 	assert.NoError(t, s.Close())
 	files, err := os.ReadDir(state)
 	require.NoError(t, err)
@@ -311,7 +314,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o700), info.Mode().Perm())
 
-	// A symbolic link in the place of a file is not followed, nor one in the place of the folder.
+	// A symbolic link in place of a file or of the directory is not followed.
 	secret := filepath.Join(dir, "secret")
 	require.NoError(t, os.WriteFile(secret, []byte("not ours"), 0o600))
 	require.NoError(t, os.Symlink(secret, filepath.Join(state, fileName(logPrefix, 0xff))))
@@ -328,7 +331,7 @@
 	assert.ErrorContains(t, err, "a symbolic link is not followed")
 
 	_, err = datadir.Open(filepath.Join(dir, "no", "such"), false)
-	assert.ErrorIs(t, err, os.ErrNotExist, "its parent may be a disk that is not mounted")
+	assert.ErrorIs(t, err, os.ErrNotExist, "no parents are created: the parent may be a disk that is not mounted")
 	open := filepath.Join(dir, "open")
 	require.NoError(t, os.Mkdir(open, 0o700))
 	require.NoError(t, os.Chmod(open, 0o777))
@@ -336,8 +339,8 @@
 	assert.ErrorContains(t, err, "lets others write to it")
 }
 
-// Files of another site, of a newer version and of no known format are quarantined, and the rest is used. Other files in
-// the directory are left alone.
+// Files of another site, of a newer version and of unknown format are quarantined, and the others are used. Other files
+// in the directory are not touched.
 func TestQuarantine(t *testing.T) {
 	o := newTestOptions(faultdisk.New())
 	o.Site = "north"
@@ -348,7 +351,7 @@
 	o.Site = "south"
 	s, recovered, err := New(o.Options)
 	require.NoError(t, err)
-	assert.Empty(t, recovered.Keys, "another site's numbers are others")
+	assert.Empty(t, recovered.Keys, "keys of another site are not used")
 	assert.NoError(t, s.Close())
 
 	newer := appendFrame(nil, 0, 0, recovery.Header{Version: recovery.FormatVersion + 1, Content: recovery.KeyLogFile, Site: "south", Sequence: 900})
@@ -368,11 +371,11 @@
 			}
 		}
 	}
-	assert.Equal(t, 2+2, quarantined, "a table and a log of the other site, one newer, one that is none")
+	assert.Equal(t, 2+2, quarantined, "a table and a log of the other site, a file of a newer version, and one of unknown format")
 	assert.Equal(t, "the operators' own", string(o.disk.Get("notes.txt")))
 }
 
-// logCounter counts the lines of a log.
+// logCounter collects the text of a log, and counts how often a string occurs in it.
 type logCounter struct {
 	mu   sync.Mutex
 	text []byte
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -25,10 +25,10 @@
 	"quartzpoint/recovery"
 )
 
-// The folders below testdata were written by the program of f1daac1, killed while it served; those that are named torn
-// have lost the last five bytes of their newest file.
+// The directories in testdata were written by the program of commit f1daac1, which was killed while it served. In those
+// whose name ends with torn, the newest file lacks its last five bytes.
 
-// copyTestdata is a folder of testdata, copied to where it may be changed.
+// copyTestdata copies a directory of testdata to a temporary directory, where it may be changed, and returns its path.
 func copyTestdata(t *testing.T, name string) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), name)
@@ -36,7 +36,8 @@
 	return to
 }
 
-// storedAt is the moment on the recorded machine, 11 s after the second of the two servers that wrote the folder began.
+// storedAt returns the time of the recorded machine, 11 s after the start of the second of the two servers that wrote
+// the directory.
 func storedAt() recovery.Timestamp {
 	return recovery.Timestamp{
 		Wall: 1796275673428080893 + 11*time.Second, SinceBoot: 517452478052 + 11*time.Second,
@@ -44,7 +45,7 @@
 	}
 }
 
-// storedSchema is the frame of a server of this version under the settings under which the folder was written.
+// storedSchema returns the schema of a server of this version with the settings under which the directory was written.
 func storedSchema(t *testing.T) estimate.Schema {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "f1daac1", "settings.json"))
@@ -68,7 +69,7 @@
 	}
 }
 
-// formatEstimate writes an estimate with all its digits.
+// formatEstimate formats an estimate with all its digits.
 func formatEstimate(e estimate.Estimate) string {
 	return fmt.Sprintf("%v %v %v %d", e.Mean, e.Spread, e.Samples, int64(e.Age))
 }
@@ -82,7 +83,7 @@
 	return lines
 }
 
-// A folder that the recorded program left gives the same view, requests, windows and results.
+// A directory that the recorded program wrote is read with the same estimates, keys, windows and results.
 func TestStoredStateIsRead(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
 		t.Run(name, func(t *testing.T) {
@@ -90,7 +91,7 @@
 			s, recovered, err := store.New(storedOptions(t, dir))
 			require.NoError(t, err)
 			assert.NoError(t, s.Close())
-			require.True(t, recovered.Estimates.HasFresh(), "the view fits the settings")
+			require.True(t, recovered.Estimates.HasFresh(), "the estimates match the settings")
 			got := map[string]any{
 				"numbers": formatKeys(recovered.Keys), "unknown": recovered.UnservedKeys, "terms": fmt.Sprintf("%016x", recovered.Estimates.SettingsDigest),
 				"returns": formatEstimate(recovered.Estimates.ReturnRatio),
@@ -100,7 +101,7 @@
 			}
 			golden(t, name+".json", got)
 
-			// What is written anew is read as it was.
+			// State that was rewritten is read unchanged.
 			s, reread, err := store.New(storedOptions(t, dir))
 			require.NoError(t, err)
 			assert.NoError(t, s.Close())
@@ -108,12 +109,12 @@
 			assert.Equal(t, recovered.UnservedKeys, reread.UnservedKeys)
 			names, err := filepath.Glob(filepath.Join(dir, "aside-*"))
 			require.NoError(t, err)
-			assert.Len(t, names, strings.Count(name, "torn"), "what is not whole is kept aside")
+			assert.Len(t, names, strings.Count(name, "torn"), "incomplete files are quarantined")
 		})
 	}
 }
 
-// golden compares with what the recorded code gave, as JSON.
+// golden compares the JSON of got with the recorded output of the program.
 func golden(t *testing.T, name string, got any) {
 	t.Helper()
 	encoded, err := json.MarshalIndent(got, "", "  ")
@@ -123,7 +124,7 @@
 	assert.Equal(t, string(want), string(encoded)+"\n")
 }
 
-// The commands that look at a folder tell the same of it.
+// Inspect, which the commands use, reports the same of a directory as the recorded program did.
 func TestStoredStateIsInspected(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
 		dir := copyTestdata(t, name)
@@ -136,7 +137,8 @@
 	}
 }
 
-// Another boot of the machine, another machine, and a site that is not the folder's: what is used then is as before.
+// In another boot, on another machine, at another time and for another site, a start uses the same state as the
+// recorded program did.
 func TestStoredStateElsewhere(t *testing.T) {
 	got := map[string]any{}
 	for name, change := range map[string]func(options *store.Options, now *recovery.Timestamp){
@@ -157,8 +159,8 @@
 	golden(t, "state-elsewhere.json", got)
 }
 
-// A configuration that an app server kept is the same: version, digest, routes and tenants. Without its last bytes it is
-// the version before.
+// A configuration that an app server stored is read with the same version, digest, routes and tenants. Without its last
+// bytes, the previous version is read.
 func TestStoredConfigurationIsRead(t *testing.T) {
 	for _, name := range []string{"configuration", "configuration-torn"} {
 		dir, err := datadir.Open(copyTestdata(t, name), false)
