--- a/internal/store/parse.go
+++ b/internal/store/parse.go
@@ -19,8 +19,8 @@
 
 var errNoHeader = errors.New("no whole header")
 
-// decoding is a strict decoding mode, except that it accepts text that is not valid UTF-8: idempotency keys are arbitrary
-// bytes chosen by clients.
+// decoding is a strict mode, except that it accepts text that is not valid UTF-8: idempotency keys are arbitrary bytes
+// chosen by clients.
 var decoding = strictcbor.NewDecMode(estimate.MaxPublishedRoutes, true)
 
 // readHeader decodes the header of a file and returns the bytes after it.
