--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -23,14 +23,14 @@
 	m.Run()
 }
 
-// The power fails at every operation of some recorded runs, and again during the starts after it. What was reported
-// durable must be there after each, and the next start must read the same.
+// The power fails at every operation of several scripted runs, and again during the starts that follow. After each
+// power loss, the state that was reported durable must be recovered, and again by the next start.
 func TestPowerLossAtEveryOperation(t *testing.T) {
 	crashes := 0
 	for seed := int64(1); seed <= 4; seed++ {
-		whole := faultdisk.New()
-		require.NoError(t, runScript(newTestWriter(whole, 0), newModel(), seed, 60))
-		for at := 1; at <= whole.Operations(); at++ {
+		uninterrupted := faultdisk.New()
+		require.NoError(t, runScript(newTestWriter(uninterrupted, 0), newModel(), seed, 60))
+		for at := 1; at <= uninterrupted.Operations(); at++ {
 			for draw := int64(0); draw < 6; draw++ {
 				disk, ref := faultdisk.New(), newModel()
 				disk.PowerLossAt = at
@@ -38,7 +38,7 @@
 				loss := faultdisk.RandomLoss{Rand: rand.New(rand.NewSource(draw*1e6 + int64(at)))}
 				after := disk.Crash(loss)
 				crashes++
-				for again := at % 7; again > 0; again -= 3 { // the power fails during the start, too
+				for again := at % 7; again > 0; again -= 3 { // the power fails again during the start
 					after.PowerLossAt = again
 					if _, err := newTestWriter(after, 1000).restart(); err == nil {
 						break
@@ -49,7 +49,7 @@
 				plan, err := newTestWriter(after, 2000).restart()
 				require.NoError(t, err, "seed %d at %d draw %d", seed, at, draw)
 				require.NoError(t, ref.check(plan), "seed %d at %d draw %d", seed, at, draw)
-				plan, err = newTestWriter(after, 3000).restart() // reads what the start before wrote
+				plan, err = newTestWriter(after, 3000).restart() // reads the files that the previous start wrote
 				require.NoError(t, err)
 				require.NoError(t, ref.check(plan), "seed %d at %d draw %d, second start", seed, at, draw)
 			}
@@ -58,55 +58,57 @@
 	t.Logf("%d crashes", crashes)
 }
 
-// The log is cut short at every byte. Complete records stay, and nothing is made of the rest.
+// The log is truncated at every byte. Recovery must return only recorded states, and at most as many keys as fit into
+// the remaining bytes.
 func TestTornAtEveryByte(t *testing.T) {
 	disk, ref := faultdisk.New(), newModel()
-	b := newTestWriter(disk, 0)
-	_, err := b.restart()
+	w := newTestWriter(disk, 0)
+	_, err := w.restart()
 	require.NoError(t, err)
 	for i := range 5 {
-		n := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: b.now.SinceBoot + window, Served: true, Result: []byte("seat")}
-		ref.add(n)
-		b.appendRecord(n, true, b.now.SinceBoot)
+		entry := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: w.now.SinceBoot + window, Served: true, Result: []byte("seat")}
+		ref.add(entry)
+		w.appendRecord(entry, true, w.now.SinceBoot)
 	}
-	require.NoError(t, b.commit())
+	require.NoError(t, w.commit())
 	name := fileName(logPrefix, 1)
 	raw := disk.Get(name)
 	for cut := range raw {
 		disk.Put(name, raw[:cut])
-		p, err := newTestWriter(disk, 9).plan(b.environment())
+		plan, err := newTestWriter(disk, 9).plan(w.environment())
 		require.NoError(t, err)
-		require.NoError(t, ref.check(p), "cut at %d", cut)
-		assert.LessOrEqual(t, p.Keys.Len(), cut*5/len(raw)+1)
+		require.NoError(t, ref.check(plan), "cut at %d", cut)
+		assert.LessOrEqual(t, plan.Keys.Len(), cut*5/len(raw)+1)
 	}
 }
 
-// Any one bit of any file flips. What is read must then be what was written, or nothing of it, or a key whose outcome is
-// not known; behind a damaged snapshot there is an older one.
+// Every bit of every file is flipped in turn. A key must then be recovered as it was written, with an unknown outcome,
+// or not at all. If a snapshot is damaged, an older one is used: the keys of the first round and the estimates must
+// always be recovered.
 func TestEveryBitFlipped(t *testing.T) {
 	disk, ref := faultdisk.New(), newModel()
-	b := newTestWriter(disk, 0)
-	_, err := b.restart()
+	w := newTestWriter(disk, 0)
+	_, err := w.restart()
 	require.NoError(t, err)
-	give := func(i int) {
-		n := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: b.now.SinceBoot + window}
-		ref.add(n)
-		b.appendRecord(n, false, b.now.SinceBoot)
-		n.Served, n.Result = true, []byte("seat")
-		ref.add(n)
-		b.appendRecord(n, true, b.now.SinceBoot)
-		require.NoError(t, b.commit())
+	recordKey := func(i int) {
+		entry := recovery.KeyEntry{Key: fmt.Sprint("pay\x00", i), ExpiresAt: w.now.SinceBoot + window}
+		ref.add(entry)
+		w.appendRecord(entry, false, w.now.SinceBoot)
+		entry.Served, entry.Result = true, []byte("seat")
+		ref.add(entry)
+		w.appendRecord(entry, true, w.now.SinceBoot)
+		require.NoError(t, w.commit())
 	}
 	for round := range 3 {
 		for i := range 2 {
-			give(10*round + i)
+			recordKey(10*round + i)
 		}
 		ref.lastSnapshot++
-		require.NoError(t, b.estimatesJob(numberedSnapshot(ref.lastSnapshot))())
-		require.NoError(t, b.keyTableJob()())
-		require.NoError(t, b.rotateLog())
+		require.NoError(t, w.estimatesJob(numberedSnapshot(ref.lastSnapshot))())
+		require.NoError(t, w.keyTableJob()())
+		require.NoError(t, w.rotateLog())
 	}
-	give(99)
+	recordKey(99)
 	flips := 0
 	for _, name := range disk.Names() {
 		raw := disk.Get(name)
@@ -114,14 +116,14 @@
 			flipped := slices.Clone(raw)
 			flipped[bit/8] ^= 1 << (bit % 8)
 			disk.Put(name, flipped)
-			p, err := newTestWriter(disk, 9).plan(b.environment())
+			plan, err := newTestWriter(disk, 9).plan(w.environment())
 			require.NoError(t, err)
-			require.NoError(t, ref.check(p), "%s bit %d", name, bit)
-			for i := range 2 { // started before the last table but one: in two snapshots and in the log
-				_, known := p.Keys.Get(fmt.Sprint("pay\x00", i))
+			require.NoError(t, ref.check(plan), "%s bit %d", name, bit)
+			for i := range 2 { // started before the second to last table: in two snapshots and in the log
+				_, known := plan.Keys.Get(fmt.Sprint("pay\x00", i))
 				require.True(t, known, "%s bit %d", name, bit)
 			}
-			require.True(t, p.Estimates.HasFresh())
+			require.True(t, plan.Estimates.HasFresh())
 			flips++
 		}
 		disk.Put(name, raw)
