--- a/internal/dependency/caller.go
+++ b/internal/dependency/caller.go
@@ -115,12 +115,12 @@
 	return c.address
 }
 
-// dialed notes the result of a dial. A change between reachable and unreachable is logged once, not for each call; a dial
+// recordDial notes the result of a dial. A change between reachable and unreachable is logged once, not for each call; a dial
 // that the end of its call cut short says nothing.
-func (c *Caller) dialed(address string, err error, cutShort bool) {
+func (c *Caller) recordDial(address string, err error, callEnded bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	unreachable := err != nil && !cutShort
+	unreachable := err != nil && !callEnded
 	if unreachable != c.unreachable && (unreachable || err == nil) {
 		c.unreachable = unreachable
 		c.log.Warn("dependency", "reached", !unreachable, "address", address, "error", err)
--- a/internal/dependency/caller_test.go
+++ b/internal/dependency/caller_test.go
@@ -35,7 +35,7 @@
 func newTestDependency(t *testing.T, answer func(n int) string) *testDependency {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	x := &testDependency{
+	d := &testDependency{
 		address: listener.Addr().String(), requests: make(chan *http.Request, 64), bodies: make(chan string, 64),
 		connections: make(chan net.Conn, 64),
 	}
@@ -56,8 +56,8 @@
 			text := answer(n)
 			n++
 			mu.Unlock()
-			x.requests <- r
-			x.bodies <- string(body)
+			d.requests <- r
+			d.bodies <- string(body)
 			last := len(text) > 0 && text[len(text)-1] == 0
 			if last {
 				text = text[:len(text)-1]
@@ -76,19 +76,19 @@
 			if err != nil {
 				return
 			}
-			x.connections <- conn
+			d.connections <- conn
 			running.Add(1)
 			go serve(conn)
 		}
 	}()
 	t.Cleanup(func() {
 		_ = listener.Close()
-		for len(x.connections) > 0 {
-			_ = (<-x.connections).Close()
+		for len(d.connections) > 0 {
+			_ = (<-d.connections).Close()
 		}
 		running.Wait()
 	})
-	return x
+	return d
 }
 
 // testCaller is a caller under test with its reports.
@@ -116,25 +116,25 @@
 	}
 }
 
-func testCall(n uint64, within time.Duration) workerapi.Call {
-	return workerapi.Call{CallID: n, RequestID: "9b1f03aa5c7e2d41", Body: []byte("\x00 what\r\n"), Timeout: within}
+func testCall(n uint64, timeout time.Duration) workerapi.Call {
+	return workerapi.Call{CallID: n, RequestID: "9b1f03aa5c7e2d41", Body: []byte("\x00 what\r\n"), Timeout: timeout}
 }
 
-const good = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
+const goodReply = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
 
 // Every reply, and every way in which none comes, has one outcome; and the next call succeeds.
-func TestEndsOfACall(t *testing.T) {
+func TestCallOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		answer  string
 		outcome admission.Outcome
 		result  string
 	}{
-		"good":                  {good, admission.Succeeded, "reply"},
+		"good":                  {goodReply, admission.Succeeded, "reply"},
 		"good, in chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nre\r\n3\r\nply\r\n0\r\n\r\n", admission.Succeeded, "reply"},
 		"good, to the end":      {"HTTP/1.0 200 OK\r\n\r\nreply\x00", admission.Succeeded, "reply"},
 		"good, and closes":      {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nreply\x00", admission.Succeeded, "reply"},
 		"good, and empty":       {"HTTP/1.1 204 No Content\r\n\r\n", admission.Succeeded, ""},
-		"good, said beforehand": {"HTTP/1.1 102 Processing\r\n\r\n" + good, admission.Succeeded, "reply"},
+		"good, said beforehand": {"HTTP/1.1 102 Processing\r\n\r\n" + goodReply, admission.Succeeded, "reply"},
 		"shed":                  {"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n", admission.NotRun, ""},
 		"failed":                {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
 		"failed, not shed":      {"HTTP/1.1 503 Busy\r\nX-Shed: 0\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
@@ -148,24 +148,24 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			x := newTestDependency(t, func(n int) string {
+			d := newTestDependency(t, func(n int) string {
 				if n == 0 {
 					return c.answer
 				}
-				return good
+				return goodReply
 			})
-			caller := newTestCaller(t, x.address, 1)
+			caller := newTestCaller(t, d.address, 1)
 			caller.Call(testCall(1, time.Second))
 			e := caller.next(t)
 			assert.Equal(t, c.outcome, e.Outcome)
 			if c.outcome == admission.Succeeded {
 				assert.Equal(t, c.result, string(e.Result))
 			}
-			r := <-x.requests
+			r := <-d.requests
 			assert.Equal(t, "POST /lookup", r.Method+" "+r.URL.Path)
 			assert.Equal(t, "9b1f03aa5c7e2d41", r.Header.Get("X-Parent-Id"))
 			assert.Regexp(t, `^(9\d\d|1000)$`, r.Header.Get("X-Budget-Ms"))
-			assert.Equal(t, "\x00 what\r\n", <-x.bodies)
+			assert.Equal(t, "\x00 what\r\n", <-d.bodies)
 
 			caller.Call(testCall(2, fake.WaitLimit))
 			e = caller.next(t)
@@ -177,20 +177,20 @@
 
 func TestConnections(t *testing.T) {
 	t.Run("one carries call after call", func(t *testing.T) {
-		x := newTestDependency(t, func(int) string { return good })
-		caller := newTestCaller(t, x.address, 4)
+		d := newTestDependency(t, func(int) string { return goodReply })
+		caller := newTestCaller(t, d.address, 4)
 		for n := range uint64(5) {
 			caller.Call(testCall(n+1, fake.WaitLimit))
 			assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 		}
-		assert.Len(t, x.connections, 1)
+		assert.Len(t, d.connections, 1)
 	})
 	t.Run("one that was closed while idle is opened anew", func(t *testing.T) {
-		x := newTestDependency(t, func(int) string { return good })
-		caller := newTestCaller(t, x.address, 4)
+		d := newTestDependency(t, func(int) string { return goodReply })
+		caller := newTestCaller(t, d.address, 4)
 		caller.Call(testCall(1, fake.WaitLimit))
 		caller.next(t)
-		conn := <-x.connections
+		conn := <-d.connections
 		_ = conn.Close()
 		require.Eventually(t, func() bool {
 			caller.mu.Lock()
@@ -201,16 +201,16 @@
 		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 	})
 	t.Run("no more than allowed", func(t *testing.T) {
-		x := newTestDependency(t, func(int) string { return "" })
-		caller := newTestCaller(t, x.address, 2)
+		d := newTestDependency(t, func(int) string { return "" })
+		caller := newTestCaller(t, d.address, 2)
 		for n := range uint64(3) {
 			caller.Call(testCall(n+1, fake.WaitLimit))
 		}
 		e := caller.next(t)
 		assert.Equal(t, admission.NotRun, e.Outcome)
 		assert.Equal(t, uint64(3), e.CallID)
-		<-x.requests
-		<-x.requests
+		<-d.requests
+		<-d.requests
 		caller.Cancel(1)
 		caller.Cancel(2)
 		caller.Cancel(3) // not in flight: ignored
@@ -225,19 +225,19 @@
 		caller := newTestCaller(t, "127.0.0.1:1", 2)
 		caller.Call(testCall(1, fake.WaitLimit))
 		assert.Equal(t, admission.NotRun, caller.next(t).Outcome)
-		x := newTestDependency(t, func(int) string { return good })
-		caller.SetAddress(x.address)
+		d := newTestDependency(t, func(int) string { return goodReply })
+		caller.SetAddress(d.address)
 		caller.Call(testCall(2, fake.WaitLimit))
 		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 	})
 	t.Run("calls in flight end where they began", func(t *testing.T) {
 		release := make(chan bool)
-		old := newTestDependency(t, func(int) string { <-release; return good })
-		x := newTestDependency(t, func(int) string { return good })
+		old := newTestDependency(t, func(int) string { <-release; return goodReply })
+		d := newTestDependency(t, func(int) string { return goodReply })
 		caller := newTestCaller(t, old.address, 2)
 		caller.Call(testCall(1, fake.WaitLimit))
 		<-old.connections
-		caller.SetAddress(x.address)
+		caller.SetAddress(d.address)
 		caller.Call(testCall(2, fake.WaitLimit))
 		assert.Equal(t, uint64(2), caller.next(t).CallID)
 		close(release)
@@ -247,6 +247,6 @@
 		caller.Call(testCall(3, fake.WaitLimit))
 		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 		assert.Len(t, old.requests, 1)
-		assert.Len(t, x.requests, 2)
+		assert.Len(t, d.requests, 2)
 	})
 }
--- a/internal/dependency/connection.go
+++ b/internal/dependency/connection.go
@@ -25,11 +25,11 @@
 	maxResponses   = 4        // to one call; all but the last are interim (1xx)
 	dialTimeout    = time.Second
 	idleTimeout    = 5 * time.Second // after which a connection without a call is closed
-	minBudget      = time.Millisecond
+	minTimeLeft    = time.Millisecond
 )
 
-// longAgo is a deadline that interrupts reads and writes at once.
-var longAgo = time.Unix(1, 0)
+// expiredDeadline is a deadline that interrupts reads and writes at once.
+var expiredDeadline = time.Unix(1, 0)
 
 // connection is one connection. Its goroutine, run, makes call after call until it has been idle for idleTimeout.
 type connection struct {
@@ -53,10 +53,10 @@
 				c.close()
 				return
 			}
-			begin := time.Now()
+			startedAt := time.Now()
 			outcome, result := c.perform(call)
 			c.caller.release(c, call.CallID)
-			c.caller.report(workerapi.CallEnd{Call: call.Call, Outcome: outcome, Duration: time.Since(begin), Result: result})
+			c.caller.report(workerapi.CallEnd{Call: call.Call, Outcome: outcome, Duration: time.Since(startedAt), Result: result})
 			idle.Reset(idleTimeout)
 		case <-idle.C:
 			c.caller.closeIdle(c)
@@ -76,7 +76,7 @@
 		}
 	}
 	conn := c.conn
-	stop := context.AfterFunc(call.ctx, func() { _ = conn.SetDeadline(longAgo) })
+	stop := context.AfterFunc(call.ctx, func() { _ = conn.SetDeadline(expiredDeadline) })
 	outcome, result, reusable := c.exchange(call)
 	if !stop() || !reusable {
 		c.close()
@@ -89,7 +89,7 @@
 	c.address = c.caller.currentAddress()
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", c.address)
-	c.caller.dialed(c.address, err, ctx.Err() != nil)
+	c.caller.recordDial(c.address, err, ctx.Err() != nil)
 	if err != nil {
 		c.caller.count("dependency not reached")
 		return fmt.Errorf("dialing the dependency: %w", err)
@@ -119,12 +119,12 @@
 
 // exchange writes a call and reads its reply. reusable tells whether the connection can carry another call.
 func (c *connection) exchange(call timedCall) (outcome admission.Outcome, result []byte, reusable bool) {
-	budget := minBudget
+	timeLeft := minTimeLeft
 	if deadline, set := call.ctx.Deadline(); set {
-		budget = max(budget, time.Until(deadline))
+		timeLeft = max(timeLeft, time.Until(deadline))
 	}
 	request := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Parent-Id: %s\r\nX-Budget-Ms: %d\r\nContent-Length: %d\r\n\r\n",
-		path, c.address, call.RequestID, budget.Milliseconds(), len(call.Body))
+		path, c.address, call.RequestID, timeLeft.Milliseconds(), len(call.Body))
 	if _, err := c.conn.Write(append(request, call.Body...)); err != nil {
 		return admission.Unknown, nil, false
 	}
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -22,7 +22,7 @@
 		change     func(*Route)
 		outcome    string
 		states     []string
-		worth      float64
+		value      float64
 	}{
 		{"all there", nil, nil, nil, "success", []string{"fresh", "fresh"}, 1},
 		{"the optional one fails", nil, broken, nil, "success", []string{"fresh", "missing"}, 0.75},
@@ -38,13 +38,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			one, other := startDependency(t, 5*ms, c.one), startDependency(t, 5*ms, c.other)
 			server := newTestServer(t, 64<<20, readRoute(c.change), dependency("one", one.Address), dependency("other", other.Address))
-			began := time.Now()
+			startedAt := time.Now()
 			server.start("look", "body", 300*ms)
 			outcome, a := server.next()
-			assert.Less(t, time.Since(began), 300*ms+patience/20)
+			assert.Less(t, time.Since(startedAt), 300*ms+testTimeout/20)
 			assert.Equal(t, c.outcome, outcome)
 			assert.Equal(t, c.states, states(a))
-			assert.InDelta(t, c.worth, a.Value, 1e-9)
+			assert.InDelta(t, c.value, a.Value, 1e-9)
 			for _, p := range a.Parts {
 				assert.Equal(t, p.State == "fresh", p.Reason == "", "why a part is missing is said")
 			}
@@ -65,7 +65,7 @@
 	server.start("look", "mine", 300*ms)
 	_, a := server.next()
 	assert.True(t, a.Complete)
-	kept := time.Now()
+	storedAt := time.Now()
 	failing.Store(true)
 	server.start("look", "mine", 300*ms)
 	_, a = server.next()
@@ -75,7 +75,7 @@
 	server.start("look", "another's", 300*ms)
 	_, a = server.next()
 	assert.Equal(t, "missing", a.Parts[1].State, "the key holds the body")
-	time.Sleep(time.Until(kept.Add(450 * ms)))
+	time.Sleep(time.Until(storedAt.Add(450 * ms)))
 	server.start("look", "mine", 300*ms)
 	_, a = server.next()
 	assert.Equal(t, "missing", a.Parts[1].State, "too old")
@@ -94,12 +94,12 @@
 	assert.Equal(t, "interrupted", outcome)
 	assert.Equal(t, []string{"fresh", "missing"}, states(a))
 	assert.Equal(t, "unclear", a.Parts[1].Reason)
-	state := func() (late int) {
-		told := make(chan int, 1)
-		server.posted <- func() { told <- server.States(server.now())[1].LateResponses }
-		return <-told
+	lateResponses := func() (late int) {
+		result := make(chan int, 1)
+		server.submitted <- func() { result <- server.States(server.now())[1].LateResponses }
+		return <-result
 	}
-	require.Eventually(t, func() bool { return state() == 1 }, patience, 10*ms, "the late answer")
+	require.Eventually(t, func() bool { return lateResponses() == 1 }, testTimeout, 10*ms, "the late answer")
 	assert.Empty(t, server.notices, "it changes nothing")
 	assert.Equal(t, harness.DependencyStats{Attempts: 1, Effects: 1, DistinctKeys: 1, MaxOpen: 1}, deposit.Stats())
 }
@@ -109,7 +109,7 @@
 func TestConnectionBreaks(t *testing.T) {
 	hold, deposit := startDependency(t, 5*ms, nil), startDependency(t, 5*ms, nil)
 	server := newTestServer(t, 64<<20, confirmRoute(), dependency("hold", startCutProxy(t, hold.Address)), dependency("deposit", deposit.Address))
-	server.posted <- func() {
+	server.submitted <- func() {
 		for range 2 { // a retry token is earned
 			_, _ = server.dependencies[0].Admit(server.now())
 			server.dependencies[0].CallEnded(budget.Succeeded, ms, true, server.now())
@@ -133,39 +133,39 @@
 
 // A dependency is silent, sends garbage, goes down or refuses connections for a while. The connections are dialled again,
 // and calls succeed once it has recovered.
-func TestComesBack(t *testing.T) {
+func TestDependencyRecovers(t *testing.T) {
 	cases := map[string]harness.DependencyBehaviour{
 		"silent": {Silent: true}, "garbage": {Garbage: true}, "down": {Down: true}, "refuses": {Rejects: true},
 	}
-	for name, mood := range cases {
+	for name, behaviour := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var bad atomic.Bool
+			var faulty atomic.Bool
 			one := startDependency(t, ms, func(time.Duration) harness.DependencyBehaviour {
-				if bad.Load() {
-					return mood
+				if faulty.Load() {
+					return behaviour
 				}
 				return harness.DependencyBehaviour{}
 			})
 			other := startDependency(t, ms, nil)
 			server := newTestServer(t, 64<<20, readRoute(nil), dependency("one", one.Address), dependency("other", other.Address))
-			bad.Store(true)
+			faulty.Store(true)
 			if name == "down" {
-				require.Eventually(t, func() bool { return server.transports[0].Available() == 0 }, patience, ms)
+				require.Eventually(t, func() bool { return server.transports[0].Available() == 0 }, testTimeout, ms)
 			}
 			for range 8 {
 				server.start("look", "x", 100*ms)
 				outcome, _ := server.next()
 				assert.Equal(t, "interrupted", outcome)
 			}
-			bad.Store(false)
-			back := false
-			for began := time.Now(); !back && time.Since(began) < patience; time.Sleep(20 * ms) {
+			faulty.Store(false)
+			recovered := false
+			for startedAt := time.Now(); !recovered && time.Since(startedAt) < testTimeout; time.Sleep(20 * ms) {
 				server.start("look", "x", 100*ms)
 				outcome, _ := server.next()
-				back = outcome == "success"
+				recovered = outcome == "success"
 			}
-			assert.True(t, back)
+			assert.True(t, recovered)
 		})
 	}
 }
@@ -178,9 +178,9 @@
 	outcome, _ := server.next()
 	assert.Equal(t, "interrupted", outcome)
 	assert.Positive(t, server.counts.Times("result of a call beyond the program's own memory"))
-	held := make(chan int, 1)
-	server.posted <- func() { held <- server.resultBytes }
-	assert.Zero(t, <-held)
+	resultBytes := make(chan int, 1)
+	server.submitted <- func() { resultBytes <- server.resultBytes }
+	assert.Zero(t, <-resultBytes)
 }
 
 // Results are together longer than an answer may be. The longest optional part is left out; without a required one the
@@ -231,32 +231,32 @@
 	hold, deposit := startDependency(t, 50*ms, nil), startDependency(t, ms, nil)
 	server := newTestServer(t, 64<<20, confirmRoute(), dependency("hold", hold.Address), dependency("deposit", deposit.Address))
 	id := server.start("confirm", "x", time.Second)
-	require.Eventually(t, func() bool { return hold.Stats().Attempts == 1 }, patience, ms)
-	server.posted <- func() { assert.True(t, server.Pause(id)) }
+	require.Eventually(t, func() bool { return hold.Stats().Attempts == 1 }, testTimeout, ms)
+	server.submitted <- func() { assert.True(t, server.Pause(id)) }
 	outcome, _ := server.next()
 	assert.Equal(t, "interrupted", outcome)
 	time.Sleep(150 * ms)
 	assert.Zero(t, deposit.Stats().Attempts)
-	left := make(chan int, 1)
-	server.posted <- func() { left <- len(server.requests) + server.scheduler.InFlight() }
-	assert.Zero(t, <-left)
-	server.posted <- func() { assert.False(t, server.Pause(id)) }
+	remaining := make(chan int, 1)
+	server.submitted <- func() { remaining <- len(server.requests) + server.scheduler.InFlight() }
+	assert.Zero(t, <-remaining)
+	server.submitted <- func() { assert.False(t, server.Pause(id)) }
 }
 
 // Both dependencies are down. The optional first call cannot be sent; settling it starts the required at-most-once call
 // behind it, which finds no connection either. That second attempt was lost: the request waited for an answer that nobody
 // owed, and was then reported as an effect that may have happened, though nothing was ever sent.
-func TestUnsentCallBehindAnUnsentCall(t *testing.T) {
+func TestUnsentCallAfterUnsentCall(t *testing.T) {
 	routes := confirmRoute()
 	routes[0].Plan.Calls[0].Required, routes[0].Plan.Calls[0].Retry, routes[0].Plan.Calls[0].Effect = false, false, budget.Read
 	var down atomic.Bool
-	mood := func(time.Duration) harness.DependencyBehaviour { return harness.DependencyBehaviour{Down: down.Load()} }
-	hold, deposit := startDependency(t, ms, mood), startDependency(t, ms, mood)
+	behaviour := func(time.Duration) harness.DependencyBehaviour { return harness.DependencyBehaviour{Down: down.Load()} }
+	hold, deposit := startDependency(t, ms, behaviour), startDependency(t, ms, behaviour)
 	server := newTestServer(t, 64<<20, routes, dependency("hold", hold.Address), dependency("deposit", deposit.Address))
 	down.Store(true)
 	require.Eventually(t, func() bool {
 		return server.transports[0].Available()+server.transports[1].Available() == 0
-	}, patience, ms)
+	}, testTimeout, ms)
 	server.start("confirm", "x", 5*time.Second)
 	outcome, a := server.next()
 	assert.Equal(t, "interrupted", outcome)
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -59,14 +59,14 @@
 	scheduler    *budget.Scheduler
 	connections  sync.WaitGroup
 
-	requests       map[string]*request // in progress, by id
-	notices        []workerapi.Notice  // not taken yet
-	unsent         []*Attempt          // that no connection took
-	responses      []Response          // scratch of Advance
-	checkedAt      time.Duration       // connections
-	resultBytes    int                 // of requests in progress
-	maxResultBytes int
-	cache          *resultCache
+	requests             map[string]*request // in progress, by id
+	notices              []workerapi.Notice  // not taken yet
+	unsent               []*Attempt          // that no connection took
+	responses            []Response          // scratch of Advance
+	connectionsCheckedAt time.Duration       // connections
+	resultBytes          int                 // of requests in progress
+	maxResultBytes       int
+	cache                *resultCache
 }
 
 // request is one in progress.
@@ -173,7 +173,7 @@
 	}
 	next := c.scheduler.NextTimer()
 	if len(c.requests) > 0 {
-		next = min(next, c.checkedAt+connectionCheckInterval)
+		next = min(next, c.connectionsCheckedAt+connectionCheckInterval)
 	}
 	return next
 }
@@ -196,8 +196,8 @@
 	}
 	clear(c.responses)
 	c.scheduler.Advance(now)
-	if now >= c.checkedAt+connectionCheckInterval {
-		c.checkedAt = now
+	if now >= c.connectionsCheckedAt+connectionCheckInterval {
+		c.connectionsCheckedAt = now
 		for _, transport := range c.transports {
 			transport.CheckConnections(time.Now())
 		}
@@ -212,7 +212,7 @@
 		return
 	}
 	r := attempt.execution.Ref.(*request)
-	r.attempts[attempt.call][attempt.number] = nil
+	r.attempts[attempt.call][attempt.index] = nil
 	if outcome == budget.Succeeded {
 		if c.resultBytes+len(response.Body) > c.maxResultBytes {
 			c.counts.Count("result of a call beyond the program's own memory")
@@ -226,7 +226,7 @@
 			}
 		}
 	}
-	c.scheduler.CallEnded(attempt.execution, attempt.call, attempt.number, outcome, now)
+	c.scheduler.CallEnded(attempt.execution, attempt.call, attempt.index, outcome, now)
 }
 
 // finish ends a request with a notice.
--- a/internal/fanout/connection.go
+++ b/internal/fanout/connection.go
@@ -37,7 +37,7 @@
 	streams    map[*Attempt]uint32
 	lastStream uint32
 	draining   bool // the dependency asked for no more calls here
-	readAt     time.Time
+	lastReadAt time.Time
 }
 
 // run dials, serves the connection to its end, and dials again after a backoff with jitter: when a dependency restarts,
@@ -90,7 +90,7 @@
 	}
 	c.socket, c.raw, c.writes = socket, raw, writequeue.New(writeQueueLimit)
 	c.inFlight, c.streams = map[uint32]*Attempt{}, map[*Attempt]uint32{}
-	c.lastStream, c.draining, c.readAt = 0, false, time.Now()
+	c.lastStream, c.draining, c.lastReadAt = 0, false, time.Now()
 	t.mu.Unlock()
 	t.log.Info("dependency connection up", "dependency", t.name)
 	err = c.read(socket)
@@ -118,7 +118,7 @@
 		}
 		unread = append(unread, chunk[:n]...)
 		t.mu.Lock()
-		c.readAt = time.Now()
+		c.lastReadAt = time.Now()
 		rest, err := c.receiveAll(unread)
 		if err != nil {
 			t.mu.Unlock()
--- a/internal/fanout/executor.go
+++ b/internal/fanout/executor.go
@@ -7,27 +7,27 @@
 )
 
 // Send implements budget.Executor, as do Cancel, Fallback and Finish.
-func (c *Composer) Send(execution *budget.Execution, call, number int, timeout time.Duration) {
+func (c *Composer) Send(execution *budget.Execution, call, index int, timeout time.Duration) {
 	r := execution.Ref.(*request)
 	planned := &r.route.Plan.Calls[call]
 	attempt := &Attempt{
 		Op: r.route.Calls[call].Op, Body: r.body, Timeout: timeout,
-		execution: execution, call: call, number: number, dependency: planned.Dependency,
+		execution: execution, call: call, index: index, dependency: planned.Dependency,
 	}
 	if planned.Effect != budget.Read {
 		attempt.IdempotencyKey = r.id + "/" + planned.Name
 	}
-	r.attempts[call][number] = attempt
+	r.attempts[call][index] = attempt
 	if !c.transports[attempt.dependency].Send(attempt) {
 		c.unsent = append(c.unsent, attempt)
 	}
 }
 
 // Cancel cancels an attempt. A call with an effect is not cancelled at the dependency: it may have begun there.
-func (c *Composer) Cancel(execution *budget.Execution, call, number int) {
+func (c *Composer) Cancel(execution *budget.Execution, call, index int) {
 	r := execution.Ref.(*request)
-	attempt := r.attempts[call][number]
-	r.attempts[call][number] = nil
+	attempt := r.attempts[call][index]
+	r.attempts[call][index] = nil
 	attempt.cancelled = true
 	if attempt.IdempotencyKey == "" {
 		c.transports[attempt.dependency].Cancel(attempt)
--- a/internal/fanout/frametransport.go
+++ b/internal/fanout/frametransport.go
@@ -76,13 +76,13 @@
 func (t *frameTransport) Send(attempt *Attempt) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var least *connection
+	var leastLoaded *connection
 	for _, c := range t.connections {
-		if c.available() && (least == nil || len(c.inFlight) < len(least.inFlight)) {
-			least = c
+		if c.available() && (leastLoaded == nil || len(c.inFlight) < len(leastLoaded.inFlight)) {
+			leastLoaded = c
 		}
 	}
-	if least == nil {
+	if leastLoaded == nil {
 		return false
 	}
 	attempt.sentAt = time.Now()
@@ -95,14 +95,14 @@
 	if attempt.IdempotencyKey != "" {
 		fields = append(fields, frame.Field{Name: "num", Value: attempt.IdempotencyKey})
 	}
-	head := frame.AppendHead(nil, frame.Request, least.lastStream+1, 0, fields, len(attempt.Body))
-	if least.writes.Add(head, attempt.Body) != nil {
+	head := frame.AppendHead(nil, frame.Request, leastLoaded.lastStream+1, 0, fields, len(attempt.Body))
+	if leastLoaded.writes.Add(head, attempt.Body) != nil {
 		// The dependency does not read, and the queue is full. Calls written before are lost; this one was not sent.
-		_ = least.socket.Close()
+		_ = leastLoaded.socket.Close()
 		return false
 	}
-	least.lastStream++
-	least.inFlight[least.lastStream], least.streams[attempt] = attempt, least.lastStream
+	leastLoaded.lastStream++
+	leastLoaded.inFlight[leastLoaded.lastStream], leastLoaded.streams[attempt] = attempt, leastLoaded.lastStream
 	return true
 }
 
@@ -111,7 +111,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range t.connections {
-		if stream, is := c.streams[attempt]; is {
+		if stream, found := c.streams[attempt]; found {
 			_ = c.writes.Add(frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0)) // a full queue closes the connection at the next Send
 			return
 		}
@@ -148,7 +148,7 @@
 			}
 			oldest = max(oldest, age)
 		}
-		if min(oldest, now.Sub(c.readAt)) > t.silenceTimeout {
+		if min(oldest, now.Sub(c.lastReadAt)) > t.silenceTimeout {
 			t.count("dependency connection silent, dialled anew")
 			_ = c.socket.Close()
 		}
--- a/internal/fanout/testserver_test.go
+++ b/internal/fanout/testserver_test.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	patience = 20 * time.Second
-	ms       = time.Millisecond
+	testTimeout = 20 * time.Second
+	ms          = time.Millisecond
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -35,8 +35,8 @@
 	counts    *invariant.Counters
 	startedAt time.Time
 	notices   chan workerapi.Notice
-	posted    chan func()
-	number    atomic.Int32
+	submitted chan func()
+	lastID    atomic.Int32
 }
 
 func dependency(name, address string) Dependency {
@@ -49,7 +49,7 @@
 func newTestServer(t *testing.T, memory int, routes []Route, dependencies ...Dependency) *testServer {
 	server := &testServer{
 		t: t, counts: invariant.New(slog.New(slog.DiscardHandler)), startedAt: time.Now(),
-		notices: make(chan workerapi.Notice, 100), posted: make(chan func(), 100),
+		notices: make(chan workerapi.Notice, 100), submitted: make(chan func(), 100),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	woken := make(chan struct{}, 1)
@@ -63,9 +63,9 @@
 		default:
 		}
 	})
-	ended := make(chan struct{})
+	loopEnded := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(loopEnded)
 		for {
 			server.Advance(now())
 			for _, n := range server.AppendNotices(nil) {
@@ -75,7 +75,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case f := <-server.posted:
+			case f := <-server.submitted:
 				f()
 			case <-woken:
 			case <-time.After(min(max(server.NextTimer()-now(), 0), 20*ms)):
@@ -84,19 +84,19 @@
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-loopEnded
 		server.Wait()
 	})
 	for i := range dependencies {
-		require.Eventually(t, func() bool { return server.transports[i].Available() > 0 || dependencies[i].Name == "down" }, patience, ms)
+		require.Eventually(t, func() bool { return server.transports[i].Available() > 0 || dependencies[i].Name == "down" }, testTimeout, ms)
 	}
 	return server
 }
 
 // start starts a request and returns its id.
 func (s *testServer) start(route, body string, timeout time.Duration) string {
-	id := fmt.Sprintf("%016x", s.number.Add(1))
-	s.posted <- func() { s.Start(workerapi.Run{ID: id, Route: route, Body: []byte(body), Deadline: s.now() + timeout}) }
+	id := fmt.Sprintf("%016x", s.lastID.Add(1))
+	s.submitted <- func() { s.Start(workerapi.Run{ID: id, Route: route, Body: []byte(body), Deadline: s.now() + timeout}) }
 	return id
 }
 
@@ -109,7 +109,7 @@
 			assert.LessOrEqual(s.t, len(n.Result), maxAnswer)
 		}
 		return n.Outcome, a
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.FailNow(s.t, "no end")
 	}
 	return "", a
@@ -159,11 +159,11 @@
 func startCutProxy(t *testing.T, to string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var over sync.WaitGroup
-	var broke atomic.Bool
-	over.Add(1)
+	var goroutines sync.WaitGroup
+	var cut atomic.Bool
+	goroutines.Add(1)
 	go func() {
-		defer over.Done()
+		defer goroutines.Done()
 		for {
 			from, err := listener.Accept()
 			if err != nil {
@@ -174,8 +174,8 @@
 				_ = from.Close()
 				continue
 			}
-			pass := func(a, b net.Conn, up bool) {
-				defer over.Done()
+			forward := func(a, b net.Conn, up bool) {
+				defer goroutines.Done()
 				defer func() { _ = a.Close() }()
 				defer func() { _ = b.Close() }()
 				buffer := make([]byte, 4096)
@@ -184,7 +184,7 @@
 					if err != nil {
 						return
 					}
-					if !up && broke.CompareAndSwap(false, true) {
+					if !up && cut.CompareAndSwap(false, true) {
 						return // the answer is lost: the call has run
 					}
 					if _, err := a.Write(buffer[:n]); err != nil {
@@ -192,14 +192,14 @@
 					}
 				}
 			}
-			over.Add(2)
-			go pass(into, from, true)
-			go pass(from, into, false)
+			goroutines.Add(2)
+			go forward(into, from, true)
+			go forward(from, into, false)
 		}
 	}()
 	t.Cleanup(func() {
 		_ = listener.Close()
-		over.Wait()
+		goroutines.Wait()
 	})
 	return listener.Addr().String()
 }
--- a/internal/fanout/transport.go
+++ b/internal/fanout/transport.go
@@ -13,11 +13,11 @@
 	Body           []byte
 	Timeout        time.Duration
 
-	execution    *budget.Execution
-	call, number int // in the execution, as package budget counts them
-	dependency   int
-	cancelled    bool
-	sentAt       time.Time
+	execution   *budget.Execution
+	call, index int // in the execution, as package budget counts them
+	dependency  int
+	cancelled   bool
+	sentAt      time.Time
 }
 
 // Response is how an attempt ended. Body is set where it succeeded.
--- a/internal/peersync/client.go
+++ b/internal/peersync/client.go
@@ -57,7 +57,7 @@
 	}()
 	var result *T
 	if _, err = conn.Write(hello); err == nil {
-		result, err = converse(conn, handle)
+		result, err = exchangeMessages(conn, handle)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("peer %s: %w", address, errors.Join(err, ctx.Err()))
@@ -65,8 +65,8 @@
 	return result, nil
 }
 
-// converse reads messages and sends what handle returns for them until it has a result.
-func converse[T any](conn net.Conn, handle func(message) ([]byte, *T, error)) (*T, error) {
+// exchangeMessages reads messages and sends what handle returns for them until it has a result.
+func exchangeMessages[T any](conn net.Conn, handle func(message) ([]byte, *T, error)) (*T, error) {
 	var unread []byte
 	chunk := make([]byte, maxFrame)
 	for {
--- a/internal/peersync/exchange.go
+++ b/internal/peersync/exchange.go
@@ -87,12 +87,12 @@
 // serverExchange is the server's side of an exchange.
 type serverExchange struct {
 	serverHandshake
-	done bool // the client's request came
+	requestReceived bool // the client's request came
 }
 
-// served is what a server has for a client: the snapshot, nil while there is none, the time on its clock, and allow, which
+// snapshotSource is what a server has for a client: the snapshot, nil while there is none, the time on its clock, and allow, which
 // decides by the snapshot's bytes whether the client may have it.
-type served struct {
+type snapshotSource struct {
 	snapshot *encodedSnapshot
 	now      time.Duration
 	allow    func(bytes int) (allowed bool, retryAfter time.Duration)
@@ -100,7 +100,7 @@
 
 // handle takes a message and returns the frames to send, or the ballot of an authenticated vote request, which is then to be
 // answered with voted.
-func (e *serverExchange) handle(m message, keys Keys, have served) (out [][]byte, ballot []byte, err error) {
+func (e *serverExchange) handle(m message, keys Keys, source snapshotSource) (out [][]byte, ballot []byte, err error) {
 	switch {
 	case m.Kind == kindHello:
 		challenge, err := e.serverHandshake.handle(m, keys)
@@ -108,30 +108,30 @@
 			return nil, nil, err
 		}
 		return [][]byte{challenge}, nil, nil
-	case m.Kind == kindAsk && e.clientNonce != nil && !e.done:
+	case m.Kind == kindAsk && e.clientNonce != nil && !e.requestReceived:
 		if !e.verify(m.Proof, labelClient) {
 			return nil, nil, fmt.Errorf("client's %w", ErrBadProof)
 		}
-		e.done = true
-		return e.serve(have), nil, nil
-	case m.Kind == kindVote && e.clientNonce != nil && !e.done && len(m.Ballot) > 0 && len(m.Ballot) <= maxBallot:
+		e.requestReceived = true
+		return e.serve(source), nil, nil
+	case m.Kind == kindVote && e.clientNonce != nil && !e.requestReceived && len(m.Ballot) > 0 && len(m.Ballot) <= maxBallot:
 		if !e.verify(m.Proof, labelVote, m.Ballot) {
 			return nil, nil, fmt.Errorf("client's %w", ErrBadProof)
 		}
-		e.done = true
+		e.requestReceived = true
 		return nil, m.Ballot, nil
 	}
 	return nil, nil, ErrUnexpectedMessage
 }
 
 // serve returns the snapshot in frames, or a refusal.
-func (e *serverExchange) serve(have served) (out [][]byte) {
-	snapshot := have.snapshot
+func (e *serverExchange) serve(source snapshotSource) (out [][]byte) {
+	snapshot := source.snapshot
 	if snapshot == nil {
-		return [][]byte{refusal(reasonNothingYet, defaultRetryAfter)}
+		return [][]byte{rejectionFrame(reasonNothingYet, defaultRetryAfter)}
 	}
-	if allowed, retryAfter := have.allow(len(snapshot.bytes)); !allowed {
-		return [][]byte{refusal(reasonTooOften, retryAfter)}
+	if allowed, retryAfter := source.allow(len(snapshot.bytes)); !allowed {
+		return [][]byte{rejectionFrame(reasonTooOften, retryAfter)}
 	}
 	number := 0
 	for rest := snapshot.bytes; len(rest) > 0; {
@@ -140,7 +140,7 @@
 		out = append(out, encodeFrame(message{Kind: kindPart, Number: number, Bytes: rest[:size]}))
 		rest = rest[size:]
 	}
-	age := max(have.now-snapshot.taken, 0)
+	age := max(source.now-snapshot.takenAt, 0)
 	return append(out, encodeFrame(message{
 		Kind: kindEnd, Size: len(snapshot.bytes), Checksum: snapshot.checksum, Age: age,
 		Proof: e.sign(labelSnapshot, signedAge(age), snapshot.bytes),
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -50,8 +50,8 @@
 
 func startServer(t testing.TB, keys Keys) (*Server, *invariant.Counters) {
 	c := newCounts()
-	began := time.Now()
-	server, err := Listen("127.0.0.1:0", keys, func() time.Duration { return time.Hour + time.Since(began) }, c)
+	startedAt := time.Now()
+	server, err := Listen("127.0.0.1:0", keys, func() time.Duration { return time.Hour + time.Since(startedAt) }, c)
 	require.NoError(t, err)
 	server.Publish(testSnapshot(5), time.Hour-time.Second)
 	server.Serve()
@@ -108,11 +108,11 @@
 	}
 	snapshot, err := encodeSnapshot(testSnapshot(5), 0)
 	require.NoError(t, err)
-	have := served{snapshot: snapshot, allow: func(int) (bool, time.Duration) { return true, 0 }}
+	source := snapshotSource{snapshot: snapshot, allow: func(int) (bool, time.Duration) { return true, 0 }}
 	e := serverExchange{serverHandshake: serverHandshake{serverNonce: nonce}}
-	out, _, err := e.handle(message{Kind: 1, Nonce: client.clientNonce, KeyName: keyName(client.key)}, keys, have)
+	out, _, err := e.handle(message{Kind: 1, Nonce: client.clientNonce, KeyName: keyName(client.key)}, keys, source)
 	require.NoError(t, err)
-	more, _, err := e.handle(message{Kind: 3, Proof: sign(key, "asker", nonce, client.clientNonce)}, keys, have)
+	more, _, err := e.handle(message{Kind: 3, Proof: sign(key, "asker", nonce, client.clientNonce)}, keys, source)
 	require.NoError(t, err)
 	return append(out, more...)
 }
@@ -143,20 +143,20 @@
 // estimates into use, so there must be the whole one or none.
 func TestEveryByte(t *testing.T) {
 	nonce := bytes.Repeat([]byte{9}, nonceSize)
-	begin := func() *snapshotRequest { return newTestRequest(keyA, bytes.Repeat([]byte{3}, nonceSize)) }
-	whole := bytes.Join(recordedAnswers(t, keyA, nonce, begin()), nil)
-	snapshot, err := feed(begin(), whole)
+	newRequest := func() *snapshotRequest { return newTestRequest(keyA, bytes.Repeat([]byte{3}, nonceSize)) }
+	whole := bytes.Join(recordedAnswers(t, keyA, nonce, newRequest()), nil)
+	snapshot, err := feed(newRequest(), whole)
 	require.NoError(t, err)
 	require.NotNil(t, snapshot)
 	for cutAt := range whole {
-		snapshot, err := feed(begin(), whole[:cutAt])
+		snapshot, err := feed(newRequest(), whole[:cutAt])
 		require.NoError(t, err, "byte %d: it waits", cutAt)
 		require.Nil(t, snapshot, "byte %d", cutAt)
 	}
 	for at := range whole {
-		garbled := bytes.Clone(whole)
-		garbled[at] ^= 1 << (at % 8)
-		got, err := feed(begin(), garbled)
+		damaged := bytes.Clone(whole)
+		damaged[at] ^= 1 << (at % 8)
+		got, err := feed(newRequest(), damaged)
 		if got != nil { // a field whose number is damaged is skipped, which may leave the snapshot as it was
 			require.NoError(t, err)
 			require.Equal(t, snapshot, got, "byte %d", at)
@@ -177,15 +177,15 @@
 	assert.ErrorIs(t, err, ErrBadProof)
 
 	server, counts := startServer(t, Keys{keyA})
-	link, err := net.Dial("tcp", server.Address())
+	conn, err := net.Dial("tcp", server.Address())
 	require.NoError(t, err)
-	defer func() { _ = link.Close() }()
+	defer func() { _ = conn.Close() }()
 	request := newTestRequest(keyA, bytes.Repeat([]byte{3}, nonceSize))
 	recordedAsk := encodeFrame(message{Kind: kindAsk, Proof: sign(keyA, "asker", bytes.Repeat([]byte{9}, nonceSize), request.clientNonce)})
-	_, err = link.Write(append(request.hello(), recordedAsk...))
+	_, err = conn.Write(append(request.hello(), recordedAsk...))
 	require.NoError(t, err)
-	require.NoError(t, link.SetDeadline(time.Now().Add(testTimeout)))
-	all, _ := io.ReadAll(link)
+	require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+	all, _ := io.ReadAll(conn)
 	assert.Less(t, len(all), 200, "the challenge, and nothing of the snapshot")
 	assert.Equal(t, 1, counts.Times("peer connection closed: not authenticated, or unexpected message"))
 }
@@ -209,7 +209,7 @@
 				break
 			}
 			rest = after
-			if _, _, err := e.handle(m, nil, served{}); err != nil {
+			if _, _, err := e.handle(m, nil, snapshotSource{}); err != nil {
 				break
 			}
 		}
@@ -222,10 +222,10 @@
 	keys := Keys{[]byte("a shared secret of the fleet....")}
 	server, _ := startServer(t, keys)
 	ctx := context.Background()
-	var refused *RejectedError
+	var rejected *RejectedError
 	_, err := RequestVote(ctx, server.Address(), keys, []byte("ballot"))
-	require.ErrorAs(t, err, &refused, "a server without a vote handler refuses")
-	server.SetVoteHandler(func(ballot []byte, answer func([]byte)) { answer(append([]byte("seen "), ballot...)) })
+	require.ErrorAs(t, err, &rejected, "a server without a vote handler refuses")
+	server.SetVoteHandler(func(ballot []byte, respond func([]byte)) { respond(append([]byte("seen "), ballot...)) })
 	got, err := RequestVote(ctx, server.Address(), keys, []byte("ballot"))
 	require.NoError(t, err)
 	assert.Equal(t, "seen ballot", string(got))
@@ -235,8 +235,8 @@
 	assert.ErrorContains(t, err, "ballot of")
 	assert.ErrorIs(t, err, ErrOutOfBounds)
 	server.SetVoteHandler(func([]byte, func([]byte)) {}) // never responds: the exchange times out
-	short, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 	defer cancel()
-	_, err = RequestVote(short, server.Address(), keys, []byte("ballot"))
+	_, err = RequestVote(shortCtx, server.Address(), keys, []byte("ballot"))
 	assert.Error(t, err)
 }
--- a/internal/peersync/fetcher.go
+++ b/internal/peersync/fetcher.go
@@ -33,9 +33,9 @@
 
 // received is a peer's snapshot and when it came.
 type received struct {
-	snapshot estimate.Snapshot
-	at       time.Duration
-	ok       bool
+	snapshot   estimate.Snapshot
+	receivedAt time.Duration
+	ok         bool
 }
 
 // fetchResult is how one fetch ended.
@@ -52,7 +52,7 @@
 	schedule   *estimate.PollSchedule
 	received   []received       // by peer
 	results    chan fetchResult // with room for all peers, so that no fetch waits to report
-	slots      chan struct{}    // holds an element for each fetch under way
+	fetchSlots chan struct{}    // holds an element for each fetch under way
 	inProgress int
 	used       bool // the first answers were used, or there were none in time
 }
@@ -63,7 +63,7 @@
 	run := &fetchRun{
 		Fetcher: f, started: time.Now(), schedule: estimate.NewPollSchedule(len(f.Peers), 0, f.Seed),
 		received: make([]received, len(f.Peers)), results: make(chan fetchResult, len(f.Peers)),
-		slots: make(chan struct{}, maxFetches),
+		fetchSlots: make(chan struct{}, maxFetches),
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() {
@@ -102,9 +102,9 @@
 		go func() {
 			result := fetchResult{peer: peer}
 			select {
-			case r.slots <- struct{}{}:
+			case r.fetchSlots <- struct{}{}:
 				result.snapshot, result.err = Fetch(ctx, r.Peers[peer], r.Keys)
-				<-r.slots
+				<-r.fetchSlots
 			case <-ctx.Done():
 				result.err = ctx.Err()
 			}
@@ -171,9 +171,9 @@
 	if r.Recovered.HasFresh() {
 		snapshots = append(snapshots, r.Recovered.Aged(now))
 	}
-	for _, from := range r.received {
-		if from.ok {
-			snapshots = append(snapshots, from.snapshot.Aged(now-from.at))
+	for _, peer := range r.received {
+		if peer.ok {
+			snapshots = append(snapshots, peer.snapshot.Aged(now-peer.receivedAt))
 			peers++
 		}
 	}
--- a/internal/peersync/fetcher_test.go
+++ b/internal/peersync/fetcher_test.go
@@ -49,11 +49,11 @@
 	needed.Store(true)
 	fetcher, used := newTestFetcher([]string{silent, down, one.Address(), empty.Address(), other.Address()}, &needed)
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan struct{})
-	began := time.Now()
-	go func() { fetcher.Run(ctx); close(over) }()
+	done := make(chan struct{})
+	startedAt := time.Now()
+	go func() { fetcher.Run(ctx); close(done) }()
 	snapshot := <-used
-	assert.Less(t, time.Since(began), exchangeTimeout, "a silent peer delays nobody past the first wait")
+	assert.Less(t, time.Since(startedAt), exchangeTimeout, "a silent peer delays nobody past the first wait")
 	assert.True(t, snapshot.Routes[0].Core.Known())
 
 	// The one that was down comes up.
@@ -69,7 +69,7 @@
 	}
 	needed.Store(false) // it polls no more, and ends
 	select {
-	case <-over:
+	case <-done:
 	case <-time.After(testTimeout):
 		t.Error("polls on although it needs no estimates")
 	}
@@ -83,20 +83,20 @@
 	var needed atomic.Bool
 	needed.Store(true)
 	polled := make(chan struct{}, 4096)
-	var open, most atomic.Int64
-	var over sync.WaitGroup
-	over.Add(1)
+	var open, maxOpen atomic.Int64
+	var goroutines sync.WaitGroup
+	goroutines.Add(1)
 	go func() {
-		defer over.Done()
+		defer goroutines.Done()
 		for {
 			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			most.Store(max(most.Load(), open.Add(1))) // this goroutine alone writes it
-			over.Add(1)
+			maxOpen.Store(max(maxOpen.Load(), open.Add(1))) // this goroutine alone writes it
+			goroutines.Add(1)
 			go func() {
-				defer over.Done()
+				defer goroutines.Done()
 				_, _ = c.Read(make([]byte, maxFrame))
 				time.Sleep(time.Millisecond) // in which the others would come
 				open.Add(-1)                 // before the client sees the end, and may start the next
@@ -105,7 +105,7 @@
 			}()
 		}
 	}()
-	defer over.Wait()
+	defer goroutines.Wait()
 	defer func() { _ = listener.Close() }()
 	fetcher, _ := newTestFetcher(slices.Repeat([]string{listener.Addr().String()}, 1024), &needed)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -119,7 +119,7 @@
 		case <-time.After(time.Millisecond):
 		}
 	}
-	assert.LessOrEqual(t, most.Load(), int64(maxFetches))
+	assert.LessOrEqual(t, maxOpen.Load(), int64(maxFetches))
 	cancel()
 	<-ended
 }
@@ -138,15 +138,15 @@
 	needed.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	var over sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for _, server := range []*Server{a, b} {
 		fetcher, used := newTestFetcher([]string{server.Address()}, &needed)
-		over.Add(1)
+		goroutines.Add(1)
 		go func() {
-			defer over.Done()
+			defer goroutines.Done()
 			fetcher.Run(ctx)
 			assert.Empty(t, used)
 		}()
 	}
-	over.Wait()
+	goroutines.Wait()
 }
--- a/internal/peersync/handshake.go
+++ b/internal/peersync/handshake.go
@@ -22,8 +22,8 @@
 // client's turn.
 func (h *clientHandshake) handle(m message) (handled bool, err error) {
 	switch {
-	case m.Kind == kindRefusal:
-		return true, m.rejection()
+	case m.Kind == kindRejection:
+		return true, m.rejectionError()
 	case m.Kind == kindChallenge && h.serverNonce == nil && len(m.Nonce) == nonceSize:
 		if !verify(m.Proof, h.key, labelServer, h.clientNonce, m.Nonce) {
 			return true, fmt.Errorf("challenge: peer's %w", ErrBadProof)
--- a/internal/peersync/hostile_test.go
+++ b/internal/peersync/hostile_test.go
@@ -26,14 +26,14 @@
 // connection may be left, and the server must go on.
 func TestCutOnSockets(t *testing.T) {
 	server, _ := startServer(t, Keys{keyA})
-	through := func(cutAt int, upwards bool) error {
-		between, err := net.Listen("tcp", "127.0.0.1:0")
+	fetchThrough := func(cutAt int, toServer bool) error {
+		proxy, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		var over sync.WaitGroup
-		over.Add(1)
+		var goroutines sync.WaitGroup
+		goroutines.Add(1)
 		go func() {
-			defer over.Done()
-			from, err := between.Accept()
+			defer goroutines.Done()
+			from, err := proxy.Accept()
 			if err != nil {
 				return
 			}
@@ -42,32 +42,32 @@
 				_ = from.Close()
 				return
 			}
-			pass := func(into, out net.Conn, most int64) {
-				defer over.Done()
-				_, _ = io.Copy(into, io.LimitReader(out, most))
+			forward := func(into, out net.Conn, maxBytes int64) {
+				defer goroutines.Done()
+				_, _ = io.Copy(into, io.LimitReader(out, maxBytes))
 				_ = into.Close()
 				_ = out.Close()
 			}
-			up, down := int64(1<<20), int64(1<<20)
-			if upwards {
-				up = int64(cutAt)
+			toServerBytes, toClientBytes := int64(1<<20), int64(1<<20)
+			if toServer {
+				toServerBytes = int64(cutAt)
 			} else {
-				down = int64(cutAt)
+				toClientBytes = int64(cutAt)
 			}
-			over.Add(2)
-			go pass(to, from, up)
-			go pass(from, to, down)
+			goroutines.Add(2)
+			go forward(to, from, toServerBytes)
+			go forward(from, to, toClientBytes)
 		}()
-		_, err = Fetch(t.Context(), between.Addr().String(), Keys{keyA})
-		_ = between.Close()
-		over.Wait()
+		_, err = Fetch(t.Context(), proxy.Addr().String(), Keys{keyA})
+		_ = proxy.Close()
+		goroutines.Wait()
 		return err
 	}
-	require.NoError(t, through(1<<20, true))
+	require.NoError(t, fetchThrough(1<<20, true))
 	size := EncodedSize(testSnapshot(5))
 	for n := range 24 {
-		assert.Error(t, through(n*size/24, false), "answer cut at %d", n*size/24)
-		assert.Error(t, through(n*3, true), "ask cut at %d", n*3)
+		assert.Error(t, fetchThrough(n*size/24, false), "answer cut at %d", n*size/24)
+		assert.Error(t, fetchThrough(n*3, true), "ask cut at %d", n*3)
 		time.Sleep(110 * time.Millisecond) // the rate that one address may ask at
 	}
 	_, err := Fetch(t.Context(), server.Address(), Keys{keyA})
@@ -78,26 +78,26 @@
 func startPeer(t *testing.T, script func(net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var over sync.WaitGroup
-	over.Add(1)
+	var goroutines sync.WaitGroup
+	goroutines.Add(1)
 	go func() {
-		defer over.Done()
+		defer goroutines.Done()
 		for {
-			link, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			over.Add(1)
+			goroutines.Add(1)
 			go func() {
-				defer over.Done()
-				defer func() { _ = link.Close() }()
-				script(link)
+				defer goroutines.Done()
+				defer func() { _ = conn.Close() }()
+				script(conn)
 			}()
 		}
 	}()
 	t.Cleanup(func() {
 		_ = listener.Close()
-		over.Wait()
+		goroutines.Wait()
 	})
 	return listener.Addr().String()
 }
@@ -181,7 +181,7 @@
 		{"an end too soon", challengeAndSend(part, endOf(snapshot.bytes, snapshot.checksum)), "stated"},
 		{"a checksum that lies", challengeAndSend(part, endOf(snapshot.bytes[:100], 1)), "checksum of the snapshot"},
 		{"more than a snapshot may be", challengeAndSend(tooManyParts()...), "over"},
-		{"a refusal", send(refusal("no", time.Second)), "rejected"},
+		{"a refusal", send(rejectionFrame("no", time.Second)), "rejected"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -199,21 +199,21 @@
 // and others must be answered meanwhile.
 func TestBadClients(t *testing.T) {
 	server, counts := startServer(t, nil)
-	var links []net.Conn
+	var conns []net.Conn
 	defer func() {
-		for _, l := range links {
+		for _, l := range conns {
 			_ = l.Close()
 		}
 	}()
 	for _, first := range [][]byte{nil, {0}, newTestRequest(nil, make([]byte, nonceSize)).hello()} {
-		link, err := net.Dial("tcp", server.Address())
+		conn, err := net.Dial("tcp", server.Address())
 		require.NoError(t, err)
-		_, _ = link.Write(first)
-		links = append(links, link)
+		_, _ = conn.Write(first)
+		conns = append(conns, conn)
 	}
 	_, err := Fetch(t.Context(), server.Address(), nil)
 	require.NoError(t, err)
-	for _, l := range links {
+	for _, l := range conns {
 		require.NoError(t, l.SetDeadline(time.Now().Add(testTimeout)))
 		_, err := io.Copy(io.Discard, l)
 		assert.False(t, errors.Is(err, os.ErrDeadlineExceeded), "the server closes it")
@@ -228,44 +228,44 @@
 	_, err = io.Copy(io.Discard, flood)
 	assert.False(t, errors.Is(err, os.ErrDeadlineExceeded))
 
-	refused := 0
+	rejections := 0
 	for range 30 {
-		var no *RejectedError
-		if _, err := Fetch(t.Context(), server.Address(), nil); errors.As(err, &no) {
-			refused++
-			assert.Equal(t, time.Second, no.RetryAfter)
+		var rejected *RejectedError
+		if _, err := Fetch(t.Context(), server.Address(), nil); errors.As(err, &rejected) {
+			rejections++
+			assert.Equal(t, time.Second, rejected.RetryAfter)
 		}
 	}
-	assert.Positive(t, refused, "asked too often")
+	assert.Positive(t, rejections, "asked too often")
 }
 
 // Far more peers connect at once than are allowed, and the server closes the rest. Its goroutine may close a connection that
 // netpoll has announced and not yet put into its poller. Netpoll then went on with what the close had freed: it logged a
 // connection that its poller does not know, and where the close came a moment later the process ended with a nil pointer
 // (seen once, in a fleet of 250 simulated servers). The test holds up netpoll at that moment each time.
-func TestCrowdOfPeers(t *testing.T) {
-	var complaints logText
+func TestConnectionLimit(t *testing.T) {
+	var logged logBuffer
 	before := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(&complaints, nil)))
+	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
 	defer slog.SetDefault(before)
-	began := time.Now()
-	server, err := Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) }, invariant.New(slog.New(slog.DiscardHandler)))
+	startedAt := time.Now()
+	server, err := Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(startedAt) }, invariant.New(slog.New(slog.DiscardHandler)))
 	require.NoError(t, err)
-	prepare := func(link netpoll.Connection) context.Context {
-		ctx := server.prepare(link)
-		turn := make(chan struct{})
-		server.Submit(func() { close(turn) })
-		<-turn
+	prepare := func(transport netpoll.Connection) context.Context {
+		ctx := server.prepare(transport)
+		registered := make(chan struct{})
+		server.Submit(func() { close(registered) })
+		<-registered
 		return ctx
 	}
-	server.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(prepare), poller.OnRegistered(closingOf))
+	server.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(prepare), poller.OnRegistered(closerOf))
 	require.NoError(t, err)
 	server.Serve()
 	t.Cleanup(server.Close)
 	server.Publish(testSnapshot(0), 0)
-	var over sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for range 100 {
-		over.Go(func() {
+		goroutines.Go(func() {
 			c, err := net.Dial("tcp", server.Address())
 			if err != nil {
 				return
@@ -275,27 +275,27 @@
 			_, _ = io.Copy(io.Discard, c) // until the server closes it; those that may stay leave by themselves
 		})
 	}
-	over.Wait()
+	goroutines.Wait()
 	require.Eventually(t, func() bool {
 		_, err := Fetch(t.Context(), server.Address(), nil)
 		return err == nil
 	}, testTimeout, 10*time.Millisecond, "peers are answered again")
-	assert.NotContains(t, complaints.String(), "detach operator failed")
+	assert.NotContains(t, logged.String(), "detach operator failed")
 }
 
-// logText is the text of a log that several goroutines write.
-type logText struct {
+// logBuffer is the text of a log that several goroutines write.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logText) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
--- a/internal/peersync/message.go
+++ b/internal/peersync/message.go
@@ -50,7 +50,7 @@
 	kindAsk // for a snapshot
 	kindPart
 	kindEnd // the last part
-	kindRefusal
+	kindRejection
 	kindVote    // for a lease, instead of kindAsk
 	kindVoted   // the response to kindVote
 	kindSession // for a session, instead of kindAsk
@@ -114,14 +114,14 @@
 
 func (e *RejectedError) Error() string { return fmt.Sprintf("rejected: %q", e.Reason) }
 
-// rejection is the error that a refusal stands for.
-func (m message) rejection() error {
+// rejectionError is the error that a refusal stands for.
+func (m message) rejectionError() error {
 	return &RejectedError{Reason: m.Reason[:min(len(m.Reason), maxReason)], RetryAfter: max(m.RetryAfter, 0)}
 }
 
-// refusal is the frame that refuses a peer.
-func refusal(reason string, retryAfter time.Duration) []byte {
-	return encodeFrame(message{Kind: kindRefusal, Reason: reason, RetryAfter: retryAfter})
+// rejectionFrame is the frame that refuses a peer.
+func rejectionFrame(reason string, retryAfter time.Duration) []byte {
+	return encodeFrame(message{Kind: kindRejection, Reason: reason, RetryAfter: retryAfter})
 }
 
 var decoder = strictcbor.NewDecMode(estimate.MaxPublishedRoutes, false)
--- a/internal/peersync/server.go
+++ b/internal/peersync/server.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	sweepInterval  = 100 * time.Millisecond // between checks of all connections, while there are any
+	checkInterval  = 100 * time.Millisecond // between checks of all connections, while there are any
 	maxUnsentBytes = 2 * maxSnapshot        // for one client that does not read
 )
 
@@ -33,11 +33,11 @@
 	published   atomic.Pointer[published]
 	voteHandler atomic.Pointer[VoteHandler]
 
-	mu     sync.Mutex
-	posted []func()
-	wake   chan struct{}
-	quit   chan struct{}
-	done   sync.WaitGroup
+	mu         sync.Mutex
+	submitted  []func()
+	wake       chan struct{}
+	quit       chan struct{}
+	goroutines sync.WaitGroup
 
 	// The goroutine that runs run owns what follows.
 	limiter     *estimate.ServeLimiter
@@ -49,7 +49,7 @@
 // published is a snapshot and when it was taken.
 type published struct {
 	snapshot estimate.Snapshot
-	at       time.Duration
+	takenAt  time.Duration
 }
 
 // VoteHandler takes the ballot of an authenticated peer. It may call respond once, from any goroutine, with a response of 1
@@ -63,11 +63,11 @@
 		return nil, fmt.Errorf("listen for peers at %s: %w", address, err)
 	}
 	s := &Server{
-		counts: counts, now: now, listener: &patientListener{listener, counts},
+		counts: counts, now: now, listener: &waitingListener{listener, counts},
 		wake: make(chan struct{}, 1), quit: make(chan struct{}), limiter: estimate.NewServeLimiter(now()),
 	}
 	s.keys.Store(&keys)
-	s.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(s.prepare), poller.OnRegistered(closingOf))
+	s.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(s.prepare), poller.OnRegistered(closerOf))
 	if err != nil {
 		_ = listener.Close()
 		return nil, fmt.Errorf("event loop: %w", err)
@@ -75,13 +75,13 @@
 	return s, nil
 }
 
-// patientListener stays open when the process has no descriptors left: peers wait in it.
-type patientListener struct {
+// waitingListener stays open when the process has no descriptors left: peers wait in it.
+type waitingListener struct {
 	netpoll.Listener
 	counts *invariant.Counters
 }
 
-func (l *patientListener) Accept() (net.Conn, error) {
+func (l *waitingListener) Accept() (net.Conn, error) {
 	return poller.Accept(l.Listener, func() { l.counts.Count("peer waits, descriptors ran out") })
 }
 
@@ -92,8 +92,8 @@
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Publish replaces the snapshot that is served by one that was taken at a moment. It does not block.
-func (s *Server) Publish(snapshot estimate.Snapshot, at time.Duration) {
-	s.published.Store(&published{snapshot, at})
+func (s *Server) Publish(snapshot estimate.Snapshot, takenAt time.Duration) {
+	s.published.Store(&published{snapshot, takenAt})
 }
 
 // SetKeys replaces the keys for connections that begin from now on.
@@ -102,7 +102,7 @@
 // Submit has the server's goroutine call f.
 func (s *Server) Submit(f func()) {
 	s.mu.Lock()
-	s.posted = append(s.posted, f)
+	s.submitted = append(s.submitted, f)
 	s.mu.Unlock()
 	select {
 	case s.wake <- struct{}{}:
@@ -112,7 +112,7 @@
 
 // Serve starts the server's goroutines, which end with Close.
 func (s *Server) Serve() {
-	s.done.Go(func() {
+	s.goroutines.Go(func() {
 		if err := s.loop.Serve(s.listener); err != nil {
 			select {
 			case <-s.quit:
@@ -121,29 +121,29 @@
 			}
 		}
 	})
-	s.done.Go(s.run)
+	s.goroutines.Go(s.run)
 }
 
 // Close closes the listener and all connections and waits for the goroutines.
 func (s *Server) Close() {
 	close(s.quit)
 	_ = unix.Shutdown(s.listener.Fd(), unix.SHUT_RD) // for the reason that package frontend states
-	s.done.Wait()
+	s.goroutines.Wait()
 }
 
 func (s *Server) run() {
-	ticker := time.NewTicker(sweepInterval)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		s.mu.Lock()
-		batch := s.posted
-		s.posted = nil
+		batch := s.submitted
+		s.submitted = nil
 		s.mu.Unlock()
 		for _, f := range batch {
 			f()
 		}
 		for i := len(s.conns) - 1; i >= 0; i-- { // from the end, as a sweep may remove the connection
-			s.conns[i].sweep(s.now())
+			s.conns[i].check(s.now())
 		}
 		var tick <-chan time.Time
 		if len(s.conns) > 0 {
@@ -166,7 +166,7 @@
 	latest := s.published.Load()
 	if latest != s.encodedFrom {
 		s.encodedFrom, s.encoded = latest, nil
-		encoded, err := encodeSnapshot(latest.snapshot, latest.at)
+		encoded, err := encodeSnapshot(latest.snapshot, latest.takenAt)
 		if err != nil {
 			s.counts.Count("snapshot too large to be served")
 			return nil
@@ -177,17 +177,17 @@
 }
 
 // prepare is netpoll's callback for a new connection.
-func (s *Server) prepare(link netpoll.Connection) context.Context {
-	address := link.RemoteAddr().String()
+func (s *Server) prepare(transport netpoll.Connection) context.Context {
+	address := transport.RemoteAddr().String()
 	if host, _, err := net.SplitHostPort(address); err == nil {
 		address = host
 	}
 	c := &serverConn{
-		server: s, link: link, address: address, startedAt: s.now(), keys: *s.keys.Load(), fd: link.(netpoll.Conn).Fd(),
+		server: s, transport: transport, address: address, startedAt: s.now(), keys: *s.keys.Load(), fd: transport.(netpoll.Conn).Fd(),
 		unsent: writequeue.New(maxUnsentBytes), exchange: serverExchange{serverHandshake: serverHandshake{serverNonce: newNonce()}},
 	}
 	processTraffic.accepted.Add(1)
-	_ = link.AddCloseCallback(c.onClose)
-	s.Submit(c.join)
+	_ = transport.AddCloseCallback(c.onClose)
+	s.Submit(c.register)
 	return context.WithValue(poller.Context(s), connKey{}, c)
 }
--- a/internal/peersync/serverconn.go
+++ b/internal/peersync/serverconn.go
@@ -17,10 +17,10 @@
 // connKey finds a connection in its context.
 type connKey struct{}
 
-// serverConn is a client's connection. The server's goroutine owns it, but for descriptorGone.
+// serverConn is a client's connection. The server's goroutine owns it, but for descriptorClosed.
 type serverConn struct {
 	server    *Server
-	link      netpoll.Connection
+	transport netpoll.Connection
 	address   string // of the client, without its port
 	startedAt time.Duration
 	keys      Keys
@@ -30,15 +30,15 @@
 	counted   bool // by the limiter, to which it must be returned
 	closed    bool
 
-	closing poller.DeferredClose
+	closer poller.DeferredClose
 
-	mu             sync.Mutex
-	descriptorGone bool // fd may already stand for another file
-	fd             int
+	mu               sync.Mutex
+	descriptorClosed bool // fd may already stand for another file
+	fd               int
 }
 
-// join is the connection's first call in the server's goroutine.
-func (c *serverConn) join() {
+// register is the connection's first call in the server's goroutine.
+func (c *serverConn) register() {
 	c.server.conns = append(c.server.conns, c)
 	if c.counted = c.server.limiter.Connect(c.address, c.server.now()); !c.counted {
 		c.fail("peer connection closed: too many connections")
@@ -48,14 +48,14 @@
 // onClose is netpoll's callback before the descriptor is closed and may be used for another file.
 func (c *serverConn) onClose(netpoll.Connection) error {
 	c.mu.Lock()
-	c.descriptorGone = true
+	c.descriptorClosed = true
 	c.mu.Unlock()
-	c.server.Submit(c.leave)
+	c.server.Submit(c.unregister)
 	return nil
 }
 
-// leave removes the connection from the server.
-func (c *serverConn) leave() {
+// unregister removes the connection from the server.
+func (c *serverConn) unregister() {
 	c.closed = true
 	for i, other := range c.server.conns {
 		if other == c {
@@ -71,25 +71,25 @@
 
 func (c *serverConn) close() {
 	c.closed = true
-	c.closing.Close(c.link)
+	c.closer.Close(c.transport)
 }
 
-// closingOf finds what closes a connection in its context.
-func closingOf(ctx context.Context) *poller.DeferredClose {
-	return &ctx.Value(connKey{}).(*serverConn).closing
+// closerOf finds what closes a connection in its context.
+func closerOf(ctx context.Context) *poller.DeferredClose {
+	return &ctx.Value(connKey{}).(*serverConn).closer
 }
 
 // fail counts why the server closes the connection, and closes it.
-func (c *serverConn) fail(what string) {
+func (c *serverConn) fail(event string) {
 	if !c.closed {
-		c.server.counts.Count(what)
+		c.server.counts.Count(event)
 		c.close()
 	}
 }
 
-// sweep sends what waits, and closes a connection whose time is over. A client closes its connection when it has its answer,
+// check sends what waits, and closes a connection whose time is over. A client closes its connection when it has its answer,
 // so one that is still open then belongs to a client that does not read or sends a byte at a time.
-func (c *serverConn) sweep(now time.Duration) {
+func (c *serverConn) check(now time.Duration) {
 	if c.closed {
 		return
 	}
@@ -103,7 +103,7 @@
 func (c *serverConn) flush() {
 	c.mu.Lock()
 	var err error
-	if !c.descriptorGone {
+	if !c.descriptorClosed {
 		err = c.unsent.Flush(c.fd)
 	}
 	c.mu.Unlock()
@@ -113,9 +113,9 @@
 }
 
 // onData is netpoll's callback for bytes that came; package poller has the server's goroutine call it.
-func onData(ctx context.Context, link netpoll.Connection) error {
+func onData(ctx context.Context, transport netpoll.Connection) error {
 	c := ctx.Value(connKey{}).(*serverConn)
-	in := link.Reader()
+	in := transport.Reader()
 	raw, err := in.Next(in.Len())
 	if err != nil {
 		return err
@@ -153,7 +153,7 @@
 // handle answers a message; false where the connection was closed.
 func (c *serverConn) handle(m message) bool {
 	now := c.server.now()
-	out, ballot, err := c.exchange.handle(m, c.keys, served{
+	out, ballot, err := c.exchange.handle(m, c.keys, snapshotSource{
 		snapshot: c.server.snapshot(), now: now,
 		allow: func(bytes int) (bool, time.Duration) { return c.server.limiter.Allow(c.address, bytes, now) },
 	})
@@ -172,7 +172,7 @@
 func (c *serverConn) handleBallot(ballot []byte) [][]byte {
 	handler := c.server.voteHandler.Load()
 	if handler == nil {
-		return [][]byte{refusal(reasonNoVoter, defaultRetryAfter)}
+		return [][]byte{rejectionFrame(reasonNoVoter, defaultRetryAfter)}
 	}
 	(*handler)(ballot, func(response []byte) {
 		c.server.Submit(func() {
--- a/internal/peersync/session.go
+++ b/internal/peersync/session.go
@@ -91,16 +91,16 @@
 		}
 		if m.Kind == kindSession && handshake.clientNonce != nil {
 			if !handshake.verify(m.Proof, labelSession) {
-				return nil, s.refuse(reasonBadProof, ErrBadProof)
+				return nil, s.reject(reasonBadProof, ErrBadProof)
 			}
 			break
 		}
 		if m.Kind != kindHello {
-			return nil, s.refuse(reasonNoSession, ErrUnexpectedMessage)
+			return nil, s.reject(reasonNoSession, ErrUnexpectedMessage)
 		}
 		challenge, err := handshake.handle(m, keys)
 		if err != nil {
-			return nil, s.refuse(reasonUnknownKey, err)
+			return nil, s.reject(reasonUnknownKey, err)
 		}
 		if _, err := conn.Write(challenge); err != nil {
 			return nil, fmt.Errorf("send challenge: %w", err)
@@ -111,9 +111,9 @@
 	return s, conn.SetDeadline(time.Time{})
 }
 
-// refuse tells the peer why there is no session, and returns the error for this side.
-func (s *Session) refuse(reason string, err error) error {
-	_, _ = s.conn.Write(refusal(reason, defaultRetryAfter))
+// reject tells the peer why there is no session, and returns the error for this side.
+func (s *Session) reject(reason string, err error) error {
+	_, _ = s.conn.Write(rejectionFrame(reason, defaultRetryAfter))
 	return fmt.Errorf("accept session: %w", err)
 }
 
@@ -183,8 +183,8 @@
 		switch {
 		case err != nil:
 			return nil, err
-		case m.Kind == kindRefusal:
-			return nil, m.rejection()
+		case m.Kind == kindRejection:
+			return nil, m.rejectionError()
 		case m.Kind != kindPart && m.Kind != kindEnd || m.Number != number:
 			return nil, ErrUnexpectedMessage
 		case len(payload)+len(m.Bytes) > limit:
--- a/internal/peersync/session_test.go
+++ b/internal/peersync/session_test.go
@@ -14,7 +14,7 @@
 )
 
 // openSessions opens both ends of one, and returns each with the error of its opening.
-func openSessions(t *testing.T, clientKeys, serverKeys Keys, between func(net.Conn) net.Conn) (a, b *Session, errA, errB error) {
+func openSessions(t *testing.T, clientKeys, serverKeys Keys, wrap func(net.Conn) net.Conn) (a, b *Session, errA, errB error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -33,8 +33,8 @@
 	}()
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	if between != nil {
-		conn = between(conn)
+	if wrap != nil {
+		conn = wrap(conn)
 	}
 	if a, errA = openOn(t.Context(), conn, clientKeys); errA != nil {
 		_ = conn.Close()
@@ -90,8 +90,8 @@
 	other := Keys{bytes.Repeat([]byte{9}, minKeySize)}
 	for name, keys := range map[string]Keys{"another": other, "none": nil} {
 		_, _, errA, errB := openSessions(t, keys, sessionKey, nil)
-		var refused *RejectedError
-		assert.ErrorAs(t, errA, &refused, name)
+		var rejected *RejectedError
+		assert.ErrorAs(t, errA, &rejected, name)
 		assert.ErrorContains(t, errB, "key is not known", name)
 		assert.ErrorIs(t, errB, ErrUnknownKey, name)
 	}
@@ -103,15 +103,15 @@
 // damagingConn changes one byte of what is read.
 type damagingConn struct {
 	net.Conn
-	at, seen int
+	damageAt, bytesRead int
 }
 
 func (f *damagingConn) Read(p []byte) (int, error) {
 	n, err := f.Conn.Read(p)
-	if place := f.at - f.seen; place >= 0 && place < n {
-		p[place] ^= 0x20
+	if index := f.damageAt - f.bytesRead; index >= 0 && index < n {
+		p[index] ^= 0x20
 	}
-	f.seen += n
+	f.bytesRead += n
 	return n, err
 }
 
@@ -121,7 +121,7 @@
 	for at := 0; ; at += 7 {
 		var conn *damagingConn
 		a, b, errA, errB := openSessions(t, sessionKey, sessionKey, func(c net.Conn) net.Conn {
-			conn = &damagingConn{Conn: c, at: at}
+			conn = &damagingConn{Conn: c, damageAt: at}
 			return conn
 		})
 		if errA != nil || errB != nil {
@@ -129,7 +129,7 @@
 		}
 		require.NoError(t, b.Send(payload))
 		got, err := a.Receive(1<<20, testTimeout)
-		if conn.seen <= at {
+		if conn.bytesRead <= at {
 			require.NoError(t, err)
 			assert.Equal(t, payload, got)
 			return // past the end
--- a/internal/peersync/snapshot.go
+++ b/internal/peersync/snapshot.go
@@ -14,10 +14,10 @@
 type encodedSnapshot struct {
 	bytes    []byte
 	checksum uint64
-	taken    time.Duration // on the server's clock
+	takenAt  time.Duration // on the server's clock
 }
 
-func encodeSnapshot(snapshot estimate.Snapshot, taken time.Duration) (*encodedSnapshot, error) {
+func encodeSnapshot(snapshot estimate.Snapshot, takenAt time.Duration) (*encodedSnapshot, error) {
 	raw, err := cbor.Marshal(snapshot.Published())
 	if err != nil {
 		return nil, fmt.Errorf("encode snapshot: %w", err)
@@ -25,7 +25,7 @@
 	if len(raw) > maxSnapshot {
 		return nil, fmt.Errorf("snapshot of %d bytes, %d allowed: %w", len(raw), maxSnapshot, ErrOutOfBounds)
 	}
-	return &encodedSnapshot{raw, xxhash.Sum64(raw), taken}, nil
+	return &encodedSnapshot{raw, xxhash.Sum64(raw), takenAt}, nil
 }
 
 func decodeSnapshot(raw []byte) (snapshot estimate.Snapshot, err error) {
--- a/internal/peersync/wire_test.go
+++ b/internal/peersync/wire_test.go
@@ -28,21 +28,21 @@
 	}
 	assert.Equal(t, "00000034ad010102050341010441020541030604074105080609070a1b00000001dcd650000b646e696e650c1b00000002540be4000d410b", hex.EncodeToString(encodeFrame(full)))
 	assert.Equal(t, []kind{1, 2, 3, 4, 5, 6, 7, 8, 9},
-		[]kind{kindHello, kindChallenge, kindAsk, kindPart, kindEnd, kindRefusal, kindVote, kindVoted, kindSession})
+		[]kind{kindHello, kindChallenge, kindAsk, kindPart, kindEnd, kindRejection, kindVote, kindVoted, kindSession})
 
-	ours, theirs := bytes.Repeat([]byte{3}, nonceSize), bytes.Repeat([]byte{9}, nonceSize)
+	clientNonce, serverNonce := bytes.Repeat([]byte{3}, nonceSize), bytes.Repeat([]byte{9}, nonceSize)
 	snapshot, err := encodeSnapshot(testSnapshot(5), 0)
 	require.NoError(t, err)
 	allow := func(int) (bool, time.Duration) { return true, 0 }
-	client := newTestRequest(keyA, ours)
-	server := serverExchange{serverHandshake: serverHandshake{serverNonce: theirs}}
+	client := newTestRequest(keyA, clientNonce)
+	server := serverExchange{serverHandshake: serverHandshake{serverNonce: serverNonce}}
 	var sent, received [][]byte
 	sent = append(sent, client.hello())
 	for i := 0; i < len(sent); i++ {
 		m, _, ok, err := decodeFrame(sent[i])
 		require.True(t, ok)
 		require.NoError(t, err)
-		answers, _, err := server.handle(m, Keys{keyA}, served{snapshot, 2 * time.Second, allow})
+		answers, _, err := server.handle(m, Keys{keyA}, snapshotSource{snapshot, 2 * time.Second, allow})
 		require.NoError(t, err)
 		for _, answer := range answers {
 			received = append(received, answer)
@@ -60,11 +60,11 @@
 	assert.Equal(t, "c70535bda8f0878bd4f35f82c35dd8d6803d44d909814340be068d60147bc68e", digest(sent...))
 	assert.Equal(t, "1b88d4eb556e8f8cf98c63a76c4a43fa16ae3d449764f5695921a2bd214d9aae", digest(received...))
 
-	voter := voteRequest{clientHandshake: clientHandshake{key: keyA, clientNonce: ours}, ballot: []byte("ballot")}
-	server = serverExchange{serverHandshake: serverHandshake{serverNonce: theirs}}
+	voter := voteRequest{clientHandshake: clientHandshake{key: keyA, clientNonce: clientNonce}, ballot: []byte("ballot")}
+	server = serverExchange{serverHandshake: serverHandshake{serverNonce: serverNonce}}
 	m, _, _, err := decodeFrame(voter.hello())
 	require.NoError(t, err)
-	answers, _, err := server.handle(m, Keys{keyA}, served{allow: allow})
+	answers, _, err := server.handle(m, Keys{keyA}, snapshotSource{allow: allow})
 	require.NoError(t, err)
 	m, _, _, err = decodeFrame(answers[0])
 	require.NoError(t, err)
@@ -72,7 +72,7 @@
 	require.NoError(t, err)
 	m, _, _, err = decodeFrame(request)
 	require.NoError(t, err)
-	_, ballot, err := server.handle(m, Keys{keyA}, served{allow: allow})
+	_, ballot, err := server.handle(m, Keys{keyA}, snapshotSource{allow: allow})
 	require.NoError(t, err)
 	assert.Equal(t, "ballot", string(ballot))
 	assert.Equal(t, "549b637aab1fa6058990790fd71aa7b88a9f4fc6a39585be71af29a707ce39d7", digest(request))
