--- a/internal/peersync/client.go
+++ b/internal/peersync/client.go
@@ -10,11 +10,12 @@
 	"quartzpoint/estimate"
 )
 
-// exchangeTimeout bounds an exchange, on both sides. Only a peer that is gone or sends slowly on purpose needs longer.
+// exchangeTimeout limits the duration of an exchange on both sides. Only a peer that is down or that sends slowly on
+// purpose exceeds it.
 const exchangeTimeout = 2 * time.Second
 
-// Fetch gets the snapshot of a running server. The time that the exchange took is added to its age: how much of it passed
-// after the snapshot was sent is not known. A refusal is a *RejectedError.
+// Fetch fetches the snapshot of a running server. It adds the duration of the exchange to the snapshot's age, because
+// how much of it passed after the snapshot was sent is unknown. A rejection is returned as a *RejectedError.
 func Fetch(ctx context.Context, address string, keys Keys) (estimate.Snapshot, error) {
 	started := time.Now()
 	request := &snapshotRequest{clientHandshake: newClientHandshake(keys.first())}
@@ -25,11 +26,11 @@
 	return snapshot.Aged(time.Since(started)), nil
 }
 
-// RequestVote sends a ballot of 1 to 1024 bytes to a running server and returns its response, each authenticated by the key.
-// What is in them is the caller's. A refusal is a *RejectedError.
+// RequestVote sends a ballot of 1 to 1024 bytes to a running server and returns its response. Both are authenticated
+// with the key; their contents are defined by the caller. A rejection is returned as a *RejectedError.
 func RequestVote(ctx context.Context, address string, keys Keys, ballot []byte) ([]byte, error) {
 	if len(ballot) == 0 || len(ballot) > maxBallot {
-		return nil, fmt.Errorf("ballot of %d bytes, 1 to %d allowed: %w", len(ballot), maxBallot, ErrOutOfBounds)
+		return nil, fmt.Errorf("ballot of %d bytes, want 1 to %d: %w", len(ballot), maxBallot, ErrOutOfBounds)
 	}
 	request := &voteRequest{clientHandshake: newClientHandshake(keys.first()), ballot: ballot}
 	response, err := exchange(ctx, address, request.hello(), request.handle)
@@ -39,7 +40,7 @@
 	return *response, nil
 }
 
-// exchange connects to a server, sends the hello and passes what comes to handle until that has a result.
+// exchange connects to a server, sends the hello and passes received messages to handle until it returns a result.
 func exchange[T any](
 	ctx context.Context, address string, hello []byte, handle func(message) ([]byte, *T, error),
 ) (*T, error) {
@@ -49,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The context's end closes the connection, so that a peer that sends nothing does not hold up the caller.
+	// The end of the context closes the connection, so that a silent peer does not block the caller.
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer func() {
 		stop()
@@ -65,7 +66,7 @@
 	return result, nil
 }
 
-// exchangeMessages reads messages and sends what handle returns for them until it has a result.
+// exchangeMessages reads messages and sends the frames that handle returns for them, until handle returns a result.
 func exchangeMessages[T any](conn net.Conn, handle func(message) ([]byte, *T, error)) (*T, error) {
 	var unread []byte
 	chunk := make([]byte, maxFrame)
@@ -97,11 +98,11 @@
 	}
 }
 
-// localAddressKey finds the address to dial from in a context.
+// localAddressKey is the context key of the local address to dial from.
 type localAddressKey struct{}
 
-// WithLocalAddress has connections that are dialled with the context begin at an address of this machine. Servers know a
-// client by its address, so one machine can stand for many clients.
+// WithLocalAddress returns a context with which connections are dialled from the given local address. Servers identify
+// a client by its address, so one machine can act as many clients.
 func WithLocalAddress(ctx context.Context, address net.Addr) context.Context {
 	return context.WithValue(ctx, localAddressKey{}, address)
 }
--- a/internal/peersync/exchange.go
+++ b/internal/peersync/exchange.go
@@ -11,15 +11,15 @@
 	"quartzpoint/estimate"
 )
 
-// snapshotRequest is the client's side of an exchange for a snapshot.
+// snapshotRequest is the client's side of an exchange that fetches a snapshot.
 type snapshotRequest struct {
 	clientHandshake
 	received bytes.Buffer
 	parts    int
 }
 
-// handle takes a message and returns the frame to send, or the snapshot once it is complete. The age that the server states
-// is added to the snapshot's.
+// handle handles a message. It returns the frame to send, or the snapshot once it is complete, with the age that the
+// server states added.
 func (r *snapshotRequest) handle(m message) (out []byte, snapshot *estimate.Snapshot, err error) {
 	if handled, err := r.clientHandshake.handle(m); err != nil {
 		return nil, nil, err
@@ -41,7 +41,7 @@
 	return nil, nil, ErrUnexpectedMessage
 }
 
-// finish checks the received parts against the end message.
+// finish checks the received parts against the end message and decodes the snapshot.
 func (r *snapshotRequest) finish(m message) (*estimate.Snapshot, error) {
 	raw := r.received.Bytes()
 	switch {
@@ -50,7 +50,7 @@
 	case m.Checksum != xxhash.Sum64(raw):
 		return nil, fmt.Errorf("checksum of the snapshot: %w", ErrDamaged)
 	case m.Age < 0:
-		return nil, errors.New("snapshot from the future")
+		return nil, errors.New("snapshot has a negative age")
 	case !r.verify(m.Proof, labelSnapshot, signedAge(m.Age), raw):
 		return nil, fmt.Errorf("snapshot: %w", ErrBadProof)
 	}
@@ -62,13 +62,13 @@
 	return &snapshot, nil
 }
 
-// voteRequest is the client's side of an exchange for a vote.
+// voteRequest is the client's side of an exchange that requests a vote.
 type voteRequest struct {
 	clientHandshake
 	ballot []byte
 }
 
-// handle takes a message and returns the frame to send, or the ballot of the response.
+// handle handles a message. It returns the frame to send, or the ballot of the response.
 func (r *voteRequest) handle(m message) (out []byte, response *[]byte, err error) {
 	if handled, err := r.clientHandshake.handle(m); err != nil {
 		return nil, nil, err
@@ -79,7 +79,7 @@
 		return nil, nil, ErrUnexpectedMessage
 	}
 	if !r.verify(m.Proof, labelVoted, m.Ballot) {
-		return nil, nil, fmt.Errorf("response to a vote: %w", ErrBadProof)
+		return nil, nil, fmt.Errorf("response to a vote request: %w", ErrBadProof)
 	}
 	return nil, &m.Ballot, nil
 }
@@ -87,19 +87,19 @@
 // serverExchange is the server's side of an exchange.
 type serverExchange struct {
 	serverHandshake
-	requestReceived bool // the client's request came
+	requestReceived bool // whether the client's request for a snapshot or a vote was received
 }
 
-// snapshotSource is what a server has for a client: the snapshot, nil while there is none, the time on its clock, and allow, which
-// decides by the snapshot's bytes whether the client may have it.
+// snapshotSource provides what the server needs to answer a request for a snapshot: the snapshot, nil if there is none;
+// the time on the server's clock; and allow, which decides from the snapshot's size whether the client may have it.
 type snapshotSource struct {
 	snapshot *encodedSnapshot
 	now      time.Duration
 	allow    func(bytes int) (allowed bool, retryAfter time.Duration)
 }
 
-// handle takes a message and returns the frames to send, or the ballot of an authenticated vote request, which is then to be
-// answered with voted.
+// handle handles a message. It returns the frames to send, or the ballot of an authenticated vote request, whose
+// response is then sent in a frame of voted.
 func (e *serverExchange) handle(m message, keys Keys, source snapshotSource) (out [][]byte, ballot []byte, err error) {
 	switch {
 	case m.Kind == kindHello:
@@ -124,7 +124,7 @@
 	return nil, nil, ErrUnexpectedMessage
 }
 
-// serve returns the snapshot in frames, or a refusal.
+// serve returns the frames of the snapshot, or of a rejection.
 func (e *serverExchange) serve(source snapshotSource) (out [][]byte) {
 	snapshot := source.snapshot
 	if snapshot == nil {
@@ -147,7 +147,7 @@
 	}))
 }
 
-// voted is the frame that responds to the vote request.
+// voted returns the frame of the response to a vote request.
 func (e *serverExchange) voted(response []byte) []byte {
 	return encodeFrame(message{Kind: kindVoted, Ballot: response, Proof: e.sign(labelVoted, response)})
 }
--- a/internal/peersync/fetcher.go
+++ b/internal/peersync/fetcher.go
@@ -11,54 +11,55 @@
 )
 
 const (
-	maxFetches    = 16               // at a time, as each takes a descriptor
-	needInterval  = time.Second      // longest pause between two calls of Fetcher.NeedsEstimates
-	minTimerDelay = time.Millisecond // so that a moment which has just passed does not spin the loop
+	maxFetches    = 16               // concurrent fetches; each uses a file descriptor
+	needInterval  = time.Second      // longest interval between two calls of Fetcher.NeedsEstimates
+	minTimerDelay = time.Millisecond // keeps the loop from spinning if the due time has just passed
 )
 
-// Fetcher polls the peers of a starting server until it has their estimates or does not need them any more. All fields but
+// Fetcher polls the peers of a starting server until it has their estimates or no longer needs them. All fields except
 // Recovered, Keys and Seed must be set.
 type Fetcher struct {
 	Peers          []string // addresses
 	Keys           Keys
-	FirstWait      time.Duration     // longest wait for the first answers of all peers; later ones are used as they come
-	Schema         estimate.Schema   // that snapshots must fit
-	Recovered      estimate.Snapshot // of this server's earlier process, merged with the peers'
+	FirstWait      time.Duration     // longest wait for the first answers of all peers; later ones are used as they arrive
+	Schema         estimate.Schema   // which snapshots must match
+	Recovered      estimate.Snapshot // of this server's previous process; merged with those of peers
 	Seed           int64
-	NeedsEstimates func() bool                      // whether the server still needs estimates
-	Use            func(snapshot estimate.Snapshot) // replaces the estimates that were passed before
+	NeedsEstimates func() bool                      // reports whether the server still needs estimates
+	Use            func(snapshot estimate.Snapshot) // replaces the estimates passed in earlier calls
 	Counts         *invariant.Counters
 	Log            *slog.Logger
 }
 
-// received is a peer's snapshot and when it came.
+// received is a peer's snapshot and the time at which it was received.
 type received struct {
 	snapshot   estimate.Snapshot
 	receivedAt time.Duration
 	ok         bool
 }
 
-// fetchResult is how one fetch ended.
+// fetchResult is the result of one fetch.
 type fetchResult struct {
 	peer     int
 	snapshot estimate.Snapshot
 	err      error
 }
 
-// fetchRun is the state of one call of Fetcher.Run. The goroutine of that call owns it; fetches report to results.
+// fetchRun is the state of one call of Fetcher.Run. It belongs to the goroutine of that call; fetches send their
+// results to results.
 type fetchRun struct {
 	*Fetcher
 	started    time.Time
 	schedule   *estimate.PollSchedule
 	received   []received       // by peer
-	results    chan fetchResult // with room for all peers, so that no fetch waits to report
-	fetchSlots chan struct{}    // holds an element for each fetch under way
+	results    chan fetchResult // buffered for all peers, so that fetches never block when they report
+	fetchSlots chan struct{}    // has one element per fetch in progress
 	inProgress int
-	used       bool // the first answers were used, or there were none in time
+	used       bool // use was called: the first answers were used, or none arrived in time
 }
 
-// Run polls until enough peers have answered, the estimates are not needed any more, or the context ends. It returns once
-// all its goroutines have ended. The server takes requests meanwhile.
+// Run polls until enough peers have answered, the estimates are no longer needed, or the context ends. It returns after
+// all its goroutines have ended. The server handles requests meanwhile.
 func (f *Fetcher) Run(ctx context.Context) {
 	run := &fetchRun{
 		Fetcher: f, started: time.Now(), schedule: estimate.NewPollSchedule(len(f.Peers), 0, f.Seed),
@@ -113,7 +114,7 @@
 	}
 }
 
-// delay is the time until the loop has something to do without a result.
+// delay returns the time until the loop must act even if no result arrives.
 func (r *fetchRun) delay(now time.Duration) time.Duration {
 	delay := min(r.schedule.Next()-now, needInterval)
 	if !r.used {
@@ -122,7 +123,7 @@
 	return max(delay, minTimerDelay)
 }
 
-// handle takes the result of a fetch.
+// handle records the result of a fetch.
 func (r *fetchRun) handle(result fetchResult) {
 	r.inProgress--
 	now := time.Since(r.started)
@@ -147,7 +148,7 @@
 	}
 }
 
-// check returns a peer's snapshot in the order of this server's routes, or why it can't be used.
+// check returns a peer's snapshot with its routes in this server's order, or an error if the snapshot cannot be used.
 func (r *fetchRun) check(snapshot estimate.Snapshot) (estimate.Snapshot, error) {
 	aligned, err := r.Schema.Align(snapshot)
 	if err != nil {
@@ -163,7 +164,8 @@
 	return checked, nil
 }
 
-// use merges what was received so far and passes it on. Recovered alone is in use already.
+// use merges Recovered with the snapshots received so far and passes the result on, unless none was received: the
+// server uses Recovered alone already.
 func (r *fetchRun) use(now time.Duration) {
 	r.used = true
 	peers := 0
--- a/internal/peersync/handshake.go
+++ b/internal/peersync/handshake.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// clientHandshake is the client's side of hello and challenge, with which every exchange and session begins.
+// clientHandshake is the client's side of the hello and the challenge, which begin every exchange and session.
 type clientHandshake struct {
 	key         []byte
 	clientNonce []byte
@@ -13,13 +13,13 @@
 	return clientHandshake{key: key, clientNonce: newNonce()}
 }
 
-// hello is the first frame of a connection.
+// hello returns the first frame of a connection.
 func (h *clientHandshake) hello() []byte {
 	return encodeFrame(message{Kind: kindHello, Nonce: h.clientNonce, KeyName: keyName(h.key)})
 }
 
-// handle takes a challenge or a refusal, and reports whether the message was one of them. After a challenge it is the
-// client's turn.
+// handle handles a challenge or a rejection, and reports whether the message was one of them. After a challenge the
+// client sends the next message. A rejection or an invalid proof is returned as an error.
 func (h *clientHandshake) handle(m message) (handled bool, err error) {
 	switch {
 	case m.Kind == kindRejection:
@@ -39,19 +39,19 @@
 	return sign(h.key, label, append([][]byte{h.serverNonce, h.clientNonce}, parts...)...)
 }
 
-// verify reports whether a proof of the server over both nonces and parts is right.
+// verify reports whether a proof of the server over both nonces and parts is valid.
 func (h *clientHandshake) verify(proof []byte, label string, parts ...[]byte) bool {
 	return verify(proof, h.key, label, append([][]byte{h.clientNonce, h.serverNonce}, parts...)...)
 }
 
-// serverHandshake is the server's side of hello and challenge.
+// serverHandshake is the server's side of the hello and the challenge.
 type serverHandshake struct {
 	key         []byte
 	serverNonce []byte
 	clientNonce []byte // nil before the hello
 }
 
-// handle takes a hello and returns the challenge.
+// handle handles a hello and returns the challenge.
 func (h *serverHandshake) handle(m message, keys Keys) ([]byte, error) {
 	if m.Kind != kindHello || h.clientNonce != nil || len(m.Nonce) != nonceSize {
 		return nil, ErrUnexpectedMessage
@@ -69,7 +69,7 @@
 	return sign(h.key, label, append([][]byte{h.clientNonce, h.serverNonce}, parts...)...)
 }
 
-// verify reports whether a proof of the client over both nonces and parts is right.
+// verify reports whether a proof of the client over both nonces and parts is valid.
 func (h *serverHandshake) verify(proof []byte, label string, parts ...[]byte) bool {
 	return verify(proof, h.key, label, append([][]byte{h.serverNonce, h.clientNonce}, parts...)...)
 }
--- a/internal/peersync/keys.go
+++ b/internal/peersync/keys.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	maxKeys     = 4     // in a key file
+	maxKeys     = 4     // per key file
 	minKeySize  = 16    // bytes
 	keyNameSize = 8     // bytes
-	privateMask = 0o077 // mode bits that give others than the owner a right
+	privateMask = 0o077 // mode bits that give access to others than the owner
 )
 
-// What a proof is for, as it is signed. Each use has its own label, so that a proof of one can't be used as another's. The
-// values are signed bytes of the protocol, compared between servers of different versions: they never change.
+// Labels that are signed with a proof and state its purpose. Each purpose has its own label, so that a proof for one
+// cannot be used for another. The values are part of the signed bytes of the protocol, which servers of different
+// versions compare: they must never change.
 const (
 	labelServer     = "giver" // the challenge
 	labelClient     = "asker" // a request for a snapshot
@@ -30,24 +31,25 @@
 	labelVote       = "vote"
 	labelVoted      = "voted"
 	labelSession    = "session"
-	labelFromClient = "from the asker" // a payload of a session
+	labelFromClient = "from the asker" // a payload that the client sends in a session
 	labelFromServer = "from the giver"
 	labelKeyName    = "name"
 )
 
-// Keys are the secrets that the servers of a fleet share. A client uses the first; a server accepts all, so that keys can be
-// changed while servers run. Without keys no peer is authenticated.
+// Keys are the secrets that the servers of a fleet share. A client uses the first key; a server accepts all of them, so
+// that keys can be changed while servers run. Without keys, peers are not authenticated.
 type Keys [][]byte
 
-// ReadKeys reads a key file: one key a line, hexadecimal, 16 bytes or more each; blank lines and those that begin with # are
-// skipped. A file that others than its owner can read is an error, as whoever reads it can pose as a server.
+// ReadKeys reads a key file with one hexadecimal key of at least 16 bytes per line, and at most 4 keys. Blank lines and
+// lines that begin with # are skipped. It returns an error if others than the owner have access to the file, because
+// whoever reads it can impersonate a server.
 func ReadKeys(path string) (Keys, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("key file: %w", err)
 	}
 	if mode := info.Mode().Perm(); mode&privateMask != 0 {
-		return nil, fmt.Errorf("key file %s: mode %04o lets others read it; 0600 is needed", path, mode)
+		return nil, fmt.Errorf("key file %s: mode %04o gives access to others than the owner, want 0600", path, mode)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -61,8 +63,8 @@
 			continue
 		}
 		key, err := hex.DecodeString(text)
-		if err != nil || len(key) < minKeySize { // the error of hex would put a part of the key into the log
-			return nil, fmt.Errorf("key file %s line %d: no key of %d or more bytes in hexadecimal", path, number, minKeySize)
+		if err != nil || len(key) < minKeySize { // the error of package hex is not returned because it would log a part of the key
+			return nil, fmt.Errorf("key file %s line %d: want a hexadecimal key of at least %d bytes", path, number, minKeySize)
 		}
 		keys = append(keys, key)
 	}
@@ -70,12 +72,12 @@
 		return nil, fmt.Errorf("key file %s: %w", path, err)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
-		return nil, fmt.Errorf("key file %s: %d keys, 1 to %d are allowed", path, len(keys), maxKeys)
+		return nil, fmt.Errorf("key file %s: %d keys, want 1 to %d", path, len(keys), maxKeys)
 	}
 	return keys, nil
 }
 
-// first is the key that clients use, nil for none.
+// first returns the key that clients use, or nil without keys.
 func (k Keys) first() []byte {
 	if len(k) == 0 {
 		return nil
@@ -83,7 +85,8 @@
 	return k[0]
 }
 
-// byName finds a key by its name. Without keys the name must be empty.
+// byName returns the key with a name, and whether it is known. Without keys, only the empty name is known, and its key
+// is nil.
 func (k Keys) byName(name []byte) (key []byte, known bool) {
 	if len(k) == 0 {
 		return nil, len(name) == 0
@@ -96,7 +99,7 @@
 	return nil, false
 }
 
-// keyName identifies a key without revealing it.
+// keyName returns the name of a key, which identifies the key without revealing it.
 func keyName(key []byte) []byte {
 	if key == nil {
 		return nil
@@ -104,7 +107,7 @@
 	return sign(key, labelKeyName)[:keyNameSize]
 }
 
-// sign returns the proof over parts, HMAC-SHA256, or nil without a key.
+// sign returns the HMAC-SHA256 of a label and parts, or nil without a key.
 func sign(key []byte, label string, parts ...[]byte) []byte {
 	if key == nil {
 		return nil
@@ -117,20 +120,20 @@
 	return mac.Sum(nil)
 }
 
-// verify reports whether a proof was made with the key. Without a key there must be none.
+// verify reports whether a proof was made with the key. Without a key, the proof must be empty.
 func verify(proof, key []byte, label string, parts ...[]byte) bool {
 	return hmac.Equal(proof, sign(key, label, parts...))
 }
 
-// signedUint is a number as it is signed.
+// signedUint returns the bytes of a number that are signed.
 func signedUint(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// signedAge is an age as it is signed.
+// signedAge returns the bytes of an age that are signed.
 func signedAge(age time.Duration) []byte { return signedUint(uint64(age)) }
 
-// newNonce draws a nonce.
+// newNonce returns a random nonce.
 func newNonce() []byte {
 	nonce := make([]byte, nonceSize)
-	_, _ = rand.Read(nonce) // never fails
+	_, _ = rand.Read(nonce) // Read never returns an error
 	return nonce
 }
--- a/internal/peersync/message.go
+++ b/internal/peersync/message.go
@@ -1,9 +1,10 @@
-// Package peersync is the protocol between app servers of a fleet. A starting server fetches a snapshot of estimates from
-// running ones (Fetch, Fetcher, Server), candidates ask voters for leases (RequestVote, Server.SetVoteHandler), and other
-// packages send payloads over an authenticated connection (Session). What a snapshot is worth, which peers are polled and
-// which requests are allowed is decided by package estimate.
+// Package peersync implements the protocol between the app servers of a fleet. A starting server fetches a snapshot of
+// estimates from running servers (Fetch, Fetcher, Server), candidates request votes for leases from voters
+// (RequestVote, Server.SetVoteHandler), and other packages send payloads over an authenticated connection (Session).
+// Package estimate decides how much weight a snapshot gets, which peers are polled and which requests are allowed.
 //
-// Messages are CBOR in frames with a length of 4 bytes, big-endian. An exchange has four steps on a connection of its own:
+// Messages are CBOR in frames with a length prefix of 4 bytes, big-endian. An exchange has four steps on its own
+// connection:
 //
 //	client                                      server
 //	hello: client nonce, name of the key    ->
@@ -11,8 +12,8 @@
 //	ask: proof over both nonces             ->
 //	                                        <-  part 1..n, then end: size, checksum, age, proof over all of it
 //
-// Nonces are new for each connection, so a recorded exchange proves nothing. A refusal may come instead of any step. A
-// snapshot of which anything is missing or wrong is dropped.
+// Nonces are new for each connection, so a recorded exchange proves nothing. The server may send a rejection in place
+// of any step. A snapshot with a missing or invalid part is dropped.
 package peersync
 
 import (
@@ -27,36 +28,36 @@
 	"quartzpoint/internal/strictcbor"
 )
 
-// protocolVersion is that of the protocol. Fields may be added to a version, as those that don't know them skip them. A change that
-// an older server would misread needs a new version.
+// protocolVersion is the version of the protocol. Fields may be added without a new version, because servers that do
+// not know them ignore them. A change that an older server would misinterpret needs a new version.
 const protocolVersion = 1
 
-// Bounds of the protocol, in bytes.
+// Size limits of the protocol, in bytes.
 const (
 	frameHeader = 4
 	maxFrame    = 8 << 10
-	maxPart     = 4 << 10  // of a snapshot or a payload in one frame
+	maxPart     = 4 << 10  // of a snapshot or payload, per frame
 	maxSnapshot = 64 << 10 // encoded
 	maxBallot   = 1 << 10  // a vote request or its response
 	nonceSize   = 16
 )
 
-// kind is a kind of message, by its number on the wire.
+// kind is the kind of a message, encoded as its number.
 type kind int
 
 const (
 	kindHello kind = iota + 1
 	kindChallenge
-	kindAsk // for a snapshot
+	kindAsk // requests a snapshot
 	kindPart
 	kindEnd // the last part
 	kindRejection
-	kindVote    // for a lease, instead of kindAsk
-	kindVoted   // the response to kindVote
-	kindSession // for a session, instead of kindAsk
+	kindVote    // requests a vote for a lease; replaces kindAsk
+	kindVoted   // response to kindVote
+	kindSession // requests a session; replaces kindAsk
 )
 
-// message is any message of the protocol. Its fields are encoded by the numbers in their tags.
+// message is a message of any kind. Its fields are encoded under the numbers in their tags.
 type message struct {
 	Version    int           `cbor:"1,keyasint"`
 	Kind       kind          `cbor:"2,keyasint"`
@@ -73,7 +74,7 @@
 	Ballot     []byte        `cbor:"13,keyasint,omitempty"`
 }
 
-// Reasons of a refusal, as they are sent.
+// Reasons of rejections, as sent to the peer.
 const (
 	reasonNothingYet = "nothing seen yet"
 	reasonTooOften   = "asked too often"
@@ -85,68 +86,68 @@
 
 const (
 	maxReason         = 64          // bytes of a peer's reason that are used
-	defaultRetryAfter = time.Second // stated in a refusal that no limit causes
+	defaultRetryAfter = time.Second // sent with rejections that no limit causes
 )
 
 var (
-	// ErrUnexpectedMessage means that a message came which the exchange has no place for.
+	// ErrUnexpectedMessage reports a message that is not valid at this step of the exchange.
 	ErrUnexpectedMessage = errors.New("unexpected message")
-	// ErrBadProof means that a peer did not prove that it has the key.
+	// ErrBadProof reports that a peer did not prove that it has the key.
 	ErrBadProof = errors.New("proof is wrong")
-	// ErrUnknownKey means that a peer uses a key that this server does not have.
+	// ErrUnknownKey reports that a peer uses a key that this server does not have.
 	ErrUnknownKey = errors.New("key is not known here")
-	// ErrDamaged means that a payload is not what its sender states.
-	ErrDamaged = errors.New("size or checksum is wrong")
-	// ErrOutOfBounds means that a frame, snapshot, ballot or payload is empty or larger than allowed.
+	// ErrDamaged reports a snapshot or payload whose size or checksum differs from what its sender stated.
+	ErrDamaged = errors.New("size or checksum does not match")
+	// ErrOutOfBounds reports a frame, snapshot, ballot or payload that is empty or larger than allowed.
 	ErrOutOfBounds = errors.New("size out of bounds")
-	// ErrIncomplete means that the connection ended before the exchange did. A server that does not know a client's key ends
-	// it so.
+	// ErrIncomplete reports that the connection ended before the exchange was complete. A server that does not know a
+	// client's key closes the connection, which causes this error at the client.
 	ErrIncomplete = errors.New("connection ended early")
-	// ErrNoEstimates means that a peer has not learned anything yet, or nothing that is recent.
+	// ErrNoEstimates reports that a peer has no estimates yet, or no recent ones.
 	ErrNoEstimates = errors.New("peer has no recent estimates")
 )
 
-// RejectedError is a peer's refusal.
+// RejectedError reports that a peer sent a rejection.
 type RejectedError struct {
 	Reason     string
-	RetryAfter time.Duration // 0 where the peer states none
+	RetryAfter time.Duration // 0 if the peer states none
 }
 
 func (e *RejectedError) Error() string { return fmt.Sprintf("rejected: %q", e.Reason) }
 
-// rejectionError is the error that a refusal stands for.
+// rejectionError returns the error for a rejection.
 func (m message) rejectionError() error {
 	return &RejectedError{Reason: m.Reason[:min(len(m.Reason), maxReason)], RetryAfter: max(m.RetryAfter, 0)}
 }
 
-// rejectionFrame is the frame that refuses a peer.
+// rejectionFrame returns the frame that rejects a peer's request.
 func rejectionFrame(reason string, retryAfter time.Duration) []byte {
 	return encodeFrame(message{Kind: kindRejection, Reason: reason, RetryAfter: retryAfter})
 }
 
 var decoder = strictcbor.NewDecMode(estimate.MaxPublishedRoutes, false)
 
-// encodeFrame returns a message as a frame.
+// encodeFrame encodes a message as a frame.
 func encodeFrame(m message) []byte {
 	m.Version = protocolVersion
 	raw, err := cbor.Marshal(m)
 	if err != nil {
-		panic(fmt.Errorf("cbor: %w", err)) // a message always has an encoding
+		panic(fmt.Errorf("cbor: %w", err)) // every message can be encoded
 	}
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(raw))), raw...)
 }
 
-// frameSize returns the size of the message in a frame, from the frame's header.
+// frameSize returns the size of a frame's message from the frame's header.
 func frameSize(header []byte) (int, error) {
 	size := binary.BigEndian.Uint32(header)
 	if size == 0 || size > maxFrame {
-		return 0, fmt.Errorf("frame of %d bytes, 1 to %d allowed: %w", size, maxFrame, ErrOutOfBounds)
+		return 0, fmt.Errorf("frame of %d bytes, want 1 to %d: %w", size, maxFrame, ErrOutOfBounds)
 	}
 	return int(size), nil
 }
 
-// decodeFrame takes the first frame off read; complete is false while there is more of it to come. The message does not
-// share memory with read.
+// decodeFrame decodes the first frame of read and returns the bytes after it as rest. complete is false if read does
+// not contain the whole frame yet. The message does not share memory with read.
 func decodeFrame(read []byte) (m message, rest []byte, complete bool, err error) {
 	if len(read) < frameHeader {
 		return m, read, false, nil
@@ -159,10 +160,10 @@
 		return m, read, false, nil
 	}
 	if err := decoder.Unmarshal(read[frameHeader:frameHeader+size], &m); err != nil {
-		return m, read, false, fmt.Errorf("message: %w", err)
+		return m, read, false, fmt.Errorf("decode message: %w", err)
 	}
 	if m.Version != protocolVersion {
-		return m, read, false, fmt.Errorf("version %d of the protocol, and %d here", m.Version, protocolVersion)
+		return m, read, false, fmt.Errorf("protocol version %d, want %d", m.Version, protocolVersion)
 	}
 	return m, read[frameHeader+size:], true, nil
 }
--- a/internal/peersync/server.go
+++ b/internal/peersync/server.go
@@ -19,11 +19,12 @@
 
 const (
 	checkInterval  = 100 * time.Millisecond // between checks of all connections, while there are any
-	maxUnsentBytes = 2 * maxSnapshot        // for one client that does not read
+	maxUnsentBytes = 2 * maxSnapshot        // for a client that does not read
 )
 
-// Server answers the exchanges of peers from the snapshot that was last published. Its own goroutine owns the connections, so
-// a peer's request never takes time of the goroutine that decides on requests. All methods are safe for concurrent use.
+// Server answers the exchanges of peers with the snapshot that was last published. Its own goroutine owns the
+// connections, so requests of peers take no time of the event loop that decides on requests. All methods are safe for
+// concurrent use.
 type Server struct {
 	counts      *invariant.Counters
 	now         func() time.Duration
@@ -39,24 +40,25 @@
 	quit       chan struct{}
 	goroutines sync.WaitGroup
 
-	// The goroutine that runs run owns what follows.
+	// The goroutine of run owns the fields below.
 	limiter     *estimate.ServeLimiter
 	conns       []*serverConn
-	encodedFrom *published // from which encoded was made
+	encodedFrom *published // the snapshot of which encoded is the encoding
 	encoded     *encodedSnapshot
 }
 
-// published is a snapshot and when it was taken.
+// published is a snapshot and the time at which it was taken.
 type published struct {
 	snapshot estimate.Snapshot
 	takenAt  time.Duration
 }
 
-// VoteHandler takes the ballot of an authenticated peer. It may call respond once, from any goroutine, with a response of 1
-// to 1024 bytes; without one the peer times out.
+// VoteHandler handles the ballot of an authenticated peer. It may call respond once, from any goroutine, with a
+// response of 1 to 1024 bytes. If it does not, the peer's request times out.
 type VoteHandler func(ballot []byte, respond func(response []byte))
 
-// Listen takes the address for a server, which answers once Serve was called. now is the clock of Publish.
+// Listen binds the address and returns a server that answers after Serve is called. now is the clock of the times that
+// are passed to Publish.
 func Listen(address string, keys Keys, now func() time.Duration, counts *invariant.Counters) (*Server, error) {
 	listener, err := netpoll.CreateListener("tcp", address)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return s, nil
 }
 
-// waitingListener stays open when the process has no descriptors left: peers wait in it.
+// waitingListener keeps listening when the process has no file descriptors left: new connections wait in its queue.
 type waitingListener struct {
 	netpoll.Listener
 	counts *invariant.Counters
@@ -85,21 +87,21 @@
 	return poller.Accept(l.Listener, func() { l.counts.Count("peer waits, descriptors ran out") })
 }
 
-// SetVoteHandler has ballots passed to handler. Without one they are refused.
+// SetVoteHandler sets the handler of ballots. Without a handler, vote requests are rejected.
 func (s *Server) SetVoteHandler(handler VoteHandler) { s.voteHandler.Store(&handler) }
 
-// Address is where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Publish replaces the snapshot that is served by one that was taken at a moment. It does not block.
+// Publish sets the snapshot that is served, and the time at which it was taken. It does not block.
 func (s *Server) Publish(snapshot estimate.Snapshot, takenAt time.Duration) {
 	s.published.Store(&published{snapshot, takenAt})
 }
 
-// SetKeys replaces the keys for connections that begin from now on.
+// SetKeys replaces the keys for new connections.
 func (s *Server) SetKeys(keys Keys) { s.keys.Store(&keys) }
 
-// Submit has the server's goroutine call f.
+// Submit submits a function to be called on the server's goroutine.
 func (s *Server) Submit(f func()) {
 	s.mu.Lock()
 	s.submitted = append(s.submitted, f)
@@ -110,7 +112,7 @@
 	}
 }
 
-// Serve starts the server's goroutines, which end with Close.
+// Serve starts the server's goroutines, which run until Close.
 func (s *Server) Serve() {
 	s.goroutines.Go(func() {
 		if err := s.loop.Serve(s.listener); err != nil {
@@ -124,10 +126,10 @@
 	s.goroutines.Go(s.run)
 }
 
-// Close closes the listener and all connections and waits for the goroutines.
+// Close closes the listener and all connections and waits for the goroutines to end.
 func (s *Server) Close() {
 	close(s.quit)
-	_ = unix.Shutdown(s.listener.Fd(), unix.SHUT_RD) // for the reason that package frontend states
+	_ = unix.Shutdown(s.listener.Fd(), unix.SHUT_RD) // shut down instead of closed: netpoll's Close closes one descriptor twice, and the second time it may be that of a connection just accepted
 	s.goroutines.Wait()
 }
 
@@ -142,7 +144,7 @@
 		for _, f := range batch {
 			f()
 		}
-		for i := len(s.conns) - 1; i >= 0; i-- { // from the end, as a sweep may remove the connection
+		for i := len(s.conns) - 1; i >= 0; i-- { // backwards, because check may remove the connection
 			s.conns[i].check(s.now())
 		}
 		var tick <-chan time.Time
@@ -161,7 +163,7 @@
 	}
 }
 
-// snapshot returns what is served now, nil for nothing. It is encoded once after each Publish.
+// snapshot returns the snapshot to serve, or nil if there is none. It encodes each published snapshot only once.
 func (s *Server) snapshot() *encodedSnapshot {
 	latest := s.published.Load()
 	if latest != s.encodedFrom {
--- a/internal/peersync/serverconn.go
+++ b/internal/peersync/serverconn.go
@@ -11,13 +11,14 @@
 	"quartzpoint/internal/writequeue"
 )
 
-// maxUnread bounds what a client may send before it is answered; the two messages of an exchange are far shorter.
+// maxUnread is the maximum number of bytes that a client may have sent and that are not handled yet. The two messages
+// of an exchange are much shorter.
 const maxUnread = 2 * maxFrame
 
-// connKey finds a connection in its context.
+// connKey is the context key of a connection.
 type connKey struct{}
 
-// serverConn is a client's connection. The server's goroutine owns it, but for descriptorClosed.
+// serverConn is a connection from a client. The server's goroutine owns it, except descriptorClosed, which mu guards.
 type serverConn struct {
 	server    *Server
 	transport netpoll.Connection
@@ -27,17 +28,18 @@
 	exchange  serverExchange
 	unread    []byte
 	unsent    *writequeue.Queue
-	counted   bool // by the limiter, to which it must be returned
+	counted   bool // by the limiter; unregister must call Disconnect
 	closed    bool
 
 	closer poller.DeferredClose
 
 	mu               sync.Mutex
-	descriptorClosed bool // fd may already stand for another file
+	descriptorClosed bool // fd may already refer to another file
 	fd               int
 }
 
-// register is the connection's first call in the server's goroutine.
+// register adds the connection to the server, and closes it if the limiter does not allow it. It is the first function
+// that the server's goroutine calls for the connection.
 func (c *serverConn) register() {
 	c.server.conns = append(c.server.conns, c)
 	if c.counted = c.server.limiter.Connect(c.address, c.server.now()); !c.counted {
@@ -45,7 +47,7 @@
 	}
 }
 
-// onClose is netpoll's callback before the descriptor is closed and may be used for another file.
+// onClose is netpoll's callback before it closes the descriptor, whose number may then be reused for another file.
 func (c *serverConn) onClose(netpoll.Connection) error {
 	c.mu.Lock()
 	c.descriptorClosed = true
@@ -74,12 +76,12 @@
 	c.closer.Close(c.transport)
 }
 
-// closerOf finds what closes a connection in its context.
+// closerOf returns the DeferredClose of a connection from its context.
 func closerOf(ctx context.Context) *poller.DeferredClose {
 	return &ctx.Value(connKey{}).(*serverConn).closer
 }
 
-// fail counts why the server closes the connection, and closes it.
+// fail counts an event and closes the connection, unless it is closed already.
 func (c *serverConn) fail(event string) {
 	if !c.closed {
 		c.server.counts.Count(event)
@@ -87,8 +89,9 @@
 	}
 }
 
-// check sends what waits, and closes a connection whose time is over. A client closes its connection when it has its answer,
-// so one that is still open then belongs to a client that does not read or sends a byte at a time.
+// check sends pending frames, and closes the connection if it has exceeded exchangeTimeout. A client closes its
+// connection once it has its answer, so a connection that is still open by then belongs to a client that does not read
+// or sends very slowly.
 func (c *serverConn) check(now time.Duration) {
 	if c.closed {
 		return
@@ -99,7 +102,7 @@
 	}
 }
 
-// flush sends what the connection takes without waiting.
+// flush sends as much as the connection accepts without blocking.
 func (c *serverConn) flush() {
 	c.mu.Lock()
 	var err error
@@ -112,7 +115,7 @@
 	}
 }
 
-// onData is netpoll's callback for bytes that came; package poller has the server's goroutine call it.
+// onData is netpoll's callback for received bytes; package poller calls it on the server's goroutine.
 func onData(ctx context.Context, transport netpoll.Connection) error {
 	c := ctx.Value(connKey{}).(*serverConn)
 	in := transport.Reader()
@@ -126,7 +129,7 @@
 	return in.Release()
 }
 
-// receive handles the messages that are complete with raw.
+// receive appends raw to the unread bytes and handles all complete messages.
 func (c *serverConn) receive(raw []byte) {
 	if len(c.unread)+len(raw) > maxUnread {
 		c.fail("peer connection closed: sends too much")
@@ -150,7 +153,7 @@
 	}
 }
 
-// handle answers a message; false where the connection was closed.
+// handle answers a message. It returns false if it closed the connection.
 func (c *serverConn) handle(m message) bool {
 	now := c.server.now()
 	out, ballot, err := c.exchange.handle(m, c.keys, snapshotSource{
@@ -167,8 +170,8 @@
 	return c.send(out...)
 }
 
-// handleBallot passes a ballot to the vote handler, and returns what is to be sent at once. The response is sent when it
-// comes, if the connection is still open.
+// handleBallot passes a ballot to the vote handler and returns the frames to send immediately. The handler's response
+// is sent later if the connection is still open by then.
 func (c *serverConn) handleBallot(ballot []byte) [][]byte {
 	handler := c.server.voteHandler.Load()
 	if handler == nil {
@@ -185,7 +188,8 @@
 	return nil
 }
 
-// send queues frames and sends what the connection takes; false where the client does not read and was closed.
+// send queues frames and sends as much as the connection accepts without blocking. It returns false if it closed the
+// connection because the client does not read.
 func (c *serverConn) send(frames ...[]byte) bool {
 	for _, frame := range frames {
 		processTraffic.sent.Add(int64(len(frame)))
--- a/internal/peersync/session.go
+++ b/internal/peersync/session.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	sessionTimeout = 5 * time.Second // of each step of the opening, and of each write: a peer that does not read is dropped
-	sendChunk      = 64 << 10        // bytes of frames that one write gathers
+	sessionTimeout = 5 * time.Second // limit for each step of the opening and each write; a peer that does not read is disconnected
+	sendChunk      = 64 << 10        // bytes of frames after which Send writes
 )
 
-// Session is an authenticated connection on which both sides send payloads of any kind. After hello and challenge the client
-// proves that it has the key with a session message. A payload is one or more frames: parts, and a last one with size,
-// checksum and a proof over both nonces, its direction, its number and all of its bytes. Nothing of a payload is returned
-// before its proof was verified.
+// Session is an authenticated connection on which both sides send payloads of any kind. After the hello and the
+// challenge, the client proves with a session message that it has the key. A payload consists of one or more frames:
+// parts, and a last one with the size, the checksum and a proof over both nonces, the direction, the number of the
+// payload and all of its bytes. Receive returns no byte of a payload before it has verified the proof.
 //
-// One goroutine at a time may call Receive, any may call Send and Close.
+// Only one goroutine at a time may call Receive; Send and Close are safe for concurrent use.
 type Session struct {
 	conn        net.Conn
 	key         []byte
 	clientNonce []byte
 	serverNonce []byte
-	client      bool // this side dialled
+	client      bool // whether this side dialled
 
-	received uint64 // payloads
+	received uint64 // number of payloads
 	header   [frameHeader]byte
 
 	mu   sync.Mutex
-	sent uint64 // payloads
+	sent uint64 // number of payloads
 }
 
-// Open dials a peer that accepts sessions. The context bounds the opening alone. A refusal is a *RejectedError.
+// Open dials a peer and opens a session. The context limits only the opening. A rejection is returned as a
+// *RejectedError.
 func Open(ctx context.Context, address string, keys Keys) (*Session, error) {
 	conn, err := dial(ctx, address)
 	if err != nil {
@@ -51,7 +52,8 @@
 	return s, nil
 }
 
-// openOn opens a session on a connection that this side dialled. Where it fails, the caller has to close the connection.
+// openOn opens a session on a connection that this side dialled. If it returns an error, the caller must close the
+// connection.
 func openOn(ctx context.Context, conn net.Conn, keys Keys) (*Session, error) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Now()) })
 	defer stop()
@@ -78,8 +80,8 @@
 	return s, conn.SetDeadline(time.Time{})
 }
 
-// Accept opens a session on a connection that a peer dialled. A peer that does not prove that it has a key gets a refusal
-// and nothing else. Where it fails, the caller has to close the connection.
+// Accept opens a session on a connection that a peer dialled. A peer that does not prove that it has a key is sent a
+// rejection. If Accept returns an error, the caller must close the connection.
 func Accept(conn net.Conn, keys Keys) (*Session, error) {
 	s := &Session{conn: conn}
 	_ = conn.SetDeadline(time.Now().Add(sessionTimeout))
@@ -111,19 +113,19 @@
 	return s, conn.SetDeadline(time.Time{})
 }
 
-// reject tells the peer why there is no session, and returns the error for this side.
+// reject sends the peer a rejection with a reason, and returns the error for this side.
 func (s *Session) reject(reason string, err error) error {
 	_, _ = s.conn.Write(rejectionFrame(reason, defaultRetryAfter))
 	return fmt.Errorf("accept session: %w", err)
 }
 
-// Conn is the connection below, for a protocol that goes on without payloads.
+// Conn returns the underlying connection, for a protocol that continues without payloads.
 func (s *Session) Conn() net.Conn { return s.conn }
 
-// Close ends the session; calls of Receive and Send that wait fail.
+// Close closes the connection; blocked calls of Receive and Send return an error.
 func (s *Session) Close() error { return s.conn.Close() }
 
-// label is what the proof of a payload is for: the direction in which it is sent.
+// label returns the label of a payload's proof, which states the direction in which the payload is sent.
 func (s *Session) label(sending bool) string {
 	if s.client == sending {
 		return labelFromClient
@@ -167,8 +169,8 @@
 	return nil
 }
 
-// Receive waits for the next payload, of limit bytes at most; a wait of 0 has no end. A payload of which anything is missing
-// or wrong is dropped. After an error the session must be closed.
+// Receive waits for the next payload, which may have up to limit bytes, for at most wait; 0 means without a time limit.
+// It returns an error if a part of the payload is missing or invalid. After an error the session must be closed.
 func (s *Session) Receive(limit int, wait time.Duration) ([]byte, error) {
 	var deadline time.Time
 	if wait > 0 {
@@ -201,7 +203,7 @@
 	}
 }
 
-// checkPayload checks a payload against its last message.
+// checkPayload checks a payload against the end message.
 func (s *Session) checkPayload(end message, payload []byte) error {
 	if end.Size != len(payload) || end.Checksum != xxhash.Sum64(payload) {
 		return fmt.Errorf("session: payload: %w", ErrDamaged)
@@ -213,7 +215,7 @@
 	return nil
 }
 
-// readMessage reads one frame and nothing behind it.
+// readMessage reads exactly one frame and leaves the bytes after it unread.
 func (s *Session) readMessage() (message, error) {
 	if _, err := io.ReadFull(s.conn, s.header[:]); err != nil {
 		return message{}, fmt.Errorf("session: receive: %w", err)
--- a/internal/peersync/snapshot.go
+++ b/internal/peersync/snapshot.go
@@ -10,7 +10,7 @@
 	"quartzpoint/estimate"
 )
 
-// encodedSnapshot is a snapshot as it is sent, encoded once for all clients.
+// encodedSnapshot is the encoding of a snapshot, made once for all clients.
 type encodedSnapshot struct {
 	bytes    []byte
 	checksum uint64
@@ -35,7 +35,7 @@
 	return snapshot, nil
 }
 
-// EncodedSize is the number of bytes of a snapshot on the wire, without frames; 0 for one that is too large to be sent.
+// EncodedSize returns the number of bytes of an encoded snapshot without frames, or 0 if it is too large to be sent.
 func EncodedSize(snapshot estimate.Snapshot) int {
 	encoded, err := encodeSnapshot(snapshot, 0)
 	if err != nil {
--- a/internal/peersync/traffic.go
+++ b/internal/peersync/traffic.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// Traffic is what a process has sent and received by this package, as client and as server. Bytes are those of frames,
-// without the headers of the network below.
+// Traffic is the traffic of this package in a process, as client and as server. Bytes are those of the frames, without
+// the headers of the network protocols.
 type Traffic struct {
 	Started  int64 `json:"Asked"`    // connections that this process dialled
 	Accepted int64 `json:"Answered"` // connections from peers
@@ -14,10 +14,10 @@
 	Received int64 // bytes
 }
 
-// processTraffic is counted over the whole process, as package runtime/metrics does. No decision rests on it.
+// processTraffic counts for the whole process, like package runtime/metrics. No decision depends on it.
 var processTraffic struct{ started, accepted, sent, received atomic.Int64 }
 
-// ProcessTraffic returns the traffic of this process since its start.
+// ProcessTraffic returns the traffic of this process since it started.
 func ProcessTraffic() Traffic {
 	return Traffic{
 		Started: processTraffic.started.Load(), Accepted: processTraffic.accepted.Load(),
