--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -19,8 +19,7 @@
 
 const testTimeout = 20 * time.Second
 
-// netpoll keeps its pollers for as long as the process runs.
-
+// ignoredGoroutines are those of netpoll's pollers, which run until the process ends.
 var ignoredGoroutines = []goleak.Option{
 	goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait"),
 	goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*manager).Run"),
@@ -33,8 +32,7 @@
 	keyB = bytes.Repeat([]byte{2}, minKeySize)
 )
 
-// testSnapshot is large enough for several parts.
-
+// testSnapshot returns a snapshot that takes several parts.
 func testSnapshot(origin uint64) estimate.Snapshot {
 	snapshot := estimate.Snapshot{Origin: origin, SettingsDigest: 7}
 	e := estimate.Estimate{Mean: 0.1, Spread: 0.05, Samples: 20, Age: time.Second}
@@ -46,8 +44,7 @@
 
 func newCounts() *invariant.Counters { return invariant.New(slog.New(slog.DiscardHandler)) }
 
-// startServer starts a server whose snapshot is a second old when it is published.
-
+// startServer starts a server whose snapshot is one second old when it is published.
 func startServer(t testing.TB, keys Keys) (*Server, *invariant.Counters) {
 	c := newCounts()
 	startedAt := time.Now()
@@ -59,7 +56,8 @@
 	return server, c
 }
 
-// A snapshot must come through only where both sides have the same key; without one it must never be taken from a peer.
+// A snapshot is accepted only if both sides have the same key or neither has one. Otherwise it could come from a server
+// that does not belong to the fleet.
 func TestFetch(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -68,10 +66,10 @@
 	}{
 		{"without keys", nil, nil, ""},
 		{"the same key", Keys{keyA}, Keys{keyA}, ""},
-		{"while keys change", Keys{keyA, keyB}, Keys{keyB}, ""},
+		{"several keys during a key change", Keys{keyA, keyB}, Keys{keyB}, ""},
 		{"another key", Keys{keyA}, Keys{keyB}, "ended early"},
-		{"no key, where one is asked for", Keys{keyA}, nil, "ended early"},
-		{"a key, where none is known", nil, Keys{keyA}, "ended early"},
+		{"no key, but the server has one", Keys{keyA}, nil, "ended early"},
+		{"a key, but the server has none", nil, Keys{keyA}, "ended early"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,7 +85,7 @@
 			require.NoError(t, err)
 			assert.Greater(t, EncodedSize(snapshot), 2*maxPart, "several parts")
 			age := snapshot.Routes[0].Core.Age
-			assert.GreaterOrEqual(t, age, 2*time.Second, "its own age, and that for which it was held")
+			assert.GreaterOrEqual(t, age, 2*time.Second, "the age of the estimate plus the time since the snapshot was taken")
 			assert.Less(t, age, 2*time.Second+testTimeout)
 			snapshot = snapshot.Aged(0)
 			for i := range snapshot.Routes {
@@ -99,8 +97,7 @@
 	}
 }
 
-// recordedAnswers returns the server's frames of a whole exchange with a client.
-
+// recordedAnswers returns the server's frames of a complete exchange with a client.
 func recordedAnswers(t testing.TB, key, nonce []byte, client *snapshotRequest) [][]byte {
 	keys := Keys{key}
 	if key == nil {
@@ -117,14 +114,12 @@
 	return append(out, more...)
 }
 
-// newTestRequest is a client's request with a nonce that is stated.
-
+// newTestRequest returns a client's request with a given nonce.
 func newTestRequest(key, nonce []byte) *snapshotRequest {
 	return &snapshotRequest{clientHandshake: clientHandshake{key: key, clientNonce: nonce}}
 }
 
-// feed passes bytes to a client and returns the snapshot, an error, or neither where it waits for more.
-
+// feed passes bytes to a client. It returns the snapshot, an error, or neither if the client waits for more bytes.
 func feed(request *snapshotRequest, raw []byte) (*estimate.Snapshot, error) {
 	for {
 		m, rest, ok, err := decodeFrame(raw)
@@ -139,8 +134,8 @@
 	}
 }
 
-// A connection can end at any byte, and any byte can be damaged. A snapshot that is not the one which was sent would put wrong
-// estimates into use, so there must be the whole one or none.
+// A connection can end after any byte, and any byte can be damaged. A client must accept the complete snapshot that was
+// sent or none, because an altered snapshot would bring wrong estimates into use.
 func TestEveryByte(t *testing.T) {
 	nonce := bytes.Repeat([]byte{9}, nonceSize)
 	newRequest := func() *snapshotRequest { return newTestRequest(keyA, bytes.Repeat([]byte{3}, nonceSize)) }
@@ -150,22 +145,22 @@
 	require.NotNil(t, snapshot)
 	for cutAt := range whole {
 		snapshot, err := feed(newRequest(), whole[:cutAt])
-		require.NoError(t, err, "byte %d: it waits", cutAt)
+		require.NoError(t, err, "byte %d: the client waits for more", cutAt)
 		require.Nil(t, snapshot, "byte %d", cutAt)
 	}
 	for at := range whole {
 		damaged := bytes.Clone(whole)
 		damaged[at] ^= 1 << (at % 8)
 		got, err := feed(newRequest(), damaged)
-		if got != nil { // a field whose number is damaged is skipped, which may leave the snapshot as it was
+		if got != nil { // an unknown field is skipped, so a damaged field number may leave the snapshot unchanged
 			require.NoError(t, err)
 			require.Equal(t, snapshot, got, "byte %d", at)
 		}
 	}
 }
 
-// An attacker repeats what it recorded of an exchange, to a client and to a server. Nonces are new for each connection, so
-// the recording must prove nothing to either.
+// An attacker replays a recorded exchange to a client and to a server. Because nonces are new for each connection,
+// neither may accept the recording.
 func TestReplay(t *testing.T) {
 	client := newTestRequest(keyA, bytes.Repeat([]byte{3}, nonceSize))
 	old := bytes.Join(recordedAnswers(t, keyA, bytes.Repeat([]byte{9}, nonceSize), client), nil)
@@ -186,11 +181,11 @@
 	require.NoError(t, err)
 	require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	all, _ := io.ReadAll(conn)
-	assert.Less(t, len(all), 200, "the challenge, and nothing of the snapshot")
+	assert.Less(t, len(all), 200, "only the challenge, no part of the snapshot")
 	assert.Equal(t, 1, counts.Times("peer connection closed: not authenticated, or unexpected message"))
 }
 
-// Whatever bytes a peer sends, neither side may panic, and a snapshot comes with no error.
+// No bytes that a peer sends may make either side panic, and a snapshot is never returned together with an error.
 func FuzzAsker(f *testing.F) {
 	nonce := bytes.Repeat([]byte{9}, nonceSize)
 	f.Add(bytes.Join(recordedAnswers(f, nil, nonce, newTestRequest(nil, nonce)), nil))
@@ -216,25 +211,25 @@
 	})
 }
 
-// A vote that is not authenticated would count for whoever sends it. A ballot and its response must come through only under a
-// key of the server, within their bound, and where there is a handler.
+// If votes were not authenticated, any process could send one that counts. A ballot and its response are accepted only
+// with a key of the server, up to the size limit, and if the server has a vote handler.
 func TestVote(t *testing.T) {
 	keys := Keys{[]byte("a shared secret of the fleet....")}
 	server, _ := startServer(t, keys)
 	ctx := context.Background()
 	var rejected *RejectedError
 	_, err := RequestVote(ctx, server.Address(), keys, []byte("ballot"))
-	require.ErrorAs(t, err, &rejected, "a server without a vote handler refuses")
+	require.ErrorAs(t, err, &rejected, "a server without a vote handler rejects ballots")
 	server.SetVoteHandler(func(ballot []byte, respond func([]byte)) { respond(append([]byte("seen "), ballot...)) })
 	got, err := RequestVote(ctx, server.Address(), keys, []byte("ballot"))
 	require.NoError(t, err)
 	assert.Equal(t, "seen ballot", string(got))
 	_, err = RequestVote(ctx, server.Address(), Keys{[]byte("another secret, not the fleet's.")}, []byte("ballot"))
-	assert.Error(t, err, "a ballot under a key that the server does not know")
+	assert.Error(t, err, "the server does not know the key of the ballot")
 	_, err = RequestVote(ctx, server.Address(), keys, make([]byte, maxBallot+1))
 	assert.ErrorContains(t, err, "ballot of")
 	assert.ErrorIs(t, err, ErrOutOfBounds)
-	server.SetVoteHandler(func([]byte, func([]byte)) {}) // never responds: the exchange times out
+	server.SetVoteHandler(func([]byte, func([]byte)) {}) // does not respond, so the exchange times out
 	shortCtx, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 	defer cancel()
 	_, err = RequestVote(shortCtx, server.Address(), keys, []byte("ballot"))
--- a/internal/peersync/fetcher_test.go
+++ b/internal/peersync/fetcher_test.go
@@ -17,7 +17,7 @@
 	"quartzpoint/estimate"
 )
 
-// newTestFetcher returns the fetcher of a starting server, and the estimates that it passes on.
+// newTestFetcher returns the fetcher of a starting server and a channel with the estimates that it passes on.
 func newTestFetcher(peers []string, needed *atomic.Bool) (fetcher *Fetcher, used chan estimate.Snapshot) {
 	used = make(chan estimate.Snapshot, 16)
 	schema := estimate.Schema{SettingsDigest: 7, Origin: 99}
@@ -31,12 +31,13 @@
 	}, used
 }
 
-// Of five peers one is silent, one down, one without recent estimates and one of other settings. The good one's estimates must be
-// used in time; the one that was down must be polled again and its late estimates used; then polling must end.
+// Of five peers, one is silent, one is down, one has no recent estimates and one has other settings. The estimates of
+// the fifth must be used before the silent peer times out. The peer that was down must be polled again and its late
+// estimates used, and then polling must end.
 func TestFetcher(t *testing.T) {
 	one, _ := startServer(t, nil)
 	empty, _ := startServer(t, nil)
-	empty.Publish(estimate.Snapshot{Origin: 6, SettingsDigest: 7, Routes: testSnapshot(0).Routes}, 0) // of no use: older than any estimate may be
+	empty.Publish(estimate.Snapshot{Origin: 6, SettingsDigest: 7, Routes: testSnapshot(0).Routes}, 0) // unusable: older than the maximum age of estimates
 	other, _ := startServer(t, nil)
 	other.Publish(estimate.Snapshot{Origin: 8, SettingsDigest: 1}, time.Hour)
 	downListener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,10 +54,10 @@
 	startedAt := time.Now()
 	go func() { fetcher.Run(ctx); close(done) }()
 	snapshot := <-used
-	assert.Less(t, time.Since(startedAt), exchangeTimeout, "a silent peer delays nobody past the first wait")
+	assert.Less(t, time.Since(startedAt), exchangeTimeout, "a silent peer does not delay the first use by its timeout")
 	assert.True(t, snapshot.Routes[0].Core.Known())
 
-	// The one that was down comes up.
+	// The peer that was down starts.
 	late, err := Listen(down, nil, func() time.Duration { return time.Hour }, newCounts())
 	require.NoError(t, err)
 	late.Publish(testSnapshot(11), time.Hour)
@@ -65,18 +66,19 @@
 	select {
 	case <-used:
 	case <-time.After(testTimeout):
-		t.Error("a peer that came back was not polled again")
+		t.Error("the peer that was down was not polled again")
 	}
-	needed.Store(false) // it polls no more, and ends
+	needed.Store(false) // the fetcher stops polling, and Run returns
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		t.Error("polls on although it needs no estimates")
+		t.Error("polling continued although no estimates are needed")
 	}
 	cancel()
 }
 
-// Each exchange takes a descriptor. A server with a thousand peers, all of which fail, must poll them all, a few at a time.
+// Each exchange uses a file descriptor. A server with a thousand peers that all fail must poll all of them, at most
+// maxFetches at a time.
 func TestFetcherOfAThousand(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -93,13 +95,13 @@
 			if err != nil {
 				return
 			}
-			maxOpen.Store(max(maxOpen.Load(), open.Add(1))) // this goroutine alone writes it
+			maxOpen.Store(max(maxOpen.Load(), open.Add(1))) // written by this goroutine only
 			goroutines.Add(1)
 			go func() {
 				defer goroutines.Done()
 				_, _ = c.Read(make([]byte, maxFrame))
-				time.Sleep(time.Millisecond) // in which the others would come
-				open.Add(-1)                 // before the client sees the end, and may start the next
+				time.Sleep(time.Millisecond) // gives further fetches time to connect
+				open.Add(-1)                 // before the close, after which the client may start the next fetch
 				_ = c.Close()
 				polled <- struct{}{}
 			}()
@@ -115,7 +117,7 @@
 	for limit := time.After(testTimeout); len(polled) < 1024; {
 		select {
 		case <-limit:
-			require.FailNow(t, "not all were polled")
+			require.FailNow(t, "not all peers were polled")
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -124,7 +126,8 @@
 	<-ended
 }
 
-// Two servers that start together have nothing to tell each other. They must use nothing, and end with their context.
+// Two servers that start together have no estimates for each other. Their fetchers must use none, and end when their
+// context ends.
 func TestTwoStartingServers(t *testing.T) {
 	a, _ := startServer(t, nil)
 	b, _ := startServer(t, nil)
--- a/internal/peersync/hostile_test.go
+++ b/internal/peersync/hostile_test.go
@@ -22,8 +22,8 @@
 	"quartzpoint/internal/poller"
 )
 
-// Connections end at all stages of an exchange, in both directions. The client must get an error, no goroutine and no
-// connection may be left, and the server must go on.
+// Connections end at different stages of an exchange, in both directions. The client must get an error, no goroutine or
+// connection may leak, and the server must continue to answer.
 func TestCutOnSockets(t *testing.T) {
 	server, _ := startServer(t, Keys{keyA})
 	fetchThrough := func(cutAt int, toServer bool) error {
@@ -66,15 +66,15 @@
 	require.NoError(t, fetchThrough(1<<20, true))
 	size := EncodedSize(testSnapshot(5))
 	for n := range 24 {
-		assert.Error(t, fetchThrough(n*size/24, false), "answer cut at %d", n*size/24)
-		assert.Error(t, fetchThrough(n*3, true), "ask cut at %d", n*3)
-		time.Sleep(110 * time.Millisecond) // the rate that one address may ask at
+		assert.Error(t, fetchThrough(n*size/24, false), "answer cut at byte %d", n*size/24)
+		assert.Error(t, fetchThrough(n*3, true), "request cut at byte %d", n*3)
+		time.Sleep(110 * time.Millisecond) // the interval at which one address may send requests
 	}
 	_, err := Fetch(t.Context(), server.Address(), Keys{keyA})
 	assert.NoError(t, err)
 }
 
-// startPeer listens and answers each connection by a script.
+// startPeer listens and runs a script for each connection. It returns the address.
 func startPeer(t *testing.T, script func(net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -102,17 +102,17 @@
 	return listener.Addr().String()
 }
 
-// frame puts a header before raw bytes.
+// frame prepends a frame header to raw bytes.
 func frame(raw []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(raw))), raw...)
 }
 
-// challengeFrame is the challenge of a server without a key.
+// challengeFrame returns the challenge of a server without a key.
 func challengeFrame() []byte {
 	return encodeFrame(message{Kind: kindChallenge, Nonce: bytes.Repeat([]byte{9}, nonceSize)})
 }
 
-// send is a peer's script: it sends frames and then reads what the client sends.
+// send returns a peer's script that sends frames and then discards what the client sends.
 func send(frames ...[]byte) func(net.Conn) {
 	return func(conn net.Conn) {
 		for _, raw := range frames {
@@ -122,12 +122,12 @@
 	}
 }
 
-// challengeAndSend is the same, with a challenge first.
+// challengeAndSend returns a peer's script that sends a challenge first, and then does the same as send.
 func challengeAndSend(frames ...[]byte) func(net.Conn) {
 	return send(append([][]byte{challengeFrame()}, frames...)...)
 }
 
-// sendSlowly is a peer's script: it sends a challenge, a byte a second.
+// sendSlowly is a peer's script that sends a challenge at one byte per second.
 func sendSlowly(conn net.Conn) {
 	for _, b := range challengeFrame() {
 		if _, err := conn.Write([]byte{b}); err != nil {
@@ -137,13 +137,13 @@
 	}
 }
 
-// halfClose is a peer's script: it closes its side of the connection and goes on reading.
+// halfClose is a peer's script that closes its sending side of the connection and continues to read.
 func halfClose(conn net.Conn) {
 	_ = conn.(*net.TCPConn).CloseWrite()
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// tooManyParts is more than a snapshot may have.
+// tooManyParts returns more parts than a snapshot may have.
 func tooManyParts() (frames [][]byte) {
 	for i := range 2 * maxSnapshot / maxPart {
 		frames = append(frames, encodeFrame(message{Kind: kindPart, Number: i + 1, Bytes: make([]byte, maxPart)}))
@@ -151,8 +151,8 @@
 	return frames
 }
 
-// A peer is silent, slow, damaged or sends what it should not. The client must end with an error that says which, within its
-// timeout, and take no snapshot.
+// A peer is silent, slow, or sends invalid messages. The client must return an error that names the fault, within its
+// timeout, and no snapshot.
 func TestBadPeers(t *testing.T) {
 	snapshot, err := encodeSnapshot(testSnapshot(5), 0)
 	require.NoError(t, err)
@@ -168,20 +168,20 @@
 		err    string
 	}{
 		{"silent", send(), "deadline"},
-		{"half-open: closes its side only", halfClose, "EOF"},
-		{"a byte now and then", sendSlowly, "deadline"},
-		{"a length without end", send([]byte{0xff, 0xff, 0xff, 0xff}), "frame of"},
-		{"no length", send([]byte{0, 0, 0, 0}), "frame of 0"},
-		{"no CBOR", send(frame([]byte("\xff\xff\xff"))), "message: "},
-		{"a nesting bomb", send(frame(append(bytes.Repeat([]byte{0x81}, 4000), 0x01))), "nested"},
-		{"another version", send(frame(nextVersion)), "version 2"},
+		{"half-open: closes only its sending side", halfClose, "EOF"},
+		{"one byte per second", sendSlowly, "deadline"},
+		{"the largest frame length", send([]byte{0xff, 0xff, 0xff, 0xff}), "frame of"},
+		{"a frame length of zero", send([]byte{0, 0, 0, 0}), "frame of 0"},
+		{"invalid CBOR", send(frame([]byte("\xff\xff\xff"))), "message: "},
+		{"deeply nested CBOR", send(frame(append(bytes.Repeat([]byte{0x81}, 4000), 0x01))), "nested"},
+		{"another protocol version", send(frame(nextVersion)), "version 2"},
 		{"a part before the challenge", send(part), "unexpected message"},
-		{"a part left out", challengeAndSend(encodeFrame(message{Kind: kindPart, Number: 2, Bytes: []byte{1}})), "unexpected message"},
-		{"a part twice", challengeAndSend(part, part), "unexpected message"},
-		{"an end too soon", challengeAndSend(part, endOf(snapshot.bytes, snapshot.checksum)), "stated"},
-		{"a checksum that lies", challengeAndSend(part, endOf(snapshot.bytes[:100], 1)), "checksum of the snapshot"},
-		{"more than a snapshot may be", challengeAndSend(tooManyParts()...), "over"},
-		{"a refusal", send(rejectionFrame("no", time.Second)), "rejected"},
+		{"a missing part", challengeAndSend(encodeFrame(message{Kind: kindPart, Number: 2, Bytes: []byte{1}})), "unexpected message"},
+		{"a repeated part", challengeAndSend(part, part), "unexpected message"},
+		{"an early end message", challengeAndSend(part, endOf(snapshot.bytes, snapshot.checksum)), "stated"},
+		{"a wrong checksum", challengeAndSend(part, endOf(snapshot.bytes[:100], 1)), "checksum of the snapshot"},
+		{"a snapshot over the size limit", challengeAndSend(tooManyParts()...), "over"},
+		{"a rejection", send(rejectionFrame("no", time.Second)), "rejected"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -195,8 +195,8 @@
 	assert.ErrorContains(t, err, "nested")
 }
 
-// One client asks and does not read, one sends nothing, and one floods the server. They must cost themselves their connections,
-// and others must be answered meanwhile.
+// One client sends a hello and does not read, one sends nothing, one sends a single byte, and one floods the server.
+// The server must close their connections, and answer other clients meanwhile.
 func TestBadClients(t *testing.T) {
 	server, counts := startServer(t, nil)
 	var conns []net.Conn
@@ -216,7 +216,7 @@
 	for _, l := range conns {
 		require.NoError(t, l.SetDeadline(time.Now().Add(testTimeout)))
 		_, err := io.Copy(io.Discard, l)
-		assert.False(t, errors.Is(err, os.ErrDeadlineExceeded), "the server closes it")
+		assert.False(t, errors.Is(err, os.ErrDeadlineExceeded), "the server closes the connection")
 	}
 	assert.Equal(t, 3, counts.Times("peer connection closed: exchange took too long"))
 
@@ -236,13 +236,14 @@
 			assert.Equal(t, time.Second, rejected.RetryAfter)
 		}
 	}
-	assert.Positive(t, rejections, "asked too often")
+	assert.Positive(t, rejections, "requests over the rate limit are rejected")
 }
 
-// Far more peers connect at once than are allowed, and the server closes the rest. Its goroutine may close a connection that
-// netpoll has announced and not yet put into its poller. Netpoll then went on with what the close had freed: it logged a
-// connection that its poller does not know, and where the close came a moment later the process ended with a nil pointer
-// (seen once, in a fleet of 250 simulated servers). The test holds up netpoll at that moment each time.
+// Many more peers connect at once than are allowed, and the server closes the excess connections. The server's
+// goroutine may close a connection that netpoll has announced but not yet registered with its poller. Netpoll then used
+// what the close had freed: it logged an error about a connection that its poller does not know, and if the close came
+// slightly later, the process crashed with a nil pointer dereference (seen once, in a fleet of 250 simulated servers).
+// The test delays netpoll at that point for each connection.
 func TestConnectionLimit(t *testing.T) {
 	var logged logBuffer
 	before := slog.Default()
@@ -272,18 +273,18 @@
 			}
 			defer func() { _ = c.Close() }()
 			_ = c.SetDeadline(time.Now().Add(50 * time.Millisecond))
-			_, _ = io.Copy(io.Discard, c) // until the server closes it; those that may stay leave by themselves
+			_, _ = io.Copy(io.Discard, c) // until the server closes it, or the deadline passes for an allowed connection
 		})
 	}
 	goroutines.Wait()
 	require.Eventually(t, func() bool {
 		_, err := Fetch(t.Context(), server.Address(), nil)
 		return err == nil
-	}, testTimeout, 10*time.Millisecond, "peers are answered again")
+	}, testTimeout, 10*time.Millisecond, "the server answers peers again")
 	assert.NotContains(t, logged.String(), "detach operator failed")
 }
 
-// logBuffer is the text of a log that several goroutines write.
+// logBuffer collects log output from several goroutines.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/internal/peersync/keys_test.go
+++ b/internal/peersync/keys_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A key file that is wrong must be refused with its line, and the error must not contain a key.
+// An invalid key file must be rejected with the number of its invalid line, and the error must not contain a key.
 func TestReadKeys(t *testing.T) {
 	write := func(text string, mode os.FileMode) string {
 		path := filepath.Join(t.TempDir(), "key")
--- a/internal/peersync/session_test.go
+++ b/internal/peersync/session_test.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// openSessions opens both ends of one, and returns each with the error of its opening.
+// openSessions opens both ends of a session, and returns each end with the error of its opening. wrap, if set, wraps
+// the client's connection.
 func openSessions(t *testing.T, clientKeys, serverKeys Keys, wrap func(net.Conn) net.Conn) (a, b *Session, errA, errB error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,8 +52,8 @@
 
 var sessionKey = Keys{bytes.Repeat([]byte{7}, minKeySize)}
 
-// Payloads of any size must go both ways, complete and in order, while the other direction is in use; and one over the limit
-// must be refused.
+// Payloads of any size must arrive complete and in order in both directions, and a payload over the limit must be
+// rejected.
 func TestSession(t *testing.T) {
 	a, b, errA, errB := openSessions(t, sessionKey, Keys{bytes.Repeat([]byte{1}, minKeySize), sessionKey[0]}, nil)
 	require.NoError(t, errors.Join(errA, errB))
@@ -84,8 +85,8 @@
 	assert.ErrorIs(t, err, ErrOutOfBounds)
 }
 
-// Whoever has another key, or none, must get a refusal and nothing else; and a session must not be opened with a peer that does
-// not have the key.
+// A client with another key, or none, must get only a rejection, and no session may be opened with a peer that does not
+// have the key.
 func TestSessionOfAnotherKey(t *testing.T) {
 	other := Keys{bytes.Repeat([]byte{9}, minKeySize)}
 	for name, keys := range map[string]Keys{"another": other, "none": nil} {
@@ -100,7 +101,7 @@
 	assert.Error(t, errB)
 }
 
-// damagingConn changes one byte of what is read.
+// damagingConn changes one bit of the bytes that are read.
 type damagingConn struct {
 	net.Conn
 	damageAt, bytesRead int
@@ -115,7 +116,7 @@
 	return n, err
 }
 
-// A byte is changed on the way. The payload must be dropped; it must never come out as another.
+// A byte is damaged in transit. The payload must be dropped; it must never be returned with other contents.
 func TestSessionDamaged(t *testing.T) {
 	payload := bytes.Repeat([]byte("a change "), 40)
 	for at := 0; ; at += 7 {
@@ -125,35 +126,36 @@
 			return conn
 		})
 		if errA != nil || errB != nil {
-			continue // the opening was damaged
+			continue // the damaged byte was part of the handshake
 		}
 		require.NoError(t, b.Send(payload))
 		got, err := a.Receive(1<<20, testTimeout)
 		if conn.bytesRead <= at {
 			require.NoError(t, err)
 			assert.Equal(t, payload, got)
-			return // past the end
+			return // the byte to damage is past the end of the exchange
 		}
 		assert.Error(t, err, "byte %d", at)
 		assert.Nil(t, got, "byte %d", at)
 	}
 }
 
-// An attacker repeats a payload, or sends one of another session. It must not be taken.
+// An attacker replays a payload of a session. It must be rejected.
 func TestSessionReplayed(t *testing.T) {
 	a, b, errA, errB := openSessions(t, sessionKey, sessionKey, nil)
 	require.NoError(t, errors.Join(errA, errB))
 	require.NoError(t, a.Send([]byte("once")))
 	_, err := b.Receive(1<<10, testTimeout)
 	require.NoError(t, err)
-	a.sent = 0 // repeats the number
+	a.sent = 0 // the next payload has the number of the first
 	require.NoError(t, a.Send([]byte("once")))
 	_, err = b.Receive(1<<10, testTimeout)
 	assert.ErrorContains(t, err, "payload: proof is wrong")
 	assert.ErrorIs(t, err, ErrBadProof)
 }
 
-// A peer accepts the connection and sends nothing. The context must end the opening.
+// A peer accepts the connection and sends nothing, so the end of the context must end the opening. An opening to an
+// address without a listener must fail.
 func TestSessionOpeningEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/peersync/wire_test.go
+++ b/internal/peersync/wire_test.go
@@ -12,15 +12,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// digest is the SHA-256 of byte strings joined, in hexadecimal.
+// digest returns the SHA-256 of the joined byte strings, in hexadecimal.
 func digest(parts ...[]byte) string {
 	sum := sha256.Sum256(bytes.Join(parts, nil))
 	return hex.EncodeToString(sum[:])
 }
 
-// Servers of different versions talk to each other while a fleet is upgraded. A message that is encoded or signed in
-// another way is dropped by the other side, which then starts without estimates. The bytes of every message and of both
-// sides' whole conversations are therefore stated here.
+// Servers of different versions communicate while a fleet is upgraded. If one encodes or signs a message differently,
+// the other drops it and starts without estimates. This test therefore fixes the bytes of a message with all fields,
+// and of both sides of an exchange for a snapshot and for a vote.
 func TestMessageBytesStayTheSame(t *testing.T) {
 	full := message{
 		Kind: kindEnd, Nonce: []byte{1}, KeyName: []byte{2}, Proof: []byte{3}, Number: 4, Bytes: []byte{5}, Size: 6, Checksum: 7,
@@ -79,7 +79,7 @@
 	assert.Equal(t, "a320abb1b809a6b27350415228e9fa352cf8254b53f8cf137ad1186070e03e6d", digest(server.voted([]byte("answer"))))
 }
 
-// capturingConn keeps what is written to a connection.
+// capturingConn records what is written to a connection.
 type capturingConn struct {
 	net.Conn
 	written bytes.Buffer
@@ -88,7 +88,7 @@
 func (c *capturingConn) Write(p []byte) (int, error)      { return c.written.Write(p) }
 func (c *capturingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// The same for the payloads of a session, in both directions.
+// The payloads of a session must keep their bytes for the same reason, in both directions.
 func TestSessionBytesStayTheSame(t *testing.T) {
 	payload := bytes.Repeat([]byte("payload"), 1000)
 	for _, c := range []struct {
