--- a/internal/dependency/caller.go
+++ b/internal/dependency/caller.go
@@ -1,5 +1,5 @@
-// Package dependency makes the calls that the pool's runs need from the one dependency that all servers share, over
-// HTTP/1.1: a POST for each, with the request's id and the time left in its headers and the run's question as its body.
+// Package dependency makes the calls of the worker pool's runs to the one dependency that all servers share. Each call is
+// a POST request over HTTP/1.1 that contains the call's body, and in headers the request's id and the time left.
 package dependency
 
 import (
@@ -11,8 +11,8 @@
 	"quartzpoint/internal/workerapi"
 )
 
-// Caller makes calls over connections that are opened as needed, one call at a time on each. Its methods never block.
-// Every call gets exactly one report.
+// Caller makes calls over connections that are opened as needed, each with one call at a time. Its methods never block.
+// The end of each call is reported exactly once.
 type Caller struct {
 	maxConnections int
 	log            *slog.Logger
@@ -21,26 +21,27 @@
 
 	mu          sync.Mutex
 	address     string
-	idle        []*connection // the most recently used last
+	idle        []*connection // most recently used last
 	busy        map[uint64]*connection
-	unreachable bool // the last dial failed
+	unreachable bool // whether the last dial failed
 }
 
-// timedCall is a call with a context that ends with its time.
+// timedCall is a call with a context that ends when the call's timeout expires.
 type timedCall struct {
 	workerapi.Call
 	ctx context.Context
 }
 
-// New returns a caller that holds at most maxConnections connections to address, host:port. report is called once for
-// each call, from any goroutine, and count with each event that operators should see counted; neither may call the Caller.
+// New returns a caller that uses at most maxConnections connections at a time to address, in the form host:port. report
+// is called once for each call, and count with the name of each event to be counted. Both are called from any goroutine
+// and must not call the Caller.
 func New(address string, maxConnections int, log *slog.Logger, count func(string), report func(workerapi.CallEnd)) *Caller {
 	return &Caller{
 		address: address, maxConnections: maxConnections, log: log, count: count, report: report, busy: map[uint64]*connection{},
 	}
 }
 
-// Call starts a call. Where all connections are in use it is reported at once as not run.
+// Call starts a call. If all connections are in use, it immediately reports that the call did not run.
 func (c *Caller) Call(request workerapi.Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,7 +63,7 @@
 	conn.calls <- timedCall{request, ctx}
 }
 
-// Cancel ends a call whose reply is not awaited any more. Its end is still reported.
+// Cancel ends a call whose reply is no longer awaited. The end of the call is still reported.
 func (c *Caller) Cancel(callID uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +72,7 @@
 	}
 }
 
-// SetAddress sends all further calls to another address. Those in flight end where they began.
+// SetAddress sets the address for further calls. Calls in flight continue at the previous address.
 func (c *Caller) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +83,7 @@
 	c.idle = nil
 }
 
-// release makes the connection of an ended call idle, or ends it if its address is no longer in force.
+// release makes the connection of an ended call idle, or ends it if it leads to an address that is no longer in use.
 func (c *Caller) release(conn *connection, callID uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +96,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// closeIdle ends a connection unless it got a call in the meantime.
+// closeIdle ends a connection unless it has received a call in the meantime.
 func (c *Caller) closeIdle(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,15 +109,15 @@
 	}
 }
 
-// currentAddress is the one in force.
+// currentAddress returns the address that new connections dial.
 func (c *Caller) currentAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.address
 }
 
-// recordDial notes the result of a dial. A change between reachable and unreachable is logged once, not for each call; a dial
-// that the end of its call cut short says nothing.
+// recordDial records the result of a dial. A change between reachable and unreachable is logged once, not for each
+// call. A dial that failed because its call ended is ignored.
 func (c *Caller) recordDial(address string, err error, callEnded bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dependency/caller_test.go
+++ b/internal/dependency/caller_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testDependency answers each call with the bytes that a test gives.
+// testDependency is a dependency that answers each call with bytes that the test provides.
 type testDependency struct {
 	address     string
 	requests    chan *http.Request
@@ -30,8 +30,8 @@
 	connections chan net.Conn
 }
 
-// newTestDependency answers call number n, from 0 on, with answer(n); an empty answer is none, and one that ends in "\x00" is
-// followed by the end of the connection.
+// newTestDependency starts a dependency that answers call number n, counted from 0, with answer(n). An empty answer
+// means no reply; an answer that ends in "\x00" is followed by the end of the connection.
 func newTestDependency(t *testing.T, answer func(n int) string) *testDependency {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -91,7 +91,7 @@
 	return d
 }
 
-// testCaller is a caller under test with its reports.
+// testCaller is a caller whose reports are sent to ends.
 type testCaller struct {
 	*Caller
 	ends chan workerapi.CallEnd
@@ -101,7 +101,7 @@
 	caller := &testCaller{ends: make(chan workerapi.CallEnd, 64)}
 	caller.Caller = New(address, maxConnections, slog.New(slog.NewTextHandler(io.Discard, nil)), func(string) {},
 		func(e workerapi.CallEnd) { caller.ends <- e })
-	t.Cleanup(func() { caller.SetAddress("127.0.0.1:1") }) // closes idle connections
+	t.Cleanup(func() { caller.SetAddress("127.0.0.1:1") }) // closes the idle connections
 	return caller
 }
 
@@ -111,7 +111,7 @@
 	case e := <-c.ends:
 		return e
 	case <-time.After(fake.WaitLimit):
-		require.FailNow(t, "a call does not end")
+		require.FailNow(t, "the call did not end")
 		return workerapi.CallEnd{}
 	}
 }
@@ -122,29 +122,29 @@
 
 const goodReply = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
 
-// Every reply, and every way in which none comes, has one outcome; and the next call succeeds.
+// Every reply, and every way in which a reply can be missing or invalid, has one outcome, and the next call succeeds.
 func TestCallOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		answer  string
 		outcome admission.Outcome
 		result  string
 	}{
-		"good":                  {goodReply, admission.Succeeded, "reply"},
-		"good, in chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nre\r\n3\r\nply\r\n0\r\n\r\n", admission.Succeeded, "reply"},
-		"good, to the end":      {"HTTP/1.0 200 OK\r\n\r\nreply\x00", admission.Succeeded, "reply"},
-		"good, and closes":      {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nreply\x00", admission.Succeeded, "reply"},
-		"good, and empty":       {"HTTP/1.1 204 No Content\r\n\r\n", admission.Succeeded, ""},
-		"good, said beforehand": {"HTTP/1.1 102 Processing\r\n\r\n" + goodReply, admission.Succeeded, "reply"},
-		"shed":                  {"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n", admission.NotRun, ""},
-		"failed":                {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
-		"failed, not shed":      {"HTTP/1.1 503 Busy\r\nX-Shed: 0\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
-		"too late there":        {"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", admission.Unknown, ""},
-		"closed":                {"\x00", admission.Unknown, ""},
-		"cut short":             {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nreply\x00", admission.Unknown, ""},
-		"nonsense":              {"SSH-2.0\r\n\r\n", admission.Unknown, ""},
-		"never a reply":         {"", admission.Unknown, ""},
-		"a head without end":    {"HTTP/1.1 200 OK\r\nX: " + fmt.Sprintf("%0100000d", 1), admission.Unknown, ""},
-		"a reply without end":   {"HTTP/1.1 200 OK\r\n\r\n" + fmt.Sprintf("%020000d", 1), admission.Failed, ""},
+		"success":                           {goodReply, admission.Succeeded, "reply"},
+		"success, chunked":                  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nre\r\n3\r\nply\r\n0\r\n\r\n", admission.Succeeded, "reply"},
+		"success, ends with the connection": {"HTTP/1.0 200 OK\r\n\r\nreply\x00", admission.Succeeded, "reply"},
+		"success, connection closed":        {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nreply\x00", admission.Succeeded, "reply"},
+		"success, empty":                    {"HTTP/1.1 204 No Content\r\n\r\n", admission.Succeeded, ""},
+		"success after an interim reply":    {"HTTP/1.1 102 Processing\r\n\r\n" + goodReply, admission.Succeeded, "reply"},
+		"shed":                              {"HTTP/1.1 503 Busy\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n", admission.NotRun, ""},
+		"failed":                            {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
+		"failed, not shed":                  {"HTTP/1.1 503 Busy\r\nX-Shed: 0\r\nContent-Length: 0\r\n\r\n", admission.Failed, ""},
+		"gateway timeout":                   {"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", admission.Unknown, ""},
+		"connection closed without a reply": {"\x00", admission.Unknown, ""},
+		"reply cut off":                     {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nreply\x00", admission.Unknown, ""},
+		"not HTTP":                          {"SSH-2.0\r\n\r\n", admission.Unknown, ""},
+		"no reply":                          {"", admission.Unknown, ""},
+		"header over the size limit":        {"HTTP/1.1 200 OK\r\nX: " + fmt.Sprintf("%0100000d", 1), admission.Unknown, ""},
+		"body over the size limit":          {"HTTP/1.1 200 OK\r\n\r\n" + fmt.Sprintf("%020000d", 1), admission.Failed, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -169,14 +169,14 @@
 
 			caller.Call(testCall(2, fake.WaitLimit))
 			e = caller.next(t)
-			assert.Equal(t, admission.Succeeded, e.Outcome, "the next call is none the worse")
+			assert.Equal(t, admission.Succeeded, e.Outcome, "the next call succeeds")
 			assert.Equal(t, "reply", string(e.Result))
 		})
 	}
 }
 
 func TestConnections(t *testing.T) {
-	t.Run("one carries call after call", func(t *testing.T) {
+	t.Run("one connection carries several calls", func(t *testing.T) {
 		d := newTestDependency(t, func(int) string { return goodReply })
 		caller := newTestCaller(t, d.address, 4)
 		for n := range uint64(5) {
@@ -185,7 +185,7 @@
 		}
 		assert.Len(t, d.connections, 1)
 	})
-	t.Run("one that was closed while idle is opened anew", func(t *testing.T) {
+	t.Run("a connection closed while idle is opened again", func(t *testing.T) {
 		d := newTestDependency(t, func(int) string { return goodReply })
 		caller := newTestCaller(t, d.address, 4)
 		caller.Call(testCall(1, fake.WaitLimit))
@@ -200,7 +200,7 @@
 		caller.Call(testCall(2, fake.WaitLimit))
 		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 	})
-	t.Run("no more than allowed", func(t *testing.T) {
+	t.Run("no more connections than allowed", func(t *testing.T) {
 		d := newTestDependency(t, func(int) string { return "" })
 		caller := newTestCaller(t, d.address, 2)
 		for n := range uint64(3) {
@@ -213,15 +213,15 @@
 		<-d.requests
 		caller.Cancel(1)
 		caller.Cancel(2)
-		caller.Cancel(3) // not in flight: ignored
+		caller.Cancel(3) // not in flight, so ignored
 		assert.Equal(t, admission.Unknown, caller.next(t).Outcome)
 		assert.Equal(t, admission.Unknown, caller.next(t).Outcome)
 	})
 }
 
-// The dependency moves to another address: further calls go there, also where nobody was before.
+// The dependency moves to another address. Further calls go there, also if no dependency was reachable before.
 func TestSetAddress(t *testing.T) {
-	t.Run("nobody there, and then somebody", func(t *testing.T) {
+	t.Run("unreachable at first", func(t *testing.T) {
 		caller := newTestCaller(t, "127.0.0.1:1", 2)
 		caller.Call(testCall(1, fake.WaitLimit))
 		assert.Equal(t, admission.NotRun, caller.next(t).Outcome)
@@ -230,7 +230,7 @@
 		caller.Call(testCall(2, fake.WaitLimit))
 		assert.Equal(t, admission.Succeeded, caller.next(t).Outcome)
 	})
-	t.Run("calls in flight end where they began", func(t *testing.T) {
+	t.Run("calls in flight continue at the previous address", func(t *testing.T) {
 		release := make(chan bool)
 		old := newTestDependency(t, func(int) string { <-release; return goodReply })
 		d := newTestDependency(t, func(int) string { return goodReply })
--- a/internal/dependency/connection.go
+++ b/internal/dependency/connection.go
@@ -20,26 +20,26 @@
 
 const (
 	path           = "/lookup"
-	maxBodyBytes   = 16 << 10 // of a reply; larger than the pool's 4 KiB, so that it is the pool that judges the size
-	maxHeaderBytes = 16 << 10 // of a reply, interim ones included
-	maxResponses   = 4        // to one call; all but the last are interim (1xx)
+	maxBodyBytes   = 16 << 10 // of a reply; above the worker pool's 4 KiB, so that the pool enforces its own limit
+	maxHeaderBytes = 16 << 10 // of a reply, including those of interim replies
+	maxResponses   = 4        // per call; all but the last are interim (1xx)
 	dialTimeout    = time.Second
-	idleTimeout    = 5 * time.Second // after which a connection without a call is closed
+	idleTimeout    = 5 * time.Second // an idle connection is closed after this time
 	minTimeLeft    = time.Millisecond
 )
 
-// expiredDeadline is a deadline that interrupts reads and writes at once.
+// expiredDeadline is a deadline that interrupts reads and writes immediately.
 var expiredDeadline = time.Unix(1, 0)
 
-// connection is one connection. Its goroutine, run, makes call after call until it has been idle for idleTimeout.
+// connection carries one call after another until it has been idle for idleTimeout. run is its goroutine.
 type connection struct {
 	caller *Caller
-	calls  chan timedCall     // one at a time; closed, under caller.mu, when no more will come
-	cancel context.CancelFunc // of the call in flight; guarded by caller.mu
+	calls  chan timedCall     // at most one; closed under caller.mu when no more calls will follow
+	cancel context.CancelFunc // cancels the call in flight; guarded by caller.mu
 
 	address string
-	conn    net.Conn         // nil while there is none
-	limited io.LimitedReader // bounds a reply's header and body together
+	conn    net.Conn         // nil while not connected
+	limited io.LimitedReader // limits the header and body of a reply together
 	reader  *bufio.Reader
 }
 
@@ -64,8 +64,8 @@
 	}
 }
 
-// perform makes a call. It did not run where no connection could be opened, or where the dependency says so; where it was
-// written and no reply came in time, that is unknown.
+// perform makes a call. The outcome is NotRun if no connection could be opened or the dependency states that the call
+// did not run, and Unknown if the call was written and no reply arrived in time.
 func (c *connection) perform(call timedCall) (admission.Outcome, []byte) {
 	if c.conn != nil && c.stale() {
 		c.close()
@@ -92,7 +92,7 @@
 	c.caller.recordDial(c.address, err, ctx.Err() != nil)
 	if err != nil {
 		c.caller.count("dependency not reached")
-		return fmt.Errorf("dialing the dependency: %w", err)
+		return fmt.Errorf("dial dependency: %w", err)
 	}
 	c.conn = conn
 	c.limited = io.LimitedReader{R: conn}
@@ -100,8 +100,9 @@
 	return nil
 }
 
-// stale reports whether an idle connection was closed by the dependency, or has bytes that answer no call. Without this, a
-// call on a connection that the dependency has closed while idle would be lost, with an unknown outcome.
+// stale reports whether the dependency has closed an idle connection or sent bytes on it that belong to no call.
+// Without this check, a call on a connection that the dependency closed while it was idle would be lost with an unknown
+// outcome.
 func (c *connection) stale() bool {
 	raw, err := c.conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -117,7 +118,7 @@
 	return stale || err != nil
 }
 
-// exchange writes a call and reads its reply. reusable tells whether the connection can carry another call.
+// exchange writes a call and reads its reply. reusable reports whether the connection can carry another call.
 func (c *connection) exchange(call timedCall) (outcome admission.Outcome, result []byte, reusable bool) {
 	timeLeft := minTimeLeft
 	if deadline, set := call.ctx.Deadline(); set {
@@ -135,7 +136,7 @@
 		}
 		return admission.Unknown, nil, false
 	}
-	defer func() { _ = reply.Body.Close() }() // a reply without end leaves the connection not reusable
+	defer func() { _ = reply.Body.Close() }() // after a reply that was not read to its end, the connection is not reusable
 	result, err = io.ReadAll(io.LimitReader(reply.Body, maxBodyBytes+1))
 	switch {
 	case err != nil:
@@ -147,12 +148,13 @@
 	return outcomeOf(reply), result, !reply.Close && c.reader.Buffered() == 0
 }
 
-// readReply reads the header of the final reply, past interim ones. With too many of them it returns the last.
+// readReply reads the header of the final reply and skips interim ones. If there are too many of them, it returns the
+// last one read.
 func (c *connection) readReply() (reply *http.Response, err error) {
 	c.limited.N = maxHeaderBytes + maxBodyBytes
 	for range maxResponses {
 		if reply, err = http.ReadResponse(c.reader, nil); err != nil {
-			return nil, fmt.Errorf("reading a reply: %w", err)
+			return nil, fmt.Errorf("read reply: %w", err)
 		}
 		if reply.StatusCode >= http.StatusOK {
 			break
@@ -161,8 +163,8 @@
 	return reply, nil
 }
 
-// outcomeOf reads the outcome from a reply's header. A call that was shed did not run, whatever the status; a value of
-// the header that can't be read counts as shed.
+// outcomeOf returns the outcome stated by a reply's header. A call that was shed did not run, regardless of the status.
+// An invalid value of X-Shed counts as shed.
 func outcomeOf(reply *http.Response) admission.Outcome {
 	header := reply.Header.Get("X-Shed")
 	if shed, err := strconv.ParseBool(header); header != "" && (shed || err != nil) {
--- a/internal/fanout/answer.go
+++ b/internal/fanout/answer.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	maxAnswer       = 4 << 10 // bytes of a composed answer, as the routers' protocol allows
-	answerOverhead  = 64      // bytes of an answer without parts
-	maxPartOverhead = 96      // bytes of a part without its name and result
+	maxAnswer       = 4 << 10 // maximum bytes of a composed answer in the routers' protocol
+	answerOverhead  = 64      // bytes of an answer without its parts
+	maxPartOverhead = 96      // maximum bytes of a part without its name and result
 )
 
-// Answer is a composed answer, as callers get it.
+// Answer is a composed answer in the form that callers receive.
 type Answer struct {
-	Complete bool    `json:"whole"` // all parts are there and fresh
-	Value    float64 `json:"worth"` // of the available parts, over that of all; 0 to 1
+	Complete bool    `json:"whole"` // all parts are available and fresh
+	Value    float64 `json:"worth"` // value of the available parts divided by that of all parts; 0 to 1
 	Parts    []Part  `json:"parts"`
 }
 
-// Part is what became of one call.
+// Part is the outcome of one call.
 type Part struct {
 	Name   string `json:"name"`
 	State  string `json:"state"`
-	Reason string `json:"why,omitempty"`    // why it is not fresh
-	AgeMS  int64  `json:"age_ms,omitempty"` // of a stale one
+	Reason string `json:"why,omitempty"`    // why the part is not fresh
+	AgeMS  int64  `json:"age_ms,omitempty"` // of a stored result
 	Result string `json:"result,omitempty"` // base64
 }
 
-// The states of a part.
+// States of a part.
 const (
 	partFresh   = "fresh"
 	partStale   = "old"     // replaced by a stored result
@@ -38,8 +38,8 @@
 	partMissing = "missing"
 )
 
-// compose encodes the answer with the parts that are there. Where it would be longer than maxAnswer, parts are left out
-// and truncated is set. complete is false where a required part had to be left out.
+// compose encodes the answer with the available parts. If it would be longer than maxAnswer, it leaves parts out and
+// sets truncated. complete is false if a required part is left out.
 func (r *request) compose(execution *budget.Execution, verdict budget.Verdict) (encoded []byte, truncated, complete bool) {
 	answer := Answer{Complete: verdict == budget.Complete, Value: execution.Value()}
 	size := answerOverhead
@@ -66,7 +66,7 @@
 	return encoded, truncated, complete
 }
 
-// part describes what became of a call.
+// part returns the part of a call.
 func (r *request) part(execution *budget.Execution, call int) Part {
 	part := Part{Name: r.route.Plan.Calls[call].Name, State: partFresh}
 	available, status := execution.PartStatus(call)
@@ -85,7 +85,7 @@
 	return part
 }
 
-// partToOmit is the index of the longest part, of optional ones as long as there are any with a result.
+// partToOmit returns the index of the longest part, and prefers optional parts as long as one has a result.
 func (r *request) partToOmit(parts []Part) int {
 	omit := 0
 	for i, planned := range r.route.Plan.Calls {
--- a/internal/fanout/cache.go
+++ b/internal/fanout/cache.go
@@ -7,11 +7,11 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// maxCacheEntries bounds the number of stored results, whatever their size.
+// maxCacheEntries is the maximum number of stored results, regardless of their size.
 const maxCacheEntries = 65536
 
-// resultCache stores the last successful result of each call, up to a number of bytes of keys and results. The least
-// recently used are evicted.
+// resultCache stores the last successful result of each call, up to maxBytes of keys and results. The least recently
+// used results are evicted.
 type resultCache struct {
 	entries         *simplelru.LRU[string, cachedResult]
 	bytes, maxBytes int
@@ -26,15 +26,15 @@
 	c := &resultCache{maxBytes: maxBytes}
 	entries, err := simplelru.NewLRU(maxCacheEntries, func(key string, result cachedResult) { c.bytes -= len(key) + len(result.body) })
 	if err != nil {
-		return nil, fmt.Errorf("making the result cache: %w", err)
+		return nil, fmt.Errorf("create the result cache: %w", err)
 	}
 	c.entries = entries
 	return c, nil
 }
 
-// store replaces the result of a key.
+// store stores the result of a key, and replaces an older one.
 func (c *resultCache) store(key string, body []byte, now time.Duration) {
-	c.entries.Remove(key) // so that its bytes are counted out
+	c.entries.Remove(key) // the eviction callback subtracts its bytes
 	c.entries.Add(key, cachedResult{body, now})
 	c.bytes += len(key) + len(body)
 	for c.bytes > c.maxBytes {
@@ -42,14 +42,14 @@
 	}
 }
 
-// load returns the result of a key and its age.
+// load returns the stored result of a key and its age.
 func (c *resultCache) load(key string, now time.Duration) (body []byte, age time.Duration, found bool) {
 	result, found := c.entries.Get(key)
 	return result.body, now - result.storedAt, found
 }
 
-// cacheKey names the result of a call: that of the same call of the same route with the same request body. A body has
-// 2 KiB at the most.
+// cacheKey returns the key of a call's stored result. Requests share a result if their route, call and request body are
+// the same. A body has at most 2 KiB.
 func (r *request) cacheKey(call int) string {
 	return r.route.Plan.Route + "\x00" + r.route.Plan.Calls[call].Name + "\x00" + string(r.body)
 }
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -24,14 +24,14 @@
 		states     []string
 		value      float64
 	}{
-		{"all there", nil, nil, nil, "success", []string{"fresh", "fresh"}, 1},
-		{"the optional one fails", nil, broken, nil, "success", []string{"fresh", "missing"}, 0.75},
-		{"the optional one is late", nil, slow, nil, "success", []string{"fresh", "missing"}, 0.75},
-		{"a constant for it", nil, broken, func(t *Route) {
+		{"all succeed", nil, nil, nil, "success", []string{"fresh", "fresh"}, 1},
+		{"the optional call fails", nil, broken, nil, "success", []string{"fresh", "missing"}, 0.75},
+		{"the optional call is late", nil, slow, nil, "success", []string{"fresh", "missing"}, 0.75},
+		{"a constant replaces the optional call", nil, broken, func(t *Route) {
 			t.Plan.Calls[1].Fallback, t.Calls[1].Default = true, []byte("nobody")
 		}, "success", []string{"fresh", "default"}, 1},
-		{"the needed one fails", broken, nil, nil, "interrupted", []string{"missing", "missing"}, 0},
-		{"the needed one is late", slow, nil, nil, "interrupted", []string{"missing", "fresh"}, 0.25},
+		{"the required call fails", broken, nil, nil, "interrupted", []string{"missing", "missing"}, 0},
+		{"the required call is late", slow, nil, nil, "interrupted", []string{"missing", "fresh"}, 0.25},
 		{"both fail", broken, slow, nil, "interrupted", []string{"missing", "missing"}, 0},
 	}
 	for _, c := range cases {
@@ -46,14 +46,14 @@
 			assert.Equal(t, c.states, states(a))
 			assert.InDelta(t, c.value, a.Value, 1e-9)
 			for _, p := range a.Parts {
-				assert.Equal(t, p.State == "fresh", p.Reason == "", "why a part is missing is said")
+				assert.Equal(t, p.State == "fresh", p.Reason == "", "only parts that are not fresh state a reason")
 			}
 		})
 	}
 }
 
-// A dependency fails after it has answered once. The stored result replaces its part, for the same request body, up to the
-// configured age and no longer.
+// A dependency fails after it has answered once. The stored result replaces its part for the same request body, up to
+// the configured age and no longer.
 func TestLastGood(t *testing.T) {
 	var failing atomic.Bool
 	other := startDependency(t, ms, func(time.Duration) harness.DependencyBehaviour {
@@ -74,15 +74,15 @@
 	assert.NotEmpty(t, a.Parts[1].Result)
 	server.start("look", "another's", 300*ms)
 	_, a = server.next()
-	assert.Equal(t, "missing", a.Parts[1].State, "the key holds the body")
+	assert.Equal(t, "missing", a.Parts[1].State, "the cache key contains the body")
 	time.Sleep(time.Until(storedAt.Add(450 * ms)))
 	server.start("look", "mine", 300*ms)
 	_, a = server.next()
 	assert.Equal(t, "missing", a.Parts[1].State, "too old")
 }
 
-// The deposit was sent and its response comes after the deadline. The request is aborted with what is known, and the deposit
-// never sent again; the late response is counted and changes nothing.
+// The response to the deposit arrives after the deadline. The request is aborted with the parts that are known, and the
+// deposit is not sent again. The late response is counted and has no other effect.
 func TestUnclearDeposit(t *testing.T) {
 	hold := startDependency(t, ms, nil)
 	deposit := startDependency(t, ms, func(time.Duration) harness.DependencyBehaviour {
@@ -99,18 +99,18 @@
 		server.submitted <- func() { result <- server.States(server.now())[1].LateResponses }
 		return <-result
 	}
-	require.Eventually(t, func() bool { return lateResponses() == 1 }, testTimeout, 10*ms, "the late answer")
-	assert.Empty(t, server.notices, "it changes nothing")
+	require.Eventually(t, func() bool { return lateResponses() == 1 }, testTimeout, 10*ms, "the late response is counted")
+	assert.Empty(t, server.notices, "the late response has no other effect")
 	assert.Equal(t, harness.DependencyStats{Attempts: 1, Effects: 1, DistinctKeys: 1, MaxOpen: 1}, deposit.Stats())
 }
 
-// A call runs and the connection breaks before its response. One with an idempotency key is retried with the same key, and
-// answered from the first run; an at-most-once one aborts the request.
+// A call runs and the connection ends before its response. A call with an idempotency key is retried with the same key
+// and answered from the first run; an at-most-once call aborts the request.
 func TestConnectionBreaks(t *testing.T) {
 	hold, deposit := startDependency(t, 5*ms, nil), startDependency(t, 5*ms, nil)
 	server := newTestServer(t, 64<<20, confirmRoute(), dependency("hold", startCutProxy(t, hold.Address)), dependency("deposit", deposit.Address))
 	server.submitted <- func() {
-		for range 2 { // a retry token is earned
+		for range 2 { // earns a retry token
 			_, _ = server.dependencies[0].Admit(server.now())
 			server.dependencies[0].CallEnded(budget.Succeeded, ms, true, server.now())
 		}
@@ -131,11 +131,11 @@
 	assert.Equal(t, 1, deposit.Stats().Attempts)
 }
 
-// A dependency is silent, sends garbage, goes down or refuses connections for a while. The connections are dialled again,
-// and calls succeed once it has recovered.
+// A dependency is silent, sends garbage, is down or rejects calls for a while. The connections are dialled again, and
+// calls succeed once the dependency has recovered.
 func TestDependencyRecovers(t *testing.T) {
 	cases := map[string]harness.DependencyBehaviour{
-		"silent": {Silent: true}, "garbage": {Garbage: true}, "down": {Down: true}, "refuses": {Rejects: true},
+		"silent": {Silent: true}, "garbage": {Garbage: true}, "down": {Down: true}, "rejects": {Rejects: true},
 	}
 	for name, behaviour := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// A result is longer than the memory for results. The call fails, and no bytes stay counted.
+// A result exceeds the memory limit for results. Its call fails, and no bytes remain counted.
 func TestResultMemory(t *testing.T) {
 	one, other := startDependency(t, ms, nil), startDependency(t, ms, nil)
 	server := newTestServer(t, 4*resultMemoryDivisor, readRoute(nil), dependency("one", one.Address), dependency("other", other.Address))
@@ -183,8 +183,8 @@
 	assert.Zero(t, <-resultBytes)
 }
 
-// Results are together longer than an answer may be. The longest optional part is left out; without a required one the
-// answer is incomplete.
+// The results together exceed the maximum answer size. The longest optional part is left out; if a required part must
+// be left out, the answer is incomplete.
 func TestAnswerSize(t *testing.T) {
 	plan := readRoute(nil)[0].Plan
 	require.NoError(t, plan.Validate(2, time.Minute))
@@ -213,7 +213,7 @@
 	}
 }
 
-// finishRecorder looks at an execution as it is finished.
+// finishRecorder records that an execution finished, and calls onFinish.
 type finishRecorder struct {
 	onFinish func()
 	finished bool
@@ -226,7 +226,8 @@
 
 func (r *finishRecorder) Finish(*budget.Execution, budget.Verdict) { r.finished = true; r.onFinish() }
 
-// The caller is gone, or the request was aborted elsewhere. No more calls are sent, and nothing of the request is left.
+// A request is paused because its caller has disconnected or it was aborted. No more calls are sent, and no state of
+// the request remains.
 func TestPause(t *testing.T) {
 	hold, deposit := startDependency(t, 50*ms, nil), startDependency(t, ms, nil)
 	server := newTestServer(t, 64<<20, confirmRoute(), dependency("hold", hold.Address), dependency("deposit", deposit.Address))
@@ -243,9 +244,10 @@
 	server.submitted <- func() { assert.False(t, server.Pause(id)) }
 }
 
-// Both dependencies are down. The optional first call cannot be sent; settling it starts the required at-most-once call
-// behind it, which finds no connection either. That second attempt was lost: the request waited for an answer that nobody
-// owed, and was then reported as an effect that may have happened, though nothing was ever sent.
+// Both dependencies are down. The optional first call cannot be sent, and handling it starts the required at-most-once
+// call after it, which finds no connection either. This second attempt used to be lost: the request waited for a
+// response that would never arrive, and was then reported with an effect that might have happened although nothing was
+// sent.
 func TestUnsentCallAfterUnsentCall(t *testing.T) {
 	routes := confirmRoute()
 	routes[0].Plan.Calls[0].Required, routes[0].Plan.Calls[0].Retry, routes[0].Plan.Calls[0].Effect = false, false, budget.Read
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -1,6 +1,6 @@
-// Package fanout runs requests that are made of calls to several dependencies: it sends the calls, receives their
-// responses and composes one answer of them. Package budget decides which call is sent when, with which timeout and how
-// often.
+// Package fanout runs requests that consist of calls to several dependencies: it sends the calls, receives their
+// responses and composes one answer from them. Package budget decides when each call is sent, with which timeout, and
+// how often.
 package fanout
 
 import (
@@ -17,11 +17,11 @@
 
 const (
 	connectionCheckInterval = 250 * time.Millisecond // while requests are in progress
-	resultMemoryDivisor     = 16                     // of the process's memory: results of requests in progress
-	cacheMemoryDivisor      = 16                     // of the process's memory: stored results
+	resultMemoryDivisor     = 16                     // fraction of the process's memory for results of requests in progress
+	cacheMemoryDivisor      = 16                     // fraction of the process's memory for stored results
 )
 
-// The outcomes of a run, as package workerapi's notices name them.
+// Outcomes of runs in notices of package workerapi.
 const (
 	runSucceeded   = "success"
 	runInterrupted = "interrupted"
@@ -32,58 +32,58 @@
 	budget.Options
 	Address        string // TCP, host:port
 	Connections    int
-	SilenceTimeout time.Duration // a connection that owes a response and reads nothing for so long is closed
+	SilenceTimeout time.Duration // a connection that awaits a response and reads nothing for longer is closed
 }
 
-// Call is what package budget need not know of a call.
+// Call holds the settings of a call that package budget does not need.
 type Call struct {
 	Op       string        // name of the operation at the dependency
-	MaxStale time.Duration // up to this age a stored result may replace its part; 0: none may
+	MaxStale time.Duration // maximum age of a stored result that may replace its part; 0: no stored result may
 	Default  []byte        // constant that replaces its part otherwise; nil: none does
 }
 
-// Route is a route whose requests are made of calls. Calls and Plan.Calls have the same indexes.
+// Route is a route whose requests consist of calls. Calls and Plan.Calls have the same indexes.
 type Route struct {
 	Plan  *budget.Plan
 	Calls []Call
 }
 
-// Composer runs composed requests. It implements server.Composer, and budget.Executor for its own scheduler. All its
-// methods but Wait belong to the decision loop.
+// Composer runs composed requests. It implements server.Composer, and budget.Executor for its own scheduler. All
+// methods except Wait must be called on the event loop.
 type Composer struct {
 	counts       *invariant.Counters
 	now          func() time.Duration
 	routes       map[string]*Route
-	transports   []Transport // by dependency, as are dependencies
+	transports   []Transport // by index of the dependency, like dependencies
 	dependencies []*budget.Dependency
 	scheduler    *budget.Scheduler
 	connections  sync.WaitGroup
 
 	requests             map[string]*request // in progress, by id
-	notices              []workerapi.Notice  // not taken yet
-	unsent               []*Attempt          // that no connection took
-	responses            []Response          // scratch of Advance
-	connectionsCheckedAt time.Duration       // connections
+	notices              []workerapi.Notice  // not yet taken by AppendNotices
+	unsent               []*Attempt          // that no connection accepted
+	responses            []Response          // buffer of Advance
+	connectionsCheckedAt time.Duration       // time of the last CheckConnections
 	resultBytes          int                 // of requests in progress
 	maxResultBytes       int
 	cache                *resultCache
 }
 
-// request is one in progress.
+// request is a request in progress.
 type request struct {
 	id          string
 	route       *Route
 	body        []byte
 	execution   *budget.Execution // nil until its first calls are sent
 	parts       [budget.MaxCalls][]byte
-	resultBytes int                            // of parts that are not constants or stored
-	ages        [budget.MaxCalls]time.Duration // of stored results; 0 without one
+	resultBytes int                            // of parts that are neither constants nor stored results
+	ages        [budget.MaxCalls]time.Duration // of stored results; 0 if none is used
 	attempts    [budget.MaxCalls][2]*Attempt   // in flight
 }
 
-// New returns a composer whose connections live until the context ends; Wait then waits for them. memory is that of the
-// process, in bytes. now is the clock of decisions; wake is called, from any goroutine, when Advance has something to do.
-// The routes' plans must be valid. seed makes all jitter repeatable.
+// New returns a composer whose connections are kept until the context ends; Wait then waits for them. memory is the
+// memory of the process in bytes. now is the clock of decisions. wake is called, from any goroutine, when Advance has
+// work to do. The routes' plans must be valid. seed makes all jitter repeatable.
 func New(
 	ctx context.Context, dependencies []Dependency, routes []Route, memory int, seed int64, now func() time.Duration,
 	counts *invariant.Counters, log *slog.Logger, wake func(),
@@ -106,20 +106,20 @@
 	return c
 }
 
-// Wait returns once all connections have ended, after the context has.
+// Wait returns once all connections have ended. Connections end when the context ends.
 func (c *Composer) Wait() { c.connections.Wait() }
 
 // Handles reports whether requests of a route are composed.
 func (c *Composer) Handles(route string) bool { return c.routes[route] != nil }
 
-// ExpectedWait is how long the required calls of a composed route are expected to take on their longest path, with the
-// time kept for the answer.
+// ExpectedWait returns the expected duration of the longest path of required calls of a composed route, including the
+// time reserved for the answer.
 func (c *Composer) ExpectedWait(route string) time.Duration {
 	return c.routes[route].Plan.RequiredPath()
 }
 
-// Start sends the first calls of a request. false means that it was not started: its route is not composed, or it is in
-// progress already.
+// Start sends the first calls of a request. It returns false if it did not start the request, because its route is not
+// composed or the request is already in progress.
 func (c *Composer) Start(run workerapi.Run) bool {
 	route := c.routes[run.Route]
 	valid := route != nil && c.requests[run.ID] == nil
@@ -133,8 +133,8 @@
 	return true
 }
 
-// Pause ends a request whose answer is not awaited any more. Calls with an effect that are in flight go on at their
-// dependencies; no more calls are sent.
+// Pause ends a request whose answer is no longer awaited, and reports whether the request was in progress. Calls with
+// an effect that are in flight continue at their dependencies; no more calls are sent.
 func (c *Composer) Pause(id string) bool {
 	r := c.requests[id]
 	if r == nil {
@@ -147,10 +147,10 @@
 	return true
 }
 
-// Resume refuses: Pause has ended the request.
+// Resume returns false, because Pause has ended the request.
 func (c *Composer) Resume(string) bool { return false }
 
-// AppendNotices appends the notices of requests that ended.
+// AppendNotices appends the notices of requests that ended since the last call.
 func (c *Composer) AppendNotices(notices []workerapi.Notice) []workerapi.Notice {
 	notices = append(notices, c.notices...)
 	clear(c.notices)
@@ -165,8 +165,8 @@
 	}
 }
 
-// NextTimer is when Advance must be called next: at once where an attempt was not sent or a request ended, since both are
-// handled in a later round only.
+// NextTimer returns the latest time at which Advance must be called. This is immediately if an attempt was not sent or
+// a request ended, because both are handled only in a later round.
 func (c *Composer) NextTimer() time.Duration {
 	if len(c.unsent)+len(c.notices) > 0 {
 		return 0
@@ -178,10 +178,10 @@
 	return next
 }
 
-// Advance takes the responses that have come and runs the timers that are due.
+// Advance handles the received responses and runs the timers that are due.
 func (c *Composer) Advance(now time.Duration) {
 	unsent := c.unsent
-	c.unsent = nil // what settles here may start calls that cannot be sent either: they are for the next time
+	c.unsent = nil // handling the attempts below may start calls that cannot be sent either; those wait for the next Advance
 	for _, attempt := range unsent {
 		c.receive(Response{Attempt: attempt, Outcome: budget.NotSent}, now)
 	}
@@ -189,7 +189,7 @@
 	for _, transport := range c.transports {
 		c.responses = transport.Receive(c.responses)
 	}
-	// In the order in which they were sent: that of the transports' maps differs from run to run.
+	// Sorted by the time of sending, because the order of the transports' maps differs from run to run.
 	slices.SortStableFunc(c.responses, func(a, b Response) int { return a.Attempt.sentAt.Compare(b.Attempt.sentAt) })
 	for _, response := range c.responses {
 		c.receive(response, now)
@@ -204,7 +204,7 @@
 	}
 }
 
-// receive hands a response to the scheduler, with its result stored where it succeeded.
+// receive stores the result of a successful response and reports the response to the scheduler.
 func (c *Composer) receive(response Response, now time.Duration) {
 	attempt, outcome := response.Attempt, response.Outcome
 	if attempt.cancelled {
@@ -229,14 +229,14 @@
 	c.scheduler.CallEnded(attempt.execution, attempt.call, attempt.index, outcome, now)
 }
 
-// finish ends a request with a notice.
+// finish ends a request and queues its notice.
 func (c *Composer) finish(r *request, outcome string, answer []byte) {
 	c.resultBytes -= r.resultBytes
 	delete(c.requests, r.id)
 	c.notices = append(c.notices, workerapi.Notice{Kind: workerapi.RunFinished, RequestID: r.id, Outcome: outcome, Result: answer})
 }
 
-// States returns a snapshot of each dependency.
+// States returns the current state of each dependency.
 func (c *Composer) States(now time.Duration) (states []budget.State) {
 	for _, d := range c.dependencies {
 		states = append(states, d.State(now))
--- a/internal/fanout/connection.go
+++ b/internal/fanout/connection.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	maxInFlight     = 32        // calls on a connection, as the protocol says
-	maxResult       = 4 << 10   // bytes
+	maxInFlight     = 32        // calls in flight per connection, as specified by the protocol
+	maxResult       = 4 << 10   // bytes of a response's body
 	writeQueueLimit = 256 << 10 // bytes
 	readSize        = 16 << 10  // bytes
 	dialTimeout     = time.Second
-	minBackoff      = 50 * time.Millisecond // between dials; doubles with each
+	minBackoff      = 50 * time.Millisecond // between dials; doubles after each
 	maxBackoff      = 2 * time.Second
 )
 
-// errResponseTooLong ends a connection: what follows can't be found in the stream any more.
-var errResponseTooLong = fmt.Errorf("answer of over %d bytes", frame.MaxBuffered)
+// errResponseTooLong closes the connection, because the transport does not skip frames that are too long.
+var errResponseTooLong = fmt.Errorf("response of over %d bytes", frame.MaxBuffered)
 
-// connection is one connection of a transport, dialled again whenever it is lost. Its goroutine is run; transport.mu
-// guards all fields but transport.
+// connection is a connection of a transport that is dialled again whenever it is lost. run is its goroutine.
+// transport.mu guards all fields except transport.
 type connection struct {
 	transport  *frameTransport
-	socket     net.Conn // nil while there is none, as are raw, writes, inFlight and streams
+	socket     net.Conn // nil while not connected, as are raw, writes, inFlight and streams
 	raw        syscall.RawConn
 	writes     *writequeue.Queue
 	inFlight   map[uint32]*Attempt // by stream
 	streams    map[*Attempt]uint32
 	lastStream uint32
-	draining   bool // the dependency asked for no more calls here
+	draining   bool // the dependency has sent a go-away
 	lastReadAt time.Time
 }
 
-// run dials, serves the connection to its end, and dials again after a backoff with jitter: when a dependency restarts,
-// all servers lose it at the same moment and must not return together.
+// run dials, serves the connection until it ends, and dials again after a backoff with jitter: when a dependency
+// restarts, all servers lose their connections at the same time and must not reconnect at the same time.
 func (c *connection) run(ctx context.Context) {
 	t := c.transport
 	backoff, down := minBackoff, false
@@ -75,11 +75,12 @@
 	}
 }
 
-// serve reads a connection to its end. Attempts in flight then are lost. The error says why it ended, and is never nil.
+// serve reads from a connection until it ends. Attempts that are in flight at the end are lost. The returned error
+// states why the connection ended and is never nil.
 func (c *connection) serve(socket net.Conn) error {
 	raw, err := socket.(*net.TCPConn).SyscallConn()
 	if err != nil {
-		return errors.Join(fmt.Errorf("descriptor: %w", err), socket.Close())
+		return errors.Join(fmt.Errorf("get descriptor: %w", err), socket.Close())
 	}
 	t := c.transport
 	t.mu.Lock()
@@ -97,7 +98,7 @@
 	t.mu.Lock()
 	_ = socket.Close()
 	c.socket, c.raw = nil, nil
-	for _, attempt := range c.inFlight { // in any order: Composer.Advance sorts them
+	for _, attempt := range c.inFlight { // in any order: Composer.Advance sorts the responses
 		t.respond(attempt, budget.Lost, nil)
 	}
 	c.inFlight, c.streams, c.writes = nil, nil, nil
@@ -109,12 +110,12 @@
 // read reads frames until the connection ends.
 func (c *connection) read(socket net.Conn) error {
 	t := c.transport
-	var unread []byte // begins with a frame that is not complete yet
+	var unread []byte // the beginning of an incomplete frame
 	chunk := make([]byte, readSize)
 	for {
 		n, err := socket.Read(chunk)
 		if err != nil {
-			return fmt.Errorf("reading: %w", err)
+			return fmt.Errorf("read: %w", err)
 		}
 		unread = append(unread, chunk[:n]...)
 		t.mu.Lock()
@@ -135,12 +136,12 @@
 	}
 }
 
-// receiveAll receives all complete frames of a buffer and returns the rest of it.
+// receiveAll handles all complete frames of a buffer and returns the rest of it.
 func (c *connection) receiveAll(buffer []byte) (rest []byte, err error) {
 	for {
 		f, after, complete, err := frame.ParseAnswer(buffer)
 		if err != nil {
-			return nil, fmt.Errorf("cutting a frame: %w", err)
+			return nil, fmt.Errorf("parse frame: %w", err)
 		}
 		if complete && f.SkipBytes > 0 {
 			return nil, errResponseTooLong
@@ -153,8 +154,8 @@
 	}
 }
 
-// receive takes one frame. A response to no call in flight is counted and dropped; one that can't be understood fails
-// the call it answers.
+// receive handles one frame. A response to no call in flight is counted and dropped; a response that cannot be decoded
+// fails its call.
 func (c *connection) receive(f frame.Frame) {
 	t := c.transport
 	if f.Type == frame.GoAway {
@@ -181,7 +182,7 @@
 	}
 	switch {
 	case len(f.Payload) > 0 && f.Payload[0] == frame.Served && len(body) <= maxResult:
-		t.respond(attempt, budget.Succeeded, append([]byte{}, body...)) // a copy: the buffer is reused
+		t.respond(attempt, budget.Succeeded, append([]byte{}, body...)) // copied, because the buffer is reused
 	case len(f.Payload) > 0 && f.Payload[0] == frame.Rejected:
 		t.respond(attempt, budget.Rejected, nil)
 	default:
@@ -196,7 +197,7 @@
 	}
 }
 
-// available reports whether the connection takes another call.
+// available reports whether the connection can accept another call.
 func (c *connection) available() bool {
 	return c.socket != nil && !c.draining && len(c.inFlight) < maxInFlight
 }
--- a/internal/fanout/executor.go
+++ b/internal/fanout/executor.go
@@ -6,7 +6,7 @@
 	"quartzpoint/budget"
 )
 
-// Send implements budget.Executor, as do Cancel, Fallback and Finish.
+// Send, like Cancel, Fallback and Finish, implements budget.Executor.
 func (c *Composer) Send(execution *budget.Execution, call, index int, timeout time.Duration) {
 	r := execution.Ref.(*request)
 	planned := &r.route.Plan.Calls[call]
@@ -23,7 +23,7 @@
 	}
 }
 
-// Cancel cancels an attempt. A call with an effect is not cancelled at the dependency: it may have begun there.
+// Cancel cancels an attempt. A call with an effect is not cancelled at the dependency, because it may have begun there.
 func (c *Composer) Cancel(execution *budget.Execution, call, index int) {
 	r := execution.Ref.(*request)
 	attempt := r.attempts[call][index]
@@ -34,7 +34,8 @@
 	}
 }
 
-// Fallback replaces a part by a stored result that is not too old, or else by the configured constant.
+// Fallback replaces a part with a stored result that is not too old, or otherwise with the configured constant. It
+// reports whether there is one of them.
 func (c *Composer) Fallback(execution *budget.Execution, call int) bool {
 	r := execution.Ref.(*request)
 	config := r.route.Calls[call]
@@ -52,7 +53,7 @@
 	return false
 }
 
-// Finish answers a request. One that was aborted carries what is known, too.
+// Finish answers a request. The answer of an aborted request contains the available parts too.
 func (c *Composer) Finish(execution *budget.Execution, verdict budget.Verdict) {
 	r := execution.Ref.(*request)
 	answer, truncated, complete := r.compose(execution, verdict)
--- a/internal/fanout/frametransport.go
+++ b/internal/fanout/frametransport.go
@@ -13,12 +13,12 @@
 	"quartzpoint/internal/frame"
 )
 
-// maxInbox is the number of responses that are read ahead of the decision loop. With more, reading stops, and TCP holds
-// the dependency back.
+// maxInbox is the maximum number of responses that are read before the event loop takes them. When it is reached,
+// reading stops, and TCP flow control slows the dependency down.
 const maxInbox = 1024
 
-// frameTransport carries calls in the routers' frames over a few connections, each with many calls in flight. One
-// goroutine a connection dials and reads; writes happen on the decision loop, in Flush.
+// frameTransport sends calls in the routers' frames over a few connections, each with many calls in flight. One
+// goroutine per connection dials and reads; Flush writes on the event loop.
 type frameTransport struct {
 	name             string
 	address          string
@@ -28,7 +28,7 @@
 	count            func(event string)
 	wake             func()
 
-	mu           sync.Mutex // for all below, and for the connections' fields
+	mu           sync.Mutex // guards the fields below and those of the connections
 	rng          *rand.Rand
 	inboxEmptied sync.Cond
 	closed       bool
@@ -36,8 +36,9 @@
 	inbox        []Response
 }
 
-// Dial keeps d.Connections connections to a dependency until the context ends. running counts their goroutines. count is
-// called with each event that operators should see counted, and wake when there are responses; both from any goroutine.
+// Dial keeps d.Connections connections to a dependency open until the context ends. running counts their goroutines.
+// count is called with the name of each event to be counted, and wake when responses were read; both are called from
+// any goroutine.
 func Dial(
 	ctx context.Context, d Dependency, seed int64, log *slog.Logger, count func(string), wake func(), running *sync.WaitGroup,
 ) Transport {
@@ -59,7 +60,7 @@
 	return t
 }
 
-// close ends the connections' goroutines, whether they read or wait for the inbox.
+// close ends the connections' goroutines, whether they are reading or waiting for space in the inbox.
 func (t *frameTransport) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +73,7 @@
 	t.inboxEmptied.Broadcast()
 }
 
-// Send puts an attempt on the connection with the fewest calls in flight.
+// Send queues an attempt on the connection with the fewest calls in flight.
 func (t *frameTransport) Send(attempt *Attempt) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,7 +98,8 @@
 	}
 	head := frame.AppendHead(nil, frame.Request, leastLoaded.lastStream+1, 0, fields, len(attempt.Body))
 	if leastLoaded.writes.Add(head, attempt.Body) != nil {
-		// The dependency does not read, and the queue is full. Calls written before are lost; this one was not sent.
+		// The dependency does not read, and the queue is full. Calls that were queued before are lost; this one was not
+		// sent.
 		_ = leastLoaded.socket.Close()
 		return false
 	}
@@ -106,13 +108,13 @@
 	return true
 }
 
-// Cancel sends a cancel frame for an attempt that is in flight.
+// Cancel queues a cancel frame if the attempt is in flight.
 func (t *frameTransport) Cancel(attempt *Attempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range t.connections {
 		if stream, found := c.streams[attempt]; found {
-			_ = c.writes.Add(frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0)) // a full queue closes the connection at the next Send
+			_ = c.writes.Add(frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0)) // if the queue is full, the next Send closes the connection
 			return
 		}
 	}
@@ -129,8 +131,8 @@
 	return responses
 }
 
-// CheckConnections forgets attempts that were cancelled long ago, and closes connections on which a response is owed and
-// nothing was read for silenceTimeout.
+// CheckConnections removes attempts that were cancelled long ago, and closes connections that await a response and have
+// read nothing for longer than silenceTimeout.
 func (t *frameTransport) CheckConnections(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,7 +141,7 @@
 			continue
 		}
 		oldest := time.Duration(0)
-		for stream, attempt := range c.inFlight { // in any order: each is judged by itself
+		for stream, attempt := range c.inFlight { // in any order: attempts are independent of each other
 			age := now.Sub(attempt.sentAt)
 			if attempt.cancelled && age > t.cancelledTimeout+t.silenceTimeout {
 				delete(c.inFlight, stream)
@@ -155,7 +157,7 @@
 	}
 }
 
-// Flush writes what is queued, as far as the dependency reads.
+// Flush writes queued bytes, as much as the connections accept without blocking.
 func (t *frameTransport) Flush() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,7 +171,7 @@
 	}
 }
 
-// Available is the number of connections that take attempts.
+// Available returns the number of connections that can accept attempts.
 func (t *frameTransport) Available() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,7 +183,7 @@
 	return n
 }
 
-// respond puts a response into the inbox. t.mu must be held.
+// respond appends a response to the inbox. The caller must hold t.mu.
 func (t *frameTransport) respond(attempt *Attempt, outcome budget.Outcome, body []byte) {
 	t.inbox = append(t.inbox, Response{Attempt: attempt, Outcome: outcome, Body: body})
 }
--- a/internal/fanout/testserver_test.go
+++ b/internal/fanout/testserver_test.go
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testServer is a composer with a decision loop.
+// testServer runs a composer on an event loop.
 type testServer struct {
 	*Composer
 	t         *testing.T
@@ -110,7 +110,7 @@
 		}
 		return n.Outcome, a
 	case <-time.After(testTimeout):
-		require.FailNow(s.t, "no end")
+		require.FailNow(s.t, "the request did not end")
 	}
 	return "", a
 }
@@ -129,7 +129,7 @@
 	return d
 }
 
-// readRoute has a required read of the first dependency and an optional one of the second.
+// readRoute returns a route with a required read from the first dependency and an optional read from the second.
 func readRoute(change func(*Route)) []Route {
 	t := Route{
 		Plan: &budget.Plan{Route: "look", Reserve: 10 * ms, Calls: []budget.Call{
@@ -144,7 +144,7 @@
 	return []Route{t}
 }
 
-// confirmRoute has a required hold with an idempotency key, and behind it a deposit that must not run twice.
+// confirmRoute returns a route with a required, keyed hold and, after it, a required at-most-once deposit.
 func confirmRoute() []Route {
 	return []Route{{
 		Plan: &budget.Plan{Route: "confirm", Reserve: 10 * ms, Calls: []budget.Call{
@@ -155,7 +155,8 @@
 	}}
 }
 
-// startCutProxy is a proxy to a dependency that breaks the connection once, in place of the first response.
+// startCutProxy starts a proxy to a dependency that closes the connection once instead of forwarding the first
+// response.
 func startCutProxy(t *testing.T, to string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -185,7 +186,7 @@
 						return
 					}
 					if !up && cut.CompareAndSwap(false, true) {
-						return // the answer is lost: the call has run
+						return // the response is lost: the call has run
 					}
 					if _, err := a.Write(buffer[:n]); err != nil {
 						return
--- a/internal/fanout/transport.go
+++ b/internal/fanout/transport.go
@@ -9,37 +9,38 @@
 // Attempt is one attempt of a call, from its sending to its end.
 type Attempt struct {
 	Op             string
-	IdempotencyKey string // the same for all attempts of a call; empty for reads
+	IdempotencyKey string // same for all attempts of a call; empty for reads
 	Body           []byte
 	Timeout        time.Duration
 
 	execution   *budget.Execution
-	call, index int // in the execution, as package budget counts them
+	call, index int // indexes of the call and of the attempt, as in budget.Executor
 	dependency  int
 	cancelled   bool
 	sentAt      time.Time
 }
 
-// Response is how an attempt ended. Body is set where it succeeded.
+// Response is the end of an attempt. Body is set if the attempt succeeded.
 type Response struct {
 	Attempt *Attempt
 	Outcome budget.Outcome
 	Body    []byte
 }
 
-// Transport carries calls to one dependency. Its methods are called by the decision loop and never block. Each attempt
-// that was taken gets one response at the most.
+// Transport sends calls to one dependency and receives their responses. Its methods are called on the event loop and
+// never block. Each attempt that Send accepted gets at most one response.
 type Transport interface {
-	// Send takes an attempt. false means that no connection could: nothing was sent.
+	// Send queues an attempt. It returns false if no connection could accept it; nothing is sent then.
 	Send(attempt *Attempt) bool
-	// Cancel tells the dependency that the response is not awaited any more. One that comes all the same is received.
+	// Cancel informs the dependency that the response is no longer awaited. A response that still arrives is received.
 	Cancel(attempt *Attempt)
 	// Receive appends the responses that were read since the last call.
 	Receive(responses []Response) []Response
-	// CheckConnections closes connections that owe responses and are silent for too long. To be called now and then.
+	// CheckConnections closes connections that await a response and have read nothing for too long. It must be called
+	// regularly.
 	CheckConnections(now time.Time)
-	// Flush writes what was sent and cancelled.
+	// Flush writes the attempts and cancellations that are queued.
 	Flush()
-	// Available is the number of connections that take attempts.
+	// Available returns the number of connections that can accept attempts.
 	Available() int
 }
