--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -17,8 +17,8 @@
 
 const (
 	connectionCheckInterval = 250 * time.Millisecond // while requests are in progress
-	resultMemoryDivisor     = 16                     // fraction of the process's memory for results of requests in progress
-	cacheMemoryDivisor      = 16                     // fraction of the process's memory for stored results
+	resultMemoryDivisor     = 16                     // divisor of the process's memory for results of requests in progress
+	cacheMemoryDivisor      = 16                     // divisor of the process's memory for stored results
 )
 
 // Outcomes of runs in notices of package workerapi.
@@ -181,7 +181,7 @@
 // Advance handles the received responses and runs the timers that are due.
 func (c *Composer) Advance(now time.Duration) {
 	unsent := c.unsent
-	c.unsent = nil // handling the attempts below may start calls that cannot be sent either; those wait for the next Advance
+	c.unsent = nil // handling these may start further calls that cannot be sent; they wait for the next Advance
 	for _, attempt := range unsent {
 		c.receive(Response{Attempt: attempt, Outcome: budget.NotSent}, now)
 	}
--- a/internal/fanout/executor.go
+++ b/internal/fanout/executor.go
@@ -6,7 +6,7 @@
 	"quartzpoint/budget"
 )
 
-// Send, like Cancel, Fallback and Finish, implements budget.Executor.
+// Send sends an attempt of a call. It implements budget.Executor, as do Cancel, Fallback and Finish.
 func (c *Composer) Send(execution *budget.Execution, call, index int, timeout time.Duration) {
 	r := execution.Ref.(*request)
 	planned := &r.route.Plan.Calls[call]
--- a/internal/peersync/exchange.go
+++ b/internal/peersync/exchange.go
@@ -18,7 +18,7 @@
 	parts    int
 }
 
-// handle handles a message. It returns the frame to send, or the snapshot once it is complete, with the age that the
+// handle processes a message. It returns the frame to send, or the snapshot once it is complete, with the age that the
 // server states added.
 func (r *snapshotRequest) handle(m message) (out []byte, snapshot *estimate.Snapshot, err error) {
 	if handled, err := r.clientHandshake.handle(m); err != nil {
@@ -68,7 +68,7 @@
 	ballot []byte
 }
 
-// handle handles a message. It returns the frame to send, or the ballot of the response.
+// handle processes a message. It returns the frame to send, or the ballot of the response.
 func (r *voteRequest) handle(m message) (out []byte, response *[]byte, err error) {
 	if handled, err := r.clientHandshake.handle(m); err != nil {
 		return nil, nil, err
@@ -98,8 +98,8 @@
 	allow    func(bytes int) (allowed bool, retryAfter time.Duration)
 }
 
-// handle handles a message. It returns the frames to send, or the ballot of an authenticated vote request, whose
-// response is then sent in a frame of voted.
+// handle processes a message. It returns the frames to send, or the ballot of an authenticated vote request, whose
+// response is then encoded by voted.
 func (e *serverExchange) handle(m message, keys Keys, source snapshotSource) (out [][]byte, ballot []byte, err error) {
 	switch {
 	case m.Kind == kindHello:
--- a/internal/peersync/handshake.go
+++ b/internal/peersync/handshake.go
@@ -18,7 +18,7 @@
 	return encodeFrame(message{Kind: kindHello, Nonce: h.clientNonce, KeyName: keyName(h.key)})
 }
 
-// handle handles a challenge or a rejection, and reports whether the message was one of them. After a challenge the
+// handle processes a challenge or a rejection, and reports whether the message was one of them. After a challenge the
 // client sends the next message. A rejection or an invalid proof is returned as an error.
 func (h *clientHandshake) handle(m message) (handled bool, err error) {
 	switch {
@@ -51,7 +51,7 @@
 	clientNonce []byte // nil before the hello
 }
 
-// handle handles a hello and returns the challenge.
+// handle processes a hello and returns the challenge.
 func (h *serverHandshake) handle(m message, keys Keys) ([]byte, error) {
 	if m.Kind != kindHello || h.clientNonce != nil || len(m.Nonce) != nonceSize {
 		return nil, ErrUnexpectedMessage
--- a/internal/peersync/keys.go
+++ b/internal/peersync/keys.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		key, err := hex.DecodeString(text)
-		if err != nil || len(key) < minKeySize { // the error of package hex is not returned because it would log a part of the key
+		if err != nil || len(key) < minKeySize { // err is not wrapped, because it would log a part of the key
 			return nil, fmt.Errorf("key file %s line %d: want a hexadecimal key of at least %d bytes", path, number, minKeySize)
 		}
 		keys = append(keys, key)
--- a/internal/peersync/server.go
+++ b/internal/peersync/server.go
@@ -129,7 +129,9 @@
 // Close closes the listener and all connections and waits for the goroutines to end.
 func (s *Server) Close() {
 	close(s.quit)
-	_ = unix.Shutdown(s.listener.Fd(), unix.SHUT_RD) // shut down instead of closed: netpoll's Close closes one descriptor twice, and the second time it may be that of a connection just accepted
+	// Shut down rather than closed: netpoll's Close closes one descriptor twice, and the second time it may be that of a
+	// connection just accepted.
+	_ = unix.Shutdown(s.listener.Fd(), unix.SHUT_RD)
 	s.goroutines.Wait()
 }
 
--- a/internal/peersync/session.go
+++ b/internal/peersync/session.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	sessionTimeout = 5 * time.Second // limit for each step of the opening and each write; a peer that does not read is disconnected
+	sessionTimeout = 5 * time.Second // per step of the opening and per write; disconnects a peer that does not read
 	sendChunk      = 64 << 10        // bytes of frames after which Send writes
 )
 
