--- a/internal/peersync/snapshot.go
+++ b/internal/peersync/snapshot.go
@@ -23,7 +23,7 @@
 		return nil, fmt.Errorf("encode snapshot: %w", err)
 	}
 	if len(raw) > maxSnapshot {
-		return nil, fmt.Errorf("snapshot of %d bytes, %d allowed: %w", len(raw), maxSnapshot, ErrOutOfBounds)
+		return nil, fmt.Errorf("snapshot of %d bytes, want at most %d: %w", len(raw), maxSnapshot, ErrOutOfBounds)
 	}
 	return &encodedSnapshot{raw, xxhash.Sum64(raw), takenAt}, nil
 }
