--- a/internal/fanout/executor.go
+++ b/internal/fanout/executor.go
@@ -6,35 +6,36 @@
 	"quartzpoint/budget"
 )
 
-// Send implements budget.Executor, as do Cancel, Fallback and Finish.
-func (c *Composer) Send(execution *budget.Execution, call, number int, timeout time.Duration) {
+// Send sends an attempt of a call. It implements budget.Executor, as do Cancel, Fallback and Finish.
+func (c *Composer) Send(execution *budget.Execution, call, index int, timeout time.Duration) {
 	r := execution.Ref.(*request)
 	planned := &r.route.Plan.Calls[call]
 	attempt := &Attempt{
 		Op: r.route.Calls[call].Op, Body: r.body, Timeout: timeout,
-		execution: execution, call: call, number: number, dependency: planned.Dependency,
+		execution: execution, call: call, index: index, dependency: planned.Dependency,
 	}
 	if planned.Effect != budget.Read {
 		attempt.IdempotencyKey = r.id + "/" + planned.Name
 	}
-	r.attempts[call][number] = attempt
+	r.attempts[call][index] = attempt
 	if !c.transports[attempt.dependency].Send(attempt) {
 		c.unsent = append(c.unsent, attempt)
 	}
 }
 
-// Cancel cancels an attempt. A call with an effect is not cancelled at the dependency: it may have begun there.
-func (c *Composer) Cancel(execution *budget.Execution, call, number int) {
+// Cancel cancels an attempt. A call with an effect is not cancelled at the dependency, because it may have begun there.
+func (c *Composer) Cancel(execution *budget.Execution, call, index int) {
 	r := execution.Ref.(*request)
-	attempt := r.attempts[call][number]
-	r.attempts[call][number] = nil
+	attempt := r.attempts[call][index]
+	r.attempts[call][index] = nil
 	attempt.cancelled = true
 	if attempt.IdempotencyKey == "" {
 		c.transports[attempt.dependency].Cancel(attempt)
 	}
 }
 
-// Fallback replaces a part by a stored result that is not too old, or else by the configured constant.
+// Fallback replaces a part with a stored result that is not too old, or otherwise with the configured constant. It
+// reports whether there is one of them.
 func (c *Composer) Fallback(execution *budget.Execution, call int) bool {
 	r := execution.Ref.(*request)
 	config := r.route.Calls[call]
@@ -52,7 +53,7 @@
 	return false
 }
 
-// Finish answers a request. One that was aborted carries what is known, too.
+// Finish answers a request. The answer of an aborted request contains the available parts too.
 func (c *Composer) Finish(execution *budget.Execution, verdict budget.Verdict) {
 	r := execution.Ref.(*request)
 	answer, truncated, complete := r.compose(execution, verdict)
--- a/internal/fanout/testserver_test.go
+++ b/internal/fanout/testserver_test.go
@@ -22,21 +22,21 @@
 )
 
 const (
-	patience = 20 * time.Second
-	ms       = time.Millisecond
+	testTimeout = 20 * time.Second
+	ms          = time.Millisecond
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testServer is a composer with a decision loop.
+// testServer runs a composer on an event loop.
 type testServer struct {
 	*Composer
 	t         *testing.T
 	counts    *invariant.Counters
 	startedAt time.Time
 	notices   chan workerapi.Notice
-	posted    chan func()
-	number    atomic.Int32
+	submitted chan func()
+	lastID    atomic.Int32
 }
 
 func dependency(name, address string) Dependency {
@@ -49,7 +49,7 @@
 func newTestServer(t *testing.T, memory int, routes []Route, dependencies ...Dependency) *testServer {
 	server := &testServer{
 		t: t, counts: invariant.New(slog.New(slog.DiscardHandler)), startedAt: time.Now(),
-		notices: make(chan workerapi.Notice, 100), posted: make(chan func(), 100),
+		notices: make(chan workerapi.Notice, 100), submitted: make(chan func(), 100),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	woken := make(chan struct{}, 1)
@@ -63,9 +63,9 @@
 		default:
 		}
 	})
-	ended := make(chan struct{})
+	loopEnded := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(loopEnded)
 		for {
 			server.Advance(now())
 			for _, n := range server.AppendNotices(nil) {
@@ -75,7 +75,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case f := <-server.posted:
+			case f := <-server.submitted:
 				f()
 			case <-woken:
 			case <-time.After(min(max(server.NextTimer()-now(), 0), 20*ms)):
@@ -84,19 +84,19 @@
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-loopEnded
 		server.Wait()
 	})
 	for i := range dependencies {
-		require.Eventually(t, func() bool { return server.transports[i].Available() > 0 || dependencies[i].Name == "down" }, patience, ms)
+		require.Eventually(t, func() bool { return server.transports[i].Available() > 0 || dependencies[i].Name == "down" }, testTimeout, ms)
 	}
 	return server
 }
 
 // start starts a request and returns its id.
 func (s *testServer) start(route, body string, timeout time.Duration) string {
-	id := fmt.Sprintf("%016x", s.number.Add(1))
-	s.posted <- func() { s.Start(workerapi.Run{ID: id, Route: route, Body: []byte(body), Deadline: s.now() + timeout}) }
+	id := fmt.Sprintf("%016x", s.lastID.Add(1))
+	s.submitted <- func() { s.Start(workerapi.Run{ID: id, Route: route, Body: []byte(body), Deadline: s.now() + timeout}) }
 	return id
 }
 
@@ -109,8 +109,8 @@
 			assert.LessOrEqual(s.t, len(n.Result), maxAnswer)
 		}
 		return n.Outcome, a
-	case <-time.After(patience):
-		require.FailNow(s.t, "no end")
+	case <-time.After(testTimeout):
+		require.FailNow(s.t, "the request did not end")
 	}
 	return "", a
 }
@@ -129,7 +129,7 @@
 	return d
 }
 
-// readRoute has a required read of the first dependency and an optional one of the second.
+// readRoute returns a route with a required read from the first dependency and an optional read from the second.
 func readRoute(change func(*Route)) []Route {
 	t := Route{
 		Plan: &budget.Plan{Route: "look", Reserve: 10 * ms, Calls: []budget.Call{
@@ -144,7 +144,7 @@
 	return []Route{t}
 }
 
-// confirmRoute has a required hold with an idempotency key, and behind it a deposit that must not run twice.
+// confirmRoute returns a route with a required, keyed hold and, after it, a required at-most-once deposit.
 func confirmRoute() []Route {
 	return []Route{{
 		Plan: &budget.Plan{Route: "confirm", Reserve: 10 * ms, Calls: []budget.Call{
@@ -155,15 +155,16 @@
 	}}
 }
 
-// startCutProxy is a proxy to a dependency that breaks the connection once, in place of the first response.
+// startCutProxy starts a proxy to a dependency that closes the connection once instead of forwarding the first
+// response.
 func startCutProxy(t *testing.T, to string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var over sync.WaitGroup
-	var broke atomic.Bool
-	over.Add(1)
+	var goroutines sync.WaitGroup
+	var cut atomic.Bool
+	goroutines.Add(1)
 	go func() {
-		defer over.Done()
+		defer goroutines.Done()
 		for {
 			from, err := listener.Accept()
 			if err != nil {
@@ -174,8 +175,8 @@
 				_ = from.Close()
 				continue
 			}
-			pass := func(a, b net.Conn, up bool) {
-				defer over.Done()
+			forward := func(a, b net.Conn, up bool) {
+				defer goroutines.Done()
 				defer func() { _ = a.Close() }()
 				defer func() { _ = b.Close() }()
 				buffer := make([]byte, 4096)
@@ -184,22 +185,22 @@
 					if err != nil {
 						return
 					}
-					if !up && broke.CompareAndSwap(false, true) {
-						return // the answer is lost: the call has run
+					if !up && cut.CompareAndSwap(false, true) {
+						return // the response is lost: the call has run
 					}
 					if _, err := a.Write(buffer[:n]); err != nil {
 						return
 					}
 				}
 			}
-			over.Add(2)
-			go pass(into, from, true)
-			go pass(from, into, false)
+			goroutines.Add(2)
+			go forward(into, from, true)
+			go forward(from, into, false)
 		}
 	}()
 	t.Cleanup(func() {
 		_ = listener.Close()
-		over.Wait()
+		goroutines.Wait()
 	})
 	return listener.Addr().String()
 }
--- a/internal/peersync/fetcher_test.go
+++ b/internal/peersync/fetcher_test.go
@@ -17,7 +17,7 @@
 	"quartzpoint/estimate"
 )
 
-// newTestFetcher returns the fetcher of a starting server, and the estimates that it passes on.
+// newTestFetcher returns the fetcher of a starting server and a channel with the estimates that it passes on.
 func newTestFetcher(peers []string, needed *atomic.Bool) (fetcher *Fetcher, used chan estimate.Snapshot) {
 	used = make(chan estimate.Snapshot, 16)
 	schema := estimate.Schema{SettingsDigest: 7, Origin: 99}
@@ -31,12 +31,13 @@
 	}, used
 }
 
-// Of five peers one is silent, one down, one without recent estimates and one of other settings. The good one's estimates must be
-// used in time; the one that was down must be polled again and its late estimates used; then polling must end.
+// Of five peers, one is silent, one is down, one has no recent estimates and one has other settings. The estimates of
+// the fifth must be used before the silent peer times out. The peer that was down must be polled again and its late
+// estimates used, and then polling must end.
 func TestFetcher(t *testing.T) {
 	one, _ := startServer(t, nil)
 	empty, _ := startServer(t, nil)
-	empty.Publish(estimate.Snapshot{Origin: 6, SettingsDigest: 7, Routes: testSnapshot(0).Routes}, 0) // of no use: older than any estimate may be
+	empty.Publish(estimate.Snapshot{Origin: 6, SettingsDigest: 7, Routes: testSnapshot(0).Routes}, 0) // unusable: older than the maximum age of estimates
 	other, _ := startServer(t, nil)
 	other.Publish(estimate.Snapshot{Origin: 8, SettingsDigest: 1}, time.Hour)
 	downListener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,14 +50,14 @@
 	needed.Store(true)
 	fetcher, used := newTestFetcher([]string{silent, down, one.Address(), empty.Address(), other.Address()}, &needed)
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan struct{})
-	began := time.Now()
-	go func() { fetcher.Run(ctx); close(over) }()
+	done := make(chan struct{})
+	startedAt := time.Now()
+	go func() { fetcher.Run(ctx); close(done) }()
 	snapshot := <-used
-	assert.Less(t, time.Since(began), exchangeTimeout, "a silent peer delays nobody past the first wait")
+	assert.Less(t, time.Since(startedAt), exchangeTimeout, "a silent peer does not delay the first use by its timeout")
 	assert.True(t, snapshot.Routes[0].Core.Known())
 
-	// The one that was down comes up.
+	// The peer that was down starts.
 	late, err := Listen(down, nil, func() time.Duration { return time.Hour }, newCounts())
 	require.NoError(t, err)
 	late.Publish(testSnapshot(11), time.Hour)
@@ -65,47 +66,48 @@
 	select {
 	case <-used:
 	case <-time.After(testTimeout):
-		t.Error("a peer that came back was not polled again")
+		t.Error("the peer that was down was not polled again")
 	}
-	needed.Store(false) // it polls no more, and ends
+	needed.Store(false) // the fetcher stops polling, and Run returns
 	select {
-	case <-over:
+	case <-done:
 	case <-time.After(testTimeout):
-		t.Error("polls on although it needs no estimates")
+		t.Error("polling continued although no estimates are needed")
 	}
 	cancel()
 }
 
-// Each exchange takes a descriptor. A server with a thousand peers, all of which fail, must poll them all, a few at a time.
+// Each exchange uses a file descriptor. A server with a thousand peers that all fail must poll all of them, at most
+// maxFetches at a time.
 func TestFetcherOfAThousand(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var needed atomic.Bool
 	needed.Store(true)
 	polled := make(chan struct{}, 4096)
-	var open, most atomic.Int64
-	var over sync.WaitGroup
-	over.Add(1)
+	var open, maxOpen atomic.Int64
+	var goroutines sync.WaitGroup
+	goroutines.Add(1)
 	go func() {
-		defer over.Done()
+		defer goroutines.Done()
 		for {
 			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			most.Store(max(most.Load(), open.Add(1))) // this goroutine alone writes it
-			over.Add(1)
+			maxOpen.Store(max(maxOpen.Load(), open.Add(1))) // written by this goroutine only
+			goroutines.Add(1)
 			go func() {
-				defer over.Done()
+				defer goroutines.Done()
 				_, _ = c.Read(make([]byte, maxFrame))
-				time.Sleep(time.Millisecond) // in which the others would come
-				open.Add(-1)                 // before the client sees the end, and may start the next
+				time.Sleep(time.Millisecond) // gives further fetches time to connect
+				open.Add(-1)                 // before the close, after which the client may start the next fetch
 				_ = c.Close()
 				polled <- struct{}{}
 			}()
 		}
 	}()
-	defer over.Wait()
+	defer goroutines.Wait()
 	defer func() { _ = listener.Close() }()
 	fetcher, _ := newTestFetcher(slices.Repeat([]string{listener.Addr().String()}, 1024), &needed)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -115,16 +117,17 @@
 	for limit := time.After(testTimeout); len(polled) < 1024; {
 		select {
 		case <-limit:
-			require.FailNow(t, "not all were polled")
+			require.FailNow(t, "not all peers were polled")
 		case <-time.After(time.Millisecond):
 		}
 	}
-	assert.LessOrEqual(t, most.Load(), int64(maxFetches))
+	assert.LessOrEqual(t, maxOpen.Load(), int64(maxFetches))
 	cancel()
 	<-ended
 }
 
-// Two servers that start together have nothing to tell each other. They must use nothing, and end with their context.
+// Two servers that start together have no estimates for each other. Their fetchers must use none, and end when their
+// context ends.
 func TestTwoStartingServers(t *testing.T) {
 	a, _ := startServer(t, nil)
 	b, _ := startServer(t, nil)
@@ -138,15 +141,15 @@
 	needed.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	var over sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for _, server := range []*Server{a, b} {
 		fetcher, used := newTestFetcher([]string{server.Address()}, &needed)
-		over.Add(1)
+		goroutines.Add(1)
 		go func() {
-			defer over.Done()
+			defer goroutines.Done()
 			fetcher.Run(ctx)
 			assert.Empty(t, used)
 		}()
 	}
-	over.Wait()
+	goroutines.Wait()
 }
--- a/internal/peersync/hostile_test.go
+++ b/internal/peersync/hostile_test.go
@@ -22,18 +22,18 @@
 	"quartzpoint/internal/poller"
 )
 
-// Connections end at all stages of an exchange, in both directions. The client must get an error, no goroutine and no
-// connection may be left, and the server must go on.
+// Connections end at different stages of an exchange, in both directions. The client must get an error, no goroutine or
+// connection may leak, and the server must continue to answer.
 func TestCutOnSockets(t *testing.T) {
 	server, _ := startServer(t, Keys{keyA})
-	through := func(cutAt int, upwards bool) error {
-		between, err := net.Listen("tcp", "127.0.0.1:0")
+	fetchThrough := func(cutAt int, toServer bool) error {
+		proxy, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		var over sync.WaitGroup
-		over.Add(1)
+		var goroutines sync.WaitGroup
+		goroutines.Add(1)
 		go func() {
-			defer over.Done()
-			from, err := between.Accept()
+			defer goroutines.Done()
+			from, err := proxy.Accept()
 			if err != nil {
 				return
 			}
@@ -42,77 +42,77 @@
 				_ = from.Close()
 				return
 			}
-			pass := func(into, out net.Conn, most int64) {
-				defer over.Done()
-				_, _ = io.Copy(into, io.LimitReader(out, most))
+			forward := func(into, out net.Conn, maxBytes int64) {
+				defer goroutines.Done()
+				_, _ = io.Copy(into, io.LimitReader(out, maxBytes))
 				_ = into.Close()
 				_ = out.Close()
 			}
-			up, down := int64(1<<20), int64(1<<20)
-			if upwards {
-				up = int64(cutAt)
+			toServerBytes, toClientBytes := int64(1<<20), int64(1<<20)
+			if toServer {
+				toServerBytes = int64(cutAt)
 			} else {
-				down = int64(cutAt)
+				toClientBytes = int64(cutAt)
 			}
-			over.Add(2)
-			go pass(to, from, up)
-			go pass(from, to, down)
+			goroutines.Add(2)
+			go forward(to, from, toServerBytes)
+			go forward(from, to, toClientBytes)
 		}()
-		_, err = Fetch(t.Context(), between.Addr().String(), Keys{keyA})
-		_ = between.Close()
-		over.Wait()
+		_, err = Fetch(t.Context(), proxy.Addr().String(), Keys{keyA})
+		_ = proxy.Close()
+		goroutines.Wait()
 		return err
 	}
-	require.NoError(t, through(1<<20, true))
+	require.NoError(t, fetchThrough(1<<20, true))
 	size := EncodedSize(testSnapshot(5))
 	for n := range 24 {
-		assert.Error(t, through(n*size/24, false), "answer cut at %d", n*size/24)
-		assert.Error(t, through(n*3, true), "ask cut at %d", n*3)
-		time.Sleep(110 * time.Millisecond) // the rate that one address may ask at
+		assert.Error(t, fetchThrough(n*size/24, false), "answer cut at byte %d", n*size/24)
+		assert.Error(t, fetchThrough(n*3, true), "request cut at byte %d", n*3)
+		time.Sleep(110 * time.Millisecond) // the interval at which one address may send requests
 	}
 	_, err := Fetch(t.Context(), server.Address(), Keys{keyA})
 	assert.NoError(t, err)
 }
 
-// startPeer listens and answers each connection by a script.
+// startPeer listens and runs a script for each connection. It returns the address.
 func startPeer(t *testing.T, script func(net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var over sync.WaitGroup
-	over.Add(1)
+	var goroutines sync.WaitGroup
+	goroutines.Add(1)
 	go func() {
-		defer over.Done()
+		defer goroutines.Done()
 		for {
-			link, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			over.Add(1)
+			goroutines.Add(1)
 			go func() {
-				defer over.Done()
-				defer func() { _ = link.Close() }()
-				script(link)
+				defer goroutines.Done()
+				defer func() { _ = conn.Close() }()
+				script(conn)
 			}()
 		}
 	}()
 	t.Cleanup(func() {
 		_ = listener.Close()
-		over.Wait()
+		goroutines.Wait()
 	})
 	return listener.Addr().String()
 }
 
-// frame puts a header before raw bytes.
+// frame prepends a frame header to raw bytes.
 func frame(raw []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(raw))), raw...)
 }
 
-// challengeFrame is the challenge of a server without a key.
+// challengeFrame returns the challenge of a server without a key.
 func challengeFrame() []byte {
 	return encodeFrame(message{Kind: kindChallenge, Nonce: bytes.Repeat([]byte{9}, nonceSize)})
 }
 
-// send is a peer's script: it sends frames and then reads what the client sends.
+// send returns a peer's script that sends frames and then discards what the client sends.
 func send(frames ...[]byte) func(net.Conn) {
 	return func(conn net.Conn) {
 		for _, raw := range frames {
@@ -122,12 +122,12 @@
 	}
 }
 
-// challengeAndSend is the same, with a challenge first.
+// challengeAndSend returns a peer's script that sends a challenge first, and then does the same as send.
 func challengeAndSend(frames ...[]byte) func(net.Conn) {
 	return send(append([][]byte{challengeFrame()}, frames...)...)
 }
 
-// sendSlowly is a peer's script: it sends a challenge, a byte a second.
+// sendSlowly is a peer's script that sends a challenge at one byte per second.
 func sendSlowly(conn net.Conn) {
 	for _, b := range challengeFrame() {
 		if _, err := conn.Write([]byte{b}); err != nil {
@@ -137,13 +137,13 @@
 	}
 }
 
-// halfClose is a peer's script: it closes its side of the connection and goes on reading.
+// halfClose is a peer's script that closes its sending side of the connection and continues to read.
 func halfClose(conn net.Conn) {
 	_ = conn.(*net.TCPConn).CloseWrite()
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// tooManyParts is more than a snapshot may have.
+// tooManyParts returns more parts than a snapshot may have.
 func tooManyParts() (frames [][]byte) {
 	for i := range 2 * maxSnapshot / maxPart {
 		frames = append(frames, encodeFrame(message{Kind: kindPart, Number: i + 1, Bytes: make([]byte, maxPart)}))
@@ -151,8 +151,8 @@
 	return frames
 }
 
-// A peer is silent, slow, damaged or sends what it should not. The client must end with an error that says which, within its
-// timeout, and take no snapshot.
+// A peer is silent, slow, or sends invalid messages. The client must return an error that names the fault, within its
+// timeout, and no snapshot.
 func TestBadPeers(t *testing.T) {
 	snapshot, err := encodeSnapshot(testSnapshot(5), 0)
 	require.NoError(t, err)
@@ -168,20 +168,20 @@
 		err    string
 	}{
 		{"silent", send(), "deadline"},
-		{"half-open: closes its side only", halfClose, "EOF"},
-		{"a byte now and then", sendSlowly, "deadline"},
-		{"a length without end", send([]byte{0xff, 0xff, 0xff, 0xff}), "frame of"},
-		{"no length", send([]byte{0, 0, 0, 0}), "frame of 0"},
-		{"no CBOR", send(frame([]byte("\xff\xff\xff"))), "message: "},
-		{"a nesting bomb", send(frame(append(bytes.Repeat([]byte{0x81}, 4000), 0x01))), "nested"},
-		{"another version", send(frame(nextVersion)), "version 2"},
+		{"half-open: closes only its sending side", halfClose, "EOF"},
+		{"one byte per second", sendSlowly, "deadline"},
+		{"the largest frame length", send([]byte{0xff, 0xff, 0xff, 0xff}), "frame of"},
+		{"a frame length of zero", send([]byte{0, 0, 0, 0}), "frame of 0"},
+		{"invalid CBOR", send(frame([]byte("\xff\xff\xff"))), "message: "},
+		{"deeply nested CBOR", send(frame(append(bytes.Repeat([]byte{0x81}, 4000), 0x01))), "nested"},
+		{"another protocol version", send(frame(nextVersion)), "version 2"},
 		{"a part before the challenge", send(part), "unexpected message"},
-		{"a part left out", challengeAndSend(encodeFrame(message{Kind: kindPart, Number: 2, Bytes: []byte{1}})), "unexpected message"},
-		{"a part twice", challengeAndSend(part, part), "unexpected message"},
-		{"an end too soon", challengeAndSend(part, endOf(snapshot.bytes, snapshot.checksum)), "stated"},
-		{"a checksum that lies", challengeAndSend(part, endOf(snapshot.bytes[:100], 1)), "checksum of the snapshot"},
-		{"more than a snapshot may be", challengeAndSend(tooManyParts()...), "over"},
-		{"a refusal", send(refusal("no", time.Second)), "rejected"},
+		{"a missing part", challengeAndSend(encodeFrame(message{Kind: kindPart, Number: 2, Bytes: []byte{1}})), "unexpected message"},
+		{"a repeated part", challengeAndSend(part, part), "unexpected message"},
+		{"an early end message", challengeAndSend(part, endOf(snapshot.bytes, snapshot.checksum)), "stated"},
+		{"a wrong checksum", challengeAndSend(part, endOf(snapshot.bytes[:100], 1)), "checksum of the snapshot"},
+		{"a snapshot over the size limit", challengeAndSend(tooManyParts()...), "over"},
+		{"a rejection", send(rejectionFrame("no", time.Second)), "rejected"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -195,28 +195,28 @@
 	assert.ErrorContains(t, err, "nested")
 }
 
-// One client asks and does not read, one sends nothing, and one floods the server. They must cost themselves their connections,
-// and others must be answered meanwhile.
+// One client sends a hello and does not read, one sends nothing, one sends a single byte, and one floods the server.
+// The server must close their connections, and answer other clients meanwhile.
 func TestBadClients(t *testing.T) {
 	server, counts := startServer(t, nil)
-	var links []net.Conn
+	var conns []net.Conn
 	defer func() {
-		for _, l := range links {
+		for _, l := range conns {
 			_ = l.Close()
 		}
 	}()
 	for _, first := range [][]byte{nil, {0}, newTestRequest(nil, make([]byte, nonceSize)).hello()} {
-		link, err := net.Dial("tcp", server.Address())
+		conn, err := net.Dial("tcp", server.Address())
 		require.NoError(t, err)
-		_, _ = link.Write(first)
-		links = append(links, link)
+		_, _ = conn.Write(first)
+		conns = append(conns, conn)
 	}
 	_, err := Fetch(t.Context(), server.Address(), nil)
 	require.NoError(t, err)
-	for _, l := range links {
+	for _, l := range conns {
 		require.NoError(t, l.SetDeadline(time.Now().Add(testTimeout)))
 		_, err := io.Copy(io.Discard, l)
-		assert.False(t, errors.Is(err, os.ErrDeadlineExceeded), "the server closes it")
+		assert.False(t, errors.Is(err, os.ErrDeadlineExceeded), "the server closes the connection")
 	}
 	assert.Equal(t, 3, counts.Times("peer connection closed: exchange took too long"))
 
@@ -228,74 +228,75 @@
 	_, err = io.Copy(io.Discard, flood)
 	assert.False(t, errors.Is(err, os.ErrDeadlineExceeded))
 
-	refused := 0
+	rejections := 0
 	for range 30 {
-		var no *RejectedError
-		if _, err := Fetch(t.Context(), server.Address(), nil); errors.As(err, &no) {
-			refused++
-			assert.Equal(t, time.Second, no.RetryAfter)
+		var rejected *RejectedError
+		if _, err := Fetch(t.Context(), server.Address(), nil); errors.As(err, &rejected) {
+			rejections++
+			assert.Equal(t, time.Second, rejected.RetryAfter)
 		}
 	}
-	assert.Positive(t, refused, "asked too often")
+	assert.Positive(t, rejections, "requests over the rate limit are rejected")
 }
 
-// Far more peers connect at once than are allowed, and the server closes the rest. Its goroutine may close a connection that
-// netpoll has announced and not yet put into its poller. Netpoll then went on with what the close had freed: it logged a
-// connection that its poller does not know, and where the close came a moment later the process ended with a nil pointer
-// (seen once, in a fleet of 250 simulated servers). The test holds up netpoll at that moment each time.
-func TestCrowdOfPeers(t *testing.T) {
-	var complaints logText
+// Many more peers connect at once than are allowed, and the server closes the excess connections. The server's
+// goroutine may close a connection that netpoll has announced but not yet registered with its poller. Netpoll then used
+// what the close had freed: it logged an error about a connection that its poller does not know, and if the close came
+// slightly later, the process crashed with a nil pointer dereference (seen once, in a fleet of 250 simulated servers).
+// The test delays netpoll at that point for each connection.
+func TestConnectionLimit(t *testing.T) {
+	var logged logBuffer
 	before := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(&complaints, nil)))
+	slog.SetDefault(slog.New(slog.NewTextHandler(&logged, nil)))
 	defer slog.SetDefault(before)
-	began := time.Now()
-	server, err := Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(began) }, invariant.New(slog.New(slog.DiscardHandler)))
+	startedAt := time.Now()
+	server, err := Listen("127.0.0.1:0", nil, func() time.Duration { return time.Since(startedAt) }, invariant.New(slog.New(slog.DiscardHandler)))
 	require.NoError(t, err)
-	prepare := func(link netpoll.Connection) context.Context {
-		ctx := server.prepare(link)
-		turn := make(chan struct{})
-		server.Submit(func() { close(turn) })
-		<-turn
+	prepare := func(transport netpoll.Connection) context.Context {
+		ctx := server.prepare(transport)
+		registered := make(chan struct{})
+		server.Submit(func() { close(registered) })
+		<-registered
 		return ctx
 	}
-	server.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(prepare), poller.OnRegistered(closingOf))
+	server.loop, err = netpoll.NewEventLoop(onData, netpoll.WithOnPrepare(prepare), poller.OnRegistered(closerOf))
 	require.NoError(t, err)
 	server.Serve()
 	t.Cleanup(server.Close)
 	server.Publish(testSnapshot(0), 0)
-	var over sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for range 100 {
-		over.Go(func() {
+		goroutines.Go(func() {
 			c, err := net.Dial("tcp", server.Address())
 			if err != nil {
 				return
 			}
 			defer func() { _ = c.Close() }()
 			_ = c.SetDeadline(time.Now().Add(50 * time.Millisecond))
-			_, _ = io.Copy(io.Discard, c) // until the server closes it; those that may stay leave by themselves
+			_, _ = io.Copy(io.Discard, c) // until the server closes it, or the deadline passes for an allowed connection
 		})
 	}
-	over.Wait()
+	goroutines.Wait()
 	require.Eventually(t, func() bool {
 		_, err := Fetch(t.Context(), server.Address(), nil)
 		return err == nil
-	}, testTimeout, 10*time.Millisecond, "peers are answered again")
-	assert.NotContains(t, complaints.String(), "detach operator failed")
+	}, testTimeout, 10*time.Millisecond, "the server answers peers again")
+	assert.NotContains(t, logged.String(), "detach operator failed")
 }
 
-// logText is the text of a log that several goroutines write.
-type logText struct {
+// logBuffer collects log output from several goroutines.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logText) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
--- a/internal/peersync/snapshot.go
+++ b/internal/peersync/snapshot.go
@@ -10,22 +10,22 @@
 	"quartzpoint/estimate"
 )
 
-// encodedSnapshot is a snapshot as it is sent, encoded once for all clients.
+// encodedSnapshot is the encoding of a snapshot, made once for all clients.
 type encodedSnapshot struct {
 	bytes    []byte
 	checksum uint64
-	taken    time.Duration // on the server's clock
+	takenAt  time.Duration // on the server's clock
 }
 
-func encodeSnapshot(snapshot estimate.Snapshot, taken time.Duration) (*encodedSnapshot, error) {
+func encodeSnapshot(snapshot estimate.Snapshot, takenAt time.Duration) (*encodedSnapshot, error) {
 	raw, err := cbor.Marshal(snapshot.Published())
 	if err != nil {
 		return nil, fmt.Errorf("encode snapshot: %w", err)
 	}
 	if len(raw) > maxSnapshot {
-		return nil, fmt.Errorf("snapshot of %d bytes, %d allowed: %w", len(raw), maxSnapshot, ErrOutOfBounds)
+		return nil, fmt.Errorf("snapshot of %d bytes, want at most %d: %w", len(raw), maxSnapshot, ErrOutOfBounds)
 	}
-	return &encodedSnapshot{raw, xxhash.Sum64(raw), taken}, nil
+	return &encodedSnapshot{raw, xxhash.Sum64(raw), takenAt}, nil
 }
 
 func decodeSnapshot(raw []byte) (snapshot estimate.Snapshot, err error) {
@@ -35,7 +35,7 @@
 	return snapshot, nil
 }
 
-// EncodedSize is the number of bytes of a snapshot on the wire, without frames; 0 for one that is too large to be sent.
+// EncodedSize returns the number of bytes of an encoded snapshot without frames, or 0 if it is too large to be sent.
 func EncodedSize(snapshot estimate.Snapshot) int {
 	encoded, err := encodeSnapshot(snapshot, 0)
 	if err != nil {
--- a/internal/peersync/wire_test.go
+++ b/internal/peersync/wire_test.go
@@ -12,15 +12,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// digest is the SHA-256 of byte strings joined, in hexadecimal.
+// digest returns the SHA-256 of the joined byte strings, in hexadecimal.
 func digest(parts ...[]byte) string {
 	sum := sha256.Sum256(bytes.Join(parts, nil))
 	return hex.EncodeToString(sum[:])
 }
 
-// Servers of different versions talk to each other while a fleet is upgraded. A message that is encoded or signed in
-// another way is dropped by the other side, which then starts without estimates. The bytes of every message and of both
-// sides' whole conversations are therefore stated here.
+// Servers of different versions communicate while a fleet is upgraded. If one encodes or signs a message differently,
+// the other drops it and starts without estimates. This test therefore fixes the bytes of a message with all fields,
+// and of both sides of an exchange for a snapshot and for a vote.
 func TestMessageBytesStayTheSame(t *testing.T) {
 	full := message{
 		Kind: kindEnd, Nonce: []byte{1}, KeyName: []byte{2}, Proof: []byte{3}, Number: 4, Bytes: []byte{5}, Size: 6, Checksum: 7,
@@ -28,21 +28,21 @@
 	}
 	assert.Equal(t, "00000034ad010102050341010441020541030604074105080609070a1b00000001dcd650000b646e696e650c1b00000002540be4000d410b", hex.EncodeToString(encodeFrame(full)))
 	assert.Equal(t, []kind{1, 2, 3, 4, 5, 6, 7, 8, 9},
-		[]kind{kindHello, kindChallenge, kindAsk, kindPart, kindEnd, kindRefusal, kindVote, kindVoted, kindSession})
+		[]kind{kindHello, kindChallenge, kindAsk, kindPart, kindEnd, kindRejection, kindVote, kindVoted, kindSession})
 
-	ours, theirs := bytes.Repeat([]byte{3}, nonceSize), bytes.Repeat([]byte{9}, nonceSize)
+	clientNonce, serverNonce := bytes.Repeat([]byte{3}, nonceSize), bytes.Repeat([]byte{9}, nonceSize)
 	snapshot, err := encodeSnapshot(testSnapshot(5), 0)
 	require.NoError(t, err)
 	allow := func(int) (bool, time.Duration) { return true, 0 }
-	client := newTestRequest(keyA, ours)
-	server := serverExchange{serverHandshake: serverHandshake{serverNonce: theirs}}
+	client := newTestRequest(keyA, clientNonce)
+	server := serverExchange{serverHandshake: serverHandshake{serverNonce: serverNonce}}
 	var sent, received [][]byte
 	sent = append(sent, client.hello())
 	for i := 0; i < len(sent); i++ {
 		m, _, ok, err := decodeFrame(sent[i])
 		require.True(t, ok)
 		require.NoError(t, err)
-		answers, _, err := server.handle(m, Keys{keyA}, served{snapshot, 2 * time.Second, allow})
+		answers, _, err := server.handle(m, Keys{keyA}, snapshotSource{snapshot, 2 * time.Second, allow})
 		require.NoError(t, err)
 		for _, answer := range answers {
 			received = append(received, answer)
@@ -60,11 +60,11 @@
 	assert.Equal(t, "c70535bda8f0878bd4f35f82c35dd8d6803d44d909814340be068d60147bc68e", digest(sent...))
 	assert.Equal(t, "1b88d4eb556e8f8cf98c63a76c4a43fa16ae3d449764f5695921a2bd214d9aae", digest(received...))
 
-	voter := voteRequest{clientHandshake: clientHandshake{key: keyA, clientNonce: ours}, ballot: []byte("ballot")}
-	server = serverExchange{serverHandshake: serverHandshake{serverNonce: theirs}}
+	voter := voteRequest{clientHandshake: clientHandshake{key: keyA, clientNonce: clientNonce}, ballot: []byte("ballot")}
+	server = serverExchange{serverHandshake: serverHandshake{serverNonce: serverNonce}}
 	m, _, _, err := decodeFrame(voter.hello())
 	require.NoError(t, err)
-	answers, _, err := server.handle(m, Keys{keyA}, served{allow: allow})
+	answers, _, err := server.handle(m, Keys{keyA}, snapshotSource{allow: allow})
 	require.NoError(t, err)
 	m, _, _, err = decodeFrame(answers[0])
 	require.NoError(t, err)
@@ -72,14 +72,14 @@
 	require.NoError(t, err)
 	m, _, _, err = decodeFrame(request)
 	require.NoError(t, err)
-	_, ballot, err := server.handle(m, Keys{keyA}, served{allow: allow})
+	_, ballot, err := server.handle(m, Keys{keyA}, snapshotSource{allow: allow})
 	require.NoError(t, err)
 	assert.Equal(t, "ballot", string(ballot))
 	assert.Equal(t, "549b637aab1fa6058990790fd71aa7b88a9f4fc6a39585be71af29a707ce39d7", digest(request))
 	assert.Equal(t, "a320abb1b809a6b27350415228e9fa352cf8254b53f8cf137ad1186070e03e6d", digest(server.voted([]byte("answer"))))
 }
 
-// capturingConn keeps what is written to a connection.
+// capturingConn records what is written to a connection.
 type capturingConn struct {
 	net.Conn
 	written bytes.Buffer
@@ -88,7 +88,7 @@
 func (c *capturingConn) Write(p []byte) (int, error)      { return c.written.Write(p) }
 func (c *capturingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// The same for the payloads of a session, in both directions.
+// The payloads of a session must keep their bytes for the same reason, in both directions.
 func TestSessionBytesStayTheSame(t *testing.T) {
 	payload := bytes.Repeat([]byte("payload"), 1000)
 	for _, c := range []struct {
