--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -33,12 +33,12 @@
 
 var keys = peersync.Keys{bytes.Repeat([]byte{5}, 16)}
 
-// localLog is a log of one member, which applies entries at once.
+// localLog is a log with a single member, which applies entries immediately.
 type localLog struct {
 	replica    *Replica
 	leadership atomic.Pointer[raftlog.Leadership]
 	proposed   atomic.Int64
-	behind     atomic.Pointer[[]byte] // a committed entry that the replica has not applied yet
+	behind     atomic.Pointer[[]byte] // committed entry that the replica has not applied yet
 }
 
 func (l *localLog) Propose(_ context.Context, entry []byte) (any, error) {
@@ -55,7 +55,7 @@
 
 func (l *localLog) Leadership() raftlog.Leadership { return *l.leadership.Load() }
 
-// controlMachine is a control machine.
+// controlMachine is a control machine whose log is a localLog.
 type controlMachine struct {
 	replica *Replica
 	log     *localLog
@@ -96,7 +96,7 @@
 	}}
 }
 
-// follower is a watcher that records what came into force.
+// recordingWatcher is a watcher that records the versions that came into force and the latest document.
 type follower struct {
 	*configwatch.Watcher
 	mu       sync.Mutex
@@ -141,8 +141,8 @@
 	}
 }
 
-// A watcher gets each change in order, and one that connects late gets what it lacks. A watcher that cannot apply a version
-// keeps the one in force and is listed as lagging, with the reason, until it can.
+// A watcher receives each change in order; one that connects late receives what it lacks. A watcher that cannot apply a
+// version keeps the one in force and is listed as lagging, with the reason, until it can apply it.
 func TestWatch(t *testing.T) {
 	m := newMachine(t)
 	early := follow(t, "early", configwatch.Endpoint{Address: m.address})
@@ -151,13 +151,14 @@
 	}
 	early.reaches(t, m, 20)
 	for i, version := range early.versions {
-		assert.Equal(t, uint64(i+1), version, "each, in order")
+		assert.Equal(t, uint64(i+1), version, "all versions in order")
 	}
 	late := follow(t, "late", configwatch.Endpoint{Address: m.address})
 	late.reaches(t, m, 20)
 	require.Eventually(t, func() bool {
 		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
-		// Changes in quick succession share a report, so there may be fewer delays than changes times watchers.
+		// Changes in quick succession are acknowledged by one report, so there may be fewer delays than changes times
+		// watchers.
 		return err == nil && status.Watchers == 2 && len(status.Lagging) == 0 && len(status.PropagationDelays) >= 2 && len(status.PropagationDelays) <= 21
 	}, patience, time.Millisecond)
 
@@ -170,13 +171,13 @@
 		return err == nil && len(status.Lagging) == 1 && status.Lagging[0].Name == "late" && status.Lagging[0].Reason == full &&
 			status.Lagging[0].Version == 20 && status.Lagging[0].BehindFor > 0
 	}, patience, time.Millisecond)
-	assert.Equal(t, uint64(20), late.Status().Version, "the version in force stays")
+	assert.Equal(t, uint64(20), late.Status().Version, "a rejected version must not replace the one in force")
 	late.fault.Store(nil)
 	late.reaches(t, m, 21)
 }
 
-// A watcher may be further behind than the stored deltas reach: it gets a snapshot, and deltas again from there. A machine
-// that was restored from a snapshot of the log holds the same history.
+// A watcher whose version is older than the stored deltas receives a snapshot, and then deltas. A replica restored from
+// a log snapshot holds the same history.
 func TestSnapshotWhereDeltasAreGone(t *testing.T) {
 	m := newMachine(t)
 	for i := range int64(5000) {
@@ -191,11 +192,11 @@
 	f.reaches(t, m, 5001)
 	again := NewReplica()
 	require.NoError(t, again.Restore(m.replica.Snapshot()))
-	assert.Equal(t, m.replica.Snapshot(), again.Snapshot(), "a restored machine holds the same")
+	assert.Equal(t, m.replica.Snapshot(), again.Snapshot(), "a restored replica holds the same history")
 }
 
-// An invalid change is rejected with all its violations and never gets into the log; one that is proposed twice is accepted
-// once; one made on an older version is rejected; and a client whose machine is not the leader asks another one.
+// An invalid change is rejected with all its violations and does not enter the log. A change proposed twice is accepted
+// once. A change based on an older version is rejected. A client whose machine is not the leader tries another one.
 func TestPropose(t *testing.T) {
 	m := newMachine(t)
 	bad := configuration.Change{Routes: map[string]*configuration.Route{"pay": {Idempotency: "often"}, "gone": nil}}
@@ -208,7 +209,7 @@
 	change.ID = "once"
 	assert.Equal(t, uint64(1), m.accept(t, change))
 	assert.Equal(t, uint64(1), m.accept(t, change))
-	assert.Equal(t, 1, strings.Count(m.logged.String(), `msg="configuration: change accepted"`), "a repeat was logged as accepted again")
+	assert.Equal(t, 1, strings.Count(m.logged.String(), `msg="configuration: change accepted"`), "the repeated proposal was logged as accepted again")
 	stale := deadline(2)
 	base := uint64(0)
 	stale.Base = &base
@@ -226,8 +227,9 @@
 	assert.ErrorIs(t, err, configwatch.ErrUnavailable)
 }
 
-// All control machines were restarted, and the new leader had not applied its log to the end. It checked a change against an
-// older document, and rejected for good a change that was valid: the removal of a route that a committed entry had added.
+// Regression test: after a restart of all control machines, the new leader had not applied all committed entries. It
+// validated a change against an older document and permanently rejected a valid one, the removal of a route that a
+// committed entry had added.
 func TestProposeBehindEntriesThatAreNotApplied(t *testing.T) {
 	m := newMachine(t)
 	added := deadline(1)
@@ -239,11 +241,12 @@
 	assert.Equal(t, uint64(2), m.accept(t, removal))
 	var validationErr *configuration.ValidationError
 	_, err = configwatch.Propose(t.Context(), []string{m.address}, keys, removal)
-	require.ErrorAs(t, err, &validationErr, "what is invalid behind the whole log stays so")
+	require.ErrorAs(t, err, &validationErr, "a change that is invalid after all entries are applied is rejected")
 	assert.Len(t, validationErr.Violations, 1)
 }
 
-// A client with a wrong key, or none, is rejected in the handshake: it gets no watch and no status, and cannot change anything.
+// A client with a wrong key or without one is rejected in the handshake, so it cannot watch, read the status or propose
+// changes.
 func TestWrongKey(t *testing.T) {
 	m := newMachine(t)
 	for name, wrong := range map[string]peersync.Keys{"another": {bytes.Repeat([]byte{6}, 16)}, "none": nil} {
@@ -258,8 +261,8 @@
 	assert.Zero(t, m.log.proposed.Load())
 }
 
-// A machine that is cut off from the other control machines, but not from its watchers, would keep them at an old version
-// without a sign. It knows no leader, and so disconnects them; they find a machine that is not cut off.
+// A machine that is partitioned from the other control machines, but not from its watchers, would leave them at an old
+// version unnoticed. It has no leader, so it disconnects them, and they connect to a machine that is not partitioned.
 func TestCutOffMachineDisconnectsItsWatchers(t *testing.T) {
 	cut, connected := newMachine(t), newMachine(t)
 	for _, m := range []*controlMachine{cut, connected} {
@@ -272,8 +275,8 @@
 	f.reaches(t, connected, 2)
 }
 
-// The connection to a machine is cut, stalls, or loses what goes one way: each time the watcher keeps the version in force,
-// and reaches the latest one once the connection is healed.
+// The connection to a machine is cut, stalls, or drops data in one direction. Each time the watcher reaches the latest
+// version after the connection heals.
 func TestWatchAcrossFaults(t *testing.T) {
 	m := newMachine(t)
 	way, err := faultnet.New(m.address)
@@ -290,8 +293,8 @@
 	}
 }
 
-// One byte of a snapshot or delta is altered on the network. It must never come into force; the watcher gets it again in
-// another session.
+// One byte of a snapshot or delta is altered in transit. The altered content must never come into force; the watcher
+// receives it again in another session.
 func TestDamagedOnTheWay(t *testing.T) {
 	m := newMachine(t)
 	large := configuration.Change{Routes: map[string]*configuration.Route{}}
@@ -306,7 +309,8 @@
 	}
 }
 
-// newFlipper proxies connections to a target; on the first, it alters one byte of what the target sends.
+// newCorruptingProxy proxies connections to a target. On the first connection it flips one bit of the byte at offset at
+// in the data that the target sends.
 func newFlipper(t *testing.T, target string, at int) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -348,8 +352,8 @@
 	}
 }
 
-// A watcher that does not read must not cost the machine memory or hold up others: it is disconnected once a write times
-// out, and the others get every change meanwhile.
+// A watcher that does not read must not use up memory of the machine or delay other watchers. It is disconnected once a
+// write times out, and the others receive every change in the meantime.
 func TestSlowWatcher(t *testing.T) {
 	m := newMachine(t)
 	session, err := peersync.Open(t.Context(), m.address, keys)
@@ -362,7 +366,7 @@
 		large.Routes[fmt.Sprintf("route-%0100d", i)] = &configuration.Route{LatencyTarget: 1, Deadline: 1, Idempotency: configuration.Retryable}
 	}
 	version := uint64(0)
-	for i := range int64(12) { // more than the buffers of the connection hold
+	for i := range int64(12) { // more than the connection's buffers hold
 		for _, route := range large.Routes {
 			route.Deadline = i + 1
 		}
@@ -372,5 +376,5 @@
 	require.Eventually(t, func() bool {
 		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
 		return err == nil && status.Watchers == 1
-	}, patience, 10*time.Millisecond, "the one that does not read is disconnected")
+	}, patience, 10*time.Millisecond, "the watcher that does not read is disconnected")
 }
--- a/internal/configserve/replica.go
+++ b/internal/configserve/replica.go
@@ -1,6 +1,6 @@
-// Package configserve is a control machine's side of the configuration service. A Replica holds the history of changes,
-// to which the replicated log applies its entries; a Server accepts proposed changes into the log, and sends every
-// watcher what it lacks. Which changes there are, and their order, is decided by the log alone.
+// Package configserve is the control machine's side of the configuration service. A Replica holds the history of
+// changes and applies the entries of the replicated log to it. A Server proposes changes to the log and sends every
+// watcher the versions that it lacks. The log alone determines which changes are accepted and in which order.
 package configserve
 
 import (
@@ -13,22 +13,22 @@
 )
 
 const (
-	maxAcceptTimes = 4096      // latest versions whose time of acceptance is stored
-	maxBatchBytes  = 256 << 10 // of the deltas of one update
+	maxAcceptTimes = 4096      // number of latest versions whose acceptance time is stored
+	maxBatchBytes  = 256 << 10 // total size of the deltas in one update
 )
 
-// Replica is the history on one control machine, and the watchers connected to it. It implements raftlog.StateMachine,
-// and is safe for concurrent use.
+// Replica is one control machine's copy of the history, together with the watchers connected to the machine. It
+// implements raftlog.StateMachine and is safe for concurrent use.
 type Replica struct {
 	mu         sync.Mutex
 	history    *configuration.History
-	snapshot   []byte        // of the latest version; nil until it is needed
-	changed    chan struct{} // closed and replaced at each new version
+	snapshot   []byte        // of the latest version, encoded on first use; nil until then
+	changed    chan struct{} // closed and replaced when the history changes
 	acceptedAt map[uint64]time.Time
 	watchers   watchers
 }
 
-// NewReplica returns a replica with the empty history.
+// NewReplica returns a replica with an empty history.
 func NewReplica() *Replica {
 	return &Replica{
 		history: configuration.NewHistory(configuration.NewDocument()), changed: make(chan struct{}),
@@ -36,14 +36,14 @@
 	}
 }
 
-// Result is what applying an entry of the log returns. It is the same on every machine.
+// Result is the result of applying a log entry. It is the same on every machine.
 type Result struct {
 	Version  uint64
-	Repeated bool  // the change was accepted before, as Version
+	Repeated bool  // the change had already been accepted, as Version
 	Err      error // a *configuration.ValidationError
 }
 
-// Apply implements raftlog.StateMachine. An entry is a configuration.Change as JSON; it returns a Result.
+// Apply implements raftlog.StateMachine. The entry is a configuration.Change encoded as JSON. Apply returns a Result.
 func (r *Replica) Apply(entry []byte, appendedAt time.Time) any {
 	change, err := parseEntry(entry)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return r.history.Encode()
 }
 
-// Restore implements raftlog.StateMachine.
+// Restore implements raftlog.StateMachine. It replaces the history by the one encoded in the snapshot.
 func (r *Replica) Restore(snapshot []byte) error {
 	history, err := configuration.DecodeHistory(snapshot)
 	if err != nil {
@@ -81,8 +81,9 @@
 	return nil
 }
 
-// Validate checks a change before it is proposed to the log, so that an invalid one never gets there. It returns the
-// version of a change that was accepted before, 0 for a new one. The log decides: another change may come first.
+// Validate checks a change before it is proposed, so that invalid changes do not enter the log. It returns the version
+// of a change that was already accepted, or 0 for a new one. Acceptance is decided when the log entry is applied, as
+// another change may be appended first.
 func (r *Replica) Validate(entry []byte) (version uint64, err error) {
 	change, err := parseEntry(entry)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return 0, r.history.Document.Validate(change)
 }
 
-// parseEntry parses an entry of the log. The error is a *configuration.ValidationError.
+// parseEntry parses a log entry. The error is a *configuration.ValidationError.
 func parseEntry(entry []byte) (change configuration.Change, err error) {
 	if err := json.Unmarshal(entry, &change); err != nil {
 		return change, &configuration.ValidationError{Violations: []configuration.Violation{{
@@ -106,35 +107,35 @@
 	return change, nil
 }
 
-// notify wakes all watchers after the history changed.
+// notify wakes all watchers and discards the cached snapshot after the history changed.
 func (r *Replica) notify() {
 	r.snapshot = nil
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// cursor is how far a watcher's session has come.
+// cursor is the position of a watcher's session in the history.
 type cursor struct {
-	version uint64 // the last one that was sent, or that the watcher began with
+	version uint64 // last version sent in this session, or else the one the watcher started with
 	digest  configuration.Digest
 	sent    bool // whether deltas or a snapshot were sent in this session
 }
 
 // step is the next update of a watcher's session.
 type step struct {
-	update  configwatch.Update // without deltas and snapshot where the watcher has everything
+	update  configwatch.Update // without deltas and snapshot if the watcher is up to date
 	cursor  cursor             // after the update was sent
-	changed <-chan struct{}    // closed once there is a later version
+	changed <-chan struct{}    // closed when the history changes
 }
 
-// nextStep returns the next update for a watcher: deltas of a bounded size, or a snapshot where the deltas are no longer
-// stored or the watcher has other content under the same version.
+// nextStep returns the next update for a watcher. It has deltas of a bounded total size, or a snapshot if the deltas
+// are no longer stored or if the watcher's content differs under the same version.
 func (r *Replica) nextStep(at cursor) step {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	document := r.history.Document
 	s := step{update: configwatch.Update{Latest: document.Version}, cursor: at, changed: r.changed}
-	if at.version > document.Version { // the watcher's last machine was ahead of this one, which will catch up
+	if at.version > document.Version { // the machine that the watcher used before was ahead of this one, which will catch up
 		return s
 	}
 	deltas, needsSnapshot := r.history.Since(at.version)
--- a/internal/configserve/server.go
+++ b/internal/configserve/server.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	maxSessions    = 4096 // open at once
-	maxSnapshots   = 8    // being sent at once
+	maxSessions    = 4096 // concurrent sessions
+	maxSnapshots   = 8    // snapshots being sent concurrently
 	requestTimeout = 5 * time.Second
 	proposeTimeout = 5 * time.Second
 )
 
 // Log is the replicated log, implemented by raftlog.Node.
 type Log interface {
-	// Propose appends an entry and returns the Result of Replica.Apply once the entry is committed. The context's deadline
-	// bounds the wait for a place in the leader's queue.
+	// Propose appends an entry and returns the Result of Replica.Apply once the entry is committed and applied. The
+	// context's deadline bounds the wait for a slot in the leader's queue.
 	Propose(ctx context.Context, entry []byte) (any, error)
-	// Barrier waits until every entry that was committed before is applied to the Replica here.
+	// Barrier waits until every entry committed before the call is applied to this machine's Replica.
 	Barrier(ctx context.Context) error
-	// Leadership returns the present leader.
+	// Leadership returns the current leader.
 	Leadership() raftlog.Leadership
 }
 
-// Server serves the sessions of watchers and operators.
+// Server serves sessions of watchers and operators.
 type Server struct {
 	Name             string            // of this control machine
 	SessionAddresses map[string]string // of all control machines, by name
@@ -44,15 +44,15 @@
 	snapshotSlots chan struct{}
 }
 
-// Serve serves sessions until the context ends. It closes the listener and returns once all sessions have ended; the
-// error is nil where the context ended. It is called once.
+// Serve serves sessions until the context ends. It closes the listener and returns after all sessions have ended. The
+// error is nil if the context ended. Serve must be called only once.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	s.snapshotSlots = make(chan struct{}, maxSnapshots)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { _ = listener.Close() })()
 	loop := acceptloop.Loop{
-		MaxConns: maxSessions, // a client beyond them tries another machine
+		MaxConns: maxSessions, // further clients try another machine
 		Serve: func(conn net.Conn) {
 			defer func() { _ = conn.Close() }()
 			defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// serve serves one connection: its first message says what the session is for.
+// serve serves one connection. Its first message selects the kind of session.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	session, err := peersync.Accept(conn, s.Keys)
 	if err != nil {
@@ -90,14 +90,14 @@
 		}
 		s.watch(ctx, session, *request.Watch)
 	case request.Change != nil:
-		_ = session.Send(configwatch.Encode(s.propose(ctx, request.Change))) // a client that is gone asks again
+		_ = session.Send(configwatch.Encode(s.propose(ctx, request.Change))) // a client that disconnected proposes the change again
 	case request.Status != nil:
 		status := s.Replica.Status(s.Name, s.Log.Leadership().Leader, time.Now())
-		_ = session.Send(configwatch.Encode(status)) // likewise
+		_ = session.Send(configwatch.Encode(status)) // a client that disconnected asks again
 	}
 }
 
-// propose proposes a change to the log and returns the response to it.
+// propose validates a change, proposes it to the log and returns the response for the client.
 func (s *Server) propose(ctx context.Context, entry []byte) configwatch.ChangeResponse {
 	leadership := s.Log.Leadership()
 	if !leadership.IsLeader {
@@ -107,14 +107,15 @@
 	defer cancel()
 	version, err := s.Replica.Validate(entry)
 	if err != nil {
-		// A leader that was just elected may not have applied the log to its end: what it rejects may be valid behind that.
+		// A newly elected leader may not have applied all committed entries. A change that its document rejects may be
+		// valid after them.
 		if err := s.Log.Barrier(ctx); err != nil {
 			return configwatch.ChangeResponse{Error: err.Error()}
 		}
 		version, err = s.Replica.Validate(entry)
 	}
 	repeated := version > 0
-	if version == 0 && err == nil { // valid, and not accepted before
+	if version == 0 && err == nil { // valid and not accepted before
 		applied, proposeErr := s.Log.Propose(ctx, entry)
 		if proposeErr != nil {
 			return configwatch.ChangeResponse{Error: proposeErr.Error()}
@@ -126,8 +127,8 @@
 	if errors.As(err, &validationErr) {
 		return configwatch.ChangeResponse{Violations: validationErr.Violations}
 	}
-	if repeated { // by a client that did not get its answer
-		s.Logger.Info("configuration: change was accepted before", "version", version)
+	if repeated { // by a client that did not receive the response
+		s.Logger.Info("configuration: change already accepted", "version", version)
 	} else {
 		s.Logger.Info("configuration: change accepted", "version", version)
 	}
--- a/internal/configserve/watch.go
+++ b/internal/configserve/watch.go
@@ -9,8 +9,9 @@
 	"quartzpoint/internal/peersync"
 )
 
-// watch sends a watcher what it lacks until the session fails. There is no queue for a watcher: what a slow one lacks is
-// read from the history when it can be sent, so its cost here does not grow with the number of changes.
+// watch sends a watcher the versions that it lacks until the session fails. Updates for a watcher are not queued: each
+// one is read from the history when it can be sent, so the memory for a slow watcher does not grow with the number of
+// changes.
 func (s *Server) watch(ctx context.Context, session *peersync.Session, request configwatch.WatchRequest) {
 	w := s.Replica.addWatcher(request)
 	defer s.Replica.removeWatcher(w)
@@ -30,7 +31,7 @@
 func (s *Server) sendUpdates(ctx context.Context, session *peersync.Session, at cursor) {
 	ticker := time.NewTicker(configwatch.Heartbeat)
 	defer ticker.Stop()
-	// The first update is sent at once, also without content: it tells the watcher that the session is open.
+	// The first update is sent immediately, even if it is empty: it tells the watcher that the session is open.
 	for first := true; ; first = false {
 		next := s.Replica.nextStep(at)
 		if !first && len(next.update.Deltas) == 0 && next.update.Snapshot == nil {
@@ -40,8 +41,9 @@
 			case <-next.changed:
 				continue
 			case <-ticker.C:
-				// A machine that is cut off from the others gets no new versions. It shows by knowing no leader. Its
-				// watchers are disconnected, so that they find a machine that is not cut off.
+				// A machine that is partitioned from the other control machines gets no new versions. It detects this
+				// by having no leader, and disconnects its watchers so that they connect to a machine that is not
+				// partitioned.
 				if s.Log.Leadership().Leader == "" {
 					return
 				}
@@ -54,8 +56,8 @@
 	}
 }
 
-// sendUpdate sends one update. Few snapshots are sent at once, as they are large; a watcher that waits for its snapshot
-// gets heartbeats meanwhile.
+// sendUpdate sends one update. Snapshots are large, so the number sent concurrently is limited. A watcher that waits
+// for its snapshot receives heartbeats in the meantime.
 func (s *Server) sendUpdate(ctx context.Context, session *peersync.Session, update configwatch.Update) error {
 	if update.Snapshot == nil {
 		return session.Send(configwatch.Encode(update))
@@ -90,7 +92,7 @@
 			return
 		}
 		if report.Reason != "" {
-			s.Logger.Warn("configuration: version not applied by watcher", "watcher", w.name, "version", report.Rejected, "reason", report.Reason)
+			s.Logger.Warn("configuration: watcher could not apply a version", "watcher", w.name, "version", report.Rejected, "reason", report.Reason)
 		}
 		s.Replica.recordReport(w, report, time.Now())
 	}
--- a/internal/configserve/watchers.go
+++ b/internal/configserve/watchers.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxDelays  = 4096 // latest propagation delays that are stored
-	maxLagging = 1024 // watchers of a status, and stored rejections
+	maxDelays  = 4096 // number of latest propagation delays that are stored
+	maxLagging = 1024 // maximum number of lagging watchers in a status, and of stored rejections
 )
 
 // watcher is a connected watcher.
@@ -19,19 +19,19 @@
 	inForce    uint64
 }
 
-// rejection is why a watcher could not apply a version.
+// rejection records why a watcher could not apply a version.
 type rejection struct {
 	zone    string
 	inForce uint64
 	reason  string
 }
 
-// watchers are the connected watchers of a Replica and what they reported. The Replica's mutex guards it.
+// watchers holds the connected watchers of a Replica and what they reported. It is guarded by the Replica's mutex.
 type watchers struct {
 	connected   map[*watcher]bool
-	rejections  map[string]rejection // by name, until its next report; the watcher disconnects in between
-	delays      []time.Duration      // a ring once it is full
-	oldestDelay int                  // index in the full ring
+	rejections  map[string]rejection // by watcher name, until its next report; kept while the watcher is disconnected
+	delays      []time.Duration      // ring buffer once it is full
+	oldestDelay int                  // index of the oldest delay once the ring buffer is full
 }
 
 func newWatchers() watchers {
@@ -47,7 +47,7 @@
 	w.oldestDelay = (w.oldestDelay + 1) % maxDelays
 }
 
-// addWatcher adds a watcher whose session begins.
+// addWatcher adds the watcher of a new session.
 func (r *Replica) addWatcher(request configwatch.WatchRequest) *watcher {
 	w := &watcher{name: request.Name, zone: request.Zone, inForce: request.Version}
 	r.mu.Lock()
@@ -56,19 +56,20 @@
 	return w
 }
 
-// removeWatcher removes a watcher whose session ended.
+// removeWatcher removes the watcher of a session that ended.
 func (r *Replica) removeWatcher(w *watcher) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.watchers.connected, w)
 }
 
-// recordReport records a watcher's report, and the propagation delay of the version that came into force.
+// recordReport records a watcher's report. If a newer version came into force, it also records that version's
+// propagation delay.
 func (r *Replica) recordReport(w *watcher, report configwatch.Report, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at, known := r.acceptedAt[report.Version]; known && report.Version > w.inForce {
-		r.watchers.recordDelay(max(now.Sub(at), 0)) // the leader's clock may be ahead
+		r.watchers.recordDelay(max(now.Sub(at), 0)) // the leader's clock may be ahead of this machine's
 	}
 	w.inForce = report.Version
 	delete(r.watchers.rejections, w.name)
@@ -77,7 +78,8 @@
 	}
 }
 
-// Status returns the state of this machine, which has a name and knows a leader, and of its watchers.
+// Status returns the status of this machine and of its watchers. The name is this machine's, the leader is the one it
+// knows.
 func (r *Replica) Status(name, leader string, now time.Time) configwatch.ReplicaStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +90,7 @@
 	}
 }
 
-// lagging returns the watchers that do not have the latest version in force, those furthest behind first.
+// lagging returns the watchers that do not have the latest version in force, ordered by version and name.
 func (r *Replica) lagging(now time.Time) []configwatch.LaggingWatcher {
 	var all []configwatch.LaggingWatcher
 	add := func(name, zone string, inForce uint64, reason string) {
