--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -11,15 +11,15 @@
 	"quartzpoint/internal/peersync"
 )
 
-// ErrUnavailable says that no control machine reported the outcome of a request. A proposed change may have been accepted
-// all the same; it is safe to propose it again under the same ID.
+// ErrUnavailable reports that no control machine answered with the outcome of a request. A proposed change may still
+// have been accepted; it is safe to propose it again with the same ID.
 var ErrUnavailable = errors.New("configuration service not reached")
 
 const responseTimeout = 10 * time.Second
 
-// Propose proposes a change to the control machines, one after the other until the context ends, and returns the version
-// that it became. The error is a *configuration.ValidationError where the change was rejected, and wraps ErrUnavailable
-// where the outcome is unknown.
+// Propose proposes a change to the control machines, one after the other until the context ends, and returns the
+// resulting version. The error is a *configuration.ValidationError if the change was rejected, and wraps ErrUnavailable
+// if the outcome is unknown.
 func Propose(ctx context.Context, addresses []string, keys peersync.Keys, change configuration.Change) (uint64, error) {
 	raw, err := json.Marshal(change)
 	if err != nil {
@@ -30,7 +30,7 @@
 			Key: "change", Value: fmt.Sprintf("%d bytes", len(raw)), Allowed: fmt.Sprintf("%d bytes at most are allowed", configuration.MaxChangeBytes),
 		}}}
 	}
-	failures := []error{ErrUnavailable} // and the first failure of each address
+	failures := []error{ErrUnavailable} // plus one failure per address at most
 	leader := ""
 	for attempt := 0; ; attempt++ {
 		address := addresses[attempt%len(addresses)]
@@ -47,7 +47,7 @@
 			return 0, &configuration.ValidationError{Violations: response.Violations}
 		case response.Leader != "" && response.Leader != address:
 			leader = response.Leader
-			attempt-- // the redirect is no attempt of its own
+			attempt-- // a redirect to the leader does not count as an attempt
 		default:
 			failures = append(failures, fmt.Errorf("%s: %s", address, response.Error))
 		}
@@ -59,14 +59,14 @@
 	}
 }
 
-// FetchStatus asks one control machine for its status.
+// FetchStatus requests the status of one control machine.
 func FetchStatus(ctx context.Context, address string, keys peersync.Keys) (ReplicaStatus, error) {
 	var status ReplicaStatus
 	err := call(ctx, address, keys, Request{Status: &StatusRequest{}}, &status)
 	return status, err
 }
 
-// call sends one request in a session of its own, and decodes the response.
+// call sends one request in a new session and decodes the response.
 func call(ctx context.Context, address string, keys peersync.Keys, request Request, response any) error {
 	session, closeSession, err := openSession(ctx, address, keys)
 	if err != nil {
@@ -83,8 +83,8 @@
 	return Decode(raw, response)
 }
 
-// openSession opens a session that is also closed when the context ends, so that a blocked Send or Receive returns. The
-// caller calls closeSession when it is done.
+// openSession opens a session that is closed when the context ends, so that a blocked Send or Receive returns. The
+// caller must call closeSession.
 func openSession(ctx context.Context, address string, keys peersync.Keys) (session *peersync.Session, closeSession func(), err error) {
 	opening, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -98,7 +98,7 @@
 	}, nil
 }
 
-// sleep waits, and returns false as soon as the context ends.
+// sleep waits for the given time and reports whether it elapsed before the context ended.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/configwatch/messages.go
+++ b/internal/configwatch/messages.go
@@ -10,29 +10,29 @@
 	"quartzpoint/internal/strictcbor"
 )
 
-// Bounds of messages, in bytes.
+// Limits of message and field sizes, in bytes.
 const (
 	MaxRequestBytes  = configuration.MaxChangeBytes + 4<<10
-	MaxUpdateBytes   = 64 << 20 // a snapshot of the largest tables
+	MaxUpdateBytes   = 64 << 20 // large enough for a snapshot of the largest tables
 	MaxReportBytes   = 16 << 10
 	MaxResponseBytes = 1 << 20
 	maxNameBytes     = 128 // of a watcher or a zone
 	maxReasonBytes   = 8 << 10
 )
 
-// Heartbeat is the interval at which a control machine sends an empty Update when it has nothing else to send. A watcher
-// that receives nothing for three of them connects to another machine.
+// Heartbeat is the interval at which a control machine sends an empty Update if it has nothing else to send. A watcher
+// that receives nothing for three intervals connects to another machine.
 const Heartbeat = time.Second
 
 // Request is the first message of a session. Exactly one of its fields is set.
 type Request struct {
 	Watch  *WatchRequest  `cbor:"1,keyasint,omitempty"`
-	Change []byte         `cbor:"2,keyasint,omitempty"` // a configuration.Change as JSON
+	Change []byte         `cbor:"2,keyasint,omitempty"` // a configuration.Change encoded as JSON
 	Status *StatusRequest `cbor:"3,keyasint,omitempty"`
 }
 
-// WatchRequest asks for everything after a version, as it is accepted. Update messages follow, and Report messages are
-// sent back, until the session ends.
+// WatchRequest requests all versions after Version, including those that are accepted later. The control machine
+// replies with Update messages and the watcher sends Report messages, until the session ends.
 type WatchRequest struct {
 	Name    string               `cbor:"1,keyasint"`
 	Zone    string               `cbor:"2,keyasint,omitempty"`
@@ -40,79 +40,83 @@
 	Digest  configuration.Digest `cbor:"4,keyasint"`
 }
 
-// Validate checks the watcher's name and zone.
+// Validate checks the lengths of the watcher's name and zone.
 func (r *WatchRequest) Validate() error {
 	if r.Name == "" || len(r.Name) > maxNameBytes || len(r.Zone) > maxNameBytes {
-		return fmt.Errorf("a name of 1 to %d bytes, and a zone of no more, are needed", maxNameBytes)
+		return fmt.Errorf("watch request: want a name of 1 to %d bytes and a zone no longer than that", maxNameBytes)
 	}
 	return nil
 }
 
-// StatusRequest asks for the ReplicaStatus of a control machine.
+// StatusRequest requests the ReplicaStatus of a control machine.
 type StatusRequest struct{}
 
-// Update brings a watcher closer to the latest version, by deltas or a snapshot. Without either it is a heartbeat.
+// Update carries deltas or a snapshot that bring a watcher closer to the latest version. Without either it is a
+// heartbeat.
 type Update struct {
-	Deltas   [][]byte `cbor:"1,keyasint,omitempty"` // encoded, consecutive
+	Deltas   [][]byte `cbor:"1,keyasint,omitempty"` // encoded, of consecutive versions
 	Snapshot []byte   `cbor:"2,keyasint,omitempty"`
-	Latest   uint64   `cbor:"3,keyasint"` // version on this machine
+	Latest   uint64   `cbor:"3,keyasint"` // latest version on this control machine
 }
 
-// Report acknowledges an Update: the version in force at the watcher, and why a later one is not.
+// Report acknowledges an Update. It states the version in force at the watcher and, if the update could not be fully
+// applied, the Reason.
 type Report struct {
 	Version  uint64               `cbor:"1,keyasint"`
 	Digest   configuration.Digest `cbor:"2,keyasint"`
-	Rejected uint64               `cbor:"3,keyasint,omitempty"` // the newest version of the update that could not be applied; 0 for none. Version is the last that could
+	Rejected uint64               `cbor:"3,keyasint,omitempty"` // latest version of an update that could not be fully applied, or 0; Version is then the last one that was applied
 	Reason   string               `cbor:"4,keyasint,omitempty"`
 }
 
-// ChangeResponse is the response to a proposed change. One of its fields is set, or none where no leader is known.
+// ChangeResponse is the response to a proposed change. Version is set if the change was accepted, and Violations if it
+// was rejected. Otherwise Error states the failure, and Leader is set if this machine is not the leader and knows which
+// one is.
 type ChangeResponse struct {
-	Version    uint64                    `cbor:"1,keyasint,omitempty"` // the accepted version
+	Version    uint64                    `cbor:"1,keyasint,omitempty"` // accepted version
 	Violations []configuration.Violation `cbor:"2,keyasint,omitempty"` // why the change was rejected
-	Leader     string                    `cbor:"3,keyasint,omitempty"` // address of the machine to ask instead
-	Error      string                    `cbor:"4,keyasint,omitempty"` // why the outcome is unknown
+	Leader     string                    `cbor:"3,keyasint,omitempty"` // session address of the leader, to which the change should be proposed
+	Error      string                    `cbor:"4,keyasint,omitempty"` // why the change was neither accepted nor rejected
 }
 
 // ReplicaStatus is the state of a control machine and of its watchers.
 type ReplicaStatus struct {
 	Name     string               `cbor:"1,keyasint" json:"name"`
-	Leader   string               `cbor:"2,keyasint" json:"leader"` // its name; empty where none is known
+	Leader   string               `cbor:"2,keyasint" json:"leader"` // name of the leader; empty if none is known
 	Version  uint64               `cbor:"3,keyasint" json:"version"`
 	Digest   configuration.Digest `cbor:"4,keyasint" json:"digest"`
 	Watchers int                  `cbor:"5,keyasint" json:"watchers"`
-	// PropagationDelays are the times from the acceptance of a version to the report that it is in force, of the latest
-	// reports.
+	// PropagationDelays holds the times from the acceptance of a version to the report that it is in force, for the
+	// latest reports.
 	PropagationDelays []time.Duration  `cbor:"6,keyasint" json:"lags_ns"`
 	Lagging           []LaggingWatcher `cbor:"7,keyasint" json:"behind"`
 }
 
-// LaggingWatcher is a watcher at which the latest version is not in force.
+// LaggingWatcher describes a watcher that does not have the latest version in force.
 type LaggingWatcher struct {
 	Name      string        `cbor:"1,keyasint" json:"name"`
 	Zone      string        `cbor:"2,keyasint" json:"zone"`
-	Version   uint64        `cbor:"3,keyasint" json:"version"`         // in force there
-	BehindFor time.Duration `cbor:"4,keyasint" json:"since_ns"`        // since the version after it was accepted
+	Version   uint64        `cbor:"3,keyasint" json:"version"`         // in force at the watcher
+	BehindFor time.Duration `cbor:"4,keyasint" json:"since_ns"`        // time since the next version was accepted; 0 if unknown
 	Reason    string        `cbor:"5,keyasint" json:"fault,omitempty"` // why it could not apply a later version
 }
 
-// maxArrayElements bounds the arrays of a message.
+// maxArrayElements is the maximum length of an array in a message.
 const maxArrayElements = 1 << 13
 
-// decMode bounds the memory that a received message can make its reader allocate. The encoded documents and deltas
-// inside are decoded by package configuration, under its own bounds.
+// decMode limits the memory that decoding a received message can allocate. The encoded documents and deltas inside
+// messages are decoded by package configuration, which has its own limits.
 var decMode = strictcbor.NewDecMode(maxArrayElements, false)
 
-// Encode encodes a message of this package.
+// Encode encodes a message of this package. It panics if the message cannot be encoded.
 func Encode(message any) []byte {
 	raw, err := cbor.Marshal(message)
 	if err != nil {
-		panic(fmt.Errorf("cbor: %w", err)) // the package's own messages can always be encoded
+		panic(fmt.Errorf("cbor: %w", err)) // the messages of this package can always be encoded
 	}
 	return raw
 }
 
-// Decode decodes a message into one of this package's types.
+// Decode decodes a message of this package into a value of its type.
 func Decode(raw []byte, message any) error {
 	if err := decMode.Unmarshal(raw, message); err != nil {
 		return fmt.Errorf("message: %w", err)
--- a/internal/configwatch/stored_test.go
+++ b/internal/configwatch/stored_test.go
@@ -18,7 +18,8 @@
 	"quartzpoint/internal/store"
 )
 
-// storedMessages are messages of the configuration service, by the names under which testdata has what f1daac1 sent.
+// storedMessages returns messages of the configuration service, by the names under which testdata holds their encoding
+// by revision f1daac1.
 func storedMessages(t *testing.T) map[string]any {
 	t.Helper()
 	change := configuration.Change{
@@ -53,7 +54,8 @@
 	}
 }
 
-// Messages are as before on the wire, in both directions: fleets of two versions speak with one another at a release.
+// The encoding of messages must not change in either direction, because servers of two versions communicate during a
+// rolling release.
 func TestStoredMessages(t *testing.T) {
 	sent := map[string]string{}
 	for name, message := range storedMessages(t) {
@@ -73,7 +75,8 @@
 	}
 }
 
-// A watch that begins with what an app server of f1daac1 kept begins with its version, and takes the next change on it.
+// A watcher that starts with the document stored by an app server of revision f1daac1 starts with its version and
+// applies the next delta to it.
 func TestStoredDocumentIsGoneOnFrom(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
 	require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "f1daac1", "configuration"))))
@@ -99,7 +102,7 @@
 	}, d.Routes)
 	assert.Equal(t, map[string]configuration.Tenant{"north": {QuotaRPS: 75, TrafficShare: 0.5}, "south": {QuotaRPS: 12.5}}, d.Tenants)
 
-	// The fifth change, as a control machine of f1daac1 would have told it.
+	// the delta of the fifth change, as a control machine of revision f1daac1 would send it
 	fifth := &configuration.Route{LatencyTarget: 800000, Deadline: 2000000, Value: 1.5, Idempotency: configuration.Retryable}
 	delta := d.Clone().Accept(configuration.Change{Routes: map[string]*configuration.Route{"base": fifth}})
 	assert.Equal(t, configuration.Digest(15045096694224017753), delta.Digest)
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -1,6 +1,7 @@
-// Package configwatch is the app server's client of the configuration service. A Watcher holds a session with one of the
-// control machines, receives the deltas or snapshots that the server lacks, applies them in order, reports the version in
-// force, and stores it for the next start. The package also defines the service's messages, for both of its sides.
+// Package configwatch is the app server's client of the configuration service. A Watcher maintains a session with one
+// of the control machines. It receives the deltas or snapshots that the server lacks, applies them in order, reports
+// the version in force and stores it for the next start. The package also defines the messages of the service for both
+// sides.
 package configwatch
 
 import (
@@ -18,57 +19,57 @@
 )
 
 const (
-	contactTimeout  = 3 * Heartbeat // without a message, after which the machine is considered lost
+	contactTimeout  = 3 * Heartbeat // time without a message after which the session is closed
 	dialTimeout     = time.Second
-	minBackoff      = 100 * time.Millisecond // mean wait before the next attempt; doubled up to maxBackoff
+	minBackoff      = 100 * time.Millisecond // mean wait before the next attempt; doubled with each failure up to maxBackoff
 	maxBackoff      = 2 * time.Second
-	maxRetryAfter   = 4 * time.Second // bound of the Retry-After of a machine
-	reconnectSpread = time.Second     // over which the watchers of a lost machine reconnect
+	maxRetryAfter   = 4 * time.Second // maximum Retry-After of a control machine that is honored
+	reconnectSpread = time.Second     // period over which the watchers of a lost machine reconnect
 )
 
-// Endpoint is where a control machine is reached.
+// Endpoint is the address of a control machine and its zone.
 type Endpoint struct {
 	Zone    string
 	Address string
 }
 
-// Store stores the version in force for the next start. It is called by one goroutine.
+// Store stores the version in force for the next start. Its methods are called from a single goroutine.
 type Store interface {
-	// Replace stores a whole document in place of everything before it.
+	// Replace stores a whole document and discards everything stored before.
 	Replace(d *configuration.Document) error
-	// Append stores the delta that led to the document d.
+	// Append stores a delta; d is the document after it.
 	Append(delta configuration.Delta, d *configuration.Document) error
 }
 
-// Watcher keeps a server's configuration at the latest version of the service. The exported fields are set before Run
-// and not changed after; Run owns Document.
+// Watcher keeps a server's configuration at the latest version of the service. The exported fields must be set before
+// Run and not changed afterwards. Run modifies Document.
 type Watcher struct {
-	Name      string     // of the server, in the status of the service
-	Zone      string     // of the server; endpoints of it are tried first
+	Name      string     // name of the server in the status of the service
+	Zone      string     // zone of the server; its endpoints are tried first
 	Endpoints []Endpoint // at least one
 	Keys      peersync.Keys
 	Document  *configuration.Document // in force
-	// Apply applies a delta, which leads to the document to, and returns once it is in force. Where it returns an error
-	// nothing of the delta is in force. It must not retain the document.
+	// Apply applies a delta and returns once it is in force; to is the document after the delta. If it returns an
+	// error, no part of the delta is in force. It must not retain the document.
 	Apply  func(ctx context.Context, delta configuration.Delta, to *configuration.Document) error
-	Store  Store // nil where nothing is stored
-	Seed   int64 // of the backoff and of the order of endpoints
+	Store  Store // nil if versions are not stored
+	Seed   int64 // of the random backoff and order of endpoints
 	Logger *slog.Logger
 
-	attempted   map[string]bool // addresses that were tried since all were
+	attempted   map[string]bool // addresses tried in the current pass over all endpoints
 	version     atomic.Uint64
 	connected   atomic.Bool
-	lastContact atomic.Int64 // Unix nanoseconds of the last message; 0 for never
+	lastContact atomic.Int64 // Unix nanoseconds of the last message; 0 if none was received
 }
 
 // WatcherStatus is the state of a Watcher.
 type WatcherStatus struct {
 	Version      uint64        `json:"version"`   // in force
 	Connected    bool          `json:"connected"` // to a control machine
-	SinceContact time.Duration `json:"silent_ns"` // since the last message of a control machine; negative for never
+	SinceContact time.Duration `json:"silent_ns"` // since the last message of a control machine; negative if none was received
 }
 
-// Status returns the present state. It is safe for concurrent use.
+// Status returns the current status. It is safe for concurrent use.
 func (w *Watcher) Status() WatcherStatus {
 	status := WatcherStatus{Version: w.version.Load(), Connected: w.connected.Load(), SinceContact: -1}
 	if last := w.lastContact.Load(); last > 0 {
@@ -77,7 +78,7 @@
 	return status
 }
 
-// Run watches the service, and reconnects with backoff, until the context ends.
+// Run watches the service until the context ends. It reconnects with backoff after a failure.
 func (w *Watcher) Run(ctx context.Context) {
 	w.version.Store(w.Document.Version)
 	random := rand.New(rand.NewSource(w.Seed))
@@ -92,7 +93,8 @@
 		}
 		w.Logger.Warn("configuration: session with control machine ended", "machine", endpoint.Address, "error", err,
 			"version", w.Document.Version)
-		// A machine that served for a while and is lost loses all its watchers at once; they reconnect spread out.
+		// If a machine fails after serving for a while, all its watchers lose their sessions at the same time. Random
+		// delays spread out their reconnections.
 		served := time.Since(started) > contactTimeout
 		if served {
 			backoff = minBackoff
@@ -112,7 +114,8 @@
 	}
 }
 
-// nextEndpoint returns a random endpoint among those not tried since all were, in the server's own zone if there is one.
+// nextEndpoint returns a random endpoint among those not yet tried in the current pass over all endpoints. It prefers
+// endpoints in the server's own zone.
 func (w *Watcher) nextEndpoint(random *rand.Rand) Endpoint {
 	if len(w.attempted) >= len(w.Endpoints) || w.attempted == nil {
 		w.attempted = map[string]bool{}
@@ -167,7 +170,7 @@
 }
 
 // applyAndReport applies an update and reports the version in force. Any error ends the session: a corrupt update is
-// requested again from another machine, and one that could not be applied is tried again after the backoff.
+// requested again from another machine, and one that could not be applied is retried after the backoff.
 func (w *Watcher) applyAndReport(ctx context.Context, session *peersync.Session, update Update) error {
 	applyErr := w.applyUpdate(ctx, update)
 	if errors.Is(applyErr, configuration.ErrCorrupt) {
@@ -176,13 +179,14 @@
 	report := Report{Version: w.Document.Version, Digest: w.Document.Digest}
 	if applyErr != nil {
 		reason := applyErr.Error()
-		// The newest version that this machine knew: the one that failed may be an earlier one, which Version is just before.
+		// Rejected is the latest version that the control machine knows. The delta that failed may be an earlier one,
+		// the next after Version.
 		report.Rejected, report.Reason = update.Latest, reason[:min(len(reason), maxReasonBytes)]
 	}
 	return errors.Join(session.Send(Encode(report)), applyErr)
 }
 
-// applyUpdate applies an update's snapshot or deltas. What was in force before the failing one stays in force.
+// applyUpdate applies an update's snapshot or deltas. If one fails, the version before it stays in force.
 func (w *Watcher) applyUpdate(ctx context.Context, update Update) error {
 	if update.Snapshot != nil {
 		if err := w.applySnapshot(ctx, update.Snapshot); err != nil {
@@ -207,7 +211,7 @@
 		return err
 	}
 	if to.Version < w.Document.Version {
-		return fmt.Errorf("%w: a snapshot of version %d, and %d is in force", configuration.ErrCorrupt, to.Version, w.Document.Version)
+		return fmt.Errorf("%w: snapshot of version %d is older than version %d in force", configuration.ErrCorrupt, to.Version, w.Document.Version)
 	}
 	if err := w.Apply(ctx, configuration.Diff(w.Document, to), to); err != nil {
 		return err
@@ -238,7 +242,8 @@
 		"routes", len(w.Document.Routes), "tenants", len(w.Document.Tenants))
 }
 
-// persist stores the version in force. A failing disk leaves the next start with an older version; this server goes on.
+// persist stores the version in force. If the write fails, the server continues, but its next start begins with an
+// older version.
 func (w *Watcher) persist(write func() error) {
 	if w.Store == nil {
 		return
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -13,7 +13,7 @@
 	"quartzpoint/configuration"
 )
 
-// Endpoints of the own zone are tried first, and each endpoint once before any is tried again.
+// Endpoints in the watcher's own zone are tried first. Each endpoint is tried once before any is tried again.
 func TestNextEndpoint(t *testing.T) {
 	w := &Watcher{Zone: "a", Endpoints: []Endpoint{{"b", "1"}, {"a", "2"}, {"b", "3"}, {"a", "4"}, {"c", "5"}}}
 	random := rand.New(rand.NewSource(1))
@@ -28,7 +28,7 @@
 	}
 }
 
-// failingStore fails all writes.
+// failingStore is a Store whose writes all fail.
 type failingStore struct{ err error }
 
 func (f failingStore) Replace(*configuration.Document) error                     { return f.err }
@@ -43,8 +43,9 @@
 	return all, d
 }
 
-// An update that cannot be applied, as for want of memory, leaves the version in force as it was. A full disk does not
-// keep a version from coming into force. A machine that is behind may send an older snapshot, which is never applied.
+// If Apply rejects an update, for example for lack of memory, the version in force stays unchanged. A full disk does
+// not prevent a version from coming into force. An older snapshot, which a control machine that lags may send, is
+// rejected.
 func TestApplyUpdate(t *testing.T) {
 	all, latest := deltas(t, 3)
 	reject := false
