--- a/internal/raftlog/node.go
+++ b/internal/raftlog/node.go
@@ -1,6 +1,6 @@
-// Package raftlog replicates a log of entries over a few machines by hashicorp/raft: an entry is committed once a
-// majority has it on disk, and every member applies the same entries in the same order to its StateMachine. The log and
-// the votes are in a bolt file, snapshots in files beside it.
+// Package raftlog replicates a log of entries over several machines with hashicorp/raft. An entry is committed once a
+// majority has written it to disk, and every member applies the same entries in the same order to its StateMachine. The
+// log and the votes are stored in a bolt file, and snapshots in files of the same directory.
 package raftlog
 
 import (
@@ -21,32 +21,32 @@
 
 const (
 	logFile           = "log.bolt"
-	maxPooledConns    = 3 // to each member
+	maxPooledConns    = 3 // maximum number of pooled connections to each member
 	transportTimeout  = 5 * time.Second
 	retainedSnapshots = 2
-	snapshotEntries   = 2048 // appended after the last snapshot, before the next
-	trailingEntries   = 1024 // retained before a snapshot, so that a member that was away for a short time needs none
+	snapshotEntries   = 2048 // entries after the last snapshot that trigger the next one
+	trailingEntries   = 1024 // entries kept from before a snapshot, so that a member that was unreachable for a short time can catch up without a snapshot
 
-	electionTimeout    = time.Second // also that of heartbeats
+	electionTimeout    = time.Second // also the heartbeat timeout
 	leaderLeaseTimeout = 500 * time.Millisecond
 	commitTimeout      = 20 * time.Millisecond
 )
 
-// ErrNotLeader says that another member appends entries.
+// ErrNotLeader reports that this member is not the leader and cannot append entries.
 var ErrNotLeader = errors.New("replicated log: this machine does not lead")
 
-// Member is one machine of the log.
+// Member is one machine that takes part in the log.
 type Member struct {
 	Name        string
-	Address     string // by which all members know it
-	DialAddress string // where this machine dials it; empty: Address
+	Address     string // the same on all members; this machine listens on its own
+	DialAddress string // address that this machine dials instead of Address, if not empty
 }
 
-// Options are the settings of a Node.
+// Options configures a Node.
 type Options struct {
-	Name         string   // which of the members this machine is
-	Dir          string   // of the log and the snapshots; created where it does not exist
-	Members      []Member // the same on all members
+	Name         string   // name of the member that this machine is
+	Dir          string   // directory of the log and the snapshots, created if it does not exist
+	Members      []Member // must be the same on all members
 	Keys         peersync.Keys
 	StateMachine StateMachine
 	Logger       *slog.Logger
@@ -60,8 +60,8 @@
 	stream    *streamLayer
 }
 
-// Start starts a member, with the log and snapshots of its directory, or a new log where there is none. The caller closes
-// the node.
+// Start starts a member with the log and snapshots in its directory, or with a new log if there is none. The caller
+// must close the node.
 func Start(options Options) (*Node, error) {
 	listenAddress, err := options.listenAddress()
 	if err != nil {
@@ -89,7 +89,7 @@
 	return n, nil
 }
 
-// startRaft bootstraps the log where the directory has none, and starts the library.
+// startRaft starts the raft library. It bootstraps a new log if the directory has none.
 func (n *Node) startRaft(options Options, logger hclog.Logger) error {
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(options.Dir, retainedSnapshots, logger)
 	if err != nil {
@@ -113,17 +113,17 @@
 	return err
 }
 
-// listenAddress is the address of the member that this machine is.
+// listenAddress returns the address of the member that this machine is.
 func (o *Options) listenAddress() (string, error) {
 	for _, m := range o.Members {
 		if m.Name == o.Name && m.Address != "" {
 			return m.Address, nil
 		}
 	}
-	return "", fmt.Errorf("replicated log: %q is none of its members", o.Name)
+	return "", fmt.Errorf("replicated log: %q is not one of the members", o.Name)
 }
 
-// dialAddresses are the addresses to dial, by the address of the member.
+// dialAddresses returns the addresses to dial, keyed by member address.
 func (o *Options) dialAddresses() map[string]string {
 	addresses := map[string]string{}
 	for _, m := range o.Members {
@@ -135,7 +135,7 @@
 	return addresses
 }
 
-// raftConfiguration is the members as the library knows them.
+// raftConfiguration returns the members in the form of the raft library.
 func (o *Options) raftConfiguration() raft.Configuration {
 	var servers []raft.Server
 	for _, m := range o.Members {
@@ -144,11 +144,12 @@
 	return raft.Configuration{Servers: servers}
 }
 
-// Propose appends an entry on the leader and returns the result of StateMachine.Apply once it is committed and applied
-// here. On another member it returns ErrNotLeader. After any other error the entry may still be committed.
+// Propose appends an entry on the leader and returns the result of StateMachine.Apply after the entry is committed and
+// applied on this machine. On another member it returns ErrNotLeader. After any other error the entry may still be
+// committed.
 //
-// The context's deadline bounds the wait for a place in the leader's queue. From then on the library answers: with the
-// commit, or, without a majority, with an error once the leader lease has run out.
+// The context's deadline bounds only the wait for a slot in the leader's queue. An entry in the queue then either
+// commits or, without a majority, fails once the leader lease has expired.
 func (n *Node) Propose(ctx context.Context, entry []byte) (any, error) {
 	timeout, err := queueTimeout(ctx)
 	if err != nil {
@@ -161,8 +162,8 @@
 	return future.Response(), nil
 }
 
-// Barrier waits until every entry that was committed before it is applied here, on the leader; on another member it returns
-// ErrNotLeader. The context's deadline bounds the wait for a place in the leader's queue, as of Propose.
+// Barrier waits on the leader until every entry committed before the call is applied on this machine. On another member
+// it returns ErrNotLeader. As in Propose, the context's deadline bounds only the wait for a slot in the leader's queue.
 func (n *Node) Barrier(ctx context.Context) error {
 	timeout, err := queueTimeout(ctx)
 	if err != nil {
@@ -171,8 +172,8 @@
 	return proposeError(n.raft.Barrier(timeout).Error())
 }
 
-// queueTimeout is how long an entry may wait for a place in the leader's queue: to the context's deadline; 0 is without
-// bound.
+// queueTimeout returns how long an entry may wait for a slot in the leader's queue: until the context's deadline, or 0
+// for no limit.
 func queueTimeout(ctx context.Context) (time.Duration, error) {
 	if err := ctx.Err(); err != nil {
 		return 0, fmt.Errorf("replicated log: %w", err)
@@ -183,7 +184,7 @@
 	return 0, nil
 }
 
-// proposeError is the library's error of an entry as this package has it.
+// proposeError converts an error of the raft library into one of this package.
 func proposeError(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader):
@@ -194,13 +195,13 @@
 	return nil
 }
 
-// Leadership says which member leads, as far as this one knows.
+// Leadership states which member is the leader, as far as this member knows.
 type Leadership struct {
-	Leader   string // its name; empty where none is known
-	IsLeader bool   // whether this member leads
+	Leader   string // name of the leader; empty if none is known
+	IsLeader bool   // whether this member is the leader
 }
 
-// Leadership returns the present leader.
+// Leadership returns the current leader.
 func (n *Node) Leadership() Leadership {
 	_, id := n.raft.LeaderWithID()
 	return Leadership{Leader: string(id), IsLeader: n.raft.State() == raft.Leader}
@@ -212,7 +213,7 @@
 	return errors.Join(err, n.release())
 }
 
-// release closes what Start opened, as far as it came. All of it may be closed already.
+// release closes everything that Start has opened so far. Parts that are already closed are permitted.
 func (n *Node) release() (err error) {
 	if n.transport != nil {
 		err = n.transport.Close()
--- a/internal/raftlog/node_test.go
+++ b/internal/raftlog/node_test.go
@@ -33,7 +33,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at.IsZero() {
-		panic("an entry without a time")
+		panic("entry without an append time")
 	}
 	l.entries = append(l.entries, string(entry))
 	return len(l.entries)
@@ -42,7 +42,7 @@
 func (l *recordingMachine) Snapshot() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	raw, _ := json.Marshal(l.entries) // strings can always be encoded
+	raw, _ := json.Marshal(l.entries) // a slice of strings can always be encoded
 	return raw
 }
 
@@ -58,7 +58,7 @@
 	return append([]string{}, l.entries...)
 }
 
-// cluster is a log over three members.
+// cluster is a log replicated over three members.
 type cluster struct {
 	options  []Options
 	machines []*recordingMachine
@@ -107,7 +107,7 @@
 	*c.machines[i] = recordingMachine{} // a restart loses the state in memory
 }
 
-// leader waits until a member leads, and returns its index.
+// leader waits until a member is the leader, and returns its index.
 func (c *cluster) leader(t *testing.T) (leader int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -132,7 +132,7 @@
 	}, patience, time.Millisecond)
 }
 
-// propose proposes an entry, with a bound of the wait for a place in the leader's queue.
+// propose proposes an entry; timeout bounds the wait for a slot in the leader's queue.
 func propose(t *testing.T, node *Node, entry string, timeout time.Duration) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -141,7 +141,7 @@
 	return err
 }
 
-// agree waits until all running members have applied the same entries.
+// waitForEntries waits until all running members have applied exactly the wanted entries.
 func (c *cluster) agree(t *testing.T, want []string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -154,8 +154,8 @@
 	}, patience, time.Millisecond)
 }
 
-// The leader is lost, a member restarts after a snapshot was taken, and then all members restart. After each of these all
-// members must have applied the same entries in the same order.
+// The leader fails, a member restarts after a snapshot was taken, and then all members restart. After each of these,
+// all members must have applied the same entries in the same order.
 func TestLogAcrossLosses(t *testing.T) {
 	c := newCluster(t)
 	var want []string
@@ -185,8 +185,8 @@
 	c.agree(t, want)
 }
 
-// Two of three members are lost. The one that is left must step down and commit nothing, as the others may come back with
-// a log of their own.
+// Two of three members fail. The remaining one must step down and commit nothing, because the other two could elect a
+// leader and commit other entries.
 func TestNoMajority(t *testing.T) {
 	c := newCluster(t)
 	c.propose(t, "a")
@@ -199,7 +199,7 @@
 	assert.Error(t, propose(t, c.nodes[leader], "b", 200*time.Millisecond))
 }
 
-// A member with another key must not receive entries. A machine that is not among the members must not start.
+// A member with a wrong key must not receive entries. A machine that is not one of the members must not start.
 func TestAnotherKey(t *testing.T) {
 	c := newCluster(t)
 	c.propose(t, "a")
@@ -213,11 +213,11 @@
 	nobody := c.options[leader]
 	nobody.Name = "nobody"
 	_, err := Start(nobody)
-	assert.ErrorContains(t, err, "none of its members")
+	assert.ErrorContains(t, err, "not one of the members")
 }
 
-// A start that fails halfway, here for a file in place of the snapshots, must release what it opened: the address would
-// stay taken, and the goroutine that accepts connections would run on.
+// A start that fails halfway must release everything it opened; otherwise the address stays in use and the goroutine
+// that accepts connections leaks. Here a file in place of the snapshot directory makes it fail.
 func TestFailedStartReleasesEverything(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -233,12 +233,12 @@
 	_, err = Start(options)
 	require.Error(t, err)
 	again, err := net.Listen("tcp", address)
-	require.NoError(t, err, "the address is free again")
+	require.NoError(t, err, "the address must be free after the failed start")
 	require.NoError(t, again.Close())
 	goleak.VerifyNone(t, before)
 
 	require.NoError(t, os.Remove(filepath.Join(dir, "snapshots")))
-	node, err := Start(options) // the log's file is not locked any more
+	node, err := Start(options) // the log file must not be locked after the failed start
 	require.NoError(t, err)
 	require.NoError(t, node.Close())
 }
--- a/internal/raftlog/stored_test.go
+++ b/internal/raftlog/stored_test.go
@@ -20,7 +20,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// keeper is a machine that keeps what it is told.
+// recordingMachine is a state machine that records the restored snapshot and all entries.
 type keeper struct {
 	mu       sync.Mutex
 	snapshot []byte
@@ -50,8 +50,9 @@
 	return k.snapshot, append([]string{}, k.entries...), append([]int64{}, k.moments...)
 }
 
-// storedLog is the folder of a log of f1daac1, copied to where it may be changed: five entries, of which the first three
-// are in a snapshot, by the one machine c0 of quartzconfig, killed.
+// storedLog returns the directory of a log written by revision f1daac1, copied to a temporary directory. The log has
+// five entries, the first three of them in a snapshot. It was written by the single machine c0 of a quartzconfig
+// service, which was killed.
 func storedLog(t *testing.T) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), "log")
@@ -67,8 +68,8 @@
 	return to
 }
 
-// A folder that the recorded code wrote is gone on from: the snapshot and the entries behind it, byte for byte, and what
-// is proposed then.
+// A member continues from a directory written by revision f1daac1: it must restore the snapshot and the entries after
+// it byte for byte, and accept new entries.
 func TestStoredLogIsRead(t *testing.T) {
 	dir := storedLog(t)
 	snapshots, err := filepath.Glob(filepath.Join("testdata", "f1daac1", "log", "snapshots", "*", "state.bin"))
@@ -82,8 +83,8 @@
 		`{"id":"fifth","routes":{"base":{"goal-time":800000,"deadline":2000000,"gain":1.5,"late-value":0,` +
 			`"idempotency":"retryable","dedup-window":0,"calls":false,"skip-worth":0}}}`,
 	}
-	moments := []int64{1796275683158, 1796275687167} // at which the leader appended them
-	for range 2 {                                    // and once more behind a restart of this version
+	moments := []int64{1796275683158, 1796275687167} // times at which the leader appended the entries, in Unix milliseconds
+	for range 2 {                                    // the second round checks a restart of the current version
 		k := &keeper{}
 		address, err := harness.FreeAddress()
 		require.NoError(t, err)
--- a/internal/raftlog/stream.go
+++ b/internal/raftlog/stream.go
@@ -14,23 +14,23 @@
 	"quartzpoint/internal/peersync"
 )
 
-// maxHandshakes bounds the connections that are not yet authenticated.
+// maxHandshakes is the maximum number of concurrent connections that are not yet authenticated.
 const maxHandshakes = 64
 
-// streamLayer implements raft.StreamLayer over connections that both sides authenticate, by the handshake of a peersync
-// session, before the library sees them.
+// streamLayer implements raft.StreamLayer. Both sides of a connection authenticate each other with the handshake of a
+// peersync session before the raft library uses it.
 type streamLayer struct {
 	listener      net.Listener
 	keys          peersync.Keys
-	dialAddresses map[string]string // by the address of the member
+	dialAddresses map[string]string // keyed by member address
 	logger        *slog.Logger
-	authenticated chan net.Conn // accepted connections after the handshake
+	authenticated chan net.Conn // accepted connections that completed the handshake
 	closing       chan struct{}
 	closeOnce     sync.Once
 	wg            sync.WaitGroup
 }
 
-// listenStream listens at an address. The caller closes the layer.
+// listenStream listens on an address. The caller must close the layer.
 func listenStream(address string, dialAddresses map[string]string, keys peersync.Keys, logger *slog.Logger) (*streamLayer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -45,12 +45,12 @@
 		Serve:    l.handshake,
 		OnError:  func(err error) { logger.Warn("replicated log: accept failed", "error", err) },
 	}
-	l.wg.Go(func() { _ = loop.Run(listener) }) // ends with the listener
+	l.wg.Go(func() { _ = loop.Run(listener) }) // ends when the listener is closed
 	return l, nil
 }
 
-// handshake authenticates a connection and passes it to Accept. Handshakes run concurrently, as a peer that sends nothing
-// must not keep out the others.
+// handshake authenticates a connection and passes it to Accept. Handshakes run concurrently, so that a peer that sends
+// nothing does not block others.
 func (l *streamLayer) handshake(conn net.Conn) {
 	if _, err := peersync.Accept(conn, l.keys); err != nil {
 		l.logger.Warn("replicated log: handshake failed", "from", conn.RemoteAddr(), "error", err)
@@ -74,8 +74,8 @@
 	}
 }
 
-// Close implements net.Listener: it closes the listener and waits for all handshakes. Connections that Accept returned
-// stay open. Further calls do nothing.
+// Close implements net.Listener: it closes the listener and waits until all handshakes have ended. Connections that
+// Accept returned stay open. Further calls have no effect.
 func (l *streamLayer) Close() (err error) {
 	l.closeOnce.Do(func() {
 		close(l.closing)
@@ -92,7 +92,7 @@
 func (l *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	dialAddress, known := l.dialAddresses[string(address)]
 	if !known {
-		return nil, fmt.Errorf("replicated log: %s is none of its members", address)
+		return nil, fmt.Errorf("replicated log: %s is not the address of a member", address)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
