--- a/internal/adminsocket/adminsocket.go
+++ b/internal/adminsocket/adminsocket.go
@@ -1,5 +1,6 @@
-// Package adminsocket is the Unix socket by which operators on the same machine query a running server: one JSON line
-// with the request, and one with the response. Only the server's own user can open it.
+// Package adminsocket implements the Unix socket through which operators on the same machine query a running server. A
+// client sends one JSON line with the request and receives one with the response. Only the server's own user can
+// connect.
 package adminsocket
 
 import (
@@ -20,26 +21,26 @@
 const (
 	maxRequestBytes  = 4 << 10
 	maxResponseBytes = 1 << 20
-	// ioTimeout is the time a client has to send its request and read the response.
+	// ioTimeout is the time limit for a client to send its request and read the response.
 	ioTimeout = time.Second
-	// clientTimeout is longer, as another client may be served first.
+	// clientTimeout is longer than ioTimeout, as another client may be served first.
 	clientTimeout = 2 * ioTimeout
 
-	ownerOnlyUmask = 0o177 // leaves read and write for the server's user
+	ownerOnlyUmask = 0o177 // permits read and write by the server's user only
 )
 
-// Request is a query of an operator.
+// Request is an operator's query.
 type Request struct {
-	Query string `json:"ask"` // its name
+	Query string `json:"ask"` // name of the query
 }
 
-// response is either an error or an answer.
+// response holds either an error or an answer.
 type response struct {
 	Error  string          `json:"error,omitempty"`
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// Handler returns the answer to a request, to be encoded as JSON. It is called for one request at a time.
+// Handler returns the answer to a request, which is then encoded as JSON. It is called for one request at a time.
 type Handler func(request Request) (any, error)
 
 // Server answers requests, one at a time, until it is closed.
@@ -49,14 +50,14 @@
 	wg       sync.WaitGroup
 }
 
-// Listen serves at a path. A socket file of a dead server is replaced; a path of a running server, or of another file, is
-// an error. The caller closes the server.
+// Listen serves requests on the socket at a path. It replaces the socket file of a server that no longer runs. It fails
+// if a running server uses the path or if another kind of file exists there. The caller must close the server.
 func Listen(path string, handler Handler) (*Server, error) {
 	if err := removeStale(path); err != nil {
 		return nil, err
 	}
-	// The umask holds for the whole process, which is safe only because nothing else creates files while the server
-	// starts. A chmod after Listen would leave a moment in which others can connect.
+	// The umask applies to the whole process. Changing it is safe only because nothing else creates files while the
+	// server starts. A chmod after Listen would leave a moment in which other users can connect.
 	umask := syscall.Umask(ownerOnlyUmask)
 	listener, err := net.Listen("unix", path)
 	syscall.Umask(umask)
@@ -66,24 +67,24 @@
 	s := &Server{listener: listener, handler: handler}
 	loop := acceptloop.Loop{
 		Serve:   s.serve,
-		OnError: func(error) {}, // the client sees that nobody answers
+		OnError: func(error) {}, // the client gets no response
 	}
-	s.wg.Go(func() { _ = loop.Run(listener) }) // ends with the listener
+	s.wg.Go(func() { _ = loop.Run(listener) }) // ends when the listener is closed
 	return s, nil
 }
 
-// removeStale removes the socket file that a dead server left at a path.
+// removeStale removes a socket file that no server listens on.
 func removeStale(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
-		return nil // there is none; any other fault shows when listening
+		return nil // no such file; net.Listen reports any other error
 	}
 	if info.Mode()&fs.ModeSocket == 0 {
-		return fmt.Errorf("control socket %s: something else stands there", path)
+		return fmt.Errorf("control socket %s: path exists and is not a socket", path)
 	}
 	if conn, err := net.DialTimeout("unix", path, ioTimeout); err == nil {
 		_ = conn.Close()
-		return fmt.Errorf("control socket %s: another server answers there", path)
+		return fmt.Errorf("control socket %s: another server is listening", path)
 	}
 	if err := os.Remove(path); err != nil {
 		return fmt.Errorf("control socket: %w", err)
@@ -93,11 +94,11 @@
 
 // Close stops the server, waits for the request in progress, and removes the socket file.
 func (s *Server) Close() {
-	_ = s.listener.Close() // fails only where it was closed before
+	_ = s.listener.Close() // fails only if the listener was already closed
 	s.wg.Wait()
 }
 
-// serve answers the one request of a connection.
+// serve answers the single request of a connection.
 func (s *Server) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	if conn.SetDeadline(time.Now().Add(ioTimeout)) != nil {
@@ -108,7 +109,7 @@
 	if !lines.Scan() {
 		return
 	}
-	_ = json.NewEncoder(conn).Encode(s.respond(lines.Bytes())) // a client that is gone needs no response
+	_ = json.NewEncoder(conn).Encode(s.respond(lines.Bytes())) // a client that disconnected needs no response
 }
 
 func (s *Server) respond(line []byte) response {
@@ -127,8 +128,8 @@
 	return response{Answer: raw}
 }
 
-// Query sends a request to a running server and decodes the answer into a value. An error that the server's handler
-// returned has the same text here.
+// Query sends a request to a running server and decodes the answer into the value that answer points to. An error
+// returned by the server's handler has the same text here.
 func Query(path string, request Request, answer any) error {
 	conn, err := net.DialTimeout("unix", path, ioTimeout)
 	if err != nil {
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Requests are answered, also after clients that send garbage, too much or nothing: one that sends nothing holds others up
-// for a second at most.
+// Requests are answered even after clients that send malformed input, too much or nothing. A client that sends nothing
+// delays others by at most ioTimeout.
 func TestQuery(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	s, err := Listen(path, func(q Request) (any, error) {
@@ -37,7 +37,7 @@
 		_, _ = conn.Write([]byte(bad))
 		_ = conn.Close()
 	}
-	silent, err := net.Dial("unix", path) // until its timeout
+	silent, err := net.Dial("unix", path) // sends nothing until its timeout
 	require.NoError(t, err)
 	defer func() { _ = silent.Close() }()
 	started := time.Now()
@@ -49,13 +49,13 @@
 	assert.ErrorContains(t, Query(path, Request{}, &got), "no server answers")
 }
 
-// A server that was killed leaves its socket file, which the next one replaces, with the mode of its own. Any other file at
-// the path is left alone.
+// A server that was killed leaves its socket file behind. The next server replaces it by one with its own mode. Any
+// other kind of file at the path is left unchanged.
 func TestExistingFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	_, err := Listen(path, nil)
-	assert.ErrorContains(t, err, "something else")
+	assert.ErrorContains(t, err, "not a socket")
 	require.NoError(t, os.Remove(path))
 
 	dead, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -63,7 +63,7 @@
 	dead.SetUnlinkOnClose(false)
 	require.NoError(t, dead.Close())
 	s, err := Listen(path, nil)
-	require.NoError(t, err, "the socket file of a dead server is replaced")
+	require.NoError(t, err, "the socket file of a server that no longer runs must be replaced")
 	info, err := os.Stat(path)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
--- a/internal/leasing/manager.go
+++ b/internal/leasing/manager.go
@@ -1,5 +1,5 @@
-// Package leasing obtains leases among the servers of a fleet. It runs one server's voter and candidates of package lease,
-// which decides who holds a lease, and carries their messages over package peersync.
+// Package leasing obtains leases for one server of a fleet. It runs the server's voter and candidates of package lease,
+// which implements the voting, and exchanges their messages over package peersync.
 package leasing
 
 import (
@@ -17,38 +17,38 @@
 )
 
 const (
-	maxPosted      = 4096 // calls that wait for the manager's goroutine; one too many is dropped, as a lost message would be
-	maxExchanges   = 16   // with peers at a time, as each takes a descriptor
-	roundsPerLease = 4    // so that a holder tries three times to renew before its lease ends
+	maxPosted      = 4096 // calls queued for the manager's goroutine; further ones are dropped, with the same effect as a lost message
+	maxExchanges   = 16   // concurrent exchanges with peers, each of which uses a file descriptor
+	roundsPerLease = 4    // lets a holder try three times to renew before its lease expires
 )
 
-// Options configure a Manager.
+// Options configures a Manager.
 type Options struct {
-	Address string   // of this server for its peers, by which the fleet knows it
-	Leases  []string // names of those that this server wants
+	Address string   // of this server, by which its peers know it
+	Leases  []string // names of the leases that this server requests
 	Config  lease.Config
 	Peers   []string // addresses of the other voters
 	Keys    peersync.Keys
-	Seed    int64 // of the candidates' backoff
+	Seed    int64 // of the candidates' random backoff
 	Log     *slog.Logger
 }
 
-// managedLease is one lease that this server wants.
+// managedLease is one lease that this server requests.
 type managedLease struct {
 	candidate *lease.Candidate
 	held      bool   // as last logged
-	refusedBy string // holder named in the last refusal that was logged
+	refusedBy string // holder named in the last logged refusal
 }
 
-// Manager votes on leases and holds those that this server was granted. The goroutine that calls Run owns the voter and the
-// candidates; other goroutines post calls to it. HandleVote, Status and Holds are safe for concurrent use.
+// Manager votes on leases and holds those that were granted to this server. The goroutine that calls Run owns the voter
+// and the candidates; other goroutines post calls to it. HandleVote, Status and Holds are safe for concurrent use.
 type Manager struct {
 	options   Options
 	started   time.Time
 	voter     *lease.Voter
 	leases    []*managedLease
-	requests  []chan [][]byte // one for each peer, with room for the requests of one round
-	exchanges chan struct{}   // holds an element for each exchange with a peer that is under way
+	requests  []chan [][]byte // one channel per peer, with capacity for the requests of one round
+	exchanges chan struct{}   // semaphore with one element for each exchange in progress
 	status    atomic.Pointer[[]Status]
 	senders   sync.WaitGroup
 
@@ -57,7 +57,8 @@
 	wake   chan struct{}
 }
 
-// New returns a manager whose voter grants nothing until all grants that it could have made before a restart have expired.
+// New returns a manager. Its voter grants nothing until all grants that it could have made before a restart have
+// expired.
 func New(options Options) (*Manager, error) {
 	if err := options.Config.Validate(); err != nil {
 		return nil, err
@@ -81,11 +82,11 @@
 	return m, nil
 }
 
-// now is the time since the start on the monotonic clock: a lease rests on the rate of this clock, and a change of the wall
-// clock must not move it.
+// now returns the time since the start on the monotonic clock. Leases depend on the rate of this clock and must not be
+// affected by changes of the wall clock.
 func (m *Manager) now() time.Duration { return time.Since(m.started) }
 
-// post has Run's goroutine call f.
+// post queues f to be called by Run's goroutine.
 func (m *Manager) post(f func()) {
 	m.mu.Lock()
 	if len(m.posted) < maxPosted {
@@ -98,18 +99,19 @@
 	}
 }
 
-// runPosted makes the calls that were posted.
+// runPosted makes the queued calls.
 func (m *Manager) runPosted() {
 	m.mu.Lock()
 	batch := m.posted
-	m.posted = nil // a new slice, so that a queue that was long once does not keep its memory
+	m.posted = nil // a new slice, so that the memory of a long queue is released
 	m.mu.Unlock()
 	for _, f := range batch {
 		f()
 	}
 }
 
-// Run keeps the leases until the context ends, then releases them and returns once all its goroutines have ended.
+// Run requests and renews the leases until the context ends. It then releases them and returns after all its goroutines
+// have ended.
 func (m *Manager) Run(ctx context.Context) {
 	for i, address := range m.options.Peers {
 		m.senders.Go(func() { m.sendRequests(ctx, address, m.requests[i]) })
@@ -132,7 +134,7 @@
 	}
 }
 
-// startRound has every voter asked for each lease, this server's own at once.
+// startRound requests each lease from all voters. This server's own voter responds immediately.
 func (m *Manager) startRound() {
 	now := m.now()
 	var batch [][]byte
@@ -148,17 +150,18 @@
 	}
 	for _, requests := range m.requests {
 		select {
-		case <-requests: // of an earlier round that were not sent: their responses would be ignored
+		case <-requests: // discards unsent requests of an earlier round, whose responses would be ignored
 		default:
 		}
 		if len(batch) > 0 {
-			requests <- batch // does not block: it was emptied, and no other goroutine sends on it
+			requests <- batch // does not block: the channel was emptied above, and no other goroutine sends on it
 		}
 	}
 	m.logChanges()
 }
 
-// handleResponse passes a response to the candidate. A refusal is logged when it names another holder than the last one.
+// handleResponse passes a response to the candidate. It logs a refusal if it names another holder than the last logged
+// one.
 func (m *Manager) handleResponse(l *managedLease, response lease.VoteResponse) {
 	l.candidate.HandleResponse(response, m.now())
 	other := response.Holder != "" && response.Holder != l.candidate.ID
@@ -187,7 +190,7 @@
 	m.publishStatus()
 }
 
-// release ends all leases on this side and in this server's own vote. The other voters' grants expire by themselves.
+// release gives up all leases and releases them at this server's own voter. The grants of the other voters expire.
 func (m *Manager) release() {
 	for _, l := range m.leases {
 		c := l.candidate
--- a/internal/leasing/manager_test.go
+++ b/internal/leasing/manager_test.go
@@ -14,8 +14,8 @@
 	"quartzpoint/lease"
 )
 
-// Three managers on loopback want two leases. If the requests for one lease pushed out those for the
-// other on the way to a peer, one of them would not be granted: each must get one holder, and never two.
+// Three managers on loopback request two leases. Each lease must get one holder and never two. A lease would not be
+// granted if requests for one lease displaced those for the other in the queue to a peer.
 func TestEveryLeaseHasOneHolder(t *testing.T) {
 	config := lease.Config{Duration: 300 * time.Millisecond, MaxClockDrift: 0.01, Voters: 3}
 	leases := []string{"compact", "announce"}
@@ -62,7 +62,7 @@
 	}
 	require.Eventually(t, func() bool { return holders("compact") == 1 && holders("announce") == 1 },
 		10*time.Second, 5*time.Millisecond)
-	for range 50 { // and never two, while they renew
+	for range 50 { // never more than one holder while leases are renewed
 		assert.LessOrEqual(t, holders("compact"), 1)
 		assert.LessOrEqual(t, holders("announce"), 1)
 		time.Sleep(10 * time.Millisecond)
@@ -71,8 +71,8 @@
 	assert.ErrorContains(t, err, "3 voters for 1 peers")
 }
 
-// A thousand voters respond at once, and then more than the queue has room for. None of the thousand may be lost, the rest
-// must be dropped, and the queue must not keep the memory of what it held.
+// A thousand voters respond at the same time, and then more responses arrive than the queue can hold. None of the
+// thousand may be lost, the excess ones must be dropped, and the emptied queue must not keep its memory.
 func TestQueueOfAThousand(t *testing.T) {
 	manager, err := New(Options{Address: "a", Leases: []string{"d"}, Config: lease.Config{Duration: time.Second, Voters: 1},
 		Log: slog.New(slog.DiscardHandler)})
--- a/internal/leasing/status.go
+++ b/internal/leasing/status.go
@@ -7,14 +7,14 @@
 	"quartzpoint/lease"
 )
 
-// Status is what this server knows of one lease.
+// Status is the state of one lease as known to this server.
 type Status struct {
 	Lease        string        `json:"duty"`
-	Holds        bool          `json:"holds"`            // whether this server holds it now
-	Token        uint64        `json:"token"`            // of the lease, or of the last request where it is not held
-	Remaining    time.Duration `json:"left_ns"`          // until it expires, on this server's clock; 0 where it is not held
-	LastVoteFor  string        `json:"holder,omitempty"` // to which this server's own vote last went
-	HighestToken uint64        `json:"newest"`           // token of that vote
+	Holds        bool          `json:"holds"`            // whether this server holds the lease now
+	Token        uint64        `json:"token"`            // of the lease if it is held, otherwise of the last request
+	Remaining    time.Duration `json:"left_ns"`          // time until the lease expires, on this server's clock; 0 if it is not held
+	LastVoteFor  string        `json:"holder,omitempty"` // candidate to which this server's voter last granted the lease
+	HighestToken uint64        `json:"newest"`           // token of that grant
 	expiry       time.Duration
 }
 
@@ -28,7 +28,7 @@
 	return status
 }
 
-// Holds returns the token of a lease, and whether this server holds it now.
+// Holds returns the token of a lease and reports whether this server holds the lease now.
 func (m *Manager) Holds(name string) (lease.Token, bool) {
 	for _, status := range *m.status.Load() {
 		if status.Lease == name && m.now() < status.expiry {
@@ -38,7 +38,7 @@
 	return 0, false
 }
 
-// publishStatus makes the present state visible to other goroutines.
+// publishStatus makes the current status available to other goroutines.
 func (m *Manager) publishStatus() {
 	now := m.now()
 	published := make([]Status, 0, len(m.leases))
--- a/internal/leasing/votes.go
+++ b/internal/leasing/votes.go
@@ -9,14 +9,14 @@
 	"quartzpoint/lease"
 )
 
-// ballot is the message that package peersync carries: a request to a voter, or its response.
+// ballot is the message carried by package peersync: a request to a voter or its response.
 type ballot struct {
 	Request  *lease.VoteRequest  `cbor:"1,keyasint,omitempty"`
 	Response *lease.VoteResponse `cbor:"2,keyasint,omitempty"`
 }
 
-// HandleVote is a peersync.VoteHandler: it has Run's goroutine vote on a peer's request. A ballot that is no request gets no
-// response, and the peer times out.
+// HandleVote is a peersync.VoteHandler: Run's goroutine votes on a peer's request. A ballot without a request gets no
+// response, so that the peer times out.
 func (m *Manager) HandleVote(raw []byte, respond func([]byte)) {
 	var b ballot
 	if err := cbor.Unmarshal(raw, &b); err != nil || b.Request == nil {
@@ -30,8 +30,8 @@
 	})
 }
 
-// sendRequests is the goroutine of one peer: it sends the requests of each round, one exchange at a time. So a peer that does
-// not respond delays no other, as long as fewer than maxExchanges are such.
+// sendRequests runs as the goroutine of one peer. It sends the requests of each round, one exchange at a time. A peer
+// that does not respond delays no other peer, as long as there are fewer than maxExchanges such peers.
 func (m *Manager) sendRequests(ctx context.Context, address string, requests <-chan [][]byte) {
 	for {
 		select {
@@ -51,7 +51,7 @@
 	}
 }
 
-// sendRequest has one exchange with a peer. Without a response in time the vote does not count.
+// sendRequest makes one exchange with a peer. If there is no response in time, the vote does not count.
 func (m *Manager) sendRequest(ctx context.Context, address string, raw []byte) {
 	ctx, cancel := context.WithTimeout(ctx, m.options.Config.Duration/roundsPerLease)
 	defer cancel()
--- a/internal/leasing/wire_test.go
+++ b/internal/leasing/wire_test.go
@@ -12,9 +12,9 @@
 	"quartzpoint/lease"
 )
 
-// Servers of different versions vote for each other while a fleet is upgraded. A field whose encoded name changed would
-// be read as empty on the other side: no vote would count, and no lease be held. The bytes of both messages are
-// therefore stated here.
+// Servers of different versions vote for each other during a rolling upgrade. A field whose encoded name changed would
+// be read as empty by the other version: votes would not count, and no lease would be granted. The test therefore
+// compares the encoding of both messages with fixed bytes.
 func TestBallotBytesStayTheSame(t *testing.T) {
 	request := lease.VoteRequest{Lease: "compact", Candidate: "10.0.0.1:7400", Token: 258}
 	response := lease.VoteResponse{
