--- a/cmd/quartzconfig/apply.go
+++ b/cmd/quartzconfig/apply.go
@@ -14,7 +14,7 @@
 	"quartzpoint/internal/configwatch"
 )
 
-// idBytes is the size of a random ID of a change.
+// idBytes is the size of a randomly generated change ID.
 const idBytes = 16
 
 // applyCommand proposes a change.
@@ -26,7 +26,7 @@
 	Wait time.Duration `default:"15s" help:"How long to try."`
 }
 
-// Run proposes the change and prints the version that it became.
+// Run proposes the change and prints the resulting version.
 func (cmd *applyCommand) Run() error {
 	service, keys, err := cmd.read()
 	if err != nil {
@@ -46,7 +46,8 @@
 	return nil
 }
 
-// change is the change in the file, with the ID and base of the command line.
+// change returns the change read from the file, with the ID and base of the command line, or with a random ID if there
+// is none.
 func (cmd *applyCommand) change() (configuration.Change, error) {
 	raw, err := cmd.readFile()
 	if err != nil {
@@ -61,7 +62,7 @@
 	}
 	if change.ID == "" {
 		var id [idBytes]byte
-		_, _ = rand.Read(id[:]) // never fails
+		_, _ = rand.Read(id[:]) // never returns an error
 		change.ID = hex.EncodeToString(id[:])
 	}
 	if cmd.Base != nil {
@@ -72,7 +73,7 @@
 
 func (cmd *applyCommand) readFile() ([]byte, error) {
 	if cmd.File == "-" {
-		return io.ReadAll(io.LimitReader(os.Stdin, configuration.MaxChangeBytes+1)) // Propose rejects one byte too many
+		return io.ReadAll(io.LimitReader(os.Stdin, configuration.MaxChangeBytes+1)) // one byte over the limit, so that Propose rejects a change that is too long
 	}
 	return os.ReadFile(cmd.File)
 }
--- a/cmd/quartzconfig/main.go
+++ b/cmd/quartzconfig/main.go
@@ -1,5 +1,5 @@
-// Command quartzconfig is the configuration service: on each control machine it serves a replica of the versioned
-// routes and tenants; for operators it applies changes and prints the status of the service and the fleet.
+// Command quartzconfig runs and operates the configuration service. On each control machine it serves a replica of the
+// versioned routes and tenants. Operators use it to apply changes and to print the status of the service and the fleet.
 package main
 
 import (
@@ -15,19 +15,19 @@
 	"quartzpoint/internal/peersync"
 )
 
-// The exit codes.
+// Exit codes of the command.
 const (
-	exitRejected    = 1  // the change or a file is invalid, or any other error
+	exitRejected    = 1  // the change or a file is invalid, or another error occurred
 	exitUnavailable = 2  // the outcome is unknown
 	exitUsage       = 80 // the command line is invalid
 )
 
 const description = `The configuration service of a fleet: versioned changes of routes and tenants.
 
-Exit codes: 0 done; 1 refused, and the last lines say why, each fault by its key; 2 not reached: the change may have
-been accepted all the same, and may be applied again under the same --id; 80 wrong usage.`
+Exit codes: 0 success; 1 rejected, with the reason for each invalid key in the last lines; 2 service unavailable: the change
+may still have been accepted, and can be applied again with the same --id; 80 invalid command line.`
 
-// commands are the commands of the command line.
+// commands defines the subcommands of the command line.
 type commands struct {
 	Serve  serveCommand  `cmd:"" help:"Serve on this machine, which the file names."`
 	Apply  applyCommand  `cmd:"" help:"Have a change accepted, and print the version that it became."`
@@ -39,7 +39,7 @@
 	Config string `required:"" placeholder:"FILE" help:"The service's configuration file (TOML)."`
 }
 
-// read reads the file and the keys of its key file, if it names one.
+// read reads the configuration file and, if it names a key file, the keys.
 func (f *serviceFile) read() (*config.ControlService, peersync.Keys, error) {
 	service, err := config.ReadControlService(f.Config)
 	if err != nil || service.KeyFile == "" {
@@ -53,7 +53,7 @@
 	logger := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	parser, err := kong.New(&commands{}, kong.Name("quartzconfig"), kong.Description(description), kong.UsageOnError(), kong.Bind(logger))
 	if err != nil {
-		panic(fmt.Errorf("command line: %w", err)) // the commands are constant
+		panic(fmt.Errorf("command line: %w", err)) // the commands are fixed at compile time
 	}
 	command, err := parser.Parse(os.Args[1:])
 	if err != nil {
--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -20,7 +20,7 @@
 
 const patience = 30 * time.Second
 
-// programs is the directory of the two programs, built once.
+// binDir is the directory with the binaries of quartzconfig and quartzpoint, which TestMain builds once.
 var programs string
 
 func TestMain(m *testing.M) {
@@ -38,7 +38,7 @@
 	os.Exit(code)
 }
 
-// cluster is three control machines, each a process of the real program.
+// cluster is a set of control machines, each a process of the real binary.
 type cluster struct {
 	folder   string
 	sessions []string
@@ -77,7 +77,8 @@
 	return path
 }
 
-// file writes the service's configuration file; a file that is only read to reach the machines has no head.
+// file writes a configuration file of the service and returns its path. The head holds the keys for serving; a file for
+// clients has an empty head.
 func (f *cluster) file(t *testing.T, name, head string) string {
 	text := head + fmt.Sprintf("key-file = %q\n", f.keyFile)
 	for i := range f.sessions {
@@ -120,7 +121,7 @@
 	return all.String(), code
 }
 
-// apply applies a change and returns its version.
+// apply applies a change and returns the resulting version.
 func (f *cluster) apply(t *testing.T, change string) int {
 	t.Helper()
 	out, code := f.run(t, "apply", f.write(t, "change.json", change))
@@ -150,7 +151,7 @@
 	require.Eventually(t, func() bool { return strings.Contains(d.Log(), want) }, patience, time.Millisecond, d.Log())
 }
 
-// codes sends one request of a route and returns the code of its response.
+// sendRequest sends one request of a route and returns the status code of its response.
 func codes(t *testing.T, d *harness.Daemon, route string) (code byte) {
 	t.Helper()
 	types := []harness.Route{{Name: route, LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
@@ -175,9 +176,9 @@
 	return `{"routes":{` + strings.Join(all, ",") + `}}`
 }
 
-// The real programs: a change comes into force at a running server without a restart. The leader is killed, and changes
-// go on; all control machines are killed, and the server goes on, also through a restart, with the version that it stored.
-// Each error has its exit code.
+// Tests the real binaries. A change comes into force at a running server without a restart. Changes are still accepted
+// after the leader is killed. After all control machines are killed, the server continues with the version that it
+// stored, even after a restart. Each kind of error has its exit code.
 func TestRealPrograms(t *testing.T) {
 	f := newCluster(t)
 	d := f.server(t)
@@ -213,7 +214,7 @@
 	for i := range f.running {
 		f.kill(i)
 	}
-	require.Equal(t, byte(codeServed), codes(t, d, "late"), "goes on with the version in force")
+	require.Equal(t, byte(codeServed), codes(t, d, "late"), "the server must continue with the version in force")
 	out, code = f.run(t, "apply", "--wait", "300ms", f.write(t, "change.json", routes("later")))
 	assert.Equal(t, exitUnavailable, code, out)
 	out, code = f.run(t, "status", "--wait", "300ms")
@@ -221,8 +222,8 @@
 	require.NoError(t, d.Kill())
 	d = f.server(t)
 	assert.Contains(t, d.Log(), `msg="configuration: stored version in force" version=3 age=`)
-	assert.Equal(t, byte(codeServed), codes(t, d, "late"), "as it was stored")
-	assert.Equal(t, byte(codeRejected), codes(t, d, "base"), "and not as the platform's configuration says")
+	assert.Equal(t, byte(codeServed), codes(t, d, "late"), "the stored version must be in force")
+	assert.Equal(t, byte(codeRejected), codes(t, d, "base"), "the platform's configuration must not be in force")
 	for i := range f.running {
 		f.start(t, i)
 	}
@@ -242,7 +243,7 @@
 	return leader
 }
 
-// An invalid file is reported with all its errors, by file, line and key, and nothing starts.
+// All errors of an invalid file are reported, each by file, line and key, and the service does not start.
 func TestFaultyFile(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "c.toml")
--- a/cmd/quartzconfig/serve.go
+++ b/cmd/quartzconfig/serve.go
@@ -16,10 +16,10 @@
 	"quartzpoint/internal/raftlog"
 )
 
-// logDir is the directory of the replicated log inside the data directory.
+// logDir is the directory of the replicated log, relative to the data directory.
 const logDir = "log"
 
-// serveCommand serves on a control machine.
+// serveCommand serves the configuration service on a control machine.
 type serveCommand struct{ serviceFile }
 
 // Run serves until SIGTERM or SIGINT.
@@ -29,10 +29,10 @@
 		return err
 	}
 	if service.Name == "" || service.Data == "" {
-		return fmt.Errorf("%s: name and data are needed to serve", cmd.Config)
+		return fmt.Errorf("%s: serve requires the keys name and data", cmd.Config)
 	}
 	if len(keys) == 0 {
-		logger.Warn("configuration service without a key: loopback addresses only")
+		logger.Warn("no key file configured: only loopback addresses are allowed")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -58,11 +58,11 @@
 	return server.Serve(ctx, listener)
 }
 
-// clusterView is the control machines as one of them sees them.
+// clusterView describes the control machines from the point of view of one of them.
 type clusterView struct {
 	machine          config.ControlMachine // this one
 	members          []raftlog.Member
-	sessionAddresses map[string]string // by the name of the machine
+	sessionAddresses map[string]string // keyed by machine name
 }
 
 func newClusterView(service *config.ControlService) clusterView {
--- a/cmd/quartzconfig/status.go
+++ b/cmd/quartzconfig/status.go
@@ -29,20 +29,20 @@
 	Wait time.Duration `default:"5s" help:"How long to try."`
 }
 
-// fleetStatus is the status of the service and of its watchers, from all control machines that answered.
+// fleetStatus is the combined status of the control machines that answered, and of their watchers.
 type fleetStatus struct {
 	Leader      string                      `json:"leader"`
 	Version     uint64                      `json:"version"`
 	Watchers    int                         `json:"watchers"`
-	P50         time.Duration               `json:"lag_p50_ns"` // of the time from acceptance to in force
+	P50         time.Duration               `json:"lag_p50_ns"` // of the propagation delays, from acceptance to in force
 	P99         time.Duration               `json:"lag_p99_ns"`
 	Worst       time.Duration               `json:"lag_worst_ns"`
-	Reports     int                         `json:"reports"` // number of these times
+	Reports     int                         `json:"reports"` // number of propagation delays
 	Replicas    []configwatch.ReplicaStatus `json:"machines"`
-	Unreachable []string                    `json:"silent"` // name and error of the machines that did not answer
+	Unreachable []string                    `json:"silent"` // name and error of each machine that did not answer
 }
 
-// Run asks all control machines and prints what they answer.
+// Run queries all control machines and prints their combined status.
 func (cmd *statusCommand) Run() error {
 	service, keys, err := cmd.read()
 	if err != nil {
@@ -75,7 +75,7 @@
 		status.Version = max(status.Version, replica.Version)
 		status.Watchers += replica.Watchers
 		delays = append(delays, replica.PropagationDelays...)
-		replica.PropagationDelays = nil // summed up below
+		replica.PropagationDelays = nil // summarized by setDelays
 		status.Replicas = append(status.Replicas, replica)
 	}
 	if len(status.Replicas) == 0 {
--- a/cmd/quartzconfig/stored_test.go
+++ b/cmd/quartzconfig/stored_test.go
@@ -17,8 +17,8 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// storedMachine is a control machine of the real program, alone, on a copy of the folder that quartzconfig of f1daac1
-// left when it was killed: five versions, the first three of them in a snapshot.
+// startStoredMachine starts a single control machine of the real binary on a copy of the directory left by a killed
+// quartzconfig of revision f1daac1. The directory has five versions, the first three of them in a snapshot.
 func storedMachine(t *testing.T) *cluster {
 	t.Helper()
 	f := &cluster{folder: t.TempDir()}
@@ -61,8 +61,8 @@
 	return s
 }
 
-// The service goes on from the folder with the same version and content, tells it to a server that watches, knows the
-// changes that were sent before, and takes further ones.
+// The service continues from the directory with the same version and content, sends it to a watching server, recognizes
+// repeated changes that it accepted before, and accepts further changes.
 func TestGoesOnFromAStoredLog(t *testing.T) {
 	f := storedMachine(t)
 	var stands storedStatus
@@ -81,8 +81,8 @@
 	assert.Equal(t, byte(codeRejected), codes(t, d, "gone"), "removed by the second change")
 
 	third := `{"id":"third","base":2,"tenants":{"west":null,"north":{"quota-rps":75,"fraction":0.5}}}`
-	assert.Equal(t, 3, f.apply(t, third), "sent again, it is the version that it was")
-	assert.Equal(t, 5, f.apply(t, `{"id":"fifth","routes":{"base":null}}`), "known by its id alone")
+	assert.Equal(t, 3, f.apply(t, third), "a repeated change must keep its version")
+	assert.Equal(t, 5, f.apply(t, `{"id":"fifth","routes":{"base":null}}`), "a repeated change must be recognized by its ID alone")
 	out, code := f.run(t, "apply", f.write(t, "change.json", `{"base":4,"routes":{"base":null}}`))
 	assert.Equal(t, exitRejected, code, out)
 	gone := strings.Replace(routes("gone"), "{", `{"base":5,`, 1)
@@ -95,7 +95,8 @@
 	require.Eventually(t, reached(6), patience, 20*time.Millisecond)
 }
 
-// A server that had kept version 4 of this history serves by it, asks for what is behind it, and has that in force.
+// A server that stored version 4 of this history starts with it, requests the versions after it, and brings them into
+// force.
 func TestStoredWatcherIsToldWhatItLacks(t *testing.T) {
 	f := storedMachine(t)
 	require.Eventually(t, func() bool { return f.storedStatus(t).Version == 5 }, patience, 20*time.Millisecond)
