--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -21,7 +21,7 @@
 const patience = 30 * time.Second
 
 // binDir is the directory with the binaries of quartzconfig and quartzpoint, which TestMain builds once.
-var programs string
+var binDir string
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "quartzconfig")
@@ -31,7 +31,7 @@
 	build := exec.Command("go", "build", "-o", folder, ".", "../quartzpoint")
 	build.Stderr = os.Stderr
 	code := 1
-	if programs = folder; build.Run() == nil {
+	if binDir = folder; build.Run() == nil {
 		code = m.Run()
 	}
 	_ = os.RemoveAll(folder)
@@ -49,82 +49,82 @@
 }
 
 func newCluster(t *testing.T) *cluster {
-	f := &cluster{folder: t.TempDir()}
-	f.keyFile = f.write(t, "keys", strings.Repeat("5e", 16)+"\n")
+	c := &cluster{folder: t.TempDir()}
+	c.keyFile = c.write(t, "keys", strings.Repeat("5e", 16)+"\n")
 	for range 3 {
-		for _, list := range []*[]string{&f.sessions, &f.replicas} {
+		for _, list := range []*[]string{&c.sessions, &c.replicas} {
 			free, err := harness.FreeAddress()
 			require.NoError(t, err)
 			*list = append(*list, free)
 		}
-		f.running, f.logs = append(f.running, nil), append(f.logs, nil)
+		c.running, c.logs = append(c.running, nil), append(c.logs, nil)
 	}
-	for i := range f.running {
-		f.start(t, i)
+	for i := range c.running {
+		c.start(t, i)
 	}
 	t.Cleanup(func() {
-		for i := range f.running {
-			f.kill(i)
+		for i := range c.running {
+			c.kill(i)
 		}
 	})
-	return f
+	return c
 }
 
-func (f *cluster) write(t *testing.T, name, text string) string {
+func (c *cluster) write(t *testing.T, name, text string) string {
 	t.Helper()
-	path := filepath.Join(f.folder, name)
+	path := filepath.Join(c.folder, name)
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
 // file writes a configuration file of the service and returns its path. The head holds the keys for serving; a file for
 // clients has an empty head.
-func (f *cluster) file(t *testing.T, name, head string) string {
-	text := head + fmt.Sprintf("key-file = %q\n", f.keyFile)
-	for i := range f.sessions {
-		text += fmt.Sprintf("[[machine]]\nname = \"c%d\"\nzone = \"z%d\"\nreplication = %q\nsessions = %q\n", i, i, f.replicas[i], f.sessions[i])
+func (c *cluster) file(t *testing.T, name, head string) string {
+	text := head + fmt.Sprintf("key-file = %q\n", c.keyFile)
+	for i := range c.sessions {
+		text += fmt.Sprintf("[[machine]]\nname = \"c%d\"\nzone = \"z%d\"\nreplication = %q\nsessions = %q\n", i, i, c.replicas[i], c.sessions[i])
 	}
-	return f.write(t, name, text)
+	return c.write(t, name, text)
 }
 
-func (f *cluster) start(t *testing.T, i int) {
+func (c *cluster) start(t *testing.T, i int) {
 	t.Helper()
-	head := fmt.Sprintf("name = \"c%d\"\ndata = %q\n", i, filepath.Join(f.folder, fmt.Sprint("data", i)))
-	cmd := exec.Command(filepath.Join(programs, "quartzconfig"), "serve", "--config", f.file(t, fmt.Sprintf("c%d.toml", i), head))
-	f.logs[i] = &harness.LogBuffer{}
-	cmd.Stderr = f.logs[i]
+	head := fmt.Sprintf("name = \"c%d\"\ndata = %q\n", i, filepath.Join(c.folder, fmt.Sprint("data", i)))
+	cmd := exec.Command(filepath.Join(binDir, "quartzconfig"), "serve", "--config", c.file(t, fmt.Sprintf("c%d.toml", i), head))
+	c.logs[i] = &harness.LogBuffer{}
+	cmd.Stderr = c.logs[i]
 	require.NoError(t, cmd.Start())
-	f.running[i] = cmd
-	require.Eventually(t, func() bool { return strings.Contains(f.logs[i].String(), "msg=serving") }, patience, time.Millisecond, f.logs[i].String())
+	c.running[i] = cmd
+	require.Eventually(t, func() bool { return strings.Contains(c.logs[i].String(), "msg=serving") }, patience, time.Millisecond, c.logs[i].String())
 }
 
-func (f *cluster) kill(i int) {
-	if cmd := f.running[i]; cmd != nil {
+func (c *cluster) kill(i int) {
+	if cmd := c.running[i]; cmd != nil {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		f.running[i] = nil
+		c.running[i] = nil
 	}
 }
 
 // run runs a command and returns its output and exit code.
-func (f *cluster) run(t *testing.T, args ...string) (out string, code int) {
+func (c *cluster) run(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
-	cmd := exec.Command(filepath.Join(programs, "quartzconfig"), append(args, "--config", f.file(t, "client.toml", ""))...)
-	var all bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &all, &all
+	cmd := exec.Command(filepath.Join(binDir, "quartzconfig"), append(args, "--config", c.file(t, "client.toml", ""))...)
+	var output bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &output, &output
 	var exit *exec.ExitError
 	if err := cmd.Run(); errors.As(err, &exit) {
 		code = exit.ExitCode()
 	} else {
 		require.NoError(t, err)
 	}
-	return all.String(), code
+	return output.String(), code
 }
 
 // apply applies a change and returns the resulting version.
-func (f *cluster) apply(t *testing.T, change string) int {
+func (c *cluster) apply(t *testing.T, change string) int {
 	t.Helper()
-	out, code := f.run(t, "apply", f.write(t, "change.json", change))
+	out, code := c.run(t, "apply", c.write(t, "change.json", change))
 	require.Zero(t, code, out)
 	version, err := strconv.Atoi(strings.TrimSpace(out))
 	require.NoError(t, err, out)
@@ -132,27 +132,27 @@
 }
 
 // server starts an app server that watches the service.
-func (f *cluster) server(t *testing.T) *harness.Daemon {
+func (c *cluster) server(t *testing.T) *harness.Daemon {
 	t.Helper()
-	own := fmt.Sprintf("[configuration]\nname = \"app\"\nzone = \"z1\"\ndir = %q\nkey-file = %q\n", filepath.Join(f.folder, "kept"), f.keyFile)
-	for i, address := range f.sessions {
-		own += fmt.Sprintf("[[configuration.machine]]\nzone = \"z%d\"\naddress = %q\n", i, address)
+	section := fmt.Sprintf("[configuration]\nname = \"app\"\nzone = \"z1\"\ndir = %q\nkey-file = %q\n", filepath.Join(c.folder, "kept"), c.keyFile)
+	for i, address := range c.sessions {
+		section += fmt.Sprintf("[[configuration.machine]]\nzone = \"z%d\"\naddress = %q\n", i, address)
 	}
 	types := []harness.Route{{Name: "base", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
-	d, err := harness.Start(filepath.Join(programs, "quartzpoint"), f.folder, "app", types, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6}, own)
+	d, err := harness.Start(filepath.Join(binDir, "quartzpoint"), c.folder, "app", types, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6}, section)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = d.Stop() })
 	return d
 }
 
-func inForce(t *testing.T, d *harness.Daemon, version int) {
+func waitForVersion(t *testing.T, d *harness.Daemon, version int) {
 	t.Helper()
 	want := fmt.Sprintf("msg=\"configuration: in force\" version=%d ", version)
 	require.Eventually(t, func() bool { return strings.Contains(d.Log(), want) }, patience, time.Millisecond, d.Log())
 }
 
 // sendRequest sends one request of a route and returns the status code of its response.
-func codes(t *testing.T, d *harness.Daemon, route string) (code byte) {
+func sendRequest(t *testing.T, d *harness.Daemon, route string) (code byte) {
 	t.Helper()
 	types := []harness.Route{{Name: route, LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
 	got, err := harness.Run(d.Address, types, []harness.Arrival{{Work: time.Millisecond, Rank: 0.9}}, 1)
@@ -180,63 +180,63 @@
 // after the leader is killed. After all control machines are killed, the server continues with the version that it
 // stored, even after a restart. Each kind of error has its exit code.
 func TestRealPrograms(t *testing.T) {
-	f := newCluster(t)
-	d := f.server(t)
-	require.Equal(t, byte(codeServed), codes(t, d, "base"))
-	require.Equal(t, byte(codeRejected), codes(t, d, "quote"))
-	require.Equal(t, 1, f.apply(t, routes("base", "quote")))
-	inForce(t, d, 1)
-	assert.Equal(t, byte(codeServed), codes(t, d, "quote"), "added")
-	require.Equal(t, 2, f.apply(t, `{"routes":{"base":null}}`))
-	inForce(t, d, 2)
-	assert.Equal(t, byte(codeRejected), codes(t, d, "base"), "removed")
+	c := newCluster(t)
+	d := c.server(t)
+	require.Equal(t, byte(codeServed), sendRequest(t, d, "base"))
+	require.Equal(t, byte(codeRejected), sendRequest(t, d, "quote"))
+	require.Equal(t, 1, c.apply(t, routes("base", "quote")))
+	waitForVersion(t, d, 1)
+	assert.Equal(t, byte(codeServed), sendRequest(t, d, "quote"), "added")
+	require.Equal(t, 2, c.apply(t, `{"routes":{"base":null}}`))
+	waitForVersion(t, d, 2)
+	assert.Equal(t, byte(codeRejected), sendRequest(t, d, "base"), "removed")
 
-	out, code := f.run(t, "apply", f.write(t, "bad.json", `{"base":1,"routes":{"x":{"deadline":-1}},"tenants":{"nobody":null}}`))
+	out, code := c.run(t, "apply", c.write(t, "bad.json", `{"base":1,"routes":{"x":{"deadline":-1}},"tenants":{"nobody":null}}`))
 	assert.Equal(t, exitRejected, code)
 	for _, key := range []string{"base = 1", "routes.x.deadline = -1", "routes.x.goal-time = 0", "routes.x.idempotency", "tenants.nobody"} {
 		assert.Contains(t, out, key)
 	}
-	out, code = f.run(t, "apply", f.write(t, "typo.json", `{"rutes":{}}`))
+	out, code = c.run(t, "apply", c.write(t, "typo.json", `{"rutes":{}}`))
 	assert.Equal(t, exitRejected, code)
 	assert.Contains(t, out, "rutes")
-	_, code = f.run(t, "apply")
+	_, code = c.run(t, "apply")
 	assert.Equal(t, exitUsage, code)
 
-	leader := f.leader(t)
-	f.kill(leader)
-	require.Equal(t, 3, f.apply(t, routes("late")))
-	inForce(t, d, 3)
-	out, code = f.run(t, "status")
+	leader := c.leader(t)
+	c.kill(leader)
+	require.Equal(t, 3, c.apply(t, routes("late")))
+	waitForVersion(t, d, 3)
+	out, code = c.run(t, "status")
 	assert.Zero(t, code)
 	assert.Contains(t, out, "version 3, 1 watchers")
 	assert.Contains(t, out, fmt.Sprintf("no answer: c%d", leader))
 
-	for i := range f.running {
-		f.kill(i)
+	for i := range c.running {
+		c.kill(i)
 	}
-	require.Equal(t, byte(codeServed), codes(t, d, "late"), "the server must continue with the version in force")
-	out, code = f.run(t, "apply", "--wait", "300ms", f.write(t, "change.json", routes("later")))
+	require.Equal(t, byte(codeServed), sendRequest(t, d, "late"), "the server must continue with the version in force")
+	out, code = c.run(t, "apply", "--wait", "300ms", c.write(t, "change.json", routes("later")))
 	assert.Equal(t, exitUnavailable, code, out)
-	out, code = f.run(t, "status", "--wait", "300ms")
+	out, code = c.run(t, "status", "--wait", "300ms")
 	assert.Equal(t, exitUnavailable, code, out)
 	require.NoError(t, d.Kill())
-	d = f.server(t)
+	d = c.server(t)
 	assert.Contains(t, d.Log(), `msg="configuration: stored version in force" version=3 age=`)
-	assert.Equal(t, byte(codeServed), codes(t, d, "late"), "the stored version must be in force")
-	assert.Equal(t, byte(codeRejected), codes(t, d, "base"), "the platform's configuration must not be in force")
-	for i := range f.running {
-		f.start(t, i)
+	assert.Equal(t, byte(codeServed), sendRequest(t, d, "late"), "the stored version must be in force")
+	assert.Equal(t, byte(codeRejected), sendRequest(t, d, "base"), "the platform's configuration must not be in force")
+	for i := range c.running {
+		c.start(t, i)
 	}
-	require.Equal(t, 4, f.apply(t, `{"routes":{"quote":null}}`))
-	inForce(t, d, 4)
-	assert.Equal(t, byte(codeRejected), codes(t, d, "quote"))
+	require.Equal(t, 4, c.apply(t, `{"routes":{"quote":null}}`))
+	waitForVersion(t, d, 4)
+	assert.Equal(t, byte(codeRejected), sendRequest(t, d, "quote"))
 }
 
 // leader waits until the status names a leader, and returns its index.
-func (f *cluster) leader(t *testing.T) (leader int) {
+func (c *cluster) leader(t *testing.T) (leader int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		out, _ := f.run(t, "status")
+		out, _ := c.run(t, "status")
 		n, err := fmt.Sscanf(out, "leader c%d,", &leader)
 		return n == 1 && err == nil
 	}, patience, 10*time.Millisecond)
@@ -255,7 +255,7 @@
 zonne = "a"
 `), 0o600))
 	var out bytes.Buffer
-	cmd := exec.Command(filepath.Join(programs, "quartzconfig"), "serve", "--config", path)
+	cmd := exec.Command(filepath.Join(binDir, "quartzconfig"), "serve", "--config", path)
 	cmd.Stderr = &out
 	assert.Error(t, cmd.Run())
 	for _, want := range []string{"c.toml:1: name", "c.toml:4: machine.0.replication", "c.toml:5: machine.0.sessions", "c.toml:6: machine.0.zonne"} {
--- a/cmd/quartzconfig/status.go
+++ b/cmd/quartzconfig/status.go
@@ -120,7 +120,7 @@
 	for _, replica := range s.Replicas {
 		for _, w := range replica.Lagging {
 			fmt.Printf("behind: %s (zone %s) at version %d, for %v %s\n", w.Name, cmp.Or(w.Zone, unknown), w.Version,
-				w.BehindFor.Round(time.Millisecond), w.Reason)
+				w.Lag.Round(time.Millisecond), w.Reason)
 		}
 	}
 	return nil
--- a/cmd/quartzconfig/stored_test.go
+++ b/cmd/quartzconfig/stored_test.go
@@ -19,29 +19,29 @@
 
 // startStoredMachine starts a single control machine of the real binary on a copy of the directory left by a killed
 // quartzconfig of revision f1daac1. The directory has five versions, the first three of them in a snapshot.
-func storedMachine(t *testing.T) *cluster {
+func startStoredMachine(t *testing.T) *cluster {
 	t.Helper()
-	f := &cluster{folder: t.TempDir()}
-	f.keyFile = f.write(t, "keys", strings.Repeat("5e", 16)+"\n")
-	for _, list := range []*[]string{&f.sessions, &f.replicas} {
+	c := &cluster{folder: t.TempDir()}
+	c.keyFile = c.write(t, "keys", strings.Repeat("5e", 16)+"\n")
+	for _, list := range []*[]string{&c.sessions, &c.replicas} {
 		free, err := harness.FreeAddress()
 		require.NoError(t, err)
 		*list = append(*list, free)
 	}
-	to := filepath.Join(f.folder, "data0", "log")
-	require.NoError(t, os.CopyFS(to, os.DirFS(filepath.Join("testdata", "f1daac1", "log"))))
-	packed, err := os.Open(filepath.Join(to, "log.bolt.gz"))
+	dir := filepath.Join(c.folder, "data0", "log")
+	require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "f1daac1", "log"))))
+	compressed, err := os.Open(filepath.Join(dir, "log.bolt.gz"))
 	require.NoError(t, err)
-	defer func() { _ = packed.Close() }()
-	from, err := gzip.NewReader(packed)
+	defer func() { _ = compressed.Close() }()
+	reader, err := gzip.NewReader(compressed)
 	require.NoError(t, err)
-	raw, err := io.ReadAll(from)
+	raw, err := io.ReadAll(reader)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(filepath.Join(to, "log.bolt"), raw, 0o600))
-	f.running, f.logs = []*exec.Cmd{nil}, []*harness.LogBuffer{nil}
-	f.start(t, 0)
-	t.Cleanup(func() { f.kill(0) })
-	return f
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "log.bolt"), raw, 0o600))
+	c.running, c.logs = []*exec.Cmd{nil}, []*harness.LogBuffer{nil}
+	c.start(t, 0)
+	t.Cleanup(func() { c.kill(0) })
+	return c
 }
 
 type storedStatus struct {
@@ -53,9 +53,9 @@
 	} `json:"machines"`
 }
 
-func (f *cluster) storedStatus(t *testing.T) (s storedStatus) {
+func (c *cluster) storedStatus(t *testing.T) (s storedStatus) {
 	t.Helper()
-	out, code := f.run(t, "status", "--json")
+	out, code := c.run(t, "status", "--json")
 	require.Zero(t, code, out)
 	require.NoError(t, json.Unmarshal([]byte(out), &s), out)
 	return s
@@ -63,46 +63,46 @@
 
 // The service continues from the directory with the same version and content, sends it to a watching server, recognizes
 // repeated changes that it accepted before, and accepts further changes.
-func TestGoesOnFromAStoredLog(t *testing.T) {
-	f := storedMachine(t)
-	var stands storedStatus
+func TestResumeFromStoredLog(t *testing.T) {
+	c := startStoredMachine(t)
+	var status storedStatus
 	reached := func(version uint64) func() bool {
-		return func() bool { stands = f.storedStatus(t); return stands.Leader == "c0" && stands.Version == version }
+		return func() bool { status = c.storedStatus(t); return status.Leader == "c0" && status.Version == version }
 	}
 	require.Eventually(t, reached(5), patience, 20*time.Millisecond)
-	require.Len(t, stands.Machines, 1)
-	assert.Equal(t, uint64(15045096694224017753), stands.Machines[0].Digest)
+	require.Len(t, status.Machines, 1)
+	assert.Equal(t, uint64(15045096694224017753), status.Machines[0].Digest)
 
-	d := f.server(t)
-	inForce(t, d, 5)
+	d := c.server(t)
+	waitForVersion(t, d, 5)
 	assert.Contains(t, d.Log(), `msg="configuration: in force" version=5 routes=4 tenants=2`)
-	assert.Equal(t, byte(codeServed), codes(t, d, "base"))
-	assert.Equal(t, byte(codeServed), codes(t, d, "order"))
-	assert.Equal(t, byte(codeRejected), codes(t, d, "gone"), "removed by the second change")
+	assert.Equal(t, byte(codeServed), sendRequest(t, d, "base"))
+	assert.Equal(t, byte(codeServed), sendRequest(t, d, "order"))
+	assert.Equal(t, byte(codeRejected), sendRequest(t, d, "gone"), "removed by the second change")
 
 	third := `{"id":"third","base":2,"tenants":{"west":null,"north":{"quota-rps":75,"fraction":0.5}}}`
-	assert.Equal(t, 3, f.apply(t, third), "a repeated change must keep its version")
-	assert.Equal(t, 5, f.apply(t, `{"id":"fifth","routes":{"base":null}}`), "a repeated change must be recognized by its ID alone")
-	out, code := f.run(t, "apply", f.write(t, "change.json", `{"base":4,"routes":{"base":null}}`))
+	assert.Equal(t, 3, c.apply(t, third), "a repeated change must keep its version")
+	assert.Equal(t, 5, c.apply(t, `{"id":"fifth","routes":{"base":null}}`), "a repeated change must be recognized by its ID alone")
+	out, code := c.run(t, "apply", c.write(t, "change.json", `{"base":4,"routes":{"base":null}}`))
 	assert.Equal(t, exitRejected, code, out)
-	gone := strings.Replace(routes("gone"), "{", `{"base":5,`, 1)
-	assert.Equal(t, 6, f.apply(t, gone))
-	inForce(t, d, 6)
-	assert.Equal(t, byte(codeServed), codes(t, d, "gone"))
+	change := strings.Replace(routes("gone"), "{", `{"base":5,`, 1)
+	assert.Equal(t, 6, c.apply(t, change))
+	waitForVersion(t, d, 6)
+	assert.Equal(t, byte(codeServed), sendRequest(t, d, "gone"))
 
-	f.kill(0)
-	f.start(t, 0)
+	c.kill(0)
+	c.start(t, 0)
 	require.Eventually(t, reached(6), patience, 20*time.Millisecond)
 }
 
 // A server that stored version 4 of this history starts with it, requests the versions after it, and brings them into
 // force.
-func TestStoredWatcherIsToldWhatItLacks(t *testing.T) {
-	f := storedMachine(t)
-	require.Eventually(t, func() bool { return f.storedStatus(t).Version == 5 }, patience, 20*time.Millisecond)
-	require.NoError(t, os.CopyFS(filepath.Join(f.folder, "kept"), os.DirFS(filepath.Join("testdata", "f1daac1", "configuration"))))
-	d := f.server(t)
+func TestStoredWatcherCatchesUp(t *testing.T) {
+	c := startStoredMachine(t)
+	require.Eventually(t, func() bool { return c.storedStatus(t).Version == 5 }, patience, 20*time.Millisecond)
+	require.NoError(t, os.CopyFS(filepath.Join(c.folder, "kept"), os.DirFS(filepath.Join("testdata", "f1daac1", "configuration"))))
+	d := c.server(t)
 	assert.Contains(t, d.Log(), `msg="configuration: stored version in force" version=4 age=`)
-	inForce(t, d, 5)
+	waitForVersion(t, d, 5)
 	assert.Contains(t, d.Log(), "version=4 newest=5")
 }
--- a/internal/adminsocket/adminsocket.go
+++ b/internal/adminsocket/adminsocket.go
@@ -53,7 +53,7 @@
 // Listen serves requests on the socket at a path. It replaces the socket file of a server that no longer runs. It fails
 // if a running server uses the path or if another kind of file exists there. The caller must close the server.
 func Listen(path string, handler Handler) (*Server, error) {
-	if err := removeStale(path); err != nil {
+	if err := removeStaleSocket(path); err != nil {
 		return nil, err
 	}
 	// The umask applies to the whole process. Changing it is safe only because nothing else creates files while the
@@ -73,8 +73,8 @@
 	return s, nil
 }
 
-// removeStale removes a socket file that no server listens on.
-func removeStale(path string) error {
+// removeStaleSocket removes a socket file that no server listens on.
+func removeStaleSocket(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
 		return nil // no such file; net.Listen reports any other error
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -20,8 +20,8 @@
 // delays others by at most ioTimeout.
 func TestQuery(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	s, err := Listen(path, func(q Request) (any, error) {
-		if q.Query != "known" {
+	s, err := Listen(path, func(request Request) (any, error) {
+		if request.Query != "known" {
 			return nil, errors.New("unknown question")
 		}
 		return []int{1, 2}, nil
@@ -37,9 +37,9 @@
 		_, _ = conn.Write([]byte(bad))
 		_ = conn.Close()
 	}
-	silent, err := net.Dial("unix", path) // sends nothing until its timeout
+	idle, err := net.Dial("unix", path) // sends nothing until its timeout
 	require.NoError(t, err)
-	defer func() { _ = silent.Close() }()
+	defer func() { _ = idle.Close() }()
 	started := time.Now()
 	require.NoError(t, Query(path, Request{Query: "known"}, &got))
 	assert.Less(t, time.Since(started), 2*ioTimeout)
@@ -58,10 +58,10 @@
 	assert.ErrorContains(t, err, "not a socket")
 	require.NoError(t, os.Remove(path))
 
-	dead, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	stale, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	require.NoError(t, err)
-	dead.SetUnlinkOnClose(false)
-	require.NoError(t, dead.Close())
+	stale.SetUnlinkOnClose(false)
+	require.NoError(t, stale.Close())
 	s, err := Listen(path, nil)
 	require.NoError(t, err, "the socket file of a server that no longer runs must be replaced")
 	info, err := os.Stat(path)
--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -38,7 +38,7 @@
 	replica    *Replica
 	leadership atomic.Pointer[raftlog.Leadership]
 	proposed   atomic.Int64
-	behind     atomic.Pointer[[]byte] // committed entry that the replica has not applied yet
+	unapplied  atomic.Pointer[[]byte] // committed entry that the replica has not applied yet
 }
 
 func (l *localLog) Propose(_ context.Context, entry []byte) (any, error) {
@@ -47,7 +47,7 @@
 }
 
 func (l *localLog) Barrier(context.Context) error {
-	if entry := l.behind.Swap(nil); entry != nil {
+	if entry := l.unapplied.Swap(nil); entry != nil {
 		l.replica.Apply(*entry, time.Now())
 	}
 	return nil
@@ -60,17 +60,17 @@
 	replica *Replica
 	log     *localLog
 	address string
-	logged  *harness.LogBuffer
+	logs    *harness.LogBuffer
 }
 
-func newMachine(t *testing.T) *controlMachine {
+func newControlMachine(t *testing.T) *controlMachine {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &controlMachine{replica: NewReplica(), address: listener.Addr().String(), logged: &harness.LogBuffer{}}
+	m := &controlMachine{replica: NewReplica(), address: listener.Addr().String(), logs: &harness.LogBuffer{}}
 	m.log = &localLog{replica: m.replica}
 	m.log.leadership.Store(&raftlog.Leadership{Leader: "one", IsLeader: true})
-	server := &Server{Name: "one", SessionAddresses: map[string]string{}, Keys: keys, Replica: m.replica, Log: m.log, Logger: slog.New(slog.NewTextHandler(m.logged, nil))}
+	server := &Server{Name: "one", SessionAddresses: map[string]string{}, Keys: keys, Replica: m.replica, Log: m.log, Logger: slog.New(slog.NewTextHandler(m.logs, nil))}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(ctx, listener) }()
@@ -81,80 +81,80 @@
 	return m
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func (m *controlMachine) accept(t *testing.T, change configuration.Change) uint64 {
+func (m *controlMachine) propose(t *testing.T, change configuration.Change) uint64 {
 	t.Helper()
 	version, err := configwatch.Propose(t.Context(), []string{m.address}, keys, change)
 	require.NoError(t, err)
 	return version
 }
 
-func deadline(n int64) configuration.Change {
+func deadlineChange(n int64) configuration.Change {
 	return configuration.Change{Routes: map[string]*configuration.Route{
 		"pay": {LatencyTarget: 1, Deadline: n, Idempotency: configuration.Retryable},
 	}}
 }
 
 // recordingWatcher is a watcher that records the versions that came into force and the latest document.
-type follower struct {
+type recordingWatcher struct {
 	*configwatch.Watcher
-	mu       sync.Mutex
-	versions []uint64
-	document *configuration.Document
-	fault    atomic.Pointer[string]
+	mu         sync.Mutex
+	versions   []uint64
+	document   *configuration.Document
+	applyError atomic.Pointer[string]
 }
 
-func follow(t *testing.T, name string, at configwatch.Endpoint, others ...configwatch.Endpoint) *follower {
+func startWatcher(t *testing.T, name string, endpoint configwatch.Endpoint, others ...configwatch.Endpoint) *recordingWatcher {
 	t.Helper()
-	f := &follower{document: configuration.NewDocument()}
-	f.Watcher = &configwatch.Watcher{
-		Name: name, Zone: "a", Endpoints: append([]configwatch.Endpoint{at}, others...), Keys: keys,
-		Document: configuration.NewDocument(), Logger: quiet(), Seed: 1,
+	w := &recordingWatcher{document: configuration.NewDocument()}
+	w.Watcher = &configwatch.Watcher{
+		Name: name, Zone: "a", Endpoints: append([]configwatch.Endpoint{endpoint}, others...), Keys: keys,
+		Document: configuration.NewDocument(), Logger: discardLogger(), Seed: 1,
 		Apply: func(_ context.Context, delta configuration.Delta, to *configuration.Document) error {
-			if fault := f.fault.Load(); fault != nil {
-				return errors.New(*fault)
+			if message := w.applyError.Load(); message != nil {
+				return errors.New(*message)
 			}
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.versions = append(f.versions, delta.Version)
-			f.document = to.Clone()
+			w.mu.Lock()
+			defer w.mu.Unlock()
+			w.versions = append(w.versions, delta.Version)
+			w.document = to.Clone()
 			return nil
 		},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { f.Run(ctx); close(done) }()
+	go func() { w.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return f
+	return w
 }
 
-func (f *follower) reaches(t *testing.T, m *controlMachine, version uint64) {
+func (w *recordingWatcher) waitForVersion(t *testing.T, m *controlMachine, version uint64) {
 	t.Helper()
-	require.Eventually(t, func() bool { return f.Status().Version == version }, patience, time.Millisecond)
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	require.Eventually(t, func() bool { return w.Status().Version == version }, patience, time.Millisecond)
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	m.replica.mu.Lock()
 	defer m.replica.mu.Unlock()
 	if version == m.replica.history.Document.Version {
-		assert.Equal(t, m.replica.history.Document, f.document)
+		assert.Equal(t, m.replica.history.Document, w.document)
 	}
 }
 
 // A watcher receives each change in order; one that connects late receives what it lacks. A watcher that cannot apply a
 // version keeps the one in force and is listed as lagging, with the reason, until it can apply it.
 func TestWatch(t *testing.T) {
-	m := newMachine(t)
-	early := follow(t, "early", configwatch.Endpoint{Address: m.address})
+	m := newControlMachine(t)
+	early := startWatcher(t, "early", configwatch.Endpoint{Address: m.address})
 	for i := range int64(20) {
-		require.Equal(t, uint64(i+1), m.accept(t, deadline(i+1)))
+		require.Equal(t, uint64(i+1), m.propose(t, deadlineChange(i+1)))
 	}
-	early.reaches(t, m, 20)
+	early.waitForVersion(t, m, 20)
 	for i, version := range early.versions {
 		assert.Equal(t, uint64(i+1), version, "all versions in order")
 	}
-	late := follow(t, "late", configwatch.Endpoint{Address: m.address})
-	late.reaches(t, m, 20)
+	late := startWatcher(t, "late", configwatch.Endpoint{Address: m.address})
+	late.waitForVersion(t, m, 20)
 	require.Eventually(t, func() bool {
 		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
 		// Changes in quick succession are acknowledged by one report, so there may be fewer delays than changes times
@@ -162,83 +162,83 @@
 		return err == nil && status.Watchers == 2 && len(status.Lagging) == 0 && len(status.PropagationDelays) >= 2 && len(status.PropagationDelays) <= 21
 	}, patience, time.Millisecond)
 
-	full := "no room"
-	late.fault.Store(&full)
-	m.accept(t, deadline(21))
-	early.reaches(t, m, 21)
+	reason := "no room"
+	late.applyError.Store(&reason)
+	m.propose(t, deadlineChange(21))
+	early.waitForVersion(t, m, 21)
 	require.Eventually(t, func() bool {
 		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
-		return err == nil && len(status.Lagging) == 1 && status.Lagging[0].Name == "late" && status.Lagging[0].Reason == full &&
-			status.Lagging[0].Version == 20 && status.Lagging[0].BehindFor > 0
+		return err == nil && len(status.Lagging) == 1 && status.Lagging[0].Name == "late" && status.Lagging[0].Reason == reason &&
+			status.Lagging[0].Version == 20 && status.Lagging[0].Lag > 0
 	}, patience, time.Millisecond)
 	assert.Equal(t, uint64(20), late.Status().Version, "a rejected version must not replace the one in force")
-	late.fault.Store(nil)
-	late.reaches(t, m, 21)
+	late.applyError.Store(nil)
+	late.waitForVersion(t, m, 21)
 }
 
 // A watcher whose version is older than the stored deltas receives a snapshot, and then deltas. A replica restored from
 // a log snapshot holds the same history.
-func TestSnapshotWhereDeltasAreGone(t *testing.T) {
-	m := newMachine(t)
+func TestSnapshotIfDeltasAreNotStored(t *testing.T) {
+	m := newControlMachine(t)
 	for i := range int64(5000) {
-		raw, err := json.Marshal(deadline(i + 1))
+		raw, err := json.Marshal(deadlineChange(i + 1))
 		require.NoError(t, err)
 		require.NoError(t, m.replica.Apply(raw, time.Now()).(Result).Err)
 	}
-	f := follow(t, "one", configwatch.Endpoint{Address: m.address})
-	f.reaches(t, m, 5000)
-	assert.Equal(t, []uint64{5000}, f.versions)
-	m.accept(t, deadline(1))
-	f.reaches(t, m, 5001)
-	again := NewReplica()
-	require.NoError(t, again.Restore(m.replica.Snapshot()))
-	assert.Equal(t, m.replica.Snapshot(), again.Snapshot(), "a restored replica holds the same history")
+	w := startWatcher(t, "one", configwatch.Endpoint{Address: m.address})
+	w.waitForVersion(t, m, 5000)
+	assert.Equal(t, []uint64{5000}, w.versions)
+	m.propose(t, deadlineChange(1))
+	w.waitForVersion(t, m, 5001)
+	restored := NewReplica()
+	require.NoError(t, restored.Restore(m.replica.Snapshot()))
+	assert.Equal(t, m.replica.Snapshot(), restored.Snapshot(), "a restored replica holds the same history")
 }
 
 // An invalid change is rejected with all its violations and does not enter the log. A change proposed twice is accepted
 // once. A change based on an older version is rejected. A client whose machine is not the leader tries another one.
 func TestPropose(t *testing.T) {
-	m := newMachine(t)
+	m := newControlMachine(t)
 	bad := configuration.Change{Routes: map[string]*configuration.Route{"pay": {Idempotency: "often"}, "gone": nil}}
 	_, err := configwatch.Propose(t.Context(), []string{m.address}, keys, bad)
 	var validationErr *configuration.ValidationError
 	require.ErrorAs(t, err, &validationErr)
 	assert.Len(t, validationErr.Violations, 4)
 	assert.Zero(t, m.log.proposed.Load())
-	change := deadline(1)
+	change := deadlineChange(1)
 	change.ID = "once"
-	assert.Equal(t, uint64(1), m.accept(t, change))
-	assert.Equal(t, uint64(1), m.accept(t, change))
-	assert.Equal(t, 1, strings.Count(m.logged.String(), `msg="configuration: change accepted"`), "the repeated proposal was logged as accepted again")
-	stale := deadline(2)
+	assert.Equal(t, uint64(1), m.propose(t, change))
+	assert.Equal(t, uint64(1), m.propose(t, change))
+	assert.Equal(t, 1, strings.Count(m.logs.String(), `msg="configuration: change accepted"`), "the repeated proposal was logged as accepted again")
+	stale := deadlineChange(2)
 	base := uint64(0)
 	stale.Base = &base
 	_, err = configwatch.Propose(t.Context(), []string{m.address}, keys, stale)
 	assert.ErrorContains(t, err, "base = 0: is not the newest version, which is 1")
 
-	other := newMachine(t)
+	other := newControlMachine(t)
 	other.log.leadership.Store(&raftlog.Leadership{Leader: "nobody knows where"})
-	version, err := configwatch.Propose(t.Context(), []string{other.address, m.address}, keys, deadline(3))
+	version, err := configwatch.Propose(t.Context(), []string{other.address, m.address}, keys, deadlineChange(3))
 	require.NoError(t, err)
 	assert.Equal(t, uint64(2), version)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	_, err = configwatch.Propose(ctx, []string{other.address, "127.0.0.1:1"}, keys, deadline(4))
+	_, err = configwatch.Propose(ctx, []string{other.address, "127.0.0.1:1"}, keys, deadlineChange(4))
 	assert.ErrorIs(t, err, configwatch.ErrUnavailable)
 }
 
 // Regression test: after a restart of all control machines, the new leader had not applied all committed entries. It
 // validated a change against an older document and permanently rejected a valid one, the removal of a route that a
 // committed entry had added.
-func TestProposeBehindEntriesThatAreNotApplied(t *testing.T) {
-	m := newMachine(t)
-	added := deadline(1)
+func TestProposeBeforeCommittedEntriesAreApplied(t *testing.T) {
+	m := newControlMachine(t)
+	added := deadlineChange(1)
 	added.Routes["stays"] = added.Routes["pay"]
 	committed, err := json.Marshal(added)
 	require.NoError(t, err)
-	m.log.behind.Store(&committed)
+	m.log.unapplied.Store(&committed)
 	removal := configuration.Change{Routes: map[string]*configuration.Route{"pay": nil}}
-	assert.Equal(t, uint64(2), m.accept(t, removal))
+	assert.Equal(t, uint64(2), m.propose(t, removal))
 	var validationErr *configuration.ValidationError
 	_, err = configwatch.Propose(t.Context(), []string{m.address}, keys, removal)
 	require.ErrorAs(t, err, &validationErr, "a change that is invalid after all entries are applied is rejected")
@@ -248,13 +248,13 @@
 // A client with a wrong key or without one is rejected in the handshake, so it cannot watch, read the status or propose
 // changes.
 func TestWrongKey(t *testing.T) {
-	m := newMachine(t)
+	m := newControlMachine(t)
 	for name, wrong := range map[string]peersync.Keys{"another": {bytes.Repeat([]byte{6}, 16)}, "none": nil} {
 		_, err := configwatch.FetchStatus(t.Context(), m.address, wrong)
 		var rejected *peersync.RejectedError
 		assert.ErrorAs(t, err, &rejected, name)
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
-		_, err = configwatch.Propose(ctx, []string{m.address}, wrong, deadline(1))
+		_, err = configwatch.Propose(ctx, []string{m.address}, wrong, deadlineChange(1))
 		assert.ErrorIs(t, err, configwatch.ErrUnavailable, name)
 		cancel()
 	}
@@ -264,54 +264,54 @@
 // A machine that is partitioned from the other control machines, but not from its watchers, would leave them at an old
 // version unnoticed. It has no leader, so it disconnects them, and they connect to a machine that is not partitioned.
 func TestCutOffMachineDisconnectsItsWatchers(t *testing.T) {
-	cut, connected := newMachine(t), newMachine(t)
-	for _, m := range []*controlMachine{cut, connected} {
-		m.accept(t, deadline(1))
+	partitioned, connected := newControlMachine(t), newControlMachine(t)
+	for _, m := range []*controlMachine{partitioned, connected} {
+		m.propose(t, deadlineChange(1))
 	}
-	f := follow(t, "one", configwatch.Endpoint{Zone: "a", Address: cut.address}, configwatch.Endpoint{Zone: "b", Address: connected.address})
-	f.reaches(t, cut, 1)
-	cut.log.leadership.Store(&raftlog.Leadership{})
-	connected.accept(t, deadline(2))
-	f.reaches(t, connected, 2)
+	w := startWatcher(t, "one", configwatch.Endpoint{Zone: "a", Address: partitioned.address}, configwatch.Endpoint{Zone: "b", Address: connected.address})
+	w.waitForVersion(t, partitioned, 1)
+	partitioned.log.leadership.Store(&raftlog.Leadership{})
+	connected.propose(t, deadlineChange(2))
+	w.waitForVersion(t, connected, 2)
 }
 
 // The connection to a machine is cut, stalls, or drops data in one direction. Each time the watcher reaches the latest
 // version after the connection heals.
 func TestWatchAcrossFaults(t *testing.T) {
-	m := newMachine(t)
-	way, err := faultnet.New(m.address)
+	m := newControlMachine(t)
+	proxy, err := faultnet.New(m.address)
 	require.NoError(t, err)
-	defer func() { _ = way.Close() }()
-	f := follow(t, "one", configwatch.Endpoint{Address: way.Addr()})
-	version := m.accept(t, deadline(1))
-	f.reaches(t, m, version)
+	defer func() { _ = proxy.Close() }()
+	w := startWatcher(t, "one", configwatch.Endpoint{Address: proxy.Addr()})
+	version := m.propose(t, deadlineChange(1))
+	w.waitForVersion(t, m, version)
 	for _, fault := range []string{"cut", "drop up", "drop down", "stall down"} {
-		require.NoError(t, way.RunScript(fault))
-		version = m.accept(t, deadline(int64(version)+1))
-		way.Heal()
-		f.reaches(t, m, version)
+		require.NoError(t, proxy.RunScript(fault))
+		version = m.propose(t, deadlineChange(int64(version)+1))
+		proxy.Heal()
+		w.waitForVersion(t, m, version)
 	}
 }
 
 // One byte of a snapshot or delta is altered in transit. The altered content must never come into force; the watcher
 // receives it again in another session.
-func TestDamagedOnTheWay(t *testing.T) {
-	m := newMachine(t)
+func TestCorruptionInTransit(t *testing.T) {
+	m := newControlMachine(t)
 	large := configuration.Change{Routes: map[string]*configuration.Route{}}
 	for i := range 300 {
 		large.Routes[fmt.Sprint("r", i)] = &configuration.Route{LatencyTarget: 1, Deadline: 1, Idempotency: configuration.Retryable}
 	}
-	m.accept(t, large)
+	m.propose(t, large)
 	for at := 150; at < 4000; at += 350 {
-		way := newFlipper(t, m.address, at)
-		f := follow(t, fmt.Sprint("at ", at), configwatch.Endpoint{Address: way})
-		f.reaches(t, m, 1)
+		proxyAddress := newCorruptingProxy(t, m.address, at)
+		w := startWatcher(t, fmt.Sprint("at ", at), configwatch.Endpoint{Address: proxyAddress})
+		w.waitForVersion(t, m, 1)
 	}
 }
 
 // newCorruptingProxy proxies connections to a target. On the first connection it flips one bit of the byte at offset at
 // in the data that the target sends.
-func newFlipper(t *testing.T, target string, at int) string {
+func newCorruptingProxy(t *testing.T, target string, at int) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var wg sync.WaitGroup
@@ -327,25 +327,25 @@
 				_ = in.Close()
 				continue
 			}
-			flip := -1
+			flipAt := -1
 			if first {
-				flip = at
+				flipAt = at
 			}
 			wg.Go(func() { defer func() { _ = out.Close() }(); _, _ = io.Copy(out, in) })
-			wg.Go(func() { defer func() { _ = in.Close() }(); carry(in, out, flip) })
+			wg.Go(func() { defer func() { _ = in.Close() }(); copyFlippingBit(in, out, flipAt) })
 		}
 	})
 	return listener.Addr().String()
 }
 
-func carry(to io.Writer, from io.Reader, flip int) {
+func copyFlippingBit(to io.Writer, from io.Reader, flipAt int) {
 	chunk := make([]byte, 1<<10)
-	for seen := 0; ; {
+	for copied := 0; ; {
 		n, err := from.Read(chunk)
-		if place := flip - seen; flip >= 0 && place >= 0 && place < n {
-			chunk[place] ^= 1
+		if offset := flipAt - copied; flipAt >= 0 && offset >= 0 && offset < n {
+			chunk[offset] ^= 1
 		}
-		seen += n
+		copied += n
 		if _, failed := to.Write(chunk[:n]); err != nil || failed != nil {
 			return
 		}
@@ -355,12 +355,12 @@
 // A watcher that does not read must not use up memory of the machine or delay other watchers. It is disconnected once a
 // write times out, and the others receive every change in the meantime.
 func TestSlowWatcher(t *testing.T) {
-	m := newMachine(t)
+	m := newControlMachine(t)
 	session, err := peersync.Open(t.Context(), m.address, keys)
 	require.NoError(t, err)
 	defer func() { _ = session.Close() }()
 	require.NoError(t, session.Send(configwatch.Encode(configwatch.Request{Watch: &configwatch.WatchRequest{Name: "slow"}})))
-	f := follow(t, "quick", configwatch.Endpoint{Address: m.address})
+	w := startWatcher(t, "quick", configwatch.Endpoint{Address: m.address})
 	large := configuration.Change{Routes: map[string]*configuration.Route{}}
 	for i := range 4000 {
 		large.Routes[fmt.Sprintf("route-%0100d", i)] = &configuration.Route{LatencyTarget: 1, Deadline: 1, Idempotency: configuration.Retryable}
@@ -370,9 +370,9 @@
 		for _, route := range large.Routes {
 			route.Deadline = i + 1
 		}
-		version = m.accept(t, large)
+		version = m.propose(t, large)
 	}
-	f.reaches(t, m, version)
+	w.waitForVersion(t, m, version)
 	require.Eventually(t, func() bool {
 		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
 		return err == nil && status.Watchers == 1
--- a/internal/configserve/watchers.go
+++ b/internal/configserve/watchers.go
@@ -96,7 +96,7 @@
 	add := func(name, zone string, inForce uint64, reason string) {
 		lagging := configwatch.LaggingWatcher{Name: name, Zone: zone, Version: inForce, Reason: reason}
 		if at, known := r.acceptedAt[inForce+1]; known {
-			lagging.BehindFor = max(now.Sub(at), 0)
+			lagging.Lag = max(now.Sub(at), 0)
 		}
 		all = append(all, lagging)
 	}
--- a/internal/configwatch/messages.go
+++ b/internal/configwatch/messages.go
@@ -93,11 +93,11 @@
 
 // LaggingWatcher describes a watcher that does not have the latest version in force.
 type LaggingWatcher struct {
-	Name      string        `cbor:"1,keyasint" json:"name"`
-	Zone      string        `cbor:"2,keyasint" json:"zone"`
-	Version   uint64        `cbor:"3,keyasint" json:"version"`         // in force at the watcher
-	BehindFor time.Duration `cbor:"4,keyasint" json:"since_ns"`        // time since the next version was accepted; 0 if unknown
-	Reason    string        `cbor:"5,keyasint" json:"fault,omitempty"` // why it could not apply a later version
+	Name    string        `cbor:"1,keyasint" json:"name"`
+	Zone    string        `cbor:"2,keyasint" json:"zone"`
+	Version uint64        `cbor:"3,keyasint" json:"version"`         // in force at the watcher
+	Lag     time.Duration `cbor:"4,keyasint" json:"since_ns"`        // time since the next version was accepted; 0 if unknown
+	Reason  string        `cbor:"5,keyasint" json:"fault,omitempty"` // why it could not apply a later version
 }
 
 // maxArrayElements is the maximum length of an array in a message.
--- a/internal/configwatch/stored_test.go
+++ b/internal/configwatch/stored_test.go
@@ -49,7 +49,7 @@
 		},
 		"machine": &configwatch.ReplicaStatus{
 			Name: "c0", Leader: "c1", Version: 4, Digest: 6, Watchers: 2, PropagationDelays: []time.Duration{1, 2},
-			Lagging: []configwatch.LaggingWatcher{{Name: "app", Zone: "z0", Version: 3, BehindFor: time.Second, Reason: "no room"}},
+			Lagging: []configwatch.LaggingWatcher{{Name: "app", Zone: "z0", Version: 3, Lag: time.Second, Reason: "no room"}},
 		},
 	}
 }
@@ -61,37 +61,37 @@
 	for name, message := range storedMessages(t) {
 		sent[name] = hex.EncodeToString(configwatch.Encode(message))
 	}
-	is, err := json.MarshalIndent(sent, "", "  ")
+	got, err := json.MarshalIndent(sent, "", "  ")
 	require.NoError(t, err)
 	want, err := os.ReadFile(filepath.Join("testdata", "f1daac1", "messages.json"))
 	require.NoError(t, err)
-	require.Equal(t, string(want), string(is)+"\n")
+	require.Equal(t, string(want), string(got)+"\n")
 	for name, message := range storedMessages(t) {
 		raw, err := hex.DecodeString(sent[name])
 		require.NoError(t, err)
-		read := reflect.New(reflect.TypeOf(message).Elem()).Interface()
-		require.NoError(t, configwatch.Decode(raw, read), name)
-		assert.Equal(t, message, read, name)
+		decoded := reflect.New(reflect.TypeOf(message).Elem()).Interface()
+		require.NoError(t, configwatch.Decode(raw, decoded), name)
+		assert.Equal(t, message, decoded, name)
 	}
 }
 
 // A watcher that starts with the document stored by an app server of revision f1daac1 starts with its version and
 // applies the next delta to it.
-func TestStoredDocumentIsGoneOnFrom(t *testing.T) {
+func TestResumeFromStoredDocument(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
 	require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "f1daac1", "configuration"))))
-	read := func() (*store.ConfigurationStore, *configuration.Document) {
+	open := func() (*store.ConfigurationStore, *configuration.Document) {
 		in, err := datadir.Open(dir, false)
 		require.NoError(t, err)
-		c, kept, err := store.OpenConfigurationStore(in)
+		configurationStore, stored, err := store.OpenConfigurationStore(in)
 		require.NoError(t, err)
-		require.NotNil(t, kept.Document)
-		require.Empty(t, kept.Skipped)
-		return c, kept.Document
+		require.NotNil(t, stored.Document)
+		require.Empty(t, stored.Skipped)
+		return configurationStore, stored.Document
 	}
-	c, d := read()
-	assert.Equal(t, uint64(4), d.Version)
-	assert.Equal(t, configuration.Digest(0x39fd3cc70b6903d2), d.Digest)
+	configurationStore, document := open()
+	assert.Equal(t, uint64(4), document.Version)
+	assert.Equal(t, configuration.Digest(0x39fd3cc70b6903d2), document.Digest)
 	assert.Equal(t, map[string]configuration.Route{
 		"base": {LatencyTarget: 1000000, Deadline: 2000000, Value: 1, Idempotency: configuration.Retryable},
 		"calls": {
@@ -99,17 +99,17 @@
 		},
 		"charge": {LatencyTarget: 1500000, Deadline: 3000000, Value: 5, Idempotency: configuration.Keyed, DedupWindow: 60000000},
 		"order":  {LatencyTarget: 900000, Deadline: 3000000, Value: 4, LateValueShare: 0.25, Idempotency: configuration.AtMostOnce},
-	}, d.Routes)
-	assert.Equal(t, map[string]configuration.Tenant{"north": {QuotaRPS: 75, TrafficShare: 0.5}, "south": {QuotaRPS: 12.5}}, d.Tenants)
+	}, document.Routes)
+	assert.Equal(t, map[string]configuration.Tenant{"north": {QuotaRPS: 75, TrafficShare: 0.5}, "south": {QuotaRPS: 12.5}}, document.Tenants)
 
 	// the delta of the fifth change, as a control machine of revision f1daac1 would send it
 	fifth := &configuration.Route{LatencyTarget: 800000, Deadline: 2000000, Value: 1.5, Idempotency: configuration.Retryable}
-	delta := d.Clone().Accept(configuration.Change{Routes: map[string]*configuration.Route{"base": fifth}})
+	delta := document.Clone().Accept(configuration.Change{Routes: map[string]*configuration.Route{"base": fifth}})
 	assert.Equal(t, configuration.Digest(15045096694224017753), delta.Digest)
-	require.NoError(t, d.Apply(delta))
-	require.NoError(t, c.Append(delta, d))
-	require.NoError(t, c.Close())
-	c, again := read()
-	assert.Equal(t, d, again)
-	require.NoError(t, c.Close())
+	require.NoError(t, document.Apply(delta))
+	require.NoError(t, configurationStore.Append(delta, document))
+	require.NoError(t, configurationStore.Close())
+	configurationStore, reopened := open()
+	assert.Equal(t, document, reopened)
+	require.NoError(t, configurationStore.Close())
 }
--- a/internal/leasing/manager_test.go
+++ b/internal/leasing/manager_test.go
@@ -73,7 +73,7 @@
 
 // A thousand voters respond at the same time, and then more responses arrive than the queue can hold. None of the
 // thousand may be lost, the excess ones must be dropped, and the emptied queue must not keep its memory.
-func TestQueueOfAThousand(t *testing.T) {
+func TestPostedCallsAreBounded(t *testing.T) {
 	manager, err := New(Options{Address: "a", Leases: []string{"d"}, Config: lease.Config{Duration: time.Second, Voters: 1},
 		Log: slog.New(slog.DiscardHandler)})
 	require.NoError(t, err)
@@ -83,14 +83,14 @@
 		manager.post(func() { done++ })
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	manager.post(func() { cancel() })
-	go func() { manager.Run(ctx); close(over) }()
+	go func() { manager.Run(ctx); close(stopped) }()
 	select {
-	case <-over:
+	case <-stopped:
 	case <-time.After(10 * time.Second):
 		cancel()
-		<-over
+		<-stopped
 	}
 	assert.Equal(t, 1024, done)
 	for range maxPosted + 10 {
--- a/internal/raftlog/node_test.go
+++ b/internal/raftlog/node_test.go
@@ -142,7 +142,7 @@
 }
 
 // waitForEntries waits until all running members have applied exactly the wanted entries.
-func (c *cluster) agree(t *testing.T, want []string) {
+func (c *cluster) waitForEntries(t *testing.T, want []string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for i, n := range c.nodes {
@@ -165,16 +165,16 @@
 	}
 	put("a")
 	put("b")
-	c.agree(t, want)
-	lost := c.leader(t)
-	follower := (lost + 1) % 3
+	c.waitForEntries(t, want)
+	stopped := c.leader(t)
+	follower := (stopped + 1) % 3
 	assert.ErrorIs(t, propose(t, c.nodes[follower], "x", time.Second), ErrNotLeader)
-	c.stop(t, lost)
+	c.stop(t, stopped)
 	put("c")
 	require.NoError(t, c.nodes[c.leader(t)].raft.Snapshot().Error())
 	put("d")
-	c.start(t, lost)
-	c.agree(t, want)
+	c.start(t, stopped)
+	c.waitForEntries(t, want)
 	for i := range c.nodes {
 		c.stop(t, i)
 	}
@@ -182,7 +182,7 @@
 		c.start(t, i)
 	}
 	put("e")
-	c.agree(t, want)
+	c.waitForEntries(t, want)
 }
 
 // Two of three members fail. The remaining one must step down and commit nothing, because the other two could elect a
@@ -204,15 +204,15 @@
 	c := newCluster(t)
 	c.propose(t, "a")
 	leader := c.leader(t)
-	away := (leader + 1) % 3
-	c.stop(t, away)
-	c.options[away].Keys = peersync.Keys{bytes.Repeat([]byte{4}, 16)}
-	c.start(t, away)
+	restarted := (leader + 1) % 3
+	c.stop(t, restarted)
+	c.options[restarted].Keys = peersync.Keys{bytes.Repeat([]byte{4}, 16)}
+	c.start(t, restarted)
 	c.propose(t, "b")
-	assert.Never(t, func() bool { return len(c.machines[away].all()) > 1 }, 300*time.Millisecond, 10*time.Millisecond)
-	nobody := c.options[leader]
-	nobody.Name = "nobody"
-	_, err := Start(nobody)
+	assert.Never(t, func() bool { return len(c.machines[restarted].all()) > 1 }, 300*time.Millisecond, 10*time.Millisecond)
+	nonMember := c.options[leader]
+	nonMember.Name = "nobody"
+	_, err := Start(nonMember)
 	assert.ErrorContains(t, err, "not one of the members")
 }
 
@@ -232,9 +232,9 @@
 	}
 	_, err = Start(options)
 	require.Error(t, err)
-	again, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err, "the address must be free after the failed start")
-	require.NoError(t, again.Close())
+	require.NoError(t, listener.Close())
 	goleak.VerifyNone(t, before)
 
 	require.NoError(t, os.Remove(filepath.Join(dir, "snapshots")))
--- a/internal/raftlog/stored_test.go
+++ b/internal/raftlog/stored_test.go
@@ -21,33 +21,33 @@
 )
 
 // recordingMachine is a state machine that records the restored snapshot and all entries.
-type keeper struct {
+type recordingMachine struct {
 	mu       sync.Mutex
 	snapshot []byte
 	entries  []string
-	moments  []int64
+	times    []int64
 }
 
-func (k *keeper) Apply(entry []byte, at time.Time) any {
+func (k *recordingMachine) Apply(entry []byte, at time.Time) any {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.entries, k.moments = append(k.entries, string(entry)), append(k.moments, at.UnixMilli())
+	k.entries, k.times = append(k.entries, string(entry)), append(k.times, at.UnixMilli())
 	return len(k.entries)
 }
 
-func (k *keeper) Snapshot() []byte { return nil }
+func (k *recordingMachine) Snapshot() []byte { return nil }
 
-func (k *keeper) Restore(raw []byte) error {
+func (k *recordingMachine) Restore(raw []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.snapshot, k.entries, k.moments = bytes.Clone(raw), nil, nil
+	k.snapshot, k.entries, k.times = bytes.Clone(raw), nil, nil
 	return nil
 }
 
-func (k *keeper) told() (snapshot []byte, entries []string, moments []int64) {
+func (k *recordingMachine) recorded() (snapshot []byte, entries []string, times []int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.snapshot, append([]string{}, k.entries...), append([]int64{}, k.moments...)
+	return k.snapshot, append([]string{}, k.entries...), append([]int64{}, k.times...)
 }
 
 // storedLog returns the directory of a log written by revision f1daac1, copied to a temporary directory. The log has
@@ -55,22 +55,22 @@
 // service, which was killed.
 func storedLog(t *testing.T) string {
 	t.Helper()
-	to := filepath.Join(t.TempDir(), "log")
-	require.NoError(t, os.CopyFS(to, os.DirFS(filepath.Join("testdata", "f1daac1", "log"))))
-	packed, err := os.Open(filepath.Join(to, "log.bolt.gz"))
+	dir := filepath.Join(t.TempDir(), "log")
+	require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "f1daac1", "log"))))
+	compressed, err := os.Open(filepath.Join(dir, "log.bolt.gz"))
 	require.NoError(t, err)
-	defer func() { _ = packed.Close() }()
-	from, err := gzip.NewReader(packed)
+	defer func() { _ = compressed.Close() }()
+	reader, err := gzip.NewReader(compressed)
 	require.NoError(t, err)
-	raw, err := io.ReadAll(from)
+	raw, err := io.ReadAll(reader)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(filepath.Join(to, "log.bolt"), raw, 0o600))
-	return to
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "log.bolt"), raw, 0o600))
+	return dir
 }
 
 // A member continues from a directory written by revision f1daac1: it must restore the snapshot and the entries after
 // it byte for byte, and accept new entries.
-func TestStoredLogIsRead(t *testing.T) {
+func TestResumeFromStoredLog(t *testing.T) {
 	dir := storedLog(t)
 	snapshots, err := filepath.Glob(filepath.Join("testdata", "f1daac1", "log", "snapshots", "*", "state.bin"))
 	require.NoError(t, err)
@@ -83,24 +83,24 @@
 		`{"id":"fifth","routes":{"base":{"goal-time":800000,"deadline":2000000,"gain":1.5,"late-value":0,` +
 			`"idempotency":"retryable","dedup-window":0,"calls":false,"skip-worth":0}}}`,
 	}
-	moments := []int64{1796275683158, 1796275687167} // times at which the leader appended the entries, in Unix milliseconds
-	for range 2 {                                    // the second round checks a restart of the current version
-		k := &keeper{}
+	times := []int64{1796275683158, 1796275687167} // times at which the leader appended the entries, in Unix milliseconds
+	for range 2 {                                  // the second round checks a restart of the current version
+		machine := &recordingMachine{}
 		address, err := harness.FreeAddress()
 		require.NoError(t, err)
 		node, err := raftlog.Start(raftlog.Options{
 			Name: "c0", Dir: dir, Members: []raftlog.Member{{Name: "c0", Address: address}},
-			Keys: peersync.Keys{bytes.Repeat([]byte{0x5e}, 16)}, StateMachine: k, Logger: slog.New(slog.DiscardHandler),
+			Keys: peersync.Keys{bytes.Repeat([]byte{0x5e}, 16)}, StateMachine: machine, Logger: slog.New(slog.DiscardHandler),
 		})
 		require.NoError(t, err)
 		require.Eventually(t, func() bool {
-			_, entries, _ := k.told()
+			_, entries, _ := machine.recorded()
 			return node.Leadership().IsLeader && len(entries) >= len(want)
 		}, 30*time.Second, time.Millisecond)
-		restored, entries, at := k.told()
+		restored, entries, gotTimes := machine.recorded()
 		assert.Equal(t, snapshot, restored)
 		assert.Equal(t, want, entries)
-		assert.Equal(t, moments, at[:len(moments)])
+		assert.Equal(t, times, gotTimes[:len(times)])
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		got, err := node.Propose(ctx, []byte("another"))
 		cancel()
