--- a/cmd/quartzconfig/apply.go
+++ b/cmd/quartzconfig/apply.go
@@ -51,7 +51,7 @@
 func (cmd *applyCommand) change() (configuration.Change, error) {
 	raw, err := cmd.readFile()
 	if err != nil {
-		return configuration.Change{}, fmt.Errorf("change: %w", err)
+		return configuration.Change{}, fmt.Errorf("read change: %w", err)
 	}
 	change, err := configuration.ParseChange(raw)
 	if err != nil {
--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -138,8 +138,8 @@
 	for i, address := range c.sessions {
 		section += fmt.Sprintf("[[configuration.machine]]\nzone = \"z%d\"\naddress = %q\n", i, address)
 	}
-	types := []harness.Route{{Name: "base", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
-	d, err := harness.Start(filepath.Join(binDir, "quartzpoint"), c.folder, "app", types, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6}, section)
+	appRoutes := []harness.Route{{Name: "base", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
+	d, err := harness.Start(filepath.Join(binDir, "quartzpoint"), c.folder, "app", appRoutes, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6}, section)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = d.Stop() })
 	return d
@@ -154,8 +154,8 @@
 // sendRequest sends one request of a route and returns the status code of its response.
 func sendRequest(t *testing.T, d *harness.Daemon, route string) (code byte) {
 	t.Helper()
-	types := []harness.Route{{Name: route, LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
-	got, err := harness.Run(d.Address, types, []harness.Arrival{{Work: time.Millisecond, Rank: 0.9}}, 1)
+	appRoutes := []harness.Route{{Name: route, LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1}}
+	got, err := harness.Run(d.Address, appRoutes, []harness.Arrival{{Work: time.Millisecond, Rank: 0.9}}, 1)
 	require.NoError(t, err)
 	require.Len(t, got.Codes, 1)
 	for code = range got.Codes {
--- a/cmd/quartzconfig/serve.go
+++ b/cmd/quartzconfig/serve.go
@@ -40,7 +40,7 @@
 	view := newClusterView(service)
 	listener, err := net.Listen("tcp", view.machine.Sessions)
 	if err != nil {
-		return fmt.Errorf("sessions: %w", err)
+		return fmt.Errorf("listen for sessions: %w", err)
 	}
 	node, err := raftlog.Start(raftlog.Options{
 		Name: service.Name, Dir: filepath.Join(service.Data, logDir), Members: view.members, Keys: keys,
--- a/internal/configserve/replica.go
+++ b/internal/configserve/replica.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Result is the result of applying a log entry. It is the same on every machine.
+// Result is the value that Replica.Apply returns for a log entry. It is the same on every machine.
 type Result struct {
 	Version  uint64
 	Repeated bool  // the change had already been accepted, as Version
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -23,7 +23,7 @@
 func Propose(ctx context.Context, addresses []string, keys peersync.Keys, change configuration.Change) (uint64, error) {
 	raw, err := json.Marshal(change)
 	if err != nil {
-		return 0, fmt.Errorf("change: %w", err)
+		return 0, fmt.Errorf("encode change: %w", err)
 	}
 	if len(raw) > configuration.MaxChangeBytes {
 		return 0, &configuration.ValidationError{Violations: []configuration.Violation{{
--- a/internal/configwatch/messages.go
+++ b/internal/configwatch/messages.go
@@ -64,7 +64,7 @@
 type Report struct {
 	Version  uint64               `cbor:"1,keyasint"`
 	Digest   configuration.Digest `cbor:"2,keyasint"`
-	Rejected uint64               `cbor:"3,keyasint,omitempty"` // latest version of an update that could not be fully applied, or 0; Version is then the last one that was applied
+	Rejected uint64               `cbor:"3,keyasint,omitempty"` // Latest of an update that could not be fully applied, or 0; Version is then the last one that was applied
 	Reason   string               `cbor:"4,keyasint,omitempty"`
 }
 
@@ -111,7 +111,7 @@
 func Encode(message any) []byte {
 	raw, err := cbor.Marshal(message)
 	if err != nil {
-		panic(fmt.Errorf("cbor: %w", err)) // the messages of this package can always be encoded
+		panic(fmt.Errorf("encode message: %w", err)) // the messages of this package can always be encoded
 	}
 	return raw
 }
@@ -119,7 +119,7 @@
 // Decode decodes a message of this package into a value of its type.
 func Decode(raw []byte, message any) error {
 	if err := decMode.Unmarshal(raw, message); err != nil {
-		return fmt.Errorf("message: %w", err)
+		return fmt.Errorf("decode message: %w", err)
 	}
 	return nil
 }
--- a/internal/leasing/manager.go
+++ b/internal/leasing/manager.go
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	if options.Config.Voters != len(options.Peers)+1 {
-		return nil, fmt.Errorf("lease: %d voters for %d peers and this server", options.Config.Voters, len(options.Peers))
+		return nil, fmt.Errorf("lease: %d voters configured, want one for each of the %d peers and one for this server", options.Config.Voters, len(options.Peers))
 	}
 	m := &Manager{
 		options: options, started: time.Now(), voter: lease.NewVoter(options.Address, options.Config),
--- a/internal/leasing/manager_test.go
+++ b/internal/leasing/manager_test.go
@@ -68,7 +68,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	_, err := New(Options{Address: "x", Leases: leases, Config: config, Peers: []string{"a"}})
-	assert.ErrorContains(t, err, "3 voters for 1 peers")
+	assert.ErrorContains(t, err, "3 voters configured, want one for each of the 1 peers")
 }
 
 // A thousand voters respond at the same time, and then more responses arrive than the queue can hold. None of the
--- a/internal/raftlog/fsm.go
+++ b/internal/raftlog/fsm.go
@@ -40,7 +40,7 @@
 	defer func() { _ = from.Close() }() // a close after reading cannot lose data
 	snapshot, err := io.ReadAll(io.LimitReader(from, maxSnapshotBytes))
 	if err != nil {
-		return fmt.Errorf("replicated log: snapshot: %w", err)
+		return fmt.Errorf("replicated log: read snapshot: %w", err)
 	}
 	return f.stateMachine.Restore(snapshot)
 }
--- a/internal/raftlog/node.go
+++ b/internal/raftlog/node.go
@@ -38,7 +38,7 @@
 // Member is one machine that takes part in the log.
 type Member struct {
 	Name        string
-	Address     string // the same on all members; this machine listens on its own
+	Address     string // identifies the member on all members; it listens on this address
 	DialAddress string // address that this machine dials instead of Address, if not empty
 }
 
--- a/internal/raftlog/node_test.go
+++ b/internal/raftlog/node_test.go
@@ -29,33 +29,33 @@
 	entries []string
 }
 
-func (l *recordingMachine) Apply(entry []byte, at time.Time) any {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (m *recordingMachine) Apply(entry []byte, at time.Time) any {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if at.IsZero() {
 		panic("entry without an append time")
 	}
-	l.entries = append(l.entries, string(entry))
-	return len(l.entries)
+	m.entries = append(m.entries, string(entry))
+	return len(m.entries)
 }
 
-func (l *recordingMachine) Snapshot() []byte {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	raw, _ := json.Marshal(l.entries) // a slice of strings can always be encoded
+func (m *recordingMachine) Snapshot() []byte {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	raw, _ := json.Marshal(m.entries) // a slice of strings can always be encoded
 	return raw
 }
 
-func (l *recordingMachine) Restore(raw []byte) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return json.Unmarshal(raw, &l.entries)
+func (m *recordingMachine) Restore(raw []byte) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return json.Unmarshal(raw, &m.entries)
 }
 
-func (l *recordingMachine) all() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]string{}, l.entries...)
+func (m *recordingMachine) all() []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return append([]string{}, m.entries...)
 }
 
 // cluster is a log replicated over three members.
--- a/internal/raftlog/stored_test.go
+++ b/internal/raftlog/stored_test.go
@@ -28,26 +28,26 @@
 	times    []int64
 }
 
-func (k *recordingMachine) Apply(entry []byte, at time.Time) any {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.entries, k.times = append(k.entries, string(entry)), append(k.times, at.UnixMilli())
-	return len(k.entries)
+func (m *recordingMachine) Apply(entry []byte, at time.Time) any {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.entries, m.times = append(m.entries, string(entry)), append(m.times, at.UnixMilli())
+	return len(m.entries)
 }
 
 func (k *recordingMachine) Snapshot() []byte { return nil }
 
-func (k *recordingMachine) Restore(raw []byte) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.snapshot, k.entries, k.times = bytes.Clone(raw), nil, nil
+func (m *recordingMachine) Restore(raw []byte) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.snapshot, m.entries, m.times = bytes.Clone(raw), nil, nil
 	return nil
 }
 
-func (k *recordingMachine) recorded() (snapshot []byte, entries []string, times []int64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.snapshot, append([]string{}, k.entries...), append([]int64{}, k.times...)
+func (m *recordingMachine) recorded() (snapshot []byte, entries []string, times []int64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.snapshot, append([]string{}, m.entries...), append([]int64{}, m.times...)
 }
 
 // storedLog returns the directory of a log written by revision f1daac1, copied to a temporary directory. The log has
