--- a/internal/raftlog/node.go
+++ b/internal/raftlog/node.go
@@ -38,8 +38,8 @@
 // Member is one machine that takes part in the log.
 type Member struct {
 	Name        string
-	Address     string // identifies the member on all members; it listens on this address
-	DialAddress string // address that this machine dials instead of Address, if not empty
+	Address     string // address by which all members know this one, and on which it listens
+	DialAddress string // address that this machine dials instead of Address; empty to dial Address
 }
 
 // Options configures a Node.
--- a/internal/raftlog/stored_test.go
+++ b/internal/raftlog/stored_test.go
@@ -35,7 +35,7 @@
 	return len(m.entries)
 }
 
-func (k *recordingMachine) Snapshot() []byte { return nil }
+func (m *recordingMachine) Snapshot() []byte { return nil }
 
 func (m *recordingMachine) Restore(raw []byte) error {
 	m.mu.Lock()
