--- a/internal/raftlog/node_test.go
+++ b/internal/raftlog/node_test.go
@@ -29,36 +29,36 @@
 	entries []string
 }
 
-func (l *recordingMachine) Apply(entry []byte, at time.Time) any {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (m *recordingMachine) Apply(entry []byte, at time.Time) any {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if at.IsZero() {
-		panic("an entry without a time")
+		panic("entry without an append time")
 	}
-	l.entries = append(l.entries, string(entry))
-	return len(l.entries)
+	m.entries = append(m.entries, string(entry))
+	return len(m.entries)
 }
 
-func (l *recordingMachine) Snapshot() []byte {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	raw, _ := json.Marshal(l.entries) // strings can always be encoded
+func (m *recordingMachine) Snapshot() []byte {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	raw, _ := json.Marshal(m.entries) // a slice of strings can always be encoded
 	return raw
 }
 
-func (l *recordingMachine) Restore(raw []byte) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return json.Unmarshal(raw, &l.entries)
+func (m *recordingMachine) Restore(raw []byte) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return json.Unmarshal(raw, &m.entries)
 }
 
-func (l *recordingMachine) all() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]string{}, l.entries...)
+func (m *recordingMachine) all() []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return append([]string{}, m.entries...)
 }
 
-// cluster is a log over three members.
+// cluster is a log replicated over three members.
 type cluster struct {
 	options  []Options
 	machines []*recordingMachine
@@ -107,7 +107,7 @@
 	*c.machines[i] = recordingMachine{} // a restart loses the state in memory
 }
 
-// leader waits until a member leads, and returns its index.
+// leader waits until a member is the leader, and returns its index.
 func (c *cluster) leader(t *testing.T) (leader int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -132,7 +132,7 @@
 	}, patience, time.Millisecond)
 }
 
-// propose proposes an entry, with a bound of the wait for a place in the leader's queue.
+// propose proposes an entry; timeout bounds the wait for a slot in the leader's queue.
 func propose(t *testing.T, node *Node, entry string, timeout time.Duration) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -141,8 +141,8 @@
 	return err
 }
 
-// agree waits until all running members have applied the same entries.
-func (c *cluster) agree(t *testing.T, want []string) {
+// waitForEntries waits until all running members have applied exactly the wanted entries.
+func (c *cluster) waitForEntries(t *testing.T, want []string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for i, n := range c.nodes {
@@ -154,8 +154,8 @@
 	}, patience, time.Millisecond)
 }
 
-// The leader is lost, a member restarts after a snapshot was taken, and then all members restart. After each of these all
-// members must have applied the same entries in the same order.
+// The leader fails, a member restarts after a snapshot was taken, and then all members restart. After each of these,
+// all members must have applied the same entries in the same order.
 func TestLogAcrossLosses(t *testing.T) {
 	c := newCluster(t)
 	var want []string
@@ -165,16 +165,16 @@
 	}
 	put("a")
 	put("b")
-	c.agree(t, want)
-	lost := c.leader(t)
-	follower := (lost + 1) % 3
+	c.waitForEntries(t, want)
+	stopped := c.leader(t)
+	follower := (stopped + 1) % 3
 	assert.ErrorIs(t, propose(t, c.nodes[follower], "x", time.Second), ErrNotLeader)
-	c.stop(t, lost)
+	c.stop(t, stopped)
 	put("c")
 	require.NoError(t, c.nodes[c.leader(t)].raft.Snapshot().Error())
 	put("d")
-	c.start(t, lost)
-	c.agree(t, want)
+	c.start(t, stopped)
+	c.waitForEntries(t, want)
 	for i := range c.nodes {
 		c.stop(t, i)
 	}
@@ -182,11 +182,11 @@
 		c.start(t, i)
 	}
 	put("e")
-	c.agree(t, want)
+	c.waitForEntries(t, want)
 }
 
-// Two of three members are lost. The one that is left must step down and commit nothing, as the others may come back with
-// a log of their own.
+// Two of three members fail. The remaining one must step down and commit nothing, because the other two could elect a
+// leader and commit other entries.
 func TestNoMajority(t *testing.T) {
 	c := newCluster(t)
 	c.propose(t, "a")
@@ -199,25 +199,25 @@
 	assert.Error(t, propose(t, c.nodes[leader], "b", 200*time.Millisecond))
 }
 
-// A member with another key must not receive entries. A machine that is not among the members must not start.
+// A member with a wrong key must not receive entries. A machine that is not one of the members must not start.
 func TestAnotherKey(t *testing.T) {
 	c := newCluster(t)
 	c.propose(t, "a")
 	leader := c.leader(t)
-	away := (leader + 1) % 3
-	c.stop(t, away)
-	c.options[away].Keys = peersync.Keys{bytes.Repeat([]byte{4}, 16)}
-	c.start(t, away)
+	restarted := (leader + 1) % 3
+	c.stop(t, restarted)
+	c.options[restarted].Keys = peersync.Keys{bytes.Repeat([]byte{4}, 16)}
+	c.start(t, restarted)
 	c.propose(t, "b")
-	assert.Never(t, func() bool { return len(c.machines[away].all()) > 1 }, 300*time.Millisecond, 10*time.Millisecond)
-	nobody := c.options[leader]
-	nobody.Name = "nobody"
-	_, err := Start(nobody)
-	assert.ErrorContains(t, err, "none of its members")
+	assert.Never(t, func() bool { return len(c.machines[restarted].all()) > 1 }, 300*time.Millisecond, 10*time.Millisecond)
+	nonMember := c.options[leader]
+	nonMember.Name = "nobody"
+	_, err := Start(nonMember)
+	assert.ErrorContains(t, err, "not one of the members")
 }
 
-// A start that fails halfway, here for a file in place of the snapshots, must release what it opened: the address would
-// stay taken, and the goroutine that accepts connections would run on.
+// A start that fails halfway must release everything it opened; otherwise the address stays in use and the goroutine
+// that accepts connections leaks. Here a file in place of the snapshot directory makes it fail.
 func TestFailedStartReleasesEverything(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -232,13 +232,13 @@
 	}
 	_, err = Start(options)
 	require.Error(t, err)
-	again, err := net.Listen("tcp", address)
-	require.NoError(t, err, "the address is free again")
-	require.NoError(t, again.Close())
+	listener, err := net.Listen("tcp", address)
+	require.NoError(t, err, "the address must be free after the failed start")
+	require.NoError(t, listener.Close())
 	goleak.VerifyNone(t, before)
 
 	require.NoError(t, os.Remove(filepath.Join(dir, "snapshots")))
-	node, err := Start(options) // the log's file is not locked any more
+	node, err := Start(options) // the log file must not be locked after the failed start
 	require.NoError(t, err)
 	require.NoError(t, node.Close())
 }
