--- a/cmd/adapter/server.go
+++ b/cmd/adapter/server.go
@@ -115,7 +115,7 @@
 	}
 	request := &admission.Request{
 		Route:     s.controller.Routes[arrival.Route],
-		QueuedKB:  arrival.HeldKB,
+		QueuedKB:  arrival.QueuedKB,
 		Arrived:   s.round.Now - arrival.Age,
 		Deadline:  arrival.Deadline,
 		Rank:      arrival.Rank,
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -45,7 +45,7 @@
 // Arrival is a request that arrives.
 type Arrival struct {
 	RequestID uint64
-	HeldKB    float64       // memory of the worker pool while queued
+	QueuedKB  float64       // memory of the worker pool while queued
 	Deadline  time.Duration // on the simulator's clock
 	Tenant    int
 	Rank      float64
@@ -59,7 +59,7 @@
 // Arrival decodes an EventArrive.
 func (r Record) Arrival() Arrival {
 	arrival := Arrival{
-		RequestID: r.RequestID(), HeldKB: r.f32(11), Deadline: fromMicros(r.u64(25)), Tenant: int(r.u32(33)), Rank: r.f32(37),
+		RequestID: r.RequestID(), QueuedKB: r.f32(11), Deadline: fromMicros(r.u64(25)), Tenant: int(r.u32(33)), Rank: r.f32(37),
 		Duplicate: r.u64(41) != 0, Router: r.u32(49), Route: int(r.u8(57)), Age: fromMicros(r.u32(58)),
 	}
 	if r.u16(15)&costHintFlag != 0 {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -57,7 +57,7 @@
 	assert.Equal(t, uint32(0x073a), r.u32(58))
 	assert.Equal(t, uint64(0x000592080e6f2b19), batch.Record(2).RequestID())
 	assert.Equal(t, Arrival{
-		RequestID: 0x000e10035d3a91c4, HeldKB: 24.5, Deadline: 0x8405da * time.Microsecond, Rank: 0.625, Duplicate: true, Router: 17,
+		RequestID: 0x000e10035d3a91c4, QueuedKB: 24.5, Deadline: 0x8405da * time.Microsecond, Rank: 0.625, Duplicate: true, Router: 17,
 		CostHint: 12 * time.Millisecond, Age: 1850 * time.Microsecond,
 	}, r.Arrival())
 }
