--- a/cmd/adapter/executor.go
+++ b/cmd/adapter/executor.go
@@ -13,7 +13,7 @@
 func (s *server) markAnswered(request *admission.Request) {
 	if tracked := s.requests[s.requestIDs[request]]; tracked != nil {
 		tracked.answered = true
-		s.forgetIfOver(request)
+		s.forgetIfFinished(request)
 	}
 }
 
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -21,8 +21,8 @@
 }
 
 // serve answers each batch with one reply, until the input ends.
-func serve(from io.Reader, to io.Writer) error {
-	in, out := bufio.NewReaderSize(from, bufferBytes), bufio.NewWriterSize(to, bufferBytes)
+func serve(input io.Reader, output io.Writer) error {
+	in, out := bufio.NewReaderSize(input, bufferBytes), bufio.NewWriterSize(output, bufferBytes)
 	h := newHost()
 	for n := 0; ; n++ {
 		err := h.batch.Read(in)
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -49,46 +49,46 @@
 		body = append(body, r...)
 	}
 	body = append(body, settingLines...)
-	head := binary.LittleEndian.AppendUint64(nil, 1_000_000)
-	head = binary.LittleEndian.AppendUint32(head, uint32(4+len(body)))
-	head = binary.LittleEndian.AppendUint32(head, uint32(len(events)))
-	return append(head, body...)
+	header := binary.LittleEndian.AppendUint64(nil, 1_000_000)
+	header = binary.LittleEndian.AppendUint32(header, uint32(4+len(body)))
+	header = binary.LittleEndian.AppendUint32(header, uint32(len(events)))
+	return append(header, body...)
 }
 
-func with(id uint64, more ...uint64) func([]byte) {
+func withRequestID(id uint64, field ...uint64) func([]byte) {
 	return func(r []byte) {
 		binary.LittleEndian.PutUint64(r[3:], id)
-		if len(more) == 2 {
-			binary.LittleEndian.PutUint64(r[more[0]:], more[1])
+		if len(field) == 2 {
+			binary.LittleEndian.PutUint64(r[field[0]:], field[1])
 		}
 	}
 }
 
-// codes serves frames, and returns the codes of the actions in each reply.
-func codes(t *testing.T, frames ...[]byte) (all [][]wire.ActionCode, err error) {
+// actionCodes serves frames, and returns the codes of the actions in each reply.
+func actionCodes(t *testing.T, frames ...[]byte) (all [][]wire.ActionCode, err error) {
 	var out bytes.Buffer
 	err = serve(bytes.NewReader(bytes.Join(frames, nil)), &out)
 	for b := out.Bytes(); len(b) > 0; {
 		require.GreaterOrEqual(t, len(b), 8)
 		size, count := binary.LittleEndian.Uint32(b), binary.LittleEndian.Uint32(b[4:])
-		var some []wire.ActionCode
+		var codes []wire.ActionCode
 		for i := range count {
-			some = append(some, wire.ActionCode(b[8+16*i]))
+			codes = append(codes, wire.ActionCode(b[8+16*i]))
 		}
-		all, b = append(all, some), b[4+size:]
+		all, b = append(all, codes), b[4+size:]
 	}
 	return all, err
 }
 
 func TestServe(t *testing.T) {
 	configure := event{wire.EventConfigure, 7, nil}
-	all, err := codes(t,
+	all, err := actionCodes(t,
 		batch(),
 		batch(configure),
-		batch(event{wire.EventArrive, 7, with(1)}),
-		batch(event{wire.EventArrive, 7, with(2, 41, 1)}, event{wire.EventAwaitCall, 7, with(1)}),
-		batch(event{wire.EventCallEnd, 7, with(1)}, event{wire.EventRunEnd, 7, with(1)},
-			event{wire.EventCancel, 7, with(9)}),
+		batch(event{wire.EventArrive, 7, withRequestID(1)}),
+		batch(event{wire.EventArrive, 7, withRequestID(2, 41, 1)}, event{wire.EventAwaitCall, 7, withRequestID(1)}),
+		batch(event{wire.EventCallEnd, 7, withRequestID(1)}, event{wire.EventRunEnd, 7, withRequestID(1)},
+			event{wire.EventCancel, 7, withRequestID(9)}),
 		batch(event{wire.EventServerDown, 7, nil}, configure),
 		batch(event{wire.EventGauges, 7, func(r []byte) { r[7] = 4 }}),
 	)
@@ -108,7 +108,7 @@
 	s.round.Now = time.Second
 	for id := range uint64(50) {
 		r := make(wire.Record, 64)
-		with(id)(r)
+		withRequestID(id)(r)
 		require.NoError(t, s.arrive(r.Arrival()))
 	}
 	s.decide()
@@ -134,15 +134,15 @@
 		{"never configured", [][]byte{batch(event{wire.EventGauges, 4, nil})}, "record 0: event 80 for server 4"},
 		{"outside the tail", [][]byte{batch(event{wire.EventConfigure, 7, func(r []byte) { r[14] = 1 }})},
 			"outside the tail"},
-		{"repeated id", [][]byte{batch(configure, event{wire.EventArrive, 7, with(1)}, event{wire.EventArrive, 7, with(1)})},
+		{"repeated id", [][]byte{batch(configure, event{wire.EventArrive, 7, withRequestID(1)}, event{wire.EventArrive, 7, withRequestID(1)})},
 			"record 2: request id 1 came twice"},
-		{"unknown route", [][]byte{batch(configure, event{wire.EventArrive, 7, with(1, 56, 3<<8)})}, "request of route 3 of 1"},
-		{"unknown outcome", [][]byte{batch(configure, event{wire.EventArrive, 7, with(1)},
-			event{wire.EventRunEnd, 7, with(1, 11, 7)})}, "unknown outcome 7"},
+		{"unknown route", [][]byte{batch(configure, event{wire.EventArrive, 7, withRequestID(1, 56, 3<<8)})}, "request of route 3 of 1"},
+		{"unknown outcome", [][]byte{batch(configure, event{wire.EventArrive, 7, withRequestID(1)},
+			event{wire.EventRunEnd, 7, withRequestID(1, 11, 7)})}, "unknown outcome 7"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := codes(t, c.frames...)
+			_, err := actionCodes(t, c.frames...)
 			assert.ErrorContains(t, err, c.want)
 			assert.False(t, strings.Contains(err.Error(), "\n"))
 		})
--- a/cmd/adapter/server.go
+++ b/cmd/adapter/server.go
@@ -53,10 +53,10 @@
 	}()
 	s.controller.Decide(&s.round, s)
 	for _, end := range s.round.RunsEnded {
-		s.forgetIfOver(end.Request)
+		s.forgetIfFinished(end.Request)
 	}
 	for _, request := range s.round.Canceled {
-		s.forgetIfOver(request)
+		s.forgetIfFinished(request)
 	}
 	s.round.Reset()
 	s.active = false
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// forgetIfOver forgets a request that no later event can concern.
-func (s *server) forgetIfOver(request *admission.Request) {
+// forgetIfFinished forgets a request that no later event can concern.
+func (s *server) forgetIfFinished(request *admission.Request) {
 	id, known := s.requestIDs[request]
 	if !known {
 		return
--- a/cmd/quartzpoint/burst_test.go
+++ b/cmd/quartzpoint/burst_test.go
@@ -29,15 +29,15 @@
 }
 
 // sendBurst sends one connection's part of a burst in a single write, once begin is closed, and reads the answers to it.
-func sendBurst(t *testing.T, connection net.Conn, number int, route string, begin <-chan struct{}) (answers []burstAnswer) {
+func sendBurst(t *testing.T, connection net.Conn, index int, route string, begin <-chan struct{}) (answers []burstAnswer) {
 	<-begin
 	sent := time.Now()
 	var frames []byte
 	body := string(binary.BigEndian.AppendUint64(nil, uint64((5 * time.Millisecond).Microseconds())))
 	for stream := range uint32(burstPerConn) {
 		frames = append(frames, harness.Frame(harness.FrameRequest, stream+1, body,
-			"op", route, "call", fmt.Sprintf("%08x%08x", number, stream), "recv", strconv.FormatInt(sent.UnixMilli(), 10),
-			"src", strconv.Itoa(number), "ttl", strconv.FormatInt(burstDeadline.Milliseconds(), 10), "heap", "20.0", "crit", "0.5")...)
+			"op", route, "call", fmt.Sprintf("%08x%08x", index, stream), "recv", strconv.FormatInt(sent.UnixMilli(), 10),
+			"src", strconv.Itoa(index), "ttl", strconv.FormatInt(burstDeadline.Milliseconds(), 10), "heap", "20.0", "crit", "0.5")...)
 	}
 	_, err := connection.Write(frames)
 	assert.NoError(t, err)
@@ -64,11 +64,11 @@
 	begin := make(chan struct{})
 	answers := make([][]burstAnswer, burstConnections)
 	var senders sync.WaitGroup
-	for number := range answers {
+	for index := range answers {
 		connection, err := net.Dial("tcp", daemon.Address)
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = connection.Close() })
-		senders.Go(func() { answers[number] = sendBurst(t, connection, number, routes[0].Name, begin) })
+		senders.Go(func() { answers[index] = sendBurst(t, connection, index, routes[0].Name, begin) })
 	}
 	close(begin)
 	senders.Wait()
--- a/cmd/quartzpoint/calls_test.go
+++ b/cmd/quartzpoint/calls_test.go
@@ -14,12 +14,12 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// callSite is the usual site, where one type calls a dependency.
-var callSite = strings.Replace(fake.SiteSettings, `"below":"none","calls-by-class":[false,false]`,
+// callingSettings is the usual site, where one type calls a dependency.
+var callingSettings = strings.Replace(fake.SiteSettings, `"below":"none","calls-by-class":[false,false]`,
 	`"below":"shared","calls-out":20,"calls-over":5000000,"calls-by-class":[true,false]`, 1)
 
-// lookups is a dependency that answers each call by its name, its task and its body.
-func lookups(t *testing.T, name string) string {
+// startDependency is a dependency that answers each call by its name, its task and its body.
+func startDependency(t *testing.T, name string) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		_, _ = io.WriteString(w, name+" "+r.Header.Get("X-Parent-Id")+" "+string(body))
@@ -33,49 +33,49 @@
 	for build, path := range builds {
 		t.Run(build, func(t *testing.T) {
 			p := prepare(t, path)
-			fake.RewriteConfigWithDependency(t, p.path, p.address, p.pool.Address, p.members.Address, lookups(t, "first"), callSite)
+			fake.RewriteConfigWithDependency(t, p.path, p.address, p.pool.Address, p.members.Address, startDependency(t, "first"), callingSettings)
 			require.NoError(t, p.cmd.Start())
-			p.endWith(t)
+			p.killAtCleanup(t)
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
 			run := func(stream uint32) string {
 				router.Send(t, fake.RequestFrame(stream, "browse", ""))
-				task := p.pool.Next(t, "spawn").RunID
-				p.pool.Block(task, []byte("what"))
+				runID := p.pool.Next(t, "spawn").RunID
+				p.pool.Block(runID, []byte("what"))
 				supplied := p.pool.Next(t, "supply")
-				p.pool.Finish(task, "success", supplied.Body)
+				p.pool.Finish(runID, "success", supplied.Body)
 				reply := router.Next(t)
 				assert.Equal(t, byte(20), reply.Code)
 				return reply.Body
 			}
 			assert.Equal(t, "first "+fake.CallID(1)+" what", run(1))
 
-			fake.RewriteConfigWithDependency(t, p.path, p.address, p.pool.Address, p.members.Address, lookups(t, "second"), callSite)
+			fake.RewriteConfigWithDependency(t, p.path, p.address, p.pool.Address, p.members.Address, startDependency(t, "second"), callingSettings)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-			p.logged(t, "only_with_a_restart=[]")
+			p.waitLogged(t, "only_with_a_restart=[]")
 			assert.Equal(t, "second "+fake.CallID(2)+" what", run(2))
 
-			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, callSite)
+			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, callingSettings)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-			p.logged(t, "only_with_a_restart=[index]")
+			p.waitLogged(t, "only_with_a_restart=[index]")
 			assert.Equal(t, "second "+fake.CallID(3)+" what", run(3))
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 			_ = router.Close()
-			assert.Zero(t, p.gone())
+			assert.Zero(t, p.waitExit())
 		})
 	}
 }
 
 // Without the dependency's address the process starts, serves all other types and turns those tasks away.
-func TestRouteThatCallsNobody(t *testing.T) {
+func TestRouteThatCallsWithoutADependency(t *testing.T) {
 	p := prepare(t, builds["release"])
-	fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, callSite)
+	fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, callingSettings)
 	require.NoError(t, p.cmd.Start())
-	p.endWith(t)
+	p.killAtCleanup(t)
 	p.pool.Ready()
-	p.logged(t, "pool link bound")
-	p.logged(t, "types=[browse]")
+	p.waitLogged(t, "pool link bound")
+	p.waitLogged(t, "types=[browse]")
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.RequestFrame(1, "browse", ""))
 	reply := router.Next(t)
--- a/cmd/quartzpoint/check.go
+++ b/cmd/quartzpoint/check.go
@@ -28,22 +28,22 @@
 		errs, timeouts = append(errs, err), s.routeTimeouts
 	}
 	if cmd.Config != "" {
-		ours, err := config.Read(cmd.Config)
+		file, err := config.Read(cmd.Config)
 		errs = append(errs, err)
 		if err == nil && timeouts != nil {
-			_, err := composedRoutes(ours, timeouts)
+			_, err := composedRoutes(file, timeouts)
 			errs = append(errs, err)
-			for _, t := range ours.Routes {
-				if time, known := timeouts[t.Name]; known && err == nil {
-					errs = append(errs, printTimeline(os.Stdout, t, ours.Dependencies, time))
+			for _, plan := range file.Routes {
+				if timeout, known := timeouts[plan.Name]; known && err == nil {
+					errs = append(errs, printTimeline(os.Stdout, plan, file.Dependencies, timeout))
 				}
 			}
 		}
-		if err == nil && ours.State != nil {
-			errs = append(errs, checkStateDir(ours.State.Dir))
+		if err == nil && file.State != nil {
+			errs = append(errs, checkStateDir(file.State.Dir))
 		}
-		if err == nil && ours.Peers != nil && ours.Peers.KeyFile != "" {
-			_, err := peersync.ReadKeys(ours.Peers.KeyFile)
+		if err == nil && file.Peers != nil && file.Peers.KeyFile != "" {
+			_, err := peersync.ReadKeys(file.Peers.KeyFile)
 			errs = append(errs, err)
 		}
 	}
@@ -60,9 +60,9 @@
 // checkStateDir is the error with which a state folder could not be opened. One that does not exist is created at the start, so
 // its parent must exist.
 func checkStateDir(dir string) error {
-	in, err := datadir.Open(dir, true)
+	opened, err := datadir.Open(dir, true)
 	if err == nil {
-		return in.Close()
+		return opened.Close()
 	}
 	if !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("state.dir: %w", err)
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -111,8 +111,8 @@
 }
 
 // apply applies a delta, which leads to the document to, and returns once it is in force. It is configwatch.Watcher.Apply.
-func (u *tableUpdater) apply(ctx context.Context, delta configuration.Delta, to *configuration.Document) error {
-	if err := u.checkMemory(to); err != nil {
+func (u *tableUpdater) apply(ctx context.Context, delta configuration.Delta, document *configuration.Document) error {
+	if err := u.checkMemory(document); err != nil {
 		return err
 	}
 	done := make(chan struct{})
--- a/cmd/quartzpoint/configuration_test.go
+++ b/cmd/quartzpoint/configuration_test.go
@@ -23,9 +23,9 @@
 func newTestServer(t *testing.T) *server.Server {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	agreed, err := settings.FromJSON([]byte(fake.SiteSettings))
+	parsed, err := settings.FromJSON([]byte(fake.SiteSettings))
 	require.NoError(t, err)
-	owner, err := server.New(agreed, 1, server.Limits{MemoryMB: 96, Sockets: 256, Keys: true, Tenants: true, DynamicTables: true}, invariant.New(log), log)
+	owner, err := server.New(parsed, 1, server.Limits{MemoryMB: 96, Sockets: 256, Keys: true, Tenants: true, DynamicTables: true}, invariant.New(log), log)
 	require.NoError(t, err)
 	return owner
 }
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -21,20 +21,20 @@
 // startComposer starts the composer of the routes that the configuration makes of calls; nil without any. It ends with the
 // context. memory is that of the process, in bytes.
 func startComposer(
-	ctx context.Context, ours *config.Config, memory int, seed int64, owner *server.Server, counts *invariant.Counters, log *slog.Logger,
+	ctx context.Context, file *config.Config, memory int, seed int64, owner *server.Server, counters *invariant.Counters, log *slog.Logger,
 ) (*fanout.Composer, error) {
-	if len(ours.Routes) == 0 {
+	if len(file.Routes) == 0 {
 		return nil, nil
 	}
-	routes, err := composedRoutes(ours, owner.RouteTimeouts())
+	routes, err := composedRoutes(file, owner.RouteTimeouts())
 	if err != nil {
 		return nil, err
 	}
 	var dependencies []fanout.Dependency
-	for _, d := range ours.Dependencies {
+	for _, d := range file.Dependencies {
 		dependencies = append(dependencies, fanout.Dependency(d))
 	}
-	composer := fanout.New(ctx, dependencies, routes, memory, seed, owner.Now, counts, log, owner.Wake)
+	composer := fanout.New(ctx, dependencies, routes, memory, seed, owner.Now, counters, log, owner.Wake)
 	owner.SetComposer(composer)
 	log.Info("tasks made of calls", "types", len(routes), "dependencies", len(dependencies))
 	return composer, nil
@@ -42,38 +42,38 @@
 
 // composedRoutes are the configured plans, validated against available: the time that the platform's configuration gives
 // requests of each route. The error joins all faults.
-func composedRoutes(ours *config.Config, available map[string]time.Duration) (routes []fanout.Route, err error) {
-	var faults []error
-	for _, t := range ours.Routes {
-		plan := t.Plan()
-		deadline, known := available[t.Name]
+func composedRoutes(file *config.Config, available map[string]time.Duration) (routes []fanout.Route, err error) {
+	var errs []error
+	for _, routePlan := range file.Routes {
+		plan := routePlan.Plan()
+		deadline, known := available[routePlan.Name]
 		if !known {
-			faults = append(faults, fmt.Errorf("types.%s: the platform's configuration names no such traffic type", t.Name))
+			errs = append(errs, fmt.Errorf("types.%s: the platform's configuration names no such traffic type", routePlan.Name))
 			continue
 		}
-		if err := plan.Validate(len(ours.Dependencies), deadline); err != nil {
-			faults = append(faults, fmt.Errorf("types.%s: %w", t.Name, err))
+		if err := plan.Validate(len(file.Dependencies), deadline); err != nil {
+			errs = append(errs, fmt.Errorf("types.%s: %w", routePlan.Name, err))
 		}
 		route := fanout.Route{Plan: plan}
-		for _, c := range t.Calls {
+		for _, c := range routePlan.Calls {
 			route.Calls = append(route.Calls, fanout.Call{Op: c.Op, MaxStale: c.MaxStale, Default: c.Default})
 		}
 		routes = append(routes, route)
 	}
-	return routes, errors.Join(faults...)
+	return routes, errors.Join(errs...)
 }
 
 // printTimeline prints when the calls of a plan are expected to start and end, and their timeouts.
-func printTimeline(writer io.Writer, t config.RoutePlan, dependencies []config.Dependency, available time.Duration) error {
-	plan := t.Plan()
+func printTimeline(writer io.Writer, routePlan config.RoutePlan, dependencies []config.Dependency, available time.Duration) error {
+	plan := routePlan.Plan()
 	if err := plan.Validate(len(dependencies), available); err != nil {
-		return fmt.Errorf("types.%s: %w", t.Name, err)
+		return fmt.Errorf("types.%s: %w", routePlan.Name, err)
 	}
 	var names []string
 	for _, d := range dependencies {
 		names = append(names, d.Name)
 	}
-	fmt.Fprintf(writer, "%s: %v in all, %v of it kept back\n", t.Name, available, t.Reserve)
+	fmt.Fprintf(writer, "%s: %v in all, %v of it kept back\n", routePlan.Name, available, routePlan.Reserve)
 	table := tabwriter.NewWriter(writer, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "  call\tdependency\tbegins\tends\tmay take\t")
 	for _, span := range plan.Spans(available, names) {
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -43,11 +43,11 @@
 	daemon       *harness.Daemon
 	tables, bank *harness.Dependency
 	socket, file string
-	types        []harness.Route
+	routes       []harness.Route
 }
 
 func startComposedServer(t *testing.T, bank harness.BehaviourScript) *composedServer {
-	c := &composedServer{types: []harness.Route{
+	c := &composedServer{routes: []harness.Route{
 		{Name: "confirm-booking", Value: 4, LatencyTarget: time.Second, Deadline: 2 * time.Second, AtMostOnce: true, Share: 0.5,
 			Work: time.Millisecond, Composed: true},
 		{Name: "guest-note", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 0.5, Work: 20 * time.Millisecond},
@@ -62,7 +62,7 @@
 	folder := t.TempDir()
 	c.socket = filepath.Join(folder, "control.sock")
 	c.file = strings.NewReplacer("SOCKET", c.socket, "TABLES", c.tables.Address, "BANK", c.bank.Address).Replace(confirmFile)
-	c.daemon, err = harness.Start(builds["debug"], folder, "n1", c.types, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}, c.file)
+	c.daemon, err = harness.Start(builds["debug"], folder, "n1", c.routes, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}, c.file)
 	require.NoError(t, err)
 	return c
 }
@@ -70,18 +70,18 @@
 // Without faults all requests complete, and the control socket reports the dependencies.
 func TestComposed(t *testing.T) {
 	c := startComposedServer(t, nil)
-	done, err := harness.Run(c.daemon.Address, c.types, harness.Arrivals(c.types, 60, time.Second, 1), 1)
+	done, err := harness.Run(c.daemon.Address, c.routes, harness.Arrivals(c.routes, 60, time.Second, 1), 1)
 	require.NoError(t, err)
 	assert.Equal(t, done.Requests, done.Codes[20], "all complete: codes %v\n%s", done.Codes, c.daemon.Log())
 	assert.Zero(t, done.Partial+done.LateAnswers+done.DuplicateAnswers)
-	about, err := os.Stat(c.socket)
+	info, err := os.Stat(c.socket)
 	require.NoError(t, err)
-	assert.Equal(t, os.FileMode(0o600), about.Mode().Perm(), "the socket is its owner's")
+	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "the socket is its owner's")
 
-	out, code := ask(t, nil, "dependencies", c.socket)
+	out, code := runCommand(t, nil, "dependencies", c.socket)
 	require.Zero(t, code, out)
 	assert.Contains(t, out, "closed")
-	out, code = ask(t, nil, "dependencies", c.socket, "--json")
+	out, code = runCommand(t, nil, "dependencies", c.socket, "--json")
 	require.Zero(t, code, out)
 	var states []budget.State
 	require.NoError(t, json.Unmarshal([]byte(out), &states))
@@ -91,7 +91,7 @@
 	assert.Zero(t, states[0].InFlight)
 	assert.Greater(t, states[0].QuantilesInMillis[0], 4.0)
 	require.NoError(t, c.daemon.Stop())
-	out, code = ask(t, nil, "dependencies", c.socket)
+	out, code = runCommand(t, nil, "dependencies", c.socket)
 	assert.Equal(t, 1, code, out)
 }
 
@@ -101,8 +101,8 @@
 	c := startComposedServer(t, func(time.Duration) harness.DependencyBehaviour {
 		return harness.DependencyBehaviour{AnswerDelay: 3 * time.Second}
 	})
-	load := harness.Arrivals(c.types, 20, time.Second, 1)
-	done, err := harness.Run(c.daemon.Address, c.types, load, 1)
+	load := harness.Arrivals(c.routes, 20, time.Second, 1)
+	done, err := harness.Run(c.daemon.Address, c.routes, load, 1)
 	require.NoError(t, err)
 	assert.Zero(t, done.Unanswered+done.LateAnswers+done.DuplicateAnswers)
 	notes := 0.0
@@ -110,11 +110,11 @@
 		notes += float64(a.Route)
 	}
 	assert.Equal(t, notes, done.GoodputByRoute[1])
-	seen := c.bank.Stats()
-	assert.Positive(t, seen.Effects)
-	assert.Zero(t, seen.RepeatedRuns)
-	assert.Equal(t, seen.Attempts, seen.DistinctKeys, "no attempt was repeated")
-	assert.GreaterOrEqual(t, done.Codes[51], seen.Effects, "what ran is aborted, not rejected")
+	stats := c.bank.Stats()
+	assert.Positive(t, stats.Effects)
+	assert.Zero(t, stats.RepeatedRuns)
+	assert.Equal(t, stats.Attempts, stats.DistinctKeys, "no attempt was repeated")
+	assert.GreaterOrEqual(t, done.Codes[51], stats.Effects, "what ran is aborted, not rejected")
 	require.NoError(t, c.daemon.Stop())
 	assert.NotContains(t, c.daemon.Log(), "check failed")
 }
@@ -123,19 +123,19 @@
 // the shutdown ends in time.
 func TestDrainWithOpenCalls(t *testing.T) {
 	c := startComposedServer(t, func(time.Duration) harness.DependencyBehaviour { return harness.DependencyBehaviour{Silent: true} })
-	gone := fake.Dial(t, c.daemon.Address)
-	gone.Send(t, fake.RequestFrame(1, "confirm-booking", "x"))
+	disconnecting := fake.Dial(t, c.daemon.Address)
+	disconnecting.Send(t, fake.RequestFrame(1, "confirm-booking", "x"))
 	require.Eventually(t, func() bool { return c.bank.Stats().Attempts == 1 }, fake.WaitLimit, time.Millisecond)
-	_ = gone.Close()
+	_ = disconnecting.Close()
 	router := fake.Dial(t, c.daemon.Address)
 	for stream := range uint32(3) {
 		more := []string{"call", "00000000000000a" + string(rune('1'+stream))}
 		router.Send(t, fake.RequestFrame(stream+1, "confirm-booking", "x", more...))
 	}
 	require.Eventually(t, func() bool { return c.bank.Stats().Attempts == 4 }, fake.WaitLimit, time.Millisecond)
-	left := make(chan error, 1)
+	stopped := make(chan error, 1)
 	began := time.Now()
-	go func() { left <- c.daemon.Stop() }()
+	go func() { stopped <- c.daemon.Stop() }()
 	answers := 0
 	for answers < 3 {
 		if reply := router.Next(t); reply.Type == 11 {
@@ -144,7 +144,7 @@
 		}
 	}
 	_ = router.Close()
-	require.NoError(t, <-left)
+	require.NoError(t, <-stopped)
 	assert.Less(t, time.Since(began), 2500*time.Millisecond)
 	assert.NotContains(t, c.daemon.Log(), "check failed")
 }
@@ -160,7 +160,7 @@
 		return path
 	}
 	good := strings.NewReplacer("SOCKET", "/tmp/x", "TABLES", "127.0.0.1:4", "BANK", "127.0.0.1:5").Replace(confirmFile)
-	out, code := ask(t, nil, "check", platform, "--own", write(good))
+	out, code := runCommand(t, nil, "check", platform, "--own", write(good))
 	assert.Zero(t, code, out)
 	for _, words := range []string{"confirm-booking: 8s in all", "hold", "deposit", "bank", "50ms", "100ms", "no faults"} {
 		assert.Contains(t, out, words)
@@ -181,7 +181,7 @@
 		if want == "needed calls take" {
 			text = strings.ReplaceAll(text, "needed = true", "needed = true\nexpected = \"3s\"")
 		}
-		out, code := ask(t, nil, "check", platform, "--own", write(text))
+		out, code := runCommand(t, nil, "check", platform, "--own", write(text))
 		assert.Equal(t, 1, code, want)
 		assert.Contains(t, out, want)
 	}
--- a/cmd/quartzpoint/descriptors_test.go
+++ b/cmd/quartzpoint/descriptors_test.go
@@ -18,26 +18,26 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// launchWithin starts a process that the system lets have as many descriptors as its configuration states.
-func launchWithin(t *testing.T, sockets int) *program {
+// launchWithDescriptors starts a process that the system lets have as many descriptors as its configuration states.
+func launchWithDescriptors(t *testing.T, sockets int) *program {
 	p := prepare(t, "/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, builds["release"]))
 	text, err := os.ReadFile(p.path)
 	require.NoError(t, err)
-	stated := strings.Replace(string(text), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), 1)
-	require.NoError(t, os.WriteFile(p.path, []byte(stated), 0o600))
+	configured := strings.Replace(string(text), `"sockets":256`, fmt.Sprintf(`"sockets":%d`, sockets), 1)
+	require.NoError(t, os.WriteFile(p.path, []byte(configured), 0o600))
 	require.NoError(t, p.cmd.Start())
-	p.endWith(t)
+	p.killAtCleanup(t)
 	p.pool.Ready()
-	p.logged(t, "pool link bound")
+	p.waitLogged(t, "pool link bound")
 	return p
 }
 
 // descriptors is how many the process has open.
 func (p *program) descriptors(t *testing.T) int {
 	t.Helper()
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	require.NoError(t, err)
-	return len(all)
+	return len(entries)
 }
 
 // stat is a number of the process's own line in /proc, counted as in proc(5).
@@ -45,30 +45,30 @@
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	require.NoError(t, err)
-	_, behind, _ := strings.Cut(string(text), ") ")
-	value, err := strconv.Atoi(strings.Fields(behind)[at-3])
+	_, rest, _ := strings.Cut(string(text), ") ")
+	value, err := strconv.Atoi(strings.Fields(rest)[at-3])
 	require.NoError(t, err)
 	return value
 }
 
-// worked is the time on a core that the process took so far; /proc counts in hundredths of a second.
-func (p *program) worked(t *testing.T) time.Duration {
+// cpuTime is the time on a core that the process took so far; /proc counts in hundredths of a second.
+func (p *program) cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	return time.Duration(p.stat(t, 14)+p.stat(t, 15)) * 10 * time.Millisecond
 }
 
-// idles sees that the process takes next to no time on a core in a second in which nothing happens.
-func (p *program) idles(t *testing.T) {
+// assertIdle sees that the process takes next to no time on a core in a second in which nothing happens.
+func (p *program) assertIdle(t *testing.T) {
 	t.Helper()
-	began, busy := time.Now(), p.worked(t)
+	began, cpuBefore := time.Now(), p.cpuTime(t)
 	time.Sleep(time.Second) // what is measured is the time that this takes
-	share := float64(p.worked(t)-busy) / float64(time.Since(began))
+	share := float64(p.cpuTime(t)-cpuBefore) / float64(time.Since(began))
 	assert.Less(t, share, 0.25, "it spins")
 	t.Logf("%d descriptors, %d threads, %.2f of a core", p.descriptors(t), p.stat(t, 20), share)
 }
 
-// honoured waits until a new connection has a task run, as nothing is left of what filled the table.
-func (p *program) honoured(t *testing.T, stream uint32) {
+// waitServed waits until a new connection has a task run, as nothing is left of what filled the table.
+func (p *program) waitServed(t *testing.T, stream uint32) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		stream++
@@ -86,15 +86,15 @@
 	}, fake.WaitLimit, 20*time.Millisecond)
 }
 
-// flood makes connections all at once, so that more come than there are turns to book them, and gives their ends.
-func (p *program) flood(connections int, say func(router net.Conn, i uint32)) (end func()) {
+// openConnections makes connections all at once, so that more come than there are turns to book them, and gives their ends.
+func (p *program) openConnections(connections int, use func(router net.Conn, i uint32)) (end func()) {
 	var mu sync.Mutex
 	var routers []net.Conn
-	var over sync.WaitGroup
+	var done sync.WaitGroup
 	for i := range connections {
-		over.Add(1)
+		done.Add(1)
 		go func() {
-			defer over.Done()
+			defer done.Done()
 			router, err := net.Dial("tcp", p.address)
 			if err != nil {
 				return
@@ -103,10 +103,10 @@
 			routers = append(routers, router)
 			mu.Unlock()
 			_ = router.SetDeadline(time.Now().Add(fake.WaitLimit))
-			say(router, uint32(i))
+			use(router, uint32(i))
 		}()
 	}
-	over.Wait()
+	done.Wait()
 	return func() {
 		for _, router := range routers {
 			_ = router.Close()
@@ -115,27 +115,29 @@
 }
 
 // What connections of routers do in a full table.
-func silent(net.Conn, uint32) {}
+func sendNothing(net.Conn, uint32) {}
 
-func asksOnce(router net.Conn, i uint32) {
+func checkHealthOnce(router net.Conn, i uint32) {
 	if _, err := router.Write(fake.Frame(20, 1000+i, "", "e2e", "0")); err == nil {
 		_, _ = harness.ReadReply(router) // answered, or closed to make room
 	}
 }
 
-func hasTask(router net.Conn, i uint32) { _, _ = router.Write(fake.RequestFrame(1000+i, "pay", "")) }
+func sendRequest(router net.Conn, i uint32) {
+	_, _ = router.Write(fake.RequestFrame(1000+i, "pay", ""))
+}
 
 // Routers that can't hear of a change keep their connections, and these fill the table. What is needed gets through: a
 // task and a check of a router that comes anew, the reports, the pool's link when it is lost; the process does not spin,
 // and when the others have gone all is as it was.
 func TestFullTableOfDescriptors(t *testing.T) {
-	fills := map[string]func(net.Conn, uint32){"silent": silent, "asked once": asksOnce, "in use": hasTask}
+	uses := map[string]func(net.Conn, uint32){"silent": sendNothing, "asked once": checkHealthOnce, "in use": sendRequest}
 	for _, sockets := range []int{32, 48, 64, 100, 256} {
-		for name, say := range fills {
+		for name, use := range uses {
 			t.Run(fmt.Sprintf("%d %s", sockets, name), func(t *testing.T) {
-				p := launchWithin(t, sockets)
+				p := launchWithDescriptors(t, sockets)
 				before := p.descriptors(t)
-				end := p.flood(2*sockets, say)
+				end := p.openConnections(2*sockets, use)
 				bound := strings.Count(p.log.String(), "pool link bound")
 				p.pool.CloseLink()
 				require.Eventually(t, func() bool { return strings.Count(p.log.String(), "pool link bound") > bound },
@@ -153,7 +155,7 @@
 				assert.Equal(t, []any{byte(11), uint32(1)}, []any{reply.Type, reply.Stream})
 				_ = router.Close()
 				_ = health.Close()
-				p.idles(t)
+				p.assertIdle(t)
 				for { // a report from now on, not one that waits in the socket
 					asked := time.Now()
 					if assert.Equal(t, "HB n1 UP", p.members.Next(t)); time.Since(asked) > 10*time.Millisecond {
@@ -166,7 +168,7 @@
 				p.pool.SetEcho()
 				end()
 				require.Eventually(t, func() bool { return p.descriptors(t) <= before }, fake.WaitLimit, time.Millisecond)
-				p.honoured(t, 2)
+				p.waitServed(t, 2)
 			})
 		}
 	}
@@ -175,20 +177,20 @@
 // Descriptors run out though the table is not full, as where others take them: idle connections make
 // room, and it neither spins nor writes line after line, however often it happens.
 func TestDescriptorsRunOut(t *testing.T) {
-	p := launchWithin(t, 256)
+	p := launchWithDescriptors(t, 256)
 	p.pool.SetEcho()
 	fewer := unix.Rlimit{Cur: 40, Max: 40}
 	require.NoError(t, unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &fewer, nil))
 	before := p.descriptors(t)
 	for i := range uint32(3) {
-		end := p.flood(100, asksOnce)
-		p.idles(t)
+		end := p.openConnections(100, checkHealthOnce)
+		p.assertIdle(t)
 		if i > 0 {
-			p.honoured(t, 10+200*i)
+			p.waitServed(t, 10+200*i)
 		}
 		end()
 		require.Eventually(t, func() bool { return p.descriptors(t) <= before }, fake.WaitLimit, time.Millisecond)
-		p.honoured(t, 100+200*i)
+		p.waitServed(t, 100+200*i)
 	}
 	assert.Less(t, strings.Count(p.log.String(), "\n"), 100, "a line for each try")
 }
--- a/cmd/quartzpoint/drain_test.go
+++ b/cmd/quartzpoint/drain_test.go
@@ -21,36 +21,36 @@
 // 15 ms of its stop: on a busy machine it was killed first, with requests unread for longer than a router sends again.
 func TestClientsThatSendUntilTheEnd(t *testing.T) {
 	const (
-		stop     = 1200 * time.Millisecond
-		clients  = 3
-		sendEach = 7 * time.Millisecond
-		resent   = 50 * time.Millisecond // what crosses a close by no more is sent again, by the protocol page
+		stop         = 1200 * time.Millisecond
+		clients      = 3
+		sendInterval = 7 * time.Millisecond
+		resendWindow = 50 * time.Millisecond // what crosses a close by no more is sent again, by the protocol page
 	)
 	p := prepare(t, builds["release"])
-	stopsAt(t, p, stop.Milliseconds())
+	setStopTime(t, p, stop.Milliseconds())
 	require.NoError(t, p.cmd.Start())
-	p.endWith(t)
+	p.killAtCleanup(t)
 	p.pool.Echo = true
 	p.pool.Ready()
-	p.logged(t, "pool link bound")
+	p.waitLogged(t, "pool link bound")
 
-	var over sync.WaitGroup
-	crossed := make(chan time.Duration, clients) // less what the client itself was late by
+	var done sync.WaitGroup
+	oldest := make(chan time.Duration, clients) // less what the client itself was late by
 	for client := range uint32(clients) {
 		router := fake.Dial(t, p.address)
-		over.Add(1)
+		done.Add(1)
 		go func() {
-			defer over.Done()
-			crossed <- sendOn(router, client<<16, sendEach)
+			defer done.Done()
+			oldest <- sendUntilClosed(router, client<<16, sendInterval)
 		}()
 	}
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	begin := time.Now()
-	assert.Zero(t, p.gone())
-	assert.Less(t, time.Since(begin), stop-resent, "it stayed until its stop")
-	over.Wait()
+	assert.Zero(t, p.waitExit())
+	assert.Less(t, time.Since(begin), stop-resendWindow, "it stayed until its stop")
+	done.Wait()
 	for range clients {
-		assert.LessOrEqual(t, <-crossed, resent, "a request was lost with its connection")
+		assert.LessOrEqual(t, <-oldest, resendWindow, "a request was lost with its connection")
 	}
 }
 
@@ -61,34 +61,34 @@
 		t.Run(fmt.Sprint(stop), func(t *testing.T) {
 			t.Parallel()
 			p := prepare(t, builds["release"])
-			stopsAt(t, p, stop)
+			setStopTime(t, p, stop)
 			require.NoError(t, p.cmd.Start())
-			p.endWith(t)
+			p.killAtCleanup(t)
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
 			router.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 			assert.Equal(t, byte(21), router.Next(t).Type)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			assert.Zero(t, p.gone())
-			p.logged(t, `msg="drain complete" connections=0`)
+			assert.Zero(t, p.waitExit())
+			p.waitLogged(t, `msg="drain complete" connections=0`)
 		})
 	}
 }
 
-// stopsAt has a program's configuration state a time from the notice to the stop, before its start.
-func stopsAt(t *testing.T, p *program, ms int64) {
+// setStopTime has a program's configuration state a time from the notice to the stop, before its start.
+func setStopTime(t *testing.T, p *program, ms int64) {
 	raw, err := os.ReadFile(p.path)
 	require.NoError(t, err)
-	stated := strings.Replace(string(raw), `"stop_ms":1500`, fmt.Sprintf(`"stop_ms":%d`, ms), 1)
-	require.NoError(t, os.WriteFile(p.path, []byte(stated), 0o600))
+	configured := strings.Replace(string(raw), `"stop_ms":1500`, fmt.Sprintf(`"stop_ms":%d`, ms), 1)
+	require.NoError(t, os.WriteFile(p.path, []byte(configured), 0o600))
 }
 
-// sendOn sends requests until the connection ends, and gives how long before that the first one without an answer was
+// sendUntilClosed sends requests until the connection ends, and gives how long before that the first one without an answer was
 // sent, less the most by which this process was late to send.
-func sendOn(router net.Conn, firstStream uint32, each time.Duration) time.Duration {
+func sendUntilClosed(router net.Conn, firstStream uint32, interval time.Duration) time.Duration {
 	var mu sync.Mutex
-	open := map[uint32]time.Time{}
+	unanswered := map[uint32]time.Time{}
 	ended := make(chan time.Time, 1)
 	go func() {
 		for {
@@ -100,7 +100,7 @@
 				return
 			}
 			if reply.Type == 11 {
-				delete(open, reply.Stream)
+				delete(unanswered, reply.Stream)
 			}
 			mu.Unlock()
 		}
@@ -109,17 +109,17 @@
 	for stream := firstStream + 1; ; stream++ {
 		select {
 		case at := <-ended:
-			longest := time.Duration(0)
-			for _, sent := range open {
-				longest = max(longest, at.Sub(sent))
+			oldest := time.Duration(0)
+			for _, sent := range unanswered {
+				oldest = max(oldest, at.Sub(sent))
 			}
-			return longest - late
-		case <-time.After(each):
+			return oldest - late
+		case <-time.After(interval):
 		}
-		late, last = max(late, time.Since(last)-each), time.Now()
+		late, last = max(late, time.Since(last)-interval), time.Now()
 		mu.Lock()
 		if _, err := router.Write(fake.RequestFrame(stream, "browse", "")); err == nil {
-			open[stream] = time.Now()
+			unanswered[stream] = time.Now()
 		}
 		mu.Unlock()
 	}
@@ -130,19 +130,19 @@
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
 			p := prepare(t, builds[build])
-			stopsAt(t, p, 3500) // late enough for the request to be done
+			setStopTime(t, p, 3500) // late enough for the request to be done
 			require.NoError(t, p.cmd.Start())
-			p.endWith(t)
+			p.killAtCleanup(t)
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
 			request := fake.RequestFrame(1, "pay", "body")
 			router.Send(t, request[:len(request)/2])
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, `msg="stopped accepting connections"`) // at the end of the grace
+			p.waitLogged(t, `msg="stopped accepting connections"`) // at the end of the grace
 			router.Send(t, request[len(request)/2:])
-			assert.Equal(t, map[uint32][]byte{1: {50}}, answers(t, router))
-			assert.Zero(t, p.gone())
+			assert.Equal(t, map[uint32][]byte{1: {50}}, readAnswers(t, router))
+			assert.Zero(t, p.waitExit())
 			for len(p.pool.Commands) > 0 {
 				assert.NotEqual(t, "spawn", (<-p.pool.Commands).Verb, "it ran past the grace")
 			}
--- a/cmd/quartzpoint/halfclose_test.go
+++ b/cmd/quartzpoint/halfclose_test.go
@@ -12,12 +12,12 @@
 )
 
 // A router that ends its side of a connection behind its last request still reads. What it had asked was dropped.
-func TestRouterEndsItsSideBehindARequest(t *testing.T) {
+func TestRouterHalfClosesAfterARequest(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
 			p := launch(t, build)
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
 			router.Send(t, fake.RequestFrame(1, "browse", "a"), fake.RequestFrame(2, "pay", "b"))
 			require.NoError(t, router.Conn.(*net.TCPConn).CloseWrite())
@@ -38,15 +38,15 @@
 }
 
 // A router that is gone ends its side in the same way. Its runs are stopped as before.
-func TestRouterIsGoneBehindARequest(t *testing.T) {
+func TestRouterDisconnectsAfterARequest(t *testing.T) {
 	p := launch(t, "debug")
 	p.pool.Ready()
-	p.logged(t, "pool link bound")
+	p.waitLogged(t, "pool link bound")
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.RequestFrame(1, "browse", "a"))
-	task := p.pool.Next(t, "spawn").RunID
+	runID := p.pool.Next(t, "spawn").RunID
 	begin := time.Now()
 	_ = router.Close()
-	assert.Equal(t, task, p.pool.Next(t, "suspend").RunID)
+	assert.Equal(t, runID, p.pool.Next(t, "suspend").RunID)
 	assert.Less(t, time.Since(begin), 5*time.Second, "stopped by its deadline only")
 }
--- a/cmd/quartzpoint/lease_test.go
+++ b/cmd/quartzpoint/lease_test.go
@@ -17,7 +17,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-const testLease = 500 * time.Millisecond
+const testLeaseDuration = 500 * time.Millisecond
 
 // leaseFleet starts n servers of the real binary that vote on one lease, each with a control socket.
 func leaseFleet(t *testing.T, n int) (daemons []*harness.Daemon, sockets []string) {
@@ -29,7 +29,7 @@
 // server j.
 func proxiedFleet(t *testing.T, n int, proxied bool) (daemons []*harness.Daemon, sockets []string,
 	links [][]*faultnet.Proxy) {
-	types := []harness.Route{{Name: "slot-check", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 1}}
+	routes := []harness.Route{{Name: "slot-check", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 1}}
 	folder := t.TempDir()
 	addresses := make([]string, n)
 	for i := range addresses {
@@ -54,10 +54,10 @@
 			peers = append(peers, fmt.Sprintf("%q", a))
 		}
 		socket := filepath.Join(folder, fmt.Sprintf("s%d.sock", i))
-		own := fmt.Sprintf("[control]\nsocket = %q\n[peers]\nlisten = %q\nask = [%s]\n[lease]\nduties = [\"compact\"]\nlease = %q\n",
-			socket, addresses[i], strings.Join(peers, ", "), testLease)
-		d, err := harness.Start(builds["release"], folder, fmt.Sprintf("s%d", i), types,
-			harness.Machine{Cores: 1, Speed: 1, MemoryKB: 60000}, own)
+		file := fmt.Sprintf("[control]\nsocket = %q\n[peers]\nlisten = %q\nask = [%s]\n[lease]\nduties = [\"compact\"]\nlease = %q\n",
+			socket, addresses[i], strings.Join(peers, ", "), testLeaseDuration)
+		d, err := harness.Start(builds["release"], folder, fmt.Sprintf("s%d", i), routes,
+			harness.Machine{Cores: 1, Speed: 1, MemoryKB: 60000}, file)
 		require.NoError(t, err)
 		t.Cleanup(func() {
 			_ = d.Kill()
@@ -72,25 +72,25 @@
 
 // leaseStatus asks a server for the status of the lease, through the command line as an operator would.
 func leaseStatus(t *testing.T, socket string) (leasing.Status, bool) {
-	out, code := ask(t, nil, "lease", "show", "--json", socket)
-	var h []leasing.Status
-	if code != 0 || json.Unmarshal([]byte(out), &h) != nil || len(h) != 1 {
+	out, code := runCommand(t, nil, "lease", "show", "--json", socket)
+	var statuses []leasing.Status
+	if code != 0 || json.Unmarshal([]byte(out), &statuses) != nil || len(statuses) != 1 {
 		return leasing.Status{}, false
 	}
-	return h[0], true
+	return statuses[0], true
 }
 
 // waitForHolder waits until exactly one of the servers that are asked holds the lease, and returns its index and token.
-func waitForHolder(t *testing.T, sockets []string, among []int) (who int, token uint64) {
+func waitForHolder(t *testing.T, sockets []string, among []int) (holder int, token uint64) {
 	require.Eventually(t, func() bool {
-		who, found := -1, 0
+		holder, found := -1, 0
 		for _, i := range among {
 			if status, ok := leaseStatus(t, sockets[i]); ok && status.Holds {
-				who, token = i, status.Token
+				holder, token = i, status.Token
 				found++
 			}
 		}
-		return found == 1 && who >= 0
+		return found == 1 && holder >= 0
 	}, 30*time.Second, 20*time.Millisecond, "no one holder")
 	for _, i := range among {
 		if status, ok := leaseStatus(t, sockets[i]); ok && status.Holds {
@@ -100,9 +100,9 @@
 	return -1, 0
 }
 
-func others(n, but int) (rest []int) {
+func allExcept(n, except int) (rest []int) {
 	for i := range n {
-		if i != but {
+		if i != except {
 			rest = append(rest, i)
 		}
 	}
@@ -114,11 +114,11 @@
 	for _, n := range []int{3, 5} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			daemons, sockets := leaseFleet(t, n)
-			first, token := waitForHolder(t, sockets, others(n, -1))
+			first, token := waitForHolder(t, sockets, allExcept(n, -1))
 			assert.Contains(t, daemons[first].Log(), "lease granted")
 			require.NoError(t, daemons[first].Kill())
 			killed := time.Now()
-			second, newer := waitForHolder(t, sockets, others(n, first))
+			second, newer := waitForHolder(t, sockets, allExcept(n, first))
 			t.Logf("%d servers: new holder after %v", n, time.Since(killed))
 			assert.NotEqual(t, first, second)
 			assert.Greater(t, newer, token, "the new holder's token is above the killed one's")
@@ -130,9 +130,9 @@
 // token that it had is older than its successor's, so that a fence refuses it.
 func TestAStalledHolderWakesWithoutTheLease(t *testing.T) {
 	daemons, sockets := leaseFleet(t, 3)
-	first, token := waitForHolder(t, sockets, others(3, -1))
+	first, token := waitForHolder(t, sockets, allExcept(3, -1))
 	require.NoError(t, daemons[first].Signal(syscall.SIGSTOP))
-	second, newer := waitForHolder(t, sockets, others(3, first))
+	second, newer := waitForHolder(t, sockets, allExcept(3, first))
 	require.NoError(t, daemons[first].Signal(syscall.SIGCONT))
 	require.Eventually(t, func() bool {
 		status, ok := leaseStatus(t, sockets[first])
@@ -149,24 +149,24 @@
 // requests arrive: it must lose the lease too, or two servers would hold it.
 func TestLeaseAcrossCuts(t *testing.T) {
 	_, sockets, links := proxiedFleet(t, 3, true)
-	apart := func(h int, cut func(*faultnet.Proxy)) {
+	onLinksOf := func(holder int, change func(*faultnet.Proxy)) {
 		for j := range links {
-			if j != h {
-				cut(links[h][j])
-				cut(links[j][h])
+			if j != holder {
+				change(links[holder][j])
+				change(links[j][holder])
 			}
 		}
 	}
-	first, token := waitForHolder(t, sockets, others(3, -1))
-	apart(first, (*faultnet.Proxy).Cut)
-	second, newer := waitForHolder(t, sockets, others(3, first))
+	first, token := waitForHolder(t, sockets, allExcept(3, -1))
+	onLinksOf(first, (*faultnet.Proxy).Cut)
+	second, newer := waitForHolder(t, sockets, allExcept(3, first))
 	require.Eventually(t, func() bool {
 		status, ok := leaseStatus(t, sockets[first])
 		return ok && !status.Holds
 	}, 10*time.Second, 20*time.Millisecond, "the minority side still holds")
 	assert.Greater(t, newer, token)
-	apart(first, (*faultnet.Proxy).Heal)
-	again, _ := waitForHolder(t, sockets, others(3, -1))
+	onLinksOf(first, (*faultnet.Proxy).Heal)
+	again, _ := waitForHolder(t, sockets, allExcept(3, -1))
 	assert.Equal(t, second, again, "the healed old holder took the lease back")
 
 	for j := range links {
@@ -174,7 +174,7 @@
 			links[second][j].Drop(faultnet.Down) // its requests arrive, no response comes back
 		}
 	}
-	third, newest := waitForHolder(t, sockets, others(3, second))
+	third, newest := waitForHolder(t, sockets, allExcept(3, second))
 	assert.NotEqual(t, second, third)
 	assert.Greater(t, newest, newer)
 	require.Eventually(t, func() bool {
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -51,9 +51,9 @@
 func launch(t *testing.T, build string) *program {
 	p := prepare(t, builds[build])
 	require.NoError(t, p.cmd.Start())
-	p.endWith(t)
+	p.killAtCleanup(t)
 	assert.Equal(t, "HB n1 UP", p.members.Next(t))
-	p.logged(t, "msg=serving")
+	p.waitLogged(t, "msg=serving")
 	return p
 }
 
@@ -69,8 +69,8 @@
 	return p
 }
 
-// endWith has the process end with the test.
-func (p *program) endWith(t *testing.T) {
+// killAtCleanup has the process end with the test.
+func (p *program) killAtCleanup(t *testing.T) {
 	t.Cleanup(func() {
 		_ = p.cmd.Process.Kill() // what has left by itself does not mind
 		_ = p.cmd.Wait()
@@ -80,19 +80,19 @@
 	})
 }
 
-func (p *program) logged(t *testing.T, words string) {
+func (p *program) waitLogged(t *testing.T, text string) {
 	t.Helper()
-	require.Eventually(t, func() bool { return strings.Contains(p.log.String(), words) },
-		fake.WaitLimit, time.Millisecond, words)
+	require.Eventually(t, func() bool { return strings.Contains(p.log.String(), text) },
+		fake.WaitLimit, time.Millisecond, text)
 }
 
-// gone waits for the end of the process and returns its exit code.
-func (p *program) gone() int {
+// waitExit waits for the end of the process and returns its exit code.
+func (p *program) waitExit() int {
 	_ = p.cmd.Wait() // the code tells
 	return p.cmd.ProcessState.ExitCode()
 }
 
-func TestDay(t *testing.T) {
+func TestServesRequestsUntilDrained(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
 			p := launch(t, build)
@@ -102,7 +102,7 @@
 				assert.Equal(t, byte(20), health.Next(t).Code, "before the pool is up")
 			}
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 
 			router := fake.Dial(t, p.address)
 			body := "\x00\xff\r\n{}"
@@ -142,7 +142,7 @@
 			assert.Equal(t, byte(30), router.Next(t).Type)
 			_ = router.Close()
 			_ = health.Close()
-			assert.Zero(t, p.gone())
+			assert.Zero(t, p.waitExit())
 		})
 	}
 }
@@ -151,10 +151,10 @@
 func TestOverload(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
-	p.logged(t, "pool link bound")
+	p.waitLogged(t, "pool link bound")
 	router := fake.Dial(t, p.address)
-	codes, advised, last, level := map[byte]int{}, 0, 0, ""
-	for stream, open := uint32(1), 0; advised == 0 || last == 0 || level == "" || level == "0"; open-- {
+	codes, advised, noRetryElsewhere, level := map[byte]int{}, 0, 0, ""
+	for stream, open := uint32(1), 0; advised == 0 || noRetryElsewhere == 0 || level == "" || level == "0"; open-- {
 		for ; open < 30; open++ {
 			router.Send(t, fake.RequestFrame(stream, "browse", ""))
 			stream++
@@ -166,7 +166,7 @@
 			advised++
 		}
 		if reply.Code == 50 && reply.Fields["stop"] == "1" {
-			last++
+			noRetryElsewhere++
 		}
 	}
 	assert.Zero(t, codes[20], "nothing was ever finished here")
@@ -179,7 +179,7 @@
 		t.Run(build, func(t *testing.T) {
 			p := launch(t, build)
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
 			const before = 20
 			for stream := range uint32(before) {
@@ -187,7 +187,7 @@
 			}
 			p.pool.Next(t, "spawn")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, "stopped accepting connections\"")
+			p.waitLogged(t, "stopped accepting connections\"")
 			answered := map[uint32]byte{}
 			for len(answered) < before {
 				if reply := router.Next(t); reply.Type == 11 {
@@ -198,7 +198,7 @@
 			_, err := net.Dial("tcp", p.address)
 			assert.ErrorIs(t, err, syscall.ECONNREFUSED)
 			_ = router.Close()
-			assert.Zero(t, p.gone())
+			assert.Zero(t, p.waitExit())
 			assert.Contains(t, p.log.String(), "msg=\"drain complete\"")
 		})
 	}
@@ -210,87 +210,87 @@
 		t.Run(build, func(t *testing.T) {
 			p := launch(t, build)
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
-			said := 0
-			hup := func(words string) {
+			reloads := 0
+			reload := func(want string) {
 				t.Helper()
 				require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-				said++
+				reloads++
 				var last []string
 				require.Eventually(t, func() bool {
 					last = strings.Split(p.log.String(), `msg="configuration reload`)
-					return len(last) == said+1
-				}, fake.WaitLimit, time.Millisecond, words)
-				assert.Contains(t, last[said], words)
+					return len(last) == reloads+1
+				}, fake.WaitLimit, time.Millisecond, want)
+				assert.Contains(t, last[reloads], want)
 			}
-			move := func() {
+			relocate := func() {
 				p.pool.Relocate(t)
 				p.members = fake.NewMembership(t)
 				fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, fake.SiteSettings)
 			}
-			run := func(stream uint32, kind string) string {
+			run := func(stream uint32, route string) string {
 				t.Helper()
-				router.Send(t, fake.RequestFrame(stream, kind, ""))
+				router.Send(t, fake.RequestFrame(stream, route, ""))
 				return p.pool.Next(t, "spawn").RunID
 			}
-			honoured := func(task string) {
+			finish := func(runID string) {
 				t.Helper()
-				p.pool.Finish(task, "success", []byte(task))
-				assert.Equal(t, task, router.Next(t).Body)
+				p.pool.Finish(runID, "success", []byte(runID))
+				assert.Equal(t, runID, router.Next(t).Body)
 			}
 			first := run(1, "pay")
-			move()
-			hup("only_with_a_restart=[]")
+			relocate()
+			reload("only_with_a_restart=[]")
 			assert.Equal(t, "HB n1 UP", p.members.Next(t))
-			p.logged(t, "pool link changes address")
-			honoured(first)
-			honoured(run(2, "pay"))
+			p.waitLogged(t, "pool link changes address")
+			finish(first)
+			finish(run(2, "pay"))
 
 			for _, bad := range []string{"", `{"name":"n1"`, `{}`} {
 				require.NoError(t, os.WriteFile(p.path, []byte(bad), 0o600))
-				hup("failed, the old one stays")
+				reload("failed, the old one stays")
 			}
 			require.NoError(t, os.Remove(p.path))
-			hup("failed, the old one stays")
+			reload("failed, the old one stays")
 			fake.RewriteConfig(t, p.path, p.address, "pool without port", p.members.Address, fake.SiteSettings)
-			hup("failed, the old one stays")
+			reload("failed, the old one stays")
 			fake.RewriteConfig(t, p.path, "127.0.0.1:9", p.pool.Address, p.members.Address, fake.SiteSettings)
-			hup("only_with_a_restart=[]") // the variable for listen wins over the file
+			reload("only_with_a_restart=[]") // the variable for listen wins over the file
 			changed := strings.Replace(fake.SiteSettings, `"cores":4`, `"cores":5`, 1)
 			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, changed)
-			hup(`only_with_a_restart="[settings extra.cores]"`)
-			honoured(run(3, "pay"))
+			reload(`only_with_a_restart="[settings extra.cores]"`)
+			finish(run(3, "pay"))
 			// Settings that move in service, there and back by the same step; a run in hand across both.
 			across := run(4, "browse")
 			for _, halt := range []string{"none", "suspend"} {
-				moved := strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1)
-				fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, moved)
-				hup("moved=map[halt:" + halt + "] only_with_a_restart=[]")
-				p.logged(t, "msg=\"setting changed\" setting=halt value="+halt)
+				changed := strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1)
+				fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, changed)
+				reload("moved=map[halt:" + halt + "] only_with_a_restart=[]")
+				p.waitLogged(t, "msg=\"setting changed\" setting=halt value="+halt)
 			}
 			wrong := strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"later"`, 1)
 			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, wrong)
-			hup("failed, the old one stays")
-			honoured(across)
+			reload("failed, the old one stays")
+			finish(across)
 			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, fake.SiteSettings)
 
 			kept := run(5, "browse") // the link's loss may leave its beginning in doubt
-			move()                   // the old address takes nothing new
+			relocate()               // the old address takes nothing new
 			p.pool.CloseLink()
-			p.logged(t, "pool link down")
-			hup("only_with_a_restart=[]")
-			honoured(kept)
+			p.waitLogged(t, "pool link down")
+			reload("only_with_a_restart=[]")
+			finish(kept)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, "drain started")
-			move()
-			hup("only_with_a_restart=[]")
+			p.waitLogged(t, "drain started")
+			relocate()
+			reload("only_with_a_restart=[]")
 			assert.Equal(t, "HB n1 OUT", p.members.Next(t))
 			for range 20 { // in a row
 				require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 			}
 			_ = router.Close()
-			assert.Zero(t, p.gone())
+			assert.Zero(t, p.waitExit())
 		})
 	}
 }
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -12,28 +12,28 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// shortClasses are many, with deadlines that a machine in trouble outlasts many times over.
-func shortClasses() (classes []harness.Route) {
+// shortRoutes are many, with deadlines that a machine in trouble outlasts many times over.
+func shortRoutes() (routes []harness.Route) {
 	const count = 12
 	for i := range count {
-		classes = append(classes, harness.Route{
+		routes = append(routes, harness.Route{
 			Name: fmt.Sprintf("class-%d", i), Value: float64(1 + i%4), Share: 1.0 / count, Spread: 0.3, AtMostOnce: i%3 == 0,
 			LatencyTarget: 400 * time.Millisecond, Deadline: 400 * time.Millisecond, Work: time.Duration(20+5*i) * time.Millisecond,
 		})
 	}
-	return classes
+	return routes
 }
 
 const (
-	troubleFrom  = 500 * time.Millisecond
-	troubleUntil = 8500 * time.Millisecond
+	faultFrom    = 500 * time.Millisecond
+	faultUntil   = 8500 * time.Millisecond
 	overloadSpan = 9500 * time.Millisecond
 )
 
 // Report f19453: runs that outlive twice their deadline were taken for ended though the worker pool had not said so. What
 // they hold of the machine was given to others a second time, and the pool fell over.
 func TestPoolSurvivesRunsThatOutliveTheirRequests(t *testing.T) {
-	troubles := map[string]func(w *harness.Workers, on bool){
+	faults := map[string]func(w *harness.Workers, on bool){
 		"slow": func(w *harness.Workers, on bool) {
 			w.Update(func(m *harness.Machine) { m.Speed = map[bool]float64{true: 0.01, false: 1}[on] })
 		},
@@ -48,12 +48,12 @@
 		"little memory": {Cores: 2, Speed: 1, MemoryKB: 8 * emulator.RunKB}, // fewer runs fill it than the cores survive
 	}
 	for _, halt := range []string{emulator.HaltSuspend, emulator.HaltAbort, emulator.HaltNone} {
-		for trouble, set := range troubles {
+		for fault, set := range faults {
 			for name, machine := range machines {
-				t.Run(fmt.Sprintf("%s/%s/%s", halt, trouble, name), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s/%s", halt, fault, name), func(t *testing.T) {
 					t.Parallel()
 					machine.Halt = halt
-					strain, log := playTrouble(t, machine, set)
+					strain, log := runWithFault(t, machine, set)
 					assert.LessOrEqual(t, strain.Runs, 1.0, "the cores were crowded past what the pool survives at %v\n%s", strain.RunsAt, log)
 					assert.LessOrEqual(t, strain.Memory, 1.0, "the memory was passed at %v\n%s", strain.MemoryAt, log)
 				})
@@ -62,18 +62,18 @@
 	}
 }
 
-// playTrouble loads a real server whose pool is in trouble for some seconds, and gives what its pool had to bear.
-func playTrouble(t *testing.T, machine harness.Machine, set func(w *harness.Workers, on bool)) (harness.Strain, string) {
-	classes := shortClasses()
-	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", classes, machine)
+// runWithFault loads a real server whose pool is in trouble for some seconds, and gives what its pool had to bear.
+func runWithFault(t *testing.T, machine harness.Machine, set func(w *harness.Workers, on bool)) (harness.Strain, string) {
+	routes := shortRoutes()
+	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, machine)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = daemon.Stop() })
-	for at, on := range map[time.Duration]bool{troubleFrom: true, troubleUntil: false} {
+	for at, on := range map[time.Duration]bool{faultFrom: true, faultUntil: false} {
 		timer := time.AfterFunc(at, func() { set(daemon.Workers, on) })
 		defer timer.Stop()
 	}
-	load := harness.Arrivals(classes, harness.Rate(classes, machine, 0.8), overloadSpan, 1)
-	result, err := harness.Run(daemon.Address, classes, load, 1)
+	load := harness.Arrivals(routes, harness.Rate(routes, machine, 0.8), overloadSpan, 1)
+	result, err := harness.Run(daemon.Address, routes, load, 1)
 	require.NoError(t, err)
 	report := result.Check(daemon.Workers)
 	assert.Empty(t, report.Messages, "the other rules")
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -35,7 +35,7 @@
 // startPeerExchange serves estimates to peers where the configuration has an address for it, and fetches them from those that
 // it names. Both end with the context. stored may be nil only where settings is.
 func startPeerExchange(
-	ctx context.Context, settings *config.Peers, owner *server.Server, stored *statePersistence, seed int64, counts *invariant.Counters,
+	ctx context.Context, settings *config.Peers, owner *server.Server, stored *statePersistence, seed int64, counters *invariant.Counters,
 	log *slog.Logger,
 ) (*peerExchange, error) {
 	e := &peerExchange{config: settings}
@@ -50,7 +50,7 @@
 		log.Warn("peers without a key", "key_file", "", "so", "loopback addresses only")
 	}
 	if settings.Listen != "" {
-		if e.server, err = peersync.Listen(settings.Listen, keys, owner.Now, counts); err != nil {
+		if e.server, err = peersync.Listen(settings.Listen, keys, owner.Now, counters); err != nil {
 			return nil, err
 		}
 		e.server.Serve()
@@ -68,7 +68,7 @@
 	if len(settings.Addresses) > 0 {
 		fetcher := &peersync.Fetcher{
 			Peers: settings.Addresses, Keys: keys, FirstWait: settings.Timeout, Schema: stored.schema, Recovered: stored.recovered, Seed: seed,
-			NeedsEstimates: needsEstimates.Load, Use: owner.UsePeerEstimates, Counts: counts, Log: log,
+			NeedsEstimates: needsEstimates.Load, Use: owner.UsePeerEstimates, Counts: counters, Log: log,
 		}
 		go fetcher.Run(ctx)
 	}
@@ -118,15 +118,15 @@
 }
 
 // printJSON prints a value as indented JSON.
-func printJSON(to io.Writer, value any) error {
-	encoder := json.NewEncoder(to)
+func printJSON(writer io.Writer, value any) error {
+	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
 // printEstimates prints a snapshot as a table. The weight is the number of own samples that an estimate stands for.
-func printEstimates(to io.Writer, snapshot estimate.Snapshot) error {
-	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
+func printEstimates(writer io.Writer, snapshot estimate.Snapshot) error {
+	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "estimate\tmean\tspread\tsamples\tage\tweight\t\n")
 	row := func(name string, e estimate.Estimate, kind estimate.Kind) {
 		if !e.Known() {
@@ -147,6 +147,6 @@
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
 	}
-	_, err := fmt.Fprintf(to, "origin %016x, settings %016x\n", snapshot.Origin, snapshot.SettingsDigest)
+	_, err := fmt.Fprintf(writer, "origin %016x, settings %016x\n", snapshot.Origin, snapshot.SettingsDigest)
 	return err
 }
--- a/cmd/quartzpoint/peers_test.go
+++ b/cmd/quartzpoint/peers_test.go
@@ -18,8 +18,8 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// ask runs the program once and returns what it printed, and its exit code.
-func ask(t *testing.T, env []string, args ...string) (out string, code int) {
+// runCommand runs the program once and returns what it printed, and its exit code.
+func runCommand(t *testing.T, env []string, args ...string) (out string, code int) {
 	cmd := exec.Command(builds["release"], args...)
 	cmd.Env = append(append(os.Environ(), "EDGE_CONFIG=", "EDGE_NAME=", "EDGE_LISTEN="), env...)
 	raw, err := cmd.CombinedOutput()
@@ -30,7 +30,7 @@
 }
 
 func TestCommandLine(t *testing.T) {
-	own := func(text string) string {
+	writeFile := func(text string) string {
 		path := filepath.Join(t.TempDir(), "own.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		return path
@@ -42,7 +42,7 @@
 		args []string
 		env  string
 		code int
-		says []string
+		want []string
 	}{
 		{[]string{"--help"}, "", 0, []string{"EDGE_CONFIG", "check", "peer show", "Exit codes"}},
 		{[]string{"serve", "--help"}, "", 0, []string{"--config"}},
@@ -54,25 +54,25 @@
 		{[]string{"check"}, "", 1, []string{"nothing to check"}},
 		{[]string{"check"}, "EDGE_CONFIG=" + good, 0, []string{"no faults"}},
 		{[]string{"check", good}, "", 0, []string{"no faults"}},
-		{[]string{"check", "--own", own("[peers]\n")}, "", 0, []string{"no faults"}},
-		{[]string{"check", bad, "--own", own("[peers]\ntotal = 1\nx = 1")}, "", 1,
+		{[]string{"check", "--own", writeFile("[peers]\n")}, "", 0, []string{"no faults"}},
+		{[]string{"check", bad, "--own", writeFile("[peers]\ntotal = 1\nx = 1")}, "", 1,
 			[]string{"listen is missing", "pool:", "setting extra.halt", "peers.total", "peers.x"}},
-		{[]string{"check", "--own", own("[peers]\nkey-file = \"/nowhere\"")}, "", 1, []string{"key file"}},
-		{[]string{"check", "--own", own("[state]\ndir = \"/nowhere/state\"")}, "", 1, []string{"state.dir", "/nowhere"}},
-		{[]string{"check", "--own", own("[state]\ndir = \"" + t.TempDir() + "/state\"")}, "", 0, []string{"no faults"}},
-		{[]string{"check", "--own", own("[state]\ndir = \"" + good + "\"")}, "", 1, []string{"state.dir", "no folder"}},
+		{[]string{"check", "--own", writeFile("[peers]\nkey-file = \"/nowhere\"")}, "", 1, []string{"key file"}},
+		{[]string{"check", "--own", writeFile("[state]\ndir = \"/nowhere/state\"")}, "", 1, []string{"state.dir", "/nowhere"}},
+		{[]string{"check", "--own", writeFile("[state]\ndir = \"" + t.TempDir() + "/state\"")}, "", 0, []string{"no faults"}},
+		{[]string{"check", "--own", writeFile("[state]\ndir = \"" + good + "\"")}, "", 1, []string{"state.dir", "no folder"}},
 		{[]string{"state", "show", "/nowhere"}, "", 1, []string{"/nowhere"}},
-		{[]string{"serve", "--own", own("[pears]")}, "EDGE_CONFIG=" + good, 1, []string{"pears"}},
-		{[]string{"check", "--own", own(leased)}, "", 0, []string{"no faults"}},
-		{[]string{"check", "--own", own("[lease]\nduties = [\"compact\"]")}, "", 1, []string{"lease", "[peers]"}},
+		{[]string{"serve", "--own", writeFile("[pears]")}, "EDGE_CONFIG=" + good, 1, []string{"pears"}},
+		{[]string{"check", "--own", writeFile(leased)}, "", 0, []string{"no faults"}},
+		{[]string{"check", "--own", writeFile("[lease]\nduties = [\"compact\"]")}, "", 1, []string{"lease", "[peers]"}},
 		{[]string{"peer", "show", "127.0.0.1:1"}, "", 1, []string{"refused"}},
 	}
 	for _, c := range cases {
 		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
-			out, code := ask(t, []string{c.env}, c.args...)
+			out, code := runCommand(t, []string{c.env}, c.args...)
 			assert.Equal(t, c.code, code, out)
-			for _, words := range c.says {
-				assert.Contains(t, out, words)
+			for _, text := range c.want {
+				assert.Contains(t, out, text)
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 // A server starts beside one under load. It must use that one's estimates, and a server without the key must not get them.
 // Then the keys are changed while both run: the new key must be accepted, and a broken key file must leave the old ones.
 func TestPeersExchange(t *testing.T) {
-	types := []harness.Route{{
+	routes := []harness.Route{{
 		Name: "browse", Value: 1, LatencyTarget: 2 * time.Second, Deadline: 3 * time.Second, Share: 1,
 		Work: 20 * time.Millisecond, Spread: 0.5,
 	}}
@@ -92,8 +92,8 @@
 	require.NoError(t, os.WriteFile(keys, []byte(keyA), 0o600))
 	address, err := harness.FreeAddress()
 	require.NoError(t, err)
-	start := func(name, own string) *harness.Daemon {
-		d, err := harness.Start(builds["debug"], folder, name, types, machine, own)
+	start := func(name, file string) *harness.Daemon {
+		d, err := harness.Start(builds["debug"], folder, name, routes, machine, file)
 		require.NoError(t, err)
 		t.Cleanup(func() {
 			assert.NoError(t, d.Stop())
@@ -101,20 +101,20 @@
 		})
 		return d
 	}
-	logged := func(d *harness.Daemon, words string) {
+	waitLogged := func(d *harness.Daemon, text string) {
 		t.Helper()
-		require.Eventually(t, func() bool { return strings.Contains(d.Log(), words) }, fake.WaitLimit, time.Millisecond, words)
+		require.Eventually(t, func() bool { return strings.Contains(d.Log(), text) }, fake.WaitLimit, time.Millisecond, text)
 	}
 	peer := start("peer", "[peers]\nlisten = \""+address+"\"\nkey-file = \""+keys+"\"\n")
-	logged(peer, "serving estimates to peers")
-	done, err := harness.Run(peer.Address, types, harness.Arrivals(types, 60, 2500*time.Millisecond, 1), 1)
+	waitLogged(peer, "serving estimates to peers")
+	done, err := harness.Run(peer.Address, routes, harness.Arrivals(routes, 60, 2500*time.Millisecond, 1), 1)
 	require.NoError(t, err)
 	assert.Zero(t, done.Unanswered+done.DuplicateAnswers)
 
-	out, code := ask(t, nil, "peer", "show", address, "--key-file", keys)
+	out, code := runCommand(t, nil, "peer", "show", address, "--key-file", keys)
 	require.Zero(t, code, out)
 	assert.Contains(t, out, `"browse" core s`)
-	out, code = ask(t, nil, "peer", "show", address, "--key-file", keys, "--json")
+	out, code = runCommand(t, nil, "peer", "show", address, "--key-file", keys, "--json")
 	require.Zero(t, code, out)
 	var snapshot estimate.Snapshot
 	require.NoError(t, json.Unmarshal([]byte(out), &snapshot))
@@ -122,16 +122,16 @@
 	assert.InDelta(t, 0.03, snapshot.Routes[0].Core.Mean, 0.02)
 
 	newcomer := start("newcomer", "[peers]\nask = [\""+address+"\"]\nkey-file = \""+keys+"\"\n")
-	logged(newcomer, "using estimates from peers")
+	waitLogged(newcomer, "using estimates from peers")
 	keyless := start("keyless", "[peers]\nask = [\""+address+"\"]\n")
-	logged(keyless, "no estimates from a peer")
+	waitLogged(keyless, "no estimates from a peer")
 
 	require.NoError(t, os.WriteFile(keys, []byte(keyB+"\n"+keyA), 0o600))
 	require.NoError(t, peer.Signal(syscall.SIGHUP))
-	logged(peer, "new keys")
-	out, code = ask(t, nil, "peer", "show", address, "--key-file", keys)
+	waitLogged(peer, "new keys")
+	out, code = runCommand(t, nil, "peer", "show", address, "--key-file", keys)
 	assert.Zero(t, code, out)
 	require.NoError(t, os.WriteFile(keys, []byte("broken"), 0o600))
 	require.NoError(t, peer.Signal(syscall.SIGHUP))
-	logged(peer, "new keys rejected, the old ones stay")
+	waitLogged(peer, "new keys rejected, the old ones stay")
 }
--- a/cmd/quartzpoint/platformconfig.go
+++ b/cmd/quartzpoint/platformconfig.go
@@ -64,7 +64,7 @@
 
 // rereadPlatformConfig is readPlatformConfig behind an earlier reading. Settings whose text is the same are not read again:
 // they are most of the file, and reading those of a large site takes long.
-func rereadPlatformConfig(path string, before platformConfig) (c platformConfig, err error) {
+func rereadPlatformConfig(path string, previous platformConfig) (c platformConfig, err error) {
 	if path == "" {
 		return c, errors.New("EDGE_CONFIG names no configuration; see quartzpoint --help")
 	}
@@ -76,27 +76,27 @@
 	if err := json.Unmarshal(raw, &f.keys); err != nil {
 		return c, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.Name = f.text("name", "EDGE_NAME")
-	c.Listen = f.text("listen", "EDGE_LISTEN")
+	c.Name = f.stringValue("name", "EDGE_NAME")
+	c.Listen = f.stringValue("listen", "EDGE_LISTEN")
 	f.checkAddress("listen", c.Listen, false)
-	c.PoolAddress = f.text("pool", "")
+	c.PoolAddress = f.stringValue("pool", "")
 	f.checkAddress("pool", c.PoolAddress, true)
-	c.MembershipAddress = f.text("members", "")
+	c.MembershipAddress = f.stringValue("members", "")
 	f.checkAddress("members", c.MembershipAddress, true)
 	if f.has("index") {
-		c.DependencyAddress = f.text("index", "")
+		c.DependencyAddress = f.stringValue("index", "")
 		f.checkAddress("index", c.DependencyAddress, true)
 	}
-	if seed := f.text("seed", ""); seed != "" {
+	if seed := f.stringValue("seed", ""); seed != "" {
 		if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 			f.addError("seed", "%s is no hexadecimal number of 64 bits", seed)
 		}
 	}
-	stopMS := f.positive("stop_ms")
+	stopMS := f.positiveNumber("stop_ms")
 	c.StopWithin = time.Duration(min(stopMS, float64(settings.MaxDuration/time.Millisecond)) * float64(time.Millisecond))
-	c.Limits = programLimits{f.positive("limits.cores"), f.positive("limits.memory_mb"), f.positive("limits.sockets")}
-	if c.settingsHash = xxhash.Sum64(f.keys["settings"]); before.settings != nil && c.settingsHash == before.settingsHash {
-		c.settings, c.routeTimeouts = before.settings, before.routeTimeouts
+	c.Limits = programLimits{f.positiveNumber("limits.cores"), f.positiveNumber("limits.memory_mb"), f.positiveNumber("limits.sockets")}
+	if c.settingsHash = xxhash.Sum64(f.keys["settings"]); previous.settings != nil && c.settingsHash == previous.settingsHash {
+		c.settings, c.routeTimeouts = previous.settings, previous.routeTimeouts
 	} else {
 		f.readSettings(&c)
 	}
@@ -109,13 +109,13 @@
 		f.addMissing("settings", "an object")
 		return
 	}
-	read, err := settings.FromJSON(f.keys["settings"])
+	parsed, err := settings.FromJSON(f.keys["settings"])
 	if err == nil {
-		err = read.CheckRequired()
+		err = parsed.CheckRequired()
 	}
 	if err != nil {
 		all := []error{err}
-		if joined, is := err.(interface{ Unwrap() []error }); is { // each on a line of its own
+		if joined, ok := err.(interface{ Unwrap() []error }); ok { // each on a line of its own
 			all = joined.Unwrap()
 		}
 		for _, err := range all {
@@ -123,12 +123,12 @@
 		}
 		return
 	}
-	made, err := server.New(read, int64(c.Seed), c.serverLimits(), nil, slog.New(slog.DiscardHandler))
+	built, err := server.New(parsed, int64(c.Seed), c.serverLimits(), nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		f.errs = append(f.errs, fmt.Errorf("configuration %s: settings: %w", f.path, err))
 		return
 	}
-	c.settings, c.routeTimeouts = read, made.RouteTimeouts()
+	c.settings, c.routeTimeouts = parsed, built.RouteTimeouts()
 }
 
 // serverLimits are the limits of the program, and what its front end and its workers support.
--- a/cmd/quartzpoint/platformfile.go
+++ b/cmd/quartzpoint/platformfile.go
@@ -26,57 +26,57 @@
 
 // has is whether the file has a value under a key.
 func (f *platformFile) has(key string) bool {
-	raw, stated := f.keys[key]
-	return stated && string(raw) != "null" && string(raw) != `""`
+	raw, found := f.keys[key]
+	return found && string(raw) != "null" && string(raw) != `""`
 }
 
-// text is the text under a key, or of the environment variable that overrides it.
-func (f *platformFile) text(key, variable string) (text string) {
+// stringValue is the text under a key, or of the environment variable that overrides it.
+func (f *platformFile) stringValue(key, variable string) (value string) {
 	if variable != "" && os.Getenv(variable) != "" {
 		return os.Getenv(variable)
 	}
 	if !f.has(key) {
 		f.addMissing(key, "a text")
-	} else if json.Unmarshal(f.keys[key], &text) != nil {
+	} else if json.Unmarshal(f.keys[key], &value) != nil {
 		f.addError(key, "%s is no text", f.keys[key])
 	}
-	return text
+	return value
 }
 
 // checkAddress checks that a text is a host and a port; dialed says that the port must not be 0. Whether the host exists or
 // answers is not checked: that comes and goes, and is waited for.
-func (f *platformFile) checkAddress(key, text string, dialed bool) {
-	if text == "" {
+func (f *platformFile) checkAddress(key, address string, dialed bool) {
+	if address == "" {
 		return // text has reported it
 	}
-	host, port, err := net.SplitHostPort(text)
+	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		f.addError(key, "%v", err)
 		return
 	}
-	number, err := net.LookupPort("tcp", port)
-	if err != nil || port == "" || dialed && number == 0 || strings.ContainsFunc(host, unicode.IsSpace) {
-		f.addError(key, "%q is no host:port", text)
+	portNumber, err := net.LookupPort("tcp", port)
+	if err != nil || port == "" || dialed && portNumber == 0 || strings.ContainsFunc(host, unicode.IsSpace) {
+		f.addError(key, "%q is no host:port", address)
 	}
 }
 
-// positive is the number above 0 under a key, or under the key of an object, as in "limits.cores".
-func (f *platformFile) positive(path string) (number float64) {
+// positiveNumber is the number above 0 under a key, or under the key of an object, as in "limits.cores".
+func (f *platformFile) positiveNumber(path string) (number float64) {
 	object, key, nested := strings.Cut(path, ".")
-	in := f
+	parent := f
 	if nested {
-		in = &platformFile{}
-		if f.has(object) && json.Unmarshal(f.keys[object], &in.keys) != nil {
+		parent = &platformFile{}
+		if f.has(object) && json.Unmarshal(f.keys[object], &parent.keys) != nil {
 			f.addError(path, "%s is no object", object)
 			return 0
 		}
 	} else {
 		key = path
 	}
-	if !in.has(key) {
+	if !parent.has(key) {
 		f.addMissing(path, "a number above 0")
-	} else if json.Unmarshal(in.keys[key], &number) != nil {
-		f.addError(path, "%s is no number", in.keys[key])
+	} else if json.Unmarshal(parent.keys[key], &number) != nil {
+		f.addError(path, "%s is no number", parent.keys[key])
 	} else if number <= 0 {
 		f.addError(path, "%v is not above 0", number)
 	}
--- a/cmd/quartzpoint/readiness_test.go
+++ b/cmd/quartzpoint/readiness_test.go
@@ -17,10 +17,10 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// ready waits until the process says that it is in good health and gives how long that took since a moment.
-func (p *program) ready(since time.Time) time.Duration {
+// waitHealthy waits until the process says that it is in good health and gives how long that took since a moment.
+func (p *program) waitHealthy(since time.Time) time.Duration {
 	for time.Since(since) < fake.WaitLimit {
-		if p.checked() {
+		if p.healthy() {
 			return time.Since(since)
 		}
 		time.Sleep(10 * time.Millisecond) // between tries, as routers have it
@@ -28,8 +28,8 @@
 	return fake.WaitLimit
 }
 
-// checked tells whether a health check is answered with good health.
-func (p *program) checked() bool {
+// healthy tells whether a health check is answered with good health.
+func (p *program) healthy() bool {
 	health, err := net.Dial("tcp", p.address)
 	if err != nil {
 		return false
@@ -46,24 +46,24 @@
 // All processes of a fleet are killed and started at once, with their folders of state, while their pools are not up, and
 // the peers that they ask take their asks and never answer: nothing of that stands before a health check.
 func TestRestartOfAFleet(t *testing.T) {
-	const fleet, late, within = 30, 3, 10 * time.Second
+	const fleet, maxLate, within = 30, 3, 10 * time.Second
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // the system takes connections for it
 	require.NoError(t, err)
 	defer func() { _ = silent.Close() }()
 	var all []*program
 	for range fleet {
 		folder := t.TempDir()
-		own := filepath.Join(folder, "own.toml")
-		require.NoError(t, os.WriteFile(own, fmt.Appendf(nil,
+		file := filepath.Join(folder, "own.toml")
+		require.NoError(t, os.WriteFile(file, fmt.Appendf(nil,
 			"[state]\ndir = %q\nsite = \"s\"\nnumbers = true\n[peers]\nask = [%q]\ntotal = \"10s\"\n",
 			filepath.Join(folder, "state"), silent.Addr()), 0o600))
-		p := prepare(t, builds["release"], "serve", "--own", own)
+		p := prepare(t, builds["release"], "serve", "--own", file)
 		require.NoError(t, p.cmd.Start())
-		p.endWith(t)
+		p.killAtCleanup(t)
 		all = append(all, p)
 	}
 	for _, p := range all {
-		require.Less(t, p.ready(time.Now()), fake.WaitLimit)
+		require.Less(t, p.waitHealthy(time.Now()), fake.WaitLimit)
 	}
 	for _, p := range all {
 		require.NoError(t, p.cmd.Process.Kill())
@@ -71,19 +71,19 @@
 	}
 	began := time.Now()
 	took := make([]time.Duration, fleet)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	for i, p := range all {
-		was := p.cmd
-		p.cmd = exec.Command(was.Path, was.Args[1:]...)
-		p.cmd.Env, p.cmd.Stderr = was.Env, was.Stderr
+		killed := p.cmd
+		p.cmd = exec.Command(killed.Path, killed.Args[1:]...)
+		p.cmd.Env, p.cmd.Stderr = killed.Env, killed.Stderr
 		require.NoError(t, p.cmd.Start())
-		p.endWith(t)
-		go func() { took[i] = p.ready(began); over <- struct{}{} }()
+		p.killAtCleanup(t)
+		go func() { took[i] = p.waitHealthy(began); done <- struct{}{} }()
 	}
 	for range all {
-		<-over
+		<-done
 	}
 	slices.Sort(took)
 	t.Logf("ready after %v, half of them after %v, the last after %v", took[0], took[fleet/2], took[fleet-1])
-	assert.Less(t, took[fleet-1-late], within)
+	assert.Less(t, took[fleet-1-maxLate], within)
 }
--- a/cmd/quartzpoint/recovery_test.go
+++ b/cmd/quartzpoint/recovery_test.go
@@ -28,9 +28,9 @@
 	return []harness.Route{look, pay}
 }
 
-// playHang loads a real server, and stops its pool on the way where hang says so. It returns what was served in each second
+// runWithHang loads a real server, and stops its pool on the way where hang says so. It returns what was served in each second
 // behind the hang.
-func playHang(t *testing.T, deadline time.Duration, halt string, hang bool) (served []int, daemon *harness.Daemon) {
+func runWithHang(t *testing.T, deadline time.Duration, halt string, hang bool) (served []int, daemon *harness.Daemon) {
 	routes := recoveryRoutes(deadline)
 	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6, Halt: halt})
 	require.NoError(t, err)
@@ -61,10 +61,10 @@
 				t.Parallel()
 				without := make(chan []int, 1)
 				go func() {
-					served, _ := playHang(t, deadline, halt, false)
+					served, _ := runWithHang(t, deadline, halt, false)
 					without <- served
 				}()
-				served, daemon := playHang(t, deadline, halt, true)
+				served, daemon := runWithHang(t, deadline, halt, true)
 				expected := <-without
 				t.Logf("served by second behind the hang: %v, without it %v; strain %+v", served, expected, daemon.Workers.Strain())
 				assert.GreaterOrEqual(t, float64(sum(served)), recoveryShare*float64(sum(expected)), daemon.Log())
--- a/cmd/quartzpoint/reload_test.go
+++ b/cmd/quartzpoint/reload_test.go
@@ -20,50 +20,50 @@
 		t.Run(build, func(t *testing.T) {
 			p := launch(t, build)
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
 			raw, err := os.ReadFile(p.path)
 			require.NoError(t, err)
 			texts := []string{string(raw), strings.Replace(string(raw), `"halt":"suspend"`, `"halt":"none"`, 1)}
-			put := func(text string) { // whole: who reads sees one file or the other
+			replaceFile := func(text string) { // whole: who reads sees one file or the other
 				require.NoError(t, os.WriteFile(p.path+".new", []byte(text), 0o600))
 				require.NoError(t, os.Rename(p.path+".new", p.path))
 			}
-			hup := func() { require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP)) }
+			reload := func() { require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP)) }
 			done := map[uint32]byte{}
-			work := func(stream uint32) {
+			serveWhileReloading := func(stream uint32) {
 				router.Send(t, fake.RequestFrame(stream, "pay", ""))
 				run := p.pool.Next(t, "spawn")
-				put(texts[stream%2])
-				hup()
-				put(texts[(stream+1)%2]) // while the other may be read
+				replaceFile(texts[stream%2])
+				reload()
+				replaceFile(texts[(stream+1)%2]) // while the other may be read
 				p.pool.Finish(run.RunID, "success", nil)
 				reply := router.Next(t)
 				done[reply.Stream] = reply.Code
 			}
 			for stream := range uint32(20) {
-				work(stream + 1)
+				serveWhileReloading(stream + 1)
 			}
 			assert.NotContains(t, p.log.String(), "failed, the old one stays")
-			put(strings.Replace(texts[1], `"stop_ms":1500`, `"stop_ms":2500`, 1))
-			hup()
-			p.logged(t, "stop_ms=2500")
-			p.logged(t, "setting=halt value=none")
+			replaceFile(strings.Replace(texts[1], `"stop_ms":1500`, `"stop_ms":2500`, 1))
+			reload()
+			p.waitLogged(t, "stop_ms=2500")
+			p.waitLogged(t, "setting=halt value=none")
 
 			// The drain, with a run in hand; what is written in place may be read half.
 			router.Send(t, fake.RequestFrame(21, "pay", ""))
 			last := p.pool.Next(t, "spawn")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, "drain started")
+			p.waitLogged(t, "drain started")
 			for i := range 20 {
 				require.NoError(t, os.WriteFile(p.path, []byte(texts[i%2][:len(texts[i%2])-i%3]), 0o600))
-				hup()
+				reload()
 			}
 			require.NoError(t, os.Remove(p.path))
-			hup()
-			p.logged(t, "no such file")
+			reload()
+			p.waitLogged(t, "no such file")
 			p.pool.Finish(last.RunID, "success", nil)
-			for stream, codes := range answers(t, router) {
+			for stream, codes := range readAnswers(t, router) {
 				require.Len(t, codes, 1)
 				done[stream] = codes[0]
 			}
@@ -71,7 +71,7 @@
 			for stream, code := range done {
 				assert.Equal(t, byte(20), code, stream)
 			}
-			assert.Zero(t, p.gone())
+			assert.Zero(t, p.waitExit())
 			assert.NotContains(t, p.log.String(), "check failed")
 		})
 	}
@@ -81,7 +81,7 @@
 func TestKeysThatNeedARestart(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
-	p.logged(t, "pool link bound")
+	p.waitLogged(t, "pool link bound")
 	raw, err := os.ReadFile(p.path)
 	require.NoError(t, err)
 	text := strings.NewReplacer(`"cores":1.0`, `"cores":0.5`, `"cores":4`, `"cores":5`, `"stop_ms":1500`, `"stop_ms":700.5`,
@@ -89,8 +89,8 @@
 		`"tenants":[]`, `"tenants":[{"name":"a","quota-rps":5}]`).Replace(string(raw))
 	require.NoError(t, os.WriteFile(p.path, []byte(text), 0o600))
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-	p.logged(t, "stop_ms=700")
-	p.logged(t, `only_with_a_restart="[limits index settings extra.cores,services.1.name,tenants.0.name,tenants.0.quota-rps,tenants.count]"`)
+	p.waitLogged(t, "stop_ms=700")
+	p.waitLogged(t, `only_with_a_restart="[limits index settings extra.cores,services.1.name,tenants.0.name,tenants.0.quota-rps,tenants.count]"`)
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.RequestFrame(1, "pay", "")) // as the process was started
 	p.pool.Finish(p.pool.Next(t, "spawn").RunID, "success", nil)
@@ -98,8 +98,8 @@
 	_ = router.Close()
 	began := time.Now()
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	p.logged(t, "stop_in=700.5ms")
-	assert.Zero(t, p.gone())
+	p.waitLogged(t, "stop_in=700.5ms")
+	assert.Zero(t, p.waitExit())
 	assert.Less(t, time.Since(began), fake.WaitLimit)
 }
 
@@ -108,17 +108,17 @@
 func TestTheSameSettingsAgain(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
-	p.logged(t, "pool link bound")
+	p.waitLogged(t, "pool link bound")
 	first, err := os.ReadFile(p.path)
 	require.NoError(t, err)
 	other := strings.NewReplacer(`"halt":"suspend"`, `"halt":"none"`, `"cores":4`, `"cores":5`).Replace(string(first))
 	require.NotEqual(t, string(first), other)
 	reload := func(text, want string) {
 		t.Helper()
-		seen := strings.Count(p.log.String(), "configuration reload")
+		reloads := strings.Count(p.log.String(), "configuration reload")
 		require.NoError(t, os.WriteFile(p.path, []byte(text), 0o600))
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-		require.Eventually(t, func() bool { return strings.Count(p.log.String(), "configuration reload") > seen },
+		require.Eventually(t, func() bool { return strings.Count(p.log.String(), "configuration reload") > reloads },
 			fake.WaitLimit, time.Millisecond)
 		lines := strings.Split(strings.TrimSpace(p.log.String()), "\n")
 		last := ""
@@ -135,5 +135,5 @@
 	reload(string(first), "moved=map[halt:suspend] only_with_a_restart=[]")
 	reload(string(first), "moved=map[] only_with_a_restart=[]")
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	assert.Zero(t, p.gone())
+	assert.Zero(t, p.waitExit())
 }
--- a/cmd/quartzpoint/settings_test.go
+++ b/cmd/quartzpoint/settings_test.go
@@ -63,14 +63,14 @@
 			raw, err := os.ReadFile(p.path)
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(p.path, []byte(change(string(raw))), 0o600))
-			out, code := ask(t, nil, "check", p.path)
+			out, code := runCommand(t, nil, "check", p.path)
 			assert.Zero(t, code, out)
 			require.NoError(t, p.cmd.Start())
-			p.endWith(t)
+			p.killAtCleanup(t)
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-			p.logged(t, `msg="configuration reloaded"`)
+			p.waitLogged(t, `msg="configuration reloaded"`)
 			router := fake.Dial(t, p.address)
 			router.Send(t, fake.RequestFrame(1, "pay", ""))
 			p.pool.Finish(p.pool.Next(t, "spawn").RunID, "success", nil)
@@ -78,17 +78,17 @@
 			assert.Contains(t, p.log.String(), "only_with_a_restart=[]")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 			_ = router.Close()
-			assert.Zero(t, p.gone())
+			assert.Zero(t, p.waitExit())
 		})
 	}
 }
 
 // The first fault hid others, several were one, and addresses and numbers that can't be were found later or never. All
 // are told at once now, with the file and the key, in the same words at the start, on reload and by check.
-func TestEveryFaultAtOnce(t *testing.T) {
+func TestAllErrorsReportedAtOnce(t *testing.T) {
 	cases := []struct {
 		text string
-		says []string
+		want []string
 	}{
 		{`{`, []string{"unexpected end"}},
 		{`[]`, []string{"json: cannot unmarshal array"}},
@@ -107,56 +107,56 @@
 				"setting services.0.idempotency: is missing", "setting services.0.deadline: is missing",
 				"setting services.0.goal-time: is missing"}},
 	}
-	serves := launch(t, "release")
-	began := len(serves.log.String())
+	running := launch(t, "release")
+	began := len(running.log.String())
 	for i, c := range cases {
 		path := filepath.Join(t.TempDir(), "config.json")
 		require.NoError(t, os.WriteFile(path, []byte(c.text), 0o600))
-		started, code := ask(t, []string{"EDGE_CONFIG=" + path})
+		started, code := runCommand(t, []string{"EDGE_CONFIG=" + path})
 		assert.Equal(t, 1, code, started)
 		assert.Equal(t, 1, strings.Count(started, "\n"), started)
-		checked, code := ask(t, nil, "check", path)
+		checked, code := runCommand(t, nil, "check", path)
 		assert.Equal(t, 1, code, checked)
-		for _, words := range c.says {
-			assert.Contains(t, checked, "configuration "+path+": "+words, c.text)
-			assert.Contains(t, started, strings.ReplaceAll(words, `"`, `\"`), c.text)
+		for _, text := range c.want {
+			assert.Contains(t, checked, "configuration "+path+": "+text, c.text)
+			assert.Contains(t, started, strings.ReplaceAll(text, `"`, `\"`), c.text)
 		}
-		require.NoError(t, os.WriteFile(serves.path, []byte(c.text), 0o600))
-		require.NoError(t, serves.cmd.Process.Signal(syscall.SIGHUP))
+		require.NoError(t, os.WriteFile(running.path, []byte(c.text), 0o600))
+		require.NoError(t, running.cmd.Process.Signal(syscall.SIGHUP))
 		require.Eventually(t, func() bool {
-			return strings.Count(serves.log.String(), "failed, the old one stays") == i+1
+			return strings.Count(running.log.String(), "failed, the old one stays") == i+1
 		}, fake.WaitLimit, time.Millisecond, c.text)
 	}
 	// There the variables win over the file.
-	assert.NotContains(t, serves.log.String()[began:], "listen")
-	assert.NotContains(t, serves.log.String()[began:], "name: 7")
-	router := fake.Dial(t, serves.address)
-	serves.pool.Ready()
+	assert.NotContains(t, running.log.String()[began:], "listen")
+	assert.NotContains(t, running.log.String()[began:], "name: 7")
+	router := fake.Dial(t, running.address)
+	running.pool.Ready()
 	router.Send(t, fake.RequestFrame(1, "pay", ""))
-	serves.pool.Finish(serves.pool.Next(t, "spawn").RunID, "success", nil)
+	running.pool.Finish(running.pool.Next(t, "spawn").RunID, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code, "what is in force stays")
 }
 
 // Every number that may be 0 is: a timer of no length, or a round that brings the next, would keep a thread busy.
-func TestSettingsOfNothingKeepNoThreadBusy(t *testing.T) {
+func TestZeroSettingsKeepNoThreadBusy(t *testing.T) {
 	const settings = `{"extra":{"advert":"threshold","below":"shared","calls-by-class":[true],"cold":true,"cores":1,"gauges":[],
 "halt":"none","idle":0,"heeded":0,"lingers":0,"calls-over":0,"calls-out":0,"ram-kb":60000,"run-factor":0,"key-kb":0},
 "limits":{"max-retry-after":0,"retry-after":true},"obligations":{"cold-share":0,"overload-factor":0.1,"fall":0,
 "stop-sending-within":0,"warm-up":0,"grace-to-answer":0},"servers":0,"tick":0,"over-share-worth":0,"services":[{"name":"a",
 "deadline":1,"goal-time":0,"idempotency":"dedup","dedup-window":0,"gain":0,"late-value":0}],"tenants":[{"quota-rps":0}]}`
-	for _, nowhere := range []bool{false, true} {
-		t.Run(fmt.Sprintf("nobody there: %t", nowhere), func(t *testing.T) {
+	for _, unreachable := range []bool{false, true} {
+		t.Run(fmt.Sprintf("nobody there: %t", unreachable), func(t *testing.T) {
 			p := prepare(t, builds["debug"])
 			pool := p.pool.Address
-			if nowhere {
+			if unreachable {
 				pool = "127.0.0.1:1"
 			}
 			fake.RewriteConfigWithDependency(t, p.path, p.address, pool, p.members.Address, "127.0.0.1:1", settings)
 			began := time.Now()
 			require.NoError(t, p.cmd.Start())
-			p.endWith(t)
+			p.killAtCleanup(t)
 			p.pool.Ready()
-			p.logged(t, "msg=serving")
+			p.waitLogged(t, "msg=serving")
 			router := fake.Dial(t, p.address)
 			router.Send(t, fake.RequestFrame(1, "a", "")) // late as it comes
 			assert.Equal(t, byte(50), router.Next(t).Code)
@@ -165,7 +165,7 @@
 			}
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 			_ = router.Close()
-			assert.Zero(t, p.gone())
+			assert.Zero(t, p.waitExit())
 			used := p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 			assert.Less(t, used, time.Since(began)/2)
 		})
--- a/cmd/quartzpoint/standstill_test.go
+++ b/cmd/quartzpoint/standstill_test.go
@@ -15,7 +15,7 @@
 
 // A machine that stands still from before the stop until after it: the process left without an answer to what it held,
 // and a debug build ended in its check. The first round behind the standstill answers all.
-func TestProcessStandsStillAcrossTheStop(t *testing.T) {
+func TestProcessStalledAcrossTheStop(t *testing.T) {
 	for build, path := range builds {
 		t.Run(build, func(t *testing.T) {
 			p := prepare(t, path)
@@ -24,20 +24,20 @@
 			short := strings.Replace(string(raw), `"stop_ms":1500`, `"stop_ms":900`, 1)
 			require.NoError(t, os.WriteFile(p.path, []byte(short), 0o600))
 			require.NoError(t, p.cmd.Start())
-			p.endWith(t)
+			p.killAtCleanup(t)
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
 			router.Send(t, fake.RequestFrame(1, "pay", ""), fake.RequestFrame(2, "browse", ""))
 			p.pool.Next(t, "spawn")
 			p.pool.Next(t, "spawn") // both run, and neither will end
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-			p.logged(t, `msg="stopped accepting connections"`)
+			p.waitLogged(t, `msg="stopped accepting connections"`)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
 			time.Sleep(time.Second) // the stop passes meanwhile; there is no event to wait for
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGCONT))
-			assert.Equal(t, map[uint32][]byte{1: {51}, 2: {51}}, answers(t, router))
-			assert.Zero(t, p.gone())
+			assert.Equal(t, map[uint32][]byte{1: {51}, 2: {51}}, readAnswers(t, router))
+			assert.Zero(t, p.waitExit())
 		})
 	}
 }
@@ -53,29 +53,29 @@
 				short := strings.Replace(string(raw), `"stop_ms":1500`, `"stop_ms":`+stop, 1)
 				require.NoError(t, os.WriteFile(p.path, []byte(short), 0o600))
 				require.NoError(t, p.cmd.Start())
-				p.endWith(t)
+				p.killAtCleanup(t)
 				p.pool.Ready()
-				p.logged(t, "pool link bound")
+				p.waitLogged(t, "pool link bound")
 				router := fake.Dial(t, p.address)
 				const all = 20 // more than run at once
 				for stream := range uint32(all) {
 					router.Send(t, fake.RequestFrame(stream+1, "pay", ""))
 				}
 				router.Send(t, fake.Frame(20, 99, "", "e2e", "0"))
-				times := map[uint32]int{}
+				answerCounts := map[uint32]int{}
 				for reply := router.Next(t); reply.Type != 21; reply = router.Next(t) {
-					times[reply.Stream]++ // some are turned away at once
+					answerCounts[reply.Stream]++ // some are turned away at once
 				}
 				// Read in order, so all before the check have been read.
 				require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-				for stream, codes := range answers(t, router) {
-					times[stream] += len(codes)
+				for stream, codes := range readAnswers(t, router) {
+					answerCounts[stream] += len(codes)
 				}
-				assert.Len(t, times, all)
-				for stream, n := range times {
+				assert.Len(t, answerCounts, all)
+				for stream, n := range answerCounts {
 					assert.Equal(t, 1, n, stream)
 				}
-				assert.Zero(t, p.gone())
+				assert.Zero(t, p.waitExit())
 			})
 		}
 	}
--- a/cmd/quartzpoint/state.go
+++ b/cmd/quartzpoint/state.go
@@ -21,19 +21,19 @@
 }
 
 // openState opens the configured directory, and has the server start from what it holds.
-func openState(stated *config.State, owner *server.Server, counts *invariant.Counters, log *slog.Logger) (*statePersistence, error) {
+func openState(section *config.State, owner *server.Server, counters *invariant.Counters, log *slog.Logger) (*statePersistence, error) {
 	p := &statePersistence{}
 	p.schema = owner.PublishEstimates(store.RandomID(), func(snapshot estimate.Snapshot, at time.Duration) {
 		for _, publish := range p.publish {
 			publish(snapshot, at)
 		}
 	})
-	if stated == nil {
+	if section == nil {
 		return p, nil
 	}
 	opened, recovered, err := store.Attach(owner, store.Options{
-		OpenDir: datadir.Opener(stated.Dir), Site: stated.Site, Schema: p.schema, MaxBytes: stated.MaxBytes,
-		CommitInterval: stated.CommitInterval, PersistKeys: stated.IdempotencyKeys, Counts: counts, Log: log,
+		OpenDir: datadir.Opener(section.Dir), Site: section.Site, Schema: p.schema, MaxBytes: section.MaxBytes,
+		CommitInterval: section.CommitInterval, PersistKeys: section.IdempotencyKeys, Counts: counters, Log: log,
 	})
 	if err != nil {
 		return nil, err
--- a/cmd/quartzpoint/state_commands.go
+++ b/cmd/quartzpoint/state_commands.go
@@ -82,8 +82,8 @@
 	return nil
 }
 
-func printFiles(to io.Writer, files []store.FileReport, now recovery.Timestamp) error {
-	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+func printFiles(writer io.Writer, files []store.FileReport, now recovery.Timestamp) error {
+	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "file\tbytes\tversion\tsite\tbegun ago\trecords\twhole\t")
 	for _, f := range files {
 		if f.Header == nil {
--- a/cmd/quartzpoint/stored_test.go
+++ b/cmd/quartzpoint/stored_test.go
@@ -22,19 +22,19 @@
 // The folders below testdata were written by the program of f1daac1, killed while it served; state-torn has lost the last
 // five bytes of its log.
 
-// storedFolder is a folder of testdata, copied to where it may be changed.
-func storedFolder(t *testing.T, name string) string {
+// copyStoredDir is a folder of testdata, copied to where it may be changed.
+func copyStoredDir(t *testing.T, name string) string {
 	t.Helper()
-	to := filepath.Join(t.TempDir(), name)
-	require.NoError(t, os.CopyFS(to, os.DirFS(filepath.Join("testdata", "f1daac1", name))))
-	return to
+	dir := filepath.Join(t.TempDir(), name)
+	require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "f1daac1", name))))
+	return dir
 }
 
-// storedState is a state directory of testdata as another machine would have written it: there windows count in full,
+// copyStoredState is a state directory of testdata as another machine would have written it: there windows count in full,
 // whenever the test runs. On the recording machine they run out an hour after the recording, as long as it is not booted anew.
-func storedState(t *testing.T, name string) string {
+func copyStoredState(t *testing.T, name string) string {
 	t.Helper()
-	dir := storedFolder(t, name)
+	dir := copyStoredDir(t, name)
 	files, err := filepath.Glob(filepath.Join(dir, "*"))
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -86,9 +86,9 @@
 	return d
 }
 
-// askStored sends a request and gives the code and the result of its answer. work is what its run takes; a repeat asks
+// sendStored sends a request and gives the code and the result of its answer. work is what its run takes; a repeat asks
 // for the same.
-func askStored(t *testing.T, d *harness.Daemon, route, tenant, key string, work time.Duration) (code byte, result string) {
+func sendStored(t *testing.T, d *harness.Daemon, route, tenant, key string, work time.Duration) (code byte, result string) {
 	t.Helper()
 	link, err := net.Dial("tcp", d.Address)
 	require.NoError(t, err)
@@ -114,38 +114,38 @@
 }
 
 const (
-	storedHonoured = 20
-	storedRefused  = 50
-	storedFailed   = 51
+	storedServed   = 20
+	storedRejected = 50
+	storedAborted  = 51
 )
 
 // Repeats of requests that the recorded program had run are answered from its folder and run nowhere; one that it had
 // begun and not ended is given up on, and not run; what it did not know is run.
-func TestGoesOnFromAStoredState(t *testing.T) {
+func TestContinuesFromAStoredState(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
 		t.Run(name, func(t *testing.T) {
-			d := launchStored(t, fmt.Sprintf("[state]\ndir = %q\nsite = \"here\"\nnumbers = true\n", storedState(t, name)))
+			d := launchStored(t, fmt.Sprintf("[state]\ndir = %q\nsite = \"here\"\nnumbers = true\n", copyStoredState(t, name)))
 			known, unknown := 6, 2
 			if name == "state-torn" { // the beginning of the last request is not in it
 				known, unknown = 5, 1
 			}
 			assert.Contains(t, d.Log(), fmt.Sprintf("keys=%d unserved_keys=%d", known, unknown))
-			for _, of := range [][2]string{{"north", "k1"}, {"north", "k2"}, {"north", "k3"}, {"south", "k1"}} {
-				code, result := askStored(t, d, "charge", of[0], of[1], 20*time.Millisecond)
-				assert.Equal(t, []any{byte(storedHonoured), "done"}, []any{code, result}, of)
+			for _, request := range [][2]string{{"north", "k1"}, {"north", "k2"}, {"north", "k3"}, {"south", "k1"}} {
+				code, result := sendStored(t, d, "charge", request[0], request[1], 20*time.Millisecond)
+				assert.Equal(t, []any{byte(storedServed), "done"}, []any{code, result}, request)
 			}
-			code, _ := askStored(t, d, "charge", "north", "hangs", 20*time.Second)
-			assert.Equal(t, byte(storedFailed), code, "begun, and its end is not known")
-			code, _ = askStored(t, d, "charge", "north", "k1", 30*time.Millisecond)
-			assert.Equal(t, byte(storedFailed), code, "the key of a request that asks for something else")
+			code, _ := sendStored(t, d, "charge", "north", "hangs", 20*time.Second)
+			assert.Equal(t, byte(storedAborted), code, "begun, and its end is not known")
+			code, _ = sendStored(t, d, "charge", "north", "k1", 30*time.Millisecond)
+			assert.Equal(t, byte(storedAborted), code, "the key of a request that asks for something else")
 			if unknown == 2 {
-				code, _ = askStored(t, d, "charge", "south", "hangs", 20*time.Second)
-				assert.Equal(t, byte(storedFailed), code)
+				code, _ = sendStored(t, d, "charge", "south", "hangs", 20*time.Second)
+				assert.Equal(t, byte(storedAborted), code)
 			}
 			assert.Empty(t, d.Workers.RunStarts(), "nothing of it has run here")
-			for _, of := range [][2]string{{"south", "k2"}, {"north", "new"}} {
-				code, result := askStored(t, d, "charge", of[0], of[1], 20*time.Millisecond)
-				assert.Equal(t, []any{byte(storedHonoured), "done"}, []any{code, result}, of)
+			for _, request := range [][2]string{{"south", "k2"}, {"north", "new"}} {
+				code, result := sendStored(t, d, "charge", request[0], request[1], 20*time.Millisecond)
+				assert.Equal(t, []any{byte(storedServed), "done"}, []any{code, result}, request)
 			}
 			assert.Len(t, d.Workers.RunStarts(), 2)
 		})
@@ -154,11 +154,11 @@
 
 // A server that can't reach the configuration service serves by the configuration that the recorded program had kept: its
 // routes, and none of those that the platform's configuration states.
-func TestServesByAStoredConfiguration(t *testing.T) {
+func TestServesWithAStoredConfiguration(t *testing.T) {
 	nobody, err := harness.FreeAddress()
 	require.NoError(t, err)
 	d := launchStored(t, fmt.Sprintf("[configuration]\nname = \"app\"\ndir = %q\n[[configuration.machine]]\naddress = %q\n",
-		storedFolder(t, "configuration"), nobody))
+		copyStoredDir(t, "configuration"), nobody))
 	assert.True(t, strings.Contains(d.Log(), `msg="configuration: stored version in force" version=4 age=`) &&
 		strings.Contains(d.Log(), "routes=4 tenants=2"), d.Log())
 	for _, c := range []struct {
@@ -166,16 +166,16 @@
 		code       byte
 		runs       int // so far
 	}{
-		{"base", "", storedHonoured, 1},
-		{"order", "", storedHonoured, 2},
-		{"charge", "k1", storedHonoured, 3},
-		{"charge", "k1", storedHonoured, 3}, // a repeat
-		{"charge", "", storedRefused, 3},    // it needs a key
-		{"calls", "", storedRefused, 3},     // there is no dependency
-		{"gone", "", storedRefused, 3},
-		{"look-up", "", storedRefused, 3}, // the platform's
+		{"base", "", storedServed, 1},
+		{"order", "", storedServed, 2},
+		{"charge", "k1", storedServed, 3},
+		{"charge", "k1", storedServed, 3}, // a repeat
+		{"charge", "", storedRejected, 3}, // it needs a key
+		{"calls", "", storedRejected, 3},  // there is no dependency
+		{"gone", "", storedRejected, 3},
+		{"look-up", "", storedRejected, 3}, // the platform's
 	} {
-		code, _ := askStored(t, d, c.route, "north", c.key, 5*time.Millisecond)
+		code, _ := sendStored(t, d, c.route, "north", c.key, 5*time.Millisecond)
 		assert.Equal(t, c.code, code, c)
 		assert.Len(t, d.Workers.RunStarts(), c.runs, c)
 	}
--- a/cmd/quartzpoint/unreachable_test.go
+++ b/cmd/quartzpoint/unreachable_test.go
@@ -13,37 +13,37 @@
 // A membership service without a way to it ended the start, and refused a new configuration. Whatever lies outside is
 // waited for: the process serves, says once what is missing, and goes on as before when a new configuration names
 // something that is there.
-func TestStartWithoutAnybodyThere(t *testing.T) {
-	const nowhere = "[fe80::1]:9" // link-local, on no link
+func TestStartWithUnreachableServices(t *testing.T) {
+	const unreachable = "[fe80::1]:9" // link-local, on no link
 	p := prepare(t, builds["debug"])
 	pool, members := p.pool.Address, p.members.Address
-	fake.RewriteConfigWithDependency(t, p.path, p.address, nowhere, nowhere, nowhere, callSite)
+	fake.RewriteConfigWithDependency(t, p.path, p.address, unreachable, unreachable, unreachable, callingSettings)
 	require.NoError(t, p.cmd.Start())
-	p.endWith(t)
-	p.logged(t, "msg=serving")
-	p.logged(t, `msg="pool link down"`)
-	p.logged(t, `msg="membership reports" refused=true`)
+	p.killAtCleanup(t)
+	p.waitLogged(t, "msg=serving")
+	p.waitLogged(t, `msg="pool link down"`)
+	p.waitLogged(t, `msg="membership reports" refused=true`)
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 	assert.Equal(t, byte(20), router.Next(t).Code)
 	router.Send(t, fake.RequestFrame(2, "browse", "")) // held, and run once there is a pool
 
 	p.pool.Ready()
-	there := lookups(t, "there")
-	fake.RewriteConfigWithDependency(t, p.path, p.address, pool, members, nowhere, callSite)
+	reachable := startDependency(t, "there")
+	fake.RewriteConfigWithDependency(t, p.path, p.address, pool, members, unreachable, callingSettings)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-	p.logged(t, `msg="configuration reloaded"`)
+	p.waitLogged(t, `msg="configuration reloaded"`)
 	assert.Equal(t, "HB n1 UP", p.members.Next(t))
 	run := p.pool.Next(t, "spawn")
 	p.pool.Block(run.RunID, []byte("what"))
-	p.logged(t, "msg=dependency reached=false")
-	fake.RewriteConfigWithDependency(t, p.path, p.address, pool, nowhere, there, callSite)
+	p.waitLogged(t, "msg=dependency reached=false")
+	fake.RewriteConfigWithDependency(t, p.path, p.address, pool, unreachable, reachable, callingSettings)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-	p.logged(t, "msg=dependency reached=true")
+	p.waitLogged(t, "msg=dependency reached=true")
 	p.pool.Finish(run.RunID, "success", p.pool.Next(t, "supply").Body)
 	assert.Equal(t, byte(20), router.Next(t).Code)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	_ = router.Close()
-	assert.Zero(t, p.gone())
+	assert.Zero(t, p.waitExit())
 	assert.NotContains(t, p.log.String(), "failed, the old one stays")
 }
