--- a/cmd/adapter/executor.go
+++ b/cmd/adapter/executor.go
@@ -9,7 +9,7 @@
 
 var _ admission.Executor = (*server)(nil)
 
-// markAnswered notes that a request has its answer.
+// markAnswered records that a request has been answered.
 func (s *server) markAnswered(request *admission.Request) {
 	if tracked := s.requests[s.requestIDs[request]]; tracked != nil {
 		tracked.answered = true
@@ -21,7 +21,7 @@
 	s.reply.AddRequest(code, s.id, s.requestIDs[request])
 }
 
-// Start implements admission.Executor, as do the methods below it.
+// Start implements admission.Executor, as do the methods below.
 func (s *server) Start(request *admission.Request) {
 	s.requests[s.requestIDs[request]].running = true
 	s.add(wire.ActionStart, request)
--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -6,17 +6,18 @@
 	"quartzpoint/internal/wire"
 )
 
-// host is the process: the servers by id, and the frames in hand.
+// host holds the simulated servers of the process by id, and the frames being read and written.
 type host struct {
 	servers map[uint16]*server
-	active  []*server // those that the batch has events for, in the order of their first
+	active  []*server // servers with events in the batch, in the order of their first event
 	batch   wire.Batch
 	reply   wire.Reply
 }
 
 func newHost() *host { return &host{servers: map[uint16]*server{}} }
 
-// handleBatch has each server that the batch has events for decide once. Its errors name the record.
+// handleBatch adds each event of the batch to its server's round, and then has each of these servers decide once. Its
+// errors name the record.
 func (h *host) handleBatch() error {
 	for i := range h.batch.Records {
 		if err := h.handle(h.batch.Record(i)); err != nil {
@@ -38,7 +39,7 @@
 	}
 	s := h.servers[id]
 	if s == nil {
-		return fmt.Errorf("event %d for server %d, which was never configured", event.Code(), id)
+		return fmt.Errorf("event %d for server %d, which is not configured", event.Code(), id)
 	}
 	if event.Code() == wire.EventServerDown {
 		h.remove(id)
@@ -48,7 +49,7 @@
 	return s.handle(event)
 }
 
-// configure starts a server, in place of the one that had its id.
+// configure starts a server, and replaces any earlier one with the same id.
 func (h *host) configure(id uint16, event wire.Record) error {
 	seed, settings, err := h.batch.Configuration(event)
 	if err != nil {
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// activate begins a server's round in this batch.
+// activate starts a server's round in this batch, unless it has started.
 func (h *host) activate(s *server) {
 	if !s.active {
 		s.active = true
@@ -75,7 +76,7 @@
 	}
 }
 
-// remove takes out a server whose process died. It decides nothing more in this batch.
+// remove removes a server whose process died. It decides nothing more in this batch.
 func (h *host) remove(id uint16) {
 	for i, s := range h.active {
 		if s.id == id {
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts servers' decisions for the simulator, and speaks its wire on standard input and output: it turns events
-// into rounds, and the decisions into actions.
+// Command adapter runs servers' decisions for the simulator, and speaks the simulator's protocol on standard input and
+// output: it turns events into rounds, and decisions into actions.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"os"
 )
 
-// bufferBytes is the size of the buffers of standard input and output.
+// bufferBytes is the size of each buffer of standard input and output.
 const bufferBytes = 1 << 16
 
 func main() {
@@ -20,7 +20,7 @@
 	}
 }
 
-// serve answers each batch with one reply, until the input ends.
+// serve answers each batch with one reply until the input ends.
 func serve(input io.Reader, output io.Writer) error {
 	in, out := bufio.NewReaderSize(input, bufferBytes), bufio.NewWriterSize(output, bufferBytes)
 	h := newHost()
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -99,7 +99,7 @@
 	}, all)
 }
 
-// A server that remembers requests for ever grows without bound. After all deadlines it must remember only those whose runs have
+// A server that keeps requests forever grows without bound. After all deadlines it must keep only those whose runs have
 // not ended.
 func TestRequestsThatAreOverAreForgotten(t *testing.T) {
 	h := newHost()
@@ -135,8 +135,8 @@
 		{"outside the tail", [][]byte{batch(event{wire.EventConfigure, 7, func(r []byte) { r[14] = 1 }})},
 			"outside the tail"},
 		{"repeated id", [][]byte{batch(configure, event{wire.EventArrive, 7, withRequestID(1)}, event{wire.EventArrive, 7, withRequestID(1)})},
-			"record 2: request id 1 came twice"},
-		{"unknown route", [][]byte{batch(configure, event{wire.EventArrive, 7, withRequestID(1, 56, 3<<8)})}, "request of route 3 of 1"},
+			"record 2: request id 1 arrived twice"},
+		{"unknown route", [][]byte{batch(configure, event{wire.EventArrive, 7, withRequestID(1, 56, 3<<8)})}, "request names route 3 of 1"},
 		{"unknown outcome", [][]byte{batch(configure, event{wire.EventArrive, 7, withRequestID(1)},
 			event{wire.EventRunEnd, 7, withRequestID(1, 11, 7)})}, "unknown outcome 7"},
 	}
--- a/cmd/adapter/server.go
+++ b/cmd/adapter/server.go
@@ -8,11 +8,11 @@
 	"quartzpoint/internal/wire"
 )
 
-// trackedRequest is what a server remembers of a request until no later event can concern it.
+// trackedRequest is a request that a later event can still concern.
 type trackedRequest struct {
 	request  *admission.Request
 	answered bool
-	running  bool // the end of its run is still to come
+	running  bool // the run has started and its end has not been reported
 }
 
 // server is one simulated app server: its controller, the ids of its requests, and the executor of its decisions.
@@ -24,8 +24,8 @@
 	requestIDs map[*admission.Request]uint64
 	round      admission.Round
 	gauges     admission.Gauges
-	readings   []float64 // memory used again by each round
-	active     bool      // the batch has events for it
+	readings   []float64 // buffer that each round reuses
+	active     bool      // whether the batch has events for this server
 	reply      *wire.Reply
 }
 
@@ -44,7 +44,7 @@
 	}, nil
 }
 
-// decide hands the round to the controller. A panic there is reported to the simulator, which then stops.
+// decide passes the round to the controller. A panic there is reported to the simulator, which then stops.
 func (s *server) decide() {
 	defer func() {
 		if value := recover(); value != nil {
@@ -75,7 +75,7 @@
 	case wire.EventRunEnd, wire.EventAwaitCall, wire.EventCallEnd, wire.EventCancel:
 		tracked := s.requests[event.RequestID()]
 		if tracked == nil {
-			return nil // it was over before this event was written
+			return nil // the request ended before this event was written
 		}
 		return s.handleRequest(tracked, event)
 	default:
@@ -101,17 +101,17 @@
 		tracked.running = false
 		tracked.answered = tracked.answered || end.Outcome == admission.Succeeded || end.Outcome == admission.Failed
 		return err
-	default: // the others are not about a request
+	default: // the other events do not concern a request
 	}
 	return nil
 }
 
 func (s *server) arrive(arrival wire.Arrival) error {
 	if s.requests[arrival.RequestID] != nil {
-		return fmt.Errorf("request id %d came twice", arrival.RequestID)
+		return fmt.Errorf("request id %d arrived twice", arrival.RequestID)
 	}
 	if arrival.Route >= len(s.controller.Routes) {
-		return fmt.Errorf("request of route %d of %d", arrival.Route, len(s.controller.Routes))
+		return fmt.Errorf("request names route %d of %d", arrival.Route, len(s.controller.Routes))
 	}
 	request := &admission.Request{
 		Route:     s.controller.Routes[arrival.Route],
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// forgetIfFinished forgets a request that no later event can concern.
+// forgetIfFinished deletes a request that no later event can concern: it is answered and its run has ended.
 func (s *server) forgetIfFinished(request *admission.Request) {
 	id, known := s.requestIDs[request]
 	if !known {
@@ -151,7 +151,7 @@
 	}
 }
 
-// outcomes are the wire's codes of how runs and calls end.
+// outcomes maps the codes on the wire to the outcomes of runs and calls.
 var outcomes = map[uint16]admission.Outcome{
 	0:   admission.Succeeded,
 	255: admission.Failed,
@@ -163,7 +163,7 @@
 	249: admission.NeverStarted,
 }
 
-// completion decodes the end of a request's run or call.
+// completion decodes an event that ends a request's run or call.
 func completion(request *admission.Request, event wire.Record) (admission.Completion, error) {
 	code, took := event.End()
 	outcome, known := outcomes[code]
