--- a/cmd/quartzpoint/background.go
+++ b/cmd/quartzpoint/background.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// watchStopTimeout is how long the end of the process waits for the configuration watch to end. The watch is told to end as
-// the drain starts, so only a write that stalls takes it.
+// watchStopTimeout is how long the process waits at its end for the configuration watch to end. The watch is canceled
+// when the drain starts, so only a stalled write can take that long.
 const watchStopTimeout = 20 * time.Millisecond
 
-// backgroundTask is a function that runs beside the event loop until it is told to end. A nil one has ended.
+// backgroundTask is a function that runs concurrently with the event loop until it is canceled. A nil task counts as
+// ended.
 type backgroundTask struct {
 	cancel context.CancelFunc
 	ended  chan struct{}
 }
 
-// startTask runs a function in a goroutine. It must return soon after its context has ended.
+// startTask runs a function in a goroutine. The function must return soon after its context is canceled.
 func startTask(ctx context.Context, run func(context.Context)) *backgroundTask {
 	ctx, cancel := context.WithCancel(ctx)
 	task := &backgroundTask{cancel: cancel, ended: make(chan struct{})}
@@ -26,14 +27,14 @@
 	return task
 }
 
-// stop tells the task to end, and does not wait for it.
+// stop cancels the task without waiting for its end.
 func (t *backgroundTask) stop() {
 	if t != nil {
 		t.cancel()
 	}
 }
 
-// wait waits until the task has ended, and reports whether it has within the timeout.
+// wait waits for the task to end, and reports whether it ended within the timeout.
 func (t *backgroundTask) wait(timeout time.Duration) bool {
 	if t == nil {
 		return true
--- a/cmd/quartzpoint/background_test.go
+++ b/cmd/quartzpoint/background_test.go
@@ -8,20 +8,20 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The store of the configuration was closed at the end of the process while the watch might still write to it.
+// At the end of the process the store of the configuration was closed while the watch could still write to it.
 func TestTaskIsWaitedFor(t *testing.T) {
 	written := false
 	task := startTask(t.Context(), func(ctx context.Context) {
 		<-ctx.Done()
-		time.Sleep(10 * time.Millisecond) // a write that was under way
+		time.Sleep(10 * time.Millisecond) // a write in progress
 		written = true
 	})
-	assert.False(t, task.wait(time.Millisecond), "it runs")
+	assert.False(t, task.wait(time.Millisecond), "the task is still running")
 	task.stop()
 	assert.True(t, task.wait(10*time.Second))
 	assert.True(t, written)
 
 	var none *backgroundTask
 	none.stop()
-	assert.True(t, none.wait(0), "there is none")
+	assert.True(t, none.wait(0), "a nil task has ended")
 }
--- a/cmd/quartzpoint/burst_test.go
+++ b/cmd/quartzpoint/burst_test.go
@@ -18,7 +18,7 @@
 
 const (
 	burstConnections = 100
-	burstPerConn     = 30 // two under the protocol's limit
+	burstPerConn     = 30 // two below the protocol's limit
 	burstDeadline    = 300 * time.Millisecond
 )
 
@@ -28,7 +28,8 @@
 	after time.Duration // since the burst was sent
 }
 
-// sendBurst sends one connection's part of a burst in a single write, once begin is closed, and reads the answers to it.
+// sendBurst sends the part of a burst that belongs to one connection in a single write, once begin is closed, and
+// returns the answers to it.
 func sendBurst(t *testing.T, connection net.Conn, index int, route string, begin <-chan struct{}) (answers []burstAnswer) {
 	<-begin
 	sent := time.Now()
@@ -54,8 +55,8 @@
 	return answers
 }
 
-// Some thousand requests come at once on a hundred sockets. On a busy machine all were refused, as the first were decided on
-// only once the last were read.
+// Thousands of requests arrive at once on a hundred connections. On a busy machine all of them were rejected, because
+// the first were decided only after the last had been read.
 func TestBurstOnManySockets(t *testing.T) {
 	routes := []harness.Route{{Name: "look", Value: 1, LatencyTarget: burstDeadline, Deadline: burstDeadline, Share: 1, Work: 5 * time.Millisecond}}
 	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 1e6})
@@ -79,8 +80,8 @@
 		codes[answer.code]++
 		first = min(first, answer.after)
 	}
-	t.Logf("codes %v, the first answer after %v", codes, first)
-	assert.Len(t, all, burstConnections*burstPerConn, "each request has an answer")
+	t.Logf("codes %v, first answer after %v", codes, first)
+	assert.Len(t, all, burstConnections*burstPerConn, "each request must be answered")
 	assert.Positive(t, codes[harness.StatusServed])
 	assert.NotContains(t, daemon.Log(), "check failed")
 }
--- a/cmd/quartzpoint/calls_test.go
+++ b/cmd/quartzpoint/calls_test.go
@@ -14,11 +14,12 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// callingSettings is the usual site, where one type calls a dependency.
+// callingSettings are the usual settings, with one route that calls a dependency.
 var callingSettings = strings.Replace(fake.SiteSettings, `"below":"none","calls-by-class":[false,false]`,
 	`"below":"shared","calls-out":20,"calls-over":5000000,"calls-by-class":[true,false]`, 1)
 
-// startDependency is a dependency that answers each call by its name, its task and its body.
+// startDependency starts a dependency that answers each call with its name, the id of the calling run and the body of
+// the call.
 func startDependency(t *testing.T, name string) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -28,7 +29,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// Settings with types that call a dependency kept the process from starting.
+// The process did not start with settings that have routes with calls to a dependency. A reload must switch to another
+// address of the dependency, and must keep the last one if the new file names none.
 func TestRouteThatCalls(t *testing.T) {
 	for build, path := range builds {
 		t.Run(build, func(t *testing.T) {
@@ -67,7 +69,8 @@
 	}
 }
 
-// Without the dependency's address the process starts, serves all other types and turns those tasks away.
+// Without the dependency's address the process must start, serve all other routes, and reject requests of the route
+// that calls the dependency.
 func TestRouteThatCallsWithoutADependency(t *testing.T) {
 	p := prepare(t, builds["release"])
 	fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, callingSettings)
--- a/cmd/quartzpoint/check.go
+++ b/cmd/quartzpoint/check.go
@@ -13,13 +13,13 @@
 	"quartzpoint/internal/peersync"
 )
 
-// checkCommand checks the configurations that serveCommand would read.
+// checkCommand checks the configuration files that serveCommand would read.
 type checkCommand struct {
 	File   string `arg:"" optional:"" env:"EDGE_CONFIG" help:"The platform's configuration (JSON)."`
 	Config string `name:"config" aliases:"own" placeholder:"FILE" help:"The product's own file (TOML)."`
 }
 
-// Run prints all errors, or that there are none.
+// Run prints all errors, or a line that there are none.
 func (cmd *checkCommand) Run() error {
 	var errs []error
 	var timeouts map[string]time.Duration // by route; nil without the platform's configuration
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// checkStateDir is the error with which a state folder could not be opened. One that does not exist is created at the start, so
-// its parent must exist.
+// checkStateDir returns the error with which opening a state directory would fail. A start creates a directory that
+// does not exist, so in that case only its parent must exist.
 func checkStateDir(dir string) error {
 	opened, err := datadir.Open(dir, true)
 	if err == nil {
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -27,17 +27,18 @@
 type tableUpdater struct {
 	server      *server.Server
 	memoryBytes int
-	store       *store.ConfigurationStore // nil where nothing is stored
+	store       *store.ConfigurationStore // nil if documents are not stored
 
-	// The tables of the platform's configuration, until those of the service replace them; nil from then on.
+	// The tables of the platform's configuration. Both are nil once the tables of the configuration service have
+	// replaced them.
 	baseRoutes  map[string]admission.Route
 	baseTenants map[string]float64
 }
 
-// newConfigWatcher returns a watcher of the configuration service that a source names, for the caller to run, and the
-// updater of the server's tables, for the caller to close; nil for both without a source. A stored version comes into
-// force here, before the server accepts its first request. name is that of the platform's configuration; memory is in
-// bytes.
+// newConfigWatcher returns a watcher of the configuration service that source names, for the caller to run, and the
+// updater of the server's tables, for the caller to close. Without a source both are nil. It applies a stored version
+// before it returns, so that the version is in force before the server accepts its first request. name is the server's
+// name in the platform's configuration, which source may override; memory is in bytes.
 func newConfigWatcher(
 	source *config.Source, name string, memory int, owner *server.Server, seed int64, log *slog.Logger,
 ) (*configwatch.Watcher, *tableUpdater, error) {
@@ -73,8 +74,8 @@
 	return watcher, updater, nil
 }
 
-// loadStored opens the store in a directory and applies the version that it holds. It returns the document in force: the
-// empty one where nothing is stored or the directory is empty ("").
+// loadStored opens the store in a directory and applies the version that it holds. It returns the document in force,
+// which is empty if nothing is stored or dir is empty.
 func (u *tableUpdater) loadStored(dir string, log *slog.Logger) (*configuration.Document, error) {
 	if dir == "" {
 		return configuration.NewDocument(), nil
@@ -103,14 +104,15 @@
 	return stored.Document, nil
 }
 
-// close closes the store. A nil updater has none.
+// close closes the store, if there is one. The updater may be nil.
 func (u *tableUpdater) close() {
 	if u != nil && u.store != nil {
-		_ = u.store.Close() // what was stored was synced; a write under way fails, and the next start asks the service for it
+		_ = u.store.Close() // stored versions are synced already; if a write in progress fails, the next start fetches that version from the service
 	}
 }
 
-// apply applies a delta, which leads to the document to, and returns once it is in force. It is configwatch.Watcher.Apply.
+// apply applies the delta that leads to document, and returns once it is in force. It serves as
+// configwatch.Watcher.Apply.
 func (u *tableUpdater) apply(ctx context.Context, delta configuration.Delta, document *configuration.Document) error {
 	if err := u.checkMemory(document); err != nil {
 		return err
@@ -127,18 +129,18 @@
 	}
 }
 
-// checkMemory returns an error where a document's tables would leave too little memory for requests.
+// checkMemory returns an error if a document's tables would leave too little memory for requests.
 func (u *tableUpdater) checkMemory(d *configuration.Document) error {
 	need := len(d.Routes)*maxRouteBytes + len(d.Tenants)*maxTenantBytes
 	if limit := u.memoryBytes / maxTableMemoryDivisor; need > limit {
-		return fmt.Errorf("limits.memory_mb: %d routes and %d tenants may take %d MB, %d MB at most are allowed",
+		return fmt.Errorf("limits.memory_mb: %d routes and %d tenants may take %d MB, more than the allowed %d MB",
 			len(d.Routes), len(d.Tenants), need>>20, limit>>20)
 	}
 	return nil
 }
 
-// tableChange converts a delta. The first one also removes the routes and tenants of the platform's configuration that
-// the service does not have.
+// tableChange converts a delta to a change of the server's tables. The first one also removes the routes and tenants of
+// the platform's configuration that the service does not have.
 func (u *tableUpdater) tableChange(delta configuration.Delta) server.TableChange {
 	var change server.TableChange
 	change.Routes, change.Tenants = settings.Changes(delta)
--- a/cmd/quartzpoint/configuration_show.go
+++ b/cmd/quartzpoint/configuration_show.go
@@ -9,15 +9,15 @@
 	"quartzpoint/internal/configwatch"
 )
 
-// configurationCommands are the commands about a server's watch of the configuration service.
+// configurationCommands are the commands that query a server's watch of the configuration service.
 type configurationCommands struct {
-	Show configurationShowCommand `cmd:"" help:"Print which version is in force at a running server, and when the service was last heard of."`
+	Show configurationShowCommand `cmd:"" help:"Print the version in force at a running server, and the time since its last contact with the service."`
 }
 
-// configurationShowCommand prints the state of a server's watch.
+// configurationShowCommand prints the status of a server's watch.
 type configurationShowCommand struct {
 	Socket string `arg:"" help:"The server's control socket, as in its [control] socket."`
-	JSON   bool   `name:"json" help:"Print it as JSON; times in nanoseconds."`
+	JSON   bool   `name:"json" help:"Print JSON; times in nanoseconds."`
 }
 
 // Run queries the server once.
@@ -33,6 +33,6 @@
 	if status.SinceContact >= 0 {
 		lastContact = status.SinceContact.Round(time.Millisecond).String() + " ago"
 	}
-	fmt.Printf("version %d, connected %t, service last heard of %s\n", status.Version, status.Connected, lastContact)
+	fmt.Printf("version %d, connected %t, last contact with the service %s\n", status.Version, status.Connected, lastContact)
 	return nil
 }
--- a/cmd/quartzpoint/configuration_test.go
+++ b/cmd/quartzpoint/configuration_test.go
@@ -54,8 +54,8 @@
 	return d
 }
 
-// A server that starts while the service is down must not fall back to the platform's configuration: the stored version is
-// in force before it accepts requests, in place of everything that the platform's configuration names.
+// A server that starts while the service is down must not fall back to the platform's configuration: the stored version
+// must be in force before it accepts requests, and replace everything that the platform's configuration names.
 func TestStartsWithStoredVersion(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "stored")
 	storeDocument(t, dir, newDocument(3, 2))
@@ -73,8 +73,8 @@
 	assert.Equal(t, uint64(1), watcher.Document.Version)
 }
 
-// Tables that would leave too little memory for requests are rejected with an error that names the limit, at the start and
-// in service, and nothing of them comes into force.
+// Tables that would leave too little memory for requests must be rejected at the start and at run time, with an error
+// that names the limit, and no part of them may come into force.
 func TestTablesBeyondTheMemory(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "stored")
 	large := newDocument(100, 20_000)
@@ -83,7 +83,7 @@
 	before, _ := owner.Tables()
 	source := &config.Source{Dir: dir, Endpoints: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
 	_, _, err := newConfigWatcher(source, "one", 16<<20, owner, 1, slog.New(slog.DiscardHandler))
-	assert.ErrorContains(t, err, "configuration.dir "+dir+": limits.memory_mb: 100 routes and 20000 tenants may take 19 MB, 8 MB at most")
+	assert.ErrorContains(t, err, "configuration.dir "+dir+": limits.memory_mb: 100 routes and 20000 tenants may take 19 MB, more than the allowed 8 MB")
 	after, _ := owner.Tables()
 	assert.Equal(t, before, after)
 
@@ -92,7 +92,7 @@
 	assert.ErrorContains(t, err, "limits.memory_mb")
 }
 
-// Without the section the server watches nothing.
+// Without the section the server must watch nothing.
 func TestNotWatched(t *testing.T) {
 	watcher, tables, err := newConfigWatcher(nil, "one", 0, nil, 1, nil)
 	require.NoError(t, err)
--- a/cmd/quartzpoint/control.go
+++ b/cmd/quartzpoint/control.go
@@ -13,7 +13,7 @@
 	"quartzpoint/internal/server"
 )
 
-const queryTimeout = time.Second // for a turn of the event loop
+const queryTimeout = time.Second // for the event loop to run the query
 
 // The queries that the admin socket answers.
 const (
@@ -22,7 +22,7 @@
 	queryConfiguration = "configuration"
 )
 
-// adminHandler answers operators' queries about a running server. What the server does not have is nil.
+// adminHandler answers operators' queries about a running server. A component that the server does not have is nil.
 type adminHandler struct {
 	server       *server.Server
 	composer     *fanout.Composer
@@ -30,7 +30,7 @@
 	watcher      *configwatch.Watcher
 }
 
-// listen answers queries at a path until ctx ends. Without a path nothing listens.
+// listen answers queries on a Unix socket at path until ctx ends. Without a path it does nothing.
 func (a adminHandler) listen(ctx context.Context, path string) error {
 	if path == "" {
 		return nil
@@ -57,7 +57,7 @@
 	return nil, fmt.Errorf("unknown question %q", request.Query)
 }
 
-// dependencies reads the states of the dependencies on the event loop, which has them.
+// dependencies reads the states of the dependencies on the event loop, which owns them.
 func (a adminHandler) dependencies() (any, error) {
 	result := make(chan any, 1)
 	a.server.Submit(func() { result <- a.composer.States(a.server.Now()) })
--- a/cmd/quartzpoint/crossing_test.go
+++ b/cmd/quartzpoint/crossing_test.go
@@ -16,7 +16,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// readAnswers reads to the end of a connection, which must be an orderly one, and gives the codes of answers by stream.
+// readAnswers reads until the end of a connection, which must be orderly, and returns the codes of the answers by
+// stream.
 func readAnswers(t *testing.T, r *fake.Router) map[uint32][]byte {
 	t.Helper()
 	all := map[uint32][]byte{}
@@ -28,7 +29,8 @@
 	return all
 }
 
-// The notice to leave waited while a new configuration was read, here one that never comes, and the stop did not.
+// The drain waited while a new configuration was being read (here from a FIFO that delivers nothing), but the time of
+// the stop did not move.
 func TestNoticeWhileAConfigurationIsRead(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
@@ -38,14 +40,14 @@
 	require.NoError(t, os.Remove(p.path))
 	require.NoError(t, syscall.Mkfifo(p.path, 0o600))
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { // it can be opened for writing once the process has it open to read
+	require.Eventually(t, func() bool { // the FIFO can be opened for writing once the process has opened it for reading
 		fd, err := syscall.Open(p.path, syscall.O_WRONLY|syscall.O_NONBLOCK, 0)
 		if err == nil {
 			t.Cleanup(func() { _ = syscall.Close(fd) })
 		}
 		return err == nil
 	}, fake.WaitLimit, time.Millisecond)
-	for range 3 { // a notice told again changes nothing
+	for range 3 { // repeated notices must change nothing
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	}
 	p.waitLogged(t, "drain started")
@@ -54,8 +56,9 @@
 	assert.Zero(t, p.waitExit())
 }
 
-// A machine that stands still across the end of the grace: the system takes connections, and tasks on them, that the
-// process hears of only when it has begun to go. Each is answered, none runs, and no connection is reset.
+// The process is stalled across the end of the grace. Meanwhile the system accepts connections, and requests on them,
+// that the process reads only after the grace has ended. Each must be answered, none may run, and no connection may be
+// reset.
 func TestRequestsWhileTheProcessIsStalledAtTheEndOfTheGrace(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
@@ -66,7 +69,7 @@
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	p.waitLogged(t, "drain started")
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
-	time.Sleep(500 * time.Millisecond) // the grace of the site is 400 ms; what arrives from here on never runs
+	time.Sleep(500 * time.Millisecond) // the grace of the settings is 400 ms; what arrives from here on never runs
 	var routers []*fake.Router
 	for range 8 {
 		routers = append(routers, fake.Dial(t, p.address))
@@ -80,15 +83,15 @@
 	}
 	assert.Zero(t, p.waitExit())
 	for len(p.pool.Commands) > 0 {
-		assert.NotEqual(t, "spawn", (<-p.pool.Commands).Verb, "it ran past the grace")
+		assert.NotEqual(t, "spawn", (<-p.pool.Commands).Verb, "a request ran after the grace")
 	}
 	_, err := net.Dial("tcp", p.address)
 	assert.Error(t, err)
 }
 
-// A new configuration that is told of as soon as the program is there, before it can hear of it, ended the process. It
-// reads its configuration later than that, so nothing is missed. Between there and serving the word was handled beside
-// the start that still read what it writes.
+// A SIGHUP that arrived as soon as the program had started, before it handled signals, ended the process. The program
+// reads its configuration after it starts to handle signals, so no change is missed. A SIGHUP that arrived before the
+// process served was handled concurrently with the start, which was still reading what the reload writes.
 func TestSignalsAtTheStart(t *testing.T) {
 	var deploy struct{ Run string }
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -99,7 +102,7 @@
 		p := prepare(t, "/bin/sh", "-c", strings.Replace(deploy.Run, "bin/quartzpoint", builds["release"], 1))
 		require.NoError(t, p.cmd.Start())
 		p.killAtCleanup(t)
-		require.Eventually(t, func() bool { // the shell has become the program
+		require.Eventually(t, func() bool { // until the shell has executed the program
 			exe, _ := os.Readlink(fmt.Sprintf("/proc/%d/exe", p.cmd.Process.Pid))
 			return exe == builds["release"]
 		}, fake.WaitLimit, time.Microsecond)
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -18,8 +18,8 @@
 	"quartzpoint/internal/server"
 )
 
-// startComposer starts the composer of the routes that the configuration makes of calls; nil without any. It ends with the
-// context. memory is that of the process, in bytes.
+// startComposer starts the composer of the routes whose requests the configuration file composes of calls, and returns
+// nil without such routes. The composer ends with ctx. memory is the memory of the process in bytes.
 func startComposer(
 	ctx context.Context, file *config.Config, memory int, seed int64, owner *server.Server, counters *invariant.Counters, log *slog.Logger,
 ) (*fanout.Composer, error) {
@@ -36,19 +36,19 @@
 	}
 	composer := fanout.New(ctx, dependencies, routes, memory, seed, owner.Now, counters, log, owner.Wake)
 	owner.SetComposer(composer)
-	log.Info("tasks made of calls", "types", len(routes), "dependencies", len(dependencies))
+	log.Info("composed routes configured", "types", len(routes), "dependencies", len(dependencies))
 	return composer, nil
 }
 
-// composedRoutes are the configured plans, validated against available: the time that the platform's configuration gives
-// requests of each route. The error joins all faults.
+// composedRoutes returns the configured routes, after validating each plan against the route's timeout in the
+// platform's configuration (available). The returned error joins all errors.
 func composedRoutes(file *config.Config, available map[string]time.Duration) (routes []fanout.Route, err error) {
 	var errs []error
 	for _, routePlan := range file.Routes {
 		plan := routePlan.Plan()
 		deadline, known := available[routePlan.Name]
 		if !known {
-			errs = append(errs, fmt.Errorf("types.%s: the platform's configuration names no such traffic type", routePlan.Name))
+			errs = append(errs, fmt.Errorf("types.%s: the platform's configuration has no such route", routePlan.Name))
 			continue
 		}
 		if err := plan.Validate(len(file.Dependencies), deadline); err != nil {
@@ -63,7 +63,7 @@
 	return routes, errors.Join(errs...)
 }
 
-// printTimeline prints when the calls of a plan are expected to start and end, and their timeouts.
+// printTimeline prints the expected start, end and timeout of each call of a plan.
 func printTimeline(writer io.Writer, routePlan config.RoutePlan, dependencies []config.Dependency, available time.Duration) error {
 	plan := routePlan.Plan()
 	if err := plan.Validate(len(dependencies), available); err != nil {
@@ -73,7 +73,7 @@
 	for _, d := range dependencies {
 		names = append(names, d.Name)
 	}
-	fmt.Fprintf(writer, "%s: %v in all, %v of it kept back\n", routePlan.Name, available, routePlan.Reserve)
+	fmt.Fprintf(writer, "%s: %v in total, %v of it reserved\n", routePlan.Name, available, routePlan.Reserve)
 	table := tabwriter.NewWriter(writer, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "  call\tdependency\tbegins\tends\tmay take\t")
 	for _, span := range plan.Spans(available, names) {
@@ -87,13 +87,13 @@
 	return table.Flush()
 }
 
-// dependenciesCommand prints the state of a running server's dependencies.
+// dependenciesCommand prints the states of a running server's dependencies.
 type dependenciesCommand struct {
 	Socket string `arg:"" help:"The server's control socket, as in its [control] socket."`
-	JSON   bool   `name:"json" help:"Print it as JSON."`
+	JSON   bool   `name:"json" help:"Print JSON."`
 }
 
-// Run asks the server once.
+// Run queries the server once.
 func (cmd *dependenciesCommand) Run() error {
 	var states []budget.State
 	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: queryDependencies}, &states); err != nil {
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -38,7 +38,7 @@
 effect = "at-most-once"
 `
 
-// composedServer is a server with a route made of calls and one that the pool runs.
+// composedServer is a server with a route whose requests are composed of calls and one that the worker pool runs.
 type composedServer struct {
 	daemon       *harness.Daemon
 	tables, bank *harness.Dependency
@@ -67,7 +67,7 @@
 	return c
 }
 
-// Without faults all requests complete, and the control socket reports the dependencies.
+// Without faults all requests must be served, and the control socket must report the dependencies.
 func TestComposed(t *testing.T) {
 	c := startComposedServer(t, nil)
 	done, err := harness.Run(c.daemon.Address, c.routes, harness.Arrivals(c.routes, 60, time.Second, 1), 1)
@@ -76,7 +76,7 @@
 	assert.Zero(t, done.Partial+done.LateAnswers+done.DuplicateAnswers)
 	info, err := os.Stat(c.socket)
 	require.NoError(t, err)
-	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "the socket is its owner's")
+	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "only the owner may use the socket")
 
 	out, code := runCommand(t, nil, "dependencies", c.socket)
 	require.Zero(t, code, out)
@@ -95,8 +95,8 @@
 	assert.Equal(t, 1, code, out)
 }
 
-// The deposit is sent and its response comes after the deadline. The request is aborted, never rejected, and the deposit made
-// once. Requests that do not need the bank are not affected.
+// The deposit is sent, and its response arrives after the deadline. The request must be aborted, never rejected, and
+// the deposit made once. Requests that do not need the bank must not be affected.
 func TestDepositWithoutAnswer(t *testing.T) {
 	c := startComposedServer(t, func(time.Duration) harness.DependencyBehaviour {
 		return harness.DependencyBehaviour{AnswerDelay: 3 * time.Second}
@@ -113,14 +113,14 @@
 	stats := c.bank.Stats()
 	assert.Positive(t, stats.Effects)
 	assert.Zero(t, stats.RepeatedRuns)
-	assert.Equal(t, stats.Attempts, stats.DistinctKeys, "no attempt was repeated")
-	assert.GreaterOrEqual(t, done.Codes[51], stats.Effects, "what ran is aborted, not rejected")
+	assert.Equal(t, stats.Attempts, stats.DistinctKeys, "no attempt may be repeated")
+	assert.GreaterOrEqual(t, done.Codes[51], stats.Effects, "a request that ran must be aborted, not rejected")
 	require.NoError(t, c.daemon.Stop())
 	assert.NotContains(t, c.daemon.Log(), "check failed")
 }
 
-// A caller disconnects, and then the server shuts down, while calls are in flight. The other callers get their answers, and
-// the shutdown ends in time.
+// A caller disconnects, and then the server shuts down, while calls are in flight. The other callers must get their
+// answers, and the shutdown must end in time.
 func TestDrainWithOpenCalls(t *testing.T) {
 	c := startComposedServer(t, func(time.Duration) harness.DependencyBehaviour { return harness.DependencyBehaviour{Silent: true} })
 	disconnecting := fake.Dial(t, c.daemon.Address)
@@ -149,7 +149,7 @@
 	assert.NotContains(t, c.daemon.Log(), "check failed")
 }
 
-// A plan has a fault. The check command names it and fails.
+// The check command must report each error in a plan and fail.
 func TestCheckPlans(t *testing.T) {
 	folder := t.TempDir()
 	site := strings.Replace(fake.SiteSettings, `"browse"`, `"confirm-booking"`, 1)
@@ -162,19 +162,19 @@
 	good := strings.NewReplacer("SOCKET", "/tmp/x", "TABLES", "127.0.0.1:4", "BANK", "127.0.0.1:5").Replace(confirmFile)
 	out, code := runCommand(t, nil, "check", platform, "--own", write(good))
 	assert.Zero(t, code, out)
-	for _, words := range []string{"confirm-booking: 8s in all", "hold", "deposit", "bank", "50ms", "100ms", "no faults"} {
+	for _, words := range []string{"confirm-booking: 8s in total", "hold", "deposit", "bank", "50ms", "100ms", "no faults"} {
 		assert.Contains(t, out, words)
 	}
 	cases := map[string][2]string{
 		"can't have a second attempt": {`effect = "at-most-once"`, "effect = \"at-most-once\"\nsecond-attempt = true"},
-		"no such traffic type":        {"types.confirm-booking", "types.other"},
+		"no such route":               {"types.confirm-booking", "types.other"},
 		"wait for each other":         {"effect = \"numbered\"", "effect = \"numbered\"\nafter = [\"deposit\"]"},
 		"needed calls take":           {"[types.confirm-booking]\n", "[types.confirm-booking]\nreserve = \"4s\"\n"},
 		"a name under [dependencies]": {`dependency = "bank"`, `dependency = "bnak"`},
 		"a name of a call":            {`after = ["hold"]`, `after = ["hodl"]`},
 		"address: is missing":         {`address = "127.0.0.1:5"`, ""},
 		"share = 0":                   {`address = "127.0.0.1:5"`, "address = \"127.0.0.1:5\"\nshare = 0"},
-		"stands twice":                {`name = "deposit"`, `name = "hold"`},
+		"is listed twice in the plan": {`name = "deposit"`, `name = "hold"`},
 	}
 	for want, change := range cases {
 		text := strings.ReplaceAll(good, change[0], change[1])
--- a/cmd/quartzpoint/descriptors_test.go
+++ b/cmd/quartzpoint/descriptors_test.go
@@ -18,7 +18,8 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// launchWithDescriptors starts a process that the system lets have as many descriptors as its configuration states.
+// launchWithDescriptors starts a process that the system allows exactly as many descriptors as its configuration
+// states.
 func launchWithDescriptors(t *testing.T, sockets int) *program {
 	p := prepare(t, "/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, builds["release"]))
 	text, err := os.ReadFile(p.path)
@@ -32,7 +33,7 @@
 	return p
 }
 
-// descriptors is how many the process has open.
+// descriptors returns the number of descriptors that the process has open.
 func (p *program) descriptors(t *testing.T) int {
 	t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
@@ -40,7 +41,7 @@
 	return len(entries)
 }
 
-// stat is a number of the process's own line in /proc, counted as in proc(5).
+// stat returns a number from the process's line in /proc/PID/stat. at is the number of the field, as in proc(5).
 func (p *program) stat(t *testing.T, at int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
@@ -51,23 +52,24 @@
 	return value
 }
 
-// cpuTime is the time on a core that the process took so far; /proc counts in hundredths of a second.
+// cpuTime returns the CPU time that the process has used; /proc counts in hundredths of a second.
 func (p *program) cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	return time.Duration(p.stat(t, 14)+p.stat(t, 15)) * 10 * time.Millisecond
 }
 
-// assertIdle sees that the process takes next to no time on a core in a second in which nothing happens.
+// assertIdle checks that the process uses almost no CPU time in a second in which nothing happens.
 func (p *program) assertIdle(t *testing.T) {
 	t.Helper()
 	began, cpuBefore := time.Now(), p.cpuTime(t)
-	time.Sleep(time.Second) // what is measured is the time that this takes
+	time.Sleep(time.Second) // the period in which CPU time is measured
 	share := float64(p.cpuTime(t)-cpuBefore) / float64(time.Since(began))
-	assert.Less(t, share, 0.25, "it spins")
+	assert.Less(t, share, 0.25, "an idle process uses CPU time")
 	t.Logf("%d descriptors, %d threads, %.2f of a core", p.descriptors(t), p.stat(t, 20), share)
 }
 
-// waitServed waits until a new connection has a task run, as nothing is left of what filled the table.
+// waitServed waits until a request on a new connection is served, which shows that the table of descriptors has space
+// again.
 func (p *program) waitServed(t *testing.T, stream uint32) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -86,7 +88,8 @@
 	}, fake.WaitLimit, 20*time.Millisecond)
 }
 
-// openConnections makes connections all at once, so that more come than there are turns to book them, and gives their ends.
+// openConnections opens connections all at once, so that more arrive than the event loop has rounds to register them,
+// uses each of them, and returns a function that closes them.
 func (p *program) openConnections(connections int, use func(router net.Conn, i uint32)) (end func()) {
 	var mu sync.Mutex
 	var routers []net.Conn
@@ -114,7 +117,7 @@
 	}
 }
 
-// What connections of routers do in a full table.
+// sendNothing, checkHealthOnce and sendRequest are the uses of connections that fill the table.
 func sendNothing(net.Conn, uint32) {}
 
 func checkHealthOnce(router net.Conn, i uint32) {
@@ -127,11 +130,11 @@
 	_, _ = router.Write(fake.RequestFrame(1000+i, "pay", ""))
 }
 
-// Routers that can't hear of a change keep their connections, and these fill the table. What is needed gets through: a
-// task and a check of a router that comes anew, the reports, the pool's link when it is lost; the process does not spin,
-// and when the others have gone all is as it was.
+// Routers that can't be notified of a change keep their connections open, and these fill the table of descriptors. A
+// request and a health check on new connections, the membership reports, and a lost pool link must still get
+// descriptors. The process must not spin, and once the routers have closed their connections it must serve as before.
 func TestFullTableOfDescriptors(t *testing.T) {
-	uses := map[string]func(net.Conn, uint32){"silent": sendNothing, "asked once": checkHealthOnce, "in use": sendRequest}
+	uses := map[string]func(net.Conn, uint32){"silent": sendNothing, "health check": checkHealthOnce, "in use": sendRequest}
 	for _, sockets := range []int{32, 48, 64, 100, 256} {
 		for name, use := range uses {
 			t.Run(fmt.Sprintf("%d %s", sockets, name), func(t *testing.T) {
@@ -141,14 +144,14 @@
 				bound := strings.Count(p.log.String(), "pool link bound")
 				p.pool.CloseLink()
 				require.Eventually(t, func() bool { return strings.Count(p.log.String(), "pool link bound") > bound },
-					fake.WaitLimit, time.Millisecond, "the pool's link is not had again")
+					fake.WaitLimit, time.Millisecond, "the pool link is not bound again")
 
 				health := fake.Dial(t, p.address)
 				health.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 				assert.Equal(t, byte(21), health.Next(t).Type)
-				router := fake.Dial(t, p.address) // beside it
+				router := fake.Dial(t, p.address) // a second connection
 				router.Send(t, fake.RequestFrame(1, "pay", ""))
-				if name != "in use" { // where there is room for it, it runs
+				if name != "in use" { // then there is capacity to run it
 					p.pool.Finish(p.pool.Next(t, "spawn").RunID, "success", nil)
 				}
 				reply := router.Next(t)
@@ -156,13 +159,13 @@
 				_ = router.Close()
 				_ = health.Close()
 				p.assertIdle(t)
-				for { // a report from now on, not one that waits in the socket
+				for { // until a report is sent from now on, rather than one that waits in the socket
 					asked := time.Now()
 					if assert.Equal(t, "HB n1 UP", p.members.Next(t)); time.Since(asked) > 10*time.Millisecond {
 						break
 					}
 				}
-				assert.NotContains(t, p.log.String(), "descriptors ran out", "those for the process itself are taken")
+				assert.NotContains(t, p.log.String(), "descriptors ran out", "connections took the descriptors reserved for the process itself")
 				assert.NotContains(t, p.log.String(), "too many open files")
 
 				p.pool.SetEcho()
@@ -174,8 +177,8 @@
 	}
 }
 
-// Descriptors run out though the table is not full, as where others take them: idle connections make
-// room, and it neither spins nor writes line after line, however often it happens.
+// Descriptors run out though the table is not full, as when other parts of the process use them. Idle connections must
+// be closed to free some, and the process may neither spin nor log a line for each attempt, however often it happens.
 func TestDescriptorsRunOut(t *testing.T) {
 	p := launchWithDescriptors(t, 256)
 	p.pool.SetEcho()
@@ -192,5 +195,5 @@
 		require.Eventually(t, func() bool { return p.descriptors(t) <= before }, fake.WaitLimit, time.Millisecond)
 		p.waitServed(t, 100+200*i)
 	}
-	assert.Less(t, strings.Count(p.log.String(), "\n"), 100, "a line for each try")
+	assert.Less(t, strings.Count(p.log.String(), "\n"), 100, "a line is logged for each attempt")
 }
--- a/cmd/quartzpoint/drain_test.go
+++ b/cmd/quartzpoint/drain_test.go
@@ -17,14 +17,15 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// Clients that send on open connections until the process is gone, though they were asked not to, kept it to within
-// 15 ms of its stop: on a busy machine it was killed first, with requests unread for longer than a router sends again.
+// Clients that kept sending on open connections until the end of the process, though they had been asked to stop, kept
+// it running until 15 ms before its stop. On a busy machine it was killed before it ended, with requests unread for
+// longer than the window in which a router sends them again.
 func TestClientsThatSendUntilTheEnd(t *testing.T) {
 	const (
 		stop         = 1200 * time.Millisecond
 		clients      = 3
 		sendInterval = 7 * time.Millisecond
-		resendWindow = 50 * time.Millisecond // what crosses a close by no more is sent again, by the protocol page
+		resendWindow = 50 * time.Millisecond // by the protocol, requests sent this long or less before a close are sent again
 	)
 	p := prepare(t, builds["release"])
 	setStopTime(t, p, stop.Milliseconds())
@@ -35,7 +36,7 @@
 	p.waitLogged(t, "pool link bound")
 
 	var done sync.WaitGroup
-	oldest := make(chan time.Duration, clients) // less what the client itself was late by
+	oldest := make(chan time.Duration, clients) // age of the oldest unanswered request at the close, less the client's own delay
 	for client := range uint32(clients) {
 		router := fake.Dial(t, p.address)
 		done.Add(1)
@@ -47,17 +48,18 @@
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	begin := time.Now()
 	assert.Zero(t, p.waitExit())
-	assert.Less(t, time.Since(begin), stop-resendWindow, "it stayed until its stop")
+	assert.Less(t, time.Since(begin), stop-resendWindow, "the process ran until its stop")
 	done.Wait()
 	for range clients {
-		assert.LessOrEqual(t, <-oldest, resendWindow, "a request was lost with its connection")
+		assert.LessOrEqual(t, <-oldest, resendWindow, "a request was lost when its connection closed")
 	}
 }
 
-// A router keeps its connection open and says nothing. It is closed 0.1 s before the stop; connections were looked at every 0.1 s
-// only, so that the process stayed to the last moment in half of the drains, in a race with the kill.
+// A router keeps its connection open and sends nothing. The connection is closed 0.1 s before the stop. Connections
+// were checked only every 0.1 s, so in half of the drains the process ran until the last moment, in a race with the
+// kill.
 func TestSilentConnectionsDoNotKeepTheProcess(t *testing.T) {
-	for stop := int64(700); stop < 800; stop += 20 { // at each phase of those looks; the grace reaches to 0.4 s before each
+	for stop := int64(700); stop < 800; stop += 20 { // covers each phase of those checks; the grace ends 0.4 s before each stop
 		t.Run(fmt.Sprint(stop), func(t *testing.T) {
 			t.Parallel()
 			p := prepare(t, builds["release"])
@@ -76,7 +78,7 @@
 	}
 }
 
-// setStopTime has a program's configuration state a time from the notice to the stop, before its start.
+// setStopTime sets the time from the notice to the stop in a program's configuration, before the program starts.
 func setStopTime(t *testing.T, p *program, ms int64) {
 	raw, err := os.ReadFile(p.path)
 	require.NoError(t, err)
@@ -84,8 +86,8 @@
 	require.NoError(t, os.WriteFile(p.path, []byte(configured), 0o600))
 }
 
-// sendUntilClosed sends requests until the connection ends, and gives how long before that the first one without an answer was
-// sent, less the most by which this process was late to send.
+// sendUntilClosed sends requests until the connection ends. It returns the age of the oldest unanswered request at that
+// time, less the longest delay by which this process was late to send.
 func sendUntilClosed(router net.Conn, firstStream uint32, interval time.Duration) time.Duration {
 	var mu sync.Mutex
 	unanswered := map[uint32]time.Time{}
@@ -125,12 +127,13 @@
 	}
 }
 
-// A request whose last byte comes past the grace ran, as its stamp was from before: it has come when it is whole.
+// A request whose last byte arrived after the grace ran, because its arrival time was that of its first bytes. A
+// request arrives when it is complete.
 func TestRequestThatIsWholeOnlyPastTheGrace(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
 			p := prepare(t, builds[build])
-			setStopTime(t, p, 3500) // late enough for the request to be done
+			setStopTime(t, p, 3500) // late enough for the request to be answered
 			require.NoError(t, p.cmd.Start())
 			p.killAtCleanup(t)
 			p.pool.Ready()
@@ -144,7 +147,7 @@
 			assert.Equal(t, map[uint32][]byte{1: {50}}, readAnswers(t, router))
 			assert.Zero(t, p.waitExit())
 			for len(p.pool.Commands) > 0 {
-				assert.NotEqual(t, "spawn", (<-p.pool.Commands).Verb, "it ran past the grace")
+				assert.NotEqual(t, "spawn", (<-p.pool.Commands).Verb, "the request ran after the grace")
 			}
 		})
 	}
--- a/cmd/quartzpoint/halfclose_test.go
+++ b/cmd/quartzpoint/halfclose_test.go
@@ -11,7 +11,7 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// A router that ends its side of a connection behind its last request still reads. What it had asked was dropped.
+// A router that closes its side of a connection after its last request still reads. Its requests were dropped.
 func TestRouterHalfClosesAfterARequest(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
@@ -23,7 +23,7 @@
 			require.NoError(t, router.Conn.(*net.TCPConn).CloseWrite())
 			for range 2 {
 				spawn := p.pool.Next(t, "spawn")
-				time.Sleep(300 * time.Millisecond) // over some looks at its connection
+				time.Sleep(300 * time.Millisecond) // longer than several checks of its connection
 				p.pool.Finish(spawn.RunID, "success", []byte("done"))
 			}
 			got := map[uint32]byte{}
@@ -37,7 +37,7 @@
 	}
 }
 
-// A router that is gone ends its side in the same way. Its runs are stopped as before.
+// A router that disconnects closes its side in the same way. Its runs must still be stopped.
 func TestRouterDisconnectsAfterARequest(t *testing.T) {
 	p := launch(t, "debug")
 	p.pool.Ready()
@@ -48,5 +48,5 @@
 	begin := time.Now()
 	_ = router.Close()
 	assert.Equal(t, runID, p.pool.Next(t, "suspend").RunID)
-	assert.Less(t, time.Since(begin), 5*time.Second, "stopped by its deadline only")
+	assert.Less(t, time.Since(begin), 5*time.Second, "the run was stopped only at its deadline")
 }
--- a/cmd/quartzpoint/lease.go
+++ b/cmd/quartzpoint/lease.go
@@ -12,8 +12,8 @@
 	"quartzpoint/internal/leasing"
 )
 
-// newLeaseManager returns the manager of the leases that the configuration file names in [lease], or nil without that section.
-// The fleet knows this server by its address for peers, as no other server has the same.
+// newLeaseManager returns the manager of the leases that the configuration file names in [lease], or nil without that
+// section. The manager identifies this server by its address for peers, which no other server has.
 func newLeaseManager(file *config.Config, seed int64, log *slog.Logger) (*leasing.Manager, error) {
 	if file.Lease == nil {
 		return nil, nil
@@ -36,16 +36,16 @@
 
 // leaseCommands are the commands about leases.
 type leaseCommands struct {
-	Show leaseShow `cmd:"" help:"Print a running server's leases: whether it holds each, token, time remaining."`
+	Show leaseShow `cmd:"" help:"Print a running server's leases: whether it holds each, its token, and the time remaining."`
 }
 
-// leaseShow is the command that prints the status of a server's leases.
+// leaseShow prints the status of a server's leases.
 type leaseShow struct {
 	Socket string `arg:"" help:"The server's control socket, as in its [control] socket."`
-	JSON   bool   `name:"json" help:"Print it as JSON; times in nanoseconds."`
+	JSON   bool   `name:"json" help:"Print JSON; times in nanoseconds."`
 }
 
-// Run asks the server once and prints its answer.
+// Run queries the server once.
 func (cmd *leaseShow) Run() error {
 	var statuses []leasing.Status
 	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: queryLease}, &statuses); err != nil {
--- a/cmd/quartzpoint/lease_test.go
+++ b/cmd/quartzpoint/lease_test.go
@@ -25,8 +25,8 @@
 	return daemons, sockets
 }
 
-// proxiedFleet does the same with, where asked, a fault proxy on each link: links[i][j] carries the requests of server i to
-// server j.
+// proxiedFleet is leaseFleet with, if proxied, a fault proxy on each link: links[i][j] carries the requests of server i
+// to server j.
 func proxiedFleet(t *testing.T, n int, proxied bool) (daemons []*harness.Daemon, sockets []string,
 	links [][]*faultnet.Proxy) {
 	routes := []harness.Route{{Name: "slot-check", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 1}}
@@ -70,7 +70,8 @@
 	return daemons, sockets, links
 }
 
-// leaseStatus asks a server for the status of the lease, through the command line as an operator would.
+// leaseStatus queries a server for the status of the lease, through the command line as an operator would, and reports
+// whether it answered.
 func leaseStatus(t *testing.T, socket string) (leasing.Status, bool) {
 	out, code := runCommand(t, nil, "lease", "show", "--json", socket)
 	var statuses []leasing.Status
@@ -80,7 +81,7 @@
 	return statuses[0], true
 }
 
-// waitForHolder waits until exactly one of the servers that are asked holds the lease, and returns its index and token.
+// waitForHolder waits until exactly one of the given servers holds the lease, and returns its index and token.
 func waitForHolder(t *testing.T, sockets []string, among []int) (holder int, token uint64) {
 	require.Eventually(t, func() bool {
 		holder, found := -1, 0
@@ -91,7 +92,7 @@
 			}
 		}
 		return found == 1 && holder >= 0
-	}, 30*time.Second, 20*time.Millisecond, "no one holder")
+	}, 30*time.Second, 20*time.Millisecond, "no single holder")
 	for _, i := range among {
 		if status, ok := leaseStatus(t, sockets[i]); ok && status.Holds {
 			return i, status.Token
@@ -109,7 +110,8 @@
 	return rest
 }
 
-// The holder dies at once, without releasing its lease. Another server must get it once it has expired, under a larger token.
+// The holder is killed, without releasing its lease. Another server must get the lease once it has expired, with a
+// larger token.
 func TestLeaseHandedOnWhenItsHolderIsKilled(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -121,13 +123,13 @@
 			second, newer := waitForHolder(t, sockets, allExcept(n, first))
 			t.Logf("%d servers: new holder after %v", n, time.Since(killed))
 			assert.NotEqual(t, first, second)
-			assert.Greater(t, newer, token, "the new holder's token is above the killed one's")
+			assert.Greater(t, newer, token, "the new holder's token must be larger than the killed one's")
 		})
 	}
 }
 
-// A holder is stopped past its lease. Its clock runs meanwhile, so when it wakes it must know that it lost the lease. The
-// token that it had is older than its successor's, so that a fence refuses it.
+// A holder is stopped (SIGSTOP) until its lease has expired. Its clock keeps running, so when it continues it must know
+// that it lost the lease. Its token is older than its successor's, so that a fence rejects it.
 func TestAStalledHolderWakesWithoutTheLease(t *testing.T) {
 	daemons, sockets := leaseFleet(t, 3)
 	first, token := waitForHolder(t, sockets, allExcept(3, -1))
@@ -141,12 +143,12 @@
 	assert.Greater(t, newer, token)
 	status, ok := leaseStatus(t, sockets[second])
 	require.True(t, ok)
-	assert.True(t, status.Holds || status.Token > token, "the lease stays with the newer token")
+	assert.True(t, status.Holds || status.Token > token, "the lease must stay with the newer token")
 }
 
-// The holder is cut off from both other servers. It must lose the lease by its own clock while the majority grants it to
-// another, and must not take it back once the links are healed. Then the responses to the holder are dropped, while its
-// requests arrive: it must lose the lease too, or two servers would hold it.
+// The holder is cut off from both other servers. It must lose the lease by its own clock while the majority grants it
+// to another server, and must not take it back once the links are healed. Then the responses to the new holder are
+// dropped, while its requests arrive: it must lose the lease as well, or two servers would hold it.
 func TestLeaseAcrossCuts(t *testing.T) {
 	_, sockets, links := proxiedFleet(t, 3, true)
 	onLinksOf := func(holder int, change func(*faultnet.Proxy)) {
@@ -163,15 +165,15 @@
 	require.Eventually(t, func() bool {
 		status, ok := leaseStatus(t, sockets[first])
 		return ok && !status.Holds
-	}, 10*time.Second, 20*time.Millisecond, "the minority side still holds")
+	}, 10*time.Second, 20*time.Millisecond, "the server in the minority still holds the lease")
 	assert.Greater(t, newer, token)
 	onLinksOf(first, (*faultnet.Proxy).Heal)
 	again, _ := waitForHolder(t, sockets, allExcept(3, -1))
-	assert.Equal(t, second, again, "the healed old holder took the lease back")
+	assert.Equal(t, second, again, "the former holder took the lease back after the heal")
 
 	for j := range links {
 		if j != second {
-			links[second][j].Drop(faultnet.Down) // its requests arrive, no response comes back
+			links[second][j].Drop(faultnet.Down) // its requests arrive, but no response does
 		}
 	}
 	third, newest := waitForHolder(t, sockets, allExcept(3, second))
@@ -180,5 +182,5 @@
 	require.Eventually(t, func() bool {
 		status, ok := leaseStatus(t, sockets[second])
 		return ok && !status.Holds
-	}, 10*time.Second, 20*time.Millisecond, "the holder cut one way still holds")
+	}, 10*time.Second, 20*time.Millisecond, "the holder that gets no responses still holds the lease")
 }
--- a/cmd/quartzpoint/main.go
+++ b/cmd/quartzpoint/main.go
@@ -1,5 +1,5 @@
-// Command quartzpoint is one app server: it receives requests from routers, has the worker pool run those that are admitted, and
-// answers each of them. Its other commands are for operators.
+// Command quartzpoint is one app server: it receives requests from routers, runs the admitted ones in the worker pool,
+// and answers each of them. Its other commands are for operators.
 package main
 
 import (
@@ -19,31 +19,31 @@
 
 const about = `One app server behind other people's load balancers.
 
-Without a command it serves, as "serve" does. EDGE_CONFIG names the platform's configuration; EDGE_NAME and
+Without a command it runs "serve". EDGE_CONFIG names the platform's configuration; EDGE_NAME and
 EDGE_LISTEN override "name" and "listen" in it. SIGTERM starts the drain, SIGHUP reloads the configuration.
 
-Exit codes: 0 done, or drained; 1 failed, and the last line says why; 2 invalid command line.`
+Exit codes: 0 done, or drained; 1 failed, with the reason in the last line; 2 invalid command line.`
 
 // commandLine holds the commands and their options.
 type commandLine struct {
 	Serve         serveCommand          `cmd:"" default:"withargs" help:"Receive requests from routers and answer each of them (the default)."`
 	Check         checkCommand          `cmd:"" help:"Read both configurations and print all errors."`
-	Peer          peerCommands          `cmd:"" help:"Ask running servers."`
-	Lease         leaseCommands         `cmd:"" help:"Ask running servers about duties held by lease."`
-	Dependencies  dependenciesCommand   `cmd:"" help:"Print how a running server's dependencies stand."`
-	State         stateCommands         `cmd:"" help:"Read and tidy folders of state."`
-	Configuration configurationCommands `cmd:"" help:"Ask running servers about the configuration service."`
+	Peer          peerCommands          `cmd:"" help:"Query running servers for their estimates."`
+	Lease         leaseCommands         `cmd:"" help:"Query running servers about leases."`
+	Dependencies  dependenciesCommand   `cmd:"" help:"Print the states of a running server's dependencies."`
+	State         stateCommands         `cmd:"" help:"Inspect, verify, export and compact state directories."`
+	Configuration configurationCommands `cmd:"" help:"Query running servers about the configuration service."`
 	Version       versionCommand        `cmd:"" help:"Print the version."`
 }
 
 // versionCommand prints the version.
 type versionCommand struct{}
 
-// Run prints the version, the Go release and the revision that it was built from.
-func (*versionCommand) Run() error { //nolint:unparam // kong asks for the error
+// Run prints the version, the Go release, and the revision and tags of the build.
+func (*versionCommand) Run() error { //nolint:unparam // kong expects a Run method that returns an error
 	info, known := debug.ReadBuildInfo()
 	if !known {
-		fmt.Println("quartzpoint, of an unknown build")
+		fmt.Println("quartzpoint, unknown build")
 		return nil
 	}
 	fmt.Println("quartzpoint", info.Main.Version, info.GoVersion)
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -18,7 +18,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// builds are the programs under test, by name.
+// builds maps the names of the programs under test to their paths.
 var builds = map[string]string{}
 
 func TestMain(m *testing.M) {
@@ -38,7 +38,7 @@
 	os.Exit(code)
 }
 
-// program is a started process with its stand-ins.
+// program is a process under test with the fake services that it uses.
 type program struct {
 	cmd     *exec.Cmd
 	address string
@@ -57,9 +57,9 @@
 	return p
 }
 
-// prepare makes all that a process needs, short of its start.
+// prepare sets up everything that a process needs, without starting it.
 func prepare(t *testing.T, command ...string) *program {
-	address, err := harness.FreeAddress() // not at 127.0.0.1, where a connection may be given the port before the process has it
+	address, err := harness.FreeAddress() // not at 127.0.0.1, where another connection may be given the port before the process listens on it
 	require.NoError(t, err)
 	p := &program{address: address, pool: fake.NewPool(t), members: fake.NewMembership(t), log: &harness.LogBuffer{}}
 	p.path = fake.WriteConfig(t, p.address, p.pool.Address, p.members.Address, fake.SiteSettings)
@@ -69,10 +69,10 @@
 	return p
 }
 
-// killAtCleanup has the process end with the test.
+// killAtCleanup kills the process at the end of the test, and logs its output if the test failed.
 func (p *program) killAtCleanup(t *testing.T) {
 	t.Cleanup(func() {
-		_ = p.cmd.Process.Kill() // what has left by itself does not mind
+		_ = p.cmd.Process.Kill() // fails if the process has exited by itself, which is fine
 		_ = p.cmd.Wait()
 		if t.Failed() {
 			t.Log(p.log)
@@ -88,7 +88,7 @@
 
 // waitExit waits for the end of the process and returns its exit code.
 func (p *program) waitExit() int {
-	_ = p.cmd.Wait() // the code tells
+	_ = p.cmd.Wait() // the exit code is returned instead
 	return p.cmd.ProcessState.ExitCode()
 }
 
@@ -99,7 +99,7 @@
 			health := fake.Dial(t, p.address)
 			for stream, deep := range []string{"0", "1"} {
 				health.Send(t, fake.Frame(20, uint32(stream), "", "e2e", deep))
-				assert.Equal(t, byte(20), health.Next(t).Code, "before the pool is up")
+				assert.Equal(t, byte(20), health.Next(t).Code, "health must be good before the pool is up")
 			}
 			p.pool.Ready()
 			p.waitLogged(t, "pool link bound")
@@ -119,7 +119,7 @@
 			}
 			assert.Equal(t, map[uint32]string{1: "did " + body, 2: "did second"}, got)
 
-			// A bad request and a bad frame beside good traffic.
+			// A bad request and a bad frame must not disturb other traffic.
 			router.Send(t, fake.RequestFrame(3, "unheard-of", ""))
 			assert.Equal(t, byte(50), router.Next(t).Code)
 			bad := fake.Dial(t, p.address)
@@ -127,7 +127,7 @@
 			assert.Equal(t, byte(51), bad.Next(t).Code)
 			bad.WaitClosed(t)
 
-			// The pool's link cut under a run: it is told of the end, and not to run it again.
+			// The pool link is cut during a run: the server must learn the end of the run, and must not start it again.
 			router.Send(t, fake.RequestFrame(4, "pay", ""))
 			p.pool.Next(t, "spawn")
 			first := len(p.pool.Commands)
@@ -147,7 +147,8 @@
 	}
 }
 
-// Far more than the cores can do: each request is answered, most are refused with advice, and the level rises.
+// With far more load than the cores can serve, each request must be answered, most rejected with a Retry-After or no
+// retry elsewhere, and the shed level must rise.
 func TestOverload(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
@@ -169,11 +170,11 @@
 			noRetryElsewhere++
 		}
 	}
-	assert.Zero(t, codes[20], "nothing was ever finished here")
+	assert.Zero(t, codes[20], "no run ends in this test")
 	assert.Positive(t, codes[50])
 }
 
-// The notice to leave with work running and held: all is answered, what comes past the grace does not run.
+// The drain starts with requests running and queued: all must be answered, and none may run after the grace.
 func TestDrain(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
@@ -204,7 +205,8 @@
 	}
 }
 
-// SIGHUP ended the process. Now the file is read anew: good, bad, while the link is down, and during the drain.
+// SIGHUP ended the process. It must make the process read the file again: a valid one, an invalid one, while the pool
+// link is down, and during the drain.
 func TestNewConfiguration(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
@@ -256,12 +258,12 @@
 			fake.RewriteConfig(t, p.path, p.address, "pool without port", p.members.Address, fake.SiteSettings)
 			reload("failed, the old one stays")
 			fake.RewriteConfig(t, p.path, "127.0.0.1:9", p.pool.Address, p.members.Address, fake.SiteSettings)
-			reload("only_with_a_restart=[]") // the variable for listen wins over the file
+			reload("only_with_a_restart=[]") // the environment variable for listen overrides the file
 			changed := strings.Replace(fake.SiteSettings, `"cores":4`, `"cores":5`, 1)
 			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, changed)
 			reload(`only_with_a_restart="[settings extra.cores]"`)
 			finish(run(3, "pay"))
-			// Settings that move in service, there and back by the same step; a run in hand across both.
+			// Settings that may change at run time are changed and changed back, while a run is in progress.
 			across := run(4, "browse")
 			for _, halt := range []string{"none", "suspend"} {
 				changed := strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1)
@@ -275,8 +277,8 @@
 			finish(across)
 			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, fake.SiteSettings)
 
-			kept := run(5, "browse") // the link's loss may leave its beginning in doubt
-			relocate()               // the old address takes nothing new
+			kept := run(5, "browse") // the lost link may leave it unknown whether this run has begun
+			relocate()               // the old address accepts no new connections
 			p.pool.CloseLink()
 			p.waitLogged(t, "pool link down")
 			reload("only_with_a_restart=[]")
@@ -286,7 +288,7 @@
 			relocate()
 			reload("only_with_a_restart=[]")
 			assert.Equal(t, "HB n1 OUT", p.members.Next(t))
-			for range 20 { // in a row
+			for range 20 { // in quick succession
 				require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 			}
 			_ = router.Close()
--- a/cmd/quartzpoint/memory_test.go
+++ b/cmd/quartzpoint/memory_test.go
@@ -12,7 +12,7 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// residentKB is the memory of the process that the system holds for it, without what it shares with its file, in KiB.
+// residentKB returns the resident anonymous memory of the process in KiB, which excludes its mapped file.
 func (p *program) residentKB(t *testing.T) (kb int) {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -24,7 +24,7 @@
 	return kb
 }
 
-// Near its limit the runtime collected without end: of 8 and of 16 MB it takes more than its part of them at rest.
+// Near its memory limit the runtime collected without end: when idle it uses more than its share of 8 or of 16 MB.
 func TestLittleMemory(t *testing.T) {
 	for _, mb := range []int{8, 16, 32} {
 		t.Run(fmt.Sprint(mb), func(t *testing.T) {
@@ -49,10 +49,10 @@
 				assert.Equal(t, byte(20), router.Next(t).Code)
 			}
 			collections := strings.Count(p.log.String(), "\ngc ")
-			t.Logf("%d KiB at the start, %d with 400 idle connections, %d after %d tasks; %d threads, %d collections",
+			t.Logf("%d KiB at the start, %d with 400 idle connections, %d after %d requests; %d threads, %d collections",
 				atStart, idle, p.residentKB(t), requests, p.stat(t, 20), collections)
 			assert.Less(t, collections, requests/20)
-			assert.Less(t, (idle-atStart)/400, 16, "KiB for an idle connection")
+			assert.Less(t, (idle-atStart)/400, 16, "KiB per idle connection")
 			assert.Less(t, p.stat(t, 20), 16)
 		})
 	}
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -12,7 +12,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// shortRoutes are many, with deadlines that a machine in trouble outlasts many times over.
+// shortRoutes returns many routes, whose deadlines are many times shorter than the fault of the machine.
 func shortRoutes() (routes []harness.Route) {
 	const count = 12
 	for i := range count {
@@ -30,8 +30,9 @@
 	overloadSpan = 9500 * time.Millisecond
 )
 
-// Report f19453: runs that outlive twice their deadline were taken for ended though the worker pool had not said so. What
-// they hold of the machine was given to others a second time, and the pool fell over.
+// Report f19453: runs that lasted longer than twice their deadline were counted as ended though the worker pool had not
+// reported their end. The capacity that they used was given to other runs a second time, and the pool failed under the
+// overload.
 func TestPoolSurvivesRunsThatOutliveTheirRequests(t *testing.T) {
 	faults := map[string]func(w *harness.Workers, on bool){
 		"slow": func(w *harness.Workers, on bool) {
@@ -45,7 +46,7 @@
 	}
 	machines := map[string]harness.Machine{
 		"few cores":     {Cores: 1, Speed: 1, MemoryKB: 1e6},
-		"little memory": {Cores: 2, Speed: 1, MemoryKB: 8 * emulator.RunKB}, // fewer runs fill it than the cores survive
+		"little memory": {Cores: 2, Speed: 1, MemoryKB: 8 * emulator.RunKB}, // fewer runs exhaust it than the cores survive
 	}
 	for _, halt := range []string{emulator.HaltSuspend, emulator.HaltAbort, emulator.HaltNone} {
 		for fault, set := range faults {
@@ -54,15 +55,16 @@
 					t.Parallel()
 					machine.Halt = halt
 					strain, log := runWithFault(t, machine, set)
-					assert.LessOrEqual(t, strain.Runs, 1.0, "the cores were crowded past what the pool survives at %v\n%s", strain.RunsAt, log)
-					assert.LessOrEqual(t, strain.Memory, 1.0, "the memory was passed at %v\n%s", strain.MemoryAt, log)
+					assert.LessOrEqual(t, strain.Runs, 1.0, "more runs than the pool survives at %v\n%s", strain.RunsAt, log)
+					assert.LessOrEqual(t, strain.Memory, 1.0, "more memory used than the machine has at %v\n%s", strain.MemoryAt, log)
 				})
 			}
 		}
 	}
 }
 
-// runWithFault loads a real server whose pool is in trouble for some seconds, and gives what its pool had to bear.
+// runWithFault loads a real server whose pool has a fault from faultFrom until faultUntil. It returns the highest load
+// of the pool, and the server's log.
 func runWithFault(t *testing.T, machine harness.Machine, set func(w *harness.Workers, on bool)) (harness.Strain, string) {
 	routes := shortRoutes()
 	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, machine)
@@ -76,7 +78,7 @@
 	result, err := harness.Run(daemon.Address, routes, load, 1)
 	require.NoError(t, err)
 	report := result.Check(daemon.Workers)
-	assert.Empty(t, report.Messages, "the other rules")
+	assert.Empty(t, report.Messages, "no other rule may be broken")
 	assert.NotZero(t, result.Codes[20], "nothing was served")
 	return daemon.Workers.Strain(), daemon.Log()
 }
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -18,13 +18,13 @@
 	"quartzpoint/internal/server"
 )
 
-// peerExchange is a server's exchange of estimates with its peers.
+// peerExchange exchanges a server's estimates with its peers.
 type peerExchange struct {
 	config *config.Peers    // nil without [peers]
-	server *peersync.Server // nil where this server does not listen for peers
+	server *peersync.Server // nil if this server does not listen for peers
 }
 
-// readKeyFile reads a key file; no name means no keys.
+// readKeyFile reads a key file. Without a file name it returns no keys.
 func readKeyFile(file string) (peersync.Keys, error) {
 	if file == "" {
 		return nil, nil
@@ -32,8 +32,8 @@
 	return peersync.ReadKeys(file)
 }
 
-// startPeerExchange serves estimates to peers where the configuration has an address for it, and fetches them from those that
-// it names. Both end with the context. stored may be nil only where settings is.
+// startPeerExchange serves estimates to peers if the configuration has an address for it, and fetches estimates from
+// the peers that the configuration names. Both end with the context. stored may be nil only if settings is nil.
 func startPeerExchange(
 	ctx context.Context, settings *config.Peers, owner *server.Server, stored *statePersistence, seed int64, counters *invariant.Counters,
 	log *slog.Logger,
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	if settings.KeyFile == "" {
-		log.Warn("peers without a key", "key_file", "", "so", "loopback addresses only")
+		log.Warn("peer exchange without a key", "key_file", "", "so", "loopback addresses only")
 	}
 	if settings.Listen != "" {
 		if e.server, err = peersync.Listen(settings.Listen, keys, owner.Now, counters); err != nil {
@@ -75,30 +75,30 @@
 	return e, nil
 }
 
-// reloadKeys reads the key file again. The other settings of the section change with a restart alone.
+// reloadKeys reads the key file again. The other settings of the section change only with a restart.
 func (e *peerExchange) reloadKeys(log *slog.Logger) {
 	if e.server == nil || e.config.KeyFile == "" {
 		return
 	}
 	keys, err := peersync.ReadKeys(e.config.KeyFile)
 	if err != nil {
-		log.Warn("new keys rejected, the old ones stay", "error", err)
+		log.Warn("new keys rejected, the old ones stay in force", "error", err)
 		return
 	}
 	e.server.SetKeys(keys)
-	log.Info("new keys", "keys", len(keys))
+	log.Info("new keys in force", "keys", len(keys))
 }
 
-// peerCommands are the commands about running servers.
+// peerCommands are the commands that query running servers for their estimates.
 type peerCommands struct {
-	Show peerShow `cmd:"" help:"Print what a running server has learned, with ages and weights."`
+	Show peerShow `cmd:"" help:"Print a running server's estimates, with ages and weights."`
 }
 
-// peerShow is the command that prints a running server's estimates.
+// peerShow prints a running server's estimates.
 type peerShow struct {
-	Address string `arg:"" help:"Its address for peers, as in its [peers] listen."`
-	KeyFile string `placeholder:"FILE" help:"The key file that it uses."`
-	JSON    bool   `name:"json" help:"Print it as JSON; times in seconds, ages in nanoseconds."`
+	Address string `arg:"" help:"The server's address for peers, as in its [peers] listen."`
+	KeyFile string `placeholder:"FILE" help:"The server's key file."`
+	JSON    bool   `name:"json" help:"Print JSON; times in seconds, ages in nanoseconds."`
 }
 
 // Run fetches the estimates once.
@@ -124,7 +124,8 @@
 	return encoder.Encode(value)
 }
 
-// printEstimates prints a snapshot as a table. The weight is the number of own samples that an estimate stands for.
+// printEstimates prints a snapshot as a table. The weight of an estimate is the number of the reader's own samples for
+// which it counts.
 func printEstimates(writer io.Writer, snapshot estimate.Snapshot) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "estimate\tmean\tspread\tsamples\tage\tweight\t\n")
--- a/cmd/quartzpoint/peers_test.go
+++ b/cmd/quartzpoint/peers_test.go
@@ -18,7 +18,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// runCommand runs the program once and returns what it printed, and its exit code.
+// runCommand runs the program once, and returns its output and its exit code.
 func runCommand(t *testing.T, env []string, args ...string) (out string, code int) {
 	cmd := exec.Command(builds["release"], args...)
 	cmd.Env = append(append(os.Environ(), "EDGE_CONFIG=", "EDGE_NAME=", "EDGE_LISTEN="), env...)
@@ -78,8 +78,9 @@
 	}
 }
 
-// A server starts beside one under load. It must use that one's estimates, and a server without the key must not get them.
-// Then the keys are changed while both run: the new key must be accepted, and a broken key file must leave the old ones.
+// A server starts while a peer is under load. It must use that peer's estimates, and a server without the key must not
+// get them. Then the keys are changed while both run: the new key must be accepted, and an invalid key file must leave
+// the old ones in force.
 func TestPeersExchange(t *testing.T) {
 	routes := []harness.Route{{
 		Name: "browse", Value: 1, LatencyTarget: 2 * time.Second, Deadline: 3 * time.Second, Share: 1,
--- a/cmd/quartzpoint/platformconfig.go
+++ b/cmd/quartzpoint/platformconfig.go
@@ -16,57 +16,60 @@
 	"quartzpoint/internal/settings"
 )
 
-// platformConfig is the platform's configuration, checked.
+// platformConfig is the platform's configuration after validation.
 type platformConfig struct {
 	Name              string
 	Listen            string // address for routers
-	PoolAddress       string // of the worker pool
+	PoolAddress       string // address of the worker pool
 	MembershipAddress string
-	DependencyAddress string // of the dependency that runs call, empty without one
+	DependencyAddress string // dependency that runs call; empty without one
 	Seed              uint64
-	StopWithin        time.Duration // of the stop signal
+	StopWithin        time.Duration // time from the stop signal to the stop
 	Limits            programLimits
 	settings          *settings.Settings
-	routeTimeouts     map[string]time.Duration // by route: past it an answer earns nothing
-	settingsHash      uint64                   // of the settings' text: one that has not changed is not read again
+	routeTimeouts     map[string]time.Duration // by route; an answer after its timeout has no value
+	settingsHash      uint64                   // hash of the settings' text; text that has not changed is not parsed again
 }
 
-// programLimits are what the program itself may use. Each may be any number above 0.
+// programLimits are the resources that the program itself may use. Each may be any number above 0.
 type programLimits struct{ Cores, MemoryMB, Sockets float64 }
 
-// Larger limits, which no machine has, count as these: bytes and descriptors still fit their types.
+// Larger limits are reduced to these, which no machine has, so that the numbers of bytes and descriptors fit their
+// types.
 const (
 	maxMemoryMB = 1 << 24
 	maxSockets  = 1 << 24
 )
 
 const (
-	minSockets        = 2 // with fewer there is no connection at all
-	callSocketDivisor = 8 // calls to the dependency take at most this part of the descriptors
+	minSockets        = 2 // with fewer no connection is possible
+	callSocketDivisor = 8 // calls to the dependency take at most this fraction of the descriptors, as a divisor
 )
 
-// cores is how many the runtime may use. More than the machine has are of no use, and the runtime keeps memory for each.
+// cores returns the number of cores that the runtime may use, capped at those of the machine: more have no use, and the
+// runtime allocates memory for each.
 func (l programLimits) cores() int { return int(max(1, min(l.Cores, float64(runtime.NumCPU())))) }
 
 func (l programLimits) memoryBytes() int { return int(min(l.MemoryMB, maxMemoryMB) * (1 << 20)) }
 
-// memoryMB is the memory in whole MB; a part of one counts as one, as with none nothing could be kept.
+// memoryMB returns the memory in whole MB, and at least 1: with 0 nothing could be stored.
 func (l programLimits) memoryMB() int { return max(1, l.memoryBytes()>>20) }
 
-// sockets is the number of descriptors.
+// sockets returns the number of descriptors.
 func (l programLimits) sockets() int { return int(max(minSockets, min(l.Sockets, maxSockets))) }
 
-// readPlatformConfig reads the platform's configuration and the two variables that override a part of it, and checks that a
-// server could be made for it. The start, a reload and the check command all use it. The error joins all errors in the file.
+// readPlatformConfig reads the platform's configuration and the environment variables that override parts of it, and
+// checks that a server can be built from it. The start, a reload and the check command all use it. The returned error
+// joins all errors in the file.
 func readPlatformConfig(path string) (platformConfig, error) {
 	return rereadPlatformConfig(path, platformConfig{})
 }
 
-// rereadPlatformConfig is readPlatformConfig behind an earlier reading. Settings whose text is the same are not read again:
-// they are most of the file, and reading those of a large site takes long.
+// rereadPlatformConfig is readPlatformConfig with the result of an earlier read. Settings whose text has not changed
+// are not parsed again: they are most of the file, and parsing those of a large site takes long.
 func rereadPlatformConfig(path string, previous platformConfig) (c platformConfig, err error) {
 	if path == "" {
-		return c, errors.New("EDGE_CONFIG names no configuration; see quartzpoint --help")
+		return c, errors.New("EDGE_CONFIG names no configuration file; see quartzpoint --help")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -89,7 +92,7 @@
 	}
 	if seed := f.stringValue("seed", ""); seed != "" {
 		if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
-			f.addError("seed", "%s is no hexadecimal number of 64 bits", seed)
+			f.addError("seed", "want a hexadecimal number of 64 bits, got %s", seed)
 		}
 	}
 	stopMS := f.positiveNumber("stop_ms")
@@ -103,10 +106,10 @@
 	return c, errors.Join(f.errs...)
 }
 
-// readSettings reads the settings and checks that a server could be made for them.
+// readSettings parses the settings and checks that a server can be built from them.
 func (f *platformFile) readSettings(c *platformConfig) {
 	if !f.has("settings") {
-		f.addMissing("settings", "an object")
+		f.addMissing("settings", "want an object")
 		return
 	}
 	parsed, err := settings.FromJSON(f.keys["settings"])
@@ -115,7 +118,7 @@
 	}
 	if err != nil {
 		all := []error{err}
-		if joined, ok := err.(interface{ Unwrap() []error }); ok { // each on a line of its own
+		if joined, ok := err.(interface{ Unwrap() []error }); ok { // each error gets its own line
 			all = joined.Unwrap()
 		}
 		for _, err := range all {
@@ -131,7 +134,7 @@
 	c.settings, c.routeTimeouts = parsed, built.RouteTimeouts()
 }
 
-// serverLimits are the limits of the program, and what its front end and its workers support.
+// serverLimits returns the program's limits, and the features that its front end and its workers support.
 func (c platformConfig) serverLimits() server.Limits {
 	return server.Limits{
 		MemoryMB: c.Limits.memoryMB(), Sockets: max(minSockets, c.Limits.sockets()-c.callSockets()),
@@ -139,7 +142,7 @@
 	}
 }
 
-// callSockets is the number of descriptors that calls to the dependency may use.
+// callSockets returns the number of descriptors that calls to the dependency may use.
 func (c platformConfig) callSockets() int {
 	if c.DependencyAddress == "" {
 		return 0
--- a/cmd/quartzpoint/platformfile.go
+++ b/cmd/quartzpoint/platformfile.go
@@ -9,7 +9,7 @@
 	"unicode"
 )
 
-// platformFile is the text of the platform's configuration by key, and the errors in it.
+// platformFile holds the JSON values of the platform's configuration by key, and the errors found in it.
 type platformFile struct {
 	path string
 	keys map[string]json.RawMessage
@@ -24,30 +24,30 @@
 	f.errs = append(f.errs, fmt.Errorf("configuration %s: %s is missing: %s", f.path, key, wanted))
 }
 
-// has is whether the file has a value under a key.
+// has reports whether the file has a value under a key. null and the empty string count as no value.
 func (f *platformFile) has(key string) bool {
 	raw, found := f.keys[key]
 	return found && string(raw) != "null" && string(raw) != `""`
 }
 
-// stringValue is the text under a key, or of the environment variable that overrides it.
+// stringValue returns the string under a key, or the value of the environment variable that overrides it.
 func (f *platformFile) stringValue(key, variable string) (value string) {
 	if variable != "" && os.Getenv(variable) != "" {
 		return os.Getenv(variable)
 	}
 	if !f.has(key) {
-		f.addMissing(key, "a text")
+		f.addMissing(key, "want a string")
 	} else if json.Unmarshal(f.keys[key], &value) != nil {
-		f.addError(key, "%s is no text", f.keys[key])
+		f.addError(key, "want a string, got %s", f.keys[key])
 	}
 	return value
 }
 
-// checkAddress checks that a text is a host and a port; dialed says that the port must not be 0. Whether the host exists or
-// answers is not checked: that comes and goes, and is waited for.
+// checkAddress checks that an address is a host and a port; if dialed, the port must not be 0. Whether the host exists
+// or answers is not checked, as this can change at any time and the connections are retried.
 func (f *platformFile) checkAddress(key, address string, dialed bool) {
 	if address == "" {
-		return // text has reported it
+		return // stringValue has reported that it is missing
 	}
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -56,29 +56,29 @@
 	}
 	portNumber, err := net.LookupPort("tcp", port)
 	if err != nil || port == "" || dialed && portNumber == 0 || strings.ContainsFunc(host, unicode.IsSpace) {
-		f.addError(key, "%q is no host:port", address)
+		f.addError(key, "want host:port, got %q", address)
 	}
 }
 
-// positiveNumber is the number above 0 under a key, or under the key of an object, as in "limits.cores".
+// positiveNumber returns the number above 0 at a path: a key, or an object and a key in it, as in "limits.cores".
 func (f *platformFile) positiveNumber(path string) (number float64) {
 	object, key, nested := strings.Cut(path, ".")
 	parent := f
 	if nested {
 		parent = &platformFile{}
 		if f.has(object) && json.Unmarshal(f.keys[object], &parent.keys) != nil {
-			f.addError(path, "%s is no object", object)
+			f.addError(path, "want %s to be an object", object)
 			return 0
 		}
 	} else {
 		key = path
 	}
 	if !parent.has(key) {
-		f.addMissing(path, "a number above 0")
+		f.addMissing(path, "want a number above 0")
 	} else if json.Unmarshal(parent.keys[key], &number) != nil {
-		f.addError(path, "%s is no number", parent.keys[key])
+		f.addError(path, "want a number, got %s", parent.keys[key])
 	} else if number <= 0 {
-		f.addError(path, "%v is not above 0", number)
+		f.addError(path, "want a number above 0, got %v", number)
 	}
 	return number
 }
--- a/cmd/quartzpoint/process.go
+++ b/cmd/quartzpoint/process.go
@@ -18,13 +18,14 @@
 	"quartzpoint/internal/workerlink"
 )
 
-// linkMemoryDivisor is the part of the memory, as a divisor, that commands to the worker pool take at most.
+// linkMemoryDivisor limits the memory of queued commands to the worker pool to a fraction of the program's memory, as a
+// divisor.
 const linkMemoryDivisor = 16
 
-// process is a serving process: the event loop, and what reads, writes and runs for it.
+// process is a serving process: the event loop and the components around it that read, write and run requests.
 type process struct {
 	platform platformConfig
-	file     *config.Config // the product's own; empty without one
+	file     *config.Config // the product's own configuration file; empty without one
 	log      *slog.Logger
 	counters *invariant.Counters
 
@@ -34,7 +35,7 @@
 	dependency *dependency.Caller // nil without one
 	reporter   *registration.Reporter
 
-	// Of file; nil where it does not have them.
+	// Configured by file; nil if it lacks their section.
 	leaseManager *leasing.Manager
 	watcher      *configwatch.Watcher
 	tables       *tableUpdater
@@ -42,7 +43,8 @@
 	peers        *peerExchange
 }
 
-// newProcess makes the event loop, its front end and its worker link. It listens for routers; nothing is served yet.
+// newProcess builds the event loop, its front end and its worker link. It starts to listen for routers, but serves
+// nothing yet.
 func newProcess(platform platformConfig, file *config.Config, log *slog.Logger) (*process, error) {
 	p := &process{platform: platform, file: file, log: log, counters: invariant.New(log)}
 	limits := platform.serverLimits()
@@ -64,11 +66,11 @@
 
 func (p *process) seed() int64 { return int64(p.platform.Seed) }
 
-// newDependencyCaller has the server call the dependency that the configuration names. Without one, requests of routes that
-// call it are rejected, and the caller is nil.
+// newDependencyCaller creates the caller of the dependency that the configuration names, and attaches it to the server.
+// Without a dependency it returns nil, and requests of routes that call one are rejected.
 func (p *process) newDependencyCaller() *dependency.Caller {
 	if unserved := p.server.UnservedRoutes(); len(unserved) > 0 {
-		p.log.Warn("routes that call a dependency are rejected, as the configuration names none", "types", unserved)
+		p.log.Warn("routes that call a dependency are rejected because the configuration names none", "types", unserved)
 	}
 	if p.platform.DependencyAddress == "" {
 		return nil
@@ -78,7 +80,8 @@
 	return caller
 }
 
-// startServices starts what the product's own file, at a path, asks for. All of it ends with ctx or close.
+// startServices starts the services that the product's own file configures. path is the file's path, for errors. All of
+// them end with ctx or close.
 func (p *process) startServices(ctx context.Context, path string) (err error) {
 	memoryMB := p.platform.Limits.memoryMB()
 	if p.leaseManager, err = newLeaseManager(p.file, p.seed(), p.log); err != nil {
@@ -114,8 +117,8 @@
 	p.tables.close()
 }
 
-// serve serves until a stop signal, or until the front end fails, and returns behind the drain. It returns the front end's
-// error.
+// serve serves until a stop signal arrives or the front end fails, and returns after the drain. It returns the front
+// end's error.
 func (p *process) serve(ctx context.Context, signals stopSignals) error {
 	leaseCtx, releaseLeases := context.WithCancel(ctx)
 	if p.leaseManager != nil {
@@ -137,9 +140,9 @@
 	p.log.Info("serving", "name", p.platform.Name, "listen", p.platform.Listen, "pool", p.platform.PoolAddress,
 		"members", p.platform.MembershipAddress, "cores", p.platform.Limits.Cores, "memory_mb", p.platform.Limits.MemoryMB,
 		"sockets", p.platform.Limits.Sockets)
-	var stopWithin atomic.Int64 // nanoseconds, as configured last
+	var stopWithin atomic.Int64 // nanoseconds, of the configuration in force
 	stopWithin.Store(int64(p.platform.StopWithin))
-	// A goroutine each: a stop must not wait until a new configuration has been read.
+	// Reload and stop have a goroutine each: a stop must not wait until a new configuration has been read.
 	go func() {
 		for {
 			select {
@@ -157,18 +160,18 @@
 		var err error
 		select {
 		case <-signals.stop:
-		case err = <-failed: // what was read is still answered
+		case err = <-failed: // requests already read are still answered
 			p.log.Error("listener failed, draining", "error", err)
 		}
 		result <- err
-		releaseLeases() // first: this server must not act under them any more; others wait out what was granted
-		watch.stop()    // what it writes is on disk long before the store is closed
+		releaseLeases() // first, as this server must no longer act under its leases; other servers wait until they expire
+		watch.stop()    // early, so that its writes are on disk long before the store is closed
 		p.reporter.SetDraining()
 		p.server.Drain(time.Duration(stopWithin.Load()))
 	}()
 	p.server.Run()
 	if !watch.wait(watchStopTimeout) {
-		p.log.Warn("configuration: the watch had not ended at the stop", "waited", watchStopTimeout)
+		p.log.Warn("configuration: the watch had not ended when the drain did", "waited", watchStopTimeout)
 	}
 	p.counters.Report()
 	return <-result
--- a/cmd/quartzpoint/readiness_test.go
+++ b/cmd/quartzpoint/readiness_test.go
@@ -17,18 +17,19 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// waitHealthy waits until the process says that it is in good health and gives how long that took since a moment.
+// waitHealthy waits until the process reports good health, and returns the time since the given moment, or
+// fake.WaitLimit if it does not.
 func (p *program) waitHealthy(since time.Time) time.Duration {
 	for time.Since(since) < fake.WaitLimit {
 		if p.healthy() {
 			return time.Since(since)
 		}
-		time.Sleep(10 * time.Millisecond) // between tries, as routers have it
+		time.Sleep(10 * time.Millisecond) // between attempts, as routers wait
 	}
 	return fake.WaitLimit
 }
 
-// healthy tells whether a health check is answered with good health.
+// healthy reports whether a health check is answered with good health.
 func (p *program) healthy() bool {
 	health, err := net.Dial("tcp", p.address)
 	if err != nil {
@@ -43,11 +44,12 @@
 	return err == nil && reply.Type == 21 && reply.Code == 20
 }
 
-// All processes of a fleet are killed and started at once, with their folders of state, while their pools are not up, and
-// the peers that they ask take their asks and never answer: nothing of that stands before a health check.
+// All processes of a fleet are killed and started at once, with their state directories, while their pools are not up
+// and the peers that they ask for estimates accept connections and never answer. None of this may delay the answers to
+// health checks.
 func TestRestartOfAFleet(t *testing.T) {
 	const fleet, maxLate, within = 30, 3, 10 * time.Second
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // the system takes connections for it
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // the system accepts connections for it
 	require.NoError(t, err)
 	defer func() { _ = silent.Close() }()
 	var all []*program
@@ -84,6 +86,6 @@
 		<-done
 	}
 	slices.Sort(took)
-	t.Logf("ready after %v, half of them after %v, the last after %v", took[0], took[fleet/2], took[fleet-1])
+	t.Logf("healthy after %v, half of them after %v, the last after %v", took[0], took[fleet/2], took[fleet-1])
 	assert.Less(t, took[fleet-1-maxLate], within)
 }
--- a/cmd/quartzpoint/recovery_test.go
+++ b/cmd/quartzpoint/recovery_test.go
@@ -15,11 +15,11 @@
 	recoveryRate  = 75 // requests a second
 	hangFrom      = time.Second
 	hangUntil     = 9 * time.Second
-	recoverySpan  = 4 * time.Second // behind the hang
-	recoveryShare = 0.9             // of what is served without the hang
+	recoverySpan  = 4 * time.Second // after the hang
+	recoveryShare = 0.9             // of what is served without a hang
 )
 
-// recoveryRoutes use about half of four cores.
+// recoveryRoutes returns routes whose load uses about half of four cores.
 func recoveryRoutes(deadline time.Duration) []harness.Route {
 	route := harness.Route{Value: 1, LatencyTarget: deadline, Deadline: deadline, Share: 0.5, Spread: 0.3}
 	look, pay := route, route
@@ -28,8 +28,8 @@
 	return []harness.Route{look, pay}
 }
 
-// runWithHang loads a real server, and stops its pool on the way where hang says so. It returns what was served in each second
-// behind the hang.
+// runWithHang loads a real server, and stops its pool from hangFrom until hangUntil if hang is set. It returns the
+// number of requests served in each second after hangUntil.
 func runWithHang(t *testing.T, deadline time.Duration, halt string, hang bool) (served []int, daemon *harness.Daemon) {
 	routes := recoveryRoutes(deadline)
 	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6, Halt: halt})
@@ -52,8 +52,9 @@
 	return served, daemon
 }
 
-// A worker pool read and wrote nothing for eight seconds and then worked as before. For four more seconds a healthy, idle
-// machine refused everything: the time that its runs had stood still was taken for what requests need.
+// A worker pool read and wrote nothing for eight seconds and then worked as before. For four more seconds a healthy,
+// idle machine rejected everything, because the time in which its runs had been stopped was counted as time that
+// requests need.
 func TestFullServiceAfterAHangThatIsOver(t *testing.T) {
 	for _, deadline := range []time.Duration{400 * time.Millisecond, 2 * time.Second} {
 		for _, halt := range []string{emulator.HaltSuspend, emulator.HaltNone} {
@@ -66,7 +67,7 @@
 				}()
 				served, daemon := runWithHang(t, deadline, halt, true)
 				expected := <-without
-				t.Logf("served by second behind the hang: %v, without it %v; strain %+v", served, expected, daemon.Workers.Strain())
+				t.Logf("served in each second after the hang: %v, without a hang: %v; strain %+v", served, expected, daemon.Workers.Strain())
 				assert.GreaterOrEqual(t, float64(sum(served)), recoveryShare*float64(sum(expected)), daemon.Log())
 				assert.LessOrEqual(t, daemon.Workers.Strain().Runs, 1.0)
 			})
--- a/cmd/quartzpoint/reload.go
+++ b/cmd/quartzpoint/reload.go
@@ -8,12 +8,13 @@
 	"quartzpoint/internal/settings"
 )
 
-// largeSettingsCount is the number of settings past which the memory that reading them took is returned to the system at once.
+// largeSettingsCount is the number of settings above which the memory used to parse them is returned to the system at
+// once.
 const largeSettingsCount = 10_000
 
-// reloadPlatformConfig reads the platform's configuration again, checks all of it as at the start, and applies what can change
-// in service: addresses, the time until the stop, and the settings that settings.Adjustable names. A file that is missing,
-// incomplete or invalid changes nothing.
+// reloadPlatformConfig reads the platform's configuration again, checks all of it as at the start, and applies what can
+// change at run time: addresses, the time until the stop, and the settings that settings.Adjustable names. A file that
+// is missing, incomplete or invalid changes nothing.
 func (p *process) reloadPlatformConfig() {
 	old := p.platform
 	next, err := rereadPlatformConfig(os.Getenv("EDGE_CONFIG"), old)
@@ -37,14 +38,14 @@
 	p.platform.StopWithin = next.StopWithin
 	p.platform.settingsHash = next.settingsHash
 	if len(change.Fixed) > 0 {
-		p.platform.settingsHash = 0 // the settings in force are not those of any file
+		p.platform.settingsHash = 0 // no file holds exactly the settings in force
 	}
 	p.log.Info("configuration reloaded", "pool", next.PoolAddress, "members", next.MembershipAddress,
 		"index", p.platform.DependencyAddress, "stop_ms", next.StopWithin.Milliseconds(), "moved", change.Adjusted,
 		"only_with_a_restart", p.platform.needRestart(next, change.Fixed))
 }
 
-// applyAddresses has the worker link, the reports and the calls go on at other addresses.
+// applyAddresses switches the worker link, the membership reports and the calls to the addresses of next.
 func (p *process) applyAddresses(next platformConfig) {
 	if next.MembershipAddress != p.platform.MembershipAddress {
 		p.reporter.SetAddress(next.MembershipAddress)
@@ -59,7 +60,7 @@
 	}
 }
 
-// needRestart are the keys of next that differ from what is in force and only apply at a start; fixedSettings are the
+// needRestart returns the keys of next that differ from those in force and apply only at a start; fixedSettings are the
 // settings among them.
 func (c platformConfig) needRestart(next platformConfig, fixedSettings []string) (keys []string) {
 	for _, key := range []struct {
--- a/cmd/quartzpoint/reload_test.go
+++ b/cmd/quartzpoint/reload_test.go
@@ -13,8 +13,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// Signals in a row, each with a file that another takes the place of while it is read, at work and during the drain:
-// none ends the process, none costs a task, and the last file is in force.
+// SIGHUPs in quick succession, each with a file that is replaced while it is read, during service and during the drain.
+// None may end the process or lose a request, and the last file must be in force.
 func TestConfigurationsInARow(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
@@ -25,7 +25,7 @@
 			raw, err := os.ReadFile(p.path)
 			require.NoError(t, err)
 			texts := []string{string(raw), strings.Replace(string(raw), `"halt":"suspend"`, `"halt":"none"`, 1)}
-			replaceFile := func(text string) { // whole: who reads sees one file or the other
+			replaceFile := func(text string) { // atomically, so that a reader sees one file or the other
 				require.NoError(t, os.WriteFile(p.path+".new", []byte(text), 0o600))
 				require.NoError(t, os.Rename(p.path+".new", p.path))
 			}
@@ -36,7 +36,7 @@
 				run := p.pool.Next(t, "spawn")
 				replaceFile(texts[stream%2])
 				reload()
-				replaceFile(texts[(stream+1)%2]) // while the other may be read
+				replaceFile(texts[(stream+1)%2]) // while the process may be reading the other file
 				p.pool.Finish(run.RunID, "success", nil)
 				reply := router.Next(t)
 				done[reply.Stream] = reply.Code
@@ -50,7 +50,7 @@
 			p.waitLogged(t, "stop_ms=2500")
 			p.waitLogged(t, "setting=halt value=none")
 
-			// The drain, with a run in hand; what is written in place may be read half.
+			// The drain, with a run in progress. Files written in place may be read incomplete.
 			router.Send(t, fake.RequestFrame(21, "pay", ""))
 			last := p.pool.Next(t, "spawn")
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
@@ -77,7 +77,8 @@
 	}
 }
 
-// A new configuration with what needs a restart, all of it at once, names each and takes over the rest.
+// A new configuration with every kind of change that needs a restart must report each of them, and the rest must come
+// into force.
 func TestKeysThatNeedARestart(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
@@ -92,7 +93,7 @@
 	p.waitLogged(t, "stop_ms=700")
 	p.waitLogged(t, `only_with_a_restart="[limits index settings extra.cores,services.1.name,tenants.0.name,tenants.0.quota-rps,tenants.count]"`)
 	router := fake.Dial(t, p.address)
-	router.Send(t, fake.RequestFrame(1, "pay", "")) // as the process was started
+	router.Send(t, fake.RequestFrame(1, "pay", "")) // the route has the name that it had at the start
 	p.pool.Finish(p.pool.Next(t, "spawn").RunID, "success", nil)
 	assert.Equal(t, byte(20), router.Next(t).Code)
 	_ = router.Close()
@@ -103,8 +104,8 @@
 	assert.Less(t, time.Since(began), fake.WaitLimit)
 }
 
-// Settings whose text has not changed are not read again; behind a text of which a part waits for a restart, the first
-// one brings back what had moved.
+// Settings whose text has not changed are not read again. After a file with a part that needs a restart, the original
+// file must restore the settings that had changed at run time.
 func TestTheSameSettingsAgain(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	memoryLimitShare     = 0.7 // of the memory; past it the runtime collects at any price
-	minMemoryLimitMB     = 16  // it maps 12 at rest, and near its limit it does nothing but collect
-	smallMemoryGCPercent = 25  // growth of the heap between collections, where minMemoryLimitMB holds
+	memoryLimitShare     = 0.7 // fraction of the memory above which the runtime collects at any cost
+	minMemoryLimitMB     = 16  // the idle runtime maps 12 MB, and near its limit it does nothing but collect
+	smallMemoryGCPercent = 25  // growth of the heap between collections if minMemoryLimitMB applies
 )
 
-// serveCommand serves requests until the process is told to stop.
+// serveCommand serves requests until a stop signal.
 type serveCommand struct {
-	Config string `name:"config" aliases:"own" placeholder:"FILE" help:"The product's own file (TOML). Without it all that is set there is off."`
+	Config string `name:"config" aliases:"own" placeholder:"FILE" help:"The product's own file (TOML). Without it, everything that it configures is off."`
 }
 
-// stopSignals are the signals that the process handles. Two channels, so that no row of SIGHUP crowds out a stop.
+// stopSignals are the signals that the process handles. They have separate channels so that repeated SIGHUPs can't
+// crowd out a stop.
 type stopSignals struct{ stop, reload chan os.Signal }
 
 func notifySignals() stopSignals {
@@ -34,9 +35,9 @@
 	return s
 }
 
-// Run serves until SIGTERM or SIGINT, and through the drain behind it.
+// Run serves until SIGTERM or SIGINT, and through the drain that follows.
 func (cmd *serveCommand) Run(log *slog.Logger) error {
-	signals := notifySignals() // before all else: a signal that is not handled ends the process
+	signals := notifySignals() // first, as an unhandled signal ends the process
 	platform, file, err := cmd.readConfigs()
 	if err != nil {
 		return err
@@ -67,8 +68,8 @@
 	return platform, file, errors.Join(err, fileErr)
 }
 
-// limitMemory sets the runtime's limit. Where the process has less than the runtime needs at rest, the heap is kept small by
-// collecting early, as a limit that can't be kept would have it collect without end.
+// limitMemory sets the runtime's memory limit. If the process has less memory than the idle runtime needs, the heap is
+// kept small by collecting early: with a limit that can't be met the runtime would collect without end.
 func limitMemory(bytes int) {
 	limit := int64(float64(bytes) * memoryLimitShare)
 	if limit < minMemoryLimitMB<<20 {
--- a/cmd/quartzpoint/settings_test.go
+++ b/cmd/quartzpoint/settings_test.go
@@ -15,8 +15,9 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// Valid configurations of every kind are started with, and serve. Some were refused, for a fraction where a whole number
-// was expected; one ended in the runtime, which makes room for as many cores as it is told of.
+// The process must start and serve with valid configurations of every kind. Some were rejected because a fraction stood
+// where a whole number was expected. One crashed in the runtime, which allocates memory for as many cores as it is
+// given.
 func TestValidConfigurations(t *testing.T) {
 	var many []string
 	for i := range 48 {
@@ -30,30 +31,30 @@
 		}
 	}
 	cases := map[string]func(string) string{
-		"stop as a fraction":    replace(`"stop_ms":1500`, `"stop_ms":1500.5`),
-		"stop as a float":       replace(`"stop_ms":1500`, `"stop_ms":1.5e3`),
-		"memory as a fraction":  replace(`"memory_mb":96`, `"memory_mb":96.5`),
-		"sockets as a float":    replace(`"sockets":256`, `"sockets":256.0`),
-		"a part of a core":      replace(`"limits":{"cores":1.0`, `"limits":{"cores":0.01`),
-		"endless cores":         replace(`"limits":{"cores":1.0`, `"limits":{"cores":1e18`),
-		"endless memory":        replace(`"memory_mb":96`, `"memory_mb":1e18`),
-		"endless sockets":       replace(`"sockets":256`, `"sockets":1e18`),
-		"endless stop":          replace(`"stop_ms":1500`, `"stop_ms":1e18`),
-		"little memory":         replace(`"memory_mb":96`, `"memory_mb":12`),
-		"no dependency":         replace(`"name":"n1"`, `"name":"n1","index":null,"more":[{}]`),
-		"names for hosts":       replace(`"seed":`, `"index":"calls.invalid:http","seed":`),
-		"no tenants key":        replace(`"tenants":[],`, ``),
-		"tenants without names": replace(`"tenants":[]`, `"tenants":[{"quota-rps":3},{"name":"b","quota-rps":2.5}]`),
-		"spans of nothing": replace(`"warm-up":9000000`,
+		"stop time as a fraction": replace(`"stop_ms":1500`, `"stop_ms":1500.5`),
+		"stop time as a float":    replace(`"stop_ms":1500`, `"stop_ms":1.5e3`),
+		"memory as a fraction":    replace(`"memory_mb":96`, `"memory_mb":96.5`),
+		"sockets as a float":      replace(`"sockets":256`, `"sockets":256.0`),
+		"fraction of a core":      replace(`"limits":{"cores":1.0`, `"limits":{"cores":0.01`),
+		"huge number of cores":    replace(`"limits":{"cores":1.0`, `"limits":{"cores":1e18`),
+		"huge memory":             replace(`"memory_mb":96`, `"memory_mb":1e18`),
+		"huge number of sockets":  replace(`"sockets":256`, `"sockets":1e18`),
+		"huge stop time":          replace(`"stop_ms":1500`, `"stop_ms":1e18`),
+		"little memory":           replace(`"memory_mb":96`, `"memory_mb":12`),
+		"no dependency":           replace(`"name":"n1"`, `"name":"n1","index":null,"more":[{}]`),
+		"host and port names":     replace(`"seed":`, `"index":"calls.invalid:http","seed":`),
+		"no tenants key":          replace(`"tenants":[],`, ``),
+		"tenants without names":   replace(`"tenants":[]`, `"tenants":[{"quota-rps":3},{"name":"b","quota-rps":2.5}]`),
+		"zero durations": replace(`"warm-up":9000000`,
 			`"warm-up":0,"fall":0,"grace-to-answer":0`),
 		"no grace, no idle time": func(text string) string {
 			text = replace(`"stop-sending-within":400000`, `"stop-sending-within":0`)(text)
 			return replace(`"idle":30000000`, `"idle":0,"heeded":0,"lingers":0,"calls-over":0`)(text)
 		},
-		"no come-back":    replace(`"max-retry-after":1000000`, `"max-retry-after":0`),
-		"no ticks":        replace(`"servers":3`, `"servers":0,"tick":0`),
-		"spans as floats": replace(`"idle":30000000`, `"idle":3e7,"heeded":1000000.0,"calls-over":1e30`),
-		"dozens of types": replace(`"services":[`, `"services":[`+strings.Join(many, ",")+`,`),
+		"no Retry-After":      replace(`"max-retry-after":1000000`, `"max-retry-after":0`),
+		"no ticks":            replace(`"servers":3`, `"servers":0,"tick":0`),
+		"durations as floats": replace(`"idle":30000000`, `"idle":3e7,"heeded":1000000.0,"calls-over":1e30`),
+		"dozens of routes":    replace(`"services":[`, `"services":[`+strings.Join(many, ",")+`,`),
 		"one core, no lists": replace(`"calls-by-class":[false,false],
 "class-skip-worth":[0.0,0.0],`, `"calls-by-class":[],"class-skip-worth":null,`),
 	}
@@ -83,8 +84,9 @@
 	}
 }
 
-// The first fault hid others, several were one, and addresses and numbers that can't be were found later or never. All
-// are told at once now, with the file and the key, in the same words at the start, on reload and by check.
+// The first error hid others, several errors had one message, and impossible addresses and numbers were found late or
+// never. All errors must be reported at once, with the file and the key, in the same words at the start, on a reload
+// and by the check command.
 func TestAllErrorsReportedAtOnce(t *testing.T) {
 	cases := []struct {
 		text string
@@ -98,8 +100,8 @@
 		{`{"name":7,"listen":"here","pool":"127.0.0.1","members":"127.0.0.1:0","index":"127.0.0.1:66000","seed":"xyz",
 "stop_ms":-1,"limits":{"cores":-0.5,"memory_mb":"much","sockets":0},"settings":{"extra":{"cores":-4,"ram-kb":"NaN"},
 "services":[{"name":"a","idempotency":"dedup","deadline":-1,"goal-time":1}]}}`,
-			[]string{"name: 7 is no text", "listen: ", "pool: ", "members: ", "index: ", "seed: ", "stop_ms: -1 is not above 0",
-				"limits.cores: -0.5 is not above 0", "limits.memory_mb: ", "limits.sockets: 0 is not above 0",
+			[]string{"name: want a string, got 7", "listen: ", "pool: ", "members: ", "index: ", "seed: ", "stop_ms: want a number above 0, got -1",
+				"limits.cores: want a number above 0, got -0.5", "limits.memory_mb: ", "limits.sockets: want a number above 0, got 0",
 				"setting extra.cores: -4 is not above 0", "setting extra.ram-kb: ", "setting services.0.deadline: "}},
 		{`{"name":"n1","listen":"127.0.0.1:0","pool":"a b:1","members":":x","seed":"1","stop_ms":1e999,"limits":[],
 "settings":{"services":[{"name":"a"}]}}`,
@@ -127,17 +129,18 @@
 			return strings.Count(running.log.String(), "failed, the old one stays") == i+1
 		}, fake.WaitLimit, time.Millisecond, c.text)
 	}
-	// There the variables win over the file.
+	// On a reload the environment variables override the file.
 	assert.NotContains(t, running.log.String()[began:], "listen")
-	assert.NotContains(t, running.log.String()[began:], "name: 7")
+	assert.NotContains(t, running.log.String()[began:], "name: want")
 	router := fake.Dial(t, running.address)
 	running.pool.Ready()
 	router.Send(t, fake.RequestFrame(1, "pay", ""))
 	running.pool.Finish(running.pool.Next(t, "spawn").RunID, "success", nil)
-	assert.Equal(t, byte(20), router.Next(t).Code, "what is in force stays")
+	assert.Equal(t, byte(20), router.Next(t).Code, "the configuration in force must stay")
 }
 
-// Every number that may be 0 is: a timer of no length, or a round that brings the next, would keep a thread busy.
+// Every number that may be 0 is 0. A timer without a duration, or a round that causes the next one, would keep a thread
+// busy.
 func TestZeroSettingsKeepNoThreadBusy(t *testing.T) {
 	const settings = `{"extra":{"advert":"threshold","below":"shared","calls-by-class":[true],"cold":true,"cores":1,"gauges":[],
 "halt":"none","idle":0,"heeded":0,"lingers":0,"calls-over":0,"calls-out":0,"ram-kb":60000,"run-factor":0,"key-kb":0},
@@ -145,7 +148,7 @@
 "stop-sending-within":0,"warm-up":0,"grace-to-answer":0},"servers":0,"tick":0,"over-share-worth":0,"services":[{"name":"a",
 "deadline":1,"goal-time":0,"idempotency":"dedup","dedup-window":0,"gain":0,"late-value":0}],"tenants":[{"quota-rps":0}]}`
 	for _, unreachable := range []bool{false, true} {
-		t.Run(fmt.Sprintf("nobody there: %t", unreachable), func(t *testing.T) {
+		t.Run(fmt.Sprintf("pool unreachable: %t", unreachable), func(t *testing.T) {
 			p := prepare(t, builds["debug"])
 			pool := p.pool.Address
 			if unreachable {
@@ -158,9 +161,9 @@
 			p.pool.Ready()
 			p.waitLogged(t, "msg=serving")
 			router := fake.Dial(t, p.address)
-			router.Send(t, fake.RequestFrame(1, "a", "")) // late as it comes
+			router.Send(t, fake.RequestFrame(1, "a", "")) // its deadline passes at once
 			assert.Equal(t, byte(50), router.Next(t).Code)
-			for range 9 { // two seconds of them
+			for range 9 { // two seconds of reports
 				p.members.Next(t)
 			}
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
--- a/cmd/quartzpoint/standstill_test.go
+++ b/cmd/quartzpoint/standstill_test.go
@@ -13,8 +13,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// A machine that stands still from before the stop until after it: the process left without an answer to what it held,
-// and a debug build ended in its check. The first round behind the standstill answers all.
+// The process is stalled from before its stop until after it. It exited without answers to the requests in flight, and
+// a debug build failed a check. The first round after the stall must answer all of them.
 func TestProcessStalledAcrossTheStop(t *testing.T) {
 	for build, path := range builds {
 		t.Run(build, func(t *testing.T) {
@@ -30,11 +30,11 @@
 			router := fake.Dial(t, p.address)
 			router.Send(t, fake.RequestFrame(1, "pay", ""), fake.RequestFrame(2, "browse", ""))
 			p.pool.Next(t, "spawn")
-			p.pool.Next(t, "spawn") // both run, and neither will end
+			p.pool.Next(t, "spawn") // both requests run, and neither run ends
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 			p.waitLogged(t, `msg="stopped accepting connections"`)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
-			time.Sleep(time.Second) // the stop passes meanwhile; there is no event to wait for
+			time.Sleep(time.Second) // the time of the stop passes; there is no event to wait for
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGCONT))
 			assert.Equal(t, map[uint32][]byte{1: {51}, 2: {51}}, readAnswers(t, router))
 			assert.Zero(t, p.waitExit())
@@ -42,7 +42,7 @@
 	}
 }
 
-// A stop that leaves no time: what runs and what is held is answered all the same, in the round of the notice.
+// A stop that leaves no time: running and queued requests must still be answered, in the round of the notice.
 func TestStopAtOnce(t *testing.T) {
 	for build, path := range builds {
 		for _, stop := range []string{"1e-9", "1", "16"} {
@@ -57,16 +57,16 @@
 				p.pool.Ready()
 				p.waitLogged(t, "pool link bound")
 				router := fake.Dial(t, p.address)
-				const all = 20 // more than run at once
+				const all = 20 // more than run concurrently
 				for stream := range uint32(all) {
 					router.Send(t, fake.RequestFrame(stream+1, "pay", ""))
 				}
 				router.Send(t, fake.Frame(20, 99, "", "e2e", "0"))
 				answerCounts := map[uint32]int{}
 				for reply := router.Next(t); reply.Type != 21; reply = router.Next(t) {
-					answerCounts[reply.Stream]++ // some are turned away at once
+					answerCounts[reply.Stream]++ // some are rejected at once
 				}
-				// Read in order, so all before the check have been read.
+				// Frames are read in order, so all requests before the health check have been read.
 				require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 				for stream, codes := range readAnswers(t, router) {
 					answerCounts[stream] += len(codes)
--- a/cmd/quartzpoint/state.go
+++ b/cmd/quartzpoint/state.go
@@ -15,12 +15,12 @@
 // statePersistence publishes a server's estimates, and stores its state if a directory is configured.
 type statePersistence struct {
 	schema    estimate.Schema
-	recovered estimate.Snapshot // what the process before left; not Fresh if nothing can be used
+	recovered estimate.Snapshot // from the previous process; without fresh estimates if none can be used
 	publish   []func(snapshot estimate.Snapshot, at time.Duration)
 	store     *store.Store // nil without a directory
 }
 
-// openState opens the configured directory, and has the server start from what it holds.
+// openState opens the configured directory, and has the server start with the state recovered from it.
 func openState(section *config.State, owner *server.Server, counters *invariant.Counters, log *slog.Logger) (*statePersistence, error) {
 	p := &statePersistence{}
 	p.schema = owner.PublishEstimates(store.RandomID(), func(snapshot estimate.Snapshot, at time.Duration) {
@@ -43,9 +43,9 @@
 	return p, nil
 }
 
-// close has what is left written.
+// close writes the remaining state and closes the store.
 func (p *statePersistence) close() {
 	if p.store != nil {
-		_ = p.store.Close() // the store has logged it
+		_ = p.store.Close() // the store has logged the error
 	}
 }
--- a/cmd/quartzpoint/state_commands.go
+++ b/cmd/quartzpoint/state_commands.go
@@ -19,22 +19,22 @@
 
 // stateCommands are the commands on state directories.
 type stateCommands struct {
-	Show    stateShow    `cmd:"" help:"Print what a folder holds, and what a start would use of it."`
-	Verify  stateVerify  `cmd:"" help:"Tell whether all of a folder is whole; exit code 1 where it is not."`
-	Export  stateExport  `cmd:"" help:"Print all that a start would use, as JSON."`
-	Compact stateCompact `cmd:"" help:"Have the folder of a server that is stopped hold one table and one log."`
+	Show    stateShow    `cmd:"" help:"Print what a directory holds, and what a start would use of it."`
+	Verify  stateVerify  `cmd:"" help:"Check that a directory is complete and undamaged; exit code 1 if it is not."`
+	Export  stateExport  `cmd:"" help:"Print everything that a start would use, as JSON."`
+	Compact stateCompact `cmd:"" help:"Compact the directory of a stopped server to one table and one log."`
 }
 
 // stateDir names the directory that a command works on.
 type stateDir struct {
-	Dir    string `arg:"" help:"The folder, as in its [state] dir."`
-	Site   string `help:"Its site; that of its files where it is not stated."`
-	MostMB int    `name:"most-mb" default:"64" help:"As in [state]."`
+	Dir    string `arg:"" help:"The directory, as in [state] dir."`
+	Site   string `help:"The site; by default that of the files."`
+	MostMB int    `name:"most-mb" default:"64" help:"Maximum size in MB, as in [state]."`
 }
 
 func (d *stateDir) maxBytes() int64 { return int64(d.MostMB) << 20 }
 
-// inspect reads the directory without its lock: a server may be using it.
+// inspect reads the directory without taking its lock, as a server may be using it.
 func (d *stateDir) inspect(now recovery.Timestamp) (store.Report, error) {
 	dir, err := datadir.Open(d.Dir, true)
 	if err != nil {
@@ -47,7 +47,7 @@
 // stateShow prints a directory's report.
 type stateShow struct {
 	stateDir
-	JSON bool `name:"json" help:"Print it as JSON."`
+	JSON bool `name:"json" help:"Print JSON."`
 }
 
 // Run prints the report.
@@ -67,7 +67,7 @@
 	for _, key := range report.Keys {
 		byRoute[key.Route]++
 	}
-	fmt.Printf("%d numbers, the end of %d not known, %d bytes\n", len(report.Keys), report.UnservedKeys, report.Bytes)
+	fmt.Printf("%d idempotency keys, %d not known to have been served, %d bytes\n", len(report.Keys), report.UnservedKeys, report.Bytes)
 	for _, route := range slices.Sorted(maps.Keys(byRoute)) {
 		fmt.Printf("  %s: %d\n", route, byRoute[route])
 	}
@@ -112,14 +112,14 @@
 	if problems := report.Problems(); len(problems) > 0 {
 		return errors.New(strings.Join(problems, "\n"))
 	}
-	fmt.Printf("%d files, all whole\n", len(report.Files))
+	fmt.Printf("%d files, all complete\n", len(report.Files))
 	return nil
 }
 
-// stateExport prints what a start would use.
+// stateExport prints the contents of a directory that a start would use.
 type stateExport struct{ stateDir }
 
-// stateContents is the JSON that stateExport prints. Its members are in alphabetical order.
+// stateContents is the JSON that stateExport prints, with its members in alphabetical order.
 type stateContents struct {
 	Estimates *estimate.Snapshot `json:"learned"`
 	Keys      []store.KeyReport  `json:"numbers"`
@@ -134,10 +134,10 @@
 	return printJSON(os.Stdout, stateContents{Estimates: report.Estimates, Keys: report.Keys})
 }
 
-// stateCompact rewrites a directory that no server uses.
+// stateCompact rewrites a directory that no server is using.
 type stateCompact struct{ stateDir }
 
-// Run takes the directory's lock, so it fails while a server uses it.
+// Run takes the directory's lock, so it fails while a server is using it.
 func (cmd *stateCompact) Run() error {
 	dir, err := datadir.Open(cmd.Dir, false)
 	if err != nil {
@@ -147,6 +147,6 @@
 	if err = errors.Join(err, dir.Close()); err != nil {
 		return err
 	}
-	fmt.Printf("%d bytes, and %d before\n", after, before)
+	fmt.Printf("%d bytes, %d before\n", after, before)
 	return nil
 }
--- a/cmd/quartzpoint/state_test.go
+++ b/cmd/quartzpoint/state_test.go
@@ -13,8 +13,8 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// A server under load is killed, and the next one starts from its directory. A third server finds the directory in use. Then
-// the estimates are damaged: verify says so, and the next server starts without them.
+// A server under load is killed, and the next one starts from its directory. A third server finds the directory in use.
+// Then the estimates are damaged: verify must report it, and the next server must start without them.
 func TestStateAcrossKill(t *testing.T) {
 	routes := []harness.Route{{
 		Name: "slot-check", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 1, Work: 20 * time.Millisecond,
@@ -30,12 +30,12 @@
 	done, err := harness.Run(first.Address, routes, harness.Arrivals(routes, 60, 2500*time.Millisecond, 1), 1)
 	require.NoError(t, err)
 	assert.Zero(t, done.Unanswered)
-	// Estimates are written about once a second, so on a busy machine the run can end before they are. The kill waits for
-	// their file, which the rest of the test is about.
+	// Estimates are written about once a second, so on a busy machine the load can end before they are. The kill waits
+	// for their file, as the rest of the test depends on it.
 	require.Eventually(t, func() bool {
 		files, err := filepath.Glob(filepath.Join(state, "view-*"))
 		return err == nil && len(files) > 0
-	}, time.Minute, 10*time.Millisecond, "no view written before the kill")
+	}, time.Minute, 10*time.Millisecond, "no estimates written before the kill")
 	require.NoError(t, first.Kill())
 
 	out, code := runCommand(t, nil, "state", "show", state)
--- a/cmd/quartzpoint/stored_test.go
+++ b/cmd/quartzpoint/stored_test.go
@@ -19,10 +19,10 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// The folders below testdata were written by the program of f1daac1, killed while it served; state-torn has lost the last
-// five bytes of its log.
+// The directories in testdata were written by the program of commit f1daac1, which was killed while it served.
+// state-torn has lost the last five bytes of its log.
 
-// copyStoredDir is a folder of testdata, copied to where it may be changed.
+// copyStoredDir copies a directory of testdata to where it may be changed, and returns the copy's path.
 func copyStoredDir(t *testing.T, name string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), name)
@@ -30,8 +30,9 @@
 	return dir
 }
 
-// copyStoredState is a state directory of testdata as another machine would have written it: there windows count in full,
-// whenever the test runs. On the recording machine they run out an hour after the recording, as long as it is not booted anew.
+// copyStoredState copies a state directory of testdata, and changes it as if another machine had written it. Dedup
+// windows then count in full whenever the test runs. On the recording machine they end an hour after the recording,
+// unless it has been rebooted.
 func copyStoredState(t *testing.T, name string) string {
 	t.Helper()
 	dir := copyStoredDir(t, name)
@@ -47,9 +48,10 @@
 	return dir
 }
 
-// moveToAnotherMachine changes the boot and the machine in a state file's header, the first frame: 2 bytes of magic, and, as
-// little-endian integers, the length of the payload, its checksum and a sequence number of 0; then the payload. The checksum
-// is over the id that other frames have (0 here), the sequence number and the length as well.
+// moveToAnotherMachine changes the boot id and the machine id in a state file's header, which is the first frame: 2
+// bytes of magic, then as little-endian integers the length of the payload, its checksum and a sequence number of 0,
+// then the payload. The checksum also covers the id that other frames have (0 here), the sequence number and the
+// length.
 func moveToAnotherMachine(t *testing.T, raw []byte) {
 	t.Helper()
 	const frameHead = 18
@@ -60,7 +62,7 @@
 		covered = binary.LittleEndian.AppendUint32(covered, size)
 		return crc32.Checksum(append(covered, payload...), crc32.MakeTable(crc32.Castagnoli))
 	}
-	require.Equal(t, binary.LittleEndian.Uint32(raw[6:]), checksum(), "the format is as it was")
+	require.Equal(t, binary.LittleEndian.Uint32(raw[6:]), checksum(), "the format must not have changed")
 	boot := bytes.Index(payload, []byte("1e938500-a2e7-4dc6-a0dc-9e7d376168c3"))
 	require.Positive(t, boot)
 	copy(payload[boot:], "00000000")
@@ -70,7 +72,7 @@
 	binary.LittleEndian.PutUint32(raw[6:], checksum())
 }
 
-// launchStored starts the program with the settings that the recorded one had.
+// launchStored starts the program with the settings of the recorded one.
 func launchStored(t *testing.T, own string) *harness.Daemon {
 	t.Helper()
 	site, err := os.ReadFile(filepath.Join("testdata", "f1daac1", "settings.json"))
@@ -86,8 +88,8 @@
 	return d
 }
 
-// sendStored sends a request and gives the code and the result of its answer. work is what its run takes; a repeat asks
-// for the same.
+// sendStored sends a request, and returns the code and the result of its answer. work is the duration of its run; a
+// repeat of a request states the same.
 func sendStored(t *testing.T, d *harness.Daemon, route, tenant, key string, work time.Duration) (code byte, result string) {
 	t.Helper()
 	link, err := net.Dial("tcp", d.Address)
@@ -119,14 +121,14 @@
 	storedAborted  = 51
 )
 
-// Repeats of requests that the recorded program had run are answered from its folder and run nowhere; one that it had
-// begun and not ended is given up on, and not run; what it did not know is run.
+// Repeats of requests that the recorded program ran must be answered from its directory and must not run. A request
+// that it had begun and not ended must be aborted, and must not run. Requests that it did not know must run.
 func TestContinuesFromAStoredState(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
 		t.Run(name, func(t *testing.T) {
 			d := launchStored(t, fmt.Sprintf("[state]\ndir = %q\nsite = \"here\"\nnumbers = true\n", copyStoredState(t, name)))
 			known, unknown := 6, 2
-			if name == "state-torn" { // the beginning of the last request is not in it
+			if name == "state-torn" { // the start of the last request is not in it
 				known, unknown = 5, 1
 			}
 			assert.Contains(t, d.Log(), fmt.Sprintf("keys=%d unserved_keys=%d", known, unknown))
@@ -135,14 +137,14 @@
 				assert.Equal(t, []any{byte(storedServed), "done"}, []any{code, result}, request)
 			}
 			code, _ := sendStored(t, d, "charge", "north", "hangs", 20*time.Second)
-			assert.Equal(t, byte(storedAborted), code, "begun, and its end is not known")
+			assert.Equal(t, byte(storedAborted), code, "begun, with an unknown end")
 			code, _ = sendStored(t, d, "charge", "north", "k1", 30*time.Millisecond)
-			assert.Equal(t, byte(storedAborted), code, "the key of a request that asks for something else")
+			assert.Equal(t, byte(storedAborted), code, "the key of a different request")
 			if unknown == 2 {
 				code, _ = sendStored(t, d, "charge", "south", "hangs", 20*time.Second)
 				assert.Equal(t, byte(storedAborted), code)
 			}
-			assert.Empty(t, d.Workers.RunStarts(), "nothing of it has run here")
+			assert.Empty(t, d.Workers.RunStarts(), "nothing may have run here")
 			for _, request := range [][2]string{{"south", "k2"}, {"north", "new"}} {
 				code, result := sendStored(t, d, "charge", request[0], request[1], 20*time.Millisecond)
 				assert.Equal(t, []any{byte(storedServed), "done"}, []any{code, result}, request)
@@ -152,8 +154,8 @@
 	}
 }
 
-// A server that can't reach the configuration service serves by the configuration that the recorded program had kept: its
-// routes, and none of those that the platform's configuration states.
+// A server that can't reach the configuration service must serve with the configuration that the recorded program had
+// stored: with its routes, and none of those in the platform's configuration.
 func TestServesWithAStoredConfiguration(t *testing.T) {
 	nobody, err := harness.FreeAddress()
 	require.NoError(t, err)
@@ -164,16 +166,16 @@
 	for _, c := range []struct {
 		route, key string
 		code       byte
-		runs       int // so far
+		runs       int // in total so far
 	}{
 		{"base", "", storedServed, 1},
 		{"order", "", storedServed, 2},
 		{"charge", "k1", storedServed, 3},
 		{"charge", "k1", storedServed, 3}, // a repeat
-		{"charge", "", storedRejected, 3}, // it needs a key
+		{"charge", "", storedRejected, 3}, // the route needs a key
 		{"calls", "", storedRejected, 3},  // there is no dependency
 		{"gone", "", storedRejected, 3},
-		{"look-up", "", storedRejected, 3}, // the platform's
+		{"look-up", "", storedRejected, 3}, // from the platform's configuration
 	} {
 		code, _ := sendStored(t, d, c.route, "north", c.key, 5*time.Millisecond)
 		assert.Equal(t, c.code, code, c)
--- a/cmd/quartzpoint/unreachable_test.go
+++ b/cmd/quartzpoint/unreachable_test.go
@@ -10,9 +10,9 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// A membership service without a way to it ended the start, and refused a new configuration. Whatever lies outside is
-// waited for: the process serves, says once what is missing, and goes on as before when a new configuration names
-// something that is there.
+// A membership service without a route to it ended the start, and made a reload fail. The process must wait for
+// services that are unreachable: it must serve, log once what is missing, and continue as before when a new
+// configuration names a service that is reachable.
 func TestStartWithUnreachableServices(t *testing.T) {
 	const unreachable = "[fe80::1]:9" // link-local, on no link
 	p := prepare(t, builds["debug"])
@@ -26,7 +26,7 @@
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 	assert.Equal(t, byte(20), router.Next(t).Code)
-	router.Send(t, fake.RequestFrame(2, "browse", "")) // held, and run once there is a pool
+	router.Send(t, fake.RequestFrame(2, "browse", "")) // queued, and run once there is a pool
 
 	p.pool.Ready()
 	reachable := startDependency(t, "there")
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -87,7 +87,7 @@
 	if call.Name == "" {
 		s.addError("name", nil, "is missing")
 	} else if slices.Index(names, call.Name) < index {
-		s.addError("name", call.Name, "stands twice in the plan")
+		s.addError("name", call.Name, "is listed twice in the plan")
 	}
 	call.Dependency = readDependencyIndex(s, dependencies)
 	call.Op = s.stringValue("op", call.Name, "a text of 1 to 128 bytes is allowed", func(op string) bool { return op != "" && len(op) <= maxOpBytes })
