--- a/cmd/quartzpoint/descriptors_test.go
+++ b/cmd/quartzpoint/descriptors_test.go
@@ -177,8 +177,9 @@
 	}
 }
 
-// Descriptors run out though the table is not full, as when other parts of the process use them. Idle connections must
-// be closed to free some, and the process may neither spin nor log a line for each attempt, however often it happens.
+// Descriptors run out though the table is not full, as when something else uses them; the test lowers the process's
+// limit. Idle connections must be closed to free some, and the process may neither spin nor log a line for each
+// attempt, however often it happens.
 func TestDescriptorsRunOut(t *testing.T) {
 	p := launchWithDescriptors(t, 256)
 	p.pool.SetEcho()
