--- a/cmd/quartzpoint/burst_test.go
+++ b/cmd/quartzpoint/burst_test.go
@@ -18,7 +18,7 @@
 
 const (
 	burstConnections = 100
-	burstPerConn     = 30 // two under the protocol's limit
+	burstPerConn     = 30 // two below the protocol's limit
 	burstDeadline    = 300 * time.Millisecond
 )
 
@@ -28,16 +28,17 @@
 	after time.Duration // since the burst was sent
 }
 
-// sendBurst sends one connection's part of a burst in a single write, once begin is closed, and reads the answers to it.
-func sendBurst(t *testing.T, connection net.Conn, number int, route string, begin <-chan struct{}) (answers []burstAnswer) {
+// sendBurst sends the part of a burst that belongs to one connection in a single write, once begin is closed, and
+// returns the answers to it.
+func sendBurst(t *testing.T, connection net.Conn, index int, route string, begin <-chan struct{}) (answers []burstAnswer) {
 	<-begin
 	sent := time.Now()
 	var frames []byte
 	body := string(binary.BigEndian.AppendUint64(nil, uint64((5 * time.Millisecond).Microseconds())))
 	for stream := range uint32(burstPerConn) {
 		frames = append(frames, harness.Frame(harness.FrameRequest, stream+1, body,
-			"op", route, "call", fmt.Sprintf("%08x%08x", number, stream), "recv", strconv.FormatInt(sent.UnixMilli(), 10),
-			"src", strconv.Itoa(number), "ttl", strconv.FormatInt(burstDeadline.Milliseconds(), 10), "heap", "20.0", "crit", "0.5")...)
+			"op", route, "call", fmt.Sprintf("%08x%08x", index, stream), "recv", strconv.FormatInt(sent.UnixMilli(), 10),
+			"src", strconv.Itoa(index), "ttl", strconv.FormatInt(burstDeadline.Milliseconds(), 10), "heap", "20.0", "crit", "0.5")...)
 	}
 	_, err := connection.Write(frames)
 	assert.NoError(t, err)
@@ -54,8 +55,8 @@
 	return answers
 }
 
-// Some thousand requests come at once on a hundred sockets. On a busy machine all were refused, as the first were decided on
-// only once the last were read.
+// Thousands of requests arrive at once on a hundred connections. On a busy machine all of them were rejected, because
+// the first were decided only after the last had been read.
 func TestBurstOnManySockets(t *testing.T) {
 	routes := []harness.Route{{Name: "look", Value: 1, LatencyTarget: burstDeadline, Deadline: burstDeadline, Share: 1, Work: 5 * time.Millisecond}}
 	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 1e6})
@@ -64,11 +65,11 @@
 	begin := make(chan struct{})
 	answers := make([][]burstAnswer, burstConnections)
 	var senders sync.WaitGroup
-	for number := range answers {
+	for index := range answers {
 		connection, err := net.Dial("tcp", daemon.Address)
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = connection.Close() })
-		senders.Go(func() { answers[number] = sendBurst(t, connection, number, routes[0].Name, begin) })
+		senders.Go(func() { answers[index] = sendBurst(t, connection, index, routes[0].Name, begin) })
 	}
 	close(begin)
 	senders.Wait()
@@ -79,8 +80,8 @@
 		codes[answer.code]++
 		first = min(first, answer.after)
 	}
-	t.Logf("codes %v, the first answer after %v", codes, first)
-	assert.Len(t, all, burstConnections*burstPerConn, "each request has an answer")
+	t.Logf("codes %v, first answer after %v", codes, first)
+	assert.Len(t, all, burstConnections*burstPerConn, "each request must be answered")
 	assert.Positive(t, codes[harness.StatusServed])
 	assert.NotContains(t, daemon.Log(), "check failed")
 }
--- a/cmd/quartzpoint/check.go
+++ b/cmd/quartzpoint/check.go
@@ -13,13 +13,13 @@
 	"quartzpoint/internal/peersync"
 )
 
-// checkCommand checks the configurations that serveCommand would read.
+// checkCommand checks the configuration files that serveCommand would read.
 type checkCommand struct {
 	File   string `arg:"" optional:"" env:"EDGE_CONFIG" help:"The platform's configuration (JSON)."`
 	Config string `name:"config" aliases:"own" placeholder:"FILE" help:"The product's own file (TOML)."`
 }
 
-// Run prints all errors, or that there are none.
+// Run prints all errors, or a line that there are none.
 func (cmd *checkCommand) Run() error {
 	var errs []error
 	var timeouts map[string]time.Duration // by route; nil without the platform's configuration
@@ -28,22 +28,22 @@
 		errs, timeouts = append(errs, err), s.routeTimeouts
 	}
 	if cmd.Config != "" {
-		ours, err := config.Read(cmd.Config)
+		file, err := config.Read(cmd.Config)
 		errs = append(errs, err)
 		if err == nil && timeouts != nil {
-			_, err := composedRoutes(ours, timeouts)
+			_, err := composedRoutes(file, timeouts)
 			errs = append(errs, err)
-			for _, t := range ours.Routes {
-				if time, known := timeouts[t.Name]; known && err == nil {
-					errs = append(errs, printTimeline(os.Stdout, t, ours.Dependencies, time))
+			for _, plan := range file.Routes {
+				if timeout, known := timeouts[plan.Name]; known && err == nil {
+					errs = append(errs, printTimeline(os.Stdout, plan, file.Dependencies, timeout))
 				}
 			}
 		}
-		if err == nil && ours.State != nil {
-			errs = append(errs, checkStateDir(ours.State.Dir))
+		if err == nil && file.State != nil {
+			errs = append(errs, checkStateDir(file.State.Dir))
 		}
-		if err == nil && ours.Peers != nil && ours.Peers.KeyFile != "" {
-			_, err := peersync.ReadKeys(ours.Peers.KeyFile)
+		if err == nil && file.Peers != nil && file.Peers.KeyFile != "" {
+			_, err := peersync.ReadKeys(file.Peers.KeyFile)
 			errs = append(errs, err)
 		}
 	}
@@ -57,12 +57,12 @@
 	return nil
 }
 
-// checkStateDir is the error with which a state folder could not be opened. One that does not exist is created at the start, so
-// its parent must exist.
+// checkStateDir returns the error with which opening a state directory would fail. A start creates a directory that
+// does not exist, so in that case only its parent must exist.
 func checkStateDir(dir string) error {
-	in, err := datadir.Open(dir, true)
+	opened, err := datadir.Open(dir, true)
 	if err == nil {
-		return in.Close()
+		return opened.Close()
 	}
 	if !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("state.dir: %w", err)
--- a/cmd/quartzpoint/crossing_test.go
+++ b/cmd/quartzpoint/crossing_test.go
@@ -16,8 +16,9 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// answers reads to the end of a connection, which must be an orderly one, and gives the codes of answers by stream.
-func answers(t *testing.T, r *fake.Router) map[uint32][]byte {
+// readAnswers reads until the end of a connection, which must be orderly, and returns the codes of the answers by
+// stream.
+func readAnswers(t *testing.T, r *fake.Router) map[uint32][]byte {
 	t.Helper()
 	all := map[uint32][]byte{}
 	for _, got := range r.ReadAll(t) {
@@ -28,7 +29,8 @@
 	return all
 }
 
-// The notice to leave waited while a new configuration was read, here one that never comes, and the stop did not.
+// The drain waited while a new configuration was being read (here from a FIFO that delivers nothing), but the time of
+// the stop did not move.
 func TestNoticeWhileAConfigurationIsRead(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
@@ -38,57 +40,58 @@
 	require.NoError(t, os.Remove(p.path))
 	require.NoError(t, syscall.Mkfifo(p.path, 0o600))
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { // it can be opened for writing once the process has it open to read
-		held, err := syscall.Open(p.path, syscall.O_WRONLY|syscall.O_NONBLOCK, 0)
+	require.Eventually(t, func() bool { // the FIFO can be opened for writing once the process has opened it for reading
+		fd, err := syscall.Open(p.path, syscall.O_WRONLY|syscall.O_NONBLOCK, 0)
 		if err == nil {
-			t.Cleanup(func() { _ = syscall.Close(held) })
+			t.Cleanup(func() { _ = syscall.Close(fd) })
 		}
 		return err == nil
 	}, fake.WaitLimit, time.Millisecond)
-	for range 3 { // a notice told again changes nothing
+	for range 3 { // repeated notices must change nothing
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	}
-	p.logged(t, "drain started")
+	p.waitLogged(t, "drain started")
 	p.pool.Finish(run, "success", nil)
-	assert.Equal(t, map[uint32][]byte{1: {20}}, answers(t, router))
-	assert.Zero(t, p.gone())
+	assert.Equal(t, map[uint32][]byte{1: {20}}, readAnswers(t, router))
+	assert.Zero(t, p.waitExit())
 }
 
-// A machine that stands still across the end of the grace: the system takes connections, and tasks on them, that the
-// process hears of only when it has begun to go. Each is answered, none runs, and no connection is reset.
-func TestRequestsWhileTheProcessStandsStillAtTheEndOfTheGrace(t *testing.T) {
+// The process is stalled across the end of the grace. Meanwhile the system accepts connections, and requests on them,
+// that the process reads only after the grace has ended. Each must be answered, none may run, and no connection may be
+// reset.
+func TestRequestsWhileTheProcessIsStalledAtTheEndOfTheGrace(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
-	p.logged(t, "pool link bound")
+	p.waitLogged(t, "pool link bound")
 	known := fake.Dial(t, p.address)
 	known.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
 	assert.Equal(t, byte(21), known.Next(t).Type)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
-	p.logged(t, "drain started")
+	p.waitLogged(t, "drain started")
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
-	time.Sleep(500 * time.Millisecond) // the grace of the site is 400 ms; what arrives from here on never runs
-	var all []*fake.Router
+	time.Sleep(500 * time.Millisecond) // the grace of the settings is 400 ms; what arrives from here on never runs
+	var routers []*fake.Router
 	for range 8 {
-		all = append(all, fake.Dial(t, p.address))
+		routers = append(routers, fake.Dial(t, p.address))
 	}
-	for i, r := range append(all, known) {
+	for i, r := range append(routers, known) {
 		r.Send(t, fake.RequestFrame(2, "pay", "", "call", fake.CallID(uint32(100+i))))
 	}
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGCONT))
-	for i, r := range append(all, known) {
-		assert.Equal(t, map[uint32][]byte{2: {50}}, answers(t, r), "connection %d", i)
+	for i, r := range append(routers, known) {
+		assert.Equal(t, map[uint32][]byte{2: {50}}, readAnswers(t, r), "connection %d", i)
 	}
-	assert.Zero(t, p.gone())
+	assert.Zero(t, p.waitExit())
 	for len(p.pool.Commands) > 0 {
-		assert.NotEqual(t, "spawn", (<-p.pool.Commands).Verb, "it ran past the grace")
+		assert.NotEqual(t, "spawn", (<-p.pool.Commands).Verb, "a request ran after the grace")
 	}
 	_, err := net.Dial("tcp", p.address)
 	assert.Error(t, err)
 }
 
-// A new configuration that is told of as soon as the program is there, before it can hear of it, ended the process. It
-// reads its configuration later than that, so nothing is missed. Between there and serving the word was handled beside
-// the start that still read what it writes.
+// A SIGHUP that arrived as soon as the program had started, before it handled signals, ended the process. The program
+// reads its configuration after it starts to handle signals, so no change is missed. A SIGHUP that arrived before the
+// process served was handled concurrently with the start, which was still reading what the reload writes.
 func TestSignalsAtTheStart(t *testing.T) {
 	var deploy struct{ Run string }
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -98,8 +101,8 @@
 	for range 5 {
 		p := prepare(t, "/bin/sh", "-c", strings.Replace(deploy.Run, "bin/quartzpoint", builds["release"], 1))
 		require.NoError(t, p.cmd.Start())
-		p.endWith(t)
-		require.Eventually(t, func() bool { // the shell has become the program
+		p.killAtCleanup(t)
+		require.Eventually(t, func() bool { // until the shell has executed the program
 			exe, _ := os.Readlink(fmt.Sprintf("/proc/%d/exe", p.cmd.Process.Pid))
 			return exe == builds["release"]
 		}, fake.WaitLimit, time.Microsecond)
@@ -108,15 +111,15 @@
 			return strings.Contains(p.log.String(), "configuration reload")
 		}, fake.WaitLimit, time.Microsecond, "%s", p.log)
 		p.pool.Ready()
-		p.logged(t, "pool link bound")
+		p.waitLogged(t, "pool link bound")
 		router := fake.Dial(t, p.address)
 		router.Send(t, fake.RequestFrame(1, "pay", ""))
 		run := p.pool.Next(t, "spawn").RunID
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 		require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
-		p.logged(t, "drain started")
+		p.waitLogged(t, "drain started")
 		p.pool.Finish(run, "success", nil)
-		assert.Equal(t, map[uint32][]byte{1: {20}}, answers(t, router))
-		assert.Zero(t, p.gone())
+		assert.Equal(t, map[uint32][]byte{1: {20}}, readAnswers(t, router))
+		assert.Zero(t, p.waitExit())
 	}
 }
--- a/cmd/quartzpoint/halfclose_test.go
+++ b/cmd/quartzpoint/halfclose_test.go
@@ -11,19 +11,19 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// A router that ends its side of a connection behind its last request still reads. What it had asked was dropped.
-func TestRouterEndsItsSideBehindARequest(t *testing.T) {
+// A router that closes its side of a connection after its last request still reads. Its requests were dropped.
+func TestRouterHalfClosesAfterARequest(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
 			p := launch(t, build)
 			p.pool.Ready()
-			p.logged(t, "pool link bound")
+			p.waitLogged(t, "pool link bound")
 			router := fake.Dial(t, p.address)
 			router.Send(t, fake.RequestFrame(1, "browse", "a"), fake.RequestFrame(2, "pay", "b"))
 			require.NoError(t, router.Conn.(*net.TCPConn).CloseWrite())
 			for range 2 {
 				spawn := p.pool.Next(t, "spawn")
-				time.Sleep(300 * time.Millisecond) // over some looks at its connection
+				time.Sleep(300 * time.Millisecond) // longer than several checks of its connection
 				p.pool.Finish(spawn.RunID, "success", []byte("done"))
 			}
 			got := map[uint32]byte{}
@@ -37,16 +37,16 @@
 	}
 }
 
-// A router that is gone ends its side in the same way. Its runs are stopped as before.
-func TestRouterIsGoneBehindARequest(t *testing.T) {
+// A router that disconnects closes its side in the same way. Its runs must still be stopped.
+func TestRouterDisconnectsAfterARequest(t *testing.T) {
 	p := launch(t, "debug")
 	p.pool.Ready()
-	p.logged(t, "pool link bound")
+	p.waitLogged(t, "pool link bound")
 	router := fake.Dial(t, p.address)
 	router.Send(t, fake.RequestFrame(1, "browse", "a"))
-	task := p.pool.Next(t, "spawn").RunID
+	runID := p.pool.Next(t, "spawn").RunID
 	begin := time.Now()
 	_ = router.Close()
-	assert.Equal(t, task, p.pool.Next(t, "suspend").RunID)
-	assert.Less(t, time.Since(begin), 5*time.Second, "stopped by its deadline only")
+	assert.Equal(t, runID, p.pool.Next(t, "suspend").RunID)
+	assert.Less(t, time.Since(begin), 5*time.Second, "the run was stopped only at its deadline")
 }
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -18,13 +18,13 @@
 	"quartzpoint/internal/server"
 )
 
-// peerExchange is a server's exchange of estimates with its peers.
+// peerExchange exchanges a server's estimates with its peers.
 type peerExchange struct {
 	config *config.Peers    // nil without [peers]
-	server *peersync.Server // nil where this server does not listen for peers
+	server *peersync.Server // nil if this server does not listen for peers
 }
 
-// readKeyFile reads a key file; no name means no keys.
+// readKeyFile reads a key file. Without a file name it returns no keys.
 func readKeyFile(file string) (peersync.Keys, error) {
 	if file == "" {
 		return nil, nil
@@ -32,10 +32,10 @@
 	return peersync.ReadKeys(file)
 }
 
-// startPeerExchange serves estimates to peers where the configuration has an address for it, and fetches them from those that
-// it names. Both end with the context. stored may be nil only where settings is.
+// startPeerExchange serves estimates to peers if the configuration has an address for it, and fetches estimates from
+// the peers that the configuration names. Both end with the context. stored may be nil only if settings is nil.
 func startPeerExchange(
-	ctx context.Context, settings *config.Peers, owner *server.Server, stored *statePersistence, seed int64, counts *invariant.Counters,
+	ctx context.Context, settings *config.Peers, owner *server.Server, stored *statePersistence, seed int64, counters *invariant.Counters,
 	log *slog.Logger,
 ) (*peerExchange, error) {
 	e := &peerExchange{config: settings}
@@ -47,10 +47,10 @@
 		return nil, err
 	}
 	if settings.KeyFile == "" {
-		log.Warn("peers without a key", "key_file", "", "so", "loopback addresses only")
+		log.Warn("peer exchange without a key", "key_file", "", "so", "loopback addresses only")
 	}
 	if settings.Listen != "" {
-		if e.server, err = peersync.Listen(settings.Listen, keys, owner.Now, counts); err != nil {
+		if e.server, err = peersync.Listen(settings.Listen, keys, owner.Now, counters); err != nil {
 			return nil, err
 		}
 		e.server.Serve()
@@ -68,37 +68,37 @@
 	if len(settings.Addresses) > 0 {
 		fetcher := &peersync.Fetcher{
 			Peers: settings.Addresses, Keys: keys, FirstWait: settings.Timeout, Schema: stored.schema, Recovered: stored.recovered, Seed: seed,
-			NeedsEstimates: needsEstimates.Load, Use: owner.UsePeerEstimates, Counts: counts, Log: log,
+			NeedsEstimates: needsEstimates.Load, Use: owner.UsePeerEstimates, Counts: counters, Log: log,
 		}
 		go fetcher.Run(ctx)
 	}
 	return e, nil
 }
 
-// reloadKeys reads the key file again. The other settings of the section change with a restart alone.
+// reloadKeys reads the key file again. The other settings of the section change only with a restart.
 func (e *peerExchange) reloadKeys(log *slog.Logger) {
 	if e.server == nil || e.config.KeyFile == "" {
 		return
 	}
 	keys, err := peersync.ReadKeys(e.config.KeyFile)
 	if err != nil {
-		log.Warn("new keys rejected, the old ones stay", "error", err)
+		log.Warn("new keys rejected, the old ones stay in force", "error", err)
 		return
 	}
 	e.server.SetKeys(keys)
-	log.Info("new keys", "keys", len(keys))
+	log.Info("new keys in force", "keys", len(keys))
 }
 
-// peerCommands are the commands about running servers.
+// peerCommands are the commands that query running servers for their estimates.
 type peerCommands struct {
-	Show peerShow `cmd:"" help:"Print what a running server has learned, with ages and weights."`
+	Show peerShow `cmd:"" help:"Print a running server's estimates, with ages and weights."`
 }
 
-// peerShow is the command that prints a running server's estimates.
+// peerShow prints a running server's estimates.
 type peerShow struct {
-	Address string `arg:"" help:"Its address for peers, as in its [peers] listen."`
-	KeyFile string `placeholder:"FILE" help:"The key file that it uses."`
-	JSON    bool   `name:"json" help:"Print it as JSON; times in seconds, ages in nanoseconds."`
+	Address string `arg:"" help:"The server's address for peers, as in its [peers] listen."`
+	KeyFile string `placeholder:"FILE" help:"The server's key file."`
+	JSON    bool   `name:"json" help:"Print JSON; times in seconds, ages in nanoseconds."`
 }
 
 // Run fetches the estimates once.
@@ -118,15 +118,16 @@
 }
 
 // printJSON prints a value as indented JSON.
-func printJSON(to io.Writer, value any) error {
-	encoder := json.NewEncoder(to)
+func printJSON(writer io.Writer, value any) error {
+	encoder := json.NewEncoder(writer)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// printEstimates prints a snapshot as a table. The weight is the number of own samples that an estimate stands for.
-func printEstimates(to io.Writer, snapshot estimate.Snapshot) error {
-	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
+// printEstimates prints a snapshot as a table. The weight of an estimate is the number of the reader's own samples for
+// which it counts.
+func printEstimates(writer io.Writer, snapshot estimate.Snapshot) error {
+	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "estimate\tmean\tspread\tsamples\tage\tweight\t\n")
 	row := func(name string, e estimate.Estimate, kind estimate.Kind) {
 		if !e.Known() {
@@ -147,6 +148,6 @@
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
 	}
-	_, err := fmt.Fprintf(to, "origin %016x, settings %016x\n", snapshot.Origin, snapshot.SettingsDigest)
+	_, err := fmt.Fprintf(writer, "origin %016x, settings %016x\n", snapshot.Origin, snapshot.SettingsDigest)
 	return err
 }
--- a/cmd/quartzpoint/stored_test.go
+++ b/cmd/quartzpoint/stored_test.go
@@ -19,22 +19,23 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// The folders below testdata were written by the program of f1daac1, killed while it served; state-torn has lost the last
-// five bytes of its log.
+// The directories in testdata were written by the program of commit f1daac1, which was killed while it served.
+// state-torn has lost the last five bytes of its log.
 
-// storedFolder is a folder of testdata, copied to where it may be changed.
-func storedFolder(t *testing.T, name string) string {
+// copyStoredDir copies a directory of testdata to where it may be changed, and returns the copy's path.
+func copyStoredDir(t *testing.T, name string) string {
 	t.Helper()
-	to := filepath.Join(t.TempDir(), name)
-	require.NoError(t, os.CopyFS(to, os.DirFS(filepath.Join("testdata", "f1daac1", name))))
-	return to
+	dir := filepath.Join(t.TempDir(), name)
+	require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "f1daac1", name))))
+	return dir
 }
 
-// storedState is a state directory of testdata as another machine would have written it: there windows count in full,
-// whenever the test runs. On the recording machine they run out an hour after the recording, as long as it is not booted anew.
-func storedState(t *testing.T, name string) string {
+// copyStoredState copies a state directory of testdata, and changes it as if another machine had written it. Dedup
+// windows then count in full whenever the test runs. On the recording machine they end an hour after the recording,
+// unless it has been rebooted.
+func copyStoredState(t *testing.T, name string) string {
 	t.Helper()
-	dir := storedFolder(t, name)
+	dir := copyStoredDir(t, name)
 	files, err := filepath.Glob(filepath.Join(dir, "*"))
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -47,9 +48,10 @@
 	return dir
 }
 
-// moveToAnotherMachine changes the boot and the machine in a state file's header, the first frame: 2 bytes of magic, and, as
-// little-endian integers, the length of the payload, its checksum and a sequence number of 0; then the payload. The checksum
-// is over the id that other frames have (0 here), the sequence number and the length as well.
+// moveToAnotherMachine changes the boot id and the machine id in a state file's header, which is the first frame: 2
+// bytes of magic, then as little-endian integers the length of the payload, its checksum and a sequence number of 0,
+// then the payload. The checksum also covers the id that other frames have (0 here), the sequence number and the
+// length.
 func moveToAnotherMachine(t *testing.T, raw []byte) {
 	t.Helper()
 	const frameHead = 18
@@ -60,7 +62,7 @@
 		covered = binary.LittleEndian.AppendUint32(covered, size)
 		return crc32.Checksum(append(covered, payload...), crc32.MakeTable(crc32.Castagnoli))
 	}
-	require.Equal(t, binary.LittleEndian.Uint32(raw[6:]), checksum(), "the format is as it was")
+	require.Equal(t, binary.LittleEndian.Uint32(raw[6:]), checksum(), "the format must not have changed")
 	boot := bytes.Index(payload, []byte("1e938500-a2e7-4dc6-a0dc-9e7d376168c3"))
 	require.Positive(t, boot)
 	copy(payload[boot:], "00000000")
@@ -70,7 +72,7 @@
 	binary.LittleEndian.PutUint32(raw[6:], checksum())
 }
 
-// launchStored starts the program with the settings that the recorded one had.
+// launchStored starts the program with the settings of the recorded one.
 func launchStored(t *testing.T, own string) *harness.Daemon {
 	t.Helper()
 	site, err := os.ReadFile(filepath.Join("testdata", "f1daac1", "settings.json"))
@@ -86,9 +88,9 @@
 	return d
 }
 
-// askStored sends a request and gives the code and the result of its answer. work is what its run takes; a repeat asks
-// for the same.
-func askStored(t *testing.T, d *harness.Daemon, route, tenant, key string, work time.Duration) (code byte, result string) {
+// sendStored sends a request, and returns the code and the result of its answer. work is the duration of its run; a
+// repeat of a request states the same.
+func sendStored(t *testing.T, d *harness.Daemon, route, tenant, key string, work time.Duration) (code byte, result string) {
 	t.Helper()
 	link, err := net.Dial("tcp", d.Address)
 	require.NoError(t, err)
@@ -114,68 +116,68 @@
 }
 
 const (
-	storedHonoured = 20
-	storedRefused  = 50
-	storedFailed   = 51
+	storedServed   = 20
+	storedRejected = 50
+	storedAborted  = 51
 )
 
-// Repeats of requests that the recorded program had run are answered from its folder and run nowhere; one that it had
-// begun and not ended is given up on, and not run; what it did not know is run.
-func TestGoesOnFromAStoredState(t *testing.T) {
+// Repeats of requests that the recorded program ran must be answered from its directory and must not run. A request
+// that it had begun and not ended must be aborted, and must not run. Requests that it did not know must run.
+func TestContinuesFromAStoredState(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
 		t.Run(name, func(t *testing.T) {
-			d := launchStored(t, fmt.Sprintf("[state]\ndir = %q\nsite = \"here\"\nnumbers = true\n", storedState(t, name)))
+			d := launchStored(t, fmt.Sprintf("[state]\ndir = %q\nsite = \"here\"\nnumbers = true\n", copyStoredState(t, name)))
 			known, unknown := 6, 2
-			if name == "state-torn" { // the beginning of the last request is not in it
+			if name == "state-torn" { // the start of the last request is not in it
 				known, unknown = 5, 1
 			}
 			assert.Contains(t, d.Log(), fmt.Sprintf("keys=%d unserved_keys=%d", known, unknown))
-			for _, of := range [][2]string{{"north", "k1"}, {"north", "k2"}, {"north", "k3"}, {"south", "k1"}} {
-				code, result := askStored(t, d, "charge", of[0], of[1], 20*time.Millisecond)
-				assert.Equal(t, []any{byte(storedHonoured), "done"}, []any{code, result}, of)
+			for _, request := range [][2]string{{"north", "k1"}, {"north", "k2"}, {"north", "k3"}, {"south", "k1"}} {
+				code, result := sendStored(t, d, "charge", request[0], request[1], 20*time.Millisecond)
+				assert.Equal(t, []any{byte(storedServed), "done"}, []any{code, result}, request)
 			}
-			code, _ := askStored(t, d, "charge", "north", "hangs", 20*time.Second)
-			assert.Equal(t, byte(storedFailed), code, "begun, and its end is not known")
-			code, _ = askStored(t, d, "charge", "north", "k1", 30*time.Millisecond)
-			assert.Equal(t, byte(storedFailed), code, "the key of a request that asks for something else")
+			code, _ := sendStored(t, d, "charge", "north", "hangs", 20*time.Second)
+			assert.Equal(t, byte(storedAborted), code, "begun, with an unknown end")
+			code, _ = sendStored(t, d, "charge", "north", "k1", 30*time.Millisecond)
+			assert.Equal(t, byte(storedAborted), code, "the key of a different request")
 			if unknown == 2 {
-				code, _ = askStored(t, d, "charge", "south", "hangs", 20*time.Second)
-				assert.Equal(t, byte(storedFailed), code)
+				code, _ = sendStored(t, d, "charge", "south", "hangs", 20*time.Second)
+				assert.Equal(t, byte(storedAborted), code)
 			}
-			assert.Empty(t, d.Workers.RunStarts(), "nothing of it has run here")
-			for _, of := range [][2]string{{"south", "k2"}, {"north", "new"}} {
-				code, result := askStored(t, d, "charge", of[0], of[1], 20*time.Millisecond)
-				assert.Equal(t, []any{byte(storedHonoured), "done"}, []any{code, result}, of)
+			assert.Empty(t, d.Workers.RunStarts(), "nothing may have run here")
+			for _, request := range [][2]string{{"south", "k2"}, {"north", "new"}} {
+				code, result := sendStored(t, d, "charge", request[0], request[1], 20*time.Millisecond)
+				assert.Equal(t, []any{byte(storedServed), "done"}, []any{code, result}, request)
 			}
 			assert.Len(t, d.Workers.RunStarts(), 2)
 		})
 	}
 }
 
-// A server that can't reach the configuration service serves by the configuration that the recorded program had kept: its
-// routes, and none of those that the platform's configuration states.
-func TestServesByAStoredConfiguration(t *testing.T) {
+// A server that can't reach the configuration service must serve with the configuration that the recorded program had
+// stored: with its routes, and none of those in the platform's configuration.
+func TestServesWithAStoredConfiguration(t *testing.T) {
 	nobody, err := harness.FreeAddress()
 	require.NoError(t, err)
 	d := launchStored(t, fmt.Sprintf("[configuration]\nname = \"app\"\ndir = %q\n[[configuration.machine]]\naddress = %q\n",
-		storedFolder(t, "configuration"), nobody))
+		copyStoredDir(t, "configuration"), nobody))
 	assert.True(t, strings.Contains(d.Log(), `msg="configuration: stored version in force" version=4 age=`) &&
 		strings.Contains(d.Log(), "routes=4 tenants=2"), d.Log())
 	for _, c := range []struct {
 		route, key string
 		code       byte
-		runs       int // so far
+		runs       int // in total so far
 	}{
-		{"base", "", storedHonoured, 1},
-		{"order", "", storedHonoured, 2},
-		{"charge", "k1", storedHonoured, 3},
-		{"charge", "k1", storedHonoured, 3}, // a repeat
-		{"charge", "", storedRefused, 3},    // it needs a key
-		{"calls", "", storedRefused, 3},     // there is no dependency
-		{"gone", "", storedRefused, 3},
-		{"look-up", "", storedRefused, 3}, // the platform's
+		{"base", "", storedServed, 1},
+		{"order", "", storedServed, 2},
+		{"charge", "k1", storedServed, 3},
+		{"charge", "k1", storedServed, 3}, // a repeat
+		{"charge", "", storedRejected, 3}, // the route needs a key
+		{"calls", "", storedRejected, 3},  // there is no dependency
+		{"gone", "", storedRejected, 3},
+		{"look-up", "", storedRejected, 3}, // from the platform's configuration
 	} {
-		code, _ := askStored(t, d, c.route, "north", c.key, 5*time.Millisecond)
+		code, _ := sendStored(t, d, c.route, "north", c.key, 5*time.Millisecond)
 		assert.Equal(t, c.code, code, c)
 		assert.Len(t, d.Workers.RunStarts(), c.runs, c)
 	}
