--- a/cmd/quartzpoint-bench/configuration.go
+++ b/cmd/quartzpoint-bench/configuration.go
@@ -59,12 +59,12 @@
 	var missed []error
 	line := ""
 	for _, f := range figures {
-		aim := "-"
+		limit := "-"
 		if f.Max > 0 {
-			aim = fmt.Sprintf("%.4g", f.Max)
+			limit = fmt.Sprintf("%.4g", f.Max)
 			line += fmt.Sprintf(" %s %.3g of %.3g%s;", f.Name, f.Value, f.Max, f.Unit)
 		}
-		fmt.Fprintf(table, "%s\t%.4g\t%s\t%s\t\n", f.Name, f.Value, aim, f.Unit)
+		fmt.Fprintf(table, "%s\t%.4g\t%s\t%s\t\n", f.Name, f.Value, limit, f.Unit)
 		if f.Missed() {
 			missed = append(missed, fmt.Errorf("%s: %.4g%s, %.4g at most is aimed at", f.Name, f.Value, f.Unit, f.Max))
 		}
--- a/cmd/quartzpoint-bench/dependencies.go
+++ b/cmd/quartzpoint-bench/dependencies.go
@@ -25,8 +25,8 @@
 // scenarioResult is the result of one run.
 type scenarioResult struct {
 	harness.Result
-	seen [3]harness.DependencyStats
-	err  error
+	dependencies [3]harness.DependencyStats
+	err          error
 }
 
 // maxParallelScenarios are run at once, each with all its seeds and both ways of calling.
@@ -68,7 +68,7 @@
 	r.Result, r.err = harness.Run(daemon.Address, routes, load, int(seed))
 	r.err = errors.Join(r.err, daemon.Stop())
 	for i, d := range dependencies {
-		r.seen[i] = d.Stats()
+		r.dependencies[i] = d.Stats()
 	}
 	return r
 }
--- a/cmd/quartzpoint-bench/dependenciesreport.go
+++ b/cmd/quartzpoint-bench/dependenciesreport.go
@@ -18,10 +18,10 @@
 
 // The objectives, as ratios.
 const (
-	minOverFlat         = 1.3  // value with one dependency slow, over that of the flat baseline
-	minOfUndisturbed    = 0.9  // value with one dependency slow, over that without faults
-	maxAttemptsInOutage = 1.1  // attempts per call
-	minNoCallRoute      = 0.98 // value of the route without calls in an outage, over that without one
+	minRatioToFlat        = 1.3  // value with one dependency slow, over that of the flat baseline
+	minRatioToUndisturbed = 0.9  // value with one dependency slow, over that without faults
+	maxAttemptsInOutage   = 1.1  // attempts per call
+	minNoCallRatio        = 0.98 // value of the route without calls in an outage, over that without one
 )
 
 // comparison holds the results of a scenario, by seed, with budgets and with the flat baseline.
@@ -42,10 +42,10 @@
 
 // dependencyReport collects the figures of the last line, and the objectives that are missed.
 type dependencyReport struct {
-	missed                []error
-	overFlat, ofBaseline  float64 // with one dependency slow
-	attempts              float64 // per call in an outage, the largest
-	effectsTwice, lateAll int
+	missed                       []error
+	ratioToFlat, ratioToBaseline float64 // with one dependency slow
+	attempts                     float64 // per call in an outage, the largest
+	repeatedEffects, lateAnswers int
 }
 
 // require notes an objective that does not hold.
@@ -68,50 +68,50 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "sockets, emulated, %d seeds; budgets / flat\thonoured\tover flat\tpartial\tgiven up\tdismissed\tlate\tguests' attempts\tp50 ms\tp99 ms\tno-call type\t\n", seeds)
 	for _, c := range comparisons {
-		d.count(c)
-		d.judge(c, c.print(table, comparisons))
+		d.countViolations(c)
+		d.checkObjectives(c, c.print(table, comparisons))
 	}
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("printing the table: %w", err)
 	}
-	d.require(d.effectsTwice == 0, "%d effects run twice", d.effectsTwice)
-	d.require(d.lateAll == 0, "%d late answers", d.lateAll)
+	d.require(d.repeatedEffects == 0, "%d effects run twice", d.repeatedEffects)
+	d.require(d.lateAnswers == 0, "%d late answers", d.lateAnswers)
 	fmt.Fprintf(out, "measure dependencies: ten times slower %.2f of flat (aim 1.3), %.3f of undisturbed (aim 0.9); attempts a call in an outage %.2f (aim 1.1); effects run twice %d; late answers %d; seeds %d\n",
-		d.overFlat, d.ofBaseline, d.attempts, d.effectsTwice, d.lateAll, seeds)
+		d.ratioToFlat, d.ratioToBaseline, d.attempts, d.repeatedEffects, d.lateAnswers, seeds)
 	return errors.Join(d.missed...)
 }
 
-// count adds up what must never happen.
-func (d *dependencyReport) count(c comparison) {
+// countViolations adds up what must never happen.
+func (d *dependencyReport) countViolations(c comparison) {
 	for seed, r := range c.budgeted {
 		d.require(r.Unanswered+r.DuplicateAnswers == 0, "%s, seed %d: %d unanswered, %d answered twice", c.scenario.name, seed+1, r.Unanswered, r.DuplicateAnswers)
-		d.lateAll += r.LateAnswers
-		for _, s := range r.seen {
-			d.effectsTwice += s.RepeatedRuns
+		d.lateAnswers += r.LateAnswers
+		for _, s := range r.dependencies {
+			d.repeatedEffects += s.RepeatedRuns
 		}
 	}
 }
 
 // scenarioFigures are those of a scenario that objectives are set for.
 type scenarioFigures struct {
-	overFlat         float64
-	ofBaseline       float64 // of the scenario without faults; 0 without it
-	hasBaseline      bool
-	attempts         float64 // at the guests, per call
-	noCallOfBaseline float64
+	ratioToFlat     float64
+	ratioToBaseline float64 // of the scenario without faults; 0 without it
+	hasBaseline     bool
+	attempts        float64 // at the guests, per call
+	noCallRatio     float64
 }
 
-// judge compares a scenario's figures with the objectives.
-func (d *dependencyReport) judge(c comparison, f scenarioFigures) {
+// checkObjectives compares a scenario's figures with the objectives.
+func (d *dependencyReport) checkObjectives(c comparison, f scenarioFigures) {
 	switch c.scenario.name {
 	case "one ten times slower":
-		d.overFlat, d.ofBaseline = f.overFlat, f.ofBaseline
-		d.require(f.overFlat >= minOverFlat, "%s: %.2f of the baseline, 1.3 is aimed at", c.scenario.name, f.overFlat)
-		d.require(!f.hasBaseline || f.ofBaseline >= minOfUndisturbed, "%s: %.3f of undisturbed, 0.9 is aimed at", c.scenario.name, f.ofBaseline)
+		d.ratioToFlat, d.ratioToBaseline = f.ratioToFlat, f.ratioToBaseline
+		d.require(f.ratioToFlat >= minRatioToFlat, "%s: %.2f of the baseline, 1.3 is aimed at", c.scenario.name, f.ratioToFlat)
+		d.require(!f.hasBaseline || f.ratioToBaseline >= minRatioToUndisturbed, "%s: %.3f of undisturbed, 0.9 is aimed at", c.scenario.name, f.ratioToBaseline)
 	case "total outage of one", "130%, outage of one":
 		d.attempts = max(d.attempts, f.attempts)
 		d.require(f.attempts <= maxAttemptsInOutage, "%s: %.2f attempts a call, 1.1 is aimed at", c.scenario.name, f.attempts)
-		d.require(f.noCallOfBaseline >= minNoCallRoute, "%s: the type without calls at %.3f of undisturbed, 0.98 is aimed at", c.scenario.name, f.noCallOfBaseline)
+		d.require(f.noCallRatio >= minNoCallRatio, "%s: the type without calls at %.3f of undisturbed, 0.98 is aimed at", c.scenario.name, f.noCallRatio)
 	}
 }
 
@@ -131,12 +131,12 @@
 
 // print prints the row of a scenario.
 func (c comparison) print(table io.Writer, comparisons []comparison) scenarioFigures {
-	f := scenarioFigures{noCallOfBaseline: 1, attempts: median(c.budgeted, guestAttempts)}
-	f.overFlat = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Goodput / c.flat[seed].Goodput })
+	f := scenarioFigures{noCallRatio: 1, attempts: median(c.budgeted, guestAttempts)}
+	f.ratioToFlat = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Goodput / c.flat[seed].Goodput })
 	if baseline := c.baseline(comparisons); baseline != nil {
 		f.hasBaseline = true
-		f.ofBaseline = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Goodput / baseline[seed].Goodput })
-		f.noCallOfBaseline = median(c.budgeted, func(seed int, r scenarioResult) float64 {
+		f.ratioToBaseline = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Goodput / baseline[seed].Goodput })
+		f.noCallRatio = median(c.budgeted, func(seed int, r scenarioResult) float64 {
 			return r.GoodputByRoute[noCallRoute] / max(baseline[seed].GoodputByRoute[noCallRoute], 1)
 		})
 	}
@@ -154,10 +154,10 @@
 	p50, flatP50 := both(quantileMillis(0.5))
 	p99, flatP99 := both(quantileMillis(0.99))
 	fmt.Fprintf(table, "%s\t%.3f / %.3f\t%.2f\t%.0f\t%.0f / %.0f\t%.0f / %.0f\t%d\t%.2f / %.2f\t%.0f / %.0f\t%.0f / %.0f\t%.3f\t\n",
-		c.scenario.name, honoured, flatHonoured, f.overFlat,
+		c.scenario.name, honoured, flatHonoured, f.ratioToFlat,
 		median(c.budgeted, func(_ int, r scenarioResult) float64 { return float64(r.Partial) }),
 		aborted, flatAborted, rejected, flatRejected, late,
-		attempts, flatAttempts, p50, flatP50, p99, flatP99, f.noCallOfBaseline)
+		attempts, flatAttempts, p50, flatP50, p99, flatP99, f.noCallRatio)
 	return f
 }
 
@@ -169,8 +169,8 @@
 // guestAttempts is the number of attempts at the guests over the slot-checks that were started, each of which makes one
 // first attempt there at the most.
 func guestAttempts(_ int, r scenarioResult) float64 {
-	started := float64(r.seen[tables].Attempts - r.seen[tables].DistinctKeys)
-	return float64(r.seen[guests].Attempts) / max(started, 1)
+	started := float64(r.dependencies[tables].Attempts - r.dependencies[tables].DistinctKeys)
+	return float64(r.dependencies[guests].Attempts) / max(started, 1)
 }
 
 // quantileMillis is a quantile of the times of answers that completed.
--- a/cmd/quartzpoint-bench/drill.go
+++ b/cmd/quartzpoint-bench/drill.go
@@ -40,14 +40,14 @@
 	}
 	var runs []experiment.Run
 	for _, policy := range cmd.Policy {
-		maker, err := baseline.PolicyByName(policy)
+		newPolicy, err := baseline.PolicyByName(policy)
 		if err != nil {
 			return err
 		}
 		for seed := range cmd.Seeds {
-			began := time.Now()
-			r := experiment.RunDrill(d, policy, maker, int64(seed+1))
-			fmt.Fprintf(os.Stderr, "%s, %s, seed %d: %d events in %v\n", d.Name, policy, seed+1, r.Result.Events, time.Since(began).Round(time.Millisecond))
+			start := time.Now()
+			r := experiment.RunDrill(d, policy, newPolicy, int64(seed+1))
+			fmt.Fprintf(os.Stderr, "%s, %s, seed %d: %d events in %v\n", d.Name, policy, seed+1, r.Result.Events, time.Since(start).Round(time.Millisecond))
 			for _, message := range r.Result.Rules.Messages {
 				fmt.Fprintln(os.Stderr, " ", message)
 			}
--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -31,22 +31,22 @@
 // scripts returns the drills that run on both sides, with their names. The router of one server makes one attempt, so that
 // the outcome of a request depends on the server only.
 func scripts() [][2]string {
-	const one = "servers 1 zones 1 cores 2\nhabits round tries 1\nnetwork delay 50us lag 0s\n"
+	const oneServer = "servers 1 zones 1 cores 2\nhabits round tries 1\nnetwork delay 50us lag 0s\n"
 	return [][2]string{
-		{"calm 60%", one + "load 60% for 6s"},
-		{"full 100%", one + "load 100% for 6s"},
-		{"over 130%", one + "load 130% for 6s"},
-		{"over 200%", one + "load 200% for 6s"},
+		{"calm 60%", oneServer + "load 60% for 6s"},
+		{"full 100%", oneServer + "load 100% for 6s"},
+		{"over 130%", oneServer + "load 130% for 6s"},
+		{"over 200%", oneServer + "load 200% for 6s"},
 		{"booking 120%", "servers 1 zones 1 cores 4 mix booking\nhabits round tries 1\nnetwork delay 50us\nload 120% for 8s"},
-		{"bursts", one + "load 60% for 8s bursts 4 every 3s"},
-		{"slow pool", one + "load 70% for 7s\nat 2s for 2s slow server 0 by 3"},
-		{"pause", one + "load 60% for 7s\nat 2s for 1s pause server 0"},
+		{"bursts", oneServer + "load 60% for 8s bursts 4 every 3s"},
+		{"slow pool", oneServer + "load 70% for 7s\nat 2s for 2s slow server 0 by 3"},
+		{"pause", oneServer + "load 60% for 7s\nat 2s for 1s pause server 0"},
 		{"cold start", "servers 1 zones 1 cores 2 cold 30% warm 4s\nhabits round tries 1\nnetwork delay 50us\nload 90% for 7s"},
 	}
 }
 
-// pair is one run of a script on both sides.
-type pair struct {
+// comparedRun is one run of a script on both sides.
+type comparedRun struct {
 	real, emulated outcomeShares
 	violations     int
 }
@@ -59,9 +59,9 @@
 	fleetSeeds = 5
 )
 
-// fleets runs fleetScript in the background.
-func (m *measureEmulator) fleets(folder string) (<-chan []pair, <-chan error) {
-	done, failed := make(chan []pair, 1), make(chan error, 1)
+// startFleetRuns runs fleetScript in the background.
+func (m *measureEmulator) startFleetRuns(folder string) (<-chan []comparedRun, <-chan error) {
+	done, failed := make(chan []comparedRun, 1), make(chan error, 1)
 	d, err := scenario.Parse(fleetName, fleetScript)
 	if err != nil {
 		done <- nil
@@ -69,33 +69,33 @@
 		return done, failed
 	}
 	go func() {
-		pairs, errs := make([]pair, fleetSeeds), make([]error, fleetSeeds)
-		var all sync.WaitGroup
+		pairs, errs := make([]comparedRun, fleetSeeds), make([]error, fleetSeeds)
+		var running sync.WaitGroup
 		for seed := range fleetSeeds {
-			all.Add(1)
+			running.Add(1)
 			go func() {
-				defer all.Done()
-				pairs[seed], errs[seed] = m.fleet(folder, d, int64(seed+1))
+				defer running.Done()
+				pairs[seed], errs[seed] = m.compareFleet(folder, d, int64(seed+1))
 			}()
 		}
-		all.Wait()
+		running.Wait()
 		done <- pairs
 		failed <- errors.Join(errs...)
 	}()
 	return done, failed
 }
 
-func (m *measureEmulator) fleet(folder string, d *scenario.Drill, seed int64) (p pair, err error) {
+func (m *measureEmulator) compareFleet(folder string, d *scenario.Drill, seed int64) (p comparedRun, err error) {
 	load := d.Arrivals(seed)
-	r, found, err := runFleet(m.Daemon, folder, d, seed, load)
+	r, report, err := runFleet(m.Daemon, folder, d, seed, load)
 	if err != nil {
 		return p, err
 	}
 	e := d.EmulateLoad(emulator.QuartzpointPolicy, seed, load)
-	return pair{measuredShares(r), emulatedShares(e), r.DuplicateAnswers + found.Total() + e.Rules.Total()}, nil
+	return comparedRun{measuredShares(r), emulatedShares(e), r.DuplicateAnswers + report.Total() + e.Rules.Total()}, nil
 }
 
-func countViolations(pairs []pair) (n int) {
+func countViolations(pairs []comparedRun) (n int) {
 	for _, p := range pairs {
 		n += p.violations
 	}
@@ -108,7 +108,7 @@
 // Run prints the tables and returns an error where an objective is missed.
 func (m *measureEmulator) Run() error {
 	var objectives []objective
-	var words []string
+	var summaries []string
 	for _, part := range []struct {
 		name string
 		do   func() ([]objective, string, error)
@@ -120,9 +120,9 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", part.name, err)
 		}
-		objectives, words = append(objectives, more...), append(words, summary)
+		objectives, summaries = append(objectives, more...), append(summaries, summary)
 	}
-	fmt.Printf("measure emulator: %s\n", strings.Join(words, ", "))
+	fmt.Printf("measure emulator: %s\n", strings.Join(summaries, ", "))
 	return missedObjectives(objectives)
 }
 
@@ -133,11 +133,11 @@
 		return nil, "", err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	fleets, fleetErr := m.fleets(folder)
+	fleets, fleetErr := m.startFleetRuns(folder)
 	all := scripts()
-	results := make([][]pair, len(all))
+	results := make([][]comparedRun, len(all))
 	failed := make([]error, len(all)*m.Seeds)
-	broken := make([]int, len(all))
+	violations := make([]int, len(all))
 	var running sync.WaitGroup
 	var mu sync.Mutex
 	for i, s := range all {
@@ -145,18 +145,18 @@
 		if err != nil {
 			return nil, "", err
 		}
-		results[i] = make([]pair, m.Seeds)
+		results[i] = make([]comparedRun, m.Seeds)
 		for seed := range m.Seeds {
 			running.Add(1)
 			go func() {
 				defer running.Done()
 				load := d.Arrivals(int64(seed + 1))
-				r, found, err := runFleet(m.Daemon, folder, d, int64(1000*i+seed), load)
+				r, report, err := runFleet(m.Daemon, folder, d, int64(1000*i+seed), load)
 				failed[i*m.Seeds+seed] = err
 				e := d.EmulateLoad(emulator.QuartzpointPolicy, int64(seed+1), load)
-				results[i][seed] = pair{measuredShares(r), emulatedShares(e), 0}
+				results[i][seed] = comparedRun{measuredShares(r), emulatedShares(e), 0}
 				mu.Lock()
-				broken[i] += r.Unanswered + r.DuplicateAnswers + found.Total() + e.Rules.Total()
+				violations[i] += r.Unanswered + r.DuplicateAnswers + report.Total() + e.Rules.Total()
 				mu.Unlock()
 			}()
 		}
@@ -166,33 +166,33 @@
 	if err := errors.Join(append(failed, <-fleetErr)...); err != nil {
 		return nil, "", err
 	}
-	all, results, broken = append(all, [2]string{fleetName}), append(results, fleet), append(broken, countViolations(fleet))
-	return m.printPairs(all, results, broken)
+	all, results, violations = append(all, [2]string{fleetName}), append(results, fleet), append(violations, countViolations(fleet))
+	return m.printComparison(all, results, violations)
 }
 
-// printPairs prints the mean of each script on both sides, and returns the objectives.
-func (m *measureEmulator) printPairs(all [][2]string, results [][]pair, broken []int) (objectives []objective, summary string, err error) {
+// printComparison prints the mean of each script on both sides, and returns the objectives.
+func (m *measureEmulator) printComparison(all [][2]string, results [][]comparedRun, violations []int) (objectives []objective, summary string, err error) {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "one server, %d seeds\thonoured: sockets\temulated\toff by\tdismissed: sockets\temulated\tgiven up: sockets\temulated\t\n", m.Seeds)
-	worst, wrong := 0.0, 0
+	maxDifference, totalViolations := 0.0, 0
 	for i, s := range all {
-		mean := func(of func(p pair) float64) float64 {
+		mean := func(figure func(p comparedRun) float64) float64 {
 			var values []float64
 			for _, p := range results[i] {
-				values = append(values, of(p))
+				values = append(values, figure(p))
 			}
 			return stat.Mean(values, nil)
 		}
-		rh, eh := mean(func(p pair) float64 { return p.real.goodput }), mean(func(p pair) float64 { return p.emulated.goodput })
-		rd, ed := mean(func(p pair) float64 { return p.real.rejected }), mean(func(p pair) float64 { return p.emulated.rejected })
-		rg, eg := mean(func(p pair) float64 { return p.real.aborted }), mean(func(p pair) float64 { return p.emulated.aborted })
-		fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%+.1f%%\t%.3f\t%.3f\t%.3f\t%.3f\t\n", s[0], rh, eh, 100*(eh/rh-1), rd, ed, rg, eg)
-		off := max(math.Abs(eh/rh-1), math.Abs(rd-ed), math.Abs(rg-eg))
-		worst, wrong = max(worst, off), wrong+broken[i]
-		objectives = append(objectives, objective{s[0] + ": honoured over sockets, dismissed and given up by parts of all", off, 0, 0.05})
+		realGoodput, emulatedGoodput := mean(func(p comparedRun) float64 { return p.real.goodput }), mean(func(p comparedRun) float64 { return p.emulated.goodput })
+		realRejected, emulatedRejected := mean(func(p comparedRun) float64 { return p.real.rejected }), mean(func(p comparedRun) float64 { return p.emulated.rejected })
+		realAborted, emulatedAborted := mean(func(p comparedRun) float64 { return p.real.aborted }), mean(func(p comparedRun) float64 { return p.emulated.aborted })
+		fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%+.1f%%\t%.3f\t%.3f\t%.3f\t%.3f\t\n", s[0], realGoodput, emulatedGoodput, 100*(emulatedGoodput/realGoodput-1), realRejected, emulatedRejected, realAborted, emulatedAborted)
+		difference := max(math.Abs(emulatedGoodput/realGoodput-1), math.Abs(realRejected-emulatedRejected), math.Abs(realAborted-emulatedAborted))
+		maxDifference, totalViolations = max(maxDifference, difference), totalViolations+violations[i]
+		objectives = append(objectives, objective{s[0] + ": honoured over sockets, dismissed and given up by parts of all", difference, 0, 0.05})
 	}
-	objectives = append(objectives, objective{"rules broken", float64(wrong), 0, 0})
-	return objectives, fmt.Sprintf("off sockets by %.1f%% at the most, rules broken %d", 100*worst, wrong), table.Flush()
+	objectives = append(objectives, objective{"rules broken", float64(totalViolations), 0, 0})
+	return objectives, fmt.Sprintf("off sockets by %.1f%% at the most, rules broken %d", 100*maxDifference, totalViolations), table.Flush()
 }
 
 func emulatedShares(r emulator.Result) outcomeShares {
@@ -207,9 +207,9 @@
 	if err != nil {
 		return nil, "", err
 	}
-	began := time.Now()
+	start := time.Now()
 	r := d.Emulate(emulator.QuartzpointPolicy, 1)
-	took := time.Since(began)
+	took := time.Since(start)
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	fmt.Printf("1,000 servers, %d tasks on one processor: %v, %.0f events a second, %.0f MB, honoured %.3f\n",
@@ -241,29 +241,29 @@
 	}
 	runs := make([]experiment.Run, len(jobs))
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i, j := range jobs {
-		all.Add(1)
+		running.Add(1)
 		slots <- struct{}{}
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			policy, _ := baseline.PolicyByName(j.policy) // the name is a known one
 			runs[i] = experiment.RunDrill(j.d, j.policy, policy, j.seed)
 			<-slots
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	cells := experiment.Cells(runs)
 	if err := errors.Join(experiment.Table(os.Stdout, cells), experiment.Overall(os.Stdout, cells)); err != nil {
 		return nil, "", err
 	}
-	broken := 0
+	violations := 0
 	for _, c := range cells {
 		if c.Policy == "quartzpoint" {
 			for _, b := range c.Violations {
-				broken += b
+				violations += b
 			}
 		}
 	}
-	return []objective{{"rules broken by this project", float64(broken), 0, 0}}, fmt.Sprintf("%d drills by %d policies", len(m.Drills), 1+len(baseline.Names())), nil
+	return []objective{{"rules broken by this project", float64(violations), 0, 0}}, fmt.Sprintf("%d drills by %d policies", len(m.Drills), 1+len(baseline.Names())), nil
 }
--- a/cmd/quartzpoint-bench/experiment.go
+++ b/cmd/quartzpoint-bench/experiment.go
@@ -99,16 +99,16 @@
 // View implements tea.Model.
 func (p progressView) View() string {
 	const width = 50
-	full := 0
+	filled := 0
 	if p.total > 0 {
-		full = width * p.ended / p.total
+		filled = width * p.ended / p.total
 	}
-	left := ""
-	if made := p.ended - p.stored; made > 0 {
-		left = (time.Since(p.startedAt) / time.Duration(made) * time.Duration(p.total-p.ended)).Round(time.Second).String() + " left"
+	timeLeft := ""
+	if executed := p.ended - p.stored; executed > 0 {
+		timeLeft = (time.Since(p.startedAt) / time.Duration(executed) * time.Duration(p.total-p.ended)).Round(time.Second).String() + " left"
 	}
 	return fmt.Sprintf("%s\n\n[%s%s] %d of %d, %d kept from before, %s\n\n%s\n\nq: stop; what is done is kept\n", p.title,
-		strings.Repeat("#", full), strings.Repeat(".", width-full), p.ended, p.total, p.stored, left, strings.Join(p.latest, "\n"))
+		strings.Repeat("#", filled), strings.Repeat(".", width-filled), p.ended, p.total, p.stored, timeLeft, strings.Join(p.latest, "\n"))
 }
 
 // runWithProgress runs the experiment behind a progressView.
@@ -120,10 +120,10 @@
 		runs, err = e.Run(ctx, folder, func(r experiment.Run, stored bool, ended, total int) { screen.Send(runEnded{r, stored, ended, total}) })
 		screen.Send(experimentEnded{})
 	}()
-	if _, failed := screen.Run(); failed != nil {
+	if _, screenErr := screen.Run(); screenErr != nil {
 		cancel()
 		<-ended
-		return nil, fmt.Errorf("terminal: %w", failed)
+		return nil, fmt.Errorf("terminal: %w", screenErr)
 	}
 	<-ended
 	return runs, err
--- a/cmd/quartzpoint-bench/flat.go
+++ b/cmd/quartzpoint-bench/flat.go
@@ -22,9 +22,9 @@
 // linkBufferBytes is the size of the buffer to the workers.
 const linkBufferBytes = 1 << 20
 
-// flat is the command that serves as the baseline for budgeted calls: one timeout for every attempt and three retries, as
+// flatCommand is the command that serves as the baseline for budgeted calls: one timeout for every attempt and three retries, as
 // client libraries have them. Everything else of the server is the same.
-type flat struct {
+type flatCommand struct {
 	Config string `name:"config" aliases:"own" help:"The product's own file, for dependencies and types."`
 }
 
@@ -52,7 +52,7 @@
 }
 
 // Run serves as the daemon does, but for how calls are made.
-func (cmd *flat) Run() error {
+func (cmd *flatCommand) Run() error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	terminate := make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM)
@@ -60,37 +60,37 @@
 	if err != nil {
 		return err
 	}
-	ours, err := config.Read(cmd.Config)
+	ownConfig, err := config.Read(cmd.Config)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	agreed, err := settings.FromJSON(s.Settings)
+	platformSettings, err := settings.FromJSON(s.Settings)
 	if err != nil {
 		return err
 	}
 	counts := invariant.New(log)
 	limits := server.Limits{MemoryMB: s.Limits.MemoryMB, Sockets: s.Limits.Sockets}
-	owner, err := server.New(agreed, 1, limits, counts, log)
+	srv, err := server.New(platformSettings, 1, limits, counts, log)
 	if err != nil {
 		return err
 	}
-	routers, err := frontend.Listen(s.Listen, owner, limits, counts, log)
+	routers, err := frontend.Listen(s.Listen, srv, limits, counts, log)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	link := workerlink.New(s.Pool, linkBufferBytes, log, counts.Count, owner.Wake)
-	owner.Attach(link, routers)
-	owner.SetComposer(newFlatComposer(ctx, ours, owner, counts, log))
+	link := workerlink.New(s.Pool, linkBufferBytes, log, counts.Count, srv.Wake)
+	srv.Attach(link, routers)
+	srv.SetComposer(newFlatComposer(ctx, ownConfig, srv, counts, log))
 	go link.Run(ctx)
 	go func() { _ = routers.Serve() }() // ends with the process
 	go func() {
 		<-terminate
-		owner.Drain(time.Duration(s.StopMS) * time.Millisecond)
+		srv.Drain(time.Duration(s.StopMS) * time.Millisecond)
 	}()
 	log.Info("serving", "listen", s.Listen)
-	owner.Run()
+	srv.Run()
 	return nil
 }
--- a/cmd/quartzpoint-bench/flatcomposer.go
+++ b/cmd/quartzpoint-bench/flatcomposer.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	flatTimeout    = 500 * time.Millisecond // of every attempt, whatever time is left
-	flatRetries    = 3                      // after every first attempt that failed
-	flatRetryDelay = 10 * time.Millisecond  // after an attempt that no connection took: else retries would spin
-	flatPoll       = 5 * time.Millisecond   // between looks at the attempts in flight
+	flatTimeout      = 500 * time.Millisecond // of every attempt, whatever time is left
+	flatRetries      = 3                      // after every first attempt that failed
+	flatRetryDelay   = 10 * time.Millisecond  // after an attempt that no connection took: else retries would spin
+	flatPollInterval = 5 * time.Millisecond   // between looks at the attempts in flight
 )
 
 // flatComposer implements server.Composer without budgets. It starts every call whose predecessors are settled, gives all
@@ -60,18 +60,18 @@
 
 // newFlatComposer connects to the dependencies until the context ends.
 func newFlatComposer(
-	ctx context.Context, ours *config.Config, owner *server.Server, counts *invariant.Counters, log *slog.Logger,
+	ctx context.Context, ownConfig *config.Config, owner *server.Server, counts *invariant.Counters, log *slog.Logger,
 ) *flatComposer {
 	f := &flatComposer{
 		owner: owner, routes: map[string]config.RoutePlan{}, requests: map[string]*flatRequest{},
 		inFlight: map[*fanout.Attempt]flatAttempt{},
 	}
 	var connections sync.WaitGroup // not waited for: they end with the process
-	for i, d := range ours.Dependencies {
+	for i, d := range ownConfig.Dependencies {
 		transport := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Count, owner.Wake, &connections)
 		f.transports = append(f.transports, transport)
 	}
-	for _, t := range ours.Routes {
+	for _, t := range ownConfig.Routes {
 		f.routes[t.Name] = t
 	}
 	return f
@@ -109,7 +109,7 @@
 		return 0
 	}
 	if len(f.inFlight) > 0 {
-		return f.owner.Now() + flatPoll
+		return f.owner.Now() + flatPollInterval
 	}
 	return 1<<63 - 1
 }
--- a/cmd/quartzpoint-bench/fronts/http.go
+++ b/cmd/quartzpoint-bench/fronts/http.go
@@ -66,12 +66,12 @@
 )
 
 func requestOptions() middleware.Options {
-	return middleware.Options{Route: func(q *http.Request) string { return q.Header.Get(routeHeader) }}
+	return middleware.Options{Route: func(request *http.Request) string { return request.Header.Get(routeHeader) }}
 }
 
-func (s *httpFront) handle(_ http.ResponseWriter, q *http.Request) {
-	work, _ := strconv.ParseInt(q.Header.Get(workHeader), 10, 64) // set by Do
-	if s.run(conformance.Request{Work: time.Duration(work), Fails: q.Header.Get(failsHeader) == "true", Key: q.Header.Get(keyHeader)}) != nil {
+func (s *httpFront) handle(_ http.ResponseWriter, request *http.Request) {
+	work, _ := strconv.ParseInt(request.Header.Get(workHeader), 10, 64) // set by Do
+	if s.run(conformance.Request{Work: time.Duration(work), Fails: request.Header.Get(failsHeader) == "true", Key: request.Header.Get(keyHeader)}) != nil {
 		if s.recoversPanics {
 			panic("the run failed")
 		}
@@ -81,29 +81,29 @@
 
 // Do implements conformance.Front.
 func (s *httpFront) Do(ctx context.Context, r conformance.Request) conformance.Outcome {
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, s.server.URL+"/", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, s.server.URL+"/", nil)
 	if err != nil {
 		return conformance.Unanswered
 	}
-	q.Header.Set(routeHeader, conformance.Routes(true)[r.Route].Name)
-	q.Header.Set(workHeader, strconv.FormatInt(int64(r.Work), 10))
-	q.Header.Set(failsHeader, strconv.FormatBool(r.Fails))
+	request.Header.Set(routeHeader, conformance.Routes(true)[r.Route].Name)
+	request.Header.Set(workHeader, strconv.FormatInt(int64(r.Work), 10))
+	request.Header.Set(failsHeader, strconv.FormatBool(r.Fails))
 	if r.Key != "" {
-		q.Header.Set(keyHeader, r.Key)
+		request.Header.Set(keyHeader, r.Key)
 	}
-	answer, err := s.client.Do(q)
+	response, err := s.client.Do(request)
 	switch {
 	case ctx.Err() != nil:
 		if err == nil {
-			_ = answer.Body.Close()
+			_ = response.Body.Close()
 		}
 		return conformance.Canceled
 	case err != nil:
 		return conformance.Aborted // the connection was closed: the run failed
 	}
-	defer func() { _ = answer.Body.Close() }()
-	_, _ = io.Copy(io.Discard, answer.Body) // only the status counts
-	switch answer.StatusCode {
+	defer func() { _ = response.Body.Close() }()
+	_, _ = io.Copy(io.Discard, response.Body) // only the status counts
+	switch response.StatusCode {
 	case http.StatusOK:
 		return conformance.Served
 	case http.StatusServiceUnavailable:
--- a/cmd/quartzpoint-bench/fronts/library.go
+++ b/cmd/quartzpoint-bench/fronts/library.go
@@ -14,12 +14,12 @@
 func newGate() (*quartzpoint.Gate, error) {
 	options := quartzpoint.Options{Cores: conformance.Cores, MemoryMB: 1 << 10, Grace: 400 * time.Millisecond, Seed: 1}
 	options.Gauges = func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Runnable: float64(running)} }
-	for _, stated := range conformance.Routes(true) {
-		route := quartzpoint.Route{Name: stated.Name, Value: stated.Value, LatencyTarget: stated.LatencyTarget, Deadline: stated.Deadline}
-		if stated.AtMostOnce {
+	for _, definition := range conformance.Routes(true) {
+		route := quartzpoint.Route{Name: definition.Name, Value: definition.Value, LatencyTarget: definition.LatencyTarget, Deadline: definition.Deadline}
+		if definition.AtMostOnce {
 			route.Idempotency = quartzpoint.AtMostOnce
 		}
-		if stated.Name == "deposit" {
+		if definition.Name == "deposit" {
 			route.Idempotency = quartzpoint.Keyed
 		}
 		options.Routes = append(options.Routes, route)
--- a/cmd/quartzpoint-bench/load.go
+++ b/cmd/quartzpoint-bench/load.go
@@ -40,12 +40,12 @@
 // Run plays the load: every task at its moment, whether or not answers come, and each latency from that moment on. A
 // client that waits for an answer before it asks again would leave out just the tasks that would have waited.
 func (cmd *loadCommand) Run() error {
-	types := emulator.BranchRoutes()
+	routes := emulator.BranchRoutes()
 	var load []harness.Arrival
 	switch {
 	case cmd.Capture != "":
 		var err error
-		if load, err = readCapture(cmd.Capture, types, cmd.Seed); err != nil {
+		if load, err = readCapture(cmd.Capture, routes, cmd.Seed); err != nil {
 			return err
 		}
 	case cmd.Drill != "":
@@ -53,91 +53,91 @@
 		if err != nil {
 			return err
 		}
-		d.Fleet.Servers, types = 1, d.Fleet.Routes
+		d.Fleet.Servers, routes = 1, d.Fleet.Routes
 		load = d.Arrivals(cmd.Seed)
 	default:
 		return errors.New("a --drill or a --capture is needed")
 	}
 	if cmd.Save != "" {
-		if err := saveCapture(cmd.Save, types, load); err != nil {
+		if err := saveCapture(cmd.Save, routes, load); err != nil {
 			return err
 		}
 	}
-	took := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+	latencies := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	if !strings.HasPrefix(cmd.To, "http") {
-		r, err := harness.Run(cmd.To, types, load, 1)
+		r, err := harness.Run(cmd.To, routes, load, 1)
 		if err != nil {
 			return err
 		}
 		for _, t := range r.Latencies {
-			_ = took.RecordValue(min(max(t.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
+			_ = latencies.RecordValue(min(max(t.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
 		}
-		p := measuredShares(r)
+		shares := measuredShares(r)
 		fmt.Printf("%d tasks: honoured %.3f of importance, dismissed %.3f, given up %.3f, unanswered %d, twice %d, late %d\n",
-			r.Requests, p.goodput, p.rejected, p.aborted, r.Unanswered, r.DuplicateAnswers, r.LateAnswers)
-	} else if err := overHTTP(cmd.To, types, load, took); err != nil {
+			r.Requests, shares.goodput, shares.rejected, shares.aborted, r.Unanswered, r.DuplicateAnswers, r.LateAnswers)
+	} else if err := sendHTTP(cmd.To, routes, load, latencies); err != nil {
 		return err
 	}
 	fmt.Printf("ms of what was honoured, from the moment it was meant to be sent: p50 %.1f, p90 %.1f, p99 %.1f, p99.9 %.1f, most %.1f\n",
-		float64(took.ValueAtQuantile(50))/1e3, float64(took.ValueAtQuantile(90))/1e3, float64(took.ValueAtQuantile(99))/1e3,
-		float64(took.ValueAtQuantile(99.9))/1e3, float64(took.Max())/1e3)
+		float64(latencies.ValueAtQuantile(50))/1e3, float64(latencies.ValueAtQuantile(90))/1e3, float64(latencies.ValueAtQuantile(99))/1e3,
+		float64(latencies.ValueAtQuantile(99.9))/1e3, float64(latencies.Max())/1e3)
 	return nil
 }
 
-// overHTTP posts each task with its type in X-Type and its work, in nanoseconds, in X-Works.
-func overHTTP(url string, types []harness.Route, load []harness.Arrival, took *hdrhistogram.Histogram) error {
+// sendHTTP posts each task with its type in X-Type and its work, in nanoseconds, in X-Works.
+func sendHTTP(url string, routes []harness.Route, load []harness.Arrival, latencies *hdrhistogram.Histogram) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer client.CloseIdleConnections()
 	codes := map[int]int{}
 	var mu sync.Mutex
-	var open sync.WaitGroup
-	began := time.Now()
-	honoured, offered := 0.0, 0.0
+	var pending sync.WaitGroup
+	start := time.Now()
+	goodput, offered := 0.0, 0.0
 	for n := range load {
 		a := &load[n]
-		meant := began.Add(a.At)
-		time.Sleep(time.Until(meant))
-		t := types[a.Route]
-		offered += t.Value
-		open.Add(1)
+		scheduledAt := start.Add(a.At)
+		time.Sleep(time.Until(scheduledAt))
+		route := routes[a.Route]
+		offered += route.Value
+		pending.Add(1)
 		go func() {
-			defer open.Done()
+			defer pending.Done()
 			code := 0
-			q, err := http.NewRequest(http.MethodPost, url, nil)
+			request, err := http.NewRequest(http.MethodPost, url, nil)
 			if err == nil {
-				q.Header.Set("X-Type", t.Name)
-				q.Header.Set("X-Works", strconv.FormatInt(int64(a.Work), 10))
-				var answer *http.Response
-				if answer, err = client.Do(q); err == nil {
-					_, _ = io.Copy(io.Discard, answer.Body) // only the status counts
-					_ = answer.Body.Close()
-					code = answer.StatusCode
+				request.Header.Set("X-Type", route.Name)
+				request.Header.Set("X-Works", strconv.FormatInt(int64(a.Work), 10))
+				var response *http.Response
+				if response, err = client.Do(request); err == nil {
+					_, _ = io.Copy(io.Discard, response.Body) // only the status counts
+					_ = response.Body.Close()
+					code = response.StatusCode
 				}
 			}
-			passed := time.Since(meant)
+			latency := time.Since(scheduledAt)
 			mu.Lock()
 			defer mu.Unlock()
 			codes[code]++
 			if code == http.StatusOK {
-				_ = took.RecordValue(min(max(passed.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
-				if passed <= t.LatencyTarget {
-					honoured += t.Value
+				_ = latencies.RecordValue(min(max(latency.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
+				if latency <= route.LatencyTarget {
+					goodput += route.Value
 				}
 			}
 		}()
 	}
-	open.Wait()
-	fmt.Printf("%d tasks: honoured %.3f of importance, by status %v (0: no answer)\n", len(load), honoured/max(offered, 1e-9), codes)
+	pending.Wait()
+	fmt.Printf("%d tasks: honoured %.3f of importance, by status %v (0: no answer)\n", len(load), goodput/max(offered, 1e-9), codes)
 	return nil
 }
 
-func readCapture(path string, types []harness.Route, seed int64) (load []harness.Arrival, err error) {
+func readCapture(path string, routes []harness.Route, seed int64) (load []harness.Arrival, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	chance := rand.New(rand.NewSource(seed))
+	rng := rand.New(rand.NewSource(seed))
 	lines := bufio.NewScanner(file)
 	for number := 1; lines.Scan(); number++ {
 		var c capturedRequest
@@ -145,7 +145,7 @@
 			return nil, fmt.Errorf("capture %s line %d: %w", path, number, err)
 		}
 		a := harness.Arrival{Route: -1, Rank: c.Rank}
-		for i, t := range types {
+		for i, t := range routes {
 			if t.Name == c.Type {
 				a.Route = i
 			}
@@ -160,17 +160,17 @@
 			return nil, fmt.Errorf("capture %s line %d: type is one of the mix (%q), and at is 0 or more", path, number, c.Type)
 		}
 		if a.Rank == 0 {
-			a.Rank = chance.Float64()
+			a.Rank = rng.Float64()
 		}
 		load = append(load, a)
 	}
 	return load, lines.Err()
 }
 
-func saveCapture(path string, types []harness.Route, load []harness.Arrival) error {
+func saveCapture(path string, routes []harness.Route, load []harness.Arrival) error {
 	var text strings.Builder
 	for _, a := range load {
-		raw, err := json.Marshal(capturedRequest{a.At.String(), types[a.Route].Name, a.Work.String(), a.Rank})
+		raw, err := json.Marshal(capturedRequest{a.At.String(), routes[a.Route].Name, a.Work.String(), a.Rank})
 		if err != nil {
 			return fmt.Errorf("capture: %w", err)
 		}
--- a/cmd/quartzpoint-bench/main.go
+++ b/cmd/quartzpoint-bench/main.go
@@ -11,7 +11,7 @@
 
 // command lists the subcommands.
 type command struct {
-	Flat       flat              `cmd:"" hidden:"" help:"Serve as the daemon does, with the baseline that calls are budgeted against."`
+	Flat       flatCommand       `cmd:"" hidden:"" help:"Serve as the daemon does, with the baseline that calls are budgeted against."`
 	Child      stateChild        `cmd:"" name:"state-child" hidden:"" help:"The process that measure state kills."`
 	Drill      drillCommand      `cmd:"" help:"Play a drill on an emulated fleet, in simulated time."`
 	Experiment experimentCommand `cmd:"" help:"Run drills by policies by seeds, and write tables, charts and a report."`
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -27,25 +27,25 @@
 	Cores  float64       `default:"4" help:"Of each emulated pool."`
 }
 
-// pairResult is what one seed gave.
-type pairResult struct {
-	fresh, old, young float64   // value served, over that of the cold twin
-	twins             float64   // the same of a second cold twin
-	more, twinsMore   []float64 // started more than the cold twin at each moment, with the old snapshot and of the twin
-	asked, askedTwins float64   // value served, over that of a server that is not polled
-	askBytes          float64   // of a snapshot
-	asks              int       // answered
-	askTook           time.Duration
-	broken            []string
+// peersResult is what one seed gave.
+type peersResult struct {
+	fresh, stale, recent         float64   // value served, over that of the cold twin
+	twins                        float64   // the same of a second cold twin
+	extraStarts, twinExtraStarts []float64 // started more than the cold twin at each moment, with the old snapshot and of the twin
+	polled, unpolledTwins        float64   // value served, over that of a server that is not polled
+	snapshotBytes                float64   // of a snapshot
+	fetches                      int       // answered
+	fetchDuration                time.Duration
+	violations                   []string
 }
 
 const (
 	sampleInterval = 250 * time.Millisecond // of the requests started
 	fetchInterval  = 100 * time.Millisecond // of a server that is polled all the time
-	oldAge         = 5 * time.Minute
-	youngAge       = 10 * time.Second
-	slow           = 1.0 / 3 // of the full speed of a pool
-	heavyLoad      = 1.3     // load of the servers that are polled all the time, and of their twins
+	staleAge       = 5 * time.Minute
+	recentAge      = 10 * time.Second
+	slowFactor     = 1.0 / 3 // of the full speed of a pool
+	polledLoad     = 1.3     // load of the servers that are polled all the time, and of their twins
 	peerSeedOffset = 500     // so that the running peer has a load of its own
 	kbPerCore      = 16000   // of memory of a pool
 )
@@ -57,11 +57,11 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	results := make([]pairResult, m.Seeds)
+	results := make([]peersResult, m.Seeds)
 	failed := make([]error, m.Seeds)
 	var all sync.WaitGroup
 	for i := range results {
-		all.Go(func() { results[i], failed[i] = m.pair(folder, int64(i+1)) })
+		all.Go(func() { results[i], failed[i] = m.runSeed(folder, int64(i+1)) })
 	}
 	all.Wait()
 	if err := errors.Join(failed...); err != nil {
@@ -70,31 +70,31 @@
 	return m.report(results)
 }
 
-// askPeer is the configuration of a server that fetches from one peer.
-func askPeer(address string) string { return fmt.Sprintf("[peers]\nask = [%q]\n", address) }
+// fetchingConfig is the configuration of a server that fetches from one peer.
+func fetchingConfig(address string) string { return fmt.Sprintf("[peers]\nask = [%q]\n", address) }
 
-// pair measures all groups of one seed.
-func (m *measurePeers) pair(folder string, seed int64) (result pairResult, err error) {
+// comparedRun measures all groups of one seed.
+func (m *measurePeers) runSeed(folder string, seed int64) (result peersResult, err error) {
 	full := harness.Machine{Cores: m.Cores, Speed: 1, MemoryKB: kbPerCore * m.Cores}
-	snapshot, err := m.besideRunningPeer(folder, full, seed, &result)
+	snapshot, err := m.compareWithRunningPeer(folder, full, seed, &result)
 	if err != nil {
 		return result, err
 	}
-	result.askBytes = float64(peersync.EncodedSize(snapshot))
-	return result, m.besideRecordedPeers(folder, full, seed, snapshot, &result)
+	result.snapshotBytes = float64(peersync.EncodedSize(snapshot))
+	return result, m.compareWithRecordedPeers(folder, full, seed, snapshot, &result)
 }
 
-// besideRunningPeer measures new servers beside a peer that has run for a while and goes on, and returns the snapshot that
+// compareWithRunningPeer measures new servers beside a peer that has run for a while and goes on, and returns the snapshot that
 // this peer had at their start.
-func (m *measurePeers) besideRunningPeer(
-	folder string, full harness.Machine, seed int64, result *pairResult,
+func (m *measurePeers) compareWithRunningPeer(
+	folder string, full harness.Machine, seed int64, result *peersResult,
 ) (snapshot estimate.Snapshot, err error) {
 	peerAddress, err := harness.FreeAddress()
 	if err != nil {
 		return snapshot, err
 	}
 	peer := &group{
-		name: "peer", machine: full, own: fmt.Sprintf("[peers]\nlisten = %q\n", peerAddress), share: m.Load,
+		name: "peer", machine: full, config: fmt.Sprintf("[peers]\nlisten = %q\n", peerAddress), load: m.Load,
 		seed: seed + peerSeedOffset,
 	}
 	defer func() { err = errors.Join(err, peer.stop()) }()
@@ -107,70 +107,70 @@
 	if snapshot, err = peersync.Fetch(context.Background(), peerAddress, nil); err != nil {
 		return snapshot, errors.Join(err, <-peerDone)
 	}
-	cold := &group{name: "cold", machine: full, share: m.Load, seed: seed}
-	fresh := &group{name: "fresh", machine: full, own: askPeer(peerAddress), share: m.Load, seed: seed}
-	err = m.together(folder, full, []*group{cold, fresh}, m.Group)
+	cold := &group{name: "cold", machine: full, load: m.Load, seed: seed}
+	fresh := &group{name: "fresh", machine: full, config: fetchingConfig(peerAddress), load: m.Load, seed: seed}
+	err = m.runGroups(folder, full, []*group{cold, fresh}, m.Group)
 	if err = errors.Join(err, <-peerDone); err != nil {
 		return snapshot, err
 	}
 	for _, g := range []*group{peer, cold, fresh} {
-		result.broken = append(result.broken, g.broken()...)
+		result.violations = append(result.violations, g.violations()...)
 	}
-	result.fresh = fresh.honoured() / cold.honoured()
+	result.fresh = fresh.goodput() / cold.goodput()
 	return snapshot, nil
 }
 
-// besideRecordedPeers measures new servers on slower machines that get the snapshot when it has aged, and a server that is
+// compareWithRecordedPeers measures new servers on slower machines that get the snapshot when it has aged, and a server that is
 // polled all the time.
-func (m *measurePeers) besideRecordedPeers(
-	folder string, full harness.Machine, seed int64, snapshot estimate.Snapshot, result *pairResult,
+func (m *measurePeers) compareWithRecordedPeers(
+	folder string, full harness.Machine, seed int64, snapshot estimate.Snapshot, result *peersResult,
 ) error {
-	recorded := map[time.Duration]string{} // age of the snapshot to the address that serves it
-	for _, age := range []time.Duration{oldAge, youngAge} {
+	addresses := map[time.Duration]string{} // age of the snapshot to the address that serves it
+	for _, age := range []time.Duration{staleAge, recentAge} {
 		server, err := serveAged(snapshot, age)
 		if err != nil {
 			return err
 		}
 		defer server.Close()
-		recorded[age] = server.Address()
+		addresses[age] = server.Address()
 	}
 	slower := full
-	slower.Speed *= slow
-	slowGroup := func(name, own string) *group {
-		return &group{name: name, machine: slower, own: own, share: m.Load, seed: seed}
+	slower.Speed *= slowFactor
+	slowGroup := func(name, config string) *group {
+		return &group{name: name, machine: slower, config: config, load: m.Load, seed: seed}
 	}
 	cold, twin := slowGroup("slow-cold", ""), slowGroup("slow-twin", "")
-	old, young := slowGroup("slow-old", askPeer(recorded[oldAge])), slowGroup("slow-young", askPeer(recorded[youngAge]))
-	unpolled := &group{name: "unasked", machine: full, share: heavyLoad, seed: seed}
-	unpolledTwin := &group{name: "unasked-twin", machine: full, share: heavyLoad, seed: seed}
-	polled := &group{name: "asked", machine: full, listens: true, share: heavyLoad, seed: seed}
+	stale, recent := slowGroup("slow-old", fetchingConfig(addresses[staleAge])), slowGroup("slow-young", fetchingConfig(addresses[recentAge]))
+	unpolled := &group{name: "unasked", machine: full, load: polledLoad, seed: seed}
+	unpolledTwin := &group{name: "unasked-twin", machine: full, load: polledLoad, seed: seed}
+	polled := &group{name: "asked", machine: full, servesPeers: true, load: polledLoad, seed: seed}
 	size := max(1, m.Group*3/8)
-	took, quit := make(chan []time.Duration, size), make(chan struct{})
-	polled.up = func(d *harness.Daemon) { go func() { took <- fetchOften(d.Peers, quit) }() }
-	groups := []*group{unpolled, unpolledTwin, polled, cold, twin, old, young}
-	err := m.together(folder, full, groups, size)
+	fetchDurations, quit := make(chan []time.Duration, size), make(chan struct{})
+	polled.onServing = func(d *harness.Daemon) { go func() { fetchDurations <- pollPeer(d.Peers, quit) }() }
+	groups := []*group{unpolled, unpolledTwin, polled, cold, twin, stale, recent}
+	err := m.runGroups(folder, full, groups, size)
 	close(quit)
 	if err != nil {
 		return err
 	}
-	var times []time.Duration
+	var durations []time.Duration
 	for range size {
-		times = append(times, <-took...)
+		durations = append(durations, <-fetchDurations...)
 	}
-	slices.Sort(times)
-	if len(times) == 0 {
+	slices.Sort(durations)
+	if len(durations) == 0 {
 		return errors.New("no fetch was answered")
 	}
 	for _, g := range groups {
-		result.broken = append(result.broken, g.broken()...)
-	}
-	result.old = old.honoured() / cold.honoured()
-	result.young = young.honoured() / cold.honoured()
-	result.twins = twin.honoured() / cold.honoured()
-	result.more, result.twinsMore = startedMore(old, cold, m.Span), startedMore(twin, cold, m.Span)
-	result.asked = polled.honoured() / unpolled.honoured()
-	result.askedTwins = unpolledTwin.honoured() / unpolled.honoured()
-	result.askTook, result.asks = times[len(times)/2], len(times)
+		result.violations = append(result.violations, g.violations()...)
+	}
+	result.stale = stale.goodput() / cold.goodput()
+	result.recent = recent.goodput() / cold.goodput()
+	result.twins = twin.goodput() / cold.goodput()
+	result.extraStarts, result.twinExtraStarts = extraStarts(stale, cold, m.Span), extraStarts(twin, cold, m.Span)
+	result.polled = polled.goodput() / unpolled.goodput()
+	result.unpolledTwins = unpolledTwin.goodput() / unpolled.goodput()
+	result.fetchDuration, result.fetches = durations[len(durations)/2], len(durations)
 	return nil
 }
 
@@ -187,18 +187,18 @@
 	return server, nil
 }
 
-// fetchOften fetches ten times a second until quit is closed, and returns how long the answered fetches took.
-func fetchOften(address string, quit <-chan struct{}) (took []time.Duration) {
+// pollPeer fetches ten times a second until quit is closed, and returns how long the answered fetches took.
+func pollPeer(address string, quit <-chan struct{}) (durations []time.Duration) {
 	ticker := time.NewTicker(fetchInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-quit:
-			return took
+			return durations
 		case <-ticker.C:
 			started := time.Now()
 			if _, err := peersync.Fetch(context.Background(), address, nil); err == nil {
-				took = append(took, time.Since(started))
+				durations = append(durations, time.Since(started))
 			}
 		}
 	}
--- a/cmd/quartzpoint-bench/peersgroup.go
+++ b/cmd/quartzpoint-bench/peersgroup.go
@@ -11,45 +11,45 @@
 
 // group is a number of daemons of one kind, each under its own load. Groups of one seed have the same loads.
 type group struct {
-	name    string
-	machine harness.Machine
-	own     string                      // configuration file
-	ownOf   func(i int) (string, error) // configuration file of each, instead of own
-	share   float64                     // load, as a part of what pools of full speed can do
-	seed    int64
+	name      string
+	machine   harness.Machine
+	config    string                      // configuration file
+	configFor func(i int) (string, error) // configuration file of each, instead of own
+	load      float64                     // load, as a part of what pools of full speed can do
+	seed      int64
 
-	listens bool                    // each has an address for peers, instead of own
-	up      func(d *harness.Daemon) // called with each once it serves
+	servesPeers bool                    // each has an address for peers, instead of own
+	onServing   func(d *harness.Daemon) // called with each once it serves
 
-	daemons []*harness.Daemon
-	began   time.Time
-	results []harness.Result
+	daemons   []*harness.Daemon
+	startedAt time.Time
+	results   []harness.Result
 }
 
 // start starts size daemons.
 func (g *group) start(m *measurePeers, folder string, size int) error {
 	for i := range size {
 		name := fmt.Sprintf("%s-%d-%d", g.name, g.seed, i)
-		peers, own := "", g.own
-		if g.listens {
+		peers, config := "", g.config
+		if g.servesPeers {
 			var err error
 			if peers, err = harness.FreeAddress(); err != nil {
 				return err
 			}
-			own = fmt.Sprintf("[peers]\nlisten = %q\n", peers)
+			config = fmt.Sprintf("[peers]\nlisten = %q\n", peers)
 		}
-		if g.ownOf != nil {
+		if g.configFor != nil {
 			var err error
-			if own, err = g.ownOf(i); err != nil {
+			if config, err = g.configFor(i); err != nil {
 				return err
 			}
 		}
-		d, err := harness.Start(m.Daemon, folder, name, harness.BookingRoutes(), g.machine, own)
+		d, err := harness.Start(m.Daemon, folder, name, harness.BookingRoutes(), g.machine, config)
 		if err != nil {
 			return err
 		}
-		if d.Peers = peers; g.up != nil {
-			g.up(d)
+		if d.Peers = peers; g.onServing != nil {
+			g.onServing(d)
 		}
 		g.daemons = append(g.daemons, d)
 	}
@@ -61,10 +61,10 @@
 	routes := harness.BookingRoutes()
 	g.results = make([]harness.Result, len(g.daemons))
 	failed := make([]error, len(g.daemons))
-	g.began = time.Now()
+	g.startedAt = time.Now()
 	var running sync.WaitGroup
 	for i, d := range g.daemons {
-		load := harness.Arrivals(routes, harness.Rate(routes, full, g.share), span, 1000*g.seed+int64(i))
+		load := harness.Arrivals(routes, harness.Rate(routes, full, g.load), span, 1000*g.seed+int64(i))
 		running.Go(func() { g.results[i], failed[i] = harness.Run(d.Address, routes, load, i+1) })
 	}
 	running.Wait()
@@ -82,24 +82,24 @@
 	return errors.Join(failed...)
 }
 
-// honoured is the value that the group served.
-func (g *group) honoured() (sum float64) {
+// goodput is the value that the group served.
+func (g *group) goodput() (sum float64) {
 	for _, r := range g.results {
 		sum += r.Goodput
 	}
 	return sum
 }
 
-// broken names the rules that were broken in the group.
-func (g *group) broken() (words []string) {
+// violations names the rules that were broken in the group.
+func (g *group) violations() (messages []string) {
 	for i, r := range g.results {
-		_, twice := g.daemons[i].Workers.StartOffsets()
-		if r.Unanswered+r.DuplicateAnswers+r.LateAnswers+twice > 0 {
-			words = append(words, fmt.Sprintf("%s: %d of %d unanswered, %d answered twice, %d late, %d run twice",
-				g.name, r.Unanswered, r.Requests, r.DuplicateAnswers, r.LateAnswers, twice))
+		_, repeated := g.daemons[i].Workers.StartOffsets()
+		if r.Unanswered+r.DuplicateAnswers+r.LateAnswers+repeated > 0 {
+			messages = append(messages, fmt.Sprintf("%s: %d of %d unanswered, %d answered twice, %d late, %d run twice",
+				g.name, r.Unanswered, r.Requests, r.DuplicateAnswers, r.LateAnswers, repeated))
 		}
 	}
-	return words
+	return messages
 }
 
 // startedBy is how many requests the group had started at a moment of its load.
@@ -107,7 +107,7 @@
 	for _, d := range g.daemons {
 		started, _ := d.Workers.StartOffsets()
 		for _, s := range started {
-			if s <= at+g.began.Sub(d.Workers.StartedAt()) {
+			if s <= at+g.startedAt.Sub(d.Workers.StartedAt()) {
 				n++
 			}
 		}
@@ -115,16 +115,16 @@
 	return n
 }
 
-// startedMore is by how many requests one group had started more than another, at each sampled moment.
-func startedMore(a, b *group, span time.Duration) (more []float64) {
+// extraStarts is by how many requests one group had started more than another, at each sampled moment.
+func extraStarts(a, b *group, span time.Duration) (extra []float64) {
 	for at := sampleInterval; at <= span; at += sampleInterval {
-		more = append(more, float64(a.startedBy(at)-b.startedBy(at)))
+		extra = append(extra, float64(a.startedBy(at)-b.startedBy(at)))
 	}
-	return more
+	return extra
 }
 
-// together starts groups, runs them side by side, and ends them. sizes are those of the groups, the last for all that follow.
-func (m *measurePeers) together(folder string, full harness.Machine, groups []*group, sizes ...int) error {
+// runGroups starts groups, runs them side by side, and ends them. sizes are those of the groups, the last for all that follow.
+func (m *measurePeers) runGroups(folder string, full harness.Machine, groups []*group, sizes ...int) error {
 	defer func() {
 		for _, g := range groups {
 			_ = g.stop()
--- a/cmd/quartzpoint-bench/real.go
+++ b/cmd/quartzpoint-bench/real.go
@@ -19,28 +19,28 @@
 var errEmulatedOnly = errors.New("is not played on real daemons; kill, restart, deploy, pause, slow, neighbours and load are")
 
 // runFleet runs a drill on real daemons behind one router, and checks the run against the four rules.
-func runFleet(program, folder string, d *scenario.Drill, seed int64, load []harness.Arrival) (r harness.Result, found rulecheck.Report, err error) {
+func runFleet(program, folder string, d *scenario.Drill, seed int64, load []harness.Arrival) (r harness.Result, report rulecheck.Report, err error) {
 	for _, i := range d.Incidents {
 		switch i.Kind {
 		case scenario.KillServers, scenario.RestartServers, scenario.Deploy, scenario.PauseServers, scenario.SlowPools, scenario.Neighbours, scenario.ChangeLoad:
 		default:
-			return r, found, fmt.Errorf("%s: %s at %v %w", d.Name, i.Kind, i.At, errEmulatedOnly)
+			return r, report, fmt.Errorf("%s: %s at %v %w", d.Name, i.Kind, i.At, errEmulatedOnly)
 		}
 	}
 	if folder, err = os.MkdirTemp(folder, "fleet"); err != nil {
-		return r, found, err
+		return r, report, err
 	}
 	f, err := harness.NewFleet(d.Fleet.Routes, d.Fleet.Servers, max(d.Fleet.RouterOptions.MaxAttempts, 1), func(i, incarnation int) (*harness.Daemon, error) {
 		return harness.Start(program, folder, fmt.Sprintf("f%d-%d-%d", seed, i, incarnation), d.Fleet.Routes, d.Fleet.Machine, "")
 	})
 	if err != nil {
-		return r, found, errors.Join(err, f.Close())
+		return r, report, errors.Join(err, f.Close())
 	}
-	began, failed := time.Now(), make([]error, len(d.Incidents))
+	start, failed := time.Now(), make([]error, len(d.Incidents))
 	var incidents sync.WaitGroup
 	for n, i := range d.Incidents {
 		incidents.Go(func() {
-			time.Sleep(time.Until(began.Add(i.At)))
+			time.Sleep(time.Until(start.Add(i.At)))
 			failed[n] = injectReal(f, d, i, rand.New(rand.NewSource(seed+int64(n))))
 		})
 	}
@@ -50,17 +50,17 @@
 }
 
 // incidentServers returns the servers of an incident; a share of them is drawn.
-func incidentServers(d *scenario.Drill, i scenario.Incident, rng *rand.Rand) (numbers []int) {
+func incidentServers(d *scenario.Drill, i scenario.Incident, rng *rand.Rand) (servers []int) {
 	switch {
 	case i.Server >= 0:
 		return []int{i.Server}
 	case i.Zone >= 0:
 		for n := range d.Fleet.Servers {
 			if n%d.Fleet.Zones == i.Zone {
-				numbers = append(numbers, n)
+				servers = append(servers, n)
 			}
 		}
-		return numbers
+		return servers
 	}
 	return rng.Perm(d.Fleet.Servers)[:max(1, int(math.Round(i.Share*float64(d.Fleet.Servers))))]
 }
@@ -68,9 +68,9 @@
 // injectReal carries out an incident on real daemons, to its end.
 func injectReal(f *harness.Fleet, d *scenario.Drill, i scenario.Incident, rng *rand.Rand) error {
 	// change changes machines for the incident's span; one that is down has nothing to change.
-	change := func(numbers []int, to, back func(m *harness.Machine)) {
-		for _, update := range []func(m *harness.Machine){to, back} {
-			for _, n := range numbers {
+	change := func(servers []int, apply, revert func(m *harness.Machine)) {
+		for _, update := range []func(m *harness.Machine){apply, revert} {
+			for _, n := range servers {
 				if daemon := f.Daemon(n); daemon != nil {
 					daemon.Workers.Update(update)
 				}
@@ -100,9 +100,9 @@
 		change(incidentServers(d, i, rng), func(m *harness.Machine) { m.Cores = full.Cores * (1 - i.Factor) }, func(m *harness.Machine) { m.Cores = full.Cores })
 	case scenario.PauseServers:
 		var pauses sync.WaitGroup
-		numbers := incidentServers(d, i, rng)
-		errs := make([]error, len(numbers))
-		for at, n := range numbers {
+		servers := incidentServers(d, i, rng)
+		errs := make([]error, len(servers))
+		for at, n := range servers {
 			if daemon := f.Daemon(n); daemon != nil {
 				pauses.Go(func() { errs[at] = daemon.Pause(i.Duration) })
 			}
--- a/cmd/quartzpoint-bench/scale.go
+++ b/cmd/quartzpoint-bench/scale.go
@@ -62,12 +62,12 @@
 	run := map[string]func(context.Context) (scale.Points, error){"slopes": slopes.Run, "fleets": fleets.Run}
 	all := map[string]scale.Points{}
 	for _, part := range cmd.Only {
-		began := time.Now()
+		start := time.Now()
 		points, err := run[part](ctx)
 		if err != nil {
 			return nil, origin, fmt.Errorf("%s: %w", part, errors.Join(err, ctx.Err()))
 		}
-		fmt.Printf("%s measured in %v\n", part, time.Since(began).Round(time.Second))
+		fmt.Printf("%s measured in %v\n", part, time.Since(start).Round(time.Second))
 		all[part] = points
 	}
 	return all, origin, nil
--- a/cmd/quartzpoint-bench/state.go
+++ b/cmd/quartzpoint-bench/state.go
@@ -30,8 +30,8 @@
 
 // partResult is the outcome of one part of the measurement.
 type partResult struct {
-	aims    []objective
-	summary string
+	objectives []objective
+	summary    string
 }
 
 // statePart is one part of the measurement. It prints its figures to the table.
@@ -49,7 +49,7 @@
 	defer func() { err = errors.Join(err, os.RemoveAll(root)) }()
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "what\tmedian\tworst\tbest\t")
-	var aims []objective
+	var objectives []objective
 	var summaries []string
 	for _, part := range []statePart{{"kills", m.kills}, {"disk", m.disk}, {"rounds", m.rounds}, {"restart", m.restart}} {
 		if len(m.Only) > 0 && !slices.Contains(m.Only, part.name) {
@@ -59,21 +59,21 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", part.name, err)
 		}
-		aims, summaries = append(aims, result.aims...), append(summaries, result.summary)
+		objectives, summaries = append(objectives, result.objectives...), append(summaries, result.summary)
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
 	fmt.Printf("measure state: %s, seeds %d\n", strings.Join(summaries, ", "), m.Seeds)
-	return missedObjectives(aims)
+	return missedObjectives(objectives)
 }
 
 // missedObjectives returns an error for each target that was missed.
-func missedObjectives(aims []objective) error {
+func missedObjectives(objectives []objective) error {
 	var missed []error
-	for _, a := range aims {
-		if !(a.value >= a.least && a.value <= a.most) {
-			missed = append(missed, fmt.Errorf("%s: %.3f, from %.3f to %.3f is aimed at", a.what, a.value, a.least, a.most))
+	for _, o := range objectives {
+		if !(o.value >= o.min && o.value <= o.max) {
+			missed = append(missed, fmt.Errorf("%s: %.3f, from %.3f to %.3f is aimed at", o.name, o.value, o.min, o.max))
 		}
 	}
 	return errors.Join(missed...)
--- a/cmd/quartzpoint-bench/state_disk.go
+++ b/cmd/quartzpoint-bench/state_disk.go
@@ -43,11 +43,11 @@
 func (m *measureState) disk(root string, table *tabwriter.Writer) (partResult, error) {
 	var result partResult
 	for _, interval := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
-		target, err := measureCommits(filepath.Join(root, "commit-"+interval.String()), interval, table)
+		rateObjective, err := measureCommits(filepath.Join(root, "commit-"+interval.String()), interval, table)
 		if err != nil {
 			return partResult{}, err
 		}
-		result.aims = append(result.aims, target)
+		result.objectives = append(result.objectives, rateObjective)
 	}
 	dir := filepath.Join(root, "many")
 	if err := writeManyKeys(dir); err != nil {
@@ -70,7 +70,7 @@
 		return partResult{}, fmt.Errorf("%d of %d entries came back", len(recovered.Keys), recoveredKeys)
 	}
 	fmt.Fprintf(table, "start with %d entries, %.1f MB: ms\t%.0f\t\t\t\n", recoveredKeys, float64(size)/(1<<20), float64(took.Milliseconds()))
-	result.aims = append(result.aims, objective{"start, s", took.Seconds(), 0, 2}, objective{"bytes on disk", float64(size), 1, stateMB << 20})
+	result.objectives = append(result.objectives, objective{"start, s", took.Seconds(), 0, 2}, objective{"bytes on disk", float64(size), 1, stateMB << 20})
 	result.summary = fmt.Sprintf("start %d ms", took.Milliseconds())
 	return result, nil
 }
--- a/cmd/quartzpoint-bench/state_kills.go
+++ b/cmd/quartzpoint-bench/state_kills.go
@@ -33,7 +33,7 @@
 	Dir string `arg:""`
 }
 
-func childTerms(state *quartzpoint.State) quartzpoint.Options {
+func childOptions(state *quartzpoint.State) quartzpoint.Options {
 	return quartzpoint.Options{Cores: 4, MemoryMB: 256, State: state, Routes: []quartzpoint.Route{
 		{Name: "pay", Idempotency: quartzpoint.Keyed, LatencyTarget: 2 * time.Second, DedupWindow: time.Hour},
 	}, Gauges: func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Runnable: min(float64(running), 4)} }}
@@ -50,18 +50,18 @@
 	if err != nil {
 		return err
 	}
-	gate, err := quartzpoint.New(childTerms(&quartzpoint.State{Dir: filepath.Join(cmd.Dir, "state"), CommitInterval: time.Millisecond}))
+	gate, err := quartzpoint.New(childOptions(&quartzpoint.State{Dir: filepath.Join(cmd.Dir, "state"), CommitInterval: time.Millisecond}))
 	if err != nil {
 		return err
 	}
-	earlier := strings.Fields(string(before))
+	earlierKeys := strings.Fields(string(before))
 	var all sync.WaitGroup
 	for caller := range childCallers {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			for i := caller; i < len(earlier); i += childCallers {
-				repeatEffect(gate, earlier[i])
+			for i := caller; i < len(earlierKeys); i += childCallers {
+				repeatEffect(gate, earlierKeys[i])
 			}
 			for i := 0; ; i++ {
 				key := fmt.Sprintf("%d-%d-%d", os.Getpid(), caller, i)
@@ -84,13 +84,13 @@
 
 // repeatEffect repeats a request that had its effect, and exits if it runs again or has another result.
 func repeatEffect(gate *quartzpoint.Gate, key string) {
-	result, err := sendKeyed(gate, key, func() { exitWrong("%s ran twice", key) })
+	result, err := sendKeyed(gate, key, func() { exitOnWrongEffect("%s ran twice", key) })
 	if err == nil && string(result) != "result of "+key {
-		exitWrong("%s: result %q", key, result)
+		exitOnWrongEffect("%s: result %q", key, result)
 	}
 }
 
-func exitWrong(format string, args ...any) {
+func exitOnWrongEffect(format string, args ...any) {
 	fmt.Fprintf(os.Stderr, format+"\n", args...)
 	os.Exit(exitWrongEffect)
 }
--- a/cmd/quartzpoint-bench/state_restart.go
+++ b/cmd/quartzpoint-bench/state_restart.go
@@ -37,50 +37,50 @@
 
 // restartResult holds, for one seed, what groups served over their cold twins, and the requests they started more.
 type restartResult struct {
-	fresh, twins, old, young, slowTwins float64
-	oldMore, youngMore, twinsMore       []float64
-	broken                              []string // rules
+	fresh, twins, stale, recent, slowTwins               float64
+	staleExtraStarts, recentExtraStarts, twinExtraStarts []float64
+	violations                                           []string // rules
 }
 
 func (m *measureState) reportRestarts(results []restartResult, table *tabwriter.Writer) partResult {
-	column := func(of func(restartResult) float64) (values []float64) {
+	column := func(figure func(restartResult) float64) (values []float64) {
 		for _, r := range results {
-			values = append(values, of(r))
+			values = append(values, figure(r))
 		}
 		return values
 	}
 	fmt.Fprintf(table, "restarts: sockets, emulated workers, %d seeds of %d servers, load %.0f%%\t\t\t\t\n", m.Seeds, m.Group, 100*m.Load)
 	fresh, worst := printQuantiles(table, "killed and started again, honoured over cold in 10 s", column(func(r restartResult) float64 { return r.fresh }))
 	printQuantiles(table, "  a second cold twin (noise)", column(func(r restartResult) float64 { return r.twins }))
-	printQuantiles(table, "folder of 5 min, pool at a third: over cold", column(func(r restartResult) float64 { return r.old }))
-	printQuantiles(table, "folder of now, pool at a third: over cold", column(func(r restartResult) float64 { return r.young }))
+	printQuantiles(table, "folder of 5 min, pool at a third: over cold", column(func(r restartResult) float64 { return r.stale }))
+	printQuantiles(table, "folder of now, pool at a third: over cold", column(func(r restartResult) float64 { return r.recent }))
 	printQuantiles(table, "  a second cold twin (noise)", column(func(r restartResult) float64 { return r.slowTwins }))
-	var old, young []pairResult
-	broken := 0
+	var stale, recent []peersResult
+	violations := 0
 	for i, r := range results {
-		old = append(old, pairResult{more: r.oldMore, twinsMore: r.twinsMore})
-		young = append(young, pairResult{more: r.youngMore, twinsMore: r.twinsMore})
-		for _, rule := range r.broken {
-			broken++
-			fmt.Fprintf(table, "seed %d: %s\t\t\t\t\n", i+1, rule)
+		stale = append(stale, peersResult{extraStarts: r.staleExtraStarts, twinExtraStarts: r.twinExtraStarts})
+		recent = append(recent, peersResult{extraStarts: r.recentExtraStarts, twinExtraStarts: r.twinExtraStarts})
+		for _, message := range r.violations {
+			violations++
+			fmt.Fprintf(table, "seed %d: %s\t\t\t\t\n", i+1, message)
 		}
 	}
-	oldAhead, oldTasks := excess(old)
-	youngAhead, youngTasks := excess(young)
+	staleExcess, staleRequests := maxExcess(stale)
+	recentExcess, recentRequests := maxExcess(recent)
 	fmt.Fprintf(table, "started ahead of cold at the most, standard errors (tasks a group): old %.1f (%.1f), young %.1f (%.1f)\t\t\t\t\n",
-		oldAhead, oldTasks, youngAhead, youngTasks)
+		staleExcess, staleRequests, recentExcess, recentRequests)
 	return partResult{[]objective{
-		{"restart, honoured over cold, median", fresh, 1, math.Inf(1)}, {"old folder started ahead", oldAhead, 0, certain},
-		{"young folder in a slower world started ahead", youngAhead, 0, certain}, {"rules broken", float64(broken), 0, 0},
+		{"restart, honoured over cold, median", fresh, 1, math.Inf(1)}, {"old folder started ahead", staleExcess, 0, maxStandardErrors},
+		{"young folder in a slower world started ahead", recentExcess, 0, maxStandardErrors}, {"rules broken", float64(violations), 0, 0},
 	}, fmt.Sprintf("restart %.3f (worst %.3f), old ahead %.1f, young ahead %.1f errors, rules broken %d",
-		fresh, worst, oldAhead, youngAhead, broken)}
+		fresh, worst, staleExcess, recentExcess, violations)}
 }
 
 // stateCopies makes the state directories of a seed's groups from the one that a killed server left.
 type stateCopies struct {
-	root string
-	seed int64
-	left string // directory of the killed server
+	root   string
+	seed   int64
+	source string // directory of the killed server
 }
 
 func stateSection(dir string) string { return fmt.Sprintf("[state]\ndir = %q\n", dir) }
@@ -89,19 +89,19 @@
 	return filepath.Join(c.root, fmt.Sprintf("%s-%d-%d", name, c.seed, server))
 }
 
-// exact returns the configuration of a group's servers, each with a copy as it was left.
-func (c stateCopies) exact(name string) func(server int) (string, error) {
+// copied returns the configuration of a group's servers, each with a copy as it was left.
+func (c stateCopies) copied(name string) func(server int) (string, error) {
 	return func(server int) (string, error) {
 		dir := c.path(name, server)
-		return stateSection(dir), errors.Join(os.CopyFS(dir, os.DirFS(c.left)), os.Chmod(dir, 0o700))
+		return stateSection(dir), errors.Join(os.CopyFS(dir, os.DirFS(c.source)), os.Chmod(dir, 0o700))
 	}
 }
 
 // aged is exact for directories that were left age ago.
-func (c stateCopies) aged(name string, left estimate.Snapshot, age time.Duration) func(server int) (string, error) {
+func (c stateCopies) aged(name string, estimates estimate.Snapshot, age time.Duration) func(server int) (string, error) {
 	return func(server int) (string, error) {
 		dir := c.path(name, server)
-		return stateSection(dir), writeAged(dir, left, age)
+		return stateSection(dir), writeAged(dir, estimates, age)
 	}
 }
 
@@ -109,46 +109,46 @@
 func (m *measureState) compareRestarts(root string, seed int64) (r restartResult, err error) {
 	full := harness.Machine{Cores: m.Cores, Speed: 1, MemoryKB: 16000 * m.Cores}
 	slower := full
-	slower.Speed *= slow
+	slower.Speed *= slowFactor
 	peers := &measurePeers{Daemon: m.Daemon, Span: m.Span, Group: m.Group}
-	copies := stateCopies{root: root, seed: seed, left: filepath.Join(root, fmt.Sprintf("warm-%d", seed))}
-	if err := m.warmAndKill(peers, root, copies.left, full, seed); err != nil {
+	copies := stateCopies{root: root, seed: seed, source: filepath.Join(root, fmt.Sprintf("warm-%d", seed))}
+	if err := m.warmAndKill(peers, root, copies.source, full, seed); err != nil {
 		return r, err
 	}
-	left, err := readEstimates(copies.left)
+	estimates, err := readEstimates(copies.source)
 	if err != nil {
 		return r, err
 	}
-	newGroup := func(name string, machine harness.Machine, ownOf func(int) (string, error)) *group {
-		return &group{name: name, machine: machine, ownOf: ownOf, share: m.Load, seed: seed}
+	newGroup := func(name string, machine harness.Machine, configFor func(int) (string, error)) *group {
+		return &group{name: name, machine: machine, configFor: configFor, load: m.Load, seed: seed}
 	}
 	cold, twin := newGroup("s-cold", full, nil), newGroup("s-twin", full, nil)
-	fresh := newGroup("s-fresh", full, copies.exact("s-fresh"))
+	fresh := newGroup("s-fresh", full, copies.copied("s-fresh"))
 	slowCold, slowTwin := newGroup("s-slow-cold", slower, nil), newGroup("s-slow-twin", slower, nil)
-	old := newGroup("s-slow-old", slower, copies.aged("s-old", left, oldAge))
-	young := newGroup("s-slow-young", slower, copies.aged("s-young", left, 0))
-	groups := []*group{cold, fresh, twin, slowCold, slowTwin, old, young}
-	if err := peers.together(root, full, groups, m.Group, m.Group, max(1, m.Group/2)); err != nil {
+	stale := newGroup("s-slow-old", slower, copies.aged("s-old", estimates, staleAge))
+	recent := newGroup("s-slow-young", slower, copies.aged("s-young", estimates, 0))
+	groups := []*group{cold, fresh, twin, slowCold, slowTwin, stale, recent}
+	if err := peers.runGroups(root, full, groups, m.Group, m.Group, max(1, m.Group/2)); err != nil {
 		return r, err
 	}
 	for _, g := range groups {
-		r.broken = append(r.broken, g.broken()...)
+		r.violations = append(r.violations, g.violations()...)
 	}
-	half := 0.0 // the twin group may be smaller than the cold one
+	coldGoodput := 0.0 // the twin group may be smaller than the cold one
 	for i := range twin.results {
-		half += cold.results[i].Goodput
+		coldGoodput += cold.results[i].Goodput
 	}
-	r.fresh, r.twins = fresh.honoured()/cold.honoured(), twin.honoured()/half
-	r.old, r.young = old.honoured()/slowCold.honoured(), young.honoured()/slowCold.honoured()
-	r.slowTwins = slowTwin.honoured() / slowCold.honoured()
-	r.oldMore, r.youngMore = startedMore(old, slowCold, m.Span), startedMore(young, slowCold, m.Span)
-	r.twinsMore = startedMore(slowTwin, slowCold, m.Span)
+	r.fresh, r.twins = fresh.goodput()/cold.goodput(), twin.goodput()/coldGoodput
+	r.stale, r.recent = stale.goodput()/slowCold.goodput(), recent.goodput()/slowCold.goodput()
+	r.slowTwins = slowTwin.goodput() / slowCold.goodput()
+	r.staleExtraStarts, r.recentExtraStarts = extraStarts(stale, slowCold, m.Span), extraStarts(recent, slowCold, m.Span)
+	r.twinExtraStarts = extraStarts(slowTwin, slowCold, m.Span)
 	return r, nil
 }
 
 // warmAndKill has a server write its state to dir under load, and kills it, so that nothing is written at its end.
 func (m *measureState) warmAndKill(peers *measurePeers, root, dir string, machine harness.Machine, seed int64) error {
-	warm := &group{name: "warm", machine: machine, own: stateSection(dir), share: m.Load, seed: seed + 500}
+	warm := &group{name: "warm", machine: machine, config: stateSection(dir), load: m.Load, seed: seed + 500}
 	if err := warm.start(peers, root, 1); err != nil {
 		return errors.Join(err, warm.stop())
 	}
--- a/cmd/quartzpoint-bench/state_rounds.go
+++ b/cmd/quartzpoint-bench/state_rounds.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// keyedEach is the number of requests of which one has an idempotency key. If all had one, each would hold its slot
+	// requestsPerKeyed is the number of requests of which one has an idempotency key. If all had one, each would hold its slot
 	// under the limit until its record is durable, and rounds would get longer by what is in flight.
-	keyedEach      = 20
-	roundsWarmUp   = 100 * time.Millisecond // left out: the heap grows and pages are touched for the first time
-	roundsSpan     = 400 * time.Millisecond
-	roundsCallers  = 4
-	roundsInterval = time.Millisecond // between the requests of one caller
-	maxRound       = time.Second      // of the histogram
+	requestsPerKeyed = 20
+	roundsWarmUp     = 100 * time.Millisecond // left out: the heap grows and pages are touched for the first time
+	roundsSpan       = 400 * time.Millisecond
+	roundsCallers    = 4
+	roundsInterval   = time.Millisecond // between the requests of one caller
+	maxRound         = time.Second      // of the histogram
 )
 
 func newRoundHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(maxRound), 3) }
@@ -38,7 +38,7 @@
 			if state {
 				all, p99s = with, &withP99
 			}
-			times, err := m.roundsOf(filepath.Join(root, fmt.Sprintf("rounds-%d", seed)), state, int64(seed))
+			times, err := m.measureRounds(filepath.Join(root, fmt.Sprintf("rounds-%d", seed)), state, int64(seed))
 			if err != nil {
 				return partResult{}, err
 			}
@@ -46,27 +46,27 @@
 			*p99s = append(*p99s, float64(times.ValueAtQuantile(99))/1e3)
 		}
 	}
-	printQuantiles(table, fmt.Sprintf("p99 of rounds with the folder, us, by run (in process, 1 of %d numbered)", keyedEach), withP99)
+	printQuantiles(table, fmt.Sprintf("p99 of rounds with the folder, us, by run (in process, 1 of %d numbered)", requestsPerKeyed), withP99)
 	printQuantiles(table, "p99 of rounds without, us, by run", withoutP99)
 	ratio := float64(with.ValueAtQuantile(99)) / float64(without.ValueAtQuantile(99))
 	fmt.Fprintf(table, "  of all %d and %d rounds: over without\t%.3f\t\t\t\n", with.TotalCount(), without.TotalCount(), ratio)
 	return partResult{[]objective{{"p99 of rounds over without", ratio, 0, 1.05}}, fmt.Sprintf("rounds %.3f", ratio)}, nil
 }
 
-// roundsOf measures the rounds of one gate under load.
-func (m *measureState) roundsOf(dir string, withState bool, seed int64) (*hdrhistogram.Histogram, error) {
+// measureRounds measures the rounds of one gate under load.
+func (m *measureState) measureRounds(dir string, withState bool, seed int64) (*hdrhistogram.Histogram, error) {
 	times := newRoundHistogram()
-	terms := childTerms(nil)
+	options := childOptions(nil)
 	start := time.Now()
-	terms.ObserveRound = func(took time.Duration) {
+	options.ObserveRound = func(took time.Duration) {
 		if time.Since(start) > roundsWarmUp {
 			_ = times.RecordValue(int64(min(took, maxRound))) // in the histogram's range
 		}
 	}
 	if withState {
-		terms.State = &quartzpoint.State{Dir: dir}
+		options.State = &quartzpoint.State{Dir: dir}
 	}
-	gate, err := quartzpoint.New(terms)
+	gate, err := quartzpoint.New(options)
 	if err != nil {
 		return nil, err
 	}
@@ -81,28 +81,28 @@
 		}()
 	}
 	all.Wait()
-	leaving, stop := context.WithTimeout(context.Background(), time.Second)
+	shutdownCtx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	return times, gate.Shutdown(leaving)
+	return times, gate.Shutdown(shutdownCtx)
 }
 
 // sendSteadily sends requests at a fixed pace until ctx ends, so that the load does not depend on how long a commit takes.
 func sendSteadily(ctx context.Context, gate *quartzpoint.Gate, seed int64, caller int) {
 	tick := time.NewTicker(roundsInterval)
 	defer tick.Stop()
-	var open sync.WaitGroup
-	defer open.Wait()
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	for i := 0; ctx.Err() == nil; i++ {
 		<-tick.C
-		open.Add(1)
-		task := quartzpoint.Request{Route: "look-up"}
-		if i%keyedEach == 0 {
-			task = quartzpoint.Request{Route: "pay", IdempotencyKey: fmt.Sprintf("%d-%d-%d", seed, caller, i)}
+		pending.Add(1)
+		request := quartzpoint.Request{Route: "look-up"}
+		if i%requestsPerKeyed == 0 {
+			request = quartzpoint.Request{Route: "pay", IdempotencyKey: fmt.Sprintf("%d-%d-%d", seed, caller, i)}
 		}
 		go func() {
-			defer open.Done()
-			_, _ = gate.DoOnce(context.Background(), task, // only the rounds are measured, not the outcomes
-				func(context.Context) ([]byte, error) { return []byte(task.IdempotencyKey), nil })
+			defer pending.Done()
+			_, _ = gate.DoOnce(context.Background(), request, // only the rounds are measured, not the outcomes
+				func(context.Context) ([]byte, error) { return []byte(request.IdempotencyKey), nil })
 		}()
 	}
 }
--- a/cmd/quartzpoint-bench/workers.go
+++ b/cmd/quartzpoint-bench/workers.go
@@ -51,25 +51,25 @@
 			return err
 		}
 	}
-	began := time.Now()
-	for _, stated := range d.Fleet.Dependencies {
-		dependency, err := harness.NewDependency(stated.Slots, stated.Mean, stated.Spread, 1, dependencyScript(d, stated.Name))
+	start := time.Now()
+	for _, definition := range d.Fleet.Dependencies {
+		dependency, err := harness.NewDependency(definition.Slots, definition.Mean, definition.Spread, 1, dependencyScript(d, definition.Name))
 		if err != nil {
 			return err
 		}
 		defer dependency.Close()
 		dependency.RestartClock()
-		fmt.Printf("[dependencies.%s] address = %q\n", stated.Name, dependency.Address)
+		fmt.Printf("[dependencies.%s] address = %q\n", definition.Name, dependency.Address)
 	}
 	for _, i := range d.Incidents {
 		go func() {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(time.Until(began.Add(i.At))):
+			case <-time.After(time.Until(start.Add(i.At))):
 			}
-			if what := injectPoolIncident(pools, d, i); what != "" {
-				fmt.Printf("%v: %s\n", i.At, what)
+			if description := injectPoolIncident(pools, d, i); description != "" {
+				fmt.Printf("%v: %s\n", i.At, description)
 			}
 		}()
 	}
@@ -130,19 +130,19 @@
 // injectPoolIncident injects an incident of pools, and describes it; other incidents are ignored.
 func injectPoolIncident(pools []*harness.Workers, d *scenario.Drill, i scenario.Incident) string {
 	full := d.Fleet.Machine
-	change := func(to, back func(m *harness.Machine)) string {
-		numbers := incidentServers(d, i, rand.New(rand.NewSource(int64(i.At))))
-		for _, n := range numbers {
-			pools[n].Update(to)
+	change := func(apply, revert func(m *harness.Machine)) string {
+		servers := incidentServers(d, i, rand.New(rand.NewSource(int64(i.At))))
+		for _, n := range servers {
+			pools[n].Update(apply)
 		}
 		if i.Duration > 0 {
 			time.AfterFunc(i.Duration, func() {
-				for _, n := range numbers {
-					pools[n].Update(back)
+				for _, n := range servers {
+					pools[n].Update(revert)
 				}
 			})
 		}
-		return strings.TrimSpace(fmt.Sprintln(i.Kind, "of pools", numbers))
+		return strings.TrimSpace(fmt.Sprintln(i.Kind, "of pools", servers))
 	}
 	restore := func(m *harness.Machine) { m.Speed, m.Cores = full.Speed, full.Cores }
 	switch i.Kind {
