--- a/cmd/quartzpoint-bench/configuration.go
+++ b/cmd/quartzpoint-bench/configuration.go
@@ -12,22 +12,23 @@
 	"quartzpoint/internal/testkit/scale"
 )
 
-// watchersCommand is the process of hollow watchers.
+// watchersCommand runs the process of the hollow watchers.
 type watchersCommand struct{}
 
-// Run runs the watchers until the input ends.
+// Run runs the watchers until standard input ends.
 func (*watchersCommand) Run() error { return scale.RunWatchers(os.Stdin, os.Stdout) }
 
 // measureConfiguration measures the configuration service.
 type measureConfiguration struct {
 	Daemon  string `default:"bin/quartzpoint" help:"The app server's program."`
 	Service string `default:"bin/quartzconfig" help:"The configuration service's program."`
-	Seed    int64  `default:"1" help:"Of the changes and of the fleet's choices."`
-	Small   bool   `help:"A tenth of the tables and watchers and shorter spans; a check that all of it works."`
+	Seed    int64  `default:"1" help:"Seed of the changes and of the fleet's random choices."`
+	Small   bool   `help:"Use a tenth of the tables and watchers, and shorter spans, as a smoke test."`
 	Out     string `help:"Folder for the points (CSV); nothing is written without it."`
 }
 
-// Run measures, prints every figure, and returns an error where an objective is missed or the recorded history is invalid.
+// Run measures and prints all figures. It returns an error if an objective is missed or the recorded history is
+// invalid.
 func (cmd *measureConfiguration) Run() error {
 	origin := scale.LocalOrigin(cmd.Seed)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
@@ -66,7 +67,7 @@
 		}
 		fmt.Fprintf(table, "%s\t%.4g\t%s\t%s\t\n", f.Name, f.Value, limit, f.Unit)
 		if f.Missed() {
-			missed = append(missed, fmt.Errorf("%s: %.4g%s, %.4g at most is aimed at", f.Name, f.Value, f.Unit, f.Max))
+			missed = append(missed, fmt.Errorf("%s: got %.4g%s, want at most %.4g", f.Name, f.Value, f.Unit, f.Max))
 		}
 	}
 	if err := table.Flush(); err != nil {
--- a/cmd/quartzpoint-bench/dependencies.go
+++ b/cmd/quartzpoint-bench/dependencies.go
@@ -16,23 +16,24 @@
 type measureDependencies struct {
 	Daemon string        `default:"bin/quartzpoint" help:"The daemon's program."`
 	Flat   string        `default:"bin/quartzpoint-bench" help:"The baseline's program."`
-	Seeds  int           `default:"10" help:"Runs of each script."`
-	Span   time.Duration `default:"6s" help:"Of the load."`
-	Only   string        `help:"One script alone."`
-	Rate   float64       `default:"80" help:"Tasks a second."`
+	Seeds  int           `default:"10" help:"Runs of each scenario."`
+	Span   time.Duration `default:"6s" help:"Duration of the load."`
+	Only   string        `help:"Run this scenario only."`
+	Rate   float64       `default:"80" help:"Requests a second."`
 }
 
-// scenarioResult is the result of one run.
+// scenarioResult is the result of one run of a scenario.
 type scenarioResult struct {
 	harness.Result
 	dependencies [3]harness.DependencyStats
 	err          error
 }
 
-// maxParallelScenarios are run at once, each with all its seeds and both ways of calling.
+// maxParallelScenarios is the number of scenarios that run at once, each with all its seeds, with budgets and with the
+// flat baseline.
 const maxParallelScenarios = 3
 
-// run plays a scenario with one seed, by budgets or by the flat baseline.
+// run runs a scenario with one seed, with budgets or with the flat baseline.
 func (m *measureDependencies) run(folder string, scenario faultScenario, flat bool, seed int64) (r scenarioResult) {
 	routes := scenarioRoutes()
 	load := harness.Arrivals(routes, m.Rate, m.Span, seed)
@@ -55,7 +56,7 @@
 	program, args := m.Daemon, []string{"serve"}
 	if flat {
 		program, args = m.Flat, []string{"flat"}
-		config = strings.ReplaceAll(config, "share = ", "connections = 16\nshare = ") // nothing bounds its calls
+		config = strings.ReplaceAll(config, "share = ", "connections = 16\nshare = ") // the baseline has no in-flight limit of its calls
 	}
 	daemon, err := harness.StartWithArgs(program, args, folder, name, routes, machine, config)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return r
 }
 
-// Run prints the table and fails where an objective is missed.
+// Run prints the table and returns an error if an objective is missed.
 func (m *measureDependencies) Run() error {
 	folder, err := os.MkdirTemp("", "quartzpoint-bench")
 	if err != nil {
--- a/cmd/quartzpoint-bench/dependenciesreport.go
+++ b/cmd/quartzpoint-bench/dependenciesreport.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// The codes of answers, on the routers' wire.
+// The codes of answers in the protocol of the routers.
 const (
 	codeRejected = 50
 	codeAborted  = 51
@@ -18,10 +18,10 @@
 
 // The objectives, as ratios.
 const (
-	minRatioToFlat        = 1.3  // value with one dependency slow, over that of the flat baseline
-	minRatioToUndisturbed = 0.9  // value with one dependency slow, over that without faults
+	minRatioToFlat        = 1.3  // value served with one dependency slow, over that of the flat baseline
+	minRatioToUndisturbed = 0.9  // value served with one dependency slow, over that without faults
 	maxAttemptsInOutage   = 1.1  // attempts per call
-	minNoCallRatio        = 0.98 // value of the route without calls in an outage, over that without one
+	minNoCallRatio        = 0.98 // value served of the route without calls in an outage, over that without faults
 )
 
 // comparison holds the results of a scenario, by seed, with budgets and with the flat baseline.
@@ -30,7 +30,7 @@
 	budgeted, flat []scenarioResult
 }
 
-// median of a figure over the seeds.
+// median returns the median of a figure over the seeds.
 func median(results []scenarioResult, figure func(seed int, r scenarioResult) float64) float64 {
 	var values []float64
 	for seed, r := range results {
@@ -40,22 +40,22 @@
 	return stat.Quantile(0.5, stat.LinInterp, values, nil)
 }
 
-// dependencyReport collects the figures of the last line, and the objectives that are missed.
+// dependencyReport collects the figures of the last line and the missed objectives.
 type dependencyReport struct {
 	missed                       []error
 	ratioToFlat, ratioToBaseline float64 // with one dependency slow
-	attempts                     float64 // per call in an outage, the largest
+	attempts                     float64 // attempts per call in an outage, the maximum of the scenarios
 	repeatedEffects, lateAnswers int
 }
 
-// require notes an objective that does not hold.
+// require records a missed objective unless holds is true.
 func (d *dependencyReport) require(holds bool, format string, args ...any) {
 	if !holds {
 		d.missed = append(d.missed, fmt.Errorf(format, args...))
 	}
 }
 
-// report prints a row for each scenario and a line of figures. The error joins the objectives that are missed.
+// report prints a row for each scenario and a line of figures. The error joins the missed objectives.
 func report(out io.Writer, comparisons []comparison, seeds int) error {
 	for _, c := range comparisons {
 		for seed := range c.budgeted {
@@ -81,7 +81,8 @@
 	return errors.Join(d.missed...)
 }
 
-// countViolations adds up what must never happen.
+// countViolations counts late answers and repeated effects, and records unanswered requests and those answered twice as
+// missed objectives. None of these may occur.
 func (d *dependencyReport) countViolations(c comparison) {
 	for seed, r := range c.budgeted {
 		d.require(r.Unanswered+r.DuplicateAnswers == 0, "%s, seed %d: %d unanswered, %d answered twice", c.scenario.name, seed+1, r.Unanswered, r.DuplicateAnswers)
@@ -92,12 +93,12 @@
 	}
 }
 
-// scenarioFigures are those of a scenario that objectives are set for.
+// scenarioFigures holds the figures of a scenario that have objectives.
 type scenarioFigures struct {
 	ratioToFlat     float64
-	ratioToBaseline float64 // of the scenario without faults; 0 without it
+	ratioToBaseline float64 // value served over that of the baseline scenario; 0 if it was not run
 	hasBaseline     bool
-	attempts        float64 // at the guests, per call
+	attempts        float64 // at the guests, per slot-check
 	noCallRatio     float64
 }
 
@@ -106,16 +107,16 @@
 	switch c.scenario.name {
 	case "one ten times slower":
 		d.ratioToFlat, d.ratioToBaseline = f.ratioToFlat, f.ratioToBaseline
-		d.require(f.ratioToFlat >= minRatioToFlat, "%s: %.2f of the baseline, 1.3 is aimed at", c.scenario.name, f.ratioToFlat)
-		d.require(!f.hasBaseline || f.ratioToBaseline >= minRatioToUndisturbed, "%s: %.3f of undisturbed, 0.9 is aimed at", c.scenario.name, f.ratioToBaseline)
+		d.require(f.ratioToFlat >= minRatioToFlat, "%s: served %.2f of the flat baseline's value, want at least 1.3", c.scenario.name, f.ratioToFlat)
+		d.require(!f.hasBaseline || f.ratioToBaseline >= minRatioToUndisturbed, "%s: served %.3f of the value without faults, want at least 0.9", c.scenario.name, f.ratioToBaseline)
 	case "total outage of one", "130%, outage of one":
 		d.attempts = max(d.attempts, f.attempts)
-		d.require(f.attempts <= maxAttemptsInOutage, "%s: %.2f attempts a call, 1.1 is aimed at", c.scenario.name, f.attempts)
-		d.require(f.noCallRatio >= minNoCallRatio, "%s: the type without calls at %.3f of undisturbed, 0.98 is aimed at", c.scenario.name, f.noCallRatio)
+		d.require(f.attempts <= maxAttemptsInOutage, "%s: %.2f attempts a call, want at most 1.1", c.scenario.name, f.attempts)
+		d.require(f.noCallRatio >= minNoCallRatio, "%s: the route without calls served %.3f of its value without faults, want at least 0.98", c.scenario.name, f.noCallRatio)
 	}
 }
 
-// baseline are the results, by seed, of the scenario that this one is compared with; nil where it was not run.
+// baseline returns the results, by seed, of the scenario that this one is compared with, or nil if it was not run.
 func (c comparison) baseline(comparisons []comparison) []scenarioResult {
 	name := undisturbed
 	if c.scenario.baseline != "" {
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// print prints the row of a scenario.
+// print prints the row of a scenario and returns its figures.
 func (c comparison) print(table io.Writer, comparisons []comparison) scenarioFigures {
 	f := scenarioFigures{noCallRatio: 1, attempts: median(c.budgeted, guestAttempts)}
 	f.ratioToFlat = median(c.budgeted, func(seed int, r scenarioResult) float64 { return r.Goodput / c.flat[seed].Goodput })
@@ -161,19 +162,20 @@
 	return f
 }
 
-// codeCount is the number of answers with a code.
+// codeCount returns a figure: the number of answers with a code.
 func codeCount(code byte) func(int, scenarioResult) float64 {
 	return func(_ int, r scenarioResult) float64 { return float64(r.Codes[code]) }
 }
 
-// guestAttempts is the number of attempts at the guests over the slot-checks that were started, each of which makes one
-// first attempt there at the most.
+// guestAttempts returns the attempts at the guests per started slot-check, each of which makes at most one first
+// attempt there. The started slot-checks are counted as the attempts at the tables less the idempotency keys there,
+// which only confirm-booking sends.
 func guestAttempts(_ int, r scenarioResult) float64 {
 	started := float64(r.dependencies[tables].Attempts - r.dependencies[tables].DistinctKeys)
 	return float64(r.dependencies[guests].Attempts) / max(started, 1)
 }
 
-// quantileMillis is a quantile of the times of answers that completed.
+// quantileMillis returns a figure: a quantile, in milliseconds, of the latencies of the served requests.
 func quantileMillis(quantile float64) func(int, scenarioResult) float64 {
 	return func(_ int, r scenarioResult) float64 {
 		if len(r.Latencies) == 0 {
--- a/cmd/quartzpoint-bench/drill.go
+++ b/cmd/quartzpoint-bench/drill.go
@@ -15,12 +15,12 @@
 
 // drillCommand runs one drill.
 type drillCommand struct {
-	File   string   `arg:"" help:"The drill, as in drills/."`
-	Policy []string `default:"quartzpoint" help:"Policies, the first of which the others are compared with."`
-	Seeds  int      `default:"3" help:"Seeds, from 1."`
-	Real   bool     `help:"Play it on real daemons with emulated workers too."`
+	File   string   `arg:"" help:"The drill file, as in drills/."`
+	Policy []string `default:"quartzpoint" help:"Policies; the others are compared with the first."`
+	Seeds  int      `default:"3" help:"Number of seeds, from 1."`
+	Real   bool     `help:"Run it on real daemons with emulated workers too."`
 	Daemon string   `default:"bin/quartzpoint" help:"The daemon's program, for --real."`
-	Chart  string   `placeholder:"FILE" help:"Draw what was honoured each second, as .svg or .png."`
+	Chart  string   `placeholder:"FILE" help:"Draw a chart of the value served in each second, as .svg or .png."`
 }
 
 // readDrill reads and parses a drill.
@@ -69,7 +69,7 @@
 	}
 	format := experiment.Format(strings.TrimPrefix(filepath.Ext(cmd.Chart), "."))
 	if format != experiment.SVG && format != experiment.PNG {
-		return fmt.Errorf("chart %s: .svg and .png are known", cmd.Chart)
+		return fmt.Errorf("chart %s: want a file name that ends in .svg or .png", cmd.Chart)
 	}
 	raw, err := experiment.SecondsChart(cells, d.Name, d.Title, format)
 	if err != nil {
--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -19,17 +19,17 @@
 	"quartzpoint/scenario"
 )
 
-// measureEmulator compares the emulator with real daemons.
+// measureEmulator compares the emulator with real daemons, measures its speed and compares policies over drills.
 type measureEmulator struct {
 	Daemon string   `default:"bin/quartzpoint" help:"The daemon's program."`
 	Seeds  int      `default:"10" help:"Runs of each script on both sides."`
-	Drills []string `default:"drills/calm.drill,drills/overload.drill,drills/slow-zone.drill,drills/bursts.drill,drills/pause.drill,drills/deploy-kill.drill" help:"Of the table of policies."`
-	Rounds int      `default:"3" help:"Seeds of the table of policies."`
+	Drills []string `default:"drills/calm.drill,drills/overload.drill,drills/slow-zone.drill,drills/bursts.drill,drills/pause.drill,drills/deploy-kill.drill" help:"Drills of the table of policies."`
+	Rounds int      `default:"3" help:"Number of seeds of the table of policies."`
 	Only   []string `help:"Only these parts: real, speed, policies."`
 }
 
-// scripts returns the drills that run on both sides, with their names. The router of one server makes one attempt, so that
-// the outcome of a request depends on the server only.
+// scripts returns the names and texts of the drills that run both on a real daemon and emulated. The router makes one
+// attempt per request, so that the outcome of a request depends on the server only.
 func scripts() [][2]string {
 	const oneServer = "servers 1 zones 1 cores 2\nhabits round tries 1\nnetwork delay 50us lag 0s\n"
 	return [][2]string{
@@ -45,13 +45,13 @@
 	}
 }
 
-// comparedRun is one run of a script on both sides.
+// comparedRun holds the results of one run of a script, on real daemons and emulated.
 type comparedRun struct {
 	real, emulated outcomeShares
 	violations     int
 }
 
-// fleetScript is a rolling deploy of eight servers, during which a fifth is killed.
+// fleetScript is a rolling deploy of eight servers, during which a fifth of them is killed.
 const (
 	fleetName   = "deploy and kill, 8 servers"
 	fleetScript = "servers 8 zones 2 cores 2\nhabits round tries 3\nnetwork delay 50us lag 0s\nload 100% for 9s\n" +
@@ -59,7 +59,8 @@
 	fleetSeeds = 5
 )
 
-// startFleetRuns runs fleetScript in the background.
+// startFleetRuns runs fleetScript with all its seeds in the background. The results and the joined errors are each sent
+// once.
 func (m *measureEmulator) startFleetRuns(folder string) (<-chan []comparedRun, <-chan error) {
 	done, failed := make(chan []comparedRun, 1), make(chan error, 1)
 	d, err := scenario.Parse(fleetName, fleetScript)
@@ -102,7 +103,8 @@
 	return n
 }
 
-// outcomeShares are shares of requests; goodput is a share of the value.
+// outcomeShares holds the shares of requests that were rejected and aborted, and the share of the offered value that
+// was served.
 type outcomeShares struct{ goodput, rejected, aborted float64 }
 
 // Run prints the tables and returns an error where an objective is missed.
@@ -126,7 +128,7 @@
 	return missedObjectives(objectives)
 }
 
-// real runs the same scripts and arrivals on real daemons and on emulated ones.
+// real runs the same scripts and arrivals on real daemons and on emulated ones, and compares the outcomes.
 func (m *measureEmulator) real() (objectives []objective, summary string, err error) {
 	folder, err := os.MkdirTemp("", "quartzpoint-bench")
 	if err != nil {
@@ -170,7 +172,7 @@
 	return m.printComparison(all, results, violations)
 }
 
-// printComparison prints the mean of each script on both sides, and returns the objectives.
+// printComparison prints the mean shares of each script on real daemons and emulated, and returns the objectives.
 func (m *measureEmulator) printComparison(all [][2]string, results [][]comparedRun, violations []int) (objectives []objective, summary string, err error) {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "one server, %d seeds\thonoured: sockets\temulated\toff by\tdismissed: sockets\temulated\tgiven up: sockets\temulated\t\n", m.Seeds)
@@ -189,7 +191,7 @@
 		fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%+.1f%%\t%.3f\t%.3f\t%.3f\t%.3f\t\n", s[0], realGoodput, emulatedGoodput, 100*(emulatedGoodput/realGoodput-1), realRejected, emulatedRejected, realAborted, emulatedAborted)
 		difference := max(math.Abs(emulatedGoodput/realGoodput-1), math.Abs(realRejected-emulatedRejected), math.Abs(realAborted-emulatedAborted))
 		maxDifference, totalViolations = max(maxDifference, difference), totalViolations+violations[i]
-		objectives = append(objectives, objective{s[0] + ": honoured over sockets, dismissed and given up by parts of all", difference, 0, 0.05})
+		objectives = append(objectives, objective{s[0] + ": maximum difference from sockets of the value served, relative, or of the share rejected or aborted", difference, 0, 0.05})
 	}
 	objectives = append(objectives, objective{"rules broken", float64(totalViolations), 0, 0})
 	return objectives, fmt.Sprintf("off sockets by %.1f%% at the most, rules broken %d", 100*maxDifference, totalViolations), table.Flush()
@@ -200,7 +202,7 @@
 	return outcomeShares{r.Goodput / max(r.OfferedValue, 1e-9), float64(r.Rejected) / n, float64(r.Aborted) / n}
 }
 
-// speed runs a thousand servers and a million requests.
+// speed measures the time and memory of an emulation of a thousand servers and a million requests.
 func (m *measureEmulator) speed() ([]objective, string, error) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	d, err := scenario.Parse("large", "servers 1000 zones 3 cores 4\nhabits random tries 3 budget 20% heeding\nload 80% for 10s\nat 4s for 4s kill 5% of servers")
@@ -212,7 +214,7 @@
 	took := time.Since(start)
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	fmt.Printf("1,000 servers, %d tasks on one processor: %v, %.0f events a second, %.0f MB, honoured %.3f\n",
+	fmt.Printf("1,000 servers, %d requests on one processor: %v, %.0f events a second, %.0f MB, served %.3f of the value\n",
 		r.Requests, took.Round(time.Millisecond), float64(r.Events)/took.Seconds(), float64(memory.Sys)/(1<<20), r.Goodput/r.OfferedValue)
 	return []objective{
 		{"tasks", float64(r.Requests), 1e6, math.Inf(1)}, {"seconds", took.Seconds(), 0, 60},
@@ -220,7 +222,7 @@
 	}, fmt.Sprintf("a million tasks in %.1f s, %.2f million events a second", took.Seconds(), float64(r.Events)/took.Seconds()/1e6), nil
 }
 
-// policies runs a short set of drills with all policies.
+// policies runs the drills with all policies and prints their tables.
 func (m *measureEmulator) policies() ([]objective, string, error) {
 	type job struct {
 		d      *scenario.Drill
@@ -247,7 +249,7 @@
 		slots <- struct{}{}
 		go func() {
 			defer running.Done()
-			policy, _ := baseline.PolicyByName(j.policy) // the name is a known one
+			policy, _ := baseline.PolicyByName(j.policy) // the name is known
 			runs[i] = experiment.RunDrill(j.d, j.policy, policy, j.seed)
 			<-slots
 		}()
--- a/cmd/quartzpoint-bench/experiment.go
+++ b/cmd/quartzpoint-bench/experiment.go
@@ -15,13 +15,13 @@
 	"quartzpoint/internal/testkit/experiment"
 )
 
-// experimentCommand runs an experiment.
+// experimentCommand runs an experiment: drills with several policies and seeds.
 type experimentCommand struct {
-	File    string `arg:"" help:"The experiment (TOML), as in experiments/."`
-	Results string `default:"results" help:"Where results are kept, in a folder of the experiment's name."`
+	File    string `arg:"" help:"The experiment file (TOML), as in experiments/."`
+	Results string `default:"results" help:"Folder of the results; each experiment has a folder of its name there."`
 }
 
-// Run makes the runs that are not stored yet, and writes the report.
+// Run executes the runs that are not stored yet, and writes the report.
 func (cmd *experimentCommand) Run() error {
 	e, err := experiment.ReadExperiment(cmd.File)
 	if err != nil {
@@ -43,7 +43,7 @@
 		})
 	}
 	if err != nil {
-		return fmt.Errorf("%w; what is done is kept in %s, and the same command goes on from there", err, folder)
+		return fmt.Errorf("%w; the finished runs are stored in %s, and the same command resumes the experiment", err, folder)
 	}
 	if err := e.Report(folder, runs); err != nil {
 		return err
@@ -52,7 +52,7 @@
 	return experiment.Overall(os.Stdout, experiment.Cells(runs))
 }
 
-// progressView shows the progress of an experiment in a terminal.
+// progressView shows the progress of an experiment on the terminal.
 type progressView struct {
 	title        string
 	startedAt    time.Time
@@ -107,11 +107,11 @@
 	if executed := p.ended - p.stored; executed > 0 {
 		timeLeft = (time.Since(p.startedAt) / time.Duration(executed) * time.Duration(p.total-p.ended)).Round(time.Second).String() + " left"
 	}
-	return fmt.Sprintf("%s\n\n[%s%s] %d of %d, %d kept from before, %s\n\n%s\n\nq: stop; what is done is kept\n", p.title,
+	return fmt.Sprintf("%s\n\n[%s%s] %d of %d, %d stored earlier, %s\n\n%s\n\nq: stop; finished runs are kept\n", p.title,
 		strings.Repeat("#", filled), strings.Repeat(".", width-filled), p.ended, p.total, p.stored, timeLeft, strings.Join(p.latest, "\n"))
 }
 
-// runWithProgress runs the experiment behind a progressView.
+// runWithProgress runs the experiment and shows its progress in a progressView. cancel cancels ctx.
 func runWithProgress(ctx context.Context, cancel context.CancelFunc, e *experiment.Experiment, folder string) (runs []experiment.Run, err error) {
 	screen := tea.NewProgram(progressView{title: e.Title, startedAt: time.Now(), cancel: cancel})
 	ended := make(chan struct{})
--- a/cmd/quartzpoint-bench/faultscenarios.go
+++ b/cmd/quartzpoint-bench/faultscenarios.go
@@ -6,33 +6,33 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// The dependencies of the scenarios.
+// The indexes of the dependencies in a scenario.
 const (
 	tables   = iota // required by all composed requests
 	guests          // optional in slot-check
 	waitlist        // required by confirm-booking; its calls have effects
 )
 
-// faultStart is when faults begin that do not last from the start.
+// faultStart is the start of the faults that until schedules, since the start of the load.
 const faultStart = time.Second
 
-// noCallRoute is the index in scenarioRoutes of the route that needs no call.
+// noCallRoute is the index in scenarioRoutes of the route without calls.
 const noCallRoute = 2
 
 // faultScenario scripts the behaviour of the three dependencies.
 type faultScenario struct {
 	name       string
 	scripts    [3]harness.BehaviourScript
-	overloaded bool   // workers at 130 % by the route that needs no call
-	baseline   string // name of the scenario that it is compared with
+	overloaded bool   // the route without calls loads the workers to 130 % of their capacity
+	baseline   string // name of the scenario that it is compared with; empty for undisturbed
 }
 
-// always is a behaviour that lasts from the start.
+// always returns a script with the same behaviour from start to end.
 func always(m harness.DependencyBehaviour) harness.BehaviourScript {
 	return func(time.Duration) harness.DependencyBehaviour { return m }
 }
 
-// until is a behaviour from faultStart to end.
+// until returns a script with a behaviour from faultStart to end.
 func until(end time.Duration, m harness.DependencyBehaviour) harness.BehaviourScript {
 	return func(at time.Duration) harness.DependencyBehaviour {
 		if at >= faultStart && at < end {
@@ -42,7 +42,7 @@
 	}
 }
 
-// undisturbed is the scenario without faults, which others are compared with by default.
+// undisturbed is the name of the scenario without faults, the default baseline of the others.
 const undisturbed = "undisturbed"
 
 func faultScenarios() []faultScenario {
@@ -67,7 +67,8 @@
 	}
 }
 
-// scenarioConfig is formatted with the control socket and the three addresses.
+// scenarioConfig is the format of the configuration file. Its arguments are the control socket and the addresses of the
+// three dependencies.
 const scenarioConfig = `
 [control]
 socket = %q
@@ -116,7 +117,7 @@
 effect = "at-most-once"
 `
 
-// scenarioRoutes are two that are composed of calls, and one that the pool runs and that needs none.
+// scenarioRoutes returns two routes that are composed of calls, and one that the worker pool runs without calls.
 func scenarioRoutes() []harness.Route {
 	return []harness.Route{
 		{Name: "slot-check", Value: 1, LatencyTarget: 800 * time.Millisecond, Deadline: 2 * time.Second, Share: 0.6,
--- a/cmd/quartzpoint-bench/flat.go
+++ b/cmd/quartzpoint-bench/flat.go
@@ -19,16 +19,16 @@
 	"quartzpoint/internal/workerlink"
 )
 
-// linkBufferBytes is the size of the buffer to the workers.
+// linkBufferBytes is the buffer size of the connection to the worker pool.
 const linkBufferBytes = 1 << 20
 
-// flatCommand is the command that serves as the baseline for budgeted calls: one timeout for every attempt and three retries, as
-// client libraries have them. Everything else of the server is the same.
+// flatCommand serves as the daemon does, but makes calls as common client libraries do: with one timeout for every
+// attempt and up to three retries. It is the baseline that budgeted calls are compared with.
 type flatCommand struct {
-	Config string `name:"config" aliases:"own" help:"The product's own file, for dependencies and types."`
+	Config string `name:"config" aliases:"own" help:"The configuration file of quartzpoint, for dependencies and routes."`
 }
 
-// flatSettings are those of the platform's configuration that the baseline needs.
+// flatSettings holds the parts of the platform's configuration that the baseline uses.
 type flatSettings struct {
 	Listen string `json:"listen"`
 	Pool   string `json:"pool"`
@@ -43,15 +43,15 @@
 func readFlatSettings() (s flatSettings, err error) {
 	raw, err := os.ReadFile(os.Getenv("EDGE_CONFIG"))
 	if err != nil {
-		return s, fmt.Errorf("reading EDGE_CONFIG: %w", err)
+		return s, fmt.Errorf("read EDGE_CONFIG: %w", err)
 	}
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return s, fmt.Errorf("reading EDGE_CONFIG: %w", err)
+		return s, fmt.Errorf("parse EDGE_CONFIG: %w", err)
 	}
 	return s, nil
 }
 
-// Run serves as the daemon does, but for how calls are made.
+// Run serves as the daemon does, except for how calls are made, until the server has drained after a SIGTERM.
 func (cmd *flatCommand) Run() error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	terminate := make(chan os.Signal, 1)
@@ -85,7 +85,7 @@
 	srv.Attach(link, routers)
 	srv.SetComposer(newFlatComposer(ctx, ownConfig, srv, counts, log))
 	go link.Run(ctx)
-	go func() { _ = routers.Serve() }() // ends with the process
+	go func() { _ = routers.Serve() }() // its goroutine ends with the process
 	go func() {
 		<-terminate
 		srv.Drain(time.Duration(s.StopMS) * time.Millisecond)
--- a/cmd/quartzpoint-bench/flatcomposer.go
+++ b/cmd/quartzpoint-bench/flatcomposer.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	flatTimeout      = 500 * time.Millisecond // of every attempt, whatever time is left
-	flatRetries      = 3                      // after every first attempt that failed
-	flatRetryDelay   = 10 * time.Millisecond  // after an attempt that no connection took: else retries would spin
-	flatPollInterval = 5 * time.Millisecond   // between looks at the attempts in flight
+	flatTimeout      = 500 * time.Millisecond // of every attempt, whatever the time left of the request
+	flatRetries      = 3                      // of every call, after its first attempt
+	flatRetryDelay   = 10 * time.Millisecond  // after an attempt that no connection accepted; without it retries would spin
+	flatPollInterval = 5 * time.Millisecond   // between checks of the attempts in flight
 )
 
 // flatComposer implements server.Composer without budgets. It starts every call whose predecessors are settled, gives all
@@ -30,11 +30,11 @@
 	transports []fanout.Transport
 	requests   map[string]*flatRequest
 	inFlight   map[*fanout.Attempt]flatAttempt
-	unsent     []flatAttempt // that no connection took
+	unsent     []flatAttempt // attempts that no connection accepted
 	notices    []workerapi.Notice
 }
 
-// flatRequest is a request in progress; its slices are by call.
+// flatRequest is a request in progress. Its slices are indexed by call.
 type flatRequest struct {
 	id        string
 	route     config.RoutePlan
@@ -45,20 +45,20 @@
 	finished  bool
 }
 
-// flatAttempt is an attempt of a call of a request.
+// flatAttempt is one attempt of a call.
 type flatAttempt struct {
 	request  *flatRequest
 	call     int
 	deadline time.Duration
 }
 
-// flatAnswer is the answer without its parts.
+// flatAnswer is the answer to a request. Unlike the daemon's, it does not contain the results of the calls.
 type flatAnswer struct {
 	Complete bool    `json:"whole"`
 	Value    float64 `json:"worth"`
 }
 
-// newFlatComposer connects to the dependencies until the context ends.
+// newFlatComposer returns a composer that stays connected to the dependencies until the context ends.
 func newFlatComposer(
 	ctx context.Context, ownConfig *config.Config, owner *server.Server, counts *invariant.Counters, log *slog.Logger,
 ) *flatComposer {
@@ -66,7 +66,7 @@
 		owner: owner, routes: map[string]config.RoutePlan{}, requests: map[string]*flatRequest{},
 		inFlight: map[*fanout.Attempt]flatAttempt{},
 	}
-	var connections sync.WaitGroup // not waited for: they end with the process
+	var connections sync.WaitGroup // nothing waits for it, as the connections end with the process
 	for i, d := range ownConfig.Dependencies {
 		transport := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Count, owner.Wake, &connections)
 		f.transports = append(f.transports, transport)
@@ -77,33 +77,33 @@
 	return f
 }
 
-// Handles implements server.Composer, as do the exported methods below.
+// Handles implements server.Composer, as do the other exported methods.
 func (f *flatComposer) Handles(route string) bool {
 	_, composed := f.routes[route]
 	return composed
 }
 
-// ExpectedWait is not known to the baseline.
+// ExpectedWait returns 0, since the baseline does not estimate the duration of calls.
 func (f *flatComposer) ExpectedWait(string) time.Duration { return 0 }
 
-// Resume refuses: Pause has ended the request.
+// Resume returns false, since Pause has ended the request.
 func (f *flatComposer) Resume(string) bool { return false }
 
-// AppendNotices appends the notices of requests that ended.
+// AppendNotices appends the notices of the requests that ended since the last call.
 func (f *flatComposer) AppendNotices(notices []workerapi.Notice) []workerapi.Notice {
 	notices = append(notices, f.notices...)
 	f.notices = f.notices[:0]
 	return notices
 }
 
-// Flush writes the calls that were sent.
+// Flush writes the buffered calls to the connections.
 func (f *flatComposer) Flush() {
 	for _, transport := range f.transports {
 		transport.Flush()
 	}
 }
 
-// NextTimer is when Advance must be called next.
+// NextTimer returns when Advance must be called next.
 func (f *flatComposer) NextTimer() time.Duration {
 	if len(f.notices)+len(f.unsent) > 0 {
 		return 0
@@ -127,7 +127,7 @@
 	return true
 }
 
-// Pause ends a request.
+// Pause ends a request without a result.
 func (f *flatComposer) Pause(id string) bool {
 	if r := f.requests[id]; r != nil {
 		f.finish(r, "interrupted", nil)
@@ -135,7 +135,7 @@
 	return true
 }
 
-// Advance retries what was not sent, takes responses and times attempts out.
+// Advance handles unsent attempts that are due for a retry, responses, and attempts whose timeout has passed.
 func (f *flatComposer) Advance(now time.Duration) {
 	unsent := f.unsent
 	f.unsent = nil
@@ -173,7 +173,8 @@
 	}
 }
 
-// startReady starts all calls whose predecessors are settled, or answers a request whose calls all are.
+// startReady starts all calls whose predecessors are settled. It finishes the request if a required call has no result
+// or all calls are settled.
 func (f *flatComposer) startReady(r *flatRequest) {
 	answer := flatAnswer{Complete: true}
 	allSettled, total, available := true, 0.0, 0.0
@@ -201,7 +202,7 @@
 		return
 	}
 	answer.Value = available / total
-	if encoded, err := json.Marshal(answer); err == nil { // fails only where no call has a value
+	if encoded, err := json.Marshal(answer); err == nil { // fails only if no call has a value
 		f.finish(r, "success", encoded)
 	}
 }
@@ -221,8 +222,8 @@
 	}
 }
 
-// attemptFailed retries a call or settles it. Client libraries would also retry at-most-once calls; that would break the
-// rule that the comparison counts.
+// attemptFailed retries a call, or settles it without a result. At-most-once calls are not retried. Client libraries
+// would retry them too, but that would violate the rule on repeated effects, whose violations the comparison counts.
 func (f *flatComposer) attemptFailed(attempt flatAttempt) {
 	r := attempt.request
 	if r.finished {
--- a/cmd/quartzpoint-bench/library.go
+++ b/cmd/quartzpoint-bench/library.go
@@ -9,8 +9,8 @@
 // measureLibrary compares the library with the daemon and with baseline policies, and measures its own overhead.
 type measureLibrary struct {
 	Daemon string        `default:"bin/quartzpoint" help:"The daemon's program."`
-	Seeds  int           `default:"10" help:"Runs of each."`
-	Span   time.Duration `default:"6s" help:"Of each overload."`
+	Seeds  int           `default:"10" help:"Runs of each comparison."`
+	Span   time.Duration `default:"6s" help:"Duration of each overload."`
 }
 
 // Run prints the tables and a summary line. The error joins the missed objectives.
--- a/cmd/quartzpoint-bench/library_frontends.go
+++ b/cmd/quartzpoint-bench/library_frontends.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// concurrentSeeds is the number of seeds that run at once. More would make the front ends' own work delay each other.
+	// concurrentSeeds is the number of seeds that run at once. With more, the front ends would delay each other by
+	// their own work.
 	concurrentSeeds = 5
 	// maxDifferencePercent is the objective for frontEndsResult.maxDifference, in percent.
 	maxDifferencePercent = 1
 )
 
-// frontEnd is a way to reach the admission decisions.
+// frontEnd is one of the compared ways in which requests reach the admission decisions.
 type frontEnd struct {
 	name        string
-	carriesKeys bool // it carries idempotency keys
+	carriesKeys bool // supports idempotency keys
 	// start starts an instance. The name is unique among the instances.
 	start func(name string) (conformance.Front, error)
 }
 
-// frontEndsResult is how alike the front ends decide.
+// frontEndsResult is the result of compareFrontEnds.
 type frontEndsResult struct {
-	maxDifference float64 // requests with another outcome than at the reference front end, as a share of all; the maximum
+	maxDifference float64 // share of requests whose outcome differs from the reference front end, maximum of the front ends
 	missed        error   // the missed objectives, nil for none
 }
 
-// frontEndTotals sums the counts of all seeds, by index of the front end, then of the case.
+// frontEndTotals holds the counts summed over all seeds, by index of the front end, then of the case.
 type frontEndTotals [][]conformance.Counts
 
-// compareFrontEnds runs the conformance cases at all front ends and prints a table of their outcomes.
+// compareFrontEnds runs the conformance cases on all front ends and prints a table of their outcomes.
 func (m *measureLibrary) compareFrontEnds() (result frontEndsResult, err error) {
 	folder, err := os.MkdirTemp("", "quartzpoint-bench")
 	if err != nil {
@@ -57,13 +58,13 @@
 	wrong := printOutcomes(table, frontEnds, totals)
 	result.maxDifference = totals.maxDifference()
 	if result.maxDifference > maxDifferencePercent/100. {
-		wrong = append(wrong, fmt.Errorf("counts differ by %.2f%%, %d%% is aimed at", 100*result.maxDifference, maxDifferencePercent))
+		wrong = append(wrong, fmt.Errorf("counts differ by %.2f%%, want at most %d%%", 100*result.maxDifference, maxDifferencePercent))
 	}
 	result.missed = errors.Join(wrong...)
 	return result, table.Flush()
 }
 
-// runConformance runs all cases of all seeds, each at its own instance of each front end.
+// runConformance runs all cases with all seeds, each on a new instance of each front end.
 func (m *measureLibrary) runConformance(frontEnds []frontEnd) (frontEndTotals, error) {
 	totals := make(frontEndTotals, len(frontEnds))
 	for f := range totals {
@@ -96,7 +97,7 @@
 	return totals, errors.Join(failures...)
 }
 
-// runCase runs a case at an instance of its own.
+// runCase runs a case on a new instance of a front end.
 func runCase(front frontEnd, instance string, c conformance.Case) (counts conformance.Counts, err error) {
 	f, err := front.start(instance)
 	if err != nil {
@@ -116,8 +117,8 @@
 	total.Runs += counts.Runs
 }
 
-// printOutcomes prints a row for each case, "-" where a front end did not run it. It returns an error for each cell with
-// requests that were unanswered, answered late or run twice.
+// printOutcomes prints a row for each case, with "-" for a front end that did not run it. It returns an error for each
+// cell with requests that were unanswered, answered late or run twice.
 func printOutcomes(table io.Writer, frontEnds []frontEnd, totals frontEndTotals) (wrong []error) {
 	fmt.Fprint(table, "honoured / dismissed / given up / left")
 	for _, front := range frontEnds {
@@ -136,7 +137,7 @@
 				n.Outcomes[conformance.Aborted], n.Outcomes[conformance.Canceled])
 			unanswered := n.Outcomes[conformance.Unanswered]
 			if unanswered+n.LateAnswers+n.RepeatedEffects > 0 {
-				wrong = append(wrong, fmt.Errorf("%s, %s: %d missing, %d late, %d run twice", front.name, c.Name, unanswered, n.LateAnswers, n.RepeatedEffects))
+				wrong = append(wrong, fmt.Errorf("%s, %s: %d unanswered, %d late, %d run twice", front.name, c.Name, unanswered, n.LateAnswers, n.RepeatedEffects))
 			}
 		}
 		fmt.Fprintln(table, "\t")
@@ -144,8 +145,9 @@
 	return wrong
 }
 
-// maxDifference compares each front end with the first; a case that the first did not run is compared with the second, which
-// runs all. It returns the maximum over the front ends of the requests with another outcome, as a share of all requests.
+// maxDifference compares each front end with the first. A case that the first did not run is compared with the second,
+// which runs all. It returns the number of requests with another outcome as a share of all requests, the maximum of the
+// front ends.
 func (t frontEndTotals) maxDifference() (maximum float64) {
 	requests, differences := 0, make([]int, len(t))
 	for i := range t[0] {
--- a/cmd/quartzpoint-bench/library_overhead.go
+++ b/cmd/quartzpoint-bench/library_overhead.go
@@ -16,21 +16,22 @@
 
 const (
 	overheadRoute    = "a"
-	overheadRequests = 200000 // shared out among the callers
+	overheadRequests = 200000 // divided among the callers
 
-	// The objectives of a request of a single caller.
+	// The objectives for a request of a single caller.
 	maxMedianMicros = 5 // microseconds
 	maxAllocations  = 4
 )
 
-// overheadResult is what a request without work costs a single caller.
+// overheadResult is the cost of a request without work for a single caller.
 type overheadResult struct {
 	medianMicros float64 // microseconds
-	allocations  int64   // a request
+	allocations  int64   // per request
 	missed       error   // the missed objectives, nil for none
 }
 
-// measureOverhead measures what Gate.Do adds to a run that does nothing, for one and for several callers, and prints a table.
+// measureOverhead measures the cost of Gate.Do for a run that does nothing, for one and for several callers, and prints
+// a table.
 func measureOverhead() (result overheadResult, err error) {
 	gate, err := quartzpoint.New(quartzpoint.Options{Routes: []quartzpoint.Route{{Name: overheadRoute}}})
 	if err != nil {
@@ -50,13 +51,14 @@
 		}
 	}
 	if result.medianMicros > maxMedianMicros || result.allocations > maxAllocations {
-		result.missed = fmt.Errorf("a task costs %.1f us and %d allocations; %d and %d are aimed at",
+		result.missed = fmt.Errorf("a request costs %.1f us and %d allocations; want at most %d and %d",
 			result.medianMicros, result.allocations, maxMedianMicros, maxAllocations)
 	}
 	return result, table.Flush()
 }
 
-// timeRequests sends overheadRequests from concurrent callers. It returns the latencies in nanoseconds, and the time of all.
+// timeRequests sends overheadRequests from concurrent callers. It returns the latencies in nanoseconds and the elapsed
+// time.
 func timeRequests(gate *quartzpoint.Gate, callers int) (latencies *hdrhistogram.Histogram, elapsed time.Duration) {
 	var running sync.WaitGroup
 	byCaller := make([]*hdrhistogram.Histogram, callers)
@@ -68,7 +70,7 @@
 			defer running.Done()
 			for range overheadRequests / callers {
 				sentAt := time.Now()
-				_ = gate.Do(context.Background(), quartzpoint.Request{Route: overheadRoute}, doNothing) // rejected ones count too
+				_ = gate.Do(context.Background(), quartzpoint.Request{Route: overheadRoute}, doNothing) // rejected requests count too
 				_ = byCaller[caller].RecordValue(int64(time.Since(sentAt)))
 			}
 		}()
@@ -81,7 +83,7 @@
 	return byCaller[0], elapsed
 }
 
-// countAllocations returns the heap allocations of a request.
+// countAllocations returns the heap allocations per request.
 func countAllocations(gate *quartzpoint.Gate) int64 {
 	return testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
--- a/cmd/quartzpoint-bench/library_overload.go
+++ b/cmd/quartzpoint-bench/library_overload.go
@@ -25,24 +25,25 @@
 	maxGateP99      = 4 * time.Second
 	maxHeapGrowth   = 32 << 20 // bytes
 
-	maxShownRatio = 9. // a higher ratio is shown as this
+	maxShownRatio = 9. // higher ratios are capped to this
 )
 
-// policiesResult is how the library does against the baseline policies.
+// policiesResult is the result of comparePolicies.
 type policiesResult struct {
-	minGoodputRatio float64 // the library's goodput over a baseline's, median of the seeds; the minimum over the baselines
+	minGoodputRatio float64 // the library's goodput over that of a baseline, median of the seeds, minimum of the baselines
 	missed          error   // the missed objectives, nil for none
 }
 
-// policySummary is what a policy did over all seeds. The slices are sorted.
+// policySummary is the result of a policy over all seeds. The slices are sorted.
 type policySummary struct {
 	served    []float64       // goodput as a share of the offered value, by run
 	ratios    []float64       // the library's goodput over the policy's, by seed
-	latencies []time.Duration // of all requests of all runs, rejected ones too
-	late      int             // answers after the deadline and lateSlack
+	latencies []time.Duration // of all requests of all runs, including rejected ones
+	late      int             // answers later than lateSlack after the deadline
 }
 
-// comparePolicies runs the same overloads with each policy, and prints a table of the goodput and the growth of the heap.
+// comparePolicies runs the same overloads with each policy, and prints a table of the goodput and the growth of the
+// heap.
 func (m *measureLibrary) comparePolicies() (result policiesResult, err error) {
 	heapBefore := heapBytes()
 	runs, err := m.runPolicies(overloadRoutes())
@@ -65,15 +66,15 @@
 	if err := table.Flush(); err != nil {
 		return result, err
 	}
-	fmt.Printf("heap after over before: %+.1f MB\n", heapGrowth/(1<<20))
+	fmt.Printf("heap growth: %+.1f MB\n", heapGrowth/(1<<20))
 	if heapGrowth > maxHeapGrowth {
-		missed = append(missed, fmt.Errorf("the heap grew by %.0f MB", heapGrowth/(1<<20)))
+		missed = append(missed, fmt.Errorf("the heap grew by %.0f MB, more than the limit", heapGrowth/(1<<20)))
 	}
 	result.missed = errors.Join(missed...)
 	return result, nil
 }
 
-// overloadRoutes returns the routes of the compared policies.
+// overloadRoutes returns the routes of the overloads.
 func overloadRoutes() []harness.Route {
 	return []harness.Route{
 		{Name: "slot-check", Value: 1, LatencyTarget: 500 * time.Millisecond, Deadline: 2 * time.Second, Share: 0.5, Work: 20 * time.Millisecond, Spread: 0.6},
@@ -90,8 +91,8 @@
 	return float64(stats.HeapAlloc)
 }
 
-// runPolicies runs each policy with each seed, all at once on emulated cores of their own. It returns the results by name of
-// the policy, then by seed.
+// runPolicies runs each policy with each seed, all at once, each with its own emulated cores. It returns the results by
+// name of the policy, then by seed.
 func (m *measureLibrary) runPolicies(routes []harness.Route) (map[string][]harness.Result, error) {
 	capacity := harness.Rate(routes, harness.Machine{Cores: overloadCores, Speed: 1}, 1)
 	results := map[string][]harness.Result{}
@@ -123,8 +124,8 @@
 	return results, errors.Join(failures...)
 }
 
-// runInProcess sends a load to a policy in real time, and waits until every request has ended. Latencies holds those of all
-// requests, in the order in which they ended.
+// runInProcess sends a load to a policy in real time, and waits until every request has ended. Latencies of the result
+// are those of all requests, in the order in which they ended.
 func runInProcess(routes []harness.Route, load []harness.Arrival, cores *harness.Cores, policy admissionPolicy) (result harness.Result) {
 	var mu sync.Mutex // guards result
 	var running sync.WaitGroup
@@ -158,7 +159,7 @@
 	return result
 }
 
-// summarize sums the runs of a policy up, beside those of the library with the same seeds.
+// summarize returns the summary of a policy's runs. gateRuns are the library's runs with the same seeds.
 func summarize(runs, gateRuns []harness.Result) (s policySummary) {
 	for seed, r := range runs {
 		s.served = append(s.served, r.Goodput/r.OfferedValue)
@@ -182,16 +183,17 @@
 		s.medianRatio(), s.ratios[0], float64(s.p99().Milliseconds()), s.late)
 }
 
-// check returns an error for a missed objective: the library answers in time, and has more goodput than a baseline in each seed.
+// check returns an error for a missed objective: the library's answers must be in time, and its goodput above that of a
+// baseline with each seed.
 func (s *policySummary) check(name string) error {
 	if name == gatePolicy {
 		if s.late > 0 || s.p99() > maxGateP99 {
-			return fmt.Errorf("gate: %d late answers, p99 %v", s.late, s.p99())
+			return fmt.Errorf("gate: %d late answers, p99 %v; want none, and a p99 within its limit", s.late, s.p99())
 		}
 		return nil
 	}
 	if s.ratios[0] <= minGoodputRatio {
-		return fmt.Errorf("gate over %s: %.2f in the worst seed, over %d is aimed at", name, s.ratios[0], minGoodputRatio)
+		return fmt.Errorf("gate over %s: goodput ratio %.2f with the worst seed, want more than %d", name, s.ratios[0], minGoodputRatio)
 	}
 	return nil
 }
--- a/cmd/quartzpoint-bench/library_policies.go
+++ b/cmd/quartzpoint-bench/library_policies.go
@@ -25,11 +25,11 @@
 // errRejected is returned by a baseline policy for a request that it does not run.
 var errRejected = errors.New("rejected")
 
-// admissionPolicy runs a request, or rejects it with an error. It may be called from several goroutines.
+// admissionPolicy runs a request, or rejects it with an error. It is safe for concurrent use.
 type admissionPolicy func(ctx context.Context, route *harness.Route, run func(context.Context) error) error
 
-// newPolicy returns a policy in fresh state, and the function that shuts it down. capacity is the rate of requests a second
-// that use the cores fully.
+// newPolicy returns a policy in its initial state, and the function that shuts it down. capacity is the rate of
+// requests a second that uses the cores fully.
 func newPolicy(name string, routes []harness.Route, cores *harness.Cores, capacity float64) (policy admissionPolicy, shutdown func(), err error) {
 	nothing := func() {}
 	switch name {
@@ -46,7 +46,7 @@
 	}
 }
 
-// newGate returns the library's policy, with the load of emulated cores as its gauges.
+// newGate returns the library as a policy. The load of the emulated cores is its gauges.
 func newGate(routes []harness.Route, cores *harness.Cores) (policy admissionPolicy, shutdown func(), err error) {
 	options := quartzpoint.Options{Cores: overloadCores, MemoryMB: 256, Gauges: func(int) quartzpoint.Gauges {
 		busy, running := cores.Load()
@@ -83,7 +83,8 @@
 	}
 }
 
-// newTokenBucket returns a policy that admits a rate of requests a second, and bursts of a quarter of a second.
+// newTokenBucket returns a policy that admits perSecond requests a second, and bursts of a quarter of a second's
+// requests.
 func newTokenBucket(perSecond float64) admissionPolicy {
 	bucket := rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/4)))
 	return func(ctx context.Context, _ *harness.Route, run func(context.Context) error) error {
--- a/cmd/quartzpoint-bench/main.go
+++ b/cmd/quartzpoint-bench/main.go
@@ -1,5 +1,5 @@
-// Command quartzpoint-bench measures and rehearses the product: it runs real daemons with emulated surroundings, and drills on
-// an emulated fleet. It is no part of the daemon.
+// Command quartzpoint-bench runs measurements and rehearsals of quartzpoint: real daemons with emulated workers,
+// dependencies and routers, and drills on an emulated fleet. The daemon does not contain any of it.
 package main
 
 import (
@@ -11,33 +11,33 @@
 
 // command lists the subcommands.
 type command struct {
-	Flat       flatCommand       `cmd:"" hidden:"" help:"Serve as the daemon does, with the baseline that calls are budgeted against."`
-	Child      stateChild        `cmd:"" name:"state-child" hidden:"" help:"The process that measure state kills."`
-	Drill      drillCommand      `cmd:"" help:"Play a drill on an emulated fleet, in simulated time."`
-	Experiment experimentCommand `cmd:"" help:"Run drills by policies by seeds, and write tables, charts and a report."`
-	Hollow     hollowCommand     `cmd:"" hidden:"" help:"Hold a part of a hollow fleet; scale starts it."`
-	Watchers   watchersCommand   `cmd:"" hidden:"" help:"Hold watchers of the configuration service; measure configuration starts it."`
-	Capacity   capacityCommand   `cmd:"" help:"Write what the points of scale give into the capacity page."`
-	Soak       soakCommand       `cmd:"" help:"Play real processes under faults drawn from seeds, and hold the four rules on them."`
-	Scale      scaleCommand      `cmd:"" help:"Measure what the programs cost up to the planned size, and write points and charts."`
-	Workers    workersCommand    `cmd:"" help:"Play, in real time, the worker pools, dependencies and membership of a drill, for real daemons."`
-	Load       loadCommand       `cmd:"" help:"Play a load, drawn or captured, against a server's frames or an http URL."`
-	Measure    measureCommand    `cmd:"" help:"Run a measurement; it ends with code 1 where an aim is missed."`
+	Flat       flatCommand       `cmd:"" hidden:"" help:"Serve as the daemon does, but make calls without budgets, as the baseline of measure dependencies."`
+	Child      stateChild        `cmd:"" name:"state-child" hidden:"" help:"Run the process that measure state kills."`
+	Drill      drillCommand      `cmd:"" help:"Run a drill on an emulated fleet, in simulated time."`
+	Experiment experimentCommand `cmd:"" help:"Run every drill with every policy and seed, and write tables, charts and a report."`
+	Hollow     hollowCommand     `cmd:"" hidden:"" help:"Run a part of a hollow fleet; started by scale."`
+	Watchers   watchersCommand   `cmd:"" hidden:"" help:"Run watchers of the configuration service; started by measure configuration."`
+	Capacity   capacityCommand   `cmd:"" help:"Compute the capacity figures from the points of scale, and write them into the capacity page."`
+	Soak       soakCommand       `cmd:"" help:"Run real processes under faults drawn from seeds, and check them against the four rules."`
+	Scale      scaleCommand      `cmd:"" help:"Measure the cost of the programs up to the planned size, and write points and charts."`
+	Workers    workersCommand    `cmd:"" help:"Emulate the worker pools, dependencies and membership of a drill in real time, for real daemons."`
+	Load       loadCommand       `cmd:"" help:"Send a load, drawn or captured, to a server in frames or to an http URL."`
+	Measure    measureCommand    `cmd:"" help:"Run a measurement; the exit code is 1 if an objective is missed."`
 }
 
 type measureCommand struct {
-	Library       measureLibrary       `cmd:"" help:"The library beside the daemon, baselines, and its own cost."`
-	Dependencies  measureDependencies  `cmd:"" help:"What budgets of calls gain over flat time-outs and retries."`
-	Peers         measurePeers         `cmd:"" help:"What a newcomer gains, or loses, by its peers' word."`
-	Emulator      measureEmulator      `cmd:"" help:"The emulator beside real daemons, its speed, and policies over drills."`
-	Configuration measureConfiguration `cmd:"" help:"Whether changes of configuration are in force everywhere in time, through losses and cuts."`
-	Scale         measureScale         `cmd:"" help:"Whether a daemon at the planned size, and small hollow fleets, keep to the budgets."`
-	State         measureState         `cmd:"" help:"What a folder of state is worth at a restart, and what it costs."`
+	Library       measureLibrary       `cmd:"" help:"Compare the library with the daemon and with baseline policies, and measure its overhead."`
+	Dependencies  measureDependencies  `cmd:"" help:"Compare budgeted calls with flat timeouts and retries."`
+	Peers         measurePeers         `cmd:"" help:"Compare new servers with and without the estimates of their peers."`
+	Emulator      measureEmulator      `cmd:"" help:"Compare the emulator with real daemons, measure its speed, and compare policies over drills."`
+	Configuration measureConfiguration `cmd:"" help:"Check that configuration changes take effect on all servers in time, also if machines fail or the network is partitioned."`
+	Scale         measureScale         `cmd:"" help:"Check that a daemon at the planned size, and small hollow fleets, stay within their budgets."`
+	State         measureState         `cmd:"" help:"Measure the benefit of a state directory at a restart, and its cost."`
 }
 
 func main() {
 	parsed := kong.Parse(&command{}, kong.Name("quartzpoint-bench"), kong.UsageOnError(),
-		kong.Description("Measurements and rehearsals of quartzpoint, on loopback. Exit codes: 0 done; 1 failed or short of an aim; 80 wrong usage."))
+		kong.Description("Measurements and rehearsals of quartzpoint, on loopback. Exit codes: 0 done; 1 failed, or an objective was missed; 80 wrong usage."))
 	if err := parsed.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "quartzpoint-bench:", err)
 		os.Exit(1)
