--- a/cmd/quartzpoint-bench/load.go
+++ b/cmd/quartzpoint-bench/load.go
@@ -20,13 +20,13 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// loadCommand sends a load to a server.
+// loadCommand sends a load to a server and prints the outcomes and latencies.
 type loadCommand struct {
 	To      string `arg:"" help:"The server: address and port for frames, or an http URL on this machine."`
-	Drill   string `help:"The drill whose load is played, on one server of it."`
-	Capture string `help:"A capture to be replayed: a JSON object a line with at, type, work (times as \"15ms\")."`
-	Save    string `placeholder:"FILE" help:"Write what was played as a capture."`
-	Seed    int64  `default:"1" help:"Of what is drawn."`
+	Drill   string `help:"The drill whose load is sent, as for a fleet of one server."`
+	Capture string `help:"A capture to replay, with one JSON object per line: at, type, work (times as \"15ms\")."`
+	Save    string `placeholder:"FILE" help:"Write the load to this file as a capture."`
+	Seed    int64  `default:"1" help:"Seed of the load."`
 }
 
 // capturedRequest is one line of a capture.
@@ -37,8 +37,9 @@
 	Rank float64 `json:"rank"`
 }
 
-// Run plays the load: every task at its moment, whether or not answers come, and each latency from that moment on. A
-// client that waits for an answer before it asks again would leave out just the tasks that would have waited.
+// Run sends every request at its scheduled time, whether or not earlier ones are answered, and measures each latency
+// from that time. A client that waits for an answer before it sends the next request would leave out exactly the
+// requests that would have waited.
 func (cmd *loadCommand) Run() error {
 	routes := emulator.BranchRoutes()
 	var load []harness.Arrival
@@ -56,7 +57,7 @@
 		d.Fleet.Servers, routes = 1, d.Fleet.Routes
 		load = d.Arrivals(cmd.Seed)
 	default:
-		return errors.New("a --drill or a --capture is needed")
+		return errors.New("want --drill or --capture")
 	}
 	if cmd.Save != "" {
 		if err := saveCapture(cmd.Save, routes, load); err != nil {
@@ -73,18 +74,19 @@
 			_ = latencies.RecordValue(min(max(t.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
 		}
 		shares := measuredShares(r)
-		fmt.Printf("%d tasks: honoured %.3f of importance, dismissed %.3f, given up %.3f, unanswered %d, twice %d, late %d\n",
+		fmt.Printf("%d requests: served %.3f of the value, rejected %.3f, aborted %.3f, unanswered %d, answered twice %d, late %d\n",
 			r.Requests, shares.goodput, shares.rejected, shares.aborted, r.Unanswered, r.DuplicateAnswers, r.LateAnswers)
 	} else if err := sendHTTP(cmd.To, routes, load, latencies); err != nil {
 		return err
 	}
-	fmt.Printf("ms of what was honoured, from the moment it was meant to be sent: p50 %.1f, p90 %.1f, p99 %.1f, p99.9 %.1f, most %.1f\n",
+	fmt.Printf("latencies of served requests from their scheduled times, ms: p50 %.1f, p90 %.1f, p99 %.1f, p99.9 %.1f, max %.1f\n",
 		float64(latencies.ValueAtQuantile(50))/1e3, float64(latencies.ValueAtQuantile(90))/1e3, float64(latencies.ValueAtQuantile(99))/1e3,
 		float64(latencies.ValueAtQuantile(99.9))/1e3, float64(latencies.Max())/1e3)
 	return nil
 }
 
-// sendHTTP posts each task with its type in X-Type and its work, in nanoseconds, in X-Works.
+// sendHTTP posts each request with its route in the header X-Type and its work, in nanoseconds, in X-Works. It records
+// the latencies of the served requests in microseconds.
 func sendHTTP(url string, routes []harness.Route, load []harness.Arrival, latencies *hdrhistogram.Histogram) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer client.CloseIdleConnections()
@@ -109,7 +111,7 @@
 				request.Header.Set("X-Works", strconv.FormatInt(int64(a.Work), 10))
 				var response *http.Response
 				if response, err = client.Do(request); err == nil {
-					_, _ = io.Copy(io.Discard, response.Body) // only the status counts
+					_, _ = io.Copy(io.Discard, response.Body) // only the status is evaluated
 					_ = response.Body.Close()
 					code = response.StatusCode
 				}
@@ -127,7 +129,7 @@
 		}()
 	}
 	pending.Wait()
-	fmt.Printf("%d tasks: honoured %.3f of importance, by status %v (0: no answer)\n", len(load), goodput/max(offered, 1e-9), codes)
+	fmt.Printf("%d requests: served %.3f of the value, by status %v (0: no response)\n", len(load), goodput/max(offered, 1e-9), codes)
 	return nil
 }
 
@@ -154,10 +156,10 @@
 		a.At, errAt = time.ParseDuration(c.At)
 		a.Work, errWork = time.ParseDuration(c.Work)
 		if err := errors.Join(errAt, errWork); err != nil {
-			return nil, fmt.Errorf("capture %s line %d: at and work are times: %w", path, number, err)
+			return nil, fmt.Errorf("capture %s line %d: want durations in at and work: %w", path, number, err)
 		}
 		if a.Route < 0 || a.At < 0 {
-			return nil, fmt.Errorf("capture %s line %d: type is one of the mix (%q), and at is 0 or more", path, number, c.Type)
+			return nil, fmt.Errorf("capture %s line %d: want a type of the mix, got %q, and at of 0 or more", path, number, c.Type)
 		}
 		if a.Rank == 0 {
 			a.Rank = rng.Float64()
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -19,38 +19,38 @@
 // measurePeers compares new servers that fetch estimates from peers with twins that do not, under the same arrivals.
 type measurePeers struct {
 	Daemon string        `default:"bin/quartzpoint" help:"The daemon's program."`
-	Seeds  int           `default:"10" help:"Pairs of groups."`
-	Group  int           `default:"8" help:"New servers in a group; their results are added up, as a few requests sway that of one."`
-	Warm   time.Duration `default:"12s" help:"For which the running peer is under load before."`
-	Span   time.Duration `default:"10s" help:"Of the new servers' load."`
-	Load   float64       `default:"1.2" help:"Part of the pools' capacity."`
-	Cores  float64       `default:"4" help:"Of each emulated pool."`
+	Seeds  int           `default:"10" help:"Number of seeds, each with all groups of servers."`
+	Group  int           `default:"8" help:"New servers in a group; their results are added up, as a few requests change that of a single server."`
+	Warm   time.Duration `default:"12s" help:"Duration of the running peer's load before the new servers start."`
+	Span   time.Duration `default:"10s" help:"Duration of the new servers' load."`
+	Load   float64       `default:"1.2" help:"Load as a share of the pools' capacity."`
+	Cores  float64       `default:"4" help:"Cores of each emulated pool."`
 }
 
-// peersResult is what one seed gave.
+// peersResult is the result of one seed.
 type peersResult struct {
-	fresh, stale, recent         float64   // value served, over that of the cold twin
-	twins                        float64   // the same of a second cold twin
-	extraStarts, twinExtraStarts []float64 // started more than the cold twin at each moment, with the old snapshot and of the twin
-	polled, unpolledTwins        float64   // value served, over that of a server that is not polled
-	snapshotBytes                float64   // of a snapshot
-	fetches                      int       // answered
+	fresh, stale, recent         float64   // value served with a fresh, stale or recent snapshot, over that of the cold twin
+	twins                        float64   // value served by a second cold twin, over that of the first
+	extraStarts, twinExtraStarts []float64 // requests started more than the cold twin at each sampled moment, with the stale snapshot and by the second twin
+	polled, unpolledTwins        float64   // value served by the polled servers and by a twin of the unpolled ones, over that of the unpolled ones
+	snapshotBytes                float64   // size of a snapshot
+	fetches                      int       // number of answered fetches
 	fetchDuration                time.Duration
 	violations                   []string
 }
 
 const (
-	sampleInterval = 250 * time.Millisecond // of the requests started
-	fetchInterval  = 100 * time.Millisecond // of a server that is polled all the time
+	sampleInterval = 250 * time.Millisecond // between samples of the requests started
+	fetchInterval  = 100 * time.Millisecond // between fetches from a polled server
 	staleAge       = 5 * time.Minute
 	recentAge      = 10 * time.Second
 	slowFactor     = 1.0 / 3 // of the full speed of a pool
-	polledLoad     = 1.3     // load of the servers that are polled all the time, and of their twins
-	peerSeedOffset = 500     // so that the running peer has a load of its own
-	kbPerCore      = 16000   // of memory of a pool
+	polledLoad     = 1.3     // load of the polled servers and of their twins, as a share of the capacity
+	peerSeedOffset = 500     // gives the running peer a load that differs from the others
+	kbPerCore      = 16000   // memory of a pool
 )
 
-// Run prints the table and fails where a target is missed.
+// Run prints the table and returns an error if an objective is missed.
 func (m *measurePeers) Run() error {
 	folder, err := os.MkdirTemp("", "quartzpoint-bench")
 	if err != nil {
@@ -70,10 +70,10 @@
 	return m.report(results)
 }
 
-// fetchingConfig is the configuration of a server that fetches from one peer.
+// fetchingConfig returns the configuration of a server that fetches from one peer.
 func fetchingConfig(address string) string { return fmt.Sprintf("[peers]\nask = [%q]\n", address) }
 
-// comparedRun measures all groups of one seed.
+// runSeed measures all groups of one seed.
 func (m *measurePeers) runSeed(folder string, seed int64) (result peersResult, err error) {
 	full := harness.Machine{Cores: m.Cores, Speed: 1, MemoryKB: kbPerCore * m.Cores}
 	snapshot, err := m.compareWithRunningPeer(folder, full, seed, &result)
@@ -84,8 +84,8 @@
 	return result, m.compareWithRecordedPeers(folder, full, seed, snapshot, &result)
 }
 
-// compareWithRunningPeer measures new servers beside a peer that has run for a while and goes on, and returns the snapshot that
-// this peer had at their start.
+// compareWithRunningPeer compares new servers that fetch from a peer under load with cold ones. It returns the snapshot
+// that the peer served when they started.
 func (m *measurePeers) compareWithRunningPeer(
 	folder string, full harness.Machine, seed int64, result *peersResult,
 ) (snapshot estimate.Snapshot, err error) {
@@ -120,12 +120,12 @@
 	return snapshot, nil
 }
 
-// compareWithRecordedPeers measures new servers on slower machines that get the snapshot when it has aged, and a server that is
-// polled all the time.
+// compareWithRecordedPeers compares new servers on slower machines that fetch an aged snapshot with cold ones, and
+// servers that are polled all the time with unpolled ones.
 func (m *measurePeers) compareWithRecordedPeers(
 	folder string, full harness.Machine, seed int64, snapshot estimate.Snapshot, result *peersResult,
 ) error {
-	addresses := map[time.Duration]string{} // age of the snapshot to the address that serves it
+	addresses := map[time.Duration]string{} // by age of the snapshot, the address that serves it
 	for _, age := range []time.Duration{staleAge, recentAge} {
 		server, err := serveAged(snapshot, age)
 		if err != nil {
@@ -174,9 +174,9 @@
 	return nil
 }
 
-// serveAged serves a snapshot as one that was taken so long ago. The caller has to close the server.
+// serveAged serves a snapshot as if it had been taken age ago. The caller must close the server.
 func serveAged(snapshot estimate.Snapshot, age time.Duration) (*peersync.Server, error) {
-	const now = time.Hour // on the server's clock, which stands still; later than any age
+	const now = time.Hour // constant time of the server's clock; later than any age
 	server, err := peersync.Listen("127.0.0.1:0", nil, func() time.Duration { return now },
 		invariant.New(slog.New(slog.DiscardHandler)))
 	if err != nil {
@@ -187,7 +187,8 @@
 	return server, nil
 }
 
-// pollPeer fetches ten times a second until quit is closed, and returns how long the answered fetches took.
+// pollPeer fetches from a server at every fetchInterval until quit is closed, and returns the durations of the answered
+// fetches.
 func pollPeer(address string, quit <-chan struct{}) (durations []time.Duration) {
 	ticker := time.NewTicker(fetchInterval)
 	defer ticker.Stop()
--- a/cmd/quartzpoint-bench/peersgroup.go
+++ b/cmd/quartzpoint-bench/peersgroup.go
@@ -9,17 +9,17 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// group is a number of daemons of one kind, each under its own load. Groups of one seed have the same loads.
+// group is a number of daemons of one kind, each with its own load. Groups of one seed have the same loads.
 type group struct {
 	name      string
 	machine   harness.Machine
 	config    string                      // configuration file
-	configFor func(i int) (string, error) // configuration file of each, instead of own
-	load      float64                     // load, as a part of what pools of full speed can do
+	configFor func(i int) (string, error) // returns the configuration file of each daemon, in place of config
+	load      float64                     // as a share of the capacity of pools at full speed
 	seed      int64
 
-	servesPeers bool                    // each has an address for peers, instead of own
-	onServing   func(d *harness.Daemon) // called with each once it serves
+	servesPeers bool                    // each daemon listens for peers; replaces config
+	onServing   func(d *harness.Daemon) // called with each daemon that has started
 
 	daemons   []*harness.Daemon
 	startedAt time.Time
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// run plays the load of each daemon until all loads are over.
+// run sends each daemon its load, and waits until all loads have ended.
 func (g *group) run(span time.Duration, full harness.Machine) error {
 	routes := harness.BookingRoutes()
 	g.results = make([]harness.Result, len(g.daemons))
@@ -71,7 +71,7 @@
 	return errors.Join(failed...)
 }
 
-// stop ends all daemons.
+// stop stops all daemons.
 func (g *group) stop() error {
 	failed := make([]error, len(g.daemons))
 	var stopping sync.WaitGroup
@@ -82,7 +82,7 @@
 	return errors.Join(failed...)
 }
 
-// goodput is the value that the group served.
+// goodput returns the value that the group served.
 func (g *group) goodput() (sum float64) {
 	for _, r := range g.results {
 		sum += r.Goodput
@@ -90,7 +90,8 @@
 	return sum
 }
 
-// violations names the rules that were broken in the group.
+// violations returns a message for each daemon of the group with requests that were unanswered, answered twice,
+// answered late or run twice.
 func (g *group) violations() (messages []string) {
 	for i, r := range g.results {
 		_, repeated := g.daemons[i].Workers.StartOffsets()
@@ -102,7 +103,7 @@
 	return messages
 }
 
-// startedBy is how many requests the group had started at a moment of its load.
+// startedBy returns the number of requests that the group had started by a moment of its load.
 func (g *group) startedBy(at time.Duration) (n int) {
 	for _, d := range g.daemons {
 		started, _ := d.Workers.StartOffsets()
@@ -115,7 +116,7 @@
 	return n
 }
 
-// extraStarts is by how many requests one group had started more than another, at each sampled moment.
+// extraStarts returns, for each sampled moment, how many requests more than b group a had started.
 func extraStarts(a, b *group, span time.Duration) (extra []float64) {
 	for at := sampleInterval; at <= span; at += sampleInterval {
 		extra = append(extra, float64(a.startedBy(at)-b.startedBy(at)))
@@ -123,7 +124,8 @@
 	return extra
 }
 
-// runGroups starts groups, runs them side by side, and ends them. sizes are those of the groups, the last for all that follow.
+// runGroups starts groups, runs their loads concurrently and stops the groups. sizes are the numbers of daemons by
+// group; the last applies to all further groups.
 func (m *measurePeers) runGroups(folder string, full harness.Machine, groups []*group, sizes ...int) error {
 	defer func() {
 		for _, g := range groups {
--- a/cmd/quartzpoint-bench/peersreport.go
+++ b/cmd/quartzpoint-bench/peersreport.go
@@ -10,15 +10,16 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// objective is a figure with the range that it must be in.
+// objective is a figure and the range that it must be in.
 type objective struct {
 	name     string
 	value    float64
 	min, max float64
 }
 
-// maxExcess is by how many standard errors a group is ahead of its cold twins, over the seeds, at the moment at which that is
-// most, and by how many requests. The errors are those of both kinds of pairs together, as at most moments one alone has few.
+// maxExcess returns the largest lead of a group over its cold twins in started requests, over all sampled moments: in
+// standard errors over the seeds, and in requests a group. The standard errors are estimated from both kinds of pairs
+// together, since at most moments one kind alone has few differences.
 func maxExcess(results []peersResult) (maximum, requests float64) {
 	n := float64(len(results))
 	for at := range results[0].extraStarts {
@@ -34,14 +35,14 @@
 	return maximum, requests
 }
 
-// maxStandardErrors is the number of standard errors by which a figure must miss its range to count as a miss: twins on sockets differ
-// by the moments at which things are read.
+// maxStandardErrors is the number of standard errors by which a figure may be out of its range by chance: twin servers
+// on sockets differ by the moments at which they read their inputs.
 const maxStandardErrors = 3.5
 
-// sortedMedian is the median of sorted values.
+// sortedMedian returns the median of sorted values.
 func sortedMedian(sorted []float64) float64 { return stat.Quantile(0.5, stat.LinInterp, sorted, nil) }
 
-// sortedFigure returns a figure of all seeds, sorted.
+// sortedFigure returns the values of a figure over all seeds, sorted.
 func sortedFigure(results []peersResult, get func(peersResult) float64) (values []float64) {
 	for _, r := range results {
 		values = append(values, get(r))
@@ -50,8 +51,8 @@
 	return values
 }
 
-// meanAndNoiseFloor returns the mean of a figure, and what it may fall to by chance: 1 less the standard errors that the figure and its
-// twins show.
+// meanAndNoiseFloor returns the mean of a figure, and the lowest mean that counts as noise: 1 less maxStandardErrors
+// standard errors, estimated from the figure and its twins.
 func meanAndNoiseFloor(values, twins []float64) (mean, floor float64) {
 	spread := stat.StdDev(append(slices.Clone(values), twins...), nil)
 	return stat.Mean(values, nil), 1 - maxStandardErrors*spread/math.Sqrt(float64(len(values)))
@@ -67,12 +68,12 @@
 		fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%.3f\t\n", name, sortedMedian(values), values[0], values[len(values)-1])
 		return values
 	}
-	fresh := line("fresh view, honoured over cold", func(r peersResult) float64 { return r.fresh })
-	stale := line("view of 5 min, pool at a third: honoured over cold", func(r peersResult) float64 { return r.stale })
+	fresh := line("fresh snapshot, value served over cold", func(r peersResult) float64 { return r.fresh })
+	stale := line("snapshot of 5 min, pool at a third: value served over cold", func(r peersResult) float64 { return r.stale })
 	twins := line("  a second cold twin (noise)", func(r peersResult) float64 { return r.twins })
-	recent := line("view of 10 s, pool at a third: honoured over cold", func(r peersResult) float64 { return r.recent })
-	polled := line("asked 10 times a second at 130%: over unasked", func(r peersResult) float64 { return r.polled })
-	unpolledTwins := line("  a second unasked twin (noise)", func(r peersResult) float64 { return r.unpolledTwins })
+	recent := line("snapshot of 10 s, pool at a third: value served over cold", func(r peersResult) float64 { return r.recent })
+	polled := line("polled 10 times a second at 130%: over unpolled", func(r peersResult) float64 { return r.polled })
+	unpolledTwins := line("  a second unpolled twin (noise)", func(r peersResult) float64 { return r.unpolledTwins })
 	violations, err := printFetches(table, results)
 	if err != nil {
 		return err
@@ -81,23 +82,24 @@
 	recentMean, recentFloor := meanAndNoiseFloor(recent, twins)
 	polledMean, polledFloor := meanAndNoiseFloor(polled, unpolledTwins)
 	ahead, requests := maxExcess(results)
-	fmt.Printf("view of 5 min: ahead of cold in started tasks by %.1f standard errors at the most (%.1f tasks a group)\n", ahead, requests)
+	fmt.Printf("snapshot of 5 min: ahead of cold in started requests by at most %.1f standard errors (%.1f requests a group)\n", ahead, requests)
 	fmt.Printf("measure peers: fresh %.3f (worst %.3f), old mean %.3f (chance down to %.3f), started ahead %.1f errors, "+
 		"asked mean %.3f (chance down to %.3f), rules broken %d, seeds %d\n",
 		sortedMedian(fresh), fresh[0], staleMean, staleFloor, ahead, polledMean, polledFloor, violations, m.Seeds)
 	return missedObjectives([]objective{
-		{"fresh view, median", sortedMedian(fresh), 1, math.Inf(1)}, {"fresh view, worst seed", fresh[0], 0.98, math.Inf(1)},
-		{"old view, mean", staleMean, staleFloor, math.Inf(1)}, {"old view, started ahead", ahead, 0, maxStandardErrors},
-		{"young view, mean", recentMean, recentFloor, math.Inf(1)},
-		{"asked, mean", polledMean, polledFloor, math.Inf(1)}, {"rules broken", float64(violations), 0, 0},
+		{"fresh snapshot, median", sortedMedian(fresh), 1, math.Inf(1)}, {"fresh snapshot, worst seed", fresh[0], 0.98, math.Inf(1)},
+		{"stale snapshot, mean", staleMean, staleFloor, math.Inf(1)}, {"stale snapshot, lead in started requests", ahead, 0, maxStandardErrors},
+		{"recent snapshot, mean", recentMean, recentFloor, math.Inf(1)},
+		{"polled, mean", polledMean, polledFloor, math.Inf(1)}, {"rules broken", float64(violations), 0, 0},
 	})
 }
 
-// printFetches ends the table with the cost of a fetch and the rules that were broken, of which it returns the number.
+// printFetches prints the rows of the cost of a fetch and of the violated rules, and flushes the table. It returns the
+// number of violations.
 func printFetches(table *tabwriter.Writer, results []peersResult) (violations int, err error) {
 	durations := sortedFigure(results, func(r peersResult) float64 { return float64(r.fetchDuration.Microseconds()) / 1000 })
 	answered := sortedFigure(results, func(r peersResult) float64 { return float64(r.fetches) })
-	fmt.Fprintf(table, "one ask, ms: %.0f bytes of view, %.0f or more answered a seed\t%.2f\t%.2f\t%.2f\t\n",
+	fmt.Fprintf(table, "one fetch, ms: %.0f bytes of snapshot, %.0f or more answered a seed\t%.2f\t%.2f\t%.2f\t\n",
 		results[0].snapshotBytes, answered[0], sortedMedian(durations), durations[len(durations)-1], durations[0])
 	for i, r := range results {
 		for _, message := range r.violations {
--- a/cmd/quartzpoint-bench/real.go
+++ b/cmd/quartzpoint-bench/real.go
@@ -14,17 +14,17 @@
 	"quartzpoint/scenario"
 )
 
-// errEmulatedOnly ends the error of an incident that can only be emulated. Incidents of the load are in the
-// arrivals, which are drawn beforehand.
-var errEmulatedOnly = errors.New("is not played on real daemons; kill, restart, deploy, pause, slow, neighbours and load are")
+// errEmulatedOnly is the cause of the error for an incident that can only be emulated. Changes of the load are
+// supported, since they are part of the arrivals, which are drawn beforehand.
+var errEmulatedOnly = errors.New("not supported on real daemons; want kill, restart, deploy, pause, slow, neighbours or load")
 
-// runFleet runs a drill on real daemons behind one router, and checks the run against the four rules.
+// runFleet runs a drill on real daemons with one router in front, and checks the run against the four rules.
 func runFleet(program, folder string, d *scenario.Drill, seed int64, load []harness.Arrival) (r harness.Result, report rulecheck.Report, err error) {
 	for _, i := range d.Incidents {
 		switch i.Kind {
 		case scenario.KillServers, scenario.RestartServers, scenario.Deploy, scenario.PauseServers, scenario.SlowPools, scenario.Neighbours, scenario.ChangeLoad:
 		default:
-			return r, report, fmt.Errorf("%s: %s at %v %w", d.Name, i.Kind, i.At, errEmulatedOnly)
+			return r, report, fmt.Errorf("%s: %s at %v: %w", d.Name, i.Kind, i.At, errEmulatedOnly)
 		}
 	}
 	if folder, err = os.MkdirTemp(folder, "fleet"); err != nil {
@@ -49,7 +49,8 @@
 	return r, r.Check(f.Pools()...), errors.Join(append(failed, err, f.Close())...)
 }
 
-// incidentServers returns the servers of an incident; a share of them is drawn.
+// incidentServers returns the indexes of the servers that an incident affects. For a share of the servers they are
+// drawn from rng.
 func incidentServers(d *scenario.Drill, i scenario.Incident, rng *rand.Rand) (servers []int) {
 	switch {
 	case i.Server >= 0:
@@ -65,9 +66,10 @@
 	return rng.Perm(d.Fleet.Servers)[:max(1, int(math.Round(i.Share*float64(d.Fleet.Servers))))]
 }
 
-// injectReal carries out an incident on real daemons, to its end.
+// injectReal carries out an incident on real daemons, and returns at its end.
 func injectReal(f *harness.Fleet, d *scenario.Drill, i scenario.Incident, rng *rand.Rand) error {
-	// change changes machines for the incident's span; one that is down has nothing to change.
+	// change changes the machines of servers for the duration of the incident, or for good if it has none. Servers that
+	// are down are skipped.
 	change := func(servers []int, apply, revert func(m *harness.Machine)) {
 		for _, update := range []func(m *harness.Machine){apply, revert} {
 			for _, n := range servers {
@@ -109,7 +111,7 @@
 		}
 		pauses.Wait()
 		return errors.Join(errs...)
-	default: // runFleet lets only ChangeLoad come here, which is in the arrivals
+	default: // runFleet admits only ChangeLoad besides, which is part of the arrivals
 	}
 	return nil
 }
--- a/cmd/quartzpoint-bench/scale.go
+++ b/cmd/quartzpoint-bench/scale.go
@@ -15,22 +15,22 @@
 	"quartzpoint/internal/testkit/scale"
 )
 
-// hollowCommand is the process of a part of a hollow fleet.
+// hollowCommand runs the process of a part of a hollow fleet.
 type hollowCommand struct{}
 
-// Run runs the part until the input ends.
+// Run runs the part until standard input ends.
 func (*hollowCommand) Run() error { return scale.RunHollow(os.Stdin, os.Stdout) }
 
 // scaleCommand measures the cost of the programs up to the planned size.
 type scaleCommand struct {
 	Out    string   `default:"results/scale" help:"Folder for points (CSV) and charts (SVG)."`
 	Daemon string   `default:"bin/quartzpoint" help:"The app server's program."`
-	Seed   int64    `default:"1" help:"Of the loads and of the fleet's choices."`
-	Small  bool     `help:"Fewer series and smaller fleets, and shorter looks; a check that all of it works."`
+	Seed   int64    `default:"1" help:"Seed of the loads and of the fleet's random choices."`
+	Small  bool     `help:"Use fewer series, smaller fleets and shorter observations, as a smoke test."`
 	Only   []string `enum:"slopes,fleets" default:"slopes,fleets" help:"Parts to measure: slopes of one daemon, hollow fleets."`
 }
 
-// Run measures the parts, and writes the points and charts of each.
+// Run measures the selected parts, and writes the points and charts of each.
 func (cmd *scaleCommand) Run() error {
 	points, origin, err := cmd.measure()
 	if err != nil {
@@ -39,7 +39,7 @@
 	return scale.PublishParts(cmd.Out, points, origin)
 }
 
-// measure measures the parts.
+// measure measures the selected parts, and returns the points of each.
 func (cmd *scaleCommand) measure() (map[string]scale.Points, scale.Origin, error) {
 	origin := scale.LocalOrigin(cmd.Seed)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
@@ -73,13 +73,13 @@
 	return all, origin, nil
 }
 
-// measureScale checks a small scaleCommand against the budgets.
+// measureScale checks the figures of a small scaleCommand against the budgets.
 type measureScale struct {
 	Daemon string `default:"bin/quartzpoint" help:"The app server's program."`
-	Seed   int64  `default:"1" help:"Of the loads and of the fleet's choices."`
+	Seed   int64  `default:"1" help:"Seed of the loads and of the fleet's random choices."`
 }
 
-// Run measures a daemon at the planned size and small fleets, and returns an error where one is over its budget.
+// Run measures a daemon at the planned size and small fleets, and returns an error if one exceeds its budget.
 func (cmd *measureScale) Run() error {
 	run := &scaleCommand{Daemon: cmd.Daemon, Seed: cmd.Seed, Small: true, Only: []string{"slopes", "fleets"}}
 	parts, _, err := run.measure()
@@ -96,7 +96,7 @@
 // capacityCommand writes the generated parts of the capacity page.
 type capacityCommand struct {
 	Points string `default:"results/scale" help:"Folder of the points."`
-	Page   string `default:"docs/CAPACITY.md" help:"The page; what stands between its two markers is replaced."`
+	Page   string `default:"docs/CAPACITY.md" help:"The page; the text between its markers is replaced."`
 }
 
 // The markers of the generated parts of the page.
@@ -107,7 +107,7 @@
 	comparedEnd   = "<!-- end of before and after -->\n"
 )
 
-// Run writes the page.
+// Run computes the figures and replaces the generated parts of the page.
 func (cmd *capacityCommand) Run() error {
 	points, origins, err := scale.ReadParts(cmd.Points)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return os.WriteFile(cmd.Page, []byte(text), 0o644)
 }
 
-// replaceBetween replaces the text between two markers.
+// replaceBetween replaces the text between two markers. It returns an error if a marker is missing.
 func replaceBetween(text, begin, end, replacement string) (string, error) {
 	head, rest, begun := strings.Cut(text, begin)
 	_, tail, ended := strings.Cut(rest, end)
--- a/cmd/quartzpoint-bench/soak.go
+++ b/cmd/quartzpoint-bench/soak.go
@@ -12,21 +12,21 @@
 	"quartzpoint/internal/testkit/soak"
 )
 
-// errSoak is the error of a soak with violations or failed runs.
-var errSoak = errors.New("the soak found violations")
+// errSoak is returned for a soak with violations or failed runs.
+var errSoak = errors.New("the soak found violations or had failed runs")
 
-// soakCommand runs real processes under faults.
+// soakCommand runs real processes under faults, and checks their histories.
 type soakCommand struct {
 	Seed     int64         `default:"1" help:"The first seed."`
-	Seeds    int           `default:"50" help:"How many seeds, from the first on."`
-	Span     time.Duration `default:"8s" help:"How long the faults of a run go on."`
-	Parallel int           `default:"3" help:"Runs at once."`
-	Program  string        `default:"bin/quartzpoint" help:"The daemon."`
-	Keep     string        `placeholder:"FOLDER" help:"Keep the logs of processes of runs with violations, and of failed runs, here."`
+	Seeds    int           `default:"50" help:"Number of seeds, from the first."`
+	Span     time.Duration `default:"8s" help:"Duration of the faults of a run."`
+	Parallel int           `default:"3" help:"Number of runs at once."`
+	Program  string        `default:"bin/quartzpoint" help:"The daemon's program."`
+	Keep     string        `placeholder:"FOLDER" help:"Write the process logs of failed runs and of runs with violations to this folder."`
 	Verbose  bool          `help:"Print the plan of each run."`
 }
 
-// soakOutcome is the outcome of one run.
+// soakOutcome is the outcome of the run of one seed.
 type soakOutcome struct {
 	history    *soak.History
 	violations []soak.Violation
@@ -58,7 +58,7 @@
 	return cmd.summary(outcomes)
 }
 
-// runSeed runs one seed and prints its line.
+// runSeed runs one seed, and prints its line and its violations.
 func (cmd *soakCommand) runSeed(program, folder string, seed int64) (outcome soakOutcome) {
 	plan := soak.Draw(seed, cmd.Span)
 	runFolder := filepath.Join(folder, fmt.Sprint(seed))
@@ -82,7 +82,7 @@
 	return outcome
 }
 
-// summary prints the last line. It returns errSoak where there was a violation or a failed run.
+// summary prints the last lines. It returns errSoak if there was a violation or a failed run.
 func (cmd *soakCommand) summary(outcomes []soakOutcome) error {
 	var total soak.Totals
 	violations, failed := 0, 0
