--- a/cmd/quartzpoint-bench/fronts/fronts_test.go
+++ b/cmd/quartzpoint-bench/fronts/fronts_test.go
@@ -15,7 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Every front keeps the rules in every case, and what becomes of tasks that no moment decides is the same.
+// TestAllFronts checks that every front follows the rules in every case, and that all fronts have the same outcomes in
+// the cases whose outcomes do not depend on timing.
 func TestAllFronts(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "quartzpoint")
 	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "quartzpoint/cmd/quartzpoint").CombinedOutput()
@@ -26,8 +27,8 @@
 		"net/http": func(string) (conformance.Front, error) { return NewHTTP() },
 		"gin":      func(string) (conformance.Front, error) { return NewGin() },
 	}
-	exact := map[string][conformance.Unanswered + 1]int{ // the others hang on moments
-		"runs past their time": {conformance.Aborted: 1, conformance.Rejected: 1, conformance.Served: 2}, // the second is known to take too long
+	exact := map[string][conformance.Unanswered + 1]int{ // the outcomes of the other cases depend on timing
+		"runs past their time": {conformance.Aborted: 1, conformance.Rejected: 1, conformance.Served: 2}, // the second of the route is rejected, as its run is known to take too long
 		"broken runs":          {conformance.Served: 8, conformance.Aborted: 4},
 		"callers gone":         {conformance.Served: 6, conformance.Canceled: 6},
 		"repeats":              {conformance.Served: 30},
@@ -36,7 +37,7 @@
 		for name, start := range fronts {
 			for _, c := range conformance.Cases(1) {
 				if c.NeedsKeys && name == "daemon" {
-					continue // its protocol carries none
+					continue // the daemon's protocol carries no idempotency keys
 				}
 				t.Run(name+"/"+c.Name, func(t *testing.T) {
 					t.Parallel()
--- a/cmd/quartzpoint-bench/fronts/http.go
+++ b/cmd/quartzpoint-bench/fronts/http.go
@@ -16,14 +16,14 @@
 	"quartzpoint/middleware/ginmw"
 )
 
-// httpFront is a gate behind an HTTP server.
+// httpFront is a gate with an HTTP server in front.
 type httpFront struct {
 	runCounter
 	gate   *quartzpoint.Gate
 	server *httptest.Server
 	client *http.Client
 
-	recoversPanics bool // the framework answers 500 for a panic
+	recoversPanics bool // the framework responds with status 500 to a panic
 }
 
 func newHTTPFront(handler func(s *httpFront) http.Handler) (conformance.Front, error) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// The headers of a request that state what its run does.
+// The request headers that tell the handler what its run does.
 const (
 	routeHeader = "X-Type"
 	workHeader  = "X-Works" // nanoseconds
@@ -75,7 +75,7 @@
 		if s.recoversPanics {
 			panic("the run failed")
 		}
-		panic(http.ErrAbortHandler) // as a panic, but the server logs nothing
+		panic(http.ErrAbortHandler) // aborts the response like other panics, but the server does not log it
 	}
 }
 
@@ -99,10 +99,10 @@
 		}
 		return conformance.Canceled
 	case err != nil:
-		return conformance.Aborted // the connection was closed: the run failed
+		return conformance.Aborted // the connection was closed, since the run failed
 	}
 	defer func() { _ = response.Body.Close() }()
-	_, _ = io.Copy(io.Discard, response.Body) // only the status counts
+	_, _ = io.Copy(io.Discard, response.Body) // only the status is evaluated
 	switch response.StatusCode {
 	case http.StatusOK:
 		return conformance.Served
--- a/cmd/quartzpoint-bench/fronts/library.go
+++ b/cmd/quartzpoint-bench/fronts/library.go
@@ -9,8 +9,8 @@
 	"quartzpoint/internal/testkit/conformance"
 )
 
-// newGate returns a gate for the routes of the cases. Its gauges are those that the daemon gets: runs sleep, and other gates of
-// this process are no load of its own.
+// newGate returns a gate for the routes of the cases. Its gauges are those that the daemon gets from its worker pool:
+// the number of runs, which only sleep. The load of the process is not used, as it includes that of other gates.
 func newGate() (*quartzpoint.Gate, error) {
 	options := quartzpoint.Options{Cores: conformance.Cores, MemoryMB: 1 << 10, Grace: 400 * time.Millisecond, Seed: 1}
 	options.Gauges = func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Runnable: float64(running)} }
@@ -76,4 +76,4 @@
 func (l *libraryFront) Shutdown() error { return shutdownGate(l.gate) }
 
 // Close implements conformance.Front.
-func (l *libraryFront) Close() { _ = shutdownGate(l.gate) } // a second shutdown tells nothing new
+func (l *libraryFront) Close() { _ = shutdownGate(l.gate) } // a second shutdown reports no new error
--- a/cmd/quartzpoint-bench/state.go
+++ b/cmd/quartzpoint-bench/state.go
@@ -12,35 +12,35 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// measureState measures what a state directory gains at a restart, and what it costs.
+// measureState measures the benefit of a state directory at a restart, and its cost.
 type measureState struct {
 	Daemon string        `default:"bin/quartzpoint" help:"The daemon's program."`
-	Seeds  int           `default:"10" help:"Pairs of groups."`
-	Group  int           `default:"8" help:"Restarted servers in a group."`
-	Warm   time.Duration `default:"11s" help:"For which the server before is under load."`
-	Span   time.Duration `default:"10s" help:"Of the load after the restart."`
-	Load   float64       `default:"1.2" help:"Share of what the pool can do."`
-	Cores  float64       `default:"4" help:"Of each emulated pool."`
-	Kills  int           `default:"304" help:"Processes killed, over eight lanes."`
+	Seeds  int           `default:"10" help:"Number of seeds, each with all groups of servers."`
+	Group  int           `default:"8" help:"Servers in a group."`
+	Warm   time.Duration `default:"11s" help:"Duration of the load before the restart."`
+	Span   time.Duration `default:"10s" help:"Duration of the load after the restart."`
+	Load   float64       `default:"1.2" help:"Load as a share of the pools' capacity."`
+	Cores  float64       `default:"4" help:"Cores of each emulated pool."`
+	Kills  int           `default:"304" help:"Processes killed, divided among eight state directories."`
 	Only   []string      `help:"Only these parts: kills, rounds, disk, restart."`
 }
 
-// stateMB is the size limit of the state directories that are measured, in MiB.
+// stateMB is the size limit of the measured state directories, in MiB.
 const stateMB = 64
 
-// partResult is the outcome of one part of the measurement.
+// partResult is the result of one part of the measurement.
 type partResult struct {
 	objectives []objective
 	summary    string
 }
 
-// statePart is one part of the measurement. It prints its figures to the table.
+// statePart is one part of the measurement. run prints the part's rows to the table.
 type statePart struct {
 	name string
 	run  func(root string, table *tabwriter.Writer) (partResult, error)
 }
 
-// Run prints the table and fails if a target is missed.
+// Run prints the table and returns an error if an objective is missed.
 func (m *measureState) Run() (err error) {
 	root, err := os.MkdirTemp("", "quartzpoint-bench")
 	if err != nil {
@@ -68,18 +68,19 @@
 	return missedObjectives(objectives)
 }
 
-// missedObjectives returns an error for each target that was missed.
+// missedObjectives returns an error that joins those of the missed objectives, nil for none.
 func missedObjectives(objectives []objective) error {
 	var missed []error
 	for _, o := range objectives {
 		if !(o.value >= o.min && o.value <= o.max) {
-			missed = append(missed, fmt.Errorf("%s: %.3f, from %.3f to %.3f is aimed at", o.name, o.value, o.min, o.max))
+			missed = append(missed, fmt.Errorf("%s: got %.3f, want %.3f to %.3f", o.name, o.value, o.min, o.max))
 		}
 	}
 	return errors.Join(missed...)
 }
 
-// printQuantiles prints the figures of all seeds, and returns their median and minimum.
+// printQuantiles prints the median, minimum and maximum of a figure over all seeds, and returns the median and the
+// minimum.
 func printQuantiles(table *tabwriter.Writer, what string, values []float64) (median, lowest float64) {
 	values = slices.Sorted(slices.Values(values))
 	median = stat.Quantile(0.5, stat.LinInterp, values, nil)
@@ -87,11 +88,11 @@
 	return median, values[0]
 }
 
-// dirSize returns the bytes of a directory's files.
+// dirSize returns the size of a directory's files in bytes.
 func dirSize(dir string) (sum int64, err error) {
 	entries, err := os.ReadDir(dir)
 	for _, e := range entries {
-		if info, err := e.Info(); err == nil { // it may have been removed meanwhile
+		if info, err := e.Info(); err == nil { // a file may have been removed since
 			sum += info.Size()
 		}
 	}
--- a/cmd/quartzpoint-bench/state_disk.go
+++ b/cmd/quartzpoint-bench/state_disk.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	commitCallers   = 256 // each waits for its record before it sends the next
+	commitCallers   = 256 // each waits until its record is durable before it sends the next
 	commitSpan      = time.Second
 	recoveredKeys   = 100_000
-	queuedKeys      = 1000 // recorded before the caller waits for the disk
+	queuedKeys      = 1000 // number recorded before the caller waits for the disk
 	durablePollWait = 100 * time.Microsecond
 )
 
@@ -39,7 +39,7 @@
 	}
 }
 
-// disk measures group commits and the time of a start.
+// disk measures group commits and the start from a large state directory.
 func (m *measureState) disk(root string, table *tabwriter.Writer) (partResult, error) {
 	var result partResult
 	for _, interval := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
@@ -67,15 +67,16 @@
 		return partResult{}, err
 	}
 	if len(recovered.Keys) != recoveredKeys {
-		return partResult{}, fmt.Errorf("%d of %d entries came back", len(recovered.Keys), recoveredKeys)
+		return partResult{}, fmt.Errorf("recovered %d of %d keys", len(recovered.Keys), recoveredKeys)
 	}
-	fmt.Fprintf(table, "start with %d entries, %.1f MB: ms\t%.0f\t\t\t\n", recoveredKeys, float64(size)/(1<<20), float64(took.Milliseconds()))
+	fmt.Fprintf(table, "start with %d keys, %.1f MB: ms\t%.0f\t\t\t\n", recoveredKeys, float64(size)/(1<<20), float64(took.Milliseconds()))
 	result.objectives = append(result.objectives, objective{"start, s", took.Seconds(), 0, 2}, objective{"bytes on disk", float64(size), 1, stateMB << 20})
 	result.summary = fmt.Sprintf("start %d ms", took.Milliseconds())
 	return result, nil
 }
 
-// measureCommits has callers record keys for commitSpan, and prints how many became durable and how long each took.
+// measureCommits has concurrent callers record keys for commitSpan, and prints how many records became durable and how
+// long the callers waited for them. The objective is the number of durable records.
 func measureCommits(dir string, interval time.Duration, table *tabwriter.Writer) (objective, error) {
 	s, _, err := store.New(storeOptions(dir, interval))
 	if err != nil {
@@ -95,7 +96,7 @@
 				waitDurable(s, s.RecordStart(fmt.Sprintf("pay\x00%d-%d", caller, i), 1, time.Minute))
 				durable.Add(1)
 				mu.Lock()
-				_ = waits.RecordValue(time.Since(start).Microseconds()) // in the histogram's range
+				_ = waits.RecordValue(time.Since(start).Microseconds()) // within the histogram's range
 				mu.Unlock()
 			}
 		}()
@@ -104,13 +105,13 @@
 	if err := s.Close(); err != nil {
 		return objective{}, err
 	}
-	fmt.Fprintf(table, "commit of %v: %d entries a second by %d callers, wait ms p50, p99, most\t%.1f\t%.1f\t%.1f\t\n",
+	fmt.Fprintf(table, "commit interval %v: %d records a second by %d callers, wait ms p50, p99, max\t%.1f\t%.1f\t%.1f\t\n",
 		interval, durable.Load(), commitCallers,
 		float64(waits.ValueAtQuantile(50))/1e3, float64(waits.ValueAtQuantile(99))/1e3, float64(waits.Max())/1e3)
-	return objective{"entries a second", float64(durable.Load()), 1000, math.Inf(1)}, nil
+	return objective{"records a second", float64(durable.Load()), 1000, math.Inf(1)}, nil
 }
 
-// writeManyKeys leaves a directory with recoveredKeys keys.
+// writeManyKeys creates a state directory with recoveredKeys keys.
 func writeManyKeys(dir string) error {
 	s, _, err := store.New(storeOptions(dir, 0))
 	if err != nil {
--- a/cmd/quartzpoint-bench/state_kills.go
+++ b/cmd/quartzpoint-bench/state_kills.go
@@ -22,13 +22,14 @@
 
 const (
 	killLanes    = 8 // state directories, each with one process at a time
-	childCallers = 8 // of a child's gate
+	childCallers = 8 // concurrent callers of a child's gate
 	maxKillDelay = 250 * time.Millisecond
-	// exitWrongEffect is the exit code of a child that found an effect lost or run twice, or another result.
+	// exitWrongEffect is the exit code of a child that found an effect lost or run twice, or a wrong result.
 	exitWrongEffect = 7
 )
 
-// stateChild is the process that is killed: a gate whose requests with idempotency keys append to a file.
+// stateChild is the command of the process that is killed: a gate whose requests with idempotency keys append to a
+// file.
 type stateChild struct {
 	Dir string `arg:""`
 }
@@ -39,7 +40,7 @@
 	}, Gauges: func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Runnable: min(float64(running), 4)} }}
 }
 
-// Run repeats the requests of earlier processes, and then sends new ones until the process is killed.
+// Run repeats the requests of earlier processes, and then sends new requests until the process is killed.
 func (cmd *stateChild) Run() error {
 	path := filepath.Join(cmd.Dir, "effects")
 	before, err := os.ReadFile(path)
@@ -82,7 +83,8 @@
 	})
 }
 
-// repeatEffect repeats a request that had its effect, and exits if it runs again or has another result.
+// repeatEffect repeats a request whose effect has happened, and exits the process if it runs again or has another
+// result.
 func repeatEffect(gate *quartzpoint.Gate, key string) {
 	result, err := sendKeyed(gate, key, func() { exitOnWrongEffect("%s ran twice", key) })
 	if err == nil && string(result) != "result of "+key {
@@ -95,12 +97,12 @@
 	os.Exit(exitWrongEffect)
 }
 
-// killTally counts over all lanes.
+// killTally holds the counts of all lanes.
 type killTally struct {
 	wrong, effects, maxBytes atomic.Int64
 }
 
-// kills has processes killed at random moments of a fixed seed, also during their start.
+// kills starts processes and kills them at random moments drawn from fixed seeds, also during their start.
 func (m *measureState) kills(root string, table *tabwriter.Writer) (partResult, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -119,14 +121,14 @@
 	}
 	all.Wait()
 	kills, wrong, effects, bytes := m.Kills/killLanes*killLanes, tally.wrong.Load(), tally.effects.Load(), tally.maxBytes.Load()
-	fmt.Fprintf(table, "kills (real processes): %d, effects %d, wrong %d, most bytes %d\t\t\t\t\n", kills, effects, wrong, bytes)
+	fmt.Fprintf(table, "kills (real processes): %d, effects %d, wrong %d, max bytes %d\t\t\t\t\n", kills, effects, wrong, bytes)
 	return partResult{[]objective{
 		{"kills", float64(kills), 300, math.Inf(1)}, {"effects lost or run twice", float64(wrong), 0, 0},
 		{"effects", float64(effects), float64(kills), math.Inf(1)}, {"bytes on disk", float64(bytes), 1, stateMB << 20},
 	}, fmt.Sprintf("kills %d, wrong %d", kills, wrong)}, errors.Join(failed...)
 }
 
-// killLane starts and kills one process after the other on one directory.
+// killLane starts and kills processes on one state directory, one after the other.
 func (m *measureState) killLane(program, dir string, lane int, tally *killTally) error {
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
@@ -145,13 +147,13 @@
 			tally.wrong.Add(1)
 			fmt.Fprintf(os.Stderr, "lane %d kill %d: %s", lane, kill, output)
 		default:
-			failed = fmt.Errorf("child ended with %d: %s", code, output)
+			failed = fmt.Errorf("child exited with code %d: %s", code, output)
 		}
 		if size, err := dirSize(filepath.Join(dir, "state")); err == nil && size > tally.maxBytes.Load() {
 			tally.maxBytes.Store(size)
 		}
 	}
-	raw, _ := os.ReadFile(filepath.Join(dir, "effects")) // missing if no child got to its first effect
+	raw, _ := os.ReadFile(filepath.Join(dir, "effects")) // missing if no child reached its first effect
 	lines := strings.Fields(string(raw))
 	tally.effects.Add(int64(len(lines)))
 	slices.Sort(lines)
@@ -159,7 +161,7 @@
 	return failed
 }
 
-// runAndKill starts a child and kills it after a delay. The exit code is -1 if the child ran until then.
+// runAndKill starts a child and kills it after a delay. The exit code is -1 if the child was running until then.
 func runAndKill(program, dir string, delay time.Duration) (exitCode int, output string, err error) {
 	var stderr strings.Builder
 	child := exec.Command(program, "state-child", dir)
@@ -168,7 +170,7 @@
 		return 0, "", err
 	}
 	time.Sleep(delay)
-	_ = child.Process.Kill() // fails if the child has ended; its exit code says so
+	_ = child.Process.Kill() // fails if the child has exited; the exit code shows that
 	_ = child.Wait()
 	return child.ProcessState.ExitCode(), stderr.String(), nil
 }
--- a/cmd/quartzpoint-bench/state_restart.go
+++ b/cmd/quartzpoint-bench/state_restart.go
@@ -35,11 +35,12 @@
 	return m.reportRestarts(results, table), nil
 }
 
-// restartResult holds, for one seed, what groups served over their cold twins, and the requests they started more.
+// restartResult holds, for one seed, the values served over those of cold twins, and the requests started more than by
+// cold twins.
 type restartResult struct {
 	fresh, twins, stale, recent, slowTwins               float64
 	staleExtraStarts, recentExtraStarts, twinExtraStarts []float64
-	violations                                           []string // rules
+	violations                                           []string // messages on violated rules
 }
 
 func (m *measureState) reportRestarts(results []restartResult, table *tabwriter.Writer) partResult {
@@ -50,10 +51,10 @@
 		return values
 	}
 	fmt.Fprintf(table, "restarts: sockets, emulated workers, %d seeds of %d servers, load %.0f%%\t\t\t\t\n", m.Seeds, m.Group, 100*m.Load)
-	fresh, worst := printQuantiles(table, "killed and started again, honoured over cold in 10 s", column(func(r restartResult) float64 { return r.fresh }))
+	fresh, worst := printQuantiles(table, "killed and started again, value served over cold in 10 s", column(func(r restartResult) float64 { return r.fresh }))
 	printQuantiles(table, "  a second cold twin (noise)", column(func(r restartResult) float64 { return r.twins }))
-	printQuantiles(table, "folder of 5 min, pool at a third: over cold", column(func(r restartResult) float64 { return r.stale }))
-	printQuantiles(table, "folder of now, pool at a third: over cold", column(func(r restartResult) float64 { return r.recent }))
+	printQuantiles(table, "state directory of 5 min, pool at a third: over cold", column(func(r restartResult) float64 { return r.stale }))
+	printQuantiles(table, "recent state directory, pool at a third: over cold", column(func(r restartResult) float64 { return r.recent }))
 	printQuantiles(table, "  a second cold twin (noise)", column(func(r restartResult) float64 { return r.slowTwins }))
 	var stale, recent []peersResult
 	violations := 0
@@ -67,20 +68,20 @@
 	}
 	staleExcess, staleRequests := maxExcess(stale)
 	recentExcess, recentRequests := maxExcess(recent)
-	fmt.Fprintf(table, "started ahead of cold at the most, standard errors (tasks a group): old %.1f (%.1f), young %.1f (%.1f)\t\t\t\t\n",
+	fmt.Fprintf(table, "largest lead over cold in started requests, standard errors (requests a group): stale %.1f (%.1f), recent %.1f (%.1f)\t\t\t\t\n",
 		staleExcess, staleRequests, recentExcess, recentRequests)
 	return partResult{[]objective{
-		{"restart, honoured over cold, median", fresh, 1, math.Inf(1)}, {"old folder started ahead", staleExcess, 0, maxStandardErrors},
-		{"young folder in a slower world started ahead", recentExcess, 0, maxStandardErrors}, {"rules broken", float64(violations), 0, 0},
+		{"restart, value served over cold, median", fresh, 1, math.Inf(1)}, {"stale state directory, lead in started requests", staleExcess, 0, maxStandardErrors},
+		{"recent state directory with slower pools, lead in started requests", recentExcess, 0, maxStandardErrors}, {"rules broken", float64(violations), 0, 0},
 	}, fmt.Sprintf("restart %.3f (worst %.3f), old ahead %.1f, young ahead %.1f errors, rules broken %d",
 		fresh, worst, staleExcess, recentExcess, violations)}
 }
 
-// stateCopies makes the state directories of a seed's groups from the one that a killed server left.
+// stateCopies creates the state directories of a seed's groups from the one that a killed server left.
 type stateCopies struct {
 	root   string
 	seed   int64
-	source string // directory of the killed server
+	source string // state directory of the killed server
 }
 
 func stateSection(dir string) string { return fmt.Sprintf("[state]\ndir = %q\n", dir) }
@@ -89,7 +90,8 @@
 	return filepath.Join(c.root, fmt.Sprintf("%s-%d-%d", name, c.seed, server))
 }
 
-// copied returns the configuration of a group's servers, each with a copy as it was left.
+// copied returns a function that gives a server of a group an exact copy of the source directory, and returns the
+// server's configuration.
 func (c stateCopies) copied(name string) func(server int) (string, error) {
 	return func(server int) (string, error) {
 		dir := c.path(name, server)
@@ -97,7 +99,8 @@
 	}
 }
 
-// aged is exact for directories that were left age ago.
+// aged returns a function that gives a server of a group a directory with estimates that were written age ago, and
+// returns the server's configuration.
 func (c stateCopies) aged(name string, estimates estimate.Snapshot, age time.Duration) func(server int) (string, error) {
 	return func(server int) (string, error) {
 		dir := c.path(name, server)
@@ -105,7 +108,7 @@
 	}
 }
 
-// compareRestarts runs the groups of one seed.
+// compareRestarts runs the groups of one seed and compares them.
 func (m *measureState) compareRestarts(root string, seed int64) (r restartResult, err error) {
 	full := harness.Machine{Cores: m.Cores, Speed: 1, MemoryKB: 16000 * m.Cores}
 	slower := full
@@ -134,7 +137,7 @@
 	for _, g := range groups {
 		r.violations = append(r.violations, g.violations()...)
 	}
-	coldGoodput := 0.0 // the twin group may be smaller than the cold one
+	coldGoodput := 0.0 // of as many cold servers as the twin group has, which may be fewer
 	for i := range twin.results {
 		coldGoodput += cold.results[i].Goodput
 	}
@@ -146,7 +149,8 @@
 	return r, nil
 }
 
-// warmAndKill has a server write its state to dir under load, and kills it, so that nothing is written at its end.
+// warmAndKill runs a server under load that writes its state to dir, and kills it, so that it writes nothing at a
+// shutdown.
 func (m *measureState) warmAndKill(peers *measurePeers, root, dir string, machine harness.Machine, seed int64) error {
 	warm := &group{name: "warm", machine: machine, config: stateSection(dir), load: m.Load, seed: seed + 500}
 	if err := warm.start(peers, root, 1); err != nil {
@@ -158,11 +162,11 @@
 	if err := warm.daemons[0].Kill(); err != nil {
 		return err
 	}
-	<-done // its error is that the server was killed
+	<-done // its error is expected, as the server was killed
 	return nil
 }
 
-// readEstimates returns the estimates that a directory holds.
+// readEstimates returns the estimates in a state directory.
 func readEstimates(path string) (snapshot estimate.Snapshot, err error) {
 	dir, err := datadir.Open(path, true)
 	if err != nil {
@@ -173,12 +177,12 @@
 		return snapshot, err
 	}
 	if report.Estimates == nil {
-		return snapshot, errors.New("the server before left no view")
+		return snapshot, errors.New("the killed server stored no estimates")
 	}
 	return *report.Estimates, nil
 }
 
-// writeAged makes a directory as a server would have left it age ago.
+// writeAged creates a state directory as a server would have left it age ago.
 func writeAged(dir string, snapshot estimate.Snapshot, age time.Duration) error {
 	options := storeOptions(dir, 0)
 	clock := options.Clock
@@ -192,7 +196,7 @@
 	if err != nil {
 		return err
 	}
-	for i := range snapshot.Routes { // the age since then is the directory's
+	for i := range snapshot.Routes { // the directory's clock alone accounts for age
 		snapshot.Routes[i].Core.Age = min(snapshot.Routes[i].Core.Age, time.Second)
 	}
 	s.SaveEstimates(snapshot)
--- a/cmd/quartzpoint-bench/state_rounds.go
+++ b/cmd/quartzpoint-bench/state_rounds.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// requestsPerKeyed is the number of requests of which one has an idempotency key. If all had one, each would hold its slot
-	// under the limit until its record is durable, and rounds would get longer by what is in flight.
+	// requestsPerKeyed is the number of requests of which one has an idempotency key. If all had one, each would stay
+	// in flight until its record is durable, and the number in flight would lengthen the rounds.
 	requestsPerKeyed = 20
-	roundsWarmUp     = 100 * time.Millisecond // left out: the heap grows and pages are touched for the first time
+	roundsWarmUp     = 100 * time.Millisecond // not recorded: the heap grows and pages are touched for the first time
 	roundsSpan       = 400 * time.Millisecond
 	roundsCallers    = 4
 	roundsInterval   = time.Millisecond // between the requests of one caller
-	maxRound         = time.Second      // of the histogram
+	maxRound         = time.Second      // maximum of the histogram
 )
 
 func newRoundHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(maxRound), 3) }
 
-// rounds compares how long rounds of decisions take with a state directory and without, under the same load in process.
+// rounds compares the duration of rounds with a state directory and without, under the same load in process.
 func (m *measureState) rounds(root string, table *tabwriter.Writer) (partResult, error) {
-	// The 99th percentiles of two runs differ by a tenth, so the rounds of all runs are taken together. The runs with and
-	// without alternate, so that a drift of the machine affects both.
+	// The 99th percentiles of two runs differ by a tenth, so the rounds of all runs are merged. Runs with and without a
+	// state directory alternate, so that a drift of the machine's speed affects both.
 	with, without := newRoundHistogram(), newRoundHistogram()
 	var withP99, withoutP99 []float64
 	for seed := range m.Seeds {
@@ -46,21 +46,21 @@
 			*p99s = append(*p99s, float64(times.ValueAtQuantile(99))/1e3)
 		}
 	}
-	printQuantiles(table, fmt.Sprintf("p99 of rounds with the folder, us, by run (in process, 1 of %d numbered)", requestsPerKeyed), withP99)
+	printQuantiles(table, fmt.Sprintf("p99 of rounds with a state directory, us, by run (in process, 1 of %d requests with a key)", requestsPerKeyed), withP99)
 	printQuantiles(table, "p99 of rounds without, us, by run", withoutP99)
 	ratio := float64(with.ValueAtQuantile(99)) / float64(without.ValueAtQuantile(99))
 	fmt.Fprintf(table, "  of all %d and %d rounds: over without\t%.3f\t\t\t\n", with.TotalCount(), without.TotalCount(), ratio)
 	return partResult{[]objective{{"p99 of rounds over without", ratio, 0, 1.05}}, fmt.Sprintf("rounds %.3f", ratio)}, nil
 }
 
-// measureRounds measures the rounds of one gate under load.
+// measureRounds returns the durations of the rounds of one gate under load.
 func (m *measureState) measureRounds(dir string, withState bool, seed int64) (*hdrhistogram.Histogram, error) {
 	times := newRoundHistogram()
 	options := childOptions(nil)
 	start := time.Now()
 	options.ObserveRound = func(took time.Duration) {
 		if time.Since(start) > roundsWarmUp {
-			_ = times.RecordValue(int64(min(took, maxRound))) // in the histogram's range
+			_ = times.RecordValue(int64(min(took, maxRound))) // within the histogram's range
 		}
 	}
 	if withState {
@@ -86,7 +86,8 @@
 	return times, gate.Shutdown(shutdownCtx)
 }
 
-// sendSteadily sends requests at a fixed pace until ctx ends, so that the load does not depend on how long a commit takes.
+// sendSteadily sends requests at a fixed rate until ctx ends, so that the load does not depend on the duration of a
+// commit.
 func sendSteadily(ctx context.Context, gate *quartzpoint.Gate, seed int64, caller int) {
 	tick := time.NewTicker(roundsInterval)
 	defer tick.Stop()
@@ -101,7 +102,7 @@
 		}
 		go func() {
 			defer pending.Done()
-			_, _ = gate.DoOnce(context.Background(), request, // only the rounds are measured, not the outcomes
+			_, _ = gate.DoOnce(context.Background(), request, // only the rounds are measured, so the outcome does not matter
 				func(context.Context) ([]byte, error) { return []byte(request.IdempotencyKey), nil })
 		}()
 	}
--- a/cmd/quartzpoint-bench/workers.go
+++ b/cmd/quartzpoint-bench/workers.go
@@ -15,13 +15,13 @@
 	"quartzpoint/scenario"
 )
 
-// workersCommand plays, in real time, the surroundings of real daemons: worker pools, dependencies and membership.
+// workersCommand emulates the surroundings of real daemons in real time: worker pools, dependencies and membership.
 type workersCommand struct {
-	File   string `arg:"" help:"The drill whose fleet is played; its incidents of pools and dependencies come when they are due."`
-	Folder string `default:"." help:"Where each server's configuration is written."`
+	File   string `arg:"" help:"The drill whose fleet is emulated; its incidents of pools and dependencies are injected at their times."`
+	Folder string `default:"." help:"Folder for the configuration files of the servers."`
 }
 
-// Run plays the drill until its span is over, or until an interrupt.
+// Run emulates the drill until its span is over or an interrupt arrives.
 func (cmd *workersCommand) Run() (err error) {
 	d, err := readDrill(cmd.File)
 	if err != nil {
@@ -73,9 +73,9 @@
 			}
 		}()
 	}
-	fmt.Printf("playing %q for %v; interrupt to end\n", d.Title, d.Span)
+	fmt.Printf("emulating %q for %v; interrupt to stop\n", d.Title, d.Span)
 	select {
-	case <-ctx.Done(): // an interrupt is no error
+	case <-ctx.Done(): // an interrupt is not an error
 	case <-time.After(d.Span):
 	}
 	return nil
@@ -103,7 +103,7 @@
 // failurePeriod is the period in which a failing dependency rejects calls for a share of the time.
 const failurePeriod = 100 * time.Millisecond
 
-// dependencyScript returns the behaviour of a dependency by the incidents of a drill.
+// dependencyScript returns the behaviour of a dependency according to the incidents of a drill.
 func dependencyScript(d *scenario.Drill, name string) harness.BehaviourScript {
 	return func(at time.Duration) (b harness.DependencyBehaviour) {
 		for _, i := range d.Incidents {
@@ -117,17 +117,18 @@
 				b.SlowFactor = i.Factor
 			case scenario.FailDependency:
 				b.Rejects = at%failurePeriod < time.Duration(i.Factor*float64(failurePeriod))
-			default: // not of dependencies
+			default: // incident of another kind
 			}
 		}
 		return b
 	}
 }
 
-// pausedSpeed is the speed of a paused pool: none, but for divisions by it.
+// pausedSpeed is the speed of a paused pool. It is not 0, because the speed is a divisor.
 const pausedSpeed = 1e-9
 
-// injectPoolIncident injects an incident of pools, and describes it; other incidents are ignored.
+// injectPoolIncident injects an incident of pools and returns its description. It ignores other incidents and returns
+// an empty string for them.
 func injectPoolIncident(pools []*harness.Workers, d *scenario.Drill, i scenario.Incident) string {
 	full := d.Fleet.Machine
 	change := func(apply, revert func(m *harness.Machine)) string {
@@ -157,7 +158,7 @@
 	}
 }
 
-// discardReports reads the reports of daemons until the socket is closed.
+// discardReports reads and discards the reports of daemons until the socket is closed.
 func discardReports(from net.PacketConn) {
 	raw := make([]byte, 2048)
 	for {
