--- a/cmd/quartzpoint-bench/dependenciesreport.go
+++ b/cmd/quartzpoint-bench/dependenciesreport.go
@@ -72,7 +72,7 @@
 		d.checkObjectives(c, c.print(table, comparisons))
 	}
 	if err := table.Flush(); err != nil {
-		return fmt.Errorf("printing the table: %w", err)
+		return fmt.Errorf("print the table: %w", err)
 	}
 	d.require(d.repeatedEffects == 0, "%d effects run twice", d.repeatedEffects)
 	d.require(d.lateAnswers == 0, "%d late answers", d.lateAnswers)
@@ -148,14 +148,14 @@
 	both := func(figure func(int, scenarioResult) float64) (budgeted, flat float64) {
 		return median(c.budgeted, figure), median(c.flat, figure)
 	}
-	honoured, flatHonoured := both(func(_ int, r scenarioResult) float64 { return r.Goodput / r.OfferedValue })
+	served, flatServed := both(func(_ int, r scenarioResult) float64 { return r.Goodput / r.OfferedValue })
 	aborted, flatAborted := both(codeCount(codeAborted))
 	rejected, flatRejected := both(codeCount(codeRejected))
 	attempts, flatAttempts := both(guestAttempts)
 	p50, flatP50 := both(quantileMillis(0.5))
 	p99, flatP99 := both(quantileMillis(0.99))
 	fmt.Fprintf(table, "%s\t%.3f / %.3f\t%.2f\t%.0f\t%.0f / %.0f\t%.0f / %.0f\t%d\t%.2f / %.2f\t%.0f / %.0f\t%.0f / %.0f\t%.3f\t\n",
-		c.scenario.name, honoured, flatHonoured, f.ratioToFlat,
+		c.scenario.name, served, flatServed, f.ratioToFlat,
 		median(c.budgeted, func(_ int, r scenarioResult) float64 { return float64(r.Partial) }),
 		aborted, flatAborted, rejected, flatRejected, late,
 		attempts, flatAttempts, p50, flatP50, p99, flatP99, f.noCallRatio)
--- a/cmd/quartzpoint-bench/drill.go
+++ b/cmd/quartzpoint-bench/drill.go
@@ -96,7 +96,7 @@
 	}{{"sockets", measuredShares(r)}, {"emulated", emulatedShares(d.EmulateLoad(emulator.QuartzpointPolicy, 1, load))}} {
 		fmt.Printf("%-9s honoured %.3f, dismissed %.3f, given up %.3f\n", side.name, side.shares.goodput, side.shares.rejected, side.shares.aborted)
 	}
-	fmt.Printf("on sockets: %d tasks, %d unanswered, %d answered twice, rules broken %v\n", r.Requests, r.Unanswered, r.DuplicateAnswers, report.Violations[1:])
+	fmt.Printf("on sockets: %d requests, %d unanswered, %d answered twice, rules broken %v\n", r.Requests, r.Unanswered, r.DuplicateAnswers, report.Violations[1:])
 	for _, message := range report.Messages {
 		fmt.Println(" ", message)
 	}
--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -70,17 +70,17 @@
 		return done, failed
 	}
 	go func() {
-		pairs, errs := make([]comparedRun, fleetSeeds), make([]error, fleetSeeds)
+		runs, errs := make([]comparedRun, fleetSeeds), make([]error, fleetSeeds)
 		var running sync.WaitGroup
 		for seed := range fleetSeeds {
 			running.Add(1)
 			go func() {
 				defer running.Done()
-				pairs[seed], errs[seed] = m.compareFleet(folder, d, int64(seed+1))
+				runs[seed], errs[seed] = m.compareFleet(folder, d, int64(seed+1))
 			}()
 		}
 		running.Wait()
-		done <- pairs
+		done <- runs
 		failed <- errors.Join(errs...)
 	}()
 	return done, failed
@@ -96,8 +96,8 @@
 	return comparedRun{measuredShares(r), emulatedShares(e), r.DuplicateAnswers + report.Total() + e.Rules.Total()}, nil
 }
 
-func countViolations(pairs []comparedRun) (n int) {
-	for _, p := range pairs {
+func countViolations(runs []comparedRun) (n int) {
+	for _, p := range runs {
 		n += p.violations
 	}
 	return n
@@ -107,7 +107,7 @@
 // was served.
 type outcomeShares struct{ goodput, rejected, aborted float64 }
 
-// Run prints the tables and returns an error where an objective is missed.
+// Run prints the tables and returns an error if an objective is missed.
 func (m *measureEmulator) Run() error {
 	var objectives []objective
 	var summaries []string
--- a/cmd/quartzpoint-bench/flatcomposer.go
+++ b/cmd/quartzpoint-bench/flatcomposer.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	flatTimeout      = 500 * time.Millisecond // of every attempt, whatever the time left of the request
+	flatTimeout      = 500 * time.Millisecond // of every attempt, regardless of the request's time left
 	flatRetries      = 3                      // of every call, after its first attempt
 	flatRetryDelay   = 10 * time.Millisecond  // after an attempt that no connection accepted; without it retries would spin
 	flatPollInterval = 5 * time.Millisecond   // between checks of the attempts in flight
@@ -25,7 +25,7 @@
 // flatComposer implements server.Composer without budgets. It starts every call whose predecessors are settled, gives all
 // attempts the same timeout, and retries at once.
 type flatComposer struct {
-	owner      *server.Server
+	srv        *server.Server
 	routes     map[string]config.RoutePlan
 	transports []fanout.Transport
 	requests   map[string]*flatRequest
@@ -60,15 +60,15 @@
 
 // newFlatComposer returns a composer that stays connected to the dependencies until the context ends.
 func newFlatComposer(
-	ctx context.Context, ownConfig *config.Config, owner *server.Server, counts *invariant.Counters, log *slog.Logger,
+	ctx context.Context, ownConfig *config.Config, srv *server.Server, counts *invariant.Counters, log *slog.Logger,
 ) *flatComposer {
 	f := &flatComposer{
-		owner: owner, routes: map[string]config.RoutePlan{}, requests: map[string]*flatRequest{},
+		srv: srv, routes: map[string]config.RoutePlan{}, requests: map[string]*flatRequest{},
 		inFlight: map[*fanout.Attempt]flatAttempt{},
 	}
 	var connections sync.WaitGroup // nothing waits for it, as the connections end with the process
 	for i, d := range ownConfig.Dependencies {
-		transport := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Count, owner.Wake, &connections)
+		transport := fanout.Dial(ctx, fanout.Dependency(d), int64(i), log, counts.Count, srv.Wake, &connections)
 		f.transports = append(f.transports, transport)
 	}
 	for _, t := range ownConfig.Routes {
@@ -109,7 +109,7 @@
 		return 0
 	}
 	if len(f.inFlight) > 0 {
-		return f.owner.Now() + flatPollInterval
+		return f.srv.Now() + flatPollInterval
 	}
 	return 1<<63 - 1
 }
@@ -214,7 +214,7 @@
 	if c.Effect != budget.Read {
 		sent.IdempotencyKey = r.id + "/" + c.Name
 	}
-	attempt := flatAttempt{r, call, f.owner.Now() + flatTimeout}
+	attempt := flatAttempt{r, call, f.srv.Now() + flatTimeout}
 	if f.transports[c.Dependency].Send(sent) {
 		f.inFlight[sent] = attempt
 	} else {
--- a/cmd/quartzpoint-bench/fronts/fronts_test.go
+++ b/cmd/quartzpoint-bench/fronts/fronts_test.go
@@ -28,7 +28,7 @@
 		"gin":      func(string) (conformance.Front, error) { return NewGin() },
 	}
 	exact := map[string][conformance.Unanswered + 1]int{ // the outcomes of the other cases depend on timing
-		"runs past their time": {conformance.Aborted: 1, conformance.Rejected: 1, conformance.Served: 2}, // the second of the route is rejected, as its run is known to take too long
+		"runs past their time": {conformance.Aborted: 1, conformance.Rejected: 1, conformance.Served: 2}, // the second slot-check is rejected, as its run is known to take too long
 		"broken runs":          {conformance.Served: 8, conformance.Aborted: 4},
 		"callers gone":         {conformance.Served: 6, conformance.Canceled: 6},
 		"repeats":              {conformance.Served: 30},
--- a/cmd/quartzpoint-bench/library_frontends.go
+++ b/cmd/quartzpoint-bench/library_frontends.go
@@ -55,12 +55,12 @@
 		return result, err
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	wrong := printOutcomes(table, frontEnds, totals)
+	violations := printOutcomes(table, frontEnds, totals)
 	result.maxDifference = totals.maxDifference()
 	if result.maxDifference > maxDifferencePercent/100. {
-		wrong = append(wrong, fmt.Errorf("counts differ by %.2f%%, want at most %d%%", 100*result.maxDifference, maxDifferencePercent))
+		violations = append(violations, fmt.Errorf("counts differ by %.2f%%, want at most %d%%", 100*result.maxDifference, maxDifferencePercent))
 	}
-	result.missed = errors.Join(wrong...)
+	result.missed = errors.Join(violations...)
 	return result, table.Flush()
 }
 
@@ -119,7 +119,7 @@
 
 // printOutcomes prints a row for each case, with "-" for a front end that did not run it. It returns an error for each
 // cell with requests that were unanswered, answered late or run twice.
-func printOutcomes(table io.Writer, frontEnds []frontEnd, totals frontEndTotals) (wrong []error) {
+func printOutcomes(table io.Writer, frontEnds []frontEnd, totals frontEndTotals) (violations []error) {
 	fmt.Fprint(table, "honoured / dismissed / given up / left")
 	for _, front := range frontEnds {
 		fmt.Fprintf(table, "\t%s", front.name)
@@ -137,12 +137,12 @@
 				n.Outcomes[conformance.Aborted], n.Outcomes[conformance.Canceled])
 			unanswered := n.Outcomes[conformance.Unanswered]
 			if unanswered+n.LateAnswers+n.RepeatedEffects > 0 {
-				wrong = append(wrong, fmt.Errorf("%s, %s: %d unanswered, %d late, %d run twice", front.name, c.Name, unanswered, n.LateAnswers, n.RepeatedEffects))
+				violations = append(violations, fmt.Errorf("%s, %s: %d unanswered, %d late, %d run twice", front.name, c.Name, unanswered, n.LateAnswers, n.RepeatedEffects))
 			}
 		}
 		fmt.Fprintln(table, "\t")
 	}
-	return wrong
+	return violations
 }
 
 // maxDifference compares each front end with the first. A case that the first did not run is compared with the second,
--- a/cmd/quartzpoint-bench/library_overload.go
+++ b/cmd/quartzpoint-bench/library_overload.go
@@ -25,7 +25,7 @@
 	maxGateP99      = 4 * time.Second
 	maxHeapGrowth   = 32 << 20 // bytes
 
-	maxShownRatio = 9. // higher ratios are capped to this
+	maxShownRatio = 9. // higher ratios are capped at this
 )
 
 // policiesResult is the result of comparePolicies.
--- a/cmd/quartzpoint-bench/main.go
+++ b/cmd/quartzpoint-bench/main.go
@@ -1,5 +1,5 @@
 // Command quartzpoint-bench runs measurements and rehearsals of quartzpoint: real daemons with emulated workers,
-// dependencies and routers, and drills on an emulated fleet. The daemon does not contain any of it.
+// dependencies and routers, and drills on an emulated fleet. It is not part of the daemon.
 package main
 
 import (
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -84,8 +84,8 @@
 	return result, m.compareWithRecordedPeers(folder, full, seed, snapshot, &result)
 }
 
-// compareWithRunningPeer compares new servers that fetch from a peer under load with cold ones. It returns the snapshot
-// that the peer served when they started.
+// compareWithRunningPeer compares new servers that fetch from a peer with cold ones. The peer is under load before and
+// during the comparison. It returns the snapshot that the peer served when the new servers started.
 func (m *measurePeers) compareWithRunningPeer(
 	folder string, full harness.Machine, seed int64, result *peersResult,
 ) (snapshot estimate.Snapshot, err error) {
--- a/cmd/quartzpoint-bench/peersreport.go
+++ b/cmd/quartzpoint-bench/peersreport.go
@@ -81,14 +81,14 @@
 	staleMean, staleFloor := meanAndNoiseFloor(stale, twins)
 	recentMean, recentFloor := meanAndNoiseFloor(recent, twins)
 	polledMean, polledFloor := meanAndNoiseFloor(polled, unpolledTwins)
-	ahead, requests := maxExcess(results)
-	fmt.Printf("snapshot of 5 min: ahead of cold in started requests by at most %.1f standard errors (%.1f requests a group)\n", ahead, requests)
+	lead, requests := maxExcess(results)
+	fmt.Printf("snapshot of 5 min: ahead of cold in started requests by at most %.1f standard errors (%.1f requests a group)\n", lead, requests)
 	fmt.Printf("measure peers: fresh %.3f (worst %.3f), old mean %.3f (chance down to %.3f), started ahead %.1f errors, "+
 		"asked mean %.3f (chance down to %.3f), rules broken %d, seeds %d\n",
-		sortedMedian(fresh), fresh[0], staleMean, staleFloor, ahead, polledMean, polledFloor, violations, m.Seeds)
+		sortedMedian(fresh), fresh[0], staleMean, staleFloor, lead, polledMean, polledFloor, violations, m.Seeds)
 	return missedObjectives([]objective{
 		{"fresh snapshot, median", sortedMedian(fresh), 1, math.Inf(1)}, {"fresh snapshot, worst seed", fresh[0], 0.98, math.Inf(1)},
-		{"stale snapshot, mean", staleMean, staleFloor, math.Inf(1)}, {"stale snapshot, lead in started requests", ahead, 0, maxStandardErrors},
+		{"stale snapshot, mean", staleMean, staleFloor, math.Inf(1)}, {"stale snapshot, lead in started requests", lead, 0, maxStandardErrors},
 		{"recent snapshot, mean", recentMean, recentFloor, math.Inf(1)},
 		{"polled, mean", polledMean, polledFloor, math.Inf(1)}, {"rules broken", float64(violations), 0, 0},
 	})
--- a/cmd/quartzpoint-bench/real.go
+++ b/cmd/quartzpoint-bench/real.go
@@ -111,7 +111,7 @@
 		}
 		pauses.Wait()
 		return errors.Join(errs...)
-	default: // runFleet admits only ChangeLoad besides, which is part of the arrivals
+	default: // only ChangeLoad, as runFleet rejects the others; the arrivals contain it
 	}
 	return nil
 }
