--- a/cmd/quartzpoint-bench/drill.go
+++ b/cmd/quartzpoint-bench/drill.go
@@ -15,12 +15,12 @@
 
 // drillCommand runs one drill.
 type drillCommand struct {
-	File   string   `arg:"" help:"The drill, as in drills/."`
-	Policy []string `default:"quartzpoint" help:"Policies, the first of which the others are compared with."`
-	Seeds  int      `default:"3" help:"Seeds, from 1."`
-	Real   bool     `help:"Play it on real daemons with emulated workers too."`
+	File   string   `arg:"" help:"The drill file, as in drills/."`
+	Policy []string `default:"quartzpoint" help:"Policies; the others are compared with the first."`
+	Seeds  int      `default:"3" help:"Number of seeds, from 1."`
+	Real   bool     `help:"Run it on real daemons with emulated workers too."`
 	Daemon string   `default:"bin/quartzpoint" help:"The daemon's program, for --real."`
-	Chart  string   `placeholder:"FILE" help:"Draw what was honoured each second, as .svg or .png."`
+	Chart  string   `placeholder:"FILE" help:"Draw a chart of the value served in each second, as .svg or .png."`
 }
 
 // readDrill reads and parses a drill.
@@ -40,14 +40,14 @@
 	}
 	var runs []experiment.Run
 	for _, policy := range cmd.Policy {
-		maker, err := baseline.PolicyByName(policy)
+		newPolicy, err := baseline.PolicyByName(policy)
 		if err != nil {
 			return err
 		}
 		for seed := range cmd.Seeds {
-			began := time.Now()
-			r := experiment.RunDrill(d, policy, maker, int64(seed+1))
-			fmt.Fprintf(os.Stderr, "%s, %s, seed %d: %d events in %v\n", d.Name, policy, seed+1, r.Result.Events, time.Since(began).Round(time.Millisecond))
+			start := time.Now()
+			r := experiment.RunDrill(d, policy, newPolicy, int64(seed+1))
+			fmt.Fprintf(os.Stderr, "%s, %s, seed %d: %d events in %v\n", d.Name, policy, seed+1, r.Result.Events, time.Since(start).Round(time.Millisecond))
 			for _, message := range r.Result.Rules.Messages {
 				fmt.Fprintln(os.Stderr, " ", message)
 			}
@@ -69,7 +69,7 @@
 	}
 	format := experiment.Format(strings.TrimPrefix(filepath.Ext(cmd.Chart), "."))
 	if format != experiment.SVG && format != experiment.PNG {
-		return fmt.Errorf("chart %s: .svg and .png are known", cmd.Chart)
+		return fmt.Errorf("chart %s: want a file name that ends in .svg or .png", cmd.Chart)
 	}
 	raw, err := experiment.SecondsChart(cells, d.Name, d.Title, format)
 	if err != nil {
@@ -96,7 +96,7 @@
 	}{{"sockets", measuredShares(r)}, {"emulated", emulatedShares(d.EmulateLoad(emulator.QuartzpointPolicy, 1, load))}} {
 		fmt.Printf("%-9s honoured %.3f, dismissed %.3f, given up %.3f\n", side.name, side.shares.goodput, side.shares.rejected, side.shares.aborted)
 	}
-	fmt.Printf("on sockets: %d tasks, %d unanswered, %d answered twice, rules broken %v\n", r.Requests, r.Unanswered, r.DuplicateAnswers, report.Violations[1:])
+	fmt.Printf("on sockets: %d requests, %d unanswered, %d answered twice, rules broken %v\n", r.Requests, r.Unanswered, r.DuplicateAnswers, report.Violations[1:])
 	for _, message := range report.Messages {
 		fmt.Println(" ", message)
 	}
--- a/cmd/quartzpoint-bench/fronts/http.go
+++ b/cmd/quartzpoint-bench/fronts/http.go
@@ -16,14 +16,14 @@
 	"quartzpoint/middleware/ginmw"
 )
 
-// httpFront is a gate behind an HTTP server.
+// httpFront is a gate with an HTTP server in front.
 type httpFront struct {
 	runCounter
 	gate   *quartzpoint.Gate
 	server *httptest.Server
 	client *http.Client
 
-	recoversPanics bool // the framework answers 500 for a panic
+	recoversPanics bool // the framework responds with status 500 to a panic
 }
 
 func newHTTPFront(handler func(s *httpFront) http.Handler) (conformance.Front, error) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// The headers of a request that state what its run does.
+// The request headers that tell the handler what its run does.
 const (
 	routeHeader = "X-Type"
 	workHeader  = "X-Works" // nanoseconds
@@ -66,44 +66,44 @@
 )
 
 func requestOptions() middleware.Options {
-	return middleware.Options{Route: func(q *http.Request) string { return q.Header.Get(routeHeader) }}
+	return middleware.Options{Route: func(request *http.Request) string { return request.Header.Get(routeHeader) }}
 }
 
-func (s *httpFront) handle(_ http.ResponseWriter, q *http.Request) {
-	work, _ := strconv.ParseInt(q.Header.Get(workHeader), 10, 64) // set by Do
-	if s.run(conformance.Request{Work: time.Duration(work), Fails: q.Header.Get(failsHeader) == "true", Key: q.Header.Get(keyHeader)}) != nil {
+func (s *httpFront) handle(_ http.ResponseWriter, request *http.Request) {
+	work, _ := strconv.ParseInt(request.Header.Get(workHeader), 10, 64) // set by Do
+	if s.run(conformance.Request{Work: time.Duration(work), Fails: request.Header.Get(failsHeader) == "true", Key: request.Header.Get(keyHeader)}) != nil {
 		if s.recoversPanics {
 			panic("the run failed")
 		}
-		panic(http.ErrAbortHandler) // as a panic, but the server logs nothing
+		panic(http.ErrAbortHandler) // aborts the response like other panics, but the server does not log it
 	}
 }
 
 // Do implements conformance.Front.
 func (s *httpFront) Do(ctx context.Context, r conformance.Request) conformance.Outcome {
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, s.server.URL+"/", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, s.server.URL+"/", nil)
 	if err != nil {
 		return conformance.Unanswered
 	}
-	q.Header.Set(routeHeader, conformance.Routes(true)[r.Route].Name)
-	q.Header.Set(workHeader, strconv.FormatInt(int64(r.Work), 10))
-	q.Header.Set(failsHeader, strconv.FormatBool(r.Fails))
+	request.Header.Set(routeHeader, conformance.Routes(true)[r.Route].Name)
+	request.Header.Set(workHeader, strconv.FormatInt(int64(r.Work), 10))
+	request.Header.Set(failsHeader, strconv.FormatBool(r.Fails))
 	if r.Key != "" {
-		q.Header.Set(keyHeader, r.Key)
+		request.Header.Set(keyHeader, r.Key)
 	}
-	answer, err := s.client.Do(q)
+	response, err := s.client.Do(request)
 	switch {
 	case ctx.Err() != nil:
 		if err == nil {
-			_ = answer.Body.Close()
+			_ = response.Body.Close()
 		}
 		return conformance.Canceled
 	case err != nil:
-		return conformance.Aborted // the connection was closed: the run failed
+		return conformance.Aborted // the connection was closed, since the run failed
 	}
-	defer func() { _ = answer.Body.Close() }()
-	_, _ = io.Copy(io.Discard, answer.Body) // only the status counts
-	switch answer.StatusCode {
+	defer func() { _ = response.Body.Close() }()
+	_, _ = io.Copy(io.Discard, response.Body) // only the status is evaluated
+	switch response.StatusCode {
 	case http.StatusOK:
 		return conformance.Served
 	case http.StatusServiceUnavailable:
--- a/cmd/quartzpoint-bench/fronts/library.go
+++ b/cmd/quartzpoint-bench/fronts/library.go
@@ -9,17 +9,17 @@
 	"quartzpoint/internal/testkit/conformance"
 )
 
-// newGate returns a gate for the routes of the cases. Its gauges are those that the daemon gets: runs sleep, and other gates of
-// this process are no load of its own.
+// newGate returns a gate for the routes of the cases. Its gauges are those that the daemon gets from its worker pool:
+// the number of runs, which only sleep. The load of the process is not used, as it includes that of other gates.
 func newGate() (*quartzpoint.Gate, error) {
 	options := quartzpoint.Options{Cores: conformance.Cores, MemoryMB: 1 << 10, Grace: 400 * time.Millisecond, Seed: 1}
 	options.Gauges = func(running int) quartzpoint.Gauges { return quartzpoint.Gauges{Runnable: float64(running)} }
-	for _, stated := range conformance.Routes(true) {
-		route := quartzpoint.Route{Name: stated.Name, Value: stated.Value, LatencyTarget: stated.LatencyTarget, Deadline: stated.Deadline}
-		if stated.AtMostOnce {
+	for _, definition := range conformance.Routes(true) {
+		route := quartzpoint.Route{Name: definition.Name, Value: definition.Value, LatencyTarget: definition.LatencyTarget, Deadline: definition.Deadline}
+		if definition.AtMostOnce {
 			route.Idempotency = quartzpoint.AtMostOnce
 		}
-		if stated.Name == "deposit" {
+		if definition.Name == "deposit" {
 			route.Idempotency = quartzpoint.Keyed
 		}
 		options.Routes = append(options.Routes, route)
@@ -76,4 +76,4 @@
 func (l *libraryFront) Shutdown() error { return shutdownGate(l.gate) }
 
 // Close implements conformance.Front.
-func (l *libraryFront) Close() { _ = shutdownGate(l.gate) } // a second shutdown tells nothing new
+func (l *libraryFront) Close() { _ = shutdownGate(l.gate) } // a second shutdown reports no new error
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -19,49 +19,49 @@
 // measurePeers compares new servers that fetch estimates from peers with twins that do not, under the same arrivals.
 type measurePeers struct {
 	Daemon string        `default:"bin/quartzpoint" help:"The daemon's program."`
-	Seeds  int           `default:"10" help:"Pairs of groups."`
-	Group  int           `default:"8" help:"New servers in a group; their results are added up, as a few requests sway that of one."`
-	Warm   time.Duration `default:"12s" help:"For which the running peer is under load before."`
-	Span   time.Duration `default:"10s" help:"Of the new servers' load."`
-	Load   float64       `default:"1.2" help:"Part of the pools' capacity."`
-	Cores  float64       `default:"4" help:"Of each emulated pool."`
+	Seeds  int           `default:"10" help:"Number of seeds, each with all groups of servers."`
+	Group  int           `default:"8" help:"New servers in a group; their results are added up, as a few requests change that of a single server."`
+	Warm   time.Duration `default:"12s" help:"Duration of the running peer's load before the new servers start."`
+	Span   time.Duration `default:"10s" help:"Duration of the new servers' load."`
+	Load   float64       `default:"1.2" help:"Load as a share of the pools' capacity."`
+	Cores  float64       `default:"4" help:"Cores of each emulated pool."`
 }
 
-// pairResult is what one seed gave.
-type pairResult struct {
-	fresh, old, young float64   // value served, over that of the cold twin
-	twins             float64   // the same of a second cold twin
-	more, twinsMore   []float64 // started more than the cold twin at each moment, with the old snapshot and of the twin
-	asked, askedTwins float64   // value served, over that of a server that is not polled
-	askBytes          float64   // of a snapshot
-	asks              int       // answered
-	askTook           time.Duration
-	broken            []string
+// peersResult is the result of one seed.
+type peersResult struct {
+	fresh, stale, recent         float64   // value served with a fresh, stale or recent snapshot, over that of the cold twin
+	twins                        float64   // value served by a second cold twin, over that of the first
+	extraStarts, twinExtraStarts []float64 // requests started more than the cold twin at each sampled moment, with the stale snapshot and by the second twin
+	polled, unpolledTwins        float64   // value served by the polled servers and by a twin of the unpolled ones, over that of the unpolled ones
+	snapshotBytes                float64   // size of a snapshot
+	fetches                      int       // number of answered fetches
+	fetchDuration                time.Duration
+	violations                   []string
 }
 
 const (
-	sampleInterval = 250 * time.Millisecond // of the requests started
-	fetchInterval  = 100 * time.Millisecond // of a server that is polled all the time
-	oldAge         = 5 * time.Minute
-	youngAge       = 10 * time.Second
-	slow           = 1.0 / 3 // of the full speed of a pool
-	heavyLoad      = 1.3     // load of the servers that are polled all the time, and of their twins
-	peerSeedOffset = 500     // so that the running peer has a load of its own
-	kbPerCore      = 16000   // of memory of a pool
+	sampleInterval = 250 * time.Millisecond // between samples of the requests started
+	fetchInterval  = 100 * time.Millisecond // between fetches from a polled server
+	staleAge       = 5 * time.Minute
+	recentAge      = 10 * time.Second
+	slowFactor     = 1.0 / 3 // of the full speed of a pool
+	polledLoad     = 1.3     // load of the polled servers and of their twins, as a share of the capacity
+	peerSeedOffset = 500     // gives the running peer a load that differs from the others
+	kbPerCore      = 16000   // memory of a pool
 )
 
-// Run prints the table and fails where a target is missed.
+// Run prints the table and returns an error if an objective is missed.
 func (m *measurePeers) Run() error {
 	folder, err := os.MkdirTemp("", "quartzpoint-bench")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	results := make([]pairResult, m.Seeds)
+	results := make([]peersResult, m.Seeds)
 	failed := make([]error, m.Seeds)
 	var all sync.WaitGroup
 	for i := range results {
-		all.Go(func() { results[i], failed[i] = m.pair(folder, int64(i+1)) })
+		all.Go(func() { results[i], failed[i] = m.runSeed(folder, int64(i+1)) })
 	}
 	all.Wait()
 	if err := errors.Join(failed...); err != nil {
@@ -70,31 +70,31 @@
 	return m.report(results)
 }
 
-// askPeer is the configuration of a server that fetches from one peer.
-func askPeer(address string) string { return fmt.Sprintf("[peers]\nask = [%q]\n", address) }
+// fetchingConfig returns the configuration of a server that fetches from one peer.
+func fetchingConfig(address string) string { return fmt.Sprintf("[peers]\nask = [%q]\n", address) }
 
-// pair measures all groups of one seed.
-func (m *measurePeers) pair(folder string, seed int64) (result pairResult, err error) {
+// runSeed measures all groups of one seed.
+func (m *measurePeers) runSeed(folder string, seed int64) (result peersResult, err error) {
 	full := harness.Machine{Cores: m.Cores, Speed: 1, MemoryKB: kbPerCore * m.Cores}
-	snapshot, err := m.besideRunningPeer(folder, full, seed, &result)
+	snapshot, err := m.compareWithRunningPeer(folder, full, seed, &result)
 	if err != nil {
 		return result, err
 	}
-	result.askBytes = float64(peersync.EncodedSize(snapshot))
-	return result, m.besideRecordedPeers(folder, full, seed, snapshot, &result)
+	result.snapshotBytes = float64(peersync.EncodedSize(snapshot))
+	return result, m.compareWithRecordedPeers(folder, full, seed, snapshot, &result)
 }
 
-// besideRunningPeer measures new servers beside a peer that has run for a while and goes on, and returns the snapshot that
-// this peer had at their start.
-func (m *measurePeers) besideRunningPeer(
-	folder string, full harness.Machine, seed int64, result *pairResult,
+// compareWithRunningPeer compares new servers that fetch from a peer with cold ones. The peer is under load before and
+// during the comparison. It returns the snapshot that the peer served when the new servers started.
+func (m *measurePeers) compareWithRunningPeer(
+	folder string, full harness.Machine, seed int64, result *peersResult,
 ) (snapshot estimate.Snapshot, err error) {
 	peerAddress, err := harness.FreeAddress()
 	if err != nil {
 		return snapshot, err
 	}
 	peer := &group{
-		name: "peer", machine: full, own: fmt.Sprintf("[peers]\nlisten = %q\n", peerAddress), share: m.Load,
+		name: "peer", machine: full, config: fmt.Sprintf("[peers]\nlisten = %q\n", peerAddress), load: m.Load,
 		seed: seed + peerSeedOffset,
 	}
 	defer func() { err = errors.Join(err, peer.stop()) }()
@@ -107,76 +107,76 @@
 	if snapshot, err = peersync.Fetch(context.Background(), peerAddress, nil); err != nil {
 		return snapshot, errors.Join(err, <-peerDone)
 	}
-	cold := &group{name: "cold", machine: full, share: m.Load, seed: seed}
-	fresh := &group{name: "fresh", machine: full, own: askPeer(peerAddress), share: m.Load, seed: seed}
-	err = m.together(folder, full, []*group{cold, fresh}, m.Group)
+	cold := &group{name: "cold", machine: full, load: m.Load, seed: seed}
+	fresh := &group{name: "fresh", machine: full, config: fetchingConfig(peerAddress), load: m.Load, seed: seed}
+	err = m.runGroups(folder, full, []*group{cold, fresh}, m.Group)
 	if err = errors.Join(err, <-peerDone); err != nil {
 		return snapshot, err
 	}
 	for _, g := range []*group{peer, cold, fresh} {
-		result.broken = append(result.broken, g.broken()...)
+		result.violations = append(result.violations, g.violations()...)
 	}
-	result.fresh = fresh.honoured() / cold.honoured()
+	result.fresh = fresh.goodput() / cold.goodput()
 	return snapshot, nil
 }
 
-// besideRecordedPeers measures new servers on slower machines that get the snapshot when it has aged, and a server that is
-// polled all the time.
-func (m *measurePeers) besideRecordedPeers(
-	folder string, full harness.Machine, seed int64, snapshot estimate.Snapshot, result *pairResult,
+// compareWithRecordedPeers compares new servers on slower machines that fetch an aged snapshot with cold ones, and
+// servers that are polled all the time with unpolled ones.
+func (m *measurePeers) compareWithRecordedPeers(
+	folder string, full harness.Machine, seed int64, snapshot estimate.Snapshot, result *peersResult,
 ) error {
-	recorded := map[time.Duration]string{} // age of the snapshot to the address that serves it
-	for _, age := range []time.Duration{oldAge, youngAge} {
+	addresses := map[time.Duration]string{} // by age of the snapshot, the address that serves it
+	for _, age := range []time.Duration{staleAge, recentAge} {
 		server, err := serveAged(snapshot, age)
 		if err != nil {
 			return err
 		}
 		defer server.Close()
-		recorded[age] = server.Address()
+		addresses[age] = server.Address()
 	}
 	slower := full
-	slower.Speed *= slow
-	slowGroup := func(name, own string) *group {
-		return &group{name: name, machine: slower, own: own, share: m.Load, seed: seed}
+	slower.Speed *= slowFactor
+	slowGroup := func(name, config string) *group {
+		return &group{name: name, machine: slower, config: config, load: m.Load, seed: seed}
 	}
 	cold, twin := slowGroup("slow-cold", ""), slowGroup("slow-twin", "")
-	old, young := slowGroup("slow-old", askPeer(recorded[oldAge])), slowGroup("slow-young", askPeer(recorded[youngAge]))
-	unpolled := &group{name: "unasked", machine: full, share: heavyLoad, seed: seed}
-	unpolledTwin := &group{name: "unasked-twin", machine: full, share: heavyLoad, seed: seed}
-	polled := &group{name: "asked", machine: full, listens: true, share: heavyLoad, seed: seed}
+	stale, recent := slowGroup("slow-old", fetchingConfig(addresses[staleAge])), slowGroup("slow-young", fetchingConfig(addresses[recentAge]))
+	unpolled := &group{name: "unasked", machine: full, load: polledLoad, seed: seed}
+	unpolledTwin := &group{name: "unasked-twin", machine: full, load: polledLoad, seed: seed}
+	polled := &group{name: "asked", machine: full, servesPeers: true, load: polledLoad, seed: seed}
 	size := max(1, m.Group*3/8)
-	took, quit := make(chan []time.Duration, size), make(chan struct{})
-	polled.up = func(d *harness.Daemon) { go func() { took <- fetchOften(d.Peers, quit) }() }
-	groups := []*group{unpolled, unpolledTwin, polled, cold, twin, old, young}
-	err := m.together(folder, full, groups, size)
+	fetchDurations, quit := make(chan []time.Duration, size), make(chan struct{})
+	polled.onServing = func(d *harness.Daemon) { go func() { fetchDurations <- pollPeer(d.Peers, quit) }() }
+	groups := []*group{unpolled, unpolledTwin, polled, cold, twin, stale, recent}
+	err := m.runGroups(folder, full, groups, size)
 	close(quit)
 	if err != nil {
 		return err
 	}
-	var times []time.Duration
+	var durations []time.Duration
 	for range size {
-		times = append(times, <-took...)
+		durations = append(durations, <-fetchDurations...)
 	}
-	slices.Sort(times)
-	if len(times) == 0 {
+	slices.Sort(durations)
+	if len(durations) == 0 {
 		return errors.New("no fetch was answered")
 	}
 	for _, g := range groups {
-		result.broken = append(result.broken, g.broken()...)
-	}
-	result.old = old.honoured() / cold.honoured()
-	result.young = young.honoured() / cold.honoured()
-	result.twins = twin.honoured() / cold.honoured()
-	result.more, result.twinsMore = startedMore(old, cold, m.Span), startedMore(twin, cold, m.Span)
-	result.asked = polled.honoured() / unpolled.honoured()
-	result.askedTwins = unpolledTwin.honoured() / unpolled.honoured()
-	result.askTook, result.asks = times[len(times)/2], len(times)
+		result.violations = append(result.violations, g.violations()...)
+	}
+	result.stale = stale.goodput() / cold.goodput()
+	result.recent = recent.goodput() / cold.goodput()
+	result.twins = twin.goodput() / cold.goodput()
+	result.extraStarts, result.twinExtraStarts = extraStarts(stale, cold, m.Span), extraStarts(twin, cold, m.Span)
+	result.polled = polled.goodput() / unpolled.goodput()
+	result.unpolledTwins = unpolledTwin.goodput() / unpolled.goodput()
+	result.fetchDuration, result.fetches = durations[len(durations)/2], len(durations)
 	return nil
 }
 
-// serveAged serves a snapshot as one that was taken so long ago. The caller has to close the server.
+// serveAged serves a snapshot as if it had been taken age ago. The caller must close the server.
 func serveAged(snapshot estimate.Snapshot, age time.Duration) (*peersync.Server, error) {
-	const now = time.Hour // on the server's clock, which stands still; later than any age
+	const now = time.Hour // constant time of the server's clock; later than any age
 	server, err := peersync.Listen("127.0.0.1:0", nil, func() time.Duration { return now },
 		invariant.New(slog.New(slog.DiscardHandler)))
 	if err != nil {
@@ -187,18 +187,19 @@
 	return server, nil
 }
 
-// fetchOften fetches ten times a second until quit is closed, and returns how long the answered fetches took.
-func fetchOften(address string, quit <-chan struct{}) (took []time.Duration) {
+// pollPeer fetches from a server at every fetchInterval until quit is closed, and returns the durations of the answered
+// fetches.
+func pollPeer(address string, quit <-chan struct{}) (durations []time.Duration) {
 	ticker := time.NewTicker(fetchInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-quit:
-			return took
+			return durations
 		case <-ticker.C:
 			started := time.Now()
 			if _, err := peersync.Fetch(context.Background(), address, nil); err == nil {
-				took = append(took, time.Since(started))
+				durations = append(durations, time.Since(started))
 			}
 		}
 	}
--- a/cmd/quartzpoint-bench/workers.go
+++ b/cmd/quartzpoint-bench/workers.go
@@ -15,13 +15,13 @@
 	"quartzpoint/scenario"
 )
 
-// workersCommand plays, in real time, the surroundings of real daemons: worker pools, dependencies and membership.
+// workersCommand emulates the surroundings of real daemons in real time: worker pools, dependencies and membership.
 type workersCommand struct {
-	File   string `arg:"" help:"The drill whose fleet is played; its incidents of pools and dependencies come when they are due."`
-	Folder string `default:"." help:"Where each server's configuration is written."`
+	File   string `arg:"" help:"The drill whose fleet is emulated; its incidents of pools and dependencies are injected at their times."`
+	Folder string `default:"." help:"Folder for the configuration files of the servers."`
 }
 
-// Run plays the drill until its span is over, or until an interrupt.
+// Run emulates the drill until its span is over or an interrupt arrives.
 func (cmd *workersCommand) Run() (err error) {
 	d, err := readDrill(cmd.File)
 	if err != nil {
@@ -51,31 +51,31 @@
 			return err
 		}
 	}
-	began := time.Now()
-	for _, stated := range d.Fleet.Dependencies {
-		dependency, err := harness.NewDependency(stated.Slots, stated.Mean, stated.Spread, 1, dependencyScript(d, stated.Name))
+	start := time.Now()
+	for _, definition := range d.Fleet.Dependencies {
+		dependency, err := harness.NewDependency(definition.Slots, definition.Mean, definition.Spread, 1, dependencyScript(d, definition.Name))
 		if err != nil {
 			return err
 		}
 		defer dependency.Close()
 		dependency.RestartClock()
-		fmt.Printf("[dependencies.%s] address = %q\n", stated.Name, dependency.Address)
+		fmt.Printf("[dependencies.%s] address = %q\n", definition.Name, dependency.Address)
 	}
 	for _, i := range d.Incidents {
 		go func() {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(time.Until(began.Add(i.At))):
+			case <-time.After(time.Until(start.Add(i.At))):
 			}
-			if what := injectPoolIncident(pools, d, i); what != "" {
-				fmt.Printf("%v: %s\n", i.At, what)
+			if description := injectPoolIncident(pools, d, i); description != "" {
+				fmt.Printf("%v: %s\n", i.At, description)
 			}
 		}()
 	}
-	fmt.Printf("playing %q for %v; interrupt to end\n", d.Title, d.Span)
+	fmt.Printf("emulating %q for %v; interrupt to stop\n", d.Title, d.Span)
 	select {
-	case <-ctx.Done(): // an interrupt is no error
+	case <-ctx.Done(): // an interrupt is not an error
 	case <-time.After(d.Span):
 	}
 	return nil
@@ -103,7 +103,7 @@
 // failurePeriod is the period in which a failing dependency rejects calls for a share of the time.
 const failurePeriod = 100 * time.Millisecond
 
-// dependencyScript returns the behaviour of a dependency by the incidents of a drill.
+// dependencyScript returns the behaviour of a dependency according to the incidents of a drill.
 func dependencyScript(d *scenario.Drill, name string) harness.BehaviourScript {
 	return func(at time.Duration) (b harness.DependencyBehaviour) {
 		for _, i := range d.Incidents {
@@ -117,32 +117,33 @@
 				b.SlowFactor = i.Factor
 			case scenario.FailDependency:
 				b.Rejects = at%failurePeriod < time.Duration(i.Factor*float64(failurePeriod))
-			default: // not of dependencies
+			default: // incident of another kind
 			}
 		}
 		return b
 	}
 }
 
-// pausedSpeed is the speed of a paused pool: none, but for divisions by it.
+// pausedSpeed is the speed of a paused pool. It is not 0, because the speed is a divisor.
 const pausedSpeed = 1e-9
 
-// injectPoolIncident injects an incident of pools, and describes it; other incidents are ignored.
+// injectPoolIncident injects an incident of pools and returns its description. It ignores other incidents and returns
+// an empty string for them.
 func injectPoolIncident(pools []*harness.Workers, d *scenario.Drill, i scenario.Incident) string {
 	full := d.Fleet.Machine
-	change := func(to, back func(m *harness.Machine)) string {
-		numbers := incidentServers(d, i, rand.New(rand.NewSource(int64(i.At))))
-		for _, n := range numbers {
-			pools[n].Update(to)
+	change := func(apply, revert func(m *harness.Machine)) string {
+		servers := incidentServers(d, i, rand.New(rand.NewSource(int64(i.At))))
+		for _, n := range servers {
+			pools[n].Update(apply)
 		}
 		if i.Duration > 0 {
 			time.AfterFunc(i.Duration, func() {
-				for _, n := range numbers {
-					pools[n].Update(back)
+				for _, n := range servers {
+					pools[n].Update(revert)
 				}
 			})
 		}
-		return strings.TrimSpace(fmt.Sprintln(i.Kind, "of pools", numbers))
+		return strings.TrimSpace(fmt.Sprintln(i.Kind, "of pools", servers))
 	}
 	restore := func(m *harness.Machine) { m.Speed, m.Cores = full.Speed, full.Cores }
 	switch i.Kind {
@@ -157,7 +158,7 @@
 	}
 }
 
-// discardReports reads the reports of daemons until the socket is closed.
+// discardReports reads and discards the reports of daemons until the socket is closed.
 func discardReports(from net.PacketConn) {
 	raw := make([]byte, 2048)
 	for {
