--- a/internal/testkit/conformance/conformance.go
+++ b/internal/testkit/conformance/conformance.go
@@ -76,7 +76,7 @@
 // Cases returns the suite for a seed.
 func Cases(seed int64) []Case {
 	rng := rand.New(rand.NewSource(seed))
-	row := func(n int, each func(i int) Request) (requests []Request) {
+	sequence := func(n int, each func(i int) Request) (requests []Request) {
 		for i := range n {
 			requests = append(requests, each(i))
 		}
@@ -100,23 +100,23 @@
 	return []Case{
 		{Name: "calm", Requests: poisson(12, 1500*ms, mixed)},
 		{Name: "overload", Requests: poisson(1.5*Cores/0.0585, 2500*ms, mixed)},
-		{Name: "runs past their time", Requests: row(4, func(i int) Request {
+		{Name: "runs past their time", Requests: sequence(4, func(i int) Request {
 			return Request{At: time.Duration(i) * 700 * ms, Work: 900 * ms, Route: i % 2}
 		})},
-		{Name: "broken runs", Requests: row(12, func(i int) Request {
+		{Name: "broken runs", Requests: sequence(12, func(i int) Request {
 			return Request{At: time.Duration(i) * 60 * ms, Work: 20 * ms, Fails: i%3 == 1}
 		})},
-		{Name: "callers gone", Requests: row(12, func(i int) Request {
+		{Name: "callers gone", Requests: sequence(12, func(i int) Request {
 			r := Request{At: time.Duration(i) * 150 * ms, Work: 100 * ms}
 			if i%2 == 1 {
 				r.CancelAfter = 40 * ms
 			}
 			return r
 		})},
-		{Name: "repeats", NeedsKeys: true, Requests: row(30, func(i int) Request {
+		{Name: "repeats", NeedsKeys: true, Requests: sequence(30, func(i int) Request {
 			return Request{At: time.Duration(i/10) * 100 * ms, Route: 2, Work: 50 * ms, Key: fmt.Sprint(seed, i%5)}
 		})},
-		{Name: "notice to leave", ShutdownAt: 300 * ms, Requests: row(16, func(i int) Request {
+		{Name: "notice to leave", ShutdownAt: 300 * ms, Requests: sequence(16, func(i int) Request {
 			return Request{At: time.Duration(i) * 30 * ms, Work: 60 * ms}
 		})},
 	}
--- a/internal/testkit/faultdisk/crash.go
+++ b/internal/testkit/faultdisk/crash.go
@@ -77,13 +77,13 @@
 		}
 	}
 	after := New()
-	made := map[*inode]*inode{}
+	copies := map[*inode]*inode{}
 	for _, name := range slices.Sorted(maps.Keys(names)) { // in a fixed order, as losses are drawn from a seed
 		n := names[name]
-		if made[n] == nil {
-			made[n] = n.afterCrash(loss)
+		if copies[n] == nil {
+			copies[n] = n.afterCrash(loss)
 		}
-		after.names[name], after.durable[name] = made[n], made[n]
+		after.names[name], after.durable[name] = copies[n], copies[n]
 	}
 	return after
 }
--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -90,11 +90,11 @@
 // pump copies one direction of a connection, and closes both sides at its end.
 func (p *Proxy) pump(from, to net.Conn, direction Direction) {
 	defer p.goroutines.Done()
-	defer p.forget(from, to)
+	defer p.closeBoth(from, to)
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !p.carry(direction, to, buf[:n]) {
+		if n > 0 && !p.forward(direction, to, buf[:n]) {
 			return
 		}
 		if err != nil {
@@ -103,28 +103,28 @@
 	}
 }
 
-// carry writes bytes under the present faults of a direction, and reports whether the link goes on.
-func (p *Proxy) carry(direction Direction, to net.Conn, b []byte) bool {
+// forward writes bytes under the present faults of a direction, and reports whether the link goes on.
+func (p *Proxy) forward(direction Direction, to net.Conn, b []byte) bool {
 	p.mu.Lock()
 	for p.directions[direction].stall && !p.cut {
 		p.changed.Wait()
 	}
-	m, cut := p.directions[direction], p.cut
+	active, cut := p.directions[direction], p.cut
 	p.mu.Unlock()
 	switch {
 	case cut:
 		return false
-	case m.drop:
+	case active.drop:
 		return true
 	}
-	if m.delay > 0 {
-		time.Sleep(m.delay) // in order: later bytes wait too
+	if active.delay > 0 {
+		time.Sleep(active.delay) // in order: later bytes wait too
 	}
 	_, err := to.Write(b)
 	return err == nil
 }
 
-func (p *Proxy) forget(a, b net.Conn) {
+func (p *Proxy) closeBoth(a, b net.Conn) {
 	_ = a.Close()
 	_ = b.Close()
 	p.mu.Lock()
@@ -145,14 +145,14 @@
 }
 
 // Drop discards what goes in one direction until Heal.
-func (p *Proxy) Drop(direction Direction) { p.setFault(direction, func(m *faults) { m.drop = true }) }
+func (p *Proxy) Drop(direction Direction) { p.setFault(direction, func(f *faults) { f.drop = true }) }
 
 // Stall holds what goes in one direction until Heal, as a stopped peer does.
-func (p *Proxy) Stall(direction Direction) { p.setFault(direction, func(m *faults) { m.stall = true }) }
+func (p *Proxy) Stall(direction Direction) { p.setFault(direction, func(f *faults) { f.stall = true }) }
 
 // Delay delays each read of one direction by d until Heal.
 func (p *Proxy) Delay(direction Direction, d time.Duration) {
-	p.setFault(direction, func(m *faults) { m.delay = d })
+	p.setFault(direction, func(f *faults) { f.delay = d })
 }
 
 // Heal ends every fault. A stalled direction forwards what it held.
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -52,8 +52,8 @@
 	return &link{c, bufio.NewReader(c)}
 }
 
-// say sends a line and reads what comes back within span: the line, or "" where nothing came.
-func (l *link) say(t *testing.T, line string, span time.Duration) string {
+// exchange sends a line and reads what comes back within span: the line, or "" where nothing came.
+func (l *link) exchange(t *testing.T, line string, span time.Duration) string {
 	_, err := l.conn.Write([]byte(line + "\n"))
 	require.NoError(t, err)
 	return l.read(span)
@@ -78,28 +78,28 @@
 		check func(t *testing.T, p *Proxy, l *link)
 	}{
 		{"passes", "", func(t *testing.T, p *Proxy, l *link) {
-			assert.Equal(t, "a", l.say(t, "a", present))
+			assert.Equal(t, "a", l.exchange(t, "a", present))
 		}},
 		{"drops one way only", "drop down", func(t *testing.T, p *Proxy, l *link) {
-			assert.Empty(t, l.say(t, "lost", absent), "the answer is dropped")
+			assert.Empty(t, l.exchange(t, "lost", absent), "the answer is dropped")
 			require.NoError(t, p.RunScript("heal"))
-			assert.Equal(t, "b", l.say(t, "b", present), "the way up went on")
+			assert.Equal(t, "b", l.exchange(t, "b", present), "the way up went on")
 		}},
 		{"stalls and lets go", "stall up", func(t *testing.T, p *Proxy, l *link) {
-			assert.Empty(t, l.say(t, "held", absent))
+			assert.Empty(t, l.exchange(t, "held", absent))
 			require.NoError(t, p.RunScript("heal"))
 			assert.Equal(t, "held", l.read(present), "what was held goes on, in order")
 		}},
 		{"delays", "delay up 300ms", func(t *testing.T, p *Proxy, l *link) {
 			start := time.Now()
-			assert.Equal(t, "late", l.say(t, "late", present))
+			assert.Equal(t, "late", l.exchange(t, "late", present))
 			assert.GreaterOrEqual(t, time.Since(start), 300*time.Millisecond)
 		}},
 		{"cuts and refuses until healed", "cut", func(t *testing.T, p *Proxy, l *link) {
-			assert.Empty(t, l.say(t, "gone", present), "the connection ends")
-			assert.Empty(t, dial(t, p).say(t, "new", present), "a new one is refused")
+			assert.Empty(t, l.exchange(t, "gone", present), "the connection ends")
+			assert.Empty(t, dial(t, p).exchange(t, "new", present), "a new one is refused")
 			require.NoError(t, p.RunScript("heal"))
-			assert.Equal(t, "back", dial(t, p).say(t, "back", present))
+			assert.Equal(t, "back", dial(t, p).exchange(t, "back", present))
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 			require.NoError(t, err)
 			defer func() { _ = p.Close() }()
 			l := dial(t, p)
-			require.Equal(t, "ready", l.say(t, "ready", present))
+			require.Equal(t, "ready", l.exchange(t, "ready", present))
 			require.NoError(t, p.RunScript(c.fault))
 			c.check(t, p, l)
 		})
@@ -122,5 +122,5 @@
 	require.Error(t, err)
 	assert.Contains(t, err.Error(), `line 2 "stall sideways"`)
 	assert.Contains(t, err.Error(), `line 3 "delay up soon"`)
-	assert.Equal(t, "still", dial(t, p).say(t, "still", 10*time.Second), "nothing was carried out")
+	assert.Equal(t, "still", dial(t, p).exchange(t, "still", 10*time.Second), "nothing was carried out")
 }
--- a/internal/testkit/harness/fleet.go
+++ b/internal/testkit/harness/fleet.go
@@ -80,8 +80,8 @@
 // retryElsewhere sends a request to another server, and reports whether its route and its deadline allow that. A request
 // whose connection was lost may have had its effect.
 func (f *Fleet) retryElsewhere(p *pendingRequest, lost bool) bool {
-	t := f.routes[p.arrival.Route]
-	if lost && t.AtMostOnce || p.attempts >= f.maxAttempts || time.Until(p.sentAt.Add(t.Deadline)) < minRetryTime {
+	route := f.routes[p.arrival.Route]
+	if lost && route.AtMostOnce || p.attempts >= f.maxAttempts || time.Until(p.sentAt.Add(route.Deadline)) < minRetryTime {
 		return false
 	}
 	f.background.Go(func() { f.send(p) })
@@ -126,12 +126,12 @@
 	longest := time.Duration(0)
 	for n := range load {
 		time.Sleep(time.Until(f.began.Add(load[n].At)))
-		t := f.routes[load[n].Route]
+		route := f.routes[load[n].Route]
 		f.result.Requests++
-		f.result.OfferedValue += t.Value
-		longest = max(longest, t.Deadline)
+		f.result.OfferedValue += route.Value
+		longest = max(longest, route.Deadline)
 		p := &pendingRequest{arrival: &load[n], sentAt: time.Now()}
-		if t.AtMostOnce {
+		if route.AtMostOnce {
 			p.effect = uint64(n) + 1
 		}
 		f.send(p)
--- a/internal/testkit/harness/http_dependency.go
+++ b/internal/testkit/harness/http_dependency.go
@@ -14,32 +14,32 @@
 type HTTPDependency struct {
 	Address string
 
-	slots       float64
-	serviceTime time.Duration // of a call while slots are free
-	linger      time.Duration // that an abandoned call stays in flight
-	started     time.Time
-	server      *http.Server
+	slots         float64
+	serviceTime   time.Duration // of a call while slots are free
+	abandonedTime time.Duration // that an abandoned call stays in flight
+	started       time.Time
+	server        *http.Server
 
 	mu           sync.Mutex
 	slowFactor   float64 // times the usual service time; 0 and 1 are as usual
 	unresponsive bool    // calls are read and never answered
 	inFlight     int
 	calls        int
-	strain       *strainGauge
+	load         *loadTracker
 	capacity     Machine // the calls that it survives, as cores with one run each
 }
 
 const lookupPath = "/lookup"
 
 // NewHTTPDependency starts a dependency on loopback that survives so many calls in flight, as a mean over window.
-func NewHTTPDependency(slots float64, serviceTime, linger time.Duration, survives float64, window time.Duration) (*HTTPDependency, error) {
+func NewHTTPDependency(slots float64, serviceTime, abandonedTime time.Duration, survives float64, window time.Duration) (*HTTPDependency, error) {
 	listener, err := net.Listen("tcp", randomLoopbackAddress())
 	if err != nil {
 		return nil, fmt.Errorf("HTTP dependency: %w", err)
 	}
 	d := &HTTPDependency{
-		Address: listener.Addr().String(), slots: slots, serviceTime: serviceTime, linger: linger, started: time.Now(),
-		strain: newStrainGauge(Endurance{RunsPerCore: 1, Window: window}), capacity: Machine{Cores: survives, Speed: 1},
+		Address: listener.Addr().String(), slots: slots, serviceTime: serviceTime, abandonedTime: abandonedTime, started: time.Now(),
+		load: newLoadTracker(Endurance{RunsPerCore: 1, Window: window}), capacity: Machine{Cores: survives, Speed: 1},
 	}
 	routes := http.NewServeMux()
 	routes.HandleFunc(lookupPath, d.serve)
@@ -66,21 +66,21 @@
 }
 
 // Strain returns the highest load so far, as a share of what the dependency survives, and the number of calls read.
-func (d *HTTPDependency) Strain() (strain Strain, calls int) {
+func (d *HTTPDependency) Strain() (peak Strain, calls int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.recordInFlight(0)
-	return d.strain.max, d.calls
+	return d.load.peak, d.calls
 }
 
 // recordInFlight records the calls in flight up to now, then changes their number.
 func (d *HTTPDependency) recordInFlight(change int) {
-	d.strain.advance(time.Since(d.started), d.inFlight, d.capacity)
+	d.load.advance(time.Since(d.started), d.inFlight, d.capacity)
 	d.inFlight += change
 }
 
 // begin records the start of a call. The call takes so long; where answers is false it is never answered.
-func (d *HTTPDependency) begin() (takes time.Duration, answers bool) {
+func (d *HTTPDependency) begin() (duration time.Duration, answered bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.recordInFlight(1)
@@ -100,15 +100,15 @@
 	if err != nil {
 		return
 	}
-	takes, answers := d.begin()
+	duration, answered := d.begin()
 	defer d.end()
-	if !answers {
-		takes = 1 << 62
+	if !answered {
+		duration = 1 << 62
 	}
 	select {
 	case <-r.Context().Done():
-		time.Sleep(d.linger)
-	case <-time.After(takes):
+		time.Sleep(d.abandonedTime)
+	case <-time.After(duration):
 		_, _ = w.Write(body)
 	}
 }
--- a/internal/testkit/harness/platform_config.go
+++ b/internal/testkit/harness/platform_config.go
@@ -44,7 +44,7 @@
 		},
 		"limits": map[string]any{"max-retry-after": 1000000, "retry-after": true},
 		"obligations": map[string]any{
-			"cold-share": m.ColdShare, "overload-factor": defaultRunsPerCore, "fall": defaultEnduranceWindow.Microseconds(), "stop-sending-within": 400000,
+			"cold-share": m.ColdShare, "overload-factor": defaultRunsPerCore, "fall": defaultLoadWindow.Microseconds(), "stop-sending-within": 400000,
 			"warm-up": m.WarmUp.Microseconds(),
 		},
 		"servers": 2, "services": services, "tenants": []any{}, "value-by": "request",
--- a/internal/testkit/harness/result.go
+++ b/internal/testkit/harness/result.go
@@ -29,7 +29,7 @@
 // ServedBetween returns how many of the requests that were sent from one time of the load to another were served.
 func (r *Result) ServedBetween(from, to time.Duration) (served int) {
 	for _, a := range r.attempts {
-		if sent := a.at.Sub(r.begin); sent >= from && sent < to && len(a.answered) > 0 && a.code == StatusServed {
+		if sent := a.sentAt.Sub(r.begin); sent >= from && sent < to && len(a.answered) > 0 && a.code == StatusServed {
 			served++
 		}
 	}
@@ -38,12 +38,12 @@
 
 // attempt is one request at one server.
 type attempt struct {
-	id             string
-	effect         uint64 // of an at-most-once request: the same in all its attempts; 0 for others
-	at, due        time.Time
-	answered       []time.Time
-	code           byte
-	connectionLost bool // before an answer
+	id               string
+	effect           uint64 // of an at-most-once request: the same in all its attempts; 0 for others
+	sentAt, deadline time.Time
+	answered         []time.Time
+	code             byte
+	connectionLost   bool // before an answer
 }
 
 // Check checks the load against the four rules of package rulecheck. pools are all worker pools that ran any of it.
@@ -59,14 +59,14 @@
 	}
 	var events []rulecheck.Event
 	for i, s := range r.attempts {
-		if first.IsZero() || s.at.Before(first) {
-			first = s.at
+		if first.IsZero() || s.sentAt.Before(first) {
+			first = s.sentAt
 		}
 		attemptID := uint64(i + 1)
 		event := func(kind rulecheck.Kind, at time.Time) rulecheck.Event {
-			return rulecheck.Event{Kind: kind, At: at.Sub(first), Attempt: attemptID, Effect: s.effect, Deadline: s.due.Sub(first), Rejected: s.code == StatusRejected}
+			return rulecheck.Event{Kind: kind, At: at.Sub(first), Attempt: attemptID, Effect: s.effect, Deadline: s.deadline.Sub(first), Rejected: s.code == StatusRejected}
 		}
-		events = append(events, event(rulecheck.Received, s.at))
+		events = append(events, event(rulecheck.Received, s.sentAt))
 		for _, at := range starts[s.id] {
 			events = append(events, event(rulecheck.Started, at))
 		}
@@ -74,7 +74,7 @@
 			events = append(events, event(rulecheck.Answered, at))
 		}
 		if s.connectionLost {
-			events = append(events, event(rulecheck.Abandoned, s.due))
+			events = append(events, event(rulecheck.Abandoned, s.deadline))
 		}
 	}
 	slices.SortStableFunc(events, func(a, b rulecheck.Event) int { return cmp.Compare(a.At, b.At) })
--- a/internal/testkit/harness/router.go
+++ b/internal/testkit/harness/router.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	t := r.routes[p.arrival.Route]
+	route := r.routes[p.arrival.Route]
 	r.mu.Lock()
 	if len(l.open) >= maxOpenPerConnection {
 		r.mu.Unlock()
@@ -107,12 +107,12 @@
 	stream := l.stream
 	l.open[stream] = p
 	p.lastAttempt = len(r.result.attempts)
-	r.result.attempts = append(r.result.attempts, attempt{id: id, effect: p.effect, at: time.Now(), due: p.sentAt.Add(t.Deadline)})
+	r.result.attempts = append(r.result.attempts, attempt{id: id, effect: p.effect, sentAt: time.Now(), deadline: p.sentAt.Add(route.Deadline)})
 	r.mu.Unlock()
 	body := binary.BigEndian.AppendUint64(nil, uint64(max(p.arrival.Work.Microseconds(), 1)))
 	_, err = l.Write(Frame(FrameRequest, stream, string(body),
-		"op", t.Name, "call", id, "recv", strconv.FormatInt(p.sentAt.UnixMilli(), 10),
-		"src", strconv.Itoa(r.sourceID), "ttl", strconv.FormatInt(t.Deadline.Milliseconds(), 10), "heap", "20.0",
+		"op", route.Name, "call", id, "recv", strconv.FormatInt(p.sentAt.UnixMilli(), 10),
+		"src", strconv.Itoa(r.sourceID), "ttl", strconv.FormatInt(route.Deadline.Milliseconds(), 10), "heap", "20.0",
 		"crit", strconv.FormatFloat(min(p.arrival.Rank, 0.9999), 'f', 4, 64)))
 	if err != nil {
 		r.mu.Lock()
@@ -136,7 +136,7 @@
 		if err == nil {
 			r.handle(l, reply, now)
 		} else {
-			r.loseOpen(l)
+			r.recordConnectionLoss(l)
 		}
 		done := err != nil || l.draining && len(l.open) == 0
 		r.mu.Unlock()
@@ -169,8 +169,8 @@
 	}
 }
 
-// loseOpen records that a connection has ended. Requests that are not retried stay open, and count as unanswered.
-func (r *router) loseOpen(l *connection) {
+// recordConnectionLoss records that a connection has ended. Requests that are not retried stay open, and count as unanswered.
+func (r *router) recordConnectionLoss(l *connection) {
 	l.draining = true
 	for _, stream := range slices.Sorted(maps.Keys(l.open)) {
 		p := l.open[stream]
--- a/internal/testkit/harness/strain.go
+++ b/internal/testkit/harness/strain.go
@@ -13,8 +13,8 @@
 }
 
 const (
-	defaultRunsPerCore     = 6.0
-	defaultEnduranceWindow = time.Second
+	defaultRunsPerCore = 6.0
+	defaultLoadWindow  = time.Second
 )
 
 // Strain is the highest load of a worker pool, as shares of what it survives: over 1 it has fallen over.
@@ -25,49 +25,49 @@
 	MemoryAt time.Duration // when Memory was reached
 }
 
-// strainGauge measures the strain of a pool. The number of runs is constant between two calls of advance.
-type strainGauge struct {
-	endurance Endurance
-	max       Strain
-	area      float64      // runs times seconds since the start
-	points    []strainArea // within the window, and the last before it
+// loadTracker measures the strain of a pool. The number of runs is constant between two calls of advance.
+type loadTracker struct {
+	limit  Endurance
+	peak   Strain
+	area   float64     // runs times seconds since the start
+	points []loadPoint // within the window, and the last before it
 }
 
-type strainArea struct {
+type loadPoint struct {
 	at   time.Duration
 	area float64
 }
 
-func newStrainGauge(endurance Endurance) *strainGauge {
-	if endurance.RunsPerCore == 0 {
-		endurance.RunsPerCore = defaultRunsPerCore
+func newLoadTracker(limit Endurance) *loadTracker {
+	if limit.RunsPerCore == 0 {
+		limit.RunsPerCore = defaultRunsPerCore
 	}
-	if endurance.Window == 0 {
-		endurance.Window = defaultEnduranceWindow
+	if limit.Window == 0 {
+		limit.Window = defaultLoadWindow
 	}
-	return &strainGauge{endurance: endurance, points: []strainArea{{}}}
+	return &loadTracker{limit: limit, points: []loadPoint{{}}}
 }
 
 // advance records that so many runs were on the cores from the last call until now. Times are since the pool's start.
-func (g *strainGauge) advance(now time.Duration, runs int, m Machine) {
+func (g *loadTracker) advance(now time.Duration, runs int, m Machine) {
 	last := g.points[len(g.points)-1]
 	if now <= last.at {
 		return
 	}
 	g.area += float64(runs) * (now - last.at).Seconds()
-	g.points = append(g.points, strainArea{now, g.area})
-	from := now - g.endurance.Window
+	g.points = append(g.points, loadPoint{now, g.area})
+	from := now - g.limit.Window
 	for len(g.points) > 2 && g.points[1].at <= from {
 		g.points = g.points[1:]
 	}
-	mean := (g.area - g.areaAt(from)) / g.endurance.Window.Seconds()
-	if strain := mean / g.survivableRuns(now, m); strain > g.max.Runs {
-		g.max.Runs, g.max.RunsAt = strain, now
+	mean := (g.area - g.areaAt(from)) / g.limit.Window.Seconds()
+	if load := mean / g.survivableRuns(now, m); load > g.peak.Runs {
+		g.peak.Runs, g.peak.RunsAt = load, now
 	}
 }
 
 // areaAt returns the area at a moment, interpolated between the first two points.
-func (g *strainGauge) areaAt(at time.Duration) float64 {
+func (g *loadTracker) areaAt(at time.Duration) float64 {
 	if at <= 0 {
 		return 0
 	}
@@ -81,15 +81,15 @@
 
 // survivableRuns returns the number of runs on the cores that a pool survives now. A pool that warms up survives fewer; a
 // machine that is slow for another reason survives as many.
-func (g *strainGauge) survivableRuns(now time.Duration, m Machine) float64 {
+func (g *loadTracker) survivableRuns(now time.Duration, m Machine) float64 {
 	warm := m
 	warm.Speed = 1
-	return (1 + (g.endurance.RunsPerCore-1)*warm.SpeedAt(now)) * m.Cores
+	return (1 + (g.limit.RunsPerCore-1)*warm.SpeedAt(now)) * m.Cores
 }
 
 // recordMemory records the number of runs that hold memory.
-func (g *strainGauge) recordMemory(now time.Duration, runs int, m Machine) {
-	if share := emulator.RunKB * float64(runs) / m.MemoryKB; share > g.max.Memory {
-		g.max.Memory, g.max.MemoryAt = share, now
+func (g *loadTracker) recordMemory(now time.Duration, runs int, m Machine) {
+	if load := emulator.RunKB * float64(runs) / m.MemoryKB; load > g.peak.Memory {
+		g.peak.Memory, g.peak.MemoryAt = load, now
 	}
 }
--- a/internal/testkit/harness/workers.go
+++ b/internal/testkit/harness/workers.go
@@ -33,7 +33,7 @@
 	runStarts       []RunStart
 	seen            map[string]bool // ids of all runs so far
 	repeatedStarts  int
-	strain          *strainGauge
+	load            *loadTracker
 	hung            bool
 	stopped         bool
 	continued       *sync.Cond      // stopped has changed
@@ -56,7 +56,7 @@
 	w := &Workers{
 		Address: listener.Addr().String(), machine: m, listener: listener, startedAt: now, last: now,
 		stop: make(chan struct{}), wake: make(chan struct{}, 1), runs: map[string]*run{}, seen: map[string]bool{},
-		strain: newStrainGauge(Endurance{}),
+		load: newLoadTracker(Endurance{}),
 	}
 	w.continued = sync.NewCond(&w.mu)
 	w.goroutines.Go(w.accept)
@@ -145,10 +145,10 @@
 }
 
 // SetEndurance sets the load that the pool survives. It is set before any run starts.
-func (w *Workers) SetEndurance(endurance Endurance) {
+func (w *Workers) SetEndurance(limit Endurance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.strain = newStrainGauge(endurance)
+	w.load = newLoadTracker(limit)
 }
 
 // Strain returns the highest load of the pool so far.
@@ -156,7 +156,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(time.Now())
-	return w.strain.max
+	return w.load.peak
 }
 
 // CutLink closes the link to the server. Runs continue.
--- a/internal/testkit/harness/workers_commands.go
+++ b/internal/testkit/harness/workers_commands.go
@@ -80,7 +80,7 @@
 	w.running = append(w.running, r)
 	w.startOffsets = append(w.startOffsets, now.Sub(w.startedAt))
 	w.runStarts = append(w.runStarts, RunStart{c.RunID, now})
-	w.strain.recordMemory(now.Sub(w.startedAt), w.inMemory(), w.machine)
+	w.load.recordMemory(now.Sub(w.startedAt), w.inMemory(), w.machine)
 }
 
 // suspend stops a run in the way that the machine allows. While the cores are hung it has no effect.
--- a/internal/testkit/harness/workers_runs.go
+++ b/internal/testkit/harness/workers_runs.go
@@ -99,7 +99,7 @@
 func (w *Workers) advance(now time.Time) {
 	elapsed := now.Sub(w.last).Seconds()
 	w.last = now
-	w.strain.advance(now.Sub(w.startedAt), len(w.running), w.machine)
+	w.load.advance(now.Sub(w.startedAt), len(w.running), w.machine)
 	if len(w.running) == 0 || elapsed <= 0 || w.hung {
 		return
 	}
--- a/internal/testkit/replay/adapter_test.go
+++ b/internal/testkit/replay/adapter_test.go
@@ -14,39 +14,39 @@
 
 // subject is the decisions of one server. Requests and routes are known by their numbers, from 1.
 type subject struct {
-	decisions *admission.Controller
-	settings  *settings.Settings
-	flat      string
-	requests  []*admission.Request
-	numbers   map[*admission.Request]int
-	routes    []*admission.Route
-	made      []decision
+	controller     *admission.Controller
+	settings       *settings.Settings
+	settingsLines  string
+	requests       []*admission.Request
+	requestNumbers map[*admission.Request]int
+	routes         []*admission.Route
+	executed       []decision
 }
 
 var (
-	repeats  = map[byte]admission.Idempotency{'r': admission.Retryable, 'k': admission.Keyed, 'o': admission.AtMostOnce}
-	outcomes = map[byte]admission.Outcome{
+	idempotencies = map[byte]admission.Idempotency{'r': admission.Retryable, 'k': admission.Keyed, 'o': admission.AtMostOnce}
+	outcomes      = map[byte]admission.Outcome{
 		'd': admission.Succeeded, 'b': admission.Failed, 'n': admission.NotRun, 'u': admission.Unknown, 's': admission.Stopped, 'v': admission.NeverStarted,
 	}
 )
 
-func start(flat string, seed int64) (*subject, error) {
-	told, err := settings.FromLines(flat)
+func start(lines string, seed int64) (*subject, error) {
+	parsed, err := settings.FromLines(lines)
 	if err != nil {
 		return nil, err
 	}
-	s := &subject{settings: told, flat: flat, numbers: map[*admission.Request]int{}}
-	decided := told.Admission
-	decided.EstimatesOnly = true // as the recorded code did
-	s.decisions = admission.New(decided, seed)
-	s.routes = append(s.routes, s.decisions.Routes...)
+	s := &subject{settings: parsed, settingsLines: lines, requestNumbers: map[*admission.Request]int{}}
+	config := parsed.Admission
+	config.EstimatesOnly = true // as the recorded code did
+	s.controller = admission.New(config, seed)
+	s.routes = append(s.routes, s.controller.Routes...)
 	return s, nil
 }
 
-// move has a setting, by the platform's name, hold from now on; empty for no longer stated.
-func (s *subject) move(name, value string) error {
+// changeSetting has a setting, by the platform's name, hold from now on; empty for no longer stated.
+func (s *subject) changeSetting(name, value string) error {
 	var lines []string
-	for line := range strings.SplitSeq(s.flat, "\n") {
+	for line := range strings.SplitSeq(s.settingsLines, "\n") {
 		if !strings.HasPrefix(line, name+"=") {
 			lines = append(lines, line)
 		}
@@ -54,185 +54,189 @@
 	if value != "" {
 		lines = append(lines, name+"="+value)
 	}
-	s.flat = strings.Join(lines, "\n")
-	told, err := settings.FromLines(s.flat)
+	s.settingsLines = strings.Join(lines, "\n")
+	next, err := settings.FromLines(s.settingsLines)
 	if err != nil {
 		return err
 	}
-	change := s.settings.Compare(told)
+	change := s.settings.Compare(next)
 	if len(change.Fixed) > 0 || len(change.Adjusted) != 1 {
 		return fmt.Errorf("%s=%s moves %v, and not %v", name, value, change.Adjusted, change.Fixed)
 	}
-	s.settings = s.settings.WithAdjustable(told)
+	s.settings = s.settings.WithAdjustable(next)
 	now := s.settings.Adjustable()
-	s.decisions.Reconfigure(now.Preemption, now.ShedLevelFormat)
+	s.controller.Reconfigure(now.Preemption, now.ShedLevelFormat)
 	return nil
 }
 
-func (s *subject) stated(number int) route {
-	t := s.routes[number-1]
+func (s *subject) configuredRoute(number int) route {
+	configured := s.routes[number-1]
 	r := route{
-		name: t.Name, importance: bits(t.Value), lateShare: bits(t.LateValueShare), contract: t.LatencyTarget, outermost: t.Deadline,
-		window: t.DedupWindow, calls: t.CallsDependency, skipShare: bits(t.SkipValueShare), waits: t.CallWait,
+		name: configured.Name, value: bits(configured.Value), lateValueShare: bits(configured.LateValueShare), latencyTarget: configured.LatencyTarget, deadline: configured.Deadline,
+		dedupWindow: configured.DedupWindow, callsDependency: configured.CallsDependency, skipValueShare: bits(configured.SkipValueShare), callWait: configured.CallWait,
 	}
-	for letter, kind := range repeats {
-		if t.Idempotency == kind {
-			r.repeats = letter
+	for letter, kind := range idempotencies {
+		if configured.Idempotency == kind {
+			r.idempotency = letter
 		}
 	}
 	return r
 }
 
-func (s *subject) put(was int, r route) {
-	var before *admission.Route
-	if was > 0 {
-		before = s.routes[was-1]
+func (s *subject) putRoute(previousNumber int, r route) {
+	var previous *admission.Route
+	if previousNumber > 0 {
+		previous = s.routes[previousNumber-1]
 	}
-	s.routes = append(s.routes, s.decisions.PutRoute(before, admission.Route{
-		Name: r.name, Value: r.importance.float(), LateValueShare: r.lateShare.float(), LatencyTarget: r.contract,
-		Deadline: r.outermost, DedupWindow: r.window, Idempotency: repeats[r.repeats], CallsDependency: r.calls, SkipValueShare: r.skipShare.float(),
-		CallWait: r.waits,
+	s.routes = append(s.routes, s.controller.PutRoute(previous, admission.Route{
+		Name: r.name, Value: r.value.float(), LateValueShare: r.lateValueShare.float(), LatencyTarget: r.latencyTarget,
+		Deadline: r.deadline, DedupWindow: r.dedupWindow, Idempotency: idempotencies[r.idempotency], CallsDependency: r.callsDependency, SkipValueShare: r.skipValueShare.float(),
+		CallWait: r.callWait,
 	}))
 }
 
-func (s *subject) remove(number int)                        { s.decisions.RemoveRoute(s.routes[number-1]) }
-func (s *subject) setWaits(number int, waits time.Duration) { s.routes[number-1].CallWait = waits }
-func (s *subject) putTenant(place int, rate float64, another bool) {
-	s.decisions.PutTenant(place, rate, another)
+func (s *subject) removeRoute(number int)                     { s.controller.RemoveRoute(s.routes[number-1]) }
+func (s *subject) setCallWait(number int, wait time.Duration) { s.routes[number-1].CallWait = wait }
+func (s *subject) putTenant(index int, quota float64, replaced bool) {
+	s.controller.PutTenant(index, quota, replaced)
+}
+func (s *subject) tenantQuota(index int) exact { return bits(s.controller.TenantQuota(index)) }
+func (s *subject) usePeerEstimates(now time.Duration, v snapshot) {
+	s.controller.UsePeerEstimates(now, v.toSnapshot())
 }
-func (s *subject) tenantRate(place int) exact       { return bits(s.decisions.TenantQuota(place)) }
-func (s *subject) borrow(now time.Duration, v view) { s.decisions.UsePeerEstimates(now, v.lent()) }
 
-func (s *subject) frame(origin uint64, moving bool) frame {
-	f := s.decisions.EstimateSchema(origin, s.settings.Digest(moving, true), moving)
-	return frame{f.SettingsDigest, f.Origin, f.Dynamic, f.Routes, f.Deadlines}
+func (s *subject) schema(origin uint64, dynamic bool) schema {
+	f := s.controller.EstimateSchema(origin, s.settings.Digest(dynamic, true), dynamic)
+	return schema{f.SettingsDigest, f.Origin, f.Dynamic, f.Routes, f.Deadlines}
 }
 
-func (s *subject) learned(now time.Duration, origin, terms uint64) view {
-	v := s.decisions.Estimates(now, estimates.Schema{Origin: origin, SettingsDigest: terms})
-	is := view{
-		origin: v.Origin, terms: v.SettingsDigest, pace: told(v.Pace), calls: told(v.Calls), refused: told(v.RejectRatio), returns: told(v.ReturnRatio),
+func (s *subject) snapshot(now time.Duration, origin, settingsDigest uint64) snapshot {
+	v := s.controller.Estimates(now, estimates.Schema{Origin: origin, SettingsDigest: settingsDigest})
+	converted := snapshot{
+		origin: v.Origin, settingsDigest: v.SettingsDigest, pace: recordedEstimate(v.Pace), calls: recordedEstimate(v.Calls), rejectRatio: recordedEstimate(v.RejectRatio), returnRatio: recordedEstimate(v.ReturnRatio),
 	}
-	for _, t := range v.Routes {
-		is.routes = append(is.routes, routeView{t.Name, told(t.Core), told(t.Run)})
+	for _, r := range v.Routes {
+		converted.routes = append(converted.routes, routeEstimates{r.Name, recordedEstimate(r.Core), recordedEstimate(r.Run)})
 	}
-	return is
+	return converted
 }
 
-func told(e estimates.Estimate) estimate {
+func recordedEstimate(e estimates.Estimate) estimate {
 	return estimate{bits(e.Mean), bits(e.Spread), bits(e.Samples), e.Age}
 }
 
-func (e estimate) lent() estimates.Estimate {
+func (e estimate) toEstimate() estimates.Estimate {
 	return estimates.Estimate{Mean: e.mean.float(), Spread: e.spread.float(), Samples: e.samples.float(), Age: e.age}
 }
 
-func (v view) lent() estimates.Snapshot {
-	is := estimates.Snapshot{
-		Origin: v.origin, SettingsDigest: v.terms, Pace: v.pace.lent(), Calls: v.calls.lent(), RejectRatio: v.refused.lent(),
-		ReturnRatio: v.returns.lent(),
+func (v snapshot) toSnapshot() estimates.Snapshot {
+	converted := estimates.Snapshot{
+		Origin: v.origin, SettingsDigest: v.settingsDigest, Pace: v.pace.toEstimate(), Calls: v.calls.toEstimate(), RejectRatio: v.rejectRatio.toEstimate(),
+		ReturnRatio: v.returnRatio.toEstimate(),
 	}
 	for _, r := range v.routes {
-		is.Routes = append(is.Routes, estimates.RouteEstimates{Name: r.name, Core: r.core.lent(), Run: r.run.lent()})
+		converted.Routes = append(converted.Routes, estimates.RouteEstimates{Name: r.name, Core: r.core.toEstimate(), Run: r.run.toEstimate()})
 	}
-	return is
+	return converted
 }
 
-func (s *subject) books(now time.Duration) books {
-	o := s.decisions.Occupancy(now)
-	return books{o.Queued, o.OnCores, o.InFlight, o.Answered, bits(o.Limit), bits(o.MaxConcurrency), bits(o.UsedKB), bits(o.MaxKB)}
+func (s *subject) occupancy(now time.Duration) occupancy {
+	o := s.controller.Occupancy(now)
+	return occupancy{o.Queued, o.OnCores, o.InFlight, o.Answered, bits(o.Limit), bits(o.MaxConcurrency), bits(o.UsedKB), bits(o.MaxKB)}
 }
 
-func (s *subject) know(q request) {
-	t := &admission.Request{
-		Route: s.routes[q.route-1], QueuedKB: q.heldKB, CostHint: q.hint, Arrived: q.arrived, LastByteAt: q.whole, Deadline: q.due, Rank: q.rank,
-		Tenant: q.tenant, Router: q.caller, Duplicate: q.again,
+func (s *subject) addRequest(q request) {
+	r := &admission.Request{
+		Route: s.routes[q.route-1], QueuedKB: q.queuedKB, CostHint: q.costHint, Arrived: q.arrived, LastByteAt: q.lastByteAt, Deadline: q.deadline, Rank: q.rank,
+		Tenant: q.tenant, Router: q.router, Duplicate: q.duplicate,
 	}
-	s.requests = append(s.requests, t)
-	s.numbers[t] = len(s.requests)
+	s.requests = append(s.requests, r)
+	s.requestNumbers[r] = len(s.requests)
 }
 
-func (s *subject) decide(told round) []decision {
-	r := admission.Round{Now: told.now, StopAt: told.stopAt, NotifiedAt: told.noticed, WorkersStartedAt: told.booted}
-	r.CallsEnded, r.RunsEnded = s.endings(told.returned), s.endings(told.ended)
-	r.AwaitingCall, r.Canceled, r.Arrived = s.all(told.atCall), s.all(told.gone), s.all(told.arrived)
-	if g := told.gauges; g != nil {
+func (s *subject) decide(recorded round) []decision {
+	r := admission.Round{Now: recorded.now, StopAt: recorded.stopAt, NotifiedAt: recorded.notifiedAt, WorkersStartedAt: recorded.workersStartedAt}
+	r.CallsEnded, r.RunsEnded = s.completions(recorded.callsEnded), s.completions(recorded.runsEnded)
+	r.AwaitingCall, r.Canceled, r.Arrived = s.requestsByNumber(recorded.awaitingCall), s.requestsByNumber(recorded.canceled), s.requestsByNumber(recorded.arrived)
+	if g := recorded.gauges; g != nil {
 		r.Gauges = &admission.Gauges{CPU: g[0], Runnable: g[1], Memory: g[2], Connections: g[3]}
 	}
-	s.made = nil
-	s.decisions.Decide(&r, s)
-	return s.made
+	s.executed = nil
+	s.controller.Decide(&r, s)
+	return s.executed
 }
 
-func (s *subject) endings(all []ending) (is []admission.Completion) {
+func (s *subject) completions(all []completion) (converted []admission.Completion) {
 	for _, e := range all {
-		is = append(is, admission.Completion{Request: s.requests[e.request-1], Outcome: outcomes[e.outcome], Took: e.took})
+		converted = append(converted, admission.Completion{Request: s.requests[e.request-1], Outcome: outcomes[e.outcome], Took: e.took})
 	}
-	return is
+	return converted
 }
 
-func (s *subject) all(numbers []int) (is []*admission.Request) {
+func (s *subject) requestsByNumber(numbers []int) (found []*admission.Request) {
 	for _, n := range numbers {
-		is = append(is, s.requests[n-1])
+		found = append(found, s.requests[n-1])
 	}
-	return is
+	return found
 }
 
-func (s *subject) write(d decision, of *admission.Request) {
-	if of != nil {
-		d.request = s.numbers[of]
+func (s *subject) record(d decision, r *admission.Request) {
+	if r != nil {
+		d.request = s.requestNumbers[r]
 	}
-	s.made = append(s.made, d)
+	s.executed = append(s.executed, d)
 }
 
 // Start implements admission.Executor, as do the methods below it.
-func (s *subject) Start(t *admission.Request) { s.write(decision{what: 'S'}, t) }
+func (s *subject) Start(r *admission.Request) { s.record(decision{kind: 'S'}, r) }
 
 // Pause is P.
-func (s *subject) Pause(t *admission.Request) { s.write(decision{what: 'P'}, t) }
+func (s *subject) Pause(r *admission.Request) { s.record(decision{kind: 'P'}, r) }
 
 // Reject is D.
-func (s *subject) Reject(t *admission.Request, comeBack time.Duration, nowhereElse bool) {
-	s.write(decision{what: 'D', span: comeBack, yes: nowhereElse, reason: int(t.RejectReason())}, t)
+func (s *subject) Reject(r *admission.Request, retryAfter time.Duration, noRetryElsewhere bool) {
+	s.record(decision{kind: 'D', duration: retryAfter, flag: noRetryElsewhere, reason: int(r.RejectReason())}, r)
 }
 
 // Abort is G.
-func (s *subject) Abort(t *admission.Request) {
-	s.write(decision{what: 'G', reason: int(t.RejectReason())}, t)
+func (s *subject) Abort(r *admission.Request) {
+	s.record(decision{kind: 'G', reason: int(r.RejectReason())}, r)
 }
 
 // AnswerFromOriginal is A.
-func (s *subject) AnswerFromOriginal(t *admission.Request) { s.write(decision{what: 'A'}, t) }
+func (s *subject) AnswerFromOriginal(r *admission.Request) { s.record(decision{kind: 'A'}, r) }
 
 // RememberKey is M.
-func (s *subject) RememberKey(t *admission.Request, span time.Duration) {
-	s.write(decision{what: 'M', span: span}, t)
+func (s *subject) RememberKey(r *admission.Request, lifetime time.Duration) {
+	s.record(decision{kind: 'M', duration: lifetime}, r)
 }
 
 // ForgetKey is F.
-func (s *subject) ForgetKey(t *admission.Request) { s.write(decision{what: 'F'}, t) }
+func (s *subject) ForgetKey(r *admission.Request) { s.record(decision{kind: 'F'}, r) }
 
 // Call is C.
-func (s *subject) Call(t *admission.Request, patience time.Duration) {
-	s.write(decision{what: 'C', span: patience}, t)
+func (s *subject) Call(r *admission.Request, timeout time.Duration) {
+	s.record(decision{kind: 'C', duration: timeout}, r)
 }
 
 // SkipCall is K.
-func (s *subject) SkipCall(t *admission.Request) { s.write(decision{what: 'K'}, t) }
+func (s *subject) SkipCall(r *admission.Request) { s.record(decision{kind: 'K'}, r) }
 
 // SetHealth is H.
-func (s *subject) SetHealth(good, withoutWorkers bool) {
-	s.write(decision{what: 'H', yes: good, yesToo: withoutWorkers}, nil)
+func (s *subject) SetHealth(healthy, withoutWorkers bool) {
+	s.record(decision{kind: 'H', flag: healthy, secondFlag: withoutWorkers}, nil)
 }
 
 // SetShedLevel is L.
-func (s *subject) SetShedLevel(level float64) { s.write(decision{what: 'L', value: bits(level)}, nil) }
+func (s *subject) SetShedLevel(level float64) { s.record(decision{kind: 'L', value: bits(level)}, nil) }
 
 // CloseIdleAfter is I.
-func (s *subject) CloseIdleAfter(span time.Duration) { s.write(decision{what: 'I', span: span}, nil) }
+func (s *subject) CloseIdleAfter(idle time.Duration) {
+	s.record(decision{kind: 'I', duration: idle}, nil)
+}
 
 // WakeAfter is W.
-func (s *subject) WakeAfter(in time.Duration) { s.write(decision{what: 'W', span: in}, nil) }
+func (s *subject) WakeAfter(wait time.Duration) { s.record(decision{kind: 'W', duration: wait}, nil) }
 
 // Log is N.
-func (s *subject) Log(words string) { s.write(decision{what: 'N', words: words}, nil) }
+func (s *subject) Log(message string) { s.record(decision{kind: 'N', message: message}, nil) }
--- a/internal/testkit/replay/recording_test.go
+++ b/internal/testkit/replay/recording_test.go
@@ -42,56 +42,56 @@
 }
 
 type route struct {
-	name                        string
-	importance, lateShare       exact
-	contract, outermost, window time.Duration
-	repeats                     byte // r may be repeated, k has an idempotency key, o runs at most once
-	calls                       bool
-	skipShare                   exact
-	waits                       time.Duration
+	name                                 string
+	value, lateValueShare                exact
+	latencyTarget, deadline, dedupWindow time.Duration
+	idempotency                          byte // r may be repeated, k has an idempotency key, o runs at most once
+	callsDependency                      bool
+	skipValueShare                       exact
+	callWait                             time.Duration
 }
 
 type request struct {
-	route                     int
-	heldKB                    float64
-	hint, arrived, whole, due time.Duration
-	rank                      float64
-	tenant                    int
-	caller                    uint32
-	again                     bool
+	route                                   int
+	queuedKB                                float64
+	costHint, arrived, lastByteAt, deadline time.Duration
+	rank                                    float64
+	tenant                                  int
+	router                                  uint32
+	duplicate                               bool
 }
 
-type ending struct {
+type completion struct {
 	request int
 	outcome byte // d done, b broken, n not run, u unclear, s stopped, v void
 	took    time.Duration
 }
 
 type round struct {
-	now, stopAt, noticed, booted time.Duration
-	returned                     []ending
-	atCall                       []int
-	ended                        []ending
-	gone, arrived                []int
-	gauges                       []float64 // share of the cores, what wants one, share of memory, links; nil for none
+	now, stopAt, notifiedAt, workersStartedAt time.Duration
+	callsEnded                                []completion
+	awaitingCall                              []int
+	runsEnded                                 []completion
+	canceled, arrived                         []int
+	gauges                                    []float64 // share of the cores, what wants one, share of memory, links; nil for none
 }
 
 // decision is one, with what it needs of the fields: S start, P pause, D reject (span, yes: no other server), G abort, A
 // answer from the first, M remember an idempotency key, F forget it, C call (span), K go on without the call, H health
-// (yes, yesToo: without asking the pool), L level, I close idle connections, W wake, N note.
+// (yes, secondFlag: without asking the pool), L level, I close idle connections, W wake, N note.
 type decision struct {
-	what        byte
-	request     int
-	span        time.Duration
-	value       exact
-	yes, yesToo bool
-	reason      int // in the order in which the code states them
-	words       string
+	kind             byte
+	request          int
+	duration         time.Duration
+	value            exact
+	flag, secondFlag bool
+	reason           int // in the order in which the code states them
+	message          string
 }
 
 func (d decision) String() string {
 	return fmt.Sprintf("%c request=%d span=%v value=%v %t %t reason=%d %q",
-		d.what, d.request, d.span, d.value, d.yes, d.yesToo, d.reason, d.words)
+		d.kind, d.request, d.duration, d.value, d.flag, d.secondFlag, d.reason, d.message)
 }
 
 type estimate struct {
@@ -99,27 +99,27 @@
 	age                   time.Duration
 }
 
-type routeView struct {
+type routeEstimates struct {
 	name      string
 	core, run estimate
 }
 
-type view struct {
-	origin, terms                 uint64
-	routes                        []routeView
-	pace, calls, refused, returns estimate
+type snapshot struct {
+	origin, settingsDigest                uint64
+	routes                                []routeEstimates
+	pace, calls, rejectRatio, returnRatio estimate
 }
 
-type frame struct {
-	terms, origin uint64
-	moving        bool
-	names         []string
-	outermost     []time.Duration
+type schema struct {
+	settingsDigest, origin uint64
+	dynamic                bool
+	routes                 []string
+	deadlines              []time.Duration
 }
 
-type books struct {
-	held, onCores, inFlight, answered int
-	limit, maxCrowd, usedKB, maxKB    exact
+type occupancy struct {
+	queued, onCores, inFlight, answered  int
+	limit, maxConcurrency, usedKB, maxKB exact
 }
 
 // stream is one of a file.
@@ -152,19 +152,19 @@
 	return all, nil
 }
 
-var errCut = errors.New("the recording ends in the middle of a record")
+var errTruncated = errors.New("the recording ends in the middle of a record")
 
 // reader takes fields off a stream. Behind an error all are empty.
 type reader struct {
-	raw  []byte
-	err  error
-	now  time.Duration
-	last int // request that was told last
+	raw         []byte
+	err         error
+	now         time.Duration
+	lastRequest int // request that was told last
 }
 
 func (r *reader) take(n int) []byte {
 	if r.err != nil || n < 0 || n > len(r.raw) {
-		r.err, r.raw = errCut, nil
+		r.err, r.raw = errTruncated, nil
 		return nil
 	}
 	b := r.raw[:n]
@@ -182,7 +182,7 @@
 func (r *reader) int() int64 {
 	v, n := binary.Varint(r.raw)
 	if n <= 0 {
-		r.err, r.raw = errCut, nil
+		r.err, r.raw = errTruncated, nil
 		return 0
 	}
 	r.raw = r.raw[n:]
@@ -196,19 +196,19 @@
 	return 0
 }
 
-func (r *reader) count() int          { return int(r.int()) }
-func (r *reader) span() time.Duration { return time.Duration(r.int()) }
-func (r *reader) flag() bool          { return r.byte() != 0 }
-func (r *reader) exact() exact        { return exact(r.u64()) }
-func (r *reader) float() float64      { return r.exact().float() }
-func (r *reader) text() string        { return string(r.take(r.count())) }
+func (r *reader) count() int              { return int(r.int()) }
+func (r *reader) duration() time.Duration { return time.Duration(r.int()) }
+func (r *reader) flag() bool              { return r.byte() != 0 }
+func (r *reader) exact() exact            { return exact(r.u64()) }
+func (r *reader) float() float64          { return r.exact().float() }
+func (r *reader) text() string            { return string(r.take(r.count())) }
 
-// moment is one that may not be stated.
-func (r *reader) moment() time.Duration {
+// optionalTime is one that may not be stated.
+func (r *reader) optionalTime() time.Duration {
 	if !r.flag() {
 		return 0
 	}
-	return r.now + r.span()
+	return r.now + r.duration()
 }
 
 func (r *reader) header() (h header) {
@@ -220,87 +220,87 @@
 
 func (r *reader) route() route {
 	return route{
-		name: r.text(), importance: r.exact(), lateShare: r.exact(), contract: r.span(), outermost: r.span(), window: r.span(),
-		repeats: r.byte(), calls: r.flag(), skipShare: r.exact(), waits: r.span(),
+		name: r.text(), value: r.exact(), lateValueShare: r.exact(), latencyTarget: r.duration(), deadline: r.duration(), dedupWindow: r.duration(),
+		idempotency: r.byte(), callsDependency: r.flag(), skipValueShare: r.exact(), callWait: r.duration(),
 	}
 }
 
 // request reads one whose moments are told as the difference from those of the round behind it.
 func (r *reader) request() func(now time.Duration) request {
-	since := func() func(now time.Duration) time.Duration {
+	optionalOffset := func() func(now time.Duration) time.Duration {
 		if !r.flag() {
 			return func(time.Duration) time.Duration { return 0 }
 		}
-		by := r.span()
-		return func(now time.Duration) time.Duration { return now + by }
+		offset := r.duration()
+		return func(now time.Duration) time.Duration { return now + offset }
 	}
-	q := request{route: r.count(), heldKB: r.float(), hint: r.span()}
-	arrived, whole, due := since(), since(), since() // the last from the first
-	q.rank, q.tenant, q.caller, q.again = r.float(), r.count(), uint32(r.int()), r.flag()
+	q := request{route: r.count(), queuedKB: r.float(), costHint: r.duration()}
+	arrived, lastByteAt, deadline := optionalOffset(), optionalOffset(), optionalOffset() // the last from the first
+	q.rank, q.tenant, q.router, q.duplicate = r.float(), r.count(), uint32(r.int()), r.flag()
 	return func(now time.Duration) request {
-		q.arrived, q.whole = arrived(now), whole(now)
-		q.due = due(q.arrived)
+		q.arrived, q.lastByteAt = arrived(now), lastByteAt(now)
+		q.deadline = deadline(q.arrived)
 		return q
 	}
 }
 
-func (r *reader) id() int {
-	r.last += r.count()
-	return r.last
+func (r *reader) requestNumber() int {
+	r.lastRequest += r.count()
+	return r.lastRequest
 }
 
-func (r *reader) ids() (all []int) {
+func (r *reader) requestNumbers() (all []int) {
 	for n := r.count(); n > 0 && r.err == nil; n-- {
-		all = append(all, r.id())
+		all = append(all, r.requestNumber())
 	}
 	return all
 }
 
-func (r *reader) endings() (all []ending) {
+func (r *reader) completions() (all []completion) {
 	for n := r.count(); n > 0 && r.err == nil; n-- {
-		all = append(all, ending{r.id(), r.byte(), r.span()})
+		all = append(all, completion{r.requestNumber(), r.byte(), r.duration()})
 	}
 	return all
 }
 
-func (r *reader) round() (told round) {
-	r.now += r.span()
-	told = round{
-		now: r.now, stopAt: r.moment(), noticed: r.moment(), booted: r.moment(), returned: r.endings(), atCall: r.ids(),
-		ended: r.endings(), gone: r.ids(), arrived: r.ids(),
+func (r *reader) round() (parsed round) {
+	r.now += r.duration()
+	parsed = round{
+		now: r.now, stopAt: r.optionalTime(), notifiedAt: r.optionalTime(), workersStartedAt: r.optionalTime(), callsEnded: r.completions(), awaitingCall: r.requestNumbers(),
+		runsEnded: r.completions(), canceled: r.requestNumbers(), arrived: r.requestNumbers(),
 	}
 	if r.flag() {
-		told.gauges = []float64{r.float(), r.float(), r.float(), r.float()}
+		parsed.gauges = []float64{r.float(), r.float(), r.float(), r.float()}
 	}
-	return told
+	return parsed
 }
 
-// decisions are those of a round.
+// controller are those of a round.
 func (r *reader) decisions() (all []decision) {
 	for r.err == nil {
-		d := decision{what: r.byte()}
-		switch d.what {
+		d := decision{kind: r.byte()}
+		switch d.kind {
 		case 'e':
 			return all
 		case 'S', 'P', 'A', 'F', 'K':
-			d.request = r.id()
+			d.request = r.requestNumber()
 		case 'D':
-			d.request, d.span, d.yes, d.reason = r.id(), r.span(), r.flag(), r.count()
+			d.request, d.duration, d.flag, d.reason = r.requestNumber(), r.duration(), r.flag(), r.count()
 		case 'G':
-			d.request, d.reason = r.id(), r.count()
+			d.request, d.reason = r.requestNumber(), r.count()
 		case 'M', 'C':
-			d.request, d.span = r.id(), r.span()
+			d.request, d.duration = r.requestNumber(), r.duration()
 		case 'H':
-			d.yes, d.yesToo = r.flag(), r.flag()
+			d.flag, d.secondFlag = r.flag(), r.flag()
 		case 'L':
 			d.value = r.exact()
 		case 'I', 'W':
-			d.span = r.span()
+			d.duration = r.duration()
 		case 'N':
-			d.words = r.text()
+			d.message = r.text()
 		default:
 			if r.err == nil {
-				r.err = fmt.Errorf("a decision of the kind %q", d.what)
+				r.err = fmt.Errorf("a decision of the kind %q", d.kind)
 			}
 		}
 		all = append(all, d)
@@ -310,29 +310,29 @@
 
 func (r *reader) estimate() (e estimate) {
 	if r.flag() {
-		e = estimate{r.exact(), r.exact(), r.exact(), r.span()}
+		e = estimate{r.exact(), r.exact(), r.exact(), r.duration()}
 	}
 	return e
 }
 
-func (r *reader) view() (v view) {
-	v.origin, v.terms = r.u64(), r.u64()
+func (r *reader) snapshot() (v snapshot) {
+	v.origin, v.settingsDigest = r.u64(), r.u64()
 	for n := r.count(); n > 0 && r.err == nil; n-- {
-		v.routes = append(v.routes, routeView{r.text(), r.estimate(), r.estimate()})
+		v.routes = append(v.routes, routeEstimates{r.text(), r.estimate(), r.estimate()})
 	}
-	v.pace, v.calls, v.refused, v.returns = r.estimate(), r.estimate(), r.estimate(), r.estimate()
+	v.pace, v.calls, v.rejectRatio, v.returnRatio = r.estimate(), r.estimate(), r.estimate(), r.estimate()
 	return v
 }
 
-func (r *reader) frame() (f frame) {
-	f.terms, f.origin, f.moving = r.u64(), r.u64(), r.flag()
+func (r *reader) schema() (f schema) {
+	f.settingsDigest, f.origin, f.dynamic = r.u64(), r.u64(), r.flag()
 	for n := r.count(); n > 0 && r.err == nil; n-- {
-		f.names = append(f.names, r.text())
-		f.outermost = append(f.outermost, r.span())
+		f.routes = append(f.routes, r.text())
+		f.deadlines = append(f.deadlines, r.duration())
 	}
 	return f
 }
 
-func (r *reader) books() books {
-	return books{r.count(), r.count(), r.count(), r.count(), r.exact(), r.exact(), r.exact(), r.exact()}
+func (r *reader) occupancy() occupancy {
+	return occupancy{r.count(), r.count(), r.count(), r.count(), r.exact(), r.exact(), r.exact(), r.exact()}
 }
--- a/internal/testkit/replay/replay_test.go
+++ b/internal/testkit/replay/replay_test.go
@@ -13,15 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tally is what a stream held, by the letters of its records and decisions.
-type tally struct {
+// streamCounts is what a stream held, by the letters of its records and decisions.
+type streamCounts struct {
 	rounds, decisions int
 	letters           map[byte]int
 }
 
 // replay has the decisions of this version take what a stream tells, and compares each answer with the recorded one. The
 // error tells of the first difference.
-func replay(raw []byte) (n tally, err error) {
+func replay(raw []byte) (n streamCounts, err error) {
 	n.letters = map[byte]int{}
 	r := &reader{raw: raw}
 	h := r.header()
@@ -32,80 +32,80 @@
 	if err != nil {
 		return n, err
 	}
-	same := func(what string, recorded, now any) {
+	compare := func(what string, recorded, now any) {
 		if err == nil && r.err == nil && !reflect.DeepEqual(recorded, now) {
 			err = fmt.Errorf("round %d of the moment %d: %s\nrecorded %+v\nnow      %+v", n.rounds, r.now, what, recorded, now)
 		}
 	}
-	stated := 0
-	var read []func(now time.Duration) request
+	configured := 0
+	var arrivals []func(now time.Duration) request
 	for len(r.raw) > 0 && r.err == nil && err == nil {
-		tag := r.byte()
-		n.letters[tag]++
-		switch tag {
+		kind := r.byte()
+		n.letters[kind]++
+		switch kind {
 		case 'R':
-			if stated++; stated > len(s.routes) {
-				return n, fmt.Errorf("route %d is not stated by the settings", stated)
+			if configured++; configured > len(s.routes) {
+				return n, fmt.Errorf("route %d is not stated by the settings", configured)
 			}
-			same("a route of the settings", r.route(), s.stated(stated))
+			compare("a route of the settings", r.route(), s.configuredRoute(configured))
 		case 'p':
-			s.put(r.count(), r.route())
+			s.putRoute(r.count(), r.route())
 		case 'x':
-			s.remove(r.count())
+			s.removeRoute(r.count())
 		case 't':
 			s.putTenant(r.count(), r.float(), r.flag())
 		case 'T':
-			place := r.count()
-			same("a tenant's rate", r.exact(), s.tenantRate(place))
+			index := r.count()
+			compare("a tenant's rate", r.exact(), s.tenantQuota(index))
 		case 'w':
-			s.setWaits(r.count(), r.span())
+			s.setCallWait(r.count(), r.duration())
 		case 's':
-			err = s.move(r.text(), r.text())
+			err = s.changeSetting(r.text(), r.text())
 		case 'f':
-			now := s.frame(r.u64(), r.flag())
-			same("a frame of views", r.frame(), now)
+			now := s.schema(r.u64(), r.flag())
+			compare("a frame of views", r.schema(), now)
 		case 'l':
-			now := s.learned(r.now+r.span(), r.u64(), r.u64())
-			same("a view", r.view(), now)
+			now := s.snapshot(r.now+r.duration(), r.u64(), r.u64())
+			compare("a view", r.snapshot(), now)
 		case 'b':
-			s.borrow(r.now+r.span(), r.view())
+			s.usePeerEstimates(r.now+r.duration(), r.snapshot())
 		case 'o':
-			now := s.books(r.now + r.span())
-			same("the books", r.books(), now)
+			now := s.occupancy(r.now + r.duration())
+			compare("the books", r.occupancy(), now)
 		case 'q':
-			read = append(read, r.request())
+			arrivals = append(arrivals, r.request())
 		case 'r':
-			told := r.round()
-			for _, q := range read {
-				s.know(q(told.now))
+			input := r.round()
+			for _, q := range arrivals {
+				s.addRequest(q(input.now))
 			}
-			read = read[:0]
+			arrivals = arrivals[:0]
 			recorded := r.decisions()
 			if r.err != nil {
 				return n, r.err
 			}
 			n.rounds++
-			now := s.decide(told)
+			now := s.decide(input)
 			for i, d := range recorded {
-				n.letters[d.what]++
+				n.letters[d.kind]++
 				n.decisions++
 				if i >= len(now) || now[i] != d {
-					same(fmt.Sprintf("decision %d of %+v", i, told), recorded, now)
+					compare(fmt.Sprintf("decision %d of %+v", i, input), recorded, now)
 					break
 				}
 			}
 			if len(now) != len(recorded) {
-				same(fmt.Sprintf("decisions of %+v", told), recorded, now)
+				compare(fmt.Sprintf("decisions of %+v", input), recorded, now)
 			}
 		default:
-			return n, fmt.Errorf("a record of the kind %q", tag)
+			return n, fmt.Errorf("a record of the kind %q", kind)
 		}
 	}
 	if r.err != nil {
 		return n, r.err
 	}
-	if err == nil && stated != len(s.routes)-n.letters['p'] {
-		err = fmt.Errorf("%d routes recorded, %d in the settings", stated, len(s.routes)-n.letters['p'])
+	if err == nil && configured != len(s.routes)-n.letters['p'] {
+		err = fmt.Errorf("%d routes recorded, %d in the settings", configured, len(s.routes)-n.letters['p'])
 	}
 	return n, err
 }
@@ -175,21 +175,21 @@
 	require.NoError(t, err)
 	raw := all[0].raw
 	_, err = replay(raw[:len(raw)-1])
-	require.ErrorIs(t, err, errCut)
+	require.ErrorIs(t, err, errTruncated)
 
-	wake := append([]byte{'W'}, binary.AppendVarint(nil, int64(25*time.Millisecond))...)
-	at := bytes.LastIndex(raw, wake)
+	wakeRecord := append([]byte{'W'}, binary.AppendVarint(nil, int64(25*time.Millisecond))...)
+	at := bytes.LastIndex(raw, wakeRecord)
 	require.Positive(t, at)
-	other := bytes.Clone(raw)
-	other[at+1] ^= 2 // a nanosecond
-	_, err = replay(other)
+	modified := bytes.Clone(raw)
+	modified[at+1] ^= 2 // a nanosecond
+	_, err = replay(modified)
 	assert.ErrorContains(t, err, "decision 0 of")
 
-	level := binary.LittleEndian.AppendUint64([]byte{'L'}, uint64(bits(0.02)))
-	at = bytes.LastIndex(raw, level)
+	levelRecord := binary.LittleEndian.AppendUint64([]byte{'L'}, uint64(bits(0.02)))
+	at = bytes.LastIndex(raw, levelRecord)
 	require.Positive(t, at)
-	other = bytes.Clone(raw)
-	other[at+1] ^= 1
-	_, err = replay(other)
+	modified = bytes.Clone(raw)
+	modified[at+1] ^= 1
+	_, err = replay(modified)
 	assert.ErrorContains(t, err, "value=0.02(3f947ae147ae147b)")
 }
