--- a/internal/testkit/harness/check_test.go
+++ b/internal/testkit/harness/check_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What was sent, begun and answered on sockets is held against the rules: each broken once.
+// TestCheck compares what was sent, started and answered on sockets with the rules. The cases break each rule that a
+// load can break.
 func TestCheck(t *testing.T) {
 	begin := time.Now()
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
@@ -24,11 +25,11 @@
 	}{
 		{"served", []attempt{newAttempt("a", 1, 20, at(50))}, []RunStart{{"a", at(10)}}, [5]int{}},
 		{"never answered", []attempt{newAttempt("a", 0, 0)}, nil, [5]int{1: 1}},
-		{"its connection was lost", []attempt{lost}, nil, [5]int{}},
+		{"connection lost before the answer", []attempt{lost}, nil, [5]int{}},
 		{"answered twice", []attempt{newAttempt("a", 0, 20, at(50), at(60))}, nil, [5]int{1: 1}},
-		{"late", []attempt{newAttempt("a", 0, 51, at(1200))}, nil, [5]int{1: 1}},
-		{"ran and dismissed", []attempt{newAttempt("a", 0, 50, at(50))}, []RunStart{{"a", at(10)}}, [5]int{2: 1}},
-		{"an effect at two servers", []attempt{newAttempt("a", 7, 20, at(50)), newAttempt("b", 7, 20, at(90))}, []RunStart{{"a", at(10)}, {"b", at(60)}}, [5]int{2: 1}},
+		{"answered after the deadline", []attempt{newAttempt("a", 0, 51, at(1200))}, nil, [5]int{1: 1}},
+		{"run and then rejected", []attempt{newAttempt("a", 0, 50, at(50))}, []RunStart{{"a", at(10)}}, [5]int{2: 1}},
+		{"same effect run at two servers", []attempt{newAttempt("a", 7, 20, at(50)), newAttempt("b", 7, 20, at(90))}, []RunStart{{"a", at(10)}, {"b", at(60)}}, [5]int{2: 1}},
 	}
 	for _, c := range cases {
 		r := &Result{attempts: c.sent}
--- a/internal/testkit/harness/cores.go
+++ b/internal/testkit/harness/cores.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Cores emulates cores that the jobs of this process share evenly in real time, without using any. Past freeRunsPerCore
-// jobs a core, each further job slows all of them by switchCostPerRun.
+// Cores emulates CPU cores that the jobs of this process share evenly in real time, without using any CPU time. Beyond
+// freeRunsPerCore jobs per core, each further job slows all jobs by the fraction switchCostPerRun.
 type Cores struct {
 	count float64
 
 	mu         sync.Mutex
 	last       time.Time
-	workPerJob float64 // seconds of work that one job would have had since the start
+	workPerJob float64 // seconds of work that a job present since the start would have got done
 	jobs       int
 	busy       float64 // core seconds
 	samples    []usageSample
@@ -23,10 +23,10 @@
 	freeRunsPerCore   = 6.0
 	switchCostPerRun  = 0.01
 	rateCheckInterval = 5 * time.Millisecond
-	minRate           = 1e-3 // of a core
+	minRate           = 1e-3 // fraction of a core for each job
 )
 
-// NewCores returns a number of idle cores.
+// NewCores returns n idle cores.
 func NewCores(n float64) *Cores {
 	return &Cores{count: n, last: time.Now()}
 }
@@ -48,7 +48,7 @@
 	c.last = now
 }
 
-// Load returns the busy share of the cores over the last half second, and the number of jobs.
+// Load returns the busy fraction of the cores over the last half second, and the number of jobs.
 func (c *Cores) Load() (busy, running float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,8 @@
 	return busy, float64(c.jobs)
 }
 
-// Work runs a job until its work is done. Where the context ends first it returns the context's error.
+// Work runs a job that needs the given core time, and returns when it is done. If the context ends first, it returns
+// the context's error.
 func (c *Cores) Work(ctx context.Context, work time.Duration) error {
 	c.mu.Lock()
 	c.advance()
@@ -77,7 +78,7 @@
 			c.mu.Unlock()
 			return ctx.Err()
 		}
-		// The rate changes as jobs come and go, so it is read again now and then.
+		// The rate changes when jobs start or end, so it is read again at least every rateCheckInterval.
 		wait := min(time.Duration(left/c.rate()*float64(time.Second)), rateCheckInterval)
 		c.mu.Unlock()
 		select {
--- a/internal/testkit/harness/cpu_wait.go
+++ b/internal/testkit/harness/cpu_wait.go
@@ -9,11 +9,12 @@
 	"time"
 )
 
-// schedstatWaitField is the field of /proc/PID/task/TID/schedstat with the time spent waiting for a core, in nanoseconds.
+// schedstatWaitField is the index of the field of /proc/PID/task/TID/schedstat that contains the time spent waiting for
+// a core, in nanoseconds.
 const schedstatWaitField = 1
 
-// CPUWaitTime returns the time for which the threads of a process were ready to run and had no core, in sum. Threads that
-// have ended are not counted. The error wraps os.ErrNotExist where there is no such process.
+// CPUWaitTime returns the total time for which the threads of a process were ready to run but had no core. Threads that
+// have ended are not counted. The error wraps os.ErrNotExist if there is no such process.
 func CPUWaitTime(pid int) (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
@@ -27,11 +28,11 @@
 		}
 		fields := strings.Fields(string(raw))
 		if len(fields) <= schedstatWaitField {
-			return 0, fmt.Errorf("process %d: schedstat %q", pid, raw)
+			return 0, fmt.Errorf("process %d: schedstat %q has too few fields", pid, raw)
 		}
 		waited, err := strconv.ParseInt(fields[schedstatWaitField], 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("process %d: schedstat %q: %w", pid, raw, err)
+			return 0, fmt.Errorf("process %d: parse schedstat %q: %w", pid, raw, err)
 		}
 		total += time.Duration(waited)
 	}
--- a/internal/testkit/harness/daemon.go
+++ b/internal/testkit/harness/daemon.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-var errDidNotStop = errors.New("the server did not end after SIGTERM and was killed")
+var errDidNotStop = errors.New("server did not exit within the timeout after SIGTERM and was killed")
 
 // Daemon is a server process with its worker pool and membership service.
 type Daemon struct {
@@ -23,46 +23,47 @@
 	Workers    *Workers
 
 	cmd             *exec.Cmd
-	process         *os.Process // still set once the process has ended
+	process         *os.Process // kept after the process has ended
 	log             *LogBuffer
 	membership      net.PacketConn
 	exited          chan error
-	resourcesClosed bool // the worker pool and the membership service
+	resourcesClosed bool // the worker pool and the membership service are closed
 }
 
 const (
-	startTimeout       = 10 * time.Second // of a start and of a graceful shutdown
+	startTimeout       = 10 * time.Second // for a start and for a graceful shutdown
 	startCheckInterval = 2 * time.Millisecond
 )
 
-// Start starts a program as a server on loopback with the arguments "serve", and returns once it serves and its pool is
-// bound. ownConfig is the text of its own configuration file, empty for none.
+// Start starts a program as a server on loopback with the argument "serve", and returns when it serves and its worker
+// pool is bound. ownConfig is the text of the server's own configuration file, empty for none.
 func Start(program, folder, name string, routes []Route, m Machine, ownConfig string) (d *Daemon, err error) {
 	return StartWithArgs(program, []string{"serve"}, folder, name, routes, m, ownConfig)
 }
 
-// StartWithoutFile is Start without an own configuration file and without arguments.
+// StartWithoutFile is Start without the server's own configuration file and without arguments.
 func StartWithoutFile(program, folder, name string, routes []Route, m Machine) (*Daemon, error) {
 	return StartWithArgs(program, nil, folder, name, routes, m, "")
 }
 
-// StartWithArgs is Start with other arguments, which come before that of the own configuration file. Without such a file
-// they are not used.
+// StartWithArgs is Start with other arguments, which precede the flag for the server's own configuration file. Without
+// such a file they are not used.
 func StartWithArgs(program string, args []string, folder, name string, routes []Route, m Machine, ownConfig string) (*Daemon, error) {
 	return Launch(program, args, folder, name, m, ownConfig, func(listen, pool, membership string) ([]byte, error) {
 		return PlatformConfig(name, listen, pool, membership, routes, m)
 	})
 }
 
-// Launch is StartWithArgs with a platform configuration that is made from the addresses of the server, its pool and its
-// membership service. On an error all that was started has ended; the daemon returned with it holds the log.
+// Launch is StartWithArgs with a platform configuration that is built from the addresses of the server, its worker pool
+// and its membership service. On an error everything that was started is stopped; the daemon returned with the error
+// holds the log.
 func Launch(program string, args []string, folder, name string, m Machine, ownConfig string,
 	platformConfig func(listen, pool, membership string) ([]byte, error),
 ) (d *Daemon, err error) {
 	d = &Daemon{log: &LogBuffer{}, exited: make(chan error, 1)}
 	defer func() {
 		if err != nil {
-			_ = d.Stop() // err is the one that tells
+			_ = d.Stop() // err is the error to report
 		}
 	}()
 	if d.Workers, err = NewWorkers(m); err != nil {
@@ -80,14 +81,14 @@
 		err = os.WriteFile(d.ConfigPath, raw, 0o600)
 	}
 	if err != nil {
-		return d, fmt.Errorf("configuration: %w", err)
+		return d, fmt.Errorf("platform configuration: %w", err)
 	}
 	if ownConfig == "" {
 		return d, d.run(program, name, nil)
 	}
 	file := filepath.Join(folder, name+".toml")
 	if err := os.WriteFile(file, []byte(ownConfig), 0o600); err != nil {
-		return d, fmt.Errorf("configuration file: %w", err)
+		return d, fmt.Errorf("own configuration file: %w", err)
 	}
 	return d, d.run(program, name, append(slices.Clone(args), "--own", file))
 }
@@ -99,7 +100,7 @@
 	d.cmd.Stderr = d.log
 	if err := d.cmd.Start(); err != nil {
 		d.cmd = nil
-		return fmt.Errorf("starting %s: %w", program, err)
+		return fmt.Errorf("start %s: %w", program, err)
 	}
 	d.process = d.cmd.Process
 	wait := d.cmd.Wait
@@ -111,16 +112,16 @@
 		select {
 		case err := <-d.exited:
 			d.exited <- err
-			return fmt.Errorf("%s ended at its start: %w\n%s", name, err, d.log)
+			return fmt.Errorf("%s exited during its start: %w\n%s", name, err, d.log)
 		case <-time.After(startCheckInterval):
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s does not serve\n%s", name, d.log)
+			return fmt.Errorf("%s did not serve within the timeout\n%s", name, d.log)
 		}
 	}
 }
 
-// PID returns the process id, 0 once the process was ended.
+// PID returns the process ID, or 0 after Kill, Crash, Shutdown or ShutdownWithin.
 func (d *Daemon) PID() int {
 	if d.cmd == nil {
 		return 0
@@ -128,7 +129,7 @@
 	return d.cmd.Process.Pid
 }
 
-// ProcessID returns the process id, also once the process has ended.
+// ProcessID returns the process ID, even after the process has ended.
 func (d *Daemon) ProcessID() int { return d.process.Pid }
 
 // Log returns what the server has logged so far.
@@ -137,10 +138,11 @@
 // Signal sends a signal to the server.
 func (d *Daemon) Signal(s os.Signal) error { return d.process.Signal(s) }
 
-// Kill ends the server by SIGKILL, and closes its worker pool and membership service.
+// Kill ends the server with SIGKILL, and closes its worker pool and membership service. It does nothing if the server
+// was already ended by Kill, Crash, Shutdown or ShutdownWithin.
 func (d *Daemon) Kill() error {
 	if d.cmd == nil {
-		return nil // a cleanup may kill what the test has ended
+		return nil // a cleanup may kill a server that the test has already ended
 	}
 	err := d.cmd.Process.Kill()
 	<-d.exited
@@ -148,7 +150,7 @@
 	return errors.Join(err, d.Stop())
 }
 
-// Crash ends the server by SIGKILL. Its worker pool and membership service stay until Stop.
+// Crash ends the server with SIGKILL. Its worker pool and membership service stay open until Stop.
 func (d *Daemon) Crash() error {
 	if err := d.cmd.Process.Kill(); err != nil {
 		return fmt.Errorf("crash: %w", err)
@@ -158,8 +160,9 @@
 	return nil
 }
 
-// ShutdownWithin sends SIGTERM, and SIGKILL where the server has not ended after the timeout. It returns the exit code, and
-// whether the server had to be killed. Its worker pool and membership service stay until Stop.
+// ShutdownWithin sends SIGTERM, and SIGKILL if the server has not exited after the timeout. It returns the exit code,
+// and whether the server had to be killed; the exit code is then 0. Its worker pool and membership service stay open
+// until Stop.
 func (d *Daemon) ShutdownWithin(timeout time.Duration) (exit int, killed bool, err error) {
 	if err := d.Signal(syscall.SIGTERM); err != nil {
 		return 0, false, fmt.Errorf("SIGTERM: %w", err)
@@ -176,12 +179,12 @@
 	}
 	d.cmd = nil
 	if killed {
-		exit = 0 // the process did not end by itself
+		exit = 0 // the process did not exit by itself
 	}
 	return exit, killed, nil
 }
 
-// kill sends SIGKILL. A process that has ended by itself since the timeout is not killed, which is no error.
+// kill sends SIGKILL. If the process has exited by itself since the timeout, kill returns false and no error.
 func (d *Daemon) kill() (killed bool, err error) {
 	err = d.cmd.Process.Kill()
 	switch {
@@ -193,7 +196,7 @@
 	return true, nil
 }
 
-// Pause stops the server and its pool for a span.
+// Pause stops the server with SIGSTOP and its worker pool for a duration, then continues both.
 func (d *Daemon) Pause(span time.Duration) error {
 	speed := 0.0
 	d.Workers.Update(func(m *Machine) { speed, m.Speed = m.Speed, 1e-9 })
@@ -204,7 +207,7 @@
 	return err
 }
 
-// Shutdown sends SIGTERM, waits for the end of the process without a limit, and closes the worker pool and the membership
+// Shutdown sends SIGTERM, waits for the process to exit without a limit, and closes the worker pool and the membership
 // service. An exit code other than 0 is an error.
 func (d *Daemon) Shutdown() error {
 	if err := d.Signal(syscall.SIGTERM); err != nil {
@@ -215,8 +218,8 @@
 	return errors.Join(err, d.Stop())
 }
 
-// Stop is Shutdown with a limit: a server that has not ended after startTimeout is killed, which is an error. It may be
-// called again, and after Kill and Crash.
+// Stop is Shutdown with a limit: a server that has not exited after startTimeout is killed, which is an error. It may
+// also be called after Kill, Crash, Shutdown and ShutdownWithin.
 func (d *Daemon) Stop() error {
 	var err error
 	if d.cmd != nil {
@@ -228,7 +231,7 @@
 			err = errors.Join(errDidNotStop, <-d.exited)
 		}
 	}
-	if d.resourcesClosed { // tests still read what the workers recorded
+	if d.resourcesClosed { // Workers is kept because tests read afterwards what it recorded
 		return err
 	}
 	d.resourcesClosed = true
--- a/internal/testkit/harness/daemon_test.go
+++ b/internal/testkit/harness/daemon_test.go
@@ -8,13 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that ended by itself between the timeout and the kill counted as an error, and its run lost its verdict.
+// TestProcessThatEndsBeforeItsKill guards against a fault in which a process that exited by itself between the timeout
+// and the kill was reported as an error, so that its run got no verdict.
 func TestProcessThatEndsBeforeItsKill(t *testing.T) {
 	d := &Daemon{cmd: exec.Command("true")}
 	require.NoError(t, d.cmd.Run())
 	killed, err := d.kill()
 	require.NoError(t, err)
-	assert.False(t, killed, "it ended by itself")
+	assert.False(t, killed, "the process exited by itself")
 
 	d = &Daemon{cmd: exec.Command("sleep", "60")}
 	require.NoError(t, d.cmd.Start())
--- a/internal/testkit/harness/dependency.go
+++ b/internal/testkit/harness/dependency.go
@@ -10,38 +10,39 @@
 	"time"
 )
 
-// DependencyBehaviour is how a dependency behaves for a while. The zero value is the usual behaviour.
+// DependencyBehaviour is the behaviour of a dependency during a period. The zero value is the normal behaviour.
 type DependencyBehaviour struct {
-	SlowFactor  float64       // times the usual service time; 0 is 1
+	SlowFactor  float64       // multiplies the service time; 0 means 1
 	AnswerDelay time.Duration // between the end of the work and its answer
-	Silent      bool          // calls are read and never answered
+	Silent      bool          // calls are read but never answered
 	Fails       bool          // calls are answered at once as aborted, and do not run
 	Rejects     bool          // calls are answered at once as rejected
-	Garbage     bool          // calls are answered with bytes that are no frame
+	Garbage     bool          // calls are answered with bytes that are not a frame
 	Down        bool          // connections are refused, and open ones closed
 }
 
-// BehaviourScript returns how a dependency behaves at a time since its start.
+// BehaviourScript returns the behaviour of a dependency at a time since its start or since RestartClock.
 type BehaviourScript func(since time.Duration) DependencyBehaviour
 
-// DependencyStats is what a dependency has counted so far.
+// DependencyStats contains the counts of a dependency so far.
 type DependencyStats struct {
 	Attempts     int // calls read
 	Effects      int // runs of calls with an idempotency key
 	DistinctKeys int
-	RepeatedRuns int // runs of a key that had run before
-	MaxOpen      int // calls open at once
+	RepeatedRuns int // runs of a key after its first
+	MaxOpen      int // highest number of calls open at once
 }
 
-// scriptInterval is the time between two looks at the script for whether the dependency is down.
+// scriptInterval is the interval at which the script is checked for whether the dependency is down.
 const scriptInterval = 10 * time.Millisecond
 
-// Dependency is a system that answers calls over the frame protocol: a number of slots, a service time with log-normal
-// spread, and a script of its behaviour. A repeated idempotency key is answered from the first call of that key.
+// Dependency is an emulated service that answers calls over the frame protocol. It has a number of slots, a log-normal
+// service time and a script of its behaviour. A call with a repeated idempotency key is answered when the first call of
+// that key is done, without another run.
 type Dependency struct {
 	Address string
 
-	slotFreeAt      []time.Time // by slot
+	slotFreeAt      []time.Time // time at which each slot is next free
 	meanServiceTime time.Duration
 	script          BehaviourScript
 	goroutines      sync.WaitGroup
@@ -61,11 +62,11 @@
 type keyedRequest struct {
 	runs    int
 	done    bool
-	waiting []func() // answers of repeats that came before the first call was done
+	waiting []func() // answers of repeats that arrived before the first call was done
 }
 
-// NewDependency starts a dependency on loopback. spread is the standard deviation of the service time over its mean; a nil
-// script is the usual behaviour.
+// NewDependency starts a dependency on loopback. spread is the standard deviation of the service time divided by its
+// mean. A nil script means the normal behaviour.
 func NewDependency(slots int, mean time.Duration, spread float64, seed int64, script BehaviourScript) (*Dependency, error) {
 	if script == nil {
 		script = func(time.Duration) DependencyBehaviour { return DependencyBehaviour{} }
@@ -78,12 +79,12 @@
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
-	d.Address = d.listener.Addr().String() // stays the same when the dependency comes up again
+	d.Address = d.listener.Addr().String() // stays the same after the dependency was down
 	d.goroutines.Go(d.followScript)
 	return d, nil
 }
 
-// Close ends the dependency with all its connections, and waits for its goroutines.
+// Close stops the dependency, closes all its connections and waits for its goroutines.
 func (d *Dependency) Close() {
 	close(d.stop)
 	d.mu.Lock()
@@ -97,14 +98,14 @@
 	d.goroutines.Wait()
 }
 
-// RestartClock sets the script's clock to zero.
+// RestartClock sets the time that is passed to the script back to zero.
 func (d *Dependency) RestartClock() {
 	d.mu.Lock()
 	d.started = time.Now()
 	d.mu.Unlock()
 }
 
-// Stats returns what was counted so far.
+// Stats returns the counts so far.
 func (d *Dependency) Stats() DependencyStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,7 +114,7 @@
 
 func (d *Dependency) behaviour() DependencyBehaviour { return d.script(time.Since(d.started)) }
 
-// followScript goes down and comes up as the script says.
+// followScript closes and reopens the listener as the script requires, until Close.
 func (d *Dependency) followScript() {
 	tick := time.NewTicker(scriptInterval)
 	defer tick.Stop()
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// serve answers calls until the link ends.
+// serve answers calls until the connection ends.
 func (d *Dependency) serve(link net.Conn) {
 	defer func() {
 		_ = link.Close()
@@ -179,17 +180,17 @@
 			return
 		}
 		if kind != FrameRequest {
-			continue // a cancelled call runs to its end
+			continue // not a request: cancellations are ignored, so a cancelled call runs to its end
 		}
 		d.handle(payload, func(frame []byte) {
 			write.Lock()
 			defer write.Unlock()
-			_, _ = link.Write(frame) // the caller may be gone
+			_, _ = link.Write(frame) // the caller may have closed the connection
 		}, stream)
 	}
 }
 
-// answerFrame returns an answer to a call.
+// answerFrame returns the frame that answers a call.
 func answerFrame(stream uint32, code byte) []byte {
 	answer := append([]byte{code, 0}, "result"...)
 	frame := binary.BigEndian.AppendUint32(nil, uint32(frameHeadSize-4+len(answer)))
@@ -197,7 +198,7 @@
 	return append(frame, answer...)
 }
 
-// handle serves a call.
+// handle answers a call at once or starts its run.
 func (d *Dependency) handle(payload []byte, write func(frame []byte), stream uint32) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -237,7 +238,7 @@
 	})
 }
 
-// immediate returns the frame with which a call is answered at once, nil where the call runs.
+// immediate returns the frame that answers a call at once, or nil if the call runs.
 func (b DependencyBehaviour) immediate(stream uint32) []byte {
 	switch {
 	case b.Garbage:
@@ -250,7 +251,7 @@
 	return nil
 }
 
-// reserveSlot books the slot that is free first for one call, and returns the time until the call is done.
+// reserveSlot reserves the slot that is free first for one call, and returns the time until the call is done.
 func (d *Dependency) reserveSlot(behaviour DependencyBehaviour) time.Duration {
 	first := 0
 	for i := range d.slotFreeAt {
@@ -288,7 +289,7 @@
 	request.waiting = nil
 }
 
-// after runs f later, unless the dependency is closed by then.
+// after calls f once wait has passed, unless the dependency is closed by then.
 func (d *Dependency) after(wait time.Duration, f func()) {
 	d.goroutines.Go(func() {
 		timer := time.NewTimer(wait)
--- a/internal/testkit/harness/fleet.go
+++ b/internal/testkit/harness/fleet.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	ejectionTime = time.Second            // of a server that refused a connection
+	ejectionTime = time.Second            // after a server has refused a connection
 	restartDelay = 500 * time.Millisecond // from the end of a process to the start of the next
-	minRetryTime = 5 * time.Millisecond   // until the deadline, for another attempt
+	minRetryTime = 5 * time.Millisecond   // time left until the deadline that another attempt needs
 )
 
-// Fleet is a number of real daemons behind one router, which sends requests round robin and retries at the next server where
-// one rejects a request or is gone.
+// Fleet is a group of real daemons with one router. The router sends requests round robin, and retries a request at the
+// next server if its server rejects it or the connection is lost.
 type Fleet struct {
 	routes      []Route
 	maxAttempts int
@@ -29,7 +29,7 @@
 	began      time.Time
 	requestIDs *rand.Rand
 	pools      []*Workers
-	background sync.WaitGroup // restarts under way, and retries
+	background sync.WaitGroup // restarts in progress, and retries
 	errs       []error
 }
 
@@ -42,8 +42,8 @@
 	earlierRouters []*router // of earlier incarnations
 }
 
-// NewFleet starts the daemons. start is called with the index of a server and its incarnation, both from 0. A fleet that is
-// returned with an error has to be closed.
+// NewFleet starts the daemons. start is called with the index of a server and its incarnation, both counted from 0. A
+// fleet that is returned with an error must be closed too.
 func NewFleet(routes []Route, servers, maxAttempts int, start func(i, incarnation int) (*Daemon, error)) (*Fleet, error) {
 	f := &Fleet{routes: routes, maxAttempts: maxAttempts, start: start, requestIDs: rand.New(rand.NewSource(time.Now().UnixNano()))}
 	for i := range servers {
@@ -77,8 +77,9 @@
 	return nil
 }
 
-// retryElsewhere sends a request to another server, and reports whether its route and its deadline allow that. A request
-// whose connection was lost may have had its effect.
+// retryElsewhere sends a request to another server if its route, deadline and number of attempts allow that, and
+// reports whether it does. If the connection was lost (lost), the request may already have had its effect, so an
+// at-most-once request is not sent again.
 func (f *Fleet) retryElsewhere(p *pendingRequest, lost bool) bool {
 	route := f.routes[p.arrival.Route]
 	if lost && route.AtMostOnce || p.attempts >= f.maxAttempts || time.Until(p.sentAt.Add(route.Deadline)) < minRetryTime {
@@ -88,7 +89,7 @@
 	return true
 }
 
-// send sends a request to the next server that accepts it.
+// send sends a request to the next server that accepts it. If none does, the request counts as rejected.
 func (f *Fleet) send(p *pendingRequest) {
 	for range 2 * len(f.servers) {
 		f.mu.Lock()
@@ -143,7 +144,7 @@
 	return f.total()
 }
 
-// total returns what all routers have recorded.
+// total returns the sum of what all routers have recorded, and the errors of kills and restarts.
 func (f *Fleet) total() (Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -198,7 +199,7 @@
 	return m, true
 }
 
-// Kill ends servers by SIGKILL, and starts them again after a delay.
+// Kill ends servers with SIGKILL, and starts them again after a delay. It skips servers that are down.
 func (f *Fleet) Kill(indexes []int, delay time.Duration) {
 	for _, i := range indexes {
 		m, up := f.markDown(i)
@@ -213,7 +214,7 @@
 	}
 }
 
-// Restart shuts a server down gracefully, and starts it again.
+// Restart shuts a server down gracefully, and starts it again after restartDelay.
 func (f *Fleet) Restart(i int) {
 	f.background.Go(func() {
 		if m, up := f.markDown(i); up {
@@ -224,7 +225,7 @@
 	})
 }
 
-// Daemon returns a server, nil while it is down.
+// Daemon returns the daemon of a server, or nil while it is down.
 func (f *Fleet) Daemon(i int) *Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -234,14 +235,14 @@
 	return f.servers[i].daemon
 }
 
-// Pools returns the worker pools of all daemons, also of earlier incarnations.
+// Pools returns the worker pools of all daemons, including those of earlier incarnations.
 func (f *Fleet) Pools() []*Workers {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.pools)
 }
 
-// Close ends all servers and connections.
+// Close stops all servers and closes all connections.
 func (f *Fleet) Close() error {
 	f.background.Wait()
 	var errs []error
--- a/internal/testkit/harness/frames.go
+++ b/internal/testkit/harness/frames.go
@@ -1,5 +1,5 @@
-// Package harness runs real daemons on loopback with emulated surroundings: worker pools whose runs take the time that a
-// model states, dependencies with a scripted behaviour, and routers that send a seeded load. Results are measured on
+// Package harness runs real daemons on loopback in an emulated environment: worker pools whose runs take the time that
+// a model gives, dependencies with scripted behaviour, and routers that send a seeded load. Results are measured on
 // sockets and in real time.
 package harness
 
@@ -10,7 +10,7 @@
 	"io"
 )
 
-// Types of frames of the routers' protocol.
+// Frame types of the routers' protocol.
 const (
 	FrameRequest = 10
 	FrameAnswer  = 11
@@ -24,7 +24,7 @@
 	StatusAborted  = 51
 )
 
-// Frame returns a frame of the routers' protocol. Its fields are names and values in turn.
+// Frame returns a frame of the routers' protocol. fields contains names and values alternately.
 func Frame(kind byte, stream uint32, body string, fields ...string) []byte {
 	payload := []byte{byte(len(fields) / 2)}
 	for i := 0; i < len(fields); i += 2 {
@@ -48,12 +48,13 @@
 
 const maxFrameSize = 1 << 18 // bytes
 
-var errTruncatedFields = errors.New("frame with truncated fields")
+var errTruncatedFields = errors.New("frame has truncated fields")
 
-// frameHeadSize is the size of a frame's head: the size of what follows it, its type and its stream.
+// frameHeadSize is the size of a frame's head in bytes: the length of what follows the length field, the type, and the
+// stream.
 const frameHeadSize = 9
 
-// ReadReply reads the next frame. At an orderly end between two frames the error is io.EOF.
+// ReadReply reads the next frame. The error is io.EOF if the connection is closed between two frames without a reset.
 func ReadReply(from io.Reader) (Reply, error) {
 	kind, stream, payload, err := readFrame(from)
 	if err != nil {
@@ -79,11 +80,11 @@
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size < frameHeadSize-4 || size > maxFrameSize {
-		return 0, 0, nil, fmt.Errorf("frame of %d bytes", size)
+		return 0, 0, nil, fmt.Errorf("frame length %d is out of range", size)
 	}
 	payload = make([]byte, size-(frameHeadSize-4))
 	if _, err := io.ReadFull(from, payload); err != nil {
-		if errors.Is(err, io.EOF) { // the connection ended behind the head: no orderly end
+		if errors.Is(err, io.EOF) { // the connection ended after the head, which is not an orderly end
 			err = io.ErrUnexpectedEOF
 		}
 		return 0, 0, nil, err
@@ -91,7 +92,8 @@
 	return head[4], binary.BigEndian.Uint32(head[5:]), payload, nil
 }
 
-// readFields reads fields behind their number, and returns what follows them.
+// readFields calls field for each field of a payload, which starts with the number of fields, and returns what follows
+// them.
 func readFields(payload []byte, field func(name, value string)) (rest []byte, err error) {
 	rest = payload[1:]
 	for range payload[0] {
@@ -111,13 +113,13 @@
 	return rest, nil
 }
 
-// requestField returns the first field of a name in a request, empty where there is none.
+// requestField returns the value of the first field with a name in a request, or "" if there is none.
 func requestField(payload []byte, wanted string) (found string) {
 	if len(payload) == 0 {
 		return ""
 	}
 	seen := false
-	_, _ = readFields(payload, func(name, value string) { // a truncated request has the fields that were read
+	_, _ = readFields(payload, func(name, value string) { // of a truncated request, the fields before the end are used
 		if name == wanted && !seen {
 			found, seen = value, true
 		}
--- a/internal/testkit/harness/http_dependency.go
+++ b/internal/testkit/harness/http_dependency.go
@@ -9,36 +9,38 @@
 	"time"
 )
 
-// HTTPDependency is a dependency that the runs of all servers call over HTTP. It has a number of slots, slows down with more
-// calls in flight, and keeps an abandoned call in flight for a while. Its strain is measured as that of a worker pool.
+// HTTPDependency is a dependency that the runs of all servers call over HTTP. Its service time grows when more calls
+// are in flight than it has slots, and an abandoned call stays in flight for a while. Its load is measured like that of
+// a worker pool.
 type HTTPDependency struct {
 	Address string
 
-	slots         float64
-	serviceTime   time.Duration // of a call while slots are free
-	abandonedTime time.Duration // that an abandoned call stays in flight
-	started       time.Time
-	server        *http.Server
+	slots       float64
+	serviceTime time.Duration // of a call while slots are free
+	linger      time.Duration // time that an abandoned call stays in flight
+	started     time.Time
+	server      *http.Server
 
 	mu           sync.Mutex
-	slowFactor   float64 // times the usual service time; 0 and 1 are as usual
-	unresponsive bool    // calls are read and never answered
+	slowFactor   float64 // multiplies the service time; values up to 1 have no effect
+	unresponsive bool    // calls are read but never answered
 	inFlight     int
 	calls        int
 	load         *loadTracker
-	capacity     Machine // the calls that it survives, as cores with one run each
+	capacity     Machine // calls in flight that it survives, as cores with one run each
 }
 
 const lookupPath = "/lookup"
 
-// NewHTTPDependency starts a dependency on loopback that survives so many calls in flight, as a mean over window.
-func NewHTTPDependency(slots float64, serviceTime, abandonedTime time.Duration, survives float64, window time.Duration) (*HTTPDependency, error) {
+// NewHTTPDependency starts a dependency on loopback. survives is the number of calls in flight, as a mean over window,
+// that it survives. linger is the time that an abandoned call stays in flight.
+func NewHTTPDependency(slots float64, serviceTime, linger time.Duration, survives float64, window time.Duration) (*HTTPDependency, error) {
 	listener, err := net.Listen("tcp", randomLoopbackAddress())
 	if err != nil {
 		return nil, fmt.Errorf("HTTP dependency: %w", err)
 	}
 	d := &HTTPDependency{
-		Address: listener.Addr().String(), slots: slots, serviceTime: serviceTime, abandonedTime: abandonedTime, started: time.Now(),
+		Address: listener.Addr().String(), slots: slots, serviceTime: serviceTime, linger: linger, started: time.Now(),
 		load: newLoadTracker(Endurance{RunsPerCore: 1, Window: window}), capacity: Machine{Cores: survives, Speed: 1},
 	}
 	routes := http.NewServeMux()
@@ -48,10 +50,10 @@
 	return d, nil
 }
 
-// Close ends the dependency with all calls.
+// Close closes the listener and all connections.
 func (d *HTTPDependency) Close() error { return d.server.Close() }
 
-// SetSlowFactor multiplies the service time of later calls.
+// SetSlowFactor multiplies the service time of later calls by a factor.
 func (d *HTTPDependency) SetSlowFactor(factor float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,7 +67,7 @@
 	d.unresponsive = on
 }
 
-// Strain returns the highest load so far, as a share of what the dependency survives, and the number of calls read.
+// Strain returns the highest load so far, as a fraction of what the dependency survives, and the number of calls read.
 func (d *HTTPDependency) Strain() (peak Strain, calls int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,13 +75,13 @@
 	return d.load.peak, d.calls
 }
 
-// recordInFlight records the calls in flight up to now, then changes their number.
+// recordInFlight records the number of calls in flight up to now, then changes it.
 func (d *HTTPDependency) recordInFlight(change int) {
 	d.load.advance(time.Since(d.started), d.inFlight, d.capacity)
 	d.inFlight += change
 }
 
-// begin records the start of a call. The call takes so long; where answers is false it is never answered.
+// begin records the start of a call. It returns the service time of the call, and whether the call is answered at all.
 func (d *HTTPDependency) begin() (duration time.Duration, answered bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,7 +109,7 @@
 	}
 	select {
 	case <-r.Context().Done():
-		time.Sleep(d.abandonedTime)
+		time.Sleep(d.linger)
 	case <-time.After(duration):
 		_, _ = w.Write(body)
 	}
--- a/internal/testkit/harness/load.go
+++ b/internal/testkit/harness/load.go
@@ -10,29 +10,29 @@
 	"quartzpoint/emulator"
 )
 
-// The models are those of the emulator, which runs them in simulated time.
+// These types are the models of the emulator, which runs them in simulated time.
 type (
-	// Route is a class of requests with the work that they need.
+	// Route is a kind of request, with its value, its deadline and the work that it needs.
 	Route = emulator.Route
 	// Arrival is one request of a load.
 	Arrival = emulator.Arrival
-	// Machine is what a worker pool runs on.
+	// Machine is the model of what a worker pool runs on.
 	Machine = emulator.Machine
 )
 
 // BookingRoutes returns the routes of the booking mix.
 func BookingRoutes() []Route { return emulator.BookingRoutes() }
 
-// Arrivals draws a load of so many requests a second for a seed.
+// Arrivals draws a load of rate requests per second over span. The same seed gives the same load.
 func Arrivals(routes []Route, rate float64, span time.Duration, seed int64) []Arrival {
 	return emulator.Arrivals(routes, rate, span, seed)
 }
 
-// Rate returns the requests a second that ask for a share of what a machine can do.
+// Rate returns the requests per second that use a share of a machine's capacity.
 func Rate(routes []Route, m Machine, share float64) float64 { return emulator.Rate(routes, m, share) }
 
 // Run sends a load to a server as the router sourceID, and waits until every request is answered or past its deadline.
-// Requests that found all connections full count as unanswered.
+// Requests for which all connections were full count as unanswered.
 func Run(address string, routes []Route, load []Arrival, sourceID int) (Result, error) {
 	r := &router{
 		address: address, routes: routes, sourceID: sourceID, result: Result{Codes: map[byte]int{}, GoodputByRoute: make([]float64, len(routes))},
@@ -54,7 +54,7 @@
 		r.result.Requests++
 		r.result.OfferedValue += route.Value
 		id := fmt.Sprintf("%016x", ids.Uint64())
-		if err := r.send(p, id); err != nil { // the connection closed as the request was written
+		if err := r.send(p, id); err != nil { // the connection was closed while the request was written: the second attempt uses another one
 			if err := r.send(p, id); err != nil {
 				return r.result, fmt.Errorf("router: %w", err)
 			}
@@ -64,7 +64,7 @@
 	return r.finalResult(), nil
 }
 
-// waitAnswered waits until nothing is open, or a moment.
+// waitAnswered waits until no request is open, at most until a time.
 func (r *router) waitAnswered(until time.Time) {
 	for end := time.After(time.Until(until)); r.openRequests() > 0; {
 		select {
@@ -75,7 +75,7 @@
 	}
 }
 
-// finalResult returns a result that later answers do not change.
+// finalResult returns a copy of the result, which later answers do not change.
 func (r *router) finalResult() Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +85,7 @@
 	}
 	slices.Sort(r.result.Latencies)
 	final := r.result
-	final.Codes = maps.Clone(final.Codes) // readers may still get duplicate answers
+	final.Codes = maps.Clone(final.Codes) // the readers may still receive duplicate answers
 	final.attempts = slices.Clone(final.attempts)
 	return final
 }
--- a/internal/testkit/harness/platform_config.go
+++ b/internal/testkit/harness/platform_config.go
@@ -16,7 +16,7 @@
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 128, "sockets": 512},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("platform configuration: %w", err)
 	}
 	return raw, nil
 }
--- a/internal/testkit/harness/poollink.go
+++ b/internal/testkit/harness/poollink.go
@@ -9,15 +9,15 @@
 // PoolCommand is one line that a server writes to its worker pool.
 type PoolCommand struct {
 	Verb    string `json:"verb"`
-	Index   int    `json:"index"` // of a bind: the last notice that the server has
+	Index   int    `json:"index"` // of a bind: the index of the last notice that the server has
 	RunID   string `json:"task"`
 	Handler string `json:"handler"`
 	Nonce   string `json:"nonce"`
 	Body    []byte `json:"bytes"`
 }
 
-// PoolNotice is one numbered line that a worker pool writes to its server. The pool stores it and sends it again to a
-// server that binds with an earlier index.
+// PoolNotice is one line, numbered by Index, that a worker pool writes to its server. The pool stores it and sends it
+// again to a server that binds with a lower index.
 type PoolNotice struct {
 	Body    []byte   `json:"bytes"`
 	Index   int      `json:"index"` // from 1, set by NoticeLog
@@ -27,27 +27,27 @@
 	Verb    string   `json:"verb"`
 }
 
-// Finished returns the notice of the end of a run that took so many milliseconds.
+// Finished returns the notice that a run has ended after spent milliseconds.
 func Finished(runID, outcome string, spent float64, result []byte) PoolNotice {
 	return PoolNotice{Verb: "finished", RunID: runID, Outcome: outcome, Spent: &spent, Body: result}
 }
 
-// Blocked returns the notice of a run that waits for a dependency call.
+// Blocked returns the notice that a run waits for a dependency call.
 func Blocked(runID string, body []byte) PoolNotice {
 	return PoolNotice{Verb: "blocked", RunID: runID, Body: body}
 }
 
-// NoticeLog numbers and stores the notices of a pool and writes them to its bound link. Its owner serializes all calls.
-// Errors of writes are ignored: a server whose link was lost binds again and gets the notices that it lacks.
+// NoticeLog numbers and stores the notices of a pool and writes them to its bound link. Its caller must serialize all
+// calls. Write errors are ignored, because a server whose link was lost binds again and gets the notices that it lacks.
 type NoticeLog struct {
 	link  net.Conn // nil while no server is bound
 	lines []string
 }
 
-// IsBound reports whether link is the bound one.
+// IsBound reports whether link is the bound link.
 func (l *NoticeLog) IsBound(link net.Conn) bool { return l.link == link }
 
-// Bind makes link the bound one, answers with the line bound and sends every notice after an index.
+// Bind makes link the bound link, writes the line bound to it, and then every notice with an index above after.
 func (l *NoticeLog) Bind(link net.Conn, bound string, after int) {
 	l.link = link
 	l.WriteRaw(bound)
@@ -59,7 +59,7 @@
 // Add numbers and stores a notice, and writes it to the bound link.
 func (l *NoticeLog) Add(n PoolNotice) { l.WriteRaw(l.store(n)) }
 
-// AddTruncated stores a whole notice and writes the beginning of one.
+// AddTruncated stores a complete notice but writes only the beginning of one.
 func (l *NoticeLog) AddTruncated(n PoolNotice) {
 	l.store(n)
 	l.WriteRaw(`{"verb":"finished","index":` + "\n")
@@ -67,19 +67,19 @@
 
 func (l *NoticeLog) store(n PoolNotice) string {
 	n.Index = len(l.lines) + 1
-	raw, _ := json.Marshal(n) // cannot fail: no field has a form that JSON lacks
+	raw, _ := json.Marshal(n) // cannot fail: every field can be encoded as JSON
 	l.lines = append(l.lines, string(raw)+"\n")
 	return l.lines[len(l.lines)-1]
 }
 
-// WriteRaw writes text to the bound link unchanged; without one it does nothing.
+// WriteRaw writes text to the bound link unchanged. It does nothing if no link is bound.
 func (l *NoticeLog) WriteRaw(text string) {
 	if l.link != nil {
 		_, _ = io.WriteString(l.link, text)
 	}
 }
 
-// CloseLink closes the bound link. The notices stay.
+// CloseLink closes the bound link. The stored notices are kept.
 func (l *NoticeLog) CloseLink() {
 	if l.link != nil {
 		_ = l.link.Close()
--- a/internal/testkit/harness/result.go
+++ b/internal/testkit/harness/result.go
@@ -9,9 +9,9 @@
 	"quartzpoint/rulecheck"
 )
 
-// Result is what became of a load. Values are sums of Route.Value.
+// Result contains the outcomes of a load. Values are sums of Route.Value.
 type Result struct {
-	Goodput          float64   // value served within its latency target; a partial answer counts with its share
+	Goodput          float64   // value served within the latency target; a partial answer counts with its share of the value
 	Partial          int       // partial answers
 	GoodputByRoute   []float64 // Goodput by route
 	OfferedValue     float64   // value of all requests
@@ -22,11 +22,12 @@
 	DuplicateAnswers int
 	Latencies        []time.Duration // of requests that were served, sorted by Run
 
-	begin    time.Time // of the load
-	attempts []attempt // by time of sending
+	begin    time.Time // start of the load
+	attempts []attempt // in the order in which they were sent
 }
 
-// ServedBetween returns how many of the requests that were sent from one time of the load to another were served.
+// ServedBetween returns the number of served requests that were sent from one time of the load (inclusive) to another
+// (exclusive).
 func (r *Result) ServedBetween(from, to time.Duration) (served int) {
 	for _, a := range r.attempts {
 		if sent := a.sentAt.Sub(r.begin); sent >= from && sent < to && len(a.answered) > 0 && a.code == StatusServed {
@@ -36,17 +37,18 @@
 	return served
 }
 
-// attempt is one request at one server.
+// attempt is one request sent to one server.
 type attempt struct {
 	id               string
-	effect           uint64 // of an at-most-once request: the same in all its attempts; 0 for others
+	effect           uint64 // ID of the effect of an at-most-once request, the same in all its attempts; 0 for other requests
 	sentAt, deadline time.Time
 	answered         []time.Time
 	code             byte
-	connectionLost   bool // before an answer
+	connectionLost   bool // the connection was lost before an answer
 }
 
-// Check checks the load against the four rules of package rulecheck. pools are all worker pools that ran any of it.
+// Check checks the load against the four rules of package rulecheck. pools must contain all worker pools that ran any
+// of its requests.
 func (r *Result) Check(pools ...*Workers) rulecheck.Report {
 	var first time.Time
 	starts := map[string][]time.Time{}
--- a/internal/testkit/harness/router.go
+++ b/internal/testkit/harness/router.go
@@ -12,23 +12,23 @@
 
 const (
 	maxConnections       = 32
-	openBeforeDial       = 4                     // requests on each before another connection is opened
+	openBeforeDial       = 4                     // requests on each connection before another one is opened
 	maxOpenPerConnection = 32                    // requests
-	answerSlack          = 50 * time.Millisecond // after the deadline, within which an answer is in time
+	answerSlack          = 50 * time.Millisecond // time after the deadline within which an answer is still in time
 )
 
-// pendingRequest is a request that waits for its final answer, over all its attempts.
+// pendingRequest is a request that waits for its final answer, across all its attempts.
 type pendingRequest struct {
 	arrival     *Arrival
-	sentAt      time.Time // by the client: the first attempt
+	sentAt      time.Time // by the client: start of the first attempt
 	effect      uint64
 	attempts    int
 	lastAttempt int // index in the router's result
-	server      int // index in the fleet of the last attempt
+	server      int // index in the fleet of the server of the last attempt
 }
 
-// connection is one connection of the router. A draining one takes no further requests: the server has asked for that, or
-// is gone.
+// connection is one connection of the router. A draining connection takes no further requests, because the server has
+// asked for that or the connection has failed.
 type connection struct {
 	net.Conn
 	open     map[uint32]*pendingRequest
@@ -46,9 +46,9 @@
 	mu          sync.Mutex
 	result      Result
 	connections []*connection
-	answered    chan struct{} // something was answered, or a connection has ended
-	// retry reports whether a request that was rejected, or whose connection was lost, is sent to another server; nil for
-	// never. It must not block, and is called under the router's lock.
+	answered    chan struct{} // an answer was received, or a connection has ended
+	// retry sends a request that was rejected, or whose connection was lost, to another server if that is allowed, and
+	// reports whether it does; nil for never. It is called under the router's lock and must not block.
 	retry func(p *pendingRequest, lost bool) bool
 }
 
@@ -61,7 +61,8 @@
 	return open
 }
 
-// connection returns the connection with the fewest open requests, or a new one.
+// connection returns the connection with the fewest open requests, or a new one if that has openBeforeDial or more and
+// another connection is allowed.
 func (r *router) connection() (*connection, error) {
 	r.mu.Lock()
 	var leastLoaded *connection
@@ -117,7 +118,7 @@
 	if err != nil {
 		r.mu.Lock()
 		if l.open[stream] == p {
-			r.result.attempts[p.lastAttempt].connectionLost = true // part of it may have been read
+			r.result.attempts[p.lastAttempt].connectionLost = true // the server may have read part of the request
 			delete(l.open, stream)
 		}
 		l.draining = true
@@ -150,7 +151,7 @@
 	}
 }
 
-// handle records one frame of the server.
+// handle records one frame from the server.
 func (r *router) handle(l *connection, reply Reply, now time.Time) {
 	switch p := l.open[reply.Stream]; {
 	case reply.Type == FrameDrain:
@@ -169,7 +170,8 @@
 	}
 }
 
-// recordConnectionLoss records that a connection has ended. Requests that are not retried stay open, and count as unanswered.
+// recordConnectionLoss records that a connection has ended. Requests that are not retried stay open and count as
+// unanswered.
 func (r *router) recordConnectionLoss(l *connection) {
 	l.draining = true
 	for _, stream := range slices.Sorted(maps.Keys(l.open)) {
--- a/internal/testkit/harness/strain.go
+++ b/internal/testkit/harness/strain.go
@@ -6,10 +6,11 @@
 	"quartzpoint/emulator"
 )
 
-// Endurance is the load that a worker pool survives. Past either limit it falls over: rule 4 of the protocol page.
+// Endurance is the number of runs that a worker pool survives. A pool that gets more runs, or runs that need more than
+// its memory, fails (rule 4 of the protocol page).
 type Endurance struct {
-	RunsPerCore float64       // on the cores in the mean of Over, for a warm pool; a cold one survives fewer
-	Window      time.Duration // span of that mean
+	RunsPerCore float64       // mean number of runs on the cores over Window, for a warm pool; a cold pool survives fewer
+	Window      time.Duration // period of the mean
 }
 
 const (
@@ -17,20 +18,20 @@
 	defaultLoadWindow  = time.Second
 )
 
-// Strain is the highest load of a worker pool, as shares of what it survives: over 1 it has fallen over.
+// Strain is the highest load of a worker pool, as fractions of what it survives; above 1 the pool has failed.
 type Strain struct {
-	Runs     float64       // runs on the cores, in the mean of the window
-	Memory   float64       // held by runs
+	Runs     float64       // mean number of runs on the cores over the window
+	Memory   float64       // memory held by runs
 	RunsAt   time.Duration // when Runs was reached, since the pool's start
-	MemoryAt time.Duration // when Memory was reached
+	MemoryAt time.Duration // when Memory was reached, since the pool's start
 }
 
-// loadTracker measures the strain of a pool. The number of runs is constant between two calls of advance.
+// loadTracker measures the highest load of a pool. The number of runs is constant between two calls of advance.
 type loadTracker struct {
 	limit  Endurance
 	peak   Strain
-	area   float64     // runs times seconds since the start
-	points []loadPoint // within the window, and the last before it
+	area   float64     // integral of the number of runs over time since the start, in run seconds
+	points []loadPoint // those within the window, and the last one before it
 }
 
 type loadPoint struct {
@@ -48,7 +49,8 @@
 	return &loadTracker{limit: limit, points: []loadPoint{{}}}
 }
 
-// advance records that so many runs were on the cores from the last call until now. Times are since the pool's start.
+// advance records that runs was the number of runs on the cores from the last call until now. Times are since the
+// pool's start.
 func (g *loadTracker) advance(now time.Duration, runs int, m Machine) {
 	last := g.points[len(g.points)-1]
 	if now <= last.at {
@@ -66,7 +68,7 @@
 	}
 }
 
-// areaAt returns the area at a moment, interpolated between the first two points.
+// areaAt returns the area at a time, interpolated between the first two points.
 func (g *loadTracker) areaAt(at time.Duration) float64 {
 	if at <= 0 {
 		return 0
@@ -79,8 +81,8 @@
 	return first.area + min(part, 1)*(second.area-first.area)
 }
 
-// survivableRuns returns the number of runs on the cores that a pool survives now. A pool that warms up survives fewer; a
-// machine that is slow for another reason survives as many.
+// survivableRuns returns the number of runs on the cores that a pool survives now. A pool that is warming up survives
+// fewer; a machine that is slow for another reason survives as many as a fast one.
 func (g *loadTracker) survivableRuns(now time.Duration, m Machine) float64 {
 	warm := m
 	warm.Speed = 1
--- a/internal/testkit/harness/workers.go
+++ b/internal/testkit/harness/workers.go
@@ -9,44 +9,44 @@
 )
 
 // Workers is a worker pool whose runs share its emulated cores evenly (processor sharing); it uses none of the cores of
-// this machine. The first eight bytes of a run's body state its work in microseconds on a core of speed 1. A ninth byte
-// of 1 makes the run fail at its end.
+// this machine. The first eight bytes of a run's body are its work in microseconds on a core of speed 1. If the ninth
+// byte is 1, the run fails at its end.
 type Workers struct {
 	Address string
 
 	listener   net.Listener
 	startedAt  time.Time
 	stop       chan struct{}
-	wake       chan struct{} // the schedule has changed
+	wake       chan struct{} // signals that the schedule has changed
 	goroutines sync.WaitGroup
 
 	mu              sync.Mutex
 	machine         Machine
 	notices         NoticeLog
-	links           []net.Conn // all that were accepted
+	links           []net.Conn // all accepted links
 	runs            map[string]*run
 	running         []*run // runs on the cores, in the order of their starts
 	last            time.Time
 	busy            float64 // core seconds spent
 	samples         []usageSample
-	startOffsets    []time.Duration // of each start, since the pool's own
+	startOffsets    []time.Duration // time of each start of a run, since the pool's start
 	runStarts       []RunStart
-	seen            map[string]bool // ids of all runs so far
+	seen            map[string]bool // IDs of all runs so far
 	repeatedStarts  int
 	load            *loadTracker
 	hung            bool
 	stopped         bool
-	continued       *sync.Cond      // stopped has changed
-	callingHandlers map[string]bool // handlers whose runs call the dependency half way
+	continued       *sync.Cond      // signals that stopped has changed
+	callingHandlers map[string]bool // handlers whose runs call the dependency halfway
 }
 
-// RunStart is the beginning of a run.
+// RunStart is the start of a run.
 type RunStart struct {
-	ID string // of its request
+	ID string // ID of the request
 	At time.Time
 }
 
-// NewWorkers starts a pool on loopback that answers binds at once.
+// NewWorkers starts a pool on loopback. It answers binds at once.
 func NewWorkers(m Machine) (*Workers, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Close ends the pool with all its links and runs, and waits for its goroutines.
+// Close stops the pool, closes its links and waits for its goroutines. Runs in progress are dropped.
 func (w *Workers) Close() {
 	close(w.stop)
 	_ = w.listener.Close()
@@ -100,7 +100,7 @@
 	w.reschedule()
 }
 
-// reschedule makes the schedule notice a change.
+// reschedule wakes schedule after a change.
 func (w *Workers) reschedule() {
 	select {
 	case w.wake <- struct{}{}:
@@ -111,40 +111,42 @@
 // StartedAt returns when the pool was started.
 func (w *Workers) StartedAt() time.Time { return w.startedAt }
 
-// StartOffsets returns the times of all starts of runs since the pool's own, and how many runs were started again.
+// StartOffsets returns the times of all starts of runs since the pool's start, and the number of starts that repeat a
+// run.
 func (w *Workers) StartOffsets() (offsets []time.Duration, repeated int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append(offsets, w.startOffsets...), w.repeatedStarts
 }
 
-// RunStarts returns the beginnings of all runs, in their order.
+// RunStarts returns the starts of all runs, in order.
 func (w *Workers) RunStarts() []RunStart {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.runStarts)
 }
 
-// SetHung stops the cores, or lets them work again. Meanwhile suspend has no effect, and polls are answered.
+// SetHung stops the cores, or lets them work again. While they are stopped, suspend has no effect but polls are still
+// answered.
 func (w *Workers) SetHung(hung bool) {
 	w.Update(func(*Machine) { w.hung = hung })
 }
 
-// SetStopped stops the pool as SIGSTOP stops a process, or lets it continue: its cores stand still, and what is sent to it stays
-// unread.
+// SetStopped stops the pool as SIGSTOP stops a process, or lets it continue. While it is stopped, its cores do no work
+// and it handles no commands.
 func (w *Workers) SetStopped(stopped bool) {
 	w.Update(func(*Machine) { w.hung, w.stopped = stopped, stopped })
 	w.continued.Broadcast()
 }
 
-// SetCallingHandlers makes the runs of some handlers call the dependency half way. It is set before any run starts.
+// SetCallingHandlers sets the handlers whose runs call the dependency halfway. It must be called before any run starts.
 func (w *Workers) SetCallingHandlers(handlers map[string]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.callingHandlers = handlers
 }
 
-// SetEndurance sets the load that the pool survives. It is set before any run starts.
+// SetEndurance sets the load that the pool survives. It must be called before any run starts.
 func (w *Workers) SetEndurance(limit Endurance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testkit/harness/workers_commands.go
+++ b/internal/testkit/harness/workers_commands.go
@@ -14,10 +14,10 @@
 
 const (
 	maxCommandLine = 1 << 20 // bytes
-	defaultWork    = 1e-6    // seconds, of a run whose body states none
+	defaultWork    = 1e-6    // seconds; for a run whose body contains none
 )
 
-// serve reads commands until the link ends.
+// serve handles commands until the link ends.
 func (w *Workers) serve(link net.Conn) {
 	defer func() { _ = link.Close() }()
 	in := bufio.NewScanner(link)
@@ -83,7 +83,7 @@
 	w.load.recordMemory(now.Sub(w.startedAt), w.inMemory(), w.machine)
 }
 
-// suspend stops a run in the way that the machine allows. While the cores are hung it has no effect.
+// suspend stops a run in the way that the machine allows. It has no effect while the cores are hung.
 func (w *Workers) suspend(link net.Conn, r *run, runID string, now time.Time) {
 	if w.machine.Halt == emulator.HaltNone {
 		fmt.Fprintf(link, `{"verb":"unknown","outcome":"suspend","task":%q}`+"\n", runID)
--- a/internal/testkit/harness/workers_runs.go
+++ b/internal/testkit/harness/workers_runs.go
@@ -11,35 +11,35 @@
 type run struct {
 	id        string
 	body      []byte
-	remaining float64 // seconds of work, up to the call where it makes one
+	remaining float64 // seconds of work left, up to the call if the run makes one
 	afterCall float64 // seconds of work after the call, 0 without one
 	startedAt time.Time
 	paused    bool
 	blocked   bool // waits for the answer of its call
 }
 
-// The fields of a run's body.
+// Layout of a run's body.
 const (
-	workEnd        = 8  // bytes of the work in microseconds
-	failureMark    = 8  // offset of the byte that is 1 where the run fails
+	workEnd        = 8  // end of the work, which is in microseconds
+	failureMark    = 8  // offset of the byte that is 1 if the run fails
 	deadlineOffset = 9  // offset of its request's deadline, in Unix milliseconds
-	deadlineEnd    = 17 // end of the deadline; a shorter body states none
+	deadlineEnd    = 17 // end of the deadline; a shorter body contains none
 )
 
 const (
 	expiryCheckInterval = 10 * time.Millisecond // between checks for blocked runs past their deadline
 	minScheduleInterval = 50 * time.Microsecond
-	workDone            = 1e-9 // seconds of work left, at which a run is over
+	workDone            = 1e-9 // seconds of work left at which a run counts as done
 	usageWindow         = time.Second / 2
 )
 
-// usageSample is the core time spent up to a moment.
+// usageSample is the core time spent up to a time.
 type usageSample struct {
 	at   time.Time
 	busy float64 // core seconds
 }
 
-// expired reports whether the deadline that the run's body states has passed.
+// expired reports whether the deadline in the run's body has passed.
 func (r *run) expired(now time.Time) bool {
 	return len(r.body) >= deadlineEnd && now.UnixMilli() > int64(binary.BigEndian.Uint64(r.body[deadlineOffset:deadlineEnd]))
 }
@@ -51,7 +51,7 @@
 	return "success"
 }
 
-// schedule ends runs as they are done, until the pool stops.
+// schedule ends runs when they are done, until the pool is closed.
 func (w *Workers) schedule() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -72,7 +72,7 @@
 	}
 }
 
-// untilNextEnd returns the time until a run is done or something else has to be checked.
+// untilNextEnd returns the time until a run is done or another check is due.
 func (w *Workers) untilNextEnd(now time.Time) time.Duration {
 	next := time.Second
 	if len(w.callingHandlers) > 0 {
@@ -87,7 +87,7 @@
 	return next
 }
 
-// rate returns the work that each run on the cores gets done in a second, in seconds on a core of speed 1.
+// rate returns the work that each run on the cores completes per second, in seconds on a core of speed 1.
 func (w *Workers) rate(now time.Time) float64 {
 	if w.hung {
 		return 0
@@ -95,7 +95,8 @@
 	return w.machine.SpeedAt(now.Sub(w.startedAt)) * w.machine.Share(float64(len(w.running)))
 }
 
-// advance gives the runs on the cores their share of the time since the last call, and ends those that are done.
+// advance applies the time since the last call to the runs on the cores, and ends those that are done or blocks them at
+// their call.
 func (w *Workers) advance(now time.Time) {
 	elapsed := now.Sub(w.last).Seconds()
 	w.last = now
@@ -103,7 +104,7 @@
 	if len(w.running) == 0 || elapsed <= 0 || w.hung {
 		return
 	}
-	if !w.machine.Independent { // runs that sleep take no core
+	if !w.machine.Independent { // independent runs sleep and use no core
 		w.busy += elapsed * min(float64(len(w.running)), w.machine.Cores)
 	}
 	done := elapsed * w.rate(now)
@@ -145,7 +146,7 @@
 	w.notices.Add(Finished(r.id, outcome, float64(now.Sub(r.startedAt).Microseconds())/1000, result))
 }
 
-// coreUse returns the busy share of the cores over the last usageWindow.
+// coreUse returns the busy fraction of the cores over the last usageWindow.
 func (w *Workers) coreUse(now time.Time) float64 {
 	w.samples = append(w.samples, usageSample{now, w.busy})
 	for len(w.samples) > 2 && now.Sub(w.samples[1].at) >= usageWindow {
@@ -156,8 +157,8 @@
 	return min(1, (w.busy-first.busy)/span/w.machine.Cores)
 }
 
-// inMemory returns the number of runs that hold memory: those on the cores and those blocked. A paused run is taken to
-// be over.
+// inMemory returns the number of runs that hold memory: those on the cores and those blocked. Paused runs are assumed
+// to be over.
 func (w *Workers) inMemory() int {
 	holding := len(w.running)
 	if len(w.callingHandlers) == 0 {
@@ -171,7 +172,7 @@
 	return holding
 }
 
-// heapShare returns the share of the memory that runs hold.
+// heapShare returns the fraction of the memory that runs hold.
 func (w *Workers) heapShare() float64 {
 	return min(1, emulator.RunKB*float64(w.inMemory())/w.machine.MemoryKB)
 }
