--- a/internal/testkit/conformance/conformance.go
+++ b/internal/testkit/conformance/conformance.go
@@ -1,9 +1,9 @@
-// Package conformance holds one suite of cases for every front of the admission decisions: the daemon over its frame
-// protocol, the library in process, and its middleware. A case is a seeded list of requests. The counts of outcomes must be
-// the same at every front, but for requests whose outcome depends on exact timing.
+// Package conformance is one suite of cases for every front end of the admission decisions: the daemon over its frame
+// protocol, the library in process, and its middleware. A case is a seeded list of requests. The counts of outcomes
+// must be the same at every front end, except for requests whose outcome depends on exact timing.
 //
-// The fronts that are made of the library stand in cmd/quartzpoint-bench/fronts, as no package under internal imports the
-// root package.
+// The front ends that use the library are in cmd/quartzpoint-bench/fronts, because no package under internal imports
+// the root package.
 package conformance
 
 import (
@@ -19,14 +19,14 @@
 // Request is one request of a case.
 type Request struct {
 	At          time.Duration // since the start of the case
-	Route       int           // index in Routes
-	Work        time.Duration // time that its run takes, whatever else runs
+	Route       int           // index in the result of Routes
+	Work        time.Duration // time that its run takes, independent of other runs
 	Fails       bool          // its run ends with an error
-	CancelAfter time.Duration // after which its caller cancels; 0 for never
+	CancelAfter time.Duration // time after which its caller cancels; 0 for never
 	Key         string        // idempotency key, empty for none
 }
 
-// Outcome is what the caller of a request saw.
+// Outcome is the result of a request as its caller sees it.
 type Outcome int
 
 // The outcomes.
@@ -38,15 +38,15 @@
 	Unanswered
 )
 
-// Front is a way in which requests reach the admission decisions.
+// Front is a front end: an interface through which requests reach the admission decisions.
 type Front interface {
 	// Do sends a request and returns what its caller sees. It may be called from several goroutines.
 	Do(ctx context.Context, r Request) Outcome
-	// Shutdown shuts the front down gracefully, and returns after its end.
+	// Shutdown shuts the front end down gracefully, and returns after it has ended.
 	Shutdown() error
-	// Effects returns the number of runs, and of runs of a key after its first.
+	// Effects returns the number of runs, and the number of runs of a key after its first.
 	Effects() (runs, repeated int)
-	// Close ends the front and releases what it holds.
+	// Close ends the front end and releases its resources.
 	Close()
 }
 
@@ -55,13 +55,13 @@
 	Name       string
 	Requests   []Request
 	ShutdownAt time.Duration // since the start of the case; 0 for never
-	NeedsKeys  bool          // for fronts that carry idempotency keys
+	NeedsKeys  bool          // only for front ends that carry idempotency keys
 }
 
-// Cores is the number of cores of every front.
+// Cores is the number of cores of every front end.
 const Cores = 2
 
-// Routes returns the routes of every front; keyed adds the route whose requests have idempotency keys.
+// Routes returns the routes of every front end. keyed adds the route whose requests have idempotency keys.
 func Routes(keyed bool) []harness.Route {
 	routes := []harness.Route{
 		{Name: "slot-check", Value: 1, LatencyTarget: 600 * time.Millisecond, Deadline: 1500 * time.Millisecond},
@@ -73,7 +73,7 @@
 	return routes
 }
 
-// Cases returns the suite for a seed.
+// Cases returns the suite for a seed, which draws the arrivals and the work of the random cases.
 func Cases(seed int64) []Case {
 	rng := rand.New(rand.NewSource(seed))
 	sequence := func(n int, each func(i int) Request) (requests []Request) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Counts are the counts of one case at one front.
+// Counts contains the counts of one case at one front end.
 type Counts struct {
 	Requests        int
 	Outcomes        [Unanswered + 1]int
@@ -132,10 +132,10 @@
 	ShutdownClean   bool
 }
 
-// lateSlack is the time after the deadline within which an answer is in time.
+// lateSlack is the time after the deadline within which an answer still counts as in time.
 const lateSlack = 100 * time.Millisecond
 
-// Run runs a case at a front.
+// Run runs a case at a front end.
 func Run(f Front, c Case) (n Counts, err error) {
 	routes := Routes(c.NeedsKeys)
 	began := time.Now()
@@ -147,7 +147,7 @@
 			time.Sleep(time.Until(began.Add(r.At)))
 			limit := routes[r.Route].Deadline
 			ctx, cancel := context.WithTimeout(context.Background(), limit+time.Second)
-			if r.CancelAfter > 0 { // not by a deadline, as fronts that know of one plan by it
+			if r.CancelAfter > 0 { // canceled without a context deadline, because front ends that see a deadline plan by it
 				timer := time.AfterFunc(r.CancelAfter, cancel)
 				defer timer.Stop()
 			}
--- a/internal/testkit/conformance/daemon.go
+++ b/internal/testkit/conformance/daemon.go
@@ -13,21 +13,22 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// outcomes are those of the status codes.
+// outcomes maps the status codes to outcomes.
 var outcomes = map[byte]Outcome{
 	harness.StatusServed: Served, harness.StatusRejected: Rejected, harness.StatusAborted: Aborted,
 }
 
-// daemonFront is the daemon over its frame protocol, with workers whose runs do not share their cores.
+// daemonFront is the daemon over its frame protocol, with workers whose runs do not share cores.
 type daemonFront struct {
 	*harness.Daemon
 	shutdown sync.Once
 	err      error
 }
 
-// NewDaemon starts the daemon's program as a front. Cases that need keys are not for it.
+// NewDaemon starts the daemon's program as a front end. It does not support cases that need keys.
 func NewDaemon(program, folder, name string) (Front, error) {
-	// The runs are independent, as those of the other fronts, which sleep. The settings state Cores.
+	// The runs are independent, like those of the other front ends, which sleep. The settings contain the number of
+	// cores.
 	d, err := harness.StartWithoutFile(program, folder, name, Routes(false), harness.Machine{Cores: Cores, Speed: 1, MemoryKB: 1 << 20, Independent: true})
 	if err != nil {
 		return nil, err
@@ -40,7 +41,7 @@
 	route := Routes(false)[r.Route]
 	link, err := net.Dial("tcp", d.Address)
 	if err != nil {
-		return Rejected // refused: nothing ran
+		return Rejected // the connection was refused: nothing ran
 	}
 	defer func() { _ = link.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = link.Close() })()
--- a/internal/testkit/fake/config.go
+++ b/internal/testkit/fake/config.go
@@ -20,7 +20,7 @@
 {"name":"pay","deadline":9000000,"goal-time":8000000,"gain":4.0,"idempotency":"fragile","late-value":0.0}],
 "tenants":[],"value-by":"request"}`
 
-// WriteConfig writes the configuration file of a daemon in a folder of the test, and returns its path.
+// WriteConfig writes a daemon's configuration file to a temporary folder of the test, and returns its path.
 func WriteConfig(t testing.TB, listen, pool, membership, site string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -34,7 +34,7 @@
 	RewriteConfigWithDependency(t, path, listen, pool, membership, "", site)
 }
 
-// RewriteConfigWithDependency is RewriteConfig with the address of a dependency; empty for none.
+// RewriteConfigWithDependency is RewriteConfig with the address of a dependency, empty for none.
 func RewriteConfigWithDependency(t testing.TB, path, listen, pool, membership, dependency, site string) {
 	t.Helper()
 	dependencyField := ""
--- a/internal/testkit/fake/membership.go
+++ b/internal/testkit/fake/membership.go
@@ -14,10 +14,10 @@
 	socket  net.PacketConn
 }
 
-// NewMembership starts a membership service on loopback. It closes with the test.
+// NewMembership starts a membership service on loopback. It is closed when the test ends.
 func NewMembership(t testing.TB) *Membership { return NewMembershipAt(t, "127.0.0.1:0") }
 
-// NewMembershipAt starts a membership service at an address.
+// NewMembershipAt starts a membership service at an address. It is closed when the test ends.
 func NewMembershipAt(t testing.TB, address string) *Membership {
 	socket, err := net.ListenPacket("udp", address)
 	require.NoError(t, err)
@@ -25,7 +25,7 @@
 	return &Membership{socket.LocalAddr().String(), socket}
 }
 
-// Stop closes the service, so that reports to it are refused.
+// Stop closes the service, so that later reports are refused.
 func (m *Membership) Stop() { _ = m.socket.Close() }
 
 // Next waits for the next report and returns its text.
--- a/internal/testkit/fake/pool.go
+++ b/internal/testkit/fake/pool.go
@@ -16,26 +16,26 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// Sizes that SiteSettings and RequestFrame state; the readings are computed from them.
+// Sizes in SiteSettings and RequestFrame, from which the readings are computed.
 const (
 	cores        = 4
 	siteMemoryKB = 60000.0
 	runMemoryKB  = 164.0
 
-	runMilliseconds = 5.5 // that every run is reported to have taken
+	runMilliseconds = 5.5 // reported duration of every run
 )
 
 // Command is one line that a server wrote to the pool.
 type Command = harness.PoolCommand
 
-// Pool is a worker pool. A run ends when a test finishes it, or at once where Echo is set. The exported flags are set
-// before the server sends what they concern; later, the Set methods change them.
+// Pool is a worker pool. A run ends when a test finishes it, or at once if Echo is set. The exported flags must be set
+// before the server sends the commands that they affect; after that, the Set methods change them.
 type Pool struct {
 	Address            string
 	Echo               bool // runs end at once, with their body as the result
 	NoReadings         bool // polls are never answered
-	RunsOnAfterSuspend bool // a suspended run reports its end and is still counted as running
-	DropsSpawns        bool // spawns are read and not run
+	RunsOnAfterSuspend bool // a suspended run reports its end but still counts as running
+	DropsSpawns        bool // spawns are read but not run
 	IgnoresSuspend     bool // suspend has no effect
 	Commands           chan Command
 
@@ -48,7 +48,7 @@
 	ready           chan struct{}
 }
 
-// NewPool starts a pool on loopback that answers binds once Ready was called. It closes with the test.
+// NewPool starts a pool on loopback that answers binds after Ready was called. It is closed when the test ends.
 func NewPool(t testing.TB) *Pool {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -81,7 +81,7 @@
 	p.accept(listener)
 }
 
-// Ready makes the pool answer binds. It may be called once.
+// Ready makes the pool answer binds. It must not be called twice.
 func (p *Pool) Ready() *Pool { close(p.ready); return p }
 
 func (p *Pool) serve(link net.Conn) {
@@ -141,7 +141,7 @@
 	return fmt.Sprintf("[%g,%g,%.4f,3]", busy, runs, min(1, runs*runMemoryKB/siteMemoryKB))
 }
 
-// bind answers once the pool is ready, and sends every notice after the given index.
+// bind answers a bind when the pool is ready, and sends every notice with an index above after.
 func (p *Pool) bind(link net.Conn, after int) {
 	<-p.ready
 	p.mu.Lock()
@@ -155,7 +155,8 @@
 	p.notices.Add(harness.Finished(runID, outcome, runMilliseconds, result))
 }
 
-// FinishTruncated ends a run whose notice is cut short on the link. The whole notice is stored, and sent to the next bind.
+// FinishTruncated ends a run and writes a truncated notice to the link. The complete notice is stored and sent to the
+// next server that binds.
 func (p *Pool) FinishTruncated(runID, outcome string, result []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,7 +172,7 @@
 	p.notices.Add(harness.Blocked(runID, body))
 }
 
-// Finish ends a run with an outcome of the protocol.
+// Finish ends a run with an outcome of the protocol and its result.
 func (p *Pool) Finish(runID, outcome string, result []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,14 +187,14 @@
 	p.notices.WriteRaw(text)
 }
 
-// requireBound panics without a bound server, as what a test writes would be lost.
+// requireBound panics if no server is bound, because text that a test writes would be lost.
 func (p *Pool) requireBound() {
 	if p.notices.IsBound(nil) {
 		panic("fake: no server is bound to the pool")
 	}
 }
 
-// SetEcho ends all runs, and from now on each run as it begins.
+// SetEcho ends all runs, and makes each later run end at once.
 func (p *Pool) SetEcho() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,14 +211,14 @@
 	p.silent = on
 }
 
-// SetPartialReadings makes polls be answered with the first reading only, or with all.
+// SetPartialReadings sets whether polls are answered with the first reading only.
 func (p *Pool) SetPartialReadings(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.partialReadings = on
 }
 
-// SetDropsSpawns makes the pool ignore the spawns that it reads, or run them.
+// SetDropsSpawns sets whether the pool ignores spawns.
 func (p *Pool) SetDropsSpawns(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testkit/fake/router.go
+++ b/internal/testkit/fake/router.go
@@ -22,7 +22,7 @@
 // Reply is a frame that a server wrote.
 type Reply = harness.Reply
 
-// Dial connects to a server. Every read and write fails after WaitLimit; the connection closes with the test.
+// Dial connects to a server. Every read and write fails after WaitLimit. The connection is closed when the test ends.
 func Dial(t testing.TB, address string) *Router {
 	t.Helper()
 	link, err := net.Dial("tcp", address)
@@ -32,7 +32,7 @@
 	return &Router{Conn: link}
 }
 
-// Frame builds a frame whose fields are names and values in turn.
+// Frame builds a frame. fields contains names and values alternately.
 func Frame(kind byte, stream uint32, body string, fields ...string) []byte {
 	return harness.Frame(kind, stream, body, fields...)
 }
@@ -40,7 +40,8 @@
 // CallID returns the call id of the request that a test sends on a stream.
 func CallID(stream uint32) string { return fmt.Sprintf("%016x", 0xabc0000+uint64(stream)) }
 
-// RequestFrame builds a request of a route. The fields in more come before the usual ones and win over them.
+// RequestFrame builds a request of a route. The fields in more precede the default fields and take precedence over
+// them.
 func RequestFrame(stream uint32, route, body string, more ...string) []byte {
 	fields := append(more, "op", route, "call", CallID(stream), "recv", strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"src", "2", "ttl", "15000", "heap", "20.5", "crit", "0.9000")
@@ -64,20 +65,20 @@
 	return reply
 }
 
-// ReadAll reads every frame up to the end of the connection, which must not be a reset or cut a frame short.
+// ReadAll reads every frame until the connection ends. A reset or a truncated frame fails the test.
 func (r *Router) ReadAll(t testing.TB) (replies []Reply) {
 	t.Helper()
 	for {
 		reply, err := harness.ReadReply(r)
 		if err != nil {
-			require.ErrorIs(t, err, io.EOF, "the connection was reset, or an answer cut short, behind %v", replies)
+			require.ErrorIs(t, err, io.EOF, "the connection was reset, or an answer was truncated, after %v", replies)
 			return replies
 		}
 		replies = append(replies, reply)
 	}
 }
 
-// WaitClosed waits for the server to close the connection, in order or with a reset.
+// WaitClosed waits until the server closes the connection, with or without a reset.
 func (r *Router) WaitClosed(t testing.TB) {
 	t.Helper()
 	_, err := io.Copy(io.Discard, r)
--- a/internal/testkit/faultdisk/crash.go
+++ b/internal/testkit/faultdisk/crash.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Loss decides what survives of changes that were not synced.
+// Loss decides which changes that were not synced survive a crash.
 type Loss interface {
 	// KeepName reports whether a change of names survives.
 	KeepName() bool
-	// KeepWrite returns how many bytes of a write survive, and whether those are its last bytes and not its first.
+	// KeepWrite returns how many bytes of a write survive, and whether these are its last bytes instead of its first.
 	KeepWrite(size int) (n int, tail bool)
 }
 
-// The losses of a crash.
+// The implementations of Loss.
 type (
 	// KeepAll loses nothing.
 	KeepAll struct{}
@@ -22,7 +22,8 @@
 	LoseAll struct{}
 	// TornHalf keeps the first half of every write, and all changes of names.
 	TornHalf struct{}
-	// RandomLoss draws which names and writes are lost, or torn at any byte or sector.
+	// RandomLoss draws which changes of names and which writes are lost, or where a write is torn: at any byte or
+	// sector.
 	RandomLoss struct{ *rand.Rand }
 )
 
@@ -60,7 +61,7 @@
 	return min(l.Intn(size/sectorSize+1)*sectorSize, size), l.Intn(2) == 0
 }
 
-// Crash returns the disk after a loss of power. The receiver must not be used any more.
+// Crash returns the disk after a loss of power. The original disk must not be used afterwards.
 func (d *Disk) Crash(loss Loss) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,7 +79,7 @@
 	}
 	after := New()
 	copies := map[*inode]*inode{}
-	for _, name := range slices.Sorted(maps.Keys(names)) { // in a fixed order, as losses are drawn from a seed
+	for _, name := range slices.Sorted(maps.Keys(names)) { // in a fixed order, because losses are drawn from a seed
 		n := names[name]
 		if copies[n] == nil {
 			copies[n] = n.afterCrash(loss)
--- a/internal/testkit/faultdisk/faultdisk.go
+++ b/internal/testkit/faultdisk/faultdisk.go
@@ -1,9 +1,9 @@
-// Package faultdisk is a folder in memory that fails as disks do: power is lost with any part of what was not synced, space
-// runs out, operations fail, or the file system becomes read-only. For tests only.
+// Package faultdisk provides a folder in memory that fails as disks do: power is lost with any part of what was not
+// synced, space runs out, operations fail, or the file system becomes read-only. It is for tests only.
 //
-// It guarantees no more than POSIX does. A write to a file may be lost or torn until the file is synced, and a later write
-// may survive where an earlier one is lost. A name that was added, changed or removed may be as before until the folder is
-// synced.
+// It guarantees no more than POSIX does. A write to a file may be lost or torn until the file is synced, and a later
+// write may survive even if an earlier one is lost. After a crash, a name that was added, changed or removed may be as
+// before unless the folder was synced since.
 package faultdisk
 
 import (
@@ -23,7 +23,7 @@
 
 const sectorSize = 512 // bytes
 
-// inode is the content of a file, under any name.
+// inode is the content of a file, independent of its name.
 type inode struct {
 	data   []byte // as the running system sees it
 	synced []byte
@@ -36,15 +36,16 @@
 	bytes []byte
 }
 
-// nameChange is a change of names that was not synced. A rename removes one name and adds another; empty for none.
+// nameChange is a change of names that was not synced. A rename removes one name and adds another; an empty name means
+// none.
 type nameChange struct {
 	removed string
 	added   string
 	inode   *inode
 }
 
-// Disk is a folder that fails on demand. It implements datadir.Dir. The exported fields are set before its use, or by
-// Set.
+// Disk is a folder that fails on demand. It implements datadir.Dir. The exported fields must be set before the disk is
+// used, or with Set.
 type Disk struct {
 	mu          sync.Mutex
 	names       map[string]*inode
@@ -52,37 +53,38 @@
 	nameChanges []nameChange
 	operations  int
 
-	// PowerLossAt is the operation, counted from 1, from which on all fail with ErrPowerLost; 0 for never.
+	// PowerLossAt is the number of the operation, counted from 1, from which on all operations fail with ErrPowerLost;
+	// 0 for never.
 	PowerLossAt int
-	// Space is the free space in bytes; below 0 there is no limit.
+	// Space is the free space in bytes. A negative value means no limit.
 	Space int64
 	// ReadOnly makes all changes fail with ErrReadOnly.
 	ReadOnly bool
-	// Fail, where it is not nil, returns the error of an operation that changes something, nil for success. kind is write,
-	// sync, create, rename, remove or folder.
+	// Fail, if not nil, returns the error of an operation that changes something, or nil for success. kind is write,
+	// sync, create, rename, remove or folder (a sync of the folder).
 	Fail func(kind string) error
 }
 
-// New returns an empty disk without a limit of space.
+// New returns an empty disk without a space limit.
 func New() *Disk {
 	return &Disk{names: map[string]*inode{}, durable: map[string]*inode{}, Space: -1}
 }
 
-// Set runs change under the disk's lock, to change its fields while it is in use.
+// Set calls change under the disk's lock, so that change may set the disk's fields while it is in use.
 func (d *Disk) Set(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change()
 }
 
-// Operations returns the number of operations so far that change something.
+// Operations returns the number of operations so far that change something, including failed ones.
 func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.operations
 }
 
-// beginOperation counts an operation that changes something, and returns its error.
+// beginOperation counts an operation that changes something, and returns the error with which it fails, or nil.
 func (d *Disk) beginOperation(kind string) error {
 	d.operations++
 	switch {
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// Put stores a file durably, without an operation.
+// Put stores a file durably, without counting an operation.
 func (d *Disk) Put(name string, raw []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,7 +106,7 @@
 	d.names[name], d.durable[name] = n, n
 }
 
-// Get returns the content of a file, nil where there is none.
+// Get returns the content of a file, or nil if there is none.
 func (d *Disk) Get(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +123,7 @@
 	return slices.Sorted(maps.Keys(d.names))
 }
 
-// TotalBytes returns the size of all files.
+// TotalBytes returns the total size of all files.
 func (d *Disk) TotalBytes() (sum int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testkit/faultdisk/folder.go
+++ b/internal/testkit/faultdisk/folder.go
@@ -115,7 +115,7 @@
 	return d.Space, nil
 }
 
-// Close implements datadir.Dir. The disk may be used again.
+// Close implements datadir.Dir. The disk may be used again afterwards.
 func (d *Disk) Close() error { return nil }
 
 type file struct {
@@ -128,13 +128,13 @@
 	defer f.disk.mu.Unlock()
 	err := f.disk.beginOperation("write")
 	n := len(p)
-	if err == nil && f.disk.Space >= 0 && int64(n) > f.disk.Space { // as much as fits is written
+	if err == nil && f.disk.Space >= 0 && int64(n) > f.disk.Space { // only as much as fits is written
 		n, err = int(f.disk.Space), ErrFull
 	}
 	if err != nil && !errors.Is(err, ErrFull) && !errors.Is(err, ErrPowerLost) {
 		return 0, err
 	}
-	f.inode.writes = append(f.inode.writes, write{len(f.inode.data), slices.Clone(p[:n])}) // a write that was cut off may survive in any part
+	f.inode.writes = append(f.inode.writes, write{len(f.inode.data), slices.Clone(p[:n])}) // any part of a truncated write may survive a crash
 	f.inode.data = append(f.inode.data, p[:n]...)
 	if f.disk.Space >= 0 {
 		f.disk.Space -= int64(n)
@@ -147,7 +147,7 @@
 	defer f.disk.mu.Unlock()
 	if err := f.disk.beginOperation("sync"); err != nil {
 		if !errors.Is(err, ErrPowerLost) {
-			f.inode.writes = nil // a failed sync may drop its writes, and the next sync then succeeds
+			f.inode.writes = nil // a failed sync may drop its writes, and a later sync then succeeds without them
 		}
 		return err
 	}
--- a/internal/testkit/faultnet/faultnet.go
+++ b/internal/testkit/faultnet/faultnet.go
@@ -1,5 +1,5 @@
-// Package faultnet is a TCP proxy with faults, for tests between processes on loopback. It can cut a link, or delay, drop or
-// stall one direction of it, by call or by a script. It knows no protocol.
+// Package faultnet is a TCP proxy with fault injection, for tests between processes on loopback. It can cut a link, or
+// delay, drop or stall one direction of it, by method calls or by a script. It does not depend on the protocol.
 package faultnet
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Direction is one direction of a link: Up from the caller to the target, Down from the target to the caller.
+// Direction is a direction of a link: Up is from the caller to the target, Down is from the target to the caller.
 type Direction int
 
 // The directions of a link.
@@ -20,14 +20,15 @@
 	Down
 )
 
-// faults are the faults of one direction.
+// faults contains the active faults of one direction.
 type faults struct {
 	drop  bool
 	stall bool
 	delay time.Duration
 }
 
-// maxConnections is the limit of a proxy, against tests that leak connections.
+// maxConnections is the maximum number of open connections of a proxy, counted on both sides. It stops tests that leak
+// connections.
 const maxConnections = 4096
 
 // Proxy forwards connections from its own address to a target, with faults.
@@ -36,7 +37,7 @@
 	listener net.Listener
 
 	mu         sync.Mutex
-	changed    *sync.Cond // faults have changed: stalled copies check again
+	changed    *sync.Cond // signals a change of the faults, so that stalled copies check them again
 	directions [2]faults
 	cut        bool
 	conns      map[net.Conn]bool
@@ -64,7 +65,7 @@
 	for {
 		in, err := p.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
 		p.mu.Lock()
 		refuse := p.cut || len(p.conns) >= maxConnections
@@ -87,7 +88,7 @@
 	}
 }
 
-// pump copies one direction of a connection, and closes both sides at its end.
+// pump copies one direction of a connection, and closes both sides when it ends.
 func (p *Proxy) pump(from, to net.Conn, direction Direction) {
 	defer p.goroutines.Done()
 	defer p.closeBoth(from, to)
@@ -103,7 +104,7 @@
 	}
 }
 
-// forward writes bytes under the present faults of a direction, and reports whether the link goes on.
+// forward writes bytes under the current faults of a direction, and reports whether the connection continues.
 func (p *Proxy) forward(direction Direction, to net.Conn, b []byte) bool {
 	p.mu.Lock()
 	for p.directions[direction].stall && !p.cut {
@@ -118,7 +119,7 @@
 		return true
 	}
 	if active.delay > 0 {
-		time.Sleep(active.delay) // in order: later bytes wait too
+		time.Sleep(active.delay) // keeps the order: later bytes wait too
 	}
 	_, err := to.Write(b)
 	return err == nil
@@ -144,10 +145,10 @@
 	p.mu.Unlock()
 }
 
-// Drop discards what goes in one direction until Heal.
+// Drop discards the bytes of one direction until Heal.
 func (p *Proxy) Drop(direction Direction) { p.setFault(direction, func(f *faults) { f.drop = true }) }
 
-// Stall holds what goes in one direction until Heal, as a stopped peer does.
+// Stall stops forwarding the bytes of one direction until Heal, as if the peer were stopped.
 func (p *Proxy) Stall(direction Direction) { p.setFault(direction, func(f *faults) { f.stall = true }) }
 
 // Delay delays each read of one direction by d until Heal.
@@ -155,7 +156,7 @@
 	p.setFault(direction, func(f *faults) { f.delay = d })
 }
 
-// Heal ends every fault. A stalled direction forwards what it held.
+// Heal ends every fault. A stalled direction then forwards the stalled bytes.
 func (p *Proxy) Heal() {
 	p.mu.Lock()
 	p.cut, p.directions = false, [2]faults{}
@@ -170,8 +171,8 @@
 	p.mu.Unlock()
 }
 
-// RunScript carries out a script of one step a line: "cut", "heal", "drop up", "stall down", "delay up 40ms". Blank lines
-// and text after # are ignored. Every line is checked before the first step; the error joins those of all lines.
+// RunScript runs a script with one step per line: "cut", "heal", "drop up", "stall down", "delay up 40ms". Blank lines
+// and text after # are ignored. All lines are checked before the first step runs; the error joins those of all lines.
 func (p *Proxy) RunScript(script string) error {
 	var steps []func()
 	var errs []error
@@ -197,7 +198,7 @@
 	return nil
 }
 
-var errInvalidStep = errors.New("a step is cut, heal, drop WAY, stall WAY or delay WAY DURATION")
+var errInvalidStep = errors.New("want cut, heal, drop DIRECTION, stall DIRECTION or delay DIRECTION DURATION")
 
 // parseStep returns the action of one step.
 func (p *Proxy) parseStep(words []string) (func(), error) {
@@ -210,7 +211,7 @@
 	}
 	direction, known := map[string]Direction{"up": Up, "down": Down}[words[1]]
 	if !known {
-		return nil, fmt.Errorf("way %q: up or down", words[1])
+		return nil, fmt.Errorf("direction %q: want up or down", words[1])
 	}
 	switch {
 	case len(words) == 2 && words[0] == "drop":
@@ -220,14 +221,14 @@
 	case len(words) == 3 && words[0] == "delay":
 		d, err := time.ParseDuration(words[2])
 		if err != nil || d < 0 {
-			return nil, fmt.Errorf("delay %q: a duration of 0 or more", words[2])
+			return nil, fmt.Errorf("delay %q: want a duration of 0 or more", words[2])
 		}
 		return func() { p.Delay(direction, d) }, nil
 	}
 	return nil, errInvalidStep
 }
 
-// Close ends the proxy with all connections, and waits for its goroutines.
+// Close closes the proxy and all its connections, and waits for its goroutines.
 func (p *Proxy) Close() error {
 	err := p.listener.Close()
 	p.Cut()
--- a/internal/testkit/faultnet/faultnet_test.go
+++ b/internal/testkit/faultnet/faultnet_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/goleak"
 )
 
-// echo answers each line with itself, on loopback.
+// echo starts a server on loopback that answers each line with itself, and returns its address.
 func echo(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -52,7 +52,7 @@
 	return &link{c, bufio.NewReader(c)}
 }
 
-// exchange sends a line and reads what comes back within span: the line, or "" where nothing came.
+// exchange sends a line and returns the line that is received within span, or "" if none is.
 func (l *link) exchange(t *testing.T, line string, span time.Duration) string {
 	_, err := l.conn.Write([]byte(line + "\n"))
 	require.NoError(t, err)
@@ -70,25 +70,26 @@
 
 func TestFaultsOnALink(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	// An absence is waited for a short while; a presence as long as a busy machine may need.
+	// absent is how long a check waits if it expects nothing; present is the limit if it expects something, long enough
+	// for a busy machine.
 	const absent, present = 200 * time.Millisecond, 10 * time.Second
 	for _, c := range []struct {
 		name  string
 		fault string
 		check func(t *testing.T, p *Proxy, l *link)
 	}{
-		{"passes", "", func(t *testing.T, p *Proxy, l *link) {
+		{"forwards without a fault", "", func(t *testing.T, p *Proxy, l *link) {
 			assert.Equal(t, "a", l.exchange(t, "a", present))
 		}},
-		{"drops one way only", "drop down", func(t *testing.T, p *Proxy, l *link) {
+		{"drops one direction only", "drop down", func(t *testing.T, p *Proxy, l *link) {
 			assert.Empty(t, l.exchange(t, "lost", absent), "the answer is dropped")
 			require.NoError(t, p.RunScript("heal"))
-			assert.Equal(t, "b", l.exchange(t, "b", present), "the way up went on")
+			assert.Equal(t, "b", l.exchange(t, "b", present), "the other direction still works")
 		}},
-		{"stalls and lets go", "stall up", func(t *testing.T, p *Proxy, l *link) {
+		{"stalls until healed", "stall up", func(t *testing.T, p *Proxy, l *link) {
 			assert.Empty(t, l.exchange(t, "held", absent))
 			require.NoError(t, p.RunScript("heal"))
-			assert.Equal(t, "held", l.read(present), "what was held goes on, in order")
+			assert.Equal(t, "held", l.read(present), "the stalled bytes are forwarded, in order")
 		}},
 		{"delays", "delay up 300ms", func(t *testing.T, p *Proxy, l *link) {
 			start := time.Now()
@@ -96,8 +97,8 @@
 			assert.GreaterOrEqual(t, time.Since(start), 300*time.Millisecond)
 		}},
 		{"cuts and refuses until healed", "cut", func(t *testing.T, p *Proxy, l *link) {
-			assert.Empty(t, l.exchange(t, "gone", present), "the connection ends")
-			assert.Empty(t, dial(t, p).exchange(t, "new", present), "a new one is refused")
+			assert.Empty(t, l.exchange(t, "gone", present), "the connection is closed")
+			assert.Empty(t, dial(t, p).exchange(t, "new", present), "a new connection is refused")
 			require.NoError(t, p.RunScript("heal"))
 			assert.Equal(t, "back", dial(t, p).exchange(t, "back", present))
 		}},
@@ -122,5 +123,5 @@
 	require.Error(t, err)
 	assert.Contains(t, err.Error(), `line 2 "stall sideways"`)
 	assert.Contains(t, err.Error(), `line 3 "delay up soon"`)
-	assert.Equal(t, "still", dial(t, p).exchange(t, "still", 10*time.Second), "nothing was carried out")
+	assert.Equal(t, "still", dial(t, p).exchange(t, "still", 10*time.Second), "no step was run")
 }
