--- a/internal/testkit/replay/adapter_test.go
+++ b/internal/testkit/replay/adapter_test.go
@@ -10,9 +10,10 @@
 	"quartzpoint/internal/settings"
 )
 
-// This file is all of the replay that names the code under test.
+// This file contains all of the replay that depends on the code under test.
 
-// subject is the decisions of one server. Requests and routes are known by their numbers, from 1.
+// subject is the code under test: the controller of one server. Requests and routes are identified by their numbers,
+// counted from 1.
 type subject struct {
 	controller     *admission.Controller
 	settings       *settings.Settings
@@ -37,13 +38,14 @@
 	}
 	s := &subject{settings: parsed, settingsLines: lines, requestNumbers: map[*admission.Request]int{}}
 	config := parsed.Admission
-	config.EstimatesOnly = true // as the recorded code did
+	config.EstimatesOnly = true // as in the recorded code
 	s.controller = admission.New(config, seed)
 	s.routes = append(s.routes, s.controller.Routes...)
 	return s, nil
 }
 
-// changeSetting has a setting, by the platform's name, hold from now on; empty for no longer stated.
+// changeSetting changes a setting, by the platform's name, from now on. An empty value means that the setting is no
+// longer given. The change must affect exactly one adjustable setting and no fixed one.
 func (s *subject) changeSetting(name, value string) error {
 	var lines []string
 	for line := range strings.SplitSeq(s.settingsLines, "\n") {
@@ -61,7 +63,7 @@
 	}
 	change := s.settings.Compare(next)
 	if len(change.Fixed) > 0 || len(change.Adjusted) != 1 {
-		return fmt.Errorf("%s=%s moves %v, and not %v", name, value, change.Adjusted, change.Fixed)
+		return fmt.Errorf("%s=%s: want a change of one adjustable setting and no fixed one, got adjustable %v, fixed %v", name, value, change.Adjusted, change.Fixed)
 	}
 	s.settings = s.settings.WithAdjustable(next)
 	now := s.settings.Adjustable()
@@ -187,56 +189,56 @@
 	s.executed = append(s.executed, d)
 }
 
-// Start implements admission.Executor, as do the methods below it.
+// Start records decision S. Start and the methods below implement admission.Executor.
 func (s *subject) Start(r *admission.Request) { s.record(decision{kind: 'S'}, r) }
 
-// Pause is P.
+// Pause records decision P.
 func (s *subject) Pause(r *admission.Request) { s.record(decision{kind: 'P'}, r) }
 
-// Reject is D.
+// Reject records decision D.
 func (s *subject) Reject(r *admission.Request, retryAfter time.Duration, noRetryElsewhere bool) {
 	s.record(decision{kind: 'D', duration: retryAfter, flag: noRetryElsewhere, reason: int(r.RejectReason())}, r)
 }
 
-// Abort is G.
+// Abort records decision G.
 func (s *subject) Abort(r *admission.Request) {
 	s.record(decision{kind: 'G', reason: int(r.RejectReason())}, r)
 }
 
-// AnswerFromOriginal is A.
+// AnswerFromOriginal records decision A.
 func (s *subject) AnswerFromOriginal(r *admission.Request) { s.record(decision{kind: 'A'}, r) }
 
-// RememberKey is M.
+// RememberKey records decision M.
 func (s *subject) RememberKey(r *admission.Request, lifetime time.Duration) {
 	s.record(decision{kind: 'M', duration: lifetime}, r)
 }
 
-// ForgetKey is F.
+// ForgetKey records decision F.
 func (s *subject) ForgetKey(r *admission.Request) { s.record(decision{kind: 'F'}, r) }
 
-// Call is C.
+// Call records decision C.
 func (s *subject) Call(r *admission.Request, timeout time.Duration) {
 	s.record(decision{kind: 'C', duration: timeout}, r)
 }
 
-// SkipCall is K.
+// SkipCall records decision K.
 func (s *subject) SkipCall(r *admission.Request) { s.record(decision{kind: 'K'}, r) }
 
-// SetHealth is H.
+// SetHealth records decision H.
 func (s *subject) SetHealth(healthy, withoutWorkers bool) {
 	s.record(decision{kind: 'H', flag: healthy, secondFlag: withoutWorkers}, nil)
 }
 
-// SetShedLevel is L.
+// SetShedLevel records decision L.
 func (s *subject) SetShedLevel(level float64) { s.record(decision{kind: 'L', value: bits(level)}, nil) }
 
-// CloseIdleAfter is I.
+// CloseIdleAfter records decision I.
 func (s *subject) CloseIdleAfter(idle time.Duration) {
 	s.record(decision{kind: 'I', duration: idle}, nil)
 }
 
-// WakeAfter is W.
+// WakeAfter records decision W.
 func (s *subject) WakeAfter(wait time.Duration) { s.record(decision{kind: 'W', duration: wait}, nil) }
 
-// Log is N.
+// Log records decision N.
 func (s *subject) Log(message string) { s.record(decision{kind: 'N', message: message}, nil) }
--- a/internal/testkit/replay/recording_test.go
+++ b/internal/testkit/replay/recording_test.go
@@ -13,21 +13,23 @@
 	"time"
 )
 
-// A file of recordings is gzipped: for each stream its name, its length and its bytes. A stream is what one server's
-// decisions were told and answered, from their start on: a header in JSON, then records. A record is a letter and its
-// fields: integers and spans (nanoseconds) as zigzag varints, floats by their 64 bits, texts and lists behind their
-// length, flags as a byte. Moments are told as the difference from the last round's.
+// A recording file is gzipped. For each stream it contains the name, the length and the bytes. A stream contains the
+// inputs and outputs of the controller of one server since its start: a header in JSON, then records. A record is a
+// letter and its fields: integers and durations (in nanoseconds) as zigzag varints, floats as their 64 bits, texts and
+// lists with their length first, flags as a byte. The time of a round, or of a record between rounds, is the difference
+// from the time of the last round; the times within a round are the differences from its own time. The number of a
+// request is the difference from the number read before it.
 //
-//	R  a route as the settings state it, in their order; routes are numbered from 1 as they come
-//	p  a route put in service: the one before it or 0, what is stated; the new one gets the next number
-//	x  a route removed        t  a tenant's rate stated       T  a tenant's rate, as answered
-//	w  how long runs of a route wait for calls               s  a setting that moved in service
-//	f  the frame of views, as answered     l  a view, as answered     b  a view that was borrowed
-//	o  what is on the books, as answered
-//	q  a request; they are numbered from 1 as they come
+//	R  a route as configured in the settings, in their order; routes are numbered from 1 in the order of their records
+//	p  a route added or changed: the number of the previous one or 0, and its configuration; it gets the next number
+//	x  a route removed        t  a tenant's quota set        T  a tenant's quota, as returned
+//	w  how long runs of a route wait for calls               s  a setting changed at run time
+//	f  the schema of snapshots, as returned     l  a snapshot, as returned     b  a snapshot of a peer that is used
+//	o  the occupancy, as returned
+//	q  a request; requests are numbered from 1 in the order of their records
 //	r  a round, then the decisions in their order, then e
 
-// exact is a float by its bits.
+// exact is a float by its bits, so that values are compared and printed exactly.
 type exact uint64
 
 func (e exact) float() float64 { return math.Float64frombits(uint64(e)) }
@@ -35,17 +37,17 @@
 func bits(v float64) exact     { return exact(math.Float64bits(v)) }
 
 type header struct {
-	Settings string // the platform's, in its flat form
+	Settings string // the platform's settings, in their flat form
 	Seed     int64
-	Commit   string // of the code that decided
-	By       string // the program that was recorded
+	Commit   string // of the recorded code
+	By       string // the recorded program
 }
 
 type route struct {
 	name                                 string
 	value, lateValueShare                exact
 	latencyTarget, deadline, dedupWindow time.Duration
-	idempotency                          byte // r may be repeated, k has an idempotency key, o runs at most once
+	idempotency                          byte // r retryable, k keyed, o at most once
 	callsDependency                      bool
 	skipValueShare                       exact
 	callWait                             time.Duration
@@ -63,7 +65,7 @@
 
 type completion struct {
 	request int
-	outcome byte // d done, b broken, n not run, u unclear, s stopped, v void
+	outcome byte // d succeeded, b failed, n not run, u unknown, s stopped, v never started
 	took    time.Duration
 }
 
@@ -73,19 +75,20 @@
 	awaitingCall                              []int
 	runsEnded                                 []completion
 	canceled, arrived                         []int
-	gauges                                    []float64 // share of the cores, what wants one, share of memory, links; nil for none
+	gauges                                    []float64 // busy fraction of the cores, runs that want a core, fraction of memory in use, open connections; nil for none
 }
 
-// decision is one, with what it needs of the fields: S start, P pause, D reject (span, yes: no other server), G abort, A
-// answer from the first, M remember an idempotency key, F forget it, C call (span), K go on without the call, H health
-// (yes, secondFlag: without asking the pool), L level, I close idle connections, W wake, N note.
+// decision is a decision with the fields that its kind uses: S start, P pause, D reject (duration: retry after, flag:
+// no retry elsewhere, reason), G abort (reason), A answer from the original, M remember an idempotency key (duration),
+// F forget it, C call (duration: timeout), K skip the call, H health (flag: healthy, secondFlag: without asking the
+// workers), L shed level (value), I close idle connections (duration), W wake (duration), N log (message).
 type decision struct {
 	kind             byte
 	request          int
 	duration         time.Duration
 	value            exact
 	flag, secondFlag bool
-	reason           int // in the order in which the code states them
+	reason           int // admission.RejectReason, in the order of its constants
 	message          string
 }
 
@@ -122,13 +125,13 @@
 	limit, maxConcurrency, usedKB, maxKB exact
 }
 
-// stream is one of a file.
+// stream is one stream of a recording file.
 type stream struct {
 	name string
 	raw  []byte
 }
 
-// readFile takes the streams off a file.
+// readFile returns the streams of a recording file.
 func readFile(path string) (all []stream, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -154,12 +157,12 @@
 
 var errTruncated = errors.New("the recording ends in the middle of a record")
 
-// reader takes fields off a stream. Behind an error all are empty.
+// reader reads the fields of a stream. After an error all fields that it returns are empty.
 type reader struct {
 	raw         []byte
 	err         error
 	now         time.Duration
-	lastRequest int // request that was told last
+	lastRequest int // number of the request that was read last
 }
 
 func (r *reader) take(n int) []byte {
@@ -203,7 +206,7 @@
 func (r *reader) float() float64          { return r.exact().float() }
 func (r *reader) text() string            { return string(r.take(r.count())) }
 
-// optionalTime is one that may not be stated.
+// optionalTime reads a time that may be missing, which is returned as 0.
 func (r *reader) optionalTime() time.Duration {
 	if !r.flag() {
 		return 0
@@ -225,7 +228,8 @@
 	}
 }
 
-// request reads one whose moments are told as the difference from those of the round behind it.
+// request reads a request. Its times are relative to the round that follows it in the stream, so the returned function
+// takes the time of that round.
 func (r *reader) request() func(now time.Duration) request {
 	optionalOffset := func() func(now time.Duration) time.Duration {
 		if !r.flag() {
@@ -235,7 +239,7 @@
 		return func(now time.Duration) time.Duration { return now + offset }
 	}
 	q := request{route: r.count(), queuedKB: r.float(), costHint: r.duration()}
-	arrived, lastByteAt, deadline := optionalOffset(), optionalOffset(), optionalOffset() // the last from the first
+	arrived, lastByteAt, deadline := optionalOffset(), optionalOffset(), optionalOffset() // the deadline is relative to the arrival
 	q.rank, q.tenant, q.router, q.duplicate = r.float(), r.count(), uint32(r.int()), r.flag()
 	return func(now time.Duration) request {
 		q.arrived, q.lastByteAt = arrived(now), lastByteAt(now)
@@ -275,7 +279,7 @@
 	return parsed
 }
 
-// controller are those of a round.
+// decisions reads the decisions of a round.
 func (r *reader) decisions() (all []decision) {
 	for r.err == nil {
 		d := decision{kind: r.byte()}
@@ -300,7 +304,7 @@
 			d.message = r.text()
 		default:
 			if r.err == nil {
-				r.err = fmt.Errorf("a decision of the kind %q", d.kind)
+				r.err = fmt.Errorf("unknown kind of decision %q", d.kind)
 			}
 		}
 		all = append(all, d)
--- a/internal/testkit/replay/replay_test.go
+++ b/internal/testkit/replay/replay_test.go
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// streamCounts is what a stream held, by the letters of its records and decisions.
+// streamCounts contains the counts of a stream, also by the letters of its records and decisions.
 type streamCounts struct {
 	rounds, decisions int
 	letters           map[byte]int
 }
 
-// replay has the decisions of this version take what a stream tells, and compares each answer with the recorded one. The
-// error tells of the first difference.
+// replay passes the recorded inputs of a stream to the controller of this version, and compares each output with the
+// recorded one. The error describes the first difference.
 func replay(raw []byte) (n streamCounts, err error) {
 	n.letters = map[byte]int{}
 	r := &reader{raw: raw}
@@ -34,7 +34,7 @@
 	}
 	compare := func(what string, recorded, now any) {
 		if err == nil && r.err == nil && !reflect.DeepEqual(recorded, now) {
-			err = fmt.Errorf("round %d of the moment %d: %s\nrecorded %+v\nnow      %+v", n.rounds, r.now, what, recorded, now)
+			err = fmt.Errorf("round %d at time %d: %s\nrecorded %+v\nnow      %+v", n.rounds, r.now, what, recorded, now)
 		}
 	}
 	configured := 0
@@ -45,9 +45,9 @@
 		switch kind {
 		case 'R':
 			if configured++; configured > len(s.routes) {
-				return n, fmt.Errorf("route %d is not stated by the settings", configured)
+				return n, fmt.Errorf("route %d is not in the settings", configured)
 			}
-			compare("a route of the settings", r.route(), s.configuredRoute(configured))
+			compare("route of the settings", r.route(), s.configuredRoute(configured))
 		case 'p':
 			s.putRoute(r.count(), r.route())
 		case 'x':
@@ -56,22 +56,22 @@
 			s.putTenant(r.count(), r.float(), r.flag())
 		case 'T':
 			index := r.count()
-			compare("a tenant's rate", r.exact(), s.tenantQuota(index))
+			compare("tenant's quota", r.exact(), s.tenantQuota(index))
 		case 'w':
 			s.setCallWait(r.count(), r.duration())
 		case 's':
 			err = s.changeSetting(r.text(), r.text())
 		case 'f':
 			now := s.schema(r.u64(), r.flag())
-			compare("a frame of views", r.schema(), now)
+			compare("schema of snapshots", r.schema(), now)
 		case 'l':
 			now := s.snapshot(r.now+r.duration(), r.u64(), r.u64())
-			compare("a view", r.snapshot(), now)
+			compare("snapshot", r.snapshot(), now)
 		case 'b':
 			s.usePeerEstimates(r.now+r.duration(), r.snapshot())
 		case 'o':
 			now := s.occupancy(r.now + r.duration())
-			compare("the books", r.occupancy(), now)
+			compare("occupancy", r.occupancy(), now)
 		case 'q':
 			arrivals = append(arrivals, r.request())
 		case 'r':
@@ -98,7 +98,7 @@
 				compare(fmt.Sprintf("decisions of %+v", input), recorded, now)
 			}
 		default:
-			return n, fmt.Errorf("a record of the kind %q", kind)
+			return n, fmt.Errorf("unknown kind of record %q", kind)
 		}
 	}
 	if r.err != nil {
@@ -110,7 +110,7 @@
 	return n, err
 }
 
-// recordings are the files and what they must hold.
+// recordings lists the recording files, with the numbers of streams, rounds and decisions that each must contain.
 var recordings = []struct {
 	file                       string
 	streams, rounds, decisions int
@@ -135,10 +135,11 @@
 	{"tests-server.gz", 52, 4842, 2879},
 }
 
-// every letter that a recording may hold, and that some must.
+// letters contains every letter of records and decisions. Each must occur in some recording.
 const letters = "RpxtTwsflboqr" + "SPDGAMFCKHLIWN"
 
-// The decisions are those of the recorded code, in their order and to the last bit.
+// TestDecisionsAreAsRecorded checks that the decisions are those of the recorded code, in the same order and equal to
+// the last bit.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	seen := map[byte]int{}
 	total, ran := 0, 0
@@ -161,15 +162,16 @@
 			ran++
 		})
 	}
-	if ran == len(recordings) { // and none left out on the command line
+	if ran == len(recordings) { // no file was excluded on the command line
 		for _, letter := range []byte(letters) {
-			assert.Positive(t, seen[letter], "nothing of the kind %c is recorded", letter)
+			assert.Positive(t, seen[letter], "no recording contains the kind %c", letter)
 		}
 		assert.GreaterOrEqual(t, total, 100_000)
 	}
 }
 
-// The comparison sees a recording that is cut, and an answer that is another by its last bit.
+// TestOtherAnswersAreSeen checks that the comparison detects a truncated recording, and an output that differs in its
+// last bit.
 func TestOtherAnswersAreSeen(t *testing.T) {
 	all, err := readFile(filepath.Join("testdata", "f1daac1", "server-sample.gz"))
 	require.NoError(t, err)
@@ -181,7 +183,7 @@
 	at := bytes.LastIndex(raw, wakeRecord)
 	require.Positive(t, at)
 	modified := bytes.Clone(raw)
-	modified[at+1] ^= 2 // a nanosecond
+	modified[at+1] ^= 2 // by a nanosecond
 	_, err = replay(modified)
 	assert.ErrorContains(t, err, "decision 0 of")
 
