--- a/internal/testkit/harness/result.go
+++ b/internal/testkit/harness/result.go
@@ -23,7 +23,7 @@
 	Latencies        []time.Duration // of requests that were served, sorted by Run
 
 	begin    time.Time // start of the load
-	attempts []attempt // in the order in which they were sent
+	attempts []attempt // by router, in the order in which they were sent
 }
 
 // ServedBetween returns the number of served requests that were sent from one time of the load (inclusive) to another
