--- a/internal/testkit/replay/replay_test.go
+++ b/internal/testkit/replay/replay_test.go
@@ -13,15 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tally is what a stream held, by the letters of its records and decisions.
-type tally struct {
+// streamCounts contains the counts of a stream, also by the letters of its records and decisions.
+type streamCounts struct {
 	rounds, decisions int
 	letters           map[byte]int
 }
 
-// replay has the decisions of this version take what a stream tells, and compares each answer with the recorded one. The
-// error tells of the first difference.
-func replay(raw []byte) (n tally, err error) {
+// replay passes the recorded inputs of a stream to the controller of this version, and compares each output with the
+// recorded one. The error describes the first difference.
+func replay(raw []byte) (n streamCounts, err error) {
 	n.letters = map[byte]int{}
 	r := &reader{raw: raw}
 	h := r.header()
@@ -32,85 +32,85 @@
 	if err != nil {
 		return n, err
 	}
-	same := func(what string, recorded, now any) {
+	compare := func(what string, recorded, now any) {
 		if err == nil && r.err == nil && !reflect.DeepEqual(recorded, now) {
-			err = fmt.Errorf("round %d of the moment %d: %s\nrecorded %+v\nnow      %+v", n.rounds, r.now, what, recorded, now)
+			err = fmt.Errorf("round %d at time %d: %s\nrecorded %+v\nnow      %+v", n.rounds, r.now, what, recorded, now)
 		}
 	}
-	stated := 0
-	var read []func(now time.Duration) request
+	configured := 0
+	var arrivals []func(now time.Duration) request
 	for len(r.raw) > 0 && r.err == nil && err == nil {
-		tag := r.byte()
-		n.letters[tag]++
-		switch tag {
+		kind := r.byte()
+		n.letters[kind]++
+		switch kind {
 		case 'R':
-			if stated++; stated > len(s.routes) {
-				return n, fmt.Errorf("route %d is not stated by the settings", stated)
+			if configured++; configured > len(s.routes) {
+				return n, fmt.Errorf("route %d is not in the settings", configured)
 			}
-			same("a route of the settings", r.route(), s.stated(stated))
+			compare("route of the settings", r.route(), s.configuredRoute(configured))
 		case 'p':
-			s.put(r.count(), r.route())
+			s.putRoute(r.count(), r.route())
 		case 'x':
-			s.remove(r.count())
+			s.removeRoute(r.count())
 		case 't':
 			s.putTenant(r.count(), r.float(), r.flag())
 		case 'T':
-			place := r.count()
-			same("a tenant's rate", r.exact(), s.tenantRate(place))
+			index := r.count()
+			compare("tenant's quota", r.exact(), s.tenantQuota(index))
 		case 'w':
-			s.setWaits(r.count(), r.span())
+			s.setCallWait(r.count(), r.duration())
 		case 's':
-			err = s.move(r.text(), r.text())
+			err = s.changeSetting(r.text(), r.text())
 		case 'f':
-			now := s.frame(r.u64(), r.flag())
-			same("a frame of views", r.frame(), now)
+			now := s.schema(r.u64(), r.flag())
+			compare("schema of snapshots", r.schema(), now)
 		case 'l':
-			now := s.learned(r.now+r.span(), r.u64(), r.u64())
-			same("a view", r.view(), now)
+			now := s.snapshot(r.now+r.duration(), r.u64(), r.u64())
+			compare("snapshot", r.snapshot(), now)
 		case 'b':
-			s.borrow(r.now+r.span(), r.view())
+			s.usePeerEstimates(r.now+r.duration(), r.snapshot())
 		case 'o':
-			now := s.books(r.now + r.span())
-			same("the books", r.books(), now)
+			now := s.occupancy(r.now + r.duration())
+			compare("occupancy", r.occupancy(), now)
 		case 'q':
-			read = append(read, r.request())
+			arrivals = append(arrivals, r.request())
 		case 'r':
-			told := r.round()
-			for _, q := range read {
-				s.know(q(told.now))
+			input := r.round()
+			for _, q := range arrivals {
+				s.addRequest(q(input.now))
 			}
-			read = read[:0]
+			arrivals = arrivals[:0]
 			recorded := r.decisions()
 			if r.err != nil {
 				return n, r.err
 			}
 			n.rounds++
-			now := s.decide(told)
+			now := s.decide(input)
 			for i, d := range recorded {
-				n.letters[d.what]++
+				n.letters[d.kind]++
 				n.decisions++
 				if i >= len(now) || now[i] != d {
-					same(fmt.Sprintf("decision %d of %+v", i, told), recorded, now)
+					compare(fmt.Sprintf("decision %d of %+v", i, input), recorded, now)
 					break
 				}
 			}
 			if len(now) != len(recorded) {
-				same(fmt.Sprintf("decisions of %+v", told), recorded, now)
+				compare(fmt.Sprintf("decisions of %+v", input), recorded, now)
 			}
 		default:
-			return n, fmt.Errorf("a record of the kind %q", tag)
+			return n, fmt.Errorf("unknown kind of record %q", kind)
 		}
 	}
 	if r.err != nil {
 		return n, r.err
 	}
-	if err == nil && stated != len(s.routes)-n.letters['p'] {
-		err = fmt.Errorf("%d routes recorded, %d in the settings", stated, len(s.routes)-n.letters['p'])
+	if err == nil && configured != len(s.routes)-n.letters['p'] {
+		err = fmt.Errorf("%d routes recorded, %d in the settings", configured, len(s.routes)-n.letters['p'])
 	}
 	return n, err
 }
 
-// recordings are the files and what they must hold.
+// recordings lists the recording files, with the numbers of streams, rounds and decisions that each must contain.
 var recordings = []struct {
 	file                       string
 	streams, rounds, decisions int
@@ -135,10 +135,11 @@
 	{"tests-server.gz", 52, 4842, 2879},
 }
 
-// every letter that a recording may hold, and that some must.
+// letters contains every letter of records and decisions. Each must occur in some recording.
 const letters = "RpxtTwsflboqr" + "SPDGAMFCKHLIWN"
 
-// The decisions are those of the recorded code, in their order and to the last bit.
+// TestDecisionsAreAsRecorded checks that the decisions are those of the recorded code, in the same order and equal to
+// the last bit.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	seen := map[byte]int{}
 	total, ran := 0, 0
@@ -161,35 +162,36 @@
 			ran++
 		})
 	}
-	if ran == len(recordings) { // and none left out on the command line
+	if ran == len(recordings) { // no file was excluded on the command line
 		for _, letter := range []byte(letters) {
-			assert.Positive(t, seen[letter], "nothing of the kind %c is recorded", letter)
+			assert.Positive(t, seen[letter], "no recording contains the kind %c", letter)
 		}
 		assert.GreaterOrEqual(t, total, 100_000)
 	}
 }
 
-// The comparison sees a recording that is cut, and an answer that is another by its last bit.
+// TestOtherAnswersAreSeen checks that the comparison detects a truncated recording, and an output that differs in its
+// last bit.
 func TestOtherAnswersAreSeen(t *testing.T) {
 	all, err := readFile(filepath.Join("testdata", "f1daac1", "server-sample.gz"))
 	require.NoError(t, err)
 	raw := all[0].raw
 	_, err = replay(raw[:len(raw)-1])
-	require.ErrorIs(t, err, errCut)
+	require.ErrorIs(t, err, errTruncated)
 
-	wake := append([]byte{'W'}, binary.AppendVarint(nil, int64(25*time.Millisecond))...)
-	at := bytes.LastIndex(raw, wake)
+	wakeRecord := append([]byte{'W'}, binary.AppendVarint(nil, int64(25*time.Millisecond))...)
+	at := bytes.LastIndex(raw, wakeRecord)
 	require.Positive(t, at)
-	other := bytes.Clone(raw)
-	other[at+1] ^= 2 // a nanosecond
-	_, err = replay(other)
+	modified := bytes.Clone(raw)
+	modified[at+1] ^= 2 // by a nanosecond
+	_, err = replay(modified)
 	assert.ErrorContains(t, err, "decision 0 of")
 
-	level := binary.LittleEndian.AppendUint64([]byte{'L'}, uint64(bits(0.02)))
-	at = bytes.LastIndex(raw, level)
+	levelRecord := binary.LittleEndian.AppendUint64([]byte{'L'}, uint64(bits(0.02)))
+	at = bytes.LastIndex(raw, levelRecord)
 	require.Positive(t, at)
-	other = bytes.Clone(raw)
-	other[at+1] ^= 1
-	_, err = replay(other)
+	modified = bytes.Clone(raw)
+	modified[at+1] ^= 1
+	_, err = replay(modified)
 	assert.ErrorContains(t, err, "value=0.02(3f947ae147ae147b)")
 }
