--- a/internal/testkit/scale/budgets.go
+++ b/internal/testkit/scale/budgets.go
@@ -15,11 +15,11 @@
 		{"resident memory, whole tables", at(seriesResident+bySize, 100), BudgetMemoryMB, "MB"},
 		{"resident memory after reloads, whole tables", at(seriesAfterReloads+bySize, 100), BudgetMemoryMB, "MB"},
 		{"idle core, whole tables", at(seriesIdle+bySize, 100), 100 * BudgetCore, "%"},
-		{"memory of the callers' connections", at(seriesConnectionsMB, PlannedCallers) - at(seriesConnectionsMB, 0), BudgetMemoryMB, "MB"},
+		{"memory of the callers' connections", at(seriesConnectionsMB, PlannedRouters) - at(seriesConnectionsMB, 0), BudgetMemoryMB, "MB"},
 		{"control core of a quiet hollow server", p.largest(seriesQuietCore), 100 * BudgetCore, "%"},
 		{"membership bytes", p.largest(seriesMemberBytes), BudgetBytes, "B/s"},
-		{"added to a request at 220 a second, p99", at(seriesAddedP99, PlannedRequests/PlannedServers), BudgetLatencyMS, "ms"},
-		{"most holders of one duty while regions are cut", p.largest(seriesCutHolders), 1, ""},
+		{"added to a request at 220 a second, p99", at(seriesAddedP99, PlannedRequestRate/PlannedServers), BudgetLatencyMS, "ms"},
+		{"most holders of one duty while regions are cut", p.largest(seriesPartitionHolders), 1, ""},
 	}
 }
 
--- a/internal/testkit/scale/capacity.go
+++ b/internal/testkit/scale/capacity.go
@@ -13,9 +13,9 @@
 
 // The kinds of figures.
 const (
-	Measured  Kind = "measured"
-	WorkedOut Kind = "worked out"
-	Assumed   Kind = "assumed"
+	Measured Kind = "measured"
+	Derived  Kind = "worked out"
+	Assumed  Kind = "assumed"
 )
 
 // CapacityRow is one figure of the capacity page.
@@ -33,15 +33,15 @@
 func (r CapacityRow) OverBudget() bool { return r.Budget > 0 && r.Value > r.Budget }
 
 const (
-	secondsADay = 86400
-	zoneLost    = PlannedServers - ZoneServers
-	regionLost  = PlannedServers / 2
+	secondsADay          = 86400
+	serversWithoutZone   = PlannedServers - ZoneServers
+	serversWithoutRegion = PlannedServers / 2
 	// checkFrameBytes are those of a health check and its answer with a level, without the headers below.
-	checkFrameBytes = 10 + 22
-	packetHeaders   = 40  // of TCP and IP, without options
-	checksNear      = 500 // a second, the measured rate next to that of the plan
+	checkFrameBytes   = 10 + 22
+	packetHeaderBytes = 40  // of TCP and IP, without options
+	measuredCheckRate = 500 // a second, the measured rate next to that of the plan
 
-	measuredRequests = 260 // a second, the largest rate
+	maxRequestRate = 260 // a second, the largest rate
 )
 
 var errNotMeasured = errors.New("not measured")
@@ -78,7 +78,7 @@
 
 // measured adds a figure with its measured value.
 func (p *capacityPage) measured(role, name, series string, x float64, unit string, budget float64) float64 {
-	return p.add(CapacityRow{role, name, p.at(series, x), unit, budget, Measured, fmt.Sprintf("%s, at %s", series, number(x))})
+	return p.add(CapacityRow{role, name, p.at(series, x), unit, budget, Measured, fmt.Sprintf("%s, at %s", series, formatNumber(x))})
 }
 
 // Capacity computes the figures of the planned size from measured points.
@@ -99,46 +99,46 @@
 	idle := p.measured(role, "idle core, whole tables", seriesIdle+bySize, 100, "%", 0)
 	p.measured(role, "start", seriesStart+bySize, 100, "ms", 0)
 	p.measured(role, "SIGHUP that changes nothing", seriesReloadSame+bySize, 100, "ms of cpu", 0)
-	p.measured(role, "SIGHUP that changes one setting", seriesReloadMoved+bySize, 100, "ms of cpu", 0)
+	p.measured(role, "SIGHUP that changes one setting", seriesReloadChanged+bySize, 100, "ms of cpu", 0)
 	p.measured(role, "health check p99, quiet", seriesCheckQuiet, 100, "ms", 0)
 	p.measured(role, "health check p99, within 1.5 s of a reload", seriesCheckReload, 100, "ms", 0)
-	connections := p.at(seriesConnectionsMB, PlannedCallers) - p.at(seriesConnectionsMB, 0)
+	connections := p.at(seriesConnectionsMB, PlannedRouters) - p.at(seriesConnectionsMB, 0)
 	p.add(CapacityRow{role, "memory of 7,600 connections", connections, "MB", 0, Measured, seriesConnectionsMB})
 
-	checks := PlannedCallers / AssumedCheckPeriod.Seconds()
+	checks := PlannedRouters / AssumedCheckPeriod.Seconds()
 	p.add(CapacityRow{role, "period of a caller's checks", AssumedCheckPeriod.Seconds(), "s", 0, Assumed, "stated nowhere"})
 	series := fmt.Sprintf(seriesChecks, PlannedRoutes)
 	checkCore := p.add(CapacityRow{
-		role, "core of checks", (p.at(series, checksNear) - p.at(series, 0)) * checks / checksNear, "%", 0, WorkedOut,
-		fmt.Sprintf("%.0f a second, by what %d a second took over none", checks, checksNear),
+		role, "core of checks", (p.at(series, measuredCheckRate) - p.at(series, 0)) * checks / measuredCheckRate, "%", 0, Derived,
+		fmt.Sprintf("%.0f a second, by what %d a second took over none", checks, measuredCheckRate),
 	})
 	checkBytes := p.add(CapacityRow{
-		role, "bytes of checks, without headers", checks * checkFrameBytes, "B/s", 0, WorkedOut,
+		role, "bytes of checks, without headers", checks * checkFrameBytes, "B/s", 0, Derived,
 		fmt.Sprintf("%.0f a second x %d", checks, checkFrameBytes),
 	})
 	p.add(CapacityRow{
-		role, "bytes of checks, with those of two packets' headers", checks * (checkFrameBytes + 2*packetHeaders), "B/s", BudgetBytes, WorkedOut,
-		fmt.Sprintf("%.0f a second x (%d + 2 x %d)", checks, checkFrameBytes, packetHeaders),
+		role, "bytes of checks, with those of two packets' headers", checks * (checkFrameBytes + 2*packetHeaderBytes), "B/s", BudgetBytes, Derived,
+		fmt.Sprintf("%.0f a second x (%d + 2 x %d)", checks, checkFrameBytes, packetHeaderBytes),
 	})
 	watchCore := p.measured(role, "core of the watch, 190 times the stated rate", seriesWatchCore, 2, "%", 0)
 	watchBytes := p.measured(role, "bytes of the watch, 190 times the stated rate", seriesWatchBytes, 2, "B/s", 0)
 	member := p.at(seriesMemberBytes, PlannedServers)
-	restart := p.at(seriesNewcomerBytes, PlannedServers) * PlannedRestarts / secondsADay / PlannedServers
-	p.add(CapacityRow{role, "**control: core**", idle + checkCore + watchCore, "%", 100 * BudgetCore, WorkedOut, "idle + checks + watch"})
-	p.add(CapacityRow{role, "**control: memory**", memory + connections, "MB", BudgetMemoryMB, WorkedOut, "tables after reloads + connections"})
+	restart := p.at(seriesSingleRestartBytes, PlannedServers) * PlannedRestartsPerDay / secondsADay / PlannedServers
+	p.add(CapacityRow{role, "**control: core**", idle + checkCore + watchCore, "%", 100 * BudgetCore, Derived, "idle + checks + watch"})
+	p.add(CapacityRow{role, "**control: memory**", memory + connections, "MB", BudgetMemoryMB, Derived, "tables after reloads + connections"})
 	p.add(CapacityRow{
-		role, "**control: bytes**", member + restart + watchBytes + checkBytes, "B/s", BudgetBytes, WorkedOut,
+		role, "**control: bytes**", member + restart + watchBytes + checkBytes, "B/s", BudgetBytes, Derived,
 		"membership + restarts + watch + checks",
 	})
 	file := p.at(seriesFile+bySize, 100) * 1e6
 	p.add(CapacityRow{
-		role, "if whole files were sent instead of changes", file * PlannedChanges / secondsADay, "B/s", BudgetBytes, WorkedOut,
-		fmt.Sprintf("%s bytes x %d a day", number(file), PlannedChanges),
+		role, "if whole files were sent instead of changes", file * PlannedChangesPerDay / secondsADay, "B/s", BudgetBytes, Derived,
+		fmt.Sprintf("%s bytes x %d a day", formatNumber(file), PlannedChangesPerDay),
 	})
 	p.requests()
 }
 
-// requests are the load of the day, of a lost zone, and of a lost region.
+// measureRequests are the load of the day, of a lost zone, and of a lost region.
 func (p *capacityPage) requests() {
 	const role = "app server"
 	series := fmt.Sprintf(seriesRequests, PlannedRoutes)
@@ -146,13 +146,13 @@
 	for _, c := range []struct {
 		when    string
 		servers int
-	}{{"on 500 servers", PlannedServers}, {"with a zone lost", zoneLost}, {"with a region lost", regionLost}} {
-		rate := float64(PlannedRequests) / float64(c.servers)
-		if rate > measuredRequests && !line.Straight {
+	}{{"on 500 servers", PlannedServers}, {"with a zone lost", serversWithoutZone}, {"with a region lost", serversWithoutRegion}} {
+		rate := float64(PlannedRequestRate) / float64(c.servers)
+		if rate > maxRequestRate && !line.Linear {
 			continue // nothing is worked out past the points of what is no line
 		}
 		p.add(CapacityRow{
-			role, "requests' core " + c.when, line.At(rate), "%", 0, WorkedOut,
+			role, "requests' core " + c.when, line.At(rate), "%", 0, Derived,
 			fmt.Sprintf("%.0f a second, line%s", rate, nonlinearity(line)),
 		})
 	}
@@ -163,26 +163,26 @@
 
 // nonlinearity describes a cost that is not linear.
 func nonlinearity(line Line) string {
-	if line.Straight {
+	if line.Linear {
 		return ""
 	}
-	return fmt.Sprintf(" (no line: worst residual %s)", number(line.Worst))
+	return fmt.Sprintf(" (no line: worst residual %s)", formatNumber(line.MaxResidual))
 }
 
 func (p *capacityPage) membership() {
 	const role = "membership"
 	messages := p.measured(role, "datagrams of a server", seriesMemberMessages, PlannedServers, "a second", 0)
 	bytes := p.measured(role, "bytes of a server", seriesMemberBytes, PlannedServers, "B/s", BudgetBytes)
-	p.add(CapacityRow{role, "datagrams at the service", messages * PlannedServers, "a second", 0, WorkedOut, "500 servers"})
-	p.add(CapacityRow{role, "bytes at the service", bytes * PlannedServers, "B/s", 0, WorkedOut, "500 servers"})
+	p.add(CapacityRow{role, "datagrams at the service", messages * PlannedServers, "a second", 0, Derived, "500 servers"})
+	p.add(CapacityRow{role, "bytes at the service", bytes * PlannedServers, "B/s", 0, Derived, "500 servers"})
 }
 
 func (p *capacityPage) exchange() {
 	const role = "peer exchange"
-	restart := p.measured(role, "bytes of one restart, whole fleet", seriesNewcomerBytes, PlannedServers, "B", 0)
+	restart := p.measured(role, "bytes of one restart, whole fleet", seriesSingleRestartBytes, PlannedServers, "B", 0)
 	p.add(CapacityRow{
-		role, "bytes of the day's restarts", restart * PlannedRestarts / secondsADay / PlannedServers, "B/s a server", BudgetBytes, WorkedOut,
-		fmt.Sprintf("%d a day over %d servers", PlannedRestarts, PlannedServers),
+		role, "bytes of the day's restarts", restart * PlannedRestartsPerDay / secondsADay / PlannedServers, "B/s a server", BudgetBytes, Derived,
+		fmt.Sprintf("%d a day over %d servers", PlannedRestartsPerDay, PlannedServers),
 	})
 	p.measured(role, "a zone back: until all have a view", seriesZoneSeconds, ZoneServers, "s", 0)
 	p.measured(role, "a zone back: bytes", seriesZoneBytes, ZoneServers, "B a server", 0)
@@ -190,18 +190,18 @@
 
 func (p *capacityPage) voters() {
 	const role = "lease voters"
-	p.measured(role, "talks of one of 5, 1 duty", seriesVoterTalks, fewVoters, "a second", 0)
-	p.measured(role, "core of one of 5, 64 duties", seriesDutyCore, 64, "%", 0)
-	p.measured(role, "bytes of one of 5, 64 duties", seriesDutyBytes, 64, "B/s", 0)
-	p.measured(role, "duties held after 20 s, of 64", seriesDutiesHeld, 64, "", 0)
-	if line := p.line(seriesVoterBytes); line.Straight {
+	p.measured(role, "talks of one of 5, 1 duty", seriesVoterConnections, fewVoters, "a second", 0)
+	p.measured(role, "core of one of 5, 64 duties", seriesLeaseCore, 64, "%", 0)
+	p.measured(role, "bytes of one of 5, 64 duties", seriesLeaseBytes, 64, "B/s", 0)
+	p.measured(role, "duties held after 20 s, of 64", seriesLeasesHeld, 64, "", 0)
+	if line := p.line(seriesVoterBytes); line.Linear {
 		p.add(CapacityRow{
-			role, "bytes of a voter if all 500 voted, 1 duty", line.At(PlannedServers), "B/s", BudgetBytes, WorkedOut,
-			fmt.Sprintf("line, %s B/s for each voter", number(line.Slope)),
+			role, "bytes of a voter if all 500 voted, 1 duty", line.At(PlannedServers), "B/s", BudgetBytes, Derived,
+			fmt.Sprintf("line, %s B/s for each voter", formatNumber(line.Slope)),
 		})
 	}
-	p.measured(role, "regions cut 30 s: most holders at once", seriesCutHolders, 30, "", 1)
-	p.measured(role, "regions cut 30 s: longest without a holder", seriesCutSeconds, 30, "s", 0)
+	p.measured(role, "regions cut 30 s: most holders at once", seriesPartitionHolders, 30, "", 1)
+	p.measured(role, "regions cut 30 s: longest without a holder", seriesPartitionNoHolderSeconds, 30, "s", 0)
 	p.measured(role, "regions cut 30 s: held after the heal", seriesHealSeconds, 30, "s", 0)
 }
 
@@ -209,15 +209,15 @@
 	const role = "control machines"
 	p.measured(role, "core of the busiest, 98 watchers, 190 times the stated rate", seriesControlCore, 2, "%", 0)
 	p.measured(role, "memory of the largest", seriesControlMB, 2, "MB", 0)
-	p.measured(role, "a change proposed to in force everywhere, p99", seriesLagP99, 2, "s", 0)
-	p.measured(role, "a change proposed to in force everywhere, worst", seriesLagWorst, 2, "s", aimInForce.Seconds())
+	p.measured(role, "a change proposed to in force everywhere, p99", seriesPropagationP99, 2, "s", 0)
+	p.measured(role, "a change proposed to in force everywhere, worst", seriesPropagationWorst, 2, "s", propagationTarget.Seconds())
 	p.measured(role, "the same, leader killed, worst", seriesLeaderWorst, 4, "s", 0)
 	whole := p.measured(role, "whole document", seriesSnapshotBytes, 100, "B", 0)
 	p.add(CapacityRow{
-		role, "500 servers with nothing at once", whole * PlannedServers / ControlMachines, "B each", 0, WorkedOut, "a whole document for each of 100",
+		role, "500 servers with nothing at once", whole * PlannedServers / ControlMachines, "B each", 0, Derived, "a whole document for each of 100",
 	})
-	p.measured(role, "a zone's 72 with nothing at once: newest in force", seriesZoneWorst, ZoneServers, "s", aimInForce.Seconds())
-	p.measured(role, "regions cut 20 s: newest everywhere after the heal", seriesHealWorst, hollowWatchers, "s", aimInForce.Seconds())
+	p.measured(role, "a zone's 72 with nothing at once: newest in force", seriesZoneWorst, ZoneServers, "s", propagationTarget.Seconds())
+	p.measured(role, "regions cut 20 s: newest everywhere after the heal", seriesHealWorst, hollowWatchers, "s", propagationTarget.Seconds())
 }
 
 // RenderCapacity returns the generated part of the capacity page: what is over budget, and the table of all figures.
@@ -252,7 +252,7 @@
 }{
 	{"idle core, whole tables", seriesIdle + bySize, 100, "%"},
 	{"SIGHUP that changes nothing", seriesReloadSame + bySize, 100, "ms of cpu"},
-	{"SIGHUP that changes one setting", seriesReloadMoved + bySize, 100, "ms of cpu"},
+	{"SIGHUP that changes one setting", seriesReloadChanged + bySize, 100, "ms of cpu"},
 	{"health check p99 within 1.5 s of a reload", seriesCheckReload, 100, "ms"},
 	{"memory after reloads, whole tables", seriesAfterReloads + bySize, 100, "MB"},
 	{"exchange bytes of a quiet fleet of 500", seriesQuietBytes, PlannedServers, "B/s a server"},
--- a/internal/testkit/scale/configuration.go
+++ b/internal/testkit/scale/configuration.go
@@ -16,28 +16,28 @@
 
 // Series of the configuration service's run; the last number of each name is what grew.
 const (
-	seriesLagP99        = "configuration: proposed to in force p99 s by changes a second"
-	seriesLagWorst      = "configuration: proposed to in force worst s by changes a second"
-	seriesWatchBytes    = "configuration: bytes/s a server by changes a second"
-	seriesWatchCore     = "configuration: core % a server by changes a second"
-	seriesControlCore   = "configuration: core % of the busiest control machine by changes a second"
-	seriesControlMB     = "configuration: resident MB of the largest control machine by changes a second"
-	seriesSnapshotBytes = "configuration: bytes of a whole document by % of the planned routes and tenants"
-	seriesHealWorst     = "configuration: worst s from the heal of a cut to the newest everywhere by watchers"
-	seriesZoneWorst     = "configuration: worst s until the newest in force by watchers started at once"
-	seriesLeaderWorst   = "configuration: worst s from a change to in force, leader killed, by changes a second"
+	seriesPropagationP99   = "configuration: proposed to in force p99 s by changes a second"
+	seriesPropagationWorst = "configuration: proposed to in force worst s by changes a second"
+	seriesWatchBytes       = "configuration: bytes/s a server by changes a second"
+	seriesWatchCore        = "configuration: core % a server by changes a second"
+	seriesControlCore      = "configuration: core % of the busiest control machine by changes a second"
+	seriesControlMB        = "configuration: resident MB of the largest control machine by changes a second"
+	seriesSnapshotBytes    = "configuration: bytes of a whole document by % of the planned routes and tenants"
+	seriesHealWorst        = "configuration: worst s from the heal of a cut to the newest everywhere by watchers"
+	seriesZoneWorst        = "configuration: worst s until the newest in force by watchers started at once"
+	seriesLeaderWorst      = "configuration: worst s from a change to in force, leader killed, by changes a second"
 )
 
 const (
-	plannedPerSecond = PlannedChanges / 86400.0
-	appServers       = 3
-	hollowWatchers   = 490
-	watcherProcesses = 4
-	requestRate      = 150 // a second and app server
-	markerTenant     = "marker"
-	aimInForce       = 9 * time.Second
-	aimQuiet         = time.Second
-	maxSlowdown      = 1.2 // of a request's p99
+	plannedChangeRate      = PlannedChangesPerDay / 86400.0
+	appServers             = 3
+	hollowWatchers         = 490
+	watcherProcesses       = 4
+	requestRate            = 150 // a second and app server
+	markerTenant           = "marker"
+	propagationTarget      = 9 * time.Second
+	quietPropagationTarget = time.Second
+	maxSlowdown            = 1.2 // of a request's p99
 )
 
 // Figure is one result with its objective.
@@ -61,18 +61,18 @@
 	Small   bool // a tenth of the tables and watchers, shorter spans
 }
 
-func (c *ConfigurationBenchmark) scaled(whole int) int {
+func (c *ConfigurationBenchmark) scaled(full int) int {
 	if c.Small {
-		return whole / 10
+		return full / 10
 	}
-	return whole
+	return full
 }
 
-func (c *ConfigurationBenchmark) scaledSpan(whole time.Duration) time.Duration {
+func (c *ConfigurationBenchmark) scaledSpan(full time.Duration) time.Duration {
 	if c.Small {
-		return whole / 4
+		return full / 4
 	}
-	return whole
+	return full
 }
 
 // Run measures everything and checks the recorded history.
@@ -101,7 +101,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	figures = append(figures, Figure{"changes accepted", float64(len(r.history.Accepted)), 0, ""},
-		Figure{"times a version came into force", float64(len(r.history.InForce)), 0, ""})
+		Figure{"times a version came into force", float64(len(r.history.Applied)), 0, ""})
 	return figures, points, r.history.Check()
 }
 
@@ -109,8 +109,8 @@
 func (r *configurationRun) propagationDelays(since, until time.Time) (seconds []float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, lag := range r.history.PropagationDelays(since, until) {
-		seconds = append(seconds, lag.Seconds())
+	for _, delay := range r.history.PropagationDelays(since, until) {
+		seconds = append(seconds, delay.Seconds())
 	}
 	return seconds
 }
@@ -124,7 +124,7 @@
 	servers  time.Duration
 }
 
-func (r *configurationRun) spent() (s cumulativeUse, err error) {
+func (r *configurationRun) use() (s cumulativeUse, err error) {
 	s.at = time.Now()
 	for _, c := range r.children {
 		line, errAsk := c.ask(watcherCommand{})
@@ -153,33 +153,33 @@
 }
 
 // measureRequests sends the same load to all servers over a span and returns the latencies, in milliseconds.
-func (r *configurationRun) measureRequests(span time.Duration) (took []float64, err error) {
+func (r *configurationRun) measureRequests(span time.Duration) (latencies []float64, err error) {
 	var (
 		mu    sync.Mutex
 		group sync.WaitGroup
 	)
 	for i, d := range r.servers {
-		load, types := steadyLoad(requestRate, span, r.scaled(PlannedRoutes), r.Seed+int64(i))
+		load, routes := steadyLoad(requestRate, span, r.scaled(PlannedRoutes), r.Seed+int64(i))
 		group.Go(func() {
-			got, failed := harness.Run(d.Address, types, load, 1)
+			got, failed := harness.Run(d.Address, routes, load, 1)
 			mu.Lock()
 			defer mu.Unlock()
 			if got.Codes[statusServed] < got.Requests {
 				failed = errors.Join(failed, fmt.Errorf("app-%d: %d of %d requests honoured", i, got.Codes[statusServed], got.Requests))
 			}
 			err = errors.Join(err, failed)
-			took = append(took, asMilliseconds(got.Latencies)...)
+			latencies = append(latencies, asMilliseconds(got.Latencies)...)
 		})
 	}
 	group.Wait()
-	return took, err
+	return latencies, err
 }
 
 const (
-	requestPairs = 5           // of looks at requests, one without a change and one with one
-	requestSpan  = time.Second // of each: one change in two of them is over ten times the stated rate
-	quietSpan    = 3 * time.Second
-	quietChanges = time.Second / 2 // between changes with nothing beside them
+	requestPairs        = 5           // of looks at requests, one without a change and one with one
+	requestSpan         = time.Second // of each: one change in two of them is over ten times the stated rate
+	quietSpan           = 3 * time.Second
+	quietChangeInterval = time.Second / 2 // between changes with nothing beside them
 )
 
 // measureQuiet measures what requests take without changes and with them, and then, with nothing beside them, what changes cost
@@ -189,21 +189,21 @@
 	if err != nil {
 		return nil, err
 	}
-	before, err := r.spent()
+	before, err := r.use()
 	if err != nil {
 		return nil, err
 	}
-	if err := r.changes(ctx, quietChanges, r.scaledSpan(quietSpan), r.Seed); err != nil {
+	if err := r.changes(ctx, quietChangeInterval, r.scaledSpan(quietSpan), r.Seed); err != nil {
 		return nil, err
 	}
 	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
 		return nil, err
 	}
-	after, err := r.spent()
+	after, err := r.use()
 	if err != nil {
 		return nil, err
 	}
-	rate, lags := 1/quietChanges.Seconds(), r.propagationDelays(before.at, after.at)
+	rate, delays := 1/quietChangeInterval.Seconds(), r.propagationDelays(before.at, after.at)
 	seconds, watchers := after.at.Sub(before.at).Seconds(), float64(r.scaled(hollowWatchers))
 	bytes := float64(after.bytes-before.bytes) / seconds / watchers
 	core := 100 * (after.watchers - before.watchers).Seconds() / seconds / watchers
@@ -217,17 +217,17 @@
 		}
 		largest = max(largest, resident)
 	}
-	points.Add(seriesLagP99, rate, quantile(lags, 0.99))
-	points.Add(seriesLagWorst, rate, quantile(lags, 1))
+	points.Add(seriesPropagationP99, rate, quantile(delays, 0.99))
+	points.Add(seriesPropagationWorst, rate, quantile(delays, 1))
 	points.Add(seriesWatchBytes, rate, bytes)
 	points.Add(seriesWatchCore, rate, core)
 	points.Add(seriesControlCore, rate, busiest)
 	points.Add(seriesControlMB, rate, largest)
 	return append(slower,
-		Figure{"quiet: changes a second, times the stated rate", rate / plannedPerSecond, 0, ""},
-		Figure{"quiet: proposed to in force p50", quantile(lags, 0.5), 0, "s"},
-		Figure{"quiet: proposed to in force p99", quantile(lags, 0.99), 0, "s"},
-		Figure{"quiet: proposed to in force at the worst", quantile(lags, 1), aimQuiet.Seconds(), "s"},
+		Figure{"quiet: changes a second, times the stated rate", rate / plannedChangeRate, 0, ""},
+		Figure{"quiet: proposed to in force p50", quantile(delays, 0.5), 0, "s"},
+		Figure{"quiet: proposed to in force p99", quantile(delays, 0.99), 0, "s"},
+		Figure{"quiet: proposed to in force at the worst", quantile(delays, 1), quietPropagationTarget.Seconds(), "s"},
 		Figure{"quiet: bytes a second and server", bytes, BudgetBytes, "B/s"},
 		Figure{"quiet: core of a hollow server", core, 100 * BudgetCore, "%"},
 		Figure{"quiet: core of a real server, all of it, without requests", servers, 100 * BudgetCore, "%"},
@@ -239,7 +239,7 @@
 // compareRequests measures requests in pairs of short looks, one without a change and one with one in it. The medians of the looks'
 // p99 are compared: a stall of this machine hits one look, and a change would slow all that it is in.
 func (r *configurationRun) compareRequests(ctx context.Context) ([]Figure, error) {
-	var calm, busy, ratios []float64
+	var baselineP99, changedP99, ratios []float64
 	for pair := range requestPairs {
 		without, err := r.measureRequests(requestSpan)
 		if err != nil {
@@ -254,24 +254,24 @@
 		if err := errors.Join(err, failed); err != nil {
 			return nil, err
 		}
-		calm, busy = append(calm, quantile(without, 0.99)), append(busy, quantile(with, 0.99))
-		ratios = append(ratios, busy[pair]/calm[pair])
+		baselineP99, changedP99 = append(baselineP99, quantile(without, 0.99)), append(changedP99, quantile(with, 0.99))
+		ratios = append(ratios, changedP99[pair]/baselineP99[pair])
 	}
 	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
 		return nil, err
 	}
 	return []Figure{
-		{"requests: changes a second, times the stated rate", 1 / (2 * requestSpan).Seconds() / plannedPerSecond, 0, ""},
-		{"requests: p99 without a change, median of looks", quantile(calm, 0.5), 0, "ms"},
-		{"requests: p99 with one, median of looks", quantile(busy, 0.5), 0, "ms"},
+		{"requests: changes a second, times the stated rate", 1 / (2 * requestSpan).Seconds() / plannedChangeRate, 0, ""},
+		{"requests: p99 without a change, median of looks", quantile(baselineP99, 0.5), 0, "ms"},
+		{"requests: p99 with one, median of looks", quantile(changedP99, 0.5), 0, "ms"},
 		{"requests: worst of the pairs", quantile(ratios, 1), 0, ""},
-		{"requests: p99 with a change, times that without", quantile(busy, 0.5) / quantile(calm, 0.5), maxSlowdown, ""},
+		{"requests: p99 with a change, times that without", quantile(changedP99, 0.5) / quantile(baselineP99, 0.5), maxSlowdown, ""},
 	}, nil
 }
 
 // measureLeaderLoss kills the leader during changes, and starts it again.
 func (r *configurationRun) measureLeaderLoss(ctx context.Context, points Points) ([]Figure, error) {
-	const each = 250 * time.Millisecond
+	const interval = 250 * time.Millisecond
 	leader, err := r.service.Leader(ctx, func(int) bool { return true })
 	if err != nil {
 		return nil, err
@@ -279,10 +279,10 @@
 	began := time.Now()
 	var group sync.WaitGroup
 	group.Go(func() {
-		time.Sleep(each)
+		time.Sleep(interval)
 		r.service.KillMachine(leader)
 	})
-	err = r.changes(ctx, each, r.scaledSpan(4*time.Second), r.Seed+1)
+	err = r.changes(ctx, interval, r.scaledSpan(4*time.Second), r.Seed+1)
 	group.Wait()
 	if err != nil {
 		return nil, err
@@ -294,8 +294,8 @@
 		return nil, err
 	}
 	worst := quantile(r.propagationDelays(began, time.Now()), 1)
-	points.Add(seriesLeaderWorst, 1/each.Seconds(), worst)
-	return []Figure{{"leader killed: proposed to in force at the worst", worst, aimInForce.Seconds(), "s"}}, nil
+	points.Add(seriesLeaderWorst, 1/interval.Seconds(), worst)
+	return []Figure{{"leader killed: proposed to in force at the worst", worst, propagationTarget.Seconds(), "s"}}, nil
 }
 
 // measureStoppedMachine stops a machine that does not lead, as one that hangs, has a zone's watchers start with nothing
@@ -313,15 +313,15 @@
 	if err := r.changes(ctx, time.Second, r.scaledSpan(2*time.Second), r.Seed+2); err != nil {
 		return nil, err
 	}
-	restarted := time.Now()
-	back := r.scaled(ZoneServers)
-	if err := r.restartWatchers(back); err != nil {
+	restartedAt := time.Now()
+	restarted := r.scaled(ZoneServers)
+	if err := r.restartWatchers(restarted); err != nil {
 		return nil, err
 	}
 	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
 		return nil, err
 	}
-	zone := time.Since(restarted)
+	zone := time.Since(restartedAt)
 	if err := r.changes(ctx, time.Second, r.scaledSpan(time.Second), r.Seed+3); err != nil {
 		return nil, err
 	}
@@ -332,10 +332,10 @@
 		return nil, err
 	}
 	worst := quantile(r.propagationDelays(began, time.Now()), 1)
-	points.Add(seriesZoneWorst, float64(back), zone.Seconds())
+	points.Add(seriesZoneWorst, float64(restarted), zone.Seconds())
 	return []Figure{
-		{"machine stopped: proposed to in force at the worst", worst, aimInForce.Seconds(), "s"},
-		{fmt.Sprintf("%d watchers started at once: newest in force after", back), zone.Seconds(), aimInForce.Seconds(), "s"},
+		{"machine stopped: proposed to in force at the worst", worst, propagationTarget.Seconds(), "s"},
+		{fmt.Sprintf("%d watchers started at once: newest in force after", restarted), zone.Seconds(), propagationTarget.Seconds(), "s"},
 	}, nil
 }
 
@@ -362,7 +362,7 @@
 	if err := r.changes(ctx, time.Second, r.scaledSpan(20*time.Second), r.Seed+4); err != nil {
 		return nil, err
 	}
-	stale := r.countBehind(before)
+	stale := r.countStale(before)
 	r.service.Heal()
 	healed := time.Now()
 	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
@@ -372,16 +372,16 @@
 	points.Add(seriesHealWorst, float64(r.scaled(hollowWatchers)), took)
 	return []Figure{
 		{"cut: watchers that kept what they had", float64(stale), 0, ""},
-		{"cut: newest in force everywhere after the heal", took, aimInForce.Seconds(), "s"},
+		{"cut: newest in force everywhere after the heal", took, propagationTarget.Seconds(), "s"},
 	}, nil
 }
 
-// countBehind returns the number of watchers that have not applied a version later than this one.
-func (r *configurationRun) countBehind(version uint64) (n int) {
+// countStale returns the number of watchers that have not applied a version later than this one.
+func (r *configurationRun) countStale(version uint64) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, at := range r.appliedVersions {
-		if at <= version {
+	for _, applied := range r.appliedVersions {
+		if applied <= version {
 			n++
 		}
 	}
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -53,25 +53,25 @@
 	if _, err := r.service.Leader(ctx, func(int) bool { return true }); err != nil {
 		return err
 	}
-	site, err := Site(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), "", "", "")
+	site, err := PlatformConfig(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), "", "", "")
 	if err != nil {
 		return err
 	}
-	whole, err := configuration.ParseChange(site)
+	full, err := configuration.ParseChange(site)
 	if err != nil {
 		return err
 	}
-	if err := r.propose(ctx, whole); err != nil {
+	if err := r.propose(ctx, full); err != nil {
 		return err
 	}
 	document := configuration.NewDocument()
-	document.Accept(whole)
+	document.Accept(full)
 	points.Add(seriesSnapshotBytes, 100*float64(r.scaled(PlannedRoutes))/PlannedRoutes, float64(len(document.Snapshot())))
-	r.record(ctx)
+	r.recordHistory(ctx)
 	for i := range watcherProcesses {
 		count := r.scaled(hollowWatchers)*(i+1)/watcherProcesses - r.scaled(hollowWatchers)*i/watcherProcesses
-		at := []side{majority, minority}[i%2]
-		if err := r.startWatchers(i, count, at); err != nil {
+		zone := []side{majority, minority}[i%2]
+		if err := r.startWatchers(i, count, zone); err != nil {
 			return err
 		}
 	}
@@ -84,8 +84,8 @@
 	return err
 }
 
-// record follows the service from version 0 over links without faults, as the reference history.
-func (r *configurationRun) record(ctx context.Context) {
+// recordHistory follows the service from version 0 over links without faults, as the reference history.
+func (r *configurationRun) recordHistory(ctx context.Context) {
 	machines := []configwatch.Endpoint{}
 	for _, address := range r.service.sessions {
 		machines = append(machines, configwatch.Endpoint{Address: address})
@@ -94,8 +94,8 @@
 	r.recorder = &configwatch.Watcher{
 		Name: "recorder", Endpoints: machines, Keys: r.service.keys, Document: configuration.NewDocument(), Seed: r.Seed, Logger: discardLog,
 		Apply: func(_ context.Context, delta configuration.Delta, _ *configuration.Document) error {
-			if stated := delta.Tenants[markerTenant]; stated != nil {
-				marker = stated.QuotaRPS
+			if tenant := delta.Tenants[markerTenant]; tenant != nil {
+				marker = tenant.QuotaRPS
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -108,7 +108,7 @@
 
 // propose proposes a change with the next marker, and records its acceptance.
 func (r *configurationRun) propose(ctx context.Context, change configuration.Change) error {
-	ctx, cancel := context.WithTimeout(ctx, 2*aimInForce)
+	ctx, cancel := context.WithTimeout(ctx, 2*propagationTarget)
 	defer cancel()
 	r.marker++
 	if change.Tenants == nil {
@@ -128,15 +128,15 @@
 }
 
 // changes changes one route at an interval over a span.
-func (r *configurationRun) changes(ctx context.Context, each, span time.Duration, seed int64) error {
-	chance := rand.New(rand.NewSource(seed))
+func (r *configurationRun) changes(ctx context.Context, interval, span time.Duration, seed int64) error {
+	rng := rand.New(rand.NewSource(seed))
 	for began := time.Now(); time.Since(began) < span && ctx.Err() == nil; {
-		next := time.Now().Add(each)
-		place := 1 + keyedEvery*chance.Intn(r.scaled(PlannedRoutes)/keyedEvery)
+		next := time.Now().Add(interval)
+		index := 1 + routeStride*rng.Intn(r.scaled(PlannedRoutes)/routeStride)
 		route := &configuration.Route{
-			LatencyTarget: 900_000, Deadline: 3_000_000 + int64(chance.Intn(1000)), Value: 1, Idempotency: configuration.Retryable,
+			LatencyTarget: 900_000, Deadline: 3_000_000 + int64(rng.Intn(1000)), Value: 1, Idempotency: configuration.Retryable,
 		}
-		if err := r.propose(ctx, configuration.Change{Routes: map[string]*configuration.Route{RouteName(place): route}}); err != nil {
+		if err := r.propose(ctx, configuration.Change{Routes: map[string]*configuration.Route{RouteName(index): route}}); err != nil {
 			return err
 		}
 		time.Sleep(time.Until(next))
@@ -145,9 +145,9 @@
 }
 
 // startWatchers starts a process of hollow watchers.
-func (r *configurationRun) startWatchers(place, count int, at side) error {
-	first := place * r.scaled(hollowWatchers)
-	c := &watcherProcess{cmd: exec.Command(r.Program, "watchers"), answers: make(chan watcherLine, 1), side: at, count: count}
+func (r *configurationRun) startWatchers(process, count int, zone side) error {
+	first := process * r.scaled(hollowWatchers)
+	c := &watcherProcess{cmd: exec.Command(r.Program, "watchers"), answers: make(chan watcherLine, 1), side: zone, count: count}
 	c.cmd.Stderr = os.Stderr
 	in, errIn := c.cmd.StdinPipe()
 	out, errOut := c.cmd.StdoutPipe()
@@ -161,16 +161,16 @@
 		r.appliedVersions[watcherName(first+i)] = 0
 	}
 	r.mu.Unlock()
-	go r.read(c, out)
+	go r.readLines(c, out)
 	return json.NewEncoder(in).Encode(WatcherSpec{
-		First: first, Count: count, Zone: string(at), Machines: r.service.Endpoints(at), Key: serviceKey, Seed: r.Seed + int64(place),
+		First: first, Count: count, Zone: string(zone), Machines: r.service.Endpoints(zone), Key: serviceKey, Seed: r.Seed + int64(process),
 	})
 }
 
-func watcherName(place int) string { return fmt.Sprintf("hollow-%d", place) }
+func watcherName(index int) string { return fmt.Sprintf("hollow-%d", index) }
 
-// read records the lines of a process of watchers.
-func (r *configurationRun) read(c *watcherProcess, from io.Reader) {
+// readLines records the lines of a process of watchers.
+func (r *configurationRun) readLines(c *watcherProcess, from io.Reader) {
 	lines := bufio.NewScanner(from)
 	for lines.Scan() {
 		var line watcherLine
@@ -183,7 +183,7 @@
 		}
 		name := watcherName(line.Event.Watcher)
 		r.mu.Lock()
-		r.history.InForce = append(r.history.InForce, AppliedVersion{
+		r.history.Applied = append(r.history.Applied, AppliedVersion{
 			name, line.Event.Version, line.Event.Digest, time.Unix(0, line.Event.At), line.Event.Started,
 		})
 		r.appliedVersions[name] = line.Event.Version
@@ -207,14 +207,14 @@
 // startServer starts a real app server that follows the service.
 func (r *configurationRun) startServer(i int) error {
 	name := fmt.Sprintf("app-%d", i)
-	own := fmt.Sprintf("[configuration]\nname = %q\nzone = %q\nkey-file = %q\ndir = %q\n", name, majority, r.service.keyFile(),
+	ownConfig := fmt.Sprintf("[configuration]\nname = %q\nzone = %q\nkey-file = %q\ndir = %q\n", name, majority, r.service.keyFile(),
 		filepath.Join(r.Folder, name+"-kept"))
 	for _, m := range r.service.Endpoints(majority) {
-		own += fmt.Sprintf("[[configuration.machine]]\nzone = %q\naddress = %q\n", m.Zone, m.Address)
+		ownConfig += fmt.Sprintf("[[configuration.machine]]\nzone = %q\naddress = %q\n", m.Zone, m.Address)
 	}
 	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
-	d, err := harness.Launch(r.Daemon, []string{"serve"}, r.Folder, name, machine, own, func(listen, pool, members string) ([]byte, error) {
-		return Site(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), listen, pool, members)
+	d, err := harness.Launch(r.Daemon, []string{"serve"}, r.Folder, name, machine, ownConfig, func(listen, pool, members string) ([]byte, error) {
+		return PlatformConfig(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), listen, pool, members)
 	})
 	if err != nil {
 		return err
@@ -223,11 +223,11 @@
 	return nil
 }
 
-var inForceLine = regexp.MustCompile(`time=(\S+) level=INFO msg="configuration: in force" version=(\d+)`)
+var appliedLine = regexp.MustCompile(`time=(\S+) level=INFO msg="configuration: in force" version=(\d+)`)
 
-// versionOf returns the version that a server logged last as applied.
-func versionOf(d *harness.Daemon) uint64 {
-	all := inForceLine.FindAllStringSubmatch(d.Log(), -1)
+// loggedVersion returns the version that a server logged last as applied.
+func loggedVersion(d *harness.Daemon) uint64 {
+	all := appliedLine.FindAllStringSubmatch(d.Log(), -1)
 	if len(all) == 0 {
 		return 0
 	}
@@ -244,44 +244,44 @@
 		digests[step.Version] = step.Digest
 	}
 	for i, d := range r.servers {
-		for _, found := range inForceLine.FindAllStringSubmatch(d.Log(), -1) {
+		for _, found := range appliedLine.FindAllStringSubmatch(d.Log(), -1) {
 			version, _ := strconv.ParseUint(found[2], 10, 64) // digits
 			at, err := time.Parse(time.RFC3339Nano, found[1])
 			if err != nil {
 				continue
 			}
 			// A server logs no digest; its watcher compared the content with that of the delta.
-			r.history.InForce = append(r.history.InForce, AppliedVersion{fmt.Sprintf("app-%d", i), version, digests[version], at, false})
+			r.history.Applied = append(r.history.Applied, AppliedVersion{fmt.Sprintf("app-%d", i), version, digests[version], at, false})
 		}
 	}
 }
 
 // waitApplied waits until every server has applied a version or a later one.
 func (r *configurationRun) waitApplied(ctx context.Context, version uint64) error {
-	const patience = 40 * time.Second
+	const timeout = 40 * time.Second
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-		behind := []string{}
+		stale := []string{}
 		r.mu.Lock()
-		for name, at := range r.appliedVersions {
-			if at < version {
-				behind = append(behind, name)
+		for name, applied := range r.appliedVersions {
+			if applied < version {
+				stale = append(stale, name)
 			}
 		}
 		if steps := r.history.Versions; len(steps) == 0 || steps[len(steps)-1].Version < version {
-			behind = append(behind, "recorder")
+			stale = append(stale, "recorder")
 		}
 		r.mu.Unlock()
 		for i, d := range r.servers {
-			if versionOf(d) < version {
-				behind = append(behind, fmt.Sprintf("app-%d", i))
+			if loggedVersion(d) < version {
+				stale = append(stale, fmt.Sprintf("app-%d", i))
 			}
 		}
 		switch {
-		case len(behind) == 0:
+		case len(stale) == 0:
 			return nil
-		case time.Since(began) > patience || ctx.Err() != nil:
-			slices.Sort(behind)
-			return fmt.Errorf("version %d not in force after %v at %d servers, %s among them", version, patience, len(behind), behind[0])
+		case time.Since(began) > timeout || ctx.Err() != nil:
+			slices.Sort(stale)
+			return fmt.Errorf("version %d not in force after %v at %d servers, %s among them", version, timeout, len(stale), stale[0])
 		}
 	}
 }
--- a/internal/testkit/scale/fit.go
+++ b/internal/testkit/scale/fit.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// straightWithin is how far the worst point may lie from a line, as a part of the range of values, for the cost to
+	// maxLinearResidual is how far the worst point may lie from a line, as a part of the range of values, for the cost to
 	// count as one that grows as a line. Past it no figure is worked out by the line. Of a square's four or five points the
 	// worst lies off by a ninth and more, so a square is none.
-	straightWithin = 0.1
-	// flatWithin is the range of values, as a part of the largest, below which a cost counts as constant.
-	flatWithin = 0.1
+	maxLinearResidual = 0.1
+	// maxConstantRange is the range of values, as a part of the largest, below which a cost counts as constant.
+	maxConstantRange = 0.1
 )
 
 // Line is a least-squares line through points.
 type Line struct {
 	Intercept, Slope float64
 	R2               float64 // share of the variance that the line explains
-	Worst            float64 // largest distance of a point from the line, in the unit of the values
-	Straight         bool    // every point lies near it
+	MaxResidual      float64 // largest distance of a point from the line, in the unit of the values
+	Linear           bool    // every point lies near it
 	N                int
 }
 
@@ -38,10 +38,10 @@
 	l.R2 = stat.RSquared(xs, ys, nil, l.Intercept, l.Slope)
 	low, high := math.Inf(1), math.Inf(-1)
 	for i, x := range xs {
-		l.Worst = max(l.Worst, math.Abs(ys[i]-l.At(x)))
+		l.MaxResidual = max(l.MaxResidual, math.Abs(ys[i]-l.At(x)))
 		low, high = min(low, ys[i]), max(high, ys[i])
 	}
-	flat := high-low <= flatWithin*math.Abs(high)
-	l.Straight = len(xs) >= 3 && (flat || l.Worst <= straightWithin*(high-low))
+	flat := high-low <= maxConstantRange*math.Abs(high)
+	l.Linear = len(xs) >= 3 && (flat || l.MaxResidual <= maxLinearResidual*(high-low))
 	return l
 }
--- a/internal/testkit/scale/fleet.go
+++ b/internal/testkit/scale/fleet.go
@@ -55,8 +55,8 @@
 	return s, nil
 }
 
-// processes is the number of processes for servers that do not vote.
-const processes = 4
+// nonVoterProcesses is the number of processes for servers that do not vote.
+const nonVoterProcesses = 4
 
 // StartFleet starts a program as the hollow processes of a fleet. It sets the addresses and indexes of the spec.
 func StartFleet(program string, servers int, spec HollowSpec) (f *Fleet, err error) {
@@ -72,30 +72,30 @@
 	}()
 	spec.Servers, spec.Members = addresses(servers), sink.socket.LocalAddr().String()
 	rest := servers - spec.Voters
-	parts := []int{spec.Voters}
-	for i := range processes {
-		parts = append(parts, rest*(i+1)/processes-rest*i/processes)
+	counts := []int{spec.Voters}
+	for i := range nonVoterProcesses {
+		counts = append(counts, rest*(i+1)/nonVoterProcesses-rest*i/nonVoterProcesses)
 	}
 	first := 0
-	for _, count := range parts {
+	for _, count := range counts {
 		if count == 0 {
 			f.children = append(f.children, nil) // keeps the voters' process first
 			continue
 		}
-		part := spec
-		part.First, part.Count = first, count
+		partSpec := spec
+		partSpec.First, partSpec.Count = first, count
 		first += count
-		one, err := startChild(program, part)
+		child, err := startChild(program, partSpec)
 		if err != nil {
 			return f, err
 		}
-		f.children = append(f.children, one)
+		f.children = append(f.children, child)
 	}
-	for _, one := range f.children {
-		if one == nil {
+	for _, child := range f.children {
+		if child == nil {
 			continue
 		}
-		if _, err := one.answer(); err != nil {
+		if _, err := child.readState(); err != nil {
 			return f, err
 		}
 	}
@@ -134,10 +134,10 @@
 	if err := json.NewEncoder(c.in).Encode(command); err != nil {
 		return HollowState{}, fmt.Errorf("hollow: %w", err)
 	}
-	return c.answer()
+	return c.readState()
 }
 
-func (c *hollowProcess) answer() (state HollowState, err error) {
+func (c *hollowProcess) readState() (state HollowState, err error) {
 	if err := c.out.Decode(&state); err != nil {
 		return state, fmt.Errorf("hollow: no answer: %w", err)
 	}
@@ -146,12 +146,12 @@
 
 // Stop ends the fleet's processes and waits for them.
 func (f *Fleet) Stop() (err error) {
-	for _, one := range f.children {
-		if one == nil {
+	for _, child := range f.children {
+		if child == nil {
 			continue
 		}
-		_ = one.in.Close()
-		err = errors.Join(err, one.cmd.Wait())
+		_ = child.in.Close()
+		err = errors.Join(err, child.cmd.Wait())
 	}
 	_ = f.members.socket.Close()
 	return err
@@ -160,12 +160,12 @@
 // Restart restarts servers that do not vote, shared evenly over the processes.
 func (f *Fleet) Restart(count int) error {
 	rest := f.children[1:]
-	for i, one := range rest {
-		share := count*(i+1)/len(rest) - count*i/len(rest)
-		if one == nil || share == 0 {
+	for i, child := range rest {
+		part := count*(i+1)/len(rest) - count*i/len(rest)
+		if child == nil || part == 0 {
 			continue
 		}
-		if _, err := one.ask(hollowCommand{Restart: share}); err != nil {
+		if _, err := child.ask(hollowCommand{Restart: part}); err != nil {
 			return err
 		}
 	}
@@ -174,25 +174,25 @@
 
 // resourceUse is the processor time and traffic of a fleet up to a moment.
 type resourceUse struct {
-	at                     time.Time
-	voters, others         HollowState
-	votersCPU, othersCPU   time.Duration
-	memberBytes, memberMsg int64
+	at                          time.Time
+	voters, others              HollowState
+	votersCPU, othersCPU        time.Duration
+	memberBytes, memberMessages int64
 }
 
 func (f *Fleet) use() (u resourceUse, err error) {
-	u = resourceUse{at: time.Now(), memberBytes: f.members.bytes.Load(), memberMsg: f.members.messages.Load()}
-	for i, one := range f.children {
-		if one == nil {
+	u = resourceUse{at: time.Now(), memberBytes: f.members.bytes.Load(), memberMessages: f.members.messages.Load()}
+	for i, child := range f.children {
+		if child == nil {
 			continue
 		}
-		state, errState := one.ask(hollowCommand{})
-		spent, errCPU := CPU(one.cmd.Process.Pid)
+		state, errState := child.ask(hollowCommand{})
+		used, errCPU := CPU(child.cmd.Process.Pid)
 		if err := errors.Join(errState, errCPU); err != nil {
 			return u, err
 		}
 		if i == 0 {
-			u.voters, u.votersCPU = state, spent
+			u.voters, u.votersCPU = state, used
 			continue
 		}
 		u.others.Cold += state.Cold
@@ -200,16 +200,16 @@
 		u.others.Traffic.Accepted += state.Traffic.Accepted
 		u.others.Traffic.Sent += state.Traffic.Sent
 		u.others.Traffic.Received += state.Traffic.Received
-		u.othersCPU += spent
+		u.othersCPU += used
 	}
 	return u, nil
 }
 
-// viewTimeout is the time limit of WaitForViews.
-const viewTimeout = 30 * time.Second
+// fleetTimeout is the time limit of WaitUntilWarm.
+const fleetTimeout = 30 * time.Second
 
-// WaitForViews waits until each server has a view, and returns the time that it took.
-func (f *Fleet) WaitForViews(ctx context.Context) (time.Duration, error) {
+// WaitUntilWarm waits until each server has a view, and returns the time that it took.
+func (f *Fleet) WaitUntilWarm(ctx context.Context) (time.Duration, error) {
 	for began := time.Now(); ; {
 		u, err := f.use()
 		if err != nil {
@@ -218,8 +218,8 @@
 		if u.voters.Cold+u.others.Cold == 0 {
 			return time.Since(began), nil
 		}
-		if time.Since(began) > viewTimeout || ctx.Err() != nil {
-			return 0, fmt.Errorf("hollow: %d servers have no view after %v", u.voters.Cold+u.others.Cold, viewTimeout)
+		if time.Since(began) > fleetTimeout || ctx.Err() != nil {
+			return 0, fmt.Errorf("hollow: %d servers have no view after %v", u.voters.Cold+u.others.Cold, fleetTimeout)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -230,17 +230,17 @@
 
 // WaitUntilQuiet waits until no server that does not vote begins exchanges with its peers any more.
 func (f *Fleet) WaitUntilQuiet(ctx context.Context) error {
-	asked, since, began := int64(-1), time.Now(), time.Now()
-	for time.Since(since) < quietTime {
+	started, lastChange, began := int64(-1), time.Now(), time.Now()
+	for time.Since(lastChange) < quietTime {
 		u, err := f.use()
 		if err != nil {
 			return err
 		}
-		if u.others.Traffic.Started != asked {
-			asked, since = u.others.Traffic.Started, time.Now()
+		if u.others.Traffic.Started != started {
+			started, lastChange = u.others.Traffic.Started, time.Now()
 		}
-		if time.Since(began) > viewTimeout || ctx.Err() != nil {
-			return fmt.Errorf("hollow: servers still ask after %v", viewTimeout)
+		if time.Since(began) > fleetTimeout || ctx.Err() != nil {
+			return fmt.Errorf("hollow: servers still ask after %v", fleetTimeout)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -249,27 +249,27 @@
 
 // useRates are the rates between two resourceUses.
 type useRates struct {
-	seconds                              float64
-	memberMessages, memberBytes          float64 // a second and server
-	serverBytes, serverTalks, serverCore float64 // a second and server that does not vote
-	voterBytes, voterTalks, voterCore    float64 // a second and voter
+	seconds                                    float64
+	memberMessages, memberBytes                float64 // a second and server
+	serverBytes, serverConnections, serverCore float64 // a second and server that does not vote
+	voterBytes, voterConnections, voterCore    float64 // a second and voter
 }
 
 // ratesBetween returns the rates between two moments, of servers that do not vote and of voters.
 func ratesBetween(a, b resourceUse, servers, voters int) useRates {
 	u := useRates{seconds: b.at.Sub(a.at).Seconds()}
 	all, rest := u.seconds*float64(servers), u.seconds*float64(max(servers-voters, 1))
-	u.memberMessages = float64(b.memberMsg-a.memberMsg) / all
+	u.memberMessages = float64(b.memberMessages-a.memberMessages) / all
 	u.memberBytes = float64(b.memberBytes-a.memberBytes) / all
 	bytes := func(s HollowState) float64 { return float64(s.Traffic.Sent + s.Traffic.Received) }
-	talks := func(s HollowState) float64 { return float64(s.Traffic.Started + s.Traffic.Accepted) }
+	connections := func(s HollowState) float64 { return float64(s.Traffic.Started + s.Traffic.Accepted) }
 	u.serverBytes = (bytes(b.others) - bytes(a.others)) / rest
-	u.serverTalks = (talks(b.others) - talks(a.others)) / rest
+	u.serverConnections = (connections(b.others) - connections(a.others)) / rest
 	u.serverCore = 100 * (b.othersCPU - a.othersCPU).Seconds() / rest
 	if voters > 0 {
 		each := u.seconds * float64(voters)
 		u.voterBytes = (bytes(b.voters) - bytes(a.voters)) / each
-		u.voterTalks = (talks(b.voters) - talks(a.voters)) / each
+		u.voterConnections = (connections(b.voters) - connections(a.voters)) / each
 		u.voterCore = 100 * (b.votersCPU - a.votersCPU).Seconds() / each
 	}
 	return u
--- a/internal/testkit/scale/fleet_test.go
+++ b/internal/testkit/scale/fleet_test.go
@@ -30,7 +30,7 @@
 	fleet, err := StartFleet(self, 14, HollowSpec{Voters: 3, Duties: 1, Lease: 300 * time.Millisecond, Routes: 40, Seed: 1})
 	require.NoError(t, err)
 	defer func() { assert.NoError(t, fleet.Stop()) }()
-	_, err = fleet.WaitForViews(t.Context())
+	_, err = fleet.WaitUntilWarm(t.Context())
 	require.NoError(t, err)
 	_, err = fleet.waitForHolders(t.Context(), healTimeout, 1)
 	require.NoError(t, err)
@@ -39,13 +39,13 @@
 		if err := fleet.Restart(4); err != nil {
 			return err
 		}
-		_, err := fleet.WaitForViews(t.Context())
+		_, err := fleet.WaitUntilWarm(t.Context())
 		return err
 	})
 	require.NoError(t, err)
 	assert.InDelta(t, 1/0.24, used.memberMessages, 1.5, "a report every 240 ms")
 	assert.Positive(t, used.serverBytes)
-	assert.Positive(t, used.voterTalks)
+	assert.Positive(t, used.voterConnections)
 	holders, err := fleet.countHolders()
 	require.NoError(t, err)
 	assert.LessOrEqual(t, holders, 1)
--- a/internal/testkit/scale/fleets.go
+++ b/internal/testkit/scale/fleets.go
@@ -9,26 +9,26 @@
 
 // Series of the hollow fleets.
 const (
-	seriesMemberMessages = "membership messages/s a server by servers"
-	seriesMemberBytes    = "membership bytes/s a server by servers"
-	seriesQuietBytes     = "exchange bytes/s a server, quiet, by servers"
-	seriesQuietCore      = "control core % a server, quiet, by servers"
-	seriesNewcomerBytes  = "exchange bytes of one restart by servers"
-	seriesNewcomerCore   = "control cpu ms of one restart by servers"
-	seriesRestartBytes   = "exchange bytes/s a server by restarts a minute"
-	seriesRestartCore    = "control core % a server by restarts a minute"
-	seriesVoterTalks     = "lease talks/s a voter by voters"
-	seriesVoterBytes     = "lease bytes/s a voter by voters"
-	seriesVoterCore      = "lease core % a voter by voters"
-	seriesDutiesHeld     = "duties held after 20 s by duties"
-	seriesDutyTalks      = "lease talks/s a voter by duties"
-	seriesDutyBytes      = "lease bytes/s a voter by duties"
-	seriesDutyCore       = "lease core % a voter by duties"
-	seriesZoneSeconds    = "zone back: seconds until all have a view, by servers back at once"
-	seriesZoneBytes      = "zone back: exchange bytes a server of the fleet, by servers back at once"
-	seriesCutHolders     = "regions cut: most holders at once by seconds of the cut"
-	seriesCutSeconds     = "regions cut: longest seconds without a holder by seconds of the cut"
-	seriesHealSeconds    = "regions cut: seconds from the heal until a duty is held by seconds of the cut"
+	seriesMemberMessages           = "membership messages/s a server by servers"
+	seriesMemberBytes              = "membership bytes/s a server by servers"
+	seriesQuietBytes               = "exchange bytes/s a server, quiet, by servers"
+	seriesQuietCore                = "control core % a server, quiet, by servers"
+	seriesSingleRestartBytes       = "exchange bytes of one restart by servers"
+	seriesSingleRestartCPU         = "control cpu ms of one restart by servers"
+	seriesRestartRateBytes         = "exchange bytes/s a server by restarts a minute"
+	seriesRestartRateCore          = "control core % a server by restarts a minute"
+	seriesVoterConnections         = "lease talks/s a voter by voters"
+	seriesVoterBytes               = "lease bytes/s a voter by voters"
+	seriesVoterCore                = "lease core % a voter by voters"
+	seriesLeasesHeld               = "duties held after 20 s by duties"
+	seriesLeaseConnections         = "lease talks/s a voter by duties"
+	seriesLeaseBytes               = "lease bytes/s a voter by duties"
+	seriesLeaseCore                = "lease core % a voter by duties"
+	seriesZoneSeconds              = "zone back: seconds until all have a view, by servers back at once"
+	seriesZoneBytes                = "zone back: exchange bytes a server of the fleet, by servers back at once"
+	seriesPartitionHolders         = "regions cut: most holders at once by seconds of the cut"
+	seriesPartitionNoHolderSeconds = "regions cut: longest seconds without a holder by seconds of the cut"
+	seriesHealSeconds              = "regions cut: seconds from the heal until a duty is held by seconds of the cut"
 )
 
 const (
@@ -58,8 +58,8 @@
 	return points, nil
 }
 
-func (f *Fleets) spec(voters, duties int) HollowSpec {
-	return HollowSpec{Voters: voters, Duties: duties, Lease: f.leaseDuration(), Routes: PlannedRoutes, Seed: f.Seed}
+func (f *Fleets) spec(voters, leases int) HollowSpec {
+	return HollowSpec{Voters: voters, Duties: leases, Lease: f.leaseDuration(), Routes: PlannedRoutes, Seed: f.Seed}
 }
 
 // leaseDuration returns the duration of a lease.
@@ -102,14 +102,14 @@
 }
 
 // rateDuring returns the rates of a fleet over a span, or while do runs where that takes longer.
-func rateDuring(fleet *Fleet, span time.Duration, voters int, do func() error) (useRates, error) {
+func rateDuring(fleet *Fleet, span time.Duration, voters int, during func() error) (useRates, error) {
 	before, err := fleet.use()
 	if err != nil {
 		return useRates{}, err
 	}
 	end := time.After(span)
-	if do != nil {
-		if err := do(); err != nil {
+	if during != nil {
+		if err := during(); err != nil {
 			return useRates{}, err
 		}
 	}
@@ -163,7 +163,7 @@
 		return fmt.Errorf("%d servers: %w", servers, err)
 	}
 	defer func() { err = errors.Join(err, fleet.Stop()) }()
-	if _, err := fleet.WaitForViews(ctx); err != nil {
+	if _, err := fleet.WaitUntilWarm(ctx); err != nil {
 		return fmt.Errorf("%d servers: %w", servers, err)
 	}
 	if err := measure(fleet); err != nil {
@@ -179,7 +179,7 @@
 		if err := fleet.Restart(restarted); err != nil {
 			return err
 		}
-		if _, err := fleet.WaitForViews(ctx); err != nil {
+		if _, err := fleet.WaitUntilWarm(ctx); err != nil {
 			return err
 		}
 		return fleet.WaitUntilQuiet(ctx)
@@ -189,8 +189,8 @@
 	}
 	servers := float64(fleet.servers)
 	over := loaded.seconds * (servers - fewVoters) / restarted
-	points.Add(seriesNewcomerBytes, servers, max(0, loaded.serverBytes-quiet.serverBytes)*over)
-	points.Add(seriesNewcomerCore, servers, max(0, loaded.serverCore-quiet.serverCore)*over*10) // percent to ms a second
+	points.Add(seriesSingleRestartBytes, servers, max(0, loaded.serverBytes-quiet.serverBytes)*over)
+	points.Add(seriesSingleRestartCPU, servers, max(0, loaded.serverCore-quiet.serverCore)*over*10) // percent to ms a second
 	return nil
 }
 
@@ -204,8 +204,8 @@
 			if perMinute == 0 {
 				return nil
 			}
-			gap := time.Minute / time.Duration(perMinute)
-			for began := time.Now(); time.Since(began)+gap <= f.span() && ctx.Err() == nil; time.Sleep(gap) {
+			interval := time.Minute / time.Duration(perMinute)
+			for began := time.Now(); time.Since(began)+interval <= f.span() && ctx.Err() == nil; time.Sleep(interval) {
 				if err := fleet.Restart(1); err != nil {
 					return err
 				}
@@ -215,8 +215,8 @@
 		if err != nil {
 			return err
 		}
-		points.Add(seriesRestartBytes, float64(perMinute), used.serverBytes)
-		points.Add(seriesRestartCore, float64(perMinute), used.serverCore)
+		points.Add(seriesRestartRateBytes, float64(perMinute), used.serverBytes)
+		points.Add(seriesRestartRateCore, float64(perMinute), used.serverCore)
 	}
 	return nil
 }
@@ -226,15 +226,15 @@
 	if err := fleet.WaitUntilQuiet(ctx); err != nil {
 		return err
 	}
-	back := min(ZoneServers, fleet.servers/5)
+	restarted := min(ZoneServers, fleet.servers/5)
 	before, err := fleet.use()
 	if err != nil {
 		return err
 	}
-	if err := fleet.Restart(back); err != nil {
+	if err := fleet.Restart(restarted); err != nil {
 		return err
 	}
-	took, err := fleet.WaitForViews(ctx)
+	took, err := fleet.WaitUntilWarm(ctx)
 	if err != nil {
 		return err
 	}
@@ -246,8 +246,8 @@
 		return err
 	}
 	used := ratesBetween(before, after, fleet.servers, fewVoters)
-	points.Add(seriesZoneSeconds, float64(back), took.Seconds())
-	points.Add(seriesZoneBytes, float64(back), used.serverBytes*used.seconds)
+	points.Add(seriesZoneSeconds, float64(restarted), took.Seconds())
+	points.Add(seriesZoneBytes, float64(restarted), used.serverBytes*used.seconds)
 	return nil
 }
 
@@ -259,7 +259,7 @@
 				return err
 			}
 			used, err := rateDuring(fleet, 2*f.span(), voters, nil)
-			points.Add(seriesVoterTalks, float64(voters), used.voterTalks)
+			points.Add(seriesVoterConnections, float64(voters), used.voterConnections)
 			points.Add(seriesVoterBytes, float64(voters), used.voterBytes)
 			points.Add(seriesVoterCore, float64(voters), used.voterCore)
 			return err
@@ -273,21 +273,21 @@
 
 // measureLeases measures a few voters with several leases.
 func (f *Fleets) measureLeases(ctx context.Context, points Points) error {
-	for _, duties := range f.firstPoints(1, 8, 16, 32, 64) {
-		err := f.withFleet(ctx, fewVoters, f.spec(fewVoters, duties), func(fleet *Fleet) error {
+	for _, leases := range f.firstPoints(1, 8, 16, 32, 64) {
+		err := f.withFleet(ctx, fewVoters, f.spec(fewVoters, leases), func(fleet *Fleet) error {
 			// Where they are more than the voters can carry, some are never held; that is a figure, not a failure.
-			if _, err := fleet.waitForHolders(ctx, f.leaseTimeout(), duties); err != nil && !errors.Is(err, errHolderCount) {
+			if _, err := fleet.waitForHolders(ctx, f.leaseTimeout(), leases); err != nil && !errors.Is(err, errHolderCount) {
 				return err
 			}
-			held, err := fleet.countHolders()
+			holders, err := fleet.countHolders()
 			if err != nil {
 				return err
 			}
-			points.Add(seriesDutiesHeld, float64(duties), float64(held))
+			points.Add(seriesLeasesHeld, float64(leases), float64(holders))
 			used, err := rateDuring(fleet, 2*f.span(), fewVoters, nil)
-			points.Add(seriesDutyTalks, float64(duties), used.voterTalks)
-			points.Add(seriesDutyBytes, float64(duties), used.voterBytes)
-			points.Add(seriesDutyCore, float64(duties), used.voterCore)
+			points.Add(seriesLeaseConnections, float64(leases), used.voterConnections)
+			points.Add(seriesLeaseBytes, float64(leases), used.voterBytes)
+			points.Add(seriesLeaseCore, float64(leases), used.voterCore)
 			return err
 		})
 		if err != nil {
--- a/internal/testkit/scale/fleets_cut.go
+++ b/internal/testkit/scale/fleets_cut.go
@@ -40,7 +40,7 @@
 			return err
 		}
 		fleet.children = append(fleet.children, process)
-		if _, err := process.answer(); err != nil {
+		if _, err := process.readState(); err != nil {
 			return err
 		}
 	}
@@ -61,8 +61,8 @@
 	if err != nil {
 		return err
 	}
-	points.Add(seriesCutHolders, span.Seconds(), float64(holders))
-	points.Add(seriesCutSeconds, span.Seconds(), without.Seconds())
+	points.Add(seriesPartitionHolders, span.Seconds(), float64(holders))
+	points.Add(seriesPartitionNoHolderSeconds, span.Seconds(), without.Seconds())
 	points.Add(seriesHealSeconds, span.Seconds(), healed.Seconds())
 	return nil
 }
@@ -83,11 +83,11 @@
 
 // countHolders returns the number of servers that hold a lease now, summed over the leases.
 func (f *Fleet) countHolders() (n int, err error) {
-	for _, one := range f.children {
-		if one == nil {
+	for _, child := range f.children {
+		if child == nil {
 			continue
 		}
-		state, err := one.ask(hollowCommand{})
+		state, err := child.ask(hollowCommand{})
 		if err != nil {
 			return n, err
 		}
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -50,14 +50,14 @@
 }
 
 const (
-	viewEach     = time.Second            // between the views that a server leaves for others
-	coldFor      = time.Second            // after which a server that got no view has seen enough itself
-	askTotal     = 300 * time.Millisecond // for which a newcomer waits for all of its peers
-	viewSamples  = 40
-	viewMean     = 0.02
-	sharedTerms  = 7 // digest of the settings that all hollow servers share
-	hollowDrift  = 0.01
-	commandLimit = 1 << 20
+	snapshotInterval     = time.Second            // between the views that a server leaves for others
+	warmUpDelay          = time.Second            // after which a server that got no view has seen enough itself
+	firstFetchWait       = 300 * time.Millisecond // for which a newcomer waits for all of its peers
+	estimateSamples      = 40
+	estimateMean         = 0.02
+	sharedSettingsDigest = 7 // digest of the settings that all hollow servers share
+	hollowMaxClockDrift  = 0.01
+	maxCommandBytes      = 1 << 20
 )
 
 // hollowServer is the control code of one server without a request path: it reports to the membership service, exchanges
@@ -69,13 +69,13 @@
 	peerServer   *peersync.Server
 	leaseManager *leasing.Manager
 	warm         atomic.Bool
-	over         sync.WaitGroup
+	running      sync.WaitGroup
 }
 
 // RunHollow runs a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec.
 func RunHollow(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, commandLimit)
+	lines.Buffer(nil, maxCommandBytes)
 	if !lines.Scan() {
 		return fmt.Errorf("hollow: no spec: %w", errors.Join(io.ErrUnexpectedEOF, lines.Err()))
 	}
@@ -99,13 +99,13 @@
 	if err := answer.Encode(fleetState(servers)); err != nil {
 		return err
 	}
-	chance := rand.New(rand.NewSource(spec.Seed + int64(spec.First)))
+	rng := rand.New(rand.NewSource(spec.Seed + int64(spec.First)))
 	for lines.Scan() {
 		var command hollowCommand
 		if err := json.Unmarshal(lines.Bytes(), &command); err != nil {
 			return fmt.Errorf("hollow: command: %w", err)
 		}
-		for _, i := range chance.Perm(len(servers))[:min(command.Restart, len(servers))] {
+		for _, i := range rng.Perm(len(servers))[:min(command.Restart, len(servers))] {
 			servers[i].stop()
 			if err := servers[i].start(); err != nil {
 				return err
@@ -154,14 +154,14 @@
 	ctx, cancel := context.WithCancel(s.withLocalAddress(context.Background()))
 	s.cancel = cancel
 	reporter := registration.New(fmt.Sprintf("hollow-%d", s.index), s.spec.Members, log)
-	s.over.Go(func() { reporter.Run(ctx, registration.ReportInterval) })
-	s.over.Go(func() { s.publishView(ctx, peerServer, now) })
+	s.running.Go(func() { reporter.Run(ctx, registration.ReportInterval) })
+	s.running.Go(func() { s.publishSnapshots(ctx, peerServer, now) })
 	fetcher := &peersync.Fetcher{
-		Peers: s.peers(), FirstWait: askTotal, Schema: s.estimateSchema(), Seed: s.spec.Seed + int64(s.index),
+		Peers: s.peers(), FirstWait: firstFetchWait, Schema: s.estimateSchema(), Seed: s.spec.Seed + int64(s.index),
 		NeedsEstimates: func() bool { return !s.warm.Load() }, Use: func(estimate.Snapshot) { s.warm.Store(true) },
 		Counts: counts, Log: log,
 	}
-	s.over.Go(func() { fetcher.Run(ctx) })
+	s.running.Go(func() { fetcher.Run(ctx) })
 	return s.startVoter(ctx, log)
 }
 
@@ -177,25 +177,25 @@
 	if s.index >= s.spec.Voters {
 		return nil
 	}
-	var others, duties []string
+	var others, leases []string
 	for i, address := range s.spec.Servers[:s.spec.Voters] {
 		if i != s.index {
 			others = append(others, s.peerAddress(address))
 		}
 	}
 	for i := range s.spec.Duties {
-		duties = append(duties, fmt.Sprintf("duty-%d", i))
+		leases = append(leases, fmt.Sprintf("duty-%d", i))
 	}
 	manager, err := leasing.New(leasing.Options{
-		Address: s.address(), Leases: duties, Peers: others, Seed: s.spec.Seed + int64(s.index), Log: log,
-		Config: lease.Config{Duration: s.spec.Lease, MaxClockDrift: hollowDrift, Voters: s.spec.Voters},
+		Address: s.address(), Leases: leases, Peers: others, Seed: s.spec.Seed + int64(s.index), Log: log,
+		Config: lease.Config{Duration: s.spec.Lease, MaxClockDrift: hollowMaxClockDrift, Voters: s.spec.Voters},
 	})
 	if err != nil {
 		return err
 	}
 	s.leaseManager = manager
 	s.peerServer.SetVoteHandler(manager.HandleVote)
-	s.over.Go(func() { manager.Run(ctx) })
+	s.running.Go(func() { manager.Run(ctx) })
 	return nil
 }
 
@@ -206,11 +206,11 @@
 	}
 	s.cancel()
 	s.peerServer.Close()
-	s.over.Wait()
+	s.running.Wait()
 }
 
 func (s *hollowServer) peerAddress(address string) string {
-	if via, stated := s.spec.Via[address]; stated {
+	if via, proxied := s.spec.Via[address]; proxied {
 		return via
 	}
 	return address
@@ -218,8 +218,8 @@
 
 // peers returns the servers that this one polls at its start.
 func (s *hollowServer) peers() (peers []string) {
-	chance := rand.New(rand.NewSource(s.spec.Seed<<16 + int64(s.index)))
-	for _, i := range chance.Perm(len(s.spec.Servers)) {
+	rng := rand.New(rand.NewSource(s.spec.Seed<<16 + int64(s.index)))
+	for _, i := range rng.Perm(len(s.spec.Servers)) {
 		if i != s.index && (s.spec.Asked == 0 || len(peers) < s.spec.Asked) {
 			peers = append(peers, s.peerAddress(s.spec.Servers[i]))
 		}
@@ -229,22 +229,22 @@
 
 // estimateSchema returns the schema of all hollow servers with this server's origin.
 func (s *hollowServer) estimateSchema() estimate.Schema {
-	schema := estimate.Schema{SettingsDigest: sharedTerms, Origin: uint64(s.index) + 1}
+	schema := estimate.Schema{SettingsDigest: sharedSettingsDigest, Origin: uint64(s.index) + 1}
 	for i := range s.spec.Routes {
 		schema.Routes, schema.Deadlines = append(schema.Routes, RouteName(i)), append(schema.Deadlines, 3*time.Second)
 	}
 	return schema
 }
 
-// publishView publishes a view for peers once a second, once the server is warm.
-func (s *hollowServer) publishView(ctx context.Context, peerServer *peersync.Server, now func() time.Duration) {
+// publishSnapshots publishes a view for peers once a second, once the server is warm.
+func (s *hollowServer) publishSnapshots(ctx context.Context, peerServer *peersync.Server, now func() time.Duration) {
 	schema := s.estimateSchema()
 	snapshot := estimate.Snapshot{Origin: schema.Origin, SettingsDigest: schema.SettingsDigest}
-	seen := estimate.Estimate{Mean: viewMean, Spread: viewMean / 2, Samples: viewSamples}
+	learned := estimate.Estimate{Mean: estimateMean, Spread: estimateMean / 2, Samples: estimateSamples}
 	for _, name := range schema.Routes {
-		snapshot.Routes = append(snapshot.Routes, estimate.RouteEstimates{Name: name, Core: seen, Run: seen})
+		snapshot.Routes = append(snapshot.Routes, estimate.RouteEstimates{Name: name, Core: learned, Run: learned})
 	}
-	ticker := time.NewTicker(viewEach)
+	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -252,7 +252,7 @@
 			return
 		case <-ticker.C:
 		}
-		if now() > coldFor {
+		if now() > warmUpDelay {
 			s.warm.Store(true)
 		}
 		if s.warm.Load() {
--- a/internal/testkit/scale/load.go
+++ b/internal/testkit/scale/load.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	statusServed = 20 // of an answer
-	checkFrame   = 20 // type of a health check
-	talkWait     = 5 * time.Second
+	statusServed   = 20 // of an answer
+	checkFrame     = 20 // type of a health check
+	networkTimeout = 5 * time.Second
 )
 
 // quantile returns the quantile p of values in any order.
@@ -49,7 +49,7 @@
 // grow opens connections up to a number.
 func (c *healthCheckers) grow(count int) error {
 	for len(c.conns) < count {
-		conn, err := net.DialTimeout("tcp", c.address, talkWait)
+		conn, err := net.DialTimeout("tcp", c.address, networkTimeout)
 		if err != nil {
 			return fmt.Errorf("caller %d: %w", len(c.conns), err)
 		}
@@ -67,17 +67,17 @@
 // startChecks sends health checks at a rate a second, round robin over the connections, until stop is called.
 func (c *healthCheckers) startChecks(rate float64) (stop func()) {
 	quit := make(chan struct{})
-	var over sync.WaitGroup
+	var running sync.WaitGroup
 	for _, conn := range c.conns {
-		over.Go(func() {
+		running.Go(func() {
 			_ = conn.SetReadDeadline(time.Time{})
 			_, _ = io.Copy(io.Discard, conn) // answers; the deadline below ends it
 		})
 	}
 	if rate > 0 {
-		over.Go(func() {
+		running.Go(func() {
 			frame := harness.Frame(checkFrame, 1, "")
-			gap := time.Duration(float64(time.Second) / rate)
+			interval := time.Duration(float64(time.Second) / rate)
 			for next, i := time.Now(), 0; ; i++ {
 				select {
 				case <-quit:
@@ -85,7 +85,7 @@
 				case <-time.After(time.Until(next)):
 				}
 				_, _ = c.conns[i%len(c.conns)].Write(frame)
-				next = next.Add(gap)
+				next = next.Add(interval)
 			}
 		})
 	}
@@ -94,59 +94,59 @@
 		for _, conn := range c.conns {
 			_ = conn.SetReadDeadline(time.Now())
 		}
-		over.Wait()
+		running.Wait()
 	}
 }
 
 // timeChecks sends a health check every so often over a span and gives how long each took, in milliseconds. during runs
 // beside them, a quarter of the span after the first.
-func timeChecks(address string, each, span time.Duration, during func()) ([]float64, error) {
-	conn, err := net.DialTimeout("tcp", address, talkWait)
+func timeChecks(address string, interval, span time.Duration, during func()) ([]float64, error) {
+	conn, err := net.DialTimeout("tcp", address, networkTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("checker: %w", err)
 	}
 	defer func() { _ = conn.Close() }()
-	var over sync.WaitGroup
-	defer over.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	if during != nil {
-		over.Go(func() {
+		running.Go(func() {
 			time.Sleep(span / 4)
 			during()
 		})
 	}
 	in, frame := bufio.NewReader(conn), harness.Frame(checkFrame, 1, "")
-	var took []float64
+	var latencies []float64
 	for began := time.Now(); time.Since(began) < span; {
 		sent := time.Now()
-		_ = conn.SetDeadline(sent.Add(talkWait))
+		_ = conn.SetDeadline(sent.Add(networkTimeout))
 		if _, err := conn.Write(frame); err != nil {
-			return took, fmt.Errorf("checker: %w", err)
+			return latencies, fmt.Errorf("checker: %w", err)
 		}
 		if _, err := harness.ReadReply(in); err != nil {
-			return took, fmt.Errorf("checker: %w", err)
+			return latencies, fmt.Errorf("checker: %w", err)
 		}
-		took = append(took, milliseconds(time.Since(sent)))
-		time.Sleep(time.Until(sent.Add(each)))
+		latencies = append(latencies, milliseconds(time.Since(sent)))
+		time.Sleep(time.Until(sent.Add(interval)))
 	}
-	return took, nil
+	return latencies, nil
 }
 
 // steadyLoad are requests at a rate, each of the same work, at moments that a seed moves a little, over some of the
 // routes that may simply be repeated.
-func steadyLoad(rate float64, span time.Duration, routes int, seed int64) (load []harness.Arrival, types []harness.Route) {
-	for i := 0; i < routes && len(types) < loadedRoutes; i += keyedEvery {
-		types = append(types, harness.Route{
+func steadyLoad(rate float64, span time.Duration, routeCount int, seed int64) (load []harness.Arrival, routes []harness.Route) {
+	for i := 0; i < routeCount && len(routes) < loadedRoutes; i += routeStride {
+		routes = append(routes, harness.Route{
 			Name: RouteName(i), LatencyTarget: 900 * time.Millisecond, Deadline: 3 * time.Second, Value: 1,
 		})
 	}
-	chance := rand.New(rand.NewSource(seed))
+	rng := rand.New(rand.NewSource(seed))
 	for i := range int(rate * span.Seconds()) {
-		at := (float64(i) + chance.Float64()) / rate
+		at := (float64(i) + rng.Float64()) / rate
 		load = append(load, harness.Arrival{
-			At: time.Duration(at * float64(time.Second)), Route: i % len(types), Work: directWork, Rank: 0.5,
+			At: time.Duration(at * float64(time.Second)), Route: i % len(routes), Work: directWork, Rank: 0.5,
 		})
 	}
-	return load, types
+	return load, routes
 }
 
 // runDirect sends a load straight to workers of its own and gives how long each request took.
@@ -156,34 +156,34 @@
 		return nil, err
 	}
 	defer workers.Close()
-	link, err := net.DialTimeout("tcp", workers.Address, talkWait)
+	link, err := net.DialTimeout("tcp", workers.Address, networkTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("workers: %w", err)
 	}
 	defer func() { _ = link.Close() }()
 	sent := make([]time.Time, len(load))
-	took := make([]time.Duration, 0, len(load))
-	ended := make(chan error, 1)
+	latencies := make([]time.Duration, 0, len(load))
+	readDone := make(chan error, 1)
 	var mu sync.Mutex
 	go func() {
 		in := bufio.NewScanner(link)
-		for len(took) < len(load) && in.Scan() {
-			var notice struct {
+		for len(latencies) < len(load) && in.Scan() {
+			var message struct {
 				Verb string `json:"verb"`
 				Task string `json:"task"`
 			}
-			if json.Unmarshal(in.Bytes(), &notice) != nil || notice.Verb != "finished" {
+			if json.Unmarshal(in.Bytes(), &message) != nil || message.Verb != "finished" {
 				continue
 			}
-			var place int
-			if _, err := fmt.Sscanf(notice.Task, "direct-%d", &place); err != nil {
+			var index int
+			if _, err := fmt.Sscanf(message.Task, "direct-%d", &index); err != nil {
 				continue
 			}
 			mu.Lock()
-			took = append(took, time.Since(sent[place]))
+			latencies = append(latencies, time.Since(sent[index]))
 			mu.Unlock()
 		}
-		ended <- in.Err()
+		readDone <- in.Err()
 	}()
 	if _, err := io.WriteString(link, `{"verb":"bind","index":0}`+"\n"); err != nil {
 		return nil, fmt.Errorf("workers: %w", err)
@@ -204,9 +204,9 @@
 		}
 	}
 	select {
-	case err := <-ended:
-		return took, err
-	case <-time.After(talkWait):
+	case err := <-readDone:
+		return latencies, err
+	case <-time.After(networkTimeout):
 		return nil, errors.New("workers: not all requests ended")
 	}
 }
--- a/internal/testkit/scale/plan.go
+++ b/internal/testkit/scale/plan.go
@@ -6,16 +6,16 @@
 
 // The planned size.
 const (
-	PlannedServers  = 500
-	PlannedCallers  = 7600
-	PlannedRequests = 110_000 // a second
-	PlannedRoutes   = 3300
-	PlannedTenants  = 30_000
-	PlannedZones    = 7
-	PlannedChanges  = 910  // of configuration, a day
-	PlannedRestarts = 1300 // of servers, a day
-	ControlMachines = 5
-	ZoneServers     = 72 // in the largest zone: 500 servers over 7 zones
+	PlannedServers        = 500
+	PlannedRouters        = 7600
+	PlannedRequestRate    = 110_000 // a second
+	PlannedRoutes         = 3300
+	PlannedTenants        = 30_000
+	PlannedZones          = 7
+	PlannedChangesPerDay  = 910  // of configuration, a day
+	PlannedRestartsPerDay = 1300 // of servers, a day
+	ControlMachines       = 5
+	ZoneServers           = 72 // in the largest zone: 500 servers over 7 zones
 )
 
 // Budgets of control for one app server.
--- a/internal/testkit/scale/points.go
+++ b/internal/testkit/scale/points.go
@@ -71,8 +71,8 @@
 func (p Points) Series(series string) (xs, ys []float64) {
 	points := slices.Clone(p[series])
 	slices.SortStableFunc(points, func(a, b Point) int { return cmp.Compare(a.X, b.X) })
-	for _, one := range points {
-		xs, ys = append(xs, one.X), append(ys, one.Value)
+	for _, point := range points {
+		xs, ys = append(xs, point.X), append(ys, point.Value)
 	}
 	return xs, ys
 }
@@ -83,9 +83,9 @@
 // MeanAt returns the mean of the values of a series at x, and whether there is any.
 func (p Points) MeanAt(series string, x float64) (value float64, measured bool) {
 	n := 0.0
-	for _, one := range p[series] {
-		if one.X == x {
-			value += one.Value
+	for _, point := range p[series] {
+		if point.X == x {
+			value += point.Value
 			n++
 		}
 	}
@@ -114,13 +114,13 @@
 	for _, series := range slices.Sorted(maps.Keys(p)) {
 		xs, ys := p.Series(series)
 		for i := range xs {
-			rows = append(rows, []string{series, number(xs[i]), number(ys[i])})
+			rows = append(rows, []string{series, formatNumber(xs[i]), formatNumber(ys[i])})
 		}
 	}
 	return out.WriteAll(rows)
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
 // ReadPoints reads a file of Write, and returns its points and its origin.
 func ReadPoints(path string) (Points, string, error) {
@@ -162,10 +162,10 @@
 
 // Chart draws series with their lines. A series that is not linear is drawn without one.
 func (p Points) Chart(path, title, x, y string, origin Origin, series ...string) error {
-	drawn := plot.New()
-	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = title+"\n"+origin.String(), x, y
-	drawn.Legend.Top, drawn.Legend.Left = true, true
-	drawn.Add(plotter.NewGrid())
+	canvas := plot.New()
+	canvas.Title.Text, canvas.X.Label.Text, canvas.Y.Label.Text = title+"\n"+origin.String(), x, y
+	canvas.Legend.Top, canvas.Legend.Left = true, true
+	canvas.Add(plotter.NewGrid())
 	for i, name := range series {
 		xs, ys := p.Series(name)
 		points := make(plotter.XYs, len(xs))
@@ -177,15 +177,15 @@
 			return fmt.Errorf("chart %s: %w", name, err)
 		}
 		scatter.Color, scatter.Shape = plotutil.Color(i), plotutil.Shape(i)
-		drawn.Add(scatter)
-		drawn.Legend.Add(name, scatter)
-		if line := Fit(xs, ys); line.Straight {
+		canvas.Add(scatter)
+		canvas.Legend.Add(name, scatter)
+		if line := Fit(xs, ys); line.Linear {
 			fitted := plotter.NewFunction(line.At)
 			fitted.Color = plotutil.Color(i)
-			drawn.Add(fitted)
+			canvas.Add(fitted)
 		}
 	}
-	if err := drawn.Save(chartWidth, chartHeight, path); err != nil {
+	if err := canvas.Save(chartWidth, chartHeight, path); err != nil {
 		return fmt.Errorf("chart %s: %w", filepath.Base(path), err)
 	}
 	return nil
--- a/internal/testkit/scale/publish.go
+++ b/internal/testkit/scale/publish.go
@@ -24,7 +24,7 @@
 		{"idle.svg", "idle processor time of a daemon", "% of the planned routes and tenants", "% of a core",
 			[]string{seriesIdle + bySize}},
 		{"reload.svg", "processor time of a reload", "% of the planned routes and tenants", "ms",
-			[]string{seriesReloadSame + bySize, seriesReloadMoved + bySize}},
+			[]string{seriesReloadSame + bySize, seriesReloadChanged + bySize}},
 		{"connections.svg", "memory by connections", "connections", "MB", []string{seriesConnectionsMB}},
 		{"checks.svg", "processor time by health checks", "checks a second", "% of a core",
 			[]string{fmt.Sprintf(seriesChecks, fewRoutes), fmt.Sprintf(seriesChecks, PlannedRoutes)}},
@@ -34,9 +34,9 @@
 			[]string{seriesAddedP50, seriesAddedP99}},
 	},
 	"fleets": {
-		{"restart.svg", "bytes of one restart", "servers", "bytes", []string{seriesNewcomerBytes}},
-		{"voters.svg", "lease talks by voters", "voters", "talks a second and voter", []string{seriesVoterTalks}},
-		{"duties.svg", "lease talks by duties, 5 voters", "duties", "talks a second and voter", []string{seriesDutyTalks}},
+		{"restart.svg", "bytes of one restart", "servers", "bytes", []string{seriesSingleRestartBytes}},
+		{"voters.svg", "lease talks by voters", "voters", "talks a second and voter", []string{seriesVoterConnections}},
+		{"duties.svg", "lease talks by duties, 5 voters", "duties", "talks a second and voter", []string{seriesLeaseConnections}},
 	},
 }
 
@@ -69,13 +69,13 @@
 	for _, series := range slices.Sorted(maps.Keys(p)) {
 		xs, ys := p.Series(series)
 		line, last := Fit(xs, ys), len(xs)-1
-		shape := "no"
-		if line.Straight {
-			shape = "yes"
+		linear := "no"
+		if line.Linear {
+			linear = "yes"
 		}
 		fmt.Fprintf(table, "%s\t%d\t%s at %s\t%s at %s\t%s\t%s\t%.3f\t%s\t%s\t\n", series, len(xs),
-			number(ys[0]), number(xs[0]), number(ys[last]), number(xs[last]), number(line.Slope), number(line.Intercept),
-			line.R2, number(line.Worst), shape)
+			formatNumber(ys[0]), formatNumber(xs[0]), formatNumber(ys[last]), formatNumber(xs[last]), formatNumber(line.Slope), formatNumber(line.Intercept),
+			line.R2, formatNumber(line.MaxResidual), linear)
 	}
 	return table.Flush()
 }
--- a/internal/testkit/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -34,17 +34,17 @@
 // Service is the configuration service on the control machines, each a process of the real program. What crosses between
 // the sides goes through proxies that can be cut.
 type Service struct {
-	program       string
-	folder        string
-	names         []string
-	sessions      []string
-	replicas      []string
-	cmds          []*exec.Cmd
-	logs          []*harness.LogBuffer
-	links         []*faultnet.Proxy
-	crossSessions map[string]string // sessions of each machine as those of the other side dial it
-	crossReplicas map[string]string // replication of each machine, the same
-	keys          peersync.Keys
+	program         string
+	folder          string
+	names           []string
+	sessions        []string
+	replicas        []string
+	cmds            []*exec.Cmd
+	logs            []*harness.LogBuffer
+	links           []*faultnet.Proxy
+	proxiedSessions map[string]string // sessions of each machine as those of the other side dial it
+	proxiedReplicas map[string]string // replication of each machine, the same
+	keys            peersync.Keys
 }
 
 // sideOfMachine returns the side of a machine: the last two are the minority.
@@ -58,7 +58,7 @@
 // StartService starts all machines.
 func StartService(program, folder string) (s *Service, err error) {
 	s = &Service{
-		program: program, folder: folder, crossSessions: map[string]string{}, crossReplicas: map[string]string{},
+		program: program, folder: folder, proxiedSessions: map[string]string{}, proxiedReplicas: map[string]string{},
 		keys: peersync.Keys{[]byte(strings.Repeat("\x5e", len(serviceKey)/2))},
 	}
 	defer func() {
@@ -78,7 +78,7 @@
 			}
 			*list = append(*list, address)
 		}
-		for address, into := range map[string]map[string]string{s.sessions[i]: s.crossSessions, s.replicas[i]: s.crossReplicas} {
+		for address, into := range map[string]map[string]string{s.sessions[i]: s.proxiedSessions, s.replicas[i]: s.proxiedReplicas} {
 			link, err := faultnet.New(address)
 			if err != nil {
 				return s, err
@@ -97,14 +97,14 @@
 
 func (s *Service) keyFile() string { return filepath.Join(s.folder, "keys") }
 
-// file is the configuration of a machine, which dials those of the other side through proxies.
-func (s *Service) file(machine int) string {
+// configText is the configuration of a machine, which dials those of the other side through proxies.
+func (s *Service) configText(machine int) string {
 	text := fmt.Sprintf("name = %q\ndata = %q\nkey-file = %q\n", s.names[machine],
 		filepath.Join(s.folder, s.names[machine]), s.keyFile())
 	for i, name := range s.names {
 		text += fmt.Sprintf("[[machine]]\nname = %q\nzone = %q\nreplication = %q\nsessions = %q\n", name, sideOfMachine(i), s.replicas[i], s.sessions[i])
 		if sideOfMachine(i) != sideOfMachine(machine) {
-			text += fmt.Sprintf("reach = %q\n", s.crossReplicas[s.replicas[i]])
+			text += fmt.Sprintf("reach = %q\n", s.proxiedReplicas[s.replicas[i]])
 		}
 	}
 	return text
@@ -113,7 +113,7 @@
 // StartMachine starts one machine with its stored state.
 func (s *Service) StartMachine(i int) error {
 	path := filepath.Join(s.folder, s.names[i]+".toml")
-	if err := os.WriteFile(path, []byte(s.file(i)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(s.configText(i)), 0o600); err != nil {
 		return fmt.Errorf("service: %w", err)
 	}
 	cmd := exec.Command(s.program, "serve", "--config", path)
@@ -156,7 +156,7 @@
 func (s *Service) Endpoints(from side) (machines []configwatch.Endpoint) {
 	for i, address := range s.sessions {
 		if sideOfMachine(i) != from {
-			address = s.crossSessions[address]
+			address = s.proxiedSessions[address]
 		}
 		machines = append(machines, configwatch.Endpoint{Zone: string(sideOfMachine(i)), Address: address})
 	}
@@ -179,12 +179,12 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	last := ""
+	lastLines := ""
 	for i := range s.logs {
 		lines := strings.Split(strings.TrimSpace(s.logs[i].String()), "\n")
-		last += fmt.Sprintf("\n%s: %s", s.names[i], lines[len(lines)-1])
+		lastLines += fmt.Sprintf("\n%s: %s", s.names[i], lines[len(lines)-1])
 	}
-	return 0, fmt.Errorf("service: no leader: %w%s", ctx.Err(), last)
+	return 0, fmt.Errorf("service: no leader: %w%s", ctx.Err(), lastLines)
 }
 
 // Stop ends all machines and links.
--- a/internal/testkit/scale/site.go
+++ b/internal/testkit/scale/site.go
@@ -13,21 +13,21 @@
 
 // routeSettings returns the settings of one route. One in eight is at-most-once, and one in eight is keyed.
 func routeSettings(i int) map[string]any {
-	repeats := "retryable"
+	idempotency := "retryable"
 	switch i % 8 {
 	case 3:
-		repeats = "fragile"
+		idempotency = "fragile"
 	case 7:
-		repeats = "dedup"
+		idempotency = "dedup"
 	}
 	return map[string]any{
 		"name": RouteName(i), "goal-time": 900_000 + i%100, "deadline": 3_000_000, "gain": 1 + i%5,
-		"idempotency": repeats, "late-value": 0.0, "dedup-window": 9_000_000,
+		"idempotency": idempotency, "late-value": 0.0, "dedup-window": 9_000_000,
 	}
 }
 
-// Site returns a platform configuration with so many routes and tenants, for a server at these addresses.
-func Site(routes, tenants int, listen, pool, members string) ([]byte, error) {
+// PlatformConfig returns a platform configuration with so many routes and tenants, for a server at these addresses.
+func PlatformConfig(routes, tenants int, listen, pool, members string) ([]byte, error) {
 	services := make([]map[string]any, routes)
 	for i := range services {
 		services[i] = routeSettings(i)
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -16,13 +16,13 @@
 
 // What the slopes' series measure. Behind each stands "by" and what grew.
 const (
-	seriesStart        = "start ms"
-	seriesResident     = "resident MB"
-	seriesAfterReloads = "resident MB after reloads"
-	seriesIdle         = "idle core %"
-	seriesReloadSame   = "reload without a change, cpu ms"
-	seriesReloadMoved  = "reload with one change, cpu ms"
-	seriesFile         = "configuration file MB"
+	seriesStart         = "start ms"
+	seriesResident      = "resident MB"
+	seriesAfterReloads  = "resident MB after reloads"
+	seriesIdle          = "idle core %"
+	seriesReloadSame    = "reload without a change, cpu ms"
+	seriesReloadChanged = "reload with one change, cpu ms"
+	seriesFile          = "configuration file MB"
 
 	byRoutes  = " by routes"
 	byTenants = " by tenants"
@@ -41,19 +41,19 @@
 )
 
 const (
-	reloads        = 5                // before the memory after reloads is read
-	reloadTimeout  = 20 * time.Second // for one reload
-	tablesAtOnce   = 4
-	fewRoutes      = 2
-	checkerConns   = 200
-	directWork     = 10 * time.Millisecond // of each request
-	machineCores   = 8
-	settleDelay    = 300 * time.Millisecond // after a start, for what it left behind to be collected
-	checkEach      = 2 * time.Millisecond
-	loadedRoutes   = 64
-	keyedEvery     = 8 // every eighth route may simply be repeated; see routeSettings
-	checkedForSpan = 2 * time.Second
-	requestRepeats = 3
+	reloadCount      = 5                // before the memory after reloads is read
+	reloadTimeout    = 20 * time.Second // for one reload
+	tableConcurrency = 4
+	fewRoutes        = 2
+	checkConnections = 200
+	directWork       = 10 * time.Millisecond // of each request
+	machineCores     = 8
+	settleDelay      = 300 * time.Millisecond // after a start, for what it left behind to be collected
+	checkInterval    = 2 * time.Millisecond
+	loadedRoutes     = 64
+	routeStride      = 8 // every eighth route may simply be repeated; see routeSettings
+	checkSpan        = 2 * time.Second
+	requestRepeats   = 3
 )
 
 // Slopes measures one real daemon over several sizes.
@@ -67,7 +67,7 @@
 // Run measures everything. The daemons' tables are measured a few at once, all else by itself.
 func (s *Slopes) Run(ctx context.Context) (Points, error) {
 	all := Points{}
-	for _, part := range []func(context.Context) (Points, error){s.tables, s.connections, s.checks, s.requests} {
+	for _, part := range []func(context.Context) (Points, error){s.measureTables, s.measureConnections, s.measureChecks, s.measureRequests} {
 		points, err := part(ctx)
 		if err != nil {
 			return nil, err
@@ -85,29 +85,29 @@
 	return 1500 * time.Millisecond
 }
 
-// steps are the points of a series, in parts of the largest.
-var steps = []float64{0, 0.25, 0.5, 0.75, 1}
+// sizeFractions are the points of a series, in parts of the largest.
+var sizeFractions = []float64{0, 0.25, 0.5, 0.75, 1}
 
 // launch starts a daemon with so many routes and tenants.
 func (s *Slopes) launch(name string, routes, tenants int) (*harness.Daemon, error) {
 	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
 	return harness.Launch(s.Daemon, nil, s.Folder, name, machine, "", func(listen, pool, members string) ([]byte, error) {
-		return Site(max(routes, fewRoutes), tenants, listen, pool, members)
+		return PlatformConfig(max(routes, fewRoutes), tenants, listen, pool, members)
 	})
 }
 
-// table is one size of a daemon's tables, and the series that it is a point of.
+// measureTable is one size of a daemon's tables, and the series that it is a point of.
 type table struct {
 	by              string
 	x               float64
 	routes, tenants int
 }
 
-// tables measures start, memory, idle time and reloads by routes, by tenants, and by both together.
-func (s *Slopes) tables(ctx context.Context) (Points, error) {
+// measureTables measures start, memory, idle time and reloads by routes, by tenants, and by both together.
+func (s *Slopes) measureTables(ctx context.Context) (Points, error) {
 	var jobs []table
 	const routes, tenants = PlannedRoutes, PlannedTenants
-	for _, step := range steps {
+	for _, step := range sizeFractions {
 		jobs = append(jobs, table{bySize, 100 * step, int(step * routes), int(step * tenants)})
 		if s.Small {
 			continue
@@ -121,7 +121,7 @@
 		all   = Points{}
 		errs  []error
 		group sync.WaitGroup
-		slots = make(chan struct{}, tablesAtOnce)
+		slots = make(chan struct{}, tableConcurrency)
 	)
 	for i, job := range jobs {
 		slots <- struct{}{}
@@ -130,7 +130,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			points, err := s.table(fmt.Sprintf("table%d", i), job)
+			points, err := s.measureTable(fmt.Sprintf("table%d", i), job)
 			mu.Lock()
 			defer mu.Unlock()
 			all.Merge(points)
@@ -143,8 +143,8 @@
 	return all, errors.Join(append(errs, ctx.Err())...)
 }
 
-// table measures one size.
-func (s *Slopes) table(name string, job table) (points Points, err error) {
+// measureTable measures one size.
+func (s *Slopes) measureTable(name string, job table) (points Points, err error) {
 	began := time.Now()
 	d, err := s.launch(name, job.routes, job.tenants)
 	if err != nil {
@@ -168,33 +168,33 @@
 	}
 	points.Add(seriesResident+job.by, job.x, resident)
 	if job.by == bySize {
-		if err := s.checksOverReload(d, job, points); err != nil {
+		if err := s.measureChecksDuringReload(d, job, points); err != nil {
 			return points, err
 		}
 	}
-	return points, s.reloads(d, job, points)
+	return points, s.measureReloads(d, job, points)
 }
 
-// reloads measures reloads that change nothing, and then one that changes a setting that may move in service.
-func (s *Slopes) reloads(d *harness.Daemon, job table, points Points) error {
-	var took []time.Duration
-	for range reloads {
+// measureReloads measures reloads that change nothing, and then one that changes a setting that may move in service.
+func (s *Slopes) measureReloads(d *harness.Daemon, job table, points Points) error {
+	var times []time.Duration
+	for range reloadCount {
 		spent, err := reload(d)
 		if err != nil {
 			return err
 		}
-		took = append(took, spent)
+		times = append(times, spent)
 	}
-	slices.Sort(took)
-	points.Add(seriesReloadSame+job.by, job.x, milliseconds(took[len(took)/2]))
-	if err := rewrite(d.ConfigPath, `"halt":"suspend"`, `"halt":"abort"`); err != nil {
+	slices.Sort(times)
+	points.Add(seriesReloadSame+job.by, job.x, milliseconds(times[len(times)/2]))
+	if err := replaceInFile(d.ConfigPath, `"halt":"suspend"`, `"halt":"abort"`); err != nil {
 		return err
 	}
 	spent, err := reload(d)
 	if err != nil {
 		return err
 	}
-	points.Add(seriesReloadMoved+job.by, job.x, milliseconds(spent))
+	points.Add(seriesReloadChanged+job.by, job.x, milliseconds(spent))
 	resident, err := ResidentMB(d.PID())
 	if err != nil {
 		return err
@@ -205,7 +205,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func rewrite(path, from, to string) error {
+func replaceInFile(path, from, to string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
@@ -215,8 +215,8 @@
 
 // reload has a daemon read its configuration anew and gives the processor time that took.
 func reload(d *harness.Daemon) (time.Duration, error) {
-	const told = `msg="configuration reloaded"`
-	seen := strings.Count(d.Log(), told)
+	const reloadedMessage = `msg="configuration reloaded"`
+	seen := strings.Count(d.Log(), reloadedMessage)
 	before, err := CPU(d.PID())
 	if err != nil {
 		return 0, err
@@ -224,7 +224,7 @@
 	if err := d.Signal(syscall.SIGHUP); err != nil {
 		return 0, err
 	}
-	for end := time.Now().Add(reloadTimeout); strings.Count(d.Log(), told) == seen; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(reloadTimeout); strings.Count(d.Log(), reloadedMessage) == seen; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			return 0, fmt.Errorf("no reload within %v", reloadTimeout)
 		}
@@ -234,17 +234,17 @@
 }
 
 const (
-	restLook = 20 * time.Millisecond
-	restCPU  = 2 * time.Millisecond // of a look in which a process counts as at rest
-	restWait = 2 * time.Second
+	restPollInterval = 20 * time.Millisecond
+	restCPU          = 2 * time.Millisecond // of a look in which a process counts as at rest
+	restTimeout      = 2 * time.Second
 )
 
 // waitAtRest waits until a process does little, as once the collector behind a reload is done, and gives the processor time
 // that it has used by then.
 func waitAtRest(pid int) (time.Duration, error) {
 	last, err := CPU(pid)
-	for began := time.Now(); err == nil && time.Since(began) < restWait; {
-		time.Sleep(restLook)
+	for began := time.Now(); err == nil && time.Since(began) < restTimeout; {
+		time.Sleep(restPollInterval)
 		var now time.Duration
 		if now, err = CPU(pid); now-last < restCPU {
 			return now, err
@@ -254,15 +254,15 @@
 	return last, err
 }
 
-// checksOverReload times health checks on a quiet daemon, and again while it reloads.
-func (s *Slopes) checksOverReload(d *harness.Daemon, job table, points Points) error {
-	quiet, err := timeChecks(d.Address, checkEach, checkedForSpan/2, nil)
+// measureChecksDuringReload times health checks on a quiet daemon, and again while it reloads.
+func (s *Slopes) measureChecksDuringReload(d *harness.Daemon, job table, points Points) error {
+	quiet, err := timeChecks(d.Address, checkInterval, checkSpan/2, nil)
 	if err != nil {
 		return err
 	}
 	points.Add(seriesCheckQuiet, job.x, quantile(quiet, 0.99))
 	var failed error
-	over, err := timeChecks(d.Address, checkEach, checkedForSpan, func() { _, failed = reload(d) })
+	over, err := timeChecks(d.Address, checkInterval, checkSpan, func() { _, failed = reload(d) })
 	if err := errors.Join(err, failed); err != nil {
 		return err
 	}
--- a/internal/testkit/scale/slopes_load.go
+++ b/internal/testkit/scale/slopes_load.go
@@ -10,19 +10,19 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// connections measures memory and idle time by connections that carry nothing.
-func (s *Slopes) connections(context.Context) (points Points, err error) {
+// measureConnections measures memory and idle time by connections that carry nothing.
+func (s *Slopes) measureConnections(context.Context) (points Points, err error) {
 	d, err := s.launch("connections", fewRoutes, 0)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, d.Stop()) }()
 	points = Points{}
-	callers := &healthCheckers{address: d.Address}
-	defer callers.close()
-	for _, step := range steps {
-		count := int(step * PlannedCallers)
-		if err := callers.grow(count); err != nil {
+	checkers := &healthCheckers{address: d.Address}
+	defer checkers.close()
+	for _, step := range sizeFractions {
+		count := int(step * PlannedRouters)
+		if err := checkers.grow(count); err != nil {
 			return points, err
 		}
 		time.Sleep(settleDelay)
@@ -40,26 +40,26 @@
 	return points, nil
 }
 
-// bothSizes are the numbers of routes that loads are measured at.
-func (s *Slopes) bothSizes() []int {
+// routeCounts are the numbers of routes that loads are measured at.
+func (s *Slopes) routeCounts() []int {
 	if s.Small {
 		return []int{PlannedRoutes}
 	}
 	return []int{fewRoutes, PlannedRoutes}
 }
 
-// checks measures processor time by health checks a second, each on another connection.
-func (s *Slopes) checks(context.Context) (Points, error) {
+// measureChecks measures processor time by health checks a second, each on another connection.
+func (s *Slopes) measureChecks(context.Context) (Points, error) {
 	points := Points{}
-	for _, routes := range s.bothSizes() {
+	for _, routes := range s.routeCounts() {
 		err := s.withDaemon(routes, func(d *harness.Daemon) error {
-			callers := &healthCheckers{address: d.Address}
-			defer callers.close()
-			if err := callers.grow(checkerConns); err != nil {
+			checkers := &healthCheckers{address: d.Address}
+			defer checkers.close()
+			if err := checkers.grow(checkConnections); err != nil {
 				return err
 			}
 			for _, rate := range []float64{0, 250, 500, 1000, 2000} {
-				stop := callers.startChecks(rate)
+				stop := checkers.startChecks(rate)
 				share, err := coreShare(d.PID(), s.span())
 				stop()
 				if err != nil {
@@ -91,20 +91,20 @@
 	return measure(d)
 }
 
-// requests measures processor time by requests a second, and what the daemon adds to a request: the same load goes
+// measureRequests measures processor time by requests a second, and what the daemon adds to a request: the same load goes
 // through it and straight to workers of the same kind, at the same time, three times over.
-func (s *Slopes) requests(context.Context) (Points, error) {
+func (s *Slopes) measureRequests(context.Context) (Points, error) {
 	points := Points{}
-	rates := []float64{0, 60, 120, 180, PlannedRequests / PlannedServers, measuredRequests}
+	rates := []float64{0, 60, 120, 180, PlannedRequestRate / PlannedServers, maxRequestRate}
 	if s.Small {
-		rates = []float64{PlannedRequests / PlannedServers}
+		rates = []float64{PlannedRequestRate / PlannedServers}
 	}
-	for _, routes := range s.bothSizes() {
+	for _, routes := range s.routeCounts() {
 		series := fmt.Sprintf(seriesRequests, routes)
 		err := s.withDaemon(routes, func(d *harness.Daemon) error {
-			for again := range requestRepeats {
+			for repeat := range requestRepeats {
 				for i, rate := range rates {
-					if err := s.request(d, rate, routes, int64(len(rates)*again+i), series, points); err != nil {
+					if err := s.measureRequestRate(d, rate, routes, int64(len(rates)*repeat+i), series, points); err != nil {
 						return err
 					}
 				}
@@ -118,17 +118,17 @@
 	return points, nil
 }
 
-// request measures one rate.
-func (s *Slopes) request(d *harness.Daemon, rate float64, routes int, place int64, series string, points Points) error {
-	load, types := steadyLoad(rate, s.span(), routes, s.Seed+place)
+// measureRequestRate measures one rate.
+func (s *Slopes) measureRequestRate(d *harness.Daemon, rate float64, routeCount int, seedOffset int64, series string, points Points) error {
+	load, routes := steadyLoad(rate, s.span(), routeCount, s.Seed+seedOffset)
 	var (
-		through                   harness.Result
+		served                    harness.Result
 		direct                    []time.Duration
 		share                     float64
 		errRun, errDirect, errCPU error
 		group                     sync.WaitGroup
 	)
-	group.Go(func() { through, errRun = harness.Run(d.Address, types, load, 1) })
+	group.Go(func() { served, errRun = harness.Run(d.Address, routes, load, 1) })
 	group.Go(func() { share, errCPU = coreShare(d.PID(), s.span()) })
 	if rate > 0 { // beside it, so that what else the machine does hits both
 		group.Go(func() { direct, errDirect = runDirect(load) })
@@ -138,15 +138,15 @@
 		return err
 	}
 	points.Add(series, rate, share)
-	if routes == fewRoutes || rate == 0 {
+	if routeCount == fewRoutes || rate == 0 {
 		return nil
 	}
-	if through.Unanswered > 0 || through.Codes[statusServed] < through.Requests {
-		return fmt.Errorf("%.0f requests a second: %d of %d honoured", rate, through.Codes[statusServed], through.Requests)
+	if served.Unanswered > 0 || served.Codes[statusServed] < served.Requests {
+		return fmt.Errorf("%.0f requests a second: %d of %d honoured", rate, served.Codes[statusServed], served.Requests)
 	}
-	straight, crossed := asMilliseconds(direct), asMilliseconds(through.Latencies)
-	points.Add(seriesDirectP99, rate, quantile(straight, 0.99))
-	points.Add(seriesAddedP50, rate, quantile(crossed, 0.5)-quantile(straight, 0.5))
-	points.Add(seriesAddedP99, rate, quantile(crossed, 0.99)-quantile(straight, 0.99))
+	directMS, servedMS := asMilliseconds(direct), asMilliseconds(served.Latencies)
+	points.Add(seriesDirectP99, rate, quantile(directMS, 0.99))
+	points.Add(seriesAddedP50, rate, quantile(servedMS, 0.5)-quantile(directMS, 0.5))
+	points.Add(seriesAddedP99, rate, quantile(servedMS, 0.99)-quantile(directMS, 0.99))
 	return nil
 }
--- a/internal/testkit/scale/watchers.go
+++ b/internal/testkit/scale/watchers.go
@@ -57,9 +57,9 @@
 
 // hollowWatcher is the real watch of one server without the rest of it.
 type hollowWatcher struct {
-	place  int
+	index  int
 	cancel context.CancelFunc
-	over   chan struct{}
+	ended  chan struct{}
 }
 
 // lineWriter writes lines from several goroutines.
@@ -82,7 +82,7 @@
 // RunWatchers runs hollow watchers until its input ends. The first line of the input is the WatcherSpec.
 func RunWatchers(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, commandLimit)
+	lines.Buffer(nil, maxCommandBytes)
 	var spec WatcherSpec
 	if !lines.Scan() {
 		return errors.Join(io.ErrUnexpectedEOF, lines.Err())
@@ -98,7 +98,7 @@
 	writer := &lineWriter{out: bufio.NewWriter(out)}
 	watchers := make([]*hollowWatcher, spec.Count)
 	for i := range watchers {
-		watchers[i] = &hollowWatcher{place: spec.First + i}
+		watchers[i] = &hollowWatcher{index: spec.First + i}
 		watchers[i].start(spec, peersync.Keys{key}, writer)
 	}
 	defer func() {
@@ -106,13 +106,13 @@
 			w.stop()
 		}
 	}()
-	chance := rand.New(rand.NewSource(spec.Seed))
+	rng := rand.New(rand.NewSource(spec.Seed))
 	for lines.Scan() {
 		var command watcherCommand
 		if err := json.Unmarshal(lines.Bytes(), &command); err != nil {
 			return fmt.Errorf("watchers: command: %w", err)
 		}
-		chosen := chance.Perm(len(watchers))[:min(command.Restart, len(watchers))]
+		chosen := rng.Perm(len(watchers))[:min(command.Restart, len(watchers))]
 		for _, i := range chosen {
 			watchers[i].stop()
 		}
@@ -128,14 +128,14 @@
 // start begins a watch without an applied version.
 func (h *hollowWatcher) start(spec WatcherSpec, keys peersync.Keys, writer *lineWriter) {
 	ctx, cancel := context.WithCancel(context.Background())
-	h.cancel, h.over = cancel, make(chan struct{})
+	h.cancel, h.ended = cancel, make(chan struct{})
 	event := func(e watcherEvent) {
-		e.Watcher, e.At = h.place, time.Now().UnixNano()
+		e.Watcher, e.At = h.index, time.Now().UnixNano()
 		writer.write(watcherLine{Event: &e})
 	}
 	w := &configwatch.Watcher{
-		Name: fmt.Sprintf("hollow-%d", h.place), Zone: spec.Zone, Endpoints: spec.Machines, Keys: keys,
-		Document: configuration.NewDocument(), Seed: spec.Seed*1_000_003 + time.Now().UnixNano() + int64(h.place),
+		Name: fmt.Sprintf("hollow-%d", h.index), Zone: spec.Zone, Endpoints: spec.Machines, Keys: keys,
+		Document: configuration.NewDocument(), Seed: spec.Seed*1_000_003 + time.Now().UnixNano() + int64(h.index),
 		Logger: discardLog,
 		Apply: func(_ context.Context, delta configuration.Delta, _ *configuration.Document) error {
 			event(watcherEvent{Version: delta.Version, Digest: delta.Digest})
@@ -143,10 +143,10 @@
 		},
 	}
 	event(watcherEvent{Started: true})
-	go func() { w.Run(ctx); close(h.over) }()
+	go func() { w.Run(ctx); close(h.ended) }()
 }
 
 func (h *hollowWatcher) stop() {
 	h.cancel()
-	<-h.over
+	<-h.ended
 }
