--- a/internal/testkit/scale/budgets.go
+++ b/internal/testkit/scale/budgets.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// BudgetFigures compares the measured cost of control with its budgets. Repeated values at a size count with their mean.
+// BudgetFigures compares the measured cost of control with its budgets. Several values at one x are averaged.
 func BudgetFigures(p Points) []Figure {
 	at := func(series string, x float64) float64 {
 		value, measured := p.MeanAt(series, x)
 		if !measured {
-			return math.NaN() // which keeps to no budget
+			return math.NaN() // exceeds every budget; see Figure.Missed
 		}
 		return value
 	}
@@ -23,7 +23,7 @@
 	}
 }
 
-// largest returns the largest value of a series.
+// largest returns the largest value of a series, 0 if it has no points.
 func (p Points) largest(series string) (largest float64) {
 	_, ys := p.Series(series)
 	for _, y := range ys {
--- a/internal/testkit/scale/capacity.go
+++ b/internal/testkit/scale/capacity.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Kind is how a figure of the capacity page was obtained.
+// Kind states how a figure of the capacity page was obtained.
 type Kind string
 
 // The kinds of figures.
@@ -36,24 +36,24 @@
 	secondsADay          = 86400
 	serversWithoutZone   = PlannedServers - ZoneServers
 	serversWithoutRegion = PlannedServers / 2
-	// checkFrameBytes are those of a health check and its answer with a level, without the headers below.
+	// checkFrameBytes is the size of a health check and of its answer with a shed level, without the packet headers.
 	checkFrameBytes   = 10 + 22
 	packetHeaderBytes = 40  // of TCP and IP, without options
-	measuredCheckRate = 500 // a second, the measured rate next to that of the plan
+	measuredCheckRate = 500 // a second; the measured rate nearest to the planned one
 
-	maxRequestRate = 260 // a second, the largest rate
+	maxRequestRate = 260 // a second; the highest measured rate
 )
 
 var errNotMeasured = errors.New("not measured")
 
-// capacityPage computes the figures. The first missing value is the error of all.
+// capacityPage computes the rows of the capacity page. err states the first value that is missing.
 type capacityPage struct {
 	points Points
 	rows   []CapacityRow
 	err    error
 }
 
-// at is what was measured at x.
+// at returns the mean of the values of a series at x. If there are none, it sets err and returns 0.
 func (p *capacityPage) at(series string, x float64) float64 {
 	value, measured := p.points.MeanAt(series, x)
 	if !measured && p.err == nil {
@@ -62,7 +62,7 @@
 	return value
 }
 
-// line is the line through a series that grows as one.
+// line returns the line that is fitted to a series. If the series has no points, it sets err.
 func (p *capacityPage) line(series string) Line {
 	line := p.points.Fit(series)
 	if line.N == 0 && p.err == nil {
@@ -76,12 +76,13 @@
 	return row.Value
 }
 
-// measured adds a figure with its measured value.
+// measured adds a row with the measured value of a series at x, and returns the value.
 func (p *capacityPage) measured(role, name, series string, x float64, unit string, budget float64) float64 {
 	return p.add(CapacityRow{role, name, p.at(series, x), unit, budget, Measured, fmt.Sprintf("%s, at %s", series, formatNumber(x))})
 }
 
-// Capacity computes the figures of the planned size from measured points.
+// Capacity computes the figures of the planned size from measured points. The error wraps errNotMeasured if a value is
+// missing.
 func Capacity(points Points) ([]CapacityRow, error) {
 	p := &capacityPage{points: points}
 	p.appServer()
@@ -138,7 +139,8 @@
 	p.requests()
 }
 
-// measureRequests are the load of the day, of a lost zone, and of a lost region.
+// requests adds the cost of requests on all servers, with a zone lost and with a region lost, and the latency that is
+// added to a request.
 func (p *capacityPage) requests() {
 	const role = "app server"
 	series := fmt.Sprintf(seriesRequests, PlannedRoutes)
@@ -149,7 +151,7 @@
 	}{{"on 500 servers", PlannedServers}, {"with a zone lost", serversWithoutZone}, {"with a region lost", serversWithoutRegion}} {
 		rate := float64(PlannedRequestRate) / float64(c.servers)
 		if rate > maxRequestRate && !line.Linear {
-			continue // nothing is worked out past the points of what is no line
+			continue // a cost that is not linear is not extrapolated beyond the measured rates
 		}
 		p.add(CapacityRow{
 			role, "requests' core " + c.when, line.At(rate), "%", 0, Derived,
@@ -161,7 +163,7 @@
 	p.measured(role, "added to a request, p99, at 260 a second", seriesAddedP99, 260, "ms", BudgetLatencyMS)
 }
 
-// nonlinearity describes a cost that is not linear.
+// nonlinearity returns a note for a cost that is not linear, and an empty string for one that is.
 func nonlinearity(line Line) string {
 	if line.Linear {
 		return ""
@@ -220,7 +222,8 @@
 	p.measured(role, "regions cut 20 s: newest everywhere after the heal", seriesHealWorst, hollowWatchers, "s", propagationTarget.Seconds())
 }
 
-// RenderCapacity returns the generated part of the capacity page: what is over budget, and the table of all figures.
+// RenderCapacity returns the generated part of the capacity page: a list of the figures over budget, and a table of all
+// figures.
 func RenderCapacity(rows []CapacityRow) string {
 	var out strings.Builder
 	over := 0
@@ -244,7 +247,7 @@
 	return out.String()
 }
 
-// comparedSeries are the series whose cost was fixed, at the planned size.
+// comparedSeries are the series of the costs that were fixed, each with the x of the planned size.
 var comparedSeries = []struct {
 	name, series string
 	x            float64
@@ -259,7 +262,7 @@
 	{"control core of a quiet fleet of 500", seriesQuietCore, PlannedServers, "% a server"},
 }
 
-// RenderCompared returns the table of the costs before and after their fixes.
+// RenderCompared returns a table of these costs before and after their fixes.
 func RenderCompared(before, after Points) string {
 	var out strings.Builder
 	out.WriteString("| what | before | after | |\n| --- | --- | --- | --- |\n")
@@ -275,7 +278,7 @@
 	return out.String()
 }
 
-// formatRounded formats a value with three significant figures.
+// formatRounded formats a value with three significant digits, and one of 1000 or more as a whole number.
 func formatRounded(v float64) string {
 	if math.Abs(v) >= 1000 {
 		return fmt.Sprintf("%.0f", v)
@@ -283,7 +286,7 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// ReadBefore reads the points that were measured before the fixes.
+// ReadBefore reads the points that were measured before the fixes, from the folder "before" in a folder of parts.
 func ReadBefore(folder string) (Points, error) {
 	all := Points{}
 	for _, part := range []string{"slopes", "fleets"} {
@@ -296,7 +299,7 @@
 	return all, nil
 }
 
-// ReadParts reads the points of all parts in a folder, and the origin of each.
+// ReadParts reads the points of all parts in a folder, and returns them with the origin of each part.
 func ReadParts(folder string) (Points, map[string]string, error) {
 	all, origins := Points{}, map[string]string{}
 	for _, part := range []string{"slopes", "fleets", "configuration"} {
--- a/internal/testkit/scale/configuration.go
+++ b/internal/testkit/scale/configuration.go
@@ -14,7 +14,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// Series of the configuration service's run; the last number of each name is what grew.
+// Series of the configuration service. The words after the last "by" of each name are the quantity on the x axis.
 const (
 	seriesPropagationP99   = "configuration: proposed to in force p99 s by changes a second"
 	seriesPropagationWorst = "configuration: proposed to in force worst s by changes a second"
@@ -33,11 +33,11 @@
 	appServers             = 3
 	hollowWatchers         = 490
 	watcherProcesses       = 4
-	requestRate            = 150 // a second and app server
+	requestRate            = 150 // a second, to each app server
 	markerTenant           = "marker"
 	propagationTarget      = 9 * time.Second
 	quietPropagationTarget = time.Second
-	maxSlowdown            = 1.2 // of a request's p99
+	maxSlowdown            = 1.2 // of the p99 latency of requests, with changes over without
 )
 
 // Figure is one result with its objective.
@@ -48,17 +48,17 @@
 	Unit  string
 }
 
-// Missed reports whether the value is over Max, or not a number.
+// Missed reports whether there is an objective and the value is over it or not a number.
 func (f Figure) Missed() bool { return f.Max > 0 && !(f.Value <= f.Max) }
 
 // ConfigurationBenchmark measures the configuration service with real control machines, real app servers and hollow watchers.
 type ConfigurationBenchmark struct {
-	Daemon  string // the app server's program
-	Service string // the service's
-	Program string // that has a command watchers
+	Daemon  string // path of the app server's program
+	Service string // path of the configuration service's program
+	Program string // path of a program that has a command watchers
 	Folder  string
 	Seed    int64
-	Small   bool // a tenth of the tables and watchers, shorter spans
+	Small   bool // a tenth of the tables and watchers, and shorter spans
 }
 
 func (c *ConfigurationBenchmark) scaled(full int) int {
@@ -75,7 +75,7 @@
 	return full
 }
 
-// Run measures everything and checks the recorded history.
+// Run runs all measurements and checks the recorded history. The error states what is invalid in it.
 func (c *ConfigurationBenchmark) Run(ctx context.Context) (figures []Figure, points Points, err error) {
 	r := &configurationRun{ConfigurationBenchmark: c, appliedVersions: map[string]uint64{}}
 	ctx, cancel := context.WithCancel(ctx)
@@ -105,7 +105,7 @@
 	return figures, points, r.history.Check()
 }
 
-// propagationDelays returns the delays of the changes that were accepted in a span, in seconds.
+// propagationDelays returns the propagation delays of the accepted changes that were proposed in a span, in seconds.
 func (r *configurationRun) propagationDelays(since, until time.Time) (seconds []float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,7 +115,7 @@
 	return seconds
 }
 
-// cumulativeUse is the processor time and traffic of watchers, control machines and servers so far.
+// cumulativeUse is the processor time and traffic of watchers, control machines and servers up to a moment.
 type cumulativeUse struct {
 	at       time.Time
 	bytes    int64
@@ -152,7 +152,8 @@
 	return s, nil
 }
 
-// measureRequests sends the same load to all servers over a span and returns the latencies, in milliseconds.
+// measureRequests sends requests to all servers at the same rate for a span, and returns the latencies in milliseconds.
+// It returns an error if a request is not served.
 func (r *configurationRun) measureRequests(span time.Duration) (latencies []float64, err error) {
 	var (
 		mu    sync.Mutex
@@ -165,7 +166,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if got.Codes[statusServed] < got.Requests {
-				failed = errors.Join(failed, fmt.Errorf("app-%d: %d of %d requests honoured", i, got.Codes[statusServed], got.Requests))
+				failed = errors.Join(failed, fmt.Errorf("app-%d: %d of %d requests served", i, got.Codes[statusServed], got.Requests))
 			}
 			err = errors.Join(err, failed)
 			latencies = append(latencies, asMilliseconds(got.Latencies)...)
@@ -176,14 +177,14 @@
 }
 
 const (
-	requestPairs        = 5           // of looks at requests, one without a change and one with one
-	requestSpan         = time.Second // of each: one change in two of them is over ten times the stated rate
+	requestPairs        = 5           // of measurements of requests, one without a change and one with a change
+	requestSpan         = time.Second // of each measurement; one change in two of them is over ten times the planned rate
 	quietSpan           = 3 * time.Second
-	quietChangeInterval = time.Second / 2 // between changes with nothing beside them
+	quietChangeInterval = time.Second / 2 // between changes when there are no requests
 )
 
-// measureQuiet measures what requests take without changes and with them, and then, with nothing beside them, what changes cost
-// and how long they take.
+// measureQuiet compares requests without and with changes. Then it measures, without requests, what changes cost and
+// how long they take to propagate.
 func (r *configurationRun) measureQuiet(ctx context.Context, points Points) ([]Figure, error) {
 	slower, err := r.compareRequests(ctx)
 	if err != nil {
@@ -193,7 +194,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := r.changes(ctx, quietChangeInterval, r.scaledSpan(quietSpan), r.Seed); err != nil {
+	if err := r.proposeChanges(ctx, quietChangeInterval, r.scaledSpan(quietSpan), r.Seed); err != nil {
 		return nil, err
 	}
 	if err := r.waitApplied(ctx, r.lastAccepted()); err != nil {
@@ -236,8 +237,9 @@
 	), nil
 }
 
-// compareRequests measures requests in pairs of short looks, one without a change and one with one in it. The medians of the looks'
-// p99 are compared: a stall of this machine hits one look, and a change would slow all that it is in.
+// compareRequests measures requests in pairs of short spans, one without a change and one with a change, and compares
+// the medians of the spans' p99 latencies. A stall of this machine affects one span only, whereas a change that slows
+// requests affects each span that has one.
 func (r *configurationRun) compareRequests(ctx context.Context) ([]Figure, error) {
 	var baselineP99, changedP99, ratios []float64
 	for pair := range requestPairs {
@@ -249,7 +251,7 @@
 		var failed error
 		var group sync.WaitGroup
 		group.Go(func() { with, failed = r.measureRequests(requestSpan) })
-		err = r.changes(ctx, requestSpan, requestSpan/2, r.Seed+int64(pair))
+		err = r.proposeChanges(ctx, requestSpan, requestSpan/2, r.Seed+int64(pair))
 		group.Wait()
 		if err := errors.Join(err, failed); err != nil {
 			return nil, err
@@ -269,7 +271,7 @@
 	}, nil
 }
 
-// measureLeaderLoss kills the leader during changes, and starts it again.
+// measureLeaderLoss kills the leader while changes are proposed, and starts it again.
 func (r *configurationRun) measureLeaderLoss(ctx context.Context, points Points) ([]Figure, error) {
 	const interval = 250 * time.Millisecond
 	leader, err := r.service.Leader(ctx, func(int) bool { return true })
@@ -282,7 +284,7 @@
 		time.Sleep(interval)
 		r.service.KillMachine(leader)
 	})
-	err = r.changes(ctx, interval, r.scaledSpan(4*time.Second), r.Seed+1)
+	err = r.proposeChanges(ctx, interval, r.scaledSpan(4*time.Second), r.Seed+1)
 	group.Wait()
 	if err != nil {
 		return nil, err
@@ -298,8 +300,8 @@
 	return []Figure{{"leader killed: proposed to in force at the worst", worst, propagationTarget.Seconds(), "s"}}, nil
 }
 
-// measureStoppedMachine stops a machine that does not lead, as one that hangs, has a zone's watchers start with nothing
-// meanwhile, and lets the machine go on.
+// measureStoppedMachine stops a machine that is not the leader with SIGSTOP, like one that hangs, restarts as many
+// watchers as a zone has without state, and then lets the machine continue.
 func (r *configurationRun) measureStoppedMachine(ctx context.Context, points Points) ([]Figure, error) {
 	leader, err := r.service.Leader(ctx, func(int) bool { return true })
 	if err != nil {
@@ -310,7 +312,7 @@
 	if err := r.service.Signal(stopped, syscall.SIGSTOP); err != nil {
 		return nil, err
 	}
-	if err := r.changes(ctx, time.Second, r.scaledSpan(2*time.Second), r.Seed+2); err != nil {
+	if err := r.proposeChanges(ctx, time.Second, r.scaledSpan(2*time.Second), r.Seed+2); err != nil {
 		return nil, err
 	}
 	restartedAt := time.Now()
@@ -322,7 +324,7 @@
 		return nil, err
 	}
 	zone := time.Since(restartedAt)
-	if err := r.changes(ctx, time.Second, r.scaledSpan(time.Second), r.Seed+3); err != nil {
+	if err := r.proposeChanges(ctx, time.Second, r.scaledSpan(time.Second), r.Seed+3); err != nil {
 		return nil, err
 	}
 	if err := r.service.Signal(stopped, syscall.SIGCONT); err != nil {
@@ -339,7 +341,7 @@
 	}, nil
 }
 
-// restartWatchers restarts watchers of all processes without state.
+// restartWatchers restarts watchers without state, distributed evenly over the processes.
 func (r *configurationRun) restartWatchers(count int) error {
 	var group errgroup.Group
 	for i, c := range r.children {
@@ -352,14 +354,15 @@
 	return group.Wait()
 }
 
-// measurePartition separates two machines and half of the watchers from the rest during changes, then heals the partition.
+// measurePartition separates two machines and half of the watchers from the rest while changes are proposed, then heals
+// the partition.
 func (r *configurationRun) measurePartition(ctx context.Context, points Points) ([]Figure, error) {
 	r.service.Partition()
 	if _, err := r.service.Leader(ctx, func(i int) bool { return sideOfMachine(i) == majority }); err != nil {
 		return nil, err
 	}
 	before := r.lastAccepted()
-	if err := r.changes(ctx, time.Second, r.scaledSpan(20*time.Second), r.Seed+4); err != nil {
+	if err := r.proposeChanges(ctx, time.Second, r.scaledSpan(20*time.Second), r.Seed+4); err != nil {
 		return nil, err
 	}
 	stale := r.countStale(before)
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -22,7 +22,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// configurationRun is one run of the benchmark.
+// configurationRun is the state of one run of the benchmark.
 type configurationRun struct {
 	*ConfigurationBenchmark
 	service  *Service
@@ -32,11 +32,11 @@
 
 	mu              sync.Mutex
 	history         History
-	appliedVersions map[string]uint64 // by server
+	appliedVersions map[string]uint64 // by watcher name
 	marker          float64
 }
 
-// watcherProcess is a process of hollow watchers.
+// watcherProcess is a process that runs hollow watchers.
 type watcherProcess struct {
 	cmd     *exec.Cmd
 	in      io.WriteCloser
@@ -45,7 +45,7 @@
 	count   int
 }
 
-// start starts all processes and waits until the complete tables are applied everywhere.
+// start starts all processes and waits until every server has applied the complete configuration.
 func (r *configurationRun) start(ctx context.Context, points Points) (err error) {
 	if r.service, err = StartService(r.Service, r.Folder); err != nil {
 		return err
@@ -84,7 +84,8 @@
 	return err
 }
 
-// recordHistory follows the service from version 0 over links without faults, as the reference history.
+// recordHistory starts a watcher that follows the service from version 0 over links without faults, and records the
+// reference history.
 func (r *configurationRun) recordHistory(ctx context.Context) {
 	machines := []configwatch.Endpoint{}
 	for _, address := range r.service.sessions {
@@ -127,8 +128,8 @@
 	return nil
 }
 
-// changes changes one route at an interval over a span.
-func (r *configurationRun) changes(ctx context.Context, interval, span time.Duration, seed int64) error {
+// proposeChanges proposes a change of one random route at each interval until a span has passed.
+func (r *configurationRun) proposeChanges(ctx context.Context, interval, span time.Duration, seed int64) error {
 	rng := rand.New(rand.NewSource(seed))
 	for began := time.Now(); time.Since(began) < span && ctx.Err() == nil; {
 		next := time.Now().Add(interval)
@@ -144,7 +145,7 @@
 	return ctx.Err()
 }
 
-// startWatchers starts a process of hollow watchers.
+// startWatchers starts a process that runs hollow watchers of one zone.
 func (r *configurationRun) startWatchers(process, count int, zone side) error {
 	first := process * r.scaled(hollowWatchers)
 	c := &watcherProcess{cmd: exec.Command(r.Program, "watchers"), answers: make(chan watcherLine, 1), side: zone, count: count}
@@ -169,7 +170,7 @@
 
 func watcherName(index int) string { return fmt.Sprintf("hollow-%d", index) }
 
-// readLines records the lines of a process of watchers.
+// readLines reads the output of a watcher process until it ends. It records the events and passes the answers to ask.
 func (r *configurationRun) readLines(c *watcherProcess, from io.Reader) {
 	lines := bufio.NewScanner(from)
 	for lines.Scan() {
@@ -192,7 +193,7 @@
 	close(c.answers)
 }
 
-// ask sends a command and returns its answer.
+// ask sends a command to the process and returns its answer.
 func (c *watcherProcess) ask(command watcherCommand) (watcherLine, error) {
 	if err := json.NewEncoder(c.in).Encode(command); err != nil {
 		return watcherLine{}, fmt.Errorf("watchers: %w", err)
@@ -204,7 +205,7 @@
 	return line, nil
 }
 
-// startServer starts a real app server that follows the service.
+// startServer starts a real app server that follows the configuration service.
 func (r *configurationRun) startServer(i int) error {
 	name := fmt.Sprintf("app-%d", i)
 	ownConfig := fmt.Sprintf("[configuration]\nname = %q\nzone = %q\nkey-file = %q\ndir = %q\n", name, majority, r.service.keyFile(),
@@ -225,17 +226,17 @@
 
 var appliedLine = regexp.MustCompile(`time=(\S+) level=INFO msg="configuration: in force" version=(\d+)`)
 
-// loggedVersion returns the version that a server logged last as applied.
+// loggedVersion returns the version that a server logged last as applied, 0 if none.
 func loggedVersion(d *harness.Daemon) uint64 {
 	all := appliedLine.FindAllStringSubmatch(d.Log(), -1)
 	if len(all) == 0 {
 		return 0
 	}
-	version, _ := strconv.ParseUint(all[len(all)-1][2], 10, 64) // digits
+	version, _ := strconv.ParseUint(all[len(all)-1][2], 10, 64) // the pattern matches digits only
 	return version
 }
 
-// recordServerEvents adds what the servers logged to the history.
+// recordServerEvents adds the versions that the servers logged as applied to the history.
 func (r *configurationRun) recordServerEvents() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -245,18 +246,19 @@
 	}
 	for i, d := range r.servers {
 		for _, found := range appliedLine.FindAllStringSubmatch(d.Log(), -1) {
-			version, _ := strconv.ParseUint(found[2], 10, 64) // digits
+			version, _ := strconv.ParseUint(found[2], 10, 64) // the pattern matches digits only
 			at, err := time.Parse(time.RFC3339Nano, found[1])
 			if err != nil {
 				continue
 			}
-			// A server logs no digest; its watcher compared the content with that of the delta.
+			// A server logs no digest; its watcher has compared the digest of the content with that of the delta.
 			r.history.Applied = append(r.history.Applied, AppliedVersion{fmt.Sprintf("app-%d", i), version, digests[version], at, false})
 		}
 	}
 }
 
-// waitApplied waits until every server has applied a version or a later one.
+// waitApplied waits until all servers, the watchers and the recorder have applied a version or a later one. It returns
+// an error after 40 seconds.
 func (r *configurationRun) waitApplied(ctx context.Context, version uint64) error {
 	const timeout = 40 * time.Second
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
@@ -281,7 +283,7 @@
 			return nil
 		case time.Since(began) > timeout || ctx.Err() != nil:
 			slices.Sort(stale)
-			return fmt.Errorf("version %d not in force after %v at %d servers, %s among them", version, timeout, len(stale), stale[0])
+			return fmt.Errorf("version %d not applied after %v by %d servers, including %s", version, timeout, len(stale), stale[0])
 		}
 	}
 }
--- a/internal/testkit/scale/fit.go
+++ b/internal/testkit/scale/fit.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// maxLinearResidual is how far the worst point may lie from a line, as a part of the range of values, for the cost to
-	// count as one that grows as a line. Past it no figure is worked out by the line. Of a square's four or five points the
-	// worst lies off by a ninth and more, so a square is none.
+	// maxLinearResidual is the largest residual of a point, as a fraction of the range of values, at which a cost
+	// counts as linear. No figure is extrapolated along the line of a cost that is not linear. A quadratic cost that is
+	// measured at four or five points has a largest residual of a ninth of the range or more, so it does not count as
+	// linear.
 	maxLinearResidual = 0.1
-	// maxConstantRange is the range of values, as a part of the largest, below which a cost counts as constant.
+	// maxConstantRange is the largest range of values, as a fraction of the largest value, at which a cost counts as
+	// constant.
 	maxConstantRange = 0.1
 )
 
 // Line is a least-squares line through points.
 type Line struct {
 	Intercept, Slope float64
-	R2               float64 // share of the variance that the line explains
+	R2               float64 // fraction of the variance that the line explains
 	MaxResidual      float64 // largest distance of a point from the line, in the unit of the values
-	Linear           bool    // every point lies near it
+	Linear           bool    // whether at least three points are linear or constant; see Fit
 	N                int
 }
 
 // At returns the value of the line at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// Fit draws a line through points by least squares. Fewer than three points are never Straight: a line through two
-// says nothing of what lies between.
+// Fit fits a line to points by least squares. Fewer than three points are never Linear: a line through two points does
+// not show how the values between them run.
 func Fit(xs, ys []float64) Line {
 	l := Line{N: len(xs)}
 	if len(xs) < 2 {
--- a/internal/testkit/scale/fleet.go
+++ b/internal/testkit/scale/fleet.go
@@ -15,21 +15,21 @@
 	"time"
 )
 
-// Fleet is a hollow fleet over a few processes. The voters, the busiest role, have the first process to themselves.
+// Fleet is a hollow fleet that runs in a few processes. The voters, the busiest role, run alone in the first process.
 type Fleet struct {
 	children []*hollowProcess
 	members  *membershipSink
 	servers  int
 }
 
-// hollowProcess is one hollow process.
+// hollowProcess is one process of a hollow fleet.
 type hollowProcess struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
 	out *json.Decoder
 }
 
-// membershipSink counts the reports that a membership service gets.
+// membershipSink is a membership service that only counts the reports that it receives.
 type membershipSink struct {
 	socket          net.PacketConn
 	messages, bytes atomic.Int64
@@ -58,7 +58,8 @@
 // nonVoterProcesses is the number of processes for servers that do not vote.
 const nonVoterProcesses = 4
 
-// StartFleet starts a program as the hollow processes of a fleet. It sets the addresses and indexes of the spec.
+// StartFleet starts a program as the processes of a hollow fleet, and returns once all servers have started. It
+// overwrites Servers, Members, First and Count of the spec.
 func StartFleet(program string, servers int, spec HollowSpec) (f *Fleet, err error) {
 	sink, err := newMembershipSink()
 	if err != nil {
@@ -102,10 +103,10 @@
 	return f, nil
 }
 
-// hollowPort is the port that hollow servers listen at, each at a host of its own.
+// hollowPort is the port of all hollow servers; each has its own host address.
 const hollowPort = 17400
 
-// addresses are different hosts of 127.0.0.0/8.
+// addresses returns addresses with different hosts in 127.0.0.0/8.
 func addresses(count int) (all []string) {
 	base := 64 + rand.Intn(60)
 	for i := range count {
@@ -129,7 +130,7 @@
 	return c, json.NewEncoder(in).Encode(spec)
 }
 
-// ask sends a command and returns the state after it.
+// ask sends a command to the process and returns the state after it.
 func (c *hollowProcess) ask(command hollowCommand) (HollowState, error) {
 	if err := json.NewEncoder(c.in).Encode(command); err != nil {
 		return HollowState{}, fmt.Errorf("hollow: %w", err)
@@ -157,7 +158,7 @@
 	return err
 }
 
-// Restart restarts servers that do not vote, shared evenly over the processes.
+// Restart restarts servers that do not vote, distributed evenly over their processes.
 func (f *Fleet) Restart(count int) error {
 	rest := f.children[1:]
 	for i, child := range rest {
@@ -205,10 +206,10 @@
 	return u, nil
 }
 
-// fleetTimeout is the time limit of WaitUntilWarm.
+// fleetTimeout is the time limit of WaitUntilWarm and WaitUntilQuiet.
 const fleetTimeout = 30 * time.Second
 
-// WaitUntilWarm waits until each server has a view, and returns the time that it took.
+// WaitUntilWarm waits until every server is warm, and returns the time that it took.
 func (f *Fleet) WaitUntilWarm(ctx context.Context) (time.Duration, error) {
 	for began := time.Now(); ; {
 		u, err := f.use()
@@ -219,16 +220,16 @@
 			return time.Since(began), nil
 		}
 		if time.Since(began) > fleetTimeout || ctx.Err() != nil {
-			return 0, fmt.Errorf("hollow: %d servers have no view after %v", u.voters.Cold+u.others.Cold, fleetTimeout)
+			return 0, fmt.Errorf("hollow: %d servers are cold after %v", u.voters.Cold+u.others.Cold, fleetTimeout)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// quietTime is the time without an exchange after which a fleet is quiet.
+// quietTime is the time without a new exchange after which a fleet counts as quiet.
 const quietTime = 500 * time.Millisecond
 
-// WaitUntilQuiet waits until no server that does not vote begins exchanges with its peers any more.
+// WaitUntilQuiet waits until the servers that do not vote have started no exchange with peers for quietTime.
 func (f *Fleet) WaitUntilQuiet(ctx context.Context) error {
 	started, lastChange, began := int64(-1), time.Now(), time.Now()
 	for time.Since(lastChange) < quietTime {
@@ -240,19 +241,19 @@
 			started, lastChange = u.others.Traffic.Started, time.Now()
 		}
 		if time.Since(began) > fleetTimeout || ctx.Err() != nil {
-			return fmt.Errorf("hollow: servers still ask after %v", fleetTimeout)
+			return fmt.Errorf("hollow: servers still start exchanges with peers after %v", fleetTimeout)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return nil
 }
 
-// useRates are the rates between two resourceUses.
+// useRates is the use of resources between two moments, as rates. Shares of a core are in percent.
 type useRates struct {
 	seconds                                    float64
-	memberMessages, memberBytes                float64 // a second and server
-	serverBytes, serverConnections, serverCore float64 // a second and server that does not vote
-	voterBytes, voterConnections, voterCore    float64 // a second and voter
+	memberMessages, memberBytes                float64 // per second and server
+	serverBytes, serverConnections, serverCore float64 // per second and server that does not vote
+	voterBytes, voterConnections, voterCore    float64 // per second and voter
 }
 
 // ratesBetween returns the rates between two moments, of servers that do not vote and of voters.
--- a/internal/testkit/scale/fleet_test.go
+++ b/internal/testkit/scale/fleet_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMain lets the test's own program stand for the one that holds hollow servers.
+// TestMain runs the test program as a process of a hollow fleet if its only argument is "hollow".
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == "hollow" {
 		if err := RunHollow(os.Stdin, os.Stdout); err != nil {
@@ -23,7 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// A small hollow fleet is warm, holds its duty once, goes on through restarts, and uses what is counted.
+// A small hollow fleet becomes warm, has at most one holder of its lease, also after restarts, and its use of resources
+// is counted.
 func TestHollowFleet(t *testing.T) {
 	self, err := os.Executable()
 	require.NoError(t, err)
@@ -51,7 +52,7 @@
 	assert.LessOrEqual(t, holders, 1)
 }
 
-// The capacity page says what the recorded points give.
+// The capacity page contains the figures that follow from the recorded points, and the origins of the points.
 func TestCapacityPage(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	points, origins, err := ReadParts(filepath.Join(root, "results", "scale"))
@@ -60,16 +61,16 @@
 	require.NoError(t, err)
 	raw, err := os.ReadFile(filepath.Join(root, "docs", "CAPACITY.md"))
 	require.NoError(t, err)
-	assert.Contains(t, string(raw), RenderCapacity(rows), "make capacity writes the figures into the page")
+	assert.Contains(t, string(raw), RenderCapacity(rows), "the figures are out of date; make capacity writes them into the page")
 	before, err := ReadBefore(filepath.Join(root, "results", "scale"))
 	require.NoError(t, err)
 	assert.Contains(t, string(raw), RenderCompared(before, points))
 	for part, origin := range origins {
-		assert.Contains(t, string(raw), origin, "%s: the page says what made the points", part)
+		assert.Contains(t, string(raw), origin, "%s: the page states the origin of the points", part)
 	}
 }
 
-// A figure that is not what the points give is found.
+// The figures are computed from the points: other points give other figures, and a missing series gives an error.
 func TestCapacityIsWorkedOut(t *testing.T) {
 	points, _, err := ReadParts(filepath.Join("..", "..", "..", "results", "scale"))
 	require.NoError(t, err)
--- a/internal/testkit/scale/fleets.go
+++ b/internal/testkit/scale/fleets.go
@@ -36,18 +36,18 @@
 	shortLease         = 400 * time.Millisecond
 	fewVoters          = 5
 	holderPollInterval = 25 * time.Millisecond
-	partitionedVoters  = 3 // of fewVoters, on one side of a cut
+	partitionedVoters  = 3 // of fewVoters, on one side of the partition
 	healTimeout        = 20 * time.Second
 )
 
 // Fleets measures hollow fleets.
 type Fleets struct {
-	Program string // that has a command hollow
+	Program string // path of a program that has a command hollow
 	Seed    int64
 	Small   bool // fewer servers and shorter spans
 }
 
-// Run measures everything, one fleet at a time.
+// Run runs all measurements, one fleet at a time.
 func (f *Fleets) Run(ctx context.Context) (Points, error) {
 	points := Points{}
 	for _, part := range []func(context.Context, Points) error{f.measureSizes, f.measureVoters, f.measureLeases, f.measurePartition} {
@@ -93,7 +93,7 @@
 	return []int{10, 125, 250, 375, PlannedServers}
 }
 
-// firstPoints returns points, only the first two in a small run.
+// firstPoints returns all points, or only the first two in a small run.
 func (f *Fleets) firstPoints(points ...int) []int {
 	if f.Small {
 		return points[:2]
@@ -101,7 +101,7 @@
 	return points
 }
 
-// rateDuring returns the rates of a fleet over a span, or while do runs where that takes longer.
+// rateDuring returns the rates of a fleet over a span, or until during returns if that takes longer. during may be nil.
 func rateDuring(fleet *Fleet, span time.Duration, voters int, during func() error) (useRates, error) {
 	before, err := fleet.use()
 	if err != nil {
@@ -118,7 +118,8 @@
 	return ratesBetween(before, after, fleet.servers, voters), err
 }
 
-// measureSizes measures fleets of several sizes: quiet, with restarts, and, the largest, with a zone that comes back at once.
+// measureSizes measures fleets of several sizes, when quiet and with one restart. It measures the largest also with
+// several rates of restarts and with a zone that restarts at once.
 func (f *Fleets) measureSizes(ctx context.Context, points Points) error {
 	sizes := f.sizes()
 	for _, servers := range sizes {
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// withFleet runs a measurement on a warm fleet.
+// withFleet starts a fleet, runs a measurement on it once it is warm, and stops it.
 func (f *Fleets) withFleet(ctx context.Context, servers int, spec HollowSpec, measure func(*Fleet) error) (err error) {
 	fleet, err := StartFleet(f.Program, servers, spec)
 	if err != nil {
@@ -172,9 +173,9 @@
 	return nil
 }
 
-// measureRestart measures what one restart costs the whole fleet, over what it costs when quiet.
+// measureRestart measures what one restart costs the whole fleet, in addition to what the quiet fleet costs.
 func (f *Fleets) measureRestart(ctx context.Context, fleet *Fleet, quiet useRates, points Points) error {
-	const restarted = 4 // one in each process
+	const restarted = 4 // one in each process of servers that do not vote
 	loaded, err := rateDuring(fleet, f.span(), fewVoters, func() error {
 		if err := fleet.Restart(restarted); err != nil {
 			return err
@@ -190,11 +191,11 @@
 	servers := float64(fleet.servers)
 	over := loaded.seconds * (servers - fewVoters) / restarted
 	points.Add(seriesSingleRestartBytes, servers, max(0, loaded.serverBytes-quiet.serverBytes)*over)
-	points.Add(seriesSingleRestartCPU, servers, max(0, loaded.serverCore-quiet.serverCore)*over*10) // percent to ms a second
+	points.Add(seriesSingleRestartCPU, servers, max(0, loaded.serverCore-quiet.serverCore)*over*10) // 1 % of a core is 10 ms a second
 	return nil
 }
 
-// measureRestartRates measures a fleet in which servers restart at several rates.
+// measureRestartRates measures a fleet whose servers restart at several rates.
 func (f *Fleets) measureRestartRates(ctx context.Context, fleet *Fleet, points Points) error {
 	for _, perMinute := range f.firstPoints(0, 60, 120, 240) {
 		if err := fleet.WaitUntilQuiet(ctx); err != nil {
@@ -221,7 +222,8 @@
 	return nil
 }
 
-// measureZoneRestart restarts all servers of a zone at once.
+// measureZoneRestart restarts as many servers as a zone has at once, and measures the time until all are warm and the
+// bytes exchanged.
 func (f *Fleets) measureZoneRestart(ctx context.Context, fleet *Fleet, points Points) error {
 	if err := fleet.WaitUntilQuiet(ctx); err != nil {
 		return err
@@ -271,11 +273,12 @@
 	return nil
 }
 
-// measureLeases measures a few voters with several leases.
+// measureLeases measures a few voters with several numbers of leases.
 func (f *Fleets) measureLeases(ctx context.Context, points Points) error {
 	for _, leases := range f.firstPoints(1, 8, 16, 32, 64) {
 		err := f.withFleet(ctx, fewVoters, f.spec(fewVoters, leases), func(fleet *Fleet) error {
-			// Where they are more than the voters can carry, some are never held; that is a figure, not a failure.
+			// If there are more leases than the voters can keep up with, some are never held; that is a result, not an
+			// error.
 			if _, err := fleet.waitForHolders(ctx, f.leaseTimeout(), leases); err != nil && !errors.Is(err, errHolderCount) {
 				return err
 			}
--- a/internal/testkit/scale/fleets_cut.go
+++ b/internal/testkit/scale/fleets_cut.go
@@ -9,7 +9,8 @@
 	"quartzpoint/internal/testkit/faultnet"
 )
 
-// measurePartition separates the voters into two regions for a while.
+// measurePartition separates the voters into two regions for a while, and measures the number of lease holders and the
+// time without one.
 func (f *Fleets) measurePartition(ctx context.Context, points Points) (err error) {
 	span := 30 * time.Second
 	if f.Small {
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// region returns the spec of some of the servers, which dial all others via proxies.
+// region returns the spec of a range of the servers, which dial all others through proxies.
 func (s HollowSpec) region(first, count int, via map[string]string) HollowSpec {
 	s.First, s.Count, s.Via = first, count, map[string]string{}
 	for i, address := range s.Servers {
@@ -78,8 +79,8 @@
 	return s
 }
 
-// errHolderCount is a number of held leases that did not become the expected one in time.
-var errHolderCount = errors.New("duties held")
+// errHolderCount states that the number of lease holders did not become the expected one in time.
+var errHolderCount = errors.New("number of lease holders")
 
 // countHolders returns the number of servers that hold a lease now, summed over the leases.
 func (f *Fleet) countHolders() (n int, err error) {
@@ -98,7 +99,8 @@
 	return n, nil
 }
 
-// waitForHolders waits until so many leases are held, and returns the time that it took.
+// waitForHolders waits until the number of lease holders, summed over the leases, is the expected one, and returns the
+// time that it took.
 func (f *Fleet) waitForHolders(ctx context.Context, wait time.Duration, want int) (time.Duration, error) {
 	for began := time.Now(); ; time.Sleep(holderPollInterval) {
 		n, err := f.countHolders()
@@ -108,13 +110,13 @@
 		case n == want:
 			return time.Since(began), nil
 		case time.Since(began) > wait || ctx.Err() != nil:
-			return 0, fmt.Errorf("hollow: %w: %d after %v, and not %d", errHolderCount, n, wait, want)
+			return 0, fmt.Errorf("hollow: %w: %d after %v, want %d", errHolderCount, n, wait, want)
 		}
 	}
 }
 
-// watchHolders polls the holders of the only lease over a span. It returns the highest number at once, and the longest time
-// without a holder.
+// watchHolders polls the holders of the only lease during a span. It returns the highest number of holders at once, and
+// the longest time without a holder.
 func (f *Fleet) watchHolders(ctx context.Context, span time.Duration) (most int, without time.Duration, err error) {
 	began := time.Now()
 	last := began
--- a/internal/testkit/scale/history_test.go
+++ b/internal/testkit/scale/history_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// validHistory is a history of three changes at two servers, one of which is started anew.
+// validHistory returns a history of three changes at two servers, one of which restarts.
 func validHistory() *History {
 	at := func(seconds int) time.Time { return time.Unix(int64(seconds), 0) }
 	return &History{
@@ -20,21 +20,21 @@
 	}
 }
 
-// The checker passes what is sound and finds each planted fault.
+// Check accepts a valid history and reports each injected fault.
 func TestHistory(t *testing.T) {
 	assert.NoError(t, validHistory().Check())
 	for name, c := range map[string]struct {
 		corrupt   func(h *History)
 		wantError string
 	}{
-		"a loss at the end":  {func(h *History) { h.Versions = h.Versions[:2]; h.Applied = h.Applied[:2] }, "version 3 is not in the history: lost"},
-		"a loss in between":  {func(h *History) { h.Versions[1] = VersionStep{2, 12, 1} }, "version 2 holds change 1, and 2 was accepted as it"},
-		"a reorder":          {func(h *History) { h.Versions[0].Marker, h.Versions[1].Marker = 2, 1 }, "reordered"},
-		"versions reordered": {func(h *History) { h.Accepted[0], h.Accepted[1] = h.Accepted[1], h.Accepted[0] }, "version 1 behind 2"},
-		"a version left out": {func(h *History) { h.Versions = append(h.Versions[:1], h.Versions[2]) }, "version 3 behind 1"},
-		"in force at none":   {func(h *History) { h.Applied[2].Version = 9 }, "which the history does not hold"},
-		"other content":      {func(h *History) { h.Applied[2].Digest = 1 }, "with other content"},
-		"in force again":     {func(h *History) { h.Applied[2] = h.Applied[0] }, "in force at version 1 behind 2"},
+		"last version lost":           {func(h *History) { h.Versions = h.Versions[:2]; h.Applied = h.Applied[:2] }, "version 3 is not in the history: lost"},
+		"change lost in between":      {func(h *History) { h.Versions[1] = VersionStep{2, 12, 1} }, "version 2 contains change 1, but change 2 was accepted as this version"},
+		"changes reordered":           {func(h *History) { h.Versions[0].Marker, h.Versions[1].Marker = 2, 1 }, "reordered"},
+		"accepted versions reordered": {func(h *History) { h.Accepted[0], h.Accepted[1] = h.Accepted[1], h.Accepted[0] }, "version 1 after 2"},
+		"version missing":             {func(h *History) { h.Versions = append(h.Versions[:1], h.Versions[2]) }, "version 3 after 1"},
+		"unknown version applied":     {func(h *History) { h.Applied[2].Version = 9 }, "which is not in the history"},
+		"other content":               {func(h *History) { h.Applied[2].Digest = 1 }, "with other content"},
+		"older version applied":       {func(h *History) { h.Applied[2] = h.Applied[0] }, "applied version 1 after 2"},
 	} {
 		h := validHistory()
 		c.corrupt(h)
@@ -42,7 +42,7 @@
 	}
 }
 
-// A change's lag at a server is that of the first version in force there that holds it.
+// The propagation delay of a change at a server ends with the first applied version that contains the change.
 func TestLags(t *testing.T) {
 	h := validHistory()
 	delays := h.PropagationDelays(time.Unix(2, 0), time.Unix(3, 0))
@@ -54,12 +54,12 @@
 	assert.InDelta(t, 2, line.Slope, 1e-9)
 	assert.InDelta(t, 9, line.At(4), 1e-9)
 	assert.True(t, line.Linear)
-	assert.False(t, Fit([]float64{0, 1, 2, 3}, []float64{0, 1, 4, 9}).Linear, "a square is none")
-	assert.False(t, Fit([]float64{0, 1}, []float64{0, 1}).Linear, "two points say nothing of what is between")
+	assert.False(t, Fit([]float64{0, 1, 2, 3}, []float64{0, 1, 4, 9}).Linear, "quadratic")
+	assert.False(t, Fit([]float64{0, 1}, []float64{0, 1}).Linear, "two points do not show how the values between them run")
 	assert.True(t, Fit([]float64{0, 1, 2}, []float64{5, 5.1, 4.9}).Linear, "constant")
 }
 
-// Points come back from a file as they were, with what made them.
+// Points that are read from a file equal those that were written, and their origin is returned.
 func TestPointsOnDisk(t *testing.T) {
 	p := Points{}
 	p.Add("core % by things, 2 kinds", 1, 2.5)
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -25,43 +25,43 @@
 
 // HollowSpec is the part of a hollow fleet that a process runs.
 type HollowSpec struct {
-	First, Count int               // which servers, by their places in Servers
-	Servers      []string          // the exchange addresses of the whole fleet
-	Via          map[string]string // other addresses that some of them are dialled at
-	Members      string            // the membership service
-	Asked        int               // how many peers a newcomer is told of; 0 for all others
-	Voters       int               // the first so many vote on leases, and want them
-	Duties       int               // that are held by lease
+	First, Count int               // range of the servers that the process runs, as indexes of Servers
+	Servers      []string          // peer addresses of the whole fleet
+	Via          map[string]string // addresses to dial instead of those in Servers
+	Members      string            // address of the membership service
+	Asked        int               // number of peers that a starting server fetches estimates from; 0 for all others
+	Voters       int               // number of servers that vote on leases and campaign for them, the first of Servers
+	Duties       int               // number of leases
 	Lease        time.Duration
-	Routes       int // that a view tells of
+	Routes       int // number of routes in a snapshot
 	Seed         int64
 }
 
 // HollowState is the state of a hollow process.
 type HollowState struct {
 	Traffic peersync.Traffic
-	Cold    int                 // servers that have no view yet
-	Holders map[string][]string // duty to the servers that may act on it now
+	Cold    int                 // number of servers that are not warm yet
+	Holders map[string][]string // addresses of the servers that hold a lease now, by lease
 }
 
-// hollowCommand is one line to a hollow process; it answers each with a HollowState.
+// hollowCommand is one line of input of a hollow process, which answers each with a HollowState.
 type hollowCommand struct {
-	Restart int // servers that are stopped and started anew before the answer
+	Restart int // number of servers that are restarted before the answer
 }
 
 const (
-	snapshotInterval     = time.Second            // between the views that a server leaves for others
-	warmUpDelay          = time.Second            // after which a server that got no view has seen enough itself
-	firstFetchWait       = 300 * time.Millisecond // for which a newcomer waits for all of its peers
+	snapshotInterval     = time.Second            // between the snapshots that a server publishes for peers
+	warmUpDelay          = time.Second            // after which a server without estimates from peers has learned enough itself
+	firstFetchWait       = 300 * time.Millisecond // longest wait for the first answers of all peers
 	estimateSamples      = 40
 	estimateMean         = 0.02
-	sharedSettingsDigest = 7 // digest of the settings that all hollow servers share
+	sharedSettingsDigest = 7 // of all hollow servers
 	hollowMaxClockDrift  = 0.01
 	maxCommandBytes      = 1 << 20
 )
 
-// hollowServer is the control code of one server without a request path: it reports to the membership service, exchanges
-// estimates with peers, and votes on leases where it is a voter.
+// hollowServer is the control code of one server without a request path: it reports to the membership service,
+// exchanges estimates with peers, and votes on leases if it is a voter.
 type hollowServer struct {
 	spec         *HollowSpec
 	index        int
@@ -72,7 +72,8 @@
 	running      sync.WaitGroup
 }
 
-// RunHollow runs a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec.
+// RunHollow runs a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec, each
+// further line a hollowCommand.
 func RunHollow(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxCommandBytes)
@@ -138,7 +139,7 @@
 
 func (s *hollowServer) address() string { return s.spec.Servers[s.index] }
 
-// start begins all of the server's control code.
+// start starts all of the server's control code. The server is cold at first.
 func (s *hollowServer) start() error {
 	log := slog.New(slog.DiscardHandler)
 	counts := invariant.New(log)
@@ -165,13 +166,13 @@
 	return s.startVoter(ctx, log)
 }
 
-// withLocalAddress makes connections start at the server's own host, as those of a machine of its own do.
+// withLocalAddress makes connections originate from the server's own host address, as if it had its own machine.
 func (s *hollowServer) withLocalAddress(ctx context.Context) context.Context {
 	own := netip.MustParseAddrPort(s.address())
 	return peersync.WithLocalAddress(ctx, &net.TCPAddr{IP: own.Addr().AsSlice()})
 }
 
-// startVoter makes the server a voter where the spec says so.
+// startVoter makes the server a voter if the spec says so.
 func (s *hollowServer) startVoter(ctx context.Context, log *slog.Logger) error {
 	s.leaseManager = nil
 	if s.index >= s.spec.Voters {
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// stop ends the server as SIGKILL does: nobody is notified.
+// stop ends the server without notice to others, as SIGKILL does.
 func (s *hollowServer) stop() {
 	if s == nil || s.cancel == nil {
 		return
@@ -216,7 +217,7 @@
 	return address
 }
 
-// peers returns the servers that this one polls at its start.
+// peers returns the addresses that the server fetches estimates from at its start.
 func (s *hollowServer) peers() (peers []string) {
 	rng := rand.New(rand.NewSource(s.spec.Seed<<16 + int64(s.index)))
 	for _, i := range rng.Perm(len(s.spec.Servers)) {
@@ -236,7 +237,7 @@
 	return schema
 }
 
-// publishSnapshots publishes a view for peers once a second, once the server is warm.
+// publishSnapshots publishes a snapshot for peers once a second as soon as the server is warm.
 func (s *hollowServer) publishSnapshots(ctx context.Context, peerServer *peersync.Server, now func() time.Duration) {
 	schema := s.estimateSchema()
 	snapshot := estimate.Snapshot{Origin: schema.Origin, SettingsDigest: schema.SettingsDigest}
--- a/internal/testkit/scale/load.go
+++ b/internal/testkit/scale/load.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	statusServed   = 20 // of an answer
-	checkFrame     = 20 // type of a health check
+	statusServed   = 20 // status code of a served request
+	checkFrame     = 20 // frame type of a health check
 	networkTimeout = 5 * time.Second
 )
 
@@ -46,12 +46,12 @@
 	conns   []net.Conn
 }
 
-// grow opens connections up to a number.
+// grow opens connections until there are count of them.
 func (c *healthCheckers) grow(count int) error {
 	for len(c.conns) < count {
 		conn, err := net.DialTimeout("tcp", c.address, networkTimeout)
 		if err != nil {
-			return fmt.Errorf("caller %d: %w", len(c.conns), err)
+			return fmt.Errorf("connection %d: %w", len(c.conns), err)
 		}
 		c.conns = append(c.conns, conn)
 	}
@@ -64,14 +64,14 @@
 	}
 }
 
-// startChecks sends health checks at a rate a second, round robin over the connections, until stop is called.
+// startChecks sends health checks at a rate per second, round robin over the connections, until stop is called.
 func (c *healthCheckers) startChecks(rate float64) (stop func()) {
 	quit := make(chan struct{})
 	var running sync.WaitGroup
 	for _, conn := range c.conns {
 		running.Go(func() {
 			_ = conn.SetReadDeadline(time.Time{})
-			_, _ = io.Copy(io.Discard, conn) // answers; the deadline below ends it
+			_, _ = io.Copy(io.Discard, conn) // discards answers until stop sets the read deadline
 		})
 	}
 	if rate > 0 {
@@ -98,12 +98,12 @@
 	}
 }
 
-// timeChecks sends a health check every so often over a span and gives how long each took, in milliseconds. during runs
-// beside them, a quarter of the span after the first.
+// timeChecks sends health checks at an interval during a span and returns their round-trip times in milliseconds. The
+// function during runs at the same time, from a quarter of the span on; it may be nil.
 func timeChecks(address string, interval, span time.Duration, during func()) ([]float64, error) {
 	conn, err := net.DialTimeout("tcp", address, networkTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("checker: %w", err)
+		return nil, fmt.Errorf("health check: %w", err)
 	}
 	defer func() { _ = conn.Close() }()
 	var running sync.WaitGroup
@@ -120,10 +120,10 @@
 		sent := time.Now()
 		_ = conn.SetDeadline(sent.Add(networkTimeout))
 		if _, err := conn.Write(frame); err != nil {
-			return latencies, fmt.Errorf("checker: %w", err)
+			return latencies, fmt.Errorf("health check: %w", err)
 		}
 		if _, err := harness.ReadReply(in); err != nil {
-			return latencies, fmt.Errorf("checker: %w", err)
+			return latencies, fmt.Errorf("health check: %w", err)
 		}
 		latencies = append(latencies, milliseconds(time.Since(sent)))
 		time.Sleep(time.Until(sent.Add(interval)))
@@ -131,8 +131,8 @@
 	return latencies, nil
 }
 
-// steadyLoad are requests at a rate, each of the same work, at moments that a seed moves a little, over some of the
-// routes that may simply be repeated.
+// steadyLoad returns requests at a rate, each with the same work and with a small random offset in time, for some of
+// the retryable routes.
 func steadyLoad(rate float64, span time.Duration, routeCount int, seed int64) (load []harness.Arrival, routes []harness.Route) {
 	for i := 0; i < routeCount && len(routes) < loadedRoutes; i += routeStride {
 		routes = append(routes, harness.Route{
@@ -149,7 +149,7 @@
 	return load, routes
 }
 
-// runDirect sends a load straight to workers of its own and gives how long each request took.
+// runDirect sends a load directly to its own workers and returns the latency of each request.
 func runDirect(load []harness.Arrival) ([]time.Duration, error) {
 	workers, err := harness.NewWorkers(harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6})
 	if err != nil {
@@ -207,6 +207,6 @@
 	case err := <-readDone:
 		return latencies, err
 	case <-time.After(networkTimeout):
-		return nil, errors.New("workers: not all requests ended")
+		return nil, errors.New("workers: not all requests finished in time")
 	}
 }
--- a/internal/testkit/scale/plan.go
+++ b/internal/testkit/scale/plan.go
@@ -1,5 +1,5 @@
-// Package scale measures the cost of the real programs as routes, tenants, connections, requests and servers grow up to the
-// planned size, and computes the figures of the capacity page. It is for measurements only.
+// Package scale measures the cost of the real programs for growing numbers of routes, tenants, connections, requests
+// and servers, up to the planned size, and computes the figures of the capacity page. It is used for measurements only.
 package scale
 
 import "time"
@@ -12,10 +12,10 @@
 	PlannedRoutes         = 3300
 	PlannedTenants        = 30_000
 	PlannedZones          = 7
-	PlannedChangesPerDay  = 910  // of configuration, a day
-	PlannedRestartsPerDay = 1300 // of servers, a day
+	PlannedChangesPerDay  = 910  // of the configuration
+	PlannedRestartsPerDay = 1300 // of servers
 	ControlMachines       = 5
-	ZoneServers           = 72 // in the largest zone: 500 servers over 7 zones
+	ZoneServers           = 72 // in the largest zone, with 500 servers in 7 zones
 )
 
 // Budgets of control for one app server.
@@ -23,8 +23,8 @@
 	BudgetCore      = 0.048 // share of a core
 	BudgetMemoryMB  = 256.0
 	BudgetBytes     = 25e3 // a second, sent and received
-	BudgetLatencyMS = 6.5  // added to a request for 99 in 100
+	BudgetLatencyMS = 6.5  // added to a request, p99
 )
 
-// AssumedCheckPeriod is the time between two health checks of one caller.
+// AssumedCheckPeriod is the assumed time between two health checks of one router.
 const AssumedCheckPeriod = 15 * time.Second
--- a/internal/testkit/scale/points.go
+++ b/internal/testkit/scale/points.go
@@ -52,7 +52,7 @@
 	return o
 }
 
-// String returns the origin in one line, the first of each file.
+// String returns the origin on one line, as at the head of each file.
 func (o Origin) String() string {
 	return fmt.Sprintf("seed %d, commit %s, %s", o.Seed, o.Commit, o.Machine)
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-// Series returns the coordinates of a series by growing x.
+// Series returns the coordinates of a series in ascending order of x.
 func (p Points) Series(series string) (xs, ys []float64) {
 	points := slices.Clone(p[series])
 	slices.SortStableFunc(points, func(a, b Point) int { return cmp.Compare(a.X, b.X) })
@@ -80,7 +80,7 @@
 // Fit returns the least-squares line through a series.
 func (p Points) Fit(series string) Line { return Fit(p.Series(series)) }
 
-// MeanAt returns the mean of the values of a series at x, and whether there is any.
+// MeanAt returns the mean of the values of a series at x, and reports whether there are any.
 func (p Points) MeanAt(series string, x float64) (value float64, measured bool) {
 	n := 0.0
 	for _, point := range p[series] {
@@ -122,7 +122,7 @@
 
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
-// ReadPoints reads a file of Write, and returns its points and its origin.
+// ReadPoints reads a file that Write has written, and returns its points and the text of its origin.
 func ReadPoints(path string) (Points, string, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -132,7 +132,7 @@
 	in := bufio.NewReader(file)
 	origin, err := in.ReadString('\n')
 	if err != nil || !strings.HasPrefix(origin, "# ") {
-		return nil, "", fmt.Errorf("points: %s does not say what made it", path)
+		return nil, "", fmt.Errorf("points: %s: first line is not an origin that starts with \"# \"", path)
 	}
 	rows, p := csv.NewReader(in), Points{}
 	if _, err := rows.Read(); err != nil {
@@ -160,7 +160,8 @@
 	chartHeight = 4 * vg.Inch
 )
 
-// Chart draws series with their lines. A series that is not linear is drawn without one.
+// Chart saves a scatter chart of series to a file, with the fitted line of each series that is linear. x and y are the
+// labels of the axes.
 func (p Points) Chart(path, title, x, y string, origin Origin, series ...string) error {
 	canvas := plot.New()
 	canvas.Title.Text, canvas.X.Label.Text, canvas.Y.Label.Text = title+"\n"+origin.String(), x, y
--- a/internal/testkit/scale/process.go
+++ b/internal/testkit/scale/process.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// CPU returns the processor time of a process so far, summed over its running threads, in nanoseconds.
+// CPU returns the processor time that a process has used so far, summed over its running threads.
 func CPU(pid int) (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
@@ -51,7 +51,7 @@
 	return 0, fmt.Errorf("process %d: no VmRSS", pid)
 }
 
-// coreShare returns the share of a core that a process uses over a span, in percent.
+// coreShare returns the share of a core that a process uses during a span, in percent. It returns after the span.
 func coreShare(pid int, span time.Duration) (float64, error) {
 	began := time.Now()
 	before, err := CPU(pid)
--- a/internal/testkit/scale/publish.go
+++ b/internal/testkit/scale/publish.go
@@ -16,7 +16,7 @@
 	series            []string
 }
 
-// charts are the charts by part.
+// charts lists the charts of each part.
 var charts = map[string][]chart{
 	"slopes": {
 		{"memory.svg", "memory of a daemon", "% of the planned routes and tenants", "MB",
@@ -40,7 +40,7 @@
 	},
 }
 
-// PublishParts writes the points and the charts of each part into a folder.
+// PublishParts writes the points and the charts of each part into a folder, and prints the points on standard output.
 func PublishParts(folder string, parts map[string]Points, origin Origin) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return fmt.Errorf("points: %w", err)
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// Print writes a line for each series: its smallest and largest x with their values, and the line through its points.
+// Print writes a line for each series: its number of points, its smallest and largest x with their values, and the line
+// that is fitted to its points.
 func (p Points) Print(to io.Writer) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "series\tpoints\tfrom\tto\tslope\tat 0\tr2\tworst residual\tline\t")
--- a/internal/testkit/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -23,7 +23,8 @@
 // leaderTimeout is the time limit for a leader to be elected.
 const leaderTimeout = 20 * time.Second
 
-// side of a cut: the machines of a side and the watchers of its zone reach each other whatever happens.
+// side is one side of a network partition. The machines of a side and the watchers of its zone can always reach each
+// other.
 type side string
 
 const (
@@ -31,8 +32,8 @@
 	minority side = "minority"
 )
 
-// Service is the configuration service on the control machines, each a process of the real program. What crosses between
-// the sides goes through proxies that can be cut.
+// Service is the configuration service on the control machines, each a process of the real program. Connections between
+// the two sides go through proxies that can be cut.
 type Service struct {
 	program         string
 	folder          string
@@ -42,8 +43,8 @@
 	cmds            []*exec.Cmd
 	logs            []*harness.LogBuffer
 	links           []*faultnet.Proxy
-	proxiedSessions map[string]string // sessions of each machine as those of the other side dial it
-	proxiedReplicas map[string]string // replication of each machine, the same
+	proxiedSessions map[string]string // session address of each machine to the address that the other side dials
+	proxiedReplicas map[string]string // replication address of each machine to the address that the other side dials
 	keys            peersync.Keys
 }
 
@@ -55,7 +56,7 @@
 	return minority
 }
 
-// StartService starts all machines.
+// StartService starts all machines of the service.
 func StartService(program, folder string) (s *Service, err error) {
 	s = &Service{
 		program: program, folder: folder, proxiedSessions: map[string]string{}, proxiedReplicas: map[string]string{},
@@ -97,7 +98,7 @@
 
 func (s *Service) keyFile() string { return filepath.Join(s.folder, "keys") }
 
-// configText is the configuration of a machine, which dials those of the other side through proxies.
+// configText returns the configuration file of a machine, which dials the machines of the other side through proxies.
 func (s *Service) configText(machine int) string {
 	text := fmt.Sprintf("name = %q\ndata = %q\nkey-file = %q\n", s.names[machine],
 		filepath.Join(s.folder, s.names[machine]), s.keyFile())
@@ -126,11 +127,11 @@
 	return nil
 }
 
-// KillMachine ends one machine by SIGKILL.
+// KillMachine ends one machine with SIGKILL and waits for its end.
 func (s *Service) KillMachine(i int) {
 	if cmd := s.cmds[i]; cmd != nil {
 		_ = cmd.Process.Kill()
-		_ = cmd.Wait() // killed, which is its error
+		_ = cmd.Wait() // returns the error that the process was killed
 		s.cmds[i] = nil
 	}
 }
@@ -138,7 +139,7 @@
 // Signal sends a signal to a machine.
 func (s *Service) Signal(i int, signal syscall.Signal) error { return s.cmds[i].Process.Signal(signal) }
 
-// Partition separates the two sides until Heal.
+// Partition separates the two sides until Heal is called.
 func (s *Service) Partition() {
 	for _, link := range s.links {
 		link.Cut()
@@ -152,7 +153,7 @@
 	}
 }
 
-// Endpoints returns the addresses of the machines for a server of a side.
+// Endpoints returns the session addresses of the machines for a server of a side.
 func (s *Service) Endpoints(from side) (machines []configwatch.Endpoint) {
 	for i, address := range s.sessions {
 		if sideOfMachine(i) != from {
@@ -163,7 +164,8 @@
 	return machines
 }
 
-// Leader waits for a leader among some machines, and returns its index.
+// Leader waits until one of the machines that among selects is the leader, and returns its index. It returns an error
+// after leaderTimeout.
 func (s *Service) Leader(ctx context.Context, among func(i int) bool) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
@@ -187,7 +189,7 @@
 	return 0, fmt.Errorf("service: no leader: %w%s", ctx.Err(), lastLines)
 }
 
-// Stop ends all machines and links.
+// Stop kills all machines and closes the proxies.
 func (s *Service) Stop() (err error) {
 	for i := range s.cmds {
 		s.KillMachine(i)
--- a/internal/testkit/scale/site.go
+++ b/internal/testkit/scale/site.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// RouteName returns the name of route i of a Site.
+// RouteName returns the name of route i of a PlatformConfig.
 func RouteName(i int) string { return fmt.Sprintf("route-%04d", i) }
 
-// TenantName returns the name of tenant i of a Site.
+// TenantName returns the name of tenant i of a PlatformConfig.
 func TenantName(i int) string { return fmt.Sprintf("tenant-%05d", i) }
 
 // routeSettings returns the settings of one route. One in eight is at-most-once, and one in eight is keyed.
@@ -26,7 +26,8 @@
 	}
 }
 
-// PlatformConfig returns a platform configuration with so many routes and tenants, for a server at these addresses.
+// PlatformConfig returns a platform configuration with these numbers of routes and tenants, for a server with these
+// addresses.
 func PlatformConfig(routes, tenants int, listen, pool, members string) ([]byte, error) {
 	services := make([]map[string]any, routes)
 	for i := range services {
@@ -52,7 +53,7 @@
 		},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("site: %w", err)
+		return nil, fmt.Errorf("platform configuration: %w", err)
 	}
 	return raw, nil
 }
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -14,7 +14,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// What the slopes' series measure. Behind each stands "by" and what grew.
+// Series of one daemon. The first ones are completed with one of the suffixes that state the quantity on the x axis.
 const (
 	seriesStart         = "start ms"
 	seriesResident      = "resident MB"
@@ -41,30 +41,30 @@
 )
 
 const (
-	reloadCount      = 5                // before the memory after reloads is read
+	reloadCount      = 5                // before the memory after reloads is measured
 	reloadTimeout    = 20 * time.Second // for one reload
 	tableConcurrency = 4
 	fewRoutes        = 2
 	checkConnections = 200
 	directWork       = 10 * time.Millisecond // of each request
 	machineCores     = 8
-	settleDelay      = 300 * time.Millisecond // after a start, for what it left behind to be collected
+	settleDelay      = 300 * time.Millisecond // after a start, so that its garbage is collected
 	checkInterval    = 2 * time.Millisecond
 	loadedRoutes     = 64
-	routeStride      = 8 // every eighth route may simply be repeated; see routeSettings
+	routeStride      = 8 // distance between routes with the same idempotency; see routeSettings
 	checkSpan        = 2 * time.Second
 	requestRepeats   = 3
 )
 
-// Slopes measures one real daemon over several sizes.
+// Slopes measures one real daemon at several sizes.
 type Slopes struct {
 	Daemon string // path of the program
 	Folder string // for configurations
 	Seed   int64
-	Small  bool // fewer series and shorter looks, at the planned size all the same
+	Small  bool // fewer series and shorter spans, but still the planned size
 }
 
-// Run measures everything. The daemons' tables are measured a few at once, all else by itself.
+// Run runs all measurements. A few sizes of the daemon's tables are measured at the same time, everything else alone.
 func (s *Slopes) Run(ctx context.Context) (Points, error) {
 	all := Points{}
 	for _, part := range []func(context.Context) (Points, error){s.measureTables, s.measureConnections, s.measureChecks, s.measureRequests} {
@@ -85,10 +85,10 @@
 	return 1500 * time.Millisecond
 }
 
-// sizeFractions are the points of a series, in parts of the largest.
+// sizeFractions are the points of a series, as fractions of the largest.
 var sizeFractions = []float64{0, 0.25, 0.5, 0.75, 1}
 
-// launch starts a daemon with so many routes and tenants.
+// launch starts a daemon with these numbers of routes and tenants, but with fewRoutes routes at least.
 func (s *Slopes) launch(name string, routes, tenants int) (*harness.Daemon, error) {
 	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
 	return harness.Launch(s.Daemon, nil, s.Folder, name, machine, "", func(listen, pool, members string) ([]byte, error) {
@@ -96,7 +96,7 @@
 	})
 }
 
-// measureTable is one size of a daemon's tables, and the series that it is a point of.
+// table is one size of a daemon's tables, and the suffix and the x of the series that it is measured for.
 type table struct {
 	by              string
 	x               float64
@@ -175,7 +175,8 @@
 	return points, s.measureReloads(d, job, points)
 }
 
-// measureReloads measures reloads that change nothing, and then one that changes a setting that may move in service.
+// measureReloads measures reloads that change nothing, and then one that changes a setting that can change without a
+// restart.
 func (s *Slopes) measureReloads(d *harness.Daemon, job table, points Points) error {
 	var times []time.Duration
 	for range reloadCount {
@@ -213,7 +214,7 @@
 	return os.WriteFile(path, []byte(strings.Replace(string(raw), from, to, 1)), 0o600)
 }
 
-// reload has a daemon read its configuration anew and gives the processor time that took.
+// reload makes a daemon read its configuration again and returns the processor time that this took.
 func reload(d *harness.Daemon) (time.Duration, error) {
 	const reloadedMessage = `msg="configuration reloaded"`
 	seen := strings.Count(d.Log(), reloadedMessage)
@@ -235,12 +236,12 @@
 
 const (
 	restPollInterval = 20 * time.Millisecond
-	restCPU          = 2 * time.Millisecond // of a look in which a process counts as at rest
+	restCPU          = 2 * time.Millisecond // of a poll interval, below which a process counts as at rest
 	restTimeout      = 2 * time.Second
 )
 
-// waitAtRest waits until a process does little, as once the collector behind a reload is done, and gives the processor time
-// that it has used by then.
+// waitAtRest waits until a process uses little processor time, as it does once the garbage collection after a reload
+// has finished, or until restTimeout has passed. It returns the processor time that the process has used by then.
 func waitAtRest(pid int) (time.Duration, error) {
 	last, err := CPU(pid)
 	for began := time.Now(); err == nil && time.Since(began) < restTimeout; {
@@ -254,7 +255,7 @@
 	return last, err
 }
 
-// measureChecksDuringReload times health checks on a quiet daemon, and again while it reloads.
+// measureChecksDuringReload times health checks of a quiet daemon, and again while it reloads.
 func (s *Slopes) measureChecksDuringReload(d *harness.Daemon, job table, points Points) error {
 	quiet, err := timeChecks(d.Address, checkInterval, checkSpan/2, nil)
 	if err != nil {
--- a/internal/testkit/scale/slopes_load.go
+++ b/internal/testkit/scale/slopes_load.go
@@ -10,7 +10,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// measureConnections measures memory and idle time by connections that carry nothing.
+// measureConnections measures memory and idle processor time by number of connections without requests.
 func (s *Slopes) measureConnections(context.Context) (points Points, err error) {
 	d, err := s.launch("connections", fewRoutes, 0)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return points, nil
 }
 
-// routeCounts are the numbers of routes that loads are measured at.
+// routeCounts returns the numbers of routes for which loads are measured.
 func (s *Slopes) routeCounts() []int {
 	if s.Small {
 		return []int{PlannedRoutes}
@@ -48,7 +48,7 @@
 	return []int{fewRoutes, PlannedRoutes}
 }
 
-// measureChecks measures processor time by health checks a second, each on another connection.
+// measureChecks measures processor time by health checks a second, round robin over checkConnections connections.
 func (s *Slopes) measureChecks(context.Context) (Points, error) {
 	points := Points{}
 	for _, routes := range s.routeCounts() {
@@ -76,7 +76,8 @@
 	return points, nil
 }
 
-// withDaemon runs a measurement on a daemon with so many routes, and the same share of the planned tenants.
+// withDaemon runs a measurement on a daemon with this number of routes. It has the planned tenants if there are more
+// than fewRoutes routes, else none.
 func (s *Slopes) withDaemon(routes int, measure func(d *harness.Daemon) error) (err error) {
 	tenants := 0
 	if routes > fewRoutes {
@@ -91,8 +92,9 @@
 	return measure(d)
 }
 
-// measureRequests measures processor time by requests a second, and what the daemon adds to a request: the same load goes
-// through it and straight to workers of the same kind, at the same time, three times over.
+// measureRequests measures processor time by requests a second, and the latency that the daemon adds to a request: the
+// same load goes through the daemon and directly to workers of the same kind, at the same time. Each rate is measured
+// three times.
 func (s *Slopes) measureRequests(context.Context) (Points, error) {
 	points := Points{}
 	rates := []float64{0, 60, 120, 180, PlannedRequestRate / PlannedServers, maxRequestRate}
@@ -130,7 +132,7 @@
 	)
 	group.Go(func() { served, errRun = harness.Run(d.Address, routes, load, 1) })
 	group.Go(func() { share, errCPU = coreShare(d.PID(), s.span()) })
-	if rate > 0 { // beside it, so that what else the machine does hits both
+	if rate > 0 { // at the same time, so that other load on the machine affects both
 		group.Go(func() { direct, errDirect = runDirect(load) })
 	}
 	group.Wait()
--- a/internal/testkit/scale/watchers.go
+++ b/internal/testkit/scale/watchers.go
@@ -28,13 +28,14 @@
 	Seed         int64
 }
 
-// watcherLine is one line that a process of watchers writes: an event, or, with an answer, what it has used so far.
+// watcherLine is one line of output of a watcher process: an event, or the answer to a command, which states the
+// traffic of the process so far.
 type watcherLine struct {
 	Event  *watcherEvent     `json:"e,omitempty"`
 	Answer *peersync.Traffic `json:"answer,omitempty"`
 }
 
-// watcherEvent is a version that a watcher applied.
+// watcherEvent states that a watcher applied a version or has started.
 type watcherEvent struct {
 	Watcher int                  `json:"w"`
 	Version uint64               `json:"v"`
@@ -43,26 +44,26 @@
 	Started bool                 `json:"s,omitempty"`
 }
 
-// watcherCommand is one line to a process of watchers.
+// watcherCommand is one line of input of a watcher process.
 type watcherCommand struct {
-	Restart int // watchers that are stopped and started with nothing before the answer
+	Restart int // number of watchers that are restarted without state before the answer
 }
 
-// discardLog discards what is logged.
+// discardLog discards all records.
 var discardLog = slog.New(slog.DiscardHandler)
 
-// watcherCores are those of a process of watchers: a hundred servers' worth of work must not crowd the machine that
-// everything else is measured on.
+// watcherCores is the number of cores of a watcher process. The work of a hundred servers must not slow the other
+// processes that are measured on the same machine.
 const watcherCores = 2
 
-// hollowWatcher is the real watch of one server without the rest of it.
+// hollowWatcher is the configuration watcher of a server without the rest of the server.
 type hollowWatcher struct {
 	index  int
 	cancel context.CancelFunc
 	ended  chan struct{}
 }
 
-// lineWriter writes lines from several goroutines.
+// lineWriter writes lines. Its method may be called from several goroutines.
 type lineWriter struct {
 	mu  sync.Mutex
 	out *bufio.Writer
@@ -71,15 +72,16 @@
 func (l *lineWriter) write(line watcherLine) {
 	raw, err := json.Marshal(line)
 	if err != nil {
-		panic(fmt.Errorf("json: %w", err)) // every line has a form
+		panic(fmt.Errorf("json: %w", err)) // every line can be encoded
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, _ = l.out.Write(append(raw, '\n')) // whoever reads is gone with the process
+	_, _ = l.out.Write(append(raw, '\n')) // fails only if the reading process has ended
 	_ = l.out.Flush()
 }
 
-// RunWatchers runs hollow watchers until its input ends. The first line of the input is the WatcherSpec.
+// RunWatchers runs hollow watchers until its input ends. The first line of the input is the WatcherSpec, each further
+// line a watcherCommand.
 func RunWatchers(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxCommandBytes)
@@ -125,7 +127,7 @@
 	return lines.Err()
 }
 
-// start begins a watch without an applied version.
+// start starts a watcher that has not applied any version.
 func (h *hollowWatcher) start(spec WatcherSpec, keys peersync.Keys, writer *lineWriter) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel, h.ended = cancel, make(chan struct{})
