--- a/internal/testkit/scale/capacity.go
+++ b/internal/testkit/scale/capacity.go
@@ -214,9 +214,9 @@
 	p.measured(role, "a change proposed to in force everywhere, p99", seriesPropagationP99, 2, "s", 0)
 	p.measured(role, "a change proposed to in force everywhere, worst", seriesPropagationWorst, 2, "s", propagationTarget.Seconds())
 	p.measured(role, "the same, leader killed, worst", seriesLeaderWorst, 4, "s", 0)
-	whole := p.measured(role, "whole document", seriesSnapshotBytes, 100, "B", 0)
+	documentBytes := p.measured(role, "whole document", seriesSnapshotBytes, 100, "B", 0)
 	p.add(CapacityRow{
-		role, "500 servers with nothing at once", whole * PlannedServers / ControlMachines, "B each", 0, Derived, "a whole document for each of 100",
+		role, "500 servers with nothing at once", documentBytes * PlannedServers / ControlMachines, "B each", 0, Derived, "a whole document for each of 100",
 	})
 	p.measured(role, "a zone's 72 with nothing at once: newest in force", seriesZoneWorst, ZoneServers, "s", propagationTarget.Seconds())
 	p.measured(role, "regions cut 20 s: newest everywhere after the heal", seriesHealWorst, hollowWatchers, "s", propagationTarget.Seconds())
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -53,11 +53,11 @@
 	if _, err := r.service.Leader(ctx, func(int) bool { return true }); err != nil {
 		return err
 	}
-	site, err := PlatformConfig(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), "", "", "")
+	platformConfig, err := PlatformConfig(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), "", "", "")
 	if err != nil {
 		return err
 	}
-	full, err := configuration.ParseChange(site)
+	full, err := configuration.ParseChange(platformConfig)
 	if err != nil {
 		return err
 	}
--- a/internal/testkit/scale/fleet.go
+++ b/internal/testkit/scale/fleet.go
@@ -248,7 +248,7 @@
 	return nil
 }
 
-// useRates is the use of resources between two moments, as rates. Shares of a core are in percent.
+// useRates are the rates at which resources were used between two moments. Shares of a core are in percent.
 type useRates struct {
 	seconds                                    float64
 	memberMessages, memberBytes                float64 // per second and server
--- a/internal/testkit/scale/fleets.go
+++ b/internal/testkit/scale/fleets.go
@@ -189,9 +189,9 @@
 		return err
 	}
 	servers := float64(fleet.servers)
-	over := loaded.seconds * (servers - fewVoters) / restarted
-	points.Add(seriesSingleRestartBytes, servers, max(0, loaded.serverBytes-quiet.serverBytes)*over)
-	points.Add(seriesSingleRestartCPU, servers, max(0, loaded.serverCore-quiet.serverCore)*over*10) // 1 % of a core is 10 ms a second
+	serverSecondsPerRestart := loaded.seconds * (servers - fewVoters) / restarted
+	points.Add(seriesSingleRestartBytes, servers, max(0, loaded.serverBytes-quiet.serverBytes)*serverSecondsPerRestart)
+	points.Add(seriesSingleRestartCPU, servers, max(0, loaded.serverCore-quiet.serverCore)*serverSecondsPerRestart*10) // 1 % of a core is 10 ms a second
 	return nil
 }
 
--- a/internal/testkit/scale/fleets_cut.go
+++ b/internal/testkit/scale/fleets_cut.go
@@ -79,7 +79,7 @@
 	return s
 }
 
-// errHolderCount states that the number of lease holders did not become the expected one in time.
+// errHolderCount is the error of a number of lease holders that differs from the expected one at the end of a wait.
 var errHolderCount = errors.New("number of lease holders")
 
 // countHolders returns the number of servers that hold a lease now, summed over the leases.
--- a/internal/testkit/scale/history.go
+++ b/internal/testkit/scale/history.go
@@ -110,8 +110,8 @@
 }
 
 // PropagationDelays returns the delays of the accepted changes that were proposed between since and until: for each
-// change and server, the time from the proposal until the server applied the version of the change or a later one. A
-// server that applied neither has no delay. The time from the proposal includes a wait for a leader.
+// change and server, the time until the server applied the version of the change or a later one. A server that applied
+// neither has no delay. A delay begins with the first proposal, so it includes a wait for a leader.
 func (h *History) PropagationDelays(since, until time.Time) (delays []time.Duration) {
 	byServer := map[string][]AppliedVersion{}
 	for _, e := range h.Applied {
--- a/internal/testkit/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -79,12 +79,12 @@
 			}
 			*list = append(*list, address)
 		}
-		for address, into := range map[string]map[string]string{s.sessions[i]: s.proxiedSessions, s.replicas[i]: s.proxiedReplicas} {
+		for address, proxied := range map[string]map[string]string{s.sessions[i]: s.proxiedSessions, s.replicas[i]: s.proxiedReplicas} {
 			link, err := faultnet.New(address)
 			if err != nil {
 				return s, err
 			}
-			s.links, into[address] = append(s.links, link), link.Addr()
+			s.links, proxied[address] = append(s.links, link), link.Addr()
 		}
 	}
 	s.cmds, s.logs = make([]*exec.Cmd, ControlMachines), make([]*harness.LogBuffer, ControlMachines)
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -48,7 +48,7 @@
 	checkConnections = 200
 	directWork       = 10 * time.Millisecond // of each request
 	machineCores     = 8
-	settleDelay      = 300 * time.Millisecond // after a start, so that its garbage is collected
+	settleDelay      = 300 * time.Millisecond // after a start, so that the garbage of the start is collected
 	checkInterval    = 2 * time.Millisecond
 	loadedRoutes     = 64
 	routeStride      = 8 // distance between routes with the same idempotency; see routeSettings
@@ -153,8 +153,8 @@
 	defer func() { err = errors.Join(err, d.Stop()) }()
 	points = Points{}
 	points.Add(seriesStart+job.by, job.x, float64(time.Since(began).Microseconds())/1000)
-	if about, err := os.Stat(d.ConfigPath); err == nil {
-		points.Add(seriesFile+job.by, job.x, float64(about.Size())/1e6)
+	if info, err := os.Stat(d.ConfigPath); err == nil {
+		points.Add(seriesFile+job.by, job.x, float64(info.Size())/1e6)
 	}
 	time.Sleep(settleDelay)
 	idle, err := coreShare(d.PID(), s.span())
@@ -263,10 +263,10 @@
 	}
 	points.Add(seriesCheckQuiet, job.x, quantile(quiet, 0.99))
 	var failed error
-	over, err := timeChecks(d.Address, checkInterval, checkSpan, func() { _, failed = reload(d) })
+	reloading, err := timeChecks(d.Address, checkInterval, checkSpan, func() { _, failed = reload(d) })
 	if err := errors.Join(err, failed); err != nil {
 		return err
 	}
-	points.Add(seriesCheckReload, job.x, quantile(over, 0.99))
+	points.Add(seriesCheckReload, job.x, quantile(reloading, 0.99))
 	return nil
 }
--- a/internal/testkit/scale/slopes_load.go
+++ b/internal/testkit/scale/slopes_load.go
@@ -144,7 +144,7 @@
 		return nil
 	}
 	if served.Unanswered > 0 || served.Codes[statusServed] < served.Requests {
-		return fmt.Errorf("%.0f requests a second: %d of %d honoured", rate, served.Codes[statusServed], served.Requests)
+		return fmt.Errorf("%.0f requests a second: %d of %d served", rate, served.Codes[statusServed], served.Requests)
 	}
 	directMS, servedMS := asMilliseconds(direct), asMilliseconds(served.Latencies)
 	points.Add(seriesDirectP99, rate, quantile(directMS, 0.99))
