--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -22,7 +22,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// configurationRun is one run of the benchmark.
+// configurationRun is the state of one run of the benchmark.
 type configurationRun struct {
 	*ConfigurationBenchmark
 	service  *Service
@@ -32,11 +32,11 @@
 
 	mu              sync.Mutex
 	history         History
-	appliedVersions map[string]uint64 // by server
+	appliedVersions map[string]uint64 // by watcher name
 	marker          float64
 }
 
-// watcherProcess is a process of hollow watchers.
+// watcherProcess is a process that runs hollow watchers.
 type watcherProcess struct {
 	cmd     *exec.Cmd
 	in      io.WriteCloser
@@ -45,7 +45,7 @@
 	count   int
 }
 
-// start starts all processes and waits until the complete tables are applied everywhere.
+// start starts all processes and waits until every server has applied the complete configuration.
 func (r *configurationRun) start(ctx context.Context, points Points) (err error) {
 	if r.service, err = StartService(r.Service, r.Folder); err != nil {
 		return err
@@ -53,25 +53,25 @@
 	if _, err := r.service.Leader(ctx, func(int) bool { return true }); err != nil {
 		return err
 	}
-	site, err := Site(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), "", "", "")
+	platformConfig, err := PlatformConfig(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), "", "", "")
 	if err != nil {
 		return err
 	}
-	whole, err := configuration.ParseChange(site)
+	full, err := configuration.ParseChange(platformConfig)
 	if err != nil {
 		return err
 	}
-	if err := r.propose(ctx, whole); err != nil {
+	if err := r.propose(ctx, full); err != nil {
 		return err
 	}
 	document := configuration.NewDocument()
-	document.Accept(whole)
+	document.Accept(full)
 	points.Add(seriesSnapshotBytes, 100*float64(r.scaled(PlannedRoutes))/PlannedRoutes, float64(len(document.Snapshot())))
-	r.record(ctx)
+	r.recordHistory(ctx)
 	for i := range watcherProcesses {
 		count := r.scaled(hollowWatchers)*(i+1)/watcherProcesses - r.scaled(hollowWatchers)*i/watcherProcesses
-		at := []side{majority, minority}[i%2]
-		if err := r.startWatchers(i, count, at); err != nil {
+		zone := []side{majority, minority}[i%2]
+		if err := r.startWatchers(i, count, zone); err != nil {
 			return err
 		}
 	}
@@ -84,8 +84,9 @@
 	return err
 }
 
-// record follows the service from version 0 over links without faults, as the reference history.
-func (r *configurationRun) record(ctx context.Context) {
+// recordHistory starts a watcher that follows the service from version 0 over links without faults, and records the
+// reference history.
+func (r *configurationRun) recordHistory(ctx context.Context) {
 	machines := []configwatch.Endpoint{}
 	for _, address := range r.service.sessions {
 		machines = append(machines, configwatch.Endpoint{Address: address})
@@ -94,8 +95,8 @@
 	r.recorder = &configwatch.Watcher{
 		Name: "recorder", Endpoints: machines, Keys: r.service.keys, Document: configuration.NewDocument(), Seed: r.Seed, Logger: discardLog,
 		Apply: func(_ context.Context, delta configuration.Delta, _ *configuration.Document) error {
-			if stated := delta.Tenants[markerTenant]; stated != nil {
-				marker = stated.QuotaRPS
+			if tenant := delta.Tenants[markerTenant]; tenant != nil {
+				marker = tenant.QuotaRPS
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -108,7 +109,7 @@
 
 // propose proposes a change with the next marker, and records its acceptance.
 func (r *configurationRun) propose(ctx context.Context, change configuration.Change) error {
-	ctx, cancel := context.WithTimeout(ctx, 2*aimInForce)
+	ctx, cancel := context.WithTimeout(ctx, 2*propagationTarget)
 	defer cancel()
 	r.marker++
 	if change.Tenants == nil {
@@ -127,16 +128,16 @@
 	return nil
 }
 
-// changes changes one route at an interval over a span.
-func (r *configurationRun) changes(ctx context.Context, each, span time.Duration, seed int64) error {
-	chance := rand.New(rand.NewSource(seed))
+// proposeChanges proposes a change of one random route at each interval until a span has passed.
+func (r *configurationRun) proposeChanges(ctx context.Context, interval, span time.Duration, seed int64) error {
+	rng := rand.New(rand.NewSource(seed))
 	for began := time.Now(); time.Since(began) < span && ctx.Err() == nil; {
-		next := time.Now().Add(each)
-		place := 1 + keyedEvery*chance.Intn(r.scaled(PlannedRoutes)/keyedEvery)
+		next := time.Now().Add(interval)
+		index := 1 + routeStride*rng.Intn(r.scaled(PlannedRoutes)/routeStride)
 		route := &configuration.Route{
-			LatencyTarget: 900_000, Deadline: 3_000_000 + int64(chance.Intn(1000)), Value: 1, Idempotency: configuration.Retryable,
+			LatencyTarget: 900_000, Deadline: 3_000_000 + int64(rng.Intn(1000)), Value: 1, Idempotency: configuration.Retryable,
 		}
-		if err := r.propose(ctx, configuration.Change{Routes: map[string]*configuration.Route{RouteName(place): route}}); err != nil {
+		if err := r.propose(ctx, configuration.Change{Routes: map[string]*configuration.Route{RouteName(index): route}}); err != nil {
 			return err
 		}
 		time.Sleep(time.Until(next))
@@ -144,10 +145,10 @@
 	return ctx.Err()
 }
 
-// startWatchers starts a process of hollow watchers.
-func (r *configurationRun) startWatchers(place, count int, at side) error {
-	first := place * r.scaled(hollowWatchers)
-	c := &watcherProcess{cmd: exec.Command(r.Program, "watchers"), answers: make(chan watcherLine, 1), side: at, count: count}
+// startWatchers starts a process that runs hollow watchers of one zone.
+func (r *configurationRun) startWatchers(process, count int, zone side) error {
+	first := process * r.scaled(hollowWatchers)
+	c := &watcherProcess{cmd: exec.Command(r.Program, "watchers"), answers: make(chan watcherLine, 1), side: zone, count: count}
 	c.cmd.Stderr = os.Stderr
 	in, errIn := c.cmd.StdinPipe()
 	out, errOut := c.cmd.StdoutPipe()
@@ -161,16 +162,16 @@
 		r.appliedVersions[watcherName(first+i)] = 0
 	}
 	r.mu.Unlock()
-	go r.read(c, out)
+	go r.readLines(c, out)
 	return json.NewEncoder(in).Encode(WatcherSpec{
-		First: first, Count: count, Zone: string(at), Machines: r.service.Endpoints(at), Key: serviceKey, Seed: r.Seed + int64(place),
+		First: first, Count: count, Zone: string(zone), Machines: r.service.Endpoints(zone), Key: serviceKey, Seed: r.Seed + int64(process),
 	})
 }
 
-func watcherName(place int) string { return fmt.Sprintf("hollow-%d", place) }
+func watcherName(index int) string { return fmt.Sprintf("hollow-%d", index) }
 
-// read records the lines of a process of watchers.
-func (r *configurationRun) read(c *watcherProcess, from io.Reader) {
+// readLines reads the output of a watcher process until it ends. It records the events and passes the answers to ask.
+func (r *configurationRun) readLines(c *watcherProcess, from io.Reader) {
 	lines := bufio.NewScanner(from)
 	for lines.Scan() {
 		var line watcherLine
@@ -183,7 +184,7 @@
 		}
 		name := watcherName(line.Event.Watcher)
 		r.mu.Lock()
-		r.history.InForce = append(r.history.InForce, AppliedVersion{
+		r.history.Applied = append(r.history.Applied, AppliedVersion{
 			name, line.Event.Version, line.Event.Digest, time.Unix(0, line.Event.At), line.Event.Started,
 		})
 		r.appliedVersions[name] = line.Event.Version
@@ -192,7 +193,7 @@
 	close(c.answers)
 }
 
-// ask sends a command and returns its answer.
+// ask sends a command to the process and returns its answer.
 func (c *watcherProcess) ask(command watcherCommand) (watcherLine, error) {
 	if err := json.NewEncoder(c.in).Encode(command); err != nil {
 		return watcherLine{}, fmt.Errorf("watchers: %w", err)
@@ -204,17 +205,17 @@
 	return line, nil
 }
 
-// startServer starts a real app server that follows the service.
+// startServer starts a real app server that follows the configuration service.
 func (r *configurationRun) startServer(i int) error {
 	name := fmt.Sprintf("app-%d", i)
-	own := fmt.Sprintf("[configuration]\nname = %q\nzone = %q\nkey-file = %q\ndir = %q\n", name, majority, r.service.keyFile(),
+	ownConfig := fmt.Sprintf("[configuration]\nname = %q\nzone = %q\nkey-file = %q\ndir = %q\n", name, majority, r.service.keyFile(),
 		filepath.Join(r.Folder, name+"-kept"))
 	for _, m := range r.service.Endpoints(majority) {
-		own += fmt.Sprintf("[[configuration.machine]]\nzone = %q\naddress = %q\n", m.Zone, m.Address)
+		ownConfig += fmt.Sprintf("[[configuration.machine]]\nzone = %q\naddress = %q\n", m.Zone, m.Address)
 	}
 	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
-	d, err := harness.Launch(r.Daemon, []string{"serve"}, r.Folder, name, machine, own, func(listen, pool, members string) ([]byte, error) {
-		return Site(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), listen, pool, members)
+	d, err := harness.Launch(r.Daemon, []string{"serve"}, r.Folder, name, machine, ownConfig, func(listen, pool, members string) ([]byte, error) {
+		return PlatformConfig(r.scaled(PlannedRoutes), r.scaled(PlannedTenants), listen, pool, members)
 	})
 	if err != nil {
 		return err
@@ -223,19 +224,19 @@
 	return nil
 }
 
-var inForceLine = regexp.MustCompile(`time=(\S+) level=INFO msg="configuration: in force" version=(\d+)`)
+var appliedLine = regexp.MustCompile(`time=(\S+) level=INFO msg="configuration: in force" version=(\d+)`)
 
-// versionOf returns the version that a server logged last as applied.
-func versionOf(d *harness.Daemon) uint64 {
-	all := inForceLine.FindAllStringSubmatch(d.Log(), -1)
+// loggedVersion returns the version that a server logged last as applied, 0 if none.
+func loggedVersion(d *harness.Daemon) uint64 {
+	all := appliedLine.FindAllStringSubmatch(d.Log(), -1)
 	if len(all) == 0 {
 		return 0
 	}
-	version, _ := strconv.ParseUint(all[len(all)-1][2], 10, 64) // digits
+	version, _ := strconv.ParseUint(all[len(all)-1][2], 10, 64) // the pattern matches digits only
 	return version
 }
 
-// recordServerEvents adds what the servers logged to the history.
+// recordServerEvents adds the versions that the servers logged as applied to the history.
 func (r *configurationRun) recordServerEvents() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -244,44 +245,45 @@
 		digests[step.Version] = step.Digest
 	}
 	for i, d := range r.servers {
-		for _, found := range inForceLine.FindAllStringSubmatch(d.Log(), -1) {
-			version, _ := strconv.ParseUint(found[2], 10, 64) // digits
+		for _, found := range appliedLine.FindAllStringSubmatch(d.Log(), -1) {
+			version, _ := strconv.ParseUint(found[2], 10, 64) // the pattern matches digits only
 			at, err := time.Parse(time.RFC3339Nano, found[1])
 			if err != nil {
 				continue
 			}
-			// A server logs no digest; its watcher compared the content with that of the delta.
-			r.history.InForce = append(r.history.InForce, AppliedVersion{fmt.Sprintf("app-%d", i), version, digests[version], at, false})
+			// A server logs no digest; its watcher has compared the digest of the content with that of the delta.
+			r.history.Applied = append(r.history.Applied, AppliedVersion{fmt.Sprintf("app-%d", i), version, digests[version], at, false})
 		}
 	}
 }
 
-// waitApplied waits until every server has applied a version or a later one.
+// waitApplied waits until all servers, the watchers and the recorder have applied a version or a later one. It returns
+// an error after 40 seconds.
 func (r *configurationRun) waitApplied(ctx context.Context, version uint64) error {
-	const patience = 40 * time.Second
+	const timeout = 40 * time.Second
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-		behind := []string{}
+		stale := []string{}
 		r.mu.Lock()
-		for name, at := range r.appliedVersions {
-			if at < version {
-				behind = append(behind, name)
+		for name, applied := range r.appliedVersions {
+			if applied < version {
+				stale = append(stale, name)
 			}
 		}
 		if steps := r.history.Versions; len(steps) == 0 || steps[len(steps)-1].Version < version {
-			behind = append(behind, "recorder")
+			stale = append(stale, "recorder")
 		}
 		r.mu.Unlock()
 		for i, d := range r.servers {
-			if versionOf(d) < version {
-				behind = append(behind, fmt.Sprintf("app-%d", i))
+			if loggedVersion(d) < version {
+				stale = append(stale, fmt.Sprintf("app-%d", i))
 			}
 		}
 		switch {
-		case len(behind) == 0:
+		case len(stale) == 0:
 			return nil
-		case time.Since(began) > patience || ctx.Err() != nil:
-			slices.Sort(behind)
-			return fmt.Errorf("version %d not in force after %v at %d servers, %s among them", version, patience, len(behind), behind[0])
+		case time.Since(began) > timeout || ctx.Err() != nil:
+			slices.Sort(stale)
+			return fmt.Errorf("version %d not applied after %v by %d servers, including %s", version, timeout, len(stale), stale[0])
 		}
 	}
 }
--- a/internal/testkit/scale/fleets.go
+++ b/internal/testkit/scale/fleets.go
@@ -9,26 +9,26 @@
 
 // Series of the hollow fleets.
 const (
-	seriesMemberMessages = "membership messages/s a server by servers"
-	seriesMemberBytes    = "membership bytes/s a server by servers"
-	seriesQuietBytes     = "exchange bytes/s a server, quiet, by servers"
-	seriesQuietCore      = "control core % a server, quiet, by servers"
-	seriesNewcomerBytes  = "exchange bytes of one restart by servers"
-	seriesNewcomerCore   = "control cpu ms of one restart by servers"
-	seriesRestartBytes   = "exchange bytes/s a server by restarts a minute"
-	seriesRestartCore    = "control core % a server by restarts a minute"
-	seriesVoterTalks     = "lease talks/s a voter by voters"
-	seriesVoterBytes     = "lease bytes/s a voter by voters"
-	seriesVoterCore      = "lease core % a voter by voters"
-	seriesDutiesHeld     = "duties held after 20 s by duties"
-	seriesDutyTalks      = "lease talks/s a voter by duties"
-	seriesDutyBytes      = "lease bytes/s a voter by duties"
-	seriesDutyCore       = "lease core % a voter by duties"
-	seriesZoneSeconds    = "zone back: seconds until all have a view, by servers back at once"
-	seriesZoneBytes      = "zone back: exchange bytes a server of the fleet, by servers back at once"
-	seriesCutHolders     = "regions cut: most holders at once by seconds of the cut"
-	seriesCutSeconds     = "regions cut: longest seconds without a holder by seconds of the cut"
-	seriesHealSeconds    = "regions cut: seconds from the heal until a duty is held by seconds of the cut"
+	seriesMemberMessages           = "membership messages/s a server by servers"
+	seriesMemberBytes              = "membership bytes/s a server by servers"
+	seriesQuietBytes               = "exchange bytes/s a server, quiet, by servers"
+	seriesQuietCore                = "control core % a server, quiet, by servers"
+	seriesSingleRestartBytes       = "exchange bytes of one restart by servers"
+	seriesSingleRestartCPU         = "control cpu ms of one restart by servers"
+	seriesRestartRateBytes         = "exchange bytes/s a server by restarts a minute"
+	seriesRestartRateCore          = "control core % a server by restarts a minute"
+	seriesVoterConnections         = "lease talks/s a voter by voters"
+	seriesVoterBytes               = "lease bytes/s a voter by voters"
+	seriesVoterCore                = "lease core % a voter by voters"
+	seriesLeasesHeld               = "duties held after 20 s by duties"
+	seriesLeaseConnections         = "lease talks/s a voter by duties"
+	seriesLeaseBytes               = "lease bytes/s a voter by duties"
+	seriesLeaseCore                = "lease core % a voter by duties"
+	seriesZoneSeconds              = "zone back: seconds until all have a view, by servers back at once"
+	seriesZoneBytes                = "zone back: exchange bytes a server of the fleet, by servers back at once"
+	seriesPartitionHolders         = "regions cut: most holders at once by seconds of the cut"
+	seriesPartitionNoHolderSeconds = "regions cut: longest seconds without a holder by seconds of the cut"
+	seriesHealSeconds              = "regions cut: seconds from the heal until a duty is held by seconds of the cut"
 )
 
 const (
@@ -36,18 +36,18 @@
 	shortLease         = 400 * time.Millisecond
 	fewVoters          = 5
 	holderPollInterval = 25 * time.Millisecond
-	partitionedVoters  = 3 // of fewVoters, on one side of a cut
+	partitionedVoters  = 3 // of fewVoters, on one side of the partition
 	healTimeout        = 20 * time.Second
 )
 
 // Fleets measures hollow fleets.
 type Fleets struct {
-	Program string // that has a command hollow
+	Program string // path of a program that has a command hollow
 	Seed    int64
 	Small   bool // fewer servers and shorter spans
 }
 
-// Run measures everything, one fleet at a time.
+// Run runs all measurements, one fleet at a time.
 func (f *Fleets) Run(ctx context.Context) (Points, error) {
 	points := Points{}
 	for _, part := range []func(context.Context, Points) error{f.measureSizes, f.measureVoters, f.measureLeases, f.measurePartition} {
@@ -58,8 +58,8 @@
 	return points, nil
 }
 
-func (f *Fleets) spec(voters, duties int) HollowSpec {
-	return HollowSpec{Voters: voters, Duties: duties, Lease: f.leaseDuration(), Routes: PlannedRoutes, Seed: f.Seed}
+func (f *Fleets) spec(voters, leases int) HollowSpec {
+	return HollowSpec{Voters: voters, Duties: leases, Lease: f.leaseDuration(), Routes: PlannedRoutes, Seed: f.Seed}
 }
 
 // leaseDuration returns the duration of a lease.
@@ -93,7 +93,7 @@
 	return []int{10, 125, 250, 375, PlannedServers}
 }
 
-// firstPoints returns points, only the first two in a small run.
+// firstPoints returns all points, or only the first two in a small run.
 func (f *Fleets) firstPoints(points ...int) []int {
 	if f.Small {
 		return points[:2]
@@ -101,15 +101,15 @@
 	return points
 }
 
-// rateDuring returns the rates of a fleet over a span, or while do runs where that takes longer.
-func rateDuring(fleet *Fleet, span time.Duration, voters int, do func() error) (useRates, error) {
+// rateDuring returns the rates of a fleet over a span, or until during returns if that takes longer. during may be nil.
+func rateDuring(fleet *Fleet, span time.Duration, voters int, during func() error) (useRates, error) {
 	before, err := fleet.use()
 	if err != nil {
 		return useRates{}, err
 	}
 	end := time.After(span)
-	if do != nil {
-		if err := do(); err != nil {
+	if during != nil {
+		if err := during(); err != nil {
 			return useRates{}, err
 		}
 	}
@@ -118,7 +118,8 @@
 	return ratesBetween(before, after, fleet.servers, voters), err
 }
 
-// measureSizes measures fleets of several sizes: quiet, with restarts, and, the largest, with a zone that comes back at once.
+// measureSizes measures fleets of several sizes, when quiet and with one restart. It measures the largest also with
+// several rates of restarts and with a zone that restarts at once.
 func (f *Fleets) measureSizes(ctx context.Context, points Points) error {
 	sizes := f.sizes()
 	for _, servers := range sizes {
@@ -156,14 +157,14 @@
 	return nil
 }
 
-// withFleet runs a measurement on a warm fleet.
+// withFleet starts a fleet, runs a measurement on it once it is warm, and stops it.
 func (f *Fleets) withFleet(ctx context.Context, servers int, spec HollowSpec, measure func(*Fleet) error) (err error) {
 	fleet, err := StartFleet(f.Program, servers, spec)
 	if err != nil {
 		return fmt.Errorf("%d servers: %w", servers, err)
 	}
 	defer func() { err = errors.Join(err, fleet.Stop()) }()
-	if _, err := fleet.WaitForViews(ctx); err != nil {
+	if _, err := fleet.WaitUntilWarm(ctx); err != nil {
 		return fmt.Errorf("%d servers: %w", servers, err)
 	}
 	if err := measure(fleet); err != nil {
@@ -172,14 +173,14 @@
 	return nil
 }
 
-// measureRestart measures what one restart costs the whole fleet, over what it costs when quiet.
+// measureRestart measures what one restart costs the whole fleet, in addition to what the quiet fleet costs.
 func (f *Fleets) measureRestart(ctx context.Context, fleet *Fleet, quiet useRates, points Points) error {
-	const restarted = 4 // one in each process
+	const restarted = 4 // one in each process of servers that do not vote
 	loaded, err := rateDuring(fleet, f.span(), fewVoters, func() error {
 		if err := fleet.Restart(restarted); err != nil {
 			return err
 		}
-		if _, err := fleet.WaitForViews(ctx); err != nil {
+		if _, err := fleet.WaitUntilWarm(ctx); err != nil {
 			return err
 		}
 		return fleet.WaitUntilQuiet(ctx)
@@ -188,13 +189,13 @@
 		return err
 	}
 	servers := float64(fleet.servers)
-	over := loaded.seconds * (servers - fewVoters) / restarted
-	points.Add(seriesNewcomerBytes, servers, max(0, loaded.serverBytes-quiet.serverBytes)*over)
-	points.Add(seriesNewcomerCore, servers, max(0, loaded.serverCore-quiet.serverCore)*over*10) // percent to ms a second
+	serverSecondsPerRestart := loaded.seconds * (servers - fewVoters) / restarted
+	points.Add(seriesSingleRestartBytes, servers, max(0, loaded.serverBytes-quiet.serverBytes)*serverSecondsPerRestart)
+	points.Add(seriesSingleRestartCPU, servers, max(0, loaded.serverCore-quiet.serverCore)*serverSecondsPerRestart*10) // 1 % of a core is 10 ms a second
 	return nil
 }
 
-// measureRestartRates measures a fleet in which servers restart at several rates.
+// measureRestartRates measures a fleet whose servers restart at several rates.
 func (f *Fleets) measureRestartRates(ctx context.Context, fleet *Fleet, points Points) error {
 	for _, perMinute := range f.firstPoints(0, 60, 120, 240) {
 		if err := fleet.WaitUntilQuiet(ctx); err != nil {
@@ -204,8 +205,8 @@
 			if perMinute == 0 {
 				return nil
 			}
-			gap := time.Minute / time.Duration(perMinute)
-			for began := time.Now(); time.Since(began)+gap <= f.span() && ctx.Err() == nil; time.Sleep(gap) {
+			interval := time.Minute / time.Duration(perMinute)
+			for began := time.Now(); time.Since(began)+interval <= f.span() && ctx.Err() == nil; time.Sleep(interval) {
 				if err := fleet.Restart(1); err != nil {
 					return err
 				}
@@ -215,26 +216,27 @@
 		if err != nil {
 			return err
 		}
-		points.Add(seriesRestartBytes, float64(perMinute), used.serverBytes)
-		points.Add(seriesRestartCore, float64(perMinute), used.serverCore)
+		points.Add(seriesRestartRateBytes, float64(perMinute), used.serverBytes)
+		points.Add(seriesRestartRateCore, float64(perMinute), used.serverCore)
 	}
 	return nil
 }
 
-// measureZoneRestart restarts all servers of a zone at once.
+// measureZoneRestart restarts as many servers as a zone has at once, and measures the time until all are warm and the
+// bytes exchanged.
 func (f *Fleets) measureZoneRestart(ctx context.Context, fleet *Fleet, points Points) error {
 	if err := fleet.WaitUntilQuiet(ctx); err != nil {
 		return err
 	}
-	back := min(ZoneServers, fleet.servers/5)
+	restarted := min(ZoneServers, fleet.servers/5)
 	before, err := fleet.use()
 	if err != nil {
 		return err
 	}
-	if err := fleet.Restart(back); err != nil {
+	if err := fleet.Restart(restarted); err != nil {
 		return err
 	}
-	took, err := fleet.WaitForViews(ctx)
+	took, err := fleet.WaitUntilWarm(ctx)
 	if err != nil {
 		return err
 	}
@@ -246,8 +248,8 @@
 		return err
 	}
 	used := ratesBetween(before, after, fleet.servers, fewVoters)
-	points.Add(seriesZoneSeconds, float64(back), took.Seconds())
-	points.Add(seriesZoneBytes, float64(back), used.serverBytes*used.seconds)
+	points.Add(seriesZoneSeconds, float64(restarted), took.Seconds())
+	points.Add(seriesZoneBytes, float64(restarted), used.serverBytes*used.seconds)
 	return nil
 }
 
@@ -259,7 +261,7 @@
 				return err
 			}
 			used, err := rateDuring(fleet, 2*f.span(), voters, nil)
-			points.Add(seriesVoterTalks, float64(voters), used.voterTalks)
+			points.Add(seriesVoterConnections, float64(voters), used.voterConnections)
 			points.Add(seriesVoterBytes, float64(voters), used.voterBytes)
 			points.Add(seriesVoterCore, float64(voters), used.voterCore)
 			return err
@@ -271,23 +273,24 @@
 	return nil
 }
 
-// measureLeases measures a few voters with several leases.
+// measureLeases measures a few voters with several numbers of leases.
 func (f *Fleets) measureLeases(ctx context.Context, points Points) error {
-	for _, duties := range f.firstPoints(1, 8, 16, 32, 64) {
-		err := f.withFleet(ctx, fewVoters, f.spec(fewVoters, duties), func(fleet *Fleet) error {
-			// Where they are more than the voters can carry, some are never held; that is a figure, not a failure.
-			if _, err := fleet.waitForHolders(ctx, f.leaseTimeout(), duties); err != nil && !errors.Is(err, errHolderCount) {
+	for _, leases := range f.firstPoints(1, 8, 16, 32, 64) {
+		err := f.withFleet(ctx, fewVoters, f.spec(fewVoters, leases), func(fleet *Fleet) error {
+			// If there are more leases than the voters can keep up with, some are never held; that is a result, not an
+			// error.
+			if _, err := fleet.waitForHolders(ctx, f.leaseTimeout(), leases); err != nil && !errors.Is(err, errHolderCount) {
 				return err
 			}
-			held, err := fleet.countHolders()
+			holders, err := fleet.countHolders()
 			if err != nil {
 				return err
 			}
-			points.Add(seriesDutiesHeld, float64(duties), float64(held))
+			points.Add(seriesLeasesHeld, float64(leases), float64(holders))
 			used, err := rateDuring(fleet, 2*f.span(), fewVoters, nil)
-			points.Add(seriesDutyTalks, float64(duties), used.voterTalks)
-			points.Add(seriesDutyBytes, float64(duties), used.voterBytes)
-			points.Add(seriesDutyCore, float64(duties), used.voterCore)
+			points.Add(seriesLeaseConnections, float64(leases), used.voterConnections)
+			points.Add(seriesLeaseBytes, float64(leases), used.voterBytes)
+			points.Add(seriesLeaseCore, float64(leases), used.voterCore)
 			return err
 		})
 		if err != nil {
--- a/internal/testkit/scale/plan.go
+++ b/internal/testkit/scale/plan.go
@@ -1,21 +1,21 @@
-// Package scale measures the cost of the real programs as routes, tenants, connections, requests and servers grow up to the
-// planned size, and computes the figures of the capacity page. It is for measurements only.
+// Package scale measures the cost of the real programs for growing numbers of routes, tenants, connections, requests
+// and servers, up to the planned size, and computes the figures of the capacity page. It is used for measurements only.
 package scale
 
 import "time"
 
 // The planned size.
 const (
-	PlannedServers  = 500
-	PlannedCallers  = 7600
-	PlannedRequests = 110_000 // a second
-	PlannedRoutes   = 3300
-	PlannedTenants  = 30_000
-	PlannedZones    = 7
-	PlannedChanges  = 910  // of configuration, a day
-	PlannedRestarts = 1300 // of servers, a day
-	ControlMachines = 5
-	ZoneServers     = 72 // in the largest zone: 500 servers over 7 zones
+	PlannedServers        = 500
+	PlannedRouters        = 7600
+	PlannedRequestRate    = 110_000 // a second
+	PlannedRoutes         = 3300
+	PlannedTenants        = 30_000
+	PlannedZones          = 7
+	PlannedChangesPerDay  = 910  // of the configuration
+	PlannedRestartsPerDay = 1300 // of servers
+	ControlMachines       = 5
+	ZoneServers           = 72 // in the largest zone, with 500 servers in 7 zones
 )
 
 // Budgets of control for one app server.
@@ -23,8 +23,8 @@
 	BudgetCore      = 0.048 // share of a core
 	BudgetMemoryMB  = 256.0
 	BudgetBytes     = 25e3 // a second, sent and received
-	BudgetLatencyMS = 6.5  // added to a request for 99 in 100
+	BudgetLatencyMS = 6.5  // added to a request, p99
 )
 
-// AssumedCheckPeriod is the time between two health checks of one caller.
+// AssumedCheckPeriod is the assumed time between two health checks of one router.
 const AssumedCheckPeriod = 15 * time.Second
--- a/internal/testkit/scale/points.go
+++ b/internal/testkit/scale/points.go
@@ -52,7 +52,7 @@
 	return o
 }
 
-// String returns the origin in one line, the first of each file.
+// String returns the origin on one line, as at the head of each file.
 func (o Origin) String() string {
 	return fmt.Sprintf("seed %d, commit %s, %s", o.Seed, o.Commit, o.Machine)
 }
@@ -67,12 +67,12 @@
 	}
 }
 
-// Series returns the coordinates of a series by growing x.
+// Series returns the coordinates of a series in ascending order of x.
 func (p Points) Series(series string) (xs, ys []float64) {
 	points := slices.Clone(p[series])
 	slices.SortStableFunc(points, func(a, b Point) int { return cmp.Compare(a.X, b.X) })
-	for _, one := range points {
-		xs, ys = append(xs, one.X), append(ys, one.Value)
+	for _, point := range points {
+		xs, ys = append(xs, point.X), append(ys, point.Value)
 	}
 	return xs, ys
 }
@@ -80,12 +80,12 @@
 // Fit returns the least-squares line through a series.
 func (p Points) Fit(series string) Line { return Fit(p.Series(series)) }
 
-// MeanAt returns the mean of the values of a series at x, and whether there is any.
+// MeanAt returns the mean of the values of a series at x, and reports whether there are any.
 func (p Points) MeanAt(series string, x float64) (value float64, measured bool) {
 	n := 0.0
-	for _, one := range p[series] {
-		if one.X == x {
-			value += one.Value
+	for _, point := range p[series] {
+		if point.X == x {
+			value += point.Value
 			n++
 		}
 	}
@@ -114,15 +114,15 @@
 	for _, series := range slices.Sorted(maps.Keys(p)) {
 		xs, ys := p.Series(series)
 		for i := range xs {
-			rows = append(rows, []string{series, number(xs[i]), number(ys[i])})
+			rows = append(rows, []string{series, formatNumber(xs[i]), formatNumber(ys[i])})
 		}
 	}
 	return out.WriteAll(rows)
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
-// ReadPoints reads a file of Write, and returns its points and its origin.
+// ReadPoints reads a file that Write has written, and returns its points and the text of its origin.
 func ReadPoints(path string) (Points, string, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -132,7 +132,7 @@
 	in := bufio.NewReader(file)
 	origin, err := in.ReadString('\n')
 	if err != nil || !strings.HasPrefix(origin, "# ") {
-		return nil, "", fmt.Errorf("points: %s does not say what made it", path)
+		return nil, "", fmt.Errorf("points: %s: first line is not an origin that starts with \"# \"", path)
 	}
 	rows, p := csv.NewReader(in), Points{}
 	if _, err := rows.Read(); err != nil {
@@ -160,12 +160,13 @@
 	chartHeight = 4 * vg.Inch
 )
 
-// Chart draws series with their lines. A series that is not linear is drawn without one.
+// Chart saves a scatter chart of series to a file, with the fitted line of each series that is linear. x and y are the
+// labels of the axes.
 func (p Points) Chart(path, title, x, y string, origin Origin, series ...string) error {
-	drawn := plot.New()
-	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = title+"\n"+origin.String(), x, y
-	drawn.Legend.Top, drawn.Legend.Left = true, true
-	drawn.Add(plotter.NewGrid())
+	canvas := plot.New()
+	canvas.Title.Text, canvas.X.Label.Text, canvas.Y.Label.Text = title+"\n"+origin.String(), x, y
+	canvas.Legend.Top, canvas.Legend.Left = true, true
+	canvas.Add(plotter.NewGrid())
 	for i, name := range series {
 		xs, ys := p.Series(name)
 		points := make(plotter.XYs, len(xs))
@@ -177,15 +178,15 @@
 			return fmt.Errorf("chart %s: %w", name, err)
 		}
 		scatter.Color, scatter.Shape = plotutil.Color(i), plotutil.Shape(i)
-		drawn.Add(scatter)
-		drawn.Legend.Add(name, scatter)
-		if line := Fit(xs, ys); line.Straight {
+		canvas.Add(scatter)
+		canvas.Legend.Add(name, scatter)
+		if line := Fit(xs, ys); line.Linear {
 			fitted := plotter.NewFunction(line.At)
 			fitted.Color = plotutil.Color(i)
-			drawn.Add(fitted)
+			canvas.Add(fitted)
 		}
 	}
-	if err := drawn.Save(chartWidth, chartHeight, path); err != nil {
+	if err := canvas.Save(chartWidth, chartHeight, path); err != nil {
 		return fmt.Errorf("chart %s: %w", filepath.Base(path), err)
 	}
 	return nil
--- a/internal/testkit/scale/publish.go
+++ b/internal/testkit/scale/publish.go
@@ -16,7 +16,7 @@
 	series            []string
 }
 
-// charts are the charts by part.
+// charts lists the charts of each part.
 var charts = map[string][]chart{
 	"slopes": {
 		{"memory.svg", "memory of a daemon", "% of the planned routes and tenants", "MB",
@@ -24,7 +24,7 @@
 		{"idle.svg", "idle processor time of a daemon", "% of the planned routes and tenants", "% of a core",
 			[]string{seriesIdle + bySize}},
 		{"reload.svg", "processor time of a reload", "% of the planned routes and tenants", "ms",
-			[]string{seriesReloadSame + bySize, seriesReloadMoved + bySize}},
+			[]string{seriesReloadSame + bySize, seriesReloadChanged + bySize}},
 		{"connections.svg", "memory by connections", "connections", "MB", []string{seriesConnectionsMB}},
 		{"checks.svg", "processor time by health checks", "checks a second", "% of a core",
 			[]string{fmt.Sprintf(seriesChecks, fewRoutes), fmt.Sprintf(seriesChecks, PlannedRoutes)}},
@@ -34,13 +34,13 @@
 			[]string{seriesAddedP50, seriesAddedP99}},
 	},
 	"fleets": {
-		{"restart.svg", "bytes of one restart", "servers", "bytes", []string{seriesNewcomerBytes}},
-		{"voters.svg", "lease talks by voters", "voters", "talks a second and voter", []string{seriesVoterTalks}},
-		{"duties.svg", "lease talks by duties, 5 voters", "duties", "talks a second and voter", []string{seriesDutyTalks}},
+		{"restart.svg", "bytes of one restart", "servers", "bytes", []string{seriesSingleRestartBytes}},
+		{"voters.svg", "lease talks by voters", "voters", "talks a second and voter", []string{seriesVoterConnections}},
+		{"duties.svg", "lease talks by duties, 5 voters", "duties", "talks a second and voter", []string{seriesLeaseConnections}},
 	},
 }
 
-// PublishParts writes the points and the charts of each part into a folder.
+// PublishParts writes the points and the charts of each part into a folder, and prints the points on standard output.
 func PublishParts(folder string, parts map[string]Points, origin Origin) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return fmt.Errorf("points: %w", err)
@@ -62,20 +62,21 @@
 	return nil
 }
 
-// Print writes a line for each series: its smallest and largest x with their values, and the line through its points.
+// Print writes a line for each series: its number of points, its smallest and largest x with their values, and the line
+// that is fitted to its points.
 func (p Points) Print(to io.Writer) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "series\tpoints\tfrom\tto\tslope\tat 0\tr2\tworst residual\tline\t")
 	for _, series := range slices.Sorted(maps.Keys(p)) {
 		xs, ys := p.Series(series)
 		line, last := Fit(xs, ys), len(xs)-1
-		shape := "no"
-		if line.Straight {
-			shape = "yes"
+		linear := "no"
+		if line.Linear {
+			linear = "yes"
 		}
 		fmt.Fprintf(table, "%s\t%d\t%s at %s\t%s at %s\t%s\t%s\t%.3f\t%s\t%s\t\n", series, len(xs),
-			number(ys[0]), number(xs[0]), number(ys[last]), number(xs[last]), number(line.Slope), number(line.Intercept),
-			line.R2, number(line.Worst), shape)
+			formatNumber(ys[0]), formatNumber(xs[0]), formatNumber(ys[last]), formatNumber(xs[last]), formatNumber(line.Slope), formatNumber(line.Intercept),
+			line.R2, formatNumber(line.MaxResidual), linear)
 	}
 	return table.Flush()
 }
--- a/internal/testkit/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -23,7 +23,8 @@
 // leaderTimeout is the time limit for a leader to be elected.
 const leaderTimeout = 20 * time.Second
 
-// side of a cut: the machines of a side and the watchers of its zone reach each other whatever happens.
+// side is one side of a network partition. The machines of a side and the watchers of its zone can always reach each
+// other.
 type side string
 
 const (
@@ -31,20 +32,20 @@
 	minority side = "minority"
 )
 
-// Service is the configuration service on the control machines, each a process of the real program. What crosses between
-// the sides goes through proxies that can be cut.
+// Service is the configuration service on the control machines, each a process of the real program. Connections between
+// the two sides go through proxies that can be cut.
 type Service struct {
-	program       string
-	folder        string
-	names         []string
-	sessions      []string
-	replicas      []string
-	cmds          []*exec.Cmd
-	logs          []*harness.LogBuffer
-	links         []*faultnet.Proxy
-	crossSessions map[string]string // sessions of each machine as those of the other side dial it
-	crossReplicas map[string]string // replication of each machine, the same
-	keys          peersync.Keys
+	program         string
+	folder          string
+	names           []string
+	sessions        []string
+	replicas        []string
+	cmds            []*exec.Cmd
+	logs            []*harness.LogBuffer
+	links           []*faultnet.Proxy
+	proxiedSessions map[string]string // session address of each machine to the address that the other side dials
+	proxiedReplicas map[string]string // replication address of each machine to the address that the other side dials
+	keys            peersync.Keys
 }
 
 // sideOfMachine returns the side of a machine: the last two are the minority.
@@ -55,10 +56,10 @@
 	return minority
 }
 
-// StartService starts all machines.
+// StartService starts all machines of the service.
 func StartService(program, folder string) (s *Service, err error) {
 	s = &Service{
-		program: program, folder: folder, crossSessions: map[string]string{}, crossReplicas: map[string]string{},
+		program: program, folder: folder, proxiedSessions: map[string]string{}, proxiedReplicas: map[string]string{},
 		keys: peersync.Keys{[]byte(strings.Repeat("\x5e", len(serviceKey)/2))},
 	}
 	defer func() {
@@ -78,12 +79,12 @@
 			}
 			*list = append(*list, address)
 		}
-		for address, into := range map[string]map[string]string{s.sessions[i]: s.crossSessions, s.replicas[i]: s.crossReplicas} {
+		for address, proxied := range map[string]map[string]string{s.sessions[i]: s.proxiedSessions, s.replicas[i]: s.proxiedReplicas} {
 			link, err := faultnet.New(address)
 			if err != nil {
 				return s, err
 			}
-			s.links, into[address] = append(s.links, link), link.Addr()
+			s.links, proxied[address] = append(s.links, link), link.Addr()
 		}
 	}
 	s.cmds, s.logs = make([]*exec.Cmd, ControlMachines), make([]*harness.LogBuffer, ControlMachines)
@@ -97,14 +98,14 @@
 
 func (s *Service) keyFile() string { return filepath.Join(s.folder, "keys") }
 
-// file is the configuration of a machine, which dials those of the other side through proxies.
-func (s *Service) file(machine int) string {
+// configText returns the configuration file of a machine, which dials the machines of the other side through proxies.
+func (s *Service) configText(machine int) string {
 	text := fmt.Sprintf("name = %q\ndata = %q\nkey-file = %q\n", s.names[machine],
 		filepath.Join(s.folder, s.names[machine]), s.keyFile())
 	for i, name := range s.names {
 		text += fmt.Sprintf("[[machine]]\nname = %q\nzone = %q\nreplication = %q\nsessions = %q\n", name, sideOfMachine(i), s.replicas[i], s.sessions[i])
 		if sideOfMachine(i) != sideOfMachine(machine) {
-			text += fmt.Sprintf("reach = %q\n", s.crossReplicas[s.replicas[i]])
+			text += fmt.Sprintf("reach = %q\n", s.proxiedReplicas[s.replicas[i]])
 		}
 	}
 	return text
@@ -113,7 +114,7 @@
 // StartMachine starts one machine with its stored state.
 func (s *Service) StartMachine(i int) error {
 	path := filepath.Join(s.folder, s.names[i]+".toml")
-	if err := os.WriteFile(path, []byte(s.file(i)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(s.configText(i)), 0o600); err != nil {
 		return fmt.Errorf("service: %w", err)
 	}
 	cmd := exec.Command(s.program, "serve", "--config", path)
@@ -126,11 +127,11 @@
 	return nil
 }
 
-// KillMachine ends one machine by SIGKILL.
+// KillMachine ends one machine with SIGKILL and waits for its end.
 func (s *Service) KillMachine(i int) {
 	if cmd := s.cmds[i]; cmd != nil {
 		_ = cmd.Process.Kill()
-		_ = cmd.Wait() // killed, which is its error
+		_ = cmd.Wait() // returns the error that the process was killed
 		s.cmds[i] = nil
 	}
 }
@@ -138,7 +139,7 @@
 // Signal sends a signal to a machine.
 func (s *Service) Signal(i int, signal syscall.Signal) error { return s.cmds[i].Process.Signal(signal) }
 
-// Partition separates the two sides until Heal.
+// Partition separates the two sides until Heal is called.
 func (s *Service) Partition() {
 	for _, link := range s.links {
 		link.Cut()
@@ -152,18 +153,19 @@
 	}
 }
 
-// Endpoints returns the addresses of the machines for a server of a side.
+// Endpoints returns the session addresses of the machines for a server of a side.
 func (s *Service) Endpoints(from side) (machines []configwatch.Endpoint) {
 	for i, address := range s.sessions {
 		if sideOfMachine(i) != from {
-			address = s.crossSessions[address]
+			address = s.proxiedSessions[address]
 		}
 		machines = append(machines, configwatch.Endpoint{Zone: string(sideOfMachine(i)), Address: address})
 	}
 	return machines
 }
 
-// Leader waits for a leader among some machines, and returns its index.
+// Leader waits until one of the machines that among selects is the leader, and returns its index. It returns an error
+// after leaderTimeout.
 func (s *Service) Leader(ctx context.Context, among func(i int) bool) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
@@ -179,15 +181,15 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	last := ""
+	lastLines := ""
 	for i := range s.logs {
 		lines := strings.Split(strings.TrimSpace(s.logs[i].String()), "\n")
-		last += fmt.Sprintf("\n%s: %s", s.names[i], lines[len(lines)-1])
+		lastLines += fmt.Sprintf("\n%s: %s", s.names[i], lines[len(lines)-1])
 	}
-	return 0, fmt.Errorf("service: no leader: %w%s", ctx.Err(), last)
+	return 0, fmt.Errorf("service: no leader: %w%s", ctx.Err(), lastLines)
 }
 
-// Stop ends all machines and links.
+// Stop kills all machines and closes the proxies.
 func (s *Service) Stop() (err error) {
 	for i := range s.cmds {
 		s.KillMachine(i)
--- a/internal/testkit/scale/watchers.go
+++ b/internal/testkit/scale/watchers.go
@@ -28,13 +28,14 @@
 	Seed         int64
 }
 
-// watcherLine is one line that a process of watchers writes: an event, or, with an answer, what it has used so far.
+// watcherLine is one line of output of a watcher process: an event, or the answer to a command, which states the
+// traffic of the process so far.
 type watcherLine struct {
 	Event  *watcherEvent     `json:"e,omitempty"`
 	Answer *peersync.Traffic `json:"answer,omitempty"`
 }
 
-// watcherEvent is a version that a watcher applied.
+// watcherEvent states that a watcher applied a version or has started.
 type watcherEvent struct {
 	Watcher int                  `json:"w"`
 	Version uint64               `json:"v"`
@@ -43,26 +44,26 @@
 	Started bool                 `json:"s,omitempty"`
 }
 
-// watcherCommand is one line to a process of watchers.
+// watcherCommand is one line of input of a watcher process.
 type watcherCommand struct {
-	Restart int // watchers that are stopped and started with nothing before the answer
+	Restart int // number of watchers that are restarted without state before the answer
 }
 
-// discardLog discards what is logged.
+// discardLog discards all records.
 var discardLog = slog.New(slog.DiscardHandler)
 
-// watcherCores are those of a process of watchers: a hundred servers' worth of work must not crowd the machine that
-// everything else is measured on.
+// watcherCores is the number of cores of a watcher process. The work of a hundred servers must not slow the other
+// processes that are measured on the same machine.
 const watcherCores = 2
 
-// hollowWatcher is the real watch of one server without the rest of it.
+// hollowWatcher is the configuration watcher of a server without the rest of the server.
 type hollowWatcher struct {
-	place  int
+	index  int
 	cancel context.CancelFunc
-	over   chan struct{}
+	ended  chan struct{}
 }
 
-// lineWriter writes lines from several goroutines.
+// lineWriter writes lines. Its method may be called from several goroutines.
 type lineWriter struct {
 	mu  sync.Mutex
 	out *bufio.Writer
@@ -71,18 +72,19 @@
 func (l *lineWriter) write(line watcherLine) {
 	raw, err := json.Marshal(line)
 	if err != nil {
-		panic(fmt.Errorf("json: %w", err)) // every line has a form
+		panic(fmt.Errorf("json: %w", err)) // every line can be encoded
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, _ = l.out.Write(append(raw, '\n')) // whoever reads is gone with the process
+	_, _ = l.out.Write(append(raw, '\n')) // fails only if the reading process has ended
 	_ = l.out.Flush()
 }
 
-// RunWatchers runs hollow watchers until its input ends. The first line of the input is the WatcherSpec.
+// RunWatchers runs hollow watchers until its input ends. The first line of the input is the WatcherSpec, each further
+// line a watcherCommand.
 func RunWatchers(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, commandLimit)
+	lines.Buffer(nil, maxCommandBytes)
 	var spec WatcherSpec
 	if !lines.Scan() {
 		return errors.Join(io.ErrUnexpectedEOF, lines.Err())
@@ -98,7 +100,7 @@
 	writer := &lineWriter{out: bufio.NewWriter(out)}
 	watchers := make([]*hollowWatcher, spec.Count)
 	for i := range watchers {
-		watchers[i] = &hollowWatcher{place: spec.First + i}
+		watchers[i] = &hollowWatcher{index: spec.First + i}
 		watchers[i].start(spec, peersync.Keys{key}, writer)
 	}
 	defer func() {
@@ -106,13 +108,13 @@
 			w.stop()
 		}
 	}()
-	chance := rand.New(rand.NewSource(spec.Seed))
+	rng := rand.New(rand.NewSource(spec.Seed))
 	for lines.Scan() {
 		var command watcherCommand
 		if err := json.Unmarshal(lines.Bytes(), &command); err != nil {
 			return fmt.Errorf("watchers: command: %w", err)
 		}
-		chosen := chance.Perm(len(watchers))[:min(command.Restart, len(watchers))]
+		chosen := rng.Perm(len(watchers))[:min(command.Restart, len(watchers))]
 		for _, i := range chosen {
 			watchers[i].stop()
 		}
@@ -125,17 +127,17 @@
 	return lines.Err()
 }
 
-// start begins a watch without an applied version.
+// start starts a watcher that has not applied any version.
 func (h *hollowWatcher) start(spec WatcherSpec, keys peersync.Keys, writer *lineWriter) {
 	ctx, cancel := context.WithCancel(context.Background())
-	h.cancel, h.over = cancel, make(chan struct{})
+	h.cancel, h.ended = cancel, make(chan struct{})
 	event := func(e watcherEvent) {
-		e.Watcher, e.At = h.place, time.Now().UnixNano()
+		e.Watcher, e.At = h.index, time.Now().UnixNano()
 		writer.write(watcherLine{Event: &e})
 	}
 	w := &configwatch.Watcher{
-		Name: fmt.Sprintf("hollow-%d", h.place), Zone: spec.Zone, Endpoints: spec.Machines, Keys: keys,
-		Document: configuration.NewDocument(), Seed: spec.Seed*1_000_003 + time.Now().UnixNano() + int64(h.place),
+		Name: fmt.Sprintf("hollow-%d", h.index), Zone: spec.Zone, Endpoints: spec.Machines, Keys: keys,
+		Document: configuration.NewDocument(), Seed: spec.Seed*1_000_003 + time.Now().UnixNano() + int64(h.index),
 		Logger: discardLog,
 		Apply: func(_ context.Context, delta configuration.Delta, _ *configuration.Document) error {
 			event(watcherEvent{Version: delta.Version, Digest: delta.Digest})
@@ -143,10 +145,10 @@
 		},
 	}
 	event(watcherEvent{Started: true})
-	go func() { w.Run(ctx); close(h.over) }()
+	go func() { w.Run(ctx); close(h.ended) }()
 }
 
 func (h *hollowWatcher) stop() {
 	h.cancel()
-	<-h.over
+	<-h.ended
 }
