--- a/baseline/aimd.go
+++ b/baseline/aimd.go
@@ -9,8 +9,9 @@
 	"quartzpoint/emulator"
 )
 
-// aimd raises its limit by one each calibration period, or lowers it to three quarters after a period with a backoff event:
-// memory over 75%, CPU over 90%, or latency over twice its long mean.
+// aimd raises its limit by one each calibration period. After a period with a backoff event it lowers the limit to
+// three quarters instead. Backoff events are: memory over 75%, CPU over 90%, and a short-term mean latency over twice
+// the long-term mean.
 type aimd struct {
 	noopLimiter
 	current, min        float64
@@ -22,7 +23,7 @@
 const calibration = time.Second
 
 func newAIMD(m emulator.Machine, _ []emulator.Route, _ *rand.Rand) limiter {
-	return &aimd{current: m.Cores, min: m.Cores} // fewer would leave cores idle
+	return &aimd{current: m.Cores, min: m.Cores} // a lower limit would leave cores idle
 }
 
 func (a *aimd) limit() float64 { return math.Floor(a.current) }
--- a/baseline/base.go
+++ b/baseline/base.go
@@ -1,6 +1,6 @@
-// Package baseline holds admission policies to compare the project's decisions with. The daemon does not use them. All queue
-// requests in order of arrival, answer what is late and shut down gracefully. They differ in how many requests run at once
-// and which are rejected.
+// Package baseline implements admission policies that the project's decisions are compared with. The daemon does not
+// use them. All queue requests in order of arrival, answer requests at their deadlines and shut down gracefully. They
+// differ in how many requests run at once and in which they reject.
 package baseline
 
 import (
@@ -14,27 +14,27 @@
 )
 
 const (
-	shutdownGrace  = 400 * time.Millisecond // after the notification, within which arrivals are queued
+	shutdownGrace  = 400 * time.Millisecond // after the notification; arrivals are queued until then
 	tick           = 25 * time.Millisecond
-	deadlineMargin = 2 * tick // before the deadline, by which a request is answered
-	queueFactor    = 4.0      // queued requests over the limit, beyond which an arrival is rejected
+	deadlineMargin = 2 * tick // before the deadline; a request is answered by then
+	queueFactor    = 4.0      // queue length beyond which arrivals are rejected, as a multiple of the limit
 )
 
-// limiter is the part in which baselines differ.
+// limiter is the part that differs between baselines.
 type limiter interface {
 	// admit reports whether an arrival may be queued.
 	admit(now time.Duration) bool
 	// limit returns the number of requests that may run at once.
 	limit() float64
-	// shed reports whether the first of the queue, which has waited so long, is rejected instead of started.
+	// shed reports whether the first request of the queue, which has waited for waited, is rejected instead of started.
 	shed(now, waited time.Duration) bool
-	// recordRun records the end of a run, and how many were running.
+	// recordRun records the end of a run and the number of runs at that time, this one included.
 	recordRun(now, took time.Duration, running int, failed bool)
-	// recordGauges records the gauges, once a tick.
+	// recordGauges records the gauges, once per tick.
 	recordGauges(now time.Duration, g admission.Gauges)
 }
 
-// noopLimiter implements the methods of limiter but for limit, without an effect. Other limiters embed it.
+// noopLimiter implements all methods of limiter except limit, without effect. Limiters embed it.
 type noopLimiter struct{}
 
 func (noopLimiter) admit(time.Duration) bool                          { return true }
@@ -58,12 +58,12 @@
 	deadline time.Duration
 }
 
-// server makes the decisions of one server by a limiter.
+// server is an emulator.Policy that decides by a limiter.
 type server struct {
 	limiter
-	queue      []*trackedRequest // by arrival
+	queue      []*trackedRequest // in order of arrival
 	requests   map[*admission.Request]*trackedRequest
-	active     []*trackedRequest // started and not ended, by start
+	active     []*trackedRequest // started but not ended, in order of start
 	started    bool
 	stopAt     time.Duration
 	notifiedAt time.Duration
@@ -90,7 +90,7 @@
 	return []string{"no-limit", "fixed", "token-bucket", "codel", "gradient2", "vegas", "aimd"}
 }
 
-// PolicyByName returns a baseline, or the project's own decisions for "quartzpoint".
+// PolicyByName returns a baseline, or the project's own decisions for "quartzpoint". It rejects other names.
 func PolicyByName(name string) (emulator.PolicyMaker, error) {
 	switch name {
 	case "quartzpoint":
@@ -110,7 +110,7 @@
 	case "aimd":
 		return maker(newAIMD), nil
 	}
-	return nil, fmt.Errorf("policy %q: quartzpoint and %v are known", name, Names())
+	return nil, fmt.Errorf("policy %q: want quartzpoint or one of %v", name, Names())
 }
 
 // Decide implements emulator.Policy.
@@ -189,7 +189,8 @@
 	delete(s.requests, k.request)
 }
 
-// expire rejects or aborts what is at its deadline, or at the end of the shutdown.
+// expire rejects queued requests and aborts running ones at their deadline, less deadlineMargin, or at the end of the
+// shutdown.
 func (s *server) expire(now time.Duration, w admission.Executor) {
 	late := func(k *trackedRequest) bool {
 		return now >= k.deadline || s.stopAt > 0 && now >= s.stopAt-deadlineMargin
--- a/baseline/baseline_test.go
+++ b/baseline/baseline_test.go
@@ -10,8 +10,8 @@
 	"quartzpoint/emulator"
 )
 
-// Every baseline answers every task once and in time, leaves in order, and does what it is for: at half the load all is
-// honoured, at twice the load those with a limit go on serving.
+// TestBaselines checks that every baseline answers each request once and in time and shuts down gracefully. At half the
+// load nearly all value is served in time; at twice the load policies with a limit still serve a part.
 func TestBaselines(t *testing.T) {
 	for _, name := range append(Names(), "quartzpoint") {
 		t.Run(name, func(t *testing.T) {
@@ -27,7 +27,7 @@
 				r := w.Run(emulator.Load{Rate: 4 * emulator.Rate(f.Routes, f.Machine, load), Span: 12 * time.Second})
 				assert.Zero(t, r.DuplicateAnswers)
 				assert.Zero(t, r.Rules.Violations[1]+r.Rules.Violations[2]+r.Rules.Violations[3], r.Rules.Messages)
-				if bounded := name != "no-limit" && name != "gradient2" && name != "vegas"; bounded { // those go by latency alone
+				if bounded := name != "no-limit" && name != "gradient2" && name != "vegas"; bounded { // these limit by latency alone
 					assert.Zero(t, r.Rules.Violations[4], r.Rules.Messages)
 				}
 				assert.Equal(t, r.Requests, r.Served+r.Rejected+r.Aborted+r.Unanswered)
@@ -35,9 +35,9 @@
 			}
 			assert.Greater(t, share(0.5), 0.98)
 			over := share(2)
-			t.Logf("at 200%%: %.3f", over)
+			t.Logf("goodput at 200%% load: %.3f", over)
 			if name == "no-limit" {
-				assert.Less(t, over, 0.3, "nothing is ready in time")
+				assert.Less(t, over, 0.3, "without a limit few requests are served in time")
 			} else {
 				assert.Greater(t, over, 0.2)
 			}
--- a/baseline/codel.go
+++ b/baseline/codel.go
@@ -13,8 +13,9 @@
 	codelInterval = 100 * time.Millisecond
 )
 
-// coDel rejects the first of the queue once its wait has been over a target for an interval, more often the longer that
-// lasts (K. Nichols, V. Jacobson, "Controlling Queue Delay", 2012), over a fixed number of runs.
+// coDel rejects the first request of the queue once waits have been over a target for an interval, and rejects at an
+// increasing rate while they stay over it (K. Nichols, V. Jacobson, "Controlling Queue Delay", 2012). It limits runs as
+// fixed does.
 type coDel struct {
 	fixed
 	aboveUntil time.Duration // when the wait will have been over the target for an interval; 0 while it is below
--- a/baseline/fixed.go
+++ b/baseline/fixed.go
@@ -6,9 +6,9 @@
 	"quartzpoint/emulator"
 )
 
-const fixedRuns = 2.0 // a core: a common rule of thumb
+const fixedRuns = 2.0 // per core, a common rule of thumb
 
-// fixed is a constant limit.
+// fixed has a constant limit.
 type fixed struct {
 	noopLimiter
 	runs float64
--- a/baseline/gradient2.go
+++ b/baseline/gradient2.go
@@ -8,8 +8,9 @@
 	"quartzpoint/emulator"
 )
 
-// gradient2 moves the limit by the quotient of a long mean of latency and the latest, as the limit of that name in
-// Netflix's concurrency-limits is described: queue of the limit's root, smoothing 0.2, gradient from 0.5 to 1, tolerance 1.5.
+// gradient2 multiplies its limit by the quotient of the long-term mean latency and the latest latency. It follows the
+// description of the Gradient2 limit in Netflix's concurrency-limits: queue size is the square root of the limit,
+// smoothing 0.2, gradient from 0.5 to 1, tolerance 1.5.
 type gradient2 struct {
 	noopLimiter
 	current, max float64
@@ -31,7 +32,7 @@
 		g.longMean = short
 	}
 	g.longMean += (short - g.longMean) * 2 / 601
-	if g.longMean/max(short, 1e-9) > 2 { // after an overload the long mean falls faster
+	if g.longMean/max(short, 1e-9) > 2 { // makes the long-term mean fall faster after an overload
 		g.longMean *= 0.95
 	}
 	if float64(running) < g.current/2 {
--- a/baseline/tokenbucket.go
+++ b/baseline/tokenbucket.go
@@ -7,8 +7,8 @@
 	"quartzpoint/emulator"
 )
 
-// tokenBucket admits as many requests a second as the cores can do, in bursts of up to one second. It knows the mean work of
-// requests, which a real one does not.
+// tokenBucket admits as many requests per second as the cores have capacity for, in bursts of up to one second's worth.
+// It knows the mean work of requests, unlike a real token bucket.
 type tokenBucket struct {
 	fixed
 	rate, tokens float64
--- a/baseline/vegas.go
+++ b/baseline/vegas.go
@@ -8,9 +8,9 @@
 	"quartzpoint/emulator"
 )
 
-// vegas estimates the queue by limit × (1 − min latency / latency) and keeps it between bounds that grow with the limit's
-// logarithm, as TCP Vegas does (L. Brakmo, L. Peterson, 1995) and concurrency-limits describes it. The minimum is measured
-// again now and then.
+// vegas estimates the queue as limit × (1 − min latency / latency) and keeps it between bounds that grow with the
+// logarithm of the limit, as TCP Vegas does (L. Brakmo, L. Peterson, 1995) and Netflix's concurrency-limits describes
+// it. The minimum latency is measured anew at random intervals.
 type vegas struct {
 	noopLimiter
 	rng        *rand.Rand
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -7,8 +7,8 @@
 	"quartzpoint/budget"
 )
 
-// composer answers the requests of composed routes from calls to several dependencies, decided by package budget as in
-// internal/fanout. Such requests use no core.
+// composer makes the calls of composed requests to several dependencies. Package budget schedules them, as in
+// internal/fanout. Composed requests use no cores.
 type composer struct {
 	server       *server
 	incarnation  uint64
@@ -25,7 +25,7 @@
 	valueShare float64
 }
 
-// dependencyCall is one attempt of a call, in flight at a dependency.
+// dependencyCall is an attempt of a call, in flight at a dependency.
 type dependencyCall struct {
 	execution     *budget.Execution
 	call, attempt int
@@ -33,7 +33,7 @@
 	cancelled     bool
 }
 
-// inFlightQuota returns the calls that one of so many servers may have in flight at a dependency.
+// inFlightQuota returns the number of calls that each server may have in flight at a dependency.
 func inFlightQuota(slots, servers int) int { return max(2, 2*slots/max(servers, 1)) }
 
 func newComposer(s *server) *composer {
@@ -57,7 +57,7 @@
 	c.settle()
 }
 
-// abandon cancels the calls of a request that nobody waits for.
+// abandon cancels the calls of a request that needs no result any more.
 func (c *composer) abandon(t *attempt) {
 	if t.execution != nil {
 		c.scheduler.Cancel(t.execution, c.server.world.now)
@@ -67,8 +67,8 @@
 	c.settle()
 }
 
-// settle sets the timer of what is due next. Requests that have ended are reported in an event of their own, as the server may
-// be in the middle of a round.
+// settle sets the timer of the scheduler's next event. Requests that have ended are reported in an event of their own,
+// because the server may be in the middle of a round.
 func (c *composer) settle() {
 	w := c.server.world
 	c.timer++
@@ -134,7 +134,7 @@
 	c.ended = append(c.ended, composedEnd{t, v, execution.Value()})
 }
 
-// compositionEnded handles the end of a request made of calls.
+// compositionEnded handles the end of a composed request.
 func (s *server) compositionEnded(e composedEnd) {
 	t := e.attempt
 	if !t.active {
--- a/emulator/dependency.go
+++ b/emulator/dependency.go
@@ -9,27 +9,28 @@
 	"quartzpoint/rulecheck"
 )
 
-// dependency is a system that runs call. It works on Slots calls at once; the others wait in a queue.
+// dependency is a service that runs call. It works on Slots calls at once; further calls are queued.
 type dependency struct {
 	Dependency
 	world        *World
 	number       int
 	rng          *rand.Rand
 	slowFactor   float64
-	errorRate    float64 // share of calls that it rejects
-	unresponsive bool    // never answers
+	errorRate    float64 // fraction of calls that it rejects
+	unresponsive bool    // accepts calls and never answers them
 	inFlight     int
 	queue        []*call
 }
 
-// call is one call in flight at a dependency. It holds its slot also after its server's timeout.
+// call is a call in flight at a dependency. It occupies its slot until its work is done, even after the server's
+// timeout.
 type call struct {
 	onEnd     func(outcome admission.Outcome, took time.Duration)
 	startedAt time.Duration
 	ended     bool
 }
 
-// maxQueue is the queue length of a dependency beyond which calls are rejected, as by a full backlog.
+// maxQueue is the queue length from which a dependency rejects calls, as with a full connection backlog.
 const maxQueue = 10_000
 
 func (d *dependency) handle(timeout time.Duration, told func(outcome admission.Outcome, took time.Duration)) {
@@ -49,7 +50,7 @@
 	}
 }
 
-// enduredCallsPerSlot is the number of calls in flight for each slot that a dependency survives.
+// enduredCallsPerSlot is the number of calls, in flight or queued, per slot that a dependency survives.
 const enduredCallsPerSlot = 8.0
 
 func (d *dependency) startCall(c *call) {
@@ -66,12 +67,12 @@
 	})
 }
 
-// serveQueue starts queued calls while there are free slots.
+// serveQueue starts queued calls while slots are free.
 func (d *dependency) serveQueue() {
 	for len(d.queue) > 0 && d.inFlight < d.Slots {
 		next := d.queue[0]
 		d.queue = d.queue[1:]
-		if !next.ended { // after its timeout nobody waits for it
+		if !next.ended { // nobody waits for it after its timeout
 			d.startCall(next)
 		}
 	}
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -33,7 +33,7 @@
 		began := time.Now()
 		f := branch(10)
 		r := New(f, 1).Run(Load{Rate: f.rate(share), Span: 20 * time.Second})
-		t.Logf("%.1f: %d requests, honoured %.3f, dismissed %d, given up %d, left %d, tries %d, rules %v, events %d in %v",
+		t.Logf("load %.1f: %d requests, goodput %.3f, rejected %d, aborted %d, unanswered %d, attempts %d, rule violations %v, events %d in %v",
 			share, r.Requests, r.Goodput/r.OfferedValue, r.Rejected, r.Aborted, r.Unanswered, r.Attempts, r.Rules.Violations, r.Events, time.Since(began))
 		for _, words := range r.Rules.Messages {
 			t.Log(words)
@@ -43,7 +43,7 @@
 	}
 }
 
-// The same seed gives the same run, however many processors there are.
+// TestSameSeed checks that runs with the same seed are identical with any number of processors.
 func TestSameSeed(t *testing.T) {
 	run := func(procs int, seed int64) string {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(procs))
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -1,9 +1,9 @@
-// Package emulator simulates a fleet in simulated time: servers that run the project's admission decisions, or a baseline's,
-// on emulated worker pools; routers; clients that time out and retry; dependencies, membership and a network. The same seed
-// gives the same run to the last bit on any machine: events run one after the other, and every part draws from a random
-// source of its own.
+// Package emulator simulates a fleet in simulated time: servers that run the project's admission decisions, or a
+// baseline's, on emulated worker pools; routers; clients that time out and retry; dependencies, membership and a
+// network. Runs with the same seed are identical on any machine: events run one after the other, and every component
+// draws from its own random source.
 //
-// It does no I/O and reads no clock.
+// The package does no I/O and reads no clock.
 package emulator
 
 import (
@@ -16,14 +16,15 @@
 
 const grace = 400 * time.Millisecond
 
-// event is a function that runs at a moment. Events at the same moment run in the order in which they were set.
+// event is a function that runs at a moment of simulated time. Events of the same moment run in the order in which they
+// were scheduled.
 type event struct {
 	at  time.Duration
 	seq uint64
 	run func()
 }
 
-// engine runs events in their order. Its binary heap uses no interfaces, as it is the hot path of the emulator.
+// engine runs events in order of time. Its binary heap avoids interfaces because it is the hot path of the emulator.
 type engine struct {
 	now    time.Duration
 	seq    uint64
@@ -33,7 +34,7 @@
 
 func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-// at sets an event at a moment, or now where that has passed.
+// at schedules an event at a moment, or now if that has passed.
 func (e *engine) at(when time.Duration, do func()) {
 	e.seq++
 	e.heap = append(e.heap, event{max(when, e.now), e.seq, do})
@@ -49,7 +50,7 @@
 
 func (e *engine) after(d time.Duration, do func()) { e.at(e.now+d, do) }
 
-// step runs the next event, and reports whether there was one up to end.
+// step runs the next event if it is due by end, and reports whether it did.
 func (e *engine) step(end time.Duration) bool {
 	if len(e.heap) == 0 || e.heap[0].at > end {
 		return false
@@ -78,8 +79,8 @@
 	return true
 }
 
-// source returns the random source of one part. Parts have sources of their own, so that the draws of one do not change those
-// of another.
+// source returns the random source of one component. Each has a source of its own, so that the draws of one do not
+// change those of another.
 func source(seed int64, part string, number int) *rand.Rand {
 	return rand.New(rand.NewSource(int64(xxhash.Sum64String(fmt.Sprintf("%d/%s/%d", seed, part, number)))))
 }
--- a/emulator/incidents.go
+++ b/emulator/incidents.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// The methods in this file change a running world. They are called from events, by At. A change lasts until the next call.
+// The methods in this file change a running world. They are called from events set by At. A change lasts until the next
+// call of its method.
 
-// At calls do at a moment of the run.
+// At schedules do at a moment of the run.
 func (w *World) At(when time.Duration, do func()) { w.at(when, do) }
 
-// RandomServers draws a share of the running servers, at least one where the share is over 0.
+// RandomServers draws a share of the running servers, at least one if the share is over 0 and a server runs.
 func (w *World) RandomServers(share float64) (numbers []int) {
 	var alive []int
 	for _, s := range w.servers {
@@ -28,7 +29,7 @@
 	return numbers
 }
 
-// ZoneServers returns the servers of a zone, counted from 0.
+// ZoneServers returns the servers of a zone. Zones are counted from 0.
 func (w *World) ZoneServers(zone int) (numbers []int) {
 	for _, s := range w.servers {
 		if s.zone == zone {
@@ -38,7 +39,7 @@
 	return numbers
 }
 
-// Kill ends servers as by SIGKILL.
+// Kill ends servers as SIGKILL does.
 func (w *World) Kill(numbers []int) {
 	for _, n := range numbers {
 		w.servers[n].kill()
@@ -56,7 +57,7 @@
 	}
 }
 
-// Restart shuts servers down gracefully within a limit, and starts each again bootTime after its end.
+// Restart shuts servers down gracefully, each within a limit, and starts each again bootTime after its end.
 func (w *World) Restart(numbers []int, within time.Duration) {
 	for _, n := range numbers {
 		if !w.servers[n].alive {
@@ -70,21 +71,21 @@
 // bootTime is the time between the end of a process and the start of the next.
 const bootTime = 500 * time.Millisecond
 
-// Deploy restarts all servers one after the other, at an interval of each.
+// Deploy restarts all servers one after the other, one every each.
 func (w *World) Deploy(each time.Duration, within time.Duration) {
 	for i := range w.servers {
 		w.after(time.Duration(i)*each, func() { w.Restart([]int{i}, within) })
 	}
 }
 
-// Freeze stops servers and their pools for a span.
+// Freeze suspends servers and their pools for a span.
 func (w *World) Freeze(numbers []int, span time.Duration) {
 	for _, n := range numbers {
 		w.servers[n].freeze(span)
 	}
 }
 
-// SetSlowFactor makes the pools of servers slower by a factor; 1 is the usual speed.
+// SetSlowFactor makes the pools of servers slower by a factor; 1 restores the usual speed.
 func (w *World) SetSlowFactor(numbers []int, by float64) {
 	for _, n := range numbers {
 		s := w.servers[n]
@@ -92,7 +93,7 @@
 	}
 }
 
-// SetNeighbourShare takes a share of the cores from the pools of servers; 0 is none.
+// SetNeighbourShare takes a share of the cores from the pools of servers; 0 returns them.
 func (w *World) SetNeighbourShare(numbers []int, share float64) {
 	for _, n := range numbers {
 		s := w.servers[n]
@@ -100,7 +101,7 @@
 	}
 }
 
-// Disconnect cuts the routers' links to servers for a span.
+// Disconnect cuts the connections of all routers to servers for a span.
 func (w *World) Disconnect(numbers []int, span time.Duration) {
 	for _, n := range numbers {
 		for _, r := range w.routers {
@@ -116,16 +117,16 @@
 	}
 }
 
-// SetLoadFactor multiplies the load; 1 is the usual load.
+// SetLoadFactor multiplies the load; 1 restores the usual load.
 func (w *World) SetLoadFactor(factor float64) { w.loadFactor = factor }
 
 // SetEndpointLag sets the delay of endpoint updates at routers.
 func (w *World) SetEndpointLag(lag time.Duration) { w.endpointLag = lag }
 
-// SetDelayFactor multiplies network delays; 1 is the usual delay.
+// SetDelayFactor multiplies network delays; 1 restores the usual delay.
 func (w *World) SetDelayFactor(by float64) { w.delayFactor = by }
 
-// SetLossRate sets the share of messages that is lost and sent again.
+// SetLossRate sets the fraction of messages that are lost and sent again.
 func (w *World) SetLossRate(part float64) { w.lossRate = part }
 
 // SetRouterOptions sets the options of all routers.
@@ -138,14 +139,14 @@
 // RouterOptions returns the options of the first router.
 func (w *World) RouterOptions() RouterOptions { return w.routers[0].options }
 
-// SetClients sets how clients retry.
+// SetClients sets the options of clients. A request keeps the number of retries that it was created with.
 func (w *World) SetClients(c Clients) { w.clients = c }
 
-// CurrentClients returns how clients retry.
+// CurrentClients returns the options of clients.
 func (w *World) CurrentClients() Clients { return w.clients }
 
-// SetDependency sets the slowness, the share of rejected calls and the unresponsiveness of a dependency, and reports whether
-// there is one of this name.
+// SetDependency sets a dependency's slowdown, its fraction of rejected calls, and whether it stops answering. It
+// reports whether the dependency exists.
 func (w *World) SetDependency(name string, slow, errors float64, stops bool) (known bool) {
 	d := w.dependencies[name]
 	if d == nil {
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -8,7 +8,7 @@
 	"quartzpoint/admission"
 )
 
-// Route is a class of requests with the work that they need.
+// Route is a kind of request, with the work that its requests need.
 type Route struct {
 	Name           string
 	Value          float64
@@ -17,13 +17,13 @@
 	AtMostOnce     bool          // must not run twice
 	Share          float64       // of all requests
 	Work           time.Duration // mean, on a core of speed 1
-	Spread         float64       // standard deviation of the work over its mean
+	Spread         float64       // standard deviation of the work, divided by its mean
 	Composed       bool          // answers are made of parts and state their share of the value
-	Dependency     string        // that its runs call half way, empty for none; used by the emulator only
+	Dependency     string        // called halfway through each run, empty for none; used by the emulator only
 	SkipValueShare float64       // share of the value of an answer without the call
 }
 
-// BookingRoutes returns the booking mix: twelve rare routes, whose latency targets say little about their work.
+// BookingRoutes returns the booking mix: twelve equally rare routes whose latency targets say little about their work.
 func BookingRoutes() (routes []Route) {
 	for i, name := range []string{
 		"slot-check", "confirm-booking", "guest-note", "floor-refresh", "waitlist", "deposit",
@@ -38,7 +38,7 @@
 	return routes
 }
 
-// BranchRoutes returns the branch mix: four routes of short work.
+// BranchRoutes returns the branch mix: four routes with short work.
 func BranchRoutes() []Route {
 	return []Route{
 		{Name: "slot-check", Value: 1, Share: 0.55, Spread: 0.6, LatencyTarget: 800 * time.Millisecond, Deadline: 2 * time.Second, Work: 15 * time.Millisecond},
@@ -50,13 +50,13 @@
 
 // Arrival is one request of a load.
 type Arrival struct {
-	At    time.Duration // since the beginning of the load
+	At    time.Duration // since the start of the load
 	Route int
 	Work  time.Duration
 	Rank  float64
 }
 
-// Arrivals draws an open load of so many requests a second: Poisson arrivals with log-normal work.
+// Arrivals draws an open load of rate requests per second: Poisson arrivals with log-normal work.
 func Arrivals(routes []Route, rate float64, span time.Duration, seed int64) (all []Arrival) {
 	rng := rand.New(rand.NewSource(seed))
 	for at := 0.0; ; {
@@ -82,7 +82,7 @@
 	return a
 }
 
-// Rate returns the requests a second that ask for a share of what a machine can do.
+// Rate returns the requests per second whose work takes a share of a machine's capacity.
 func Rate(routes []Route, m Machine, share float64) float64 {
 	mean := 0.0
 	for _, t := range routes {
@@ -91,28 +91,28 @@
 	return share * m.Cores * m.Speed / mean
 }
 
-// Machine is what a worker pool runs on.
+// Machine describes the machine of a worker pool.
 type Machine struct {
 	Cores       float64
-	Speed       float64       // work that one core does in a second
-	ColdShare   float64       // share of the speed at the start; 0 for a warm start
+	Speed       float64       // seconds of work that a core does per second
+	ColdShare   float64       // fraction of Speed at the start; 0 for a warm start
 	WarmUp      time.Duration // time until the full speed
-	MemoryKB    float64       // memory
-	Independent bool          // runs share no cores, each takes the time of its work, and none can be stopped
-	// Beyond FreeRunsPerCore, each further run a core makes all runs slower by SwitchCost; 0 for no cost.
+	MemoryKB    float64
+	Independent bool // each run takes the time of its work, whatever else runs; none can be stopped
+	// Each run per core over FreeRunsPerCore slows all runs by SwitchCost; 0 for no cost.
 	FreeRunsPerCore, SwitchCost float64
-	// Halt is how a run can be stopped: HaltSuspend, which is the default, HaltAbort or HaltNone.
+	// Halt states whether and how a run can be stopped: HaltSuspend, which is the default, HaltAbort or HaltNone.
 	Halt string
 }
 
-// How runs can be stopped, as the settings name it.
+// The values of Machine.Halt, as in the settings.
 const (
 	HaltSuspend = "suspend" // the run is paused and keeps its memory
 	HaltAbort   = "abort"   // the run loses its work
 	HaltNone    = "none"    // runs cannot be stopped
 )
 
-// SpeedAt returns the speed at a time since the start.
+// SpeedAt returns the speed at a time since the start of the pool.
 func (m Machine) SpeedAt(since time.Duration) float64 {
 	if m.ColdShare == 0 || m.WarmUp == 0 {
 		return m.Speed
@@ -120,7 +120,7 @@
 	return m.Speed * min(1, m.ColdShare+(1-m.ColdShare)*float64(since)/float64(m.WarmUp))
 }
 
-// Share returns the share of a core that each of so many runs gets.
+// Share returns the share of a core that each run gets if so many are on the cores.
 func (m Machine) Share(runs float64) float64 {
 	if m.Independent || runs <= 0 {
 		return 1
@@ -132,7 +132,7 @@
 	return share
 }
 
-// RunKB is the memory of a run on the cores.
+// RunKB is the memory of a run on the cores, in kilobytes.
 const RunKB = 160.0
 
 // Settings returns the admission settings of a server with these routes on this machine. calls is its quota of calls in
--- a/emulator/parts_test.go
+++ b/emulator/parts_test.go
@@ -12,7 +12,8 @@
 	"quartzpoint/rulecheck"
 )
 
-// Events come in the order of their moments, and of one moment in the order in which they were set.
+// TestEngineOrder checks that events run in order of time, and those of one moment in the order in which they were
+// scheduled.
 func TestEngineOrder(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	e := &engine{}
@@ -34,20 +35,20 @@
 	}
 }
 
-// A pool shares its cores evenly: the moments of all ends against the same worked out by hand.
+// TestPoolShares checks that a pool shares its cores evenly: the ends of all runs equal those calculated by hand.
 func TestPoolShares(t *testing.T) {
 	cases := []struct {
 		name    string
 		machine Machine
-		works   []float64 // seconds, all begun at once
+		works   []float64 // seconds, all started at once
 		ends    []float64
 	}{
-		{"room for all", Machine{Cores: 4, Speed: 1}, []float64{1, 2, 3}, []float64{1, 2, 3}},
+		{"enough cores", Machine{Cores: 4, Speed: 1}, []float64{1, 2, 3}, []float64{1, 2, 3}},
 		{"one core for two", Machine{Cores: 1, Speed: 1}, []float64{1, 2}, []float64{2, 3}},
 		{"two cores for three", Machine{Cores: 2, Speed: 1}, []float64{1, 1, 2}, []float64{1.5, 1.5, 2.5}},
 		{"twice the speed", Machine{Cores: 1, Speed: 2}, []float64{1, 2}, []float64{1, 1.5}},
-		{"past the crowd all is slower", Machine{Cores: 1, Speed: 1, FreeRunsPerCore: 1, SwitchCost: 1}, []float64{1, 1}, []float64{4, 4}},
-		{"apart", Machine{Cores: 1, Speed: 1, Independent: true}, []float64{1, 1}, []float64{1, 1}},
+		{"more runs than FreeRunsPerCore are slower", Machine{Cores: 1, Speed: 1, FreeRunsPerCore: 1, SwitchCost: 1}, []float64{1, 1}, []float64{4, 4}},
+		{"independent runs", Machine{Cores: 1, Speed: 1, Independent: true}, []float64{1, 1}, []float64{1, 1}},
 	}
 	for _, c := range cases {
 		e := &engine{}
@@ -67,7 +68,8 @@
 	}
 }
 
-// What stands, stands still; a pool that is frozen or slower does as much less; use is of the half second before.
+// TestPoolChanges checks that a paused run makes no progress, and that the progress of a run follows the freezes and
+// slowdowns of its pool.
 func TestPoolChanges(t *testing.T) {
 	e := &engine{}
 	var ended []time.Duration
@@ -84,7 +86,8 @@
 	assert.InDelta(t, 3.2, ended[0].Seconds(), 1e-6, "0.2, 0.2, and 0.6 at half the speed")
 }
 
-// A dependency takes so many at once; what is turned away, late or never answered is told as such.
+// TestDependency checks that a dependency works on as many calls at once as it has slots, and that rejected, late and
+// unanswered calls end with the matching outcome.
 func TestDependency(t *testing.T) {
 	w := &World{rules: rulecheck.New(0), delayFactor: 1, networkRand: source(1, "network", 0)}
 	d := &dependency{world: w, Dependency: Dependency{Slots: 1, Mean: 10 * time.Millisecond}, slowFactor: 1, rng: source(1, "d", 0)}
@@ -96,21 +99,21 @@
 	w.at(0, func() {
 		ask("first", time.Second)
 		ask("second", time.Second)
-		ask("no patience", 15*time.Millisecond)
+		ask("short timeout", 15*time.Millisecond)
 	})
-	w.at(time.Second, func() { d.errorRate = 1; ask("refused", time.Second) })
-	w.at(2*time.Second, func() { d.errorRate, d.unresponsive = 0, true; ask("silent", 50*time.Millisecond) })
+	w.at(time.Second, func() { d.errorRate = 1; ask("rejected", time.Second) })
+	w.at(2*time.Second, func() { d.errorRate, d.unresponsive = 0, true; ask("unanswered", 50*time.Millisecond) })
 	for w.step(time.Minute) {
 	}
 	assert.Equal(t, map[string]admission.Outcome{
-		"first": admission.Succeeded, "second": admission.Succeeded, "no patience": admission.Unknown, "refused": admission.NotRun, "silent": admission.Unknown,
+		"first": admission.Succeeded, "second": admission.Succeeded, "short timeout": admission.Unknown, "rejected": admission.NotRun, "unanswered": admission.Unknown,
 	}, told)
 	assert.Equal(t, 10*time.Millisecond, at["first"])
 	assert.Equal(t, 20*time.Millisecond, at["second"])
 }
 
-// A server told to leave runs nothing that comes past the grace, answers all, and is gone before the stop; one that is
-// killed takes its tasks with it, and no effect comes twice for it.
+// A server that shuts down starts no request that arrives after the grace, answers all others, and ends before its
+// limit. A killed server loses its requests, and none of their effects happens twice because of that.
 func TestLeaveAndKill(t *testing.T) {
 	f := branch(3)
 	f.RouterOptions = RouterOptions{Balancing: "round", MaxAttempts: 0, RetriesAborted: true}
@@ -120,7 +123,7 @@
 	w.At(3*time.Second, func() { w.Kill([]int{1}) })
 	w.At(5*time.Second, func() { w.Boot([]int{1}) })
 	w.At(5*time.Second, func() {
-		assert.True(t, w.servers[0].alive, "back by now")
+		assert.True(t, w.servers[0].alive, "restarted")
 		assert.Equal(t, uint64(2), w.servers[0].incarnation)
 	})
 	w.At(6*time.Second, func() { w.Disconnect([]int{2}, time.Second); w.SetLossRate(0.05) })
--- a/emulator/pool.go
+++ b/emulator/pool.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// pool is an emulated worker pool whose runs share its cores evenly. Its clock advances by the work that each run gets, so
-// that a change of the number of runs does not touch every run.
+// pool is an emulated worker pool whose runs share its cores evenly. It has a virtual clock that advances by the work
+// that each run gets, so that a change in the number of runs does not touch every run.
 type pool struct {
 	engine         *engine
 	machine        Machine
-	speedFactor    float64       // of the machine's speed
-	neighbourCores float64       // cores taken by neighbours
-	startedAt      time.Duration // beginning of the warm-up
+	speedFactor    float64       // multiplies the machine's speed
+	neighbourCores float64       // cores in use by neighbours
+	startedAt      time.Duration // start of the warm-up
 	frozen         bool
-	onDone         func(r *run) // a run is done
+	onDone         func(r *run) // called when a run has no work left
 
 	runs    runHeap
-	clock   float64 // seconds of work that one run would have had since the start
+	clock   float64 // virtual time: seconds of work that a run has done if it was started with the pool
 	last    time.Duration
 	busy    float64 // core seconds
-	timer   uint64  // generation of the event that is set; events of earlier ones do nothing
+	timer   uint64  // generation of the scheduled event; events of earlier generations have no effect
 	samples []usageSample
 	seq     uint64
 }
@@ -57,7 +57,7 @@
 	return r
 }
 
-// rate returns the work that each run gets in a second.
+// rate returns the work that each run does per second.
 func (p *pool) rate() float64 {
 	if p.frozen {
 		return 0
@@ -70,8 +70,8 @@
 // cores returns the cores that neighbours leave.
 func (p *pool) cores() float64 { return max(p.machine.Cores-p.neighbourCores, 0.05) }
 
-// pass advances the pool to now. It is called before anything of the pool changes. While a pool warms up, the speed at the end
-// of a span is used for all of the span.
+// pass advances the pool's clock to now. It must be called before any change to the pool. While a pool warms up, the
+// speed at the end of the elapsed span is used for all of it.
 func (p *pool) pass() {
 	passed := (p.engine.now - p.last).Seconds()
 	p.last = p.engine.now
@@ -105,10 +105,11 @@
 	p.set()
 }
 
-// longest is the longest time to the next event of a pool, so that one that warms up is advanced in time.
+// longest is the maximum time between two events of a pool with runs, so that the clock follows the rising speed of a
+// warm-up.
 const longest = 250 * time.Millisecond
 
-// set sets the event of the next run that is done.
+// set schedules the event of the run that is done next.
 func (p *pool) set() {
 	p.timer++
 	if len(p.runs) == 0 || p.frozen {
@@ -137,14 +138,14 @@
 	})
 }
 
-// change changes the pool.
+// change applies a change to the pool and schedules its next event anew.
 func (p *pool) change(what func()) {
 	p.pass()
 	what()
 	p.set()
 }
 
-// use returns the busy share of the cores over the last half second.
+// use returns the busy fraction of the cores over the last half second.
 func (p *pool) use() float64 {
 	p.pass()
 	p.samples = append(p.samples, usageSample{p.engine.now, p.busy})
--- a/emulator/router.go
+++ b/emulator/router.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// serverView is what a router knows of a server, from answers only.
+// serverView is a router's view of a server: what it learned from answers, and whether the connection is cut.
 type serverView struct {
 	open              int
 	shedLevel         float64
 	shedLevelAt       time.Duration // when it was received
-	ejectedUntil      time.Duration // until when no request is sent to it
-	disconnectedUntil time.Duration // until when the link to it is cut
+	ejectedUntil      time.Duration // until when it gets no requests
+	disconnectedUntil time.Duration // until when the connection to it is cut
 }
 
-// shedLevelTTL is the time for which a shed level is used.
+// shedLevelTTL is the time for which a router uses a received shed level.
 const shedLevelTTL = time.Second
 
-// router forwards requests to servers, by its options.
+// router forwards requests to servers.
 type router struct {
 	world         *World
 	number        int
 	rng           *rand.Rand
 	options       RouterOptions
-	endpoints     []int // servers, as of the last update
+	endpoints     []int // sorted server numbers, as of the last update
 	views         []serverView
 	next          int
-	firstAttempts float64 // first attempts, which earn the retry budget
+	firstAttempts float64 // these earn the retry budget
 	retriesSpent  float64
 }
 
-// pick chooses a server for a request among those not tried yet, and reports whether there is one.
+// pick chooses an eligible server that the request has not tried yet, and reports whether there is one.
 func (r *router) pick(q *clientRequest) (number int, some bool) {
 	now := r.world.now
 	fits := func(n int) bool {
@@ -44,7 +44,7 @@
 	switch r.options.Balancing {
 	case BalancingLeastOpen:
 		best := -1
-		for i := range min(len(r.endpoints), maxSample) { // of a longer list, a random sample
+		for i := range min(len(r.endpoints), maxSample) { // a random sample of a longer list
 			n := r.endpoints[i]
 			if len(r.endpoints) > maxSample {
 				n = r.endpoints[r.rng.Intn(len(r.endpoints))]
@@ -67,7 +67,7 @@
 				return n, true
 			}
 		}
-	case BalancingFirst: // the first of the list that fits
+	case BalancingFirst:
 		for _, n := range r.endpoints {
 			if fits(n) {
 				return n, true
@@ -84,14 +84,14 @@
 	return 0, false
 }
 
-// route sends a request to a server, or rejects it where there is none.
+// route sends a request to a server, or rejects it if no server is eligible.
 func (r *router) route(q *clientRequest, first bool) {
 	w := r.world
 	if first {
 		r.firstAttempts++
 	}
 	n, some := r.pick(q)
-	if !some && first && len(r.endpoints) > 0 && !r.options.HeedsBackpressure { // all were ejected, and one may be up again
+	if !some && first && len(r.endpoints) > 0 && !r.options.HeedsBackpressure { // all are ejected, but one may be up again
 		n, some = r.endpoints[r.rng.Intn(len(r.endpoints))], true
 	}
 	if !some {
@@ -111,7 +111,7 @@
 	t.server = s
 	waits := q.sentAt + w.fleet.Routes[q.route].Deadline - w.now
 	w.after(w.networkDelay(), func() {
-		if q.sendSeq != ask || q.done { // its client has timed out meanwhile
+		if q.sendSeq != ask || q.done { // its client has timed out
 			r.views[n].open--
 			return
 		}
@@ -125,7 +125,7 @@
 	})
 }
 
-// handleAnswer handles the end of an attempt.
+// handleAnswer handles the end of an attempt: it ends the request, retries it, or leaves it to the client.
 func (r *router) handleAnswer(t *attempt, v verdict, level float64, retryAfter time.Duration, nowhereElse bool) {
 	w, q := r.world, t.origin
 	k := &r.views[t.server.number]
@@ -139,14 +139,14 @@
 		}
 	}
 	if q.done || len(q.triedServers) == 0 || q.triedServers[len(q.triedServers)-1] != t.server.number {
-		return // its client has timed out, or sent it again
+		return // its client has timed out or sent it again
 	}
 	if v == served {
 		w.recordServed(q, t.valueShare)
 		return
 	}
 	once := w.fleet.Routes[q.route].AtMostOnce
-	// A refused connection carried nothing; a broken one may have carried the request.
+	// After a refused connection the request cannot have run; after a broken one it may have.
 	may := v == rejected || v == lost && (!once || !t.reached) || r.options.RetriesAborted && !once
 	left := q.sentAt + w.fleet.Routes[q.route].Deadline - w.now
 	more := r.options.MaxAttempts == 0 || len(q.triedServers) < r.options.MaxAttempts || v == lost && len(q.triedServers) < r.options.MaxAttempts+2
@@ -158,7 +158,7 @@
 			r.retriesSpent++
 		}
 	}
-	if may && r.options.MaxAttempts == 0 && left > minRetryTime { // without a limit: round the list again and again
+	if may && r.options.MaxAttempts == 0 && left > minRetryTime { // without a limit of attempts: keeps cycling through the list
 		if len(q.triedServers) >= len(r.endpoints) {
 			q.triedServers = nil
 		}
@@ -176,7 +176,7 @@
 // hashMultiplier spreads consecutive request ids (Fibonacci hashing).
 const hashMultiplier = 0x9e3779b97f4a7c15
 
-// maxSample is the number of endpoints that BalancingLeastOpen compares.
+// maxSample is the maximum number of endpoints that BalancingLeastOpen compares.
 const maxSample = 64
 
 // unlimitedRetryDelay is the time between two attempts of a router without a limit of attempts.
@@ -189,7 +189,7 @@
 	}
 }
 
-// updateEndpoints adds or removes a server at every router, after the endpoint lag.
+// updateEndpoints adds a server to the endpoint list of every router or removes it, after the endpoint lag.
 func (w *World) updateEndpoints(number int, here bool) {
 	for _, r := range w.routers {
 		w.after(w.endpointLag, func() {
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -29,10 +29,10 @@
 	served verdict = iota
 	rejected
 	aborted
-	lost // no answer: the server or the link to it failed
+	lost // no answer: the server or the connection to it failed
 )
 
-// attempt is one request at one server.
+// attempt is a request at one server.
 type attempt struct {
 	admission.Request
 	id          uint64
@@ -40,23 +40,23 @@
 	server      *server
 	run         run
 	afterCall   float64 // seconds of work after its call
-	callPending bool    // it has not called yet
-	valueShare  float64 // of the route's value; under 1 without a call or a part
+	callPending bool    // its call has not begun yet
+	valueShare  float64 // fraction of the route's value; below 1 without the call or a part
 
 	composed  bool
 	execution *budget.Execution
-	calls     *[budget.MaxCalls][2]*dependencyCall // nil until its calls begin
+	calls     *[budget.MaxCalls][2]*dependencyCall // by call and attempt; nil until its calls begin
 
 	reached, answered, started, active bool
 }
 
-// server is one emulated server. It drives its policy as internal/server does in real time; docs/notes/emulator.md states
+// server is an emulated server. It calls its policy as internal/server does in real time; docs/notes/emulator.md states
 // the differences.
 type server struct {
 	world       *World
 	number      int
 	zone        int
-	incarnation uint64 // events of earlier ones do nothing
+	incarnation uint64 // events of earlier ones have no effect
 	alive       bool
 	policy      Policy
 	routes      []*admission.Route
@@ -68,15 +68,15 @@
 	awaitingCall []*admission.Request // composed requests that were started in this round
 	round        admission.Round
 	shedLevel    float64
-	frozenUntil  time.Duration // 0 for never
-	deferred     []func()      // events that came while it was frozen
+	frozenUntil  time.Duration // 0 if this incarnation was never frozen
+	deferred     []func()      // events that arrived while it was frozen
 	notifiedAt   time.Duration
 	stopAt       time.Duration
 	onStopped    func()
 	clockOffset  time.Duration
 }
 
-// whenRunning calls do now, or once the server is not frozen any more. It does nothing after the end of the incarnation.
+// whenRunning calls do now, or once the server is no longer frozen. It does nothing if the incarnation has ended.
 func (s *server) whenRunning(life uint64, do func()) {
 	switch {
 	case !s.alive || s.incarnation != life:
@@ -87,7 +87,7 @@
 	}
 }
 
-// receive reads a request that a router has sent.
+// receive handles the arrival of a request from a router.
 func (s *server) receive(t *attempt, came time.Duration, waits time.Duration) {
 	w := s.world
 	t.reached = true
@@ -108,7 +108,7 @@
 		effect = t.origin.id
 	}
 	w.rules.Add(rulecheck.Event{Kind: rulecheck.Received, At: w.now, Server: s.number, Attempt: t.id, Effect: effect, Deadline: came + waits})
-	if came+waits <= w.now { // it was frozen, and reads late
+	if came+waits <= w.now { // the server was frozen and reads the request late
 		w.rules.Add(rulecheck.Event{Kind: rulecheck.Abandoned, At: w.now, Attempt: t.id})
 	}
 	s.round.Arrived = append(s.round.Arrived, &t.Request)
@@ -126,7 +126,7 @@
 		s.forgetIfDone(s.attempts[request])
 	}
 	s.round.Reset()
-	for len(s.awaitingCall) > 0 { // composed requests call as soon as they are started
+	for len(s.awaitingCall) > 0 { // composed requests make their calls as soon as they are started
 		s.round.Now, s.round.AwaitingCall, s.awaitingCall = s.world.now, append(s.round.AwaitingCall, s.awaitingCall...), s.awaitingCall[:0]
 		s.policy.Decide(&s.round, s)
 		s.round.Reset()
@@ -139,7 +139,7 @@
 	}
 }
 
-// workDone handles a run that has no work left on the cores: it calls, or is done.
+// workDone handles a run that has no work left on the cores: it either makes its call or ends.
 func (s *server) workDone(t *attempt) {
 	if t.callPending && !t.answered {
 		t.callPending = false
--- a/emulator/server_executor.go
+++ b/emulator/server_executor.go
@@ -36,7 +36,7 @@
 	return (RunKB*float64(len(s.pool.runs)) + queuedKB*float64(len(s.attempts))) / s.pool.machine.MemoryKB
 }
 
-// Pause stops a run. Its end is reported after linkDelay, as by the link to a pool.
+// Pause stops a run. The end of the run is reported after linkDelay, the delay of the link to a worker pool.
 func (s *server) Pause(c *admission.Request) {
 	t := s.attempts[c]
 	if t == nil || !t.active {
@@ -72,13 +72,13 @@
 func (s *server) Abort(c *admission.Request) {
 	if t := s.attempts[c]; t != nil {
 		s.answer(t, aborted, 0, false)
-		if t.composed && t.active { // the policy waits for its end, and does not stop it
+		if t.composed && t.active { // the policy waits for its end without pausing it
 			s.composer.abandon(t)
 		}
 	}
 }
 
-// answer sends the only answer to the router.
+// answer sends the answer to the router, and counts any further one as a duplicate.
 func (s *server) answer(t *attempt, v verdict, retryAfter time.Duration, nowhereElse bool) {
 	if t.answered {
 		s.world.result.DuplicateAnswers++
@@ -90,7 +90,8 @@
 	s.forgetIfDone(t)
 }
 
-// AnswerFromOriginal is for idempotency keys, which are not emulated, as are the two methods below it.
+// AnswerFromOriginal does nothing because idempotency keys are not emulated; RememberKey and ForgetKey do nothing
+// either.
 func (s *server) AnswerFromOriginal(*admission.Request) {}
 
 func (s *server) RememberKey(*admission.Request, time.Duration) {}
@@ -127,7 +128,7 @@
 
 func (s *server) Log(string) {}
 
-// WakeAfter sets a timer. Its round has the gauges.
+// WakeAfter schedules a round with gauges.
 func (s *server) WakeAfter(in time.Duration) {
 	life := s.incarnation
 	s.world.after(in, func() {
--- a/emulator/server_lifecycle.go
+++ b/emulator/server_lifecycle.go
@@ -8,7 +8,7 @@
 	"quartzpoint/rulecheck"
 )
 
-// boot starts a server without any state.
+// boot starts a new incarnation of a server without any state.
 func (s *server) boot() {
 	w := s.world
 	s.incarnation++
@@ -16,7 +16,7 @@
 	s.attempts = map[*admission.Request]*attempt{}
 	s.round = admission.Round{}
 	factor, taken := 1.0, 0.0
-	if s.pool != nil { // the machine stays as it is
+	if s.pool != nil { // slowdowns and neighbours of the machine outlive a process
 		factor, taken = s.pool.speedFactor, s.pool.neighbourCores
 	}
 	s.pool = &pool{engine: &w.engine, machine: w.fleet.Machine, speedFactor: factor, neighbourCores: taken, startedAt: w.now, last: w.now}
@@ -35,7 +35,8 @@
 	s.decide()
 }
 
-// usePeerEstimates merges the estimates of up to three running servers, as a new server with [peers] does.
+// usePeerEstimates merges the estimates of up to three running servers, as a new server with a [peers] section in its
+// configuration does.
 func (s *server) usePeerEstimates(controller *admission.Controller) {
 	w := s.world
 	schema := controller.EstimateSchema(uint64(s.number)<<32|s.incarnation, 0, false)
@@ -55,7 +56,7 @@
 	}
 }
 
-// kill ends a server as by SIGKILL.
+// kill ends a server as SIGKILL does.
 func (s *server) kill() {
 	if !s.alive {
 		return
@@ -66,7 +67,7 @@
 	s.dropOpen()
 }
 
-// dropOpen loses all open attempts.
+// dropOpen ends all unanswered attempts with a broken connection.
 func (s *server) dropOpen() {
 	open := s.world.sortedByID(s.attempts)
 	s.attempts = map[*admission.Request]*attempt{}
@@ -78,7 +79,7 @@
 	}
 }
 
-// shutdown begins a graceful shutdown, which ends within a limit. then is called after its end.
+// shutdown begins a graceful shutdown that takes at most within. then is called when it has ended.
 func (s *server) shutdown(within time.Duration, then func()) {
 	if !s.alive || s.stopAt > 0 {
 		return
@@ -93,12 +94,12 @@
 	w.at(s.stopAt, func() { s.stopped(life) })
 }
 
-// stopWhenAnswered ends the shutdown after the grace, as soon as all attempts are answered.
+// stopWhenAnswered ends the shutdown once all attempts are answered. It is first called at the end of the grace.
 func (s *server) stopWhenAnswered(life uint64) {
 	if !s.alive || s.incarnation != life {
 		return
 	}
-	for _, t := range s.attempts { // in any order: nothing is drawn
+	for _, t := range s.attempts { // in any order, as nothing is drawn
 		if !t.answered {
 			s.world.after(drainCheckInterval, func() { s.stopWhenAnswered(life) })
 			return
@@ -121,8 +122,8 @@
 	}
 }
 
-// freeze stops a server for a span. No answer is owed for attempts with a deadline before its end: the checker gets an
-// Abandoned event for each, and clients time out.
+// freeze suspends a server and its pool for a span. Attempts with a deadline before its end need no answer: the checker
+// gets an Abandoned event for each, and their clients time out.
 func (s *server) freeze(span time.Duration) {
 	if !s.alive {
 		return
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -15,21 +15,21 @@
 
 const (
 	queuedKB           = 20.0
-	enduredRunsPerCore = 8.0                    // more than the six that the settings state
-	linkDelay          = 100 * time.Microsecond // between a server and its pool
-	drainCheckInterval = 20 * time.Millisecond  // between checks whether a server that shuts down is done
-	stopMargin         = 15 * time.Millisecond  // before the end of a shutdown, by which all is answered
-	thawMargin         = 50 * time.Millisecond  // after a freeze, until what waited is handled
-	ejectionTime       = time.Second            // of a server that refused a connection
+	enduredRunsPerCore = 8.0                    // above the 6 that Settings sets as MaxRunnablePerCore
+	linkDelay          = 100 * time.Microsecond // between a server and its worker pool
+	drainCheckInterval = 20 * time.Millisecond  // between checks whether a server that shuts down has answered everything
+	stopMargin         = 15 * time.Millisecond  // before the end of a shutdown; everything must be answered by then
+	thawMargin         = 50 * time.Millisecond  // after a freeze, for handling the deferred events
+	ejectionTime       = time.Second            // of a server that did not answer
 	resendDelay        = 200 * time.Millisecond // of a message that the network lost; doubles with each loss
-	minRetryTime       = 5 * time.Millisecond   // until the deadline, for another attempt
+	minRetryTime       = 5 * time.Millisecond   // minimum time left for another attempt
 )
 
-// How a router chooses among the servers that fit.
+// The ways in which a router chooses among the eligible servers.
 const (
 	BalancingRoundRobin = "round"
 	BalancingLeastOpen  = "least"   // the fewest open requests
-	BalancingHash       = "subject" // by the request's id
+	BalancingHash       = "subject" // by a hash of the request id
 	BalancingFirst      = "walk"    // the first of the endpoint list
 	BalancingRandom     = "random"
 )
@@ -37,27 +37,27 @@
 // RouterOptions are the options of a router.
 type RouterOptions struct {
 	Balancing         string  // one of the Balancing constants
-	MaxAttempts       int     // at different servers, each time that a client sends; 0 for no limit
-	RetryBudget       float64 // retries for each first attempt; 0 for no limit
-	HeedsBackpressure bool    // the shed level and Retry-After
-	RetriesAborted    bool    // retries aborted requests, unless they are at-most-once
+	MaxAttempts       int     // at different servers, each time that a client sends the request; 0 for no limit
+	RetryBudget       float64 // retries per first attempt; 0 for no limit
+	HeedsBackpressure bool    // uses the shed level and Retry-After of answers
+	RetriesAborted    bool    // also retries aborted requests, unless they are at-most-once
 }
 
 // Clients are the options of clients.
 type Clients struct {
-	MaxRetries int           // of a request that was not served; below 0 for no limit
-	Backoff    time.Duration // before a retry
+	MaxRetries int           // of a request that was not served; negative for no limit
+	Backoff    time.Duration // mean wait before a retry
 }
 
-// Dependency describes a system that runs call.
+// Dependency describes a service that runs call.
 type Dependency struct {
 	Name   string
-	Slots  int // calls at once; more are queued
+	Slots  int // concurrent calls; further calls are queued
 	Mean   time.Duration
 	Spread float64
 }
 
-// Fleet describes a world.
+// Fleet describes the servers, routers, clients, dependencies and network of a World.
 type Fleet struct {
 	Servers       int
 	Zones         int
@@ -69,35 +69,35 @@
 	RouterOptions RouterOptions
 	Clients       Clients
 	Dependencies  []Dependency
-	Plans         map[string]*budget.Plan // by route, of composed routes; valid by budget.Plan.Validate
-	Delay         time.Duration           // one way, in the network
-	Jitter        time.Duration           // mean of an exponential addition to Delay
+	Plans         map[string]*budget.Plan // of composed routes, by route name; valid by budget.Plan.Validate
+	Delay         time.Duration           // one-way network delay
+	Jitter        time.Duration           // mean of an exponentially distributed addition to Delay
 	EndpointLag   time.Duration           // delay of endpoint updates at routers
 }
 
 // Load describes the requests of a run.
 type Load struct {
-	Rate     float64                        // requests a second in all
-	Span     time.Duration                  // time for which requests arrive
-	Factor   func(at time.Duration) float64 // of Rate at a moment; nil for 1
-	Arrivals []Arrival                      // used in place of drawn ones
+	Rate     float64                        // total requests per second
+	Span     time.Duration                  // time during which requests arrive
+	Factor   func(at time.Duration) float64 // of Rate at a moment; nil for a constant rate
+	Arrivals []Arrival                      // replace drawn arrivals if not nil
 }
 
-// Second is what became of the requests that were created in one second.
+// Second has the results of the requests that were created in one second.
 type Second struct {
 	OfferedValue float64 `json:"Offered"`
 	Goodput      float64 `json:"Honoured"`
-	Attempts     int     `json:"Tries"` // that servers received in that second
+	Attempts     int     `json:"Tries"` // received by servers in that second
 }
 
-// Result is what became of a load. Values are sums of Route.Value; goodput is the value served within the latency target.
-// The JSON names are those of stored experiments.
+// Result has the results of a load. Values are sums of Route.Value; goodput is the value served within the latency
+// target. The JSON names are those of stored experiments.
 type Result struct {
 	Requests         int                     `json:"Requests"`
 	Served           int                     `json:"Honoured"`
 	Rejected         int                     `json:"Dismissed"`
 	Aborted          int                     `json:"GivenUp"`
-	Unanswered       int                     `json:"Left"` // past the deadline of their client
+	Unanswered       int                     `json:"Left"` // by the deadline of the client
 	OfferedValue     float64                 `json:"Offered"`
 	Goodput          float64                 `json:"Value"`
 	Attempts         int                     `json:"Tries"`
@@ -106,28 +106,28 @@
 	GoodputByRoute   []float64               `json:"ByType"`
 	OfferedByRoute   []float64               `json:"OfType"`
 	Seconds          []Second                `json:"Seconds"`
-	Latencies        *hdrhistogram.Histogram `json:"-"` // microseconds, of served requests
+	Latencies        *hdrhistogram.Histogram `json:"-"` // of served requests, in microseconds
 	Rules            rulecheck.Report        `json:"Rules"`
 	Events           uint64                  `json:"Events"`
 }
 
-// clientRequest is a request of a client, over all its retries.
+// clientRequest is a request of a client, including its retries.
 type clientRequest struct {
 	id           uint64
 	route        int
 	rank         float64
 	work         float64
 	router       *router
-	sentAt       time.Duration // by its client, for the last time
+	sentAt       time.Duration // last time that its client sent it
 	createdAt    time.Duration
 	retriesLeft  int
-	triedServers []int // servers, since sentAt
+	triedServers []int // tried since sentAt
 	sendSeq      uint64
 	done         bool
-	mayHaveRun   bool // it may have had its effect
+	mayHaveRun   bool // and so may have had its effect
 }
 
-// World is one emulated fleet with its clients. It is used from one goroutine.
+// World is an emulated fleet with its clients. It must be used from one goroutine.
 type World struct {
 	engine
 	fleet        Fleet
@@ -196,7 +196,7 @@
 
 func (w *World) dependency(name string) *dependency { return w.dependencies[name] }
 
-// sortedByID returns attempts by their ids, as the order of a map must not decide a run.
+// sortedByID returns attempts sorted by id, so that the iteration order of a map does not affect a run.
 func (w *World) sortedByID(tries map[*admission.Request]*attempt) []*attempt {
 	all := make([]*attempt, 0, len(tries))
 	for _, t := range tries {
@@ -206,7 +206,7 @@
 	return all
 }
 
-// Run runs a load until all of its requests have ended. It is called once.
+// Run runs a load until all of its requests have ended, and returns the results. It must be called at most once.
 func (w *World) Run(load Load) Result {
 	w.span = load.Span
 	w.result.Seconds = make([]Second, int(load.Span/time.Second)+1)
@@ -229,8 +229,8 @@
 	return w.result
 }
 
-// drawArrivals draws one arrival after the other, so that a load of any length takes no memory. As the rate may change,
-// arrivals are drawn at twice the present rate and thinned (Lewis and Shedler).
+// drawArrivals schedules one arrival at a time, so that memory does not grow with the length of the load. As the rate
+// may change, arrivals are drawn at twice the current rate and thinned (Lewis and Shedler).
 func (w *World) drawArrivals(load Load, chance *rand.Rand) {
 	factor := func() float64 {
 		f := w.loadFactor
@@ -257,7 +257,7 @@
 	next()
 }
 
-// arrive creates a request.
+// arrive creates a request and makes its client send it.
 func (w *World) arrive(a *Arrival) {
 	w.lastID++
 	t := w.fleet.Routes[a.Route]
@@ -276,7 +276,7 @@
 	return min(int(at/time.Second), len(w.result.Seconds)-1)
 }
 
-// send makes a client send its request, for the first time or again.
+// send makes a client send its request, for the first time or again, and sets the client's timeout.
 func (w *World) send(q *clientRequest) {
 	q.sentAt, q.triedServers, q.sendSeq = w.now, nil, q.sendSeq+1
 	ask, outer := q.sendSeq, w.fleet.Routes[q.route].Deadline
@@ -288,7 +288,7 @@
 	q.router.route(q, true)
 }
 
-// networkDelay draws the time that a message takes.
+// networkDelay draws the delay of a message, including resends after losses.
 func (w *World) networkDelay() time.Duration {
 	d := w.fleet.Delay
 	if w.fleet.Jitter > 0 {
@@ -301,7 +301,7 @@
 	return max(d, time.Microsecond)
 }
 
-// sendAnswer delivers the end of an attempt to the router.
+// sendAnswer sends the end of an attempt to the router; verdict lost stands for a broken connection.
 func (w *World) sendAnswer(t *attempt, v verdict, retryAfter time.Duration, nowhereElse bool) {
 	level := t.server.shedLevel
 	t.origin.mayHaveRun = t.origin.mayHaveRun || t.started && v != rejected
@@ -323,12 +323,12 @@
 	}
 }
 
-// recordUnserved ends a request that was not served, or makes its client retry.
+// recordUnserved makes the client retry a request that was not served, or ends the request.
 func (w *World) recordUnserved(q *clientRequest, v verdict, retryAfter time.Duration) {
 	if q.done {
 		return
 	}
-	q.sendSeq++ // its timeout does nothing any more
+	q.sendSeq++ // disables the client's timeout
 	// An at-most-once request that may have run is not sent again.
 	repeatable := !w.fleet.Routes[q.route].AtMostOnce || !q.mayHaveRun && v != lost
 	if repeatable && q.retriesLeft != 0 && w.now < w.span+time.Second {
--- a/rulecheck/rules.go
+++ b/rulecheck/rules.go
@@ -1,6 +1,6 @@
-// Package rulecheck checks a run, emulated or on sockets, against the four rules, event by event:
+// Package rulecheck checks a run, emulated or on sockets, against four rules, event by event:
 //
-//  1. every request received gets exactly one answer before its deadline, unless its caller is gone;
+//  1. every request received gets exactly one answer before its deadline, unless its caller no longer waits;
 //  2. no effect happens twice: a request that has run is never rejected, and one with an effect starts once;
 //  3. after the notification of a shutdown no request that arrives after the grace runs, and every request received is
 //     answered before the stop;
@@ -21,31 +21,31 @@
 
 // The kinds of events, with the fields that they use.
 const (
-	Received         Kind = iota + 1 // Attempt at Server, with Deadline and, where it has one, Effect
-	Started                          // Attempt began to run
+	Received         Kind = iota + 1 // Attempt at Server, with Deadline and, for at-most-once requests, Effect
+	Started                          // Attempt started to run
 	Answered                         // Attempt, Rejected or not
 	Abandoned                        // nobody waits for Attempt any more
-	ShutdownNotified                 // of Server; Deadline is the end of its grace
-	Stopped                          // Server ended its shutdown
-	Crashed                          // Server ended with all open attempts
-	Memory                           // of Server: Value is the share in use
-	RunsPerCore                      // of Server: Value is the number over what the server survives
-	CallsOpen                        // of dependency Server: Value is its load over what it survives
+	ShutdownNotified                 // Server; Deadline is the end of its grace
+	Stopped                          // Server ended its graceful shutdown
+	Crashed                          // Server ended with all its open attempts
+	Memory                           // Server; Value is the fraction in use
+	RunsPerCore                      // Server; Value is the number divided by the one that it survives
+	CallsOpen                        // Server is a dependency; Value is its load divided by the load that it survives
 )
 
-// Event is one event of a run. Times are since the beginning of the run.
+// Event is an event of a run. Times are since the start of the run.
 type Event struct {
 	Kind     Kind
 	At       time.Duration
 	Server   int
-	Attempt  uint64 // id of one request at one server
+	Attempt  uint64 // id of a request at one server
 	Effect   uint64 // id of an at-most-once request: the same for all its attempts; 0 for others
 	Deadline time.Duration
 	Rejected bool
 	Value    float64
 }
 
-// maxMessages is the number of violations with a message; all are counted.
+// maxMessages is the maximum number of violations that are reported with a message; all are counted.
 const maxMessages = 20
 
 type attempt struct {
@@ -54,16 +54,16 @@
 	arrived  time.Duration
 	effect   uint64
 	started  bool
-	gone     bool // nobody waits for it; only its effect still counts
+	gone     bool // nobody waits for its answer; its effect still counts
 }
 
 type shutdown struct{ grace time.Duration }
 
-// Checker checks events in their order of time. It is used from one goroutine.
+// Checker checks events, which must be added in order of time. It must be used from one goroutine.
 type Checker struct {
-	slack        time.Duration // by which an answer may be seen late
+	slack        time.Duration // time by which an answer may appear late
 	open         map[uint64]*attempt
-	effectStarts map[uint64]int // by effect
+	effectStarts map[uint64]int // number of starts, by effect
 	shutdowns    map[int]shutdown
 	violations   [5]int
 	messages     []string
@@ -71,7 +71,7 @@
 	answers      int
 }
 
-// New returns a checker. slack is the error of the times of events: 0 in simulated time.
+// New returns a checker. slack is the maximum error of the times of events: 0 in simulated time.
 func New(slack time.Duration) *Checker {
 	return &Checker{slack: slack, open: map[uint64]*attempt{}, effectStarts: map[uint64]int{}, shutdowns: map[int]shutdown{}}
 }
@@ -83,13 +83,13 @@
 	}
 }
 
-// Add checks one event.
+// Add checks an event.
 func (c *Checker) Add(e Event) {
 	switch e.Kind {
 	case Received:
 		c.received++
 		if c.open[e.Attempt] != nil {
-			c.violate(1, e.At, "try %d read twice", e.Attempt)
+			c.violate(1, e.At, "attempt %d received twice", e.Attempt)
 		}
 		c.open[e.Attempt] = &attempt{server: e.Server, deadline: e.Deadline, arrived: e.At, effect: e.Effect}
 	case Started:
@@ -106,11 +106,11 @@
 		c.ended(e)
 	case Memory:
 		if e.Value > 1 {
-			c.violate(4, e.At, "server %d has %.2f of its memory in use", e.Server, e.Value)
+			c.violate(4, e.At, "server %d uses %.2f of its memory", e.Server, e.Value)
 		}
 	case RunsPerCore:
 		if e.Value > 1 {
-			c.violate(4, e.At, "server %d has %.2f of the crowd that it survives on its cores", e.Server, e.Value)
+			c.violate(4, e.At, "server %d has %.2f of the runs that it survives on its cores", e.Server, e.Value)
 		}
 	case CallsOpen:
 		if e.Value > 1 {
@@ -123,15 +123,15 @@
 func (c *Checker) started(e Event) {
 	a := c.open[e.Attempt]
 	if a == nil {
-		c.violate(1, e.At, "try %d started and not open", e.Attempt)
+		c.violate(1, e.At, "attempt %d started but is not open", e.Attempt)
 		return
 	}
 	if s, shuttingDown := c.shutdowns[a.server]; shuttingDown && a.arrived > s.grace {
-		c.violate(3, e.At, "try %d arrived past the grace and ran", e.Attempt)
+		c.violate(3, e.At, "attempt %d arrived after the grace and ran", e.Attempt)
 	}
 	if a.started = true; a.effect != 0 {
 		if c.effectStarts[a.effect]++; c.effectStarts[a.effect] > 1 {
-			c.violate(2, e.At, "effect %d began %d times", a.effect, c.effectStarts[a.effect])
+			c.violate(2, e.At, "effect %d started %d times", a.effect, c.effectStarts[a.effect])
 		}
 	}
 }
@@ -140,7 +140,7 @@
 func (c *Checker) answered(e Event) {
 	a := c.open[e.Attempt]
 	if a == nil {
-		c.violate(1, e.At, "try %d answered and not open", e.Attempt)
+		c.violate(1, e.At, "attempt %d answered but is not open", e.Attempt)
 		return
 	}
 	delete(c.open, e.Attempt)
@@ -149,14 +149,14 @@
 	}
 	c.answers++
 	if e.At > a.deadline+c.slack {
-		c.violate(1, e.At, "try %d answered %v late", e.Attempt, e.At-a.deadline)
+		c.violate(1, e.At, "attempt %d answered %v after its deadline", e.Attempt, e.At-a.deadline)
 	}
 	if e.Rejected && a.started {
-		c.violate(2, e.At, "try %d ran and was dismissed", e.Attempt)
+		c.violate(2, e.At, "attempt %d ran and was rejected", e.Attempt)
 	}
 }
 
-// ended forgets a server. One that ended its shutdown must have answered everything: rule 3.
+// ended removes a server and its attempts. A server that ended its shutdown must have answered everything: rule 3.
 func (c *Checker) ended(e Event) {
 	for _, id := range slices.Sorted(maps.Keys(c.open)) {
 		a := c.open[id]
@@ -164,16 +164,17 @@
 			continue
 		}
 		if e.Kind == Stopped && !a.gone {
-			c.violate(3, e.At, "server %d stopped with try %d unanswered", e.Server, id)
+			c.violate(3, e.At, "server %d stopped with attempt %d unanswered", e.Server, id)
 		}
 		delete(c.open, id)
 	}
 	delete(c.shutdowns, e.Server)
 }
 
-// Finish ends the run at a moment and returns the report. An attempt that is open after its deadline violates rule 1.
+// Finish ends the run at a moment and returns the report. An attempt that is still open after its deadline violates
+// rule 1.
 func (c *Checker) Finish(at time.Duration) Report {
-	for _, t := range c.open { // in any order: they are only counted
+	for _, t := range c.open { // in any order, as they are only counted
 		if t.deadline+c.slack < at && !t.gone {
 			c.violations[1]++
 		}
@@ -181,7 +182,7 @@
 	return Report{Violations: c.violations, Messages: c.messages, Received: c.received, Answers: c.answers}
 }
 
-// Report is what a checker found. The JSON names are those of stored experiments.
+// Report has the findings of a checker. The JSON names are those of stored experiments.
 type Report struct {
 	Violations [5]int   `json:"Broken"` // by rule, from 1; the first element is not used
 	Messages   []string `json:"Words"`  // of the first maxMessages violations
--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -1,7 +1,7 @@
-// Package scenario reads drills: scripts of a fleet, its load and its incidents. It runs them on an emulated fleet; the bench
-// runs the same scripts on real daemons. It does no I/O: scripts come as text.
+// Package scenario reads drills: scripts of a fleet, its load and its incidents. It runs them on an emulated fleet; the
+// bench runs the same scripts on real daemons. The package does no I/O: scripts are passed as text.
 //
-// A script has one statement a line; # begins a comment.
+// A script has one statement per line; # starts a comment.
 //
 //	title "A fifth of the servers dies during a rolling deploy"
 //	servers 20 zones 2 cores 4
@@ -11,7 +11,7 @@
 //	at 15s kill 20% of servers for 10s
 //	at 12s for 6s load by 1.5
 //
-// An incident ends after its "for"; without one it lasts.
+// An incident ends after the time in its "for"; without one it lasts to the end of the drill.
 package scenario
 
 import (
@@ -20,7 +20,7 @@
 	"quartzpoint/emulator"
 )
 
-// IncidentKind is what goes wrong. Its text is the word of the script.
+// IncidentKind is a kind of incident. Its text is the keyword in scripts.
 type IncidentKind string
 
 // The kinds of incidents.
@@ -44,12 +44,12 @@
 	FailDependency IncidentKind = "fail"
 )
 
-// Incident is one incident of a drill. Which fields are set depends on its kind.
+// Incident is an incident of a drill. Its kind determines which fields are set.
 type Incident struct {
 	At, Duration  time.Duration
 	Kind          IncidentKind
 	Share         float64
-	Server        int // -1 for none
+	Server        int // drawn from the running servers, if Server and Zone are -1
 	Zone          int // -1 for none
 	Factor        float64
 	Span          time.Duration // interval of a deploy, endpoint lag or clock step
@@ -63,9 +63,9 @@
 type Drill struct {
 	Name, Title   string
 	Fleet         emulator.Fleet // without a policy
-	Load          float64        // share of what the fleet can do
+	Load          float64        // share of the fleet's capacity
 	Span          time.Duration
-	BurstFactor   float64 // of the load, for one second each BurstInterval; 0 for no bursts
+	BurstFactor   float64 // of the load, for one second every BurstInterval; 0 for no bursts
 	BurstInterval time.Duration
 	DailyCurve    bool // the load varies as over a day
 	Incidents     []Incident
--- a/scenario/drill_test.go
+++ b/scenario/drill_test.go
@@ -14,8 +14,8 @@
 	"quartzpoint/emulator"
 )
 
-// All drills of the library are read and played with the project's own decisions: no rule is broken, and every request
-// has one outcome.
+// TestLibrary parses all drills of the library and emulates them with the project's own decisions: no rule is violated,
+// and every request has exactly one outcome.
 func TestLibrary(t *testing.T) {
 	files, err := filepath.Glob("../drills/*.drill")
 	require.NoError(t, err)
@@ -30,7 +30,7 @@
 			assert.NotEmpty(t, d.Title)
 			began := time.Now()
 			r := d.Emulate(emulator.QuartzpointPolicy, 1)
-			t.Logf("%.3f of %d requests, dismissed %d, given up %d, left %d, tries %d, rules %v, %d events in %v",
+			t.Logf("goodput %.3f of %d requests, rejected %d, aborted %d, unanswered %d, attempts %d, rule violations %v, %d events in %v",
 				r.Goodput/r.OfferedValue, r.Requests, r.Rejected, r.Aborted, r.Unanswered, r.Attempts, r.Rules.Violations, r.Events, time.Since(began))
 			assert.Zero(t, r.Rules.Total(), strings.Join(r.Rules.Messages, "\n"))
 			assert.Zero(t, r.DuplicateAnswers)
@@ -42,16 +42,16 @@
 func TestFaults(t *testing.T) {
 	cases := []struct{ name, text, want string }{
 		{"unknown statement", "servers 3\nserver 4", `x.drill:2:1: unexpected token "server"`},
-		{"half a statement", "load 90%", `x.drill:1:9: unexpected token "<EOF>"`},
+		{"incomplete statement", "load 90%", `x.drill:1:9: unexpected token "<EOF>"`},
 		{"out of range", "servers 3\n  load 90% for 2h5", `x.drill:2:`},
-		{"share out of range", "servers 3\nload 9000% for 2s", `x.drill:2:6: 9000%: a number from 0.01 to 20`},
-		{"a number for a time", "load 90% for 20", `x.drill:1:14: 20: a time from 1s to 1h0m0s`},
-		{"unknown habit", "habits best", `x.drill:1:1: habits best: round, least`},
-		{"unknown mix", "servers 3 mix mail", `mix mail: branch and booking`},
-		{"unknown dependency", "at 5s stop dependency bank", `no dependency "bank" is stated`},
-		{"unknown type", "dependency bank slots 3 takes 5ms for mail", `x.drill:1:1: no traffic type mail`},
-		{"no such server", "servers 3\nat 5s kill server 3", `there are 3 servers in 2 zones`},
-		{"a pause without a length", "at 5s pause 10% of servers", `a pause needs its length`},
+		{"share out of range", "servers 3\nload 9000% for 2s", `x.drill:2:6: 9000%: want a number from 0.01 to 20`},
+		{"number instead of a time", "load 90% for 20", `x.drill:1:14: 20: want a time from 1s to 1h0m0s`},
+		{"unknown balancing", "habits best", `x.drill:1:1: habits best: want round, least`},
+		{"unknown mix", "servers 3 mix mail", `mix mail: want branch or booking`},
+		{"unknown dependency", "at 5s stop dependency bank", `dependency "bank" is not defined`},
+		{"unknown route", "dependency bank slots 3 takes 5ms for mail", `x.drill:1:1: no route mail`},
+		{"no such server", "servers 3\nat 5s kill server 3", `the fleet has 3 servers in 2 zones`},
+		{"pause without a duration", "at 5s pause 10% of servers", `pause has no duration`},
 		{"stray character", "servers 3 ; cores 4", `x.drill:1:11`},
 	}
 	for _, c := range cases {
@@ -62,18 +62,19 @@
 	}
 	_, err := Parse("x.drill", "servers 0\nload 1000000% for 1ms\nhabits best")
 	require.Error(t, err)
-	assert.Equal(t, 4, strings.Count(err.Error(), "x.drill:"), "all at once: %v", err)
+	assert.Equal(t, 4, strings.Count(err.Error(), "x.drill:"), "all errors are reported: %v", err)
 	_, err = Parse("x.drill", strings.Repeat("# ", maxScriptSize))
 	assert.ErrorContains(t, err, "at most")
 }
 
-// The storm keeps itself alive after its cause is gone, where nothing is turned away; with this project it ends.
+// A retry storm is metastable without admission control: it continues after its cause has ended. With this project it
+// ends.
 func TestMetastable(t *testing.T) {
 	raw, err := os.ReadFile("../drills/retry-storm.drill")
 	require.NoError(t, err)
 	d, err := Parse("retry-storm.drill", string(raw))
 	require.NoError(t, err)
-	last := func(name string) float64 { // of the ten seconds that begin 20 s after the cause has gone
+	last := func(name string) float64 { // returns the goodput share of the ten seconds that begin 20 s after the end of the cause
 		policy, err := baseline.PolicyByName(name)
 		require.NoError(t, err)
 		r := d.Emulate(policy, 1)
@@ -84,7 +85,7 @@
 		return honoured / offered
 	}
 	none, ours := last("no-limit"), last("quartzpoint")
-	t.Logf("20 s after: no limit %.3f, quartzpoint %.3f", none, ours)
+	t.Logf("goodput 20 s after the cause: no limit %.3f, quartzpoint %.3f", none, ours)
 	assert.Less(t, none, 0.3)
 	assert.Greater(t, ours, 0.95)
 }
--- a/scenario/grammar.go
+++ b/scenario/grammar.go
@@ -7,7 +7,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The grammar. Amounts are kept as text with their position, so that an error of range states line and column.
+// The grammar of scripts. Amounts are kept as text with their position, so that an error about their range can state
+// line and column.
 type script struct {
 	Statements []*statement `parser:"EOL* ( @@ ( EOL+ | EOF ) )*"`
 }
@@ -145,12 +146,12 @@
 		{Name: "Comma", Pattern: `,`},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("drill: %w", err)
+		return nil, fmt.Errorf("build drill lexer: %w", err)
 	}
 	p, err := participle.Build[script](participle.Lexer(words), participle.Elide("Comment", "Blank"), participle.Unquote("String"),
 		participle.UseLookahead(4))
 	if err != nil {
-		return nil, fmt.Errorf("drill: %w", err)
+		return nil, fmt.Errorf("build drill parser: %w", err)
 	}
 	return p, nil
 }
--- a/scenario/parse.go
+++ b/scenario/parse.go
@@ -20,22 +20,23 @@
 	maxScriptSize = 64 << 10
 )
 
-// ScriptError is an error at one place of a script.
+// ScriptError is an error at a position in a script.
 type ScriptError struct {
 	File         string
 	Line, Column int
 	Message      string
 }
 
-// Error returns the place and the message.
+// Error returns the position and the message.
 func (e *ScriptError) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 }
 
-// Parse reads a script. The error joins those of all statements; a *ScriptError states file, line and column.
+// Parse parses the script in text; file is its name in the drill and in errors. The error joins those of all
+// statements, most of them of type *ScriptError, which states file, line and column. A syntax error is returned alone.
 func Parse(file, text string) (*Drill, error) {
 	if len(text) > maxScriptSize {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", file, len(text), maxScriptSize)
+		return nil, fmt.Errorf("%s: script has %d bytes, want at most %d", file, len(text), maxScriptSize)
 	}
 	p, err := parser()
 	if err != nil {
@@ -44,7 +45,7 @@
 	s, err := p.ParseString(file, text)
 	if err != nil {
 		var at participle.Error
-		if errors.As(err, &at) { // a syntax error hides all later errors
+		if errors.As(err, &at) { // the statements after a syntax error are not parsed
 			return nil, &ScriptError{file, at.Position().Line, at.Position().Column, at.Message()}
 		}
 		return nil, fmt.Errorf("%s: %w", file, err)
@@ -69,20 +70,21 @@
 	return d, nil
 }
 
-// checkIncidents checks what incidents name, as the fleet may be stated after them.
+// checkIncidents checks the servers, zones and dependencies that incidents name. It runs after all statements, as the
+// fleet may be defined after an incident.
 func (r *reader) checkIncidents(d *Drill) {
 	for _, i := range d.Incidents {
 		if i.Server >= d.Fleet.Servers || i.Zone >= d.Fleet.Zones {
-			r.errs = append(r.errs, fmt.Errorf("%s: at %v: there are %d servers in %d zones, counted from 0", r.file, i.At, d.Fleet.Servers, d.Fleet.Zones))
+			r.errs = append(r.errs, fmt.Errorf("%s: incident at %v: no such server or zone: the fleet has %d servers in %d zones, counted from 0", r.file, i.At, d.Fleet.Servers, d.Fleet.Zones))
 		}
 		stated := slices.ContainsFunc(d.Fleet.Dependencies, func(of emulator.Dependency) bool { return of.Name == i.Name })
 		if i.Name != "" && !stated {
-			r.errs = append(r.errs, fmt.Errorf("%s: at %v: no dependency %q is stated", r.file, i.At, i.Name))
+			r.errs = append(r.errs, fmt.Errorf("%s: incident at %v: dependency %q is not defined", r.file, i.At, i.Name))
 		}
 	}
 }
 
-// reader converts statements, and collects the errors of all of them.
+// reader converts statements and collects their errors.
 type reader struct {
 	file string
 	errs []error
@@ -92,7 +94,7 @@
 	r.errs = append(r.errs, &ScriptError{r.file, at.Line, at.Column, fmt.Sprintf(format, args...)})
 }
 
-// number returns an amount within bounds; otherwise where there is none.
+// number returns the value of an amount within bounds, or otherwise if a is nil or out of bounds.
 func (r *reader) number(a *amount, otherwise, low, high float64) float64 {
 	if a == nil {
 		return otherwise
@@ -103,20 +105,20 @@
 		n /= 100
 	}
 	if err != nil || n < low || n > high {
-		r.addError(a.Pos, "%s: a number from %g to %g is allowed here, or the same in %%", a.Text, low, high)
+		r.addError(a.Pos, "%s: want a number from %g to %g, or the same in %%", a.Text, low, high)
 		return otherwise
 	}
 	return n
 }
 
-// span returns a time within bounds; otherwise where there is none.
+// span returns the value of a time within bounds, or otherwise if a is nil or out of bounds.
 func (r *reader) span(a *amount, otherwise, low, high time.Duration) time.Duration {
 	if a == nil {
 		return otherwise
 	}
 	d, err := time.ParseDuration(a.Text)
 	if err != nil || d < low || d > high {
-		r.addError(a.Pos, "%s: a time from %v to %v is allowed here", a.Text, low, high)
+		r.addError(a.Pos, "%s: want a time from %v to %v", a.Text, low, high)
 		return otherwise
 	}
 	return d
--- a/scenario/play.go
+++ b/scenario/play.go
@@ -9,15 +9,15 @@
 	"quartzpoint/emulator"
 )
 
-// Rate returns the load of the whole fleet in requests a second.
+// Rate returns the load of the whole fleet in requests per second, without bursts and daily curve.
 func (d *Drill) Rate() float64 {
 	return float64(d.Fleet.Servers) * emulator.Rate(d.Fleet.Routes, d.Fleet.Machine, d.Load)
 }
 
-// LoadFactor returns the factor of the load at a moment, from its bursts and its daily curve.
+// LoadFactor returns the factor of the load at a moment, from bursts and the daily curve.
 func (d *Drill) LoadFactor(at time.Duration) float64 {
 	by := 1.0
-	if d.DailyCurve { // one day over the drill's span, from a third at night
+	if d.DailyCurve { // the drill's span is one day; the load at night is a third of the peak
 		by = 0.667 - 0.333*math.Cos(2*math.Pi*float64(at)/float64(d.Span))
 	}
 	if d.BurstFactor > 0 && d.BurstInterval > 0 && at%d.BurstInterval < time.Second && at >= d.BurstInterval {
@@ -26,7 +26,8 @@
 	return by
 }
 
-// Arrivals draws the drill's load with its bursts, its daily curve and the incidents of its load, for a run in real time.
+// Arrivals draws the drill's load for a run in real time, with bursts, the daily curve and the incidents that change
+// the load.
 func (d *Drill) Arrivals(seed int64) []emulator.Arrival {
 	maxFactor, factor := 1.0, func(at time.Duration) float64 {
 		by := d.LoadFactor(at)
@@ -46,7 +47,7 @@
 	})
 }
 
-// EmulateLoad runs the drill on an emulated fleet with given arrivals.
+// EmulateLoad runs the drill on an emulated fleet with the given arrivals.
 func (d *Drill) EmulateLoad(policy emulator.PolicyMaker, seed int64, load []emulator.Arrival) emulator.Result {
 	w := d.world(policy, seed)
 	return w.Run(emulator.Load{Arrivals: load, Span: d.Span})
@@ -67,7 +68,7 @@
 	return d.world(policy, seed).Run(emulator.Load{Rate: d.Rate(), Span: d.Span, Factor: d.LoadFactor})
 }
 
-// servers returns the servers of an incident, drawn when it begins.
+// servers returns the servers of an incident. A share of servers is drawn when the incident begins.
 func servers(w *emulator.World, i Incident) []int {
 	switch {
 	case i.Server >= 0:
@@ -78,7 +79,7 @@
 	return w.RandomServers(i.Share)
 }
 
-// inject begins an incident and sets its end.
+// inject begins an incident and schedules its end.
 func (d *Drill) inject(w *emulator.World, i Incident) {
 	end := func(do func()) {
 		if i.Duration > 0 {
@@ -115,7 +116,7 @@
 	}
 }
 
-// injectFleet begins an incident that is not of single servers. end sets its end.
+// injectFleet begins an incident that does not concern single servers. end schedules its end.
 func (d *Drill) injectFleet(w *emulator.World, i Incident, end func(do func())) {
 	switch i.Kind {
 	case ChangeLoad:
@@ -147,6 +148,6 @@
 	case FailDependency:
 		w.SetDependency(i.Name, 1, i.Factor, false)
 		end(func() { w.SetDependency(i.Name, 1, 0, false) })
-	default: // of single servers
+	default: // incidents of single servers
 	}
 }
--- a/scenario/reader.go
+++ b/scenario/reader.go
@@ -10,7 +10,7 @@
 	"quartzpoint/emulator"
 )
 
-// statement applies one statement to the drill.
+// statement applies a statement to the drill.
 func (r *reader) statement(d *Drill, s *statement) {
 	switch {
 	case s.Title != nil:
@@ -53,12 +53,12 @@
 		case "booking":
 			d.Fleet.Routes = emulator.BookingRoutes()
 		default:
-			r.addError(s.Pos, "mix %s: branch and booking are known", *f.Mix)
+			r.addError(s.Pos, "mix %s: want branch or booking", *f.Mix)
 		}
 	}
 }
 
-// dependency adds a dependency, and states the routes whose runs call it.
+// dependency adds a dependency to the drill and sets the routes whose runs call it.
 func (r *reader) dependency(d *Drill, s *statement) {
 	of := s.Dependency
 	d.Fleet.Dependencies = append(d.Fleet.Dependencies, emulator.Dependency{
@@ -72,23 +72,24 @@
 			}
 		}
 		if !found {
-			r.addError(s.Pos, "no traffic type %s in this mix", name)
+			r.addError(s.Pos, "no route %s in this mix", name)
 		}
 	}
 }
 
-// compose reads the calls that requests of a route are made of. Required calls come first, the others in parallel.
+// compose adds the plan of the calls that requests of a route are made of. Required calls come first, the others in
+// parallel.
 func (r *reader) compose(d *Drill, s *statement) {
 	kind := slices.IndexFunc(d.Fleet.Routes, func(t emulator.Route) bool { return t.Name == s.Compose.Route })
 	if kind < 0 {
-		r.addError(s.Pos, "no traffic type %s in this mix", s.Compose.Route)
+		r.addError(s.Pos, "no route %s in this mix", s.Compose.Route)
 		return
 	}
 	plan := &budget.Plan{Route: s.Compose.Route, Reserve: 5 * time.Millisecond}
 	for _, c := range s.Compose.Calls {
 		at := slices.IndexFunc(d.Fleet.Dependencies, func(o emulator.Dependency) bool { return o.Name == c.Name })
 		if at < 0 {
-			r.addError(c.Pos, "no dependency %q is stated before", c.Name)
+			r.addError(c.Pos, "dependency %q is not defined before this statement", c.Name)
 			return
 		}
 		plan.Calls = append(plan.Calls, budget.Call{
@@ -111,7 +112,7 @@
 	switch h.Pick {
 	case "round", "least", "subject", "walk", "random":
 	default:
-		r.addError(at, "habits %s: round, least, subject, walk and random are known", h.Pick)
+		r.addError(at, "habits %s: want round, least, subject, walk or random", h.Pick)
 	}
 	return emulator.RouterOptions{
 		Balancing: h.Pick, MaxAttempts: int(r.number(h.MaxAttempts, 0, 1, 100)), RetryBudget: r.number(h.Budget, 0, 0.001, 10),
@@ -127,7 +128,7 @@
 	return emulator.Clients{MaxRetries: repeats, Backoff: r.span(c.Backoff, 100*time.Millisecond, time.Millisecond, time.Minute)}
 }
 
-// target states the servers of an incident.
+// target sets the servers of an incident.
 func (r *reader) target(i *Incident, w *target) {
 	switch {
 	case w.Share != nil:
@@ -139,7 +140,7 @@
 	}
 }
 
-// event returns an incident.
+// event returns the incident of an event.
 func (r *reader) event(at lexer.Position, e *event) Incident {
 	i := Incident{
 		At: r.span(&e.When, 0, 0, maxSpan), Duration: r.span(e.Span, 0, time.Millisecond, maxSpan), Server: -1, Zone: -1,
@@ -156,7 +157,7 @@
 		i.Kind, i.Span = Deploy, r.span(e.Deploy, time.Second, time.Millisecond, time.Minute)
 	case e.Pause != nil:
 		if i.Kind = PauseServers; i.Duration == 0 {
-			r.addError(at, "a pause needs its length, as: at 5s for 2s pause ...")
+			r.addError(at, "pause has no duration, want for example: at 5s for 2s pause ...")
 		}
 		r.target(&i, e.Pause)
 	case e.Slow != nil:
@@ -167,7 +168,7 @@
 		r.target(&i, &e.Neighbours.Target)
 	case e.Flap != nil:
 		if i.Kind = Disconnect; i.Duration == 0 {
-			r.addError(at, "a flap needs its length, as: at 5s for 2s flap ...")
+			r.addError(at, "flap has no duration, want for example: at 5s for 2s flap ...")
 		}
 		r.target(&i, e.Flap)
 	case e.Clock != nil:
@@ -179,7 +180,7 @@
 	return i
 }
 
-// fleetEvent states an incident that is not of single servers.
+// fleetEvent sets the fields of an incident that does not concern single servers.
 func (r *reader) fleetEvent(at lexer.Position, e *event, i *Incident) {
 	switch {
 	case e.Load != nil:
