--- a/baseline/aimd.go
+++ b/baseline/aimd.go
@@ -20,7 +20,7 @@
 	longMean, shortMean float64
 }
 
-const calibration = time.Second
+const calibrationPeriod = time.Second
 
 func newAIMD(m emulator.Machine, _ []emulator.Route, _ *rand.Rand) limiter {
 	return &aimd{current: m.Cores, min: m.Cores} // a lower limit would leave cores idle
@@ -39,7 +39,7 @@
 
 func (a *aimd) recordGauges(now time.Duration, g admission.Gauges) {
 	a.backoff = a.backoff || g.CPU > 0.9 || g.Memory > 0.75
-	if now < a.calibratedAt+calibration {
+	if now < a.calibratedAt+calibrationPeriod {
 		return
 	}
 	a.calibratedAt = now
--- a/baseline/base.go
+++ b/baseline/base.go
@@ -26,7 +26,8 @@
 	admit(now time.Duration) bool
 	// limit returns the number of requests that may run at once.
 	limit() float64
-	// shed reports whether the first request of the queue, which has waited for waited, is rejected instead of started.
+	// shed reports whether the first request of the queue, which has waited for the time in waited, is rejected instead
+	// of started.
 	shed(now, waited time.Duration) bool
 	// recordRun records the end of a run and the number of runs at that time, this one included.
 	recordRun(now, took time.Duration, running int, failed bool)
@@ -54,7 +55,7 @@
 type trackedRequest struct {
 	request  *admission.Request
 	state    state
-	since    time.Duration
+	queuedAt time.Duration
 	deadline time.Duration
 }
 
@@ -69,19 +70,19 @@
 	notifiedAt time.Duration
 }
 
-func maker(newLimiter func(m emulator.Machine, types []emulator.Route, rng *rand.Rand) limiter) emulator.PolicyMaker {
-	return func(types []emulator.Route, m emulator.Machine, _ float64, seed int64) (emulator.Policy, []*admission.Route) {
-		var kinds []*admission.Route
-		for _, t := range types {
-			kind := &admission.Route{
-				Value: t.Value, LatencyTarget: t.LatencyTarget, Deadline: t.Deadline, CallsDependency: t.Dependency != "", SkipValueShare: t.SkipValueShare,
+func policyMaker(newLimiter func(m emulator.Machine, routes []emulator.Route, rng *rand.Rand) limiter) emulator.PolicyMaker {
+	return func(routes []emulator.Route, m emulator.Machine, _ float64, seed int64) (emulator.Policy, []*admission.Route) {
+		var admissionRoutes []*admission.Route
+		for _, route := range routes {
+			admissionRoute := &admission.Route{
+				Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline, CallsDependency: route.Dependency != "", SkipValueShare: route.SkipValueShare,
 			}
-			if t.AtMostOnce {
-				kind.Idempotency = admission.AtMostOnce
+			if route.AtMostOnce {
+				admissionRoute.Idempotency = admission.AtMostOnce
 			}
-			kinds = append(kinds, kind)
+			admissionRoutes = append(admissionRoutes, admissionRoute)
 		}
-		return &server{limiter: newLimiter(m, types, rand.New(rand.NewSource(seed))), requests: map[*admission.Request]*trackedRequest{}}, kinds
+		return &server{limiter: newLimiter(m, routes, rand.New(rand.NewSource(seed))), requests: map[*admission.Request]*trackedRequest{}}, admissionRoutes
 	}
 }
 
@@ -96,19 +97,19 @@
 	case "quartzpoint":
 		return emulator.QuartzpointPolicy, nil
 	case "no-limit":
-		return maker(newNoLimit), nil
+		return policyMaker(newNoLimit), nil
 	case "fixed":
-		return maker(newFixed), nil
+		return policyMaker(newFixed), nil
 	case "token-bucket":
-		return maker(newTokenBucket), nil
+		return policyMaker(newTokenBucket), nil
 	case "codel":
-		return maker(newCoDel), nil
+		return policyMaker(newCoDel), nil
 	case "gradient2":
-		return maker(newGradient2), nil
+		return policyMaker(newGradient2), nil
 	case "vegas":
-		return maker(newVegas), nil
+		return policyMaker(newVegas), nil
 	case "aimd":
-		return maker(newAIMD), nil
+		return policyMaker(newAIMD), nil
 	}
 	return nil, fmt.Errorf("policy %q: want quartzpoint or one of %v", name, Names())
 }
@@ -127,24 +128,24 @@
 		s.callEnded(e, w)
 	}
 	for _, request := range r.AwaitingCall {
-		if k := s.requests[request]; k != nil && k.state == running {
-			k.state = calling
-			w.Call(request, max(k.deadline-r.Now, 1))
+		if tracked := s.requests[request]; tracked != nil && tracked.state == running {
+			tracked.state = calling
+			w.Call(request, max(tracked.deadline-r.Now, 1))
 		}
 	}
 	for _, e := range r.RunsEnded {
-		if k := s.requests[e.Request]; k != nil {
+		if tracked := s.requests[e.Request]; tracked != nil {
 			s.recordRun(r.Now, e.Took, len(s.active), e.Outcome != admission.Succeeded)
-			s.remove(k)
+			s.remove(tracked)
 		}
 	}
 	for _, request := range r.Canceled {
-		if k := s.requests[request]; k != nil && k.state == queued {
-			s.remove(k)
+		if tracked := s.requests[request]; tracked != nil && tracked.state == queued {
+			s.remove(tracked)
 		}
 	}
 	for _, request := range r.Arrived {
-		s.arrived(request, r.Now, w)
+		s.arrive(request, r.Now, w)
 	}
 	if r.Gauges != nil {
 		s.recordGauges(r.Now, *r.Gauges)
@@ -152,77 +153,77 @@
 	}
 	s.expire(r.Now, w)
 	for len(s.queue) > 0 && float64(len(s.active)) < max(s.limit(), 1) {
-		k := s.queue[0]
-		if s.shed(r.Now, r.Now-k.since) {
-			s.reject(k, w)
+		tracked := s.queue[0]
+		if s.shed(r.Now, r.Now-tracked.queuedAt) {
+			s.reject(tracked, w)
 			continue
 		}
 		s.queue = s.queue[1:]
-		s.active = append(s.active, k)
-		k.state = running
-		w.Start(k.request)
+		s.active = append(s.active, tracked)
+		tracked.state = running
+		w.Start(tracked.request)
 	}
 }
 
-func (s *server) arrived(request *admission.Request, now time.Duration, w admission.Executor) {
-	k := &trackedRequest{request: request, since: now, deadline: request.Deadline - deadlineMargin}
-	s.requests[request] = k
-	s.queue = append(s.queue, k)
-	late := s.stopAt > 0 && now > s.notifiedAt+shutdownGrace
-	if late || !s.admit(now) || float64(len(s.queue)) > queueFactor*max(s.limit(), 1) {
-		s.reject(k, w)
+func (s *server) arrive(request *admission.Request, now time.Duration, w admission.Executor) {
+	tracked := &trackedRequest{request: request, queuedAt: now, deadline: request.Deadline - deadlineMargin}
+	s.requests[request] = tracked
+	s.queue = append(s.queue, tracked)
+	afterGrace := s.stopAt > 0 && now > s.notifiedAt+shutdownGrace
+	if afterGrace || !s.admit(now) || float64(len(s.queue)) > queueFactor*max(s.limit(), 1) {
+		s.reject(tracked, w)
 	}
 }
 
-func (s *server) reject(k *trackedRequest, w admission.Executor) {
-	s.remove(k)
-	w.Reject(k.request, 0, false)
+func (s *server) reject(tracked *trackedRequest, w admission.Executor) {
+	s.remove(tracked)
+	w.Reject(tracked.request, 0, false)
 }
 
-func (s *server) remove(k *trackedRequest) {
-	is := func(o *trackedRequest) bool { return o == k }
-	if k.state == queued {
-		s.queue = slices.DeleteFunc(s.queue, is)
+func (s *server) remove(tracked *trackedRequest) {
+	same := func(o *trackedRequest) bool { return o == tracked }
+	if tracked.state == queued {
+		s.queue = slices.DeleteFunc(s.queue, same)
 	} else {
-		s.active = slices.DeleteFunc(s.active, is)
+		s.active = slices.DeleteFunc(s.active, same)
 	}
-	delete(s.requests, k.request)
+	delete(s.requests, tracked.request)
 }
 
 // expire rejects queued requests and aborts running ones at their deadline, less deadlineMargin, or at the end of the
 // shutdown.
 func (s *server) expire(now time.Duration, w admission.Executor) {
-	late := func(k *trackedRequest) bool {
-		return now >= k.deadline || s.stopAt > 0 && now >= s.stopAt-deadlineMargin
+	expired := func(tracked *trackedRequest) bool {
+		return now >= tracked.deadline || s.stopAt > 0 && now >= s.stopAt-deadlineMargin
 	}
-	for _, k := range slices.Clone(s.queue) {
-		if late(k) {
-			s.reject(k, w)
+	for _, tracked := range slices.Clone(s.queue) {
+		if expired(tracked) {
+			s.reject(tracked, w)
 		}
 	}
-	for _, k := range slices.Clone(s.active) {
-		if k.state != stopping && late(k) {
-			s.abort(k, w)
+	for _, tracked := range slices.Clone(s.active) {
+		if tracked.state != stopping && expired(tracked) {
+			s.abort(tracked, w)
 		}
 	}
 }
 
-func (s *server) abort(k *trackedRequest, w admission.Executor) {
-	k.state = stopping
-	w.Abort(k.request)
-	w.Pause(k.request)
+func (s *server) abort(tracked *trackedRequest, w admission.Executor) {
+	tracked.state = stopping
+	w.Abort(tracked.request)
+	w.Pause(tracked.request)
 }
 
 func (s *server) callEnded(e admission.Completion, w admission.Executor) {
-	k := s.requests[e.Request]
+	tracked := s.requests[e.Request]
 	switch {
-	case k == nil || k.state != calling:
+	case tracked == nil || tracked.state != calling:
 	case e.Outcome == admission.Succeeded:
-		k.state = running
-	case k.request.Route.SkipValueShare > 0:
-		k.state = running
-		w.SkipCall(k.request)
+		tracked.state = running
+	case tracked.request.Route.SkipValueShare > 0:
+		tracked.state = running
+		w.SkipCall(tracked.request)
 	default:
-		s.abort(k, w)
+		s.abort(tracked, w)
 	}
 }
--- a/baseline/baseline_test.go
+++ b/baseline/baseline_test.go
@@ -21,7 +21,7 @@
 				Servers: 4, Zones: 2, Machine: emulator.Machine{Cores: 4, Speed: 1, MemoryKB: 640000}, Routes: emulator.BranchRoutes(),
 				Policy: policy, Routers: 1, RouterOptions: emulator.RouterOptions{Balancing: "least", MaxAttempts: 2}, Delay: 300 * time.Microsecond,
 			}
-			share := func(load float64) float64 {
+			goodput := func(load float64) float64 {
 				w := emulator.New(f, 3)
 				w.At(5*time.Second, func() { w.Restart([]int{1}, 2500*time.Millisecond) })
 				r := w.Run(emulator.Load{Rate: 4 * emulator.Rate(f.Routes, f.Machine, load), Span: 12 * time.Second})
@@ -33,13 +33,13 @@
 				assert.Equal(t, r.Requests, r.Served+r.Rejected+r.Aborted+r.Unanswered)
 				return r.Goodput / r.OfferedValue
 			}
-			assert.Greater(t, share(0.5), 0.98)
-			over := share(2)
-			t.Logf("goodput at 200%% load: %.3f", over)
+			assert.Greater(t, goodput(0.5), 0.98)
+			overloaded := goodput(2)
+			t.Logf("goodput at 200%% load: %.3f", overloaded)
 			if name == "no-limit" {
-				assert.Less(t, over, 0.3, "without a limit few requests are served in time")
+				assert.Less(t, overloaded, 0.3, "without a limit few requests are served in time")
 			} else {
-				assert.Greater(t, over, 0.2)
+				assert.Greater(t, overloaded, 0.2)
 			}
 		})
 	}
--- a/baseline/gradient2.go
+++ b/baseline/gradient2.go
@@ -27,18 +27,18 @@
 	if failed {
 		return
 	}
-	short := took.Seconds()
+	latency := took.Seconds()
 	if g.longMean == 0 {
-		g.longMean = short
+		g.longMean = latency
 	}
-	g.longMean += (short - g.longMean) * 2 / 601
-	if g.longMean/max(short, 1e-9) > 2 { // makes the long-term mean fall faster after an overload
+	g.longMean += (latency - g.longMean) * 2 / 601
+	if g.longMean/max(latency, 1e-9) > 2 { // makes the long-term mean fall faster after an overload
 		g.longMean *= 0.95
 	}
 	if float64(running) < g.current/2 {
 		return
 	}
-	gradient := max(0.5, min(1, 1.5*g.longMean/max(short, 1e-9)))
+	gradient := max(0.5, min(1, 1.5*g.longMean/max(latency, 1e-9)))
 	next := g.current*gradient + math.Sqrt(g.current)
 	g.current = max(1, min(g.max, g.current*0.8+next*0.2))
 }
--- a/baseline/tokenbucket.go
+++ b/baseline/tokenbucket.go
@@ -15,8 +15,8 @@
 	last         time.Duration
 }
 
-func newTokenBucket(m emulator.Machine, types []emulator.Route, _ *rand.Rand) limiter {
-	rate := emulator.Rate(types, m, 1)
+func newTokenBucket(m emulator.Machine, routes []emulator.Route, _ *rand.Rand) limiter {
+	rate := emulator.Rate(routes, m, 1)
 	return &tokenBucket{fixed: fixed{runs: fixedRuns * m.Cores}, rate: rate, tokens: rate}
 }
 
--- a/baseline/vegas.go
+++ b/baseline/vegas.go
@@ -26,19 +26,19 @@
 func (v *vegas) limit() float64 { return math.Floor(v.current) }
 
 func (v *vegas) recordRun(_, took time.Duration, running int, failed bool) {
-	now := took.Seconds()
+	latency := took.Seconds()
 	if v.samples++; float64(v.samples) > (0.5+v.rng.Float64()/2)*30*v.current {
-		v.samples, v.minLatency = 0, now
+		v.samples, v.minLatency = 0, latency
 	}
-	if v.minLatency == 0 || now < v.minLatency {
-		v.minLatency = now
+	if v.minLatency == 0 || latency < v.minLatency {
+		v.minLatency = latency
 		return
 	}
 	if float64(running)*2 < v.current && !failed {
 		return
 	}
 	step := max(math.Log10(v.current), 1)
-	switch queue := v.current * (1 - v.minLatency/max(now, 1e-9)); {
+	switch queue := v.current * (1 - v.minLatency/max(latency, 1e-9)); {
 	case failed:
 		v.current -= step
 	case queue <= step:
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -13,13 +13,13 @@
 	server       *server
 	incarnation  uint64
 	dependencies []*budget.Dependency
-	systems      []*dependency
+	emulated     []*dependency
 	scheduler    *budget.Scheduler
-	timer        uint64
-	ended        []composedEnd
+	generation   uint64
+	ended        []compositionEnd
 }
 
-type composedEnd struct {
+type compositionEnd struct {
 	attempt    *attempt
 	verdict    budget.Verdict
 	valueShare float64
@@ -40,39 +40,39 @@
 	w := s.world
 	c := &composer{server: s, incarnation: s.incarnation}
 	for i, d := range w.fleet.Dependencies {
-		share := inFlightQuota(d.Slots, w.fleet.Servers)
+		quota := inFlightQuota(d.Slots, w.fleet.Servers)
 		c.dependencies = append(c.dependencies, budget.NewDependency(budget.Options{
-			Name: d.Name, MaxInFlight: share, QueueLimit: 4 * share, CancelledTimeout: 5 * time.Second, RetryRatio: 0.1,
+			Name: d.Name, MaxInFlight: quota, QueueLimit: 4 * quota, CancelledTimeout: 5 * time.Second, RetryRatio: 0.1,
 		}, w.seed+int64(100*s.number+i)))
-		c.systems = append(c.systems, w.dependencies[d.Name])
+		c.emulated = append(c.emulated, w.dependencies[d.Name])
 	}
 	c.scheduler = budget.NewScheduler(c.dependencies, c, w.seed+int64(s.number))
 	return c
 }
 
 // begin starts the calls of a request.
-func (c *composer) begin(t *attempt, until time.Duration) {
-	t.calls = &[budget.MaxCalls][2]*dependencyCall{}
-	t.execution = c.scheduler.Start(c.server.world.fleet.Plans[c.server.world.fleet.Routes[t.origin.route].Name], c.server.world.now, until, t)
-	c.settle()
+func (c *composer) begin(a *attempt, deadline time.Duration) {
+	a.calls = &[budget.MaxCalls][2]*dependencyCall{}
+	a.execution = c.scheduler.Start(c.server.world.fleet.Plans[c.server.world.fleet.Routes[a.origin.route].Name], c.server.world.now, deadline, a)
+	c.schedule()
 }
 
 // abandon cancels the calls of a request that needs no result any more.
-func (c *composer) abandon(t *attempt) {
-	if t.execution != nil {
-		c.scheduler.Cancel(t.execution, c.server.world.now)
-		t.execution = nil
+func (c *composer) abandon(a *attempt) {
+	if a.execution != nil {
+		c.scheduler.Cancel(a.execution, c.server.world.now)
+		a.execution = nil
 	}
-	c.ended = append(c.ended, composedEnd{t, budget.Aborted, 0})
-	c.settle()
+	c.ended = append(c.ended, compositionEnd{a, budget.Aborted, 0})
+	c.schedule()
 }
 
-// settle sets the timer of the scheduler's next event. Requests that have ended are reported in an event of their own,
+// schedule sets the timer of the scheduler's next event. Requests that have ended are reported in an event of their own,
 // because the server may be in the middle of a round.
-func (c *composer) settle() {
+func (c *composer) schedule() {
 	w := c.server.world
-	c.timer++
-	mine := c.timer
+	c.generation++
+	generation := c.generation
 	next := c.scheduler.NextTimer()
 	if len(c.ended) > 0 {
 		next = w.now
@@ -81,7 +81,7 @@
 		return
 	}
 	w.at(next, func() {
-		if mine != c.timer {
+		if generation != c.generation {
 			return
 		}
 		c.server.whenRunning(c.incarnation, func() {
@@ -91,66 +91,66 @@
 				c.server.compositionEnded(e)
 			}
 			c.scheduler.Advance(w.now)
-			c.settle()
+			c.schedule()
 		})
 	})
 }
 
 // Send implements budget.Executor, as do the methods below it.
-func (c *composer) Send(execution *budget.Execution, call, number int, within time.Duration) {
-	w, t := c.server.world, execution.Ref.(*attempt)
-	a := &dependencyCall{execution: execution, call: call, attempt: number, dependency: execution.Plan().Calls[call].Dependency}
-	t.calls[call][number] = a
-	c.systems[a.dependency].handle(within, func(outcome admission.Outcome, _ time.Duration) {
+func (c *composer) Send(execution *budget.Execution, call, attemptIndex int, timeout time.Duration) {
+	w, a := c.server.world, execution.Ref.(*attempt)
+	dc := &dependencyCall{execution: execution, call: call, attempt: attemptIndex, dependency: execution.Plan().Calls[call].Dependency}
+	a.calls[call][attemptIndex] = dc
+	c.emulated[dc.dependency].handle(timeout, func(outcome admission.Outcome, _ time.Duration) {
 		c.server.whenRunning(c.incarnation, func() {
-			if a.cancelled {
-				c.scheduler.CancelledCallEnded(a.dependency, w.now)
+			if dc.cancelled {
+				c.scheduler.CancelledCallEnded(dc.dependency, w.now)
 			} else {
-				how := map[admission.Outcome]budget.Outcome{admission.Succeeded: budget.Succeeded, admission.NotRun: budget.Rejected}[outcome]
+				callOutcome := map[admission.Outcome]budget.Outcome{admission.Succeeded: budget.Succeeded, admission.NotRun: budget.Rejected}[outcome]
 				if outcome == admission.Unknown {
-					how = budget.Lost
+					callOutcome = budget.Lost
 				}
-				t.calls[call][number] = nil
-				c.scheduler.CallEnded(execution, call, number, how, w.now)
+				a.calls[call][attemptIndex] = nil
+				c.scheduler.CallEnded(execution, call, attemptIndex, callOutcome, w.now)
 			}
-			c.settle()
+			c.schedule()
 		})
 	})
 }
 
-func (c *composer) Cancel(execution *budget.Execution, call, number int) {
-	t := execution.Ref.(*attempt)
-	if a := t.calls[call][number]; a != nil {
-		a.cancelled = true
-		t.calls[call][number] = nil
+func (c *composer) Cancel(execution *budget.Execution, call, attemptIndex int) {
+	a := execution.Ref.(*attempt)
+	if dc := a.calls[call][attemptIndex]; dc != nil {
+		dc.cancelled = true
+		a.calls[call][attemptIndex] = nil
 	}
 }
 
 func (c *composer) Fallback(*budget.Execution, int) bool { return false }
 
 func (c *composer) Finish(execution *budget.Execution, v budget.Verdict) {
-	t := execution.Ref.(*attempt)
-	t.execution = nil
-	c.ended = append(c.ended, composedEnd{t, v, execution.Value()})
+	a := execution.Ref.(*attempt)
+	a.execution = nil
+	c.ended = append(c.ended, compositionEnd{a, v, execution.Value()})
 }
 
 // compositionEnded handles the end of a composed request.
-func (s *server) compositionEnded(e composedEnd) {
-	t := e.attempt
-	if !t.active {
+func (s *server) compositionEnded(e compositionEnd) {
+	a := e.attempt
+	if !a.active {
 		return
 	}
-	t.active = false
+	a.active = false
 	outcome := admission.Succeeded
 	if e.verdict == budget.Aborted {
 		outcome = admission.Stopped
 	}
-	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &t.Request, Outcome: outcome, Took: s.world.now - t.run.startedAt})
-	if !t.answered {
-		if t.valueShare = e.valueShare; e.verdict == budget.Aborted {
-			s.answer(t, aborted, 0, false)
+	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &a.Request, Outcome: outcome, Took: s.world.now - a.run.startedAt})
+	if !a.answered {
+		if a.valueShare = e.valueShare; e.verdict == budget.Aborted {
+			s.answer(a, aborted, 0, false)
 		} else {
-			s.answer(t, served, 0, false)
+			s.answer(a, served, 0, false)
 		}
 	}
 	s.decide()
--- a/emulator/dependency.go
+++ b/emulator/dependency.go
@@ -33,12 +33,12 @@
 // maxQueue is the queue length from which a dependency rejects calls, as with a full connection backlog.
 const maxQueue = 10_000
 
-func (d *dependency) handle(timeout time.Duration, told func(outcome admission.Outcome, took time.Duration)) {
+func (d *dependency) handle(timeout time.Duration, onEnd func(outcome admission.Outcome, took time.Duration)) {
 	w := d.world
-	c := &call{onEnd: told, startedAt: w.now}
+	c := &call{onEnd: onEnd, startedAt: w.now}
 	w.after(timeout, func() { d.end(c, admission.Unknown) })
 	w.rules.Add(rulecheck.Event{Kind: rulecheck.CallsOpen, At: w.now, Server: d.number,
-		Value: float64(d.inFlight+len(d.queue)) / (enduredCallsPerSlot * float64(d.Slots))})
+		Value: float64(d.inFlight+len(d.queue)) / (survivedCallsPerSlot * float64(d.Slots))})
 	switch {
 	case d.errorRate > 0 && d.rng.Float64() < d.errorRate, len(d.queue) >= maxQueue:
 		w.after(w.networkDelay(), func() { d.end(c, admission.NotRun) })
@@ -50,8 +50,8 @@
 	}
 }
 
-// enduredCallsPerSlot is the number of calls, in flight or queued, per slot that a dependency survives.
-const enduredCallsPerSlot = 8.0
+// survivedCallsPerSlot is the number of calls, in flight or queued, per slot that a dependency survives.
+const survivedCallsPerSlot = 8.0
 
 func (d *dependency) startCall(c *call) {
 	w := d.world
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const grace = 400 * time.Millisecond
+const shutdownGrace = 400 * time.Millisecond
 
 // event is a function that runs at a moment of simulated time. Events of the same moment run in the order in which they
 // were scheduled.
@@ -26,10 +26,10 @@
 
 // engine runs events in order of time. Its binary heap avoids interfaces because it is the hot path of the emulator.
 type engine struct {
-	now    time.Duration
-	seq    uint64
-	heap   []event
-	played uint64
+	now      time.Duration
+	seq      uint64
+	heap     []event
+	executed uint64
 }
 
 func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
@@ -39,12 +39,12 @@
 	e.seq++
 	e.heap = append(e.heap, event{max(when, e.now), e.seq, do})
 	for i := len(e.heap) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !before(&e.heap[i], &e.heap[up]) {
+		parent := (i - 1) / 2
+		if !before(&e.heap[i], &e.heap[parent]) {
 			break
 		}
-		e.heap[i], e.heap[up] = e.heap[up], e.heap[i]
-		i = up
+		e.heap[i], e.heap[parent] = e.heap[parent], e.heap[i]
+		i = parent
 	}
 }
 
@@ -61,26 +61,26 @@
 	e.heap[last] = event{}
 	e.heap = e.heap[:last]
 	for i := 0; ; {
-		least := i
-		for _, down := range [2]int{2*i + 1, 2*i + 2} {
-			if down < last && before(&e.heap[down], &e.heap[least]) {
-				least = down
+		smallest := i
+		for _, child := range [2]int{2*i + 1, 2*i + 2} {
+			if child < last && before(&e.heap[child], &e.heap[smallest]) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			break
 		}
-		e.heap[i], e.heap[least] = e.heap[least], e.heap[i]
-		i = least
+		e.heap[i], e.heap[smallest] = e.heap[smallest], e.heap[i]
+		i = smallest
 	}
 	e.now = first.at
-	e.played++
+	e.executed++
 	first.run()
 	return true
 }
 
-// source returns the random source of one component. Each has a source of its own, so that the draws of one do not
+// randomSource returns the random source of one component. Each has a source of its own, so that the draws of one do not
 // change those of another.
-func source(seed int64, part string, number int) *rand.Rand {
-	return rand.New(rand.NewSource(int64(xxhash.Sum64String(fmt.Sprintf("%d/%s/%d", seed, part, number)))))
+func randomSource(seed int64, component string, index int) *rand.Rand {
+	return rand.New(rand.NewSource(int64(xxhash.Sum64String(fmt.Sprintf("%d/%s/%d", seed, component, index)))))
 }
--- a/emulator/incidents.go
+++ b/emulator/incidents.go
@@ -71,10 +71,10 @@
 // bootTime is the time between the end of a process and the start of the next.
 const bootTime = 500 * time.Millisecond
 
-// Deploy restarts all servers one after the other, one every each.
-func (w *World) Deploy(each time.Duration, within time.Duration) {
+// Deploy restarts all servers one after the other, one per interval. within is the limit of each shutdown.
+func (w *World) Deploy(interval time.Duration, within time.Duration) {
 	for i := range w.servers {
-		w.after(time.Duration(i)*each, func() { w.Restart([]int{i}, within) })
+		w.after(time.Duration(i)*interval, func() { w.Restart([]int{i}, within) })
 	}
 }
 
@@ -86,10 +86,10 @@
 }
 
 // SetSlowFactor makes the pools of servers slower by a factor; 1 restores the usual speed.
-func (w *World) SetSlowFactor(numbers []int, by float64) {
+func (w *World) SetSlowFactor(numbers []int, factor float64) {
 	for _, n := range numbers {
 		s := w.servers[n]
-		s.pool.change(func() { s.pool.speedFactor = 1 / by })
+		s.pool.change(func() { s.pool.speedFactor = 1 / factor })
 	}
 }
 
@@ -124,36 +124,36 @@
 func (w *World) SetEndpointLag(lag time.Duration) { w.endpointLag = lag }
 
 // SetDelayFactor multiplies network delays; 1 restores the usual delay.
-func (w *World) SetDelayFactor(by float64) { w.delayFactor = by }
+func (w *World) SetDelayFactor(factor float64) { w.delayFactor = factor }
 
 // SetLossRate sets the fraction of messages that are lost and sent again.
-func (w *World) SetLossRate(part float64) { w.lossRate = part }
+func (w *World) SetLossRate(rate float64) { w.lossRate = rate }
 
 // SetRouterOptions sets the options of all routers.
-func (w *World) SetRouterOptions(h RouterOptions) {
+func (w *World) SetRouterOptions(options RouterOptions) {
 	for _, r := range w.routers {
-		r.options = h
+		r.options = options
 	}
 }
 
 // RouterOptions returns the options of the first router.
 func (w *World) RouterOptions() RouterOptions { return w.routers[0].options }
 
-// SetClients sets the options of clients. A request keeps the number of retries that it was created with.
-func (w *World) SetClients(c Clients) { w.clients = c }
+// SetClientOptions sets the options of clients. A request keeps the number of retries that it was created with.
+func (w *World) SetClientOptions(options ClientOptions) { w.clientOptions = options }
 
-// CurrentClients returns the options of clients.
-func (w *World) CurrentClients() Clients { return w.clients }
+// ClientOptions returns the options of clients.
+func (w *World) ClientOptions() ClientOptions { return w.clientOptions }
 
 // SetDependency sets a dependency's slowdown, its fraction of rejected calls, and whether it stops answering. It
 // reports whether the dependency exists.
-func (w *World) SetDependency(name string, slow, errors float64, stops bool) (known bool) {
+func (w *World) SetDependency(name string, slowFactor, errorRate float64, unresponsive bool) (known bool) {
 	d := w.dependencies[name]
 	if d == nil {
 		return false
 	}
-	d.slowFactor, d.errorRate, d.unresponsive = slow, errors, stops
-	if !stops {
+	d.slowFactor, d.errorRate, d.unresponsive = slowFactor, errorRate, unresponsive
+	if !unresponsive {
 		d.serveQueue()
 	}
 	return true
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -76,17 +76,17 @@
 	for left := rng.Float64(); a.Route < len(routes)-1 && left >= routes[a.Route].Share; a.Route++ {
 		left -= routes[a.Route].Share
 	}
-	t := routes[a.Route]
-	sigma := math.Sqrt(math.Log1p(t.Spread * t.Spread))
-	a.Work = time.Duration(float64(t.Work) * math.Exp(rng.NormFloat64()*sigma-sigma*sigma/2))
+	route := routes[a.Route]
+	sigma := math.Sqrt(math.Log1p(route.Spread * route.Spread))
+	a.Work = time.Duration(float64(route.Work) * math.Exp(rng.NormFloat64()*sigma-sigma*sigma/2))
 	return a
 }
 
 // Rate returns the requests per second whose work takes a share of a machine's capacity.
 func Rate(routes []Route, m Machine, share float64) float64 {
 	mean := 0.0
-	for _, t := range routes {
-		mean += t.Share * t.Work.Seconds()
+	for _, route := range routes {
+		mean += route.Share * route.Work.Seconds()
 	}
 	return share * m.Cores * m.Speed / mean
 }
@@ -98,7 +98,7 @@
 	ColdShare   float64       // fraction of Speed at the start; 0 for a warm start
 	WarmUp      time.Duration // time until the full speed
 	MemoryKB    float64
-	Independent bool // each run takes the time of its work, whatever else runs; none can be stopped
+	Independent bool // runs share no cores: each takes the time of its work, and none can be stopped
 	// Each run per core over FreeRunsPerCore slows all runs by SwitchCost; 0 for no cost.
 	FreeRunsPerCore, SwitchCost float64
 	// Halt states whether and how a run can be stopped: HaltSuspend, which is the default, HaltAbort or HaltNone.
@@ -146,7 +146,7 @@
 	settings.Cold = m.ColdShare > 0
 	settings.ColdSpeed = m.ColdShare
 	settings.WarmUp = m.WarmUp
-	settings.Grace = grace
+	settings.Grace = shutdownGrace
 	settings.IdleTimeout = 15 * time.Second
 	settings.Preemption = admission.PreemptionSuspend
 	settings.ShedLevelFormat = admission.ShedLevelThreshold
--- a/emulator/parts_test.go
+++ b/emulator/parts_test.go
@@ -89,35 +89,36 @@
 // TestDependency checks that a dependency works on as many calls at once as it has slots, and that rejected, late and
 // unanswered calls end with the matching outcome.
 func TestDependency(t *testing.T) {
-	w := &World{rules: rulecheck.New(0), delayFactor: 1, networkRand: source(1, "network", 0)}
-	d := &dependency{world: w, Dependency: Dependency{Slots: 1, Mean: 10 * time.Millisecond}, slowFactor: 1, rng: source(1, "d", 0)}
-	told := map[string]admission.Outcome{}
+	w := &World{rules: rulecheck.New(0), delayFactor: 1, networkRand: randomSource(1, "network", 0)}
+	d := &dependency{world: w, Dependency: Dependency{Slots: 1, Mean: 10 * time.Millisecond}, slowFactor: 1, rng: randomSource(1, "d", 0)}
+	outcomes := map[string]admission.Outcome{}
 	at := map[string]time.Duration{}
-	ask := func(name string, timeout time.Duration) {
-		d.handle(timeout, func(o admission.Outcome, _ time.Duration) { told[name], at[name] = o, w.now })
+	startCall := func(name string, timeout time.Duration) {
+		d.handle(timeout, func(o admission.Outcome, _ time.Duration) { outcomes[name], at[name] = o, w.now })
 	}
 	w.at(0, func() {
-		ask("first", time.Second)
-		ask("second", time.Second)
-		ask("short timeout", 15*time.Millisecond)
+		startCall("first", time.Second)
+		startCall("second", time.Second)
+		startCall("short timeout", 15*time.Millisecond)
 	})
-	w.at(time.Second, func() { d.errorRate = 1; ask("rejected", time.Second) })
-	w.at(2*time.Second, func() { d.errorRate, d.unresponsive = 0, true; ask("unanswered", 50*time.Millisecond) })
+	w.at(time.Second, func() { d.errorRate = 1; startCall("rejected", time.Second) })
+	w.at(2*time.Second, func() { d.errorRate, d.unresponsive = 0, true; startCall("unanswered", 50*time.Millisecond) })
 	for w.step(time.Minute) {
 	}
 	assert.Equal(t, map[string]admission.Outcome{
 		"first": admission.Succeeded, "second": admission.Succeeded, "short timeout": admission.Unknown, "rejected": admission.NotRun, "unanswered": admission.Unknown,
-	}, told)
+	}, outcomes)
 	assert.Equal(t, 10*time.Millisecond, at["first"])
 	assert.Equal(t, 20*time.Millisecond, at["second"])
 }
 
-// A server that shuts down starts no request that arrives after the grace, answers all others, and ends before its
-// limit. A killed server loses its requests, and none of their effects happens twice because of that.
-func TestLeaveAndKill(t *testing.T) {
-	f := branch(3)
+// TestShutdownAndKill checks that a server that shuts down starts no request that arrives after the grace, answers all
+// others, and ends before its limit. A killed server loses its requests, and none of their effects happens twice
+// because of that.
+func TestShutdownAndKill(t *testing.T) {
+	f := branchFleet(3)
 	f.RouterOptions = RouterOptions{Balancing: "round", MaxAttempts: 0, RetriesAborted: true}
-	f.Clients = Clients{MaxRetries: -1, Backoff: 20 * time.Millisecond}
+	f.ClientOptions = ClientOptions{MaxRetries: -1, Backoff: 20 * time.Millisecond}
 	w := New(f, 5)
 	w.At(2*time.Second, func() { w.Restart([]int{0}, 2500*time.Millisecond) })
 	w.At(3*time.Second, func() { w.Kill([]int{1}) })
--- a/emulator/pool.go
+++ b/emulator/pool.go
@@ -16,13 +16,13 @@
 	frozen         bool
 	onDone         func(r *run) // called when a run has no work left
 
-	runs    runHeap
-	clock   float64 // virtual time: seconds of work that a run has done if it was started with the pool
-	last    time.Duration
-	busy    float64 // core seconds
-	timer   uint64  // generation of the scheduled event; events of earlier generations have no effect
-	samples []usageSample
-	seq     uint64
+	runs       runHeap
+	clock      float64 // virtual time: seconds of work that a run has done if it was started with the pool
+	advancedAt time.Duration
+	busy       float64 // core seconds
+	generation uint64  // of the scheduled event; events of earlier generations have no effect
+	samples    []usageSample
+	seq        uint64
 }
 
 type usageSample struct {
@@ -70,27 +70,27 @@
 // cores returns the cores that neighbours leave.
 func (p *pool) cores() float64 { return max(p.machine.Cores-p.neighbourCores, 0.05) }
 
-// pass advances the pool's clock to now. It must be called before any change to the pool. While a pool warms up, the
+// advance advances the pool's clock to now. It must be called before any change to the pool. While a pool warms up, the
 // speed at the end of the elapsed span is used for all of it.
-func (p *pool) pass() {
-	passed := (p.engine.now - p.last).Seconds()
-	p.last = p.engine.now
-	if n := float64(len(p.runs)); n > 0 && passed > 0 {
-		p.clock += passed * p.rate()
+func (p *pool) advance() {
+	elapsed := (p.engine.now - p.advancedAt).Seconds()
+	p.advancedAt = p.engine.now
+	if n := float64(len(p.runs)); n > 0 && elapsed > 0 {
+		p.clock += elapsed * p.rate()
 		if !p.machine.Independent {
-			p.busy += passed * (min(n, p.cores()) + p.neighbourCores)
+			p.busy += elapsed * (min(n, p.cores()) + p.neighbourCores)
 		}
 		return
 	}
-	p.busy += max(passed, 0) * p.neighbourCores
+	p.busy += max(elapsed, 0) * p.neighbourCores
 }
 
 func (p *pool) start(r *run) {
-	p.pass()
+	p.advance()
 	p.seq++
 	r.seq, r.endsAt = p.seq, p.clock+r.remaining
 	heap.Push(&p.runs, r)
-	p.set()
+	p.schedule()
 }
 
 // stop takes a run off the cores and records its remaining work.
@@ -98,40 +98,40 @@
 	if r.heapIndex < 0 {
 		return
 	}
-	p.pass()
+	p.advance()
 	r.remaining = max(r.endsAt-p.clock, 0)
 	heap.Remove(&p.runs, r.heapIndex)
 	r.heapIndex = -1
-	p.set()
+	p.schedule()
 }
 
-// longest is the maximum time between two events of a pool with runs, so that the clock follows the rising speed of a
-// warm-up.
-const longest = 250 * time.Millisecond
+// maxTimerInterval is the maximum time between two events of a pool with runs, so that the clock follows the rising
+// speed of a warm-up.
+const maxTimerInterval = 250 * time.Millisecond
 
-// set schedules the event of the run that is done next.
-func (p *pool) set() {
-	p.timer++
+// schedule sets the event of the run that is done next.
+func (p *pool) schedule() {
+	p.generation++
 	if len(p.runs) == 0 || p.frozen {
 		return
 	}
-	mine := p.timer
-	wait := longest
+	generation := p.generation
+	wait := maxTimerInterval
 	if rate := p.rate(); rate > 0 {
-		if left := (p.runs[0].endsAt - p.clock) / rate; left < longest.Seconds() {
+		if left := (p.runs[0].endsAt - p.clock) / rate; left < maxTimerInterval.Seconds() {
 			wait = time.Duration(left*1e9) + 1
 		}
 	}
 	p.engine.after(wait, func() {
-		if mine != p.timer {
+		if generation != p.generation {
 			return
 		}
-		p.pass()
+		p.advance()
 		var ended []*run
 		for len(p.runs) > 0 && p.runs[0].endsAt <= p.clock+1e-9 {
 			ended = append(ended, heap.Pop(&p.runs).(*run))
 		}
-		p.set()
+		p.schedule()
 		for _, r := range ended {
 			p.onDone(r)
 		}
@@ -139,15 +139,15 @@
 }
 
 // change applies a change to the pool and schedules its next event anew.
-func (p *pool) change(what func()) {
-	p.pass()
-	what()
-	p.set()
+func (p *pool) change(apply func()) {
+	p.advance()
+	apply()
+	p.schedule()
 }
 
-// use returns the busy fraction of the cores over the last half second.
-func (p *pool) use() float64 {
-	p.pass()
+// cpuUsage returns the busy fraction of the cores over the last half second.
+func (p *pool) cpuUsage() float64 {
+	p.advance()
 	p.samples = append(p.samples, usageSample{p.engine.now, p.busy})
 	for len(p.samples) > 2 && p.engine.now-p.samples[1].at >= time.Second/2 {
 		p.samples = p.samples[1:]
--- a/emulator/router.go
+++ b/emulator/router.go
@@ -32,14 +32,14 @@
 }
 
 // pick chooses an eligible server that the request has not tried yet, and reports whether there is one.
-func (r *router) pick(q *clientRequest) (number int, some bool) {
+func (r *router) pick(q *clientRequest) (number int, found bool) {
 	now := r.world.now
-	fits := func(n int) bool {
-		k := &r.views[n]
-		if slices.Contains(q.triedServers, n) || now < k.ejectedUntil {
+	eligible := func(n int) bool {
+		view := &r.views[n]
+		if slices.Contains(q.triedServers, n) || now < view.ejectedUntil {
 			return false
 		}
-		return !r.options.HeedsBackpressure || now > k.shedLevelAt+shedLevelTTL || q.rank >= k.shedLevel
+		return !r.options.HeedsBackpressure || now > view.shedLevelAt+shedLevelTTL || q.rank >= view.shedLevel
 	}
 	switch r.options.Balancing {
 	case BalancingLeastOpen:
@@ -49,7 +49,7 @@
 			if len(r.endpoints) > maxSample {
 				n = r.endpoints[r.rng.Intn(len(r.endpoints))]
 			}
-			if fits(n) && (best < 0 || r.views[n].open < r.views[best].open) {
+			if eligible(n) && (best < 0 || r.views[n].open < r.views[best].open) {
 				best = n
 			}
 		}
@@ -58,25 +58,25 @@
 		if len(r.endpoints) == 0 {
 			return 0, false
 		}
-		at := int(q.id*hashMultiplier>>33) % len(r.endpoints)
+		start := int(q.id*hashMultiplier>>33) % len(r.endpoints)
 		if r.options.Balancing == BalancingRandom {
-			at = r.rng.Intn(len(r.endpoints))
+			start = r.rng.Intn(len(r.endpoints))
 		}
 		for i := range r.endpoints {
-			if n := r.endpoints[(at+i)%len(r.endpoints)]; fits(n) {
+			if n := r.endpoints[(start+i)%len(r.endpoints)]; eligible(n) {
 				return n, true
 			}
 		}
 	case BalancingFirst:
 		for _, n := range r.endpoints {
-			if fits(n) {
+			if eligible(n) {
 				return n, true
 			}
 		}
 	default: // BalancingRoundRobin
 		for range r.endpoints {
 			r.next++
-			if n := r.endpoints[r.next%len(r.endpoints)]; fits(n) {
+			if n := r.endpoints[r.next%len(r.endpoints)]; eligible(n) {
 				return n, true
 			}
 		}
@@ -90,83 +90,83 @@
 	if first {
 		r.firstAttempts++
 	}
-	n, some := r.pick(q)
-	if !some && first && len(r.endpoints) > 0 && !r.options.HeedsBackpressure { // all are ejected, but one may be up again
-		n, some = r.endpoints[r.rng.Intn(len(r.endpoints))], true
+	n, found := r.pick(q)
+	if !found && first && len(r.endpoints) > 0 && !r.options.HeedsBackpressure { // all are ejected, but one may be up again
+		n, found = r.endpoints[r.rng.Intn(len(r.endpoints))], true
 	}
-	if !some {
+	if !found {
 		w.after(time.Millisecond, func() { w.recordUnserved(q, rejected, 100*time.Millisecond) })
 		return
 	}
 	q.triedServers = append(q.triedServers, n)
 	w.lastID++
-	work, after, calls := q.work, 0.0, w.fleet.Routes[q.route].Dependency != ""
-	if calls {
-		work, after = q.work/2, q.work/2
+	work, afterCall, callPending := q.work, 0.0, w.fleet.Routes[q.route].Dependency != ""
+	if callPending {
+		work, afterCall = q.work/2, q.work/2
 	}
-	t := &attempt{id: w.lastID, origin: q, afterCall: after, callPending: calls, valueShare: 1, composed: w.fleet.Plans[w.fleet.Routes[q.route].Name] != nil}
-	t.run = run{attempt: t, remaining: work, heapIndex: -1}
+	a := &attempt{id: w.lastID, origin: q, afterCall: afterCall, callPending: callPending, valueShare: 1, composed: w.fleet.Plans[w.fleet.Routes[q.route].Name] != nil}
+	a.run = run{attempt: a, remaining: work, heapIndex: -1}
 	r.views[n].open++
-	s, sent, ask := w.servers[n], w.now, q.sendSeq
-	t.server = s
-	waits := q.sentAt + w.fleet.Routes[q.route].Deadline - w.now
+	s, sentAt, sendSeq := w.servers[n], w.now, q.sendSeq
+	a.server = s
+	patience := q.sentAt + w.fleet.Routes[q.route].Deadline - w.now
 	w.after(w.networkDelay(), func() {
-		if q.sendSeq != ask || q.done { // its client has timed out
+		if q.sendSeq != sendSeq || q.done { // its client has timed out
 			r.views[n].open--
 			return
 		}
 		if !s.alive || w.now < r.views[n].disconnectedUntil {
-			w.sendAnswer(t, lost, 0, false)
+			w.sendAnswer(a, lost, 0, false)
 			return
 		}
 		w.result.Attempts++
-		w.result.Seconds[w.second(w.now)].Attempts++
-		s.whenRunning(s.incarnation, func() { s.receive(t, sent, waits) })
+		w.result.Seconds[w.secondIndex(w.now)].Attempts++
+		s.whenRunning(s.incarnation, func() { s.receive(a, sentAt, patience) })
 	})
 }
 
 // handleAnswer handles the end of an attempt: it ends the request, retries it, or leaves it to the client.
-func (r *router) handleAnswer(t *attempt, v verdict, level float64, retryAfter time.Duration, nowhereElse bool) {
-	w, q := r.world, t.origin
-	k := &r.views[t.server.number]
-	k.open--
+func (r *router) handleAnswer(a *attempt, v verdict, level float64, retryAfter time.Duration, noRetryElsewhere bool) {
+	w, q := r.world, a.origin
+	view := &r.views[a.server.number]
+	view.open--
 	if v == lost {
-		k.ejectedUntil = w.now + ejectionTime
+		view.ejectedUntil = w.now + ejectionTime
 	} else {
-		k.shedLevel, k.shedLevelAt = level, w.now
+		view.shedLevel, view.shedLevelAt = level, w.now
 		if r.options.HeedsBackpressure && v == rejected && retryAfter > 0 {
-			k.ejectedUntil = max(k.ejectedUntil, w.now+retryAfter/4) // other servers are used meanwhile
+			view.ejectedUntil = max(view.ejectedUntil, w.now+retryAfter/4) // other servers are used meanwhile
 		}
 	}
-	if q.done || len(q.triedServers) == 0 || q.triedServers[len(q.triedServers)-1] != t.server.number {
+	if q.done || len(q.triedServers) == 0 || q.triedServers[len(q.triedServers)-1] != a.server.number {
 		return // its client has timed out or sent it again
 	}
 	if v == served {
-		w.recordServed(q, t.valueShare)
+		w.recordServed(q, a.valueShare)
 		return
 	}
-	once := w.fleet.Routes[q.route].AtMostOnce
+	atMostOnce := w.fleet.Routes[q.route].AtMostOnce
 	// After a refused connection the request cannot have run; after a broken one it may have.
-	may := v == rejected || v == lost && (!once || !t.reached) || r.options.RetriesAborted && !once
-	left := q.sentAt + w.fleet.Routes[q.route].Deadline - w.now
-	more := r.options.MaxAttempts == 0 || len(q.triedServers) < r.options.MaxAttempts || v == lost && len(q.triedServers) < r.options.MaxAttempts+2
-	if r.options.HeedsBackpressure && nowhereElse {
-		more = false
+	retryable := v == rejected || v == lost && (!atMostOnce || !a.reached) || r.options.RetriesAborted && !atMostOnce
+	timeLeft := q.sentAt + w.fleet.Routes[q.route].Deadline - w.now
+	retryAllowed := r.options.MaxAttempts == 0 || len(q.triedServers) < r.options.MaxAttempts || v == lost && len(q.triedServers) < r.options.MaxAttempts+2
+	if r.options.HeedsBackpressure && noRetryElsewhere {
+		retryAllowed = false
 	}
-	if more && r.options.RetryBudget > 0 && v != lost {
-		if more = r.retriesSpent+1 <= 10+r.options.RetryBudget*r.firstAttempts; more {
+	if retryAllowed && r.options.RetryBudget > 0 && v != lost {
+		if retryAllowed = r.retriesSpent+1 <= 10+r.options.RetryBudget*r.firstAttempts; retryAllowed {
 			r.retriesSpent++
 		}
 	}
-	if may && r.options.MaxAttempts == 0 && left > minRetryTime { // without a limit of attempts: keeps cycling through the list
+	if retryable && r.options.MaxAttempts == 0 && timeLeft > minRetryTime { // without a limit of attempts: keeps cycling through the list
 		if len(q.triedServers) >= len(r.endpoints) {
 			q.triedServers = nil
 		}
-		ask := q.sendSeq
-		w.after(unlimitedRetryDelay, func() { r.retry(q, ask) })
+		sendSeq := q.sendSeq
+		w.after(unlimitedRetryDelay, func() { r.retry(q, sendSeq) })
 		return
 	}
-	if may && more && left > minRetryTime && len(q.triedServers) < len(r.endpoints) {
+	if retryable && retryAllowed && timeLeft > minRetryTime && len(q.triedServers) < len(r.endpoints) {
 		r.route(q, false)
 		return
 	}
@@ -183,23 +183,23 @@
 const unlimitedRetryDelay = 20 * time.Millisecond
 
 // retry makes another attempt, unless the client has timed out.
-func (r *router) retry(q *clientRequest, ask uint64) {
-	if !q.done && q.sendSeq == ask {
+func (r *router) retry(q *clientRequest, sendSeq uint64) {
+	if !q.done && q.sendSeq == sendSeq {
 		r.route(q, false)
 	}
 }
 
 // updateEndpoints adds a server to the endpoint list of every router or removes it, after the endpoint lag.
-func (w *World) updateEndpoints(number int, here bool) {
+func (w *World) updateEndpoints(number int, present bool) {
 	for _, r := range w.routers {
 		w.after(w.endpointLag, func() {
 			at := slices.Index(r.endpoints, number)
 			switch {
-			case here && at < 0:
+			case present && at < 0:
 				r.endpoints = append(r.endpoints, number)
 				slices.Sort(r.endpoints)
 				r.views[number].ejectedUntil = 0
-			case !here && at >= 0:
+			case !present && at >= 0:
 				r.endpoints = slices.Delete(r.endpoints, at, at+1)
 			}
 		})
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -61,7 +61,7 @@
 	policy      Policy
 	routes      []*admission.Route
 	pool        *pool
-	began       time.Duration
+	startedAt   time.Duration
 
 	attempts     map[*admission.Request]*attempt
 	composer     *composer
@@ -77,41 +77,41 @@
 }
 
 // whenRunning calls do now, or once the server is no longer frozen. It does nothing if the incarnation has ended.
-func (s *server) whenRunning(life uint64, do func()) {
+func (s *server) whenRunning(incarnation uint64, do func()) {
 	switch {
-	case !s.alive || s.incarnation != life:
+	case !s.alive || s.incarnation != incarnation:
 	case s.world.now < s.frozenUntil:
-		s.deferred = append(s.deferred, func() { s.whenRunning(life, do) })
+		s.deferred = append(s.deferred, func() { s.whenRunning(incarnation, do) })
 	default:
 		do()
 	}
 }
 
 // receive handles the arrival of a request from a router.
-func (s *server) receive(t *attempt, came time.Duration, waits time.Duration) {
+func (s *server) receive(a *attempt, sentAt time.Duration, patience time.Duration) {
 	w := s.world
-	t.reached = true
-	if s.stopAt > 0 && w.now >= s.notifiedAt+grace {
-		t.reached = false // connections are refused
-		w.sendAnswer(t, lost, 0, false)
+	a.reached = true
+	if s.stopAt > 0 && w.now >= s.notifiedAt+shutdownGrace {
+		a.reached = false // connections are refused
+		w.sendAnswer(a, lost, 0, false)
 		return
 	}
-	kind := s.routes[t.origin.route]
-	ago := max(w.now-came+s.clockOffset, 0)
-	t.Request = admission.Request{
-		Route: kind, QueuedKB: queuedKB, Arrived: w.now - ago, Rank: t.origin.rank, Router: uint32(t.origin.router.number),
-		Deadline: w.now - ago + min(waits, kind.Deadline),
+	route := s.routes[a.origin.route]
+	age := max(w.now-sentAt+s.clockOffset, 0)
+	a.Request = admission.Request{
+		Route: route, QueuedKB: queuedKB, Arrived: w.now - age, Rank: a.origin.rank, Router: uint32(a.origin.router.number),
+		Deadline: w.now - age + min(patience, route.Deadline),
 	}
-	s.attempts[&t.Request] = t
+	s.attempts[&a.Request] = a
 	effect := uint64(0)
-	if w.fleet.Routes[t.origin.route].AtMostOnce {
-		effect = t.origin.id
+	if w.fleet.Routes[a.origin.route].AtMostOnce {
+		effect = a.origin.id
 	}
-	w.rules.Add(rulecheck.Event{Kind: rulecheck.Received, At: w.now, Server: s.number, Attempt: t.id, Effect: effect, Deadline: came + waits})
-	if came+waits <= w.now { // the server was frozen and reads the request late
-		w.rules.Add(rulecheck.Event{Kind: rulecheck.Abandoned, At: w.now, Attempt: t.id})
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.Received, At: w.now, Server: s.number, Attempt: a.id, Effect: effect, Deadline: sentAt + patience})
+	if sentAt+patience <= w.now { // the server was frozen and reads the request late
+		w.rules.Add(rulecheck.Event{Kind: rulecheck.Abandoned, At: w.now, Attempt: a.id})
 	}
-	s.round.Arrived = append(s.round.Arrived, &t.Request)
+	s.round.Arrived = append(s.round.Arrived, &a.Request)
 	s.decide()
 }
 
@@ -133,41 +133,41 @@
 	}
 }
 
-func (s *server) forgetIfDone(t *attempt) {
-	if t != nil && t.answered && !t.active {
-		delete(s.attempts, &t.Request)
+func (s *server) forgetIfDone(a *attempt) {
+	if a != nil && a.answered && !a.active {
+		delete(s.attempts, &a.Request)
 	}
 }
 
 // workDone handles a run that has no work left on the cores: it either makes its call or ends.
-func (s *server) workDone(t *attempt) {
-	if t.callPending && !t.answered {
-		t.callPending = false
-		s.round.AwaitingCall = append(s.round.AwaitingCall, &t.Request)
+func (s *server) workDone(a *attempt) {
+	if a.callPending && !a.answered {
+		a.callPending = false
+		s.round.AwaitingCall = append(s.round.AwaitingCall, &a.Request)
 		s.decide()
 		return
 	}
-	t.active = false
-	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &t.Request, Outcome: admission.Succeeded, Took: s.world.now - t.run.startedAt})
-	if !t.answered {
-		s.answer(t, served, 0, false)
+	a.active = false
+	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &a.Request, Outcome: admission.Succeeded, Took: s.world.now - a.run.startedAt})
+	if !a.answered {
+		s.answer(a, served, 0, false)
 	}
 	s.decide()
 }
 
 // callReturned handles the end of a call.
-func (s *server) callReturned(t *attempt, outcome admission.Outcome, took time.Duration) {
-	s.round.CallsEnded = append(s.round.CallsEnded, admission.Completion{Request: &t.Request, Outcome: outcome, Took: took})
+func (s *server) callReturned(a *attempt, outcome admission.Outcome, took time.Duration) {
+	s.round.CallsEnded = append(s.round.CallsEnded, admission.Completion{Request: &a.Request, Outcome: outcome, Took: took})
 	if outcome == admission.Succeeded {
-		s.resumeAfterCall(t)
+		s.resumeAfterCall(a)
 	}
 	s.decide()
 }
 
 // resumeAfterCall continues a run after its call.
-func (s *server) resumeAfterCall(t *attempt) {
-	if t.active {
-		t.run.remaining = t.afterCall
-		s.pool.start(&t.run)
+func (s *server) resumeAfterCall(a *attempt) {
+	if a.active {
+		a.run.remaining = a.afterCall
+		s.pool.start(&a.run)
 	}
 }
--- a/emulator/server_executor.go
+++ b/emulator/server_executor.go
@@ -8,27 +8,27 @@
 )
 
 // Start implements admission.Executor, as do the methods below it.
-func (s *server) Start(c *admission.Request) {
-	t := s.attempts[c]
-	if t == nil || t.answered {
+func (s *server) Start(request *admission.Request) {
+	a := s.attempts[request]
+	if a == nil || a.answered {
 		return
 	}
-	if !t.started {
-		t.started, t.active, t.run.startedAt, t.run.heapIndex = true, true, s.world.now, -1
-		s.world.rules.Add(rulecheck.Event{Kind: rulecheck.Started, At: s.world.now, Server: s.number, Attempt: t.id})
+	if !a.started {
+		a.started, a.active, a.run.startedAt, a.run.heapIndex = true, true, s.world.now, -1
+		s.world.rules.Add(rulecheck.Event{Kind: rulecheck.Started, At: s.world.now, Server: s.number, Attempt: a.id})
 		s.world.result.Starts++
 	}
-	if t.composed {
-		if t.execution == nil {
-			s.awaitingCall = append(s.awaitingCall, c)
+	if a.composed {
+		if a.execution == nil {
+			s.awaitingCall = append(s.awaitingCall, request)
 		}
 		return
 	}
-	if t.run.heapIndex < 0 {
-		s.pool.start(&t.run)
+	if a.run.heapIndex < 0 {
+		s.pool.start(&a.run)
 	}
 	n := float64(len(s.pool.runs))
-	s.world.rules.Add(rulecheck.Event{Kind: rulecheck.RunsPerCore, At: s.world.now, Server: s.number, Value: n / (enduredRunsPerCore * s.pool.machine.Cores)})
+	s.world.rules.Add(rulecheck.Event{Kind: rulecheck.RunsPerCore, At: s.world.now, Server: s.number, Value: n / (survivedRunsPerCore * s.pool.machine.Cores)})
 	s.world.rules.Add(rulecheck.Event{Kind: rulecheck.Memory, At: s.world.now, Server: s.number, Value: s.memoryShare()})
 }
 
@@ -37,57 +37,57 @@
 }
 
 // Pause stops a run. The end of the run is reported after linkDelay, the delay of the link to a worker pool.
-func (s *server) Pause(c *admission.Request) {
-	t := s.attempts[c]
-	if t == nil || !t.active {
+func (s *server) Pause(request *admission.Request) {
+	a := s.attempts[request]
+	if a == nil || !a.active {
 		return
 	}
-	if t.composed {
-		s.composer.abandon(t)
+	if a.composed {
+		s.composer.abandon(a)
 		return
 	}
-	s.pool.stop(&t.run)
-	life := s.incarnation
+	s.pool.stop(&a.run)
+	incarnation := s.incarnation
 	s.world.after(linkDelay, func() {
-		s.whenRunning(life, func() {
-			if !t.active || t.run.heapIndex >= 0 {
+		s.whenRunning(incarnation, func() {
+			if !a.active || a.run.heapIndex >= 0 {
 				return
 			}
-			t.active = false
-			s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &t.Request, Outcome: admission.Stopped, Took: s.world.now - t.run.startedAt})
-			if !t.answered {
-				s.answer(t, aborted, 0, false)
+			a.active = false
+			s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &a.Request, Outcome: admission.Stopped, Took: s.world.now - a.run.startedAt})
+			if !a.answered {
+				s.answer(a, aborted, 0, false)
 			}
 			s.decide()
 		})
 	})
 }
 
-func (s *server) Reject(c *admission.Request, retryAfter time.Duration, nowhereElse bool) {
-	if t := s.attempts[c]; t != nil {
-		s.answer(t, rejected, retryAfter, nowhereElse)
+func (s *server) Reject(request *admission.Request, retryAfter time.Duration, noRetryElsewhere bool) {
+	if a := s.attempts[request]; a != nil {
+		s.answer(a, rejected, retryAfter, noRetryElsewhere)
 	}
 }
 
-func (s *server) Abort(c *admission.Request) {
-	if t := s.attempts[c]; t != nil {
-		s.answer(t, aborted, 0, false)
-		if t.composed && t.active { // the policy waits for its end without pausing it
-			s.composer.abandon(t)
+func (s *server) Abort(request *admission.Request) {
+	if a := s.attempts[request]; a != nil {
+		s.answer(a, aborted, 0, false)
+		if a.composed && a.active { // the policy waits for its end without pausing it
+			s.composer.abandon(a)
 		}
 	}
 }
 
 // answer sends the answer to the router, and counts any further one as a duplicate.
-func (s *server) answer(t *attempt, v verdict, retryAfter time.Duration, nowhereElse bool) {
-	if t.answered {
+func (s *server) answer(a *attempt, v verdict, retryAfter time.Duration, noRetryElsewhere bool) {
+	if a.answered {
 		s.world.result.DuplicateAnswers++
 		return
 	}
-	t.answered = true
-	s.world.rules.Add(rulecheck.Event{Kind: rulecheck.Answered, At: s.world.now, Server: s.number, Attempt: t.id, Rejected: v == rejected})
-	s.world.sendAnswer(t, v, retryAfter, nowhereElse)
-	s.forgetIfDone(t)
+	a.answered = true
+	s.world.rules.Add(rulecheck.Event{Kind: rulecheck.Answered, At: s.world.now, Server: s.number, Attempt: a.id, Rejected: v == rejected})
+	s.world.sendAnswer(a, v, retryAfter, noRetryElsewhere)
+	s.forgetIfDone(a)
 }
 
 // AnswerFromOriginal does nothing because idempotency keys are not emulated; RememberKey and ForgetKey do nothing
@@ -98,25 +98,25 @@
 
 func (s *server) ForgetKey(*admission.Request) {}
 
-func (s *server) Call(c *admission.Request, timeout time.Duration) {
-	t := s.attempts[c]
-	if t == nil || !t.active {
+func (s *server) Call(request *admission.Request, timeout time.Duration) {
+	a := s.attempts[request]
+	if a == nil || !a.active {
 		return
 	}
-	if t.composed {
-		s.composer.begin(t, s.world.now+timeout)
+	if a.composed {
+		s.composer.begin(a, s.world.now+timeout)
 		return
 	}
-	life := s.incarnation
-	s.world.dependency(s.world.fleet.Routes[t.origin.route].Dependency).handle(timeout, func(outcome admission.Outcome, took time.Duration) {
-		s.whenRunning(life, func() { s.callReturned(t, outcome, took) })
+	incarnation := s.incarnation
+	s.world.dependency(s.world.fleet.Routes[a.origin.route].Dependency).handle(timeout, func(outcome admission.Outcome, took time.Duration) {
+		s.whenRunning(incarnation, func() { s.callReturned(a, outcome, took) })
 	})
 }
 
-func (s *server) SkipCall(c *admission.Request) {
-	if t := s.attempts[c]; t != nil {
-		t.valueShare = s.world.fleet.Routes[t.origin.route].SkipValueShare
-		s.resumeAfterCall(t)
+func (s *server) SkipCall(request *admission.Request) {
+	if a := s.attempts[request]; a != nil {
+		a.valueShare = s.world.fleet.Routes[a.origin.route].SkipValueShare
+		s.resumeAfterCall(a)
 	}
 }
 
@@ -129,12 +129,12 @@
 func (s *server) Log(string) {}
 
 // WakeAfter schedules a round with gauges.
-func (s *server) WakeAfter(in time.Duration) {
-	life := s.incarnation
-	s.world.after(in, func() {
-		s.whenRunning(life, func() {
+func (s *server) WakeAfter(wait time.Duration) {
+	incarnation := s.incarnation
+	s.world.after(wait, func() {
+		s.whenRunning(incarnation, func() {
 			s.round.Gauges = &admission.Gauges{
-				CPU: s.pool.use(), Runnable: float64(len(s.pool.runs)) + s.pool.neighbourCores, Connections: 1,
+				CPU: s.pool.cpuUsage(), Runnable: float64(len(s.pool.runs)) + s.pool.neighbourCores, Connections: 1,
 				Memory: min(1, RunKB*float64(len(s.pool.runs))/s.pool.machine.MemoryKB),
 			}
 			s.decide()
--- a/emulator/server_lifecycle.go
+++ b/emulator/server_lifecycle.go
@@ -12,24 +12,24 @@
 func (s *server) boot() {
 	w := s.world
 	s.incarnation++
-	s.alive, s.began, s.shedLevel, s.notifiedAt, s.stopAt, s.frozenUntil, s.deferred = true, w.now, 0, 0, 0, 0, nil
+	s.alive, s.startedAt, s.shedLevel, s.notifiedAt, s.stopAt, s.frozenUntil, s.deferred = true, w.now, 0, 0, 0, 0, nil
 	s.attempts = map[*admission.Request]*attempt{}
 	s.round = admission.Round{}
-	factor, taken := 1.0, 0.0
+	speedFactor, neighbourCores := 1.0, 0.0
 	if s.pool != nil { // slowdowns and neighbours of the machine outlive a process
-		factor, taken = s.pool.speedFactor, s.pool.neighbourCores
+		speedFactor, neighbourCores = s.pool.speedFactor, s.pool.neighbourCores
 	}
-	s.pool = &pool{engine: &w.engine, machine: w.fleet.Machine, speedFactor: factor, neighbourCores: taken, startedAt: w.now, last: w.now}
-	life := s.incarnation
-	s.pool.onDone = func(r *run) { s.whenRunning(life, func() { s.workDone(r.attempt) }) }
-	s.policy, s.routes = w.fleet.Policy(w.fleet.Routes, w.fleet.Machine, w.callShare(), w.seed+int64(s.number)+1000*int64(s.incarnation))
+	s.pool = &pool{engine: &w.engine, machine: w.fleet.Machine, speedFactor: speedFactor, neighbourCores: neighbourCores, startedAt: w.now, advancedAt: w.now}
+	incarnation := s.incarnation
+	s.pool.onDone = func(r *run) { s.whenRunning(incarnation, func() { s.workDone(r.attempt) }) }
+	s.policy, s.routes = w.fleet.Policy(w.fleet.Routes, w.fleet.Machine, w.callQuota(), w.seed+int64(s.number)+1000*int64(s.incarnation))
 	s.composer, s.awaitingCall = newComposer(s), nil
-	for i, t := range w.fleet.Routes {
-		if plan := w.fleet.Plans[t.Name]; plan != nil {
+	for i, route := range w.fleet.Routes {
+		if plan := w.fleet.Plans[route.Name]; plan != nil {
 			s.routes[i].CallWait = plan.RequiredPath()
 		}
 	}
-	if controller, own := s.policy.(*admission.Controller); own && w.fleet.PeerSync {
+	if controller, ok := s.policy.(*admission.Controller); ok && w.fleet.PeerSync {
 		s.usePeerEstimates(controller)
 	}
 	s.decide()
@@ -43,8 +43,8 @@
 	var snapshots []estimate.Snapshot
 	for _, i := range w.incidentRand.Perm(len(w.servers)) {
 		other := w.servers[i]
-		peer, own := other.policy.(*admission.Controller)
-		if other == s || !other.alive || !own || len(snapshots) == 3 {
+		peer, ok := other.policy.(*admission.Controller)
+		if other == s || !other.alive || !ok || len(snapshots) == 3 {
 			continue
 		}
 		if snapshot, err := schema.Validate(peer.Estimates(w.now, peer.EstimateSchema(uint64(other.number)<<32|other.incarnation, 0, false))); err == nil {
@@ -71,47 +71,47 @@
 func (s *server) dropOpen() {
 	open := s.world.sortedByID(s.attempts)
 	s.attempts = map[*admission.Request]*attempt{}
-	for _, t := range open {
-		if !t.answered {
-			t.answered = true
-			s.world.sendAnswer(t, lost, 0, false)
+	for _, a := range open {
+		if !a.answered {
+			a.answered = true
+			s.world.sendAnswer(a, lost, 0, false)
 		}
 	}
 }
 
-// shutdown begins a graceful shutdown that takes at most within. then is called when it has ended.
-func (s *server) shutdown(within time.Duration, then func()) {
+// shutdown begins a graceful shutdown that takes at most within. onStopped is called when it has ended.
+func (s *server) shutdown(within time.Duration, onStopped func()) {
 	if !s.alive || s.stopAt > 0 {
 		return
 	}
 	w := s.world
-	s.notifiedAt, s.stopAt, s.onStopped = w.now, w.now+within, then
-	w.rules.Add(rulecheck.Event{Kind: rulecheck.ShutdownNotified, At: w.now, Server: s.number, Deadline: w.now + grace})
+	s.notifiedAt, s.stopAt, s.onStopped = w.now, w.now+within, onStopped
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.ShutdownNotified, At: w.now, Server: s.number, Deadline: w.now + shutdownGrace})
 	s.round.StopAt = s.stopAt - stopMargin
-	life := s.incarnation
-	s.whenRunning(life, s.decide)
-	w.at(s.notifiedAt+grace, func() { s.stopWhenAnswered(life) })
-	w.at(s.stopAt, func() { s.stopped(life) })
+	incarnation := s.incarnation
+	s.whenRunning(incarnation, s.decide)
+	w.at(s.notifiedAt+shutdownGrace, func() { s.stopWhenAnswered(incarnation) })
+	w.at(s.stopAt, func() { s.stopped(incarnation) })
 }
 
 // stopWhenAnswered ends the shutdown once all attempts are answered. It is first called at the end of the grace.
-func (s *server) stopWhenAnswered(life uint64) {
-	if !s.alive || s.incarnation != life {
+func (s *server) stopWhenAnswered(incarnation uint64) {
+	if !s.alive || s.incarnation != incarnation {
 		return
 	}
-	for _, t := range s.attempts { // in any order, as nothing is drawn
-		if !t.answered {
-			s.world.after(drainCheckInterval, func() { s.stopWhenAnswered(life) })
+	for _, a := range s.attempts { // in any order, as nothing is drawn
+		if !a.answered {
+			s.world.after(drainCheckInterval, func() { s.stopWhenAnswered(incarnation) })
 			return
 		}
 	}
-	s.stopped(life)
+	s.stopped(incarnation)
 }
 
 // stopped ends a graceful shutdown.
-func (s *server) stopped(life uint64) {
+func (s *server) stopped(incarnation uint64) {
 	w := s.world
-	if !s.alive || s.incarnation != life {
+	if !s.alive || s.incarnation != incarnation {
 		return
 	}
 	w.rules.Add(rulecheck.Event{Kind: rulecheck.Stopped, At: w.now, Server: s.number})
@@ -130,21 +130,21 @@
 	}
 	w := s.world
 	s.frozenUntil = max(s.frozenUntil, w.now+span)
-	for _, t := range w.sortedByID(s.attempts) {
-		if !t.answered && t.Deadline < s.frozenUntil+thawMargin {
-			w.rules.Add(rulecheck.Event{Kind: rulecheck.Abandoned, At: w.now, Attempt: t.id})
+	for _, a := range w.sortedByID(s.attempts) {
+		if !a.answered && a.Deadline < s.frozenUntil+unfreezeMargin {
+			w.rules.Add(rulecheck.Event{Kind: rulecheck.Abandoned, At: w.now, Attempt: a.id})
 		}
 	}
 	s.pool.change(func() { s.pool.frozen = true })
-	life := s.incarnation
+	incarnation := s.incarnation
 	w.at(s.frozenUntil, func() {
-		if !s.alive || s.incarnation != life || w.now < s.frozenUntil {
+		if !s.alive || s.incarnation != incarnation || w.now < s.frozenUntil {
 			return
 		}
 		s.pool.change(func() { s.pool.frozen = false })
-		late := s.deferred
+		deferred := s.deferred
 		s.deferred = nil
-		for _, do := range late {
+		for _, do := range deferred {
 			do()
 		}
 	})
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	queuedKB           = 20.0
-	enduredRunsPerCore = 8.0                    // above the 6 that Settings sets as MaxRunnablePerCore
-	linkDelay          = 100 * time.Microsecond // between a server and its worker pool
-	drainCheckInterval = 20 * time.Millisecond  // between checks whether a server that shuts down has answered everything
-	stopMargin         = 15 * time.Millisecond  // before the end of a shutdown; everything must be answered by then
-	thawMargin         = 50 * time.Millisecond  // after a freeze, for handling the deferred events
-	ejectionTime       = time.Second            // of a server that did not answer
-	resendDelay        = 200 * time.Millisecond // of a message that the network lost; doubles with each loss
-	minRetryTime       = 5 * time.Millisecond   // minimum time left for another attempt
+	queuedKB            = 20.0
+	survivedRunsPerCore = 8.0                    // above the 6 that Settings sets as MaxRunnablePerCore
+	linkDelay           = 100 * time.Microsecond // between a server and its worker pool
+	drainCheckInterval  = 20 * time.Millisecond  // between checks whether a server that shuts down has answered everything
+	stopMargin          = 15 * time.Millisecond  // before the end of a shutdown; everything must be answered by then
+	unfreezeMargin      = 50 * time.Millisecond  // after a freeze, for handling the deferred events
+	ejectionTime        = time.Second            // of a server that did not answer
+	resendDelay         = 200 * time.Millisecond // of a message that the network lost; doubles with each loss
+	minRetryTime        = 5 * time.Millisecond   // minimum time left for another attempt
 )
 
 // The ways in which a router chooses among the eligible servers.
@@ -43,8 +43,8 @@
 	RetriesAborted    bool    // also retries aborted requests, unless they are at-most-once
 }
 
-// Clients are the options of clients.
-type Clients struct {
+// ClientOptions are the options of clients.
+type ClientOptions struct {
 	MaxRetries int           // of a request that was not served; negative for no limit
 	Backoff    time.Duration // mean wait before a retry
 }
@@ -67,7 +67,7 @@
 	PeerSync      bool // a server that starts uses the estimates of running ones
 	Routers       int
 	RouterOptions RouterOptions
-	Clients       Clients
+	ClientOptions ClientOptions
 	Dependencies  []Dependency
 	Plans         map[string]*budget.Plan // of composed routes, by route name; valid by budget.Plan.Validate
 	Delay         time.Duration           // one-way network delay
@@ -130,22 +130,22 @@
 // World is an emulated fleet with its clients. It must be used from one goroutine.
 type World struct {
 	engine
-	fleet        Fleet
-	seed         int64
-	incidentRand *rand.Rand // draws of RandomServers
-	servers      []*server
-	routers      []*router
-	dependencies map[string]*dependency
-	rules        *rulecheck.Checker
-	result       Result
-	networkRand  *rand.Rand
-	delayFactor  float64
-	lossRate     float64
-	endpointLag  time.Duration
-	lastID       uint64
-	loadFactor   float64
-	clients      Clients
-	span         time.Duration
+	fleet         Fleet
+	seed          int64
+	incidentRand  *rand.Rand // draws of RandomServers
+	servers       []*server
+	routers       []*router
+	dependencies  map[string]*dependency
+	rules         *rulecheck.Checker
+	result        Result
+	networkRand   *rand.Rand
+	delayFactor   float64
+	lossRate      float64
+	endpointLag   time.Duration
+	lastID        uint64
+	loadFactor    float64
+	clientOptions ClientOptions
+	span          time.Duration
 }
 
 // New returns a world whose servers have just started.
@@ -157,13 +157,13 @@
 		fleet.Zones = 1
 	}
 	w := &World{
-		fleet: fleet, seed: seed, incidentRand: source(seed, "incidents", 0), networkRand: source(seed, "network", 0), rules: rulecheck.New(0),
-		dependencies: map[string]*dependency{}, delayFactor: 1, endpointLag: fleet.EndpointLag, loadFactor: 1, clients: fleet.Clients,
+		fleet: fleet, seed: seed, incidentRand: randomSource(seed, "incidents", 0), networkRand: randomSource(seed, "network", 0), rules: rulecheck.New(0),
+		dependencies: map[string]*dependency{}, delayFactor: 1, endpointLag: fleet.EndpointLag, loadFactor: 1, clientOptions: fleet.ClientOptions,
 	}
 	w.result.Latencies = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	w.result.GoodputByRoute, w.result.OfferedByRoute = make([]float64, len(fleet.Routes)), make([]float64, len(fleet.Routes))
 	for i, d := range fleet.Dependencies {
-		w.dependencies[d.Name] = &dependency{world: w, Dependency: d, slowFactor: 1, rng: source(seed, "dependency", i), number: i}
+		w.dependencies[d.Name] = &dependency{world: w, Dependency: d, slowFactor: 1, rng: randomSource(seed, "dependency", i), number: i}
 	}
 	for i := range fleet.Servers {
 		s := &server{world: w, number: i, zone: i % fleet.Zones}
@@ -171,7 +171,7 @@
 		s.boot()
 	}
 	for i := range max(fleet.Routers, 1) {
-		r := &router{world: w, number: i, rng: source(seed, "router", i), options: fleet.RouterOptions}
+		r := &router{world: w, number: i, rng: randomSource(seed, "router", i), options: fleet.RouterOptions}
 		r.views = make([]serverView, fleet.Servers)
 		for n := range fleet.Servers {
 			r.endpoints = append(r.endpoints, n)
@@ -182,8 +182,8 @@
 	return w
 }
 
-// callShare returns a server's quota of calls in flight.
-func (w *World) callShare() float64 {
+// callQuota returns a server's quota of calls in flight.
+func (w *World) callQuota() float64 {
 	if len(w.fleet.Plans) > 0 {
 		return 1e9 // package budget limits them
 	}
@@ -197,10 +197,10 @@
 func (w *World) dependency(name string) *dependency { return w.dependencies[name] }
 
 // sortedByID returns attempts sorted by id, so that the iteration order of a map does not affect a run.
-func (w *World) sortedByID(tries map[*admission.Request]*attempt) []*attempt {
-	all := make([]*attempt, 0, len(tries))
-	for _, t := range tries {
-		all = append(all, t)
+func (w *World) sortedByID(attempts map[*admission.Request]*attempt) []*attempt {
+	all := make([]*attempt, 0, len(attempts))
+	for _, a := range attempts {
+		all = append(all, a)
 	}
 	slices.SortFunc(all, func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
 	return all
@@ -216,22 +216,22 @@
 			w.at(a.At, func() { w.arrive(a) })
 		}
 	} else {
-		w.drawArrivals(load, source(w.seed, "load", 0))
+		w.drawArrivals(load, randomSource(w.seed, "load", 0))
 	}
-	longest := time.Duration(0)
-	for _, t := range w.fleet.Routes {
-		longest = max(longest, t.Deadline)
+	maxDeadline := time.Duration(0)
+	for _, route := range w.fleet.Routes {
+		maxDeadline = max(maxDeadline, route.Deadline)
 	}
-	for end := load.Span + 2*longest + time.Second; w.step(end); {
+	for end := load.Span + 2*maxDeadline + time.Second; w.step(end); {
 	}
 	w.result.Rules = w.rules.Finish(w.now)
-	w.result.Events = w.played
+	w.result.Events = w.executed
 	return w.result
 }
 
 // drawArrivals schedules one arrival at a time, so that memory does not grow with the length of the load. As the rate
 // may change, arrivals are drawn at twice the current rate and thinned (Lewis and Shedler).
-func (w *World) drawArrivals(load Load, chance *rand.Rand) {
+func (w *World) drawArrivals(load Load, rng *rand.Rand) {
 	factor := func() float64 {
 		f := w.loadFactor
 		if load.Factor != nil {
@@ -241,14 +241,14 @@
 	}
 	var next func()
 	next = func() {
-		most := max(2*factor(), 0.1)
-		wait := time.Duration(chance.ExpFloat64() / (load.Rate * most) * 1e9)
+		maxFactor := max(2*factor(), 0.1)
+		wait := time.Duration(rng.ExpFloat64() / (load.Rate * maxFactor) * 1e9)
 		w.after(max(wait, 1), func() {
 			if w.now >= load.Span {
 				return
 			}
-			if chance.Float64()*most < factor() {
-				a := draw(chance, w.fleet.Routes)
+			if rng.Float64()*maxFactor < factor() {
+				a := draw(rng, w.fleet.Routes)
 				w.arrive(&a)
 			}
 			next()
@@ -260,28 +260,28 @@
 // arrive creates a request and makes its client send it.
 func (w *World) arrive(a *Arrival) {
 	w.lastID++
-	t := w.fleet.Routes[a.Route]
+	route := w.fleet.Routes[a.Route]
 	q := &clientRequest{
 		id: w.lastID, route: a.Route, rank: min(a.Rank, 0.9999), work: max(a.Work.Seconds(), 1e-6), createdAt: w.now,
-		router: w.routers[int(w.lastID)%len(w.routers)], retriesLeft: w.clients.MaxRetries,
+		router: w.routers[int(w.lastID)%len(w.routers)], retriesLeft: w.clientOptions.MaxRetries,
 	}
 	w.result.Requests++
-	w.result.OfferedValue += t.Value
-	w.result.OfferedByRoute[a.Route] += t.Value
-	w.result.Seconds[w.second(w.now)].OfferedValue += t.Value
+	w.result.OfferedValue += route.Value
+	w.result.OfferedByRoute[a.Route] += route.Value
+	w.result.Seconds[w.secondIndex(w.now)].OfferedValue += route.Value
 	w.send(q)
 }
 
-func (w *World) second(at time.Duration) int {
+func (w *World) secondIndex(at time.Duration) int {
 	return min(int(at/time.Second), len(w.result.Seconds)-1)
 }
 
 // send makes a client send its request, for the first time or again, and sets the client's timeout.
 func (w *World) send(q *clientRequest) {
 	q.sentAt, q.triedServers, q.sendSeq = w.now, nil, q.sendSeq+1
-	ask, outer := q.sendSeq, w.fleet.Routes[q.route].Deadline
-	w.after(outer, func() {
-		if !q.done && q.sendSeq == ask {
+	sendSeq, deadline := q.sendSeq, w.fleet.Routes[q.route].Deadline
+	w.after(deadline, func() {
+		if !q.done && q.sendSeq == sendSeq {
 			w.recordUnserved(q, lost, 0)
 		}
 	})
@@ -295,31 +295,31 @@
 		d += time.Duration(w.networkRand.ExpFloat64() * float64(w.fleet.Jitter))
 	}
 	d = time.Duration(float64(d) * w.delayFactor)
-	for lost := 0; w.lossRate > 0 && lost < 5 && w.networkRand.Float64() < w.lossRate; lost++ {
-		d += resendDelay << lost
+	for losses := 0; w.lossRate > 0 && losses < 5 && w.networkRand.Float64() < w.lossRate; losses++ {
+		d += resendDelay << losses
 	}
 	return max(d, time.Microsecond)
 }
 
-// sendAnswer sends the end of an attempt to the router; verdict lost stands for a broken connection.
-func (w *World) sendAnswer(t *attempt, v verdict, retryAfter time.Duration, nowhereElse bool) {
-	level := t.server.shedLevel
-	t.origin.mayHaveRun = t.origin.mayHaveRun || t.started && v != rejected
-	w.after(w.networkDelay(), func() { t.origin.router.handleAnswer(t, v, level, retryAfter, nowhereElse) })
+// sendAnswer sends the end of an attempt to the router. With the verdict lost, the router sees a failed connection.
+func (w *World) sendAnswer(a *attempt, v verdict, retryAfter time.Duration, noRetryElsewhere bool) {
+	level := a.server.shedLevel
+	a.origin.mayHaveRun = a.origin.mayHaveRun || a.started && v != rejected
+	w.after(w.networkDelay(), func() { a.origin.router.handleAnswer(a, v, level, retryAfter, noRetryElsewhere) })
 }
 
 // recordServed ends a request that was served with a share of its value.
-func (w *World) recordServed(q *clientRequest, part float64) {
+func (w *World) recordServed(q *clientRequest, valueShare float64) {
 	q.done = true
 	took := w.now - q.sentAt
-	t := w.fleet.Routes[q.route]
+	route := w.fleet.Routes[q.route]
 	w.result.Served++
 	_ = w.result.Latencies.RecordValue(min(max(took.Microseconds(), 1), int64(time.Minute/time.Microsecond)))
-	if took <= t.LatencyTarget {
-		valueShare := t.Value * part
-		w.result.Goodput += valueShare
-		w.result.GoodputByRoute[q.route] += valueShare
-		w.result.Seconds[w.second(q.createdAt)].Goodput += valueShare
+	if took <= route.LatencyTarget {
+		value := route.Value * valueShare
+		w.result.Goodput += value
+		w.result.GoodputByRoute[q.route] += value
+		w.result.Seconds[w.secondIndex(q.createdAt)].Goodput += value
 	}
 }
 
@@ -330,15 +330,15 @@
 	}
 	q.sendSeq++ // disables the client's timeout
 	// An at-most-once request that may have run is not sent again.
-	repeatable := !w.fleet.Routes[q.route].AtMostOnce || !q.mayHaveRun && v != lost
-	if repeatable && q.retriesLeft != 0 && w.now < w.span+time.Second {
+	retryable := !w.fleet.Routes[q.route].AtMostOnce || !q.mayHaveRun && v != lost
+	if retryable && q.retriesLeft != 0 && w.now < w.span+time.Second {
 		q.retriesLeft--
-		pause := w.clients.Backoff
+		backoff := w.clientOptions.Backoff
 		if q.router.options.HeedsBackpressure {
-			pause = max(pause, retryAfter)
+			backoff = max(backoff, retryAfter)
 		}
-		pause = time.Duration(float64(pause) * (0.75 + q.router.rng.Float64()/2))
-		w.after(max(pause, time.Millisecond), func() { w.send(q) })
+		backoff = time.Duration(float64(backoff) * (0.75 + q.router.rng.Float64()/2))
+		w.after(max(backoff, time.Millisecond), func() { w.send(q) })
 		return
 	}
 	q.done = true
--- a/rulecheck/rules.go
+++ b/rulecheck/rules.go
@@ -49,15 +49,15 @@
 const maxMessages = 20
 
 type attempt struct {
-	server   int
-	deadline time.Duration
-	arrived  time.Duration
-	effect   uint64
-	started  bool
-	gone     bool // nobody waits for its answer; its effect still counts
+	server    int
+	deadline  time.Duration
+	arrivedAt time.Duration
+	effect    uint64
+	started   bool
+	abandoned bool // nobody waits for its answer; its effect still counts
 }
 
-type shutdown struct{ grace time.Duration }
+type shutdown struct{ graceEnd time.Duration }
 
 // Checker checks events, which must be added in order of time. It must be used from one goroutine.
 type Checker struct {
@@ -91,14 +91,14 @@
 		if c.open[e.Attempt] != nil {
 			c.violate(1, e.At, "attempt %d received twice", e.Attempt)
 		}
-		c.open[e.Attempt] = &attempt{server: e.Server, deadline: e.Deadline, arrived: e.At, effect: e.Effect}
+		c.open[e.Attempt] = &attempt{server: e.Server, deadline: e.Deadline, arrivedAt: e.At, effect: e.Effect}
 	case Started:
 		c.started(e)
 	case Answered:
 		c.answered(e)
 	case Abandoned:
 		if a := c.open[e.Attempt]; a != nil {
-			a.gone = true
+			a.abandoned = true
 		}
 	case ShutdownNotified:
 		c.shutdowns[e.Server] = shutdown{e.Deadline}
@@ -126,7 +126,7 @@
 		c.violate(1, e.At, "attempt %d started but is not open", e.Attempt)
 		return
 	}
-	if s, shuttingDown := c.shutdowns[a.server]; shuttingDown && a.arrived > s.grace {
+	if s, shuttingDown := c.shutdowns[a.server]; shuttingDown && a.arrivedAt > s.graceEnd {
 		c.violate(3, e.At, "attempt %d arrived after the grace and ran", e.Attempt)
 	}
 	if a.started = true; a.effect != 0 {
@@ -144,7 +144,7 @@
 		return
 	}
 	delete(c.open, e.Attempt)
-	if a.gone {
+	if a.abandoned {
 		return
 	}
 	c.answers++
@@ -163,7 +163,7 @@
 		if a.server != e.Server {
 			continue
 		}
-		if e.Kind == Stopped && !a.gone {
+		if e.Kind == Stopped && !a.abandoned {
 			c.violate(3, e.At, "server %d stopped with attempt %d unanswered", e.Server, id)
 		}
 		delete(c.open, id)
@@ -174,8 +174,8 @@
 // Finish ends the run at a moment and returns the report. An attempt that is still open after its deadline violates
 // rule 1.
 func (c *Checker) Finish(at time.Duration) Report {
-	for _, t := range c.open { // in any order, as they are only counted
-		if t.deadline+c.slack < at && !t.gone {
+	for _, a := range c.open { // in any order, as they are only counted
+		if a.deadline+c.slack < at && !a.abandoned {
 			c.violations[1]++
 		}
 	}
--- a/rulecheck/rules_test.go
+++ b/rulecheck/rules_test.go
@@ -13,38 +13,38 @@
 )
 
 func TestRules(t *testing.T) {
-	read := Event{Kind: Received, At: s, Server: 1, Attempt: 1, Deadline: 2 * s}
+	received := Event{Kind: Received, At: s, Server: 1, Attempt: 1, Deadline: 2 * s}
 	effect := Event{Kind: Received, At: s, Server: 1, Attempt: 1, Effect: 9, Deadline: 2 * s}
 	started := Event{Kind: Started, At: s, Server: 1, Attempt: 1}
 	answered := Event{Kind: Answered, At: s + ms, Server: 1, Attempt: 1}
 	late := Event{Kind: Answered, At: 2*s + 2*ms, Server: 1, Attempt: 1}
-	dismissed := Event{Kind: Answered, At: s + ms, Server: 1, Attempt: 1, Rejected: true}
-	gone := Event{Kind: Abandoned, At: s, Attempt: 1}
+	rejected := Event{Kind: Answered, At: s + ms, Server: 1, Attempt: 1, Rejected: true}
+	abandoned := Event{Kind: Abandoned, At: s, Attempt: 1}
 	notice := Event{Kind: ShutdownNotified, At: s / 2, Server: 1, Deadline: s - ms}
 	stopped := Event{Kind: Stopped, At: 3 * s, Server: 1}
 	crashed := Event{Kind: Crashed, At: 3 * s, Server: 1}
 	second := Event{Kind: Received, At: s, Server: 2, Attempt: 2, Effect: 9, Deadline: 2 * s}
-	again := Event{Kind: Started, At: s, Server: 2, Attempt: 2}
+	secondStarted := Event{Kind: Started, At: s, Server: 2, Attempt: 2}
 	cases := []struct {
 		name   string
 		events []Event
 		broken [5]int
 	}{
-		{"served", []Event{read, started, answered}, [5]int{}},
-		{"rejected", []Event{read, dismissed}, [5]int{}},
-		{"never answered", []Event{read, started}, [5]int{1: 1}},
-		{"answered twice", []Event{read, answered, answered}, [5]int{1: 1}},
-		{"late", []Event{read, late}, [5]int{1: 1}},
-		{"abandoned", []Event{read, gone}, [5]int{}},
-		{"abandoned, then answered late", []Event{read, gone, late}, [5]int{}},
-		{"ran and rejected", []Event{read, started, dismissed}, [5]int{2: 1}},
-		{"effect at two servers", []Event{effect, started, second, again, answered, {Kind: Answered, At: s, Attempt: 2}}, [5]int{2: 1}},
-		{"effect after a rejection", []Event{effect, dismissed, second, again, {Kind: Answered, At: s, Attempt: 2}}, [5]int{}},
-		{"started after the grace", []Event{notice, read, started, answered}, [5]int{3: 1}},
-		{"rejected after the grace", []Event{notice, read, dismissed}, [5]int{}},
-		{"stopped before the answer", []Event{read, stopped}, [5]int{3: 1}},
-		{"crashed", []Event{read, crashed}, [5]int{}},
-		{"received twice", []Event{read, read, answered}, [5]int{1: 1}},
+		{"served", []Event{received, started, answered}, [5]int{}},
+		{"rejected", []Event{received, rejected}, [5]int{}},
+		{"never answered", []Event{received, started}, [5]int{1: 1}},
+		{"answered twice", []Event{received, answered, answered}, [5]int{1: 1}},
+		{"late", []Event{received, late}, [5]int{1: 1}},
+		{"abandoned", []Event{received, abandoned}, [5]int{}},
+		{"abandoned, then answered late", []Event{received, abandoned, late}, [5]int{}},
+		{"ran and rejected", []Event{received, started, rejected}, [5]int{2: 1}},
+		{"effect at two servers", []Event{effect, started, second, secondStarted, answered, {Kind: Answered, At: s, Attempt: 2}}, [5]int{2: 1}},
+		{"effect after a rejection", []Event{effect, rejected, second, secondStarted, {Kind: Answered, At: s, Attempt: 2}}, [5]int{}},
+		{"started after the grace", []Event{notice, received, started, answered}, [5]int{3: 1}},
+		{"rejected after the grace", []Event{notice, received, rejected}, [5]int{}},
+		{"stopped before the answer", []Event{received, stopped}, [5]int{3: 1}},
+		{"crashed", []Event{received, crashed}, [5]int{}},
+		{"received twice", []Event{received, received, answered}, [5]int{1: 1}},
 		{"started but not received", []Event{started}, [5]int{1: 1}},
 		{"memory", []Event{{Kind: Memory, Value: 1.1}}, [5]int{4: 1}},
 		{"runs per core", []Event{{Kind: RunsPerCore, Value: 1.1}, {Kind: RunsPerCore, Value: 1}}, [5]int{4: 1}},
@@ -59,7 +59,7 @@
 		assert.Equal(t, c.broken, report.Violations, c.name)
 	}
 	lenient := New(5 * ms)
-	lenient.Add(read)
+	lenient.Add(received)
 	lenient.Add(late)
 	assert.Zero(t, lenient.Finish(10*s).Total())
 }
--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -44,19 +44,20 @@
 	FailDependency IncidentKind = "fail"
 )
 
-// Incident is an incident of a drill. Its kind determines which fields are set.
+// Incident is an incident of a drill. Its kind determines which fields are set. Share is a share of the running
+// servers, and applies if Server and Zone are -1.
 type Incident struct {
 	At, Duration  time.Duration
 	Kind          IncidentKind
 	Share         float64
-	Server        int // drawn from the running servers, if Server and Zone are -1
+	Server        int // -1 for none
 	Zone          int // -1 for none
 	Factor        float64
 	Span          time.Duration // interval of a deploy, endpoint lag or clock step
 	ShutdownLimit time.Duration
 	Name          string
 	RouterOptions emulator.RouterOptions
-	Clients       emulator.Clients
+	ClientOptions emulator.ClientOptions
 }
 
 // Drill is a parsed script.
--- a/scenario/drill_test.go
+++ b/scenario/drill_test.go
@@ -28,10 +28,10 @@
 			d, err := Parse(file, string(raw))
 			require.NoError(t, err)
 			assert.NotEmpty(t, d.Title)
-			began := time.Now()
+			start := time.Now()
 			r := d.Emulate(emulator.QuartzpointPolicy, 1)
 			t.Logf("goodput %.3f of %d requests, rejected %d, aborted %d, unanswered %d, attempts %d, rule violations %v, %d events in %v",
-				r.Goodput/r.OfferedValue, r.Requests, r.Rejected, r.Aborted, r.Unanswered, r.Attempts, r.Rules.Violations, r.Events, time.Since(began))
+				r.Goodput/r.OfferedValue, r.Requests, r.Rejected, r.Aborted, r.Unanswered, r.Attempts, r.Rules.Violations, r.Events, time.Since(start))
 			assert.Zero(t, r.Rules.Total(), strings.Join(r.Rules.Messages, "\n"))
 			assert.Zero(t, r.DuplicateAnswers)
 			assert.Equal(t, r.Requests, r.Served+r.Rejected+r.Aborted+r.Unanswered)
@@ -74,18 +74,18 @@
 	require.NoError(t, err)
 	d, err := Parse("retry-storm.drill", string(raw))
 	require.NoError(t, err)
-	last := func(name string) float64 { // returns the goodput share of the ten seconds that begin 20 s after the end of the cause
+	goodputAfterCause := func(name string) float64 { // share served in the ten seconds that begin 20 s after the end of the cause
 		policy, err := baseline.PolicyByName(name)
 		require.NoError(t, err)
 		r := d.Emulate(policy, 1)
-		offered, honoured := 0.0, 0.0
+		offered, goodput := 0.0, 0.0
 		for _, s := range r.Seconds[38:48] {
-			offered, honoured = offered+s.OfferedValue, honoured+s.Goodput
+			offered, goodput = offered+s.OfferedValue, goodput+s.Goodput
 		}
-		return honoured / offered
+		return goodput / offered
 	}
-	none, ours := last("no-limit"), last("quartzpoint")
-	t.Logf("goodput 20 s after the cause: no limit %.3f, quartzpoint %.3f", none, ours)
-	assert.Less(t, none, 0.3)
-	assert.Greater(t, ours, 0.95)
+	noLimit, quartzpoint := goodputAfterCause("no-limit"), goodputAfterCause("quartzpoint")
+	t.Logf("goodput 20 s after the cause: no limit %.3f, quartzpoint %.3f", noLimit, quartzpoint)
+	assert.Less(t, noLimit, 0.3)
+	assert.Greater(t, quartzpoint, 0.95)
 }
--- a/scenario/grammar.go
+++ b/scenario/grammar.go
@@ -50,7 +50,7 @@
 }
 
 type routerOptions struct {
-	Pick              string  `parser:"@Word"`
+	Balancing         string  `parser:"@Word"`
 	MaxAttempts       *amount `parser:"( 'tries' ( 'unlimited' | @@ ) )?"`
 	Budget            *amount `parser:"( 'budget' @@ )?"`
 	RetriesAborted    bool    `parser:"@'repeating'?"`
@@ -90,26 +90,26 @@
 }
 
 type event struct {
-	When       amount         `parser:"@@"`
-	Span       *amount        `parser:"( 'for' @@ )?"`
-	Kill       *target        `parser:"(  'kill' @@"`
-	Restart    *target        `parser:" | 'restart' @@"`
-	Deploy     *amount        `parser:" | 'deploy' 'each' @@"`
-	Pause      *target        `parser:" | 'pause' @@"`
-	Slow       *targetBy      `parser:" | 'slow' @@"`
-	Neighbours *targetBy      `parser:" | 'neighbours' @@"`
-	Flap       *target        `parser:" | 'flap' @@"`
-	Clock      *clock         `parser:" | 'step' 'clock' @@"`
-	Load       *amount        `parser:" | 'load' 'by' @@"`
-	Endpoints  *amount        `parser:" | 'lists' 'late' @@"`
-	Network    *amount        `parser:" | 'network' ( 'slower' 'by' @@"`
-	Loss       *amount        `parser:"             | 'losing' @@ )"`
-	Router     *routerOptions `parser:" | 'habits' @@"`
-	Clients    *clients       `parser:" | 'clients' @@"`
-	Stop       *string        `parser:" | 'stop' 'dependency' @Word"`
-	Drag       *dependencyBy  `parser:" | 'drag' 'dependency' @@"`
-	Fail       *dependencyBy  `parser:" | 'fail' 'dependency' @@ )"`
-	Grace      *amount        `parser:"( 'within' @@ )?"`
+	When          amount         `parser:"@@"`
+	Span          *amount        `parser:"( 'for' @@ )?"`
+	Kill          *target        `parser:"(  'kill' @@"`
+	Restart       *target        `parser:" | 'restart' @@"`
+	Deploy        *amount        `parser:" | 'deploy' 'each' @@"`
+	Pause         *target        `parser:" | 'pause' @@"`
+	Slow          *targetBy      `parser:" | 'slow' @@"`
+	Neighbours    *targetBy      `parser:" | 'neighbours' @@"`
+	Flap          *target        `parser:" | 'flap' @@"`
+	Clock         *clock         `parser:" | 'step' 'clock' @@"`
+	Load          *amount        `parser:" | 'load' 'by' @@"`
+	Endpoints     *amount        `parser:" | 'lists' 'late' @@"`
+	Network       *amount        `parser:" | 'network' ( 'slower' 'by' @@"`
+	Loss          *amount        `parser:"             | 'losing' @@ )"`
+	Router        *routerOptions `parser:" | 'habits' @@"`
+	Clients       *clients       `parser:" | 'clients' @@"`
+	Stop          *string        `parser:" | 'stop' 'dependency' @Word"`
+	Drag          *dependencyBy  `parser:" | 'drag' 'dependency' @@"`
+	Fail          *dependencyBy  `parser:" | 'fail' 'dependency' @@ )"`
+	ShutdownLimit *amount        `parser:"( 'within' @@ )?"`
 }
 
 type dependencyBy struct {
@@ -134,7 +134,7 @@
 }
 
 func parser() (*participle.Parser[script], error) {
-	words, err := lexer.NewSimple([]lexer.SimpleRule{
+	definition, err := lexer.NewSimple([]lexer.SimpleRule{
 		{Name: "Comment", Pattern: `#[^\n]*`},
 		{Name: "Blank", Pattern: `[ \t\r]+`},
 		{Name: "EOL", Pattern: `\n`},
@@ -148,7 +148,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("build drill lexer: %w", err)
 	}
-	p, err := participle.Build[script](participle.Lexer(words), participle.Elide("Comment", "Blank"), participle.Unquote("String"),
+	p, err := participle.Build[script](participle.Lexer(definition), participle.Elide("Comment", "Blank"), participle.Unquote("String"),
 		participle.UseLookahead(4))
 	if err != nil {
 		return nil, fmt.Errorf("build drill parser: %w", err)
--- a/scenario/parse.go
+++ b/scenario/parse.go
@@ -59,8 +59,8 @@
 			Delay:         300 * time.Microsecond, Jitter: 100 * time.Microsecond, EndpointLag: 500 * time.Millisecond,
 		},
 	}
-	for _, one := range s.Statements {
-		r.statement(d, one)
+	for _, st := range s.Statements {
+		r.statement(d, st)
 	}
 	d.Fleet.Machine.MemoryKB = 16000 * d.Fleet.Machine.Cores
 	r.checkIncidents(d)
@@ -77,8 +77,8 @@
 		if i.Server >= d.Fleet.Servers || i.Zone >= d.Fleet.Zones {
 			r.errs = append(r.errs, fmt.Errorf("%s: incident at %v: no such server or zone: the fleet has %d servers in %d zones, counted from 0", r.file, i.At, d.Fleet.Servers, d.Fleet.Zones))
 		}
-		stated := slices.ContainsFunc(d.Fleet.Dependencies, func(of emulator.Dependency) bool { return of.Name == i.Name })
-		if i.Name != "" && !stated {
+		defined := slices.ContainsFunc(d.Fleet.Dependencies, func(dep emulator.Dependency) bool { return dep.Name == i.Name })
+		if i.Name != "" && !defined {
 			r.errs = append(r.errs, fmt.Errorf("%s: incident at %v: dependency %q is not defined", r.file, i.At, i.Name))
 		}
 	}
@@ -94,10 +94,11 @@
 	r.errs = append(r.errs, &ScriptError{r.file, at.Line, at.Column, fmt.Sprintf(format, args...)})
 }
 
-// number returns the value of an amount within bounds, or otherwise if a is nil or out of bounds.
-func (r *reader) number(a *amount, otherwise, low, high float64) float64 {
+// number returns the value of an amount. It returns fallback if a is nil, or with an error if the value is out of
+// bounds.
+func (r *reader) number(a *amount, fallback, low, high float64) float64 {
 	if a == nil {
-		return otherwise
+		return fallback
 	}
 	text, percent := strings.CutSuffix(a.Text, "%")
 	n, err := strconv.ParseFloat(text, 64)
@@ -106,20 +107,20 @@
 	}
 	if err != nil || n < low || n > high {
 		r.addError(a.Pos, "%s: want a number from %g to %g, or the same in %%", a.Text, low, high)
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-// span returns the value of a time within bounds, or otherwise if a is nil or out of bounds.
-func (r *reader) span(a *amount, otherwise, low, high time.Duration) time.Duration {
+// span returns the value of a time. It returns fallback if a is nil, or with an error if the value is out of bounds.
+func (r *reader) span(a *amount, fallback, low, high time.Duration) time.Duration {
 	if a == nil {
-		return otherwise
+		return fallback
 	}
 	d, err := time.ParseDuration(a.Text)
 	if err != nil || d < low || d > high {
 		r.addError(a.Pos, "%s: want a time from %v to %v", a.Text, low, high)
-		return otherwise
+		return fallback
 	}
 	return d
 }
--- a/scenario/play.go
+++ b/scenario/play.go
@@ -16,34 +16,34 @@
 
 // LoadFactor returns the factor of the load at a moment, from bursts and the daily curve.
 func (d *Drill) LoadFactor(at time.Duration) float64 {
-	by := 1.0
+	factor := 1.0
 	if d.DailyCurve { // the drill's span is one day; the load at night is a third of the peak
-		by = 0.667 - 0.333*math.Cos(2*math.Pi*float64(at)/float64(d.Span))
+		factor = 0.667 - 0.333*math.Cos(2*math.Pi*float64(at)/float64(d.Span))
 	}
 	if d.BurstFactor > 0 && d.BurstInterval > 0 && at%d.BurstInterval < time.Second && at >= d.BurstInterval {
-		by *= d.BurstFactor
+		factor *= d.BurstFactor
 	}
-	return by
+	return factor
 }
 
 // Arrivals draws the drill's load for a run in real time, with bursts, the daily curve and the incidents that change
 // the load.
 func (d *Drill) Arrivals(seed int64) []emulator.Arrival {
 	maxFactor, factor := 1.0, func(at time.Duration) float64 {
-		by := d.LoadFactor(at)
+		product := d.LoadFactor(at)
 		for _, i := range d.Incidents {
 			if i.Kind == ChangeLoad && at >= i.At && (i.Duration == 0 || at < i.At+i.Duration) {
-				by *= i.Factor
+				product *= i.Factor
 			}
 		}
-		return by
+		return product
 	}
 	for at := time.Duration(0); at < d.Span; at += 10 * time.Millisecond {
 		maxFactor = max(maxFactor, factor(at))
 	}
-	thin := rand.New(rand.NewSource(seed ^ 0x7417))
+	rng := rand.New(rand.NewSource(seed ^ 0x7417))
 	return slices.DeleteFunc(emulator.Arrivals(d.Fleet.Routes, d.Rate()*maxFactor, d.Span, seed), func(a emulator.Arrival) bool {
-		return thin.Float64()*maxFactor >= factor(a.At)
+		return rng.Float64()*maxFactor >= factor(a.At)
 	})
 }
 
@@ -68,8 +68,8 @@
 	return d.world(policy, seed).Run(emulator.Load{Rate: d.Rate(), Span: d.Span, Factor: d.LoadFactor})
 }
 
-// servers returns the servers of an incident. A share of servers is drawn when the incident begins.
-func servers(w *emulator.World, i Incident) []int {
+// targetServers returns the servers of an incident. A share of servers is drawn when the incident begins.
+func targetServers(w *emulator.World, i Incident) []int {
 	switch {
 	case i.Server >= 0:
 		return []int{i.Server}
@@ -88,27 +88,27 @@
 	}
 	switch i.Kind {
 	case KillServers:
-		numbers := servers(w, i)
+		numbers := targetServers(w, i)
 		w.Kill(numbers)
 		end(func() { w.Boot(numbers) })
 	case RestartServers:
-		w.Restart(servers(w, i), i.ShutdownLimit)
+		w.Restart(targetServers(w, i), i.ShutdownLimit)
 	case Deploy:
 		w.Deploy(i.Span, i.ShutdownLimit)
 	case PauseServers:
-		w.Freeze(servers(w, i), i.Duration)
+		w.Freeze(targetServers(w, i), i.Duration)
 	case SlowPools:
-		numbers := servers(w, i)
+		numbers := targetServers(w, i)
 		w.SetSlowFactor(numbers, i.Factor)
 		end(func() { w.SetSlowFactor(numbers, 1) })
 	case Neighbours:
-		numbers := servers(w, i)
+		numbers := targetServers(w, i)
 		w.SetNeighbourShare(numbers, i.Factor)
 		end(func() { w.SetNeighbourShare(numbers, 0) })
 	case Disconnect:
-		w.Disconnect(servers(w, i), i.Duration)
+		w.Disconnect(targetServers(w, i), i.Duration)
 	case StepClock:
-		numbers := servers(w, i)
+		numbers := targetServers(w, i)
 		w.StepClock(numbers, i.Span)
 		end(func() { w.StepClock(numbers, -i.Span) })
 	default:
@@ -136,9 +136,9 @@
 		w.SetRouterOptions(i.RouterOptions)
 		end(func() { w.SetRouterOptions(before) })
 	case ChangeClients:
-		before := w.CurrentClients()
-		w.SetClients(i.Clients)
-		end(func() { w.SetClients(before) })
+		before := w.ClientOptions()
+		w.SetClientOptions(i.ClientOptions)
+		end(func() { w.SetClientOptions(before) })
 	case StopDependency:
 		w.SetDependency(i.Name, 1, 0, true)
 		end(func() { w.SetDependency(i.Name, 1, 0, false) })
--- a/scenario/reader.go
+++ b/scenario/reader.go
@@ -25,7 +25,7 @@
 	case s.Router != nil:
 		d.Fleet.RouterOptions = r.routerOptions(s.Pos, s.Router)
 	case s.Clients != nil:
-		d.Fleet.Clients = r.clients(s.Clients)
+		d.Fleet.ClientOptions = r.clients(s.Clients)
 	case s.Network != nil:
 		d.Fleet.Delay = r.span(&s.Network.Delay, 0, 0, time.Second)
 		d.Fleet.Jitter = r.span(s.Network.Jitter, 0, 0, time.Second)
@@ -60,15 +60,15 @@
 
 // dependency adds a dependency to the drill and sets the routes whose runs call it.
 func (r *reader) dependency(d *Drill, s *statement) {
-	of := s.Dependency
+	dep := s.Dependency
 	d.Fleet.Dependencies = append(d.Fleet.Dependencies, emulator.Dependency{
-		Name: of.Name, Slots: int(r.number(&of.Slots, 1, 1, 100_000)), Mean: r.span(&of.Mean, time.Millisecond, time.Microsecond, time.Minute), Spread: 0.5,
+		Name: dep.Name, Slots: int(r.number(&dep.Slots, 1, 1, 100_000)), Mean: r.span(&dep.Mean, time.Millisecond, time.Microsecond, time.Minute), Spread: 0.5,
 	})
-	for _, name := range of.Routes {
+	for _, name := range dep.Routes {
 		found := false
 		for i := range d.Fleet.Routes {
-			if t := &d.Fleet.Routes[i]; t.Name == name {
-				t.Dependency, t.SkipValueShare, found = of.Name, r.number(of.SkipValueShare, 0, 0, 1), true
+			if route := &d.Fleet.Routes[i]; route.Name == name {
+				route.Dependency, route.SkipValueShare, found = dep.Name, r.number(dep.SkipValueShare, 0, 0, 1), true
 			}
 		}
 		if !found {
@@ -80,63 +80,63 @@
 // compose adds the plan of the calls that requests of a route are made of. Required calls come first, the others in
 // parallel.
 func (r *reader) compose(d *Drill, s *statement) {
-	kind := slices.IndexFunc(d.Fleet.Routes, func(t emulator.Route) bool { return t.Name == s.Compose.Route })
-	if kind < 0 {
+	routeIndex := slices.IndexFunc(d.Fleet.Routes, func(t emulator.Route) bool { return t.Name == s.Compose.Route })
+	if routeIndex < 0 {
 		r.addError(s.Pos, "no route %s in this mix", s.Compose.Route)
 		return
 	}
 	plan := &budget.Plan{Route: s.Compose.Route, Reserve: 5 * time.Millisecond}
 	for _, c := range s.Compose.Calls {
-		at := slices.IndexFunc(d.Fleet.Dependencies, func(o emulator.Dependency) bool { return o.Name == c.Name })
-		if at < 0 {
+		dependencyIndex := slices.IndexFunc(d.Fleet.Dependencies, func(o emulator.Dependency) bool { return o.Name == c.Name })
+		if dependencyIndex < 0 {
 			r.addError(c.Pos, "dependency %q is not defined before this statement", c.Name)
 			return
 		}
 		plan.Calls = append(plan.Calls, budget.Call{
-			Name: c.Name, Dependency: at, Required: c.Required, Value: r.number(c.Value, 1, 0.001, 1000),
-			Expected: d.Fleet.Dependencies[at].Mean, Retry: true, Hedge: true,
+			Name: c.Name, Dependency: dependencyIndex, Required: c.Required, Value: r.number(c.Value, 1, 0.001, 1000),
+			Expected: d.Fleet.Dependencies[dependencyIndex].Mean, Retry: true, Hedge: true,
 		})
 	}
-	t := d.Fleet.Routes[kind]
-	if err := plan.Validate(len(d.Fleet.Dependencies), min(t.LatencyTarget, t.Deadline)); err != nil {
+	route := d.Fleet.Routes[routeIndex]
+	if err := plan.Validate(len(d.Fleet.Dependencies), min(route.LatencyTarget, route.Deadline)); err != nil {
 		r.addError(s.Pos, "%v", err)
 		return
 	}
 	if d.Fleet.Plans == nil {
 		d.Fleet.Plans = map[string]*budget.Plan{}
 	}
-	d.Fleet.Plans[t.Name] = plan
+	d.Fleet.Plans[route.Name] = plan
 }
 
-func (r *reader) routerOptions(at lexer.Position, h *routerOptions) emulator.RouterOptions {
-	switch h.Pick {
+func (r *reader) routerOptions(at lexer.Position, options *routerOptions) emulator.RouterOptions {
+	switch options.Balancing {
 	case "round", "least", "subject", "walk", "random":
 	default:
-		r.addError(at, "habits %s: want round, least, subject, walk or random", h.Pick)
+		r.addError(at, "habits %s: want round, least, subject, walk or random", options.Balancing)
 	}
 	return emulator.RouterOptions{
-		Balancing: h.Pick, MaxAttempts: int(r.number(h.MaxAttempts, 0, 1, 100)), RetryBudget: r.number(h.Budget, 0, 0.001, 10),
-		HeedsBackpressure: h.HeedsBackpressure, RetriesAborted: h.RetriesAborted,
+		Balancing: options.Balancing, MaxAttempts: int(r.number(options.MaxAttempts, 0, 1, 100)), RetryBudget: r.number(options.Budget, 0, 0.001, 10),
+		HeedsBackpressure: options.HeedsBackpressure, RetriesAborted: options.RetriesAborted,
 	}
 }
 
-func (r *reader) clients(c *clients) emulator.Clients {
-	repeats := int(r.number(c.MaxRetries, 0, 0, 1000))
+func (r *reader) clients(c *clients) emulator.ClientOptions {
+	maxRetries := int(r.number(c.MaxRetries, 0, 0, 1000))
 	if c.Unlimited {
-		repeats = -1
+		maxRetries = -1
 	}
-	return emulator.Clients{MaxRetries: repeats, Backoff: r.span(c.Backoff, 100*time.Millisecond, time.Millisecond, time.Minute)}
+	return emulator.ClientOptions{MaxRetries: maxRetries, Backoff: r.span(c.Backoff, 100*time.Millisecond, time.Millisecond, time.Minute)}
 }
 
 // target sets the servers of an incident.
-func (r *reader) target(i *Incident, w *target) {
+func (r *reader) target(i *Incident, t *target) {
 	switch {
-	case w.Share != nil:
-		i.Share = r.number(w.Share, 0, 0.001, 1)
-	case w.Server != nil:
-		i.Server = int(r.number(w.Server, 0, 0, maxServers))
-	case w.Zone != nil:
-		i.Zone = int(r.number(w.Zone, 0, 0, 100))
+	case t.Share != nil:
+		i.Share = r.number(t.Share, 0, 0.001, 1)
+	case t.Server != nil:
+		i.Server = int(r.number(t.Server, 0, 0, maxServers))
+	case t.Zone != nil:
+		i.Zone = int(r.number(t.Zone, 0, 0, 100))
 	}
 }
 
@@ -144,7 +144,7 @@
 func (r *reader) event(at lexer.Position, e *event) Incident {
 	i := Incident{
 		At: r.span(&e.When, 0, 0, maxSpan), Duration: r.span(e.Span, 0, time.Millisecond, maxSpan), Server: -1, Zone: -1,
-		ShutdownLimit: r.span(e.Grace, 2500*time.Millisecond, 500*time.Millisecond, time.Minute),
+		ShutdownLimit: r.span(e.ShutdownLimit, 2500*time.Millisecond, 500*time.Millisecond, time.Minute),
 	}
 	switch {
 	case e.Kill != nil:
@@ -194,7 +194,7 @@
 	case e.Router != nil:
 		i.Kind, i.RouterOptions = ChangeRouters, r.routerOptions(at, e.Router)
 	case e.Clients != nil:
-		i.Kind, i.Clients = ChangeClients, r.clients(e.Clients)
+		i.Kind, i.ClientOptions = ChangeClients, r.clients(e.Clients)
 	case e.Stop != nil:
 		i.Kind, i.Name = StopDependency, *e.Stop
 	case e.Drag != nil:
