--- a/baseline/tokenbucket.go
+++ b/baseline/tokenbucket.go
@@ -12,7 +12,7 @@
 type tokenBucket struct {
 	fixed
 	rate, tokens float64
-	last         time.Duration
+	refilledAt   time.Duration
 }
 
 func newTokenBucket(m emulator.Machine, routes []emulator.Route, _ *rand.Rand) limiter {
@@ -21,8 +21,8 @@
 }
 
 func (b *tokenBucket) admit(now time.Duration) bool {
-	b.tokens = min(b.tokens+(now-b.last).Seconds()*b.rate, b.rate)
-	b.last = now
+	b.tokens = min(b.tokens+(now-b.refilledAt).Seconds()*b.rate, b.rate)
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -155,14 +155,14 @@
 	settings.FleetServers = 2
 	settings.CallQuota = calls
 	for _, route := range routes {
-		stated := admission.Route{
+		admissionRoute := admission.Route{
 			Name: route.Name, Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline,
 			CallsDependency: route.Dependency != "", SkipValueShare: route.SkipValueShare,
 		}
 		if route.AtMostOnce {
-			stated.Idempotency = admission.AtMostOnce
+			admissionRoute.Idempotency = admission.AtMostOnce
 		}
-		settings.Routes = append(settings.Routes, stated)
+		settings.Routes = append(settings.Routes, admissionRoute)
 	}
 	return settings
 }
--- a/rulecheck/rules.go
+++ b/rulecheck/rules.go
@@ -29,7 +29,7 @@
 	Stopped                          // Server ended its graceful shutdown
 	Crashed                          // Server ended with all its open attempts
 	Memory                           // Server; Value is the fraction in use
-	RunsPerCore                      // Server; Value is the number divided by the one that it survives
+	RunsPerCore                      // Server; Value is its runs on the cores, divided by the number that it survives
 	CallsOpen                        // Server is a dependency; Value is its load divided by the load that it survives
 )
 
--- a/rulecheck/rules_test.go
+++ b/rulecheck/rules_test.go
@@ -26,9 +26,9 @@
 	second := Event{Kind: Received, At: s, Server: 2, Attempt: 2, Effect: 9, Deadline: 2 * s}
 	secondStarted := Event{Kind: Started, At: s, Server: 2, Attempt: 2}
 	cases := []struct {
-		name   string
-		events []Event
-		broken [5]int
+		name       string
+		events     []Event
+		violations [5]int
 	}{
 		{"served", []Event{received, started, answered}, [5]int{}},
 		{"rejected", []Event{received, rejected}, [5]int{}},
@@ -56,7 +56,7 @@
 			checker.Add(e)
 		}
 		report := checker.Finish(10 * s)
-		assert.Equal(t, c.broken, report.Violations, c.name)
+		assert.Equal(t, c.violations, report.Violations, c.name)
 	}
 	lenient := New(5 * ms)
 	lenient.Add(received)
