--- a/emulator/server.go
+++ b/emulator/server.go
@@ -29,10 +29,10 @@
 	served verdict = iota
 	rejected
 	aborted
-	lost // no answer: the server or the link to it failed
+	lost // no answer: the server or the connection to it failed
 )
 
-// attempt is one request at one server.
+// attempt is a request at one server.
 type attempt struct {
 	admission.Request
 	id          uint64
@@ -40,78 +40,78 @@
 	server      *server
 	run         run
 	afterCall   float64 // seconds of work after its call
-	callPending bool    // it has not called yet
-	valueShare  float64 // of the route's value; under 1 without a call or a part
+	callPending bool    // its call has not begun yet
+	valueShare  float64 // fraction of the route's value; below 1 without the call or a part
 
 	composed  bool
 	execution *budget.Execution
-	calls     *[budget.MaxCalls][2]*dependencyCall // nil until its calls begin
+	calls     *[budget.MaxCalls][2]*dependencyCall // by call and attempt; nil until its calls begin
 
 	reached, answered, started, active bool
 }
 
-// server is one emulated server. It drives its policy as internal/server does in real time; docs/notes/emulator.md states
+// server is an emulated server. It calls its policy as internal/server does in real time; docs/notes/emulator.md states
 // the differences.
 type server struct {
 	world       *World
 	number      int
 	zone        int
-	incarnation uint64 // events of earlier ones do nothing
+	incarnation uint64 // events of earlier ones have no effect
 	alive       bool
 	policy      Policy
 	routes      []*admission.Route
 	pool        *pool
-	began       time.Duration
+	startedAt   time.Duration
 
 	attempts     map[*admission.Request]*attempt
 	composer     *composer
 	awaitingCall []*admission.Request // composed requests that were started in this round
 	round        admission.Round
 	shedLevel    float64
-	frozenUntil  time.Duration // 0 for never
-	deferred     []func()      // events that came while it was frozen
+	frozenUntil  time.Duration // 0 if this incarnation was never frozen
+	deferred     []func()      // events that arrived while it was frozen
 	notifiedAt   time.Duration
 	stopAt       time.Duration
 	onStopped    func()
 	clockOffset  time.Duration
 }
 
-// whenRunning calls do now, or once the server is not frozen any more. It does nothing after the end of the incarnation.
-func (s *server) whenRunning(life uint64, do func()) {
+// whenRunning calls do now, or once the server is no longer frozen. It does nothing if the incarnation has ended.
+func (s *server) whenRunning(incarnation uint64, do func()) {
 	switch {
-	case !s.alive || s.incarnation != life:
+	case !s.alive || s.incarnation != incarnation:
 	case s.world.now < s.frozenUntil:
-		s.deferred = append(s.deferred, func() { s.whenRunning(life, do) })
+		s.deferred = append(s.deferred, func() { s.whenRunning(incarnation, do) })
 	default:
 		do()
 	}
 }
 
-// receive reads a request that a router has sent.
-func (s *server) receive(t *attempt, came time.Duration, waits time.Duration) {
+// receive handles the arrival of a request from a router.
+func (s *server) receive(a *attempt, sentAt time.Duration, patience time.Duration) {
 	w := s.world
-	t.reached = true
-	if s.stopAt > 0 && w.now >= s.notifiedAt+grace {
-		t.reached = false // connections are refused
-		w.sendAnswer(t, lost, 0, false)
+	a.reached = true
+	if s.stopAt > 0 && w.now >= s.notifiedAt+shutdownGrace {
+		a.reached = false // connections are refused
+		w.sendAnswer(a, lost, 0, false)
 		return
 	}
-	kind := s.routes[t.origin.route]
-	ago := max(w.now-came+s.clockOffset, 0)
-	t.Request = admission.Request{
-		Route: kind, QueuedKB: queuedKB, Arrived: w.now - ago, Rank: t.origin.rank, Router: uint32(t.origin.router.number),
-		Deadline: w.now - ago + min(waits, kind.Deadline),
+	route := s.routes[a.origin.route]
+	age := max(w.now-sentAt+s.clockOffset, 0)
+	a.Request = admission.Request{
+		Route: route, QueuedKB: queuedKB, Arrived: w.now - age, Rank: a.origin.rank, Router: uint32(a.origin.router.number),
+		Deadline: w.now - age + min(patience, route.Deadline),
 	}
-	s.attempts[&t.Request] = t
+	s.attempts[&a.Request] = a
 	effect := uint64(0)
-	if w.fleet.Routes[t.origin.route].AtMostOnce {
-		effect = t.origin.id
+	if w.fleet.Routes[a.origin.route].AtMostOnce {
+		effect = a.origin.id
 	}
-	w.rules.Add(rulecheck.Event{Kind: rulecheck.Received, At: w.now, Server: s.number, Attempt: t.id, Effect: effect, Deadline: came + waits})
-	if came+waits <= w.now { // it was frozen, and reads late
-		w.rules.Add(rulecheck.Event{Kind: rulecheck.Abandoned, At: w.now, Attempt: t.id})
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.Received, At: w.now, Server: s.number, Attempt: a.id, Effect: effect, Deadline: sentAt + patience})
+	if sentAt+patience <= w.now { // the server was frozen and reads the request late
+		w.rules.Add(rulecheck.Event{Kind: rulecheck.Abandoned, At: w.now, Attempt: a.id})
 	}
-	s.round.Arrived = append(s.round.Arrived, &t.Request)
+	s.round.Arrived = append(s.round.Arrived, &a.Request)
 	s.decide()
 }
 
@@ -126,48 +126,48 @@
 		s.forgetIfDone(s.attempts[request])
 	}
 	s.round.Reset()
-	for len(s.awaitingCall) > 0 { // composed requests call as soon as they are started
+	for len(s.awaitingCall) > 0 { // composed requests make their calls as soon as they are started
 		s.round.Now, s.round.AwaitingCall, s.awaitingCall = s.world.now, append(s.round.AwaitingCall, s.awaitingCall...), s.awaitingCall[:0]
 		s.policy.Decide(&s.round, s)
 		s.round.Reset()
 	}
 }
 
-func (s *server) forgetIfDone(t *attempt) {
-	if t != nil && t.answered && !t.active {
-		delete(s.attempts, &t.Request)
+func (s *server) forgetIfDone(a *attempt) {
+	if a != nil && a.answered && !a.active {
+		delete(s.attempts, &a.Request)
 	}
 }
 
-// workDone handles a run that has no work left on the cores: it calls, or is done.
-func (s *server) workDone(t *attempt) {
-	if t.callPending && !t.answered {
-		t.callPending = false
-		s.round.AwaitingCall = append(s.round.AwaitingCall, &t.Request)
+// workDone handles a run that has no work left on the cores: it either makes its call or ends.
+func (s *server) workDone(a *attempt) {
+	if a.callPending && !a.answered {
+		a.callPending = false
+		s.round.AwaitingCall = append(s.round.AwaitingCall, &a.Request)
 		s.decide()
 		return
 	}
-	t.active = false
-	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &t.Request, Outcome: admission.Succeeded, Took: s.world.now - t.run.startedAt})
-	if !t.answered {
-		s.answer(t, served, 0, false)
+	a.active = false
+	s.round.RunsEnded = append(s.round.RunsEnded, admission.Completion{Request: &a.Request, Outcome: admission.Succeeded, Took: s.world.now - a.run.startedAt})
+	if !a.answered {
+		s.answer(a, served, 0, false)
 	}
 	s.decide()
 }
 
 // callReturned handles the end of a call.
-func (s *server) callReturned(t *attempt, outcome admission.Outcome, took time.Duration) {
-	s.round.CallsEnded = append(s.round.CallsEnded, admission.Completion{Request: &t.Request, Outcome: outcome, Took: took})
+func (s *server) callReturned(a *attempt, outcome admission.Outcome, took time.Duration) {
+	s.round.CallsEnded = append(s.round.CallsEnded, admission.Completion{Request: &a.Request, Outcome: outcome, Took: took})
 	if outcome == admission.Succeeded {
-		s.resumeAfterCall(t)
+		s.resumeAfterCall(a)
 	}
 	s.decide()
 }
 
 // resumeAfterCall continues a run after its call.
-func (s *server) resumeAfterCall(t *attempt) {
-	if t.active {
-		t.run.remaining = t.afterCall
-		s.pool.start(&t.run)
+func (s *server) resumeAfterCall(a *attempt) {
+	if a.active {
+		a.run.remaining = a.afterCall
+		s.pool.start(&a.run)
 	}
 }
--- a/emulator/server_lifecycle.go
+++ b/emulator/server_lifecycle.go
@@ -8,42 +8,43 @@
 	"quartzpoint/rulecheck"
 )
 
-// boot starts a server without any state.
+// boot starts a new incarnation of a server without any state.
 func (s *server) boot() {
 	w := s.world
 	s.incarnation++
-	s.alive, s.began, s.shedLevel, s.notifiedAt, s.stopAt, s.frozenUntil, s.deferred = true, w.now, 0, 0, 0, 0, nil
+	s.alive, s.startedAt, s.shedLevel, s.notifiedAt, s.stopAt, s.frozenUntil, s.deferred = true, w.now, 0, 0, 0, 0, nil
 	s.attempts = map[*admission.Request]*attempt{}
 	s.round = admission.Round{}
-	factor, taken := 1.0, 0.0
-	if s.pool != nil { // the machine stays as it is
-		factor, taken = s.pool.speedFactor, s.pool.neighbourCores
+	speedFactor, neighbourCores := 1.0, 0.0
+	if s.pool != nil { // slowdowns and neighbours of the machine outlive a process
+		speedFactor, neighbourCores = s.pool.speedFactor, s.pool.neighbourCores
 	}
-	s.pool = &pool{engine: &w.engine, machine: w.fleet.Machine, speedFactor: factor, neighbourCores: taken, startedAt: w.now, last: w.now}
-	life := s.incarnation
-	s.pool.onDone = func(r *run) { s.whenRunning(life, func() { s.workDone(r.attempt) }) }
-	s.policy, s.routes = w.fleet.Policy(w.fleet.Routes, w.fleet.Machine, w.callShare(), w.seed+int64(s.number)+1000*int64(s.incarnation))
+	s.pool = &pool{engine: &w.engine, machine: w.fleet.Machine, speedFactor: speedFactor, neighbourCores: neighbourCores, startedAt: w.now, advancedAt: w.now}
+	incarnation := s.incarnation
+	s.pool.onDone = func(r *run) { s.whenRunning(incarnation, func() { s.workDone(r.attempt) }) }
+	s.policy, s.routes = w.fleet.Policy(w.fleet.Routes, w.fleet.Machine, w.callQuota(), w.seed+int64(s.number)+1000*int64(s.incarnation))
 	s.composer, s.awaitingCall = newComposer(s), nil
-	for i, t := range w.fleet.Routes {
-		if plan := w.fleet.Plans[t.Name]; plan != nil {
+	for i, route := range w.fleet.Routes {
+		if plan := w.fleet.Plans[route.Name]; plan != nil {
 			s.routes[i].CallWait = plan.RequiredPath()
 		}
 	}
-	if controller, own := s.policy.(*admission.Controller); own && w.fleet.PeerSync {
+	if controller, ok := s.policy.(*admission.Controller); ok && w.fleet.PeerSync {
 		s.usePeerEstimates(controller)
 	}
 	s.decide()
 }
 
-// usePeerEstimates merges the estimates of up to three running servers, as a new server with [peers] does.
+// usePeerEstimates merges the estimates of up to three running servers, as a new server with a [peers] section in its
+// configuration does.
 func (s *server) usePeerEstimates(controller *admission.Controller) {
 	w := s.world
 	schema := controller.EstimateSchema(uint64(s.number)<<32|s.incarnation, 0, false)
 	var snapshots []estimate.Snapshot
 	for _, i := range w.incidentRand.Perm(len(w.servers)) {
 		other := w.servers[i]
-		peer, own := other.policy.(*admission.Controller)
-		if other == s || !other.alive || !own || len(snapshots) == 3 {
+		peer, ok := other.policy.(*admission.Controller)
+		if other == s || !other.alive || !ok || len(snapshots) == 3 {
 			continue
 		}
 		if snapshot, err := schema.Validate(peer.Estimates(w.now, peer.EstimateSchema(uint64(other.number)<<32|other.incarnation, 0, false))); err == nil {
@@ -55,7 +56,7 @@
 	}
 }
 
-// kill ends a server as by SIGKILL.
+// kill ends a server as SIGKILL does.
 func (s *server) kill() {
 	if !s.alive {
 		return
@@ -66,51 +67,51 @@
 	s.dropOpen()
 }
 
-// dropOpen loses all open attempts.
+// dropOpen ends all unanswered attempts with a broken connection.
 func (s *server) dropOpen() {
 	open := s.world.sortedByID(s.attempts)
 	s.attempts = map[*admission.Request]*attempt{}
-	for _, t := range open {
-		if !t.answered {
-			t.answered = true
-			s.world.sendAnswer(t, lost, 0, false)
+	for _, a := range open {
+		if !a.answered {
+			a.answered = true
+			s.world.sendAnswer(a, lost, 0, false)
 		}
 	}
 }
 
-// shutdown begins a graceful shutdown, which ends within a limit. then is called after its end.
-func (s *server) shutdown(within time.Duration, then func()) {
+// shutdown begins a graceful shutdown that takes at most within. onStopped is called when it has ended.
+func (s *server) shutdown(within time.Duration, onStopped func()) {
 	if !s.alive || s.stopAt > 0 {
 		return
 	}
 	w := s.world
-	s.notifiedAt, s.stopAt, s.onStopped = w.now, w.now+within, then
-	w.rules.Add(rulecheck.Event{Kind: rulecheck.ShutdownNotified, At: w.now, Server: s.number, Deadline: w.now + grace})
+	s.notifiedAt, s.stopAt, s.onStopped = w.now, w.now+within, onStopped
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.ShutdownNotified, At: w.now, Server: s.number, Deadline: w.now + shutdownGrace})
 	s.round.StopAt = s.stopAt - stopMargin
-	life := s.incarnation
-	s.whenRunning(life, s.decide)
-	w.at(s.notifiedAt+grace, func() { s.stopWhenAnswered(life) })
-	w.at(s.stopAt, func() { s.stopped(life) })
+	incarnation := s.incarnation
+	s.whenRunning(incarnation, s.decide)
+	w.at(s.notifiedAt+shutdownGrace, func() { s.stopWhenAnswered(incarnation) })
+	w.at(s.stopAt, func() { s.stopped(incarnation) })
 }
 
-// stopWhenAnswered ends the shutdown after the grace, as soon as all attempts are answered.
-func (s *server) stopWhenAnswered(life uint64) {
-	if !s.alive || s.incarnation != life {
+// stopWhenAnswered ends the shutdown once all attempts are answered. It is first called at the end of the grace.
+func (s *server) stopWhenAnswered(incarnation uint64) {
+	if !s.alive || s.incarnation != incarnation {
 		return
 	}
-	for _, t := range s.attempts { // in any order: nothing is drawn
-		if !t.answered {
-			s.world.after(drainCheckInterval, func() { s.stopWhenAnswered(life) })
+	for _, a := range s.attempts { // in any order, as nothing is drawn
+		if !a.answered {
+			s.world.after(drainCheckInterval, func() { s.stopWhenAnswered(incarnation) })
 			return
 		}
 	}
-	s.stopped(life)
+	s.stopped(incarnation)
 }
 
 // stopped ends a graceful shutdown.
-func (s *server) stopped(life uint64) {
+func (s *server) stopped(incarnation uint64) {
 	w := s.world
-	if !s.alive || s.incarnation != life {
+	if !s.alive || s.incarnation != incarnation {
 		return
 	}
 	w.rules.Add(rulecheck.Event{Kind: rulecheck.Stopped, At: w.now, Server: s.number})
@@ -121,29 +122,29 @@
 	}
 }
 
-// freeze stops a server for a span. No answer is owed for attempts with a deadline before its end: the checker gets an
-// Abandoned event for each, and clients time out.
+// freeze suspends a server and its pool for a span. Attempts with a deadline before its end need no answer: the checker
+// gets an Abandoned event for each, and their clients time out.
 func (s *server) freeze(span time.Duration) {
 	if !s.alive {
 		return
 	}
 	w := s.world
 	s.frozenUntil = max(s.frozenUntil, w.now+span)
-	for _, t := range w.sortedByID(s.attempts) {
-		if !t.answered && t.Deadline < s.frozenUntil+thawMargin {
-			w.rules.Add(rulecheck.Event{Kind: rulecheck.Abandoned, At: w.now, Attempt: t.id})
+	for _, a := range w.sortedByID(s.attempts) {
+		if !a.answered && a.Deadline < s.frozenUntil+unfreezeMargin {
+			w.rules.Add(rulecheck.Event{Kind: rulecheck.Abandoned, At: w.now, Attempt: a.id})
 		}
 	}
 	s.pool.change(func() { s.pool.frozen = true })
-	life := s.incarnation
+	incarnation := s.incarnation
 	w.at(s.frozenUntil, func() {
-		if !s.alive || s.incarnation != life || w.now < s.frozenUntil {
+		if !s.alive || s.incarnation != incarnation || w.now < s.frozenUntil {
 			return
 		}
 		s.pool.change(func() { s.pool.frozen = false })
-		late := s.deferred
+		deferred := s.deferred
 		s.deferred = nil
-		for _, do := range late {
+		for _, do := range deferred {
 			do()
 		}
 	})
