--- a/internal/testkit/experiment/chart.go
+++ b/internal/testkit/experiment/chart.go
@@ -17,10 +17,10 @@
 	height = 4 * vg.Inch
 )
 
-// Format is the format of a chart.
+// Format is the file format of a chart.
 type Format string
 
-// The formats of charts.
+// The supported formats.
 const (
 	SVG Format = "svg"
 	PNG Format = "png"
@@ -29,11 +29,11 @@
 func render(p *plot.Plot, as Format) ([]byte, error) {
 	made, err := p.WriterTo(width, height, string(as))
 	if err != nil {
-		return nil, fmt.Errorf("chart: %w", err)
+		return nil, fmt.Errorf("render chart: %w", err)
 	}
 	var raw bytes.Buffer
 	if _, err := made.WriteTo(&raw); err != nil {
-		return nil, fmt.Errorf("chart: %w", err)
+		return nil, fmt.Errorf("render chart: %w", err)
 	}
 	return raw.Bytes(), nil
 }
@@ -47,7 +47,7 @@
 	return p
 }
 
-// SecondsChart draws the goodput share of each second of a drill by policy, as a mean over seeds.
+// SecondsChart draws the goodput share of each second of a drill but the last by policy, as a mean over seeds.
 func SecondsChart(cells []Cell, drill, title string, as Format) ([]byte, error) {
 	p := newPlot(title, "second in which requests began", "honoured importance")
 	p.Y.Min, p.Y.Max = 0, 1.05
@@ -62,7 +62,7 @@
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			return nil, fmt.Errorf("chart: %w", err)
+			return nil, fmt.Errorf("draw chart: %w", err)
 		}
 		line.Color, line.Dashes, line.Width = plotutil.Color(at), plotutil.Dashes(at/7), vg.Points(1.2)
 		if at == 0 {
@@ -75,7 +75,7 @@
 	return render(p, as)
 }
 
-// OverallChart draws the goodput share of each drill by policy, with its interval.
+// OverallChart draws the goodput share of each drill by policy, with its 95% interval.
 func OverallChart(cells []Cell, as Format) ([]byte, error) {
 	p := newPlot("honoured importance by drill, with 95% intervals over seeds", "", "honoured importance")
 	p.Y.Min, p.Y.Max = 0, 1.05
@@ -94,19 +94,19 @@
 		}
 		scatter, err := plotter.NewScatter(points)
 		if err != nil {
-			return nil, fmt.Errorf("chart: %w", err)
+			return nil, fmt.Errorf("draw chart: %w", err)
 		}
 		scatter.Color, scatter.Shape, scatter.Radius = plotutil.Color(at), plotutil.Shape(at), vg.Points(2.5)
 		if at == 0 {
 			scatter.Color = color.Black
 		}
-		if len(errs) > 0 && errs[0].High == errs[0].High { // one seed has no interval
+		if len(errs) > 0 && errs[0].High == errs[0].High { // false for NaN: one seed has no interval
 			bars, err := plotter.NewYErrorBars(struct {
 				plotter.XYer
 				plotter.YErrorer
 			}{points, errs})
 			if err != nil {
-				return nil, fmt.Errorf("chart: %w", err)
+				return nil, fmt.Errorf("draw chart: %w", err)
 			}
 			bars.Color = scatter.Color
 			p.Add(bars)
--- a/internal/testkit/experiment/experiment.go
+++ b/internal/testkit/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment runs experiments on the emulator: every drill with every policy and seed, in parallel. Runs are stored
-// as they end, so that an interrupted experiment continues. Results are reported as tables, charts and one page.
+// Package experiment runs experiments on the emulator: every drill with every policy and seed, in parallel. Each run is
+// stored as it ends, so that an interrupted experiment can be continued. Results are reported as tables, charts and one
+// HTML page.
 package experiment
 
 import (
@@ -23,28 +24,28 @@
 	maxRuns  = 100_000
 )
 
-// Experiment is an experiment file with its drills.
+// Experiment is an experiment file with the drills that it names.
 type Experiment struct {
 	Name      string   `toml:"name"`
 	Title     string   `toml:"title"`
-	Drills    []string `toml:"drills"`    // files or patterns, from the experiment's own folder
-	Policies  []string `toml:"policies"`  // the first is what the others are compared with
-	Seeds     int      `toml:"seeds"`     // from 1
-	Processes int      `toml:"processes"` // runs at once (all processors)
+	Drills    []string `toml:"drills"`    // files or patterns, relative to the folder of the experiment file
+	Policies  []string `toml:"policies"`  // the others are compared with the first (all, quartzpoint first)
+	Seeds     int      `toml:"seeds"`     // number of seeds, which are counted from 1 (10)
+	Processes int      `toml:"processes"` // runs at once (GOMAXPROCS)
 
 	drills []*scenario.Drill
-	texts  []string // of drills
-	raw    []byte   // the file
+	texts  []string // scripts of drills, by the same index
+	raw    []byte   // contents of the experiment file
 
 	errorPrefix string
-	errs        []error // of ReadExperiment
+	errs        []error // collected by ReadExperiment
 }
 
-// ReadExperiment reads an experiment and its drills. The error joins those of all settings and drills.
+// ReadExperiment reads an experiment file and its drills. The error joins those of all settings and drills.
 func ReadExperiment(path string) (*Experiment, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("experiment: %w", err)
+		return nil, fmt.Errorf("read experiment: %w", err)
 	}
 	e := &Experiment{Seeds: 10, Processes: runtime.GOMAXPROCS(0), raw: raw}
 	if err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(e); err != nil {
@@ -58,7 +59,7 @@
 	e.checkSettings()
 	e.readDrills(filepath.Dir(path))
 	if runs := len(e.drills) * len(e.Policies) * e.Seeds; runs > maxRuns {
-		e.addError("%d runs, %d at most", runs, maxRuns)
+		e.addError("%d runs, want at most %d", runs, maxRuns)
 	}
 	return e, errors.Join(e.errs...)
 }
@@ -67,13 +68,13 @@
 	e.errs = append(e.errs, fmt.Errorf(e.errorPrefix+format, args...))
 }
 
-// checkSettings checks the settings of the file, and states the default policies.
+// checkSettings checks the settings of the file, and sets the default policies.
 func (e *Experiment) checkSettings() {
 	if e.Name == "" || strings.ContainsAny(e.Name, `/\ `) {
-		e.addError("name = %q: a name without blanks and slashes is needed", e.Name)
+		e.addError("name = %q: want a name without blanks and slashes", e.Name)
 	}
 	if e.Seeds < 1 || e.Seeds > maxSeeds || e.Processes < 1 {
-		e.addError("seeds = %d, processes = %d: 1 to %d, and 1 or more", e.Seeds, e.Processes, maxSeeds)
+		e.addError("seeds = %d, processes = %d: want 1 to %d seeds and at least 1 process", e.Seeds, e.Processes, maxSeeds)
 	}
 	if len(e.Policies) == 0 {
 		e.Policies = append([]string{"quartzpoint"}, baseline.Names()...)
@@ -85,13 +86,13 @@
 	}
 }
 
-// readDrills reads the drills that the patterns name, in the order of their paths.
+// readDrills reads the drills that match the patterns, in the order of their paths.
 func (e *Experiment) readDrills(folder string) {
 	var files []string
 	for _, pattern := range e.Drills {
 		matches, err := filepath.Glob(filepath.Join(folder, pattern))
 		if err != nil || len(matches) == 0 {
-			e.addError("drills: %q names no file", pattern)
+			e.addError("drills: pattern %q matches no file", pattern)
 		}
 		files = append(files, matches...)
 	}
@@ -110,6 +111,6 @@
 		e.drills, e.texts = append(e.drills, d), append(e.texts, string(text))
 	}
 	if len(files) == 0 {
-		e.addError("drills: none is named")
+		e.addError("drills: no drill file found")
 	}
 }
--- a/internal/testkit/experiment/lab_test.go
+++ b/internal/testkit/experiment/lab_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// written writes an experiment with one small drill, and gives its path.
+// writeExperiment writes an experiment file with one small drill and returns its path.
 func written(t *testing.T, text string) string {
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "small.drill"),
@@ -29,7 +29,7 @@
 		{"unknown key", small + "speed = 1", "unknown key"},
 		{"no name", "drills = [\"*.drill\"]", "a name without blanks"},
 		{"unknown policy", "name = \"x\"\ndrills = [\"*.drill\"]\npolicies = [\"best\"]", `policy "best"`},
-		{"no drill", "name = \"x\"\ndrills = [\"*.none\"]", "names no file"},
+		{"no drill", "name = \"x\"\ndrills = [\"*.none\"]", "matches no file"},
 		{"no seeds", strings.Replace(small, "seeds = 3", "seeds = 0", 1), "seeds = 0"},
 		{"broken", "name = ", "experiment"},
 	}
@@ -41,8 +41,8 @@
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// An experiment that is interrupted goes on where it was, and gives what it would have given at once, however many
-// processes take part.
+// An interrupted experiment continues from its stored runs and gives the same results as an uninterrupted one, with any
+// number of processes.
 func TestResume(t *testing.T) {
 	path := written(t, small)
 	e, err := ReadExperiment(path)
@@ -65,7 +65,7 @@
 	require.NoError(t, err)
 	before := bytes.Count(raw, []byte("\n"))
 	assert.Less(t, before, 6)
-	require.NoError(t, os.WriteFile(runs, append(raw, raw[:len(raw)/3]...), 0o600)) // and one was being written
+	require.NoError(t, os.WriteFile(runs, append(raw, raw[:len(raw)/3]...), 0o600)) // a line that was cut off by the interruption
 	kept := 0
 	e.Processes = 4
 	again, err := e.Run(t.Context(), folder, func(_ Run, was bool, _, _ int) {
@@ -94,11 +94,11 @@
 func TestIntervals(t *testing.T) {
 	i := intervalOf([]float64{1, 2, 3, 4, 5})
 	assert.InDelta(t, 3, i.Mean, 1e-9)
-	assert.InDelta(t, 1.963, i.Half, 1e-3, "t of 4 degrees, 2.776, by 1.581 over the root of 5")
+	assert.InDelta(t, 1.963, i.Half, 1e-3, "t for 4 degrees of freedom (2.776) * standard deviation (1.581) / sqrt(5)")
 	cells := Cells([]Run{share("p", 0.9), share("p", 0.8), share("q", 0.5), share("q", 0.4)})
 	require.Len(t, cells, 2)
 	assert.InDelta(t, -0.4, cells[1].Difference.Mean, 1e-9)
-	assert.InDelta(t, 0, cells[1].Difference.Half, 1e-9, "pairs differ by the same")
+	assert.InDelta(t, 0, cells[1].Difference.Half, 1e-9, "all pairs have the same difference")
 	assert.InDelta(t, 0.85, cells[0].GoodputShare.Mean, 1e-9)
 }
 
--- a/internal/testkit/experiment/report.go
+++ b/internal/testkit/experiment/report.go
@@ -10,7 +10,7 @@
 	"runtime/debug"
 )
 
-// Report writes tables, charts and one self-contained page into the folder, beside the experiment that made them.
+// Report writes tables, charts and one self-contained HTML page into the folder, with a copy of the experiment file.
 func (e *Experiment) Report(folder string, runs []Run) error {
 	cells := Cells(runs)
 	var table, overall bytes.Buffer
@@ -33,7 +33,7 @@
 	}
 	write := func(name string, raw []byte) error {
 		if err := os.WriteFile(filepath.Join(folder, name), raw, 0o644); err != nil {
-			return fmt.Errorf("results: %w", err)
+			return fmt.Errorf("write report: %w", err)
 		}
 		return nil
 	}
@@ -44,8 +44,8 @@
 				return err
 			}
 			if as == SVG {
-				at := max(bytes.Index(raw, []byte("<svg")), 0)                                 // without the XML head, which has no place in a page
-				page.Pictures = append(page.Pictures, picture{title, template.HTML(raw[at:])}) // our own drawing
+				at := max(bytes.Index(raw, []byte("<svg")), 0)                                 // skip the XML declaration, which is not allowed within HTML
+				page.Pictures = append(page.Pictures, picture{title, template.HTML(raw[at:])}) // drawn by this package, so safe to include unescaped
 			}
 			if err := write(name+"."+string(as), raw); err != nil {
 				return err
@@ -64,7 +64,7 @@
 	}
 	var html bytes.Buffer
 	if err := pageTemplate().Execute(&html, page); err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("render report page: %w", err)
 	}
 	return errors.Join(
 		write("report.html", html.Bytes()), write("experiment.toml", e.raw),
--- a/internal/testkit/experiment/run.go
+++ b/internal/testkit/experiment/run.go
@@ -17,15 +17,16 @@
 	"quartzpoint/scenario"
 )
 
-// modelVersion is the version of the emulator's model, and a part of each run's key: runs of another version are not used.
+// modelVersion is the version of the emulator's model. It is part of each run's key, so that stored runs of another
+// version are not used.
 const modelVersion = 1
 
-// maxStoredRun is the longest line of stored runs, in bytes.
+// maxStoredRunBytes is the maximum length of a line of stored runs.
 const maxStoredRun = 16 << 20
 
-// Run is one run with its result, as it is stored.
+// Run is one run with its result, as stored.
 type Run struct {
-	Key    string          `json:"key"` // hash of the model, the drill, the policy and the seed
+	Key    string          `json:"key"` // hash of the model version, the drill's script, the policy and the seed
 	Drill  string          `json:"drill"`
 	Policy string          `json:"policy"`
 	Seed   int64           `json:"seed"`
@@ -42,8 +43,8 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d\x00%s\x00%s\x00%d", modelVersion, e.texts[i], policy, seed)))
 }
 
-// Progress is called with each run that has ended, whether it was stored before, how many have ended, and how many there are.
-// Calls are serialized.
+// Progress is called after each run. stored reports whether the run was stored before, ended is the number of runs that
+// have ended, stored ones included, and total the number of all runs. Calls are serialized.
 type Progress func(r Run, stored bool, ended, total int)
 
 // job is one run of an experiment.
@@ -65,7 +66,7 @@
 	return jobs
 }
 
-// execution is an experiment that runs. Its workers share it.
+// execution is an experiment in progress. Its workers share it.
 type execution struct {
 	experiment *Experiment
 	progress   Progress
@@ -78,11 +79,11 @@
 	err   error
 }
 
-// Run makes every run that the folder does not have yet, and returns all in the order of drills, policies and seeds. Each run
-// is stored as it ends, so that an interrupted experiment continues where it was.
+// Run carries out the runs that are not stored in the folder yet, and returns all runs in the order of drills, policies
+// and seeds. Each run is stored as it ends, so that an interrupted experiment can be continued. progress may be nil.
 func (e *Experiment) Run(ctx context.Context, folder string, progress Progress) ([]Run, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return nil, fmt.Errorf("results: %w", err)
+		return nil, fmt.Errorf("create results folder: %w", err)
 	}
 	path := filepath.Join(folder, "runs.jsonl")
 	stored, err := readStoredRuns(path)
@@ -91,16 +92,17 @@
 	}
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("results: %w", err)
+		return nil, fmt.Errorf("open results: %w", err)
 	}
 	runs, err := e.perform(ctx, file, stored, progress)
 	if err := errors.Join(err, file.Close()); err != nil {
-		return nil, fmt.Errorf("experiment: %w", err)
+		return nil, fmt.Errorf("run experiment: %w", err)
 	}
 	return runs, nil
 }
 
-// perform makes the runs that are not stored, and appends them to file.
+// runJobs carries out the runs that are not stored, and appends them to the file. After the context has ended it starts
+// no more runs and returns an error.
 func (e *Experiment) perform(ctx context.Context, file *os.File, stored map[string]Run, progress Progress) ([]Run, error) {
 	jobs := e.jobs()
 	x := &execution{experiment: e, progress: progress, stored: stored, file: file, runs: make([]Run, len(jobs))}
@@ -118,7 +120,7 @@
 	return x.runs, errors.Join(x.err, context.Cause(ctx))
 }
 
-// feed sends jobs until the context ends, and closes the channel.
+// sendJobs sends jobs until the context ends, and closes the channel.
 func feed(ctx context.Context, jobs []job, next chan<- job) {
 	defer close(next)
 	for _, j := range jobs {
@@ -130,12 +132,12 @@
 	}
 }
 
-// perform makes a run, unless it is stored.
+// runJob carries out a run and appends it to the file, unless it is stored already.
 func (x *execution) perform(j job) {
 	key := x.experiment.runKey(j.drill, j.policy, j.seed)
 	run, stored := x.stored[key]
 	if !stored {
-		policy, _ := baseline.PolicyByName(j.policy) // ReadExperiment has checked the name
+		policy, _ := baseline.PolicyByName(j.policy) // the error is nil, as ReadExperiment has checked the name
 		run = RunDrill(x.experiment.drills[j.drill], j.policy, policy, j.seed)
 		run.Key = key
 	}
@@ -155,15 +157,15 @@
 	}
 }
 
-// RunDrill runs a drill once.
+// RunDrill runs a drill once and returns the run without a key.
 func RunDrill(d *scenario.Drill, policyName string, policy emulator.PolicyMaker, seed int64) Run {
 	r := d.Emulate(policy, seed)
 	milliseconds := func(quantile float64) float64 { return float64(r.Latencies.ValueAtQuantile(quantile)) / 1e3 }
 	return Run{Drill: d.Name, Policy: policyName, Seed: seed, P50: milliseconds(50), P99: milliseconds(99), P999: milliseconds(99.9), Result: r}
 }
 
-// readStoredRuns reads stored runs by their keys. A line that is incomplete was cut off by an interruption: its run is made
-// again.
+// readStoredRuns reads stored runs by their keys. It skips incomplete lines, which an interruption leaves; their runs
+// are carried out again.
 func readStoredRuns(path string) (map[string]Run, error) {
 	stored := map[string]Run{}
 	file, err := os.Open(path)
@@ -171,9 +173,9 @@
 		return stored, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("results: %w", err)
+		return nil, fmt.Errorf("read results: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, maxStoredRun)
 	for lines.Scan() {
@@ -183,7 +185,7 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return nil, fmt.Errorf("results %s: %w", path, err)
+		return nil, fmt.Errorf("read results %s: %w", path, err)
 	}
 	return stored, nil
 }
--- a/internal/testkit/experiment/table.go
+++ b/internal/testkit/experiment/table.go
@@ -11,7 +11,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Interval is a mean over seeds and half of its 95% interval, by Student's t. Half is NaN for one seed.
+// Interval is a mean over seeds with half the width of its 95% confidence interval, by Student's t. HalfWidth is NaN
+// for fewer than two seeds.
 type Interval struct{ Mean, Half float64 }
 
 func intervalOf(values []float64) Interval {
@@ -24,19 +25,20 @@
 	return Interval{mean, t * deviation / math.Sqrt(n)}
 }
 
-// Cell is the summary of one drill with one policy.
+// Cell is the summary of the runs of one drill with one policy.
 type Cell struct {
 	Drill, Policy                 string
 	GoodputShare                  Interval // goodput over offered value
 	Difference                    Interval // to GoodputShare of the first policy, seed by seed
 	Rejected, Aborted, Unanswered float64  // shares of requests
-	Attempts                      float64  // for each request
-	P50, P99                      float64  // ms, medians over seeds
-	Violations                    [5]int   // by rule, over all seeds
+	Attempts                      float64  // per request
+	P50, P99                      float64  // milliseconds, medians over seeds
+	Violations                    [5]int   // by rule (from 1), over all seeds
 	SecondShares                  []float64
 }
 
-// Cells summarizes runs by drill and policy, in their order.
+// Cells summarizes runs by drill and policy, in the order in which these first occur. Each policy of a drill must have
+// runs of the same seeds in the same order.
 func Cells(runs []Run) (cells []Cell) {
 	type place struct{ drill, policy string }
 	by := map[place][]Run{}
@@ -91,7 +93,7 @@
 	return stat.Quantile(0.5, stat.LinInterp, values, nil)
 }
 
-// Policies are those of the cells, in their order.
+// policyNames returns the policies of the cells, in the order in which they first occur.
 func policies(cells []Cell) (names []string) {
 	for _, c := range cells {
 		if !slices.Contains(names, c.Policy) {
@@ -110,7 +112,7 @@
 	return names
 }
 
-// Table prints the cells.
+// Table writes a row for each cell.
 func Table(to io.Writer, cells []Cell) error {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "drill\tpolicy\thonoured\t± 95%\tover the first\t± 95%\tdismissed\tgiven up\tleft\ttries\tp50 ms\tp99 ms\trules broken 1 2 3 4\t")
@@ -122,7 +124,8 @@
 	return t.Flush()
 }
 
-// Overall prints each policy's mean over all drills, and over how many drills it is worse than the first beyond chance.
+// Overall writes a row for each policy: its mean over all drills, its lowest drill, the number of drills in which it is
+// worse or better than the first policy by more than the 95% interval, and its violations.
 func Overall(to io.Writer, cells []Cell) error {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policy\tmean honoured\tleast\tin drill\tworse than the first in\tbetter in\trules broken\t")
--- a/internal/testkit/soak/checker.go
+++ b/internal/testkit/soak/checker.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	answerSlack    = 50 * time.Millisecond // after the deadline, by the protocol
-	crossingWindow = 50 * time.Millisecond // before the end of its connection: a request sent later may be lost and is retried
+	answerSlack    = 50 * time.Millisecond // how long after its deadline a request may be answered, by the protocol
+	crossingWindow = 50 * time.Millisecond // a request sent this shortly before the end of its connection may be lost; its client retries it
 )
 
-// Violation is a violation of a rule.
+// Violation is a violation of one of the four rules.
 type Violation struct {
-	Rule    int // from 1 to 4
+	Rule    int // 1 to 4
 	Message string
 }
 
-// String returns the rule and the message.
+// String returns the rule and the message of the violation.
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Message) }
 
-// Check checks a history against the four rules, from nothing but what clients and worker pools recorded.
+// Check checks a history against the four rules and returns the violations. It uses only what this package, the worker
+// pools and the dependency recorded, and nothing that the servers report but their exit codes.
 func Check(h *History) (violations []Violation) {
 	c := &checker{history: h, starts: map[string][]time.Time{}}
 	for _, incarnation := range h.Incarnations {
@@ -47,7 +48,7 @@
 
 type checker struct {
 	history    *History
-	starts     map[string][]time.Time // by request
+	starts     map[string][]time.Time // start times of runs, by request ID
 	violations []Violation
 }
 
@@ -55,14 +56,14 @@
 	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(words, of...)})
 }
 
-// describe names a request in messages.
+// describe returns the ID, route and server of a request, for messages.
 func (c *checker) describe(r *Request) string {
 	route := c.history.Plan.Routes[r.Route]
 	return fmt.Sprintf("%s (%s, %s) at server %d life %d", r.ID, route.Name, route.Effect, r.Incarnation.Server, r.Incarnation.Number)
 }
 
-// slack returns by how much an answer may be late: answerSlack, the time for which the recorder or the process waited for a
-// core of this machine, and the time for which the process was paused.
+// slack returns how late an answer may be: answerSlack, plus the maximum lateness of this process's timers, plus the
+// time for which the server process waited for a core of this machine, plus the time for which it was paused.
 func (c *checker) slack(r *Request) time.Duration {
 	slack := answerSlack + c.history.TimerLateness + r.Incarnation.cpuWait(r.SentAt, r.Deadline.Add(answerSlack))
 	for _, s := range r.Incarnation.Paused {
@@ -73,7 +74,7 @@
 	return slack
 }
 
-// answered checks rule 1: one final answer in time.
+// checkAnswer checks rule 1: a request gets exactly one answer, in time.
 func (c *checker) answered(r *Request) {
 	switch {
 	case len(r.Answers) > 1:
@@ -93,7 +94,7 @@
 	}
 }
 
-// since returns the time from one moment to another, 0 where either is zero.
+// since returns the time between two moments, or 0 if either is zero.
 func since(from, to time.Time) time.Duration {
 	if from.IsZero() || to.IsZero() {
 		return 0
@@ -101,12 +102,14 @@
 	return to.Sub(from)
 }
 
-// crossedConnectionEnd reports whether a request was sent as its connection ended, which the recorder may have seen late.
+// crossedConnectionEnd reports whether a request was sent within crossingWindow of the end of its connection. The
+// client may have seen that end late.
 func (c *checker) crossedConnectionEnd(r *Request) bool {
 	return !r.ConnectionEnded.IsZero() && r.ConnectionEnded.Sub(r.SentAt) <= crossingWindow+c.history.TimerLateness+r.Incarnation.cpuWait(r.SentAt, r.ConnectionEnded)
 }
 
-// ranOnce checks rule 2 for single requests: none that is not safe begins twice, and none that has run is rejected.
+// checkStarts checks rule 2 for a single request: it starts once unless it is retryable, and it is not rejected once it
+// has run.
 func (c *checker) ranOnce(r *Request) {
 	starts := len(c.starts[r.ID])
 	if c.history.Plan.Routes[r.Route].Effect != Safe && starts > 1 {
@@ -117,14 +120,15 @@
 	}
 }
 
-// keysRanOnce checks rule 2 for keys: a key runs once on a process within the window of the request that ran.
+// checkKeys checks rule 2 for idempotency keys: a process runs a key once within the dedup window, less answerSlack,
+// from the sending of the request that ran.
 func (c *checker) keysRanOnce() {
 	type place struct {
 		life *Incarnation
 		key  string
 	}
 	ran := map[place]*Request{}
-	for _, r := range c.history.Requests { // in order of sending
+	for _, r := range c.history.Requests { // in order of sending, as each key is used by one sender only
 		if r.Key == "" {
 			continue
 		}
@@ -139,8 +143,8 @@
 	}
 }
 
-// repeated checks a repeat against the first request of its key: it must not run, and must not be rejected once the first has
-// begun, as its caller would then retry at another server.
+// checkRepeat checks a request against an earlier request with the same key that ran. It must not run, and it must not
+// be rejected after the earlier one has started, as its client would then retry it at another server.
 func (c *checker) repeated(r, first *Request) {
 	if len(c.starts[r.ID]) > 0 {
 		c.violate(2, "%s ran, and %s with the same key %v before", c.describe(r), first.ID, r.SentAt.Sub(first.SentAt))
@@ -150,7 +154,7 @@
 	}
 }
 
-// drained checks rule 3: no request that arrives after the grace runs.
+// checkGrace checks rule 3: no request that arrives after the grace runs.
 func (c *checker) drained(r *Request) {
 	if r.Incarnation.NotifiedAt.IsZero() || len(c.starts[r.ID]) == 0 {
 		return
@@ -161,7 +165,7 @@
 	}
 }
 
-// withinEndurance checks rule 4, and that the process ended without an error.
+// checkEndurance checks rule 4 for a worker pool, and, under rule 1, that its server process ended without an error.
 func (c *checker) withinEndurance(incarnation *Incarnation) {
 	name := fmt.Sprintf("the pool of server %d life %d", incarnation.Server, incarnation.Number)
 	if s := incarnation.Strain; s.Runs > 1 {
--- a/internal/testkit/soak/checker_test.go
+++ b/internal/testkit/soak/checker_test.go
@@ -9,7 +9,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// The classes of the histories below.
+// The indexes of the routes in validHistory.
 const (
 	safeClass = iota
 	keyedClass
@@ -20,8 +20,9 @@
 
 func at(ms int) time.Time { return second0.Add(time.Duration(ms) * time.Millisecond) }
 
-// validHistory is a history without a violation: a request of each class is served, one refused, one cut off by its client, one
-// crosses the end of its connection, and one comes past the grace and is refused.
+// validHistory returns a history without a violation: a request of each route is served, a keyed one is repeated, one
+// is rejected, one is reset by its client, one crosses the end of its connection, and one arrives after the grace and
+// is rejected.
 func validHistory() *History {
 	incarnation := &Incarnation{NotifiedAt: at(5000), EndedAt: at(8000)}
 	h := &History{
@@ -72,7 +73,7 @@
 
 func TestAHistoryThatKeepsTheRules(t *testing.T) { assert.Empty(t, Check(validHistory())) }
 
-// Each planted bug has to be found, by its rule and no other.
+// Each planted bug is found as exactly one violation, of the right rule.
 func TestTheCheckerFindsPlantedBugs(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -86,19 +87,19 @@
 		{"an answer is late", 1, func(h *History) { h.request("safe").Answers[0].At = at(1060) }},
 		{"a request is lost with its connection", 1, func(h *History) { h.request("crossing").ConnectionEnded = at(4100) }},
 		{"a request that ran crosses the end of its connection", 1, func(h *History) { h.ran("crossing", 4010) }},
-		{"an answer to nobody", 1, func(h *History) { h.strayAnswers = 1 }},
-		{"a process ends by itself with an error", 1, func(h *History) { h.Incarnations[0].ExitCode = 2 }},
-		{"an unsafe request runs twice", 2, func(h *History) { h.ran("unsafe", 200) }},
-		{"what has run is refused", 2, func(h *History) { h.ran("refused", 3) }},
-		{"a key runs again in its window", 2, func(h *History) { h.ran("repeat", 1005) }},
-		{"a repeat of a key that ran is refused", 2, func(h *History) { h.request("repeat").Answers[0].Code = CodeRejected }},
-		{"a request from past the grace runs", 3, func(h *History) {
+		{"an answer on a stream without an open request", 1, func(h *History) { h.strayAnswers = 1 }},
+		{"a process ends with an error", 1, func(h *History) { h.Incarnations[0].ExitCode = 2 }},
+		{"an at-most-once request runs twice", 2, func(h *History) { h.ran("unsafe", 200) }},
+		{"a request that ran is rejected", 2, func(h *History) { h.ran("refused", 3) }},
+		{"a key runs again in its dedup window", 2, func(h *History) { h.ran("repeat", 1005) }},
+		{"a repeat of a key that ran is rejected", 2, func(h *History) { h.request("repeat").Answers[0].Code = CodeRejected }},
+		{"a request sent after the grace runs", 3, func(h *History) {
 			h.request("past the grace").Answers[0].Code = CodeServed
 			h.ran("past the grace", 6105)
 		}},
-		{"the cores are crowded", 4, func(h *History) { h.Incarnations[0].Strain.Runs = 1.01 }},
+		{"too many runs on the cores", 4, func(h *History) { h.Incarnations[0].Strain.Runs = 1.01 }},
 		{"the dependency is overloaded", 4, func(h *History) { h.CallStrain.Runs = 1.01 }},
-		{"the memory is passed", 4, func(h *History) { h.Incarnations[0].Strain.Memory = 1.01 }},
+		{"the memory limit is exceeded", 4, func(h *History) { h.Incarnations[0].Strain.Memory = 1.01 }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -112,28 +113,28 @@
 	}
 }
 
-// What is no fault of the server is not held against it.
+// The checker allows what is not a fault of the server.
 func TestWhatTheCheckerAllows(t *testing.T) {
 	cases := map[string]func(h *History){
-		"the process was killed under it": func(h *History) { h.request("safe").Answers, h.Incarnations[0].KilledAt = nil, at(200) },
-		"the process was stopped meanwhile": func(h *History) {
+		"the process was killed before it answered": func(h *History) { h.request("safe").Answers, h.Incarnations[0].KilledAt = nil, at(200) },
+		"the process was paused before it answered": func(h *History) {
 			h.request("safe").Answers[0].At = at(1300)
 			h.Incarnations[0].Paused = []Span{{at(900), at(1200)}}
 		},
-		"this machine was late": func(h *History) { h.request("safe").Answers[0].At, h.TimerLateness = at(1060), 20*time.Millisecond },
-		"this machine saw the end of a connection late": func(h *History) {
+		"the timers of the client were late": func(h *History) { h.request("safe").Answers[0].At, h.TimerLateness = at(1060), 20*time.Millisecond },
+		"the client saw the end of a connection late": func(h *History) {
 			h.request("crossing").ConnectionEnded, h.TimerLateness = at(4065), 20*time.Millisecond
 		},
 		"the process waited for a core": func(h *History) {
 			h.request("safe").Answers[0].At = at(1080)
 			h.Incarnations[0].CPUWaits = []CPUWait{{at(0), 0}, {at(900), time.Second}, {at(1040), 1040 * time.Millisecond}, {at(2000), 1040 * time.Millisecond}}
 		},
-		"a safe request ran twice": func(h *History) { h.ran("safe", 20) },
-		"a key behind its window":  func(h *History) { h.request("repeat").SentAt = at(2100); h.ran("repeat", 2110) },
-		"a refusal behind a window": func(h *History) {
+		"a retryable request ran twice":          func(h *History) { h.ran("safe", 20) },
+		"a key ran again after its dedup window": func(h *History) { h.request("repeat").SentAt = at(2100); h.ran("repeat", 2110) },
+		"a repeat was rejected after the dedup window": func(h *History) {
 			h.request("repeat").SentAt, h.request("repeat").Answers[0].Code = at(2100), CodeRejected
 		},
-		"the process had to be killed behind its notice, with all answered": func(h *History) { h.Incarnations[0].KilledAfterTimeout = true },
+		"the process was killed after its notice, with all requests answered": func(h *History) { h.Incarnations[0].KilledAfterTimeout = true },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -144,7 +145,8 @@
 	}
 }
 
-// A thread of the process ended between two looks: its waiting is missing in the later total, and nothing follows.
+// When a thread of the process ends, the next total of waiting times is lower, as that of the thread is missing. The
+// drop must not reduce the slack of answers.
 func TestAThreadThatEndsTakesNothingOffTheSlack(t *testing.T) {
 	h := validHistory()
 	h.Incarnations[0].CPUWaits = []CPUWait{{at(0), time.Second}, {at(900), time.Second}, {at(1100), 800 * time.Millisecond}, {at(9000), 800 * time.Millisecond}}
--- a/internal/testkit/soak/client.go
+++ b/internal/testkit/soak/client.go
@@ -15,12 +15,12 @@
 
 const (
 	maxOpenRequests    = 32                    // on a connection, by the protocol
-	redialDelay        = 20 * time.Millisecond // after a refused connection
-	maxReusableKeys    = 16                    // of a sender
-	repeatShare        = 0.4                   // of keyed requests that repeat a key
-	slowShare          = 0.1                   // of senders that write in pieces
-	respectsDrainShare = 0.5                   // of senders that send no more requests to a draining server
-	resetShare         = 0.001                 // of requests after which a sender resets its connection
+	redialDelay        = 20 * time.Millisecond // after a failed dial
+	maxReusableKeys    = 16                    // latest keys of a sender that it may repeat
+	repeatShare        = 0.4                   // share of keyed requests that repeat an earlier key
+	slowShare          = 0.1                   // share of senders that write requests in pieces
+	respectsDrainShare = 0.5                   // share of senders that send no more requests to a draining server
+	resetShare         = 0.001                 // share of requests after which the sender resets its connection
 	maxPieceDelay      = 15 * time.Millisecond // between two pieces of a request
 )
 
@@ -38,7 +38,7 @@
 	readers       sync.WaitGroup
 }
 
-// connection is one connection of a sender.
+// connection is a connection of a sender.
 type connection struct {
 	net.Conn
 	incarnation *Incarnation
@@ -46,9 +46,9 @@
 	mu            sync.Mutex
 	open          map[uint32]*Request
 	stream        uint32
-	draining      bool // the server asked for no further requests
+	draining      bool // the server asked for no more requests
 	ended         bool
-	resetByClient bool // by its sender
+	resetByClient bool // the sender ended the connection with a reset
 }
 
 func newSender(h *History, s *slot, number int, seed int64) *sender {
@@ -58,7 +58,8 @@
 	}
 }
 
-// run sends requests at random until done is closed, and waits until every open one is answered or past its deadline.
+// run sends requests at random intervals until done is closed. It then waits until every open request is answered or
+// past its deadline.
 func (s *sender) run(done <-chan struct{}) {
 	defer s.readers.Wait()
 	mean := float64(s.plan.Senders) / s.plan.Rate()
@@ -88,7 +89,8 @@
 	}
 }
 
-// closeWhenAnswered closes a connection once every request on it is answered, or past the longest deadline.
+// closeWhenAnswered closes a connection once every request on it is answered, or a second after the longest deadline.
+// It returns at once.
 func (s *sender) closeWhenAnswered(c *connection) {
 	s.readers.Add(1)
 	go func() {
@@ -106,7 +108,7 @@
 	return !c.ended && len(c.open) > 0
 }
 
-// usable reports whether another request may be sent.
+// usable reports whether another request may be sent on the connection.
 func (c *connection) usable(respectsDrain bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +122,7 @@
 	}
 	made, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
-		return nil // nothing ran
+		return nil // no request was sent
 	}
 	c := &connection{Conn: made, incarnation: incarnation, open: map[uint32]*Request{}}
 	s.readers.Add(1)
@@ -131,7 +133,7 @@
 	return c
 }
 
-// send writes one request, and records it once it was written completely.
+// send writes one request, and records it once it is written completely.
 func (s *sender) send(c *connection) {
 	r := s.draw(c.incarnation)
 	route := s.plan.Routes[r.Route]
@@ -150,11 +152,11 @@
 	if !open {
 		return
 	}
-	// Repeats of a key must have the same body.
+	// Repeats of a key must have the same body, so it states the mean work of the route.
 	body := binary.BigEndian.AppendUint64(nil, uint64(max(work.Microseconds(), 1)))
 	if r.Key != "" {
 		body = binary.BigEndian.AppendUint64(nil, uint64(route.Work.Microseconds()))
-	} else if route.Calls { // the pool interrupts a blocked run after the deadline
+	} else if route.Calls { // the deadline in the body lets the pool interrupt a blocked run
 		body = binary.BigEndian.AppendUint64(append(body, 0), uint64(sent.Add(ttl).UnixMilli()))
 	}
 	if err := s.write(c, harness.Frame(harness.FrameRequest, stream, string(body), fields...)); err != nil {
@@ -162,10 +164,10 @@
 		delete(c.open, stream)
 		c.ended = true
 		c.mu.Unlock()
-		return // it was not written completely
+		return // the request was not written completely
 	}
 	s.history.update(func() {
-		r.SentAt = time.Now() // a request in pieces is complete only now, and its deadline no earlier
+		r.SentAt = time.Now() // a request in pieces is complete only now, and its deadline is no earlier than that
 		r.Deadline = sent.Add(ttl)
 		if r.Deadline.Before(r.SentAt) {
 			r.Deadline = r.SentAt
@@ -177,7 +179,8 @@
 	}
 }
 
-// begin opens a stream for a request. open is false where the connection has ended: nobody would record what becomes of it.
+// begin opens a stream for a request. open is false if the connection has ended: no reader would record the outcome of
+// the request.
 func (c *connection) begin(r *Request) (stream uint32, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +192,7 @@
 	return c.stream, true
 }
 
-// resetBehind ends a connection with a reset, after which no answer is owed on it.
+// reset ends a connection with a TCP reset. The server owes no answer on it from then on.
 func (s *sender) resetBehind(c *connection) {
 	c.mu.Lock()
 	c.resetByClient = true
@@ -198,7 +201,8 @@
 	_ = c.Close()
 }
 
-// draw returns a new request. A keyed one repeats a key of its route now and then.
+// draw returns a new request of a random route. A share of the keyed ones, repeatShare, repeats an earlier key of the
+// route.
 func (s *sender) draw(incarnation *Incarnation) *Request {
 	r := &Request{ID: fmt.Sprintf("%016x", s.rng.Uint64()), Route: s.rng.Intn(len(s.plan.Routes)), Incarnation: incarnation}
 	if s.plan.Routes[r.Route].Effect != Keyed {
@@ -215,7 +219,7 @@
 	return r
 }
 
-// repeated returns a key of the route that was used before, or the fresh one.
+// reuseKey returns a random recent key of the route, or newKey if there is none.
 func (s *sender) repeated(route int, fresh string) string {
 	prefix := fmt.Sprintf("%d-%d-", s.number, route)
 	for _, at := range s.rng.Perm(len(s.keys)) {
@@ -226,7 +230,7 @@
 	return fresh
 }
 
-// write writes a frame, in pieces where the sender is slow.
+// write writes a frame, in pieces with delays if the sender is slow.
 func (s *sender) write(c *connection, frame []byte) error {
 	if !s.slow {
 		_, err := c.Write(frame)
@@ -244,7 +248,7 @@
 	return nil
 }
 
-// read records answers until the connection ends.
+// read records answers until the connection ends. It then records that end for every open request.
 func (s *sender) read(c *connection) {
 	defer func() { _ = c.Close() }()
 	for {
--- a/internal/testkit/soak/client_test.go
+++ b/internal/testkit/soak/client_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The end of a connection was seen between two looks of its sender. A request was written behind it into nothing, and as the
-// end had been recorded already it counted as never answered.
+// A connection could end after its sender had found it usable. The sender wrote the next request all the same, and as
+// the end of the connection was recorded already, that request counted as never answered.
 func TestNothingIsSentBehindTheEndOfAConnection(t *testing.T) {
 	plan := Draw(1, time.Second)
 	h := &History{Plan: plan}
--- a/internal/testkit/soak/history.go
+++ b/internal/testkit/soak/history.go
@@ -7,17 +7,17 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// Request is a request that was written completely, and what became of it.
+// Request is a request that was written completely, with its outcome.
 type Request struct {
 	ID              string
 	Route           int
-	Key             string // idempotency key, of a keyed route
+	Key             string // idempotency key; empty unless the route is keyed
 	Incarnation     *Incarnation
 	SentAt          time.Time // when its last byte was written
 	Deadline        time.Time
 	Answers         []Answer
-	ConnectionEnded time.Time // zero while the connection lasts
-	ResetByClient   bool      // no answer is owed any more
+	ConnectionEnded time.Time // when the client saw its connection end; zero if it was answered before or the connection lasts
+	ResetByClient   bool      // the sender reset the connection, so no answer is owed
 }
 
 // Answer is an answer that a client read.
@@ -37,26 +37,26 @@
 type Incarnation struct {
 	Server             int
 	Number             int
-	NotifiedAt         time.Time // by SIGTERM, zero without
-	KilledAt           time.Time // by SIGKILL without a notice, zero without
+	NotifiedAt         time.Time // when SIGTERM was sent; zero if it was not
+	KilledAt           time.Time // when SIGKILL was sent without a notice; zero if it was not
 	EndedAt            time.Time // zero while the process runs
-	KilledAfterTimeout bool      // had to be killed after SIGTERM
+	KilledAfterTimeout bool      // ended by SIGKILL, after SIGTERM or by the fault Kill, which sets KilledAt too
 	ExitCode           int
-	Paused             []Span    // by SIGSTOP
-	CPUWaits           []CPUWait // samples in order of time
+	Paused             []Span    // between SIGSTOP and SIGCONT
+	CPUWaits           []CPUWait // samples, in order of time
 	Strain             harness.Strain
 	Runs               []harness.RunStart
 	Log                string
 }
 
-// CPUWait is the total time that a process had waited for a core of this machine, at a moment.
+// CPUWait is a sample of the total time that the threads of a process have waited for a core of this machine.
 type CPUWait struct {
 	At    time.Time
 	Total time.Duration
 }
 
-// drainDistance returns by how much the process ended before the earliest kill, for one that was shut down; below 0 it would
-// have been killed. known is false for others.
+// drainMargin returns how long before the earliest allowed kill a process that was shut down ended. It is negative for
+// one that ended later. known is false for other processes.
 func (l *Incarnation) drainDistance(killAfter time.Duration) (distance time.Duration, known bool) {
 	if l.NotifiedAt.IsZero() || l.EndedAt.IsZero() || !l.KilledAt.IsZero() {
 		return 0, false
@@ -64,8 +64,8 @@
 	return killAfter - l.EndedAt.Sub(l.NotifiedAt), true
 }
 
-// cpuWait returns the time that the process waited for a core from one moment to another. Totals fall when a thread ends,
-// as its time is not counted any more; that counts as no wait.
+// cpuWait returns the time that the process waited for a core between two moments. A total falls when a thread ends, as
+// the time of that thread is no longer counted; a fall counts as no wait.
 func (l *Incarnation) cpuWait(from, to time.Time) time.Duration {
 	if len(l.CPUWaits) == 0 {
 		return 0
@@ -86,33 +86,33 @@
 // Span is the time from one moment to another.
 type Span struct{ From, To time.Time }
 
-// History is what was recorded of a run. Its methods may be called from any goroutine.
+// History is the record of a run. Its methods may be called from any goroutine.
 type History struct {
 	mu            sync.Mutex
 	Plan          Plan
 	Incarnations  []*Incarnation
 	Requests      []*Request
-	TimerLateness time.Duration  // the most by which a timer of this process was late
-	CallStrain    harness.Strain // of the shared dependency
+	TimerLateness time.Duration  // maximum lateness of a timer of this process
+	CallStrain    harness.Strain // of the dependency that all servers share
 	Calls         int            // read by the dependency
 	strayAnswers  int            // answers on streams without an open request
 }
 
-// add records a request. Later changes of it are made by update.
+// add records a request. It is changed later only within update.
 func (h *History) add(r *Request) {
 	h.mu.Lock()
 	h.Requests = append(h.Requests, r)
 	h.mu.Unlock()
 }
 
-// update runs f under the lock.
+// update calls f under the lock.
 func (h *History) update(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f()
 }
 
-// recordTimerLateness records how late a timer of this process is, until done is closed.
+// recordTimerLateness records the maximum lateness of a timer of this process until done is closed.
 func (h *History) recordTimerLateness(done <-chan struct{}) {
 	const period = 5 * time.Millisecond
 	ticker := time.NewTicker(period)
--- a/internal/testkit/soak/inject.go
+++ b/internal/testkit/soak/inject.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	restartDelay        = 150 * time.Millisecond // between two processes of a server
+	restartDelay        = 150 * time.Millisecond // between the end of a process and the start of the next
 	linkCutInterval     = 60 * time.Millisecond
 	reloadInterval      = 30 * time.Millisecond
 	garbageInterval     = 10 * time.Millisecond
@@ -22,7 +22,7 @@
 	idleConnectionsTime = 2 * time.Second
 )
 
-// inject carries out a fault to its end. A fault of a server without a running process is skipped.
+// inject carries out a fault, and returns at its end. It skips a fault of a server without a running process.
 func (p *runner) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
 	s := p.slots[f.Server]
 	daemon, proxy, incarnation := s.process()
@@ -59,7 +59,7 @@
 	case Reload:
 		for time.Now().Before(until) {
 			if daemon.Signal(syscall.SIGHUP) != nil {
-				return nil // it has ended meanwhile
+				return nil // the process has ended
 			}
 			sleep(ctx, reloadInterval)
 		}
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// pause stops a process for a span. Its pool continues.
+// pause pauses a process for a span. Its worker pool continues. It does nothing if another fault pauses or replaces the
+// process.
 func (p *runner) pause(ctx context.Context, s *slot, span time.Duration) error {
 	if !s.replacing.TryLock() {
 		return nil
@@ -98,7 +99,7 @@
 	}
 	from := time.Now()
 	if err := daemon.Signal(syscall.SIGSTOP); err != nil {
-		return fmt.Errorf("stopping server %d: %w", s.number, err)
+		return fmt.Errorf("pause server %d: %w", s.number, err)
 	}
 	sleep(ctx, span)
 	err := daemon.Signal(syscall.SIGCONT)
@@ -106,7 +107,8 @@
 	return err
 }
 
-// replace ends the process of a slot by end, and starts the next.
+// replace ends the process of a slot with end and starts the next. It does nothing if another fault pauses or replaces
+// the process.
 func (p *runner) replace(ctx context.Context, s *slot, end func(*slot) error) error {
 	if !s.replacing.TryLock() {
 		return nil
@@ -122,8 +124,8 @@
 	return p.start(s)
 }
 
-// shutdownUnderSignals shuts a process down amid further signals: SIGHUP before the notice, then SIGHUP and SIGTERM in turn
-// until the process is gone.
+// shutdownUnderSignals shuts a process down amid further signals: up to three SIGHUPs before the notice, then SIGHUP
+// and SIGTERM in turn until the process has ended.
 func (p *runner) shutdownUnderSignals(s *slot, rng *rand.Rand) error {
 	daemon, _, _ := s.process()
 	for range rng.Intn(4) {
@@ -138,7 +140,7 @@
 				return
 			case <-time.After(between(rng, 0, maxSignalInterval)):
 			}
-			_ = daemon.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[n%2]) // an error: it has ended
+			_ = daemon.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[n%2]) // an error means that the process has ended
 		}
 	})
 	err := p.shutdown(s)
@@ -147,8 +149,8 @@
 	return err
 }
 
-// burst sends burstRequests on each of so many connections at once, and waits until they are answered or past their
-// deadlines.
+// burst sends burstRequests requests on each of a number of connections at once, and waits until they are answered or
+// past their deadlines.
 func (p *runner) burst(s *slot, connections int, rng *rand.Rand) {
 	var senders sync.WaitGroup
 	for range connections {
@@ -169,7 +171,7 @@
 	senders.Wait()
 }
 
-// openIdleConnections opens connections, sends nothing and closes them after idleConnectionsTime.
+// openIdleConnections opens connections, sends nothing on them and closes them after idleConnectionsTime.
 func openIdleConnections(ctx context.Context, address string, count int) {
 	var open []net.Conn
 	for range count {
@@ -183,7 +185,8 @@
 	}
 }
 
-// sendGarbage is one bad client. It sends no frame, a frame that is too long, a part of a request or an invalid request.
+// sendGarbage opens a connection and sends invalid data: bytes that are not a frame, the head of a frame that is too
+// long, a part of a request, or a request with an invalid field.
 func sendGarbage(address string, rng *rand.Rand) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -1,5 +1,5 @@
-// Package soak runs real processes of the daemon on loopback under faults drawn from a seed, with worker pools and clients
-// of its own, and checks what was recorded against the four rules of package rulecheck.
+// Package soak runs real processes of the daemon on loopback under faults drawn from a seed, with worker pools and
+// clients of its own, and checks the recorded history against the four rules that package rulecheck lists.
 package soak
 
 import (
@@ -12,71 +12,73 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// Effect states what a second run of a request does.
+// Idempotency states whether a request may run more than once.
 type Effect string
 
-// The effects, as the settings name them.
+// The kinds of idempotency, as spelled in the platform's settings.
 const (
-	Safe   Effect = "retryable" // a second run does no harm
-	Keyed  Effect = "dedup"     // repeats carry a key, and must not run twice on a server within the window
+	Safe   Effect = "retryable" // may run again at any time
+	Keyed  Effect = "dedup"     // repeats carry the same key, and must not run twice on a server within the dedup window
 	Unsafe Effect = "fragile"   // must not run twice
 )
 
-// Route is a class of requests with the same terms.
+// Route is a kind of request.
 type Route struct {
 	Name     string
 	Effect   Effect
 	Deadline time.Duration
 	Window   time.Duration // of the keys of a keyed route
 	Value    float64
-	Work     time.Duration // mean, on a core of speed 1
-	Calls    bool          // its runs call the dependency half way
+	Work     time.Duration // mean work of a run, on a core of speed 1
+	Calls    bool          // runs call the dependency half way
 }
 
-// Dependency is what the runs of all servers call.
+// Dependency describes the dependency that the runs of all servers call.
 type Dependency struct {
-	Survives    float64 // calls in hand in the mean of Over; each server has an even share of it
+	Survives    float64 // maximum mean of calls in flight over Window that it survives; each server has an even share of it
 	Window      time.Duration
 	Slots       float64
 	ServiceTime time.Duration // of a call while slots are free
-	Linger      time.Duration // that an abandoned call stays in flight
+	Linger      time.Duration // time for which an abandoned call stays in flight
 }
 
 // FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of faults. All but Kill and GracefulRestart last for Fault.Duration.
+// The kinds of faults. Kill, GracefulRestart, SignalSeries and Burst end by themselves, IdleConnections after
+// idleConnectionsTime; StallLink lasts for a quarter of Fault.Duration, the others for all of it.
 const (
-	Hang              FaultKind = "hang"        // the pool's cores stop; polls are answered
-	Slow              FaultKind = "slow"        // the pool's cores are Size times as slow
-	CutLink           FaultKind = "cut link"    // the pool's link breaks, again and again
-	StallLink         FaultKind = "stall link"  // commands to the pool stall, and are lost with the link
+	Hang              FaultKind = "hang"        // the cores of the pool stop; polls are answered
+	Slow              FaultKind = "slow"        // the cores of the pool are slower by the factor Size
+	CutLink           FaultKind = "cut link"    // the link to the pool is cut repeatedly
+	StallLink         FaultKind = "stall link"  // commands to the pool stall, and are lost when the link is cut
 	PauseServer       FaultKind = "stop server" // SIGSTOP of the process, then SIGCONT
-	Kill              FaultKind = "kill"        // SIGKILL of the process and its pool, then a new start
-	GracefulRestart   FaultKind = "roll"        // SIGTERM, SIGKILL at the earliest that is allowed, then a new start
-	Reload            FaultKind = "reload"      // SIGHUP in a row
-	IdleConnections   FaultKind = "crowd"       // connections that send nothing
-	Garbage           FaultKind = "garbage"     // clients that send invalid frames or half a request, and close
-	SlowCalls         FaultKind = "slow calls"  // the dependency takes Size times as long
+	Kill              FaultKind = "kill"        // SIGKILL of the process and end of its pool, then a new start
+	GracefulRestart   FaultKind = "roll"        // SIGTERM, SIGKILL at the earliest time allowed, then a new start
+	Reload            FaultKind = "reload"      // repeated SIGHUP
+	IdleConnections   FaultKind = "crowd"       // Size connections that send nothing
+	Garbage           FaultKind = "garbage"     // clients that send invalid data or half a request, and close
+	SlowCalls         FaultKind = "slow calls"  // the service time of the dependency is longer by the factor Size
 	UnresponsiveCalls FaultKind = "shut calls"  // the dependency reads calls and answers none
-	SignalSeries      FaultKind = "signals"     // a graceful restart with SIGHUP before, and SIGHUP and SIGTERM in turn until the end
-	Burst             FaultKind = "burst"       // Size connections send burstRequests each at once
+	SignalSeries      FaultKind = "signals"     // a graceful restart with SIGHUP before it, and SIGHUP and SIGTERM in turn until the process ends
+	Burst             FaultKind = "burst"       // Size connections send burstRequests requests each at once
 )
 
 const (
-	burstRequests    = 24 // of a connection; the protocol allows 32
+	burstRequests    = 24 // on a connection; the protocol allows 32
 	minBurst         = 8  // connections
 	maxBurst         = 64
-	signalPlansShare = 0.5 // of the plans, have a SignalSeries
-	burstPlansShare  = 0.4 // of the plans, have a Burst
-	// extraFaultsSeed parts the draw of these faults from that of the others, whose plans stay what they were for a seed.
+	signalPlansShare = 0.5 // share of plans that have a SignalSeries
+	burstPlansShare  = 0.4 // share of plans that have a Burst
+	// extraFaultsSeed separates the random source of these two faults from that of the others, so that plans of a seed
+	// kept their other faults when the two were added.
 	extraFaultsSeed = 0x5eed
 )
 
 // faultKinds are drawn with equal probability.
 var faultKinds = []FaultKind{Hang, Slow, CutLink, StallLink, PauseServer, Kill, GracefulRestart, Reload, IdleConnections, Garbage}
 
-// callFaults are drawn as well where runs call the dependency.
+// callFaults are drawn too if any route calls the dependency. Each is listed twice, which doubles its probability.
 var callFaults = []FaultKind{SlowCalls, UnresponsiveCalls, SlowCalls, UnresponsiveCalls}
 
 // Fault is one fault of a run.
@@ -85,14 +87,14 @@
 	Server   int
 	At       time.Duration // since the start of the load
 	Duration time.Duration
-	Size     float64 // the slowdown, or the number of idle connections
+	Size     float64 // slowdown factor or number of connections, by kind
 }
 
 func (f Fault) String() string {
 	return fmt.Sprintf("%s of server %d at %v for %v, size %.0f", f.Kind, f.Server, f.At, f.Duration, f.Size)
 }
 
-// Plan describes one run. The same seed and span give the same plan.
+// Plan describes one run. The same seed and span always give the same plan.
 type Plan struct {
 	Seed       int64
 	Span       time.Duration
@@ -103,8 +105,8 @@
 	Grace      time.Duration
 	Sockets    int
 	MemoryMB   int
-	Load       float64 // share of what the machines can do
-	Senders    int     // at each server
+	Load       float64 // offered load, as a share of the capacity of the machines
+	Senders    int     // for each server
 	Dependency Dependency
 	Faults     []Fault
 }
@@ -115,16 +117,16 @@
 }
 
 const (
-	maxDeadline     = 3 * time.Second        // that counts towards KillAfter
-	killMargin      = 700 * time.Millisecond // after the longest deadline
+	maxDeadline     = 3 * time.Second        // upper limit of the deadline that KillAfter is computed from
+	killMargin      = 700 * time.Millisecond // after that deadline
 	requestKB       = emulator.RunKB / runFactor
 	runFactor       = 8.0
 	minFaults       = 3
 	maxFaults       = 7
-	faultFreeBefore = 300 * time.Millisecond
+	faultFreeBefore = 300 * time.Millisecond // no fault begins earlier
 )
 
-// Draw draws a plan whose faults begin within three quarters of span.
+// Draw draws a plan from a seed. Its faults begin within the first three quarters of span.
 func Draw(seed int64, span time.Duration) Plan {
 	rng := rand.New(rand.NewSource(seed))
 	p := Plan{
@@ -156,7 +158,7 @@
 	return p
 }
 
-// drawDependency draws the dependency, and in half of the plans the routes that call it.
+// drawDependency draws the dependency, and in half of the plans which routes call it.
 func (p *Plan) drawDependency(rng *rand.Rand) {
 	share := 0.3 + 5*rng.Float64()
 	p.Dependency = Dependency{
@@ -167,11 +169,11 @@
 		return
 	}
 	for i := range p.Routes {
-		p.Routes[i].Calls = rng.Intn(2) == 0 && p.Routes[i].Effect != Keyed // repeats of a key have the same body, which cannot state a deadline
+		p.Routes[i].Calls = rng.Intn(2) == 0 && p.Routes[i].Effect != Keyed // keyed routes make no calls, as repeats of a key have the same body and a body with a call states its deadline
 	}
 }
 
-// drawFault draws one fault.
+// drawFault draws a fault of faultKinds or callFaults.
 func (p *Plan) drawFault(rng *rand.Rand) Fault {
 	kinds := faultKinds
 	if p.HasCalls() {
@@ -190,13 +192,13 @@
 		f.Duration = between(rng, 100*time.Millisecond, 1500*time.Millisecond)
 	case IdleConnections:
 		f.Size = float64(p.Sockets) * (0.3 + 0.9*rng.Float64())
-	case Hang, Kill, GracefulRestart, Garbage, UnresponsiveCalls: // nothing more to draw
-	case SignalSeries, Burst: // see drawExtraFaults
+	case Hang, Kill, GracefulRestart, Garbage, UnresponsiveCalls: // no size, and the duration drawn above
+	case SignalSeries, Burst: // drawn by drawExtraFaults
 	}
 	return f
 }
 
-// drawExtraFaults draws the series of signals and the bursts.
+// drawExtraFaults draws at most one SignalSeries and at most one Burst.
 func (p *Plan) drawExtraFaults(rng *rand.Rand) (faults []Fault) {
 	add := func(kind FaultKind, size float64) {
 		faults = append(faults, Fault{Kind: kind, Server: rng.Intn(p.Servers), At: between(rng, faultFreeBefore, p.Span*3/4), Size: size})
@@ -214,7 +216,7 @@
 	return low + time.Duration(rng.Float64()*float64(high-low))
 }
 
-// LongestDeadline returns the longest deadline of all routes.
+// LongestDeadline returns the longest deadline of the routes.
 func (p *Plan) LongestDeadline() (longest time.Duration) {
 	for _, c := range p.Routes {
 		longest = max(longest, c.Deadline)
@@ -225,7 +227,7 @@
 // KillAfter returns the earliest time after SIGTERM at which the platform sends SIGKILL.
 func (p *Plan) KillAfter() time.Duration { return min(p.LongestDeadline(), maxDeadline) + killMargin }
 
-// meanWork returns the mean work of a request.
+// meanWork returns the mean work of a request, on a core of speed 1.
 func (p *Plan) meanWork() (mean time.Duration) {
 	for _, c := range p.Routes {
 		mean += c.Work
@@ -233,10 +235,11 @@
 	return mean / time.Duration(len(p.Routes))
 }
 
-// maxRate is the highest load of a server in requests a second: all processes of a run share one machine.
+// maxRate is the maximum load of a server in requests per second. It is limited because all processes of a run share
+// one machine.
 const maxRate = 150.0
 
-// Rate returns the load of each server in requests a second.
+// Rate returns the load of each server in requests per second.
 func (p *Plan) Rate() float64 {
 	return min(maxRate, p.Load*p.Machine.Cores*p.Machine.Speed/p.meanWork().Seconds())
 }
--- a/internal/testkit/soak/platform_config.go
+++ b/internal/testkit/soak/platform_config.go
@@ -43,7 +43,7 @@
 		},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("encode platform configuration: %w", err)
 	}
 	return raw, nil
 }
--- a/internal/testkit/soak/report.go
+++ b/internal/testkit/soak/report.go
@@ -13,10 +13,11 @@
 	Faults, Processes, Requests, Served, Rejected, Aborted, Unanswered int
 
 	drainDistances []time.Duration
-	killed         int // after their notice
+	killed         int // processes killed after their notice
 }
 
-// Drains describes by how much processes ended before the earliest kill.
+// DrainSummary describes how long before the earliest allowed kill processes ended their shutdown, and how many had to
+// be killed.
 func (t *Totals) Drains() string {
 	distances := slices.Sorted(slices.Values(t.drainDistances))
 	if len(distances) == 0 {
@@ -58,7 +59,7 @@
 	}
 }
 
-// Summary describes a run in one line, which ends in "N violations", or in "failed" where the run itself failed.
+// Summary describes a run in one line. It ends in "failed" if err is not nil, otherwise in "N violations".
 func Summary(h *History, violations []Violation, err error) string {
 	var t Totals
 	t.Add(h)
@@ -78,16 +79,16 @@
 	return line + fmt.Sprintf("%d violations", len(violations))
 }
 
-// WriteLogs writes the log of each process to a folder named for the seed.
+// WriteLogs writes the log of each process to a folder named after the seed.
 func WriteLogs(folder string, h *History) error {
 	into := filepath.Join(folder, fmt.Sprintf("seed-%d", h.Plan.Seed))
 	if err := os.MkdirAll(into, 0o700); err != nil {
-		return fmt.Errorf("logs: %w", err)
+		return fmt.Errorf("write logs: %w", err)
 	}
 	for _, incarnation := range h.Incarnations {
 		name := filepath.Join(into, fmt.Sprintf("server-%d-life-%d.log", incarnation.Server, incarnation.Number))
 		if err := os.WriteFile(name, []byte(incarnation.Log), 0o600); err != nil {
-			return fmt.Errorf("logs: %w", err)
+			return fmt.Errorf("write logs: %w", err)
 		}
 	}
 	return nil
--- a/internal/testkit/soak/runner.go
+++ b/internal/testkit/soak/runner.go
@@ -15,19 +15,19 @@
 
 const cpuWaitInterval = 40 * time.Millisecond
 
-// slot is one server of a run, whose process may be replaced.
+// slot is one server of a run. Faults may replace its process.
 type slot struct {
 	number int
 
 	mu           sync.Mutex
 	daemon       *harness.Daemon
-	proxy        *faultnet.Proxy // between the process and its pool
+	proxy        *faultnet.Proxy // between the process and its worker pool
 	incarnation  *Incarnation
 	incarnations int
 	replacing    sync.Mutex // held by the fault that pauses or replaces the process
 }
 
-// current returns the address and the incarnation of the running process; nil while there is none.
+// current returns the address and incarnation of the running process; incarnation is nil if there is none.
 func (s *slot) current() (address string, incarnation *Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +37,7 @@
 	return s.daemon.Address, s.incarnation
 }
 
-// process returns the running process; nil while there is none.
+// process returns the running process with its proxy and incarnation, which are nil if there is none.
 func (s *slot) process() (*harness.Daemon, *faultnet.Proxy, *Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,10 +55,10 @@
 	plan       *Plan
 	slots      []*slot
 	dependency *harness.HTTPDependency
-	senders    atomic.Int64 // so far
+	senders    atomic.Int64 // number of senders so far
 }
 
-// Run carries out a plan and returns what was recorded, also with an error.
+// Run carries out a plan and returns its history, which is not nil if there is an error.
 func Run(ctx context.Context, program, folder string, plan Plan) (*History, error) {
 	h := &History{Plan: plan}
 	p := &runner{program: program, folder: folder, history: h, plan: &h.Plan}
@@ -98,14 +98,14 @@
 	}
 	sleep(ctx, plan.Span)
 	faults.Wait()
-	err = p.shutdownAll() // senders send until the end
+	err = p.shutdownAll() // senders send until all servers have ended
 	close(done)
 	senders.Wait()
 	h.CallStrain, h.Calls = p.dependency.Strain()
 	return h, errors.Join(append(failed, err)...)
 }
 
-// recordCPUWaits records how long each process has waited for a core, until done is closed.
+// recordCPUWaits samples how long each process has waited for a core until done is closed.
 func (p *runner) recordCPUWaits(done <-chan struct{}) {
 	ticker := time.NewTicker(cpuWaitInterval)
 	defer ticker.Stop()
@@ -122,14 +122,14 @@
 			}
 			total, err := harness.CPUWaitTime(daemon.ProcessID())
 			if err != nil {
-				continue // it has ended
+				continue // the process has ended
 			}
 			p.history.update(func() { incarnation.CPUWaits = append(incarnation.CPUWaits, CPUWait{time.Now(), total}) })
 		}
 	}
 }
 
-// sleep waits for a span, and reports whether the context lasted that long.
+// sleep waits for a span and reports whether the context lasted that long.
 func sleep(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -139,7 +139,7 @@
 	}
 }
 
-// start starts the next process of a slot, with a pool of its own.
+// start starts the next process of a slot, with a worker pool of its own.
 func (p *runner) start(s *slot) error {
 	var proxy *faultnet.Proxy
 	name := fmt.Sprintf("s%d-%d", s.number, s.incarnations)
@@ -184,7 +184,7 @@
 	return errors.Join(daemon.Stop(), proxy.Close())
 }
 
-// kill ends a process by SIGKILL, and its pool.
+// kill ends a process with SIGKILL, and closes its worker pool.
 func (p *runner) kill(s *slot) error {
 	daemon, _, incarnation := s.process()
 	p.history.update(func() { incarnation.KilledAt = time.Now() })
@@ -194,18 +194,18 @@
 	return p.recordEnd(s, 0, true)
 }
 
-// shutdown shuts a process down gracefully, and kills it after Plan.KillAfter.
+// shutdown shuts a process down gracefully, and kills it if it has not ended after Plan.KillAfter.
 func (p *runner) shutdown(s *slot) error {
 	daemon, _, incarnation := s.process()
 	p.history.update(func() { incarnation.NotifiedAt = time.Now() })
 	exit, killed, err := daemon.ShutdownWithin(p.plan.KillAfter())
-	return errors.Join(err, p.recordEnd(s, exit, killed)) // also with an error: the log tells of it
+	return errors.Join(err, p.recordEnd(s, exit, killed)) // the end is recorded after an error too, for the log of the process
 }
 
 // nextSender returns a number that no other sender has.
 func (p *runner) nextSender() int { return int(p.senders.Add(1)) }
 
-// shutdownAll shuts all running processes down.
+// shutdownAll shuts down all running processes at once.
 func (p *runner) shutdownAll() error {
 	errs := make([]error, len(p.slots))
 	var running sync.WaitGroup
