--- a/internal/testkit/experiment/chart.go
+++ b/internal/testkit/experiment/chart.go
@@ -26,13 +26,13 @@
 	PNG Format = "png"
 )
 
-func render(p *plot.Plot, as Format) ([]byte, error) {
-	made, err := p.WriterTo(width, height, string(as))
+func render(p *plot.Plot, format Format) ([]byte, error) {
+	writer, err := p.WriterTo(width, height, string(format))
 	if err != nil {
 		return nil, fmt.Errorf("render chart: %w", err)
 	}
 	var raw bytes.Buffer
-	if _, err := made.WriteTo(&raw); err != nil {
+	if _, err := writer.WriteTo(&raw); err != nil {
 		return nil, fmt.Errorf("render chart: %w", err)
 	}
 	return raw.Bytes(), nil
@@ -48,47 +48,47 @@
 }
 
 // SecondsChart draws the goodput share of each second of a drill but the last by policy, as a mean over seeds.
-func SecondsChart(cells []Cell, drill, title string, as Format) ([]byte, error) {
+func SecondsChart(cells []Cell, drill, title string, format Format) ([]byte, error) {
 	p := newPlot(title, "second in which requests began", "honoured importance")
 	p.Y.Min, p.Y.Max = 0, 1.05
-	at := 0
+	series := 0
 	for _, c := range cells {
 		if c.Drill != drill {
 			continue
 		}
 		points := make(plotter.XYs, 0, len(c.SecondShares))
-		for s, share := range c.SecondShares[:max(len(c.SecondShares)-1, 0)] {
-			points = append(points, plotter.XY{X: float64(s), Y: share})
+		for second, share := range c.SecondShares[:max(len(c.SecondShares)-1, 0)] {
+			points = append(points, plotter.XY{X: float64(second), Y: share})
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
 			return nil, fmt.Errorf("draw chart: %w", err)
 		}
-		line.Color, line.Dashes, line.Width = plotutil.Color(at), plotutil.Dashes(at/7), vg.Points(1.2)
-		if at == 0 {
+		line.Color, line.Dashes, line.Width = plotutil.Color(series), plotutil.Dashes(series/7), vg.Points(1.2)
+		if series == 0 {
 			line.Width, line.Color = vg.Points(2.4), color.Black
 		}
-		at++
+		series++
 		p.Add(line)
 		p.Legend.Add(c.Policy, line)
 	}
-	return render(p, as)
+	return render(p, format)
 }
 
 // OverallChart draws the goodput share of each drill by policy, with its 95% interval.
-func OverallChart(cells []Cell, as Format) ([]byte, error) {
+func OverallChart(cells []Cell, format Format) ([]byte, error) {
 	p := newPlot("honoured importance by drill, with 95% intervals over seeds", "", "honoured importance")
 	p.Y.Min, p.Y.Max = 0, 1.05
-	names := drillsOf(cells)
-	all := policies(cells)
-	for at, policy := range all {
+	names := drillNames(cells)
+	all := policyNames(cells)
+	for series, policy := range all {
 		var points plotter.XYs
 		var errs plotter.YErrors
 		for x, drill := range names {
 			for _, c := range cells {
 				if c.Drill == drill && c.Policy == policy {
-					points = append(points, plotter.XY{X: float64(x) + (float64(at)-float64(len(all))/2)*0.09, Y: c.GoodputShare.Mean})
-					errs = append(errs, struct{ Low, High float64 }{c.GoodputShare.Half, c.GoodputShare.Half})
+					points = append(points, plotter.XY{X: float64(x) + (float64(series)-float64(len(all))/2)*0.09, Y: c.GoodputShare.Mean})
+					errs = append(errs, struct{ Low, High float64 }{c.GoodputShare.HalfWidth, c.GoodputShare.HalfWidth})
 				}
 			}
 		}
@@ -96,8 +96,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("draw chart: %w", err)
 		}
-		scatter.Color, scatter.Shape, scatter.Radius = plotutil.Color(at), plotutil.Shape(at), vg.Points(2.5)
-		if at == 0 {
+		scatter.Color, scatter.Shape, scatter.Radius = plotutil.Color(series), plotutil.Shape(series), vg.Points(2.5)
+		if series == 0 {
 			scatter.Color = color.Black
 		}
 		if len(errs) > 0 && errs[0].High == errs[0].High { // false for NaN: one seed has no interval
@@ -116,5 +116,5 @@
 	}
 	p.NominalX(names...)
 	p.X.Tick.Label.Rotation, p.X.Tick.Label.XAlign, p.X.Tick.Label.YAlign = 0.5, -1, -0.5
-	return render(p, as)
+	return render(p, format)
 }
--- a/internal/testkit/experiment/report.go
+++ b/internal/testkit/experiment/report.go
@@ -37,27 +37,27 @@
 		}
 		return nil
 	}
-	chart := func(name, title string, draw func(as Format) ([]byte, error)) error {
-		for _, as := range []Format{SVG, PNG} {
-			raw, err := draw(as)
+	chart := func(name, title string, draw func(format Format) ([]byte, error)) error {
+		for _, format := range []Format{SVG, PNG} {
+			raw, err := draw(format)
 			if err != nil {
 				return err
 			}
-			if as == SVG {
-				at := max(bytes.Index(raw, []byte("<svg")), 0)                                 // skip the XML declaration, which is not allowed within HTML
-				page.Pictures = append(page.Pictures, picture{title, template.HTML(raw[at:])}) // drawn by this package, so safe to include unescaped
+			if format == SVG {
+				start := max(bytes.Index(raw, []byte("<svg")), 0)                                 // skip the XML declaration, which is not allowed within HTML
+				page.Pictures = append(page.Pictures, picture{title, template.HTML(raw[start:])}) // drawn by this package, so safe to include unescaped
 			}
-			if err := write(name+"."+string(as), raw); err != nil {
+			if err := write(name+"."+string(format), raw); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	if err := chart("overall", "All drills", func(as Format) ([]byte, error) { return OverallChart(cells, as) }); err != nil {
+	if err := chart("overall", "All drills", func(format Format) ([]byte, error) { return OverallChart(cells, format) }); err != nil {
 		return err
 	}
 	for _, d := range e.drills {
-		err := chart("drill-"+d.Name, d.Title, func(as Format) ([]byte, error) { return SecondsChart(cells, d.Name, d.Title, as) })
+		err := chart("drill-"+d.Name, d.Title, func(format Format) ([]byte, error) { return SecondsChart(cells, d.Name, d.Title, format) })
 		if err != nil {
 			return err
 		}
--- a/internal/testkit/experiment/run.go
+++ b/internal/testkit/experiment/run.go
@@ -22,7 +22,7 @@
 const modelVersion = 1
 
 // maxStoredRunBytes is the maximum length of a line of stored runs.
-const maxStoredRun = 16 << 20
+const maxStoredRunBytes = 16 << 20
 
 // Run is one run with its result, as stored.
 type Run struct {
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open results: %w", err)
 	}
-	runs, err := e.perform(ctx, file, stored, progress)
+	runs, err := e.runJobs(ctx, file, stored, progress)
 	if err := errors.Join(err, file.Close()); err != nil {
 		return nil, fmt.Errorf("run experiment: %w", err)
 	}
@@ -103,7 +103,7 @@
 
 // runJobs carries out the runs that are not stored, and appends them to the file. After the context has ended it starts
 // no more runs and returns an error.
-func (e *Experiment) perform(ctx context.Context, file *os.File, stored map[string]Run, progress Progress) ([]Run, error) {
+func (e *Experiment) runJobs(ctx context.Context, file *os.File, stored map[string]Run, progress Progress) ([]Run, error) {
 	jobs := e.jobs()
 	x := &execution{experiment: e, progress: progress, stored: stored, file: file, runs: make([]Run, len(jobs))}
 	next := make(chan job)
@@ -111,17 +111,17 @@
 	for range min(e.Processes, len(jobs)) {
 		workers.Go(func() {
 			for j := range next {
-				x.perform(j)
+				x.runJob(j)
 			}
 		})
 	}
-	feed(ctx, jobs, next)
+	sendJobs(ctx, jobs, next)
 	workers.Wait()
 	return x.runs, errors.Join(x.err, context.Cause(ctx))
 }
 
 // sendJobs sends jobs until the context ends, and closes the channel.
-func feed(ctx context.Context, jobs []job, next chan<- job) {
+func sendJobs(ctx context.Context, jobs []job, next chan<- job) {
 	defer close(next)
 	for _, j := range jobs {
 		select {
@@ -133,7 +133,7 @@
 }
 
 // runJob carries out a run and appends it to the file, unless it is stored already.
-func (x *execution) perform(j job) {
+func (x *execution) runJob(j job) {
 	key := x.experiment.runKey(j.drill, j.policy, j.seed)
 	run, stored := x.stored[key]
 	if !stored {
@@ -177,7 +177,7 @@
 	}
 	defer func() { _ = file.Close() }() // the file was only read
 	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, maxStoredRun)
+	lines.Buffer(nil, maxStoredRunBytes)
 	for lines.Scan() {
 		var r Run
 		if json.Unmarshal(lines.Bytes(), &r) == nil && r.Key != "" {
--- a/internal/testkit/experiment/table.go
+++ b/internal/testkit/experiment/table.go
@@ -13,7 +13,7 @@
 
 // Interval is a mean over seeds with half the width of its 95% confidence interval, by Student's t. HalfWidth is NaN
 // for fewer than two seeds.
-type Interval struct{ Mean, Half float64 }
+type Interval struct{ Mean, HalfWidth float64 }
 
 func intervalOf(values []float64) Interval {
 	mean, deviation := stat.MeanStdDev(values, nil)
@@ -40,26 +40,26 @@
 // Cells summarizes runs by drill and policy, in the order in which these first occur. Each policy of a drill must have
 // runs of the same seeds in the same order.
 func Cells(runs []Run) (cells []Cell) {
-	type place struct{ drill, policy string }
-	by := map[place][]Run{}
-	var order []place
+	type cellKey struct{ drill, policy string }
+	runsByCell := map[cellKey][]Run{}
+	var order []cellKey
 	for _, r := range runs {
-		at := place{r.Drill, r.Policy}
-		if by[at] == nil {
-			order = append(order, at)
+		key := cellKey{r.Drill, r.Policy}
+		if runsByCell[key] == nil {
+			order = append(order, key)
 		}
-		by[at] = append(by[at], r)
+		runsByCell[key] = append(runsByCell[key], r)
 	}
 	first := map[string]string{}
-	for _, at := range order {
-		if first[at.drill] == "" {
-			first[at.drill] = at.policy
+	for _, key := range order {
+		if first[key.drill] == "" {
+			first[key.drill] = key.policy
 		}
-		c := Cell{Drill: at.drill, Policy: at.policy}
-		reference := by[place{at.drill, first[at.drill]}]
+		c := Cell{Drill: key.drill, Policy: key.policy}
+		reference := runsByCell[cellKey{key.drill, first[key.drill]}]
 		var shares, differences, p50, p99 []float64
 		n := 0.0
-		for i, r := range by[at] {
+		for i, r := range runsByCell[key] {
 			shares = append(shares, r.GoodputShare())
 			differences = append(differences, r.GoodputShare()-reference[i].GoodputShare())
 			p50, p99 = append(p50, r.P50), append(p99, r.P99)
@@ -68,15 +68,15 @@
 			c.Aborted += float64(r.Result.Aborted)
 			c.Unanswered += float64(r.Result.Unanswered)
 			c.Attempts += float64(r.Result.Attempts)
-			for rule, broken := range r.Result.Rules.Violations {
-				c.Violations[rule] += broken
+			for rule, violations := range r.Result.Rules.Violations {
+				c.Violations[rule] += violations
 			}
-			for s, of := range r.Result.Seconds {
-				if len(c.SecondShares) <= s {
+			for second, sums := range r.Result.Seconds {
+				if len(c.SecondShares) <= second {
 					c.SecondShares = append(c.SecondShares, 0)
 				}
-				if of.OfferedValue > 0 {
-					c.SecondShares[s] += of.Goodput / of.OfferedValue / float64(len(by[at]))
+				if sums.OfferedValue > 0 {
+					c.SecondShares[second] += sums.Goodput / sums.OfferedValue / float64(len(runsByCell[key]))
 				}
 			}
 		}
@@ -94,7 +94,7 @@
 }
 
 // policyNames returns the policies of the cells, in the order in which they first occur.
-func policies(cells []Cell) (names []string) {
+func policyNames(cells []Cell) (names []string) {
 	for _, c := range cells {
 		if !slices.Contains(names, c.Policy) {
 			names = append(names, c.Policy)
@@ -103,7 +103,7 @@
 	return names
 }
 
-func drillsOf(cells []Cell) (names []string) {
+func drillNames(cells []Cell) (names []string) {
 	for _, c := range cells {
 		if !slices.Contains(names, c.Drill) {
 			names = append(names, c.Drill)
@@ -113,44 +113,45 @@
 }
 
 // Table writes a row for each cell.
-func Table(to io.Writer, cells []Cell) error {
-	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
+func Table(w io.Writer, cells []Cell) error {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "drill\tpolicy\thonoured\t± 95%\tover the first\t± 95%\tdismissed\tgiven up\tleft\ttries\tp50 ms\tp99 ms\trules broken 1 2 3 4\t")
 	for _, c := range cells {
 		fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%+.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%.1f\t%.1f\t%d %d %d %d\t\n", c.Drill, c.Policy,
-			c.GoodputShare.Mean, c.GoodputShare.Half, c.Difference.Mean, c.Difference.Half, c.Rejected, c.Aborted, c.Unanswered, c.Attempts, c.P50, c.P99,
+			c.GoodputShare.Mean, c.GoodputShare.HalfWidth, c.Difference.Mean, c.Difference.HalfWidth, c.Rejected, c.Aborted, c.Unanswered, c.Attempts, c.P50, c.P99,
 			c.Violations[1], c.Violations[2], c.Violations[3], c.Violations[4])
 	}
 	return t.Flush()
 }
 
-// Overall writes a row for each policy: its mean over all drills, its lowest drill, the number of drills in which it is
-// worse or better than the first policy by more than the 95% interval, and its violations.
-func Overall(to io.Writer, cells []Cell) error {
-	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
+// Overall writes a row for each policy: its mean goodput share over all drills, its lowest one and in which drill, the
+// numbers of drills in which it is worse or better than the first policy by more than the 95% interval, and its
+// violations.
+func Overall(w io.Writer, cells []Cell) error {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policy\tmean honoured\tleast\tin drill\tworse than the first in\tbetter in\trules broken\t")
-	for _, name := range policies(cells) {
-		sum, n, least, in := 0.0, 0.0, 2.0, ""
-		worse, better, broken := 0, 0, 0
+	for _, name := range policyNames(cells) {
+		sum, n, lowest, lowestDrill := 0.0, 0.0, 2.0, ""
+		worse, better, violations := 0, 0, 0
 		for _, c := range cells {
 			if c.Policy != name {
 				continue
 			}
 			sum, n = sum+c.GoodputShare.Mean, n+1
-			if c.GoodputShare.Mean < least {
-				least, in = c.GoodputShare.Mean, c.Drill
+			if c.GoodputShare.Mean < lowest {
+				lowest, lowestDrill = c.GoodputShare.Mean, c.Drill
 			}
-			if c.Difference.Mean+c.Difference.Half < 0 {
+			if c.Difference.Mean+c.Difference.HalfWidth < 0 {
 				worse++
 			}
-			if c.Difference.Mean-c.Difference.Half > 0 {
+			if c.Difference.Mean-c.Difference.HalfWidth > 0 {
 				better++
 			}
 			for _, b := range c.Violations {
-				broken += b
+				violations += b
 			}
 		}
-		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%s\t%d\t%d\t%d\t\n", name, sum/n, least, in, worse, better, broken)
+		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%s\t%d\t%d\t%d\t\n", name, sum/n, lowest, lowestDrill, worse, better, violations)
 	}
 	return t.Flush()
 }
--- a/internal/testkit/soak/checker.go
+++ b/internal/testkit/soak/checker.go
@@ -29,19 +29,19 @@
 		}
 	}
 	for _, r := range h.Requests {
-		c.answered(r)
-		c.ranOnce(r)
-		c.drained(r)
+		c.checkAnswer(r)
+		c.checkStarts(r)
+		c.checkGrace(r)
 	}
 	if h.strayAnswers > 0 {
 		c.violate(1, "%d answers came to nothing that was open", h.strayAnswers)
 	}
-	c.keysRanOnce()
+	c.checkKeys()
 	if s := h.CallStrain; s.Runs > 1 {
 		c.violate(4, "the dependency had %.2f of the calls in hand that it survives, %v after its start", s.Runs, s.RunsAt)
 	}
 	for _, incarnation := range h.Incarnations {
-		c.withinEndurance(incarnation)
+		c.checkEndurance(incarnation)
 	}
 	return c.violations
 }
@@ -52,21 +52,21 @@
 	violations []Violation
 }
 
-func (c *checker) violate(rule int, words string, of ...any) {
-	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(words, of...)})
+func (c *checker) violate(rule int, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
 // describe returns the ID, route and server of a request, for messages.
 func (c *checker) describe(r *Request) string {
 	route := c.history.Plan.Routes[r.Route]
-	return fmt.Sprintf("%s (%s, %s) at server %d life %d", r.ID, route.Name, route.Effect, r.Incarnation.Server, r.Incarnation.Number)
+	return fmt.Sprintf("%s (%s, %s) at server %d life %d", r.ID, route.Name, route.Idempotency, r.Incarnation.Server, r.Incarnation.Number)
 }
 
 // slack returns how late an answer may be: answerSlack, plus the maximum lateness of this process's timers, plus the
 // time for which the server process waited for a core of this machine, plus the time for which it was paused.
 func (c *checker) slack(r *Request) time.Duration {
 	slack := answerSlack + c.history.TimerLateness + r.Incarnation.cpuWait(r.SentAt, r.Deadline.Add(answerSlack))
-	for _, s := range r.Incarnation.Paused {
+	for _, s := range r.Incarnation.Pauses {
 		if s.To.After(r.SentAt) && s.From.Before(r.Deadline.Add(slack)) {
 			slack += s.To.Sub(s.From)
 		}
@@ -75,7 +75,7 @@
 }
 
 // checkAnswer checks rule 1: a request gets exactly one answer, in time.
-func (c *checker) answered(r *Request) {
+func (c *checker) checkAnswer(r *Request) {
 	switch {
 	case len(r.Answers) > 1:
 		c.violate(1, "%s was answered %d times", c.describe(r), len(r.Answers))
@@ -110,9 +110,9 @@
 
 // checkStarts checks rule 2 for a single request: it starts once unless it is retryable, and it is not rejected once it
 // has run.
-func (c *checker) ranOnce(r *Request) {
+func (c *checker) checkStarts(r *Request) {
 	starts := len(c.starts[r.ID])
-	if c.history.Plan.Routes[r.Route].Effect != Safe && starts > 1 {
+	if c.history.Plan.Routes[r.Route].Idempotency != Retryable && starts > 1 {
 		c.violate(2, "%s began %d times", c.describe(r), starts)
 	}
 	if len(r.Answers) > 0 && r.Answers[0].Code == CodeRejected && starts > 0 {
@@ -122,51 +122,51 @@
 
 // checkKeys checks rule 2 for idempotency keys: a process runs a key once within the dedup window, less answerSlack,
 // from the sending of the request that ran.
-func (c *checker) keysRanOnce() {
-	type place struct {
-		life *Incarnation
-		key  string
+func (c *checker) checkKeys() {
+	type processKey struct {
+		incarnation *Incarnation
+		key         string
 	}
-	ran := map[place]*Request{}
+	lastRun := map[processKey]*Request{}
 	for _, r := range c.history.Requests { // in order of sending, as each key is used by one sender only
 		if r.Key == "" {
 			continue
 		}
-		at := place{r.Incarnation, r.Key}
-		window := c.history.Plan.Routes[r.Route].Window - answerSlack
-		if first := ran[at]; first != nil && r.SentAt.Sub(first.SentAt) < window {
-			c.repeated(r, first)
+		pair := processKey{r.Incarnation, r.Key}
+		window := c.history.Plan.Routes[r.Route].DedupWindow - answerSlack
+		if earlier := lastRun[pair]; earlier != nil && r.SentAt.Sub(earlier.SentAt) < window {
+			c.checkRepeat(r, earlier)
 		}
 		if len(c.starts[r.ID]) > 0 {
-			ran[at] = r
+			lastRun[pair] = r
 		}
 	}
 }
 
 // checkRepeat checks a request against an earlier request with the same key that ran. It must not run, and it must not
 // be rejected after the earlier one has started, as its client would then retry it at another server.
-func (c *checker) repeated(r, first *Request) {
+func (c *checker) checkRepeat(r, earlier *Request) {
 	if len(c.starts[r.ID]) > 0 {
-		c.violate(2, "%s ran, and %s with the same key %v before", c.describe(r), first.ID, r.SentAt.Sub(first.SentAt))
+		c.violate(2, "%s ran, and %s with the same key %v before", c.describe(r), earlier.ID, r.SentAt.Sub(earlier.SentAt))
 	}
-	if len(r.Answers) > 0 && r.Answers[0].Code == CodeRejected && r.SentAt.After(c.starts[first.ID][0]) {
-		c.violate(2, "%s was refused, and %s with the same key had run", c.describe(r), first.ID)
+	if len(r.Answers) > 0 && r.Answers[0].Code == CodeRejected && r.SentAt.After(c.starts[earlier.ID][0]) {
+		c.violate(2, "%s was refused, and %s with the same key had run", c.describe(r), earlier.ID)
 	}
 }
 
 // checkGrace checks rule 3: no request that arrives after the grace runs.
-func (c *checker) drained(r *Request) {
+func (c *checker) checkGrace(r *Request) {
 	if r.Incarnation.NotifiedAt.IsZero() || len(c.starts[r.ID]) == 0 {
 		return
 	}
 	notified := r.Incarnation.NotifiedAt.Add(r.Incarnation.cpuWait(r.Incarnation.NotifiedAt, r.Incarnation.NotifiedAt.Add(answerSlack)))
-	if past := r.SentAt.Sub(notified) - c.history.Plan.Grace; past > answerSlack+c.history.TimerLateness {
-		c.violate(3, "%s came %v past the grace and ran", c.describe(r), past)
+	if afterGrace := r.SentAt.Sub(notified) - c.history.Plan.Grace; afterGrace > answerSlack+c.history.TimerLateness {
+		c.violate(3, "%s came %v past the grace and ran", c.describe(r), afterGrace)
 	}
 }
 
 // checkEndurance checks rule 4 for a worker pool, and, under rule 1, that its server process ended without an error.
-func (c *checker) withinEndurance(incarnation *Incarnation) {
+func (c *checker) checkEndurance(incarnation *Incarnation) {
 	name := fmt.Sprintf("the pool of server %d life %d", incarnation.Server, incarnation.Number)
 	if s := incarnation.Strain; s.Runs > 1 {
 		c.violate(4, "%s had %.2f of the runs on its cores that it survives, %v after its start", name, s.Runs, s.RunsAt)
--- a/internal/testkit/soak/checker_test.go
+++ b/internal/testkit/soak/checker_test.go
@@ -11,14 +11,14 @@
 
 // The indexes of the routes in validHistory.
 const (
-	safeClass = iota
-	keyedClass
-	unsafeClass
+	retryableRoute = iota
+	keyedRoute
+	atMostOnceRoute
 )
 
-var second0 = time.Unix(1_000_000, 0)
+var epoch = time.Unix(1_000_000, 0)
 
-func at(ms int) time.Time { return second0.Add(time.Duration(ms) * time.Millisecond) }
+func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
 // validHistory returns a history without a violation: a request of each route is served, a keyed one is repeated, one
 // is rejected, one is reset by its client, one crosses the end of its connection, and one arrives after the grace and
@@ -29,36 +29,36 @@
 		Plan: Plan{
 			Grace: time.Second,
 			Routes: []Route{
-				{Name: "look", Effect: Safe}, {Name: "book", Effect: Keyed, Window: 2 * time.Second}, {Name: "pay", Effect: Unsafe},
+				{Name: "look", Idempotency: Retryable}, {Name: "book", Idempotency: Keyed, DedupWindow: 2 * time.Second}, {Name: "pay", Idempotency: AtMostOnce},
 			},
 		},
 		Incarnations: []*Incarnation{incarnation},
 	}
-	request := func(id string, class, sent int, answered ...Answer) *Request {
-		r := &Request{ID: id, Route: class, Incarnation: incarnation, SentAt: at(sent), Deadline: at(sent + 1000), Answers: answered}
+	addRequest := func(id string, route, sent int, answered ...Answer) *Request {
+		r := &Request{ID: id, Route: route, Incarnation: incarnation, SentAt: at(sent), Deadline: at(sent + 1000), Answers: answered}
 		h.Requests = append(h.Requests, r)
 		return r
 	}
-	ran := func(id string, ms int) {
+	addRun := func(id string, ms int) {
 		incarnation.Runs = append(incarnation.Runs, harness.RunStart{ID: id, At: at(ms)})
 	}
-	request("safe", safeClass, 0, Answer{at(500), CodeServed})
-	ran("safe", 10)
-	request("keyed", keyedClass, 0, Answer{at(500), CodeServed}).Key = "k"
-	ran("keyed", 10)
-	request("repeat", keyedClass, 1000, Answer{at(1010), CodeServed}).Key = "k"
-	request("unsafe", unsafeClass, 0, Answer{at(500), CodeServed})
-	ran("unsafe", 10)
-	request("refused", unsafeClass, 0, Answer{at(5), CodeRejected})
-	cut := request("cut off", safeClass, 0)
-	cut.ConnectionEnded, cut.ResetByClient = at(300), true
-	crossing := request("crossing", unsafeClass, 4000)
+	addRequest("safe", retryableRoute, 0, Answer{at(500), CodeServed})
+	addRun("safe", 10)
+	addRequest("keyed", keyedRoute, 0, Answer{at(500), CodeServed}).Key = "k"
+	addRun("keyed", 10)
+	addRequest("repeat", keyedRoute, 1000, Answer{at(1010), CodeServed}).Key = "k"
+	addRequest("unsafe", atMostOnceRoute, 0, Answer{at(500), CodeServed})
+	addRun("unsafe", 10)
+	addRequest("refused", atMostOnceRoute, 0, Answer{at(5), CodeRejected})
+	resetRequest := addRequest("cut off", retryableRoute, 0)
+	resetRequest.ConnectionEnded, resetRequest.ResetByClient = at(300), true
+	crossing := addRequest("crossing", atMostOnceRoute, 4000)
 	crossing.ConnectionEnded = at(4020)
-	request("past the grace", safeClass, 6100, Answer{at(6110), CodeRejected})
+	addRequest("past the grace", retryableRoute, 6100, Answer{at(6110), CodeRejected})
 	return h
 }
 
-func (h *History) request(id string) *Request {
+func (h *History) findRequest(id string) *Request {
 	for _, r := range h.Requests {
 		if r.ID == id {
 			return r
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func (h *History) ran(id string, ms int) {
+func (h *History) addRun(id string, ms int) {
 	h.Incarnations[0].Runs = append(h.Incarnations[0].Runs, harness.RunStart{ID: id, At: at(ms)})
 }
 
@@ -80,22 +80,22 @@
 		rule  int
 		plant func(h *History)
 	}{
-		{"a request is never answered", 1, func(h *History) { h.request("safe").Answers = nil }},
+		{"a request is never answered", 1, func(h *History) { h.findRequest("safe").Answers = nil }},
 		{"a request is answered twice", 1, func(h *History) {
-			h.request("safe").Answers = append(h.request("safe").Answers, Answer{at(600), CodeAborted})
+			h.findRequest("safe").Answers = append(h.findRequest("safe").Answers, Answer{at(600), CodeAborted})
 		}},
-		{"an answer is late", 1, func(h *History) { h.request("safe").Answers[0].At = at(1060) }},
-		{"a request is lost with its connection", 1, func(h *History) { h.request("crossing").ConnectionEnded = at(4100) }},
-		{"a request that ran crosses the end of its connection", 1, func(h *History) { h.ran("crossing", 4010) }},
+		{"an answer is late", 1, func(h *History) { h.findRequest("safe").Answers[0].At = at(1060) }},
+		{"a request is lost with its connection", 1, func(h *History) { h.findRequest("crossing").ConnectionEnded = at(4100) }},
+		{"a request that ran crosses the end of its connection", 1, func(h *History) { h.addRun("crossing", 4010) }},
 		{"an answer on a stream without an open request", 1, func(h *History) { h.strayAnswers = 1 }},
 		{"a process ends with an error", 1, func(h *History) { h.Incarnations[0].ExitCode = 2 }},
-		{"an at-most-once request runs twice", 2, func(h *History) { h.ran("unsafe", 200) }},
-		{"a request that ran is rejected", 2, func(h *History) { h.ran("refused", 3) }},
-		{"a key runs again in its dedup window", 2, func(h *History) { h.ran("repeat", 1005) }},
-		{"a repeat of a key that ran is rejected", 2, func(h *History) { h.request("repeat").Answers[0].Code = CodeRejected }},
+		{"an at-most-once request runs twice", 2, func(h *History) { h.addRun("unsafe", 200) }},
+		{"a request that ran is rejected", 2, func(h *History) { h.addRun("refused", 3) }},
+		{"a key runs again in its dedup window", 2, func(h *History) { h.addRun("repeat", 1005) }},
+		{"a repeat of a key that ran is rejected", 2, func(h *History) { h.findRequest("repeat").Answers[0].Code = CodeRejected }},
 		{"a request sent after the grace runs", 3, func(h *History) {
-			h.request("past the grace").Answers[0].Code = CodeServed
-			h.ran("past the grace", 6105)
+			h.findRequest("past the grace").Answers[0].Code = CodeServed
+			h.addRun("past the grace", 6105)
 		}},
 		{"too many runs on the cores", 4, func(h *History) { h.Incarnations[0].Strain.Runs = 1.01 }},
 		{"the dependency is overloaded", 4, func(h *History) { h.CallStrain.Runs = 1.01 }},
@@ -105,9 +105,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := validHistory()
 			c.plant(h)
-			broken := Check(h)
-			if assert.Len(t, broken, 1) {
-				assert.Equal(t, c.rule, broken[0].Rule, broken[0])
+			violations := Check(h)
+			if assert.Len(t, violations, 1) {
+				assert.Equal(t, c.rule, violations[0].Rule, violations[0])
 			}
 		})
 	}
@@ -116,25 +116,25 @@
 // The checker allows what is not a fault of the server.
 func TestWhatTheCheckerAllows(t *testing.T) {
 	cases := map[string]func(h *History){
-		"the process was killed before it answered": func(h *History) { h.request("safe").Answers, h.Incarnations[0].KilledAt = nil, at(200) },
+		"the process was killed before it answered": func(h *History) { h.findRequest("safe").Answers, h.Incarnations[0].KilledAt = nil, at(200) },
 		"the process was paused before it answered": func(h *History) {
-			h.request("safe").Answers[0].At = at(1300)
-			h.Incarnations[0].Paused = []Span{{at(900), at(1200)}}
+			h.findRequest("safe").Answers[0].At = at(1300)
+			h.Incarnations[0].Pauses = []Span{{at(900), at(1200)}}
 		},
-		"the timers of the client were late": func(h *History) { h.request("safe").Answers[0].At, h.TimerLateness = at(1060), 20*time.Millisecond },
+		"the timers of the client were late": func(h *History) { h.findRequest("safe").Answers[0].At, h.TimerLateness = at(1060), 20*time.Millisecond },
 		"the client saw the end of a connection late": func(h *History) {
-			h.request("crossing").ConnectionEnded, h.TimerLateness = at(4065), 20*time.Millisecond
+			h.findRequest("crossing").ConnectionEnded, h.TimerLateness = at(4065), 20*time.Millisecond
 		},
 		"the process waited for a core": func(h *History) {
-			h.request("safe").Answers[0].At = at(1080)
+			h.findRequest("safe").Answers[0].At = at(1080)
 			h.Incarnations[0].CPUWaits = []CPUWait{{at(0), 0}, {at(900), time.Second}, {at(1040), 1040 * time.Millisecond}, {at(2000), 1040 * time.Millisecond}}
 		},
-		"a retryable request ran twice":          func(h *History) { h.ran("safe", 20) },
-		"a key ran again after its dedup window": func(h *History) { h.request("repeat").SentAt = at(2100); h.ran("repeat", 2110) },
+		"a retryable request ran twice":          func(h *History) { h.addRun("safe", 20) },
+		"a key ran again after its dedup window": func(h *History) { h.findRequest("repeat").SentAt = at(2100); h.addRun("repeat", 2110) },
 		"a repeat was rejected after the dedup window": func(h *History) {
-			h.request("repeat").SentAt, h.request("repeat").Answers[0].Code = at(2100), CodeRejected
+			h.findRequest("repeat").SentAt, h.findRequest("repeat").Answers[0].Code = at(2100), CodeRejected
 		},
-		"the process was killed after its notice, with all requests answered": func(h *History) { h.Incarnations[0].KilledAfterTimeout = true },
+		"the process was killed after its notice, with all requests answered": func(h *History) { h.Incarnations[0].Killed = true },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -147,12 +147,12 @@
 
 // When a thread of the process ends, the next total of waiting times is lower, as that of the thread is missing. The
 // drop must not reduce the slack of answers.
-func TestAThreadThatEndsTakesNothingOffTheSlack(t *testing.T) {
+func TestAThreadThatEndsDoesNotReduceTheSlack(t *testing.T) {
 	h := validHistory()
 	h.Incarnations[0].CPUWaits = []CPUWait{{at(0), time.Second}, {at(900), time.Second}, {at(1100), 800 * time.Millisecond}, {at(9000), 800 * time.Millisecond}}
-	h.request("safe").Answers[0].At = at(990) // in time
+	h.findRequest("safe").Answers[0].At = at(990) // in time
 	assert.Empty(t, Check(h))
-	h.request("safe").Answers[0].At = at(1060)
+	h.findRequest("safe").Answers[0].At = at(1060)
 	assert.Len(t, Check(h), 1)
 }
 
--- a/internal/testkit/soak/client.go
+++ b/internal/testkit/soak/client.go
@@ -120,11 +120,11 @@
 	if incarnation == nil {
 		return nil
 	}
-	made, err := net.DialTimeout("tcp", address, time.Second)
+	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return nil // no request was sent
 	}
-	c := &connection{Conn: made, incarnation: incarnation, open: map[uint32]*Request{}}
+	c := &connection{Conn: conn, incarnation: incarnation, open: map[uint32]*Request{}}
 	s.readers.Add(1)
 	go func() {
 		defer s.readers.Done()
@@ -175,7 +175,7 @@
 	})
 	s.history.add(r)
 	if s.rng.Float64() < resetShare {
-		s.resetBehind(c)
+		s.reset(c)
 	}
 }
 
@@ -193,7 +193,7 @@
 }
 
 // reset ends a connection with a TCP reset. The server owes no answer on it from then on.
-func (s *sender) resetBehind(c *connection) {
+func (s *sender) reset(c *connection) {
 	c.mu.Lock()
 	c.resetByClient = true
 	c.mu.Unlock()
@@ -205,13 +205,13 @@
 // route.
 func (s *sender) draw(incarnation *Incarnation) *Request {
 	r := &Request{ID: fmt.Sprintf("%016x", s.rng.Uint64()), Route: s.rng.Intn(len(s.plan.Routes)), Incarnation: incarnation}
-	if s.plan.Routes[r.Route].Effect != Keyed {
+	if s.plan.Routes[r.Route].Idempotency != Keyed {
 		return r
 	}
 	s.keysMade++
 	r.Key = fmt.Sprintf("%d-%d-%d", s.number, r.Route, s.keysMade)
 	if s.rng.Float64() < repeatShare {
-		r.Key = s.repeated(r.Route, r.Key)
+		r.Key = s.reuseKey(r.Route, r.Key)
 	}
 	if s.keys = append(s.keys, r.Key); len(s.keys) > maxReusableKeys {
 		s.keys = s.keys[1:]
@@ -220,14 +220,14 @@
 }
 
 // reuseKey returns a random recent key of the route, or newKey if there is none.
-func (s *sender) repeated(route int, fresh string) string {
+func (s *sender) reuseKey(route int, newKey string) string {
 	prefix := fmt.Sprintf("%d-%d-", s.number, route)
-	for _, at := range s.rng.Perm(len(s.keys)) {
-		if key := s.keys[at]; len(key) > len(prefix) && key[:len(prefix)] == prefix {
+	for _, i := range s.rng.Perm(len(s.keys)) {
+		if key := s.keys[i]; len(key) > len(prefix) && key[:len(prefix)] == prefix {
 			return key
 		}
 	}
-	return fresh
+	return newKey
 }
 
 // write writes a frame, in pieces with delays if the sender is slow.
--- a/internal/testkit/soak/client_test.go
+++ b/internal/testkit/soak/client_test.go
@@ -10,13 +10,13 @@
 
 // A connection could end after its sender had found it usable. The sender wrote the next request all the same, and as
 // the end of the connection was recorded already, that request counted as never answered.
-func TestNothingIsSentBehindTheEndOfAConnection(t *testing.T) {
+func TestNothingIsSentAfterTheEndOfAConnection(t *testing.T) {
 	plan := Draw(1, time.Second)
 	h := &History{Plan: plan}
 	s := newSender(h, &slot{}, 1, 1)
-	near, far := net.Pipe()
-	defer func() { _, _ = near.Close(), far.Close() }()
-	c := &connection{Conn: near, incarnation: &Incarnation{}, open: map[uint32]*Request{}, ended: true}
+	clientEnd, serverEnd := net.Pipe()
+	defer func() { _, _ = clientEnd.Close(), serverEnd.Close() }()
+	c := &connection{Conn: clientEnd, incarnation: &Incarnation{}, open: map[uint32]*Request{}, ended: true}
 	s.send(c)
 	assert.Empty(t, h.Requests)
 	assert.Empty(t, c.open)
--- a/internal/testkit/soak/history.go
+++ b/internal/testkit/soak/history.go
@@ -35,18 +35,18 @@
 
 // Incarnation is one process of a server, from its start to its end.
 type Incarnation struct {
-	Server             int
-	Number             int
-	NotifiedAt         time.Time // when SIGTERM was sent; zero if it was not
-	KilledAt           time.Time // when SIGKILL was sent without a notice; zero if it was not
-	EndedAt            time.Time // zero while the process runs
-	KilledAfterTimeout bool      // ended by SIGKILL, after SIGTERM or by the fault Kill, which sets KilledAt too
-	ExitCode           int
-	Paused             []Span    // between SIGSTOP and SIGCONT
-	CPUWaits           []CPUWait // samples, in order of time
-	Strain             harness.Strain
-	Runs               []harness.RunStart
-	Log                string
+	Server     int
+	Number     int
+	NotifiedAt time.Time // when SIGTERM was sent; zero if it was not
+	KilledAt   time.Time // when SIGKILL was sent without a notice; zero if it was not
+	EndedAt    time.Time // zero while the process runs
+	Killed     bool      // ended by SIGKILL: by the fault Kill, which sets KilledAt too, or after its shutdown took too long
+	ExitCode   int
+	Pauses     []Span    // between SIGSTOP and SIGCONT
+	CPUWaits   []CPUWait // samples, in order of time
+	Strain     harness.Strain
+	Runs       []harness.RunStart
+	Log        string
 }
 
 // CPUWait is a sample of the total time that the threads of a process have waited for a core of this machine.
@@ -57,21 +57,21 @@
 
 // drainMargin returns how long before the earliest allowed kill a process that was shut down ended. It is negative for
 // one that ended later. known is false for other processes.
-func (l *Incarnation) drainDistance(killAfter time.Duration) (distance time.Duration, known bool) {
-	if l.NotifiedAt.IsZero() || l.EndedAt.IsZero() || !l.KilledAt.IsZero() {
+func (inc *Incarnation) drainMargin(killAfter time.Duration) (margin time.Duration, known bool) {
+	if inc.NotifiedAt.IsZero() || inc.EndedAt.IsZero() || !inc.KilledAt.IsZero() {
 		return 0, false
 	}
-	return killAfter - l.EndedAt.Sub(l.NotifiedAt), true
+	return killAfter - inc.EndedAt.Sub(inc.NotifiedAt), true
 }
 
 // cpuWait returns the time that the process waited for a core between two moments. A total falls when a thread ends, as
 // the time of that thread is no longer counted; a fall counts as no wait.
-func (l *Incarnation) cpuWait(from, to time.Time) time.Duration {
-	if len(l.CPUWaits) == 0 {
+func (inc *Incarnation) cpuWait(from, to time.Time) time.Duration {
+	if len(inc.CPUWaits) == 0 {
 		return 0
 	}
-	before, after := l.CPUWaits[0].Total, l.CPUWaits[len(l.CPUWaits)-1].Total
-	for _, w := range l.CPUWaits {
+	before, after := inc.CPUWaits[0].Total, inc.CPUWaits[len(inc.CPUWaits)-1].Total
+	for _, w := range inc.CPUWaits {
 		if !w.At.After(from) {
 			before = w.Total
 		}
--- a/internal/testkit/soak/inject.go
+++ b/internal/testkit/soak/inject.go
@@ -23,8 +23,8 @@
 )
 
 // inject carries out a fault, and returns at its end. It skips a fault of a server without a running process.
-func (p *runner) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
-	s := p.slots[f.Server]
+func (r *runner) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
+	s := r.slots[f.Server]
 	daemon, proxy, incarnation := s.process()
 	if incarnation == nil {
 		return nil
@@ -36,9 +36,9 @@
 		sleep(ctx, f.Duration)
 		daemon.Workers.SetHung(false)
 	case Slow:
-		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed / f.Size })
+		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = r.plan.Machine.Speed / f.Size })
 		sleep(ctx, f.Duration)
-		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed })
+		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = r.plan.Machine.Speed })
 	case CutLink:
 		for time.Now().Before(until) {
 			proxy.Cut()
@@ -51,11 +51,11 @@
 		proxy.Cut()
 		proxy.Heal()
 	case PauseServer:
-		return p.pause(ctx, s, f.Duration)
+		return r.pause(ctx, s, f.Duration)
 	case Kill:
-		return p.replace(ctx, s, p.kill)
+		return r.replace(ctx, s, r.kill)
 	case GracefulRestart:
-		return p.replace(ctx, s, p.shutdown)
+		return r.replace(ctx, s, r.shutdown)
 	case Reload:
 		for time.Now().Before(until) {
 			if daemon.Signal(syscall.SIGHUP) != nil {
@@ -64,19 +64,19 @@
 			sleep(ctx, reloadInterval)
 		}
 	case SlowCalls:
-		p.dependency.SetSlowFactor(f.Size)
+		r.dependency.SetSlowFactor(f.Size)
 		sleep(ctx, f.Duration)
-		p.dependency.SetSlowFactor(1)
+		r.dependency.SetSlowFactor(1)
 	case UnresponsiveCalls:
-		p.dependency.SetUnresponsive(true)
+		r.dependency.SetUnresponsive(true)
 		sleep(ctx, f.Duration)
-		p.dependency.SetUnresponsive(false)
+		r.dependency.SetUnresponsive(false)
 	case IdleConnections:
 		openIdleConnections(ctx, daemon.Address, int(f.Size))
 	case SignalSeries:
-		return p.replace(ctx, s, func(s *slot) error { return p.shutdownUnderSignals(s, rng) })
+		return r.replace(ctx, s, func(s *slot) error { return r.shutdownUnderSignals(s, rng) })
 	case Burst:
-		p.burst(s, int(f.Size), rng)
+		r.burst(s, int(f.Size), rng)
 	case Garbage:
 		for time.Now().Before(until) {
 			sendGarbage(daemon.Address, rng)
@@ -88,7 +88,7 @@
 
 // pause pauses a process for a span. Its worker pool continues. It does nothing if another fault pauses or replaces the
 // process.
-func (p *runner) pause(ctx context.Context, s *slot, span time.Duration) error {
+func (r *runner) pause(ctx context.Context, s *slot, span time.Duration) error {
 	if !s.replacing.TryLock() {
 		return nil
 	}
@@ -103,13 +103,13 @@
 	}
 	sleep(ctx, span)
 	err := daemon.Signal(syscall.SIGCONT)
-	p.history.update(func() { incarnation.Paused = append(incarnation.Paused, Span{from, time.Now()}) })
+	r.history.update(func() { incarnation.Pauses = append(incarnation.Pauses, Span{from, time.Now()}) })
 	return err
 }
 
 // replace ends the process of a slot with end and starts the next. It does nothing if another fault pauses or replaces
 // the process.
-func (p *runner) replace(ctx context.Context, s *slot, end func(*slot) error) error {
+func (r *runner) replace(ctx context.Context, s *slot, end func(*slot) error) error {
 	if !s.replacing.TryLock() {
 		return nil
 	}
@@ -121,12 +121,12 @@
 		return err
 	}
 	sleep(ctx, restartDelay)
-	return p.start(s)
+	return r.start(s)
 }
 
 // shutdownUnderSignals shuts a process down amid further signals: up to three SIGHUPs before the notice, then SIGHUP
 // and SIGTERM in turn until the process has ended.
-func (p *runner) shutdownUnderSignals(s *slot, rng *rand.Rand) error {
+func (r *runner) shutdownUnderSignals(s *slot, rng *rand.Rand) error {
 	daemon, _, _ := s.process()
 	for range rng.Intn(4) {
 		_ = daemon.Signal(syscall.SIGHUP)
@@ -143,7 +143,7 @@
 			_ = daemon.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[n%2]) // an error means that the process has ended
 		}
 	})
-	err := p.shutdown(s)
+	err := r.shutdown(s)
 	close(ended)
 	signals.Wait()
 	return err
@@ -151,21 +151,21 @@
 
 // burst sends burstRequests requests on each of a number of connections at once, and waits until they are answered or
 // past their deadlines.
-func (p *runner) burst(s *slot, connections int, rng *rand.Rand) {
+func (r *runner) burst(s *slot, connections int, rng *rand.Rand) {
 	var senders sync.WaitGroup
 	for range connections {
-		burst := newSender(p.history, s, p.nextSender(), rng.Int63())
-		burst.slow = false
+		burstSender := newSender(r.history, s, r.nextSender(), rng.Int63())
+		burstSender.slow = false
 		senders.Go(func() {
-			defer burst.readers.Wait()
-			c := burst.dial()
+			defer burstSender.readers.Wait()
+			c := burstSender.dial()
 			if c == nil {
 				return
 			}
 			for range burstRequests {
-				burst.send(c)
+				burstSender.send(c)
 			}
-			burst.closeWhenAnswered(c)
+			burstSender.closeWhenAnswered(c)
 		})
 	}
 	senders.Wait()
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -13,29 +13,29 @@
 )
 
 // Idempotency states whether a request may run more than once.
-type Effect string
+type Idempotency string
 
 // The kinds of idempotency, as spelled in the platform's settings.
 const (
-	Safe   Effect = "retryable" // may run again at any time
-	Keyed  Effect = "dedup"     // repeats carry the same key, and must not run twice on a server within the dedup window
-	Unsafe Effect = "fragile"   // must not run twice
+	Retryable  Idempotency = "retryable" // may run again at any time
+	Keyed      Idempotency = "dedup"     // repeats carry the same key, and must not run twice on a server within the dedup window
+	AtMostOnce Idempotency = "fragile"   // must not run twice
 )
 
 // Route is a kind of request.
 type Route struct {
-	Name     string
-	Effect   Effect
-	Deadline time.Duration
-	Window   time.Duration // of the keys of a keyed route
-	Value    float64
-	Work     time.Duration // mean work of a run, on a core of speed 1
-	Calls    bool          // runs call the dependency half way
+	Name        string
+	Idempotency Idempotency
+	Deadline    time.Duration
+	DedupWindow time.Duration // of the keys of a keyed route
+	Value       float64
+	Work        time.Duration // mean work of a run, on a core of speed 1
+	Calls       bool          // runs call the dependency half way
 }
 
 // Dependency describes the dependency that the runs of all servers call.
 type Dependency struct {
-	Survives    float64 // maximum mean of calls in flight over Window that it survives; each server has an even share of it
+	MaxCalls    float64 // maximum mean of calls in flight over Window that it survives; each server has an even share of it
 	Window      time.Duration
 	Slots       float64
 	ServiceTime time.Duration // of a call while slots are free
@@ -113,7 +113,7 @@
 
 // HasCalls reports whether any route calls the dependency.
 func (p *Plan) HasCalls() bool {
-	return slices.ContainsFunc(p.Routes, func(c Route) bool { return c.Calls })
+	return slices.ContainsFunc(p.Routes, func(route Route) bool { return route.Calls })
 }
 
 const (
@@ -144,8 +144,8 @@
 	p.Machine.MemoryKB = emulator.RunKB * p.Machine.Cores * (5 + 12*rng.Float64())
 	for i := range 2 + rng.Intn(5) {
 		p.Routes = append(p.Routes, Route{
-			Name: fmt.Sprintf("class-%d", i), Effect: []Effect{Safe, Keyed, Unsafe}[rng.Intn(3)],
-			Deadline: between(rng, 250*time.Millisecond, 1800*time.Millisecond), Window: between(rng, 500*time.Millisecond, 3*time.Second),
+			Name: fmt.Sprintf("class-%d", i), Idempotency: []Idempotency{Retryable, Keyed, AtMostOnce}[rng.Intn(3)],
+			Deadline: between(rng, 250*time.Millisecond, 1800*time.Millisecond), DedupWindow: between(rng, 500*time.Millisecond, 3*time.Second),
 			Value: float64(1 + rng.Intn(5)), Work: between(rng, 8*time.Millisecond, 60*time.Millisecond),
 		})
 	}
@@ -162,14 +162,14 @@
 func (p *Plan) drawDependency(rng *rand.Rand) {
 	share := 0.3 + 5*rng.Float64()
 	p.Dependency = Dependency{
-		Survives: share * float64(p.Servers), Window: between(rng, time.Second, 4*time.Second), ServiceTime: between(rng, 5*time.Millisecond, 60*time.Millisecond),
+		MaxCalls: share * float64(p.Servers), Window: between(rng, time.Second, 4*time.Second), ServiceTime: between(rng, 5*time.Millisecond, 60*time.Millisecond),
 		Slots: max(1, share*float64(p.Servers)/(2+3*rng.Float64())), Linger: between(rng, 20*time.Millisecond, 200*time.Millisecond),
 	}
 	if rng.Intn(2) == 0 {
 		return
 	}
 	for i := range p.Routes {
-		p.Routes[i].Calls = rng.Intn(2) == 0 && p.Routes[i].Effect != Keyed // keyed routes make no calls, as repeats of a key have the same body and a body with a call states its deadline
+		p.Routes[i].Calls = rng.Intn(2) == 0 && p.Routes[i].Idempotency != Keyed // not if keyed: repeats of a key have the same body, which then cannot state a deadline
 	}
 }
 
@@ -218,8 +218,8 @@
 
 // LongestDeadline returns the longest deadline of the routes.
 func (p *Plan) LongestDeadline() (longest time.Duration) {
-	for _, c := range p.Routes {
-		longest = max(longest, c.Deadline)
+	for _, route := range p.Routes {
+		longest = max(longest, route.Deadline)
 	}
 	return longest
 }
@@ -229,8 +229,8 @@
 
 // meanWork returns the mean work of a request, on a core of speed 1.
 func (p *Plan) meanWork() (mean time.Duration) {
-	for _, c := range p.Routes {
-		mean += c.Work
+	for _, route := range p.Routes {
+		mean += route.Work
 	}
 	return mean / time.Duration(len(p.Routes))
 }
--- a/internal/testkit/soak/platform_config.go
+++ b/internal/testkit/soak/platform_config.go
@@ -8,16 +8,16 @@
 // platformConfig returns the platform's configuration file for one server of a run.
 func (p *Plan) platformConfig(name, listen, pool, membership, dependency string) ([]byte, error) {
 	var services []map[string]any
-	calls, skips := make([]bool, len(p.Routes)), make([]float64, len(p.Routes))
-	below := "none"
+	calls, skipValues := make([]bool, len(p.Routes)), make([]float64, len(p.Routes))
+	dependencyName := "none"
 	if p.HasCalls() {
-		below = "shared"
+		dependencyName = "shared"
 	}
-	for i, c := range p.Routes {
-		calls[i] = c.Calls
+	for i, route := range p.Routes {
+		calls[i] = route.Calls
 		services = append(services, map[string]any{
-			"name": c.Name, "goal-time": c.Deadline.Microseconds(), "deadline": c.Deadline.Microseconds(), "gain": c.Value,
-			"idempotency": string(c.Effect), "dedup-window": c.Window.Microseconds(), "late-value": 0.0,
+			"name": route.Name, "goal-time": route.Deadline.Microseconds(), "deadline": route.Deadline.Microseconds(), "gain": route.Value,
+			"idempotency": string(route.Idempotency), "dedup-window": route.DedupWindow.Microseconds(), "late-value": 0.0,
 		})
 	}
 	raw, err := json.Marshal(map[string]any{
@@ -26,9 +26,9 @@
 		"limits": map[string]any{"cores": 1.0, "memory_mb": p.MemoryMB, "sockets": p.Sockets},
 		"settings": map[string]any{
 			"extra": map[string]any{
-				"advert": "threshold", "below": below, "calls-by-class": calls,
-				"calls-out": p.Dependency.Survives / float64(p.Servers), "calls-over": p.Dependency.Window.Microseconds(), "lingers": p.Dependency.Linger.Microseconds(),
-				"class-skip-worth": skips,
+				"advert": "threshold", "below": dependencyName, "calls-by-class": calls,
+				"calls-out": p.Dependency.MaxCalls / float64(p.Servers), "calls-over": p.Dependency.Window.Microseconds(), "lingers": p.Dependency.Linger.Microseconds(),
+				"class-skip-worth": skipValues,
 				"cold":             p.Machine.ColdShare > 0, "cores": p.Machine.Cores, "halt": p.Machine.Halt, "idle": 15000000,
 				"gauges":          []string{"core_use", "on_cores", "heap_share", "links"},
 				"passes-deadline": true, "ram-kb": p.Machine.MemoryKB, "run-factor": runFactor, "key-kb": 0.1,
--- a/internal/testkit/soak/report.go
+++ b/internal/testkit/soak/report.go
@@ -12,22 +12,22 @@
 type Totals struct {
 	Faults, Processes, Requests, Served, Rejected, Aborted, Unanswered int
 
-	drainDistances []time.Duration
-	killed         int // processes killed after their notice
+	drainMargins []time.Duration
+	killed       int // processes killed after their notice
 }
 
-// DrainSummary describes how long before the earliest allowed kill processes ended their shutdown, and how many had to
-// be killed.
+// Drains describes how long before the earliest allowed kill processes ended their shutdown, and how many had to be
+// killed.
 func (t *Totals) Drains() string {
-	distances := slices.Sorted(slices.Values(t.drainDistances))
-	if len(distances) == 0 {
+	margins := slices.Sorted(slices.Values(t.drainMargins))
+	if len(margins) == 0 {
 		return "no drains"
 	}
 	at := func(share float64) time.Duration {
-		return distances[int(share*float64(len(distances)-1))].Round(time.Millisecond)
+		return margins[int(share*float64(len(margins)-1))].Round(time.Millisecond)
 	}
 	return fmt.Sprintf("%d drains ended before the kill by %v at the least, %v, %v and %v at the 1st, 10th and 50th in 100; %d had to be killed",
-		len(distances), at(0), at(0.01), at(0.1), at(0.5), t.killed)
+		len(margins), at(0), at(0.01), at(0.1), at(0.5), t.killed)
 }
 
 // Add adds the counts of a run.
@@ -36,13 +36,13 @@
 	t.Processes += len(h.Incarnations)
 	t.Requests += len(h.Requests)
 	for _, incarnation := range h.Incarnations {
-		distance, known := incarnation.drainDistance(h.Plan.KillAfter())
+		margin, known := incarnation.drainMargin(h.Plan.KillAfter())
 		switch {
 		case !known:
-		case incarnation.KilledAfterTimeout:
+		case incarnation.Killed:
 			t.killed++
 		default:
-			t.drainDistances = append(t.drainDistances, distance)
+			t.drainMargins = append(t.drainMargins, margin)
 		}
 	}
 	for _, r := range h.Requests {
@@ -66,7 +66,7 @@
 	runs, memory, killed := 0.0, 0.0, 0
 	for _, incarnation := range h.Incarnations {
 		runs, memory = max(runs, incarnation.Strain.Runs), max(memory, incarnation.Strain.Memory)
-		if incarnation.KilledAfterTimeout && incarnation.KilledAt.IsZero() {
+		if incarnation.Killed && incarnation.KilledAt.IsZero() {
 			killed++
 		}
 	}
@@ -81,12 +81,12 @@
 
 // WriteLogs writes the log of each process to a folder named after the seed.
 func WriteLogs(folder string, h *History) error {
-	into := filepath.Join(folder, fmt.Sprintf("seed-%d", h.Plan.Seed))
-	if err := os.MkdirAll(into, 0o700); err != nil {
+	logFolder := filepath.Join(folder, fmt.Sprintf("seed-%d", h.Plan.Seed))
+	if err := os.MkdirAll(logFolder, 0o700); err != nil {
 		return fmt.Errorf("write logs: %w", err)
 	}
 	for _, incarnation := range h.Incarnations {
-		name := filepath.Join(into, fmt.Sprintf("server-%d-life-%d.log", incarnation.Server, incarnation.Number))
+		name := filepath.Join(logFolder, fmt.Sprintf("server-%d-life-%d.log", incarnation.Server, incarnation.Number))
 		if err := os.WriteFile(name, []byte(incarnation.Log), 0o600); err != nil {
 			return fmt.Errorf("write logs: %w", err)
 		}
--- a/internal/testkit/soak/runner.go
+++ b/internal/testkit/soak/runner.go
@@ -49,64 +49,64 @@
 
 // runner carries out one plan.
 type runner struct {
-	program    string
-	folder     string
-	history    *History
-	plan       *Plan
-	slots      []*slot
-	dependency *harness.HTTPDependency
-	senders    atomic.Int64 // number of senders so far
+	program     string
+	folder      string
+	history     *History
+	plan        *Plan
+	slots       []*slot
+	dependency  *harness.HTTPDependency
+	senderCount atomic.Int64 // senders created so far
 }
 
 // Run carries out a plan and returns its history, which is not nil if there is an error.
 func Run(ctx context.Context, program, folder string, plan Plan) (*History, error) {
 	h := &History{Plan: plan}
-	p := &runner{program: program, folder: folder, history: h, plan: &h.Plan}
+	r := &runner{program: program, folder: folder, history: h, plan: &h.Plan}
 	var err error
-	if p.dependency, err = harness.NewHTTPDependency(plan.Dependency.Slots, plan.Dependency.ServiceTime, plan.Dependency.Linger, plan.Dependency.Survives, plan.Dependency.Window); err != nil {
+	if r.dependency, err = harness.NewHTTPDependency(plan.Dependency.Slots, plan.Dependency.ServiceTime, plan.Dependency.Linger, plan.Dependency.MaxCalls, plan.Dependency.Window); err != nil {
 		return h, err
 	}
-	defer func() { _ = p.dependency.Close() }()
+	defer func() { _ = r.dependency.Close() }()
 	for number := range plan.Servers {
 		s := &slot{number: number}
-		p.slots = append(p.slots, s)
-		if err := p.start(s); err != nil {
-			return h, errors.Join(err, p.shutdownAll())
+		r.slots = append(r.slots, s)
+		if err := r.start(s); err != nil {
+			return h, errors.Join(err, r.shutdownAll())
 		}
 	}
-	watched := make(chan struct{})
-	go h.recordTimerLateness(watched)
-	go p.recordCPUWaits(watched)
-	defer close(watched)
+	stopMonitors := make(chan struct{})
+	go h.recordTimerLateness(stopMonitors)
+	go r.recordCPUWaits(stopMonitors)
+	defer close(stopMonitors)
 
 	done := make(chan struct{})
 	var senders, faults sync.WaitGroup
 	for n := range plan.Servers * plan.Senders {
-		number := p.nextSender()
+		number := r.nextSender()
 		senders.Go(func() {
-			newSender(h, p.slots[n%plan.Servers], number, plan.Seed<<16+int64(n)).run(done)
+			newSender(h, r.slots[n%plan.Servers], number, plan.Seed<<16+int64(n)).run(done)
 		})
 	}
-	failed := make([]error, len(plan.Faults))
-	begin := time.Now()
+	faultErrs := make([]error, len(plan.Faults))
+	start := time.Now()
 	for n, fault := range plan.Faults {
 		faults.Go(func() {
-			if sleep(ctx, time.Until(begin.Add(fault.At))) {
-				failed[n] = p.inject(ctx, fault, rand.New(rand.NewSource(plan.Seed+int64(n)+1)))
+			if sleep(ctx, time.Until(start.Add(fault.At))) {
+				faultErrs[n] = r.inject(ctx, fault, rand.New(rand.NewSource(plan.Seed+int64(n)+1)))
 			}
 		})
 	}
 	sleep(ctx, plan.Span)
 	faults.Wait()
-	err = p.shutdownAll() // senders send until all servers have ended
+	err = r.shutdownAll() // senders send until all servers have ended
 	close(done)
 	senders.Wait()
-	h.CallStrain, h.Calls = p.dependency.Strain()
-	return h, errors.Join(append(failed, err)...)
+	h.CallStrain, h.Calls = r.dependency.Strain()
+	return h, errors.Join(append(faultErrs, err)...)
 }
 
 // recordCPUWaits samples how long each process has waited for a core until done is closed.
-func (p *runner) recordCPUWaits(done <-chan struct{}) {
+func (r *runner) recordCPUWaits(done <-chan struct{}) {
 	ticker := time.NewTicker(cpuWaitInterval)
 	defer ticker.Stop()
 	for {
@@ -115,7 +115,7 @@
 			return
 		case <-ticker.C:
 		}
-		for _, s := range p.slots {
+		for _, s := range r.slots {
 			daemon, _, incarnation := s.process()
 			if incarnation == nil {
 				continue
@@ -124,7 +124,7 @@
 			if err != nil {
 				continue // the process has ended
 			}
-			p.history.update(func() { incarnation.CPUWaits = append(incarnation.CPUWaits, CPUWait{time.Now(), total}) })
+			r.history.update(func() { incarnation.CPUWaits = append(incarnation.CPUWaits, CPUWait{time.Now(), total}) })
 		}
 	}
 }
@@ -140,29 +140,29 @@
 }
 
 // start starts the next process of a slot, with a worker pool of its own.
-func (p *runner) start(s *slot) error {
+func (r *runner) start(s *slot) error {
 	var proxy *faultnet.Proxy
 	name := fmt.Sprintf("s%d-%d", s.number, s.incarnations)
-	daemon, err := harness.Launch(p.program, nil, p.folder, name, p.plan.Machine, "", func(listen, pool, membership string) ([]byte, error) {
+	daemon, err := harness.Launch(r.program, nil, r.folder, name, r.plan.Machine, "", func(listen, pool, membership string) ([]byte, error) {
 		var err error
 		if proxy, err = faultnet.New(pool); err != nil {
 			return nil, err
 		}
-		return p.plan.platformConfig(name, listen, proxy.Addr(), membership, p.dependency.Address)
+		return r.plan.platformConfig(name, listen, proxy.Addr(), membership, r.dependency.Address)
 	})
 	if err != nil {
 		return err
 	}
-	calling := map[string]bool{}
-	for _, c := range p.plan.Routes {
-		calling[c.Name] = c.Calls
+	callingHandlers := map[string]bool{}
+	for _, route := range r.plan.Routes {
+		callingHandlers[route.Name] = route.Calls
 	}
-	if p.plan.HasCalls() {
-		daemon.Workers.SetCallingHandlers(calling)
+	if r.plan.HasCalls() {
+		daemon.Workers.SetCallingHandlers(callingHandlers)
 	}
-	daemon.Workers.SetEndurance(p.plan.Endurance)
+	daemon.Workers.SetEndurance(r.plan.Endurance)
 	incarnation := &Incarnation{Server: s.number, Number: s.incarnations}
-	p.history.update(func() { p.history.Incarnations = append(p.history.Incarnations, incarnation) })
+	r.history.update(func() { r.history.Incarnations = append(r.history.Incarnations, incarnation) })
 	s.mu.Lock()
 	s.daemon, s.proxy, s.incarnation = daemon, proxy, incarnation
 	s.incarnations++
@@ -171,49 +171,49 @@
 }
 
 // recordEnd records the end of a process and closes its worker pool, membership service and proxy.
-func (p *runner) recordEnd(s *slot, exit int, byKill bool) error {
+func (r *runner) recordEnd(s *slot, exitCode int, killed bool) error {
 	daemon, proxy, incarnation := s.process()
 	s.mu.Lock()
 	s.incarnation = nil
 	s.mu.Unlock()
 	strain, runs, log := daemon.Workers.Strain(), daemon.Workers.RunStarts(), daemon.Log()
-	p.history.update(func() {
-		incarnation.EndedAt, incarnation.ExitCode, incarnation.KilledAfterTimeout = time.Now(), exit, byKill
+	r.history.update(func() {
+		incarnation.EndedAt, incarnation.ExitCode, incarnation.Killed = time.Now(), exitCode, killed
 		incarnation.Strain, incarnation.Runs, incarnation.Log = strain, runs, log
 	})
 	return errors.Join(daemon.Stop(), proxy.Close())
 }
 
 // kill ends a process with SIGKILL, and closes its worker pool.
-func (p *runner) kill(s *slot) error {
+func (r *runner) kill(s *slot) error {
 	daemon, _, incarnation := s.process()
-	p.history.update(func() { incarnation.KilledAt = time.Now() })
+	r.history.update(func() { incarnation.KilledAt = time.Now() })
 	if err := daemon.Crash(); err != nil {
 		return err
 	}
-	return p.recordEnd(s, 0, true)
+	return r.recordEnd(s, 0, true)
 }
 
 // shutdown shuts a process down gracefully, and kills it if it has not ended after Plan.KillAfter.
-func (p *runner) shutdown(s *slot) error {
+func (r *runner) shutdown(s *slot) error {
 	daemon, _, incarnation := s.process()
-	p.history.update(func() { incarnation.NotifiedAt = time.Now() })
-	exit, killed, err := daemon.ShutdownWithin(p.plan.KillAfter())
-	return errors.Join(err, p.recordEnd(s, exit, killed)) // the end is recorded after an error too, for the log of the process
+	r.history.update(func() { incarnation.NotifiedAt = time.Now() })
+	exit, killed, err := daemon.ShutdownWithin(r.plan.KillAfter())
+	return errors.Join(err, r.recordEnd(s, exit, killed)) // the end is recorded after an error too, for the log of the process
 }
 
 // nextSender returns a number that no other sender has.
-func (p *runner) nextSender() int { return int(p.senders.Add(1)) }
+func (r *runner) nextSender() int { return int(r.senderCount.Add(1)) }
 
 // shutdownAll shuts down all running processes at once.
-func (p *runner) shutdownAll() error {
-	errs := make([]error, len(p.slots))
+func (r *runner) shutdownAll() error {
+	errs := make([]error, len(r.slots))
 	var running sync.WaitGroup
-	for n, s := range p.slots {
+	for n, s := range r.slots {
 		if _, _, incarnation := s.process(); incarnation == nil {
 			continue
 		}
-		running.Go(func() { errs[n] = p.shutdown(s) })
+		running.Go(func() { errs[n] = r.shutdown(s) })
 	}
 	running.Wait()
 	return errors.Join(errs...)
