--- a/internal/testkit/soak/inject.go
+++ b/internal/testkit/soak/inject.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	restartDelay        = 150 * time.Millisecond // between two processes of a server
+	restartDelay        = 150 * time.Millisecond // between the end of a process and the start of the next
 	linkCutInterval     = 60 * time.Millisecond
 	reloadInterval      = 30 * time.Millisecond
 	garbageInterval     = 10 * time.Millisecond
@@ -22,9 +22,9 @@
 	idleConnectionsTime = 2 * time.Second
 )
 
-// inject carries out a fault to its end. A fault of a server without a running process is skipped.
-func (p *runner) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
-	s := p.slots[f.Server]
+// inject carries out a fault, and returns at its end. It skips a fault of a server without a running process.
+func (r *runner) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
+	s := r.slots[f.Server]
 	daemon, proxy, incarnation := s.process()
 	if incarnation == nil {
 		return nil
@@ -36,9 +36,9 @@
 		sleep(ctx, f.Duration)
 		daemon.Workers.SetHung(false)
 	case Slow:
-		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed / f.Size })
+		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = r.plan.Machine.Speed / f.Size })
 		sleep(ctx, f.Duration)
-		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = p.plan.Machine.Speed })
+		daemon.Workers.Update(func(m *harness.Machine) { m.Speed = r.plan.Machine.Speed })
 	case CutLink:
 		for time.Now().Before(until) {
 			proxy.Cut()
@@ -51,32 +51,32 @@
 		proxy.Cut()
 		proxy.Heal()
 	case PauseServer:
-		return p.pause(ctx, s, f.Duration)
+		return r.pause(ctx, s, f.Duration)
 	case Kill:
-		return p.replace(ctx, s, p.kill)
+		return r.replace(ctx, s, r.kill)
 	case GracefulRestart:
-		return p.replace(ctx, s, p.shutdown)
+		return r.replace(ctx, s, r.shutdown)
 	case Reload:
 		for time.Now().Before(until) {
 			if daemon.Signal(syscall.SIGHUP) != nil {
-				return nil // it has ended meanwhile
+				return nil // the process has ended
 			}
 			sleep(ctx, reloadInterval)
 		}
 	case SlowCalls:
-		p.dependency.SetSlowFactor(f.Size)
+		r.dependency.SetSlowFactor(f.Size)
 		sleep(ctx, f.Duration)
-		p.dependency.SetSlowFactor(1)
+		r.dependency.SetSlowFactor(1)
 	case UnresponsiveCalls:
-		p.dependency.SetUnresponsive(true)
+		r.dependency.SetUnresponsive(true)
 		sleep(ctx, f.Duration)
-		p.dependency.SetUnresponsive(false)
+		r.dependency.SetUnresponsive(false)
 	case IdleConnections:
 		openIdleConnections(ctx, daemon.Address, int(f.Size))
 	case SignalSeries:
-		return p.replace(ctx, s, func(s *slot) error { return p.shutdownUnderSignals(s, rng) })
+		return r.replace(ctx, s, func(s *slot) error { return r.shutdownUnderSignals(s, rng) })
 	case Burst:
-		p.burst(s, int(f.Size), rng)
+		r.burst(s, int(f.Size), rng)
 	case Garbage:
 		for time.Now().Before(until) {
 			sendGarbage(daemon.Address, rng)
@@ -86,8 +86,9 @@
 	return nil
 }
 
-// pause stops a process for a span. Its pool continues.
-func (p *runner) pause(ctx context.Context, s *slot, span time.Duration) error {
+// pause pauses a process for a span. Its worker pool continues. It does nothing if another fault pauses or replaces the
+// process.
+func (r *runner) pause(ctx context.Context, s *slot, span time.Duration) error {
 	if !s.replacing.TryLock() {
 		return nil
 	}
@@ -98,16 +99,17 @@
 	}
 	from := time.Now()
 	if err := daemon.Signal(syscall.SIGSTOP); err != nil {
-		return fmt.Errorf("stopping server %d: %w", s.number, err)
+		return fmt.Errorf("pause server %d: %w", s.number, err)
 	}
 	sleep(ctx, span)
 	err := daemon.Signal(syscall.SIGCONT)
-	p.history.update(func() { incarnation.Paused = append(incarnation.Paused, Span{from, time.Now()}) })
+	r.history.update(func() { incarnation.Pauses = append(incarnation.Pauses, Span{from, time.Now()}) })
 	return err
 }
 
-// replace ends the process of a slot by end, and starts the next.
-func (p *runner) replace(ctx context.Context, s *slot, end func(*slot) error) error {
+// replace ends the process of a slot with end and starts the next. It does nothing if another fault pauses or replaces
+// the process.
+func (r *runner) replace(ctx context.Context, s *slot, end func(*slot) error) error {
 	if !s.replacing.TryLock() {
 		return nil
 	}
@@ -119,12 +121,12 @@
 		return err
 	}
 	sleep(ctx, restartDelay)
-	return p.start(s)
+	return r.start(s)
 }
 
-// shutdownUnderSignals shuts a process down amid further signals: SIGHUP before the notice, then SIGHUP and SIGTERM in turn
-// until the process is gone.
-func (p *runner) shutdownUnderSignals(s *slot, rng *rand.Rand) error {
+// shutdownUnderSignals shuts a process down amid further signals: up to three SIGHUPs before the notice, then SIGHUP
+// and SIGTERM in turn until the process has ended.
+func (r *runner) shutdownUnderSignals(s *slot, rng *rand.Rand) error {
 	daemon, _, _ := s.process()
 	for range rng.Intn(4) {
 		_ = daemon.Signal(syscall.SIGHUP)
@@ -138,38 +140,38 @@
 				return
 			case <-time.After(between(rng, 0, maxSignalInterval)):
 			}
-			_ = daemon.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[n%2]) // an error: it has ended
+			_ = daemon.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[n%2]) // an error means that the process has ended
 		}
 	})
-	err := p.shutdown(s)
+	err := r.shutdown(s)
 	close(ended)
 	signals.Wait()
 	return err
 }
 
-// burst sends burstRequests on each of so many connections at once, and waits until they are answered or past their
-// deadlines.
-func (p *runner) burst(s *slot, connections int, rng *rand.Rand) {
+// burst sends burstRequests requests on each of a number of connections at once, and waits until they are answered or
+// past their deadlines.
+func (r *runner) burst(s *slot, connections int, rng *rand.Rand) {
 	var senders sync.WaitGroup
 	for range connections {
-		burst := newSender(p.history, s, p.nextSender(), rng.Int63())
-		burst.slow = false
+		burstSender := newSender(r.history, s, r.nextSender(), rng.Int63())
+		burstSender.slow = false
 		senders.Go(func() {
-			defer burst.readers.Wait()
-			c := burst.dial()
+			defer burstSender.readers.Wait()
+			c := burstSender.dial()
 			if c == nil {
 				return
 			}
 			for range burstRequests {
-				burst.send(c)
+				burstSender.send(c)
 			}
-			burst.closeWhenAnswered(c)
+			burstSender.closeWhenAnswered(c)
 		})
 	}
 	senders.Wait()
 }
 
-// openIdleConnections opens connections, sends nothing and closes them after idleConnectionsTime.
+// openIdleConnections opens connections, sends nothing on them and closes them after idleConnectionsTime.
 func openIdleConnections(ctx context.Context, address string, count int) {
 	var open []net.Conn
 	for range count {
@@ -183,7 +185,8 @@
 	}
 }
 
-// sendGarbage is one bad client. It sends no frame, a frame that is too long, a part of a request or an invalid request.
+// sendGarbage opens a connection and sends invalid data: bytes that are not a frame, the head of a frame that is too
+// long, a part of a request, or a request with an invalid field.
 func sendGarbage(address string, rng *rand.Rand) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
--- a/internal/testkit/soak/report.go
+++ b/internal/testkit/soak/report.go
@@ -12,21 +12,22 @@
 type Totals struct {
 	Faults, Processes, Requests, Served, Rejected, Aborted, Unanswered int
 
-	drainDistances []time.Duration
-	killed         int // after their notice
+	drainMargins []time.Duration
+	killed       int // processes killed after their notice
 }
 
-// Drains describes by how much processes ended before the earliest kill.
+// Drains describes how long before the earliest allowed kill processes ended their shutdown, and how many had to be
+// killed.
 func (t *Totals) Drains() string {
-	distances := slices.Sorted(slices.Values(t.drainDistances))
-	if len(distances) == 0 {
+	margins := slices.Sorted(slices.Values(t.drainMargins))
+	if len(margins) == 0 {
 		return "no drains"
 	}
 	at := func(share float64) time.Duration {
-		return distances[int(share*float64(len(distances)-1))].Round(time.Millisecond)
+		return margins[int(share*float64(len(margins)-1))].Round(time.Millisecond)
 	}
 	return fmt.Sprintf("%d drains ended before the kill by %v at the least, %v, %v and %v at the 1st, 10th and 50th in 100; %d had to be killed",
-		len(distances), at(0), at(0.01), at(0.1), at(0.5), t.killed)
+		len(margins), at(0), at(0.01), at(0.1), at(0.5), t.killed)
 }
 
 // Add adds the counts of a run.
@@ -35,13 +36,13 @@
 	t.Processes += len(h.Incarnations)
 	t.Requests += len(h.Requests)
 	for _, incarnation := range h.Incarnations {
-		distance, known := incarnation.drainDistance(h.Plan.KillAfter())
+		margin, known := incarnation.drainMargin(h.Plan.KillAfter())
 		switch {
 		case !known:
-		case incarnation.KilledAfterTimeout:
+		case incarnation.Killed:
 			t.killed++
 		default:
-			t.drainDistances = append(t.drainDistances, distance)
+			t.drainMargins = append(t.drainMargins, margin)
 		}
 	}
 	for _, r := range h.Requests {
@@ -58,14 +59,14 @@
 	}
 }
 
-// Summary describes a run in one line, which ends in "N violations", or in "failed" where the run itself failed.
+// Summary describes a run in one line. It ends in "failed" if err is not nil, otherwise in "N violations".
 func Summary(h *History, violations []Violation, err error) string {
 	var t Totals
 	t.Add(h)
 	runs, memory, killed := 0.0, 0.0, 0
 	for _, incarnation := range h.Incarnations {
 		runs, memory = max(runs, incarnation.Strain.Runs), max(memory, incarnation.Strain.Memory)
-		if incarnation.KilledAfterTimeout && incarnation.KilledAt.IsZero() {
+		if incarnation.Killed && incarnation.KilledAt.IsZero() {
 			killed++
 		}
 	}
@@ -78,16 +79,16 @@
 	return line + fmt.Sprintf("%d violations", len(violations))
 }
 
-// WriteLogs writes the log of each process to a folder named for the seed.
+// WriteLogs writes the log of each process to a folder named after the seed.
 func WriteLogs(folder string, h *History) error {
-	into := filepath.Join(folder, fmt.Sprintf("seed-%d", h.Plan.Seed))
-	if err := os.MkdirAll(into, 0o700); err != nil {
-		return fmt.Errorf("logs: %w", err)
+	logFolder := filepath.Join(folder, fmt.Sprintf("seed-%d", h.Plan.Seed))
+	if err := os.MkdirAll(logFolder, 0o700); err != nil {
+		return fmt.Errorf("write logs: %w", err)
 	}
 	for _, incarnation := range h.Incarnations {
-		name := filepath.Join(into, fmt.Sprintf("server-%d-life-%d.log", incarnation.Server, incarnation.Number))
+		name := filepath.Join(logFolder, fmt.Sprintf("server-%d-life-%d.log", incarnation.Server, incarnation.Number))
 		if err := os.WriteFile(name, []byte(incarnation.Log), 0o600); err != nil {
-			return fmt.Errorf("logs: %w", err)
+			return fmt.Errorf("write logs: %w", err)
 		}
 	}
 	return nil
