--- a/cmd/quartzpoint-bench/soak.go
+++ b/cmd/quartzpoint-bench/soak.go
@@ -99,7 +99,7 @@
 	fmt.Printf("soak: seeds %d to %d, %d faults, %d processes, %d requests, %d served, %d refused, %d failed, %d crossed or cut off; %d violations, %d runs failed\n",
 		cmd.Seed, cmd.Seed+int64(cmd.Seeds)-1, total.Faults, total.Processes, total.Requests, total.Served, total.Rejected, total.Aborted,
 		total.Unanswered, violations, failed)
-	fmt.Println("soak:", total.Drains())
+	fmt.Println("soak:", total.DrainSummary())
 	if violations > 0 || failed > 0 {
 		return errSoak
 	}
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -48,12 +48,12 @@
 		"few cores":     {Cores: 1, Speed: 1, MemoryKB: 1e6},
 		"little memory": {Cores: 2, Speed: 1, MemoryKB: 8 * emulator.RunKB}, // fewer runs exhaust it than the cores survive
 	}
-	for _, halt := range []string{emulator.HaltSuspend, emulator.HaltAbort, emulator.HaltNone} {
+	for _, halt := range []string{emulator.PreemptionSuspend, emulator.PreemptionAbort, emulator.PreemptionNone} {
 		for fault, set := range faults {
 			for name, machine := range machines {
 				t.Run(fmt.Sprintf("%s/%s/%s", halt, fault, name), func(t *testing.T) {
 					t.Parallel()
-					machine.Halt = halt
+					machine.Preemption = halt
 					strain, log := runWithFault(t, machine, set)
 					assert.LessOrEqual(t, strain.Runs, 1.0, "more runs than the pool survives at %v\n%s", strain.RunsAt, log)
 					assert.LessOrEqual(t, strain.Memory, 1.0, "more memory used than the machine has at %v\n%s", strain.MemoryAt, log)
--- a/cmd/quartzpoint/recovery_test.go
+++ b/cmd/quartzpoint/recovery_test.go
@@ -32,7 +32,7 @@
 // number of requests served in each second after hangUntil.
 func runWithHang(t *testing.T, deadline time.Duration, halt string, hang bool) (served []int, daemon *harness.Daemon) {
 	routes := recoveryRoutes(deadline)
-	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6, Halt: halt})
+	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6, Preemption: halt})
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = daemon.Stop() })
 	if hang {
@@ -57,7 +57,7 @@
 // requests need.
 func TestFullServiceAfterAHangThatIsOver(t *testing.T) {
 	for _, deadline := range []time.Duration{400 * time.Millisecond, 2 * time.Second} {
-		for _, halt := range []string{emulator.HaltSuspend, emulator.HaltNone} {
+		for _, halt := range []string{emulator.PreemptionSuspend, emulator.PreemptionNone} {
 			t.Run(deadline.String()+" "+halt, func(t *testing.T) {
 				t.Parallel()
 				without := make(chan []int, 1)
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -101,15 +101,15 @@
 	Independent bool // runs share no cores: each takes the time of its work, and none can be stopped
 	// Each run per core over FreeRunsPerCore slows all runs by SwitchCost; 0 for no cost.
 	FreeRunsPerCore, SwitchCost float64
-	// Halt states whether and how a run can be stopped: HaltSuspend, which is the default, HaltAbort or HaltNone.
-	Halt string
+	// Preemption states whether and how a run can be stopped: PreemptionSuspend, which is the default, PreemptionAbort or PreemptionNone.
+	Preemption string
 }
 
-// The values of Machine.Halt, as in the settings.
+// The values of Machine.Preemption, as in the settings.
 const (
-	HaltSuspend = "suspend" // the run is paused and keeps its memory
-	HaltAbort   = "abort"   // the run loses its work
-	HaltNone    = "none"    // runs cannot be stopped
+	PreemptionSuspend = "suspend" // the run is paused and keeps its memory
+	PreemptionAbort   = "abort"   // the run loses its work
+	PreemptionNone    = "none"    // runs cannot be stopped
 )
 
 // SpeedAt returns the speed at a time since the start of the pool.
--- a/internal/testkit/harness/platform_config.go
+++ b/internal/testkit/harness/platform_config.go
@@ -40,7 +40,7 @@
 		"extra": map[string]any{
 			"advert": "threshold", "below": "none", "calls-by-class": calls, "class-skip-worth": skips,
 			"cold": m.ColdShare > 0, "cores": m.Cores, "gauges": []string{"core_use", "on_cores", "heap_share", "links"},
-			"halt": cmp.Or(m.Halt, emulator.HaltSuspend), "idle": 15000000, "passes-deadline": true, "ram-kb": m.MemoryKB, "run-factor": 8.0,
+			"halt": cmp.Or(m.Preemption, emulator.PreemptionSuspend), "idle": 15000000, "passes-deadline": true, "ram-kb": m.MemoryKB, "run-factor": 8.0,
 		},
 		"limits": map[string]any{"max-retry-after": 1000000, "retry-after": true},
 		"obligations": map[string]any{
--- a/internal/testkit/harness/workers_commands.go
+++ b/internal/testkit/harness/workers_commands.go
@@ -85,7 +85,7 @@
 
 // suspend stops a run in the way that the machine allows. It has no effect while the cores are hung.
 func (w *Workers) suspend(link net.Conn, r *run, runID string, now time.Time) {
-	if w.machine.Halt == emulator.HaltNone {
+	if w.machine.Preemption == emulator.PreemptionNone {
 		fmt.Fprintf(link, `{"verb":"unknown","outcome":"suspend","task":%q}`+"\n", runID)
 		return
 	}
@@ -93,7 +93,7 @@
 		return
 	}
 	w.running = slices.DeleteFunc(w.running, func(other *run) bool { return other == r })
-	if r.paused = w.machine.Halt != emulator.HaltAbort; !r.paused {
+	if r.paused = w.machine.Preemption != emulator.PreemptionAbort; !r.paused {
 		delete(w.runs, r.id)
 	}
 	w.notifyFinished(r, "interrupted", now)
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -136,7 +136,7 @@
 	}
 	p.Machine = harness.Machine{
 		Cores: float64(1 + rng.Intn(4)), Speed: 0.7 + 0.8*rng.Float64(), FreeRunsPerCore: 2, SwitchCost: 0.1 * rng.Float64(),
-		Halt: []string{emulator.HaltSuspend, emulator.HaltAbort, emulator.HaltNone}[rng.Intn(3)],
+		Preemption: []string{emulator.PreemptionSuspend, emulator.PreemptionAbort, emulator.PreemptionNone}[rng.Intn(3)],
 	}
 	if rng.Intn(2) == 0 {
 		p.Machine.ColdShare, p.Machine.WarmUp = 0.2+0.3*rng.Float64(), between(rng, 2*time.Second, 10*time.Second)
--- a/internal/testkit/soak/platform_config.go
+++ b/internal/testkit/soak/platform_config.go
@@ -29,7 +29,7 @@
 				"advert": "threshold", "below": dependencyName, "calls-by-class": calls,
 				"calls-out": p.Dependency.MaxCalls / float64(p.Servers), "calls-over": p.Dependency.Window.Microseconds(), "lingers": p.Dependency.Linger.Microseconds(),
 				"class-skip-worth": skipValues,
-				"cold":             p.Machine.ColdShare > 0, "cores": p.Machine.Cores, "halt": p.Machine.Halt, "idle": 15000000,
+				"cold":             p.Machine.ColdShare > 0, "cores": p.Machine.Cores, "halt": p.Machine.Preemption, "idle": 15000000,
 				"gauges":          []string{"core_use", "on_cores", "heap_share", "links"},
 				"passes-deadline": true, "ram-kb": p.Machine.MemoryKB, "run-factor": runFactor, "key-kb": 0.1,
 			},
--- a/internal/testkit/soak/report.go
+++ b/internal/testkit/soak/report.go
@@ -16,9 +16,9 @@
 	killed       int // processes killed after their notice
 }
 
-// Drains describes how long before the earliest allowed kill processes ended their shutdown, and how many had to be
+// DrainSummary describes how long before the earliest allowed kill processes ended their shutdown, and how many had to be
 // killed.
-func (t *Totals) Drains() string {
+func (t *Totals) DrainSummary() string {
 	margins := slices.Sorted(slices.Values(t.drainMargins))
 	if len(margins) == 0 {
 		return "no drains"
@@ -71,7 +71,7 @@
 		}
 	}
 	line := fmt.Sprintf("seed %d: %d servers, %s, %d faults, %d requests, %.2f served, crowd %.2f, memory %.2f, %d calls %.2f, %d left by kill, late %v: ",
-		h.Plan.Seed, h.Plan.Servers, h.Plan.Machine.Halt, len(h.Plan.Faults), t.Requests, float64(t.Served)/max(1, float64(t.Requests)),
+		h.Plan.Seed, h.Plan.Servers, h.Plan.Machine.Preemption, len(h.Plan.Faults), t.Requests, float64(t.Served)/max(1, float64(t.Requests)),
 		runs, memory, h.Calls, h.CallStrain.Runs, killed, h.TimerLateness)
 	if err != nil {
 		return line + "failed"
