--- a/admission/admit.go
+++ b/admission/admit.go
@@ -1,17 +1,16 @@
 package admission
 
 const (
-	// plannedShare is the fraction of the memory, and of the calls that the dependency survives, that is planned for at
-	// most.
+	// plannedShare is the maximum fraction that plans use of the memory, and of the calls that the dependency survives.
 	plannedShare = 0.9
-	// maxRunsAndReadsPerCore is the number of runs and reads per core from which no further run starts.
+	// maxRunsAndReadsPerCore is the number of runs and reads per core at which no further run starts.
 	maxRunsAndReadsPerCore = 1.2
 )
 
-// mayStart reports whether a queued request may start. It may not while a trial blocks the queue, beyond the
-// concurrency that the server survives, without memory for its run, or while reads of requests take the cores. Beyond
-// the in-flight limit it may still start if a core has no run and memory is below its soft limit: requests in flight
-// that wait at calls leave cores idle.
+// mayStart reports whether a queued request may start. It may not start while a trial blocks the queue, if it would
+// exceed maxConcurrency or memoryKB, or while reads of requests take the cores. Beyond the in-flight limit it may still
+// start if a core has no run and memory is below its soft limit: requests in flight that wait at calls leave cores
+// idle.
 func (c *Controller) mayStart(request *Request) bool {
 	if c.trial.blocksQueue() {
 		return false
--- a/admission/callcapacity.go
+++ b/admission/callcapacity.go
@@ -13,10 +13,10 @@
 
 const (
 	minCallQuota       = 1e-3 // calls; used if no quota is configured, so that a call is made now and then
-	maxCallShare       = 0.7  // fraction of the quota that the capacity takes at most
-	initialCallShare   = 0.4  // fraction of the quota at the start
-	minCallShare       = 0.1  // fraction of the quota that is left under strain
-	callIncrease       = 0.05 // fraction of the quota by which the capacity grows in a calibration
+	maxCallShare       = 0.7  // maximum capacity, as a fraction of the quota
+	initialCallShare   = 0.4  // initial capacity, as a fraction of the quota
+	minCallShare       = 0.1  // minimum capacity under strain, as a fraction of the quota
+	callIncrease       = 0.05 // growth of the capacity in a calibration, as a fraction of the quota
 	strainedSkipShare  = 0.5  // fraction of the capacity open to requests that can skip their call, under strain
 	callMeanSamples    = 500  // calls that the long-term mean of their time averages over
 	callOutcomeWindow  = 2 * time.Second
@@ -95,11 +95,12 @@
 	return c.peerSeconds.estimate.Mean
 }
 
-// pacingAllows reports whether the pacing of calls allows a call now. Pacing spreads calls that take longer than the
-// quota covers over a fleet: hundreds of servers that make one call each at the same time, after a release or in a
-// burst, exceed what the dependency survives. There is one pacing cycle per call that the capacity allows, with a
-// random phase on each server. A call may be made only in the first part of a cycle. The fraction of that part is the
-// call-seconds per window that the quota leaves above the capacity, divided by the expected seconds of a call.
+// pacingAllows reports whether the pacing of calls allows a call now. If a call takes longer than a server's quota
+// covers, pacing spreads the calls of the fleet over time: hundreds of servers that make one call each at the same
+// time, after a release or in a burst, exceed what the dependency survives. There is one pacing cycle per call that the
+// capacity allows, with a random phase on each server. A call may be made only in the first part of a cycle. The
+// fraction of that part is the call-seconds per window that the quota leaves above the capacity, divided by the
+// expected seconds of a call.
 func (c *callCapacity) pacingAllows() bool {
 	window := max(c.window, tickInterval).Seconds()
 	spare := (c.quota*plannedShare - c.capacity) * window
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -10,7 +10,7 @@
 const (
 	lostCallFactor        = 8.0 // multiple of the mean call time after which a call that may be repeated is abandoned
 	maxCallBackoffPower   = 6   // maximum number of doublings of the delay between attempts of a call
-	minCallWorkDivisor    = 4   // divisor of a run's expected work that gives the least work assumed to be left at its call
+	minCallWorkDivisor    = 4   // minimum work assumed to remain at a run's call: its expected work divided by this
 	minCallTurnarounds    = 2   // turnarounds (wait and call) for which there has to be time; otherwise the request skips its call
 	minOverQuotaCallTimes = 2   // minimum timeout of a call beyond the quota, in mean call times
 )
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -86,7 +86,7 @@
 	assert.Equal(t, "call y, start large", b.round(Round{CallsEnded: end, RunsEnded: end}))
 }
 
-// The run of an aborted or canceled request may end at its call before the end of that is reported. The dependency
+// The run of an aborted or canceled request may end at its call before the end of the call is reported. The dependency
 // still works on the call, so it is charged for CallLinger.
 func TestACallAbandonedByItsRunLingers(t *testing.T) {
 	b := newBench(nil)
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -107,7 +107,7 @@
 						}
 					}
 					rate := float64(late) / (span / 2).Seconds() * took.Seconds()
-					if took < time.Duration(budget/float64(n)*plannedShare*float64(window))-200*ms { // a call is no longer than one server's quota bears
+					if took < time.Duration(budget/float64(n)*plannedShare*float64(window))-200*ms { // a call takes no longer than one server's quota covers
 						assert.Greater(t, rate, budget*initialCallShare/2, "the budget is used: mean number of calls in progress")
 					}
 				})
--- a/admission/health.go
+++ b/admission/health.go
@@ -8,14 +8,14 @@
 const (
 	healthWindow      = 3 * time.Second
 	healthWindowParts = 6
-	minRunsJudged     = 6   // ended runs in the window below which the server never ejects itself
-	failingShare      = 0.5 // share of failed runs above which it ejects itself
+	minRunsJudged     = 6   // minimum number of ended runs in the window; with fewer the server does not eject itself
+	failingShare      = 0.5 // fraction of failed runs above which it ejects itself
 )
 
 // runHealth tracks whether the server's runs succeed. Failing runs are quick, so callers that prefer the fastest server
 // choose one whose runs fail, and a request that must not run twice is lost there.
 type runHealth struct {
-	runs    *slidingSums // ended runs, and the failed ones of these
+	runs    *slidingSums // ended runs, and how many of them failed
 	failing bool
 }
 
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -49,7 +49,7 @@
 
 // LimitReduction is a reduction of the in-flight limit. It is for logs.
 type LimitReduction struct {
-	Cause    Backoff // first backoff event since the calibration before
+	Cause    Backoff // first backoff event since the previous calibration
 	From, To float64 // requests
 }
 
--- a/admission/peers.go
+++ b/admission/peers.go
@@ -11,7 +11,7 @@
 // never move the in-flight limit, the capacity for calls or the shed level.
 
 const (
-	scalePriorRuns = 2.0 // weight in runs of the assumption that servers are as fast here as there
+	scalePriorRuns = 2.0 // weight, in runs, of the assumption that this machine is as fast as those of the peers
 	minPeerScale   = 0.5
 	maxPeerScale   = 8.0
 	overrunFactor  = 2.0 // multiple of the peers' estimate above which an unfinished run counts as a sample
@@ -36,11 +36,12 @@
 // peerScale relates the estimates of peers to the machine on which they are used.
 type peerScale struct {
 	present bool    // some estimate has a weight above 0
-	scale   float64 // ratio of own times to the peers' estimates
+	scale   float64 // ratio of own core times to the peers' estimates of them
 }
 
 // agePeerEstimates sets the weights of all peer estimates according to their age at time now. It also sets the scale:
-// the ratio of own run times to the peers' estimates, over all routes together, applies to all of their estimates.
+// the ratio of own core times to the peers' estimates of them, over all routes together. An unfinished run counts once
+// its core time exceeds overrunFactor times the estimate.
 func (c *Controller) agePeerEstimates(now time.Duration) {
 	if !c.peers.present {
 		return
@@ -71,9 +72,9 @@
 	}
 }
 
-// prior returns what is expected before the recent runs are considered, from the own mean and the peers', and the
-// number of runs that it counts for. The assumed value that own holds while there are no own runs counts as one run, so
-// that the peers' estimate fades into it as it ages.
+// prior returns the value that is expected before recent runs are considered, from this server's own mean and the
+// peers' estimate, and its weight in runs. While there are no own runs, own.mean is an assumed value that counts as one
+// run, so that the peers' estimate fades into it as it ages.
 func (c *Controller) prior(own movingMean, peer *peerEstimate) (mean, runs float64) {
 	if peer.weight == 0 {
 		return own.mean, priorRuns
--- a/admission/round.go
+++ b/admission/round.go
@@ -7,7 +7,7 @@
 	Now              time.Duration // must be above 0, as 0 means no time in many fields
 	StopAt           time.Duration // when the process is stopped; set in the round of the notice to shut down
 	NotifiedAt       time.Duration // when that notice was received; 0 means in this round
-	WorkersStartedAt time.Duration // when the machine's workers started, which are cold from then on; set in the round that reports it
+	WorkersStartedAt time.Duration // start of the machine's workers, which are cold from then on; set in the round that reports it
 	CallsEnded       []Completion
 	AwaitingCall     []*Request   // running requests that need a call to continue
 	RunsEnded        []Completion // includes duplicates that were answered from their original, as Succeeded
--- a/admission/route.go
+++ b/admission/route.go
@@ -44,11 +44,11 @@
 const (
 	recentRunsWindow = 6 * time.Second
 	recentRunsParts  = 12
-	// unknownWorkDivisor is the divisor of a route's latency target that gives the assumed work of a request while the
-	// route is unmeasured.
+	// unknownWorkDivisor determines the assumed work of a request while its route is unmeasured: the route's latency
+	// target divided by this.
 	unknownWorkDivisor = 6
-	// coldCallDivisor is the divisor of a route's latency target that gives the assumed time of a call while the whole
-	// fleet may be as cold as this server.
+	// coldCallDivisor determines the assumed time of a call while the whole fleet may be as cold as this server: the
+	// route's latency target divided by this.
 	coldCallDivisor = 2
 )
 
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -74,10 +74,11 @@
 // DefaultTenant returns a tenant with nothing configured: its quota is unlimited.
 func DefaultTenant() Tenant { return Tenant{QuotaRPS: math.Inf(1)} }
 
-// Preemption is what may be done to a run whose request has its final answer.
+// Preemption states how a run may be stopped after its request has its final answer.
 type Preemption int
 
-// The kinds of preemption. With PreemptionUnspecified runs are stopped, but nothing relies on a stopped run to resume.
+// The kinds of preemption. With PreemptionUnspecified, runs are stopped, but a stopped run is not assumed to be
+// resumable.
 const (
 	PreemptionUnspecified Preemption = iota
 	PreemptionNone                   // a run always continues to its end
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// plannedWaitShare is the fraction of a request's possible wait that it is planned to wait at most.
+	// plannedWaitShare is the maximum planned wait of a request, as a fraction of the time for which it could wait.
 	plannedWaitShare = 0.75
 	// medianToMean is the ratio of the median to the mean of a route's core times: a few long runs dominate the mean.
 	medianToMean = 0.7
-	// minRemainingDivisor is the divisor of a run's expected work that gives the least work assumed to be left while
-	// the run is on the cores.
+	// minRemainingDivisor determines the least work assumed to remain while a run is on the cores: its expected work
+	// divided by this.
 	minRemainingDivisor = 2
 )
 
@@ -36,11 +36,11 @@
 type queuePlan struct {
 	controller   *Controller
 	workAhead    time.Duration // core time of all work planned so far
-	cores        float64       // cores that the work is spread over
+	cores        float64       // cores among which the work is divided
 	callWait     time.Duration // wait off the cores of a request that calls the dependency
 	planned      int           // requests planned so far from the head of the queue, including shed ones
 	hasTrial     bool          // a request is kept for a trial
-	useUsualWork bool          // plan by usual work, as a trial is to show whether that holds
+	useUsualWork bool          // plan by usual work, because a trial is to show whether the usual work is still right
 	ranked       bool          // ranking holds the planned requests
 	ranking      valueRanking
 	shed         []*Request
@@ -102,7 +102,7 @@
 }
 
 // keepForTrial reports whether a request that has no time for its expected work is kept for a trial. Unless the last
-// trial took long, the requests after it are planned by their usual work until the trial shows that this does not hold.
+// trial took long, the requests after it are planned by their usual work until the trial shows that runs take longer.
 func (p *queuePlan) keepForTrial(request *Request) bool {
 	if p.useUsualWork || p.hasTrial || !p.controller.mayStartTrial(request) {
 		return false
--- a/admission/work.go
+++ b/admission/work.go
@@ -21,9 +21,9 @@
 	return workEstimate{hinted: newSlidingSums(hintedWindow, hintedWindowParts)}
 }
 
-// recordRun adds an ended run to the long-term means. A run that outlived its deadline shows a fault and stays out of
+// recordRun adds an ended run to the long-term means. A run that outlived its deadline shows a fault and is left out of
 // them; the sums over the last seconds include it. In a long-term mean it would outlast the fault: no request of the
-// route would be started any more, and so none could show that runs are short again.
+// route would be started, so none could show that runs are short again.
 func (c *Controller) recordRun(request *Request, took time.Duration) {
 	if request.answered && max(took, request.coreTime) > request.Route.Deadline {
 		return
