--- a/admission/peers.go
+++ b/admission/peers.go
@@ -39,9 +39,9 @@
 	scale   float64 // ratio of own core times to the peers' estimates of them
 }
 
-// agePeerEstimates sets the weights of all peer estimates according to their age at time now. It also sets the scale:
-// the ratio of own core times to the peers' estimates of them, over all routes together. An unfinished run counts once
-// its core time exceeds overrunFactor times the estimate.
+// agePeerEstimates sets the weights of all peer estimates according to their age at time now. It also sets the scale,
+// which applies to the core time estimates of every route: the ratio of own core times to the peers' estimates of them,
+// over all routes together. An unfinished run counts once its core time exceeds overrunFactor times the estimate.
 func (c *Controller) agePeerEstimates(now time.Duration) {
 	if !c.peers.present {
 		return
--- a/admission/shedlevel.go
+++ b/admission/shedlevel.go
@@ -6,14 +6,14 @@
 )
 
 // The shed level asks callers to hold back requests: those with a rank below it, or a fraction of all. It rises with
-// the share of work that is shed, or with the time that requests wait unread, and falls once both are small.
+// the fraction of work that is shed, or with the time that requests wait unread, and falls once both are small.
 
 const (
 	shedLevelRise     = 0.05 // rise per move if all work is shed
 	shedLevelFall     = 0.02 // fall per move
-	tolerableShed     = 0.05 // share of the work that may be shed without a rise
+	tolerableShed     = 0.05 // fraction of the work that may be shed without a rise
 	maxShedLevel      = 0.95 // requests of the highest rank are never held back altogether
-	unreadWeight      = 3.0  // share of shed work that one latency target spent unread counts as
+	unreadWeight      = 3.0  // weight of the mean time spent unread, in latency targets, relative to the fraction of work shed
 	halfWeightSamples = 4.0  // number of samples that gets half of the full weight
 	shedWindow        = time.Second
 	shedWindowParts   = 10
--- a/budget/breaker.go
+++ b/budget/breaker.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// openBreaker stops calls for a time that doubles with each consecutive opening, with jitter so that servers do not return to a
-// recovering dependency all at once. The duration of a failed probe counts towards that time.
+// openBreaker stops calls for a time that doubles with each consecutive opening, with jitter so that servers do not
+// return to a recovering dependency all at once. The duration of a failed probe counts towards that time.
 func (d *Dependency) openBreaker(now, probeTook time.Duration) {
 	if d.breaker == Closed {
 		d.slowStartTarget = d.limit
--- a/budget/health.go
+++ b/budget/health.go
@@ -9,7 +9,7 @@
 	degradedFactor    = 1.5   // ratio of recent to long-run mean duration above which a dependency is degraded
 	slowFactor        = 4.0   // multiple of the long-run mean duration above which a call is slow
 	maxUnhealthyRatio = 0.2   // fraction of recent calls, slow or failed, above which a dependency is degraded
-	priorSamples      = 4.0   // weight, in calls, of what is assumed before calls are measured
+	priorSamples      = 4.0   // weight, in calls, of the assumptions used until calls are measured
 	maxMeanSamples    = 200.0 // maximum weight of the long-run mean, in calls
 
 	maxLatencyMicros = int64(60 * time.Second / time.Microsecond) // maximum of recorded latencies; longer ones are recorded as this
--- a/classpool/pools.go
+++ b/classpool/pools.go
@@ -14,7 +14,7 @@
 	maxCostSamples  = 100.0                  // number of latest runs that the mean cost covers
 	minCostSamples  = 5                      // number of runs from which on the mean cost is used
 	minCost         = 1e-6                   // core seconds
-	minShare        = 1e-3                   // least fraction of all core time by which a leaf is charged: a leaf without a share still runs, slowly
+	minShare        = 1e-3                   // minimum share at which a leaf is charged, as a fraction of all core time: a leaf without a share still runs, slowly
 )
 
 // account records the core time that a leaf used and requested.
@@ -62,7 +62,7 @@
 	return p
 }
 
-// Leaf returns the number by which the other methods identify the leaf with a name.
+// Leaf returns the number of the leaf with a name, as the other methods take it. It is not the index in the tree.
 func (p *Pools) Leaf(name string) (leaf int, found bool) {
 	index, found := p.tree.Leaf(name)
 	if !found {
--- a/configuration/document.go
+++ b/configuration/document.go
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Inverse returns the delta by which Revert restores the present state of the document after delta was applied.
+// Inverse returns the delta by which Revert restores the current state of the document after delta was applied.
 func (d *Document) Inverse(delta Delta) Delta {
 	return Delta{
 		Version: d.Version, Digest: d.Digest,
@@ -140,7 +140,7 @@
 	return delta
 }
 
-// inverseTable returns the present entries under the names of a delta, nil for those that do not exist.
+// inverseTable returns the current entries under the names of a delta, nil for those that do not exist.
 func inverseTable[T any](table map[string]T, delta map[string]*T) map[string]*T {
 	before := make(map[string]*T, len(delta))
 	for name := range delta {
--- a/configuration/history.go
+++ b/configuration/history.go
@@ -26,8 +26,8 @@
 	return version, known && id != ""
 }
 
-// Accept validates and applies a change, and returns its version. If the ID was accepted before, it only returns the
-// version from that time. The error is a *ValidationError.
+// Accept validates and applies a change, and returns its version. If a change with the same ID was accepted before, it
+// returns the version of that change and applies nothing. The error is a *ValidationError.
 func (h *History) Accept(change Change) (version uint64, err error) {
 	if version, known := h.VersionOf(change.ID); known {
 		return version, nil
--- a/estimate/merge.go
+++ b/estimate/merge.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxDisagreement = 3.0 // largest ratio of two means of which both are used
+	maxDisagreement = 3.0 // largest ratio between two means at which both are used
 	maxPaceRatio    = 4.0 // largest factor by which times are scaled between two machines
 )
 
--- a/estimate/schema.go
+++ b/estimate/schema.go
@@ -31,7 +31,7 @@
 // Schema describes the snapshots that a server can use.
 type Schema struct {
 	SettingsDigest uint64
-	Origin         uint64          // of this server, which rejects snapshots with it
+	Origin         uint64          // origin of this server; snapshots with it are rejected
 	Routes         []string        // names, in the order of the settings
 	Deadlines      []time.Duration // by route
 	Dynamic        bool            // routes change at run time: a snapshot may have some that this server lacks
@@ -66,7 +66,7 @@
 }
 
 // Validate returns an aligned snapshot without the estimates that are out of range, or an error if no part of it can be
-// used. Another server's snapshot is not checked again after it.
+// used. No later code checks another server's snapshot.
 func (s Schema) Validate(snapshot Snapshot) (Snapshot, error) {
 	switch {
 	case snapshot.SettingsDigest != s.SettingsDigest:
--- a/lease/config.go
+++ b/lease/config.go
@@ -22,8 +22,8 @@
 	"time"
 )
 
-// driftLimit is the exclusive upper bound of Config.MaxClockDrift: at a margin of half the duration, a holder's lease
-// would last only half of it.
+// driftLimit is the exclusive upper bound of Config.MaxClockDrift: with a margin of half the duration, a holder's lease
+// would last only the other half.
 const driftLimit = 0.5
 
 // Config is the configuration that all processes of a fleet must share.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -200,7 +200,8 @@
 	require.True(t, next.Holds(800*ms))
 	assert.Greater(t, next.Token(), old.Token())
 	assert.True(t, fence.Admit("d", next.Token()))
-	// old was stopped while its clock stood at 300 ms, so it still believes that it holds the lease.
+	// old was stopped when its clock read 300 ms, and its clock has not advanced since, so it still believes that it
+	// holds the lease.
 	assert.True(t, old.Holds(300*ms))
 	assert.False(t, fence.Admit("d", old.Token()), "an operation under the stale token must be refused")
 	history := []fencedOperation{
--- a/recovery/keytable.go
+++ b/recovery/keytable.go
@@ -25,7 +25,7 @@
 	Key         string        `cbor:"2,keyasint" json:"key"`             // route, a zero byte, and the client's key
 	Fingerprint uint64        `cbor:"3,keyasint,omitempty" json:"shape"` // of the request's content
 	Elapsed     time.Duration `cbor:"4,keyasint" json:"at"`              // from the file's CreatedAt to the record
-	Remaining   time.Duration `cbor:"5,keyasint" json:"left"`            // of the deduplication window, at the record's time
+	Remaining   time.Duration `cbor:"5,keyasint" json:"left"`            // of the dedup window, at the record's time
 	Served      bool          `cbor:"6,keyasint,omitempty" json:"honoured"`
 	Result      []byte        `cbor:"7,keyasint,omitempty" json:"result,omitempty"`
 }
@@ -35,7 +35,7 @@
 type KeyEntry struct {
 	Key         string
 	Fingerprint uint64        // of the request's content
-	ExpiresAt   time.Duration // end of the deduplication window, by the boot clock
+	ExpiresAt   time.Duration // end of the dedup window, by the boot clock
 	Served      bool
 	Result      []byte
 }
--- a/recovery/plan.go
+++ b/recovery/plan.go
@@ -15,7 +15,7 @@
 type Environment struct {
 	Now    Timestamp
 	Site   string
-	Schema estimate.Schema // required of estimates; its zero value if none are wanted
+	Schema estimate.Schema // schema that estimates must have; its zero value if no estimates are wanted
 }
 
 // Quarantined names data that is not used but kept for inspection: a whole file, or its bytes from FromByte on.
--- a/recovery/timestamp.go
+++ b/recovery/timestamp.go
@@ -15,8 +15,8 @@
 }
 
 // Age returns bounds on the time from then to now: at least minAge has passed, and at most maxAge is assumed to have.
-// Estimates age by maxAge, so that setting a clock gives them less weight and never more. Deduplication windows run by
-// minAge, so that setting a clock keeps a key for longer and never for less.
+// Estimates age by maxAge, so that setting a clock gives them less weight and never more. Dedup windows run by minAge,
+// so that setting a clock keeps a key for longer and never for less.
 //
 //   - Within one boot the boot clock decides. maxAge also allows for a wall clock that was set forward.
 //   - From an earlier boot of the same machine, at least the time since the current boot has passed.
