--- a/internal/server/alarms.go
+++ b/internal/server/alarms.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	gaugeTimeout = 5 * time.Millisecond // for which an alarm's round waits for the workers' gauges
-	maxAlarms    = 8                    // set at the same time
+	gaugeTimeout = 5 * time.Millisecond // maximum wait of an alarm's round for the workers' gauges
+	maxAlarms    = 8                    // pending at the same time
 )
 
 // polls holds the controller's alarms, and the state of the polls of the workers' gauges that they cause.
@@ -22,8 +22,8 @@
 	readAt   time.Duration // when the gauges were received, 0 before the first
 }
 
-// WakeAfter sets an alarm. The controller sets a new one whenever one fires, so the number of alarms would grow without
-// bound if it set more than that.
+// WakeAfter sets an alarm. The controller must set at most one new alarm for each that fires, as their number would
+// otherwise grow without bound; alarms beyond maxAlarms are dropped.
 func (s *Server) WakeAfter(delay time.Duration) {
 	s.counters.Assert(len(s.polls.alarms) < maxAlarms, "too many alarms")
 	if len(s.polls.alarms) < maxAlarms {
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// stopAcceptingBefore is how long before the stop the server stops accepting connections, even if the grace lasts
-	// longer.
+	// stopAcceptingBefore is the time before the stop at which the server stops accepting connections, even if the
+	// grace lasts longer.
 	stopAcceptingBefore = 400 * time.Millisecond
-	// exitBefore is how long before the stop the process ends, even if peers have not read their answers or closed
-	// their connections.
+	// exitBefore is the time before the stop at which the process ends, even if peers have not read their answers or
+	// closed their connections.
 	exitBefore = 40 * time.Millisecond
 	// maxLateness is the time by which a busy machine may delay the reading of the signal and the end of the process.
 	maxLateness     = 65 * time.Millisecond
@@ -21,8 +21,8 @@
 // drain is the state of the graceful shutdown. Times are by the clock of rounds.
 type drain struct {
 	startedAt       time.Duration // 0 before the drain
-	stopAcceptingAt time.Duration // from when connections are no longer accepted
-	stopAt          time.Duration // by when all requests must be answered
+	stopAcceptingAt time.Duration // time from which connections are not accepted
+	stopAt          time.Duration // time by which all requests must be answered
 	notAccepting    bool
 }
 
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -63,7 +63,7 @@
 	<-b.done
 }
 
-// At the stop all requests that were read are answered, whatever they wait for.
+// All requests that were read are answered by the stop, queued and running ones alike.
 func TestStopAnswersAll(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
@@ -118,8 +118,8 @@
 	}
 }
 
-// The notice to shut down is handled late. The round that did so started requests that had arrived after the grace, and
-// planned past the stop.
+// The notice to shut down was handled late, and the round that handled it started requests that had arrived after the
+// grace, and planned past the stop.
 func TestGraceAndStopRunFromTheNotice(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -60,7 +60,7 @@
 			return
 		}
 		// Resetting the timer costs as much as an idle round, so it is reset only if it has fired or must fire earlier.
-		// A round that comes too early finds nothing to do.
+		// A round that begins too early has nothing to do.
 		if next := s.nextTimer(ended); next < firesAt || firesAt <= ended {
 			firesAt = next
 			timer.Reset(max(next-ended, 0))
@@ -184,7 +184,7 @@
 	}
 	s.round.Reset()
 	s.round.pending = false
-	for len(s.round.composites) > 0 { // a composite that was started waits for its calls from the same time on
+	for len(s.round.composites) > 0 { // a composite waits for its calls from the time at which it was started
 		s.round.Now = now
 		s.round.AwaitingCall = append(s.round.AwaitingCall, s.round.composites...)
 		s.round.composites = s.round.composites[:0]
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -4,7 +4,7 @@
 
 const (
 	verifyTimeout = time.Second // after which a deep check without an answer counts as failed
-	maxChecks     = 8           // deep checks that the workers have at the same time
+	maxChecks     = 8           // deep checks that wait for the workers' answer at the same time
 )
 
 // health is the state from which health checks are answered.
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxReadTime is how long one round may take in submitted functions. The request that was read first waits
-	// meanwhile for the decision of its round.
+	// maxReadTime is the maximum time that one round spends on submitted functions. The request that was read first
+	// waits meanwhile for the decision of its round.
 	maxReadTime = 5 * time.Millisecond
 	// callsPerClockReading is the number of submitted functions that are called between two readings of the clock.
 	callsPerClockReading = 16
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxReadDelay is the time within which requests are read that arrived while the process was suspended. A key is
-	// kept for this long after its window, as a duplicate belongs to the window in which it arrived, whenever it is
-	// read.
+	// maxReadDelay is the time after a suspension of the process within which the requests that arrived during the
+	// suspension are read. A key is kept this long after its window, because a duplicate belongs to the window in which
+	// it arrived, however late it is read.
 	maxReadDelay = time.Second
 	// stallAfter is the time between two rounds above which the process counts as having been suspended.
 	stallAfter = 100 * time.Millisecond
@@ -39,7 +39,7 @@
 	key         string
 	fingerprint uint64 // of the body
 	until       time.Duration
-	completed   bool // the original has ended, or never will; answer holds its outcome
+	completed   bool // the original has ended or can no longer run; answer contains its outcome
 	answer      Answer
 	waiting     []*Request
 }
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -11,7 +11,7 @@
 )
 
 // A duplicate that exceeded a limit was rejected, which states that it had no effect, although its original had run.
-// Its caller would have had it run elsewhere.
+// Its caller would have sent it to another server, where it would have run again.
 func TestDuplicatesAreNeverRejectedOnceTheirOriginalMayHaveRun(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
--- a/internal/server/linkrecovery.go
+++ b/internal/server/linkrecovery.go
@@ -80,8 +80,8 @@
 	return active
 }
 
-// recoverRun resends what the workers may not have received on the lost link; pauses reports whether runs can be paused
-// and resumed.
+// recoverRun resends what the workers may not have received on the lost link. resumable states whether runs can be
+// paused and resumed.
 func (s *Server) recoverRun(request *Request, resumable bool) {
 	reply := request.callReply
 	retryable := request.Route.Idempotency == admission.Retryable
--- a/internal/server/overdue.go
+++ b/internal/server/overdue.go
@@ -34,7 +34,7 @@
 	s.executed.expire(now)
 	s.overdue.count = 0
 	for _, request := range s.requests.byID {
-		// The time runs from the answer, as arrivals are stamped by a clock that may step.
+		// The time is counted from the answer, because arrivals are stamped by a clock that may step.
 		if s.hasWorkerRun(request) && request.answered && !request.overdue && now > request.answeredAt+request.Route.Deadline {
 			s.markOverdue(request, "its end was not reported by a deadline after its answer")
 		}
--- a/internal/server/overdue_test.go
+++ b/internal/server/overdue_test.go
@@ -43,8 +43,8 @@
 	return starts
 }
 
-// Report f19453: after twice their deadline, runs were taken to have ended although the machine was only hung, and others
-// were started in their place.
+// Report f19453: after twice their deadline, runs counted as ended although the machine was only hung, and others were
+// started in their place.
 func TestOverdueRunsStayInFlightOnAHungMachine(t *testing.T) {
 	for _, halt := range []string{"suspend", "abort", "none"} {
 		t.Run(halt, func(t *testing.T) {
@@ -85,8 +85,8 @@
 	require.Eventually(t, func() bool { return b.counts.Times(proven) >= siteCores }, fake.WaitLimit, time.Millisecond)
 }
 
-// The link is lost after commands that the worker pool may not have read. A run whose request was answered meanwhile,
-// and which a hung machine still holds, was taken to have ended as soon as the link was up again.
+// The link is lost after commands that the worker pool may not have read. A run whose request was answered meanwhile
+// counted as ended as soon as the link was up again, although a hung machine had not finished it.
 func TestRunsOfUnknownStateStayInFlight(t *testing.T) {
 	for _, halt := range []string{"suspend", "abort", "none"} {
 		t.Run(halt, func(t *testing.T) {
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -26,7 +26,7 @@
 	Fingerprint uint64 // of the body; equal for all duplicates
 	Tenant      int
 	Arrived     time.Duration // by the clock of rounds, in place of SentUnixMS
-	LastByteAt  time.Duration // when the last byte was read, if the request came in pieces
+	LastByteAt  time.Duration // when the last byte was read, if the request arrived in pieces
 }
 
 // Receive adds a request that a front end has read to the next round. It returns nil if it answered the request at
@@ -48,8 +48,8 @@
 	if reason := s.rejectReason(&in, route); reason != "" {
 		answer := Answer{Verdict: Rejected}
 		if keyed && s.keys.entries[keyOf(in.Route, in.Key)] != nil {
-			// The original may have run. Rejected would state that the request had no effect, and its caller might have
-			// it run elsewhere.
+			// The original may have run. Rejected would state that the request had no effect, and its caller might send
+			// it to another server.
 			answer.Verdict = Aborted
 		}
 		s.rejectIncoming(&in, reason, answer)
@@ -72,7 +72,7 @@
 	case s.tables.unserved[in.Route]:
 		return "request for a route that calls, without a dependency", Answer{Verdict: Rejected, RetryAfter: s.maxRetryAfter()}
 	case known != nil && (known.active || known.sent):
-		// Rejected would state that the request never ran, and its caller might have it run elsewhere.
+		// Rejected would state that the request never ran, and its caller might send it to another server.
 		return "request whose id is known already", Answer{Verdict: Aborted}
 	case known == nil && s.executed.until[in.ID] > 0:
 		// It was answered, or its caller canceled. A request that may have run is never run again, and never rejected.
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -50,7 +50,7 @@
 	}
 	unstated := make(chan bool)
 	b.Submit(func() {
-		b.Reconfigure(adjusted("")) // no longer stated: as at a start without it
+		b.Reconfigure(adjusted("")) // the setting is not stated, as at a start without it
 		unstated <- b.settings.Admission.Preemption == admission.PreemptionUnspecified &&
 			b.settings.Compare(adjusted("")).Adjusted["halt"] == nil && len(b.settings.Compare(adjusted("")).Adjusted) == 0
 	})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -44,8 +44,8 @@
 	EarlyKill           bool // the process may be killed before the stop that Drain is called with: see earliestKill
 }
 
-// Server is the event loop. Its methods are to be called on its own goroutine, except for Submit, Wake, Drain,
-// ChangeTables, HandleCallEnd, UsePeerEstimates, Now and Events.
+// Server is the event loop. Once Run is called, its methods must be called on Run's goroutine, except for Submit, Wake,
+// Drain, ChangeTables, HandleCallEnd, UsePeerEstimates, Now and Events.
 type Server struct {
 	controller *admission.Controller
 	settings   *settings.Settings
@@ -94,8 +94,8 @@
 }
 
 // New returns a server for its settings. It returns an error if the settings require idempotency keys or tenants and
-// limits does not support them, so that a request is not found to be unservable only after it was read. The requests of
-// routes that call a dependency are rejected if none is configured.
+// limits does not support them: the server could otherwise reject such requests only after reading them. The requests
+// of routes that call a dependency are rejected if none is configured.
 func New(configured *settings.Settings, seed int64, limits Limits, counters *invariant.Counters, log *slog.Logger) (*Server, error) {
 	memory := limits.MemoryMB << 20
 	s := &Server{
@@ -165,7 +165,7 @@
 	if !s.limits.Calls {
 		adapted.CallQuota = unlimitedCalls // the composer limits its calls itself
 	}
-	if !s.limits.SkippableCalls { // each call is waited for, whatever an answer without it would earn
+	if !s.limits.SkippableCalls { // the controller then waits for each call, whatever the value of an answer without it
 		adapted.Routes = slices.Clone(adapted.Routes)
 		for i := range adapted.Routes {
 			adapted.Routes[i].SkipValueShare = 0
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -150,8 +150,8 @@
 }
 
 // A run whose end the worker pool never reported stayed in the tables, and counted against the in-flight limit, until
-// the process ended. A request whose caller states a timeout of a day was kept for a day. That the run has ended has to
-// be proven by the pool's gauges.
+// the process ended. A request whose caller states a timeout of a day was kept for a day. The pool's gauges have to
+// prove that the run has ended.
 func TestUnreportedEndIsProvenByGauges(t *testing.T) {
 	site := strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`,
 		`"late-value":0.0`, `"late-value":0.5`).Replace(fake.SiteSettings)
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -86,8 +86,7 @@
 	assert.Zero(t, samples())
 }
 
-// A key that was used stays in use for its window, even if its route is removed or changed meanwhile: nothing runs
-// twice.
+// A used key is kept for its window, even if its route is removed or changed meanwhile, so that nothing runs twice.
 func TestKeysOutlastTheirRoute(t *testing.T) {
 	b := newBenchWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
