--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -54,7 +54,7 @@
 	overLimit  bool // accepted while all others were in use
 	draining   bool // the router was asked to send no new request
 	broken     bool // no more input is parsed; open requests are still answered
-	writeShut  bool // this side was ended, which tells the router that no more answers follow
+	writeShut  bool // writing was shut down, by which the router learns that no more answers follow
 	dead       bool // closed, or to be closed as soon as netpoll allows it
 	openedAt   time.Duration
 	activeAt   time.Duration // time of the last complete frame, write, drain, failure or half-close
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -141,7 +141,8 @@
 	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
 }
 
-// A router that does not read is cut off at a limit, and answers to others are delayed neither before nor after.
+// A router that does not read is cut off once it reaches a limit. Answers to others are delayed neither before nor
+// after that.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	b := newBench(t, defaultLimits())
 	b.pool.Echo = true
--- a/internal/frontend/halfclose.go
+++ b/internal/frontend/halfclose.go
@@ -10,10 +10,10 @@
 
 // A router may end its side of a connection after its last request, and still read. Netpoll releases a connection whose
 // peer has ended its side, so the open requests are answered over a duplicate of its descriptor. A router that no
-// longer exists ends its side in the same way. That shows by a reset as soon as something is written to it.
+// longer exists looks the same until something is written to the connection, which is then reset.
 
-// duplicateDescriptor replaces fd by a duplicate if the peer ended its side in order, and reports whether it did. It
-// must be called from netpoll's callback, before the descriptor is closed, with c.mu held.
+// duplicateDescriptor replaces fd by a duplicate if the peer ended its side without a reset. duplicated reports whether
+// it replaced fd. It must be called from netpoll's callback, before the descriptor is closed, with c.mu held.
 func (c *conn) duplicateDescriptor() (duplicated bool) {
 	n, err := peek(c.fd)
 	if err != nil || n > 0 {
@@ -50,8 +50,8 @@
 // nothingPending reports whether no request is open and no answer unwritten.
 func (c *conn) nothingPending() bool { return len(c.requests) == 0 && c.out.Empty() }
 
-// checkHalfClosed ends a connection whose peer has ended its side, once nothing is pending on it, it has ended
-// altogether, or its peer has not read for unreadTimeout.
+// checkHalfClosed closes a connection whose peer has ended its side, once no request or answer is pending, the
+// connection was reset or ended on both sides, or the peer has not read for unreadTimeout.
 func (c *conn) checkHalfClosed(now time.Duration) {
 	if c.nothingPending() || c.fullyClosed() || !c.out.Empty() && now >= c.activeAt+unreadTimeout {
 		c.handleClosed()
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -22,7 +22,7 @@
 }
 
 // shutListener makes a draining front end accept no more connections, once it has accepted those that are already
-// established: the system would reset them, and the requests already written to them would be lost.
+// established. The system would otherwise reset these, and the requests already written to them would be lost.
 func (f *Frontend) shutListener() {
 	if !f.draining || f.listenerShut || readable(f.listener.Fd()) {
 		return
