--- a/execution.go
+++ b/execution.go
@@ -54,8 +54,8 @@
 
 var _ server.DependencyCaller = (*execution)(nil)
 
-// Values of answeredBy. The end of a run and the event loop may both try to answer; the one whose compare-and-swap
-// succeeds does. A run can thus answer without waiting for the event loop.
+// Values of answeredBy. The end of a run and the event loop may both try to answer. The one whose compare-and-swap
+// succeeds answers, so a run can answer without waiting for the event loop.
 const (
 	notAnswered int32 = iota
 	answeredByRun
@@ -260,8 +260,8 @@
 	e.finish(result, err)
 }
 
-// finish ends the run: it answers the request unless that has happened, and reports the end to the event loop. It
-// returns whether it answered.
+// finish ends the run: it answers the request unless it is already answered, and reports the end to the event loop.
+// answers reports whether finish answered the request.
 func (e *execution) finish(result []byte, err error) (answers bool) {
 	e.runCtx.end()
 	if e.runResult, e.runErr = result, err; e.request.IdempotencyKey != "" {
--- a/gate.go
+++ b/gate.go
@@ -19,8 +19,8 @@
 const (
 	// defaultShutdownTimeout is the timeout of Shutdown if its context has no deadline.
 	defaultShutdownTimeout = 2500 * time.Millisecond
-	// maxIdleYields is how often the event loop yields before it blocks. That takes a few microseconds, so the loop
-	// notices the end of a short run without being woken.
+	// maxIdleYields is the number of times that the event loop yields before it blocks. The yields take a few
+	// microseconds, so the loop notices the end of a short run without being woken.
 	maxIdleYields = 20
 )
 
--- a/gauges.go
+++ b/gauges.go
@@ -82,7 +82,7 @@
 	return min(float64(now.used-first.used)/float64(elapsed)/p.cores, 1)
 }
 
-// metric returns the value of a runtime metric. known is false if this Go version does not provide the metric.
+// metric returns the value of a runtime metric. known reports whether this Go version provides the metric.
 func (p *processGauges) metric(index int) (value float64, known bool) {
 	if p.metrics[index].Value.Kind() != metrics.KindUint64 {
 		return 0, false
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -88,7 +88,7 @@
 	l.log.LogAttrs(context.Background(), level(kind), string(kind), attributes...)
 }
 
-// Times returns how often an event was recorded.
+// Times returns the number of times that an event was recorded.
 func (l *Log) Times(kind Kind, reason string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/invariant/counters.go
+++ b/internal/invariant/counters.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Times returns how often an event was counted.
+// Times returns the number of times that an event was counted.
 func (c *Counters) Times(what string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug is whether a violated invariant panics, as it does in this build.
+// Debug states whether a violated invariant panics. In this build it does.
 const Debug = true
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug is whether a violated invariant panics. In this build it is counted and logged.
+// Debug states whether a violated invariant panics. In this build it is only counted and logged.
 const Debug = false
--- a/internal/poller/poller.go
+++ b/internal/poller/poller.go
@@ -15,7 +15,7 @@
 	"quartzpoint/internal/sysfault"
 )
 
-// acceptPause is how long the poller pauses if no descriptor is available for a connection that waits to be accepted.
+// acceptPause is the pause of the poller if no descriptor is available for a connection that waits to be accepted.
 const acceptPause = 5 * time.Millisecond
 
 // EventLoop runs submitted functions on its goroutine, in the order of their submission.
@@ -57,7 +57,7 @@
 	case sysfault.IsExhausted(err):
 		exhausted()
 		time.Sleep(acceptPause)
-	case sysfault.IsTransientAccept(err): // the connection is gone already
+	case sysfault.IsTransientAccept(err): // the listener is unaffected
 	default:
 		return conn, err
 	}
--- a/internal/workerlink/connect.go
+++ b/internal/workerlink/connect.go
@@ -38,7 +38,7 @@
 			began := time.Now()
 			next, err = l.serve(ctx, next)
 			if down = false; time.Since(began) > maxBackoff {
-				backoff = 0 // the cores are idle without a link; only a link that ends right after it is up causes a backoff
+				backoff = 0 // the cores are idle without a link, so only a link that ends right after it is up causes a backoff
 			}
 		}
 		if ctx.Err() != nil {
--- a/internal/workerlink/link.go
+++ b/internal/workerlink/link.go
@@ -43,9 +43,9 @@
 	drainNonce uint64 // of that poll, 0 without one
 	drained    chan struct{}
 
-	// Notices have consecutive numbers, which continue on the next link.
+	// Notices have consecutive indexes, which continue on the next link.
 	lastIndex    uint64
-	missingIndex uint64 // number of a notice that was not received and was requested again by a new bind
+	missingIndex uint64 // index of a notice that was not received and was requested again by a new bind
 }
 
 // New returns a link to the pool at address that queues at most maxQueuedBytes of commands. It calls wake when there
--- a/internal/workerlink/link_test.go
+++ b/internal/workerlink/link_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// After a change of address, runs and notice numbers continue, the old link is closed only once the new one is open,
+// After a change of address, runs and notice indexes continue, the old link is closed only once the new one is open,
 // and the commands sent on the old one are known to have been read.
 func TestSetAddress(t *testing.T) {
 	b := newBench(t).synced(t)
@@ -247,7 +247,7 @@
 	b.next(t, workerapi.LinkSynced)
 }
 
-// For any JSON that the pool writes, a line causes at most one notice of its own, and the last notice number never
+// For any JSON that the pool writes, a line causes at most one notice of its own, and the last notice index never
 // decreases.
 func FuzzLine(f *testing.F) {
 	f.Add(`{"verb":"finished","index":1,"task":"a","outcome":"success","spent":2.5,"bytes":"aGk="}`)
--- a/internal/workerlink/notices.go
+++ b/internal/workerlink/notices.go
@@ -24,7 +24,7 @@
 // line is a notice as the pool writes it.
 type line struct {
 	Verb       string    `json:"verb"`
-	Index      uint64    `json:"index"` // of notices that have a number, 0 for others
+	Index      uint64    `json:"index"` // 0 for notices without one
 	RequestID  string    `json:"task"`
 	Outcome    string    `json:"outcome"`
 	DurationMS float64   `json:"spent"`
@@ -47,8 +47,8 @@
 	return time.Duration(n.DurationMS * float64(time.Millisecond))
 }
 
-// readNotices reads a link to its end. A line that can't be parsed is skipped. If it was a notice, its number is
-// missing before the next one, and the pool is asked to send it again.
+// readNotices reads a link to its end. A line that can't be parsed is skipped. If it was a notice, its index is missing
+// before that of the next one, and the pool is asked to send it again.
 func (l *Link) readNotices(ctx context.Context, conn *net.TCPConn) error {
 	in := bufio.NewReaderSize(conn, maxLineBytes)
 	for {
@@ -103,8 +103,9 @@
 	return err
 }
 
-// acceptIndex records the number of a notice and reports whether the notice is new. A notice missing before it is
-// requested again once, by an error that ends the link: a pool that no longer stores it leaves it out again.
+// acceptIndex records the index of a notice and reports whether the notice is new. If an earlier notice is missing, it
+// is requested again once, by an error that ends the link. A pool that no longer stores it leaves it out again, so the
+// second time the later notice is accepted.
 func (l *Link) acceptIndex(index uint64) (isNew bool, err error) {
 	next := l.lastIndex + 1
 	switch {
@@ -174,7 +175,8 @@
 	l.log.Info("pool link bound", "pool", in.Outcome, "up_ms", in.DurationMS, "after_notice", l.lastIndex)
 }
 
-// handlePolled handles the answer to a poll. It may be the poll that completes the start or the end of a link.
+// handlePolled handles the answer to a poll. The poll may be the one after a bind, whose answer makes the link synced,
+// or the last one of a link that is being replaced.
 func (l *Link) handlePolled(nonce uint64) {
 	switch {
 	case l.bound && !l.synced && nonce >= l.syncNonce:
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -200,8 +200,8 @@
 	})
 }
 
-// The caller disconnects while the handler runs, and its framework would buffer the response. The request must not
-// count as served. Its handler has run, so a duplicate must get the recorded response without another run.
+// The caller disconnects while the handler runs and its response is buffered. The request must not count as served. Its
+// handler has run, so a duplicate must get the recorded response without another run.
 func TestCallerGone(t *testing.T) {
 	eachFramework(t, func(t *testing.T, f framework) {
 		var ran atomic.Int32
--- a/pool.go
+++ b/pool.go
@@ -131,8 +131,8 @@
 
 func (p *workerPool) Verify(uint64) bool { return false }
 
-// frontend implements the event loop's frontend for the gate. It has no connections, as requests are submitted one by
-// one.
+// frontend implements the event loop's frontend for the gate. It has no connections, because callers submit each
+// request directly to the event loop.
 type frontend struct{ gate *Gate }
 
 // CloseIdle implements server.Frontend, as do the methods below.
