--- a/gate_test.go
+++ b/gate_test.go
@@ -124,18 +124,18 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	began, end := make(chan struct{}), make(chan struct{})
 	request := Request{Route: "pay", IdempotencyKey: "x"}
-	gone := make(chan error, 1)
+	callerErr := make(chan error, 1)
 	go func() {
 		_, err := g.DoOnce(ctx, request, func(context.Context) ([]byte, error) {
 			close(began)
 			<-end
 			return []byte("paid"), nil
 		})
-		gone <- err
+		callerErr <- err
 	}()
 	<-began
 	cancel()
-	assert.ErrorIs(t, <-gone, context.Canceled)
+	assert.ErrorIs(t, <-callerErr, context.Canceled)
 	close(end)
 	got, err := g.DoOnce(t.Context(), request, func(context.Context) ([]byte, error) { return []byte("twice"), nil })
 	require.NoError(t, err)
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -173,13 +173,13 @@
 func TestSilentConnections(t *testing.T) {
 	b := newBench(t, defaultLimits())
 	idle := b.dialActive(t)
-	silent, partial, dripping := fake.Dial(t, b.Address()), b.dialActive(t), fake.Dial(t, b.Address())
+	silent, partial, slow := fake.Dial(t, b.Address()), b.dialActive(t), fake.Dial(t, b.Address())
 	began := time.Now()
 	frame := fake.RequestFrame(1, "pay", "")
 	partial.Send(t, frame[:len(frame)/2])
 	go func() {
 		for i := range frame[:20] {
-			if _, err := dripping.Write(frame[i : i+1]); err != nil {
+			if _, err := slow.Write(frame[i : i+1]); err != nil {
 				return
 			}
 			time.Sleep(frameTimeout / 15)
@@ -190,7 +190,7 @@
 		assert.Equal(t, []any{byte(11), uint32(0), byte(51), want}, []any{got.Type, got.Stream, got.Code, got.Body})
 		r.WaitClosed(t)
 	}
-	dripping.WaitClosed(t)
+	slow.WaitClosed(t)
 	assert.GreaterOrEqual(t, time.Since(began), frameTimeout)
 	idle.Send(t, fake.Frame(20, 2, "", "e2e", "0"))
 	assert.Equal(t, byte(21), idle.Next(t).Type)
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -29,7 +29,7 @@
 
 	// After the process was suspended, requests that arrived meanwhile are still unread: no key expires before
 	// unreadUntil.
-	lastTurn    time.Duration
+	lastRoundAt time.Duration
 	unreadUntil time.Duration
 }
 
@@ -152,10 +152,10 @@
 // detectStall detects that the event loop did not run for longer than stallAfter. Requests that arrived meanwhile are
 // still unread.
 func (s *Server) detectStall(now time.Duration) {
-	if s.keys.lastTurn > 0 && now > s.keys.lastTurn+stallAfter {
+	if s.keys.lastRoundAt > 0 && now > s.keys.lastRoundAt+stallAfter {
 		s.keys.unreadUntil = now + maxReadDelay
 	}
-	s.keys.lastTurn = now
+	s.keys.lastRoundAt = now
 }
 
 // expireKeys drops the keys whose window is over and of which no duplicate can still be unread.
--- a/internal/wire/action.go
+++ b/internal/wire/action.go
@@ -49,10 +49,10 @@
 }
 
 // AddHealth adds an ActionSetHealth.
-func (r *Reply) AddHealth(server uint16, good, cached bool) {
+func (r *Reply) AddHealth(server uint16, healthy, withoutWorkers bool) {
 	a := r.add(ActionSetHealth, server)
-	a.putBool(3, good)
-	a.putBool(4, cached)
+	a.putBool(3, healthy)
+	a.putBool(4, withoutWorkers)
 }
 
 // AddShedLevel adds an ActionSetShedLevel.
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -216,17 +216,17 @@
 		q, err := http.NewRequestWithContext(ctx, "POST", s.URL+"/", nil)
 		require.NoError(t, err)
 		q.Header.Set("Idempotency-Key", "k")
-		gone := make(chan error, 1)
+		callerErr := make(chan error, 1)
 		go func() {
 			a, err := http.DefaultClient.Do(q)
 			if err == nil {
 				_ = a.Body.Close()
 			}
-			gone <- err
+			callerErr <- err
 		}()
 		<-began
 		cancel()
-		assert.ErrorIs(t, <-gone, context.Canceled)
+		assert.ErrorIs(t, <-callerErr, context.Canceled)
 		time.Sleep(50 * ms) // for the server to notice the disconnect
 		close(end)
 		status, body, head := s.send(t, "POST", "/", "", "Idempotency-Key", "k")
