--- a/doc.go
+++ b/doc.go
@@ -21,6 +21,6 @@
 //	ticket.go       requests that run in their caller's goroutine
 //	execution.go    state of one request; runcontext.go has the context of its run
 //	call.go         calls of runs to the shared dependency
-//	pool.go         worker pool and frontend of the event loop; gauges.go has the readings of this process
+//	pool.go         worker pool and front end of the event loop; gauges.go has the readings of this process
 //	state.go        directory with the state that the next process loads
 package quartzpoint
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -48,7 +48,7 @@
 
 	// Writing.
 	out       *writequeue.Queue
-	unflushed bool // the connection is in the frontend's list of unflushed ones
+	unflushed bool // the connection is in the front end's list of unflushed ones
 
 	// Closing.
 	overLimit  bool // accepted while all others were in use
--- a/pool.go
+++ b/pool.go
@@ -131,7 +131,7 @@
 
 func (p *workerPool) Verify(uint64) bool { return false }
 
-// frontend implements the event loop's frontend for the gate. It has no connections, because callers submit each
+// frontend implements the event loop's front end for the gate. It has no connections, because callers submit each
 // request directly to the event loop.
 type frontend struct{ gate *Gate }
 
