--- a/execution.go
+++ b/execution.go
@@ -33,7 +33,7 @@
 	runPlain  func(context.Context) error // used instead of run if there is no result
 	onAbort   func()
 
-	// Set before answered is sent to.
+	// Set before a value is sent on answered.
 	result []byte
 	err    error
 
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -69,7 +69,7 @@
 	result := strings.Repeat("r", 4<<10)
 	b.onLoop(func() {
 		c := b.conns[0]
-		require.NoError(t, c.out.Add([]byte{})) // allocates the empty queue
+		require.NoError(t, c.out.Add([]byte{})) // an empty piece is accepted and adds nothing
 		for range 8 {
 			c.Answer(9, server.Answer{Verdict: server.Served, Result: []byte(result)})
 		}
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -16,7 +16,7 @@
 func (c *conn) inputEmpty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// In this order: bytes move from the kernel to netpoll, never back.
+	// The kernel is checked first, because bytes move from the kernel to netpoll and never back.
 	return c.closed || c.halfClosed || !c.unreadInKernel() && c.transport.Reader().Len() == 0
 }
 
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -39,7 +39,7 @@
 // InputDrained reports whether nothing waits to be accepted or read: no connection in the listener, no accepted one
 // that has not joined, and no bytes on any connection.
 func (f *Frontend) InputDrained() bool {
-	// In this order: a connection is counted before it leaves the listener.
+	// The listener is checked first, because a connection is counted before it leaves the listener.
 	if (!f.listenerShut || f.shutFailed) && readable(f.listener.Fd()) || f.acceptedCount.Load() != f.joinedCount.Load() {
 		return false
 	}
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -13,7 +13,7 @@
 	maxLateness     = 65 * time.Millisecond
 	drainPollPeriod = 5 * time.Millisecond // between checks whether the drain is complete
 	// The platform may kill the process after killDelay plus the longest deadline of its routes, counted from the
-	// signal, whatever stop the configuration states. A deadline counts for maxKillDeadline at most.
+	// signal, regardless of the configured stop. A deadline counts for maxKillDeadline at most.
 	killDelay       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 )
@@ -65,10 +65,10 @@
 	return min(longest, maxKillDeadline) + killDelay
 }
 
-// advanceDrain advances the drain, and reports whether it is done. After stopAcceptingAt, when a request that arrives
-// would no longer run, connections are no longer accepted. The drain is done once all requests are answered, peers have
+// advanceDrain advances the drain, and reports whether it is done. From stopAcceptingAt on, connections are not
+// accepted, as a request that arrives then would not run. The drain is done once all requests are answered, peers have
 // read all output (written) and closed their connections, and no input is left. In the last exitBefore before the stop
-// it no longer waits for peers, and at the stop it is done in any case.
+// it does not wait for peers, and at the stop it is done in any case.
 func (s *Server) advanceDrain(now time.Duration, written bool) (done bool) {
 	if !s.drain.started() || now < s.drain.stopAcceptingAt {
 		return false
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -107,7 +107,7 @@
 		})
 	})
 	assert.Equal(t, Rejected, b.nextAnswer(t).Verdict)
-	for range 20 { // rounds of a process that continues
+	for range 20 { // rounds in which the process must not end
 		b.onLoop(func() {})
 	}
 	b.inputPending.Store(false)
