--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -22,7 +22,7 @@
 }
 
 // shutListener makes a draining front end accept no more connections, once it has accepted those that are already
-// established: the system would reset them, and the requests already written to them would be lost.
+// established. The system would otherwise reset these, and the requests already written to them would be lost.
 func (f *Frontend) shutListener() {
 	if !f.draining || f.listenerShut || readable(f.listener.Fd()) {
 		return
@@ -39,7 +39,7 @@
 // InputDrained reports whether nothing waits to be accepted or read: no connection in the listener, no accepted one
 // that has not joined, and no bytes on any connection.
 func (f *Frontend) InputDrained() bool {
-	// In this order: a connection is counted before it leaves the listener.
+	// The listener is checked first, because a connection is counted before it leaves the listener.
 	if (!f.listenerShut || f.shutFailed) && readable(f.listener.Fd()) || f.acceptedCount.Load() != f.joinedCount.Load() {
 		return false
 	}
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// stopAcceptingBefore is how long before the stop the server stops accepting connections, even if the grace lasts
-	// longer.
+	// stopAcceptingBefore is the time before the stop at which the server stops accepting connections, even if the
+	// grace lasts longer.
 	stopAcceptingBefore = 400 * time.Millisecond
-	// exitBefore is how long before the stop the process ends, even if peers have not read their answers or closed
-	// their connections.
+	// exitBefore is the time before the stop at which the process ends, even if peers have not read their answers or
+	// closed their connections.
 	exitBefore = 40 * time.Millisecond
 	// maxLateness is the time by which a busy machine may delay the reading of the signal and the end of the process.
 	maxLateness     = 65 * time.Millisecond
 	drainPollPeriod = 5 * time.Millisecond // between checks whether the drain is complete
 	// The platform may kill the process after killDelay plus the longest deadline of its routes, counted from the
-	// signal, whatever stop the configuration states. A deadline counts for maxKillDeadline at most.
+	// signal, regardless of the configured stop. A deadline counts for maxKillDeadline at most.
 	killDelay       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 )
@@ -21,8 +21,8 @@
 // drain is the state of the graceful shutdown. Times are by the clock of rounds.
 type drain struct {
 	startedAt       time.Duration // 0 before the drain
-	stopAcceptingAt time.Duration // from when connections are no longer accepted
-	stopAt          time.Duration // by when all requests must be answered
+	stopAcceptingAt time.Duration // time from which connections are not accepted
+	stopAt          time.Duration // time by which all requests must be answered
 	notAccepting    bool
 }
 
@@ -65,10 +65,10 @@
 	return min(longest, maxKillDeadline) + killDelay
 }
 
-// advanceDrain advances the drain, and reports whether it is done. After stopAcceptingAt, when a request that arrives
-// would no longer run, connections are no longer accepted. The drain is done once all requests are answered, peers have
+// advanceDrain advances the drain, and reports whether it is done. From stopAcceptingAt on, connections are not
+// accepted, as a request that arrives then would not run. The drain is done once all requests are answered, peers have
 // read all output (written) and closed their connections, and no input is left. In the last exitBefore before the stop
-// it no longer waits for peers, and at the stop it is done in any case.
+// it does not wait for peers, and at the stop it is done in any case.
 func (s *Server) advanceDrain(now time.Duration, written bool) (done bool) {
 	if !s.drain.started() || now < s.drain.stopAcceptingAt {
 		return false
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -200,8 +200,8 @@
 	})
 }
 
-// The caller disconnects while the handler runs, and its framework would buffer the response. The request must not
-// count as served. Its handler has run, so a duplicate must get the recorded response without another run.
+// The caller disconnects while the handler runs and its response is buffered. The request must not count as served. Its
+// handler has run, so a duplicate must get the recorded response without another run.
 func TestCallerGone(t *testing.T) {
 	eachFramework(t, func(t *testing.T, f framework) {
 		var ran atomic.Int32
@@ -216,17 +216,17 @@
 		q, err := http.NewRequestWithContext(ctx, "POST", s.URL+"/", nil)
 		require.NoError(t, err)
 		q.Header.Set("Idempotency-Key", "k")
-		gone := make(chan error, 1)
+		callerErr := make(chan error, 1)
 		go func() {
 			a, err := http.DefaultClient.Do(q)
 			if err == nil {
 				_ = a.Body.Close()
 			}
-			gone <- err
+			callerErr <- err
 		}()
 		<-began
 		cancel()
-		assert.ErrorIs(t, <-gone, context.Canceled)
+		assert.ErrorIs(t, <-callerErr, context.Canceled)
 		time.Sleep(50 * ms) // for the server to notice the disconnect
 		close(end)
 		status, body, head := s.send(t, "POST", "/", "", "Idempotency-Key", "k")
