--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,7 +24,7 @@
 // FieldError is one error in a file.
 type FieldError struct {
 	File    string
-	Line    int // line of the key, or of the section without it; 0 if there is neither
+	Line    int // line of the key or, without the key, of its section; 0 if the file has neither
 	Key     string
 	Value   string // empty if the key is missing
 	Allowed string
--- a/internal/config/dependencies.go
+++ b/internal/config/dependencies.go
@@ -18,7 +18,7 @@
 	budget.Options
 	Address        string
 	Connections    int
-	SilenceTimeout time.Duration // time without a received byte after which a connection with calls in flight counts as dead
+	SilenceTimeout time.Duration // a connection that awaits a response and reads nothing for longer is closed
 }
 
 func readDependencies(s *section) []Dependency {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -14,7 +14,7 @@
 // maxFileBytes limits the size of a file; a larger one is not a configuration file.
 const maxFileBytes = 1 << 20
 
-// readFile reads a file and parses it with parse.
+// readFile reads the file at path and parses it as parse does.
 func readFile(path string, read func(top *section)) error {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -14,7 +14,7 @@
 type Peers struct {
 	Listen    string        // address at which peers poll this server; empty: it is not polled
 	Addresses []string      // of the peers that this server polls when it starts
-	Timeout   time.Duration // of polling all of them
+	Timeout   time.Duration // longest wait for the first answers of all of them
 	KeyFile   string        // file of the shared secrets; empty: loopback addresses only
 }
 
--- a/internal/config/section.go
+++ b/internal/config/section.go
@@ -82,7 +82,8 @@
 	return subsection
 }
 
-// subsections returns all sections inside this one, sorted by name, and reports an error beyond the limit.
+// subsections returns all sections inside this one, sorted by name. If there are more than limit, it reports an error
+// and returns the first of them.
 func (s *section) subsections(limit int) []*section {
 	var all []*section
 	for _, name := range slices.Sorted(maps.Keys(s.values)) {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -7,7 +7,7 @@
 	defaultStateMB        = 64
 )
 
-// State configures what a server stores for the next process that takes its place.
+// State configures the storage of state for the server's next start.
 type State struct {
 	Dir             string        // used by this server alone; its last element is created if it does not exist
 	Site            string        // label; files of another site are not used
--- a/internal/configserve/replica.go
+++ b/internal/configserve/replica.go
@@ -135,7 +135,7 @@
 	defer r.mu.Unlock()
 	document := r.history.Document
 	s := step{update: configwatch.Update{Latest: document.Version}, cursor: at, changed: r.changed}
-	if at.version > document.Version { // the machine that the watcher used before was ahead of this one, which will catch up
+	if at.version > document.Version { // the watcher's previous machine was ahead of this one, which will catch up
 		return s
 	}
 	deltas, needsSnapshot := r.history.Since(at.version)
--- a/internal/configserve/server.go
+++ b/internal/configserve/server.go
@@ -90,7 +90,7 @@
 		}
 		s.watch(ctx, session, *request.Watch)
 	case request.Change != nil:
-		_ = session.Send(configwatch.Encode(s.propose(ctx, request.Change))) // a client that disconnected proposes the change again
+		_ = session.Send(configwatch.Encode(s.propose(ctx, request.Change))) // a client that disconnected proposes it again
 	case request.Status != nil:
 		status := s.Replica.Status(s.Name, s.Log.Leadership().Leader, time.Now())
 		_ = session.Send(configwatch.Encode(status)) // a client that disconnected asks again
--- a/internal/configserve/watchers.go
+++ b/internal/configserve/watchers.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Status returns the status of this machine and of its watchers. The name is this machine's, the leader is the one it
-// knows.
+// Status returns the status of this machine and of its watchers. name is the name of this machine, and leader that of
+// the leader that it knows.
 func (r *Replica) Status(name, leader string, now time.Time) configwatch.ReplicaStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -30,7 +30,7 @@
 			Key: "change", Value: fmt.Sprintf("%d bytes", len(raw)), Allowed: fmt.Sprintf("%d bytes at most are allowed", configuration.MaxChangeBytes),
 		}}}
 	}
-	failures := []error{ErrUnavailable} // plus one failure per address at most
+	failures := []error{ErrUnavailable} // and at most one failure per address
 	leader := ""
 	for attempt := 0; ; attempt++ {
 		address := addresses[attempt%len(addresses)]
--- a/internal/configwatch/messages.go
+++ b/internal/configwatch/messages.go
@@ -59,12 +59,13 @@
 	Latest   uint64   `cbor:"3,keyasint"` // latest version on this control machine
 }
 
-// Report acknowledges an Update. It states the version in force at the watcher and, if the update could not be fully
-// applied, the Reason.
+// Report acknowledges an Update. It states the version in force at the watcher. If the update could not be fully
+// applied, it also states its Latest as Rejected and the Reason; Version is then the last version that could be
+// applied.
 type Report struct {
 	Version  uint64               `cbor:"1,keyasint"`
 	Digest   configuration.Digest `cbor:"2,keyasint"`
-	Rejected uint64               `cbor:"3,keyasint,omitempty"` // Latest of an update that could not be fully applied, or 0; Version is then the last one that was applied
+	Rejected uint64               `cbor:"3,keyasint,omitempty"` // 0 if the update was fully applied
 	Reason   string               `cbor:"4,keyasint,omitempty"`
 }
 
@@ -74,7 +75,7 @@
 type ChangeResponse struct {
 	Version    uint64                    `cbor:"1,keyasint,omitempty"` // accepted version
 	Violations []configuration.Violation `cbor:"2,keyasint,omitempty"` // why the change was rejected
-	Leader     string                    `cbor:"3,keyasint,omitempty"` // session address of the leader, to which the change should be proposed
+	Leader     string                    `cbor:"3,keyasint,omitempty"` // session address of the leader, to which to propose the change
 	Error      string                    `cbor:"4,keyasint,omitempty"` // why the change was neither accepted nor rejected
 }
 
@@ -96,7 +97,7 @@
 	Name    string        `cbor:"1,keyasint" json:"name"`
 	Zone    string        `cbor:"2,keyasint" json:"zone"`
 	Version uint64        `cbor:"3,keyasint" json:"version"`         // in force at the watcher
-	Lag     time.Duration `cbor:"4,keyasint" json:"since_ns"`        // time since the next version was accepted; 0 if unknown
+	Lag     time.Duration `cbor:"4,keyasint" json:"since_ns"`        // since the next version was accepted; 0 if unknown
 	Reason  string        `cbor:"5,keyasint" json:"fault,omitempty"` // why it could not apply a later version
 }
 
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -21,7 +21,7 @@
 const (
 	contactTimeout  = 3 * Heartbeat // time without a message after which the session is closed
 	dialTimeout     = time.Second
-	minBackoff      = 100 * time.Millisecond // mean wait before the next attempt; doubled with each failure up to maxBackoff
+	minBackoff      = 100 * time.Millisecond // mean wait before the next attempt; doubles with each failure, up to maxBackoff
 	maxBackoff      = 2 * time.Second
 	maxRetryAfter   = 4 * time.Second // maximum Retry-After of a control machine that is honored
 	reconnectSpread = time.Second     // period over which the watchers of a lost machine reconnect
--- a/internal/fanout/answer.go
+++ b/internal/fanout/answer.go
@@ -85,7 +85,8 @@
 	return part
 }
 
-// partToOmit returns the index of the longest part, and prefers optional parts as long as one has a result.
+// partToOmit returns the index of the longest part. As long as an optional part has a result, it considers only
+// optional parts.
 func (r *request) partToOmit(parts []Part) int {
 	omit := 0
 	for i, planned := range r.route.Plan.Calls {
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -38,7 +38,7 @@
 // Call holds the settings of a call that package budget does not need.
 type Call struct {
 	Op       string        // name of the operation at the dependency
-	MaxStale time.Duration // maximum age of a stored result that may replace its part; 0: no stored result may
+	MaxStale time.Duration // constant that replaces its part if no stored result does; nil: none
 	Default  []byte        // constant that replaces its part otherwise; nil: none does
 }
 
@@ -165,8 +165,8 @@
 	}
 }
 
-// NextTimer returns the latest time at which Advance must be called. This is immediately if an attempt was not sent or
-// a request ended, because both are handled only in a later round.
+// NextTimer returns the time at which Advance must be called at the latest. It returns 0, for immediately, if an
+// attempt was not sent or a request ended, because both are handled only in a later round.
 func (c *Composer) NextTimer() time.Duration {
 	if len(c.unsent)+len(c.notices) > 0 {
 		return 0
--- a/internal/fanout/frametransport.go
+++ b/internal/fanout/frametransport.go
@@ -114,7 +114,7 @@
 	defer t.mu.Unlock()
 	for _, c := range t.connections {
 		if stream, found := c.streams[attempt]; found {
-			_ = c.writes.Add(frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0)) // if the queue is full, the next Send closes the connection
+			_ = c.writes.Add(frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0)) // a full queue makes the next Send close the connection
 			return
 		}
 	}
@@ -131,8 +131,8 @@
 	return responses
 }
 
-// CheckConnections removes attempts that were cancelled long ago, and closes connections that await a response and have
-// read nothing for longer than silenceTimeout.
+// CheckConnections removes cancelled attempts that were sent longer ago than cancelledTimeout and silenceTimeout
+// together, and closes connections that await a response and have read nothing for longer than silenceTimeout.
 func (t *frameTransport) CheckConnections(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/leasing/manager.go
+++ b/internal/leasing/manager.go
@@ -1,5 +1,5 @@
-// Package leasing obtains leases for one server of a fleet. It runs the server's voter and candidates of package lease,
-// which implements the voting, and exchanges their messages over package peersync.
+// Package leasing obtains leases for one server of a fleet. It runs the server's voter and candidates, whose rules
+// package lease implements, and exchanges their messages over package peersync.
 package leasing
 
 import (
@@ -17,7 +17,7 @@
 )
 
 const (
-	maxPosted      = 4096 // calls queued for the manager's goroutine; further ones are dropped, with the same effect as a lost message
+	maxPosted      = 4096 // calls queued for the manager's goroutine; further ones are dropped, which has the effect of a lost message
 	maxExchanges   = 16   // concurrent exchanges with peers, each of which uses a file descriptor
 	roundsPerLease = 4    // lets a holder try three times to renew before its lease expires
 )
--- a/internal/leasing/status.go
+++ b/internal/leasing/status.go
@@ -12,7 +12,7 @@
 	Lease        string        `json:"duty"`
 	Holds        bool          `json:"holds"`            // whether this server holds the lease now
 	Token        uint64        `json:"token"`            // of the lease if it is held, otherwise of the last request
-	Remaining    time.Duration `json:"left_ns"`          // time until the lease expires, on this server's clock; 0 if it is not held
+	Remaining    time.Duration `json:"left_ns"`          // time until the lease expires, on this server's clock; 0 if not held
 	LastVoteFor  string        `json:"holder,omitempty"` // candidate to which this server's voter last granted the lease
 	HighestToken uint64        `json:"newest"`           // token of that grant
 	expiry       time.Duration
--- a/internal/peersync/exchange.go
+++ b/internal/peersync/exchange.go
@@ -18,8 +18,8 @@
 	parts    int
 }
 
-// handle processes a message. It returns the frame to send, or the snapshot once it is complete, with the age that the
-// server states added.
+// handle processes a message. It returns the frame to send or, once all parts were received, the snapshot. The age that
+// the server states is added to the ages in the snapshot.
 func (r *snapshotRequest) handle(m message) (out []byte, snapshot *estimate.Snapshot, err error) {
 	if handled, err := r.clientHandshake.handle(m); err != nil {
 		return nil, nil, err
@@ -98,8 +98,8 @@
 	allow    func(bytes int) (allowed bool, retryAfter time.Duration)
 }
 
-// handle processes a message. It returns the frames to send, or the ballot of an authenticated vote request, whose
-// response is then encoded by voted.
+// handle processes a message. It returns the frames to send, or the ballot of an authenticated vote request. The caller
+// encodes the response to a ballot with voted.
 func (e *serverExchange) handle(m message, keys Keys, source snapshotSource) (out [][]byte, ballot []byte, err error) {
 	switch {
 	case m.Kind == kindHello:
--- a/internal/peersync/fetcher.go
+++ b/internal/peersync/fetcher.go
@@ -164,8 +164,8 @@
 	return checked, nil
 }
 
-// use merges Recovered with the snapshots received so far and passes the result on, unless none was received: the
-// server uses Recovered alone already.
+// use merges Recovered with the snapshots received so far and passes the result on. If no snapshot was received it
+// passes nothing on, because the server uses Recovered already.
 func (r *fetchRun) use(now time.Duration) {
 	r.used = true
 	peers := 0
--- a/internal/peersync/keys.go
+++ b/internal/peersync/keys.go
@@ -125,10 +125,10 @@
 	return hmac.Equal(proof, sign(key, label, parts...))
 }
 
-// signedUint returns the bytes of a number that are signed.
+// signedUint returns the encoding of a number that proofs cover.
 func signedUint(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// signedAge returns the bytes of an age that are signed.
+// signedAge returns the encoding of an age that proofs cover.
 func signedAge(age time.Duration) []byte { return signedUint(uint64(age)) }
 
 // newNonce returns a random nonce.
--- a/internal/peersync/message.go
+++ b/internal/peersync/message.go
@@ -50,7 +50,7 @@
 	kindChallenge
 	kindAsk // requests a snapshot
 	kindPart
-	kindEnd // the last part
+	kindEnd // follows the parts of a snapshot; the last part of a payload
 	kindRejection
 	kindVote    // requests a vote for a lease; replaces kindAsk
 	kindVoted   // response to kindVote
--- a/internal/peersync/server.go
+++ b/internal/peersync/server.go
@@ -43,7 +43,7 @@
 	// The goroutine of run owns the fields below.
 	limiter     *estimate.ServeLimiter
 	conns       []*serverConn
-	encodedFrom *published // the snapshot of which encoded is the encoding
+	encodedFrom *published // published snapshot that encoded was made from
 	encoded     *encodedSnapshot
 }
 
@@ -129,8 +129,8 @@
 // Close closes the listener and all connections and waits for the goroutines to end.
 func (s *Server) Close() {
 	close(s.quit)
-	// Shut down rather than closed: netpoll's Close closes one descriptor twice, and the second time it may be that of a
-	// connection just accepted.
+	// The listener is shut down instead of closed: netpoll's Close closes one descriptor twice, and by the second time
+	// the descriptor may belong to a connection that was just accepted.
 	_ = unix.Shutdown(s.listener.Fd(), unix.SHUT_RD)
 	s.goroutines.Wait()
 }
--- a/internal/peersync/session.go
+++ b/internal/peersync/session.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	sessionTimeout = 5 * time.Second // per step of the opening and per write; disconnects a peer that does not read
+	sessionTimeout = 5 * time.Second // for the opening and for each write; disconnects a peer that does not read
 	sendChunk      = 64 << 10        // bytes of frames after which Send writes
 )
 
@@ -169,8 +169,9 @@
 	return nil
 }
 
-// Receive waits for the next payload, which may have up to limit bytes, for at most wait; 0 means without a time limit.
-// It returns an error if a part of the payload is missing or invalid. After an error the session must be closed.
+// Receive waits for the next payload, for at most wait, or without a limit if wait is 0. A payload may have at most
+// limit bytes. Receive returns an error if a part of the payload is missing or invalid. After an error the session must
+// be closed.
 func (s *Session) Receive(limit int, wait time.Duration) ([]byte, error) {
 	var deadline time.Time
 	if wait > 0 {
--- a/internal/peersync/wire_test.go
+++ b/internal/peersync/wire_test.go
@@ -88,7 +88,7 @@
 func (c *capturingConn) Write(p []byte) (int, error)      { return c.written.Write(p) }
 func (c *capturingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// The payloads of a session must keep their bytes for the same reason, in both directions.
+// The bytes of a session's payloads must stay the same too, in both directions.
 func TestSessionBytesStayTheSame(t *testing.T) {
 	payload := bytes.Repeat([]byte("payload"), 1000)
 	for _, c := range []struct {
--- a/internal/raftlog/node.go
+++ b/internal/raftlog/node.go
@@ -25,7 +25,7 @@
 	transportTimeout  = 5 * time.Second
 	retainedSnapshots = 2
 	snapshotEntries   = 2048 // entries after the last snapshot that trigger the next one
-	trailingEntries   = 1024 // entries kept from before a snapshot, so that a member that was unreachable for a short time can catch up without a snapshot
+	trailingEntries   = 1024 // entries kept from before a snapshot; a member that was unreachable for a short time catches up with them instead of the snapshot
 
 	electionTimeout    = time.Second // also the heartbeat timeout
 	leaderLeaseTimeout = 500 * time.Millisecond
@@ -213,7 +213,7 @@
 	return errors.Join(err, n.release())
 }
 
-// release closes everything that Start has opened so far. Parts that are already closed are permitted.
+// release closes everything that Start has opened so far. It may be called after some of it was closed.
 func (n *Node) release() (err error) {
 	if n.transport != nil {
 		err = n.transport.Close()
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -31,8 +31,8 @@
 	return ""
 }
 
-// MaxDuration is the bound to which longer durations are reduced. No process runs that long, and a time that far ahead
-// can still be added to without overflow.
+// MaxDuration is the maximum of durations in settings; longer ones are reduced to it. No process runs that long, and
+// adding to a time that far ahead does not overflow.
 const MaxDuration = 10 * 365 * 24 * time.Hour
 
 // parseMicroseconds parses a number of microseconds in any notation of a float. whole is false if the text is not a
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -19,7 +19,7 @@
 	return Adjustable{s.Admission.Preemption, s.Admission.ShedLevelFormat}
 }
 
-// WithAdjustable returns a copy of the settings with the adjustable settings of another value.
+// WithAdjustable returns a copy of the settings in which the adjustable settings are those of another value.
 func (s *Settings) WithAdjustable(of *Settings) *Settings {
 	changed := *s
 	changed.adjustable = of.adjustable
@@ -37,8 +37,8 @@
 	Fixed []string
 }
 
-// Adjusted returns the adjustable settings of next that differ, as in Change.Adjusted. Unlike that of Compare, its cost
-// does not grow with the number of tenants, so the event loop may call it.
+// Adjusted returns the adjustable settings of next that differ, in the form of Change.Adjusted. Unlike Compare, its
+// cost does not grow with the number of tenants, so the event loop may call it.
 func (s *Settings) Adjusted(next *Settings) map[string]any {
 	adjusted := map[string]any{}
 	for key := range adjustableKeys {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -66,8 +66,8 @@
 	return s.Admission.MemoryKB, given
 }
 
-// CheckRequired returns an error if the settings have no routes. Otherwise it returns an error that joins a *FieldError for
-// each required setting that is missing and each route name that is used twice.
+// CheckRequired returns an error if the settings have no routes. Otherwise it returns an error that joins a *FieldError
+// for each required setting that is missing and each route name that is used twice.
 func (s *Settings) CheckRequired() error {
 	if len(s.Admission.Routes) == 0 {
 		return errors.New("setting services: is missing or has no routes")
@@ -125,9 +125,9 @@
 	}
 }
 
-// Occupancy returns the readings of the machine's occupied resources: the runnable work (runs and reads of requests that
-// need a core), and the share of memory in use. complete is false if the settings do not name both readings or there
-// are too few readings.
+// Occupancy returns the readings of the machine's occupied resources: the runnable work (runs and reads of requests
+// that need a core), and the share of memory in use. complete is false if the settings do not name both readings or
+// there are too few readings.
 func (s *Settings) Occupancy(readings []float64) (onCores, memory float64, complete bool) {
 	cores, heap := slices.Index(s.readingNames, gaugeRunnable), slices.Index(s.readingNames, gaugeMemory)
 	if cores < 0 || heap < 0 || max(cores, heap) >= len(readings) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -131,8 +131,8 @@
 }
 
 // Servers use estimates from servers whose settings have the same digest: from peers of another version, and from disk
-// after an upgrade. The digest must therefore stay the same across versions. The expected digests are those of commit
-// f1daac1, which digested a map under its own names.
+// after an upgrade. The digest must therefore stay the same across versions. The expected digests were recorded with
+// commit f1daac1, which used its own internal names as keys in the digest.
 func TestDigestIsThatOfEarlierVersions(t *testing.T) {
 	unusual := `{"extra":{"idle":3e7,"class-skip-worth":[0.25,null,1,0.5],"calls-by-class":[null,true]},"value-by":"work",
 "services":[{"name":"a","idempotency":"retryable","deadline":9000000,"goal-time":0,"gain":1e21,"late-value":0.1},
--- a/internal/store/configuration_store.go
+++ b/internal/store/configuration_store.go
@@ -11,9 +11,9 @@
 )
 
 // ConfigurationStore stores the current configuration. A file contains a complete document and the deltas accepted
-// since. The first change after a start begins a new file, and so does a change after the deltas have grown larger than
-// the document. If a crash cut a file short, the items before the first incomplete one are used. It is not safe for
-// concurrent use.
+// after it. The first change after a start begins a new file, and so does a change once the deltas exceed both the size
+// of the document and minRetainedDeltaBytes. If a crash cut a file short, the items before the first incomplete one are
+// used. It is not safe for concurrent use.
 type ConfigurationStore struct {
 	dir           datadir.Dir
 	file          datadir.File // receives the next delta; nil if the next change starts a new file
@@ -27,7 +27,7 @@
 const (
 	configurationPrefix   = "configuration-"
 	configurationKind     = 0xC0      // Kind of the header; other files of this package do not have it
-	chunkBytes            = 128 << 10 // maximum size of the part of an item in one frame
+	chunkBytes            = 128 << 10 // maximum number of bytes of an item in one frame
 	minRetainedDeltaBytes = 256 << 10 // deltas up to this size do not cause a new file
 	maxConfigurationBytes = 128 << 20
 )
@@ -40,7 +40,7 @@
 	ID   uint64 `cbor:"2,keyasint"`
 }
 
-// configurationChunk is the part of an item in one frame. An item is a document or a delta.
+// configurationChunk is one frame's part of an item. An item is a document or a delta.
 type configurationChunk struct {
 	WrittenAtMillis int64  `cbor:"1,keyasint"` // Unix time
 	Delta           bool   `cbor:"2,keyasint,omitempty"`
@@ -182,8 +182,8 @@
 	}
 }
 
-// Append stores a delta; document is the configuration after it, and is stored instead if a new file is due. Append
-// returns once the change is durable.
+// Append stores a delta that led to document. If a new file is due, it stores document instead. It returns once the
+// change is durable.
 func (c *ConfigurationStore) Append(delta configuration.Delta, document *configuration.Document) error {
 	if c.file == nil || c.deltaBytes > max(c.documentBytes, minRetainedDeltaBytes) {
 		return c.Replace(document)
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -24,7 +24,7 @@
 }
 
 // The power fails at every operation of several scripted runs, and again during the starts that follow. After each
-// power loss, the state that was reported durable must be recovered, and again by the next start.
+// power loss, two starts in a row must recover the state that was reported durable.
 func TestPowerLossAtEveryOperation(t *testing.T) {
 	crashes := 0
 	for seed := int64(1); seed <= 4; seed++ {
@@ -119,7 +119,7 @@
 			plan, err := newTestWriter(disk, 9).plan(w.environment())
 			require.NoError(t, err)
 			require.NoError(t, ref.check(plan), "%s bit %d", name, bit)
-			for i := range 2 { // started before the second to last table: in two snapshots and in the log
+			for i := range 2 { // started before the second to last table, so contained in two tables and in the log
 				_, known := plan.Keys.Get(fmt.Sprint("pay\x00", i))
 				require.True(t, known, "%s bit %d", name, bit)
 			}
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Problems lists the files that a start would not use, completely or in part, each with the reason. It is empty if there
-// are none; quarantined files do not count.
+// Problems lists the files that a start would not use, or would use only in part, each with the reason. It does not
+// list quarantined files.
 func (r Report) Problems() (problems []string) {
 	for _, f := range r.Files {
 		switch {
--- a/internal/store/keylog.go
+++ b/internal/store/keylog.go
@@ -45,8 +45,8 @@
 
 func (w *writer) maxSegmentBytes() int64 { return w.maxBytes / sizeParts / segmentsPerTable }
 
-// appendRecord stores an entry in the key table and adds its record to the next commit. finished reports whether the
-// outcome of the request is known, served or not. now is the boot clock.
+// appendRecord stores an entry in the key table and adds its record to the next commit. finished states that the
+// outcome of the request is known, whether it was served or not. now is a reading of the boot clock.
 func (w *writer) appendRecord(entry recovery.KeyEntry, finished bool, now time.Duration) {
 	w.keys.Put(entry)
 	record := newRecord(entry, now, w.logHeader.CreatedAt.SinceBoot)
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	maxTestBytes   = 64 << 20 // large enough that no key is dropped for lack of space, which the test would report as a loss
+	maxTestBytes   = 64 << 20 // large enough that no key is dropped for lack of space, which would look like a lost key
 	childVariable  = "QUARTZPOINT_STORE_CHILD"
-	exitLostEffect = 7 // exit code of a child that did not recover a key whose effect has happened, or recovered a wrong result
+	exitLostEffect = 7 // exit code of a child that recovered a wrong result, or no key for an effect that has happened
 )
 
 func osDirOptions(dir string, counts *invariant.Counters) Options {
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -33,7 +33,8 @@
 	ids uint64
 }
 
-// newTestWriter returns a writer whose file ids are above ids. Its clock is that many milliseconds later.
+// newTestWriter returns a writer whose file ids are above ids. Its clock is ids milliseconds later than that of a
+// writer with ids 0, so that a restart with higher ids is also a later one.
 func newTestWriter(dir datadir.Dir, ids uint64) *testWriter {
 	later := time.Duration(ids) * time.Millisecond
 	w := &testWriter{now: recovery.Timestamp{Wall: 1e18 + later, SinceBoot: 1e12 + later, BootID: "boot", MachineID: 3}, ids: ids}
@@ -85,9 +86,9 @@
 	}
 }
 
-// check compares recovered state with the model. A key with durable states must be recovered, in the last of them or a
-// later state. A state that was not durable may be recovered as it was recorded or as started. No other keys may be
-// recovered.
+// check compares recovered state with the model. A key with durable states must be recovered, in its last durable state
+// or a later one. If it has states that are not durable, it may also be recovered as started, without a result. Keys
+// that were never recorded must not be recovered.
 func (m *model) check(plan recovery.Plan) error {
 	for key, history := range m.keys {
 		entry, known := plan.Keys.Get(key)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// readState decides which state in a directory is used, and adds the keys to the unwritten ones. Recovered contains
-// only the keys that were not among those yet.
+// readState reads a directory, decides which state in it is used, and adds the keys to s.unwritten. The returned
+// Recovered contains only the keys that s.unwritten did not contain before.
 func (s *Store) readState(w *writer) (recovery.Plan, Recovered, error) {
 	plan, err := w.plan(recovery.Environment{Now: s.options.Clock(), Site: s.options.Site, Schema: s.options.Schema})
 	recovered := Recovered{Estimates: plan.Estimates, UnservedKeys: plan.UnservedKeys, ReadAt: s.now()}
--- a/internal/store/retention.go
+++ b/internal/store/retention.go
@@ -16,7 +16,8 @@
 	maxQuarantined    = 8 // files
 )
 
-// quarantine keeps the data that a start does not use, under names that no start reads.
+// quarantine moves data that a start does not use to names that no start reads. If only the end of a file is not used,
+// it copies that end and leaves the file.
 func (w *writer) quarantine(all []recovery.Quarantined) error {
 	if len(all) == 0 {
 		return nil
--- a/internal/store/run.go
+++ b/internal/store/run.go
@@ -11,7 +11,7 @@
 const (
 	idleCommitsBeforeSleep = 20          // commit intervals without a record, after which the goroutine stops polling
 	sleepInterval          = time.Hour   // longest wait if there is nothing to do
-	expireInterval         = time.Second // minimum time between searches of a full key table for expired entries
+	expireInterval         = time.Second // minimum time between two removals of expired entries from a full key table
 	// estimatesInterval is the minimum time between two writes of estimates. It is a little less than the second in
 	// which the server publishes its estimates, so that each publication is written although its time varies.
 	estimatesInterval = 900 * time.Millisecond
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -112,7 +112,7 @@
 	pendingEstimates   *estimate.Snapshot
 	writtenEstimates   estimate.Snapshot
 	estimatesWrittenAt time.Duration // boot clock
-	expiredAt          time.Duration // boot clock when a full key table was last searched for expired entries
+	expiredAt          time.Duration // boot clock at the last removal of expired entries from a full key table
 }
 
 // queuedRecord is a record that waits to be written. Its dedup window is counted from the time when it is dequeued. As
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -289,8 +289,8 @@
 	assert.LessOrEqual(t, o.disk.TotalBytes(), int64(64<<10))
 }
 
-// A store in a directory of the operating system: the lock, the modes of the files, and symbolic links in place of
-// files.
+// In a directory of the operating system, the lock must be exclusive, files must be private to their owner, and
+// symbolic links in place of files must not be followed.
 func TestDisk(t *testing.T) {
 	dir := t.TempDir()
 	options := func(path string) Options { return osDirOptions(path, invariant.New(slog.New(slog.DiscardHandler))) }
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -36,8 +36,8 @@
 	return to
 }
 
-// storedAt returns the time of the recorded machine, 11 s after the start of the second of the two servers that wrote
-// the directory.
+// storedAt returns a time on the clocks of the machine that wrote the directory: 11 s after the second of the two
+// servers that wrote to it started.
 func storedAt() recovery.Timestamp {
 	return recovery.Timestamp{
 		Wall: 1796275673428080893 + 11*time.Second, SinceBoot: 517452478052 + 11*time.Second,
@@ -124,7 +124,7 @@
 	assert.Equal(t, string(want), string(encoded)+"\n")
 }
 
-// Inspect, which the commands use, reports the same of a directory as the recorded program did.
+// Inspect, which the commands use, must report the same about a directory as the recorded program did.
 func TestStoredStateIsInspected(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
 		dir := copyTestdata(t, name)
@@ -137,7 +137,7 @@
 	}
 }
 
-// In another boot, on another machine, at another time and for another site, a start uses the same state as the
+// In another boot, on another machine, at another time and for another site, a start must use the same state as the
 // recorded program did.
 func TestStoredStateElsewhere(t *testing.T) {
 	got := map[string]any{}
