--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 	}, got.Peers)
 	got, err = Parse("x.toml", []byte("[peers]\nlisten = \"10.0.0.4:7400\"\nkey-file = \"k\""))
 	require.NoError(t, err)
-	assert.Equal(t, defaultPeerTimeout, got.Peers.Timeout)
+	assert.Equal(t, defaultFirstWait, got.Peers.Timeout)
 	got, err = Parse("x.toml", nil)
 	require.NoError(t, err)
 	assert.Nil(t, got.Peers, "no section, no exchange")
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	maxPeers           = 1024
-	defaultPeerTimeout = 300 * time.Millisecond
+	maxPeers         = 1024
+	defaultFirstWait = 300 * time.Millisecond
 )
 
 // Peers configures the exchange of estimates with other servers.
@@ -23,7 +23,7 @@
 	p := &Peers{
 		Listen:    s.stringValue("listen", "", allowed+" is allowed", isAddress),
 		Addresses: s.stringList("ask", maxPeers, allowed, isAddress),
-		Timeout:   s.duration("total", defaultPeerTimeout, 10*time.Millisecond, 10*time.Second),
+		Timeout:   s.duration("total", defaultFirstWait, 10*time.Millisecond, 10*time.Second),
 		KeyFile:   s.stringValue("key-file", "", "a path is allowed", isNotEmpty),
 	}
 	if p.KeyFile == "" {
--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -29,7 +29,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 var keys = peersync.Keys{bytes.Repeat([]byte{5}, 16)}
 
@@ -131,7 +131,7 @@
 
 func (w *recordingWatcher) waitForVersion(t *testing.T, m *controlMachine, version uint64) {
 	t.Helper()
-	require.Eventually(t, func() bool { return w.Status().Version == version }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return w.Status().Version == version }, testTimeout, time.Millisecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m.replica.mu.Lock()
@@ -160,7 +160,7 @@
 		// Changes in quick succession are acknowledged by one report, so there may be fewer delays than changes times
 		// watchers.
 		return err == nil && status.Watchers == 2 && len(status.Lagging) == 0 && len(status.PropagationDelays) >= 2 && len(status.PropagationDelays) <= 21
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 
 	reason := "no room"
 	late.applyError.Store(&reason)
@@ -170,7 +170,7 @@
 		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
 		return err == nil && len(status.Lagging) == 1 && status.Lagging[0].Name == "late" && status.Lagging[0].Reason == reason &&
 			status.Lagging[0].Version == 20 && status.Lagging[0].Lag > 0
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	assert.Equal(t, uint64(20), late.Status().Version, "a rejected version must not replace the one in force")
 	late.applyError.Store(nil)
 	late.waitForVersion(t, m, 21)
@@ -376,5 +376,5 @@
 	require.Eventually(t, func() bool {
 		status, err := configwatch.FetchStatus(t.Context(), m.address, keys)
 		return err == nil && status.Watchers == 1
-	}, patience, 10*time.Millisecond, "the watcher that does not read is disconnected")
+	}, testTimeout, 10*time.Millisecond, "the watcher that does not read is disconnected")
 }
--- a/internal/raftlog/node_test.go
+++ b/internal/raftlog/node_test.go
@@ -21,7 +21,7 @@
 	"quartzpoint/internal/peersync"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // recordingMachine is a state machine that records all entries.
 type recordingMachine struct {
@@ -121,7 +121,7 @@
 			}
 		}
 		return false
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	return leader
 }
 
@@ -129,7 +129,7 @@
 	t.Helper()
 	require.Eventually(t, func() bool {
 		return propose(t, c.nodes[c.leader(t)], entry, time.Second) == nil
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
 // propose proposes an entry; timeout bounds the wait for a slot in the leader's queue.
@@ -151,7 +151,7 @@
 			}
 		}
 		return true
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 }
 
 // The leader fails, a member restarts after a snapshot was taken, and then all members restart. After each of these,
@@ -195,7 +195,7 @@
 	c.stop(t, (leader+2)%3)
 	require.Eventually(t, func() bool {
 		return c.nodes[leader].Leadership().Leader == ""
-	}, patience, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	assert.Error(t, propose(t, c.nodes[leader], "b", 200*time.Millisecond))
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -255,10 +255,10 @@
 // A route may have the same name as a kind of idempotency. Formerly, such a name was translated as if it were the
 // idempotency, so the route's requests were treated as those of no route.
 func TestRouteNamedLikeAnIdempotency(t *testing.T) {
-	for theirs, ours := range idempotencies {
-		got, err := FromJSON([]byte(`{"services":[{"name":"` + theirs + `","idempotency":"` + theirs + `"}]}`))
+	for spelling, want := range idempotencies {
+		got, err := FromJSON([]byte(`{"services":[{"name":"` + spelling + `","idempotency":"` + spelling + `"}]}`))
 		require.NoError(t, err)
-		assert.Equal(t, theirs, got.Admission.Routes[0].Name)
-		assert.Equal(t, ours, got.Admission.Routes[0].Idempotency)
+		assert.Equal(t, spelling, got.Admission.Routes[0].Name)
+		assert.Equal(t, want, got.Admission.Routes[0].Idempotency)
 	}
 }
