--- a/internal/configserve/watch.go
+++ b/internal/configserve/watch.go
@@ -31,7 +31,7 @@
 func (s *Server) sendUpdates(ctx context.Context, session *peersync.Session, at cursor) {
 	ticker := time.NewTicker(configwatch.Heartbeat)
 	defer ticker.Stop()
-	// The first update is sent immediately, even if it is empty: it tells the watcher that the session is open.
+	// The first update is sent immediately, even if it is empty: it shows the watcher that the session is open.
 	for first := true; ; first = false {
 		next := s.Replica.nextStep(at)
 		if !first && len(next.update.Deltas) == 0 && next.update.Snapshot == nil {
--- a/internal/configwatch/stored_test.go
+++ b/internal/configwatch/stored_test.go
@@ -19,7 +19,7 @@
 )
 
 // storedMessages returns messages of the configuration service, by the names under which testdata holds their encoding
-// by revision f1daac1.
+// by commit f1daac1.
 func storedMessages(t *testing.T) map[string]any {
 	t.Helper()
 	change := configuration.Change{
@@ -55,7 +55,7 @@
 }
 
 // The encoding of messages must not change in either direction, because servers of two versions communicate during a
-// rolling release.
+// rolling upgrade.
 func TestStoredMessages(t *testing.T) {
 	sent := map[string]string{}
 	for name, message := range storedMessages(t) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// A watcher that starts with the document stored by an app server of revision f1daac1 starts with its version and
+// A watcher that starts with the document stored by an app server of commit f1daac1 starts with its version and
 // applies the next delta to it.
 func TestResumeFromStoredDocument(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "kept")
@@ -102,7 +102,7 @@
 	}, document.Routes)
 	assert.Equal(t, map[string]configuration.Tenant{"north": {QuotaRPS: 75, TrafficShare: 0.5}, "south": {QuotaRPS: 12.5}}, document.Tenants)
 
-	// the delta of the fifth change, as a control machine of revision f1daac1 would send it
+	// the delta of the fifth change, as a control machine of commit f1daac1 would send it
 	fifth := &configuration.Route{LatencyTarget: 800000, Deadline: 2000000, Value: 1.5, Idempotency: configuration.Retryable}
 	delta := document.Clone().Accept(configuration.Change{Routes: map[string]*configuration.Route{"base": fifth}})
 	assert.Equal(t, configuration.Digest(15045096694224017753), delta.Digest)
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -44,7 +44,7 @@
 }
 
 // If Apply rejects an update, for example for lack of memory, the version in force stays unchanged. A full disk does
-// not prevent a version from coming into force. An older snapshot, which a control machine that lags may send, is
+// not prevent a version from coming into force. An older snapshot, which a lagging control machine may send, is
 // rejected.
 func TestApplyUpdate(t *testing.T) {
 	all, latest := deltas(t, 3)
--- a/internal/datadir/dir.go
+++ b/internal/datadir/dir.go
@@ -42,10 +42,10 @@
 }
 
 var (
-	// ErrInUse means that another process has the lock of the directory.
+	// ErrInUse reports that another process has the lock of the directory.
 	ErrInUse = errors.New("in use by another process")
-	// ErrTooLarge means that a file is larger than the limit passed to Read.
+	// ErrTooLarge reports that a file is larger than the limit passed to Read.
 	ErrTooLarge = errors.New("larger than such a file gets")
-	// errNotDir means that a path is not a directory, or is a symbolic link to one.
+	// errNotDir reports that a path is not a directory, or is a symbolic link to one.
 	errNotDir = errors.New("no folder; a symbolic link is not followed")
 )
--- a/internal/fanout/connection.go
+++ b/internal/fanout/connection.go
@@ -26,7 +26,7 @@
 // errResponseTooLong closes the connection, because the transport does not skip frames that are too long.
 var errResponseTooLong = fmt.Errorf("response of over %d bytes", frame.MaxBuffered)
 
-// connection is a connection of a transport that is dialled again whenever it is lost. run is its goroutine.
+// connection is one connection of a transport. It is dialled again whenever it is lost. run is its goroutine.
 // transport.mu guards all fields except transport.
 type connection struct {
 	transport  *frameTransport
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -211,8 +211,8 @@
 	})
 }
 
-// If votes were not authenticated, any process could send one that counts. A ballot and its response are accepted only
-// with a key of the server, up to the size limit, and if the server has a vote handler.
+// A server must accept a ballot, and a client its response, only with a key of the server, up to the size limit, and if
+// the server has a vote handler. If votes were not authenticated, any process could send one that counts.
 func TestVote(t *testing.T) {
 	keys := Keys{[]byte("a shared secret of the fleet....")}
 	server, _ := startServer(t, keys)
--- a/internal/peersync/handshake.go
+++ b/internal/peersync/handshake.go
@@ -18,8 +18,8 @@
 	return encodeFrame(message{Kind: kindHello, Nonce: h.clientNonce, KeyName: keyName(h.key)})
 }
 
-// handle processes a challenge or a rejection, and reports whether the message was one of them. After a challenge the
-// client sends the next message. A rejection or an invalid proof is returned as an error.
+// handle processes a challenge or a rejection, and reports whether the message was one of them. After a challenge, the
+// caller must send the client's next message. A rejection or an invalid proof is returned as an error.
 func (h *clientHandshake) handle(m message) (handled bool, err error) {
 	switch {
 	case m.Kind == kindRejection:
--- a/internal/peersync/serverconn.go
+++ b/internal/peersync/serverconn.go
@@ -11,7 +11,7 @@
 	"quartzpoint/internal/writequeue"
 )
 
-// maxUnread is the maximum number of bytes that a client may have sent and that are not handled yet. The two messages
+// maxUnread is the maximum number of bytes that were received on a connection and are not handled yet. The two messages
 // of an exchange are much shorter.
 const maxUnread = 2 * maxFrame
 
--- a/internal/raftlog/node_test.go
+++ b/internal/raftlog/node_test.go
@@ -132,7 +132,7 @@
 	}, testTimeout, time.Millisecond)
 }
 
-// propose proposes an entry; timeout bounds the wait for a slot in the leader's queue.
+// propose proposes an entry; timeout limits the wait for a slot in the leader's queue.
 func propose(t *testing.T, node *Node, entry string, timeout time.Duration) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
--- a/internal/raftlog/stored_test.go
+++ b/internal/raftlog/stored_test.go
@@ -50,7 +50,7 @@
 	return m.snapshot, append([]string{}, m.entries...), append([]int64{}, m.times...)
 }
 
-// storedLog returns the directory of a log written by revision f1daac1, copied to a temporary directory. The log has
+// storedLog returns the directory of a log written by commit f1daac1, copied to a temporary directory. The log has
 // five entries, the first three of them in a snapshot. It was written by the single machine c0 of a quartzconfig
 // service, which was killed.
 func storedLog(t *testing.T) string {
@@ -68,7 +68,7 @@
 	return dir
 }
 
-// A member continues from a directory written by revision f1daac1: it must restore the snapshot and the entries after
+// A member continues from a directory written by commit f1daac1: it must restore the snapshot and the entries after
 // it byte for byte, and accept new entries.
 func TestResumeFromStoredLog(t *testing.T) {
 	dir := storedLog(t)
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -83,7 +83,7 @@
 
 func checkedOnly[T any](k kind, within bounds) setting[T] { return setting[T]{kind: k, bounds: within} }
 
-// serverKeys contains the settings outside of lists and rows that need a restart.
+// serverKeys contains the settings that need a restart and are not part of a list or row.
 var serverKeys = map[string]setting[Settings]{
 	"extra.cores":                     numberOf(positive, func(s *Settings) *float64 { return &s.Admission.Cores }),
 	keyMemory:                         numberOf(positive, func(s *Settings) *float64 { return &s.Admission.MemoryKB }),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -19,8 +19,8 @@
 type Settings struct {
 	Admission admission.Settings
 
-	RoutersSendDeadlines bool // each request carries how long its caller waits
-	RoutersReportCancel  bool // routers report requests for which nobody waits any longer
+	RoutersSendDeadlines bool // each request states how long its caller waits
+	RoutersReportCancel  bool // routers report requests whose caller no longer waits
 
 	readingNames []string // names of the worker pool's readings, in the order in which they are reported
 
