--- a/internal/config/dependencies.go
+++ b/internal/config/dependencies.go
@@ -13,7 +13,7 @@
 	maxConnections  = 16
 )
 
-// Dependency is a service that requests call.
+// Dependency is a service to which requests make calls.
 type Dependency struct {
 	budget.Options
 	Address        string
--- a/internal/configwatch/messages.go
+++ b/internal/configwatch/messages.go
@@ -60,7 +60,7 @@
 }
 
 // Report acknowledges an Update. It states the version in force at the watcher. If the update could not be fully
-// applied, it also states its Latest as Rejected and the Reason; Version is then the last version that could be
+// applied, Rejected is the Latest of the update, Reason states why, and Version is the last version that could be
 // applied.
 type Report struct {
 	Version  uint64               `cbor:"1,keyasint"`
--- a/internal/fanout/answer.go
+++ b/internal/fanout/answer.go
@@ -61,7 +61,7 @@
 	}
 	encoded, err := json.Marshal(answer)
 	if err != nil || len(encoded) > maxAnswer {
-		return nil, true, false // the names alone are too long
+		return nil, true, false // the names alone make it too long
 	}
 	return encoded, truncated, complete
 }
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -38,8 +38,8 @@
 // Call holds the settings of a call that package budget does not need.
 type Call struct {
 	Op       string        // name of the operation at the dependency
-	MaxStale time.Duration // constant that replaces its part if no stored result does; nil: none
-	Default  []byte        // constant that replaces its part otherwise; nil: none does
+	MaxStale time.Duration // maximum age of a stored result that may replace its part; 0: no stored result may
+	Default  []byte        // constant that replaces its part if no stored result does; nil: none
 }
 
 // Route is a route whose requests consist of calls. Calls and Plan.Calls have the same indexes.
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -25,7 +25,7 @@
 type KeyReport struct {
 	Route     string        `json:"type"`
 	Key       string        `json:"number"`
-	Remaining time.Duration `json:"left"` // of the deduplication window
+	Remaining time.Duration `json:"left"` // of the dedup window
 	Served    bool          `json:"honoured"`
 	Result    []byte        `json:"result,omitempty"`
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -35,7 +35,7 @@
 	errSuspended    = errors.New("state directory cannot be used")
 )
 
-// Options configure a Store.
+// Options configures a Store.
 type Options struct {
 	// OpenDir opens the directory. If readOnly is set, it does not take the lock of the directory.
 	OpenDir func(readOnly bool) (datadir.Dir, error)
