--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -35,7 +35,7 @@
 	errSuspended    = errors.New("state directory cannot be used")
 )
 
-// Options configure a Store.
+// Options configures a Store.
 type Options struct {
 	// OpenDir opens the directory. If readOnly is set, it does not take the lock of the directory.
 	OpenDir func(readOnly bool) (datadir.Dir, error)
@@ -112,7 +112,7 @@
 	pendingEstimates   *estimate.Snapshot
 	writtenEstimates   estimate.Snapshot
 	estimatesWrittenAt time.Duration // boot clock
-	expiredAt          time.Duration // boot clock when a full key table was last searched for expired entries
+	expiredAt          time.Duration // boot clock at the last removal of expired entries from a full key table
 }
 
 // queuedRecord is a record that waits to be written. Its dedup window is counted from the time when it is dequeued. As
