--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -67,7 +67,7 @@
 	})
 	if len(settings.Addresses) > 0 {
 		fetcher := &peersync.Fetcher{
-			Peers: settings.Addresses, Keys: keys, FirstWait: settings.Timeout, Schema: stored.schema, Recovered: stored.recovered, Seed: seed,
+			Peers: settings.Addresses, Keys: keys, FirstWait: settings.FirstWait, Schema: stored.schema, Recovered: stored.recovered, Seed: seed,
 			NeedsEstimates: needsEstimates.Load, Use: owner.UsePeerEstimates, Counts: counters, Log: log,
 		}
 		go fetcher.Run(ctx)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,11 +25,11 @@
 `))
 	require.NoError(t, err)
 	assert.Equal(t, &Peers{
-		Listen: "127.0.0.1:7400", Addresses: []string{"127.0.0.1:7401", "[::1]:7402"}, Timeout: time.Second,
+		Listen: "127.0.0.1:7400", Addresses: []string{"127.0.0.1:7401", "[::1]:7402"}, FirstWait: time.Second,
 	}, got.Peers)
 	got, err = Parse("x.toml", []byte("[peers]\nlisten = \"10.0.0.4:7400\"\nkey-file = \"k\""))
 	require.NoError(t, err)
-	assert.Equal(t, defaultFirstWait, got.Peers.Timeout)
+	assert.Equal(t, defaultFirstWait, got.Peers.FirstWait)
 	got, err = Parse("x.toml", nil)
 	require.NoError(t, err)
 	assert.Nil(t, got.Peers, "no section, no exchange")
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -14,7 +14,7 @@
 type Peers struct {
 	Listen    string        // address at which peers poll this server; empty: it is not polled
 	Addresses []string      // of the peers that this server polls when it starts
-	Timeout   time.Duration // longest wait for the first answers of all of them
+	FirstWait time.Duration // longest wait for the first answers of all of them
 	KeyFile   string        // file of the shared secrets; empty: loopback addresses only
 }
 
@@ -23,7 +23,7 @@
 	p := &Peers{
 		Listen:    s.stringValue("listen", "", allowed+" is allowed", isAddress),
 		Addresses: s.stringList("ask", maxPeers, allowed, isAddress),
-		Timeout:   s.duration("total", defaultFirstWait, 10*time.Millisecond, 10*time.Second),
+		FirstWait: s.duration("total", defaultFirstWait, 10*time.Millisecond, 10*time.Second),
 		KeyFile:   s.stringValue("key-file", "", "a path is allowed", isNotEmpty),
 	}
 	if p.KeyFile == "" {
