--- a/internal/testkit/soak/checker.go
+++ b/internal/testkit/soak/checker.go
@@ -34,11 +34,11 @@
 		c.checkGrace(r)
 	}
 	if h.strayAnswers > 0 {
-		c.violate(1, "%d answers came to nothing that was open", h.strayAnswers)
+		c.violate(1, "%d answers were on streams without an open request", h.strayAnswers)
 	}
 	c.checkKeys()
 	if s := h.CallStrain; s.Runs > 1 {
-		c.violate(4, "the dependency had %.2f of the calls in hand that it survives, %v after its start", s.Runs, s.RunsAt)
+		c.violate(4, "the dependency had %.2f of the calls in flight that it survives, %v after its start", s.Runs, s.RunsAt)
 	}
 	for _, incarnation := range h.Incarnations {
 		c.checkEndurance(incarnation)
@@ -59,7 +59,7 @@
 // describe returns the ID, route and server of a request, for messages.
 func (c *checker) describe(r *Request) string {
 	route := c.history.Plan.Routes[r.Route]
-	return fmt.Sprintf("%s (%s, %s) at server %d life %d", r.ID, route.Name, route.Idempotency, r.Incarnation.Server, r.Incarnation.Number)
+	return fmt.Sprintf("%s (%s, %s) at server %d incarnation %d", r.ID, route.Name, route.Idempotency, r.Incarnation.Server, r.Incarnation.Number)
 }
 
 // slack returns how late an answer may be: answerSlack, plus the maximum lateness of this process's timers, plus the
@@ -86,10 +86,10 @@
 	case r.ResetByClient, !r.Incarnation.KilledAt.IsZero():
 	case c.crossedConnectionEnd(r) && len(c.starts[r.ID]) == 0:
 	case r.ConnectionEnded.IsZero():
-		c.violate(1, "%s was never answered; sent %v behind the notice, process seen to end %v behind that", c.describe(r),
+		c.violate(1, "%s was never answered; sent %v after the notice, process end recorded %v after that", c.describe(r),
 			since(r.Incarnation.NotifiedAt, r.SentAt), since(r.SentAt, r.Incarnation.EndedAt))
 	default:
-		c.violate(1, "%s was lost with its connection after %v, run %d times; sent %v behind the notice, process seen to end %v behind that",
+		c.violate(1, "%s was lost with its connection after %v, run %d times; sent %v after the notice, process end recorded %v after that",
 			c.describe(r), r.ConnectionEnded.Sub(r.SentAt), len(c.starts[r.ID]), since(r.Incarnation.NotifiedAt, r.SentAt), since(r.SentAt, r.Incarnation.EndedAt))
 	}
 }
@@ -113,10 +113,10 @@
 func (c *checker) checkStarts(r *Request) {
 	starts := len(c.starts[r.ID])
 	if c.history.Plan.Routes[r.Route].Idempotency != Retryable && starts > 1 {
-		c.violate(2, "%s began %d times", c.describe(r), starts)
+		c.violate(2, "%s started %d times", c.describe(r), starts)
 	}
 	if len(r.Answers) > 0 && r.Answers[0].Code == CodeRejected && starts > 0 {
-		c.violate(2, "%s was refused though it had run", c.describe(r))
+		c.violate(2, "%s was rejected although it had run", c.describe(r))
 	}
 }
 
@@ -147,10 +147,10 @@
 // be rejected after the earlier one has started, as its client would then retry it at another server.
 func (c *checker) checkRepeat(r, earlier *Request) {
 	if len(c.starts[r.ID]) > 0 {
-		c.violate(2, "%s ran, and %s with the same key %v before", c.describe(r), earlier.ID, r.SentAt.Sub(earlier.SentAt))
+		c.violate(2, "%s ran although %s with the same key was sent %v before and ran", c.describe(r), earlier.ID, r.SentAt.Sub(earlier.SentAt))
 	}
 	if len(r.Answers) > 0 && r.Answers[0].Code == CodeRejected && r.SentAt.After(c.starts[earlier.ID][0]) {
-		c.violate(2, "%s was refused, and %s with the same key had run", c.describe(r), earlier.ID)
+		c.violate(2, "%s was rejected although %s with the same key had already started", c.describe(r), earlier.ID)
 	}
 }
 
@@ -161,13 +161,13 @@
 	}
 	notified := r.Incarnation.NotifiedAt.Add(r.Incarnation.cpuWait(r.Incarnation.NotifiedAt, r.Incarnation.NotifiedAt.Add(answerSlack)))
 	if afterGrace := r.SentAt.Sub(notified) - c.history.Plan.Grace; afterGrace > answerSlack+c.history.TimerLateness {
-		c.violate(3, "%s came %v past the grace and ran", c.describe(r), afterGrace)
+		c.violate(3, "%s was sent %v after the end of the grace and ran", c.describe(r), afterGrace)
 	}
 }
 
 // checkEndurance checks rule 4 for a worker pool, and, under rule 1, that its server process ended without an error.
 func (c *checker) checkEndurance(incarnation *Incarnation) {
-	name := fmt.Sprintf("the pool of server %d life %d", incarnation.Server, incarnation.Number)
+	name := fmt.Sprintf("the pool of server %d incarnation %d", incarnation.Server, incarnation.Number)
 	if s := incarnation.Strain; s.Runs > 1 {
 		c.violate(4, "%s had %.2f of the runs on its cores that it survives, %v after its start", name, s.Runs, s.RunsAt)
 	}
@@ -175,6 +175,6 @@
 		c.violate(4, "%s had %.2f of its memory in use, %v after its start", name, s.Memory, s.MemoryAt)
 	}
 	if incarnation.ExitCode != 0 {
-		c.violate(1, "server %d life %d ended with code %d", incarnation.Server, incarnation.Number, incarnation.ExitCode)
+		c.violate(1, "server %d incarnation %d exited with code %d", incarnation.Server, incarnation.Number, incarnation.ExitCode)
 	}
 }
