--- a/baseline/base.go
+++ b/baseline/base.go
@@ -1,6 +1,6 @@
 // Package baseline implements admission policies that the project's decisions are compared with. The daemon does not
-// use them. All queue requests in order of arrival, answer requests at their deadlines and shut down gracefully. They
-// differ in how many requests run at once and in which they reject.
+// use them. All of them queue requests in order of arrival, answer requests at their deadlines and shut down
+// gracefully. They differ in how many requests run at once and in which they reject.
 package baseline
 
 import (
--- a/baseline/codel.go
+++ b/baseline/codel.go
@@ -18,7 +18,7 @@
 // fixed does.
 type coDel struct {
 	fixed
-	aboveUntil time.Duration // when the wait will have been over the target for an interval; 0 while it is below
+	aboveUntil time.Duration // time at which the wait will have been over the target for an interval; 0 while it is below
 	dropping   bool
 	nextDrop   time.Duration
 	count      int
--- a/baseline/nolimit.go
+++ b/baseline/nolimit.go
@@ -7,7 +7,7 @@
 	"quartzpoint/emulator"
 )
 
-// noLimit starts every request at once.
+// noLimit starts every request on arrival.
 type noLimit struct{ noopLimiter }
 
 func newNoLimit(emulator.Machine, []emulator.Route, *rand.Rand) limiter { return noLimit{} }
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -57,7 +57,7 @@
 	c.schedule()
 }
 
-// abandon cancels the calls of a request that needs no result any more.
+// abandon cancels the calls of a request whose result is no longer needed.
 func (c *composer) abandon(a *attempt) {
 	if a.execution != nil {
 		c.scheduler.Cancel(a.execution, c.server.world.now)
--- a/emulator/dependency.go
+++ b/emulator/dependency.go
@@ -9,7 +9,7 @@
 	"quartzpoint/rulecheck"
 )
 
-// dependency is a service that runs call. It works on Slots calls at once; further calls are queued.
+// dependency is a service that is called by runs. It works on Slots calls at once; further calls are queued.
 type dependency struct {
 	Dependency
 	world        *World
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -34,7 +34,7 @@
 
 func before(a, b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-// at schedules an event at a moment, or now if that has passed.
+// at schedules an event at a moment, or now if the moment has passed.
 func (e *engine) at(when time.Duration, do func()) {
 	e.seq++
 	e.heap = append(e.heap, event{max(when, e.now), e.seq, do})
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -18,7 +18,7 @@
 	Share          float64       // of all requests
 	Work           time.Duration // mean, on a core of speed 1
 	Spread         float64       // standard deviation of the work, divided by its mean
-	Composed       bool          // answers are made of parts and state their share of the value
+	Composed       bool          // the answer is composed of parts and states its share of the value
 	Dependency     string        // called halfway through each run, empty for none; used by the emulator only
 	SkipValueShare float64       // share of the value of an answer without the call
 }
@@ -82,7 +82,7 @@
 	return a
 }
 
-// Rate returns the requests per second whose work takes a share of a machine's capacity.
+// Rate returns the number of requests per second whose work uses the given share of a machine's capacity.
 func Rate(routes []Route, m Machine, share float64) float64 {
 	mean := 0.0
 	for _, route := range routes {
@@ -120,7 +120,7 @@
 	return m.Speed * min(1, m.ColdShare+(1-m.ColdShare)*float64(since)/float64(m.WarmUp))
 }
 
-// Share returns the share of a core that each run gets if so many are on the cores.
+// Share returns the share of a core that each run gets while the given number of runs are on the cores.
 func (m Machine) Share(runs float64) float64 {
 	if m.Independent || runs <= 0 {
 		return 1
--- a/emulator/pool.go
+++ b/emulator/pool.go
@@ -17,7 +17,7 @@
 	onDone         func(r *run) // called when a run has no work left
 
 	runs       runHeap
-	clock      float64 // virtual time: seconds of work that a run has done if it was started with the pool
+	clock      float64 // virtual time: the work, in seconds, done by a run that has been on the cores since the pool's start
 	advancedAt time.Duration
 	busy       float64 // core seconds
 	generation uint64  // of the scheduled event; events of earlier generations have no effect
@@ -67,7 +67,7 @@
 	return m.SpeedAt(p.engine.now-p.startedAt) * p.speedFactor * m.Share(float64(len(p.runs)))
 }
 
-// cores returns the cores that neighbours leave.
+// cores returns the number of cores that neighbours do not use.
 func (p *pool) cores() float64 { return max(p.machine.Cores-p.neighbourCores, 0.05) }
 
 // advance advances the pool's clock to now. It must be called before any change to the pool. While a pool warms up, the
@@ -109,7 +109,7 @@
 // speed of a warm-up.
 const maxTimerInterval = 250 * time.Millisecond
 
-// schedule sets the event of the run that is done next.
+// schedule schedules the event at which the next run is done.
 func (p *pool) schedule() {
 	p.generation++
 	if len(p.runs) == 0 || p.frozen {
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -22,7 +22,7 @@
 	return controller, controller.Routes
 }
 
-// verdict is how an attempt ended.
+// verdict is the outcome of an attempt.
 type verdict uint8
 
 const (
--- a/emulator/server_lifecycle.go
+++ b/emulator/server_lifecycle.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// freeze suspends a server and its pool for a span. Attempts with a deadline before its end need no answer: the checker
-// gets an Abandoned event for each, and their clients time out.
+// freeze suspends a server and its pool for a span. Attempts with a deadline before the end of the freeze need no
+// answer: the checker gets an Abandoned event for each, and their clients time out.
 func (s *server) freeze(span time.Duration) {
 	if !s.alive {
 		return
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -49,7 +49,7 @@
 	Backoff    time.Duration // mean wait before a retry
 }
 
-// Dependency describes a service that runs call.
+// Dependency describes a service that is called by runs.
 type Dependency struct {
 	Name   string
 	Slots  int // concurrent calls; further calls are queued
@@ -83,14 +83,14 @@
 	Arrivals []Arrival                      // replace drawn arrivals if not nil
 }
 
-// Second has the results of the requests that were created in one second.
+// Second contains the results of the requests that were created in one second.
 type Second struct {
 	OfferedValue float64 `json:"Offered"`
 	Goodput      float64 `json:"Honoured"`
 	Attempts     int     `json:"Tries"` // received by servers in that second
 }
 
-// Result has the results of a load. Values are sums of Route.Value; goodput is the value served within the latency
+// Result contains the results of a load. Values are sums of Route.Value; goodput is the value served within the latency
 // target. The JSON names are those of stored experiments.
 type Result struct {
 	Requests         int                     `json:"Requests"`
--- a/rulecheck/rules.go
+++ b/rulecheck/rules.go
@@ -61,7 +61,7 @@
 
 // Checker checks events, which must be added in order of time. It must be used from one goroutine.
 type Checker struct {
-	slack        time.Duration // time by which an answer may appear late
+	slack        time.Duration // maximum lateness of an answer that is not a violation
 	open         map[uint64]*attempt
 	effectStarts map[uint64]int // number of starts, by effect
 	shutdowns    map[int]shutdown
@@ -182,7 +182,7 @@
 	return Report{Violations: c.violations, Messages: c.messages, Received: c.received, Answers: c.answers}
 }
 
-// Report has the findings of a checker. The JSON names are those of stored experiments.
+// Report contains the findings of a checker. The JSON names are those of stored experiments.
 type Report struct {
 	Violations [5]int   `json:"Broken"` // by rule, from 1; the first element is not used
 	Messages   []string `json:"Words"`  // of the first maxMessages violations
