--- a/internal/testkit/harness/cores.go
+++ b/internal/testkit/harness/cores.go
@@ -13,7 +13,7 @@
 
 	mu         sync.Mutex
 	last       time.Time
-	workPerJob float64 // seconds of work that a job present since the start would have got done
+	workPerJob float64 // seconds of work done by a job that has run since the start
 	jobs       int
 	busy       float64 // core seconds
 	samples    []usageSample
--- a/internal/testkit/harness/frames.go
+++ b/internal/testkit/harness/frames.go
@@ -50,8 +50,8 @@
 
 var errTruncatedFields = errors.New("frame has truncated fields")
 
-// frameHeadSize is the size of a frame's head in bytes: the length of what follows the length field, the type, and the
-// stream.
+// frameHeadSize is the size of a frame's head in bytes: the length field, which contains the size of the rest of the
+// frame, then the type and the stream.
 const frameHeadSize = 9
 
 // ReadReply reads the next frame. The error is io.EOF if the connection is closed between two frames without a reset.
@@ -84,7 +84,7 @@
 	}
 	payload = make([]byte, size-(frameHeadSize-4))
 	if _, err := io.ReadFull(from, payload); err != nil {
-		if errors.Is(err, io.EOF) { // the connection ended after the head, which is not an orderly end
+		if errors.Is(err, io.EOF) { // the connection ended after the head, so it was not closed between two frames
 			err = io.ErrUnexpectedEOF
 		}
 		return 0, 0, nil, err
@@ -92,8 +92,8 @@
 	return head[4], binary.BigEndian.Uint32(head[5:]), payload, nil
 }
 
-// readFields calls field for each field of a payload, which starts with the number of fields, and returns what follows
-// them.
+// readFields calls field for each field of a payload, which starts with the number of fields, and returns the bytes
+// after the fields.
 func readFields(payload []byte, field func(name, value string)) (rest []byte, err error) {
 	rest = payload[1:]
 	for range payload[0] {
@@ -119,7 +119,7 @@
 		return ""
 	}
 	seen := false
-	_, _ = readFields(payload, func(name, value string) { // of a truncated request, the fields before the end are used
+	_, _ = readFields(payload, func(name, value string) { // the fields before the truncation are used
 		if name == wanted && !seen {
 			found, seen = value, true
 		}
--- a/internal/testkit/harness/load.go
+++ b/internal/testkit/harness/load.go
@@ -16,7 +16,7 @@
 	Route = emulator.Route
 	// Arrival is one request of a load.
 	Arrival = emulator.Arrival
-	// Machine is the model of what a worker pool runs on.
+	// Machine describes the machine of a worker pool.
 	Machine = emulator.Machine
 )
 
@@ -28,7 +28,7 @@
 	return emulator.Arrivals(routes, rate, span, seed)
 }
 
-// Rate returns the requests per second that use a share of a machine's capacity.
+// Rate returns the number of requests per second whose work uses the given share of a machine's capacity.
 func Rate(routes []Route, m Machine, share float64) float64 { return emulator.Rate(routes, m, share) }
 
 // Run sends a load to a server as the router sourceID, and waits until every request is answered or past its deadline.
--- a/internal/testkit/harness/router.go
+++ b/internal/testkit/harness/router.go
@@ -12,7 +12,7 @@
 
 const (
 	maxConnections       = 32
-	openBeforeDial       = 4                     // requests on each connection before another one is opened
+	openBeforeDial       = 4                     // open requests on each connection at which another connection is opened
 	maxOpenPerConnection = 32                    // requests
 	answerSlack          = 50 * time.Millisecond // time after the deadline within which an answer is still in time
 )
--- a/internal/testkit/replay/recording_test.go
+++ b/internal/testkit/replay/recording_test.go
@@ -24,7 +24,7 @@
 //	p  a route added or changed: the number of the previous one or 0, and its configuration; it gets the next number
 //	x  a route removed        t  a tenant's quota set        T  a tenant's quota, as returned
 //	w  how long runs of a route wait for calls               s  a setting changed at run time
-//	f  the schema of snapshots, as returned     l  a snapshot, as returned     b  a snapshot of a peer that is used
+//	f  the schema of snapshots, as returned     l  a snapshot, as returned     b  a peer's snapshot that the controller uses
 //	o  the occupancy, as returned
 //	q  a request; requests are numbered from 1 in the order of their records
 //	r  a round, then the decisions in their order, then e
--- a/internal/testkit/scale/capacity.go
+++ b/internal/testkit/scale/capacity.go
@@ -262,7 +262,7 @@
 	{"control core of a quiet fleet of 500", seriesQuietCore, PlannedServers, "% a server"},
 }
 
-// RenderComparison returns a table of these costs before and after their fixes.
+// RenderComparison returns a table of the costs in comparedSeries before and after their fixes.
 func RenderComparison(before, after Points) string {
 	var out strings.Builder
 	out.WriteString("| what | before | after | |\n| --- | --- | --- | --- |\n")
--- a/internal/testkit/scale/configuration.go
+++ b/internal/testkit/scale/configuration.go
@@ -37,7 +37,7 @@
 	markerTenant           = "marker"
 	propagationTarget      = 9 * time.Second
 	quietPropagationTarget = time.Second
-	maxSlowdown            = 1.2 // of the p99 latency of requests, with changes over without
+	maxSlowdown            = 1.2 // p99 latency of requests with changes, divided by that without changes
 )
 
 // Figure is one result with its objective.
@@ -178,13 +178,13 @@
 
 const (
 	requestPairs        = 5           // of measurements of requests, one without a change and one with a change
-	requestSpan         = time.Second // of each measurement; one change in two of them is over ten times the planned rate
+	requestSpan         = time.Second // of each measurement; one change in two of these spans is over ten times the planned rate
 	quietSpan           = 3 * time.Second
 	quietChangeInterval = time.Second / 2 // between changes when there are no requests
 )
 
-// measureQuiet compares requests without and with changes. Then it measures, without requests, what changes cost and
-// how long they take to propagate.
+// measureQuiet compares the latency of requests without and with changes. Then it measures, without requests, what
+// changes cost and how long they take to propagate.
 func (r *configurationRun) measureQuiet(ctx context.Context, points Points) ([]Figure, error) {
 	slower, err := r.compareRequests(ctx)
 	if err != nil {
--- a/internal/testkit/scale/fit.go
+++ b/internal/testkit/scale/fit.go
@@ -29,8 +29,8 @@
 // At returns the value of the line at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// Fit fits a line to points by least squares. Fewer than three points are never Linear: a line through two points does
-// not show how the values between them run.
+// Fit fits a line to points by least squares. Fewer than three points are never Linear: two points do not show whether
+// the values between them are on the line.
 func Fit(xs, ys []float64) Line {
 	l := Line{N: len(xs)}
 	if len(xs) < 2 {
--- a/internal/testkit/scale/fleets_cut.go
+++ b/internal/testkit/scale/fleets_cut.go
@@ -79,7 +79,8 @@
 	return s
 }
 
-// errHolderCount is the error of a number of lease holders that differs from the expected one at the end of a wait.
+// errHolderCount is wrapped by the error of waitForHolders if the number of lease holders is not the expected one at
+// the end of the wait.
 var errHolderCount = errors.New("number of lease holders")
 
 // countHolders returns the number of servers that hold a lease now, summed over the leases.
--- a/internal/testkit/scale/history.go
+++ b/internal/testkit/scale/history.go
@@ -35,7 +35,7 @@
 type History struct {
 	Accepted []AcceptedChange // in order of acceptance
 	Versions []VersionStep    // in order of receipt
-	Applied  []AppliedVersion // in the order of each server
+	Applied  []AppliedVersion // of each server in the order in which it applied them
 }
 
 // Check returns an error if an accepted change is lost or reordered, if a server applied a version that is not in the
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -51,7 +51,7 @@
 
 const (
 	snapshotInterval     = time.Second            // between the snapshots that a server publishes for peers
-	warmUpDelay          = time.Second            // after which a server without estimates from peers has learned enough itself
+	warmUpDelay          = time.Second            // time after which a server without estimates from peers counts as warm, as it has learned its own
 	firstFetchWait       = 300 * time.Millisecond // longest wait for the first answers of all peers
 	estimateSamples      = 40
 	estimateMean         = 0.02
--- a/internal/testkit/scale/load.go
+++ b/internal/testkit/scale/load.go
@@ -149,7 +149,7 @@
 	return load, routes
 }
 
-// runDirect sends a load directly to its own workers and returns the latency of each request.
+// runDirect starts workers, sends a load directly to them, and returns the latency of each request.
 func runDirect(load []harness.Arrival) ([]time.Duration, error) {
 	workers, err := harness.NewWorkers(harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6})
 	if err != nil {
--- a/internal/testkit/soak/checker.go
+++ b/internal/testkit/soak/checker.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	answerSlack    = 50 * time.Millisecond // how long after its deadline a request may be answered, by the protocol
+	answerSlack    = 50 * time.Millisecond // lateness of an answer that the protocol allows
 	crossingWindow = 50 * time.Millisecond // a request sent this shortly before the end of its connection may be lost; its client retries it
 )
 
@@ -19,8 +19,8 @@
 // String returns the rule and the message of the violation.
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Message) }
 
-// Check checks a history against the four rules and returns the violations. It uses only what this package, the worker
-// pools and the dependency recorded, and nothing that the servers report but their exit codes.
+// Check checks a history against the four rules and returns the violations. It uses the records of this package, of the
+// worker pools and of the dependency. From the servers it uses only their exit codes.
 func Check(h *History) (violations []Violation) {
 	c := &checker{history: h, starts: map[string][]time.Time{}}
 	for _, incarnation := range h.Incarnations {
@@ -62,8 +62,9 @@
 	return fmt.Sprintf("%s (%s, %s) at server %d incarnation %d", r.ID, route.Name, route.Idempotency, r.Incarnation.Server, r.Incarnation.Number)
 }
 
-// slack returns how late an answer may be: answerSlack, plus the maximum lateness of this process's timers, plus the
-// time for which the server process waited for a core of this machine, plus the time for which it was paused.
+// slack returns the allowed lateness of the answer to a request: answerSlack, plus the maximum lateness of this
+// process's timers, plus the time for which the server process waited for a core of this machine, plus the time for
+// which it was paused.
 func (c *checker) slack(r *Request) time.Duration {
 	slack := answerSlack + c.history.TimerLateness + r.Incarnation.cpuWait(r.SentAt, r.Deadline.Add(answerSlack))
 	for _, s := range r.Incarnation.Pauses {
@@ -120,8 +121,8 @@
 	}
 }
 
-// checkKeys checks rule 2 for idempotency keys: a process runs a key once within the dedup window, less answerSlack,
-// from the sending of the request that ran.
+// checkKeys checks rule 2 for idempotency keys: after a request with a key has run, its process does not run the key
+// again within the dedup window, less answerSlack. The window starts when the request that ran was sent.
 func (c *checker) checkKeys() {
 	type processKey struct {
 		incarnation *Incarnation
--- a/internal/testkit/soak/history.go
+++ b/internal/testkit/soak/history.go
@@ -16,7 +16,7 @@
 	SentAt          time.Time // when its last byte was written
 	Deadline        time.Time
 	Answers         []Answer
-	ConnectionEnded time.Time // when the client saw its connection end; zero if it was answered before or the connection lasts
+	ConnectionEnded time.Time // when the client saw its connection end; zero if it was answered before, or if the connection is still open
 	ResetByClient   bool      // the sender reset the connection, so no answer is owed
 }
 
@@ -55,8 +55,9 @@
 	Total time.Duration
 }
 
-// drainMargin returns how long before the earliest allowed kill a process that was shut down ended. It is negative for
-// one that ended later. known is false for other processes.
+// drainMargin returns the time from the end of a process that was shut down to the earliest allowed kill. It is
+// negative if the process ended after that. known is false if the process was not shut down, was killed without a
+// notice, or has not ended.
 func (inc *Incarnation) drainMargin(killAfter time.Duration) (margin time.Duration, known bool) {
 	if inc.NotifiedAt.IsZero() || inc.EndedAt.IsZero() || !inc.KilledAt.IsZero() {
 		return 0, false
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -30,12 +30,12 @@
 	DedupWindow time.Duration // of the keys of a keyed route
 	Value       float64
 	Work        time.Duration // mean work of a run, on a core of speed 1
-	Calls       bool          // runs call the dependency half way
+	Calls       bool          // runs call the dependency halfway
 }
 
 // Dependency describes the dependency that the runs of all servers call.
 type Dependency struct {
-	MaxCalls    float64 // maximum mean of calls in flight over Window that it survives; each server has an even share of it
+	MaxCalls    float64 // maximum mean of calls in flight over Window that it survives; each server's quota is an equal part of it
 	Window      time.Duration
 	Slots       float64
 	ServiceTime time.Duration // of a call while slots are free
--- a/internal/testkit/soak/report.go
+++ b/internal/testkit/soak/report.go
@@ -16,8 +16,8 @@
 	killed       int // processes killed after their notice
 }
 
-// DrainSummary describes how long before the earliest allowed kill processes ended their shutdown, and how many had to be
-// killed.
+// DrainSummary describes the distribution of the time from the end of a shutdown to the earliest allowed kill, and
+// states how many processes had to be killed.
 func (t *Totals) DrainSummary() string {
 	margins := slices.Sorted(slices.Values(t.drainMargins))
 	if len(margins) == 0 {
--- a/internal/testkit/soak/runner.go
+++ b/internal/testkit/soak/runner.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// sleep waits for a span and reports whether the context lasted that long.
+// sleep waits until a span has passed or the context ends, and reports whether the span has passed.
 func sleep(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -44,8 +44,8 @@
 	FailDependency IncidentKind = "fail"
 )
 
-// Incident is an incident of a drill. Its kind determines which fields are set. Share is a share of the running
-// servers, and applies if Server and Zone are -1.
+// Incident is an incident of a drill. Its kind determines which fields are set. Share is the fraction of the running
+// servers that it affects, and applies if Server and Zone are -1.
 type Incident struct {
 	At, Duration  time.Duration
 	Kind          IncidentKind
--- a/scenario/reader.go
+++ b/scenario/reader.go
@@ -77,8 +77,7 @@
 	}
 }
 
-// compose adds the plan of the calls that requests of a route are made of. Required calls come first, the others in
-// parallel.
+// compose adds the plan of a composed route. Its calls do not depend on each other, so they are made in parallel.
 func (r *reader) compose(d *Drill, s *statement) {
 	routeIndex := slices.IndexFunc(d.Fleet.Routes, func(t emulator.Route) bool { return t.Name == s.Compose.Route })
 	if routeIndex < 0 {
