--- a/baseline/codel.go
+++ b/baseline/codel.go
@@ -18,10 +18,10 @@
 // fixed does.
 type coDel struct {
 	fixed
-	aboveUntil time.Duration // time at which the wait will have been over the target for an interval; 0 while it is below
-	dropping   bool
-	nextDrop   time.Duration
-	count      int
+	firstAboveTime time.Duration // time at which the wait will have been over the target for an interval; 0 while it is below
+	dropping       bool
+	nextDrop       time.Duration
+	count          int
 }
 
 func newCoDel(m emulator.Machine, _ []emulator.Route, _ *rand.Rand) limiter {
@@ -30,15 +30,15 @@
 
 func (c *coDel) shed(now, waited time.Duration) bool {
 	if waited < codelTarget {
-		c.aboveUntil, c.dropping = 0, false
+		c.firstAboveTime, c.dropping = 0, false
 		return false
 	}
-	if c.aboveUntil == 0 {
-		c.aboveUntil = now + codelInterval
+	if c.firstAboveTime == 0 {
+		c.firstAboveTime = now + codelInterval
 		return false
 	}
 	if !c.dropping {
-		if now < c.aboveUntil {
+		if now < c.firstAboveTime {
 			return false
 		}
 		c.dropping = true
--- a/internal/testkit/soak/checker.go
+++ b/internal/testkit/soak/checker.go
@@ -37,11 +37,11 @@
 		c.violate(1, "%d answers were on streams without an open request", h.strayAnswers)
 	}
 	c.checkKeys()
-	if s := h.CallStrain; s.Runs > 1 {
+	if s := h.DependencyPeakLoad; s.Runs > 1 {
 		c.violate(4, "the dependency had %.2f of the calls in flight that it survives, %v after its start", s.Runs, s.RunsAt)
 	}
 	for _, incarnation := range h.Incarnations {
-		c.checkEndurance(incarnation)
+		c.checkPeakLoad(incarnation)
 	}
 	return c.violations
 }
@@ -166,13 +166,13 @@
 	}
 }
 
-// checkEndurance checks rule 4 for a worker pool, and, under rule 1, that its server process ended without an error.
-func (c *checker) checkEndurance(incarnation *Incarnation) {
+// checkPeakLoad checks rule 4 for a worker pool, and, under rule 1, that its server process ended without an error.
+func (c *checker) checkPeakLoad(incarnation *Incarnation) {
 	name := fmt.Sprintf("the pool of server %d incarnation %d", incarnation.Server, incarnation.Number)
-	if s := incarnation.Strain; s.Runs > 1 {
+	if s := incarnation.PeakLoad; s.Runs > 1 {
 		c.violate(4, "%s had %.2f of the runs on its cores that it survives, %v after its start", name, s.Runs, s.RunsAt)
 	}
-	if s := incarnation.Strain; s.Memory > 1 {
+	if s := incarnation.PeakLoad; s.Memory > 1 {
 		c.violate(4, "%s had %.2f of its memory in use, %v after its start", name, s.Memory, s.MemoryAt)
 	}
 	if incarnation.ExitCode != 0 {
--- a/internal/testkit/soak/checker_test.go
+++ b/internal/testkit/soak/checker_test.go
@@ -97,9 +97,9 @@
 			h.findRequest("past the grace").Answers[0].Code = CodeServed
 			h.addRun("past the grace", 6105)
 		}},
-		{"too many runs on the cores", 4, func(h *History) { h.Incarnations[0].Strain.Runs = 1.01 }},
-		{"the dependency is overloaded", 4, func(h *History) { h.CallStrain.Runs = 1.01 }},
-		{"the memory limit is exceeded", 4, func(h *History) { h.Incarnations[0].Strain.Memory = 1.01 }},
+		{"too many runs on the cores", 4, func(h *History) { h.Incarnations[0].PeakLoad.Runs = 1.01 }},
+		{"the dependency is overloaded", 4, func(h *History) { h.DependencyPeakLoad.Runs = 1.01 }},
+		{"the memory limit is exceeded", 4, func(h *History) { h.Incarnations[0].PeakLoad.Memory = 1.01 }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/testkit/soak/history.go
+++ b/internal/testkit/soak/history.go
@@ -44,7 +44,7 @@
 	ExitCode   int
 	Pauses     []Span    // between SIGSTOP and SIGCONT
 	CPUWaits   []CPUWait // samples, in order of time
-	Strain     harness.PeakLoad
+	PeakLoad   harness.PeakLoad
 	Runs       []harness.RunStart
 	Log        string
 }
@@ -89,14 +89,14 @@
 
 // History is the record of a run. Its methods may be called from any goroutine.
 type History struct {
-	mu            sync.Mutex
-	Plan          Plan
-	Incarnations  []*Incarnation
-	Requests      []*Request
-	TimerLateness time.Duration    // maximum lateness of a timer of this process
-	CallStrain    harness.PeakLoad // of the dependency that all servers share
-	Calls         int              // read by the dependency
-	strayAnswers  int              // answers on streams without an open request
+	mu                 sync.Mutex
+	Plan               Plan
+	Incarnations       []*Incarnation
+	Requests           []*Request
+	TimerLateness      time.Duration    // maximum lateness of a timer of this process
+	DependencyPeakLoad harness.PeakLoad // of the dependency that all servers share
+	Calls              int              // read by the dependency
+	strayAnswers       int              // answers on streams without an open request
 }
 
 // add records a request. It is changed later only within update.
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -101,7 +101,7 @@
 	Servers    int
 	Routes     []Route
 	Machine    harness.Machine
-	Endurance  harness.LoadLimit
+	LoadLimit  harness.LoadLimit
 	Grace      time.Duration
 	Sockets    int
 	MemoryMB   int
@@ -132,7 +132,7 @@
 	p := Plan{
 		Seed: seed, Span: span, Servers: 2 + rng.Intn(3), Sockets: 128 << rng.Intn(3), MemoryMB: 48 + 16*rng.Intn(4),
 		Load: 0.4 + 0.9*rng.Float64(), Senders: 2 + rng.Intn(4), Grace: between(rng, 200*time.Millisecond, 2500*time.Millisecond),
-		Endurance: harness.LoadLimit{RunsPerCore: 4 + 4*rng.Float64(), Window: between(rng, 700*time.Millisecond, 2*time.Second)},
+		LoadLimit: harness.LoadLimit{RunsPerCore: 4 + 4*rng.Float64(), Window: between(rng, 700*time.Millisecond, 2*time.Second)},
 	}
 	p.Machine = harness.Machine{
 		Cores: float64(1 + rng.Intn(4)), Speed: 0.7 + 0.8*rng.Float64(), FreeRunsPerCore: 2, SwitchCost: 0.1 * rng.Float64(),
--- a/internal/testkit/soak/platform_config.go
+++ b/internal/testkit/soak/platform_config.go
@@ -36,7 +36,7 @@
 			"limits": map[string]any{"max-retry-after": 1000000, "retry-after": true},
 			"obligations": map[string]any{
 				"cold-share": p.Machine.ColdShare, "warm-up": p.Machine.WarmUp.Microseconds(),
-				"overload-factor": p.Endurance.RunsPerCore, "fall": p.Endurance.Window.Microseconds(),
+				"overload-factor": p.LoadLimit.RunsPerCore, "fall": p.LoadLimit.Window.Microseconds(),
 				"stop-sending-within": p.Grace.Microseconds(), "grace-to-answer": answerSlack.Microseconds(),
 			},
 			"servers": p.Servers, "services": services, "tenants": []any{}, "value-by": "request",
--- a/internal/testkit/soak/report.go
+++ b/internal/testkit/soak/report.go
@@ -65,14 +65,14 @@
 	t.Add(h)
 	runs, memory, killed := 0.0, 0.0, 0
 	for _, incarnation := range h.Incarnations {
-		runs, memory = max(runs, incarnation.Strain.Runs), max(memory, incarnation.Strain.Memory)
+		runs, memory = max(runs, incarnation.PeakLoad.Runs), max(memory, incarnation.PeakLoad.Memory)
 		if incarnation.Killed && incarnation.KilledAt.IsZero() {
 			killed++
 		}
 	}
 	line := fmt.Sprintf("seed %d: %d servers, %s, %d faults, %d requests, %.2f served, crowd %.2f, memory %.2f, %d calls %.2f, %d left by kill, late %v: ",
 		h.Plan.Seed, h.Plan.Servers, h.Plan.Machine.Preemption, len(h.Plan.Faults), t.Requests, float64(t.Served)/max(1, float64(t.Requests)),
-		runs, memory, h.Calls, h.CallStrain.Runs, killed, h.TimerLateness)
+		runs, memory, h.Calls, h.DependencyPeakLoad.Runs, killed, h.TimerLateness)
 	if err != nil {
 		return line + "failed"
 	}
--- a/internal/testkit/soak/runner.go
+++ b/internal/testkit/soak/runner.go
@@ -101,7 +101,7 @@
 	err = r.shutdownAll() // senders send until all servers have ended
 	close(done)
 	senders.Wait()
-	h.CallStrain, h.Calls = r.dependency.PeakLoad()
+	h.DependencyPeakLoad, h.Calls = r.dependency.PeakLoad()
 	return h, errors.Join(append(faultErrs, err)...)
 }
 
@@ -160,7 +160,7 @@
 	if r.plan.HasCalls() {
 		daemon.Workers.SetCallingHandlers(callingHandlers)
 	}
-	daemon.Workers.SetLoadLimit(r.plan.Endurance)
+	daemon.Workers.SetLoadLimit(r.plan.LoadLimit)
 	incarnation := &Incarnation{Server: s.number, Number: s.incarnations}
 	r.history.update(func() { r.history.Incarnations = append(r.history.Incarnations, incarnation) })
 	s.mu.Lock()
@@ -176,10 +176,10 @@
 	s.mu.Lock()
 	s.incarnation = nil
 	s.mu.Unlock()
-	strain, runs, log := daemon.Workers.PeakLoad(), daemon.Workers.RunStarts(), daemon.Log()
+	peakLoad, runs, log := daemon.Workers.PeakLoad(), daemon.Workers.RunStarts(), daemon.Log()
 	r.history.update(func() {
 		incarnation.EndedAt, incarnation.ExitCode, incarnation.Killed = time.Now(), exitCode, killed
-		incarnation.Strain, incarnation.Runs, incarnation.Log = strain, runs, log
+		incarnation.PeakLoad, incarnation.Runs, incarnation.Log = peakLoad, runs, log
 	})
 	return errors.Join(daemon.Stop(), proxy.Close())
 }
