--- a/internal/testkit/soak/checker.go
+++ b/internal/testkit/soak/checker.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	answerSlack    = 50 * time.Millisecond // how long after its deadline a request may be answered, by the protocol
+	answerSlack    = 50 * time.Millisecond // lateness of an answer that the protocol allows
 	crossingWindow = 50 * time.Millisecond // a request sent this shortly before the end of its connection may be lost; its client retries it
 )
 
@@ -19,8 +19,8 @@
 // String returns the rule and the message of the violation.
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Message) }
 
-// Check checks a history against the four rules and returns the violations. It uses only what this package, the worker
-// pools and the dependency recorded, and nothing that the servers report but their exit codes.
+// Check checks a history against the four rules and returns the violations. It uses the records of this package, of the
+// worker pools and of the dependency. From the servers it uses only their exit codes.
 func Check(h *History) (violations []Violation) {
 	c := &checker{history: h, starts: map[string][]time.Time{}}
 	for _, incarnation := range h.Incarnations {
@@ -34,14 +34,14 @@
 		c.checkGrace(r)
 	}
 	if h.strayAnswers > 0 {
-		c.violate(1, "%d answers came to nothing that was open", h.strayAnswers)
+		c.violate(1, "%d answers were on streams without an open request", h.strayAnswers)
 	}
 	c.checkKeys()
-	if s := h.CallStrain; s.Runs > 1 {
-		c.violate(4, "the dependency had %.2f of the calls in hand that it survives, %v after its start", s.Runs, s.RunsAt)
+	if s := h.DependencyPeakLoad; s.Runs > 1 {
+		c.violate(4, "the dependency had %.2f of the calls in flight that it survives, %v after its start", s.Runs, s.RunsAt)
 	}
 	for _, incarnation := range h.Incarnations {
-		c.checkEndurance(incarnation)
+		c.checkPeakLoad(incarnation)
 	}
 	return c.violations
 }
@@ -59,11 +59,12 @@
 // describe returns the ID, route and server of a request, for messages.
 func (c *checker) describe(r *Request) string {
 	route := c.history.Plan.Routes[r.Route]
-	return fmt.Sprintf("%s (%s, %s) at server %d life %d", r.ID, route.Name, route.Idempotency, r.Incarnation.Server, r.Incarnation.Number)
+	return fmt.Sprintf("%s (%s, %s) at server %d incarnation %d", r.ID, route.Name, route.Idempotency, r.Incarnation.Server, r.Incarnation.Number)
 }
 
-// slack returns how late an answer may be: answerSlack, plus the maximum lateness of this process's timers, plus the
-// time for which the server process waited for a core of this machine, plus the time for which it was paused.
+// slack returns the allowed lateness of the answer to a request: answerSlack, plus the maximum lateness of this
+// process's timers, plus the time for which the server process waited for a core of this machine, plus the time for
+// which it was paused.
 func (c *checker) slack(r *Request) time.Duration {
 	slack := answerSlack + c.history.TimerLateness + r.Incarnation.cpuWait(r.SentAt, r.Deadline.Add(answerSlack))
 	for _, s := range r.Incarnation.Pauses {
@@ -86,10 +87,10 @@
 	case r.ResetByClient, !r.Incarnation.KilledAt.IsZero():
 	case c.crossedConnectionEnd(r) && len(c.starts[r.ID]) == 0:
 	case r.ConnectionEnded.IsZero():
-		c.violate(1, "%s was never answered; sent %v behind the notice, process seen to end %v behind that", c.describe(r),
+		c.violate(1, "%s was never answered; sent %v after the notice, process end recorded %v after that", c.describe(r),
 			since(r.Incarnation.NotifiedAt, r.SentAt), since(r.SentAt, r.Incarnation.EndedAt))
 	default:
-		c.violate(1, "%s was lost with its connection after %v, run %d times; sent %v behind the notice, process seen to end %v behind that",
+		c.violate(1, "%s was lost with its connection after %v, run %d times; sent %v after the notice, process end recorded %v after that",
 			c.describe(r), r.ConnectionEnded.Sub(r.SentAt), len(c.starts[r.ID]), since(r.Incarnation.NotifiedAt, r.SentAt), since(r.SentAt, r.Incarnation.EndedAt))
 	}
 }
@@ -113,15 +114,15 @@
 func (c *checker) checkStarts(r *Request) {
 	starts := len(c.starts[r.ID])
 	if c.history.Plan.Routes[r.Route].Idempotency != Retryable && starts > 1 {
-		c.violate(2, "%s began %d times", c.describe(r), starts)
+		c.violate(2, "%s started %d times", c.describe(r), starts)
 	}
 	if len(r.Answers) > 0 && r.Answers[0].Code == CodeRejected && starts > 0 {
-		c.violate(2, "%s was refused though it had run", c.describe(r))
+		c.violate(2, "%s was rejected although it had run", c.describe(r))
 	}
 }
 
-// checkKeys checks rule 2 for idempotency keys: a process runs a key once within the dedup window, less answerSlack,
-// from the sending of the request that ran.
+// checkKeys checks rule 2 for idempotency keys: after a request with a key has run, its process does not run the key
+// again within the dedup window, less answerSlack. The window starts when the request that ran was sent.
 func (c *checker) checkKeys() {
 	type processKey struct {
 		incarnation *Incarnation
@@ -147,10 +148,10 @@
 // be rejected after the earlier one has started, as its client would then retry it at another server.
 func (c *checker) checkRepeat(r, earlier *Request) {
 	if len(c.starts[r.ID]) > 0 {
-		c.violate(2, "%s ran, and %s with the same key %v before", c.describe(r), earlier.ID, r.SentAt.Sub(earlier.SentAt))
+		c.violate(2, "%s ran although %s with the same key was sent %v before and ran", c.describe(r), earlier.ID, r.SentAt.Sub(earlier.SentAt))
 	}
 	if len(r.Answers) > 0 && r.Answers[0].Code == CodeRejected && r.SentAt.After(c.starts[earlier.ID][0]) {
-		c.violate(2, "%s was refused, and %s with the same key had run", c.describe(r), earlier.ID)
+		c.violate(2, "%s was rejected although %s with the same key had already started", c.describe(r), earlier.ID)
 	}
 }
 
@@ -161,20 +162,20 @@
 	}
 	notified := r.Incarnation.NotifiedAt.Add(r.Incarnation.cpuWait(r.Incarnation.NotifiedAt, r.Incarnation.NotifiedAt.Add(answerSlack)))
 	if afterGrace := r.SentAt.Sub(notified) - c.history.Plan.Grace; afterGrace > answerSlack+c.history.TimerLateness {
-		c.violate(3, "%s came %v past the grace and ran", c.describe(r), afterGrace)
+		c.violate(3, "%s was sent %v after the end of the grace and ran", c.describe(r), afterGrace)
 	}
 }
 
-// checkEndurance checks rule 4 for a worker pool, and, under rule 1, that its server process ended without an error.
-func (c *checker) checkEndurance(incarnation *Incarnation) {
-	name := fmt.Sprintf("the pool of server %d life %d", incarnation.Server, incarnation.Number)
-	if s := incarnation.Strain; s.Runs > 1 {
+// checkPeakLoad checks rule 4 for a worker pool, and, under rule 1, that its server process ended without an error.
+func (c *checker) checkPeakLoad(incarnation *Incarnation) {
+	name := fmt.Sprintf("the pool of server %d incarnation %d", incarnation.Server, incarnation.Number)
+	if s := incarnation.PeakLoad; s.Runs > 1 {
 		c.violate(4, "%s had %.2f of the runs on its cores that it survives, %v after its start", name, s.Runs, s.RunsAt)
 	}
-	if s := incarnation.Strain; s.Memory > 1 {
+	if s := incarnation.PeakLoad; s.Memory > 1 {
 		c.violate(4, "%s had %.2f of its memory in use, %v after its start", name, s.Memory, s.MemoryAt)
 	}
 	if incarnation.ExitCode != 0 {
-		c.violate(1, "server %d life %d ended with code %d", incarnation.Server, incarnation.Number, incarnation.ExitCode)
+		c.violate(1, "server %d incarnation %d exited with code %d", incarnation.Server, incarnation.Number, incarnation.ExitCode)
 	}
 }
--- a/internal/testkit/soak/history.go
+++ b/internal/testkit/soak/history.go
@@ -16,7 +16,7 @@
 	SentAt          time.Time // when its last byte was written
 	Deadline        time.Time
 	Answers         []Answer
-	ConnectionEnded time.Time // when the client saw its connection end; zero if it was answered before or the connection lasts
+	ConnectionEnded time.Time // when the client saw its connection end; zero if it was answered before, or if the connection is still open
 	ResetByClient   bool      // the sender reset the connection, so no answer is owed
 }
 
@@ -44,7 +44,7 @@
 	ExitCode   int
 	Pauses     []Span    // between SIGSTOP and SIGCONT
 	CPUWaits   []CPUWait // samples, in order of time
-	Strain     harness.PeakLoad
+	PeakLoad   harness.PeakLoad
 	Runs       []harness.RunStart
 	Log        string
 }
@@ -55,8 +55,9 @@
 	Total time.Duration
 }
 
-// drainMargin returns how long before the earliest allowed kill a process that was shut down ended. It is negative for
-// one that ended later. known is false for other processes.
+// drainMargin returns the time from the end of a process that was shut down to the earliest allowed kill. It is
+// negative if the process ended after that. known is false if the process was not shut down, was killed without a
+// notice, or has not ended.
 func (inc *Incarnation) drainMargin(killAfter time.Duration) (margin time.Duration, known bool) {
 	if inc.NotifiedAt.IsZero() || inc.EndedAt.IsZero() || !inc.KilledAt.IsZero() {
 		return 0, false
@@ -88,14 +89,14 @@
 
 // History is the record of a run. Its methods may be called from any goroutine.
 type History struct {
-	mu            sync.Mutex
-	Plan          Plan
-	Incarnations  []*Incarnation
-	Requests      []*Request
-	TimerLateness time.Duration    // maximum lateness of a timer of this process
-	CallStrain    harness.PeakLoad // of the dependency that all servers share
-	Calls         int              // read by the dependency
-	strayAnswers  int              // answers on streams without an open request
+	mu                 sync.Mutex
+	Plan               Plan
+	Incarnations       []*Incarnation
+	Requests           []*Request
+	TimerLateness      time.Duration    // maximum lateness of a timer of this process
+	DependencyPeakLoad harness.PeakLoad // of the dependency that all servers share
+	Calls              int              // read by the dependency
+	strayAnswers       int              // answers on streams without an open request
 }
 
 // add records a request. It is changed later only within update.
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -30,12 +30,12 @@
 	DedupWindow time.Duration // of the keys of a keyed route
 	Value       float64
 	Work        time.Duration // mean work of a run, on a core of speed 1
-	Calls       bool          // runs call the dependency half way
+	Calls       bool          // runs call the dependency halfway
 }
 
 // Dependency describes the dependency that the runs of all servers call.
 type Dependency struct {
-	MaxCalls    float64 // maximum mean of calls in flight over Window that it survives; each server has an even share of it
+	MaxCalls    float64 // maximum mean of calls in flight over Window that it survives; each server's quota is an equal part of it
 	Window      time.Duration
 	Slots       float64
 	ServiceTime time.Duration // of a call while slots are free
@@ -101,7 +101,7 @@
 	Servers    int
 	Routes     []Route
 	Machine    harness.Machine
-	Endurance  harness.LoadLimit
+	LoadLimit  harness.LoadLimit
 	Grace      time.Duration
 	Sockets    int
 	MemoryMB   int
@@ -132,7 +132,7 @@
 	p := Plan{
 		Seed: seed, Span: span, Servers: 2 + rng.Intn(3), Sockets: 128 << rng.Intn(3), MemoryMB: 48 + 16*rng.Intn(4),
 		Load: 0.4 + 0.9*rng.Float64(), Senders: 2 + rng.Intn(4), Grace: between(rng, 200*time.Millisecond, 2500*time.Millisecond),
-		Endurance: harness.LoadLimit{RunsPerCore: 4 + 4*rng.Float64(), Window: between(rng, 700*time.Millisecond, 2*time.Second)},
+		LoadLimit: harness.LoadLimit{RunsPerCore: 4 + 4*rng.Float64(), Window: between(rng, 700*time.Millisecond, 2*time.Second)},
 	}
 	p.Machine = harness.Machine{
 		Cores: float64(1 + rng.Intn(4)), Speed: 0.7 + 0.8*rng.Float64(), FreeRunsPerCore: 2, SwitchCost: 0.1 * rng.Float64(),
