--- a/cmd/quartzpoint/peers_test.go
+++ b/cmd/quartzpoint/peers_test.go
@@ -60,7 +60,7 @@
 		{[]string{"check", "--own", writeFile("[peers]\nkey-file = \"/nowhere\"")}, "", 1, []string{"key file"}},
 		{[]string{"check", "--own", writeFile("[state]\ndir = \"/nowhere/state\"")}, "", 1, []string{"state.dir", "/nowhere"}},
 		{[]string{"check", "--own", writeFile("[state]\ndir = \"" + t.TempDir() + "/state\"")}, "", 0, []string{"no faults"}},
-		{[]string{"check", "--own", writeFile("[state]\ndir = \"" + good + "\"")}, "", 1, []string{"state.dir", "no folder"}},
+		{[]string{"check", "--own", writeFile("[state]\ndir = \"" + good + "\"")}, "", 1, []string{"state.dir", "not a directory; a symbolic link"}},
 		{[]string{"state", "show", "/nowhere"}, "", 1, []string{"/nowhere"}},
 		{[]string{"serve", "--own", writeFile("[pears]")}, "EDGE_CONFIG=" + good, 1, []string{"pears"}},
 		{[]string{"check", "--own", writeFile(leased)}, "", 0, []string{"no faults"}},
--- a/internal/datadir/dir.go
+++ b/internal/datadir/dir.go
@@ -47,5 +47,5 @@
 	// ErrTooLarge means that a file is larger than the limit passed to Read.
 	ErrTooLarge = errors.New("larger than such a file gets")
 	// errNotDir means that a path is not a directory, or is a symbolic link to one.
-	errNotDir = errors.New("no folder; a symbolic link is not followed")
+	errNotDir = errors.New("not a directory; a symbolic link is not followed")
 )
