--- a/Makefile
+++ b/Makefile
@@ -30,11 +30,11 @@
 	@skip=$$(.ci/known-red --skip) && set -x && go test -race -count=1 $$skip ./...
 
 fuzz:
-	go test -run none -fuzz FuzzCut -fuzztime 300000x ./internal/frame
+	go test -run none -fuzz FuzzParse -fuzztime 300000x ./internal/frame
 	go test -run none -fuzz FuzzLine -fuzztime 300000x ./internal/workerlink
 	go test -run none -fuzz FuzzConnection -fuzztime 20000x ./internal/frontend
 	go test -run none -fuzz FuzzRead -fuzztime 300000x ./internal/store
-	go test -run none -fuzz FuzzAsker -fuzztime 300000x ./internal/peersync
+	go test -run none -fuzz FuzzExchange -fuzztime 300000x ./internal/peersync
 
 lint:
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "not formatted: $$unformatted" >&2; exit 1; fi
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -101,7 +101,7 @@
 	assert.Equal(t, "\x00\x00\x00\x05\x1e\x00\x00\x00\x00", string(AppendHead(nil, GoAway, 0, 0, nil, 0)))
 }
 
-func FuzzCut(f *testing.F) {
+func FuzzParse(f *testing.F) {
 	f.Add(request)
 	f.Add(check)
 	f.Add([]byte("\x00\x03\x00\x00\x0a\x00\x00\x00\x09abc"))
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -186,7 +186,7 @@
 }
 
 // No bytes that a peer sends may make either side panic, and a snapshot is never returned together with an error.
-func FuzzAsker(f *testing.F) {
+func FuzzExchange(f *testing.F) {
 	nonce := bytes.Repeat([]byte{9}, nonceSize)
 	f.Add(bytes.Join(recordedAnswers(f, nil, nonce, newTestRequest(nil, nonce)), nil))
 	f.Add([]byte{0, 0, 0, 1, 0xa0})
