--- a/cmd/quartzconfig/apply.go
+++ b/cmd/quartzconfig/apply.go
@@ -20,10 +20,10 @@
 // applyCommand proposes a change.
 type applyCommand struct {
 	serviceFile
-	File string        `arg:"" help:"The change (JSON), or a platform configuration, whose routes and tenants are then all; - for standard input."`
-	ID   string        `name:"id" help:"Under which the change is accepted once, however often it is applied; drawn where it is not stated."`
-	Base *uint64       `help:"The version it was made on: refused where that is not the newest. Wins over the file's."`
-	Wait time.Duration `default:"15s" help:"How long to try."`
+	File string        `arg:"" help:"The file with the change (JSON), or a platform configuration, whose routes and tenants then replace all others; - reads standard input."`
+	ID   string        `name:"id" help:"The ID of the change; a change is accepted once per ID, however often it is applied. Overrides the ID in the file; random if neither is given."`
+	Base *uint64       `help:"The version that the change is based on; the change is rejected if a newer version exists. Overrides the base in the file."`
+	Wait time.Duration `default:"15s" help:"Maximum time to keep trying."`
 }
 
 // Run proposes the change and prints the resulting version.
--- a/cmd/quartzconfig/main.go
+++ b/cmd/quartzconfig/main.go
@@ -29,9 +29,9 @@
 
 // commands defines the subcommands of the command line.
 type commands struct {
-	Serve  serveCommand  `cmd:"" help:"Serve on this machine, which the file names."`
-	Apply  applyCommand  `cmd:"" help:"Have a change accepted, and print the version that it became."`
-	Status statusCommand `cmd:"" help:"Print leader, version, and how far the fleet is behind."`
+	Serve  serveCommand  `cmd:"" help:"Run the service on this control machine, whose name is in the configuration file."`
+	Apply  applyCommand  `cmd:"" help:"Apply a change and print the resulting version."`
+	Status statusCommand `cmd:"" help:"Print the leader, the version, and how far the fleet lags behind it."`
 }
 
 // serviceFile is the option that names the service's configuration file.
--- a/cmd/quartzconfig/status.go
+++ b/cmd/quartzconfig/status.go
@@ -25,8 +25,8 @@
 // statusCommand prints the status of the service and of the fleet.
 type statusCommand struct {
 	serviceFile
-	JSON bool          `name:"json" help:"Print it as JSON; times in nanoseconds."`
-	Wait time.Duration `default:"5s" help:"How long to try."`
+	JSON bool          `name:"json" help:"Print JSON; times in nanoseconds."`
+	Wait time.Duration `default:"5s" help:"Maximum time to wait for answers."`
 }
 
 // fleetStatus is the combined status of the control machines that answered, and of their watchers.
--- a/cmd/quartzpoint-bench/configuration.go
+++ b/cmd/quartzpoint-bench/configuration.go
@@ -20,8 +20,8 @@
 
 // measureConfiguration measures the configuration service.
 type measureConfiguration struct {
-	Daemon  string `default:"bin/quartzpoint" help:"The app server's program."`
-	Service string `default:"bin/quartzconfig" help:"The configuration service's program."`
+	Daemon  string `default:"bin/quartzpoint" help:"Path of the app server's binary."`
+	Service string `default:"bin/quartzconfig" help:"Path of the configuration service's binary."`
 	Seed    int64  `default:"1" help:"Seed of the changes and of the fleet's random choices."`
 	Small   bool   `help:"Use a tenth of the tables and watchers, and shorter spans, as a smoke test."`
 	Out     string `help:"Folder for the points (CSV); nothing is written without it."`
--- a/cmd/quartzpoint-bench/dependencies.go
+++ b/cmd/quartzpoint-bench/dependencies.go
@@ -14,12 +14,12 @@
 
 // measureDependencies compares budgeted calls with the flat baseline, under the same arrivals and faults.
 type measureDependencies struct {
-	Daemon string        `default:"bin/quartzpoint" help:"The daemon's program."`
-	Flat   string        `default:"bin/quartzpoint-bench" help:"The baseline's program."`
-	Seeds  int           `default:"10" help:"Runs of each scenario."`
+	Daemon string        `default:"bin/quartzpoint" help:"Path of the daemon's binary."`
+	Flat   string        `default:"bin/quartzpoint-bench" help:"Path of the baseline's binary."`
+	Seeds  int           `default:"10" help:"Number of runs of each scenario."`
 	Span   time.Duration `default:"6s" help:"Duration of the load."`
 	Only   string        `help:"Run this scenario only."`
-	Rate   float64       `default:"80" help:"Requests a second."`
+	Rate   float64       `default:"80" help:"Requests per second."`
 }
 
 // scenarioResult is the result of one run of a scenario.
--- a/cmd/quartzpoint-bench/drill.go
+++ b/cmd/quartzpoint-bench/drill.go
@@ -16,11 +16,11 @@
 // drillCommand runs one drill.
 type drillCommand struct {
 	File   string   `arg:"" help:"The drill file, as in drills/."`
-	Policy []string `default:"quartzpoint" help:"Policies; the others are compared with the first."`
+	Policy []string `default:"quartzpoint" help:"Policies to run; the first is the reference that the others are compared with."`
 	Seeds  int      `default:"3" help:"Number of seeds, from 1."`
-	Real   bool     `help:"Run it on real daemons with emulated workers too."`
-	Daemon string   `default:"bin/quartzpoint" help:"The daemon's program, for --real."`
-	Chart  string   `placeholder:"FILE" help:"Draw a chart of the value served in each second, as .svg or .png."`
+	Real   bool     `help:"Also run the drill on real daemons with emulated workers."`
+	Daemon string   `default:"bin/quartzpoint" help:"Path of the daemon's binary, for --real."`
+	Chart  string   `placeholder:"FILE" help:"Write a chart of the value served in each second to this .svg or .png file."`
 }
 
 // readDrill reads and parses a drill.
--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -21,11 +21,11 @@
 
 // measureEmulator compares the emulator with real daemons, measures its speed and compares policies over drills.
 type measureEmulator struct {
-	Daemon string   `default:"bin/quartzpoint" help:"The daemon's program."`
-	Seeds  int      `default:"10" help:"Runs of each script on both sides."`
-	Drills []string `default:"drills/calm.drill,drills/overload.drill,drills/slow-zone.drill,drills/bursts.drill,drills/pause.drill,drills/deploy-kill.drill" help:"Drills of the table of policies."`
-	Rounds int      `default:"3" help:"Number of seeds of the table of policies."`
-	Only   []string `help:"Only these parts: real, speed, policies."`
+	Daemon string   `default:"bin/quartzpoint" help:"Path of the daemon's binary."`
+	Seeds  int      `default:"10" help:"Number of runs of each script, both on real daemons and emulated."`
+	Drills []string `default:"drills/calm.drill,drills/overload.drill,drills/slow-zone.drill,drills/bursts.drill,drills/pause.drill,drills/deploy-kill.drill" help:"Drills for the comparison of policies."`
+	Rounds int      `default:"3" help:"Number of seeds for the comparison of policies."`
+	Only   []string `help:"Run only these parts: real, speed, policies."`
 }
 
 // scripts returns the names and texts of the drills that run both on a real daemon and emulated. The router makes one
--- a/cmd/quartzpoint-bench/experiment.go
+++ b/cmd/quartzpoint-bench/experiment.go
@@ -18,7 +18,7 @@
 // experimentCommand runs an experiment: drills with several policies and seeds.
 type experimentCommand struct {
 	File    string `arg:"" help:"The experiment file (TOML), as in experiments/."`
-	Results string `default:"results" help:"Folder of the results; each experiment has a folder of its name there."`
+	Results string `default:"results" help:"Folder for the results; each experiment writes to a subfolder with its name."`
 }
 
 // Run executes the runs that are not stored yet, and writes the report.
--- a/cmd/quartzpoint-bench/library.go
+++ b/cmd/quartzpoint-bench/library.go
@@ -8,8 +8,8 @@
 
 // measureLibrary compares the library with the daemon and with baseline policies, and measures its own overhead.
 type measureLibrary struct {
-	Daemon string        `default:"bin/quartzpoint" help:"The daemon's program."`
-	Seeds  int           `default:"10" help:"Runs of each comparison."`
+	Daemon string        `default:"bin/quartzpoint" help:"Path of the daemon's binary."`
+	Seeds  int           `default:"10" help:"Number of runs of each comparison."`
 	Span   time.Duration `default:"6s" help:"Duration of each overload."`
 }
 
--- a/cmd/quartzpoint-bench/load.go
+++ b/cmd/quartzpoint-bench/load.go
@@ -22,8 +22,8 @@
 
 // loadCommand sends a load to a server and prints the outcomes and latencies.
 type loadCommand struct {
-	To      string `arg:"" help:"The server: address and port for frames, or an http URL on this machine."`
-	Drill   string `help:"The drill whose load is sent, as for a fleet of one server."`
+	To      string `arg:"" help:"The server: host:port to send frames, or an http URL on this machine."`
+	Drill   string `help:"The drill file whose load to send, scaled to one server."`
 	Capture string `help:"A capture to replay, with one JSON object per line: at, type, work (times as \"15ms\")."`
 	Save    string `placeholder:"FILE" help:"Write the load to this file as a capture."`
 	Seed    int64  `default:"1" help:"Seed of the load."`
--- a/cmd/quartzpoint-bench/main.go
+++ b/cmd/quartzpoint-bench/main.go
@@ -17,11 +17,11 @@
 	Experiment experimentCommand `cmd:"" help:"Run every drill with every policy and seed, and write tables, charts and a report."`
 	Hollow     hollowCommand     `cmd:"" hidden:"" help:"Run a part of a hollow fleet; started by scale."`
 	Watchers   watchersCommand   `cmd:"" hidden:"" help:"Run watchers of the configuration service; started by measure configuration."`
-	Capacity   capacityCommand   `cmd:"" help:"Compute the capacity figures from the points of scale, and write them into the capacity page."`
-	Soak       soakCommand       `cmd:"" help:"Run real processes under faults drawn from seeds, and check them against the four rules."`
+	Capacity   capacityCommand   `cmd:"" help:"Compute the capacity figures from the points that scale wrote, and write them into the capacity page."`
+	Soak       soakCommand       `cmd:"" help:"Run real processes under random faults, with one run per seed, and check them against the four rules."`
 	Scale      scaleCommand      `cmd:"" help:"Measure the cost of the programs up to the planned size, and write points and charts."`
 	Workers    workersCommand    `cmd:"" help:"Emulate the worker pools, dependencies and membership of a drill in real time, for real daemons."`
-	Load       loadCommand       `cmd:"" help:"Send a load, drawn or captured, to a server in frames or to an http URL."`
+	Load       loadCommand       `cmd:"" help:"Send a generated or captured load to a server, in frames or over HTTP."`
 	Measure    measureCommand    `cmd:"" help:"Run a measurement; the exit code is 1 if an objective is missed."`
 }
 
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -18,12 +18,12 @@
 
 // measurePeers compares new servers that fetch estimates from peers with twins that do not, under the same arrivals.
 type measurePeers struct {
-	Daemon string        `default:"bin/quartzpoint" help:"The daemon's program."`
+	Daemon string        `default:"bin/quartzpoint" help:"Path of the daemon's binary."`
 	Seeds  int           `default:"10" help:"Number of seeds, each with all groups of servers."`
-	Group  int           `default:"8" help:"New servers in a group; their results are added up, as a few requests change that of a single server."`
+	Group  int           `default:"8" help:"Number of new servers in a group; their results are summed, because a few requests can change the result of a single server."`
 	Warm   time.Duration `default:"12s" help:"Duration of the running peer's load before the new servers start."`
 	Span   time.Duration `default:"10s" help:"Duration of the new servers' load."`
-	Load   float64       `default:"1.2" help:"Load as a share of the pools' capacity."`
+	Load   float64       `default:"1.2" help:"Load as a fraction of the pools' capacity."`
 	Cores  float64       `default:"4" help:"Cores of each emulated pool."`
 }
 
--- a/cmd/quartzpoint-bench/scale.go
+++ b/cmd/quartzpoint-bench/scale.go
@@ -24,7 +24,7 @@
 // scaleCommand measures the cost of the programs up to the planned size.
 type scaleCommand struct {
 	Out    string   `default:"results/scale" help:"Folder for points (CSV) and charts (SVG)."`
-	Daemon string   `default:"bin/quartzpoint" help:"The app server's program."`
+	Daemon string   `default:"bin/quartzpoint" help:"Path of the app server's binary."`
 	Seed   int64    `default:"1" help:"Seed of the loads and of the fleet's random choices."`
 	Small  bool     `help:"Use fewer series, smaller fleets and shorter observations, as a smoke test."`
 	Only   []string `enum:"slopes,fleets" default:"slopes,fleets" help:"Parts to measure: slopes of one daemon, hollow fleets."`
@@ -75,7 +75,7 @@
 
 // measureScale checks the figures of a small scaleCommand against the budgets.
 type measureScale struct {
-	Daemon string `default:"bin/quartzpoint" help:"The app server's program."`
+	Daemon string `default:"bin/quartzpoint" help:"Path of the app server's binary."`
 	Seed   int64  `default:"1" help:"Seed of the loads and of the fleet's random choices."`
 }
 
--- a/cmd/quartzpoint-bench/soak.go
+++ b/cmd/quartzpoint-bench/soak.go
@@ -18,10 +18,10 @@
 // soakCommand runs real processes under faults, and checks their histories.
 type soakCommand struct {
 	Seed     int64         `default:"1" help:"The first seed."`
-	Seeds    int           `default:"50" help:"Number of seeds, from the first."`
-	Span     time.Duration `default:"8s" help:"Duration of the faults of a run."`
-	Parallel int           `default:"3" help:"Number of runs at once."`
-	Program  string        `default:"bin/quartzpoint" help:"The daemon's program."`
+	Seeds    int           `default:"50" help:"Number of consecutive seeds, one run each."`
+	Span     time.Duration `default:"8s" help:"Time during which faults are injected in a run."`
+	Parallel int           `default:"3" help:"Number of concurrent runs."`
+	Program  string        `default:"bin/quartzpoint" help:"Path of the daemon's binary."`
 	Keep     string        `placeholder:"FOLDER" help:"Write the process logs of failed runs and of runs with violations to this folder."`
 	Verbose  bool          `help:"Print the plan of each run."`
 }
--- a/cmd/quartzpoint-bench/state.go
+++ b/cmd/quartzpoint-bench/state.go
@@ -14,15 +14,15 @@
 
 // measureState measures the benefit of a state directory at a restart, and its cost.
 type measureState struct {
-	Daemon string        `default:"bin/quartzpoint" help:"The daemon's program."`
+	Daemon string        `default:"bin/quartzpoint" help:"Path of the daemon's binary."`
 	Seeds  int           `default:"10" help:"Number of seeds, each with all groups of servers."`
-	Group  int           `default:"8" help:"Servers in a group."`
+	Group  int           `default:"8" help:"Number of servers in a group."`
 	Warm   time.Duration `default:"11s" help:"Duration of the load before the restart."`
 	Span   time.Duration `default:"10s" help:"Duration of the load after the restart."`
-	Load   float64       `default:"1.2" help:"Load as a share of the pools' capacity."`
+	Load   float64       `default:"1.2" help:"Load as a fraction of the pools' capacity."`
 	Cores  float64       `default:"4" help:"Cores of each emulated pool."`
-	Kills  int           `default:"304" help:"Processes killed, divided among eight state directories."`
-	Only   []string      `help:"Only these parts: kills, rounds, disk, restart."`
+	Kills  int           `default:"304" help:"Number of processes to kill, divided among eight state directories."`
+	Only   []string      `help:"Run only these parts: kills, rounds, disk, restart."`
 }
 
 // stateMB is the size limit of the measured state directories, in MiB.
