--- a/cmd/quartzpoint-bench/fronts/fronts_test.go
+++ b/cmd/quartzpoint-bench/fronts/fronts_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestAllFronts checks that every front follows the rules in every case, and that all fronts have the same outcomes in
-// the cases whose outcomes do not depend on timing.
+// TestAllFronts checks that every front end follows the rules in every case, and that all front ends have the same
+// outcomes in the cases whose outcomes do not depend on timing.
 func TestAllFronts(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "quartzpoint")
 	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "quartzpoint/cmd/quartzpoint").CombinedOutput()
--- a/cmd/quartzpoint-bench/fronts/http.go
+++ b/cmd/quartzpoint-bench/fronts/http.go
@@ -37,14 +37,14 @@
 	return s, nil
 }
 
-// NewHTTP starts the middleware for net/http as a front.
+// NewHTTP starts the middleware for net/http as a front end.
 func NewHTTP() (conformance.FrontEnd, error) {
 	return newHTTPFront(func(s *httpFront) http.Handler {
 		return middleware.New(s.gate, requestOptions())(http.HandlerFunc(s.handle))
 	})
 }
 
-// NewGin starts the middleware for gin as a front.
+// NewGin starts the middleware for gin as a front end.
 func NewGin() (conformance.FrontEnd, error) {
 	return newHTTPFront(func(s *httpFront) http.Handler {
 		gin.SetMode(gin.ReleaseMode)
--- a/cmd/quartzpoint-bench/fronts/library.go
+++ b/cmd/quartzpoint-bench/fronts/library.go
@@ -33,7 +33,7 @@
 	gate *quartzpoint.Gate
 }
 
-// NewLibrary starts the library as a front.
+// NewLibrary starts the library as a front end.
 func NewLibrary() (conformance.FrontEnd, error) {
 	g, err := newGate()
 	if err != nil {
--- a/cmd/quartzpoint-bench/fronts/runs.go
+++ b/cmd/quartzpoint-bench/fronts/runs.go
@@ -10,7 +10,7 @@
 
 var errRunFailed = errors.New("the run failed")
 
-// runCounter performs the runs of a front in this process, and counts them.
+// runCounter performs the runs of a front end in this process, and counts them.
 type runCounter struct {
 	mu       sync.Mutex
 	runs     int
--- a/cmd/quartzpoint-bench/main.go
+++ b/cmd/quartzpoint-bench/main.go
@@ -1,5 +1,5 @@
-// Command quartzpoint-bench runs measurements and rehearsals of quartzpoint: real daemons with emulated workers,
-// dependencies and routers, and drills on an emulated fleet. It is not part of the daemon.
+// Command quartzpoint-bench measures and tests quartzpoint. It runs real daemons with emulated workers, dependencies
+// and routers, and drills on an emulated fleet. It is not part of the daemon.
 package main
 
 import (
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -29,10 +29,10 @@
 
 // peersResult is the result of one seed.
 type peersResult struct {
-	fresh, stale, recent         float64   // value served with a fresh, stale or recent snapshot, over that of the cold twin
-	twins                        float64   // value served by a second cold twin, over that of the first
-	extraStarts, twinExtraStarts []float64 // requests started more than the cold twin at each sampled moment, with the stale snapshot and by the second twin
-	polled, unpolledTwins        float64   // value served by the polled servers and by a twin of the unpolled ones, over that of the unpolled ones
+	fresh, stale, recent         float64   // value served over that of the cold twin: with a fresh snapshot, and on slower machines with a stale and with a recent one
+	twins                        float64   // value served by a second cold twin over that of the first, on slower machines
+	extraStarts, twinExtraStarts []float64 // at each sampled moment, the requests started in excess of the cold twin: with the stale snapshot, and by the second cold twin
+	polled, unpolledTwins        float64   // value served over that of the unpolled servers: by the polled servers, and by a twin of the unpolled ones
 	snapshotBytes                float64   // size of a snapshot
 	fetches                      int       // number of answered fetches
 	fetchDuration                time.Duration
--- a/cmd/quartzpoint-bench/state_restart.go
+++ b/cmd/quartzpoint-bench/state_restart.go
@@ -35,8 +35,8 @@
 	return m.reportRestarts(results, table), nil
 }
 
-// restartResult holds, for one seed, the values served over those of cold twins, and the requests started more than by
-// cold twins.
+// restartResult holds, for one seed, the values served by groups over those of their cold twins, and at each sampled
+// moment the requests that groups started in excess of their cold twins.
 type restartResult struct {
 	fresh, twins, stale, recent, slowTwins               float64
 	staleExtraStarts, recentExtraStarts, twinExtraStarts []float64
--- a/cmd/quartzpoint/background_test.go
+++ b/cmd/quartzpoint/background_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// At the end of the process the store of the configuration was closed while the watch could still write to it.
+// The process must wait at its end for its background tasks. It used to close the configuration store while the
+// configuration watch could still write to it.
 func TestTaskIsWaitedFor(t *testing.T) {
 	written := false
 	task := startTask(t.Context(), func(ctx context.Context) {
--- a/cmd/quartzpoint/burst_test.go
+++ b/cmd/quartzpoint/burst_test.go
@@ -55,8 +55,8 @@
 	return answers
 }
 
-// Thousands of requests arrive at once on a hundred connections. On a busy machine all of them were rejected, because
-// the first were decided only after the last had been read.
+// Thousands of requests arrive at once on a hundred connections. Each must be answered, and some must be served. On a
+// busy machine all of them used to be rejected, because the first were decided only after the last had been read.
 func TestBurstOnManySockets(t *testing.T) {
 	routes := []harness.Route{{Name: "look", Value: 1, LatencyTarget: burstDeadline, Deadline: burstDeadline, Share: 1, Work: 5 * time.Millisecond}}
 	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 1e6})
--- a/cmd/quartzpoint/calls_test.go
+++ b/cmd/quartzpoint/calls_test.go
@@ -29,8 +29,9 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// The process did not start with settings that have routes with calls to a dependency. A reload must switch to another
-// address of the dependency, and must keep the last one if the new file names none.
+// The process must start with settings that have routes with calls to a dependency; such settings used to prevent the
+// start. A reload must switch to another address of the dependency, and must keep the last one if the new file names
+// none.
 func TestRouteThatCalls(t *testing.T) {
 	for build, path := range builds {
 		t.Run(build, func(t *testing.T) {
--- a/cmd/quartzpoint/crossing_test.go
+++ b/cmd/quartzpoint/crossing_test.go
@@ -29,8 +29,8 @@
 	return all
 }
 
-// The drain waited while a new configuration was being read (here from a FIFO that delivers nothing), but the time of
-// the stop did not move.
+// A stop signal must start the drain at once, even while a new configuration is being read (here from a FIFO that
+// delivers nothing). The drain used to wait for the configuration, although the time of the stop did not move.
 func TestNoticeWhileAConfigurationIsRead(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
@@ -89,9 +89,10 @@
 	assert.Error(t, err)
 }
 
-// A SIGHUP that arrived as soon as the program had started, before it handled signals, ended the process. The program
-// reads its configuration after it starts to handle signals, so no change is missed. A SIGHUP that arrived before the
-// process served was handled concurrently with the start, which was still reading what the reload writes.
+// A SIGHUP during the start must neither end the process nor be lost. One that arrived before the program handled
+// signals used to end the process. The program reads its configuration after it starts to handle signals, so no change
+// is missed. One that arrived after that, but before the process served, used to be handled concurrently with the
+// start, which was still reading what the reload writes.
 func TestSignalsAtTheStart(t *testing.T) {
 	var deploy struct{ Run string }
 	text, err := os.ReadFile("../../deploy/balancer.toml")
--- a/cmd/quartzpoint/descriptors_test.go
+++ b/cmd/quartzpoint/descriptors_test.go
@@ -122,7 +122,7 @@
 
 func checkHealthOnce(router net.Conn, i uint32) {
 	if _, err := router.Write(fake.Frame(20, 1000+i, "", "e2e", "0")); err == nil {
-		_, _ = harness.ReadReply(router) // answered, or closed to make room
+		_, _ = harness.ReadReply(router) // answered, or closed to free a descriptor
 	}
 }
 
--- a/cmd/quartzpoint/drain_test.go
+++ b/cmd/quartzpoint/drain_test.go
@@ -17,9 +17,9 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// Clients that kept sending on open connections until the end of the process, though they had been asked to stop, kept
-// it running until 15 ms before its stop. On a busy machine it was killed before it ended, with requests unread for
-// longer than the window in which a router sends them again.
+// Clients that keep sending on open connections, though they have been asked to stop, must not keep the process running
+// until its stop. They used to keep it running until 15 ms before its stop. On a busy machine it was killed before it
+// ended, with requests unread for longer than the window in which a router sends them again.
 func TestClientsThatSendUntilTheEnd(t *testing.T) {
 	const (
 		stop         = 1200 * time.Millisecond
@@ -55,9 +55,9 @@
 	}
 }
 
-// A router keeps its connection open and sends nothing. The connection is closed 0.1 s before the stop. Connections
-// were checked only every 0.1 s, so in half of the drains the process ran until the last moment, in a race with the
-// kill.
+// A router that keeps its connection open and sends nothing must not keep the process running until its stop. The
+// connection is closed 0.1 s before the stop. Connections used to be checked only every 0.1 s, so in half of the drains
+// the process ran until the last moment, in a race with the kill.
 func TestSilentConnectionsDoNotKeepTheProcess(t *testing.T) {
 	for stop := int64(700); stop < 800; stop += 20 { // covers each phase of those checks; the grace ends 0.4 s before each stop
 		t.Run(fmt.Sprint(stop), func(t *testing.T) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// A request whose last byte arrived after the grace ran, because its arrival time was that of its first bytes. A
-// request arrives when it is complete.
+// A request arrives when it is complete, so one whose last byte arrives after the grace must not run. It used to run,
+// because its arrival time was that of its first bytes.
 func TestRequestThatIsWholeOnlyPastTheGrace(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
--- a/cmd/quartzpoint/halfclose_test.go
+++ b/cmd/quartzpoint/halfclose_test.go
@@ -11,7 +11,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// A router that closes its side of a connection after its last request still reads. Its requests were dropped.
+// A router that closes its side of a connection after its last request still reads, so its requests must be answered.
+// They used to be dropped.
 func TestRouterHalfClosesAfterARequest(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// SIGHUP ended the process. It must make the process read the file again: a valid one, an invalid one, while the pool
-// link is down, and during the drain.
+// A SIGHUP must make the process read its configuration file again: a valid one, an invalid one, while the pool link is
+// down, and during the drain. It used to end the process.
 func TestNewConfiguration(t *testing.T) {
 	for build := range builds {
 		t.Run(build, func(t *testing.T) {
--- a/cmd/quartzpoint/memory_test.go
+++ b/cmd/quartzpoint/memory_test.go
@@ -24,7 +24,8 @@
 	return kb
 }
 
-// Near its memory limit the runtime collected without end: when idle it uses more than its share of 8 or of 16 MB.
+// With 8 or 16 MB of memory, the runtime's share of it is less than what the idle runtime uses. Near its memory limit
+// the runtime used to collect without end.
 func TestLittleMemory(t *testing.T) {
 	for _, mb := range []int{8, 16, 32} {
 		t.Run(fmt.Sprint(mb), func(t *testing.T) {
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -124,8 +124,7 @@
 	return encoder.Encode(value)
 }
 
-// printEstimates prints a snapshot as a table. The weight of an estimate is the number of the reader's own samples for
-// which it counts.
+// printEstimates prints a snapshot as a table. An estimate of weight n counts as much as n samples of the reader's own.
 func printEstimates(writer io.Writer, snapshot estimate.Snapshot) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "estimate\tmean\tspread\tsamples\tage\tweight\t\n")
--- a/cmd/quartzpoint/platformconfig.go
+++ b/cmd/quartzpoint/platformconfig.go
@@ -43,7 +43,7 @@
 
 const (
 	minSockets        = 2 // with fewer no connection is possible
-	callSocketDivisor = 8 // calls to the dependency take at most this fraction of the descriptors, as a divisor
+	callSocketDivisor = 8 // the descriptors divided by this are the maximum for calls to the dependency
 )
 
 // cores returns the number of cores that the runtime may use, capped at those of the machine: more have no use, and the
--- a/cmd/quartzpoint/process.go
+++ b/cmd/quartzpoint/process.go
@@ -18,8 +18,8 @@
 	"quartzpoint/internal/workerlink"
 )
 
-// linkMemoryDivisor limits the memory of queued commands to the worker pool to a fraction of the program's memory, as a
-// divisor.
+// linkMemoryDivisor divides the program's memory; the quotient is the maximum size of the commands queued for the
+// worker pool.
 const linkMemoryDivisor = 16
 
 // process is a serving process: the event loop and the components around it that read, write and run requests.
--- a/cmd/quartzpoint/recovery_test.go
+++ b/cmd/quartzpoint/recovery_test.go
@@ -52,9 +52,9 @@
 	return served, daemon
 }
 
-// A worker pool read and wrote nothing for eight seconds and then worked as before. For four more seconds a healthy,
-// idle machine rejected everything, because the time in which its runs had been stopped was counted as time that
-// requests need.
+// After a worker pool has read and written nothing for eight seconds and works again, the server must serve as it does
+// without a hang. A healthy, idle machine used to reject everything for four more seconds, because the time in which
+// its runs had been stopped was counted as time that requests need.
 func TestFullServiceAfterAHangThatIsOver(t *testing.T) {
 	for _, deadline := range []time.Duration{400 * time.Millisecond, 2 * time.Second} {
 		for _, halt := range []string{emulator.PreemptionSuspend, emulator.PreemptionNone} {
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -24,8 +24,8 @@
 	Config string `name:"config" aliases:"own" placeholder:"FILE" help:"The product's own file (TOML). Without it, everything that it configures is off."`
 }
 
-// stopSignals are the signals that the process handles. They have separate channels so that repeated SIGHUPs can't
-// crowd out a stop.
+// stopSignals are the signals that the process handles. They have separate channels, so that a stop signal is not lost
+// while SIGHUPs are pending.
 type stopSignals struct{ stop, reload chan os.Signal }
 
 func notifySignals() stopSignals {
--- a/cmd/quartzpoint/settings_test.go
+++ b/cmd/quartzpoint/settings_test.go
@@ -15,9 +15,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// The process must start and serve with valid configurations of every kind. Some were rejected because a fraction stood
-// where a whole number was expected. One crashed in the runtime, which allocates memory for as many cores as it is
-// given.
+// The process must start and serve with valid configurations of every kind. Some used to be rejected because they had a
+// fraction instead of a whole number. One crashed the runtime, which allocates memory for as many cores as it is given.
 func TestValidConfigurations(t *testing.T) {
 	var many []string
 	for i := range 48 {
@@ -84,9 +83,9 @@
 	}
 }
 
-// The first error hid others, several errors had one message, and impossible addresses and numbers were found late or
-// never. All errors must be reported at once, with the file and the key, in the same words at the start, on a reload
-// and by the check command.
+// All errors must be reported at once, with the file and the key, in the same words at the start, on a reload and by
+// the check command. The first error used to hide others, several errors had the same message, and impossible addresses
+// and numbers were found late or never.
 func TestAllErrorsReportedAtOnce(t *testing.T) {
 	cases := []struct {
 		text string
--- a/cmd/quartzpoint/standstill_test.go
+++ b/cmd/quartzpoint/standstill_test.go
@@ -13,8 +13,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// The process is stalled from before its stop until after it. It exited without answers to the requests in flight, and
-// a debug build failed a check. The first round after the stall must answer all of them.
+// The process is stalled from before its stop until after it. The first round after the stall must answer all requests
+// in flight. The process used to exit without answers to them, and a debug build failed a check.
 func TestProcessStalledAcrossTheStop(t *testing.T) {
 	for build, path := range builds {
 		t.Run(build, func(t *testing.T) {
--- a/cmd/quartzpoint/unreachable_test.go
+++ b/cmd/quartzpoint/unreachable_test.go
@@ -10,9 +10,9 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// A membership service without a route to it ended the start, and made a reload fail. The process must wait for
-// services that are unreachable: it must serve, log once what is missing, and continue as before when a new
-// configuration names a service that is reachable.
+// Unreachable services must prevent neither the start nor a reload. The process must serve, log once what is missing,
+// and continue as before when a new configuration names a service that is reachable. A membership service without a
+// route to it used to end the start and to make a reload fail.
 func TestStartWithUnreachableServices(t *testing.T) {
 	const unreachable = "[fe80::1]:9" // link-local, on no link
 	p := prepare(t, builds["debug"])
