--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -18,7 +18,7 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // binDir is the directory with the binaries of quartzconfig and quartzpoint, which TestMain builds once.
 var binDir string
@@ -95,7 +95,7 @@
 	cmd.Stderr = c.logs[i]
 	require.NoError(t, cmd.Start())
 	c.running[i] = cmd
-	require.Eventually(t, func() bool { return strings.Contains(c.logs[i].String(), "msg=serving") }, patience, time.Millisecond, c.logs[i].String())
+	require.Eventually(t, func() bool { return strings.Contains(c.logs[i].String(), "msg=serving") }, testTimeout, time.Millisecond, c.logs[i].String())
 }
 
 func (c *cluster) kill(i int) {
@@ -148,7 +148,7 @@
 func waitForVersion(t *testing.T, d *harness.Daemon, version int) {
 	t.Helper()
 	want := fmt.Sprintf("msg=\"configuration: in force\" version=%d ", version)
-	require.Eventually(t, func() bool { return strings.Contains(d.Log(), want) }, patience, time.Millisecond, d.Log())
+	require.Eventually(t, func() bool { return strings.Contains(d.Log(), want) }, testTimeout, time.Millisecond, d.Log())
 }
 
 // sendRequest sends one request of a route and returns the status code of its response.
@@ -239,7 +239,7 @@
 		out, _ := c.run(t, "status")
 		n, err := fmt.Sscanf(out, "leader c%d,", &leader)
 		return n == 1 && err == nil
-	}, patience, 10*time.Millisecond)
+	}, testTimeout, 10*time.Millisecond)
 	return leader
 }
 
--- a/cmd/quartzconfig/stored_test.go
+++ b/cmd/quartzconfig/stored_test.go
@@ -69,7 +69,7 @@
 	reached := func(version uint64) func() bool {
 		return func() bool { status = c.storedStatus(t); return status.Leader == "c0" && status.Version == version }
 	}
-	require.Eventually(t, reached(5), patience, 20*time.Millisecond)
+	require.Eventually(t, reached(5), testTimeout, 20*time.Millisecond)
 	require.Len(t, status.Machines, 1)
 	assert.Equal(t, uint64(15045096694224017753), status.Machines[0].Digest)
 
@@ -92,14 +92,14 @@
 
 	c.kill(0)
 	c.start(t, 0)
-	require.Eventually(t, reached(6), patience, 20*time.Millisecond)
+	require.Eventually(t, reached(6), testTimeout, 20*time.Millisecond)
 }
 
 // A server that stored version 4 of this history starts with it, requests the versions after it, and brings them into
 // force.
 func TestStoredWatcherCatchesUp(t *testing.T) {
 	c := startStoredMachine(t)
-	require.Eventually(t, func() bool { return c.storedStatus(t).Version == 5 }, patience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return c.storedStatus(t).Version == 5 }, testTimeout, 20*time.Millisecond)
 	require.NoError(t, os.CopyFS(filepath.Join(c.folder, "kept"), os.DirFS(filepath.Join("testdata", "f1daac1", "configuration"))))
 	d := c.server(t)
 	assert.Contains(t, d.Log(), `msg="configuration: stored version in force" version=4 age=`)
--- a/cmd/quartzpoint-bench/faultscenarios.go
+++ b/cmd/quartzpoint-bench/faultscenarios.go
@@ -28,15 +28,15 @@
 }
 
 // always returns a script with the same behaviour from start to end.
-func always(m harness.DependencyBehaviour) harness.BehaviourScript {
-	return func(time.Duration) harness.DependencyBehaviour { return m }
+func always(behaviour harness.DependencyBehaviour) harness.BehaviourScript {
+	return func(time.Duration) harness.DependencyBehaviour { return behaviour }
 }
 
 // until returns a script with a behaviour from faultStart to end.
-func until(end time.Duration, m harness.DependencyBehaviour) harness.BehaviourScript {
+func until(end time.Duration, behaviour harness.DependencyBehaviour) harness.BehaviourScript {
 	return func(at time.Duration) harness.DependencyBehaviour {
 		if at >= faultStart && at < end {
-			return m
+			return behaviour
 		}
 		return harness.DependencyBehaviour{}
 	}
--- a/cmd/quartzpoint-bench/fronts/http.go
+++ b/cmd/quartzpoint-bench/fronts/http.go
@@ -16,8 +16,8 @@
 	"quartzpoint/middleware/ginmw"
 )
 
-// httpFront is a gate with an HTTP server in front.
-type httpFront struct {
+// httpFrontEnd is a gate with an HTTP server in front.
+type httpFrontEnd struct {
 	runCounter
 	gate   *quartzpoint.Gate
 	server *httptest.Server
@@ -26,12 +26,12 @@
 	recoversPanics bool // the framework responds with status 500 to a panic
 }
 
-func newHTTPFront(handler func(s *httpFront) http.Handler) (conformance.FrontEnd, error) {
+func newHTTPFrontEnd(handler func(s *httpFrontEnd) http.Handler) (conformance.FrontEnd, error) {
 	g, err := newGate()
 	if err != nil {
 		return nil, err
 	}
-	s := &httpFront{runCounter: runCounter{seenKeys: map[string]bool{}}, gate: g}
+	s := &httpFrontEnd{runCounter: runCounter{seenKeys: map[string]bool{}}, gate: g}
 	s.server = httptest.NewServer(handler(s))
 	s.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	return s, nil
@@ -39,14 +39,14 @@
 
 // NewHTTP starts the middleware for net/http as a front end.
 func NewHTTP() (conformance.FrontEnd, error) {
-	return newHTTPFront(func(s *httpFront) http.Handler {
+	return newHTTPFrontEnd(func(s *httpFrontEnd) http.Handler {
 		return middleware.New(s.gate, requestOptions())(http.HandlerFunc(s.handle))
 	})
 }
 
 // NewGin starts the middleware for gin as a front end.
 func NewGin() (conformance.FrontEnd, error) {
-	return newHTTPFront(func(s *httpFront) http.Handler {
+	return newHTTPFrontEnd(func(s *httpFrontEnd) http.Handler {
 		gin.SetMode(gin.ReleaseMode)
 		s.recoversPanics = true
 		engine := gin.New()
@@ -69,7 +69,7 @@
 	return middleware.Options{Route: func(request *http.Request) string { return request.Header.Get(routeHeader) }}
 }
 
-func (s *httpFront) handle(_ http.ResponseWriter, request *http.Request) {
+func (s *httpFrontEnd) handle(_ http.ResponseWriter, request *http.Request) {
 	work, _ := strconv.ParseInt(request.Header.Get(workHeader), 10, 64) // set by Do
 	if s.run(conformance.Request{Work: time.Duration(work), Fails: request.Header.Get(failsHeader) == "true", Key: request.Header.Get(keyHeader)}) != nil {
 		if s.recoversPanics {
@@ -80,7 +80,7 @@
 }
 
 // Do implements conformance.FrontEnd.
-func (s *httpFront) Do(ctx context.Context, r conformance.Request) conformance.Outcome {
+func (s *httpFrontEnd) Do(ctx context.Context, r conformance.Request) conformance.Outcome {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, s.server.URL+"/", nil)
 	if err != nil {
 		return conformance.Unanswered
@@ -115,10 +115,10 @@
 }
 
 // Shutdown implements conformance.FrontEnd.
-func (s *httpFront) Shutdown() error { return shutdownGate(s.gate) }
+func (s *httpFrontEnd) Shutdown() error { return shutdownGate(s.gate) }
 
 // Close implements conformance.FrontEnd.
-func (s *httpFront) Close() {
+func (s *httpFrontEnd) Close() {
 	_ = shutdownGate(s.gate)
 	s.client.CloseIdleConnections()
 	s.server.CloseClientConnections()
--- a/cmd/quartzpoint-bench/fronts/library.go
+++ b/cmd/quartzpoint-bench/fronts/library.go
@@ -27,8 +27,8 @@
 	return quartzpoint.New(options)
 }
 
-// libraryFront is a gate in process.
-type libraryFront struct {
+// libraryFrontEnd is a gate in process.
+type libraryFrontEnd struct {
 	runCounter
 	gate *quartzpoint.Gate
 }
@@ -39,11 +39,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &libraryFront{runCounter{seenKeys: map[string]bool{}}, g}, nil
+	return &libraryFrontEnd{runCounter{seenKeys: map[string]bool{}}, g}, nil
 }
 
 // Do implements conformance.FrontEnd.
-func (l *libraryFront) Do(ctx context.Context, r conformance.Request) conformance.Outcome {
+func (l *libraryFrontEnd) Do(ctx context.Context, r conformance.Request) conformance.Outcome {
 	_, err := l.gate.DoOnce(ctx, quartzpoint.Request{Route: conformance.Routes(true)[r.Route].Name, IdempotencyKey: r.Key},
 		func(context.Context) ([]byte, error) { return nil, l.run(r) })
 	return outcome(err)
@@ -73,7 +73,7 @@
 }
 
 // Shutdown implements conformance.FrontEnd.
-func (l *libraryFront) Shutdown() error { return shutdownGate(l.gate) }
+func (l *libraryFrontEnd) Shutdown() error { return shutdownGate(l.gate) }
 
 // Close implements conformance.FrontEnd.
-func (l *libraryFront) Close() { _ = shutdownGate(l.gate) } // a second shutdown reports no new error
+func (l *libraryFrontEnd) Close() { _ = shutdownGate(l.gate) } // a second shutdown reports no new error
--- a/cmd/quartzpoint/configuration_test.go
+++ b/cmd/quartzpoint/configuration_test.go
@@ -61,9 +61,9 @@
 	storeDocument(t, dir, newDocument(3, 2))
 	owner := newTestServer(t)
 	source := &config.Source{Dir: dir, Endpoints: []config.ControlEndpoint{{Address: "127.0.0.1:1"}}}
-	watcher, tables, err := newConfigWatcher(source, "one", 96<<20, owner, 1, slog.New(slog.DiscardHandler))
+	watcher, updater, err := newConfigWatcher(source, "one", 96<<20, owner, 1, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	defer tables.close()
+	defer updater.close()
 	routes, tenants := owner.Tables()
 	assert.Len(t, routes, 3)
 	for name, route := range routes {
@@ -94,8 +94,8 @@
 
 // Without the section the server must watch nothing.
 func TestNotWatched(t *testing.T) {
-	watcher, tables, err := newConfigWatcher(nil, "one", 0, nil, 1, nil)
+	watcher, updater, err := newConfigWatcher(nil, "one", 0, nil, 1, nil)
 	require.NoError(t, err)
 	assert.Nil(t, watcher)
-	tables.close()
+	updater.close()
 }
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -48,15 +48,15 @@
 		"few cores":     {Cores: 1, Speed: 1, MemoryKB: 1e6},
 		"little memory": {Cores: 2, Speed: 1, MemoryKB: 8 * emulator.RunKB}, // fewer runs exhaust it than the cores survive
 	}
-	for _, halt := range []string{emulator.PreemptionSuspend, emulator.PreemptionAbort, emulator.PreemptionNone} {
+	for _, preemption := range []string{emulator.PreemptionSuspend, emulator.PreemptionAbort, emulator.PreemptionNone} {
 		for fault, set := range faults {
 			for name, machine := range machines {
-				t.Run(fmt.Sprintf("%s/%s/%s", halt, fault, name), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s/%s", preemption, fault, name), func(t *testing.T) {
 					t.Parallel()
-					machine.Preemption = halt
-					strain, log := runWithFault(t, machine, set)
-					assert.LessOrEqual(t, strain.Runs, 1.0, "more runs than the pool survives at %v\n%s", strain.RunsAt, log)
-					assert.LessOrEqual(t, strain.Memory, 1.0, "more memory used than the machine has at %v\n%s", strain.MemoryAt, log)
+					machine.Preemption = preemption
+					peak, log := runWithFault(t, machine, set)
+					assert.LessOrEqual(t, peak.Runs, 1.0, "more runs than the pool survives at %v\n%s", peak.RunsAt, log)
+					assert.LessOrEqual(t, peak.Memory, 1.0, "more memory used than the machine has at %v\n%s", peak.MemoryAt, log)
 				})
 			}
 		}
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -35,7 +35,7 @@
 // startPeerExchange serves estimates to peers if the configuration has an address for it, and fetches estimates from
 // the peers that the configuration names. Both end with the context. stored may be nil only if settings is nil.
 func startPeerExchange(
-	ctx context.Context, settings *config.Peers, owner *server.Server, stored *statePersistence, seed int64, counters *invariant.Counters,
+	ctx context.Context, settings *config.Peers, owner *server.Server, state *statePersistence, seed int64, counters *invariant.Counters,
 	log *slog.Logger,
 ) (*peerExchange, error) {
 	e := &peerExchange{config: settings}
@@ -59,7 +59,7 @@
 	}
 	var needsEstimates atomic.Bool
 	needsEstimates.Store(true)
-	stored.publish = append(stored.publish, func(snapshot estimate.Snapshot, at time.Duration) {
+	state.publish = append(state.publish, func(snapshot estimate.Snapshot, at time.Duration) {
 		needsEstimates.Store(snapshot.NeedsPeers())
 		if e.server != nil {
 			e.server.Publish(snapshot, at)
@@ -67,7 +67,7 @@
 	})
 	if len(settings.Addresses) > 0 {
 		fetcher := &peersync.Fetcher{
-			Peers: settings.Addresses, Keys: keys, FirstWait: settings.Timeout, Schema: stored.schema, Recovered: stored.recovered, Seed: seed,
+			Peers: settings.Addresses, Keys: keys, FirstWait: settings.Timeout, Schema: state.schema, Recovered: state.recovered, Seed: seed,
 			NeedsEstimates: needsEstimates.Load, Use: owner.UsePeerEstimates, Counts: counters, Log: log,
 		}
 		go fetcher.Run(ctx)
--- a/cmd/quartzpoint/process.go
+++ b/cmd/quartzpoint/process.go
@@ -38,7 +38,7 @@
 	// Configured by file; nil if it lacks their section.
 	leaseManager *leasing.Manager
 	watcher      *configwatch.Watcher
-	tables       *tableUpdater
+	tableUpdater *tableUpdater
 	state        *statePersistence
 	peers        *peerExchange
 }
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	p.watcher, p.tables, err = newConfigWatcher(
+	p.watcher, p.tableUpdater, err = newConfigWatcher(
 		p.file.Configuration, p.platform.Name, p.platform.Limits.memoryBytes(), p.server, p.seed(), p.log)
 	if err != nil {
 		return fmt.Errorf("configuration file %s: %w", path, err)
@@ -114,7 +114,7 @@
 	if p.state != nil {
 		p.state.close()
 	}
-	p.tables.close()
+	p.tableUpdater.close()
 }
 
 // serve serves until a stop signal arrives or the front end fails, and returns after the drain. It returns the front
--- a/cmd/quartzpoint/recovery_test.go
+++ b/cmd/quartzpoint/recovery_test.go
@@ -30,9 +30,9 @@
 
 // runWithHang loads a real server, and stops its pool from hangFrom until hangUntil if hang is set. It returns the
 // number of requests served in each second after hangUntil.
-func runWithHang(t *testing.T, deadline time.Duration, halt string, hang bool) (served []int, daemon *harness.Daemon) {
+func runWithHang(t *testing.T, deadline time.Duration, preemption string, hang bool) (served []int, daemon *harness.Daemon) {
 	routes := recoveryRoutes(deadline)
-	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6, Preemption: halt})
+	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, harness.Machine{Cores: 4, Speed: 1, MemoryKB: 1e6, Preemption: preemption})
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = daemon.Stop() })
 	if hang {
@@ -57,15 +57,15 @@
 // its runs had been stopped was counted as time that requests need.
 func TestFullServiceAfterAHangThatIsOver(t *testing.T) {
 	for _, deadline := range []time.Duration{400 * time.Millisecond, 2 * time.Second} {
-		for _, halt := range []string{emulator.PreemptionSuspend, emulator.PreemptionNone} {
-			t.Run(deadline.String()+" "+halt, func(t *testing.T) {
+		for _, preemption := range []string{emulator.PreemptionSuspend, emulator.PreemptionNone} {
+			t.Run(deadline.String()+" "+preemption, func(t *testing.T) {
 				t.Parallel()
 				without := make(chan []int, 1)
 				go func() {
-					served, _ := runWithHang(t, deadline, halt, false)
+					served, _ := runWithHang(t, deadline, preemption, false)
 					without <- served
 				}()
-				served, daemon := runWithHang(t, deadline, halt, true)
+				served, daemon := runWithHang(t, deadline, preemption, true)
 				expected := <-without
 				t.Logf("served in each second after the hang: %v, without a hang: %v; strain %+v", served, expected, daemon.Workers.PeakLoad())
 				assert.GreaterOrEqual(t, float64(sum(served)), recoveryShare*float64(sum(expected)), daemon.Log())
--- a/cmd/quartzpoint/stored_test.go
+++ b/cmd/quartzpoint/stored_test.go
@@ -157,10 +157,10 @@
 // A server that can't reach the configuration service must serve with the configuration that the recorded program had
 // stored: with its routes, and none of those in the platform's configuration.
 func TestServesWithAStoredConfiguration(t *testing.T) {
-	nobody, err := harness.FreeAddress()
+	unusedAddress, err := harness.FreeAddress()
 	require.NoError(t, err)
 	d := launchStored(t, fmt.Sprintf("[configuration]\nname = \"app\"\ndir = %q\n[[configuration.machine]]\naddress = %q\n",
-		copyStoredDir(t, "configuration"), nobody))
+		copyStoredDir(t, "configuration"), unusedAddress))
 	assert.True(t, strings.Contains(d.Log(), `msg="configuration: stored version in force" version=4 age=`) &&
 		strings.Contains(d.Log(), "routes=4 tenants=2"), d.Log())
 	for _, c := range []struct {
