--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -33,7 +33,7 @@
 }
 
 // startPeerExchange serves estimates to peers if the configuration has an address for it, and fetches estimates from
-// the peers that the configuration names. Both end with the context. stored may be nil only if settings is nil.
+// the peers that the configuration names. Both end with the context. state may be nil only if settings is nil.
 func startPeerExchange(
 	ctx context.Context, settings *config.Peers, owner *server.Server, state *statePersistence, seed int64, counters *invariant.Counters,
 	log *slog.Logger,
--- a/cmd/quartzpoint/recovery_test.go
+++ b/cmd/quartzpoint/recovery_test.go
@@ -67,7 +67,7 @@
 				}()
 				served, daemon := runWithHang(t, deadline, preemption, true)
 				expected := <-without
-				t.Logf("served in each second after the hang: %v, without a hang: %v; strain %+v", served, expected, daemon.Workers.PeakLoad())
+				t.Logf("served in each second after the hang: %v, without a hang: %v; peak load %+v", served, expected, daemon.Workers.PeakLoad())
 				assert.GreaterOrEqual(t, float64(sum(served)), recoveryShare*float64(sum(expected)), daemon.Log())
 				assert.LessOrEqual(t, daemon.Workers.PeakLoad().Runs, 1.0)
 			})
