--- a/cmd/quartzpoint-bench/peersgroup.go
+++ b/cmd/quartzpoint-bench/peersgroup.go
@@ -116,7 +116,7 @@
 	return n
 }
 
-// extraStarts returns, for each sampled moment, how many requests more than b group a had started.
+// extraStarts returns, for each sampled moment, the number of requests that group a had started in excess of group b.
 func extraStarts(a, b *group, span time.Duration) (extra []float64) {
 	for at := sampleInterval; at <= span; at += sampleInterval {
 		extra = append(extra, float64(a.startedBy(at)-b.startedBy(at)))
--- a/cmd/quartzpoint/drain_test.go
+++ b/cmd/quartzpoint/drain_test.go
@@ -57,7 +57,7 @@
 
 // A router that keeps its connection open and sends nothing must not keep the process running until its stop. The
 // connection is closed 0.1 s before the stop. Connections used to be checked only every 0.1 s, so in half of the drains
-// the process ran until the last moment, in a race with the kill.
+// the process ran until the stop itself, in a race with the kill.
 func TestSilentConnectionsDoNotKeepTheProcess(t *testing.T) {
 	for stop := int64(700); stop < 800; stop += 20 { // covers each phase of those checks; the grace ends 0.4 s before each stop
 		t.Run(fmt.Sprint(stop), func(t *testing.T) {
--- a/cmd/quartzpoint/memory_test.go
+++ b/cmd/quartzpoint/memory_test.go
@@ -24,8 +24,8 @@
 	return kb
 }
 
-// With 8 or 16 MB of memory, the runtime's share of it is less than what the idle runtime uses. Near its memory limit
-// the runtime used to collect without end.
+// With 8 or 16 MB of memory, the idle runtime uses more than the share of it that the runtime's memory limit would
+// allow. Near that limit the runtime used to collect without end.
 func TestLittleMemory(t *testing.T) {
 	for _, mb := range []int{8, 16, 32} {
 		t.Run(fmt.Sprint(mb), func(t *testing.T) {
--- a/cmd/quartzpoint/stored_test.go
+++ b/cmd/quartzpoint/stored_test.go
@@ -22,7 +22,8 @@
 // The directories in testdata were written by the program of commit f1daac1, which was killed while it served.
 // state-torn has lost the last five bytes of its log.
 
-// copyStoredDir copies a directory of testdata to where it may be changed, and returns the copy's path.
+// copyStoredDir copies a directory of testdata to a temporary directory, where the test may change it, and returns the
+// copy's path.
 func copyStoredDir(t *testing.T, name string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), name)
