--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -18,21 +18,21 @@
 
 // measurePeers compares new servers that fetch estimates from peers with twins that do not, under the same arrivals.
 type measurePeers struct {
-	Daemon string        `default:"bin/quartzpoint" help:"The daemon's program."`
+	Daemon string        `default:"bin/quartzpoint" help:"Path of the daemon's binary."`
 	Seeds  int           `default:"10" help:"Number of seeds, each with all groups of servers."`
-	Group  int           `default:"8" help:"New servers in a group; their results are added up, as a few requests change that of a single server."`
+	Group  int           `default:"8" help:"Number of new servers in a group; their results are summed, because a few requests can change the result of a single server."`
 	Warm   time.Duration `default:"12s" help:"Duration of the running peer's load before the new servers start."`
 	Span   time.Duration `default:"10s" help:"Duration of the new servers' load."`
-	Load   float64       `default:"1.2" help:"Load as a share of the pools' capacity."`
+	Load   float64       `default:"1.2" help:"Load as a fraction of the pools' capacity."`
 	Cores  float64       `default:"4" help:"Cores of each emulated pool."`
 }
 
 // peersResult is the result of one seed.
 type peersResult struct {
-	fresh, stale, recent         float64   // value served with a fresh, stale or recent snapshot, over that of the cold twin
-	twins                        float64   // value served by a second cold twin, over that of the first
-	extraStarts, twinExtraStarts []float64 // requests started more than the cold twin at each sampled moment, with the stale snapshot and by the second twin
-	polled, unpolledTwins        float64   // value served by the polled servers and by a twin of the unpolled ones, over that of the unpolled ones
+	fresh, stale, recent         float64   // value served over that of the cold twin: with a fresh snapshot, and on slower machines with a stale and with a recent one
+	twins                        float64   // value served by a second cold twin over that of the first, on slower machines
+	extraStarts, twinExtraStarts []float64 // at each sampled moment, the requests started in excess of the cold twin: with the stale snapshot, and by the second cold twin
+	polled, unpolledTwins        float64   // value served over that of the unpolled servers: by the polled servers, and by a twin of the unpolled ones
 	snapshotBytes                float64   // size of a snapshot
 	fetches                      int       // number of answered fetches
 	fetchDuration                time.Duration
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -33,9 +33,9 @@
 }
 
 // startPeerExchange serves estimates to peers if the configuration has an address for it, and fetches estimates from
-// the peers that the configuration names. Both end with the context. stored may be nil only if settings is nil.
+// the peers that the configuration names. Both end with the context. state may be nil only if settings is nil.
 func startPeerExchange(
-	ctx context.Context, settings *config.Peers, owner *server.Server, stored *statePersistence, seed int64, counters *invariant.Counters,
+	ctx context.Context, settings *config.Peers, owner *server.Server, state *statePersistence, seed int64, counters *invariant.Counters,
 	log *slog.Logger,
 ) (*peerExchange, error) {
 	e := &peerExchange{config: settings}
@@ -59,7 +59,7 @@
 	}
 	var needsEstimates atomic.Bool
 	needsEstimates.Store(true)
-	stored.publish = append(stored.publish, func(snapshot estimate.Snapshot, at time.Duration) {
+	state.publish = append(state.publish, func(snapshot estimate.Snapshot, at time.Duration) {
 		needsEstimates.Store(snapshot.NeedsPeers())
 		if e.server != nil {
 			e.server.Publish(snapshot, at)
@@ -67,7 +67,7 @@
 	})
 	if len(settings.Addresses) > 0 {
 		fetcher := &peersync.Fetcher{
-			Peers: settings.Addresses, Keys: keys, FirstWait: settings.FirstWait, Schema: stored.schema, Recovered: stored.recovered, Seed: seed,
+			Peers: settings.Addresses, Keys: keys, FirstWait: settings.FirstWait, Schema: state.schema, Recovered: state.recovered, Seed: seed,
 			NeedsEstimates: needsEstimates.Load, Use: owner.UsePeerEstimates, Counts: counters, Log: log,
 		}
 		go fetcher.Run(ctx)
@@ -124,8 +124,7 @@
 	return encoder.Encode(value)
 }
 
-// printEstimates prints a snapshot as a table. The weight of an estimate is the number of the reader's own samples for
-// which it counts.
+// printEstimates prints a snapshot as a table. An estimate of weight n counts as much as n samples of the reader's own.
 func printEstimates(writer io.Writer, snapshot estimate.Snapshot) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "estimate\tmean\tspread\tsamples\tage\tweight\t\n")
--- a/cmd/quartzpoint/stored_test.go
+++ b/cmd/quartzpoint/stored_test.go
@@ -22,7 +22,8 @@
 // The directories in testdata were written by the program of commit f1daac1, which was killed while it served.
 // state-torn has lost the last five bytes of its log.
 
-// copyStoredDir copies a directory of testdata to where it may be changed, and returns the copy's path.
+// copyStoredDir copies a directory of testdata to a temporary directory, where the test may change it, and returns the
+// copy's path.
 func copyStoredDir(t *testing.T, name string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), name)
@@ -157,10 +158,10 @@
 // A server that can't reach the configuration service must serve with the configuration that the recorded program had
 // stored: with its routes, and none of those in the platform's configuration.
 func TestServesWithAStoredConfiguration(t *testing.T) {
-	nobody, err := harness.FreeAddress()
+	unusedAddress, err := harness.FreeAddress()
 	require.NoError(t, err)
 	d := launchStored(t, fmt.Sprintf("[configuration]\nname = \"app\"\ndir = %q\n[[configuration.machine]]\naddress = %q\n",
-		copyStoredDir(t, "configuration"), nobody))
+		copyStoredDir(t, "configuration"), unusedAddress))
 	assert.True(t, strings.Contains(d.Log(), `msg="configuration: stored version in force" version=4 age=`) &&
 		strings.Contains(d.Log(), "routes=4 tenants=2"), d.Log())
 	for _, c := range []struct {
