--- a/admission/admit.go
+++ b/admission/admit.go
@@ -23,7 +23,8 @@
 		return false
 	}
 	// Reads share the cores with runs and take precedence: a request that is read late has little time left when it is
-	// decided on. At most one read per core is in progress at a time, so some runs always continue.
+	// decided on. At most one read per core counts, which is below maxRunsAndReadsPerCore, so reads alone can't
+	// block all starts.
 	if count.onCores+c.runnableReads >= c.settings.Cores*maxRunsAndReadsPerCore {
 		return false
 	}
@@ -55,7 +56,8 @@
 // memoryKB returns the upper bound on planned memory in KiB.
 func (c *Controller) memoryKB() float64 { return c.settings.MemoryKB * plannedShare }
 
-// memoryUsedKB returns the memory of requests queued and in flight and of idempotency keys in KiB.
+// memoryUsedKB returns the memory of requests queued and in flight and of idempotency keys in KiB. A duplicate that
+// waits for its original takes as much as a queued request.
 func (c *Controller) memoryUsedKB() float64 {
 	kb := float64(len(c.keyed)) * c.settings.KeyKB
 	for _, request := range c.queue {
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -15,13 +15,13 @@
 	decisions        []string
 	retryAfter       time.Duration // advice of the last rejection
 	noRetryElsewhere bool
-	closeAfter       time.Duration
+	closeAfter       time.Duration // last idle timeout for connections
 	lastTimeout      time.Duration // timeout of the last call
-	at               time.Duration
+	at               time.Duration // current time
 }
 
-// testSettings returns the settings of a server with four cores and a route of each idempotency, modified by change if
-// not nil.
+// testSettings returns the settings of a server with four cores, modified by change if not nil. Routes 0, 1 and 2 are
+// retryable, keyed and at-most-once.
 func testSettings(change func(*Settings)) Settings {
 	settings := DefaultSettings()
 	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.KeyKB = 4, 10000, 10, 50
@@ -48,12 +48,14 @@
 	return b
 }
 
-func (b *bench) request(name string, kind int) *Request {
-	request := &Request{Route: b.Routes[kind], QueuedKB: 10, Arrived: b.at, Rank: 0.99}
+// request returns a request of the route with an index, which arrives now.
+func (b *bench) request(name string, route int) *Request {
+	request := &Request{Route: b.Routes[route], QueuedKB: 10, Arrived: b.at, Rank: 0.99}
 	b.names[request] = name
 	return request
 }
 
+// round has the controller process a round at the current time, and returns the decisions.
 func (b *bench) round(r Round) string {
 	b.decisions = nil
 	r.Now = b.at
@@ -61,6 +63,7 @@
 	return strings.Join(b.decisions, ", ")
 }
 
+// pass advances the time by span, with a tick for each tickInterval, and returns the decisions.
 func (b *bench) pass(span time.Duration, g Gauges) string {
 	var all []string
 	for end := b.at + span; b.at < end; {
@@ -72,6 +75,7 @@
 	return strings.Join(all, ", ")
 }
 
+// run lets a request arrive, run for span and succeed.
 func (b *bench) run(request *Request, span time.Duration) {
 	b.round(Round{Arrived: []*Request{request}})
 	b.at += span
--- a/admission/callcapacity.go
+++ b/admission/callcapacity.go
@@ -32,10 +32,10 @@
 	quota        float64 // mean number of calls in progress that the dependency survives from this server
 	capacity     float64 // mean number of calls in progress that this server plans for
 	credit       float64 // unused call-seconds; below 0 if calls used more than the capacity
-	pacingCycles float64 // elapsed since the start, offset by a random phase
+	pacingCycles float64 // cycles elapsed since the start, plus a random phase; see pacingAllows
 
 	outcomes       *slidingSums // see callTotals
-	inProgress     *slidingSums // call-seconds
+	inProgress     *slidingSums // call-seconds, over the window of the quota
 	seconds        movingMean   // seconds of a call
 	sample         sampleStats  // the same, for other servers
 	assumedSeconds float64      // seconds that a call is assumed to take before any is measured
@@ -69,7 +69,8 @@
 	c.assumedSeconds = max(c.assumedSeconds, seconds)
 }
 
-// refill adds the credit and the pacing cycles of a number of seconds.
+// refill adds the credit and the pacing cycles that accrue in a number of seconds. Unused credit accumulates up to that
+// of one second.
 func (c *callCapacity) refill(passed float64) {
 	c.credit = min(c.credit+c.capacity*passed, c.capacity)
 	c.pacingCycles += passed * c.capacity / c.expectedSeconds()
@@ -86,8 +87,9 @@
 	return cmp.Or(c.seconds.mean, c.peerCallSeconds(), c.assumedSeconds)
 }
 
-// peerCallSeconds returns how long calls take at peers until the first call of this server has returned, and 0 after
-// that or if unknown. It can only make the server wait longer or skip a call sooner.
+// peerCallSeconds returns how long calls take at peers. It returns 0 if that is unknown, or once a call of this server
+// has succeeded. In the pacing it replaces the assumed time of a call; elsewhere it can only make the server wait
+// longer or skip a call sooner.
 func (c *callCapacity) peerCallSeconds() float64 {
 	if c.seconds.count > 0 || c.peerSeconds.weight == 0 {
 		return 0
@@ -95,12 +97,13 @@
 	return c.peerSeconds.estimate.Mean
 }
 
-// pacingAllows reports whether the pacing of calls allows a call now. If a call takes longer than a server's quota
-// covers, pacing spreads the calls of the fleet over time: hundreds of servers that make one call each at the same
-// time, after a release or in a burst, exceed what the dependency survives. There is one pacing cycle per call that the
-// capacity allows, with a random phase on each server. A call may be made only in the first part of a cycle. The
-// fraction of that part is the call-seconds per window that the quota leaves above the capacity, divided by the
-// expected seconds of a call.
+// pacingAllows reports whether the pacing of calls allows a call now. Pacing spreads the calls of the fleet over time:
+// hundreds of servers that make one call each at the same time, after a release or in a burst, exceed what the
+// dependency survives. A pacing cycle is the time in which the capacity allows one call; each server has a random
+// phase. A call may be made only in the first part of a cycle. That part is, as a fraction of the cycle, the
+// call-seconds per window between the capacity and plannedShare of the quota, divided by the expected seconds of a
+// call. So pacing restricts calls only if one takes longer than these call-seconds. There is no pacing without a
+// configured quota.
 func (c *callCapacity) pacingAllows() bool {
 	window := max(c.window, tickInterval).Seconds()
 	spare := (c.quota*plannedShare - c.capacity) * window
@@ -116,8 +119,8 @@
 
 func callTotalsOf(sums [maxSums]float64) callTotals { return callTotals{sums[0], sums[1], sums[2]} }
 
-// recentCalls sums up the latest calls. A small server has one call in progress at a time, so a call that takes long
-// counts before its end.
+// recentCalls sums up the latest calls. A small server may have only one call in progress at a time, so a call that
+// takes much longer than the mean counts before its end.
 func (c *Controller) recentCalls(parts int) callTotals {
 	totals := callTotalsOf(c.calls.outcomes.recent(c.now, parts))
 	for _, request := range c.active {
@@ -135,12 +138,13 @@
 	return time.Duration(max(recent.seconds/max(recent.returned, 1), c.calls.peerCallSeconds()) * float64(time.Second))
 }
 
-// calibrateCalls moves the capacity like the in-flight limit: up while calls wait for capacity and return as usual,
-// down by backoffFactor when calls are rejected or take much longer than usual.
+// calibrateCalls moves the capacity like the in-flight limit: up by callIncrease of the quota while calls wait for
+// capacity and return as usual, and down to backoffFactor times its value when calls are rejected or take much longer
+// than usual.
 func (c *Controller) calibrateCalls() {
 	calls := &c.calls
 	recent := c.recentCalls(recentCallParts)
-	// The mean of a few calls varies widely.
+	// The mean of a few calls varies widely, so the fewer the calls, the higher the threshold.
 	slow := latencyBackoffRatio * (1 + halfWeightSamples/max(recent.returned, 1)) * calls.seconds.mean
 	calls.strained = recent.rejected > 0 || calls.seconds.count > 0 && recent.returned > 0 && recent.seconds/recent.returned > slow
 	switch {
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -10,7 +10,7 @@
 const (
 	lostCallFactor        = 8.0 // multiple of the mean call time after which a call that may be repeated is abandoned
 	maxCallBackoffPower   = 6   // maximum number of doublings of the delay between attempts of a call
-	minCallWorkDivisor    = 4   // minimum work assumed to remain at a run's call: its expected work divided by this
+	minCallWorkDivisor    = 4   // minimum work assumed to remain after a run's call: its expected work divided by this
 	minCallTurnarounds    = 2   // turnarounds (wait and call) for which there has to be time; otherwise the request skips its call
 	minOverQuotaCallTimes = 2   // minimum timeout of a call beyond the quota, in mean call times
 )
@@ -147,7 +147,7 @@
 func (c *Controller) callTimeout(request *Request, rest time.Duration, inProgress float64) time.Duration {
 	calls := &c.calls
 	timeout := request.usefulUntil - c.now
-	if request.Route.SkipValueShare > 0 {
+	if request.Route.SkipValueShare > 0 { // after the timeout, its run still has to continue without the call
 		timeout -= rest
 	}
 	if inProgress+1 > calls.quota {
@@ -158,8 +158,8 @@
 		timeout = min(timeout, max(time.Duration(left*float64(time.Second)), minOverQuotaCallTimes*c.callTime()))
 	}
 	if calls.seconds.count > 0 && request.Route.Idempotency == Retryable {
-		// A call that is never answered would occupy its place until its request is aborted. It is made again, with a
-		// longer timeout each time, as the dependency may only have become slow.
+		// A call that is never answered would use up capacity until its request is aborted. It is abandoned and made
+		// again, with a longer timeout each time, as the dependency may only have become slow.
 		lost := calls.seconds.mean * lostCallFactor * callBackoff(request)
 		timeout = min(timeout, time.Duration(lost*float64(time.Second)))
 	}
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -11,9 +11,9 @@
 func TestCallsUnderStrain(t *testing.T) {
 	b := newBench(nil)
 	b.calls.strained, b.calls.capacity = true, 1
-	skips, cannot := b.request("skips", 0), b.request("cannot", 2)
-	b.round(Round{Arrived: []*Request{skips, cannot}})
-	assert.Equal(t, "call cannot, skip skips", b.round(Round{AwaitingCall: []*Request{skips, cannot}}))
+	skippable, required := b.request("skippable", 0), b.request("required", 2)
+	b.round(Round{Arrived: []*Request{skippable, required}})
+	assert.Equal(t, "call required, skip skippable", b.round(Round{AwaitingCall: []*Request{skippable, required}}))
 	for _, c := range []struct {
 		outcome  Outcome
 		capacity float64
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -31,7 +31,7 @@
 	ticks    int
 
 	queue  []*Request // ordered by answerBy
-	active []*Request // in flight, awaiting an original, or answered with an unfinished run
+	active []*Request // in flight, including answered requests, or awaiting an original
 	keyed  []*Request // with an entry in the table of idempotency keys
 
 	limit       inFlightLimit
@@ -183,10 +183,11 @@
 	request.phase = next
 }
 
-// chargePhase charges the time since the last charge to the request's phase.
+// chargePhase charges the time since the last charge to the request's phase: a call uses credit of the capacity for
+// calls, and a run on the cores adds to the core time of the request and of its route.
 func (c *Controller) chargePhase(request *Request) {
-	spent := c.now - request.phaseSince
-	request.phaseSince = c.now
+	spent := c.now - request.chargedAt
+	request.chargedAt = c.now
 	if request.phase == calling {
 		c.calls.charge(c.now, spent)
 	}
@@ -231,7 +232,7 @@
 	c.release(request)
 }
 
-// release removes a request that takes no more resources.
+// release removes a request that takes no more resources from the queue and from active.
 func (c *Controller) release(request *Request) {
 	isRequest := func(other *Request) bool { return other == request }
 	c.queue, c.active = slices.DeleteFunc(c.queue, isRequest), slices.DeleteFunc(c.active, isRequest)
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -8,8 +8,8 @@
 //
 // The rules by file:
 //
-//	limit.go         how many requests run at once: the in-flight limit of docs/design.md
-//	admit.go         whether the first queued request may start: limit, concurrency, memory, reads
+//	limit.go         how many requests are in flight at once: the in-flight limit of docs/design.md
+//	admit.go         whether the first queued request may start: limit, concurrency, memory, reads of requests, trial
 //	queue.go         the queue by deadline; arrival, cancellation and expiry
 //	shed.go          which queued requests are rejected because they can't be served in time, and the value of each
 //	shedlevel.go     the level that asks callers to send less
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -9,7 +9,7 @@
 
 // drain is the state of a graceful shutdown.
 type drain struct {
-	deadline   time.Duration // latest time of all answers; 0 before the notice
+	deadline   time.Duration // time by which all requests are answered; 0 before the notice
 	notifiedAt time.Duration
 }
 
@@ -37,5 +37,6 @@
 	for _, request := range slices.Concat(c.queue, c.active) {
 		c.drain.capDeadlines(request)
 	}
+	// The recordings of internal/testkit/replay contain this text: "held" means queued.
 	executor.Log(fmt.Sprintf("leaving: %d held, %.0f in flight", len(c.queue), c.inFlight().total))
 }
--- a/admission/health.go
+++ b/admission/health.go
@@ -40,6 +40,7 @@
 	failing := ended >= minRunsJudged && failed > ended*failingShare
 	if failing != c.health.failing && !c.drain.begun() {
 		executor.SetHealth(!failing, true)
+		// The recordings of internal/testkit/replay contain this text: "erring" means that the server is ejected.
 		executor.Log(fmt.Sprintf("erring: %t, %.0f of %.0f runs broken", failing, failed, ended))
 	}
 	c.health.failing = failing
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -14,8 +14,8 @@
 		b.round(Round{Arrived: []*Request{x}})
 		b.round(Round{RunsEnded: []Completion{{Request: x, Outcome: Failed}}})
 	}
-	decisions := b.round(Round{Arrived: []*Request{b.request("probe", 2), b.request("spared", 2)}})
-	assert.Equal(t, "reject spared, start probe", decisions)
+	decisions := b.round(Round{Arrived: []*Request{b.request("probe", 2), b.request("other", 2)}})
+	assert.Equal(t, "reject other, start probe", decisions)
 	assert.Equal(t, maxShedLevel, b.shedding.level)
 	assert.Contains(t, b.pass(3*time.Second, Gauges{}), "health true", "the server returns to service by itself")
 }
--- a/admission/idle.go
+++ b/admission/idle.go
@@ -57,8 +57,8 @@
 	return returned / read, read >= minRequestsJudged
 }
 
-// tuneIdleTimeout closes idle connections sooner the less they are reused. An open connection takes part of the cores
-// and an entry in a table of limited size. When the table is full, callers are refused without the server noticing.
+// tuneIdleTimeout closes idle connections sooner the less they are reused. An open connection costs core time and takes
+// an entry in a table of limited size. When the table is full, callers are refused without the server noticing.
 func (c *Controller) tuneIdleTimeout(executor Executor) {
 	idleTimeout := c.settings.IdleTimeout
 	c.connections.forget(c.now, idleTimeout)
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -24,7 +24,7 @@
 	// state.
 	maxGaugesAge = 4 * tickInterval
 
-	maxInFlightPerCore = 6.0 // requests
+	maxInFlightPerCore = 6.0 // requests per core that the limit never exceeds
 	ticksPerLimitRaise = 4   // ticks between raises while the CPU is below raiseBelowCPU
 )
 
@@ -55,11 +55,11 @@
 
 // inFlightLimit bounds the requests in flight: on the cores, at calls and waiting for them.
 type inFlightLimit struct {
-	value          float64 // requests
-	minimum        float64 // requests; the number of cores
-	backoff        Backoff // first event since the last calibration
-	reduction      *LimitReduction
-	gaugesOutdated bool // the gauges are older than maxGaugesAge
+	value          float64         // requests
+	minimum        float64         // requests; the number of cores
+	backoff        Backoff         // first event since the last calibration
+	reduction      *LimitReduction // latest one, until TakeLimitReduction returns it
+	gaugesOutdated bool            // the gauges are older than maxGaugesAge
 	calibratedAt   time.Duration
 	busyRoutes     map[*routeStats]bool // routes whose runs ended recently: only their latency can have risen
 }
@@ -115,7 +115,8 @@
 	}
 }
 
-// TakeLimitReduction returns the reduction of the in-flight limit since the last call, and nil if there was none.
+// TakeLimitReduction returns the latest reduction of the in-flight limit since the last call, and nil if there was
+// none.
 func (c *Controller) TakeLimitReduction() *LimitReduction {
 	reduction := c.limit.reduction
 	c.limit.reduction = nil
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -101,8 +101,8 @@
 			if !t.answered {
 				t.answered = true
 				p.answers[t.Request]++
-				if kind := p.routes[t.arrival.Route]; p.now-t.Arrived <= kind.LatencyTarget {
-					p.valueInTime += kind.Value
+				if route := p.routes[t.arrival.Route]; p.now-t.Arrived <= route.LatencyTarget {
+					p.valueInTime += route.Value
 				}
 			}
 		}
@@ -142,9 +142,9 @@
 }
 
 func (p *simulatedServer) Start(request *admission.Request) {
-	of := p.requests[request]
-	of.startedAt = p.now
-	p.running = append(p.running, of)
+	started := p.requests[request]
+	started.startedAt = p.now
+	p.running = append(p.running, started)
 	for at := int((p.now - time.Second) / startsInterval); len(p.starts) <= at; {
 		p.starts = append(p.starts, 0)
 	}
@@ -195,23 +195,23 @@
 	return peer.snapshot()
 }
 
-// simulatePair simulates the same arrivals on two servers that have just started, one without and one with the estimates of
-// peers.
-func simulatePair(t require.TestingT, snapshot estimate.Snapshot, m harness.Machine, seed int64) (cold, withPeers *simulatedServer) {
+// simulatePair simulates the same arrivals on two servers that have just started, one without and one with the
+// estimates of peers.
+func simulatePair(t require.TestingT, snapshot estimate.Snapshot, m harness.Machine, seed int64) (withoutPeers, withPeers *simulatedServer) {
 	routes := harness.BookingRoutes()
 	load := harness.Arrivals(routes, harness.Rate(routes, fourCores, 1.2), 10*time.Second, seed+100)
-	cold, withPeers = simulate(routes, m, load, 2), simulate(routes, m, load, 3)
+	withoutPeers, withPeers = simulate(routes, m, load, 2), simulate(routes, m, load, 3)
 	validated, err := withPeers.schema.Validate(snapshot)
 	require.NoError(t, err)
 	withPeers.controller.UsePeerEstimates(withPeers.now, validated)
-	for _, p := range []*simulatedServer{cold, withPeers} {
+	for _, p := range []*simulatedServer{withoutPeers, withPeers} {
 		p.advanceTo(16 * time.Second)
 		for _, n := range p.answers {
 			require.Equal(t, 1, n, "answers to one request")
 		}
 		require.Len(t, p.answers, len(load))
 	}
-	return cold, withPeers
+	return withoutPeers, withPeers
 }
 
 // A fresh snapshot of peers has to raise the value served on average over the seeds; simulated.
@@ -219,8 +219,8 @@
 	sum := 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		cold, fresh := simulatePair(t, peerSnapshot(harness.BookingRoutes(), fourCores, seed), fourCores, seed)
-		sum += fresh.valueInTime / cold.valueInTime / seeds
+		without, fresh := simulatePair(t, peerSnapshot(harness.BookingRoutes(), fourCores, seed), fourCores, seed)
+		sum += fresh.valueInTime / without.valueInTime / seeds
 	}
 	assert.Greater(t, sum, 1.01)
 }
@@ -236,14 +236,14 @@
 			snapshot.Routes[i].Core.Mean *= rapid.Float64Range(0.01, 3).Draw(t, "factor")
 		}
 		snapshot = snapshot.Aged(estimate.MaxAge(estimate.ReturnRatio))
-		cold, expired := simulatePair(t, snapshot, slow, rapid.Int64Range(0, 1000).Draw(t, "seed"))
-		assert.Equal(t, cold.starts, expired.starts)
-		assert.Equal(t, cold.valueInTime, expired.valueInTime)
+		without, expired := simulatePair(t, snapshot, slow, rapid.Int64Range(0, 1000).Draw(t, "seed"))
+		assert.Equal(t, without.starts, expired.starts)
+		assert.Equal(t, without.valueInTime, expired.valueInTime)
 	})
 }
 
-// As before, but the snapshot is a few seconds old and still has weight: own runs must correct it before it costs
-// value.
+// Servers are three times slower than when the snapshot was taken, but it is a few seconds old and still has weight:
+// own runs must correct it before it costs value.
 func TestRecentSnapshotOfFasterServers(t *testing.T) {
 	slow := fourCores
 	slow.Speed /= 3
@@ -251,11 +251,11 @@
 	const seeds = 20
 	for seed := range int64(seeds) {
 		snapshot := peerSnapshot(harness.BookingRoutes(), fourCores, seed).Aged(5 * time.Second)
-		cold, recent := simulatePair(t, snapshot, slow, seed)
-		sum += recent.valueInTime / cold.valueInTime / seeds
+		without, recent := simulatePair(t, snapshot, slow, seed)
+		sum += recent.valueInTime / without.valueInTime / seeds
 		a, b := 0, 0
-		for i := range min(len(cold.starts), len(recent.starts)) {
-			a, b = a+cold.starts[i], b+recent.starts[i]
+		for i := range min(len(without.starts), len(recent.starts)) {
+			a, b = a+without.starts[i], b+recent.starts[i]
 		}
 		starts += float64(b) / float64(a) / seeds
 	}
@@ -282,12 +282,12 @@
 	for i := range load {
 		load[i].At += later
 	}
-	cold := simulate(harness.BookingRoutes(), fourCores, nil, 2)
-	cold.advanceTo(later)
-	cold.load, idle.load = load, load
-	cold.advanceTo(later + 10*time.Second)
+	without := simulate(harness.BookingRoutes(), fourCores, nil, 2)
+	without.advanceTo(later)
+	without.load, idle.load = load, load
+	without.advanceTo(later + 10*time.Second)
 	idle.advanceTo(later + 10*time.Second)
-	assert.Equal(t, cold.starts, idle.starts)
+	assert.Equal(t, without.starts, idle.starts)
 }
 
 // During a cold start the estimates of warm peers are divided by the current speed, and used as they are at the end of
@@ -298,8 +298,8 @@
 	sum := 0.0
 	const seeds = 20
 	for seed := range int64(seeds) {
-		cold, fresh := simulatePair(t, peerSnapshot(harness.BookingRoutes(), fourCores, seed), m, seed)
-		sum += fresh.valueInTime / cold.valueInTime / seeds
+		without, fresh := simulatePair(t, peerSnapshot(harness.BookingRoutes(), fourCores, seed), m, seed)
+		sum += fresh.valueInTime / without.valueInTime / seeds
 	}
 	assert.Greater(t, sum, 0.99)
 }
--- a/admission/peers.go
+++ b/admission/peers.go
@@ -7,8 +7,8 @@
 )
 
 // Estimates of peers are kept apart from the measurements of this server: they are not passed on, own samples outweigh
-// them as they accumulate, and from estimate.MaxAge on they have no weight. They predict how long work takes; they
-// never move the in-flight limit, the capacity for calls or the shed level.
+// them as they accumulate, and from estimate.MaxAge on they have no weight. They predict how long work and calls take
+// and how often routers return; they never directly move the in-flight limit, the capacity for calls or the shed level.
 
 const (
 	scalePriorRuns = 2.0 // weight, in runs, of the assumption that this machine is as fast as those of the peers
@@ -74,7 +74,7 @@
 
 // prior returns the value that is expected before recent runs are considered, from this server's own mean and the
 // peers' estimate, and its weight in runs. While there are no own runs, own.mean is an assumed value that counts as one
-// run, so that the peers' estimate fades into it as it ages.
+// run, so that the peers' estimate fades into it as it ages; 0 means that there is no such value.
 func (c *Controller) prior(own movingMean, peer *peerEstimate) (mean, runs float64) {
 	if peer.weight == 0 {
 		return own.mean, priorRuns
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -35,7 +35,7 @@
 
 // setDeadlines sets when the request is answered at the latest, and until when an answer earns value.
 func (c *Controller) setDeadlines(request *Request) {
-	request.phaseSince = c.now
+	request.chargedAt = c.now
 	request.answerBy = request.Arrived + request.Route.Deadline
 	if request.Deadline > 0 {
 		request.answerBy = request.Deadline
@@ -95,8 +95,8 @@
 	c.queue = slices.Insert(c.queue, i, request)
 }
 
-// cancel releases the resources of a request whose caller no longer waits. Only the run of a retryable request is
-// stopped: the caller of a keyed one may retry with its key, and is then answered from this run.
+// cancel releases the resources of a request whose caller no longer waits. A run on the cores is stopped only if the
+// request is retryable: the caller of a keyed one may retry with its key, and is then answered from this run.
 func (c *Controller) cancel(request *Request, executor Executor) {
 	switch request.phase {
 	case queued, awaitingOriginal:
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -92,12 +92,12 @@
 	assert.Equal(t, "reject b", b.round(Round{Arrived: []*Request{b.request("b", 1)}}), "no run without memory for the key's entry")
 	assert.Empty(t, b.round(Round{Arrived: []*Request{b.request("c", 0)}}), "no start beyond the memory bound")
 	b = newBench(func(s *Settings) { s.MemoryKB, s.Cores = 600, 0 })
-	var heap []*Request
+	var burst []*Request
 	for i := range 56 {
-		heap = append(heap, b.request("low", i/55*2))
+		burst = append(burst, b.request("low", i/55*2))
 	}
-	assert.Equal(t, "reject low, reject low", b.round(Round{Arrived: heap}), "not the one of higher value")
-	assert.Contains(t, b.queue, heap[55])
+	assert.Equal(t, "reject low, reject low", b.round(Round{Arrived: burst}), "not the one of higher value")
+	assert.Contains(t, b.queue, burst[55])
 }
 
 func TestCanceledRequests(t *testing.T) {
--- a/admission/reject.go
+++ b/admission/reject.go
@@ -24,7 +24,7 @@
 	if !c.settings.RetryAfter {
 		return 0
 	}
-	return min(request.phaseSince-request.Arrived+request.queueExcess, c.settings.MaxRetryAfter)
+	return min(request.chargedAt-request.Arrived+request.queueExcess, c.settings.MaxRetryAfter)
 }
 
 // noRetryElsewhere reports whether an attempt at another server would be wasted: not even a faster one has time for the
--- a/admission/reject_test.go
+++ b/admission/reject_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// If the settings do not allow preemption, a Preempt is a fault that ends the simulated day. Runs of requests that are
-// aborted or canceled continue to their end, and count on the cores until then.
+// If the settings do not allow preemption, the platform treats the stop of a run as a fault and ends its simulation.
+// Runs of requests that are aborted or canceled continue to their end, and count on the cores until then.
 func TestNoPreemptionWhenSettingsAllowNone(t *testing.T) {
 	for _, how := range []string{"aborted", "canceled"} {
 		t.Run(how, func(t *testing.T) {
--- a/admission/request.go
+++ b/admission/request.go
@@ -18,8 +18,8 @@
 	Duplicate  bool          // its idempotency key is already known: it is answered from the original request
 
 	phase        phase
-	phaseSince   time.Duration
-	started      bool          // a run of it was started, now or earlier
+	chargedAt    time.Duration // when its phase was last charged; while it is queued, when it was read
+	started      bool          // a run of it has been started
 	answered     bool          // it has its final answer, or its caller no longer waits
 	keyExpiresAt time.Duration // when the entry of its idempotency key expires; 0 without an entry
 	answerBy     time.Duration // latest time of its answer, whatever happens
--- a/admission/route.go
+++ b/admission/route.go
@@ -23,7 +23,7 @@
 	Idempotency     Idempotency
 	CallsDependency bool
 	SkipValueShare  float64       // value of an answer without the call, as a fraction of Value; 0 if the call can't be skipped
-	CallWait        time.Duration // time off the cores that a run waits for calls of its own; it has to start earlier by as much
+	CallWait        time.Duration // expected time off the cores for the calls that a request is composed of; its run has to start earlier by as much
 
 	index int // in Controller.Routes
 	*routeStats
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -15,7 +15,7 @@
 
 	// MaxRunnablePerCore is the number of runs per core, on the cores or at calls, that a warm server survives.
 	MaxRunnablePerCore float64
-	Cold               bool          // the server has a cold start and warms up over WarmUp
+	Cold               bool          // the server starts cold and warms up over WarmUp
 	ColdSpeed          float64       // speed right after a cold start, as a fraction of the warm speed
 	WarmUp             time.Duration // time from a cold start to full speed
 
@@ -99,7 +99,7 @@
 const (
 	ShedLevelNone      ShedLevelFormat = iota // answers carry no shed level
 	ShedLevelThreshold                        // the rank below which routers send no requests
-	ShedLevelShare                            // the fraction of requests that routers do not send elsewhere
+	ShedLevelShare                            // the fraction of requests that routers still send to this server
 )
 
 // Reconfigure sets the settings that may change while the server runs. They apply from the next round on.
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -5,7 +5,8 @@
 const (
 	// plannedWaitShare is the maximum planned wait of a request, as a fraction of the time for which it could wait.
 	plannedWaitShare = 0.75
-	// medianToMean is the ratio of the median to the mean of a route's core times: a few long runs dominate the mean.
+	// medianToMean is the assumed ratio of the median to the mean of a route's core times. A few long runs dominate the
+	// mean, so whether a request has time for its run is decided by the median.
 	medianToMean = 0.7
 	// minRemainingDivisor determines the least work assumed to remain while a run is on the cores: its expected work
 	// divided by this.
--- a/admission/shedlevel.go
+++ b/admission/shedlevel.go
@@ -22,10 +22,10 @@
 
 // shedLevel holds the shed level and the measurements that move it.
 type shedLevel struct {
-	level      float64 // from 0 to maxShedLevel
-	advertised float64 // value that answers carry, in the format of the settings
-	work       *slidingSums
-	unread     *slidingSums
+	level      float64      // from 0 to maxShedLevel
+	advertised float64      // value that answers carry, in the format of the settings
+	work       *slidingSums // core seconds of requests with a rank of at least the level: of those read, and of those shed
+	unread     *slidingSums // requests read, and the sum of the fractions that addRead counts
 }
 
 func newShedLevel() shedLevel {
@@ -47,7 +47,8 @@
 // addShed counts the work of such a request that was shed.
 func (s *shedLevel) addShed(now, work time.Duration) { s.work.add(now, 0, work.Seconds()) }
 
-// move moves the level according to the work shed and the time spent unread in the window.
+// move moves the level according to the work shed and the time spent unread in the window. While CPU use is below
+// cpuSoftLimit, the level falls in any case.
 func (s *shedLevel) move(now time.Duration, cpu float64) {
 	work, unread := s.work.sum(now), s.unread.sum(now)
 	offered, shed := work[0], work[1]
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// concurrencyShare is the maximum used fraction of the concurrency that the server survives.
+// concurrencyShare is the maximum concurrency, as a fraction of the concurrency that the server survives.
 const concurrencyShare = 0.8
 
 // slowStart is the speed of a server that is warming up after a cold start. The server is assumed to be as cold as the
 // settings state.
 type slowStart struct {
-	startSpeed float64 // speed right after the start, as a fraction of the warm speed; 1 for a warm start
-	duration   float64 // time until the warm speed, in nanoseconds
-	since      time.Duration
+	startSpeed float64       // speed right after the start, as a fraction of the warm speed; 1 for a warm start
+	duration   float64       // time until the warm speed, in nanoseconds
+	since      time.Duration // start of the warm-up
 }
 
 func newSlowStart(settings Settings) slowStart {
--- a/admission/trial_test.go
+++ b/admission/trial_test.go
@@ -66,9 +66,9 @@
 // A trial needs a core without a run, and time for the usual work.
 func TestNoTrialWithoutACoreOrTime(t *testing.T) {
 	b := hungBench(Succeeded)
-	hopeless := b.request("hopeless", 0)
-	hopeless.Deadline = b.at + answerMargin + 10*ms
-	assert.Equal(t, "reject hopeless", b.round(Round{Arrived: []*Request{hopeless}}))
+	unmeetable := b.request("unmeetable", 0)
+	unmeetable.Deadline = b.at + answerMargin + 10*ms
+	assert.Equal(t, "reject unmeetable", b.round(Round{Arrived: []*Request{unmeetable}}))
 	for range 4 {
 		b.round(Round{Arrived: []*Request{b.request("busy", 2)}})
 	}
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -5,6 +5,7 @@
 // machine. Elapsed time proves nothing, because a slow or hung machine may keep its runs for any time. Load readings
 // do: the number of runnable processes is at least that of runnable runs, and the memory in use is at least that of all
 // runs. So if the tracked runs need more of both than the machine reports, runs that account for the excess have ended.
+// For a run that needs no core, such as one that waits at a call, the memory alone decides.
 //
 // It does no I/O and reads no clock.
 package reconcile
--- a/rulecheck/rules.go
+++ b/rulecheck/rules.go
@@ -1,10 +1,11 @@
-// Package rulecheck checks a run, emulated or on sockets, against four rules, event by event:
+// Package rulecheck checks an experiment, emulated or on sockets, against four rules, event by event:
 //
 //  1. every request received gets exactly one answer before its deadline, unless its caller no longer waits;
 //  2. no effect happens twice: a request that has run is never rejected, and one with an effect starts once;
-//  3. after the notification of a shutdown no request that arrives after the grace runs, and every request received is
-//     answered before the stop;
-//  4. memory, the runs on the cores and the load of dependencies stay below what they survive.
+//  3. after the notice to shut down no request that arrives after the grace runs, and every request received is answered
+//     before the stop;
+//  4. memory use, the runs on the cores and the load of dependencies do not exceed what servers and dependencies
+//     survive.
 //
 // It stores the open attempts and the effects so far, does no I/O and reads no clock.
 package rulecheck
@@ -33,7 +34,7 @@
 	CallsOpen                        // Server is a dependency; Value is its load divided by the load that it survives
 )
 
-// Event is an event of a run. Times are since the start of the run.
+// Event is an event of an experiment. Times are since the start of the experiment.
 type Event struct {
 	Kind     Kind
 	At       time.Duration
@@ -65,7 +66,7 @@
 	open         map[uint64]*attempt
 	effectStarts map[uint64]int // number of starts, by effect
 	shutdowns    map[int]shutdown
-	violations   [5]int
+	violations   [5]int // by rule, from 1
 	messages     []string
 	received     int
 	answers      int
@@ -119,7 +120,7 @@
 	}
 }
 
-// started checks that a run may start: rules 2 and 3.
+// started checks that an attempt may start to run: rules 1, 2 and 3.
 func (c *Checker) started(e Event) {
 	a := c.open[e.Attempt]
 	if a == nil {
@@ -171,8 +172,8 @@
 	delete(c.shutdowns, e.Server)
 }
 
-// Finish ends the run at a moment and returns the report. An attempt that is still open after its deadline violates
-// rule 1.
+// Finish ends the experiment at a moment and returns the report. An attempt that is still open after its deadline
+// violates rule 1.
 func (c *Checker) Finish(at time.Duration) Report {
 	for _, a := range c.open { // in any order, as they are only counted
 		if a.deadline+c.slack < at && !a.abandoned {
