--- a/budget/attempts.go
+++ b/budget/attempts.go
@@ -15,9 +15,9 @@
 		s.settle(execution, call, false, DeadlineTooClose, now)
 		return
 	}
-	admitted, broken := d.Admit(now)
+	admitted, breakerOpen := d.Admit(now)
 	switch {
-	case broken:
+	case breakerOpen:
 		s.settle(execution, call, false, BreakerOpen, now)
 	case admitted:
 		s.send(execution, call, now)
@@ -63,8 +63,8 @@
 	return true
 }
 
-// retry sends a scheduled retry, or settles the call if no slot is free. It does not queue, because too little time is
-// left.
+// retry sends a scheduled retry, or settles the call if no slot is free or the breaker is open. It does not queue the
+// retry, because too little time is left.
 func (s *Scheduler) retry(execution *Execution, call int, now time.Duration) {
 	execution.calls[call].retryOrHedgeAt = 0
 	if admitted, _ := s.dependencies[execution.plan.Calls[call].Dependency].Admit(now); admitted {
--- a/budget/breaker.go
+++ b/budget/breaker.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	minBreakerCalls        = 5   // minimum number of recent calls for which the failure ratio is judged
-	breakerFailureRatio    = 0.5 // fraction of recent calls that failed, above which the breaker opens
-	maxConsecutiveFailures = 2 * minBreakerCalls
+	minBreakerCalls        = 5                      // minimum number of recent calls for the failure ratio and for Degraded
+	breakerFailureRatio    = 0.5                    // fraction of recent calls that failed, above which the breaker opens
+	maxConsecutiveFailures = 2 * minBreakerCalls    // consecutive failures, in any length of time, at which the breaker opens
 	minOpenDuration        = 100 * time.Millisecond // doubles each time that the breaker opens again without having closed
 	maxOpenDuration        = 500 * time.Millisecond
-	minProbeTimeout        = 50 * time.Millisecond // after which another probe may be sent
+	minProbeTimeout        = 50 * time.Millisecond // minimum time after which another probe may be sent while one is in flight
 	probesToClose          = 2                     // consecutive successful probes after which the breaker closes
 	slowStartRatio         = 0.5                   // fraction of its former limit with which a recovered dependency starts
 )
@@ -55,7 +55,8 @@
 }
 
 // openBreaker stops calls for a time that doubles with each consecutive opening, with jitter so that servers do not
-// return to a recovering dependency all at once. The duration of a failed probe counts towards that time.
+// return to a recovering dependency all at once. The duration of a failed probe counts towards that time, up to half of
+// it.
 func (d *Dependency) openBreaker(now, probeTook time.Duration) {
 	if d.breaker == Closed {
 		d.slowStartTarget = d.limit
--- a/budget/deadline.go
+++ b/budget/deadline.go
@@ -3,9 +3,11 @@
 import "time"
 
 const (
-	optionalTimeoutFactor = 4  // maximum timeout of an optional call, as a multiple of its configured duration
-	requiredTimeoutFactor = 12 // maximum timeout of a required call, as a multiple of its expected duration: after that it is most likely lost
-	minTimeDivisor        = 4  // a required call is not started if its timeout is below its expected duration divided by this
+	optionalTimeoutFactor = 4 // maximum timeout of an optional call, as a multiple of its configured duration
+	// requiredTimeoutFactor is the maximum timeout of a required call, as a multiple of the longer of its expected and
+	// configured durations: after that it is most likely lost.
+	requiredTimeoutFactor = 12
+	minTimeDivisor        = 4 // a required call is not started if its timeout is below its expected duration divided by this
 )
 
 // callTimeout returns the timeout of a call: the time left to the request, times the call's expected duration, divided
@@ -30,8 +32,9 @@
 }
 
 // canEndInTime reports whether a call has a chance to end in time. An optional call is started even if its timeout is
-// below its expected duration: otherwise a dependency that was slow once would never be measured again, and would stay
-// skipped after it has recovered. The breaker limits the number of such calls.
+// below its expected duration, as long as the time left to the request is not: otherwise a dependency that was slow
+// once would never be measured again, and would stay skipped after it has recovered. The breaker limits the number of
+// such calls.
 func (s *Scheduler) canEndInTime(execution *Execution, call int, timeout, expected, now time.Duration) bool {
 	if timeout <= 0 {
 		return false
--- a/budget/dependency.go
+++ b/budget/dependency.go
@@ -9,7 +9,7 @@
 
 const (
 	limitInterval     = time.Second // time between adjustments of the limit
-	limitBackoff      = 0.75        // factor on the limit after an interval with a backoff event
+	limitBackoff      = 0.75        // factor on the limit after an interval with a backoff event, or while degraded
 	initialLimitRatio = 0.5         // initial limit, as a fraction of Options.MaxInFlight
 	maxRetryTokens    = 10.0        // maximum number of unused retry tokens
 )
@@ -86,7 +86,8 @@
 	}
 }
 
-// Tick updates the limit and the breaker to the time now. It must be called before anything else at that time.
+// Tick updates the slots of cancelled calls, the breaker and the limit to the time now. It must be called before
+// anything else at that time.
 func (d *Dependency) Tick(now time.Duration) {
 	for len(d.cancelledUntil) > 0 && d.cancelledUntil[0] <= now {
 		d.dropOldestCancelled()
@@ -121,9 +122,9 @@
 	d.cancelledUntil = d.cancelledUntil[:copy(d.cancelledUntil, d.cancelledUntil[1:])]
 }
 
-// Admit takes a slot for a call. If it does not admit the call, broken reports whether the breaker is the reason;
-// otherwise the limit is reached.
-func (d *Dependency) Admit(now time.Duration) (admitted, broken bool) {
+// Admit takes a slot for a call. If it does not admit the call, breakerOpen reports whether the breaker is the reason
+// (open, or half-open with a probe in flight); otherwise the limit is reached.
+func (d *Dependency) Admit(now time.Duration) (admitted, breakerOpen bool) {
 	d.Tick(now)
 	switch {
 	case d.breaker == Open, d.breaker == HalfOpen && now < d.probeDeadline:
@@ -169,11 +170,12 @@
 	if timedOut {
 		d.record(Lost, elapsed, false, now)
 	} else {
-		d.probeDeadline = 0
+		d.probeDeadline = 0 // if the call was the probe, the next one may be sent
 	}
 }
 
-// CancelledCallEnded frees the slot of a cancelled call that has ended. Its outcome is not measured.
+// CancelledCallEnded records that a cancelled call has ended, and frees the slot of the one that was cancelled first,
+// whichever has ended. The outcome is not measured.
 func (d *Dependency) CancelledCallEnded(now time.Duration) {
 	d.Tick(now)
 	d.LateResponses++
--- a/budget/execution.go
+++ b/budget/execution.go
@@ -20,10 +20,10 @@
 
 // The statuses. The part is available with Fresh and UsedFallback, and missing with the others.
 const (
-	Fresh PartStatus = iota
-	UsedFallback
-	DeadlineTooClose // not started, or skipped: too little time was left
-	OverLimit        // no slot became free in time, or the queue was full
+	Fresh            PartStatus = iota // the result of the call itself
+	UsedFallback                       // a stored result or a constant
+	DeadlineTooClose                   // not started, or skipped: too little time was left
+	OverLimit                          // no slot became free in time, or the queue was full
 	BreakerOpen
 	CallFailed
 	TimedOut
--- a/budget/health.go
+++ b/budget/health.go
@@ -20,7 +20,7 @@
 	minHedgeSamples = 20   // minimum number of latencies for which the percentile is used
 )
 
-// callBucket counts the calls that ended in one interval of bucketWidth.
+// callBucket counts the calls that ended in one interval of bucketWidth, and adds up their durations in seconds.
 type callBucket struct {
 	index                        int64 // number of intervals since the clock's origin
 	calls, failed, slow, seconds float64
--- a/budget/plan.go
+++ b/budget/plan.go
@@ -27,11 +27,11 @@
 	AtMostOnce               // is sent once, whatever its outcome
 )
 
-// Call is one call of a plan.
+// Call is one call of a plan. Its result is one part of the answer to the request.
 type Call struct {
 	Name       string
 	Dependency int           // index among the scheduler's dependencies
-	Required   bool          // without its part the request is aborted
+	Required   bool          // without its part the request is aborted; named "needed" in the settings and in error texts
 	After      []int         // indexes in the plan of the calls that must be settled first
 	Value      float64       // weight of its part in the answer's value
 	Expected   time.Duration // configured duration, used until enough calls are measured; above 0
--- a/budget/properties_test.go
+++ b/budget/properties_test.go
@@ -38,7 +38,7 @@
 	*recorder
 	t         *rapid.T
 	now       time.Duration
-	deadlines map[*Execution]time.Duration
+	deadlines map[*Execution]time.Duration // of the requests, by the Ref of their executions
 }
 
 func (c *invariantChecker) Send(execution *Execution, call, attempt int, timeout time.Duration) {
--- a/budget/queue.go
+++ b/budget/queue.go
@@ -47,12 +47,12 @@
 			s.settle(head.execution, head.call, false, OverLimit, now)
 			continue
 		}
-		admitted, broken := d.Admit(now)
-		if !admitted && !broken {
+		admitted, breakerOpen := d.Admit(now)
+		if !admitted && !breakerOpen {
 			return
 		}
 		d.popQueue()
-		if broken {
+		if breakerOpen {
 			s.settle(head.execution, head.call, false, BreakerOpen, now)
 			continue
 		}
--- a/budget/scheduler_test.go
+++ b/budget/scheduler_test.go
@@ -95,14 +95,14 @@
 	executor := newRecorder()
 	scheduler, _ := newTestScheduler(executor, 10)
 	plan := &Plan{Route: "t", Calls: []Call{
-		{Name: "cheap", Value: 1, Expected: 100 * ms},
-		{Name: "dear", Value: 5, Expected: 100 * ms},
+		{Name: "low-value", Value: 1, Expected: 100 * ms},
+		{Name: "high-value", Value: 5, Expected: 100 * ms},
 		{Name: "last", Required: true, Expected: 100 * ms, After: []int{0, 1}},
 	}}
 	require.NoError(t, plan.Validate(1, time.Minute))
 	plan.Calls[0].Expected = 150 * ms
 	scheduler.Start(plan, 0, 220*ms, nil)
-	assert.Equal(t, []string{"send dear/0"}, executor.takeLog())
+	assert.Equal(t, []string{"send high-value/0"}, executor.takeLog())
 	scheduler.Start(plan, 0, 150*ms, nil)
 	assert.Equal(t, []string{"send last/0"}, executor.takeLog())
 }
--- a/budget/timeline.go
+++ b/budget/timeline.go
@@ -5,7 +5,7 @@
 // Span is the time in which a call is expected to run, relative to the start of a request with its full time left.
 type Span struct {
 	Name       string
-	Start, End time.Duration // expected
+	Start, End time.Duration // by the configured durations
 	Timeout    time.Duration // of the call if it starts at Start
 	Required   bool
 	Dependency string
@@ -18,6 +18,7 @@
 	execution := Execution{plan: p, deadline: available - p.Reserve}
 	scheduler := &Scheduler{dependencies: make([]*Dependency, len(dependencies))}
 	for i := range dependencies {
+		// Without measurements, a call's expected duration is the configured one.
 		scheduler.dependencies[i] = NewDependency(Options{MaxInFlight: 1, QueueLimit: 1}, 0)
 	}
 	for _, i := range p.order {
@@ -37,7 +38,7 @@
 	return spans
 }
 
-// RequiredPath returns the expected duration of the longest path of required calls, plus the reserve.
+// RequiredPath returns the configured duration of the longest path of required calls, plus the reserve.
 func (p *Plan) RequiredPath() time.Duration { return p.requiredCallsPath() + p.Reserve }
 
 // requiredCallsPath returns the configured duration of the longest path of required calls. Optional calls on it count
--- a/classpool/allocate.go
+++ b/classpool/allocate.go
@@ -4,7 +4,8 @@
 // small as used up.
 const tolerance = 1e-12
 
-// claim is the claim of one sibling on a share. Floor and ceiling are fractions of the share; demand is absolute.
+// claim is the claim of one sibling on a share. Floor and ceiling are fractions of the share; demand is a fraction of
+// all core time, as is the share itself.
 type claim struct {
 	demand, floor, ceiling, weight float64
 }
@@ -34,8 +35,8 @@
 	return allocated
 }
 
-// fill divides the rest of a share by weight among the claims that are below their limit. Each pass brings at least one
-// claim to its limit, so there are at most as many passes as claims.
+// fill divides the rest of a share by weight among the claims that are below their limit. Each pass uses up the rest or
+// brings at least one claim to its limit, so there are at most as many passes as claims.
 func fill(share float64, claims []claim, allocated []float64, limit func(claim) float64) {
 	for range claims {
 		left, weight := share, 0.0
--- a/classpool/classpool_test.go
+++ b/classpool/classpool_test.go
@@ -109,10 +109,10 @@
 // class is a class of simulated load.
 type class struct {
 	name string
-	rate float64 // requests per second
-	cost float64 // core seconds per request
-	from time.Duration
-	to   time.Duration
+	rate float64       // requests per second
+	cost float64       // core seconds per request
+	from time.Duration // when the load starts
+	to   time.Duration // when it ends; 0 if it does not
 }
 
 // simulation runs classes of load on a number of cores: requests are queued, started in the order that the pools choose
@@ -323,21 +323,21 @@
 // One caller of ten thousand accounts for half of all use. Its share must be estimated correctly, and no other caller's
 // share may be overestimated by much.
 func TestUsageSketch(t *testing.T) {
-	c := NewUsageSketch(7)
+	sketch := NewUsageSketch(7)
 	rng := rand.New(rand.NewSource(2))
 	now := time.Duration(0)
 	for range 100_000 {
 		now += 100 * time.Microsecond
-		c.Add(uint64(rng.Intn(10_000)), 0.001, now)
-		c.Add(99_999, 0.001, now)
+		sketch.Add(uint64(rng.Intn(10_000)), 0.001, now)
+		sketch.Add(99_999, 0.001, now)
 	}
-	assert.InDelta(t, 0.5, c.Share(99_999), 0.02)
+	assert.InDelta(t, 0.5, sketch.Share(99_999), 0.02)
 	most := 0.0
 	for caller := range uint64(10_000) {
-		most = max(most, c.Share(caller))
+		most = max(most, sketch.Share(caller))
 	}
 	assert.Less(t, most, 0.05)
-	c.Add(1, 0, now+10*useWindow)
-	assert.LessOrEqual(t, c.total, 1e-2, "earlier use has decayed")
+	sketch.Add(1, 0, now+10*useWindow)
+	assert.LessOrEqual(t, sketch.total, 1e-2, "earlier use has decayed")
 	assert.Zero(t, NewUsageSketch(1).Share(5))
 }
--- a/classpool/pools.go
+++ b/classpool/pools.go
@@ -40,7 +40,7 @@
 	accounts    []account   // by leaf, in the order of leaves
 	now         time.Duration
 	updatedAt   time.Duration
-	virtualTime float64  // minimum over all leaves with requests
+	virtualTime float64  // minimum over all leaves with requests; that of the leaf charged last if it was idle then
 	Reserve     *Reserve // nil: no reserve
 }
 
@@ -100,9 +100,9 @@
 // Dropped records that a queued request left the queue without a run.
 func (p *Pools) Dropped(leaf int) { p.accounts[leaf].queued-- }
 
-// Next returns the leaf whose request is to start next, among those for which ready returns true. A leaf of the reserve
-// comes first while the reserve has a balance; reserved is true then. Leaves at their ceiling are chosen last, so that
-// no core stays idle because of a ceiling. found is false if no leaf is ready.
+// Next returns the leaf whose request is to start next, among those for which ready returns true. A leaf that is
+// eligible for the reserve comes first while the reserve has a balance; reserved is true then. Leaves at their ceiling
+// are chosen last, so that no core stays idle because of a ceiling. found is false if no leaf is ready.
 func (p *Pools) Next(now time.Duration, ready func(leaf int) bool) (leaf int, reserved, found bool) {
 	p.update(now)
 	if p.Reserve != nil {
--- a/classpool/tree.go
+++ b/classpool/tree.go
@@ -13,7 +13,7 @@
 	maxPools  = 256
 	maxDepth  = 4
 	maxWeight = 1e6
-	epsilon   = 1e-9 // by which a sum of floors may exceed 1 because of rounding
+	epsilon   = 1e-9 // by which a sum of floors may exceed 1 because of rounding; also the minimum divisor of demand
 )
 
 // Options configures a pool. Floor and Ceiling are fractions of its parent's share.
@@ -33,7 +33,7 @@
 
 	demand float64 // core seconds per second needed by its requests and those of its descendants
 	target float64 // share of all core time that updateTargets computed
-	share  float64 // share of all core time in use; approaches target
+	share  float64 // share of all core time that currently applies; approaches target
 }
 
 // Tree is a validated tree of pools.
@@ -55,7 +55,7 @@
 		if options.Name == "" {
 			errs = append(errs, errors.New("pool without a name"))
 		}
-		if _, twice := byName[options.Name]; twice {
+		if _, duplicate := byName[options.Name]; duplicate {
 			errs = append(errs, fmt.Errorf("duplicate pool name %q", options.Name))
 		}
 		byName[options.Name] = options
--- a/configuration/change.go
+++ b/configuration/change.go
@@ -42,8 +42,8 @@
 
 // Tenant is the configuration of a tenant.
 type Tenant struct {
-	QuotaRPS     float64 `json:"quota-rps" cbor:"1,keyasint"` // requests per second over the whole fleet
-	TrafficShare float64 `json:"fraction" cbor:"2,keyasint,omitempty"`
+	QuotaRPS     float64 `json:"quota-rps" cbor:"1,keyasint"`          // requests per second over the whole fleet
+	TrafficShare float64 `json:"fraction" cbor:"2,keyasint,omitempty"` // the tenant's fraction of all requests, from 0 to 1; servers only validate it
 }
 
 // Change is a proposed change. A route or tenant with a nil value (JSON null) is removed; any other value replaces the
--- a/estimate/limiter.go
+++ b/estimate/limiter.go
@@ -10,8 +10,8 @@
 	burstSeconds       = 1.0   // size of a burst, in seconds of each rate
 	maxConnsPerAddress = 4
 	maxConns           = 16
-	maxAddresses       = 1024 // addresses with buckets; more than maxConns
-	retryAfter         = time.Second
+	maxAddresses       = 1024        // addresses with buckets; more than maxConns
+	retryAfter         = time.Second // delay that a peer is asked for if its request is not answered
 )
 
 // ServeLimiter decides which requests of peers a server answers. Token buckets for each address and for all addresses
@@ -66,8 +66,8 @@
 	return true
 }
 
-// evictOldest removes the address without open connections whose buckets were filled least recently, and of several the
-// smallest. There always is one, because maxConns is less than maxAddresses.
+// evictOldest removes the address without open connections whose buckets were filled least recently; of several such
+// addresses, the one that sorts first. There always is one, because maxConns is less than maxAddresses.
 func (l *ServeLimiter) evictOldest() {
 	oldest := ""
 	for address, buckets := range l.addresses { // the iteration order of the map does not change the result
@@ -88,8 +88,8 @@
 	l.total.conns--
 }
 
-// Allow reports whether a request from a connected address may be answered with that many bytes, and if not, after how
-// long the peer may repeat it.
+// Allow reports whether a request from a connected address may be answered with that many bytes. If so, it takes their
+// tokens; if not, after is the time after which the peer may repeat the request.
 func (l *ServeLimiter) Allow(address string, bytes int, now time.Duration) (allowed bool, after time.Duration) {
 	buckets := l.addresses[address]
 	buckets.fill(now, requestsPerAddress, bytesPerAddress)
--- a/estimate/merge.go
+++ b/estimate/merge.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// mergeOrigin merges estimates with the same origin. Copies count as one. If the estimates contradict each other, none
-// is used, because one of them does not come from the origin that it states.
+// mergeOrigin merges estimates with the same origin. Copies count as one. If the means differ by more than a factor of
+// maxDisagreement, none is used, because one of the estimates does not come from the origin that it states.
 func mergeOrigin(same []Estimate) Estimate {
 	if len(same) < 2 {
 		return mergeOrigins(same)
--- a/estimate/poll.go
+++ b/estimate/poll.go
@@ -73,7 +73,8 @@
 	return due
 }
 
-// Finished records the end of a poll. retryAfter is the delay that the peer asked for, or 0.
+// Finished records the end of a poll. retryAfter is the delay that the peer asked for, or 0; the schedule waits at most
+// maxBackoff because of it.
 func (s *PollSchedule) Finished(peer int, now time.Duration, answered bool, retryAfter time.Duration) {
 	p := &s.peers[peer]
 	p.inProgress, p.answered = false, answered
@@ -96,8 +97,8 @@
 	return answered >= min(len(s.peers), maxPeers)
 }
 
-// Next returns the earliest time at which a peer may be due. If only polls in progress are left, it returns the end of
-// polling.
+// Next returns the earliest time at which a peer may be due. If every peer has answered or is being polled, it returns
+// the end of polling.
 func (s *PollSchedule) Next() time.Duration {
 	next := s.start + pollDuration
 	for _, peer := range s.peers {
--- a/estimate/schema.go
+++ b/estimate/schema.go
@@ -15,7 +15,7 @@
 	maxSpread           = 100.0  // multiple of the mean
 	maxDeadlineMultiple = 4.0    // multiple of the route's deadline, for core and run times
 	minTime             = 1e-7   // seconds
-	maxTime             = 3600.0 // seconds, unless a deadline sets a lower bound
+	maxTime             = 3600.0 // seconds; maxDeadlineMultiple may limit core and run times to less
 	minPace, maxPace    = 1e-3, 1e3
 )
 
@@ -39,9 +39,11 @@
 
 // Align returns the snapshot with the schema's routes in the schema's order; routes that the snapshot lacks have no
 // samples. It returns an error if the snapshot has a route twice, or one that the schema lacks unless Dynamic is set.
+// Without Dynamic, a snapshot with as many routes as the schema is returned as it is: Validate rejects it if a name
+// differs.
 func (s Schema) Align(snapshot Snapshot) (Snapshot, error) {
 	if len(snapshot.Routes) == len(s.Routes) && !s.Dynamic {
-		return snapshot, nil // Validate compares the names
+		return snapshot, nil
 	}
 	indexes := make(map[string]int, len(snapshot.Routes))
 	for i, route := range snapshot.Routes {
--- a/estimate/schema_test.go
+++ b/estimate/schema_test.go
@@ -60,11 +60,11 @@
 	for i := range routes {
 		name := fmt.Sprintf("route-%d", i)
 		schema.Routes, schema.Deadlines = append(schema.Routes, name), append(schema.Deadlines, time.Second)
-		published := RouteEstimates{Name: name}
+		route := RouteEstimates{Name: name}
 		if i%3 == 0 {
-			published.Core = Estimate{Mean: 0.1, Samples: float64(i + 1)}
+			route.Core = Estimate{Mean: 0.1, Samples: float64(i + 1)}
 		}
-		full.Routes = append(full.Routes, published)
+		full.Routes = append(full.Routes, route)
 	}
 	published := full.Published()
 	require.Len(t, published.Routes, MaxPublishedRoutes)
--- a/estimate/snapshot.go
+++ b/estimate/snapshot.go
@@ -26,7 +26,7 @@
 type Estimate struct {
 	Mean    float64       `cbor:"1,keyasint" json:"mean"`
 	Spread  float64       `cbor:"2,keyasint" json:"spread"`  // standard deviation, in the unit of the mean
-	Samples float64       `cbor:"3,keyasint" json:"samples"` // on which the mean is based
+	Samples float64       `cbor:"3,keyasint" json:"samples"` // number of samples on which the mean is based
 	Age     time.Duration `cbor:"4,keyasint" json:"age"`     // mean age of these samples
 }
 
@@ -45,13 +45,13 @@
 // Snapshot holds what one server has measured itself. It never includes estimates of other servers: if servers passed
 // these on, they would take the echo of their own estimates for confirmation.
 type Snapshot struct {
-	Origin         uint64           `cbor:"1,keyasint" json:"origin"` // id of the process, random at each start
-	SettingsDigest uint64           `cbor:"2,keyasint" json:"terms"`  // Digest of the settings in force
-	Routes         []RouteEstimates `cbor:"3,keyasint" json:"types"`  // in the order of the settings
-	Pace           Estimate         `cbor:"4,keyasint" json:"pace"`   // core seconds per second of hinted work
-	Calls          Estimate         `cbor:"5,keyasint" json:"calls"`  // seconds per call to the shared dependency
-	RejectRatio    Estimate         `cbor:"6,keyasint" json:"refused"`
-	ReturnRatio    Estimate         `cbor:"7,keyasint" json:"returns"` // fraction of requests within the idle timeout after one of the same router
+	Origin         uint64           `cbor:"1,keyasint" json:"origin"`  // id of the process, random at each start
+	SettingsDigest uint64           `cbor:"2,keyasint" json:"terms"`   // Digest of the settings in force
+	Routes         []RouteEstimates `cbor:"3,keyasint" json:"types"`   // in the order of the settings
+	Pace           Estimate         `cbor:"4,keyasint" json:"pace"`    // core seconds used per second of the callers' cost hints
+	Calls          Estimate         `cbor:"5,keyasint" json:"calls"`   // seconds per call to the shared dependency
+	RejectRatio    Estimate         `cbor:"6,keyasint" json:"refused"` // fraction of these calls that failed
+	ReturnRatio    Estimate         `cbor:"7,keyasint" json:"returns"` // fraction of requests within the idle timeout after another request of the same router
 }
 
 // Aged returns the snapshot with a duration added to all ages.
--- a/estimate/weight.go
+++ b/estimate/weight.go
@@ -38,7 +38,8 @@
 // MaxAge returns the age from which an estimate of a kind is not used.
 func MaxAge(kind Kind) time.Duration { return maxHalfLives * halfLives[kind] }
 
-// Weight returns the number of own samples for which the estimate counts at its age, which is 0 from MaxAge on.
+// Weight returns the weight of the estimate at its age, as a number of the server's own samples. It is 0 from MaxAge
+// on.
 func (e Estimate) Weight(kind Kind) float64 {
 	if !e.Known() || e.Age >= MaxAge(kind) {
 		return 0
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -125,8 +125,8 @@
 
 func (f *fleet) index(name string) int { return int(name[0] - 'a') }
 
-// Messages are lost and delayed, a holder stalls past its lease every two seconds, and a voter loses its grants. If the
-// lease had two holders at a time, both would do the work that only one may do.
+// Messages are lost and delayed, every two seconds a process stalls for longer than a lease, and a voter loses its
+// grants. If the lease had two holders at a time, both would do the work that only one may do.
 func TestOneHolderAtATimeThroughLossStallsAndRestarts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/lease/voter.go
+++ b/lease/voter.go
@@ -5,10 +5,10 @@
 // Voter votes on all leases for one process. It is not safe for concurrent use. Its grants are kept in memory only:
 // after a restart, call Restart before the voter handles a request.
 type Voter struct {
-	name        string
-	config      Config
-	grants      map[string]*grant // by lease
-	silentUntil time.Duration     // time before which it grants nothing after a restart
+	name          string
+	config        Config
+	grants        map[string]*grant // by lease
+	noGrantsUntil time.Duration     // time before which it grants nothing after a restart
 }
 
 // grant is a voter's last grant of one lease.
@@ -27,7 +27,7 @@
 // every grant that it could have made has.
 func (v *Voter) Restart(now time.Duration) {
 	v.grants = map[string]*grant{}
-	v.silentUntil = now + v.config.Duration + 2*v.config.margin()
+	v.noGrantsUntil = now + v.config.Duration + 2*v.config.margin()
 }
 
 // HandleRequest votes on a request that arrived at now.
@@ -41,7 +41,7 @@
 		Lease: request.Lease, Candidate: request.Candidate, Voter: v.name, Token: request.Token,
 		HighestToken: last.token, Holder: last.holder,
 	}
-	retryAfter := max(last.expiry, v.silentUntil) - now
+	retryAfter := max(last.expiry, v.noGrantsUntil) - now
 	// The holder renews under its token, or replaces its own earlier grant by one with a larger token.
 	renews := request.Candidate == last.holder &&
 		(request.Token == last.token && now < last.expiry || request.Token > last.token)
--- a/recovery/estimates.go
+++ b/recovery/estimates.go
@@ -6,7 +6,8 @@
 	"quartzpoint/estimate"
 )
 
-// chooseEstimates uses the newest snapshot that is complete, from this machine and these settings, and not too old.
+// chooseEstimates uses the newest snapshot that is complete, was made under these settings, is not too old, and is from
+// this machine or from an unknown one.
 func (p *Plan) chooseEstimates(files []File, environment Environment) {
 	sortNewestFirst(files)
 	for _, f := range files {
--- a/recovery/file.go
+++ b/recovery/file.go
@@ -48,8 +48,8 @@
 
 // migrations convert a file to the next version, by the version that it has.
 var migrations = map[int]func(*File){
-	// Version 1 records neither boot nor machine, so its dedup windows count in full and its estimates age by the wall
-	// clock.
+	// Version 1 records neither boot nor machine, so none of its dedup windows counts as passed and its estimates age
+	// by the wall clock.
 	1: func(f *File) { f.Header.CreatedAt = Timestamp{Wall: time.Duration(f.Header.LegacyWall)} },
 }
 
--- a/recovery/keytable.go
+++ b/recovery/keytable.go
@@ -36,11 +36,11 @@
 	Key         string
 	Fingerprint uint64        // of the request's content
 	ExpiresAt   time.Duration // end of the dedup window, by the boot clock
-	Served      bool
-	Result      []byte
+	Served      bool          // the request is known to have been served
+	Result      []byte        // of the request; valid only if Served is set
 }
 
-// entryOverheadBytes is an upper bound of an entry's size on disk without its key and result; it includes the frame.
+// entryOverheadBytes is an upper bound on an entry's size on disk without its key and result; it includes the frame.
 const entryOverheadBytes = 64
 
 // KeyTable is the table of idempotency keys. It is not safe for concurrent use.
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -62,6 +62,7 @@
 func TestAgeBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		passed := time.Duration(rapid.Int64Range(0, int64(90*time.Hour)).Draw(t, "passed"))
+		// The wall clock is set by this step between the two readings.
 		step := time.Duration(rapid.Int64Range(-int64(200*time.Hour), int64(200*time.Hour)).Draw(t, "step"))
 		then := timestampBefore(passed+step, passed)
 		reboot := rapid.Bool().Draw(t, "reboot")
--- a/recovery/replay.go
+++ b/recovery/replay.go
@@ -16,7 +16,8 @@
 
 // replayKeys builds the key table from the newest complete snapshot and the records after it, up to the first that is
 // missing or damaged. Of the records after such a gap only the fact that a request started is used: it can only prevent
-// a second run, whereas a result from there may be outdated.
+// a second run, whereas a result from there may be outdated. Without a snapshot, the first log is not taken for a gap,
+// whatever its sequence number is.
 func (p *Plan) replayKeys(tables, logs []File, now Timestamp) {
 	r := keyReplay{plan: p, now: now}
 	r.loadTable(tables)
@@ -24,7 +25,7 @@
 	slices.Reverse(logs)
 	for i, log := range logs {
 		covered := i+1 < len(logs) && logs[i+1].Header.Sequence <= r.lastSequence+1 && log.Header.Sequence <= r.lastSequence
-		if covered { // by the snapshot
+		if covered { // all its records come before those of the next log, so the table has them already
 			continue
 		}
 		if !r.haveTable && i == 0 && log.Header.Sequence > 1 {
--- a/recovery/timestamp.go
+++ b/recovery/timestamp.go
@@ -21,7 +21,8 @@
 //   - Within one boot the boot clock decides. maxAge also allows for a wall clock that was set forward.
 //   - From an earlier boot of the same machine, at least the time since the current boot has passed.
 //   - From another machine, nothing is certain.
-//   - If the wall clock reads earlier than then (a timestamp from the future, or a clock set back), maxAge is MaxUndatedAge.
+//   - If the wall clock reads earlier than then (a timestamp from the future, or a clock set back), or then has no wall
+//     clock reading, maxAge is at least MaxUndatedAge.
 func Age(then, now Timestamp) (minAge, maxAge time.Duration) {
 	maxAge = now.Wall - then.Wall
 	sameMachine := then.MachineID != 0 && then.MachineID == now.MachineID && then.BootID != ""
