--- a/internal/registration/reporter.go
+++ b/internal/registration/reporter.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// ReportInterval is the time between reports. The service removes a server three seconds after its last report, which
-// allows for the loss of twelve reports in a row. If a quarter of all datagrams are lost, that happens once in 17
-// million cases.
+// ReportInterval is the time between reports. The service removes a server three seconds after the last report that it
+// received. Twelve reports are sent in that time, and all of them would have to be lost: if a quarter of all datagrams
+// are lost, that happens once in 17 million cases.
 const ReportInterval = 240 * time.Millisecond
 
 // dialTimeout bounds a dial, which blocks only while it resolves a host name.
@@ -37,8 +37,8 @@
 	dialedAddress string   // address to which socket is connected
 }
 
-// New returns a reporter for the server with the given name. address is the service's. The reporter dials when it
-// reports, so the service need not be reachable yet.
+// New returns a reporter for the server with the given name. address is that of the membership service. The reporter
+// dials when it reports, so the service need not be reachable yet.
 func New(name, address string, log *slog.Logger) *Reporter {
 	return &Reporter{name: name, address: address, addressChanged: make(chan struct{}, 1), log: log}
 }
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -14,7 +14,7 @@
 }
 
 // handleBlocked handles the notice that a run waits for a call. If its request is already answered the call is not
-// made, and the run ends without it.
+// made, and the run is left to end by itself.
 func (s *Server) handleBlocked(notice *workerapi.Notice) {
 	request := s.requests.byID[notice.RequestID]
 	if request == nil || !request.active || s.callReplier == nil {
@@ -22,7 +22,7 @@
 		return
 	}
 	request.blockedAtCall, request.callBody, request.callReply, request.callAttempts = true, notice.Result, nil, 0
-	request.startUnknown, request.startNonce = false, 0 // it has begun, so it has read all earlier commands
+	request.startUnknown, request.startNonce = false, 0 // the run has begun, so its earlier commands were read
 	if !request.answered {
 		s.AwaitCall(request)
 	}
@@ -76,8 +76,8 @@
 	reply.sent = s.callReplier.ReplyToCall(request.id, reply.body)
 }
 
-// cancelCalls cancels the calls of a request that nobody waits for any longer. The controller pauses runs itself,
-// except those that wait for a call: for these it waits for the end of the call.
+// cancelCalls cancels the calls of a request that nobody waits for any longer. The controller stops runs itself, but not
+// those that wait for a call: it counts them until they have ended.
 func (s *Server) cancelCalls(request *Request) {
 	if request.composite && request.sent && request.active {
 		s.composer.Pause(request.id)
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -33,13 +33,14 @@
 	return s.clock.epoch + time.Since(s.clock.startedAt)
 }
 
-// arrivalTime maps a timestamp of the system's wall clock, which may step, to the clock of rounds. A timestamp in the
-// future is mapped to now.
+// arrivalTime maps a timestamp of the system's wall clock, which may step, to the clock of rounds. A timestamp that is
+// in the future or too old by every offset known between the two clocks is mapped to now.
 func (s *Server) arrivalTime(unixMS int64, now time.Duration) time.Duration {
 	return s.clock.timestamps.Arrival(time.Duration(unixMS)*time.Millisecond, now)
 }
 
-// PlausibleTimestamp reports whether a clock that was stepped may have written a request's timestamp, in Unix milliseconds.
+// PlausibleTimestamp reports whether a request's timestamp, in Unix milliseconds, is close enough to the wall clock to
+// come from a clock that was stepped.
 func (s *Server) PlausibleTimestamp(unixMS int64) bool {
 	return unixMS >= 0 && unixMS < maxTimestampMS &&
 		wallclock.Plausible(time.Duration(unixMS)*time.Millisecond, s.Now()+s.clock.wallOffset())
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -6,8 +6,8 @@
 	// stopAcceptingBefore is the time before the stop at which the server stops accepting connections, even if the
 	// grace lasts longer.
 	stopAcceptingBefore = 400 * time.Millisecond
-	// exitBefore is the time before the stop at which the process ends, even if peers have not read their answers or
-	// closed their connections.
+	// exitBefore is the time before the stop from which the drain no longer waits for peers to read their answers and
+	// to close their connections.
 	exitBefore = 40 * time.Millisecond
 	// maxLateness is the time by which a busy machine may delay the reading of the signal and the end of the process.
 	maxLateness     = 65 * time.Millisecond
@@ -66,9 +66,9 @@
 }
 
 // advanceDrain advances the drain, and reports whether it is done. From stopAcceptingAt on, connections are not
-// accepted, as a request that arrives then would not run. The drain is done once all requests are answered, peers have
-// read all output (written) and closed their connections, and no input is left. In the last exitBefore before the stop
-// it does not wait for peers, and at the stop it is done in any case.
+// accepted, as a request that arrives after the grace does not run. The drain is done once all requests are answered,
+// all answers are written (written), peers have closed their connections, and no input is left. In the last exitBefore
+// before the stop it does not wait for peers, and at the stop it is done in any case.
 func (s *Server) advanceDrain(now time.Duration, written bool) (done bool) {
 	if !s.drain.started() || now < s.drain.stopAcceptingAt {
 		return false
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// The notice to shut down was handled late, and the round that handled it started requests that had arrived after the
-// grace, and planned past the stop.
+// The notice to shut down was handled late, and the grace and the stop were counted from then: requests that had arrived
+// after the grace were started, and runs were planned past the stop.
 func TestGraceAndStopRunFromTheNotice(t *testing.T) {
 	b := newBench(t)
 	b.pool.Ready()
--- a/internal/server/estimates.go
+++ b/internal/server/estimates.go
@@ -15,9 +15,9 @@
 	publishedAt time.Duration
 }
 
-// PublishEstimates makes the server call publish with the controller's estimates, at most once a second. publish runs
-// on the event loop and must not block. PublishEstimates must be called before Run. It returns the schema of the
-// snapshots that UsePeerEstimates accepts.
+// PublishEstimates makes the server call publish with the controller's estimates, at most once a second. origin
+// identifies this server in them. publish runs on the event loop and must not block. PublishEstimates must be called
+// before Run. It returns the schema of the snapshots that UsePeerEstimates accepts.
 func (s *Server) PublishEstimates(origin uint64, publish func(snapshot estimate.Snapshot, at time.Duration)) estimate.Schema {
 	digest := s.settings.Digest(s.limits.DynamicTables, s.limits.SkippableCalls)
 	s.estimates.schema = s.controller.EstimateSchema(origin, digest, s.limits.DynamicTables)
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// flush writes all output, and reports whether peers have read all of it. Answers are written before commands to the
-// workers, as a run is only stopped once its request is answered.
+// flush writes the output, and reports whether all answers could be written: they can't while a peer does not read.
+// Answers are written before commands to the workers, as a run is only stopped once its request is answered.
 func (s *Server) flush() (written bool) {
 	written = true
 	for _, f := range s.frontends {
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -85,7 +85,7 @@
 	s.shedLevel = shedLevel{value: level, text: strconv.FormatFloat(level, 'f', -1, 64)}
 }
 
-// CloseIdleAfter has the front ends close connections that were idle for timeout.
+// CloseIdleAfter makes the front ends ask peers to close connections that have been idle for timeout.
 func (s *Server) CloseIdleAfter(timeout time.Duration) {
 	for _, f := range s.frontends {
 		f.CloseIdle(timeout)
@@ -95,8 +95,8 @@
 // Log logs a note of the controller that operators may act on.
 func (s *Server) Log(note string) { s.log.Info("admission note", "note", note) }
 
-// Call lets the call of a request begin. timeout ends it before the controller would abort the request, so that the
-// results available by then can still be sent.
+// Call lets the call of a request begin. It ends after timeout, which is before the controller would abort the request,
+// so that the results available by then can still be sent.
 func (s *Server) Call(decided *admission.Request, timeout time.Duration) {
 	request := s.requests.byDecision[decided]
 	if c, calls := dependencyCallerOf(request); calls {
@@ -128,10 +128,10 @@
 	}
 }
 
-// RememberKey keeps an idempotency key for its dedup window, from now on.
-func (s *Server) RememberKey(decided *admission.Request, window time.Duration) {
+// RememberKey keeps an idempotency key for remaining, the time left of its dedup window.
+func (s *Server) RememberKey(decided *admission.Request, remaining time.Duration) {
 	if request := s.requests.byDecision[decided]; request != nil && s.keys.entries[request.key] != nil {
-		s.keys.entries[request.key].until = s.round.Now + window
+		s.keys.entries[request.key].until = s.round.Now + remaining
 	}
 }
 
--- a/internal/server/health.go
+++ b/internal/server/health.go
@@ -10,7 +10,7 @@
 // health is the state from which health checks are answered.
 type health struct {
 	healthy        bool
-	withoutWorkers bool // deep checks are answered with healthy too, without asking the workers
+	withoutWorkers bool // deep checks, too, are answered with healthy, without asking the workers
 	checks         []deepCheck
 	lastNonce      uint64
 }
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -37,11 +37,11 @@
 // drop it earlier. A duplicate is answered from the original and never runs.
 type keyEntry struct {
 	key         string
-	fingerprint uint64 // of the body
-	until       time.Duration
-	completed   bool // the original has ended or can no longer run; answer contains its outcome
+	fingerprint uint64        // of the body
+	until       time.Duration // end of the dedup window; until the controller has set it, initialKeyMargin later
+	completed   bool          // the original has ended or can no longer run; answer contains its outcome
 	answer      Answer
-	waiting     []*Request
+	waiting     []*Request // duplicates to answer once the original has ended
 }
 
 // keyOf returns the key of a request in the table. It includes the route, so that two routes never share an entry.
--- a/internal/server/linkrecovery.go
+++ b/internal/server/linkrecovery.go
@@ -20,7 +20,7 @@
 	pauseNonce uint64     // of that poll
 }
 
-// pauseState is the progress in recovering a run that is not known to have begun.
+// pauseState states how far the recovery has paused a run that is not known to have begun.
 type pauseState int
 
 const (
@@ -47,10 +47,11 @@
 //   - A run that may have been sent is sent again if a second run does no harm; the workers ignore the command while the
 //     first runs.
 //   - A run that must not run twice might end just while it is sent again. If the settings allow runs to be paused it is
-//     paused first, and resumePaused resumes or restarts it. Otherwise it stays as it is.
+//     paused first, and resumePaused resumes or restarts it. Otherwise it is only marked as overdue.
 //   - A reply to a call that may not have reached its run is sent again.
-//   - Any other run whose request is answered stays as it is: it counts as in flight until its end is reported, or proven
-//     by the gauges.
+//   - Any other run stays as it is, or is marked as overdue if it is not known to have begun.
+//
+// A run counts as in flight until its end is reported. The gauges may prove the end of an overdue one.
 func (s *Server) handleLinkSynced() {
 	resumable := s.settings.Admission.Preemption.Resumable()
 	for _, request := range s.activeRuns() {
@@ -86,7 +87,7 @@
 	reply := request.callReply
 	retryable := request.Route.Idempotency == admission.Retryable
 	switch {
-	case request.awaitsLedger: // never sent
+	case request.awaitsLedger: // not sent yet: startRecorded will send it
 	case reply != nil && !request.answered && (!reply.sent || request.startUnknown && !resumable):
 		s.replyToCall(request, reply) // ignored by a run that has already resumed
 	case !request.sent && request.answered:
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	occupancyPeriod = time.Second // between two comparisons that are logged
+	occupancyPeriod = time.Second // length of a comparison period, for which at most one line is logged
 	excessTolerance = 1.0         // runs by which the gauges may exceed the server's own count without being logged
 )
 
@@ -20,11 +20,12 @@
 }
 
 // monitorOccupancy logs the server's count of runs together with the gauges, at most once a second, if runs may have
-// ended without a report, or if the gauges exceeded the count in every sample of the period.
+// ended without a report, or if the gauges exceeded the count by more than excessTolerance in every sample of the
+// period. It also flushes the event log once per period.
 func (s *Server) monitorOccupancy(now time.Duration) {
 	o := &s.occupancyMonitor
 	if s.round.Gauges != nil {
-		// Reading a request may take part of each core, so one runnable per core is deducted.
+		// Runnable also includes reads of requests, of which there is at most one per core at a time.
 		excess := s.polls.gauges.Runnable - float64(s.controller.Occupancy(now).OnCores) - s.settings.Admission.Cores
 		if o.samples == 0 || excess < o.minExcess {
 			o.minExcess = excess
--- a/internal/server/overdue.go
+++ b/internal/server/overdue.go
@@ -93,7 +93,7 @@
 	return r, true
 }
 
-// runsBefore returns the runs whose last command was sent before a poll, oldest first.
+// runsBefore returns the runs whose last command (start, reply or resume) was sent before a poll, oldest first.
 func (s *Server) runsBefore(poll uint64) (runs []reconcile.Run) {
 	factor := s.settings.Admission.RunningMemoryFactor
 	var begun []*Request
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -20,7 +20,7 @@
 	Body       []byte // must not be changed afterwards
 	Caller     Caller
 	Stream     uint32
-	OverLimit  bool // its connection is over the front end's limit, so it is rejected
+	OverLimit  bool // its connection exceeds the front end's maximum number, so the request is rejected
 
 	Key         string // idempotency key, the same for all duplicates
 	Fingerprint uint64 // of the body; equal for all duplicates
--- a/internal/server/reconfigure.go
+++ b/internal/server/reconfigure.go
@@ -13,8 +13,8 @@
 func (s *Server) Reconfigure(next *settings.Settings) {
 	adjusted := s.settings.Adjusted(next)
 	s.settings = s.settings.WithAdjustable(next)
-	now := s.settings.Adjustable()
-	s.controller.Reconfigure(now.Preemption, now.ShedLevelFormat)
+	adjustable := s.settings.Adjustable()
+	s.controller.Reconfigure(adjustable.Preemption, adjustable.ShedLevelFormat)
 	for _, name := range slices.Sorted(maps.Keys(adjusted)) {
 		s.log.Info("setting changed", "setting", name, "value", adjusted[name])
 	}
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -99,8 +99,8 @@
 // executedTable holds the IDs of at-most-once requests that may have run and were forgotten, for as long as a copy of
 // one may arrive. Without it a copy would run a second time, for example if the connection broke after the answer.
 type executedTable struct {
-	until map[string]time.Duration
-	order []string // the same IDs, oldest first
+	until map[string]time.Duration // when an ID is dropped
+	order []string                 // the same IDs, oldest first
 }
 
 // rememberRun stores the ID of a request that may have run. If the table is full it drops the oldest ID, of which a
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -27,7 +27,7 @@
 	keyMemoryDivisor     = 8   // entries of the key table take at most that memory divided by this
 	resultMemoryDivisor  = 16  // results stored for duplicates take at most that memory divided by this
 	minTableEntries      = 64  // lower bound of the table sizes, however little memory there is
-	unlimitedCalls       = 1e9 // calls in flight
+	unlimitedCalls       = 1e9 // call quota that is never reached, in calls in progress
 )
 
 // Limits states what this process may use, and which features its front ends and workers support.
@@ -83,8 +83,8 @@
 // requestTable holds the requests that the server has read and not yet forgotten.
 type requestTable struct {
 	byID       map[string]*Request
-	byDecision map[*admission.Request]*Request
-	max        int
+	byDecision map[*admission.Request]*Request // by the part that the controller decides on
+	max        int                             // maximum number of requests
 }
 
 // shedLevel is the advertised shed level: callers are asked not to send requests that rank below it.
@@ -93,9 +93,9 @@
 	text  string // the level as answers carry it; empty until it is first set
 }
 
-// New returns a server for its settings. It returns an error if the settings require idempotency keys or tenants and
-// limits does not support them: the server could otherwise reject such requests only after reading them. The requests
-// of routes that call a dependency are rejected if none is configured.
+// New returns a server for its settings. It returns an error if a route has no name of its own, or if the settings
+// require idempotency keys or tenants and limits does not support them: the server could otherwise reject such requests
+// only after reading them. The requests of routes that call a dependency are rejected if none is configured.
 func New(configured *settings.Settings, seed int64, limits Limits, counters *invariant.Counters, log *slog.Logger) (*Server, error) {
 	memory := limits.MemoryMB << 20
 	s := &Server{
@@ -121,7 +121,8 @@
 	}
 	s.controller = admission.New(s.admissionSettings(), seed)
 	if len(s.controller.Routes) != len(s.tables.routes) {
-		return nil, fmt.Errorf("%d routes in the settings, %d of them named", len(s.controller.Routes), len(s.tables.routes))
+		return nil, fmt.Errorf("the settings list %d routes, but %d usable names: each route needs its own name",
+			len(s.controller.Routes), len(s.tables.routes))
 	}
 	for _, route := range s.controller.Routes {
 		s.tables.routes[route.Name] = route
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -142,6 +142,7 @@
 			<-b.pool.Commands
 		}
 	}
+	// The controller may have one alarm set: half of it is 0.
 	sizes := make(chan []int)
 	b.Submit(func() {
 		sizes <- []int{len(b.requests.byID), len(b.requests.byDecision), len(b.recovery.paused), len(b.polls.alarms) / 2, len(b.health.checks)}
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -24,12 +24,12 @@
 // use.
 type WorkerLink interface {
 	Workers
-	// Poll requests the gauges; the answer carries the nonce. sent is false if no worker pool would answer.
+	// Poll requests the gauges; the answer carries the nonce. sent is false if no link can carry commands.
 	Poll() (nonce uint64, sent bool)
 	// NextPollNonce returns the nonce of the next poll. Once that poll is answered, all commands sent before it have
 	// been read.
 	NextPollNonce() uint64
-	// Verify requests the work of a deep health check.
+	// Verify requests a deep health check of the workers. Its answer is a notice of kind Verified with the nonce.
 	Verify(nonce uint64) (sent bool)
 }
 
