--- a/internal/dependency/caller.go
+++ b/internal/dependency/caller.go
@@ -42,7 +42,7 @@
 }
 
 // Call starts a call. If all connections are in use, it immediately reports that the call did not run.
-func (c *Caller) Call(request workerapi.Call) {
+func (c *Caller) Call(call workerapi.Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var conn *connection
@@ -54,13 +54,13 @@
 		go conn.run()
 	default:
 		c.count("call without a free connection")
-		c.report(workerapi.CallEnd{Call: request, Outcome: admission.NotRun})
+		c.report(workerapi.CallEnd{Call: call, Outcome: admission.NotRun})
 		return
 	}
-	c.busy[request.CallID] = conn
-	ctx, cancel := context.WithTimeout(context.Background(), request.Timeout)
+	c.busy[call.CallID] = conn
+	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout)
 	conn.cancel = cancel
-	conn.calls <- timedCall{request, ctx}
+	conn.calls <- timedCall{call, ctx}
 }
 
 // Cancel ends a call whose reply is no longer awaited. The end of the call is still reported.
--- a/internal/dependency/connection.go
+++ b/internal/dependency/connection.go
@@ -21,11 +21,11 @@
 const (
 	path           = "/lookup"
 	maxBodyBytes   = 16 << 10 // of a reply; above the worker pool's 4 KiB, so that the pool enforces its own limit
-	maxHeaderBytes = 16 << 10 // of a reply, including those of interim replies
+	maxHeaderBytes = 16 << 10 // of a reply and the interim replies before it
 	maxResponses   = 4        // per call; all but the last are interim (1xx)
 	dialTimeout    = time.Second
-	idleTimeout    = 5 * time.Second // an idle connection is closed after this time
-	minTimeLeft    = time.Millisecond
+	idleTimeout    = 5 * time.Second  // an idle connection is closed after this time
+	minTimeLeft    = time.Millisecond // so that X-Budget-Ms is never below 1
 )
 
 // expiredDeadline is a deadline that interrupts reads and writes immediately.
@@ -65,7 +65,8 @@
 }
 
 // perform makes a call. The outcome is NotRun if no connection could be opened or the dependency states that the call
-// did not run, and Unknown if the call was written and no reply arrived in time.
+// did not run. Once the call's write has begun, the outcome is Unknown if no valid reply arrives in time or the
+// dependency reports a timeout.
 func (c *connection) perform(call timedCall) (admission.Outcome, []byte) {
 	if c.conn != nil && c.stale() {
 		c.close()
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -34,7 +34,7 @@
 	FieldSentMS    = "recv" // Unix milliseconds
 	FieldTimeoutMS = "ttl"
 	FieldQueuedKB  = "heap"
-	FieldRank      = "crit" // from 0 to below 1
+	FieldRank      = "crit" // criticality, from 0 to below 1
 	FieldTenant    = "org"
 	FieldKey       = "dedupe" // idempotency key
 	FieldRouter    = "src"
@@ -48,7 +48,7 @@
 	FieldNoRetryElsewhere = "stop" // "1" advises against a retry at another server
 )
 
-// Layout of a frame: its length without these four bytes, type, stream, payload.
+// Layout of a frame: length (4 bytes, which it does not include), type (1 byte), stream (4 bytes), payload.
 const (
 	lengthBytes  = 4
 	headBytes    = lengthBytes + 1 + 4
@@ -77,14 +77,14 @@
 	SkipBytes int // of a frame longer than MaxBuffered: number of bytes after its head to be skipped
 }
 
-// Parse parses the first frame that a router wrote, and returns the bytes after it as rest. If there is no complete
-// frame, ok is false and rest is the whole input.
+// Parse parses the first frame of input, which a router wrote, and returns the bytes after it as rest. If there is no
+// complete frame, ok is false and rest is the whole input.
 func Parse(input []byte) (f Frame, rest []byte, ok bool, err error) {
 	return parse(input, Request, HealthCheck, Cancel)
 }
 
-// ParseAnswer parses the first frame that a server wrote, and returns the bytes after it as rest. If there is no
-// complete frame, ok is false and rest is the whole input.
+// ParseAnswer parses the first frame of input, which a server wrote, and returns the bytes after it as rest. If there is
+// no complete frame, ok is false and rest is the whole input.
 func ParseAnswer(input []byte) (f Frame, rest []byte, ok bool, err error) {
 	return parse(input, Answer, GoAway)
 }
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -14,7 +14,8 @@
 	// unjoinedPause is the time between attempts to accept while too many accepted connections have not joined the
 	// event loop.
 	unjoinedPause = time.Millisecond
-	// minConnAge is the time that a connection has for its first frame before it may be evicted for another.
+	// minConnAge is the time that a connection has for its first frame, and for the rest of an incomplete one, before it
+	// may be evicted for another.
 	minConnAge = 50 * time.Millisecond
 	// nearFullDivisor sets the part of the connection limit that is kept free: maxConns divided by it. Within that
 	// part, each new connection causes another one to be drained.
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	maxOpenRequests = 32 // per connection
-	maxAnswerBytes  = 4<<10 + 256
+	maxOpenRequests = 32          // per connection
+	maxAnswerBytes  = 4<<10 + 256 // a result of 4 KiB, with the frame's head and fields
 )
 
 // connKey is the context key of a connection.
@@ -43,7 +43,7 @@
 	lastStream   uint32                     // highest stream used; streams increase from 1, so no list of used ones is needed
 	partial      []byte                     // the beginning of an incomplete frame
 	skipBytes    int                        // bytes of a frame that is too long, still to be received and skipped
-	sawFrame     bool                       // a valid frame was received
+	sawFrame     bool                       // a valid frame was received: a health check or an accepted request
 	frameBegunAt time.Duration              // time at which the incomplete frame began, 0 without one
 
 	// Writing.
@@ -105,7 +105,8 @@
 	clear(c.requests)
 }
 
-// close closes the connection at once. The end of a broken connection was recorded when it broke.
+// close closes the connection without waiting for open requests. The end of a broken connection is not recorded again,
+// as fail has recorded it.
 func (c *conn) close(reason string) {
 	if !c.broken {
 		c.frontend.server.Events().Record(events.ConnectionClosed, reason, slog.String("peer", c.transport.RemoteAddr().String()),
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// reservedSockets is the number of descriptors that router connections never use, if at least twice as many are
+	// reservedSockets is the number of descriptors that the connection limit leaves free, if at least twice as many are
 	// available.
 	reservedSockets = 64
 	// processSockets is the part of reservedSockets for the process itself: it uses 13 at rest, and more while a link,
@@ -67,7 +67,7 @@
 	return open <= f.maxConns
 }
 
-// inUse returns the number of connections with open requests or unread answers.
+// inUse returns the number of connections with open requests or unwritten answers.
 func (f *Frontend) inUse() (used int) {
 	for _, c := range f.conns {
 		if !c.dead && (len(c.requests) > 0 || !c.out.Empty()) {
@@ -87,9 +87,9 @@
 	return open
 }
 
-// leastNeeded returns the connection that a new one may replace: the one idle for longest among those that had time for
-// a valid frame and never sent one, or else among the others. Draining connections are considered only if
-// includeDraining is set. It returns nil if no connection may be replaced.
+// leastNeeded returns the connection that a new one may replace, or nil if there is none. Connections with open requests,
+// unwritten answers or unread input are never replaced, and draining ones only if includeDraining is set. Connections
+// that had time for a valid frame and never sent one come first; among equals, the one idle for longest.
 func (f *Frontend) leastNeeded(newcomer *conn, includeDraining bool) (least *conn) {
 	now := f.server.Now()
 	for _, c := range f.conns {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	queueMemoryDivisor = 8  // unread answers take at most the program's memory divided by this
+	queueMemoryDivisor = 8  // unwritten answers take at most the program's memory divided by this
 	readAheadDivisor   = 32 // unparsed input of one connection takes at most that memory divided by this
 )
 
@@ -52,7 +52,7 @@
 	draining     bool
 	stopping     atomic.Bool // same as draining, for Serve's goroutine
 	listenerShut bool        // the listener was asked to accept no more connections
-	shutFailed   bool        // that failed, so the listener still accepts connections
+	shutFailed   bool        // shutting it down failed, so it still accepts connections
 }
 
 // Listen returns a front end that listens at address. It accepts connections once Serve is called.
@@ -73,7 +73,7 @@
 	f.listener = &countingListener{listener, f}
 	f.eventLoop, err = netpoll.NewEventLoop(onReadable, netpoll.WithOnPrepare(f.prepare), poller.OnRegistered(closerOf))
 	if err != nil {
-		return nil, fmt.Errorf("event loop: %w", err)
+		return nil, fmt.Errorf("create netpoll event loop: %w", err)
 	}
 	return f, nil
 }
@@ -139,7 +139,7 @@
 	}
 }
 
-// cutOffLargestQueue cuts off the peer with the most unread bytes: a peer that reads has almost none.
+// cutOffLargestQueue cuts off the peer with the most queued bytes: a peer that reads has almost none.
 func (f *Frontend) cutOffLargestQueue() {
 	var largest *conn
 	for _, c := range f.conns {
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -141,8 +141,7 @@
 	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
 }
 
-// A router that does not read is cut off once it reaches a limit. Answers to others are delayed neither before nor
-// after that.
+// A router that does not read is cut off once it reaches a limit. Until then, other routers are still answered.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	b := newBench(t, defaultLimits())
 	b.pool.Echo = true
@@ -208,7 +207,8 @@
 	assert.Equal(t, "kept open", busy.Next(t).Body)
 }
 
-// Guards against a fault: connections that routers kept open delayed the end of a server until its last moment.
+// Guards against a fault: connections that routers kept open delayed the exit of a draining server until just before its
+// stop.
 func TestDrainClosesOpenConnections(t *testing.T) {
 	b := newBench(t, defaultLimits())
 	open := b.dialActive(t)
@@ -232,8 +232,8 @@
 	assert.Equal(t, byte(51), router.Next(t).Code)
 }
 
-// Guards against a fault: a connection that had received much at a time kept a buffer of that size for the beginning of
-// a frame.
+// Guards against a fault: after one large read, a connection kept a buffer of that size for the beginning of an
+// incomplete frame.
 func TestPartialFramesKeepNoLargeBuffer(t *testing.T) {
 	b := newBench(t, defaultLimits())
 	b.dialActive(t)
@@ -248,8 +248,8 @@
 	assert.Equal(t, [2]int{7, 0}, <-sizes)
 }
 
-// For any sequence of frames or parts of them on one connection, another connection is still answered, and no entry is
-// left in the tables.
+// For any sequence of frames or parts of them on one connection, another connection is still answered, and the first
+// one is removed once it is closed.
 func FuzzConnection(f *testing.F) {
 	request := func(stream uint32, more ...string) []byte { return fake.RequestFrame(stream, "browse", "b", more...) }
 	f.Add(append(request(1), request(2, "heap", "-1")...), uint16(7))
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -13,7 +13,7 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// Guards against a fault: hundreds of silent connections filled the table, and routers were refused.
+// Guards against a fault: hundreds of silent connections used up the connection limit, and routers were refused.
 func TestTableFull(t *testing.T) {
 	limits := server.Limits{MemoryMB: 96, Sockets: 40}
 	b := newBench(t, limits)
@@ -67,7 +67,7 @@
 			}
 		})
 	}
-	for range b.maxOverLimit { // each one's request is read and gets one answer
+	for range b.maxOverLimit { // a request on each such connection is read and answered once
 		r := b.dialActive(t)
 		r.Send(t, fake.RequestFrame(9, "pay", "", "call", fake.CallID(9)))
 		assert.Equal(t, byte(50), r.Next(t).Code)
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -20,7 +20,8 @@
 )
 
 // Guards against a fault: a request written while its connection was about to be closed was lost unread. The connection
-// was closed as idle for too long after the drain began, or to be replaced by another one.
+// was closed because it was idle for too long after the drain began, because it had sent no valid frame in time, or to
+// make room for another one.
 func TestRequestCrossesTheCloseOfAnIdleConnection(t *testing.T) {
 	closes := map[string]func(b *bench, c *conn){
 		"draining": func(b *bench, c *conn) {
@@ -104,7 +105,7 @@
 	assert.Equal(t, map[uint32]byte{0: 51, 1: 51, 2: 20}, codes)
 }
 
-// Guards against a fault: the end of a connection that its router broke and did not close was logged twice, when it
+// Guards against a fault: the end of a connection that its router broke and did not close was recorded twice, when it
 // broke and when this side closed it a second later.
 func TestEndOfABrokenConnectionIsRecordedOnce(t *testing.T) {
 	b := newBench(t, defaultLimits())
@@ -193,7 +194,7 @@
 	send(one, 2, 4, "north", "b") // after the first has ended
 	assert.Equal(t, "the north's", one.Next(t).Body)
 	send(one, 3, 5, "north", "something else")
-	assert.Equal(t, byte(51), one.Next(t).Code, "the request of its key may have run, so it is not rejected")
+	assert.Equal(t, byte(51), one.Next(t).Code, "the request that owns the key may have run, so this one is not rejected")
 	one.Send(t, fake.RequestFrame(4, "file", "b", "org", "north", "dedupe", strings.Repeat("k", maxKeyBytes+1)))
 	assert.Equal(t, byte(50), one.Next(t).Code)
 	one.Send(t, fake.RequestFrame(5, "file", "b", "org", "north"))
@@ -209,9 +210,9 @@
 	open chan struct{}
 }
 
-func (g *blockedListener) Accept() (net.Conn, error) {
-	<-g.open
-	return g.Listener.Accept()
+func (l *blockedListener) Accept() (net.Conn, error) {
+	<-l.open
+	return l.Listener.Accept()
 }
 
 // Guards against a fault: a request on a connection that the kernel had established and the server not yet accepted was
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -110,7 +110,7 @@
 func (c *conn) keepPartial(bytes []byte, now time.Duration) {
 	kept := c.partial[:0]
 	if len(bytes) == 0 || cap(kept) > 2*frame.MaxBuffered {
-		kept = nil // an idle connection, or one that once received much at a time, must not keep a buffer of that size
+		kept = nil // an idle connection, or one after a large read, must not keep a large buffer
 	}
 	c.partial = append(kept, bytes...)
 	if len(c.partial) == 0 && c.skipBytes == 0 {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -13,7 +13,7 @@
 
 const (
 	maxBodyBytes = 2 << 10
-	maxQueuedKB  = 2000.0 // KB of the workers' memory that a request must stay below
+	maxQueuedKB  = 2000.0 // a queued request must take less than this of the worker pool's memory
 	maxKeyBytes  = 256    // of an idempotency key
 	maxTimeout   = 24 * time.Hour
 )
--- a/internal/frontend/sweep.go
+++ b/internal/frontend/sweep.go
@@ -3,10 +3,12 @@
 import "time"
 
 const (
-	timeoutCheckPeriod      = 100 * time.Millisecond
-	drainTimeoutCheckPeriod = 5 * time.Millisecond   // the same while the server drains: its last 0.1 s must not fall between checks
-	closeTimeout            = time.Second            // for a router to close a drained connection
-	drainCloseTimeout       = 300 * time.Millisecond // the same while the server drains: connections left open must not delay its end
+	timeoutCheckPeriod = 100 * time.Millisecond
+	// drainTimeoutCheckPeriod replaces timeoutCheckPeriod while the server drains: drainCloseTimeout may expire as late
+	// as 0.1 s before the server's stop, and that time must not pass between two checks.
+	drainTimeoutCheckPeriod = 5 * time.Millisecond
+	closeTimeout            = time.Second            // for a router to close a drained or broken connection
+	drainCloseTimeout       = 300 * time.Millisecond // the same while the server drains: connections left open must not delay its exit
 	unreadTimeout           = 10 * time.Second       // for a router to continue reading before its answers are dropped
 	frameTimeout            = 2 * time.Second        // for the first frame of a connection, and for the rest of an incomplete frame
 )
--- a/internal/wire/action.go
+++ b/internal/wire/action.go
@@ -5,7 +5,7 @@
 // ActionCode is the kind of an action. The codes of actions and of events are separate.
 type ActionCode uint8
 
-// Codes of actions.
+// Codes of actions. All but ActionInternalError stand for methods of admission.Executor, which describes them.
 const (
 	ActionStart              ActionCode = 10
 	ActionReject             ActionCode = 20
@@ -48,7 +48,8 @@
 	return a
 }
 
-// AddHealth adds an ActionSetHealth.
+// AddHealth adds an ActionSetHealth. If withoutWorkers is set, the answer holds for deep health checks too, and the
+// workers are not asked.
 func (r *Reply) AddHealth(server uint16, healthy, withoutWorkers bool) {
 	a := r.add(ActionSetHealth, server)
 	a.putBool(3, healthy)
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,4 +1,5 @@
-// Package wire reads events and writes actions in the frames of the simulator that drives the decisions.
+// Package wire decodes the events that the simulator sends to the adapter, and encodes the actions with which the adapter
+// replies.
 //
 // All numbers are little-endian, and times are microseconds. A batch is a header of 16 bytes (clock as 8, size of what
 // follows the size field as 4, count of records as 4), records of 64 bytes and a tail of texts. A reply is a header of
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -17,7 +17,7 @@
 	EventCallEnd    EventCode = 50 // a call has ended
 	EventShutDown   EventCode = 60 // the server receives the notice to shut down
 	EventCancel     EventCode = 70 // nobody waits for a request any longer
-	EventGauges     EventCode = 80 // a wake-up that was requested, with the gauges
+	EventGauges     EventCode = 80 // the wake-up that an ActionWakeAfter requested, with the gauges' readings
 	EventServerDown EventCode = 90 // a server's process has died
 )
 
