--- a/internal/datadir/dir.go
+++ b/internal/datadir/dir.go
@@ -1,5 +1,5 @@
-// Package datadir provides access to a directory of files through an interface that defines what survives a power loss,
-// and whose operations tests can make fail.
+// Package datadir provides access to a directory of files through the interface Dir, which defines what survives a power
+// loss. Tests use another implementation of Dir, which simulates power losses and failures.
 package datadir
 
 import (
--- a/internal/datadir/osdir.go
+++ b/internal/datadir/osdir.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	if stat.Mode&writableByOthers != 0 {
-		return fmt.Errorf("mode %04o lets others write to it; 0700 is needed", stat.Mode&0o777)
+		return fmt.Errorf("mode %04o lets others write to it; remove the write permission of group and others", stat.Mode&0o777)
 	}
 	lockFD, err := unix.Openat(d.fd, lockName, unix.O_RDWR|unix.O_CREAT|unix.O_NOFOLLOW|unix.O_CLOEXEC, fileMode)
 	if err != nil {
--- a/internal/fanout/answer.go
+++ b/internal/fanout/answer.go
@@ -39,8 +39,8 @@
 )
 
 // compose encodes the answer with the available parts. If it would be longer than maxAnswer, it leaves parts out and
-// sets truncated. complete is false if a required part is left out.
-func (r *request) compose(execution *budget.Execution, verdict budget.Verdict) (encoded []byte, truncated, complete bool) {
+// sets truncated. hasRequired is false if a required part is left out.
+func (r *request) compose(execution *budget.Execution, verdict budget.Verdict) (encoded []byte, truncated, hasRequired bool) {
 	answer := Answer{Complete: verdict == budget.Complete, Value: execution.Value()}
 	size := answerOverhead
 	for i := range r.route.Plan.Calls {
@@ -48,7 +48,7 @@
 		size += len(part.Result) + len(part.Name) + maxPartOverhead
 		answer.Parts = append(answer.Parts, part)
 	}
-	complete = true
+	hasRequired = true
 	for size > maxAnswer {
 		i := r.partToOmit(answer.Parts)
 		part := &answer.Parts[i]
@@ -57,16 +57,16 @@
 		}
 		size -= len(part.Result)
 		*part = Part{Name: part.Name, State: partMissing, Reason: "answer too long"}
-		answer.Complete, truncated, complete = false, true, complete && !r.route.Plan.Calls[i].Required
+		answer.Complete, truncated, hasRequired = false, true, hasRequired && !r.route.Plan.Calls[i].Required
 	}
 	encoded, err := json.Marshal(answer)
 	if err != nil || len(encoded) > maxAnswer {
 		return nil, true, false // the names alone make it too long
 	}
-	return encoded, truncated, complete
+	return encoded, truncated, hasRequired
 }
 
-// part returns the part of a call.
+// part returns the outcome of a call in the form of the answer.
 func (r *request) part(execution *budget.Execution, call int) Part {
 	part := Part{Name: r.route.Plan.Calls[call].Name, State: partFresh}
 	available, status := execution.PartStatus(call)
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -27,8 +27,8 @@
 		{"all succeed", nil, nil, nil, "success", []string{"fresh", "fresh"}, 1},
 		{"the optional call fails", nil, broken, nil, "success", []string{"fresh", "missing"}, 0.75},
 		{"the optional call is late", nil, slow, nil, "success", []string{"fresh", "missing"}, 0.75},
-		{"a constant replaces the optional call", nil, broken, func(t *Route) {
-			t.Plan.Calls[1].Fallback, t.Calls[1].Default = true, []byte("nobody")
+		{"a constant replaces the optional call", nil, broken, func(route *Route) {
+			route.Plan.Calls[1].Fallback, route.Calls[1].Default = true, []byte("nobody")
 		}, "success", []string{"fresh", "default"}, 1},
 		{"the required call fails", broken, nil, nil, "interrupted", []string{"missing", "missing"}, 0},
 		{"the required call is late", slow, nil, nil, "interrupted", []string{"missing", "fresh"}, 0.25},
@@ -60,7 +60,7 @@
 		return harness.DependencyBehaviour{Fails: failing.Load()}
 	})
 	one := startDependency(t, ms, nil)
-	server := newTestServer(t, 64<<20, readRoute(func(t *Route) { t.Plan.Calls[1].Fallback, t.Calls[1].MaxStale = true, 400*ms }),
+	server := newTestServer(t, 64<<20, readRoute(func(route *Route) { route.Plan.Calls[1].Fallback, route.Calls[1].MaxStale = true, 400*ms }),
 		dependency("one", one.Address), dependency("other", other.Address))
 	server.start("look", "mine", 300*ms)
 	_, a := server.next()
@@ -183,15 +183,15 @@
 	assert.Zero(t, <-resultBytes)
 }
 
-// The results together exceed the maximum answer size. The longest optional part is left out; if a required part must
-// be left out, the answer is incomplete.
+// The results together exceed the maximum answer size. The longest optional part is left out. If a required part must
+// be left out as well, compose reports that the answer lacks it.
 func TestAnswerSize(t *testing.T) {
 	plan := readRoute(nil)[0].Plan
 	require.NoError(t, plan.Validate(2, time.Minute))
 	d := []*budget.Dependency{budget.NewDependency(budget.Options{MaxInFlight: 4}, 1), budget.NewDependency(budget.Options{MaxInFlight: 4}, 1)}
 	for _, c := range []struct {
-		sizes               [2]int
-		truncated, complete bool
+		sizes                  [2]int
+		truncated, hasRequired bool
 	}{
 		{[2]int{100, 100}, false, true}, {[2]int{2000, 2000}, true, true}, {[2]int{4000, 10}, true, false},
 	} {
@@ -202,9 +202,9 @@
 		for i, size := range c.sizes {
 			r.parts[i] = []byte(strings.Repeat("x", size))
 			recorder.onFinish = func() {
-				encoded, truncated, complete := r.compose(execution, budget.Complete)
+				encoded, truncated, hasRequired := r.compose(execution, budget.Complete)
 				assert.Equal(t, c.truncated, truncated)
-				assert.Equal(t, c.complete, complete)
+				assert.Equal(t, c.hasRequired, hasRequired)
 				assert.LessOrEqual(t, len(encoded), maxAnswer)
 			}
 			scheduler.CallEnded(execution, i, 0, budget.Succeeded, time.Hour+ms)
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -82,8 +82,8 @@
 }
 
 // New returns a composer whose connections are kept until the context ends; Wait then waits for them. memory is the
-// memory of the process in bytes. now is the clock of decisions. wake is called, from any goroutine, when Advance has
-// work to do. The routes' plans must be valid. seed makes all jitter repeatable.
+// memory of the process in bytes. now is the clock of deadlines and timers. wake is called, from any goroutine, when
+// Advance has work to do. The routes' plans must be valid. seed makes all jitter repeatable.
 func New(
 	ctx context.Context, dependencies []Dependency, routes []Route, memory int, seed int64, now func() time.Duration,
 	counts *invariant.Counters, log *slog.Logger, wake func(),
@@ -166,7 +166,7 @@
 }
 
 // NextTimer returns the time at which Advance must be called at the latest. It returns 0, for immediately, if an
-// attempt was not sent or a request ended, because both are handled only in a later round.
+// attempt was not sent or a request ended, because these are handled only by the next calls of Advance and AppendNotices.
 func (c *Composer) NextTimer() time.Duration {
 	if len(c.unsent)+len(c.notices) > 0 {
 		return 0
@@ -178,7 +178,8 @@
 	return next
 }
 
-// Advance handles the received responses and runs the timers that are due.
+// Advance handles unsent attempts and received responses, runs the timers that are due, and checks the connections at
+// intervals of connectionCheckInterval.
 func (c *Composer) Advance(now time.Duration) {
 	unsent := c.unsent
 	c.unsent = nil // handling these may start further calls that cannot be sent; they wait for the next Advance
@@ -189,7 +190,7 @@
 	for _, transport := range c.transports {
 		c.responses = transport.Receive(c.responses)
 	}
-	// Sorted by the time of sending, because the order of the transports' maps differs from run to run.
+	// Sorted by the time of sending, because the attempts of a lost connection arrive in the random order of a map.
 	slices.SortStableFunc(c.responses, func(a, b Response) int { return a.Attempt.sentAt.Compare(b.Attempt.sentAt) })
 	for _, response := range c.responses {
 		c.receive(response, now)
--- a/internal/fanout/connection.go
+++ b/internal/fanout/connection.go
@@ -19,7 +19,7 @@
 	writeQueueLimit = 256 << 10 // bytes
 	readSize        = 16 << 10  // bytes
 	dialTimeout     = time.Second
-	minBackoff      = 50 * time.Millisecond // between dials; doubles after each
+	minBackoff      = 50 * time.Millisecond // between dials; doubles until a connection lasts longer than maxBackoff
 	maxBackoff      = 2 * time.Second
 )
 
@@ -110,17 +110,17 @@
 // read reads frames until the connection ends.
 func (c *connection) read(socket net.Conn) error {
 	t := c.transport
-	var unread []byte // the beginning of an incomplete frame
+	var unparsed []byte // the beginning of an incomplete frame
 	chunk := make([]byte, readSize)
 	for {
 		n, err := socket.Read(chunk)
 		if err != nil {
 			return fmt.Errorf("read: %w", err)
 		}
-		unread = append(unread, chunk[:n]...)
+		unparsed = append(unparsed, chunk[:n]...)
 		t.mu.Lock()
 		c.lastReadAt = time.Now()
-		rest, err := c.receiveAll(unread)
+		rest, err := c.receiveAll(unparsed)
 		if err != nil {
 			t.mu.Unlock()
 			t.count("dependency answers what can't be read")
@@ -132,7 +132,7 @@
 		}
 		t.mu.Unlock()
 		t.wake()
-		unread = unread[:copy(unread, rest)]
+		unparsed = unparsed[:copy(unparsed, rest)]
 	}
 }
 
--- a/internal/fanout/executor.go
+++ b/internal/fanout/executor.go
@@ -56,11 +56,11 @@
 // Finish answers a request. The answer of an aborted request contains the available parts too.
 func (c *Composer) Finish(execution *budget.Execution, verdict budget.Verdict) {
 	r := execution.Ref.(*request)
-	answer, truncated, complete := r.compose(execution, verdict)
+	answer, truncated, hasRequired := r.compose(execution, verdict)
 	if truncated {
 		c.counts.Count("composed answer too long, parts left out")
 	}
-	if verdict == budget.Aborted || !complete {
+	if verdict == budget.Aborted || !hasRequired {
 		c.finish(r, runInterrupted, answer)
 	} else {
 		c.finish(r, runSucceeded, answer)
--- a/internal/fanout/testserver_test.go
+++ b/internal/fanout/testserver_test.go
@@ -100,6 +100,7 @@
 	return id
 }
 
+// next waits until a request ends, and returns its outcome and answer.
 func (s *testServer) next() (outcome string, a Answer) {
 	s.t.Helper()
 	select {
@@ -131,7 +132,7 @@
 
 // readRoute returns a route with a required read from the first dependency and an optional read from the second.
 func readRoute(change func(*Route)) []Route {
-	t := Route{
+	route := Route{
 		Plan: &budget.Plan{Route: "look", Reserve: 10 * ms, Calls: []budget.Call{
 			{Name: "map", Required: true, Value: 3, Expected: 20 * ms, Retry: true},
 			{Name: "guest", Dependency: 1, Value: 1, Expected: 20 * ms},
@@ -139,9 +140,9 @@
 		Calls: []Call{{Op: "read-map"}, {Op: "read-guest"}},
 	}
 	if change != nil {
-		change(&t)
+		change(&route)
 	}
-	return []Route{t}
+	return []Route{route}
 }
 
 // confirmRoute returns a route with a required, keyed hold and, after it, a required at-most-once deposit.
@@ -175,20 +176,20 @@
 				_ = from.Close()
 				continue
 			}
-			forward := func(a, b net.Conn, up bool) {
+			forward := func(dst, src net.Conn, up bool) {
 				defer goroutines.Done()
-				defer func() { _ = a.Close() }()
-				defer func() { _ = b.Close() }()
+				defer func() { _ = dst.Close() }()
+				defer func() { _ = src.Close() }()
 				buffer := make([]byte, 4096)
 				for {
-					n, err := b.Read(buffer)
+					n, err := src.Read(buffer)
 					if err != nil {
 						return
 					}
 					if !up && cut.CompareAndSwap(false, true) {
 						return // the response is lost: the call has run
 					}
-					if _, err := a.Write(buffer[:n]); err != nil {
+					if _, err := dst.Write(buffer[:n]); err != nil {
 						return
 					}
 				}
--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -13,8 +13,9 @@
 	"quartzpoint/recovery"
 )
 
-// SystemClock returns a function that reads the clocks of this machine. If the id of the machine or of the boot cannot
-// be read, it stays unknown, and package recovery makes the weakest assumptions about ages.
+// SystemClock returns a function that reads the clocks of this machine. The machine is identified by /etc/machine-id or,
+// if that is missing or empty, by its host name. If the id of the machine or of the boot cannot be read, it stays
+// unknown, and package recovery makes the weakest assumptions about ages.
 func SystemClock() func() recovery.Timestamp {
 	boot, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	base := recovery.Timestamp{BootID: strings.TrimSpace(string(boot))}
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -5,8 +5,9 @@
 	"quartzpoint/recovery"
 )
 
-// Compact reduces a directory that no server uses to one key table, one log and the newest estimates. If site is empty,
-// it uses the site of the files. It returns the size of the directory before and after.
+// Compact rewrites a directory that no server uses: as a start would, it quarantines data that is not used, writes a
+// snapshot of the key table, starts a new log, and removes the tables and logs that are no longer needed. If site is
+// empty, it uses the site of the files. It returns the size of the directory before and after.
 func Compact(dir datadir.Dir, site string, maxBytes int64, clock func() recovery.Timestamp) (bytesBefore, bytesAfter int64, err error) {
 	environment := recovery.Environment{Now: clock(), Site: site}
 	files, err := readFiles(dir, maxBytes, true)
@@ -19,7 +20,7 @@
 		return 0, 0, err
 	}
 	w := &writer{dir: dir, clock: clock, newID: RandomID, site: environment.Site, maxBytes: maxBytes, persistKeys: true}
-	for range retainedTables { // each pass writes a table; after the last pass, no older table remains
+	for range retainedTables { // later passes replace the table of the first, because no records are added in between
 		plan, err := w.plan(environment)
 		if err == nil {
 			err = w.apply(plan, plan.Keys)
--- a/internal/store/configuration_store.go
+++ b/internal/store/configuration_store.go
@@ -11,9 +11,9 @@
 )
 
 // ConfigurationStore stores the current configuration. A file contains a complete document and the deltas accepted
-// after it. The first change after a start begins a new file, and so does a change once the deltas exceed both the size
-// of the document and minRetainedDeltaBytes. If a crash cut a file short, the items before the first incomplete one are
-// used. It is not safe for concurrent use.
+// after it. The first change after a start or a failed Append begins a new file, and so does a change once the deltas
+// exceed both the size of the document and minRetainedDeltaBytes. If a crash cut a file short, the items before the
+// first incomplete one are used. A ConfigurationStore is not safe for concurrent use.
 type ConfigurationStore struct {
 	dir           datadir.Dir
 	file          datadir.File // receives the next delta; nil if the next change starts a new file
@@ -182,8 +182,8 @@
 	}
 }
 
-// Append stores a delta that led to document. If a new file is due, it stores document instead. It returns once the
-// change is durable.
+// Append stores a delta; document is the configuration after that delta. If a new file is due, Append stores document
+// instead of the delta. It returns once the change is durable.
 func (c *ConfigurationStore) Append(delta configuration.Delta, document *configuration.Document) error {
 	if c.file == nil || c.deltaBytes > max(c.documentBytes, minRetainedDeltaBytes) {
 		return c.Replace(document)
--- a/internal/store/configuration_store_test.go
+++ b/internal/store/configuration_store_test.go
@@ -25,11 +25,11 @@
 	}
 	for i := range changes {
 		change := configuration.Change{Routes: map[string]*configuration.Route{}}
-		many := 1
+		routeCount := 1
 		if i%5 == 4 {
-			many = 400
+			routeCount = 400
 		}
-		for k := range many {
+		for k := range routeCount {
 			change.Routes[fmt.Sprint("route-", (i+k)%500)] = &configuration.Route{
 				LatencyTarget: 1, Deadline: int64(1 + i), Idempotency: configuration.Retryable,
 			}
@@ -80,8 +80,8 @@
 	}
 }
 
-// A file with one corrupted byte is read as a version that was stored, or not at all. The directory holds one file,
-// whose size is bounded by that of the document.
+// A file with one corrupted byte is read as a version that was stored, or not at all. However many changes are stored,
+// the directory holds one file of limited size.
 func TestDamagedConfiguration(t *testing.T) {
 	disk := faultdisk.New()
 	versions := map[uint64]*configuration.Document{}
@@ -102,10 +102,10 @@
 		}
 		require.Equal(t, versions[recovered.Document.Version], recovered.Document, "byte %d", at)
 	}
-	many := faultdisk.New()
-	require.NoError(t, storeChanges(many, 400, func(*configuration.Document) {}))
-	assert.Len(t, many.Names(), 1)
-	assert.Less(t, many.TotalBytes(), int64(3*minRetainedDeltaBytes))
+	changed := faultdisk.New()
+	require.NoError(t, storeChanges(changed, 400, func(*configuration.Document) {}))
+	assert.Len(t, changed.Names(), 1)
+	assert.Less(t, changed.TotalBytes(), int64(3*minRetainedDeltaBytes))
 }
 
 // The disk fails: the change is reported as not stored, and the next version is stored once the disk works again.
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// maxFiles is the maximum number of state files that are read. A server never leaves that many in a directory.
+	// maxFiles is the maximum number of state files; a directory with more is not read. A server never leaves that many.
 	maxFiles       = 256
 	sequenceDigits = 16
 )
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -22,8 +22,8 @@
 
 var magic = [2]byte{0xC5, 'q'}
 
-// castagnoli is the table of CRC-32C. This checksum is certain to detect every flipped bit and every burst error of up
-// to 32 bits, which a hash detects only with high probability, and processors have an instruction for it.
+// castagnoli is the table of CRC-32C. This checksum is certain to detect any single flipped bit and any burst error of
+// up to 32 bits, which a hash detects only with high probability, and processors have an instruction for it.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // checksum returns the checksum of a frame. It also covers the id of the file, so that frames that an earlier file left
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -14,11 +14,11 @@
 type FileReport struct {
 	Name     string           `json:"name"`
 	Bytes    int64            `json:"bytes"`
-	Header   *recovery.Header `json:"header,omitempty"` // nil if the file cannot be used
+	Header   *recovery.Header `json:"header,omitempty"` // nil if the file could not be read
 	Records  int              `json:"records"`
 	Complete bool             `json:"whole"`
 	Salvaged int              `json:"beyond,omitempty"` // undamaged records after the first damage
-	Problem  string           `json:"why,omitempty"`    // why the file cannot be used
+	Problem  string           `json:"why,omitempty"`    // why the file could not be read, or problemQuarantined
 }
 
 // KeyReport describes one idempotency key.
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -50,7 +50,7 @@
 	for _, entry := range recovered.Keys {
 		known[entry.Key] = true
 		if entry.Served && string(entry.Result) != "result of "+entry.Key {
-			fmt.Fprintf(os.Stderr, "%s: result %q\n", entry.Key, entry.Result)
+			fmt.Fprintf(os.Stderr, "key %s is recovered with the wrong result %q\n", entry.Key, entry.Result)
 			os.Exit(exitLostEffect)
 		}
 	}
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -29,18 +29,18 @@
 // testWriter is a writer with a clock that the test sets.
 type testWriter struct {
 	writer
-	now recovery.Timestamp
-	ids uint64
+	now    recovery.Timestamp
+	lastID uint64 // of the files
 }
 
-// newTestWriter returns a writer whose file ids are above ids. Its clock is ids milliseconds later than that of a
-// writer with ids 0, so that a restart with higher ids is also a later one.
-func newTestWriter(dir datadir.Dir, ids uint64) *testWriter {
-	later := time.Duration(ids) * time.Millisecond
-	w := &testWriter{now: recovery.Timestamp{Wall: 1e18 + later, SinceBoot: 1e12 + later, BootID: "boot", MachineID: 3}, ids: ids}
+// newTestWriter returns a writer whose first file id is lastID+1. Its clock is lastID milliseconds ahead of that of a
+// writer with lastID 0: a test passes a higher lastID for each restart, which thus gets unused ids and a later time.
+func newTestWriter(dir datadir.Dir, lastID uint64) *testWriter {
+	later := time.Duration(lastID) * time.Millisecond
+	w := &testWriter{now: recovery.Timestamp{Wall: 1e18 + later, SinceBoot: 1e12 + later, BootID: "boot", MachineID: 3}, lastID: lastID}
 	w.writer = writer{
 		dir: dir, clock: func() recovery.Timestamp { return w.now }, site: "s", maxBytes: 1 << 20, persistKeys: true,
-		newID: func() uint64 { w.ids++; return w.ids },
+		newID: func() uint64 { w.lastID++; return w.lastID },
 	}
 	return w
 }
--- a/internal/store/operations_test.go
+++ b/internal/store/operations_test.go
@@ -118,9 +118,9 @@
 
 // crash applies a loss to data that was not synced, restarts, and checks the recovered state. After that the model
 // holds only the recovered state, as durable.
-func (r *operationRun) crash(loss faultdisk.Loss, ids uint64) error {
+func (r *operationRun) crash(loss faultdisk.Loss, lastID uint64) error {
 	r.disk = r.disk.Crash(loss)
-	r.writer = newTestWriter(r.disk, ids)
+	r.writer = newTestWriter(r.disk, lastID)
 	plan, err := r.writer.restart()
 	if err != nil {
 		return err
--- a/internal/store/retention.go
+++ b/internal/store/retention.go
@@ -102,7 +102,7 @@
 }
 
 // prune removes all key tables except the newest retainedTables, and the logs that the oldest remaining table covers
-// completely.
+// completely. While there are fewer than retainedTables, it keeps all logs.
 func (w *writer) prune() error {
 	if err := w.keepNewest(tablePrefix, retainedTables); err != nil {
 		return err
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -23,7 +23,7 @@
 	maxQueueBytes     = 4 << 20 // of records that wait to be written
 	recordMemoryBytes = 128     // of a queued record without its key and result
 
-	stallTimeout      = time.Second     // duration of a write from which on requests no longer wait for it
+	stallTimeout      = time.Second     // requests stop waiting for a write that takes longer
 	lockTimeout       = 3 * time.Second // more than the 2.5 s that the previous process may take to shut down
 	lockRetryInterval = 50 * time.Millisecond
 	closeTimeout      = 250 * time.Millisecond
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -83,7 +83,8 @@
 	return lines
 }
 
-// A directory that the recorded program wrote is read with the same estimates, keys, windows and results.
+// A directory that the program of commit f1daac1 wrote is read with the same estimates, keys, windows and results as by
+// that program.
 func TestStoredStateIsRead(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
 		t.Run(name, func(t *testing.T) {
@@ -114,7 +115,7 @@
 	}
 }
 
-// golden compares the JSON of got with the recorded output of the program.
+// golden compares the JSON of got with a file that records the output of the program of commit f1daac1.
 func golden(t *testing.T, name string, got any) {
 	t.Helper()
 	encoded, err := json.MarshalIndent(got, "", "  ")
@@ -124,7 +125,7 @@
 	assert.Equal(t, string(want), string(encoded)+"\n")
 }
 
-// Inspect, which the commands use, must report the same about a directory as the recorded program did.
+// Inspect, which the commands use, must report the same about a directory as the program of commit f1daac1 did.
 func TestStoredStateIsInspected(t *testing.T) {
 	for _, name := range []string{"state", "state-torn"} {
 		dir := copyTestdata(t, name)
@@ -138,7 +139,7 @@
 }
 
 // In another boot, on another machine, at another time and for another site, a start must use the same state as the
-// recorded program did.
+// program of commit f1daac1 did.
 func TestStoredStateElsewhere(t *testing.T) {
 	got := map[string]any{}
 	for name, change := range map[string]func(options *store.Options, now *recovery.Timestamp){
--- a/internal/writequeue/queue.go
+++ b/internal/writequeue/queue.go
@@ -14,13 +14,13 @@
 // writev is the system call; tests replace it.
 var writev = unix.Writev
 
-// maxParts is the number of pieces that one write gathers; Linux allows up to 1024.
+// maxParts is the maximum number of parts that one write gathers; Linux allows up to 1024.
 const maxParts = 256
 
 // ErrFull is returned if the queue would exceed its limit because the peer reads too slowly.
 var ErrFull = errors.New("peer does not read")
 
-// Queue contains the pieces to be written to one peer, in order. Pieces are not copied and must not be modified until
+// Queue contains the parts to be written to one peer, in order. Parts are not copied and must not be modified until
 // they are written. A Queue is not safe for concurrent use.
 type Queue struct {
 	parts    [][]byte
@@ -31,7 +31,7 @@
 // New returns a queue of at most maxBytes bytes.
 func New(maxBytes int) *Queue { return &Queue{maxBytes: maxBytes} }
 
-// Add appends pieces. If they would exceed the limit, it appends none of them and returns an error that wraps ErrFull.
+// Add appends parts. If they would exceed the limit, it appends none of them and returns an error that wraps ErrFull.
 func (q *Queue) Add(parts ...[]byte) error {
 	more := 0
 	for _, p := range parts {
@@ -55,8 +55,9 @@
 // Size returns the number of queued bytes.
 func (q *Queue) Size() int { return q.size }
 
-// Flush writes as much as the descriptor accepts without blocking; the rest stays queued. It replaces netpoll's Flush,
-// which would block its caller, the event loop, until the peer reads. It returns nil after a transient error.
+// Flush writes as much as the descriptor accepts without blocking. The rest stays queued, also after a transient error,
+// which Flush does not return. netpoll's own Flush is not used, because it would block its caller, the event loop, until
+// the peer reads.
 func (q *Queue) Flush(fd int) error {
 	for q.size > 0 {
 		n, err := writev(fd, q.parts[:min(len(q.parts), maxParts)])
@@ -92,7 +93,7 @@
 		done++
 	}
 	left := copy(q.parts, q.parts[done:])
-	clear(q.parts[left:]) // allows written pieces to be garbage collected
+	clear(q.parts[left:]) // allows written parts to be garbage collected
 	q.parts = q.parts[:left]
 	if n > 0 {
 		q.parts[0] = q.parts[0][n:]
--- a/internal/writequeue/queue_test.go
+++ b/internal/writequeue/queue_test.go
@@ -33,9 +33,9 @@
 	write, read := pair(t)
 	queue, want := New(8<<20), []byte(nil)
 	for i := range 3000 {
-		piece := bytes.Repeat([]byte{byte(i)}, 1000+i%7)
-		require.NoError(t, queue.Add(piece[:10], nil, piece[10:]))
-		want = append(want, piece...)
+		message := bytes.Repeat([]byte{byte(i)}, 1000+i%7)
+		require.NoError(t, queue.Add(message[:10], nil, message[10:]))
+		want = append(want, message...)
 	}
 	var got []byte
 	rounds := 0
