--- a/internal/configserve/configserve_test.go
+++ b/internal/configserve/configserve_test.go
@@ -309,9 +309,9 @@
 	}
 }
 
-// newCorruptingProxy proxies connections to a target. On the first connection it flips one bit of the byte at offset at
-// in the data that the target sends.
-func newCorruptingProxy(t *testing.T, target string, at int) string {
+// newCorruptingProxy proxies connections to a target. On the first connection it flips one bit of the byte at the given
+// offset in the data that the target sends.
+func newCorruptingProxy(t *testing.T, target string, offset int) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var wg sync.WaitGroup
@@ -329,7 +329,7 @@
 			}
 			flipAt := -1
 			if first {
-				flipAt = at
+				flipAt = offset
 			}
 			wg.Go(func() { defer func() { _ = out.Close() }(); _, _ = io.Copy(out, in) })
 			wg.Go(func() { defer func() { _ = in.Close() }(); copyFlippingBit(in, out, flipAt) })
--- a/internal/configserve/replica.go
+++ b/internal/configserve/replica.go
@@ -22,9 +22,9 @@
 type Replica struct {
 	mu         sync.Mutex
 	history    *configuration.History
-	snapshot   []byte        // of the latest version, encoded on first use; nil until then
-	changed    chan struct{} // closed and replaced when the history changes
-	acceptedAt map[uint64]time.Time
+	snapshot   []byte               // of the latest version, encoded on first use; nil until then
+	changed    chan struct{}        // closed and replaced when the history changes
+	acceptedAt map[uint64]time.Time // by version, on the clock of the leader at that time
 	watchers   watchers
 }
 
@@ -116,9 +116,9 @@
 
 // cursor is the position of a watcher's session in the history.
 type cursor struct {
-	version uint64 // last version sent in this session, or else the one the watcher started with
-	digest  configuration.Digest
-	sent    bool // whether deltas or a snapshot were sent in this session
+	version uint64               // last version sent in this session, or else the one the watcher started with
+	digest  configuration.Digest // of the document that the watcher started with; unused once sent is true
+	sent    bool                 // whether an update from this machine's history was sent, even an empty one
 }
 
 // step is the next update of a watcher's session.
--- a/internal/configserve/watch.go
+++ b/internal/configserve/watch.go
@@ -27,7 +27,7 @@
 	s.sendUpdates(ctx, session, cursor{version: request.Version, digest: request.Digest})
 }
 
-// sendUpdates sends updates and heartbeats until the session fails or the context ends.
+// sendUpdates sends updates and heartbeats until the session fails, the context ends, or this machine has no leader.
 func (s *Server) sendUpdates(ctx context.Context, session *peersync.Session, at cursor) {
 	ticker := time.NewTicker(configwatch.Heartbeat)
 	defer ticker.Stop()
--- a/internal/configserve/watchers.go
+++ b/internal/configserve/watchers.go
@@ -30,7 +30,7 @@
 type watchers struct {
 	connected   map[*watcher]bool
 	rejections  map[string]rejection // by watcher name, until its next report; kept while the watcher is disconnected
-	delays      []time.Duration      // ring buffer once it is full
+	delays      []time.Duration      // latest propagation delays; a ring buffer once it holds maxDelays
 	oldestDelay int                  // index of the oldest delay once the ring buffer is full
 }
 
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -11,7 +11,7 @@
 	"quartzpoint/internal/peersync"
 )
 
-// ErrUnavailable reports that no control machine answered with the outcome of a request. A proposed change may still
+// ErrUnavailable reports that no control machine answered with the outcome of a proposed change. The change may still
 // have been accepted; it is safe to propose it again with the same ID.
 var ErrUnavailable = errors.New("configuration service not reached")
 
@@ -30,7 +30,7 @@
 			Key: "change", Value: fmt.Sprintf("%d bytes", len(raw)), Allowed: fmt.Sprintf("%d bytes at most are allowed", configuration.MaxChangeBytes),
 		}}}
 	}
-	failures := []error{ErrUnavailable} // and at most one failure per address
+	failures := []error{ErrUnavailable} // and the first failures, at most as many as there are addresses
 	leader := ""
 	for attempt := 0; ; attempt++ {
 		address := addresses[attempt%len(addresses)]
--- a/internal/configwatch/messages.go
+++ b/internal/configwatch/messages.go
@@ -37,7 +37,7 @@
 	Name    string               `cbor:"1,keyasint"`
 	Zone    string               `cbor:"2,keyasint,omitempty"`
 	Version uint64               `cbor:"3,keyasint"` // in force at the watcher
-	Digest  configuration.Digest `cbor:"4,keyasint"`
+	Digest  configuration.Digest `cbor:"4,keyasint"` // of the document of that version
 }
 
 // Validate checks the lengths of the watcher's name and zone.
@@ -70,13 +70,13 @@
 }
 
 // ChangeResponse is the response to a proposed change. Version is set if the change was accepted, and Violations if it
-// was rejected. Otherwise Error states the failure, and Leader is set if this machine is not the leader and knows which
-// one is.
+// was rejected. Otherwise Error states the failure. A machine that is not the leader does not propose the change, and
+// sets Leader if it knows which one is. After any other failure the change may still have been accepted.
 type ChangeResponse struct {
 	Version    uint64                    `cbor:"1,keyasint,omitempty"` // accepted version
 	Violations []configuration.Violation `cbor:"2,keyasint,omitempty"` // why the change was rejected
 	Leader     string                    `cbor:"3,keyasint,omitempty"` // session address of the leader, to which to propose the change
-	Error      string                    `cbor:"4,keyasint,omitempty"` // why the change was neither accepted nor rejected
+	Error      string                    `cbor:"4,keyasint,omitempty"` // why the change was not proposed, or why its outcome is unknown
 }
 
 // ReplicaStatus is the state of a control machine and of its watchers.
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -23,8 +23,8 @@
 	dialTimeout     = time.Second
 	minBackoff      = 100 * time.Millisecond // mean wait before the next attempt; doubles with each failure, up to maxBackoff
 	maxBackoff      = 2 * time.Second
-	maxRetryAfter   = 4 * time.Second // maximum Retry-After of a control machine that is honored
-	reconnectSpread = time.Second     // period over which the watchers of a lost machine reconnect
+	maxRetryAfter   = 4 * time.Second // a longer Retry-After of a control machine is shortened to this
+	reconnectSpread = time.Second     // period over which the watchers of a failed machine reconnect
 )
 
 // Endpoint is the address of a control machine and its zone.
@@ -42,7 +42,7 @@
 }
 
 // Watcher keeps a server's configuration at the latest version of the service. The exported fields must be set before
-// Run and not changed afterwards. Run modifies Document.
+// Run and not changed afterwards. Run modifies Document, which must not be used elsewhere meanwhile.
 type Watcher struct {
 	Name      string     // name of the server in the status of the service
 	Zone      string     // zone of the server; its endpoints are tried first
--- a/internal/leasing/manager.go
+++ b/internal/leasing/manager.go
@@ -160,12 +160,12 @@
 	m.logChanges()
 }
 
-// handleResponse passes a response to the candidate. It logs a refusal if it names another holder than the last logged
-// one.
+// handleResponse passes a response to the candidate. It logs a refusal that names another server as the holder, unless
+// the last logged refusal named the same one.
 func (m *Manager) handleResponse(l *managedLease, response lease.VoteResponse) {
 	l.candidate.HandleResponse(response, m.now())
-	other := response.Holder != "" && response.Holder != l.candidate.ID
-	if !response.Granted && other && response.Holder != l.refusedBy {
+	heldByOther := response.Holder != "" && response.Holder != l.candidate.ID
+	if !response.Granted && heldByOther && response.Holder != l.refusedBy {
 		l.refusedBy = response.Holder
 		m.options.Log.Info("lease refused", "lease", l.candidate.Lease, "voter", response.Voter, "holder", response.Holder,
 			"highest_token", response.HighestToken)
@@ -190,7 +190,8 @@
 	m.publishStatus()
 }
 
-// release gives up all leases and releases them at this server's own voter. The grants of the other voters expire.
+// release steps down from all leases, and releases those held at this server's own voter. The grants of other voters
+// remain until they expire.
 func (m *Manager) release() {
 	for _, l := range m.leases {
 		c := l.candidate
--- a/internal/leasing/votes.go
+++ b/internal/leasing/votes.go
@@ -15,8 +15,8 @@
 	Response *lease.VoteResponse `cbor:"2,keyasint,omitempty"`
 }
 
-// HandleVote is a peersync.VoteHandler: Run's goroutine votes on a peer's request. A ballot without a request gets no
-// response, so that the peer times out.
+// HandleVote is a peersync.VoteHandler. It has Run's goroutine vote on a peer's request. It does not respond to a ballot
+// without a valid request, so the peer's exchange times out.
 func (m *Manager) HandleVote(raw []byte, respond func([]byte)) {
 	var b ballot
 	if err := cbor.Unmarshal(raw, &b); err != nil || b.Request == nil {
--- a/internal/peersync/client.go
+++ b/internal/peersync/client.go
@@ -14,8 +14,9 @@
 // purpose exceeds it.
 const exchangeTimeout = 2 * time.Second
 
-// Fetch fetches the snapshot of a running server. It adds the duration of the exchange to the snapshot's age, because
-// how much of it passed after the snapshot was sent is unknown. A rejection is returned as a *RejectedError.
+// Fetch fetches the snapshot of a running server. It adds the whole duration of the exchange to the snapshot's age,
+// because it does not know how much of that time passed after the server sent the snapshot. A rejection is returned as
+// a *RejectedError.
 func Fetch(ctx context.Context, address string, keys Keys) (estimate.Snapshot, error) {
 	started := time.Now()
 	request := &snapshotRequest{clientHandshake: newClientHandshake(keys.first())}
@@ -27,7 +28,7 @@
 }
 
 // RequestVote sends a ballot of 1 to 1024 bytes to a running server and returns its response. Both are authenticated
-// with the key; their contents are defined by the caller. A rejection is returned as a *RejectedError.
+// with the first key; their contents are defined by the caller. A rejection is returned as a *RejectedError.
 func RequestVote(ctx context.Context, address string, keys Keys, ballot []byte) ([]byte, error) {
 	if len(ballot) == 0 || len(ballot) > maxBallot {
 		return nil, fmt.Errorf("ballot of %d bytes, want 1 to %d: %w", len(ballot), maxBallot, ErrOutOfBounds)
--- a/internal/peersync/exchange.go
+++ b/internal/peersync/exchange.go
@@ -24,7 +24,7 @@
 	if handled, err := r.clientHandshake.handle(m); err != nil {
 		return nil, nil, err
 	} else if handled {
-		return encodeFrame(message{Kind: kindAsk, Proof: r.sign(labelClient)}), nil, nil
+		return encodeFrame(message{Kind: kindSnapshotRequest, Proof: r.sign(labelSnapshotRequest)}), nil, nil
 	}
 	switch {
 	case m.Kind == kindPart && r.serverNonce != nil && m.Number == r.parts+1 && len(m.Bytes) > 0:
@@ -73,12 +73,12 @@
 	if handled, err := r.clientHandshake.handle(m); err != nil {
 		return nil, nil, err
 	} else if handled {
-		return encodeFrame(message{Kind: kindVote, Ballot: r.ballot, Proof: r.sign(labelVote, r.ballot)}), nil, nil
+		return encodeFrame(message{Kind: kindVoteRequest, Ballot: r.ballot, Proof: r.sign(labelVoteRequest, r.ballot)}), nil, nil
 	}
-	if m.Kind != kindVoted || r.serverNonce == nil || len(m.Ballot) == 0 || len(m.Ballot) > maxBallot {
+	if m.Kind != kindVoteResponse || r.serverNonce == nil || len(m.Ballot) == 0 || len(m.Ballot) > maxBallot {
 		return nil, nil, ErrUnexpectedMessage
 	}
-	if !r.verify(m.Proof, labelVoted, m.Ballot) {
+	if !r.verify(m.Proof, labelVoteResponse, m.Ballot) {
 		return nil, nil, fmt.Errorf("response to a vote request: %w", ErrBadProof)
 	}
 	return nil, &m.Ballot, nil
@@ -98,8 +98,8 @@
 	allow    func(bytes int) (allowed bool, retryAfter time.Duration)
 }
 
-// handle processes a message. It returns the frames to send, or the ballot of an authenticated vote request. The caller
-// encodes the response to a ballot with voted.
+// handle processes a message. It returns the frames to send, or the ballot of an authenticated vote request, for which
+// the caller must send a voteResponse.
 func (e *serverExchange) handle(m message, keys Keys, source snapshotSource) (out [][]byte, ballot []byte, err error) {
 	switch {
 	case m.Kind == kindHello:
@@ -108,14 +108,14 @@
 			return nil, nil, err
 		}
 		return [][]byte{challenge}, nil, nil
-	case m.Kind == kindAsk && e.clientNonce != nil && !e.requestReceived:
-		if !e.verify(m.Proof, labelClient) {
+	case m.Kind == kindSnapshotRequest && e.clientNonce != nil && !e.requestReceived:
+		if !e.verify(m.Proof, labelSnapshotRequest) {
 			return nil, nil, fmt.Errorf("client's %w", ErrBadProof)
 		}
 		e.requestReceived = true
 		return e.serve(source), nil, nil
-	case m.Kind == kindVote && e.clientNonce != nil && !e.requestReceived && len(m.Ballot) > 0 && len(m.Ballot) <= maxBallot:
-		if !e.verify(m.Proof, labelVote, m.Ballot) {
+	case m.Kind == kindVoteRequest && e.clientNonce != nil && !e.requestReceived && len(m.Ballot) > 0 && len(m.Ballot) <= maxBallot:
+		if !e.verify(m.Proof, labelVoteRequest, m.Ballot) {
 			return nil, nil, fmt.Errorf("client's %w", ErrBadProof)
 		}
 		e.requestReceived = true
@@ -147,7 +147,7 @@
 	}))
 }
 
-// voted returns the frame of the response to a vote request.
-func (e *serverExchange) voted(response []byte) []byte {
-	return encodeFrame(message{Kind: kindVoted, Ballot: response, Proof: e.sign(labelVoted, response)})
+// voteResponse returns the frame of the response to a vote request.
+func (e *serverExchange) voteResponse(response []byte) []byte {
+	return encodeFrame(message{Kind: kindVoteResponse, Ballot: response, Proof: e.sign(labelVoteResponse, response)})
 }
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -176,8 +176,8 @@
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	request := newTestRequest(keyA, bytes.Repeat([]byte{3}, nonceSize))
-	recordedAsk := encodeFrame(message{Kind: kindAsk, Proof: sign(keyA, "asker", bytes.Repeat([]byte{9}, nonceSize), request.clientNonce)})
-	_, err = conn.Write(append(request.hello(), recordedAsk...))
+	recordedRequest := encodeFrame(message{Kind: kindSnapshotRequest, Proof: sign(keyA, "asker", bytes.Repeat([]byte{9}, nonceSize), request.clientNonce)})
+	_, err = conn.Write(append(request.hello(), recordedRequest...))
 	require.NoError(t, err)
 	require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	all, _ := io.ReadAll(conn)
@@ -211,8 +211,9 @@
 	})
 }
 
-// A server must accept a ballot, and a client its response, only with a key of the server, up to the size limit, and if
-// the server has a vote handler. If votes were not authenticated, any process could send one that counts.
+// A server must answer a ballot only if it has a vote handler and the ballot is signed with one of the server's keys;
+// otherwise any process could obtain votes. A client must not send a ballot over the size limit, and must return an
+// error if no response arrives.
 func TestVote(t *testing.T) {
 	keys := Keys{[]byte("a shared secret of the fleet....")}
 	server, _ := startServer(t, keys)
--- a/internal/peersync/fetcher.go
+++ b/internal/peersync/fetcher.go
@@ -31,8 +31,8 @@
 	Log            *slog.Logger
 }
 
-// received is a peer's snapshot and the time at which it was received.
-type received struct {
+// receivedSnapshot is a peer's snapshot and the time at which it was received.
+type receivedSnapshot struct {
 	snapshot   estimate.Snapshot
 	receivedAt time.Duration
 	ok         bool
@@ -51,11 +51,11 @@
 	*Fetcher
 	started    time.Time
 	schedule   *estimate.PollSchedule
-	received   []received       // by peer
-	results    chan fetchResult // buffered for all peers, so that fetches never block when they report
-	fetchSlots chan struct{}    // has one element per fetch in progress
+	received   []receivedSnapshot // by peer
+	results    chan fetchResult   // buffered for all peers, so that fetches never block when they report
+	fetchSlots chan struct{}      // has one element per fetch in progress
 	inProgress int
-	used       bool // use was called: the first answers were used, or none arrived in time
+	used       bool // whether use was called: the first answers were used, or none arrived in time
 }
 
 // Run polls until enough peers have answered, the estimates are no longer needed, or the context ends. It returns after
@@ -63,7 +63,7 @@
 func (f *Fetcher) Run(ctx context.Context) {
 	run := &fetchRun{
 		Fetcher: f, started: time.Now(), schedule: estimate.NewPollSchedule(len(f.Peers), 0, f.Seed),
-		received: make([]received, len(f.Peers)), results: make(chan fetchResult, len(f.Peers)),
+		received: make([]receivedSnapshot, len(f.Peers)), results: make(chan fetchResult, len(f.Peers)),
 		fetchSlots: make(chan struct{}, maxFetches),
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -142,7 +142,7 @@
 		r.Log.Warn("no estimates from a peer", "peer", r.Peers[result.peer], "error", err)
 		return
 	}
-	r.received[result.peer] = received{snapshot, now, true}
+	r.received[result.peer] = receivedSnapshot{snapshot, now, true}
 	if r.used || r.inProgress == 0 {
 		r.use(now)
 	}
--- a/internal/peersync/fetcher_test.go
+++ b/internal/peersync/fetcher_test.go
@@ -21,8 +21,8 @@
 func newTestFetcher(peers []string, needed *atomic.Bool) (fetcher *Fetcher, used chan estimate.Snapshot) {
 	used = make(chan estimate.Snapshot, 16)
 	schema := estimate.Schema{SettingsDigest: 7, Origin: 99}
-	for _, k := range testSnapshot(0).Routes {
-		schema.Routes = append(schema.Routes, k.Name)
+	for _, route := range testSnapshot(0).Routes {
+		schema.Routes = append(schema.Routes, route.Name)
 		schema.Deadlines = append(schema.Deadlines, time.Second)
 	}
 	return &Fetcher{
@@ -132,8 +132,8 @@
 	a, _ := startServer(t, nil)
 	b, _ := startServer(t, nil)
 	nothing := estimate.Snapshot{SettingsDigest: 7}
-	for _, k := range testSnapshot(0).Routes {
-		nothing.Routes = append(nothing.Routes, estimate.RouteEstimates{Name: k.Name})
+	for _, route := range testSnapshot(0).Routes {
+		nothing.Routes = append(nothing.Routes, estimate.RouteEstimates{Name: route.Name})
 	}
 	a.Publish(nothing, time.Hour)
 	b.Publish(nothing, time.Hour)
--- a/internal/peersync/handshake.go
+++ b/internal/peersync/handshake.go
@@ -25,7 +25,7 @@
 	case m.Kind == kindRejection:
 		return true, m.rejectionError()
 	case m.Kind == kindChallenge && h.serverNonce == nil && len(m.Nonce) == nonceSize:
-		if !verify(m.Proof, h.key, labelServer, h.clientNonce, m.Nonce) {
+		if !verify(m.Proof, h.key, labelChallenge, h.clientNonce, m.Nonce) {
 			return true, fmt.Errorf("challenge: peer's %w", ErrBadProof)
 		}
 		h.serverNonce = m.Nonce
@@ -61,7 +61,7 @@
 		return nil, ErrUnknownKey
 	}
 	h.key, h.clientNonce = key, m.Nonce
-	return encodeFrame(message{Kind: kindChallenge, Nonce: h.serverNonce, Proof: h.sign(labelServer)}), nil
+	return encodeFrame(message{Kind: kindChallenge, Nonce: h.serverNonce, Proof: h.sign(labelChallenge)}), nil
 }
 
 // sign returns the server's proof over both nonces and parts.
--- a/internal/peersync/hostile_test.go
+++ b/internal/peersync/hostile_test.go
@@ -26,6 +26,7 @@
 // connection may leak, and the server must continue to answer.
 func TestCutOnSockets(t *testing.T) {
 	server, _ := startServer(t, Keys{keyA})
+	// fetchThrough fetches through a proxy that closes the connection after cutAt bytes in one direction.
 	fetchThrough := func(cutAt int, toServer bool) error {
 		proxy, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -42,11 +43,11 @@
 				_ = from.Close()
 				return
 			}
-			forward := func(into, out net.Conn, maxBytes int64) {
+			forward := func(dst, src net.Conn, maxBytes int64) {
 				defer goroutines.Done()
-				_, _ = io.Copy(into, io.LimitReader(out, maxBytes))
-				_ = into.Close()
-				_ = out.Close()
+				_, _ = io.Copy(dst, io.LimitReader(src, maxBytes))
+				_ = dst.Close()
+				_ = src.Close()
 			}
 			toServerBytes, toClientBytes := int64(1<<20), int64(1<<20)
 			if toServer {
@@ -68,7 +69,7 @@
 	for n := range 24 {
 		assert.Error(t, fetchThrough(n*size/24, false), "answer cut at byte %d", n*size/24)
 		assert.Error(t, fetchThrough(n*3, true), "request cut at byte %d", n*3)
-		time.Sleep(110 * time.Millisecond) // the interval at which one address may send requests
+		time.Sleep(110 * time.Millisecond) // keeps the rate below the limit of 10 requests per second for one address
 	}
 	_, err := Fetch(t.Context(), server.Address(), Keys{keyA})
 	assert.NoError(t, err)
@@ -201,8 +202,8 @@
 	server, counts := startServer(t, nil)
 	var conns []net.Conn
 	defer func() {
-		for _, l := range conns {
-			_ = l.Close()
+		for _, conn := range conns {
+			_ = conn.Close()
 		}
 	}()
 	for _, first := range [][]byte{nil, {0}, newTestRequest(nil, make([]byte, nonceSize)).hello()} {
@@ -213,9 +214,9 @@
 	}
 	_, err := Fetch(t.Context(), server.Address(), nil)
 	require.NoError(t, err)
-	for _, l := range conns {
-		require.NoError(t, l.SetDeadline(time.Now().Add(testTimeout)))
-		_, err := io.Copy(io.Discard, l)
+	for _, conn := range conns {
+		require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+		_, err := io.Copy(io.Discard, conn)
 		assert.False(t, errors.Is(err, os.ErrDeadlineExceeded), "the server closes the connection")
 	}
 	assert.Equal(t, 3, counts.Times("peer connection closed: exchange took too long"))
--- a/internal/peersync/keys.go
+++ b/internal/peersync/keys.go
@@ -21,19 +21,18 @@
 	privateMask = 0o077 // mode bits that give access to others than the owner
 )
 
-// Labels that are signed with a proof and state its purpose. Each purpose has its own label, so that a proof for one
-// cannot be used for another. The values are part of the signed bytes of the protocol, which servers of different
-// versions compare: they must never change.
+// Labels state the purpose of a proof and are part of the bytes that it covers, so that a proof for one purpose cannot
+// be used for another. The values must never change, because servers of different versions verify each other's proofs.
 const (
-	labelServer     = "giver" // the challenge
-	labelClient     = "asker" // a request for a snapshot
-	labelSnapshot   = "view"
-	labelVote       = "vote"
-	labelVoted      = "voted"
-	labelSession    = "session"
-	labelFromClient = "from the asker" // a payload that the client sends in a session
-	labelFromServer = "from the giver"
-	labelKeyName    = "name"
+	labelChallenge       = "giver"
+	labelSnapshotRequest = "asker"
+	labelSnapshot        = "view"
+	labelVoteRequest     = "vote"
+	labelVoteResponse    = "voted"
+	labelSessionRequest  = "session"
+	labelFromClient      = "from the asker" // a payload that the client sends in a session
+	labelFromServer      = "from the giver"
+	labelKeyName         = "name"
 )
 
 // Keys are the secrets that the servers of a fleet share. A client uses the first key; a server accepts all of them, so
@@ -125,13 +124,13 @@
 	return hmac.Equal(proof, sign(key, label, parts...))
 }
 
-// signedUint returns the encoding of a number that proofs cover.
+// signedUint encodes a number for a proof, as 8 bytes in big-endian order.
 func signedUint(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// signedAge returns the encoding of an age that proofs cover.
+// signedAge encodes an age for a proof, in nanoseconds as signedUint encodes them.
 func signedAge(age time.Duration) []byte { return signedUint(uint64(age)) }
 
-// newNonce returns a random nonce.
+// newNonce returns nonceSize random bytes from a cryptographically secure source.
 func newNonce() []byte {
 	nonce := make([]byte, nonceSize)
 	_, _ = rand.Read(nonce) // Read never returns an error
--- a/internal/peersync/message.go
+++ b/internal/peersync/message.go
@@ -6,14 +6,15 @@
 // Messages are CBOR in frames with a length prefix of 4 bytes, big-endian. An exchange has four steps on its own
 // connection:
 //
-//	client                                      server
-//	hello: client nonce, name of the key    ->
-//	                                        <-  challenge: server nonce, proof over both nonces
-//	ask: proof over both nonces             ->
-//	                                        <-  part 1..n, then end: size, checksum, age, proof over all of it
+//	client                                        server
+//	hello: client nonce, name of the key      ->
+//	                                          <-  challenge: server nonce, proof over both nonces
+//	snapshot request: proof over both nonces  ->
+//	                                          <-  part 1..n, then end: size, checksum, age, proof over both nonces,
+//	                                              the age and all parts
 //
-// Nonces are new for each connection, so a recorded exchange proves nothing. The server may send a rejection in place
-// of any step. A snapshot with a missing or invalid part is dropped.
+// Nonces are new for each connection, so the proofs of a recorded exchange are not valid in another one. The server may
+// send a rejection in place of any of its messages. A snapshot with a missing or invalid part is dropped.
 package peersync
 
 import (
@@ -48,13 +49,13 @@
 const (
 	kindHello kind = iota + 1
 	kindChallenge
-	kindAsk // requests a snapshot
+	kindSnapshotRequest
 	kindPart
 	kindEnd // follows the parts of a snapshot; the last part of a payload
 	kindRejection
-	kindVote    // requests a vote for a lease; replaces kindAsk
-	kindVoted   // response to kindVote
-	kindSession // requests a session; replaces kindAsk
+	kindVoteRequest // requests a vote for a lease; sent in place of kindSnapshotRequest
+	kindVoteResponse
+	kindSessionRequest // requests a session; sent in place of kindSnapshotRequest
 )
 
 // message is a message of any kind. Its fields are encoded under the numbers in their tags.
--- a/internal/peersync/server.go
+++ b/internal/peersync/server.go
@@ -23,15 +23,15 @@
 )
 
 // Server answers the exchanges of peers with the snapshot that was last published. Its own goroutine owns the
-// connections, so requests of peers take no time of the event loop that decides on requests. All methods are safe for
-// concurrent use.
+// connections, so serving peers takes no time from the event loop that admits the requests of callers. All methods are
+// safe for concurrent use.
 type Server struct {
 	counts      *invariant.Counters
 	now         func() time.Duration
 	listener    netpoll.Listener
 	loop        netpoll.EventLoop
 	keys        atomic.Pointer[Keys]
-	published   atomic.Pointer[published]
+	published   atomic.Pointer[publishedSnapshot]
 	voteHandler atomic.Pointer[VoteHandler]
 
 	mu         sync.Mutex
@@ -43,18 +43,19 @@
 	// The goroutine of run owns the fields below.
 	limiter     *estimate.ServeLimiter
 	conns       []*serverConn
-	encodedFrom *published // published snapshot that encoded was made from
+	encodedFrom *publishedSnapshot // the one that encoded was made from
 	encoded     *encodedSnapshot
 }
 
-// published is a snapshot and the time at which it was taken.
-type published struct {
+// publishedSnapshot is a snapshot and the time at which it was taken.
+type publishedSnapshot struct {
 	snapshot estimate.Snapshot
 	takenAt  time.Duration
 }
 
 // VoteHandler handles the ballot of an authenticated peer. It may call respond once, from any goroutine, with a
-// response of 1 to 1024 bytes. If it does not, the peer's request times out.
+// response of 1 to 1024 bytes. If it does not, the peer's request times out. The handler is called on the server's
+// goroutine and must not block.
 type VoteHandler func(ballot []byte, respond func(response []byte))
 
 // Listen binds the address and returns a server that answers after Serve is called. now is the clock of the times that
@@ -95,13 +96,13 @@
 
 // Publish sets the snapshot that is served, and the time at which it was taken. It does not block.
 func (s *Server) Publish(snapshot estimate.Snapshot, takenAt time.Duration) {
-	s.published.Store(&published{snapshot, takenAt})
+	s.published.Store(&publishedSnapshot{snapshot, takenAt})
 }
 
 // SetKeys replaces the keys for new connections.
 func (s *Server) SetKeys(keys Keys) { s.keys.Store(&keys) }
 
-// Submit submits a function to be called on the server's goroutine.
+// Submit queues f to be called on the server's goroutine. It does not block.
 func (s *Server) Submit(f func()) {
 	s.mu.Lock()
 	s.submitted = append(s.submitted, f)
@@ -165,7 +166,8 @@
 	}
 }
 
-// snapshot returns the snapshot to serve, or nil if there is none. It encodes each published snapshot only once.
+// snapshot returns the snapshot to serve, or nil if none was published or the last one is too large. It encodes each
+// published snapshot only once.
 func (s *Server) snapshot() *encodedSnapshot {
 	latest := s.published.Load()
 	if latest != s.encodedFrom {
--- a/internal/peersync/serverconn.go
+++ b/internal/peersync/serverconn.go
@@ -12,7 +12,7 @@
 )
 
 // maxUnread is the maximum number of bytes that were received on a connection and are not handled yet. The two messages
-// of an exchange are much shorter.
+// that a client sends in an exchange are much shorter.
 const maxUnread = 2 * maxFrame
 
 // connKey is the context key of a connection.
@@ -182,7 +182,7 @@
 			if c.closed || len(response) == 0 || len(response) > maxBallot {
 				return
 			}
-			c.send(c.exchange.voted(response))
+			c.send(c.exchange.voteResponse(response))
 		})
 	})
 	return nil
--- a/internal/peersync/session.go
+++ b/internal/peersync/session.go
@@ -73,7 +73,7 @@
 		return nil, ErrUnexpectedMessage
 	}
 	s.serverNonce = handshake.serverNonce
-	proof := encodeFrame(message{Kind: kindSession, Proof: handshake.sign(labelSession)})
+	proof := encodeFrame(message{Kind: kindSessionRequest, Proof: handshake.sign(labelSessionRequest)})
 	if _, err := conn.Write(proof); err != nil {
 		return nil, fmt.Errorf("send proof: %w", errors.Join(err, ctx.Err()))
 	}
@@ -91,8 +91,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if m.Kind == kindSession && handshake.clientNonce != nil {
-			if !handshake.verify(m.Proof, labelSession) {
+		if m.Kind == kindSessionRequest && handshake.clientNonce != nil {
+			if !handshake.verify(m.Proof, labelSessionRequest) {
 				return nil, s.reject(reasonBadProof, ErrBadProof)
 			}
 			break
--- a/internal/peersync/session_test.go
+++ b/internal/peersync/session_test.go
@@ -63,17 +63,17 @@
 		_, _ = rand.Read(payload)
 		sent = append(sent, payload)
 	}
-	for _, way := range []struct{ from, to *Session }{{a, b}, {b, a}} {
+	for _, direction := range []struct{ from, to *Session }{{a, b}, {b, a}} {
 		failed := make(chan error, 1)
 		go func() {
 			var err error
 			for _, payload := range sent {
-				err = errors.Join(err, way.from.Send(payload))
+				err = errors.Join(err, direction.from.Send(payload))
 			}
 			failed <- err
 		}()
 		for _, want := range sent {
-			got, err := way.to.Receive(1<<20, testTimeout)
+			got, err := direction.to.Receive(1<<20, testTimeout)
 			require.NoError(t, err)
 			assert.True(t, bytes.Equal(want, got))
 		}
--- a/internal/peersync/traffic.go
+++ b/internal/peersync/traffic.go
@@ -6,7 +6,8 @@
 )
 
 // Traffic is the traffic of this package in a process, as client and as server. Bytes are those of the frames, without
-// the headers of the network protocols.
+// the headers of the network protocols. The bytes of a session are counted only by the side that dialled, and include
+// those of a protocol that continues on Session.Conn.
 type Traffic struct {
 	Started  int64 `json:"Asked"`    // connections that this process dialled
 	Accepted int64 `json:"Answered"` // connections from peers
--- a/internal/peersync/wire_test.go
+++ b/internal/peersync/wire_test.go
@@ -28,7 +28,7 @@
 	}
 	assert.Equal(t, "00000034ad010102050341010441020541030604074105080609070a1b00000001dcd650000b646e696e650c1b00000002540be4000d410b", hex.EncodeToString(encodeFrame(full)))
 	assert.Equal(t, []kind{1, 2, 3, 4, 5, 6, 7, 8, 9},
-		[]kind{kindHello, kindChallenge, kindAsk, kindPart, kindEnd, kindRejection, kindVote, kindVoted, kindSession})
+		[]kind{kindHello, kindChallenge, kindSnapshotRequest, kindPart, kindEnd, kindRejection, kindVoteRequest, kindVoteResponse, kindSessionRequest})
 
 	clientNonce, serverNonce := bytes.Repeat([]byte{3}, nonceSize), bytes.Repeat([]byte{9}, nonceSize)
 	snapshot, err := encodeSnapshot(testSnapshot(5), 0)
@@ -76,7 +76,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "ballot", string(ballot))
 	assert.Equal(t, "549b637aab1fa6058990790fd71aa7b88a9f4fc6a39585be71af29a707ce39d7", digest(request))
-	assert.Equal(t, "a320abb1b809a6b27350415228e9fa352cf8254b53f8cf137ad1186070e03e6d", digest(server.voted([]byte("answer"))))
+	assert.Equal(t, "a320abb1b809a6b27350415228e9fa352cf8254b53f8cf137ad1186070e03e6d", digest(server.voteResponse([]byte("answer"))))
 }
 
 // capturingConn records what is written to a connection.
--- a/internal/raftlog/fsm.go
+++ b/internal/raftlog/fsm.go
@@ -10,7 +10,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// maxSnapshotBytes is the maximum number of bytes that are read of a snapshot.
+// maxSnapshotBytes is the maximum number of bytes that are read of a snapshot. A larger one is truncated without an
+// error.
 const maxSnapshotBytes = 256 << 20
 
 // StateMachine applies the entries of the log, one at a time and in the same order on every member. Apply must be
--- a/internal/raftlog/node.go
+++ b/internal/raftlog/node.go
@@ -46,7 +46,7 @@
 type Options struct {
 	Name         string   // name of the member that this machine is
 	Dir          string   // directory of the log and the snapshots, created if it does not exist
-	Members      []Member // must be the same on all members
+	Members      []Member // names and addresses must be the same on all members
 	Keys         peersync.Keys
 	StateMachine StateMachine
 	Logger       *slog.Logger
--- a/internal/strictcbor/strict.go
+++ b/internal/strictcbor/strict.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	maxNesting  = 6  // nesting levels; a view file needs four
+	maxNesting  = 6  // nesting levels; an estimate.Snapshot needs four
 	maxMapPairs = 64 // pairs in a map
 )
 
 // NewDecMode returns a decoding mode that rejects input which could make a small message large in memory or have more
 // than one interpretation. Arrays may have up to maxItems elements. If allowInvalidUTF8 is set, text need not be valid
-// UTF-8, as in data that callers have chosen.
+// UTF-8, as in idempotency keys, which are arbitrary bytes chosen by callers.
 func NewDecMode(maxItems int, allowInvalidUTF8 bool) cbor.DecMode {
 	text := cbor.UTF8RejectInvalid
 	if allowInvalidUTF8 {
