--- a/baseline/base.go
+++ b/baseline/base.go
@@ -1,5 +1,5 @@
 // Package baseline implements admission policies that the project's decisions are compared with. The daemon does not
-// use them. All of them queue requests in order of arrival, answer requests at their deadlines and shut down
+// use them. All of them queue requests in order of arrival, answer requests before their deadlines and shut down
 // gracefully. They differ in how many requests run at once and in which they reject.
 package baseline
 
@@ -14,9 +14,9 @@
 )
 
 const (
-	shutdownGrace  = 400 * time.Millisecond // after the notification; arrivals are queued until then
+	shutdownGrace  = 400 * time.Millisecond // after the notice to shut down; arrivals are queued until then
 	tick           = 25 * time.Millisecond
-	deadlineMargin = 2 * tick // before the deadline; a request is answered by then
+	deadlineMargin = 2 * tick // a request is answered this long before its deadline
 	queueFactor    = 4.0      // queue length beyond which arrivals are rejected, as a multiple of the limit
 )
 
@@ -26,8 +26,8 @@
 	admit(now time.Duration) bool
 	// limit returns the number of requests that may run at once.
 	limit() float64
-	// shed reports whether the first request of the queue, which has waited for the time in waited, is rejected instead
-	// of started.
+	// shed reports whether the first request of the queue is rejected instead of started. waited is how long it has been
+	// queued.
 	shed(now, waited time.Duration) bool
 	// recordRun records the end of a run and the number of runs at that time, this one included.
 	recordRun(now, took time.Duration, running int, failed bool)
@@ -56,7 +56,7 @@
 	request  *admission.Request
 	state    state
 	queuedAt time.Duration
-	deadline time.Duration
+	deadline time.Duration // of the request, less deadlineMargin
 }
 
 // server is an emulator.Policy that decides by a limiter.
@@ -66,7 +66,7 @@
 	requests   map[*admission.Request]*trackedRequest
 	active     []*trackedRequest // started but not ended, in order of start
 	started    bool
-	stopAt     time.Duration
+	stopAt     time.Duration // limit of the shutdown; 0 before the notice to shut down
 	notifiedAt time.Duration
 }
 
@@ -115,22 +115,22 @@
 }
 
 // Decide implements emulator.Policy.
-func (s *server) Decide(r *admission.Round, w admission.Executor) {
+func (s *server) Decide(r *admission.Round, executor admission.Executor) {
 	if !s.started {
 		s.started = true
-		w.SetHealth(true, true)
-		w.WakeAfter(tick)
+		executor.SetHealth(true, true)
+		executor.WakeAfter(tick)
 	}
 	if r.StopAt > 0 && s.stopAt == 0 {
 		s.stopAt, s.notifiedAt = r.StopAt, r.Now
 	}
 	for _, e := range r.CallsEnded {
-		s.callEnded(e, w)
+		s.callEnded(e, executor)
 	}
 	for _, request := range r.AwaitingCall {
 		if tracked := s.requests[request]; tracked != nil && tracked.state == running {
 			tracked.state = calling
-			w.Call(request, max(tracked.deadline-r.Now, 1))
+			executor.Call(request, max(tracked.deadline-r.Now, 1))
 		}
 	}
 	for _, e := range r.RunsEnded {
@@ -145,39 +145,39 @@
 		}
 	}
 	for _, request := range r.Arrived {
-		s.arrive(request, r.Now, w)
+		s.arrive(request, r.Now, executor)
 	}
 	if r.Gauges != nil {
 		s.recordGauges(r.Now, *r.Gauges)
-		w.WakeAfter(tick)
+		executor.WakeAfter(tick)
 	}
-	s.expire(r.Now, w)
+	s.expire(r.Now, executor)
 	for len(s.queue) > 0 && float64(len(s.active)) < max(s.limit(), 1) {
 		tracked := s.queue[0]
 		if s.shed(r.Now, r.Now-tracked.queuedAt) {
-			s.reject(tracked, w)
+			s.reject(tracked, executor)
 			continue
 		}
 		s.queue = s.queue[1:]
 		s.active = append(s.active, tracked)
 		tracked.state = running
-		w.Start(tracked.request)
+		executor.Start(tracked.request)
 	}
 }
 
-func (s *server) arrive(request *admission.Request, now time.Duration, w admission.Executor) {
+func (s *server) arrive(request *admission.Request, now time.Duration, executor admission.Executor) {
 	tracked := &trackedRequest{request: request, queuedAt: now, deadline: request.Deadline - deadlineMargin}
 	s.requests[request] = tracked
 	s.queue = append(s.queue, tracked)
 	afterGrace := s.stopAt > 0 && now > s.notifiedAt+shutdownGrace
 	if afterGrace || !s.admit(now) || float64(len(s.queue)) > queueFactor*max(s.limit(), 1) {
-		s.reject(tracked, w)
+		s.reject(tracked, executor)
 	}
 }
 
-func (s *server) reject(tracked *trackedRequest, w admission.Executor) {
+func (s *server) reject(tracked *trackedRequest, executor admission.Executor) {
 	s.remove(tracked)
-	w.Reject(tracked.request, 0, false)
+	executor.Reject(tracked.request, 0, false)
 }
 
 func (s *server) remove(tracked *trackedRequest) {
@@ -190,31 +190,31 @@
 	delete(s.requests, tracked.request)
 }
 
-// expire rejects queued requests and aborts running ones at their deadline, less deadlineMargin, or at the end of the
+// expire rejects queued requests and aborts running ones deadlineMargin before their deadline or before the end of the
 // shutdown.
-func (s *server) expire(now time.Duration, w admission.Executor) {
+func (s *server) expire(now time.Duration, executor admission.Executor) {
 	expired := func(tracked *trackedRequest) bool {
 		return now >= tracked.deadline || s.stopAt > 0 && now >= s.stopAt-deadlineMargin
 	}
 	for _, tracked := range slices.Clone(s.queue) {
 		if expired(tracked) {
-			s.reject(tracked, w)
+			s.reject(tracked, executor)
 		}
 	}
 	for _, tracked := range slices.Clone(s.active) {
 		if tracked.state != stopping && expired(tracked) {
-			s.abort(tracked, w)
+			s.abort(tracked, executor)
 		}
 	}
 }
 
-func (s *server) abort(tracked *trackedRequest, w admission.Executor) {
+func (s *server) abort(tracked *trackedRequest, executor admission.Executor) {
 	tracked.state = stopping
-	w.Abort(tracked.request)
-	w.Pause(tracked.request)
+	executor.Abort(tracked.request)
+	executor.Pause(tracked.request)
 }
 
-func (s *server) callEnded(e admission.Completion, w admission.Executor) {
+func (s *server) callEnded(e admission.Completion, executor admission.Executor) {
 	tracked := s.requests[e.Request]
 	switch {
 	case tracked == nil || tracked.state != calling:
@@ -222,8 +222,8 @@
 		tracked.state = running
 	case tracked.request.Route.SkipValueShare > 0:
 		tracked.state = running
-		w.SkipCall(tracked.request)
+		executor.SkipCall(tracked.request)
 	default:
-		s.abort(tracked, w)
+		s.abort(tracked, executor)
 	}
 }
--- a/baseline/baseline_test.go
+++ b/baseline/baseline_test.go
@@ -10,8 +10,9 @@
 	"quartzpoint/emulator"
 )
 
-// TestBaselines checks that every baseline answers each request once and in time and shuts down gracefully. At half the
-// load nearly all value is served in time; at twice the load policies with a limit still serve a part.
+// TestBaselines checks that every baseline answers each request once and in time and shuts down gracefully. At a load of
+// half the capacity nearly all value is served in time; at a load of twice the capacity policies with a limit still serve
+// a part.
 func TestBaselines(t *testing.T) {
 	for _, name := range append(Names(), "quartzpoint") {
 		t.Run(name, func(t *testing.T) {
@@ -27,7 +28,7 @@
 				r := w.Run(emulator.Load{Rate: 4 * emulator.Rate(f.Routes, f.Machine, load), Span: 12 * time.Second})
 				assert.Zero(t, r.DuplicateAnswers)
 				assert.Zero(t, r.Rules.Violations[1]+r.Rules.Violations[2]+r.Rules.Violations[3], r.Rules.Messages)
-				if bounded := name != "no-limit" && name != "gradient2" && name != "vegas"; bounded { // these limit by latency alone
+				if bounded := name != "no-limit" && name != "gradient2" && name != "vegas"; bounded { // the others limit runs by latency alone, or not at all
 					assert.Zero(t, r.Rules.Violations[4], r.Rules.Messages)
 				}
 				assert.Equal(t, r.Requests, r.Served+r.Rejected+r.Aborted+r.Unanswered)
--- a/cmd/adapter/executor.go
+++ b/cmd/adapter/executor.go
@@ -17,17 +17,18 @@
 	}
 }
 
-func (s *server) add(code wire.ActionCode, request *admission.Request) {
+// addAction adds an action for a request to the reply.
+func (s *server) addAction(code wire.ActionCode, request *admission.Request) {
 	s.reply.AddRequest(code, s.id, s.requestIDs[request])
 }
 
 // Start implements admission.Executor, as do the methods below.
 func (s *server) Start(request *admission.Request) {
 	s.requests[s.requestIDs[request]].running = true
-	s.add(wire.ActionStart, request)
+	s.addAction(wire.ActionStart, request)
 }
 
-func (s *server) Pause(request *admission.Request) { s.add(wire.ActionPause, request) }
+func (s *server) Pause(request *admission.Request) { s.addAction(wire.ActionPause, request) }
 
 func (s *server) Reject(request *admission.Request, retryAfter time.Duration, noRetryElsewhere bool) {
 	s.reply.AddReject(s.id, s.requestIDs[request], retryAfter, noRetryElsewhere)
@@ -35,27 +36,29 @@
 }
 
 func (s *server) Abort(request *admission.Request) {
-	s.add(wire.ActionAbort, request)
+	s.addAction(wire.ActionAbort, request)
 	s.markAnswered(request)
 }
 
 func (s *server) AnswerFromOriginal(request *admission.Request) {
-	s.add(wire.ActionAnswerFromOriginal, request)
+	s.addAction(wire.ActionAnswerFromOriginal, request)
 }
 
 func (s *server) RememberKey(request *admission.Request, lifetime time.Duration) {
 	s.reply.AddRequestFor(wire.ActionRememberKey, s.id, s.requestIDs[request], lifetime)
 }
 
-func (s *server) ForgetKey(request *admission.Request) { s.add(wire.ActionForgetKey, request) }
+func (s *server) ForgetKey(request *admission.Request) { s.addAction(wire.ActionForgetKey, request) }
 
 func (s *server) Call(request *admission.Request, timeout time.Duration) {
 	s.reply.AddRequestFor(wire.ActionCall, s.id, s.requestIDs[request], timeout)
 }
 
-func (s *server) SkipCall(request *admission.Request) { s.add(wire.ActionSkipCall, request) }
+func (s *server) SkipCall(request *admission.Request) { s.addAction(wire.ActionSkipCall, request) }
 
-func (s *server) SetHealth(good, cached bool) { s.reply.AddHealth(s.id, good, cached) }
+func (s *server) SetHealth(healthy, withoutWorkers bool) {
+	s.reply.AddHealth(s.id, healthy, withoutWorkers)
+}
 
 func (s *server) SetShedLevel(level float64) { s.reply.AddShedLevel(s.id, level) }
 
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -55,6 +55,8 @@
 	return append(header, body...)
 }
 
+// withRequestID returns a function that sets a record's request id and, if field is given, the eight bytes at the offset
+// field[0] to the value field[1].
 func withRequestID(id uint64, field ...uint64) func([]byte) {
 	return func(r []byte) {
 		binary.LittleEndian.PutUint64(r[3:], id)
--- a/cmd/adapter/server.go
+++ b/cmd/adapter/server.go
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// forgetIfFinished deletes a request that no later event can concern: it is answered and its run has ended.
+// forgetIfFinished deletes a request that no later event can concern: it is answered and has no run in progress.
 func (s *server) forgetIfFinished(request *admission.Request) {
 	id, known := s.requestIDs[request]
 	if !known {
--- a/cmd/quartzconfig/main_test.go
+++ b/cmd/quartzconfig/main_test.go
@@ -77,8 +77,8 @@
 	return path
 }
 
-// file writes a configuration file of the service and returns its path. The head holds the keys for serving; a file for
-// clients has an empty head.
+// file writes a configuration file of the service and returns its path. head holds the settings that only serving needs,
+// name and data; it is empty in a file for the other commands.
 func (c *cluster) file(t *testing.T, name, head string) string {
 	text := head + fmt.Sprintf("key-file = %q\n", c.keyFile)
 	for i := range c.sessions {
--- a/cmd/quartzconfig/status.go
+++ b/cmd/quartzconfig/status.go
@@ -34,7 +34,7 @@
 	Leader      string                      `json:"leader"`
 	Version     uint64                      `json:"version"`
 	Watchers    int                         `json:"watchers"`
-	P50         time.Duration               `json:"lag_p50_ns"` // of the propagation delays, from acceptance to in force
+	P50         time.Duration               `json:"lag_p50_ns"` // of the propagation delays, from the acceptance of a version until it is in force at a watcher
 	P99         time.Duration               `json:"lag_p99_ns"`
 	Worst       time.Duration               `json:"lag_worst_ns"`
 	Reports     int                         `json:"reports"` // number of propagation delays
--- a/emulator/composed.go
+++ b/emulator/composed.go
@@ -19,6 +19,7 @@
 	ended        []compositionEnd
 }
 
+// compositionEnd is the end of a composed request that is still to be reported to its server.
 type compositionEnd struct {
 	attempt    *attempt
 	verdict    budget.Verdict
@@ -57,7 +58,7 @@
 	c.schedule()
 }
 
-// abandon cancels the calls of a request whose result is no longer needed.
+// abandon cancels the calls of a request whose result is no longer needed, and ends the request as aborted.
 func (c *composer) abandon(a *attempt) {
 	if a.execution != nil {
 		c.scheduler.Cancel(a.execution, c.server.world.now)
@@ -77,7 +78,7 @@
 	if len(c.ended) > 0 {
 		next = w.now
 	}
-	if next >= 1<<62 {
+	if next >= 1<<62 { // the scheduler has no timer set
 		return
 	}
 	w.at(next, func() {
@@ -96,7 +97,7 @@
 	})
 }
 
-// Send implements budget.Executor, as do the methods below it.
+// Send implements budget.Executor, as do Cancel, Fallback and Finish.
 func (c *composer) Send(execution *budget.Execution, call, attemptIndex int, timeout time.Duration) {
 	w, a := c.server.world, execution.Ref.(*attempt)
 	dc := &dependencyCall{execution: execution, call: call, attempt: attemptIndex, dependency: execution.Plan().Calls[call].Dependency}
--- a/emulator/dependency.go
+++ b/emulator/dependency.go
@@ -30,9 +30,11 @@
 	ended     bool
 }
 
-// maxQueue is the queue length from which a dependency rejects calls, as with a full connection backlog.
+// maxQueue is the queue length at which a dependency rejects calls, as with a full connection backlog.
 const maxQueue = 10_000
 
+// handle takes a call from a server. onEnd is called once: at the end of the call, or after the timeout if that is
+// earlier.
 func (d *dependency) handle(timeout time.Duration, onEnd func(outcome admission.Outcome, took time.Duration)) {
 	w := d.world
 	c := &call{onEnd: onEnd, startedAt: w.now}
@@ -50,7 +52,8 @@
 	}
 }
 
-// survivedCallsPerSlot is the number of calls, in flight or queued, per slot that a dependency survives.
+// survivedCallsPerSlot is the number of calls per slot, in flight or queued, that a dependency survives. More are
+// reported as a violation of rule 4 of package rulecheck; the emulated dependency does not fail.
 const survivedCallsPerSlot = 8.0
 
 func (d *dependency) startCall(c *call) {
@@ -78,6 +81,7 @@
 	}
 }
 
+// end reports the end of a call, unless it was reported before.
 func (d *dependency) end(c *call, outcome admission.Outcome) {
 	if !c.ended {
 		c.ended = true
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -14,6 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// shutdownGrace is the time after the notice to shut down in which a server still accepts requests.
 const shutdownGrace = 400 * time.Millisecond
 
 // event is a function that runs at a moment of simulated time. Events of the same moment run in the order in which they
--- a/emulator/incidents.go
+++ b/emulator/incidents.go
@@ -57,24 +57,24 @@
 	}
 }
 
-// Restart shuts servers down gracefully, each within a limit, and starts each again bootTime after its end.
-func (w *World) Restart(numbers []int, within time.Duration) {
+// Restart shuts servers down gracefully, each within shutdownLimit, and starts each again bootTime after its end.
+func (w *World) Restart(numbers []int, shutdownLimit time.Duration) {
 	for _, n := range numbers {
 		if !w.servers[n].alive {
 			continue
 		}
 		w.updateEndpoints(n, false)
-		w.servers[n].shutdown(within, func() { w.after(bootTime, func() { w.Boot([]int{n}) }) })
+		w.servers[n].shutdown(shutdownLimit, func() { w.after(bootTime, func() { w.Boot([]int{n}) }) })
 	}
 }
 
 // bootTime is the time between the end of a process and the start of the next.
 const bootTime = 500 * time.Millisecond
 
-// Deploy restarts all servers one after the other, one per interval. within is the limit of each shutdown.
-func (w *World) Deploy(interval time.Duration, within time.Duration) {
+// Deploy restarts all servers one after the other, one per interval, as Restart does.
+func (w *World) Deploy(interval time.Duration, shutdownLimit time.Duration) {
 	for i := range w.servers {
-		w.after(time.Duration(i)*interval, func() { w.Restart([]int{i}, within) })
+		w.after(time.Duration(i)*interval, func() { w.Restart([]int{i}, shutdownLimit) })
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// SetNeighbourShare takes a share of the cores from the pools of servers; 0 returns them.
+// SetNeighbourShare has other processes on the machines of servers use a share of the cores; 0 frees the cores.
 func (w *World) SetNeighbourShare(numbers []int, share float64) {
 	for _, n := range numbers {
 		s := w.servers[n]
@@ -110,7 +110,7 @@
 	}
 }
 
-// StepClock steps the wall clocks of servers.
+// StepClock steps the wall clocks of servers, from which they calculate the age of requests.
 func (w *World) StepClock(numbers []int, by time.Duration) {
 	for _, n := range numbers {
 		w.servers[n].clockOffset += by
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -18,7 +18,7 @@
 	Share          float64       // of all requests
 	Work           time.Duration // mean, on a core of speed 1
 	Spread         float64       // standard deviation of the work, divided by its mean
-	Composed       bool          // the answer is composed of parts and states its share of the value
+	Composed       bool          // the answer is composed of parts and states its share of the value; not used by the emulator, see Fleet.Plans
 	Dependency     string        // called halfway through each run, empty for none; used by the emulator only
 	SkipValueShare float64       // share of the value of an answer without the call
 }
@@ -98,10 +98,11 @@
 	ColdShare   float64       // fraction of Speed at the start; 0 for a warm start
 	WarmUp      time.Duration // time until the full speed
 	MemoryKB    float64
-	Independent bool // runs share no cores: each takes the time of its work, and none can be stopped
-	// Each run per core over FreeRunsPerCore slows all runs by SwitchCost; 0 for no cost.
+	Independent bool // runs share no cores: each takes the time of its work, and none can be stopped (but the emulator stops any run)
+	// Each run per core over FreeRunsPerCore lengthens all runs by the fraction SwitchCost; 0 for no cost.
 	FreeRunsPerCore, SwitchCost float64
-	// Preemption states whether and how a run can be stopped: PreemptionSuspend, which is the default, PreemptionAbort or PreemptionNone.
+	// Preemption states whether and how a run can be stopped: PreemptionSuspend, which is the default, PreemptionAbort or
+	// PreemptionNone. The emulator does not use it: it stops any run, for good.
 	Preemption string
 }
 
@@ -132,12 +133,12 @@
 	return share
 }
 
-// RunKB is the memory of a run on the cores, in kilobytes.
+// RunKB is the memory of a run on the cores, in KiB.
 const RunKB = 160.0
 
-// Settings returns the admission settings of a server with these routes on this machine. calls is its quota of calls in
-// flight.
-func Settings(routes []Route, m Machine, calls float64) admission.Settings {
+// Settings returns the admission settings of a server with these routes on this machine. callQuota is its quota of calls
+// in flight.
+func Settings(routes []Route, m Machine, callQuota float64) admission.Settings {
 	settings := admission.DefaultSettings()
 	settings.Cores = m.Cores
 	settings.MemoryKB = m.MemoryKB
@@ -153,7 +154,7 @@
 	settings.RetryAfter = true
 	settings.MaxRetryAfter = time.Second
 	settings.FleetServers = 2
-	settings.CallQuota = calls
+	settings.CallQuota = callQuota
 	for _, route := range routes {
 		admissionRoute := admission.Route{
 			Name: route.Name, Value: route.Value, LatencyTarget: route.LatencyTarget, Deadline: route.Deadline,
--- a/emulator/pool.go
+++ b/emulator/pool.go
@@ -11,7 +11,7 @@
 	engine         *engine
 	machine        Machine
 	speedFactor    float64       // multiplies the machine's speed
-	neighbourCores float64       // cores in use by neighbours
+	neighbourCores float64       // cores in use by other processes of the machine
 	startedAt      time.Duration // start of the warm-up
 	frozen         bool
 	onDone         func(r *run) // called when a run has no work left
@@ -19,12 +19,13 @@
 	runs       runHeap
 	clock      float64 // virtual time: the work, in seconds, done by a run that has been on the cores since the pool's start
 	advancedAt time.Duration
-	busy       float64 // core seconds
-	generation uint64  // of the scheduled event; events of earlier generations have no effect
-	samples    []usageSample
+	busy       float64       // core seconds used so far, by neighbours too
+	generation uint64        // of the scheduled event; events of earlier generations have no effect
+	samples    []usageSample // those of the last half second, and the one before them
 	seq        uint64
 }
 
+// usageSample is the value of pool.busy at a moment.
 type usageSample struct {
 	at   time.Duration
 	busy float64
--- a/emulator/router.go
+++ b/emulator/router.go
@@ -8,14 +8,14 @@
 
 // serverView is a router's view of a server: what it learned from answers, and whether the connection is cut.
 type serverView struct {
-	open              int
+	open              int // requests sent to it whose attempts have not ended
 	shedLevel         float64
-	shedLevelAt       time.Duration // when it was received
+	shedLevelAt       time.Duration // when the shed level was received
 	ejectedUntil      time.Duration // until when it gets no requests
 	disconnectedUntil time.Duration // until when the connection to it is cut
 }
 
-// shedLevelTTL is the time for which a router uses a received shed level.
+// shedLevelTTL is the time for which a router heeds a shed level after receiving it.
 const shedLevelTTL = time.Second
 
 // router forwards requests to servers.
@@ -28,7 +28,7 @@
 	views         []serverView
 	next          int
 	firstAttempts float64 // these earn the retry budget
-	retriesSpent  float64
+	retriesSpent  float64 // of the retry budget
 }
 
 // pick chooses an eligible server that the request has not tried yet, and reports whether there is one.
@@ -125,7 +125,7 @@
 	})
 }
 
-// handleAnswer handles the end of an attempt: it ends the request, retries it, or leaves it to the client.
+// handleAnswer handles the end of an attempt: it answers the client, or retries the request.
 func (r *router) handleAnswer(a *attempt, v verdict, level float64, retryAfter time.Duration, noRetryElsewhere bool) {
 	w, q := r.world, a.origin
 	view := &r.views[a.server.number]
@@ -158,7 +158,7 @@
 			r.retriesSpent++
 		}
 	}
-	if retryable && r.options.MaxAttempts == 0 && timeLeft > minRetryTime { // without a limit of attempts: keeps cycling through the list
+	if retryable && r.options.MaxAttempts == 0 && timeLeft > minRetryTime { // without a limit, the router goes through the endpoint list again and again
 		if len(q.triedServers) >= len(r.endpoints) {
 			q.triedServers = nil
 		}
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -10,15 +10,16 @@
 
 // Policy makes the admission decisions of one server, as admission.Controller does.
 type Policy interface {
-	Decide(r *admission.Round, w admission.Executor)
+	Decide(r *admission.Round, executor admission.Executor)
 }
 
-// PolicyMaker returns the policy of a server, and the routes that its requests point to, in the order of routes.
-type PolicyMaker func(routes []Route, m Machine, calls float64, seed int64) (Policy, []*admission.Route)
+// PolicyMaker returns the policy of a server, and the routes that its requests point to, in the order of the parameter
+// routes. callQuota is the server's quota of calls in flight.
+type PolicyMaker func(routes []Route, m Machine, callQuota float64, seed int64) (Policy, []*admission.Route)
 
 // QuartzpointPolicy is the PolicyMaker of the project's own decisions.
-func QuartzpointPolicy(routes []Route, m Machine, calls float64, seed int64) (Policy, []*admission.Route) {
-	controller := admission.New(Settings(routes, m, calls), seed)
+func QuartzpointPolicy(routes []Route, m Machine, callQuota float64, seed int64) (Policy, []*admission.Route) {
+	controller := admission.New(Settings(routes, m, callQuota), seed)
 	return controller, controller.Routes
 }
 
@@ -47,6 +48,7 @@
 	execution *budget.Execution
 	calls     *[budget.MaxCalls][2]*dependencyCall // by call and attempt; nil until its calls begin
 
+	// reached is false if the connection was refused. active is true from the start of the run to the report of its end.
 	reached, answered, started, active bool
 }
 
@@ -70,10 +72,10 @@
 	shedLevel    float64
 	frozenUntil  time.Duration // 0 if this incarnation was never frozen
 	deferred     []func()      // events that arrived while it was frozen
-	notifiedAt   time.Duration
-	stopAt       time.Duration
+	notifiedAt   time.Duration // when the notice to shut down was received; 0 before
+	stopAt       time.Duration // limit of the shutdown; 0 before the notice
 	onStopped    func()
-	clockOffset  time.Duration
+	clockOffset  time.Duration // error of the wall clock
 }
 
 // whenRunning calls do now, or once the server is no longer frozen. It does nothing if the incarnation has ended.
--- a/emulator/server_executor.go
+++ b/emulator/server_executor.go
@@ -7,7 +7,7 @@
 	"quartzpoint/rulecheck"
 )
 
-// Start implements admission.Executor, as do the methods below it.
+// Start implements admission.Executor, as do the other exported methods of server.
 func (s *server) Start(request *admission.Request) {
 	a := s.attempts[request]
 	if a == nil || a.answered {
@@ -72,7 +72,9 @@
 func (s *server) Abort(request *admission.Request) {
 	if a := s.attempts[request]; a != nil {
 		s.answer(a, aborted, 0, false)
-		if a.composed && a.active { // the policy waits for its end without pausing it
+		// The policy does not pause a run that waits for its calls, but waits for the run to end. As the request is
+		// answered, its calls are no longer needed; cancelling them ends the run.
+		if a.composed && a.active {
 			s.composer.abandon(a)
 		}
 	}
--- a/emulator/server_lifecycle.go
+++ b/emulator/server_lifecycle.go
@@ -35,8 +35,8 @@
 	s.decide()
 }
 
-// usePeerEstimates merges the estimates of up to three running servers, as a new server with a [peers] section in its
-// configuration does.
+// usePeerEstimates gives the controller the merged estimates of up to three running servers, drawn at random. A new
+// server with a [peers] section in its configuration does the same.
 func (s *server) usePeerEstimates(controller *admission.Controller) {
 	w := s.world
 	schema := controller.EstimateSchema(uint64(s.number)<<32|s.incarnation, 0, false)
@@ -79,13 +79,13 @@
 	}
 }
 
-// shutdown begins a graceful shutdown that takes at most within. onStopped is called when it has ended.
-func (s *server) shutdown(within time.Duration, onStopped func()) {
+// shutdown begins a graceful shutdown that takes at most shutdownLimit. onStopped is called when it has ended.
+func (s *server) shutdown(shutdownLimit time.Duration, onStopped func()) {
 	if !s.alive || s.stopAt > 0 {
 		return
 	}
 	w := s.world
-	s.notifiedAt, s.stopAt, s.onStopped = w.now, w.now+within, onStopped
+	s.notifiedAt, s.stopAt, s.onStopped = w.now, w.now+shutdownLimit, onStopped
 	w.rules.Add(rulecheck.Event{Kind: rulecheck.ShutdownNotified, At: w.now, Server: s.number, Deadline: w.now + shutdownGrace})
 	s.round.StopAt = s.stopAt - stopMargin
 	incarnation := s.incarnation
@@ -99,7 +99,7 @@
 	if !s.alive || s.incarnation != incarnation {
 		return
 	}
-	for _, a := range s.attempts { // in any order, as nothing is drawn
+	for _, a := range s.attempts { // in any order, as it does not affect the run
 		if !a.answered {
 			s.world.after(drainCheckInterval, func() { s.stopWhenAnswered(incarnation) })
 			return
@@ -122,8 +122,8 @@
 	}
 }
 
-// freeze suspends a server and its pool for a span. Attempts with a deadline before the end of the freeze need no
-// answer: the checker gets an Abandoned event for each, and their clients time out.
+// freeze suspends a server and its pool for a span. Attempts with a deadline before the end of the freeze, or less than
+// unfreezeMargin after it, need no answer: the checker gets an Abandoned event for each, and their clients time out.
 func (s *server) freeze(span time.Duration) {
 	if !s.alive {
 		return
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	queuedKB            = 20.0
-	survivedRunsPerCore = 8.0                    // above the 6 that Settings sets as MaxRunnablePerCore
+	queuedKB            = 20.0                   // memory of a queued request, in KiB
+	survivedRunsPerCore = 8.0                    // runs per core, above the 6 that Settings sets as MaxRunnablePerCore; more violate rule 4 of package rulecheck
 	linkDelay           = 100 * time.Microsecond // between a server and its worker pool
 	drainCheckInterval  = 20 * time.Millisecond  // between checks whether a server that shuts down has answered everything
 	stopMargin          = 15 * time.Millisecond  // before the end of a shutdown; everything must be answered by then
@@ -36,11 +36,15 @@
 
 // RouterOptions are the options of a router.
 type RouterOptions struct {
-	Balancing         string  // one of the Balancing constants
-	MaxAttempts       int     // at different servers, each time that a client sends the request; 0 for no limit
-	RetryBudget       float64 // retries per first attempt; 0 for no limit
-	HeedsBackpressure bool    // uses the shed level and Retry-After of answers
-	RetriesAborted    bool    // also retries aborted requests, unless they are at-most-once
+	Balancing string // one of the Balancing constants
+	// MaxAttempts is the number of attempts, at different servers, each time that a client sends the request; 0 for no
+	// limit. After a failed connection up to two more are made.
+	MaxAttempts int
+	// RetryBudget is the number of retries per first attempt, in addition to 10 per router; 0 for no limit. Retries after
+	// a failed connection are not counted. It has no effect without a limit of attempts.
+	RetryBudget       float64
+	HeedsBackpressure bool // uses the shed level and Retry-After of answers
+	RetriesAborted    bool // also retries aborted requests, unless they are at-most-once
 }
 
 // ClientOptions are the options of clients.
@@ -52,9 +56,9 @@
 // Dependency describes a service that is called by runs.
 type Dependency struct {
 	Name   string
-	Slots  int // concurrent calls; further calls are queued
-	Mean   time.Duration
-	Spread float64
+	Slots  int           // concurrent calls; further calls are queued
+	Mean   time.Duration // mean time that a call occupies a slot
+	Spread float64       // standard deviation of that time, divided by its mean
 }
 
 // Fleet describes the servers, routers, clients, dependencies and network of a World.
@@ -116,13 +120,13 @@
 	id           uint64
 	route        int
 	rank         float64
-	work         float64
+	work         float64 // seconds
 	router       *router
 	sentAt       time.Duration // last time that its client sent it
 	createdAt    time.Duration
 	retriesLeft  int
-	triedServers []int // tried since sentAt
-	sendSeq      uint64
+	triedServers []int  // tried since sentAt
+	sendSeq      uint64 // incremented at each sending and at its end; events with an older one have no effect
 	done         bool
 	mayHaveRun   bool // and so may have had its effect
 }
@@ -132,7 +136,7 @@
 	engine
 	fleet         Fleet
 	seed          int64
-	incidentRand  *rand.Rand // draws of RandomServers
+	incidentRand  *rand.Rand // draws of RandomServers and usePeerEstimates
 	servers       []*server
 	routers       []*router
 	dependencies  map[string]*dependency
@@ -145,7 +149,7 @@
 	lastID        uint64
 	loadFactor    float64
 	clientOptions ClientOptions
-	span          time.Duration
+	span          time.Duration // of the load
 }
 
 // New returns a world whose servers have just started.
@@ -206,7 +210,8 @@
 	return all
 }
 
-// Run runs a load until all of its requests have ended, and returns the results. It must be called at most once.
+// Run runs a load and returns the results. The run goes on after the load's span for twice the longest deadline and a
+// second more, in which the open requests end. It must be called at most once.
 func (w *World) Run(load Load) Result {
 	w.span = load.Span
 	w.result.Seconds = make([]Second, int(load.Span/time.Second)+1)
@@ -331,7 +336,7 @@
 	q.sendSeq++ // disables the client's timeout
 	// An at-most-once request that may have run is not sent again.
 	retryable := !w.fleet.Routes[q.route].AtMostOnce || !q.mayHaveRun && v != lost
-	if retryable && q.retriesLeft != 0 && w.now < w.span+time.Second {
+	if retryable && q.retriesLeft != 0 && w.now < w.span+time.Second { // no later retries, so that all requests end within the run
 		q.retriesLeft--
 		backoff := w.clientOptions.Backoff
 		if q.router.options.HeedsBackpressure {
--- a/internal/testkit/experiment/chart.go
+++ b/internal/testkit/experiment/chart.go
@@ -47,7 +47,8 @@
 	return p
 }
 
-// SecondsChart draws the goodput share of each second of a drill but the last by policy, as a mean over seeds.
+// SecondsChart draws the goodput share of each second of a drill by policy, as a mean over seeds. It leaves out the last
+// element of Cell.SecondShares, which does not cover a whole second.
 func SecondsChart(cells []Cell, drill, title string, format Format) ([]byte, error) {
 	p := newPlot(title, "second in which requests began", "honoured importance")
 	p.Y.Min, p.Y.Max = 0, 1.05
--- a/internal/testkit/experiment/experiment.go
+++ b/internal/testkit/experiment/experiment.go
@@ -29,9 +29,9 @@
 	Name      string   `toml:"name"`
 	Title     string   `toml:"title"`
 	Drills    []string `toml:"drills"`    // files or patterns, relative to the folder of the experiment file
-	Policies  []string `toml:"policies"`  // the others are compared with the first (all, quartzpoint first)
-	Seeds     int      `toml:"seeds"`     // number of seeds, which are counted from 1 (10)
-	Processes int      `toml:"processes"` // runs at once (GOMAXPROCS)
+	Policies  []string `toml:"policies"`  // the others are compared with the first; default: all, quartzpoint first
+	Seeds     int      `toml:"seeds"`     // number of seeds, which are counted from 1; default 10
+	Processes int      `toml:"processes"` // runs at once; default GOMAXPROCS
 
 	drills []*scenario.Drill
 	texts  []string // scripts of drills, by the same index
--- a/internal/testkit/experiment/table.go
+++ b/internal/testkit/experiment/table.go
@@ -28,13 +28,13 @@
 // Cell is the summary of the runs of one drill with one policy.
 type Cell struct {
 	Drill, Policy                 string
-	GoodputShare                  Interval // goodput over offered value
-	Difference                    Interval // to GoodputShare of the first policy, seed by seed
-	Rejected, Aborted, Unanswered float64  // shares of requests
-	Attempts                      float64  // per request
-	P50, P99                      float64  // milliseconds, medians over seeds
-	Violations                    [5]int   // by rule (from 1), over all seeds
-	SecondShares                  []float64
+	GoodputShare                  Interval  // goodput over offered value
+	Difference                    Interval  // of GoodputShare from that of the first policy, seed by seed
+	Rejected, Aborted, Unanswered float64   // shares of requests
+	Attempts                      float64   // per request
+	P50, P99                      float64   // milliseconds, medians over seeds
+	Violations                    [5]int    // by rule (from 1), over all seeds
+	SecondShares                  []float64 // goodput share of each second, mean over seeds
 }
 
 // Cells summarizes runs by drill and policy, in the order in which these first occur. Each policy of a drill must have
--- a/internal/testkit/replay/replay_test.go
+++ b/internal/testkit/replay/replay_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// streamCounts contains the counts of a stream, also by the letters of its records and decisions.
+// streamCounts counts the rounds and decisions of a stream, and by letter its records and decisions.
 type streamCounts struct {
 	rounds, decisions int
 	letters           map[byte]int
@@ -32,9 +32,9 @@
 	if err != nil {
 		return n, err
 	}
-	compare := func(what string, recorded, now any) {
-		if err == nil && r.err == nil && !reflect.DeepEqual(recorded, now) {
-			err = fmt.Errorf("round %d at time %d: %s\nrecorded %+v\nnow      %+v", n.rounds, r.now, what, recorded, now)
+	compare := func(what string, recorded, got any) {
+		if err == nil && r.err == nil && !reflect.DeepEqual(recorded, got) {
+			err = fmt.Errorf("round %d at time %d: %s\nrecorded %+v\nnow      %+v", n.rounds, r.now, what, recorded, got)
 		}
 	}
 	configured := 0
@@ -62,16 +62,16 @@
 		case 's':
 			err = s.changeSetting(r.text(), r.text())
 		case 'f':
-			now := s.schema(r.u64(), r.flag())
-			compare("schema of snapshots", r.schema(), now)
+			got := s.schema(r.u64(), r.flag())
+			compare("schema of snapshots", r.schema(), got)
 		case 'l':
-			now := s.snapshot(r.now+r.duration(), r.u64(), r.u64())
-			compare("snapshot", r.snapshot(), now)
+			got := s.snapshot(r.now+r.duration(), r.u64(), r.u64())
+			compare("snapshot", r.snapshot(), got)
 		case 'b':
 			s.usePeerEstimates(r.now+r.duration(), r.snapshot())
 		case 'o':
-			now := s.occupancy(r.now + r.duration())
-			compare("occupancy", r.occupancy(), now)
+			got := s.occupancy(r.now + r.duration())
+			compare("occupancy", r.occupancy(), got)
 		case 'q':
 			arrivals = append(arrivals, r.request())
 		case 'r':
@@ -85,17 +85,17 @@
 				return n, r.err
 			}
 			n.rounds++
-			now := s.decide(input)
+			got := s.decide(input)
 			for i, d := range recorded {
 				n.letters[d.kind]++
 				n.decisions++
-				if i >= len(now) || now[i] != d {
-					compare(fmt.Sprintf("decision %d of %+v", i, input), recorded, now)
+				if i >= len(got) || got[i] != d {
+					compare(fmt.Sprintf("decision %d of %+v", i, input), recorded, got)
 					break
 				}
 			}
-			if len(now) != len(recorded) {
-				compare(fmt.Sprintf("decisions of %+v", input), recorded, now)
+			if len(got) != len(recorded) {
+				compare(fmt.Sprintf("decisions of %+v", input), recorded, got)
 			}
 		default:
 			return n, fmt.Errorf("unknown kind of record %q", kind)
--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -50,12 +50,12 @@
 	At, Duration  time.Duration
 	Kind          IncidentKind
 	Share         float64
-	Server        int // -1 for none
-	Zone          int // -1 for none
-	Factor        float64
+	Server        int           // -1 for none
+	Zone          int           // -1 for none
+	Factor        float64       // for some kinds a share: of the cores, the lost messages or the rejected calls
 	Span          time.Duration // interval of a deploy, endpoint lag or clock step
-	ShutdownLimit time.Duration
-	Name          string
+	ShutdownLimit time.Duration // of a restart or deploy
+	Name          string        // of a dependency
 	RouterOptions emulator.RouterOptions
 	ClientOptions emulator.ClientOptions
 }
--- a/scenario/drill_test.go
+++ b/scenario/drill_test.go
@@ -74,7 +74,7 @@
 	require.NoError(t, err)
 	d, err := Parse("retry-storm.drill", string(raw))
 	require.NoError(t, err)
-	goodputAfterCause := func(name string) float64 { // share served in the ten seconds that begin 20 s after the end of the cause
+	goodputAfterCause := func(name string) float64 { // goodput share of the requests created in the ten seconds that begin 20 s after the end of the cause
 		policy, err := baseline.PolicyByName(name)
 		require.NoError(t, err)
 		r := d.Emulate(policy, 1)
--- a/scenario/parse.go
+++ b/scenario/parse.go
@@ -32,8 +32,9 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 }
 
-// Parse parses the script in text; file is its name in the drill and in errors. The error joins those of all
-// statements, most of them of type *ScriptError, which states file, line and column. A syntax error is returned alone.
+// Parse parses the script in text. Its name in errors is file; the drill's name is the last element of that path without
+// .drill. The error joins those of all statements, most of them of type *ScriptError, which states file, line and
+// column. A syntax error is returned alone.
 func Parse(file, text string) (*Drill, error) {
 	if len(text) > maxScriptSize {
 		return nil, fmt.Errorf("%s: script has %d bytes, want at most %d", file, len(text), maxScriptSize)
@@ -94,8 +95,8 @@
 	r.errs = append(r.errs, &ScriptError{r.file, at.Line, at.Column, fmt.Sprintf(format, args...)})
 }
 
-// number returns the value of an amount. It returns fallback if a is nil, or with an error if the value is out of
-// bounds.
+// number returns the value of an amount, or fallback if a is nil. If the value is out of bounds, it adds an error and
+// returns fallback.
 func (r *reader) number(a *amount, fallback, low, high float64) float64 {
 	if a == nil {
 		return fallback
@@ -112,7 +113,8 @@
 	return n
 }
 
-// span returns the value of a time. It returns fallback if a is nil, or with an error if the value is out of bounds.
+// span returns the value of a time, or fallback if a is nil. If the value is out of bounds, it adds an error and returns
+// fallback.
 func (r *reader) span(a *amount, fallback, low, high time.Duration) time.Duration {
 	if a == nil {
 		return fallback
