--- a/emulator/pool.go
+++ b/emulator/pool.go
@@ -31,13 +31,13 @@
 	busy float64
 }
 
-// run is work on a pool, either on the cores or paused.
+// run is the run of an attempt, either on the cores of its pool or off them: before its start, paused or at its call.
 type run struct {
 	attempt   *attempt
-	remaining float64 // seconds of work, while it is paused
+	remaining float64 // seconds of work, while it is off the cores
 	endsAt    float64 // on the pool's clock, while it is on the cores
 	startedAt time.Duration
-	heapIndex int // -1 while it is paused
+	heapIndex int // -1 while it is off the cores
 	seq       uint64
 }
 
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -20,7 +20,7 @@
 	drainCheckInterval  = 20 * time.Millisecond  // between checks whether a server that shuts down has answered everything
 	stopMargin          = 15 * time.Millisecond  // before the end of a shutdown; everything must be answered by then
 	unfreezeMargin      = 50 * time.Millisecond  // after a freeze, for handling the deferred events
-	ejectionTime        = time.Second            // of a server that did not answer
+	ejectionTime        = time.Second            // of a server after a failed connection
 	resendDelay         = 200 * time.Millisecond // of a message that the network lost; doubles with each loss
 	minRetryTime        = 5 * time.Millisecond   // minimum time left for another attempt
 )
--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -11,7 +11,8 @@
 //	at 15s kill 20% of servers for 10s
 //	at 12s for 6s load by 1.5
 //
-// An incident ends after the time in its "for"; without one it lasts to the end of the drill.
+// The statement habits sets the options of routers; lists are the endpoint lists of routers. An incident ends after the
+// time in its "for"; without one it lasts to the end of the drill.
 package scenario
 
 import (
