--- a/scenario/drill.go
+++ b/scenario/drill.go
@@ -11,7 +11,8 @@
 //	at 15s kill 20% of servers for 10s
 //	at 12s for 6s load by 1.5
 //
-// An incident ends after the time in its "for"; without one it lasts to the end of the drill.
+// The statement habits sets the options of routers; lists are the endpoint lists of routers. An incident ends after the
+// time in its "for"; without one it lasts to the end of the drill.
 package scenario
 
 import (
@@ -50,12 +51,12 @@
 	At, Duration  time.Duration
 	Kind          IncidentKind
 	Share         float64
-	Server        int // -1 for none
-	Zone          int // -1 for none
-	Factor        float64
+	Server        int           // -1 for none
+	Zone          int           // -1 for none
+	Factor        float64       // for some kinds a share: of the cores, the lost messages or the rejected calls
 	Span          time.Duration // interval of a deploy, endpoint lag or clock step
-	ShutdownLimit time.Duration
-	Name          string
+	ShutdownLimit time.Duration // of a restart or deploy
+	Name          string        // of a dependency
 	RouterOptions emulator.RouterOptions
 	ClientOptions emulator.ClientOptions
 }
