--- a/cmd/quartzpoint-bench/peersreport.go
+++ b/cmd/quartzpoint-bench/peersreport.go
@@ -36,8 +36,8 @@
 	return maximum, requests
 }
 
-// maxStandardErrors is the number of standard errors by which a figure may be out of its range by chance: twin servers
-// on sockets differ by the moments at which they read their inputs.
+// maxStandardErrors is the number of standard errors by which a figure may be out of its range by chance: twin groups of
+// real daemons differ by the moments at which these read their inputs.
 const maxStandardErrors = 3.5
 
 // sortedMedian returns the median of sorted values.
--- a/internal/testkit/scale/configuration.go
+++ b/internal/testkit/scale/configuration.go
@@ -121,7 +121,7 @@
 	at       time.Time
 	bytes    int64 // sent and received by the watchers
 	watchers time.Duration
-	control  []time.Duration
+	control  []time.Duration // by machine
 	servers  time.Duration
 }
 
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -33,7 +33,7 @@
 	mu              sync.Mutex
 	history         History
 	appliedVersions map[string]uint64 // by watcher name
-	marker          float64
+	marker          float64           // of the latest proposed change
 }
 
 // watcherProcess is a process that runs hollow watchers.
--- a/internal/testkit/scale/fleet.go
+++ b/internal/testkit/scale/fleet.go
@@ -176,7 +176,7 @@
 // resourceUse is the processor time and traffic of a fleet up to a moment.
 type resourceUse struct {
 	at                          time.Time
-	voters, others              HollowState
+	voters, others              HollowState // others are the servers that do not vote
 	votersCPU, othersCPU        time.Duration
 	memberBytes, memberMessages int64
 }
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -32,14 +32,14 @@
 	Asked        int               // number of peers that a starting server fetches estimates from; 0 for all others
 	Voters       int               // number of servers that vote on leases and campaign for them, the first of Servers
 	Duties       int               // number of leases
-	Lease        time.Duration
-	Routes       int // number of routes in a snapshot
+	Lease        time.Duration     // duration of a lease
+	Routes       int               // number of routes in a snapshot
 	Seed         int64
 }
 
 // HollowState is the state of a hollow process.
 type HollowState struct {
-	Traffic peersync.Traffic
+	Traffic peersync.Traffic    // of the process
 	Cold    int                 // number of servers that are not warm yet
 	Holders map[string][]string // addresses of the servers that hold a lease now, by lease
 }
--- a/internal/testkit/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -42,7 +42,7 @@
 	replicas        []string    // addresses for the replication between the machines
 	cmds            []*exec.Cmd // nil for a killed machine
 	logs            []*harness.LogBuffer
-	links           []*faultnet.Proxy
+	links           []*faultnet.Proxy // between the two sides
 	proxiedSessions map[string]string // session address of each machine to the address that the other side dials
 	proxiedReplicas map[string]string // replication address of each machine to the address that the other side dials
 	keys            peersync.Keys
