--- a/internal/testkit/scale/fleet.go
+++ b/internal/testkit/scale/fleet.go
@@ -38,7 +38,7 @@
 func newMembershipSink() (*membershipSink, error) {
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("members: %w", err)
+		return nil, fmt.Errorf("membership service: %w", err)
 	}
 	s := &membershipSink{socket: socket}
 	go func() {
@@ -176,7 +176,7 @@
 // resourceUse is the processor time and traffic of a fleet up to a moment.
 type resourceUse struct {
 	at                          time.Time
-	voters, others              HollowState
+	voters, others              HollowState // others are the servers that do not vote
 	votersCPU, othersCPU        time.Duration
 	memberBytes, memberMessages int64
 }
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -32,14 +32,14 @@
 	Asked        int               // number of peers that a starting server fetches estimates from; 0 for all others
 	Voters       int               // number of servers that vote on leases and campaign for them, the first of Servers
 	Duties       int               // number of leases
-	Lease        time.Duration
-	Routes       int // number of routes in a snapshot
+	Lease        time.Duration     // duration of a lease
+	Routes       int               // number of routes in a snapshot
 	Seed         int64
 }
 
 // HollowState is the state of a hollow process.
 type HollowState struct {
-	Traffic peersync.Traffic
+	Traffic peersync.Traffic    // of the process
 	Cold    int                 // number of servers that are not warm yet
 	Holders map[string][]string // addresses of the servers that hold a lease now, by lease
 }
@@ -54,8 +54,8 @@
 	warmUpDelay          = time.Second            // time after which a server without estimates from peers counts as warm, as it has learned its own
 	firstFetchWait       = 300 * time.Millisecond // longest wait for the first answers of all peers
 	estimateSamples      = 40
-	estimateMean         = 0.02
-	sharedSettingsDigest = 7 // of all hollow servers
+	estimateMean         = 0.02 // seconds
+	sharedSettingsDigest = 7    // of all hollow servers, which accept only snapshots with their own digest
 	hollowMaxClockDrift  = 0.01
 	maxCommandBytes      = 1 << 20
 )
