--- a/internal/testkit/conformance/conformance.go
+++ b/internal/testkit/conformance/conformance.go
@@ -99,7 +99,7 @@
 	}
 	return []Case{
 		{Name: "calm", Requests: poisson(12, 1500*ms, mixed)},
-		{Name: "overload", Requests: poisson(1.5*Cores/0.0585, 2500*ms, mixed)},
+		{Name: "overload", Requests: poisson(1.5*Cores/0.0585, 2500*ms, mixed)}, // 1.5 times the capacity: the mean work of mixed is about 0.0585 s
 		{Name: "runs past their time", Requests: sequence(4, func(i int) Request {
 			return Request{At: time.Duration(i) * 700 * ms, Work: 900 * ms, Route: i % 2}
 		})},
@@ -147,7 +147,7 @@
 			time.Sleep(time.Until(began.Add(r.At)))
 			limit := routes[r.Route].Deadline
 			ctx, cancel := context.WithTimeout(context.Background(), limit+time.Second)
-			if r.CancelAfter > 0 { // canceled without a context deadline, because front ends that see a deadline plan by it
+			if r.CancelAfter > 0 { // by a timer and not by the deadline of ctx, because front ends that see a deadline plan by it
 				timer := time.AfterFunc(r.CancelAfter, cancel)
 				defer timer.Stop()
 			}
--- a/internal/testkit/conformance/daemon.go
+++ b/internal/testkit/conformance/daemon.go
@@ -18,43 +18,43 @@
 	harness.StatusServed: Served, harness.StatusRejected: Rejected, harness.StatusAborted: Aborted,
 }
 
-// daemonFront is the daemon over its frame protocol, with workers whose runs do not share cores.
-type daemonFront struct {
+// daemonFrontEnd is the daemon over its frame protocol, with workers whose runs do not share cores.
+type daemonFrontEnd struct {
 	*harness.Daemon
 	shutdown sync.Once
 	err      error
 }
 
 // NewDaemon starts the daemon's program as a front end. It does not support cases that need keys.
-func NewDaemon(program, folder, name string) (FrontEnd, error) {
-	// The runs are independent, like those of the other front ends, which sleep. The settings contain the number of
-	// cores.
-	d, err := harness.StartWithoutFile(program, folder, name, Routes(false), harness.Machine{Cores: Cores, Speed: 1, MemoryKB: 1 << 20, Independent: true})
+func NewDaemon(program, dir, name string) (FrontEnd, error) {
+	// The runs are independent, because those of the other front ends sleep. Cores does not slow them: it sets the
+	// number of cores in the settings.
+	d, err := harness.StartWithoutFile(program, dir, name, Routes(false), harness.Machine{Cores: Cores, Speed: 1, MemoryKB: 1 << 20, Independent: true})
 	if err != nil {
 		return nil, err
 	}
-	return &daemonFront{Daemon: d}, nil
+	return &daemonFrontEnd{Daemon: d}, nil
 }
 
 // Do implements FrontEnd.
-func (d *daemonFront) Do(ctx context.Context, r Request) Outcome {
+func (d *daemonFrontEnd) Do(ctx context.Context, r Request) Outcome {
 	route := Routes(false)[r.Route]
-	link, err := net.Dial("tcp", d.Address)
+	conn, err := net.Dial("tcp", d.Address)
 	if err != nil {
 		return Rejected // the connection was refused: nothing ran
 	}
-	defer func() { _ = link.Close() }()
-	defer context.AfterFunc(ctx, func() { _ = link.Close() })()
+	defer func() { _ = conn.Close() }()
+	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	body := binary.BigEndian.AppendUint64(nil, uint64(r.Work.Microseconds()))
 	if r.Fails {
 		body = append(body, 1)
 	}
-	_, err = link.Write(harness.Frame(harness.FrameRequest, 1, string(body),
+	_, err = conn.Write(harness.Frame(harness.FrameRequest, 1, string(body),
 		"op", route.Name, "call", fmt.Sprintf("%016x", rand.Uint64()), "recv", strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"src", "1", "ttl", strconv.FormatInt(route.Deadline.Milliseconds(), 10), "heap", "4", "crit", "0.5"))
 	for err == nil {
 		var reply harness.Reply
-		if reply, err = harness.ReadReply(link); err == nil && reply.Type == harness.FrameAnswer {
+		if reply, err = harness.ReadReply(conn); err == nil && reply.Type == harness.FrameAnswer {
 			if outcome, known := outcomes[reply.Code]; known {
 				return outcome
 			}
@@ -68,16 +68,16 @@
 }
 
 // Effects implements FrontEnd.
-func (d *daemonFront) Effects() (runs, repeated int) {
+func (d *daemonFrontEnd) Effects() (runs, repeated int) {
 	offsets, repeated := d.Workers.StartOffsets()
 	return len(offsets), repeated
 }
 
 // Shutdown implements FrontEnd.
-func (d *daemonFront) Shutdown() error {
+func (d *daemonFrontEnd) Shutdown() error {
 	d.shutdown.Do(func() { d.err = d.Stop() })
 	return d.err
 }
 
 // Close implements FrontEnd.
-func (d *daemonFront) Close() { _ = d.Shutdown() }
+func (d *daemonFrontEnd) Close() { _ = d.Shutdown() }
--- a/internal/testkit/fake/config.go
+++ b/internal/testkit/fake/config.go
@@ -20,7 +20,7 @@
 {"name":"pay","deadline":9000000,"goal-time":8000000,"gain":4.0,"idempotency":"fragile","late-value":0.0}],
 "tenants":[],"value-by":"request"}`
 
-// WriteConfig writes a daemon's configuration file to a temporary folder of the test, and returns its path.
+// WriteConfig writes a daemon's configuration file to a temporary directory of the test, and returns its path.
 func WriteConfig(t testing.TB, listen, pool, membership, site string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/testkit/fake/membership.go
+++ b/internal/testkit/fake/membership.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Membership is a membership service that receives status datagrams.
+// Membership is a membership service that receives the reports of a server, one in each datagram.
 type Membership struct {
 	Address string
 	socket  net.PacketConn
--- a/internal/testkit/fake/pool.go
+++ b/internal/testkit/fake/pool.go
@@ -19,8 +19,8 @@
 // Sizes in SiteSettings and RequestFrame, from which the readings are computed.
 const (
 	cores        = 4
-	siteMemoryKB = 60000.0
-	runMemoryKB  = 164.0
+	siteMemoryKB = 60000.0 // ram-kb
+	runMemoryKB  = 164.0   // heap of RequestFrame, times run-factor
 
 	runMilliseconds = 5.5 // reported duration of every run
 )
@@ -32,18 +32,18 @@
 // before the server sends the commands that they affect; after that, the Set methods change them.
 type Pool struct {
 	Address            string
-	Echo               bool // runs end at once, with their body as the result
-	NoReadings         bool // polls are never answered
-	RunsOnAfterSuspend bool // a suspended run reports its end but still counts as running
-	DropsSpawns        bool // spawns are read but not run
-	IgnoresSuspend     bool // suspend has no effect
-	Commands           chan Command
+	Echo               bool         // runs end at once, with their body as the result
+	NoReadings         bool         // polls are never answered
+	RunsOnAfterSuspend bool         // a suspended run reports its end but still counts as running
+	DropsSpawns        bool         // spawns are read but not run
+	IgnoresSuspend     bool         // suspend has no effect
+	Commands           chan Command // received binds, and other commands on the bound link except polls
 
 	mu              sync.Mutex
 	listener        net.Listener
 	notices         harness.NoticeLog
 	running         map[string]bool
-	silent          bool
+	silent          bool // polls are not answered
 	partialReadings bool // polls are answered with the first reading only
 	ready           chan struct{}
 }
--- a/internal/testkit/fake/router.go
+++ b/internal/testkit/fake/router.go
@@ -25,11 +25,11 @@
 // Dial connects to a server. Every read and write fails after WaitLimit. The connection is closed when the test ends.
 func Dial(t testing.TB, address string) *Router {
 	t.Helper()
-	link, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = link.Close() })
-	require.NoError(t, link.SetDeadline(time.Now().Add(WaitLimit)))
-	return &Router{Conn: link}
+	t.Cleanup(func() { _ = conn.Close() })
+	require.NoError(t, conn.SetDeadline(time.Now().Add(WaitLimit)))
+	return &Router{Conn: conn}
 }
 
 // Frame builds a frame. fields contains names and values alternately.
@@ -37,7 +37,7 @@
 	return harness.Frame(kind, stream, body, fields...)
 }
 
-// CallID returns the call id of the request that a test sends on a stream.
+// CallID returns the request ID (field call) of the request that a test sends on a stream.
 func CallID(stream uint32) string { return fmt.Sprintf("%016x", 0xabc0000+uint64(stream)) }
 
 // RequestFrame builds a request of a route. The fields in more precede the default fields and take precedence over
--- a/internal/testkit/faultdisk/crash.go
+++ b/internal/testkit/faultdisk/crash.go
@@ -22,8 +22,8 @@
 	LoseAll struct{}
 	// TornHalf keeps the first half of every write, and all changes of names.
 	TornHalf struct{}
-	// RandomLoss draws which changes of names and which writes are lost, or where a write is torn: at any byte or
-	// sector.
+	// RandomLoss draws which changes of names and which writes are lost, and after how many bytes or sectors a write is
+	// torn.
 	RandomLoss struct{ *rand.Rand }
 )
 
--- a/internal/testkit/faultdisk/faultdisk.go
+++ b/internal/testkit/faultdisk/faultdisk.go
@@ -1,9 +1,9 @@
-// Package faultdisk provides a folder in memory that fails as disks do: power is lost with any part of what was not
+// Package faultdisk provides a directory in memory that fails as disks do: power is lost with any part of what was not
 // synced, space runs out, operations fail, or the file system becomes read-only. It is for tests only.
 //
 // It guarantees no more than POSIX does. A write to a file may be lost or torn until the file is synced, and a later
 // write may survive even if an earlier one is lost. After a crash, a name that was added, changed or removed may be as
-// before unless the folder was synced since.
+// before unless the directory was synced since.
 package faultdisk
 
 import (
@@ -44,13 +44,13 @@
 	inode   *inode
 }
 
-// Disk is a folder that fails on demand. It implements datadir.Dir. The exported fields must be set before the disk is
+// Disk is a directory that fails on demand. It implements datadir.Dir. The exported fields must be set before the disk is
 // used, or with Set.
 type Disk struct {
 	mu          sync.Mutex
-	names       map[string]*inode
-	durable     map[string]*inode
-	nameChanges []nameChange
+	names       map[string]*inode // as the running system sees them
+	durable     map[string]*inode // as of the last sync of the directory
+	nameChanges []nameChange      // since the last sync of the directory
 	operations  int
 
 	// PowerLossAt is the number of the operation, counted from 1, from which on all operations fail with ErrPowerLost;
@@ -61,7 +61,7 @@
 	// ReadOnly makes all changes fail with ErrReadOnly.
 	ReadOnly bool
 	// Fail, if not nil, returns the error of an operation that changes something, or nil for success. kind is write,
-	// sync, create, rename, remove or folder (a sync of the folder).
+	// sync, create, rename, remove or folder (a sync of the directory).
 	Fail func(kind string) error
 }
 
--- a/internal/testkit/faultdisk/folder.go
+++ b/internal/testkit/faultdisk/folder.go
@@ -134,7 +134,7 @@
 	if err != nil && !errors.Is(err, ErrFull) && !errors.Is(err, ErrPowerLost) {
 		return 0, err
 	}
-	f.inode.writes = append(f.inode.writes, write{len(f.inode.data), slices.Clone(p[:n])}) // any part of a truncated write may survive a crash
+	f.inode.writes = append(f.inode.writes, write{len(f.inode.data), slices.Clone(p[:n])}) // any part of a write that the full disk or the power loss cut off may survive a crash
 	f.inode.data = append(f.inode.data, p[:n]...)
 	if f.disk.Space >= 0 {
 		f.disk.Space -= int64(n)
--- a/internal/testkit/harness/cores.go
+++ b/internal/testkit/harness/cores.go
@@ -12,18 +12,18 @@
 	count float64
 
 	mu         sync.Mutex
-	last       time.Time
-	workPerJob float64 // seconds of work done by a job that has run since the start
+	last       time.Time // when workPerJob and busy were last updated
+	workPerJob float64   // seconds of work done by a job that has run since the start
 	jobs       int
 	busy       float64 // core seconds
 	samples    []usageSample
 }
 
 const (
-	freeRunsPerCore   = 6.0
-	switchCostPerRun  = 0.01
+	freeJobsPerCore   = 6.0
+	switchCostPerJob  = 0.01
 	rateCheckInterval = 5 * time.Millisecond
-	minRate           = 1e-3 // fraction of a core for each job
+	minRate           = 1e-3 // fraction of a core that each job gets at least, so that every job ends
 )
 
 // NewCores returns n idle cores.
@@ -31,15 +31,17 @@
 	return &Cores{count: n, last: time.Now()}
 }
 
+// rate returns the fraction of a core that each job gets now.
 func (c *Cores) rate() float64 {
 	n := float64(c.jobs)
 	if n <= c.count {
 		return 1
 	}
-	loss := max(0, 1-switchCostPerRun*max(0, n-freeRunsPerCore*c.count))
-	return max(c.count/n*loss, minRate)
+	efficiency := max(0, 1-switchCostPerJob*max(0, n-freeJobsPerCore*c.count))
+	return max(c.count/n*efficiency, minRate)
 }
 
+// advance adds the time since the last call to workPerJob and busy.
 func (c *Cores) advance() {
 	now := time.Now()
 	elapsed := now.Sub(c.last).Seconds()
--- a/internal/testkit/harness/daemon.go
+++ b/internal/testkit/harness/daemon.go
@@ -18,7 +18,7 @@
 // Daemon is a server process with its worker pool and membership service.
 type Daemon struct {
 	Address    string
-	Peers      string // address for peers, empty for none
+	Peers      string // address at which it serves its peers, set by the caller; empty for none
 	ConfigPath string // platform configuration file
 	Workers    *Workers
 
@@ -37,27 +37,27 @@
 
 // Start starts a program as a server on loopback with the argument "serve", and returns when it serves and its worker
 // pool is bound. ownConfig is the text of the server's own configuration file, empty for none.
-func Start(program, folder, name string, routes []Route, m Machine, ownConfig string) (d *Daemon, err error) {
-	return StartWithArgs(program, []string{"serve"}, folder, name, routes, m, ownConfig)
+func Start(program, dir, name string, routes []Route, m Machine, ownConfig string) (d *Daemon, err error) {
+	return StartWithArgs(program, []string{"serve"}, dir, name, routes, m, ownConfig)
 }
 
 // StartWithoutFile is Start without the server's own configuration file and without arguments.
-func StartWithoutFile(program, folder, name string, routes []Route, m Machine) (*Daemon, error) {
-	return StartWithArgs(program, nil, folder, name, routes, m, "")
+func StartWithoutFile(program, dir, name string, routes []Route, m Machine) (*Daemon, error) {
+	return StartWithArgs(program, nil, dir, name, routes, m, "")
 }
 
 // StartWithArgs is Start with other arguments, which precede the flag for the server's own configuration file. Without
 // such a file they are not used.
-func StartWithArgs(program string, args []string, folder, name string, routes []Route, m Machine, ownConfig string) (*Daemon, error) {
-	return Launch(program, args, folder, name, m, ownConfig, func(listen, pool, membership string) ([]byte, error) {
+func StartWithArgs(program string, args []string, dir, name string, routes []Route, m Machine, ownConfig string) (*Daemon, error) {
+	return Launch(program, args, dir, name, m, ownConfig, func(listen, pool, membership string) ([]byte, error) {
 		return PlatformConfig(name, listen, pool, membership, routes, m)
 	})
 }
 
 // Launch is StartWithArgs with a platform configuration that is built from the addresses of the server, its worker pool
 // and its membership service. On an error everything that was started is stopped; the daemon returned with the error
-// holds the log.
-func Launch(program string, args []string, folder, name string, m Machine, ownConfig string,
+// holds the log. The configuration files are written to dir, as name.json and name.toml.
+func Launch(program string, args []string, dir, name string, m Machine, ownConfig string,
 	platformConfig func(listen, pool, membership string) ([]byte, error),
 ) (d *Daemon, err error) {
 	d = &Daemon{log: &LogBuffer{}, exited: make(chan error, 1)}
@@ -75,7 +75,7 @@
 	if d.Address, err = FreeAddress(); err != nil {
 		return d, err
 	}
-	d.ConfigPath = filepath.Join(folder, name+".json")
+	d.ConfigPath = filepath.Join(dir, name+".json")
 	raw, err := platformConfig(d.Address, d.Workers.Address, d.membership.LocalAddr().String())
 	if err == nil {
 		err = os.WriteFile(d.ConfigPath, raw, 0o600)
@@ -86,7 +86,7 @@
 	if ownConfig == "" {
 		return d, d.run(program, name, nil)
 	}
-	file := filepath.Join(folder, name+".toml")
+	file := filepath.Join(dir, name+".toml")
 	if err := os.WriteFile(file, []byte(ownConfig), 0o600); err != nil {
 		return d, fmt.Errorf("own configuration file: %w", err)
 	}
@@ -161,8 +161,8 @@
 }
 
 // ShutdownWithin sends SIGTERM, and SIGKILL if the server has not exited after the timeout. It returns the exit code,
-// and whether the server had to be killed; the exit code is then 0. Its worker pool and membership service stay open
-// until Stop.
+// which is 0 for a server that had to be killed, and whether it had to be killed. Its worker pool and membership service
+// stay open until Stop.
 func (d *Daemon) ShutdownWithin(timeout time.Duration) (exit int, killed bool, err error) {
 	if err := d.Signal(syscall.SIGTERM); err != nil {
 		return 0, false, fmt.Errorf("SIGTERM: %w", err)
@@ -207,8 +207,8 @@
 	return err
 }
 
-// Shutdown sends SIGTERM, waits for the process to exit without a limit, and closes the worker pool and the membership
-// service. An exit code other than 0 is an error.
+// Shutdown sends SIGTERM, waits without a timeout until the process has exited, and closes the worker pool and the
+// membership service. An exit code other than 0 is an error.
 func (d *Daemon) Shutdown() error {
 	if err := d.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("SIGTERM: %w", err)
@@ -218,7 +218,7 @@
 	return errors.Join(err, d.Stop())
 }
 
-// Stop is Shutdown with a limit: a server that has not exited after startTimeout is killed, which is an error. It may
+// Stop is Shutdown with a timeout: a server that has not exited after startTimeout is killed, which is an error. It may
 // also be called after Kill, Crash, Shutdown and ShutdownWithin.
 func (d *Daemon) Stop() error {
 	var err error
--- a/internal/testkit/harness/daemon_test.go
+++ b/internal/testkit/harness/daemon_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestProcessThatEndsBeforeItsKill guards against a fault in which a process that exited by itself between the timeout
-// and the kill was reported as an error, so that its run got no verdict.
+// and the kill was reported as an error, so that its soak run counted as failed whatever the checks found.
 func TestProcessThatEndsBeforeItsKill(t *testing.T) {
 	d := &Daemon{cmd: exec.Command("true")}
 	require.NoError(t, d.cmd.Run())
--- a/internal/testkit/harness/dependency.go
+++ b/internal/testkit/harness/dependency.go
@@ -53,13 +53,14 @@
 	rng      *rand.Rand
 	spread   float64      // sigma of the logarithm of the service time
 	listener net.Listener // nil while down
-	links    map[net.Conn]bool
-	keyed    map[string]*keyedRequest
+	conns    map[net.Conn]bool
+	keyed    map[string]*keyedCall // by idempotency key
 	stats    DependencyStats
 	open     int
 }
 
-type keyedRequest struct {
+// keyedCall is the state of the calls with one idempotency key.
+type keyedCall struct {
 	runs    int
 	done    bool
 	waiting []func() // answers of repeats that arrived before the first call was done
@@ -74,7 +75,7 @@
 	d := &Dependency{
 		Address: randomLoopbackAddress(), slotFreeAt: make([]time.Time, slots), meanServiceTime: mean, script: script, started: time.Now(),
 		stop: make(chan struct{}), rng: rand.New(rand.NewSource(seed)), spread: math.Sqrt(math.Log1p(spread * spread)),
-		links: map[net.Conn]bool{}, keyed: map[string]*keyedRequest{},
+		conns: map[net.Conn]bool{}, keyed: map[string]*keyedCall{},
 	}
 	if err := d.listen(); err != nil {
 		return nil, err
@@ -91,8 +92,8 @@
 	if d.listener != nil {
 		_ = d.listener.Close()
 	}
-	for link := range d.links {
-		_ = link.Close()
+	for conn := range d.conns {
+		_ = conn.Close()
 	}
 	d.mu.Unlock()
 	d.goroutines.Wait()
@@ -136,8 +137,8 @@
 	case down && d.listener != nil:
 		_ = d.listener.Close()
 		d.listener = nil
-		for link := range d.links {
-			_ = link.Close()
+		for conn := range d.conns {
+			_ = conn.Close()
 		}
 	case !down && d.listener == nil:
 		_ = d.listen() // retried at the next tick
@@ -152,30 +153,30 @@
 	d.listener = listener
 	d.goroutines.Go(func() {
 		for {
-			link, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			d.mu.Lock()
-			d.links[link] = true
+			d.conns[conn] = true
 			d.mu.Unlock()
-			d.goroutines.Go(func() { d.serve(link) })
+			d.goroutines.Go(func() { d.serve(conn) })
 		}
 	})
 	return nil
 }
 
 // serve answers calls until the connection ends.
-func (d *Dependency) serve(link net.Conn) {
+func (d *Dependency) serve(conn net.Conn) {
 	defer func() {
-		_ = link.Close()
+		_ = conn.Close()
 		d.mu.Lock()
-		delete(d.links, link)
+		delete(d.conns, conn)
 		d.mu.Unlock()
 	}()
 	var write sync.Mutex
 	for {
-		kind, stream, payload, err := readFrame(link)
+		kind, stream, payload, err := readFrame(conn)
 		if err != nil {
 			return
 		}
@@ -185,7 +186,7 @@
 		d.handle(payload, func(frame []byte) {
 			write.Lock()
 			defer write.Unlock()
-			_, _ = link.Write(frame) // the caller may have closed the connection
+			_, _ = conn.Write(frame) // the caller may have closed the connection
 		}, stream)
 	}
 }
@@ -228,7 +229,7 @@
 			return
 		}
 		d.stats.DistinctKeys++
-		d.keyed[key] = &keyedRequest{}
+		d.keyed[key] = &keyedCall{}
 	}
 	d.after(d.reserveSlot(behaviour), func() {
 		d.mu.Lock()
@@ -251,7 +252,7 @@
 	return nil
 }
 
-// reserveSlot reserves the slot that is free first for one call, and returns the time until the call is done.
+// reserveSlot reserves for one call the slot that becomes free first, and returns the time until the call is done.
 func (d *Dependency) reserveSlot(behaviour DependencyBehaviour) time.Duration {
 	first := 0
 	for i := range d.slotFreeAt {
@@ -272,24 +273,25 @@
 	return d.slotFreeAt[first].Sub(now)
 }
 
-// recordRun records that the call with a key has run, and answers the repeats that wait for it.
+// recordRun records that the call with a key has run, and answers the repeats that wait for it. It does nothing for a
+// call without a key.
 func (d *Dependency) recordRun(key string) {
-	request := d.keyed[key]
-	if request == nil {
+	call := d.keyed[key]
+	if call == nil {
 		return
 	}
 	d.stats.Effects++
-	if request.runs++; request.runs > 1 {
+	if call.runs++; call.runs > 1 {
 		d.stats.RepeatedRuns++
 	}
-	request.done = true
-	for _, answer := range request.waiting {
+	call.done = true
+	for _, answer := range call.waiting {
 		answer()
 	}
-	request.waiting = nil
+	call.waiting = nil
 }
 
-// after calls f once wait has passed, unless the dependency is closed by then.
+// after calls f when wait has passed, unless the dependency is closed by then.
 func (d *Dependency) after(wait time.Duration, f func()) {
 	d.goroutines.Go(func() {
 		timer := time.NewTimer(wait)
--- a/internal/testkit/harness/fleet.go
+++ b/internal/testkit/harness/fleet.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	ejectionTime = time.Second            // after a server has refused a connection
+	ejectionTime = time.Second            // of a server after a dial or a write has failed
 	restartDelay = 500 * time.Millisecond // from the end of a process to the start of the next
-	minRetryTime = 5 * time.Millisecond   // time left until the deadline that another attempt needs
+	minRetryTime = 5 * time.Millisecond   // minimum time until the deadline for another attempt
 )
 
 // Fleet is a group of real daemons with one router. The router sends requests round robin, and retries a request at the
@@ -27,17 +27,17 @@
 	next       int
 	result     Result
 	began      time.Time
-	requestIDs *rand.Rand
+	requestIDs *rand.Rand // source of the request IDs
 	pools      []*Workers
 	background sync.WaitGroup // restarts in progress, and retries
-	errs       []error
+	errs       []error        // of kills and restarts
 }
 
 type member struct {
 	daemon         *Daemon
 	router         *router
 	ejectedUntil   time.Time
-	incarnation    int
+	incarnation    int // number of the next process, from 0
 	down           bool
 	earlierRouters []*router // of earlier incarnations
 }
@@ -89,7 +89,8 @@
 	return true
 }
 
-// send sends a request to the next server that accepts it. If none does, the request counts as rejected.
+// send sends a request to the next server to which it can be written. A retry is not sent to the server of the last
+// attempt. If the request can be written to no server, it counts as rejected.
 func (f *Fleet) send(p *pendingRequest) {
 	for range 2 * len(f.servers) {
 		f.mu.Lock()
@@ -116,11 +117,11 @@
 		f.mu.Unlock()
 	}
 	f.mu.Lock()
-	f.result.Codes[StatusRejected]++ // no server accepted it
+	f.result.Codes[StatusRejected]++ // it could be written to no server
 	f.mu.Unlock()
 }
 
-// Run sends a load and waits until every request is answered or past its deadline.
+// Run sends a load and waits until every request is answered or past its deadline. It may be called only once.
 func (f *Fleet) Run(load []Arrival) (Result, error) {
 	f.result = Result{Codes: map[byte]int{}, GoodputByRoute: make([]float64, len(f.routes))}
 	f.began = time.Now()
@@ -144,7 +145,8 @@
 	return f.total()
 }
 
-// total returns the sum of what all routers have recorded, and the errors of kills and restarts.
+// total returns the sum of the results of all routers, without Partial, GoodputByRoute and Latencies, and the errors of
+// kills and restarts.
 func (f *Fleet) total() (Result, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testkit/harness/http_dependency.go
+++ b/internal/testkit/harness/http_dependency.go
@@ -27,7 +27,7 @@
 	inFlight     int
 	calls        int
 	load         *loadTracker
-	capacity     Machine // the number of calls in flight that it survives, as cores with one run each
+	capacity     Machine // Cores is the number of calls in flight that it survives, as load allows one run per core
 }
 
 const lookupPath = "/lookup"
--- a/internal/testkit/harness/load.go
+++ b/internal/testkit/harness/load.go
@@ -54,7 +54,7 @@
 		r.result.Requests++
 		r.result.OfferedValue += route.Value
 		id := fmt.Sprintf("%016x", ids.Uint64())
-		if err := r.send(p, id); err != nil { // the connection was closed while the request was written: the second attempt uses another one
+		if err := r.send(p, id); err != nil { // the connection was closed while the request was written: the second attempt uses another connection
 			if err := r.send(p, id); err != nil {
 				return r.result, fmt.Errorf("router: %w", err)
 			}
--- a/internal/testkit/harness/poollink.go
+++ b/internal/testkit/harness/poollink.go
@@ -27,7 +27,7 @@
 	Verb    string   `json:"verb"`
 }
 
-// Finished returns the notice that a run has ended after spent milliseconds.
+// Finished returns the notice that a run has ended. spent is the duration of the run in milliseconds.
 func Finished(runID, outcome string, spent float64, result []byte) PoolNotice {
 	return PoolNotice{Verb: "finished", RunID: runID, Outcome: outcome, Spent: &spent, Body: result}
 }
--- a/internal/testkit/harness/router.go
+++ b/internal/testkit/harness/router.go
@@ -46,7 +46,7 @@
 	mu          sync.Mutex
 	result      Result
 	connections []*connection
-	answered    chan struct{} // an answer was received, or a connection has ended
+	answered    chan struct{} // signals that a frame was received or a connection has ended
 	// retry sends a request that was rejected, or whose connection was lost, to another server if that is allowed, and
 	// reports whether it does; nil for never. It is called under the router's lock and must not block.
 	retry func(p *pendingRequest, lost bool) bool
@@ -61,8 +61,8 @@
 	return open
 }
 
-// connection returns the connection with the fewest open requests, or a new one if that has openBeforeDial or more and
-// another connection is allowed.
+// connection returns the connection with the fewest open requests. It opens a new one if there is none, or if each has at
+// least openBeforeDial open requests and there are fewer than maxConnections. Draining connections are left out.
 func (r *router) connection() (*connection, error) {
 	r.mu.Lock()
 	var leastLoaded *connection
--- a/internal/testkit/harness/strain.go
+++ b/internal/testkit/harness/strain.go
@@ -7,7 +7,7 @@
 )
 
 // LoadLimit is the number of runs that a worker pool survives. A pool that gets more runs, or runs that need more than
-// its memory, fails (rule 4 of the protocol page).
+// its memory, fails (rule 4 of package rulecheck).
 type LoadLimit struct {
 	RunsPerCore float64       // mean number of runs on the cores over Window, for a warm pool; a cold pool survives fewer
 	Window      time.Duration // period of the mean
--- a/internal/testkit/harness/workers.go
+++ b/internal/testkit/harness/workers.go
@@ -25,9 +25,9 @@
 	notices         NoticeLog
 	links           []net.Conn // all accepted links
 	runs            map[string]*run
-	running         []*run // runs on the cores, in the order of their starts
-	last            time.Time
-	busy            float64 // core seconds spent
+	running         []*run    // runs on the cores, in the order in which they were started or resumed
+	last            time.Time // of the last call of advance
+	busy            float64   // core seconds spent
 	samples         []usageSample
 	startOffsets    []time.Duration // time of each start of a run, since the pool's start
 	runStarts       []RunStart
@@ -111,8 +111,8 @@
 // StartedAt returns when the pool was started.
 func (w *Workers) StartedAt() time.Time { return w.startedAt }
 
-// StartOffsets returns the times of all starts of runs since the pool's start, and the number of starts that repeat a
-// run.
+// StartOffsets returns the time from the pool's start to the start of each run, and the number of starts whose run ID had
+// been started before.
 func (w *Workers) StartOffsets() (offsets []time.Duration, repeated int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testkit/harness/workers_runs.go
+++ b/internal/testkit/harness/workers_runs.go
@@ -21,7 +21,7 @@
 // Layout of a run's body.
 const (
 	workEnd        = 8  // end of the work, which is in microseconds
-	failureMark    = 8  // offset of the byte that is 1 if the run fails
+	failureOffset  = 8  // offset of the byte that is 1 if the run fails
 	deadlineOffset = 9  // offset of its request's deadline, in Unix milliseconds
 	deadlineEnd    = 17 // end of the deadline; a shorter body contains none
 )
@@ -45,7 +45,7 @@
 }
 
 func (r *run) outcome() string {
-	if len(r.body) > failureMark && r.body[failureMark] == 1 {
+	if len(r.body) > failureOffset && r.body[failureOffset] == 1 {
 		return "failure"
 	}
 	return "success"
--- a/internal/testkit/soak/checker.go
+++ b/internal/testkit/soak/checker.go
@@ -75,7 +75,8 @@
 	return slack
 }
 
-// checkAnswer checks rule 1: a request gets exactly one answer, in time.
+// checkAnswer checks rule 1: a request gets exactly one answer, in time. It needs no answer if its client reset the
+// connection, if its process was killed without a notice, or if it crossed the end of its connection and did not run.
 func (c *checker) checkAnswer(r *Request) {
 	switch {
 	case len(r.Answers) > 1:
@@ -160,6 +161,7 @@
 	if r.Incarnation.NotifiedAt.IsZero() || len(c.starts[r.ID]) == 0 {
 		return
 	}
+	// A process that waits for a core sees its notice late.
 	notified := r.Incarnation.NotifiedAt.Add(r.Incarnation.cpuWait(r.Incarnation.NotifiedAt, r.Incarnation.NotifiedAt.Add(answerSlack)))
 	if afterGrace := r.SentAt.Sub(notified) - c.history.Plan.Grace; afterGrace > answerSlack+c.history.TimerLateness {
 		c.violate(3, "%s was sent %v after the end of the grace and ran", c.describe(r), afterGrace)
--- a/internal/testkit/soak/checker_test.go
+++ b/internal/testkit/soak/checker_test.go
@@ -42,13 +42,13 @@
 	addRun := func(id string, ms int) {
 		incarnation.Runs = append(incarnation.Runs, harness.RunStart{ID: id, At: at(ms)})
 	}
-	addRequest("safe", retryableRoute, 0, Answer{at(500), CodeServed})
-	addRun("safe", 10)
+	addRequest("retryable", retryableRoute, 0, Answer{at(500), CodeServed})
+	addRun("retryable", 10)
 	addRequest("keyed", keyedRoute, 0, Answer{at(500), CodeServed}).Key = "k"
 	addRun("keyed", 10)
 	addRequest("repeat", keyedRoute, 1000, Answer{at(1010), CodeServed}).Key = "k"
-	addRequest("unsafe", atMostOnceRoute, 0, Answer{at(500), CodeServed})
-	addRun("unsafe", 10)
+	addRequest("at-most-once", atMostOnceRoute, 0, Answer{at(500), CodeServed})
+	addRun("at-most-once", 10)
 	addRequest("refused", atMostOnceRoute, 0, Answer{at(5), CodeRejected})
 	resetRequest := addRequest("cut off", retryableRoute, 0)
 	resetRequest.ConnectionEnded, resetRequest.ResetByClient = at(300), true
@@ -80,16 +80,16 @@
 		rule  int
 		plant func(h *History)
 	}{
-		{"a request is never answered", 1, func(h *History) { h.findRequest("safe").Answers = nil }},
+		{"a request is never answered", 1, func(h *History) { h.findRequest("retryable").Answers = nil }},
 		{"a request is answered twice", 1, func(h *History) {
-			h.findRequest("safe").Answers = append(h.findRequest("safe").Answers, Answer{at(600), CodeAborted})
+			h.findRequest("retryable").Answers = append(h.findRequest("retryable").Answers, Answer{at(600), CodeAborted})
 		}},
-		{"an answer is late", 1, func(h *History) { h.findRequest("safe").Answers[0].At = at(1060) }},
+		{"an answer is late", 1, func(h *History) { h.findRequest("retryable").Answers[0].At = at(1060) }},
 		{"a request is lost with its connection", 1, func(h *History) { h.findRequest("crossing").ConnectionEnded = at(4100) }},
 		{"a request that ran crosses the end of its connection", 1, func(h *History) { h.addRun("crossing", 4010) }},
 		{"an answer on a stream without an open request", 1, func(h *History) { h.strayAnswers = 1 }},
 		{"a process ends with an error", 1, func(h *History) { h.Incarnations[0].ExitCode = 2 }},
-		{"an at-most-once request runs twice", 2, func(h *History) { h.addRun("unsafe", 200) }},
+		{"an at-most-once request runs twice", 2, func(h *History) { h.addRun("at-most-once", 200) }},
 		{"a request that ran is rejected", 2, func(h *History) { h.addRun("refused", 3) }},
 		{"a key runs again in its dedup window", 2, func(h *History) { h.addRun("repeat", 1005) }},
 		{"a repeat of a key that ran is rejected", 2, func(h *History) { h.findRequest("repeat").Answers[0].Code = CodeRejected }},
@@ -116,20 +116,22 @@
 // The checker allows what is not a fault of the server.
 func TestWhatTheCheckerAllows(t *testing.T) {
 	cases := map[string]func(h *History){
-		"the process was killed before it answered": func(h *History) { h.findRequest("safe").Answers, h.Incarnations[0].KilledAt = nil, at(200) },
+		"the process was killed before it answered": func(h *History) { h.findRequest("retryable").Answers, h.Incarnations[0].KilledAt = nil, at(200) },
 		"the process was paused before it answered": func(h *History) {
-			h.findRequest("safe").Answers[0].At = at(1300)
+			h.findRequest("retryable").Answers[0].At = at(1300)
 			h.Incarnations[0].Pauses = []Span{{at(900), at(1200)}}
 		},
-		"the timers of the client were late": func(h *History) { h.findRequest("safe").Answers[0].At, h.TimerLateness = at(1060), 20*time.Millisecond },
+		"the timers of the client were late": func(h *History) {
+			h.findRequest("retryable").Answers[0].At, h.TimerLateness = at(1060), 20*time.Millisecond
+		},
 		"the client saw the end of a connection late": func(h *History) {
 			h.findRequest("crossing").ConnectionEnded, h.TimerLateness = at(4065), 20*time.Millisecond
 		},
 		"the process waited for a core": func(h *History) {
-			h.findRequest("safe").Answers[0].At = at(1080)
+			h.findRequest("retryable").Answers[0].At = at(1080)
 			h.Incarnations[0].CPUWaits = []CPUWait{{at(0), 0}, {at(900), time.Second}, {at(1040), 1040 * time.Millisecond}, {at(2000), 1040 * time.Millisecond}}
 		},
-		"a retryable request ran twice":          func(h *History) { h.addRun("safe", 20) },
+		"a retryable request ran twice":          func(h *History) { h.addRun("retryable", 20) },
 		"a key ran again after its dedup window": func(h *History) { h.findRequest("repeat").SentAt = at(2100); h.addRun("repeat", 2110) },
 		"a repeat was rejected after the dedup window": func(h *History) {
 			h.findRequest("repeat").SentAt, h.findRequest("repeat").Answers[0].Code = at(2100), CodeRejected
@@ -145,14 +147,14 @@
 	}
 }
 
-// When a thread of the process ends, the next total of waiting times is lower, as that of the thread is missing. The
-// drop must not reduce the slack of answers.
+// The total waiting time of a process drops when one of its threads ends, because the time of that thread is no longer
+// counted. The drop must not reduce the slack of answers.
 func TestAThreadThatEndsDoesNotReduceTheSlack(t *testing.T) {
 	h := validHistory()
 	h.Incarnations[0].CPUWaits = []CPUWait{{at(0), time.Second}, {at(900), time.Second}, {at(1100), 800 * time.Millisecond}, {at(9000), 800 * time.Millisecond}}
-	h.findRequest("safe").Answers[0].At = at(990) // in time
+	h.findRequest("retryable").Answers[0].At = at(990) // in time
 	assert.Empty(t, Check(h))
-	h.findRequest("safe").Answers[0].At = at(1060)
+	h.findRequest("retryable").Answers[0].At = at(1060)
 	assert.Len(t, Check(h), 1)
 }
 
--- a/internal/testkit/soak/client.go
+++ b/internal/testkit/soak/client.go
@@ -29,7 +29,7 @@
 	history       *History
 	plan          *Plan
 	rng           *rand.Rand
-	slot          *slot
+	server        *server
 	number        int
 	respectsDrain bool
 	slow          bool
@@ -51,10 +51,10 @@
 	resetByClient bool // the sender ended the connection with a reset
 }
 
-func newSender(h *History, s *slot, number int, seed int64) *sender {
+func newSender(h *History, s *server, number int, seed int64) *sender {
 	rng := rand.New(rand.NewSource(seed))
 	return &sender{
-		history: h, plan: &h.Plan, rng: rng, slot: s, number: number, respectsDrain: rng.Float64() < respectsDrainShare, slow: rng.Float64() < slowShare,
+		history: h, plan: &h.Plan, rng: rng, server: s, number: number, respectsDrain: rng.Float64() < respectsDrainShare, slow: rng.Float64() < slowShare,
 	}
 }
 
@@ -116,7 +116,7 @@
 }
 
 func (s *sender) dial() *connection {
-	address, incarnation := s.slot.current()
+	address, incarnation := s.server.current()
 	if incarnation == nil {
 		return nil
 	}
@@ -201,8 +201,8 @@
 	_ = c.Close()
 }
 
-// draw returns a new request of a random route. A share of the keyed ones, repeatShare, repeats an earlier key of the
-// route.
+// draw returns a new request of a random route. A keyed one repeats an earlier key of the route with probability
+// repeatShare.
 func (s *sender) draw(incarnation *Incarnation) *Request {
 	r := &Request{ID: fmt.Sprintf("%016x", s.rng.Uint64()), Route: s.rng.Intn(len(s.plan.Routes)), Incarnation: incarnation}
 	if s.plan.Routes[r.Route].Idempotency != Keyed {
--- a/internal/testkit/soak/client_test.go
+++ b/internal/testkit/soak/client_test.go
@@ -13,7 +13,7 @@
 func TestNothingIsSentAfterTheEndOfAConnection(t *testing.T) {
 	plan := Draw(1, time.Second)
 	h := &History{Plan: plan}
-	s := newSender(h, &slot{}, 1, 1)
+	s := newSender(h, &server{}, 1, 1)
 	clientEnd, serverEnd := net.Pipe()
 	defer func() { _, _ = clientEnd.Close(), serverEnd.Close() }()
 	c := &connection{Conn: clientEnd, incarnation: &Incarnation{}, open: map[uint32]*Request{}, ended: true}
--- a/internal/testkit/soak/history.go
+++ b/internal/testkit/soak/history.go
@@ -87,7 +87,7 @@
 // Span is the time from one moment to another.
 type Span struct{ From, To time.Time }
 
-// History is the record of a run. Its methods may be called from any goroutine.
+// History is the record of a soak run. Its methods may be called from any goroutine.
 type History struct {
 	mu                 sync.Mutex
 	Plan               Plan
@@ -113,7 +113,7 @@
 	f()
 }
 
-// recordTimerLateness records the maximum lateness of a timer of this process until done is closed.
+// recordTimerLateness records the maximum lateness of a timer of this process. It returns when done is closed.
 func (h *History) recordTimerLateness(done <-chan struct{}) {
 	const period = 5 * time.Millisecond
 	ticker := time.NewTicker(period)
--- a/internal/testkit/soak/inject.go
+++ b/internal/testkit/soak/inject.go
@@ -24,7 +24,7 @@
 
 // inject carries out a fault, and returns at its end. It skips a fault of a server without a running process.
 func (r *runner) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
-	s := r.slots[f.Server]
+	s := r.servers[f.Server]
 	daemon, proxy, incarnation := s.process()
 	if incarnation == nil {
 		return nil
@@ -74,7 +74,7 @@
 	case IdleConnections:
 		openIdleConnections(ctx, daemon.Address, int(f.Size))
 	case SignalSeries:
-		return r.replace(ctx, s, func(s *slot) error { return r.shutdownUnderSignals(s, rng) })
+		return r.replace(ctx, s, func(s *server) error { return r.shutdownUnderSignals(s, rng) })
 	case Burst:
 		r.burst(s, int(f.Size), rng)
 	case Garbage:
@@ -88,7 +88,7 @@
 
 // pause pauses a process for a span. Its worker pool continues. It does nothing if another fault pauses or replaces the
 // process.
-func (r *runner) pause(ctx context.Context, s *slot, span time.Duration) error {
+func (r *runner) pause(ctx context.Context, s *server, span time.Duration) error {
 	if !s.replacing.TryLock() {
 		return nil
 	}
@@ -107,9 +107,9 @@
 	return err
 }
 
-// replace ends the process of a slot with end and starts the next. It does nothing if another fault pauses or replaces
+// replace ends the process of a server with end and starts the next. It does nothing if another fault pauses or replaces
 // the process.
-func (r *runner) replace(ctx context.Context, s *slot, end func(*slot) error) error {
+func (r *runner) replace(ctx context.Context, s *server, end func(*server) error) error {
 	if !s.replacing.TryLock() {
 		return nil
 	}
@@ -126,7 +126,7 @@
 
 // shutdownUnderSignals shuts a process down amid further signals: up to three SIGHUPs before the notice, then SIGHUP
 // and SIGTERM in turn until the process has ended.
-func (r *runner) shutdownUnderSignals(s *slot, rng *rand.Rand) error {
+func (r *runner) shutdownUnderSignals(s *server, rng *rand.Rand) error {
 	daemon, _, _ := s.process()
 	for range rng.Intn(4) {
 		_ = daemon.Signal(syscall.SIGHUP)
@@ -151,7 +151,7 @@
 
 // burst sends burstRequests requests on each of a number of connections at once, and waits until they are answered or
 // past their deadlines.
-func (r *runner) burst(s *slot, connections int, rng *rand.Rand) {
+func (r *runner) burst(s *server, connections int, rng *rand.Rand) {
 	var senders sync.WaitGroup
 	for range connections {
 		burstSender := newSender(r.history, s, r.nextSender(), rng.Int63())
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -81,7 +81,7 @@
 // callFaults are drawn too if any route calls the dependency. Each is listed twice, which doubles its probability.
 var callFaults = []FaultKind{SlowCalls, UnresponsiveCalls, SlowCalls, UnresponsiveCalls}
 
-// Fault is one fault of a run.
+// Fault is one fault of a soak run.
 type Fault struct {
 	Kind     FaultKind
 	Server   int
@@ -94,7 +94,7 @@
 	return fmt.Sprintf("%s of server %d at %v for %v, size %.0f", f.Kind, f.Server, f.At, f.Duration, f.Size)
 }
 
-// Plan describes one run. The same seed and span always give the same plan.
+// Plan describes one soak run. The same seed and span always give the same plan.
 type Plan struct {
 	Seed       int64
 	Span       time.Duration
@@ -102,11 +102,11 @@
 	Routes     []Route
 	Machine    harness.Machine
 	LoadLimit  harness.LoadLimit
-	Grace      time.Duration
-	Sockets    int
-	MemoryMB   int
-	Load       float64 // offered load, as a share of the capacity of the machines
-	Senders    int     // for each server
+	Grace      time.Duration // time after the notice to shut down in which requests that arrive may still run
+	Sockets    int           // limit of each server process
+	MemoryMB   int           // limit of each server process
+	Load       float64       // offered load, as a share of the capacity of the machines
+	Senders    int           // for each server
 	Dependency Dependency
 	Faults     []Fault
 }
@@ -117,10 +117,10 @@
 }
 
 const (
-	maxDeadline     = 3 * time.Second        // upper limit of the deadline that KillAfter is computed from
-	killMargin      = 700 * time.Millisecond // after that deadline
-	requestKB       = emulator.RunKB / runFactor
-	runFactor       = 8.0
+	maxDeadline     = 3 * time.Second            // upper limit of the deadline that KillAfter is computed from
+	killMargin      = 700 * time.Millisecond     // after that deadline
+	requestKB       = emulator.RunKB / runFactor // memory of a request while queued
+	runFactor       = 8.0                        // ratio of a request's memory while running to that while queued
 	minFaults       = 3
 	maxFaults       = 7
 	faultFreeBefore = 300 * time.Millisecond // no fault begins earlier
@@ -235,8 +235,8 @@
 	return mean / time.Duration(len(p.Routes))
 }
 
-// maxRate is the maximum load of a server in requests per second. It is limited because all processes of a run share
-// one machine.
+// maxRate is the maximum load of a server in requests per second. It is limited because all processes of a soak run
+// share one machine.
 const maxRate = 150.0
 
 // Rate returns the load of each server in requests per second.
--- a/internal/testkit/soak/platform_config.go
+++ b/internal/testkit/soak/platform_config.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// platformConfig returns the platform's configuration file for one server of a run.
+// platformConfig returns the platform's configuration file for one server of a soak run.
 func (p *Plan) platformConfig(name, listen, pool, membership, dependency string) ([]byte, error) {
 	var services []map[string]any
 	calls, skipValues := make([]bool, len(p.Routes)), make([]float64, len(p.Routes))
--- a/internal/testkit/soak/report.go
+++ b/internal/testkit/soak/report.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Totals are counts over runs.
+// Totals are counts over soak runs.
 type Totals struct {
 	Faults, Processes, Requests, Served, Rejected, Aborted, Unanswered int
 
@@ -30,7 +30,7 @@
 		len(margins), at(0), at(0.01), at(0.1), at(0.5), t.killed)
 }
 
-// Add adds the counts of a run.
+// Add adds the counts of a soak run.
 func (t *Totals) Add(h *History) {
 	t.Faults += len(h.Plan.Faults)
 	t.Processes += len(h.Incarnations)
@@ -59,7 +59,7 @@
 	}
 }
 
-// Summary describes a run in one line. It ends in "failed" if err is not nil, otherwise in "N violations".
+// Summary describes a soak run in one line. It ends in "failed" if err is not nil, otherwise in "N violations".
 func Summary(h *History, violations []Violation, err error) string {
 	var t Totals
 	t.Add(h)
@@ -79,14 +79,14 @@
 	return line + fmt.Sprintf("%d violations", len(violations))
 }
 
-// WriteLogs writes the log of each process to a folder named after the seed.
-func WriteLogs(folder string, h *History) error {
-	logFolder := filepath.Join(folder, fmt.Sprintf("seed-%d", h.Plan.Seed))
-	if err := os.MkdirAll(logFolder, 0o700); err != nil {
+// WriteLogs writes the log of each process to a directory in dir that is named after the seed.
+func WriteLogs(dir string, h *History) error {
+	logDir := filepath.Join(dir, fmt.Sprintf("seed-%d", h.Plan.Seed))
+	if err := os.MkdirAll(logDir, 0o700); err != nil {
 		return fmt.Errorf("write logs: %w", err)
 	}
 	for _, incarnation := range h.Incarnations {
-		name := filepath.Join(logFolder, fmt.Sprintf("server-%d-life-%d.log", incarnation.Server, incarnation.Number))
+		name := filepath.Join(logDir, fmt.Sprintf("server-%d-life-%d.log", incarnation.Server, incarnation.Number))
 		if err := os.WriteFile(name, []byte(incarnation.Log), 0o600); err != nil {
 			return fmt.Errorf("write logs: %w", err)
 		}
--- a/internal/testkit/soak/runner.go
+++ b/internal/testkit/soak/runner.go
@@ -15,8 +15,8 @@
 
 const cpuWaitInterval = 40 * time.Millisecond
 
-// slot is one server of a run. Faults may replace its process.
-type slot struct {
+// server is one server of a soak run. Faults may replace its process.
+type server struct {
 	number int
 
 	mu           sync.Mutex
@@ -28,7 +28,7 @@
 }
 
 // current returns the address and incarnation of the running process; incarnation is nil if there is none.
-func (s *slot) current() (address string, incarnation *Incarnation) {
+func (s *server) current() (address string, incarnation *Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.incarnation == nil {
@@ -38,7 +38,7 @@
 }
 
 // process returns the running process with its proxy and incarnation, which are nil if there is none.
-func (s *slot) process() (*harness.Daemon, *faultnet.Proxy, *Incarnation) {
+func (s *server) process() (*harness.Daemon, *faultnet.Proxy, *Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.incarnation == nil {
@@ -50,26 +50,26 @@
 // runner carries out one plan.
 type runner struct {
 	program     string
-	folder      string
+	dir         string // for the configuration files of the servers
 	history     *History
 	plan        *Plan
-	slots       []*slot
+	servers     []*server
 	dependency  *harness.HTTPDependency
 	senderCount atomic.Int64 // senders created so far
 }
 
-// Run carries out a plan and returns its history, which is not nil if there is an error.
-func Run(ctx context.Context, program, folder string, plan Plan) (*History, error) {
+// Run carries out a plan and returns its history. With an error it still returns what was recorded.
+func Run(ctx context.Context, program, dir string, plan Plan) (*History, error) {
 	h := &History{Plan: plan}
-	r := &runner{program: program, folder: folder, history: h, plan: &h.Plan}
+	r := &runner{program: program, dir: dir, history: h, plan: &h.Plan}
 	var err error
 	if r.dependency, err = harness.NewHTTPDependency(plan.Dependency.Slots, plan.Dependency.ServiceTime, plan.Dependency.Linger, plan.Dependency.MaxCalls, plan.Dependency.Window); err != nil {
 		return h, err
 	}
 	defer func() { _ = r.dependency.Close() }()
 	for number := range plan.Servers {
-		s := &slot{number: number}
-		r.slots = append(r.slots, s)
+		s := &server{number: number}
+		r.servers = append(r.servers, s)
 		if err := r.start(s); err != nil {
 			return h, errors.Join(err, r.shutdownAll())
 		}
@@ -84,7 +84,7 @@
 	for n := range plan.Servers * plan.Senders {
 		number := r.nextSender()
 		senders.Go(func() {
-			newSender(h, r.slots[n%plan.Servers], number, plan.Seed<<16+int64(n)).run(done)
+			newSender(h, r.servers[n%plan.Servers], number, plan.Seed<<16+int64(n)).run(done)
 		})
 	}
 	faultErrs := make([]error, len(plan.Faults))
@@ -105,7 +105,7 @@
 	return h, errors.Join(append(faultErrs, err)...)
 }
 
-// recordCPUWaits samples how long each process has waited for a core until done is closed.
+// recordCPUWaits samples the time that each process has waited for a core. It returns when done is closed.
 func (r *runner) recordCPUWaits(done <-chan struct{}) {
 	ticker := time.NewTicker(cpuWaitInterval)
 	defer ticker.Stop()
@@ -115,7 +115,7 @@
 			return
 		case <-ticker.C:
 		}
-		for _, s := range r.slots {
+		for _, s := range r.servers {
 			daemon, _, incarnation := s.process()
 			if incarnation == nil {
 				continue
@@ -139,11 +139,11 @@
 	}
 }
 
-// start starts the next process of a slot, with a worker pool of its own.
-func (r *runner) start(s *slot) error {
+// start starts the next process of a server, with a worker pool of its own.
+func (r *runner) start(s *server) error {
 	var proxy *faultnet.Proxy
 	name := fmt.Sprintf("s%d-%d", s.number, s.incarnations)
-	daemon, err := harness.Launch(r.program, nil, r.folder, name, r.plan.Machine, "", func(listen, pool, membership string) ([]byte, error) {
+	daemon, err := harness.Launch(r.program, nil, r.dir, name, r.plan.Machine, "", func(listen, pool, membership string) ([]byte, error) {
 		var err error
 		if proxy, err = faultnet.New(pool); err != nil {
 			return nil, err
@@ -171,7 +171,7 @@
 }
 
 // recordEnd records the end of a process and closes its worker pool, membership service and proxy.
-func (r *runner) recordEnd(s *slot, exitCode int, killed bool) error {
+func (r *runner) recordEnd(s *server, exitCode int, killed bool) error {
 	daemon, proxy, incarnation := s.process()
 	s.mu.Lock()
 	s.incarnation = nil
@@ -185,7 +185,7 @@
 }
 
 // kill ends a process with SIGKILL, and closes its worker pool.
-func (r *runner) kill(s *slot) error {
+func (r *runner) kill(s *server) error {
 	daemon, _, incarnation := s.process()
 	r.history.update(func() { incarnation.KilledAt = time.Now() })
 	if err := daemon.Crash(); err != nil {
@@ -195,11 +195,11 @@
 }
 
 // shutdown shuts a process down gracefully, and kills it if it has not ended after Plan.KillAfter.
-func (r *runner) shutdown(s *slot) error {
+func (r *runner) shutdown(s *server) error {
 	daemon, _, incarnation := s.process()
 	r.history.update(func() { incarnation.NotifiedAt = time.Now() })
 	exit, killed, err := daemon.ShutdownWithin(r.plan.KillAfter())
-	return errors.Join(err, r.recordEnd(s, exit, killed)) // the end is recorded after an error too, for the log of the process
+	return errors.Join(err, r.recordEnd(s, exit, killed)) // the end is recorded even after an error, so that the history contains the log of the process
 }
 
 // nextSender returns a number that no other sender has.
@@ -207,9 +207,9 @@
 
 // shutdownAll shuts down all running processes at once.
 func (r *runner) shutdownAll() error {
-	errs := make([]error, len(r.slots))
+	errs := make([]error, len(r.servers))
 	var running sync.WaitGroup
-	for n, s := range r.slots {
+	for n, s := range r.servers {
 		if _, _, incarnation := s.process(); incarnation == nil {
 			continue
 		}
