--- a/cmd/quartzpoint/control.go
+++ b/cmd/quartzpoint/control.go
@@ -15,7 +15,7 @@
 
 const queryTimeout = time.Second // for the event loop to run the query
 
-// The queries that the admin socket answers.
+// The queries that the control socket answers.
 const (
 	queryDependencies  = "dependencies"
 	queryLease         = "lease"
@@ -54,7 +54,7 @@
 	case request.Query == queryLease || request.Query == queryConfiguration || request.Query == queryDependencies:
 		return nil, fmt.Errorf("this server has no [%s]", request.Query)
 	}
-	return nil, fmt.Errorf("unknown question %q", request.Query)
+	return nil, fmt.Errorf("unknown query %q", request.Query)
 }
 
 // dependencies reads the states of the dependencies on the event loop, which owns them.
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -22,7 +22,7 @@
 	path := filepath.Join(t.TempDir(), "s")
 	s, err := Listen(path, func(request Request) (any, error) {
 		if request.Query != "known" {
-			return nil, errors.New("unknown question")
+			return nil, errors.New("unknown query")
 		}
 		return []int{1, 2}, nil
 	})
@@ -30,7 +30,7 @@
 	var got []int
 	require.NoError(t, Query(path, Request{Query: "known"}, &got))
 	assert.Equal(t, []int{1, 2}, got)
-	assert.EqualError(t, Query(path, Request{Query: "other"}, &got), "unknown question")
+	assert.EqualError(t, Query(path, Request{Query: "other"}, &got), "unknown query")
 	for _, bad := range []string{"no JSON\n", strings.Repeat("x", 2*maxRequestBytes) + "\n"} {
 		conn, err := net.Dial("unix", path)
 		require.NoError(t, err)
