--- a/cmd/quartzpoint/burst_test.go
+++ b/cmd/quartzpoint/burst_test.go
@@ -18,7 +18,7 @@
 
 const (
 	burstConnections = 100
-	burstPerConn     = 30 // two below the protocol's limit
+	burstPerConn     = 30 // two below the protocol's limit of open requests on a connection
 	burstDeadline    = 300 * time.Millisecond
 )
 
--- a/cmd/quartzpoint/check.go
+++ b/cmd/quartzpoint/check.go
@@ -33,9 +33,9 @@
 		if err == nil && timeouts != nil {
 			_, err := composedRoutes(file, timeouts)
 			errs = append(errs, err)
-			for _, plan := range file.Routes {
-				if timeout, known := timeouts[plan.Name]; known && err == nil {
-					errs = append(errs, printTimeline(os.Stdout, plan, file.Dependencies, timeout))
+			for _, routePlan := range file.Routes {
+				if timeout, known := timeouts[routePlan.Name]; known && err == nil {
+					errs = append(errs, printTimeline(os.Stdout, routePlan, file.Dependencies, timeout))
 				}
 			}
 		}
--- a/cmd/quartzpoint/configuration.go
+++ b/cmd/quartzpoint/configuration.go
@@ -19,8 +19,8 @@
 
 const (
 	maxRouteBytes         = 2 << 10 // memory of a route with its names, statistics and copy in the document
-	maxTenantBytes        = 1 << 10
-	maxTableMemoryDivisor = 2 // routes and tenants may take half of the memory
+	maxTenantBytes        = 1 << 10 // the same for a tenant
+	maxTableMemoryDivisor = 2       // routes and tenants may take half of the memory
 )
 
 // tableUpdater applies the configuration service's routes and tenants to this server.
--- a/cmd/quartzpoint/crossing_test.go
+++ b/cmd/quartzpoint/crossing_test.go
@@ -30,7 +30,7 @@
 }
 
 // A stop signal must start the drain at once, even while a new configuration is being read (here from a FIFO that
-// delivers nothing). The drain used to wait for the configuration, although the time of the stop did not move.
+// delivers nothing). The drain used to wait for the configuration, although the stop was not postponed.
 func TestNoticeWhileAConfigurationIsRead(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
@@ -63,9 +63,9 @@
 	p := launch(t, "release")
 	p.pool.Ready()
 	p.waitLogged(t, "pool link bound")
-	known := fake.Dial(t, p.address)
-	known.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
-	assert.Equal(t, byte(21), known.Next(t).Type)
+	existing := fake.Dial(t, p.address)
+	existing.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
+	assert.Equal(t, byte(21), existing.Next(t).Type)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 	p.waitLogged(t, "drain started")
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
@@ -74,11 +74,11 @@
 	for range 8 {
 		routers = append(routers, fake.Dial(t, p.address))
 	}
-	for i, r := range append(routers, known) {
+	for i, r := range append(routers, existing) {
 		r.Send(t, fake.RequestFrame(2, "pay", "", "call", fake.CallID(uint32(100+i))))
 	}
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGCONT))
-	for i, r := range append(routers, known) {
+	for i, r := range append(routers, existing) {
 		assert.Equal(t, map[uint32][]byte{2: {50}}, readAnswers(t, r), "connection %d", i)
 	}
 	assert.Zero(t, p.waitExit())
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -41,17 +41,17 @@
 }
 
 // composedRoutes returns the configured routes, after validating each plan against the route's timeout in the
-// platform's configuration (available). The returned error joins all errors.
-func composedRoutes(file *config.Config, available map[string]time.Duration) (routes []fanout.Route, err error) {
+// platform's configuration. The returned error joins all errors.
+func composedRoutes(file *config.Config, timeouts map[string]time.Duration) (routes []fanout.Route, err error) {
 	var errs []error
 	for _, routePlan := range file.Routes {
 		plan := routePlan.Plan()
-		deadline, known := available[routePlan.Name]
+		timeout, known := timeouts[routePlan.Name]
 		if !known {
 			errs = append(errs, fmt.Errorf("types.%s: the platform's configuration has no such route", routePlan.Name))
 			continue
 		}
-		if err := plan.Validate(len(file.Dependencies), deadline); err != nil {
+		if err := plan.Validate(len(file.Dependencies), timeout); err != nil {
 			errs = append(errs, fmt.Errorf("types.%s: %w", routePlan.Name, err))
 		}
 		route := fanout.Route{Plan: plan}
@@ -64,19 +64,19 @@
 }
 
 // printTimeline prints the expected start, end and timeout of each call of a plan.
-func printTimeline(writer io.Writer, routePlan config.RoutePlan, dependencies []config.Dependency, available time.Duration) error {
+func printTimeline(writer io.Writer, routePlan config.RoutePlan, dependencies []config.Dependency, timeout time.Duration) error {
 	plan := routePlan.Plan()
-	if err := plan.Validate(len(dependencies), available); err != nil {
+	if err := plan.Validate(len(dependencies), timeout); err != nil {
 		return fmt.Errorf("types.%s: %w", routePlan.Name, err)
 	}
 	var names []string
 	for _, d := range dependencies {
 		names = append(names, d.Name)
 	}
-	fmt.Fprintf(writer, "%s: %v in total, %v of it reserved\n", routePlan.Name, available, routePlan.Reserve)
+	fmt.Fprintf(writer, "%s: %v in total, %v of it reserved\n", routePlan.Name, timeout, routePlan.Reserve)
 	table := tabwriter.NewWriter(writer, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "  call\tdependency\tbegins\tends\tmay take\t")
-	for _, span := range plan.Spans(available, names) {
+	for _, span := range plan.Spans(timeout, names) {
 		required := ""
 		if span.Required {
 			required = "needed"
--- a/cmd/quartzpoint/dependencies_test.go
+++ b/cmd/quartzpoint/dependencies_test.go
@@ -59,10 +59,10 @@
 	c.bank, err = harness.NewDependency(8, 5*time.Millisecond, 0, 2, bank)
 	require.NoError(t, err)
 	t.Cleanup(c.bank.Close)
-	folder := t.TempDir()
-	c.socket = filepath.Join(folder, "control.sock")
+	dir := t.TempDir()
+	c.socket = filepath.Join(dir, "control.sock")
 	c.file = strings.NewReplacer("SOCKET", c.socket, "TABLES", c.tables.Address, "BANK", c.bank.Address).Replace(confirmFile)
-	c.daemon, err = harness.Start(builds["debug"], folder, "n1", c.routes, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}, c.file)
+	c.daemon, err = harness.Start(builds["debug"], dir, "n1", c.routes, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}, c.file)
 	require.NoError(t, err)
 	return c
 }
@@ -151,11 +151,11 @@
 
 // The check command must report each error in a plan and fail.
 func TestCheckPlans(t *testing.T) {
-	folder := t.TempDir()
+	dir := t.TempDir()
 	site := strings.Replace(fake.SiteSettings, `"browse"`, `"confirm-booking"`, 1)
 	platform := fake.WriteConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", site)
 	write := func(text string) string {
-		path := filepath.Join(folder, "own.toml")
+		path := filepath.Join(dir, "own.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
--- a/cmd/quartzpoint/descriptors_test.go
+++ b/cmd/quartzpoint/descriptors_test.go
@@ -88,8 +88,8 @@
 	}, fake.WaitLimit, 20*time.Millisecond)
 }
 
-// openConnections opens connections all at once, so that more arrive than the event loop has rounds to register them,
-// uses each of them, and returns a function that closes them.
+// openConnections opens connections all at once, faster than the rounds of the event loop can register them, uses each
+// of them, and returns a function that closes them.
 func (p *program) openConnections(connections int, use func(router net.Conn, i uint32)) (end func()) {
 	var mu sync.Mutex
 	var routers []net.Conn
@@ -130,9 +130,10 @@
 	_, _ = router.Write(fake.RequestFrame(1000+i, "pay", ""))
 }
 
-// Routers that can't be notified of a change keep their connections open, and these fill the table of descriptors. A
-// request and a health check on new connections, the membership reports, and a lost pool link must still get
-// descriptors. The process must not spin, and once the routers have closed their connections it must serve as before.
+// Routers that do not react when they are asked to drain keep their connections open, and these fill the table of
+// descriptors. A request and a health check on new connections, the membership reports, and a lost pool link must still
+// get descriptors. The process must not spin, and once the routers have closed their connections it must serve as
+// before.
 func TestFullTableOfDescriptors(t *testing.T) {
 	uses := map[string]func(net.Conn, uint32){"silent": sendNothing, "health check": checkHealthOnce, "in use": sendRequest}
 	for _, sockets := range []int{32, 48, 64, 100, 256} {
@@ -160,8 +161,8 @@
 				_ = health.Close()
 				p.assertIdle(t)
 				for { // until a report is sent from now on, rather than one that waits in the socket
-					asked := time.Now()
-					if assert.Equal(t, "HB n1 UP", p.members.Next(t)); time.Since(asked) > 10*time.Millisecond {
+					began := time.Now()
+					if assert.Equal(t, "HB n1 UP", p.members.Next(t)); time.Since(began) > 10*time.Millisecond {
 						break
 					}
 				}
--- a/cmd/quartzpoint/drain_test.go
+++ b/cmd/quartzpoint/drain_test.go
@@ -59,7 +59,7 @@
 // connection is closed 0.1 s before the stop. Connections used to be checked only every 0.1 s, so in half of the drains
 // the process ran until the stop itself, in a race with the kill.
 func TestSilentConnectionsDoNotKeepTheProcess(t *testing.T) {
-	for stop := int64(700); stop < 800; stop += 20 { // covers each phase of those checks; the grace ends 0.4 s before each stop
+	for stop := int64(700); stop < 800; stop += 20 { // covers each phase of those checks; connections are asked to drain about 0.4 s before each stop
 		t.Run(fmt.Sprint(stop), func(t *testing.T) {
 			t.Parallel()
 			p := prepare(t, builds["release"])
@@ -87,7 +87,7 @@
 }
 
 // sendUntilClosed sends requests until the connection ends. It returns the age of the oldest unanswered request at that
-// time, less the longest delay by which this process was late to send.
+// time, less the longest delay with which the test itself sent a request.
 func sendUntilClosed(router net.Conn, firstStream uint32, interval time.Duration) time.Duration {
 	var mu sync.Mutex
 	unanswered := map[uint32]time.Time{}
--- a/cmd/quartzpoint/lease_test.go
+++ b/cmd/quartzpoint/lease_test.go
@@ -30,7 +30,7 @@
 func proxiedFleet(t *testing.T, n int, proxied bool) (daemons []*harness.Daemon, sockets []string,
 	links [][]*faultnet.Proxy) {
 	routes := []harness.Route{{Name: "slot-check", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 1}}
-	folder := t.TempDir()
+	dir := t.TempDir()
 	addresses := make([]string, n)
 	for i := range addresses {
 		var err error
@@ -53,10 +53,10 @@
 			}
 			peers = append(peers, fmt.Sprintf("%q", a))
 		}
-		socket := filepath.Join(folder, fmt.Sprintf("s%d.sock", i))
+		socket := filepath.Join(dir, fmt.Sprintf("s%d.sock", i))
 		file := fmt.Sprintf("[control]\nsocket = %q\n[peers]\nlisten = %q\nask = [%s]\n[lease]\nduties = [\"compact\"]\nlease = %q\n",
 			socket, addresses[i], strings.Join(peers, ", "), testLeaseDuration)
-		d, err := harness.Start(builds["release"], folder, fmt.Sprintf("s%d", i), routes,
+		d, err := harness.Start(builds["release"], dir, fmt.Sprintf("s%d", i), routes,
 			harness.Machine{Cores: 1, Speed: 1, MemoryKB: 60000}, file)
 		require.NoError(t, err)
 		t.Cleanup(func() {
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -22,19 +22,19 @@
 var builds = map[string]string{}
 
 func TestMain(m *testing.M) {
-	folder, err := os.MkdirTemp("", "quartzpoint")
+	dir, err := os.MkdirTemp("", "quartzpoint")
 	if err != nil {
 		panic(err)
 	}
 	for name, tags := range map[string]string{"release": "", "debug": "debug"} {
-		builds[name] = filepath.Join(folder, name)
+		builds[name] = filepath.Join(dir, name)
 		out, err := exec.Command("go", "build", "-buildvcs=false", "-tags", tags, "-o", builds[name], ".").CombinedOutput()
 		if err != nil {
 			panic(fmt.Sprintf("building: %v\n%s", err, out))
 		}
 	}
 	code := m.Run()
-	_ = os.RemoveAll(folder)
+	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
@@ -147,8 +147,8 @@
 	}
 }
 
-// With far more load than the cores can serve, each request must be answered, most rejected with a Retry-After or no
-// retry elsewhere, and the shed level must rise.
+// With far more load than the cores can serve, requests must be rejected, some of them with a Retry-After and some with
+// the advice not to retry at another server, and the shed level must rise.
 func TestOverload(t *testing.T) {
 	p := launch(t, "release")
 	p.pool.Ready()
--- a/cmd/quartzpoint/memory_test.go
+++ b/cmd/quartzpoint/memory_test.go
@@ -12,7 +12,8 @@
 	"quartzpoint/internal/testkit/fake"
 )
 
-// residentKB returns the resident anonymous memory of the process in KiB, which excludes its mapped file.
+// residentKB returns the resident anonymous memory of the process in KiB, which excludes the program file
+// that it maps.
 func (p *program) residentKB(t *testing.T) (kb int) {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -12,7 +12,8 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// shortRoutes returns many routes, whose deadlines are many times shorter than the fault of the machine.
+// shortRoutes returns many routes, whose deadlines are many times shorter than the time for which the machine has a
+// fault.
 func shortRoutes() (routes []harness.Route) {
 	const count = 12
 	for i := range count {
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -124,7 +124,8 @@
 	return encoder.Encode(value)
 }
 
-// printEstimates prints a snapshot as a table. An estimate of weight n counts as much as n samples of the reader's own.
+// printEstimates prints a snapshot as a table. A server that uses an estimate of weight n counts it as n
+// samples of its own.
 func printEstimates(writer io.Writer, snapshot estimate.Snapshot) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(table, "estimate\tmean\tspread\tsamples\tage\tweight\t\n")
--- a/cmd/quartzpoint/peers_test.go
+++ b/cmd/quartzpoint/peers_test.go
@@ -87,14 +87,14 @@
 		Work: 20 * time.Millisecond, Spread: 0.5,
 	}}
 	machine := harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}
-	folder := t.TempDir()
-	keys := filepath.Join(folder, "keys")
+	dir := t.TempDir()
+	keys := filepath.Join(dir, "keys")
 	keyA, keyB := strings.Repeat("0a", 16), strings.Repeat("0b", 16)
 	require.NoError(t, os.WriteFile(keys, []byte(keyA), 0o600))
 	address, err := harness.FreeAddress()
 	require.NoError(t, err)
 	start := func(name, file string) *harness.Daemon {
-		d, err := harness.Start(builds["debug"], folder, name, routes, machine, file)
+		d, err := harness.Start(builds["debug"], dir, name, routes, machine, file)
 		require.NoError(t, err)
 		t.Cleanup(func() {
 			assert.NoError(t, d.Stop())
--- a/cmd/quartzpoint/platformconfig.go
+++ b/cmd/quartzpoint/platformconfig.go
@@ -22,7 +22,7 @@
 	Listen            string // address for routers
 	PoolAddress       string // address of the worker pool
 	MembershipAddress string
-	DependencyAddress string // dependency that runs call; empty without one
+	DependencyAddress string // address of the dependency that runs may call; empty without one
 	Seed              uint64
 	StopWithin        time.Duration // time from the stop signal to the stop
 	Limits            programLimits
@@ -46,8 +46,8 @@
 	callSocketDivisor = 8 // the descriptors divided by this are the maximum for calls to the dependency
 )
 
-// cores returns the number of cores that the runtime may use, capped at those of the machine: more have no use, and the
-// runtime allocates memory for each.
+// cores returns the number of cores that the runtime may use, at least 1 and at most those of the machine: more are of
+// no use, and the runtime allocates memory for each.
 func (l programLimits) cores() int { return int(max(1, min(l.Cores, float64(runtime.NumCPU())))) }
 
 func (l programLimits) memoryBytes() int { return int(min(l.MemoryMB, maxMemoryMB) * (1 << 20)) }
--- a/cmd/quartzpoint/process.go
+++ b/cmd/quartzpoint/process.go
@@ -35,12 +35,12 @@
 	dependency *dependency.Caller // nil without one
 	reporter   *registration.Reporter
 
-	// Configured by file; nil if it lacks their section.
-	leaseManager *leasing.Manager
-	watcher      *configwatch.Watcher
-	tableUpdater *tableUpdater
-	state        *statePersistence
-	peers        *peerExchange
+	// Configured by file.
+	leaseManager *leasing.Manager     // nil without [lease]
+	watcher      *configwatch.Watcher // nil without [configuration]
+	tableUpdater *tableUpdater        // nil without [configuration]
+	state        *statePersistence    // nil with neither [state] nor [peers]
+	peers        *peerExchange        // not nil once the services have started; without [peers] it exchanges nothing
 }
 
 // newProcess builds the event loop, its front end and its worker link. It starts to listen for routers, but serves
@@ -164,7 +164,7 @@
 			p.log.Error("listener failed, draining", "error", err)
 		}
 		result <- err
-		releaseLeases() // first, as this server must no longer act under its leases; other servers wait until they expire
+		releaseLeases() // first, as this server must no longer act under its leases; others get them only once they have expired
 		watch.stop()    // early, so that its writes are on disk long before the store is closed
 		p.reporter.SetDraining()
 		p.server.Drain(time.Duration(stopWithin.Load()))
--- a/cmd/quartzpoint/readiness_test.go
+++ b/cmd/quartzpoint/readiness_test.go
@@ -48,17 +48,17 @@
 // and the peers that they ask for estimates accept connections and never answer. None of this may delay the answers to
 // health checks.
 func TestRestartOfAFleet(t *testing.T) {
-	const fleet, maxLate, within = 30, 3, 10 * time.Second
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // the system accepts connections for it
+	const fleet, maxLate, within = 30, 3, 10 * time.Second // all but maxLate processes must be healthy within that time
+	silent, err := net.Listen("tcp", "127.0.0.1:0")        // the system accepts connections for it
 	require.NoError(t, err)
 	defer func() { _ = silent.Close() }()
 	var all []*program
 	for range fleet {
-		folder := t.TempDir()
-		file := filepath.Join(folder, "own.toml")
+		dir := t.TempDir()
+		file := filepath.Join(dir, "own.toml")
 		require.NoError(t, os.WriteFile(file, fmt.Appendf(nil,
 			"[state]\ndir = %q\nsite = \"s\"\nnumbers = true\n[peers]\nask = [%q]\ntotal = \"10s\"\n",
-			filepath.Join(folder, "state"), silent.Addr()), 0o600))
+			filepath.Join(dir, "state"), silent.Addr()), 0o600))
 		p := prepare(t, builds["release"], "serve", "--own", file)
 		require.NoError(t, p.cmd.Start())
 		p.killAtCleanup(t)
--- a/cmd/quartzpoint/reload.go
+++ b/cmd/quartzpoint/reload.go
@@ -38,7 +38,7 @@
 	p.platform.StopWithin = next.StopWithin
 	p.platform.settingsHash = next.settingsHash
 	if len(change.Fixed) > 0 {
-		p.platform.settingsHash = 0 // no file holds exactly the settings in force
+		p.platform.settingsHash = 0 // no file holds exactly the settings in force, so a reload must parse those of any file
 	}
 	p.log.Info("configuration reloaded", "pool", next.PoolAddress, "members", next.MembershipAddress,
 		"index", p.platform.DependencyAddress, "stop_ms", next.StopWithin.Milliseconds(), "moved", change.Adjusted,
--- a/cmd/quartzpoint/serve.go
+++ b/cmd/quartzpoint/serve.go
@@ -16,7 +16,7 @@
 const (
 	memoryLimitShare     = 0.7 // fraction of the memory above which the runtime collects at any cost
 	minMemoryLimitMB     = 16  // the idle runtime maps 12 MB, and near its limit it does nothing but collect
-	smallMemoryGCPercent = 25  // growth of the heap between collections if minMemoryLimitMB applies
+	smallMemoryGCPercent = 25  // growth of the heap between collections, in percent, if minMemoryLimitMB applies
 )
 
 // serveCommand serves requests until a stop signal.
@@ -68,8 +68,9 @@
 	return platform, file, errors.Join(err, fileErr)
 }
 
-// limitMemory sets the runtime's memory limit. If the process has less memory than the idle runtime needs, the heap is
-// kept small by collecting early: with a limit that can't be met the runtime would collect without end.
+// limitMemory sets the runtime's memory limit to memoryLimitShare of the process's memory, but to at least
+// minMemoryLimitMB: with a limit that can't be met the runtime would collect without end. If that minimum applies, the
+// heap is kept small by collecting early instead.
 func limitMemory(bytes int) {
 	limit := int64(float64(bytes) * memoryLimitShare)
 	if limit < minMemoryLimitMB<<20 {
--- a/cmd/quartzpoint/state_commands.go
+++ b/cmd/quartzpoint/state_commands.go
@@ -25,7 +25,7 @@
 	Compact stateCompact `cmd:"" help:"Compact the directory of a stopped server to one table and one log."`
 }
 
-// stateDir names the directory that a command works on.
+// stateDir holds the arguments that all commands on state directories have.
 type stateDir struct {
 	Dir    string `arg:"" help:"The directory, as in [state] dir."`
 	Site   string `help:"The site; by default that of the files."`
@@ -44,13 +44,13 @@
 	return report, errors.Join(err, dir.Close())
 }
 
-// stateShow prints a directory's report.
+// stateShow prints what a directory holds, and what a start would use of it.
 type stateShow struct {
 	stateDir
 	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run prints the report.
+// Run prints the files, the idempotency keys by route, the estimates, and what is not used and why.
 func (cmd *stateShow) Run() error {
 	now := store.SystemClock()()
 	report, err := cmd.inspect(now)
--- a/cmd/quartzpoint/state_test.go
+++ b/cmd/quartzpoint/state_test.go
@@ -19,11 +19,11 @@
 	routes := []harness.Route{{
 		Name: "slot-check", Value: 1, LatencyTarget: time.Second, Deadline: 2 * time.Second, Share: 1, Work: 20 * time.Millisecond,
 	}}
-	folder := t.TempDir()
-	state := filepath.Join(folder, "state")
+	dir := t.TempDir()
+	state := filepath.Join(dir, "state")
 	section := fmt.Sprintf("[state]\ndir = %q\nsite = \"s\"\nnumbers = true\n", state)
 	start := func(name string) (*harness.Daemon, error) {
-		return harness.Start(builds["debug"], folder, name, routes, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}, section)
+		return harness.Start(builds["debug"], dir, name, routes, harness.Machine{Cores: 2, Speed: 1, MemoryKB: 60000}, section)
 	}
 	first, err := start("first")
 	require.NoError(t, err)
--- a/cmd/quartzpoint/stored_test.go
+++ b/cmd/quartzpoint/stored_test.go
@@ -74,12 +74,12 @@
 }
 
 // launchStored starts the program with the settings of the recorded one.
-func launchStored(t *testing.T, own string) *harness.Daemon {
+func launchStored(t *testing.T, file string) *harness.Daemon {
 	t.Helper()
 	site, err := os.ReadFile(filepath.Join("testdata", "f1daac1", "settings.json"))
 	require.NoError(t, err)
 	machine := harness.Machine{Cores: 4, Speed: 1, MemoryKB: 64000}
-	d, err := harness.Launch(builds["release"], []string{"serve"}, t.TempDir(), "n1", machine, own,
+	d, err := harness.Launch(builds["release"], []string{"serve"}, t.TempDir(), "n1", machine, file,
 		func(listen, pool, members string) ([]byte, error) {
 			return fmt.Appendf(nil, `{"name":"n1","listen":%q,"pool":%q,"members":%q,"seed":"5eed","stop_ms":3000,`+
 				`"limits":{"cores":1.0,"memory_mb":128,"sockets":512},"settings":%s}`, listen, pool, members, site), nil
@@ -90,7 +90,7 @@
 }
 
 // sendStored sends a request, and returns the code and the result of its answer. work is the duration of its run; a
-// repeat of a request states the same.
+// repeat of a request must have the same, because a different body makes it a different request.
 func sendStored(t *testing.T, d *harness.Daemon, route, tenant, key string, work time.Duration) (code byte, result string) {
 	t.Helper()
 	link, err := net.Dial("tcp", d.Address)
@@ -128,11 +128,11 @@
 	for _, name := range []string{"state", "state-torn"} {
 		t.Run(name, func(t *testing.T) {
 			d := launchStored(t, fmt.Sprintf("[state]\ndir = %q\nsite = \"here\"\nnumbers = true\n", copyStoredState(t, name)))
-			known, unknown := 6, 2
+			keys, unserved := 6, 2
 			if name == "state-torn" { // the start of the last request is not in it
-				known, unknown = 5, 1
+				keys, unserved = 5, 1
 			}
-			assert.Contains(t, d.Log(), fmt.Sprintf("keys=%d unserved_keys=%d", known, unknown))
+			assert.Contains(t, d.Log(), fmt.Sprintf("keys=%d unserved_keys=%d", keys, unserved))
 			for _, request := range [][2]string{{"north", "k1"}, {"north", "k2"}, {"north", "k3"}, {"south", "k1"}} {
 				code, result := sendStored(t, d, "charge", request[0], request[1], 20*time.Millisecond)
 				assert.Equal(t, []any{byte(storedServed), "done"}, []any{code, result}, request)
@@ -141,7 +141,7 @@
 			assert.Equal(t, byte(storedAborted), code, "begun, with an unknown end")
 			code, _ = sendStored(t, d, "charge", "north", "k1", 30*time.Millisecond)
 			assert.Equal(t, byte(storedAborted), code, "the key of a different request")
-			if unknown == 2 {
+			if unserved == 2 {
 				code, _ = sendStored(t, d, "charge", "south", "hangs", 20*time.Second)
 				assert.Equal(t, byte(storedAborted), code)
 			}
--- a/internal/adminsocket/adminsocket.go
+++ b/internal/adminsocket/adminsocket.go
@@ -21,7 +21,7 @@
 const (
 	maxRequestBytes  = 4 << 10
 	maxResponseBytes = 1 << 20
-	// ioTimeout is the time limit for a client to send its request and read the response.
+	// ioTimeout is the time limit for a client to send its request and read the response, and for connecting.
 	ioTimeout = time.Second
 	// clientTimeout is longer than ioTimeout, as another client may be served first.
 	clientTimeout = 2 * ioTimeout
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,7 +27,7 @@
 	Line    int // line of the key or, without the key, of its section; 0 if the file has neither
 	Key     string
 	Value   string // empty if the key is missing
-	Allowed string
+	Allowed string // what is allowed, or what is wrong
 }
 
 // Error returns the error on one line.
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -12,13 +12,13 @@
 	maxRoutes       = 64
 	maxDefaultBytes = 2 << 10
 	maxOpBytes      = 128
-	maxPlanTime     = 24 * time.Hour // the plan is validated against the route's deadline later, when that is known
+	maxPlanTime     = 24 * time.Hour // the plan is validated again once the time of the route's requests is known
 )
 
 // RoutePlan is a route whose requests consist of calls to dependencies.
 type RoutePlan struct {
 	Name    string
-	Reserve time.Duration // part of the deadline that is kept for the work after the calls
+	Reserve time.Duration // part of a request's time that is reserved for composing and sending the answer
 	Calls   []Call
 }
 
@@ -26,8 +26,8 @@
 type Call struct {
 	budget.Call
 	Op       string        // operation of the dependency
-	MaxStale time.Duration // maximum age of a stored result that may replace a failed call; 0: never
-	Default  []byte        // replaces a failed call if no stored result does; nil: none
+	MaxStale time.Duration // maximum age of the call's last good result that may replace a failed call; 0: never
+	Default  []byte        // replaces a failed call if no earlier result does; nil: none
 }
 
 // Plan returns the plan of the route's calls. It is not validated.
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -13,7 +13,7 @@
 
 const (
 	// maxLinesPerSecond is the number of events of one kind and reason that are logged individually in a second.
-	// Further events of that second are counted, and logged as totals in one line in the next second.
+	// Further events of that second are only counted; one line in the next second logs the totals since the start.
 	maxLinesPerSecond = 2
 	// maxCounters bounds the pairs of kind and reason that are counted separately. Beyond it, events are counted by
 	// kind only. Kinds and reasons are texts of this program, so a peer can't add any.
@@ -29,12 +29,12 @@
 	RequestAborted     Kind = "request aborted"         // answered without a result after it may have run
 	RunOverdue         Kind = "run overdue"             // no report of its start or end within the expected time
 	RunEndedLate       Kind = "run ended late"          // the end of an overdue run was reported
-	RunReleased        Kind = "run released"            // counted as ended without a report of its end
+	RunReleased        Kind = "run released"            // counted as ended without a report, as the gauges prove it
 	RunRetried         Kind = "run retried"             // sent to the worker pool again
 	CallRetried        Kind = "call retried"            // the call to the dependency was made again
 	ConnectionClosed   Kind = "connection closed"       // by this side
 	ConnectionDraining Kind = "connection draining"     // the peer was asked to send no new requests
-	Overcommitted      Kind = "overcommitted"           // the workers' gauges exceed what this process has started
+	Overcommitted      Kind = "overcommitted"           // the gauges exceed this process's count of runs, or counted runs may have ended
 	LimitReduced       Kind = "in-flight limit reduced" // by a backoff event
 	SlowRound          Kind = "slow round"              // a round of the event loop delayed answers
 )
@@ -58,7 +58,7 @@
 
 // counter counts the events of one key.
 type counter struct {
-	total   int64
+	total   int64 // events since the start
 	lines   int   // lines logged in this second
 	dropped int64 // events counted but not logged in this second
 }
@@ -73,16 +73,16 @@
 func (l *Log) Record(kind Kind, reason string, attributes ...slog.Attr) {
 	l.mu.Lock()
 	l.flush()
-	t := l.counterFor(kind, reason)
-	t.total++
-	if t.lines >= maxLinesPerSecond {
-		t.dropped++
+	c := l.counterFor(kind, reason)
+	c.total++
+	if c.lines >= maxLinesPerSecond {
+		c.dropped++
 		l.dropped++
 		l.mu.Unlock()
 		return
 	}
-	t.lines++
-	total := t.total
+	c.lines++
+	total := c.total
 	l.mu.Unlock()
 	attributes = append(attributes, slog.String("reason", reason), slog.Int64("times", total))
 	l.log.LogAttrs(context.Background(), level(kind), string(kind), attributes...)
@@ -92,8 +92,8 @@
 func (l *Log) Times(kind Kind, reason string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.counters[key{kind, reason}]; t != nil {
-		return t.total
+	if c := l.counters[key{kind, reason}]; c != nil {
+		return c.total
 	}
 	return 0
 }
@@ -106,7 +106,8 @@
 	l.flush()
 }
 
-// flush starts a new second if the current one has passed. The caller must hold l.mu.
+// flush starts a new second if the current one has passed, and logs the totals of the events that it only counted. The
+// caller must hold l.mu.
 func (l *Log) flush() {
 	now := l.now()
 	if passed := now.Sub(l.secondStart); passed >= 0 && passed < time.Second {
@@ -117,16 +118,17 @@
 		l.log.LogAttrs(context.Background(), slog.LevelInfo, "events", l.droppedTotals()...)
 	}
 	l.dropped = 0
-	for _, t := range l.counters {
-		t.lines, t.dropped = 0, 0
+	for _, c := range l.counters {
+		c.lines, c.dropped = 0, 0
 	}
 }
 
-// droppedTotals returns the totals of the counters with events that were not logged individually in the last second.
+// droppedTotals returns the totals, since the start, of the counters with events that were not logged individually in
+// the last second.
 func (l *Log) droppedTotals() (attributes []slog.Attr) {
-	for at, t := range l.counters {
-		if t.dropped > 0 {
-			attributes = append(attributes, slog.Int64(string(at.kind)+": "+at.reason, t.total))
+	for at, c := range l.counters {
+		if c.dropped > 0 {
+			attributes = append(attributes, slog.Int64(string(at.kind)+": "+at.reason, c.total))
 		}
 	}
 	slices.SortFunc(attributes, func(a, b slog.Attr) int { return strings.Compare(a.Key, b.Key) })
@@ -144,7 +146,8 @@
 	return l.counters[at]
 }
 
-// level returns the log level of a kind: a warning if more may be running than the controller assumes.
+// level returns the log level of a kind: a warning if the workers may be running more or fewer runs than this process
+// counts.
 func level(kind Kind) slog.Level {
 	switch kind {
 	case RunOverdue, RunEndedLate, RunReleased, Overcommitted:
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -19,12 +19,12 @@
 	return Adjustable{s.Admission.Preemption, s.Admission.ShedLevelFormat}
 }
 
-// WithAdjustable returns a copy of the settings in which the adjustable settings are those of another value.
-func (s *Settings) WithAdjustable(of *Settings) *Settings {
+// WithAdjustable returns a copy of the settings in which the adjustable settings are those of other.
+func (s *Settings) WithAdjustable(other *Settings) *Settings {
 	changed := *s
-	changed.adjustable = of.adjustable
-	changed.Admission.Preemption = of.Admission.Preemption
-	changed.Admission.ShedLevelFormat = of.Admission.ShedLevelFormat
+	changed.adjustable = other.adjustable
+	changed.Admission.Preemption = other.Admission.Preemption
+	changed.Admission.ShedLevelFormat = other.Admission.ShedLevelFormat
 	return &changed
 }
 
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -42,7 +42,7 @@
 	kindText
 )
 
-// value is the value of a setting; the field for its kind is set.
+// value is the value of a setting. The field for its kind is set, and for a duration also number, in microseconds.
 type value struct {
 	number   float64
 	duration time.Duration
