--- a/call.go
+++ b/call.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// attempt makes the call once, with the given timeout, and returns its outcome and duration. The outcome of a call
-// whose context ended is unknown.
+// attempt makes the call once, with the given timeout, and returns its outcome and duration. The outcome is unknown if
+// the call failed after its context had ended.
 func attempt(ctx context.Context, timeout time.Duration, call func(context.Context) error) (admission.Outcome, time.Duration) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -82,6 +82,6 @@
 func (e *execution) sendCallDecision(timeout time.Duration) {
 	select {
 	case e.callDecision <- timeout:
-	default: // the run's context has ended, so it no longer waits
+	default: // the previous decision was not received, because the context of its call had ended
 	}
 }
--- a/doc.go
+++ b/doc.go
@@ -5,7 +5,7 @@
 // A Gate keeps these invariants:
 //
 //   - Each request that it receives gets one answer, before its deadline.
-//   - A request with an idempotency key runs once within its route's DedupWindow, however often it is sent.
+//   - A request of a Keyed route runs at most once within the route's DedupWindow, however often it is sent.
 //   - After Shutdown, no request that arrives after the grace period runs, and all received requests are answered before the
 //     shutdown deadline.
 //   - The number of requests in flight and queued is bounded.
@@ -16,6 +16,7 @@
 // The source files:
 //
 //	options.go      Options, their defaults and validation; optionsfile.go reads them from a file
+//	memory.go       memory limit of this process, the default of Options.MemoryMB
 //	request.go      Request; errors.go has the errors of requests
 //	gate.go         Gate: New, Do, Shutdown and its counts
 //	ticket.go       requests that run in their caller's goroutine
--- a/execution.go
+++ b/execution.go
@@ -14,8 +14,8 @@
 // execution is the state of one request, from its arrival until nothing refers to it. It is then returned to the gate's
 // pool of executions.
 //
-// The caller, the event loop and the run each hold a reference, and so does each function that was submitted to the
-// event loop and has not run yet. An execution is reused only after all references are released.
+// The caller, the event loop and the run each hold a reference, and so does each Call in progress and each function that
+// was submitted to the event loop and has not run yet. An execution is reused only after all references are released.
 type execution struct {
 	gate         *Gate
 	id           string
@@ -127,7 +127,7 @@
 	}
 	deadline := earlierDeadline(e.ctx, e.request.Deadline)
 	if !deadline.IsZero() {
-		incoming.Timeout = max(time.Until(deadline)+g.loop.Now()-e.arrivedAt, 1)
+		incoming.Timeout = max(time.Until(deadline)+g.loop.Now()-e.arrivedAt, 1) // from arrival; 0 would mean no timeout
 	}
 	g.loop.AdoptRoute(e.request.Route)
 	if received := g.loop.Receive(incoming); received != nil && !e.settled {
--- a/gate.go
+++ b/gate.go
@@ -189,7 +189,7 @@
 	Served   int64 // answered with a result
 	Rejected int64 // answered with a RejectedError
 	Aborted  int64 // answered with ErrAborted or the error of their run
-	Canceled int64 // requests whose caller's context ended before the answer
+	Canceled int64 // requests whose caller's context ended before the answer; Ticket.Cancel is not counted
 	Overruns int64 // answered requests whose run has not ended yet
 }
 
--- a/gate_test.go
+++ b/gate_test.go
@@ -57,17 +57,17 @@
 func TestIgnoresDeadline(t *testing.T) {
 	g := newGate(t, Options{Cores: 1, OverrunLimit: 1, Routes: []Route{{Name: "slow", LatencyTarget: 200 * ms}}})
 	end := make(chan struct{})
-	var cancelled atomic.Bool
+	var canceled atomic.Bool
 	began := time.Now()
 	err := g.Do(t.Context(), Request{Route: "slow"}, func(ctx context.Context) error {
 		<-ctx.Done()
-		cancelled.Store(true)
+		canceled.Store(true)
 		<-end
 		return nil
 	})
 	assert.ErrorIs(t, err, ErrAborted)
 	assert.Less(t, time.Since(began), 200*ms+waitLimit/100)
-	require.Eventually(t, cancelled.Load, waitLimit, ms)
+	require.Eventually(t, canceled.Load, waitLimit, ms)
 	assert.Equal(t, int64(1), g.Counts().Overruns)
 	assert.False(t, g.Healthy(), "healthy in spite of an overrun")
 	close(end)
@@ -226,7 +226,7 @@
 				served.Add(1)
 				return nil
 			})
-			if err != nil { // queued requests take memory too, so the other requests may be rejected while seven run
+			if err != nil { // queued requests take memory too, so some of the 40 may be rejected
 				var rejected *RejectedError
 				assert.ErrorAs(t, err, &rejected)
 			}
--- a/gauges.go
+++ b/gauges.go
@@ -9,7 +9,7 @@
 // Gauges are readings of the resources that requests run on. A reading of 0 disables the checks that use it.
 type Gauges struct {
 	CPU      float64 // share of the cores that was busy over the last half second
-	Runnable float64 // work that runs or waits for a core; blocked work doesn't count
+	Runnable float64 // number of goroutines or threads that run or wait for a core, without blocked ones
 	Memory   float64 // share of the memory limit in use
 }
 
@@ -28,7 +28,7 @@
 type processGauges struct {
 	cores      float64
 	memory     uint64     // limit in bytes
-	cpuSamples []cpuUsage // samples within cpuWindow, oldest first
+	cpuSamples []cpuUsage // oldest first: the latest one that is at least cpuWindow old, and all after it
 	metrics    []metrics.Sample
 }
 
--- a/internal/workerapi/workerapi.go
+++ b/internal/workerapi/workerapi.go
@@ -37,7 +37,7 @@
 // Command is the kind of a command to the workers.
 type Command int
 
-// Commands that failures distinguish.
+// Kinds of commands that a CommandFailed notice distinguishes.
 const (
 	OtherCommand Command = iota
 	StartCommand
@@ -53,5 +53,5 @@
 	Duration  time.Duration
 	Result    []byte
 	Nonce     uint64
-	Readings  []float64
+	Readings  []float64 // in the order that the settings state
 }
--- a/internal/workerlink/commands.go
+++ b/internal/workerlink/commands.go
@@ -26,7 +26,7 @@
 	return l.send(append(text, "\"}\n"...))
 }
 
-// Pause stops a run in the way that the settings state.
+// Pause stops a run, for good or until Resume; the preemption setting of the site states which.
 func (l *Link) Pause(id string) (sent bool) {
 	return l.send(append(appendQuoted([]byte(`{"verb":"suspend","task":`), id), "}\n"...))
 }
--- a/internal/workerlink/connect.go
+++ b/internal/workerlink/connect.go
@@ -37,8 +37,9 @@
 		if err == nil {
 			began := time.Now()
 			next, err = l.serve(ctx, next)
+			// The cores are idle without a link, so reconnect at once, except after a link that ended right after it was up.
 			if down = false; time.Since(began) > maxBackoff {
-				backoff = 0 // the cores are idle without a link, so only a link that ends right after it is up causes a backoff
+				backoff = 0
 			}
 		}
 		if ctx.Err() != nil {
@@ -116,7 +117,8 @@
 	}
 }
 
-// drainAndClose closes a working link once its last poll is answered, or after drainTimeout.
+// drainAndClose closes a link once its last poll is answered, or after drainTimeout. A link that is not synced is closed
+// at once.
 func (l *Link) drainAndClose(ctx context.Context) {
 	l.mu.Lock()
 	drained := make(chan struct{})
--- a/internal/workerlink/link.go
+++ b/internal/workerlink/link.go
@@ -1,5 +1,5 @@
 // Package workerlink is the connection to the worker pool. It sends commands, receives notices and reconnects whenever
-// the link is lost. No other package knows the terms of its protocol, which is JSON lines.
+// the link is lost. The rest of the server does not know the terms of its protocol, which is JSON lines.
 package workerlink
 
 import (
--- a/internal/workerlink/link_test.go
+++ b/internal/workerlink/link_test.go
@@ -103,8 +103,8 @@
 	assert.Equal(t, []any{uint64(4), false}, []any{verified.Nonce, verified.Healthy})
 }
 
-// Guards against a fault: a pool that started long after the server had rejected the only poll, which was sent before
-// the pool was up, and its link was never treated as usable. No request ran from a crash to the end of the day.
+// Guards against a fault: the server sent its only poll before the pool had started, and the pool rejected that poll.
+// The link was then never treated as usable, and no request ran from a crash to the end of the day.
 func TestPoolStartsLate(t *testing.T) {
 	b := newBench(t)
 	b.pool.Next(t, "bind")
@@ -247,8 +247,8 @@
 	b.next(t, workerapi.LinkSynced)
 }
 
-// For any JSON that the pool writes, a line causes at most one notice of its own, and the last notice index never
-// decreases.
+// For any JSON that the pool writes, a line causes at most one notice of its own, besides LinkSynced, and the last notice
+// index never decreases.
 func FuzzLine(f *testing.F) {
 	f.Add(`{"verb":"finished","index":1,"task":"a","outcome":"success","spent":2.5,"bytes":"aGk="}`)
 	f.Add(`{"verb":"polled","nonce":"7","readings":[1,2,3,4]}`)
--- a/internal/workerlink/notices.go
+++ b/internal/workerlink/notices.go
@@ -26,8 +26,8 @@
 	Verb       string    `json:"verb"`
 	Index      uint64    `json:"index"` // 0 for notices without one
 	RequestID  string    `json:"task"`
-	Outcome    string    `json:"outcome"`
-	DurationMS float64   `json:"spent"`
+	Outcome    string    `json:"outcome"` // for verbUnknown the verb of the failed command, for verbBound the state of the pool
+	DurationMS float64   `json:"spent"`   // for verbBound the uptime of the pool
 	Nonce      string    `json:"nonce"`
 	Readings   []float64 `json:"readings"`
 	Body       string    `json:"bytes"` // base64
@@ -87,7 +87,8 @@
 	return text, err
 }
 
-// receive puts a line's notice into the inbox, and wakes the event loop after the last line received so far.
+// receive puts a line's notice into the inbox, and wakes the event loop after the last line received so far. It waits
+// while the inbox is full.
 func (l *Link) receive(ctx context.Context, notice *line, last bool) error {
 	l.mu.Lock()
 	for len(l.inbox) >= maxQueuedNotices && ctx.Err() == nil {
@@ -162,7 +163,7 @@
 			n.Command = workerapi.StartCommand
 		}
 	default:
-		return nil // remarks, and verbs that a later pool may add
+		return nil // informational lines, and verbs that a later pool may add
 	}
 	l.inbox = append(l.inbox, n)
 	return nil
--- a/middleware/doc.go
+++ b/middleware/doc.go
@@ -12,9 +12,9 @@
 //   - Trailers that are declared before the response is complete are sent with it; a recorded response has no trailers.
 //   - A panic of the handler ends the run with an error and is passed on.
 //
-// A request with an idempotency key, by default from the header Idempotency-Key, runs once within its route's dedup
-// window. A duplicate gets the recorded response, or status 422 if its method, URI, body length or content type differ
-// from the original's.
+// A request of a Keyed route needs an idempotency key, by default from the header Idempotency-Key, and runs at most once
+// within the route's dedup window. A duplicate gets the recorded response, or status 422 if its method, URI, body length
+// or content type differ from the original's.
 //
 // The middleware detects from the request's context that the caller no longer waits.
 //
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -19,9 +19,9 @@
 	handler := middleware.New(gate, middleware.Options{})(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "a table for two")
 	}))
-	answer := httptest.NewRecorder()
-	handler.ServeHTTP(answer, httptest.NewRequest("GET", "/slots", nil))
-	fmt.Println(answer.Code, answer.Body)
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, httptest.NewRequest("GET", "/slots", nil))
+	fmt.Println(recorder.Code, recorder.Body)
 	// Output: 200 a table for two
 }
 
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -66,7 +66,9 @@
 	if ticket.Finish(result, nil) {
 		response.send()
 	} else {
-		response.abort() // has an effect only if the gate was shut down without answering this request
+		// The gate may not have called abort yet, and must not write to w after this function returns. For a canceled
+		// request it does not call abort at all.
+		response.abort()
 	}
 }
 
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -306,9 +306,9 @@
 func TestParseTimeout(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	cases := []struct {
-		text   string
-		left   time.Duration
-		stated bool
+		text    string
+		timeout time.Duration
+		ok      bool
 	}{
 		{"", 0, false}, {"250m", 250 * ms, true}, {"2S", 2 * time.Second, true}, {"1M", time.Minute, true},
 		{"250ms", 250 * ms, true}, {"1.5s", 1500 * ms, true}, {"@1000300", 300 * ms, true}, {"@900", 1, true},
@@ -316,10 +316,10 @@
 		{"soon", 0, false}, {"99H", 0, false}, {"@x", 0, false}, {"@9223372036854775807", 0, false}, {"S", 0, false},
 	}
 	for _, c := range cases {
-		left, stated := middleware.ParseTimeout(c.text, now)
-		assert.Equal(t, c.stated, stated, c.text)
-		if stated {
-			assert.Equal(t, c.left, left, c.text)
+		timeout, ok := middleware.ParseTimeout(c.text, now)
+		assert.Equal(t, c.ok, ok, c.text)
+		if ok {
+			assert.Equal(t, c.timeout, timeout, c.text)
 		}
 	}
 }
--- a/middleware/options.go
+++ b/middleware/options.go
@@ -38,7 +38,7 @@
 	TimeoutHeader  string                      // name of the header with the remaining time, in a format of ParseTimeout (X-Remaining-Time)
 	IdempotencyKey func(*http.Request) string  // the empty string means no key (the header Idempotency-Key)
 	Rank           func(*http.Request) float64 // from 0 to under 1; other values are clamped (0)
-	CallerID       func(*http.Request) uint32  // identifies the caller (a hash of the remote address)
+	CallerID       func(*http.Request) uint32  // identifies the caller (a hash of the remote host, without its port)
 	BufferBytes    int                         // maximum size of a buffered response (64 KiB); negative for no buffering
 }
 
--- a/middleware/response.go
+++ b/middleware/response.go
@@ -22,7 +22,7 @@
 type response struct {
 	gate        *quartzpoint.Gate
 	bufferBytes int
-	header      http.Header // set by the handler; copied to w when the handler's response is sent
+	header      http.Header // set by the handler; copied to w only when its response is sent, as abort sends headers of its own
 
 	mu       sync.Mutex
 	w        http.ResponseWriter // writer of the HTTP server
--- a/options.go
+++ b/options.go
@@ -29,8 +29,8 @@
 	runningMemoryFactor = 16 // memory of a running request relative to that of a queued one
 	keyKB               = 1  // memory of an entry in the idempotency key table in KiB
 	maxRunnablePerCore  = 6
-	idleTimeout         = 30 * time.Second
-	maxRetryAfter       = time.Second
+	idleTimeout         = 30 * time.Second // time for which callers keep an idle connection open
+	maxRetryAfter       = time.Second      // upper bound of RejectedError.RetryAfter
 )
 
 // Options configure a Gate. The zero value is valid; defaults are given in parentheses.
@@ -38,11 +38,11 @@
 	Routes       []Route       `toml:"Types"`
 	Cores        float64       // processor cores that requests may use (GOMAXPROCS)
 	MemoryMB     int           // memory of the process in MiB (GOMEMLIMIT, else the control group's limit, else 1,024)
-	RequestKB    float64       `toml:"TaskKB"` // memory of a running request in KiB (64); the running requests together may use nine tenths of MemoryMB
+	RequestKB    float64       `toml:"TaskKB"` // memory of a running request in KiB (64); queued and running requests together may use nine tenths of half of MemoryMB
 	Grace        time.Duration // time after Shutdown in which requests that arrive may still run (100 ms)
 	Seed         int64         // random seed for the jitter of retries and the phase of dependency calls among servers
 	OverrunLimit int           `toml:"Stuck"` // number of runs continuing after their answer at which Healthy returns false (16)
-	Log          *slog.Logger  // gets one line for each event that matters to operators (no log)
+	Log          *slog.Logger  // gets one line for each event that operators may have to act on (no log)
 	Calls        CallOptions
 	Tenants      []Tenant `toml:"Customers"`
 	FleetServers float64  `toml:"Servers"` // number of servers in the fleet, including this one (1)
@@ -50,7 +50,7 @@
 	// means the default, 1.
 	OverQuotaValue float64                  `toml:"OverShare"`
 	State          *State                   // directory from which the gate loads its state and to which it writes it (none)
-	Gauges         func(running int) Gauges `toml:"-"` // source of the readings for admission decisions (this process)
+	Gauges         func(running int) Gauges `toml:"-"` // source of the readings for admission decisions, called with the number of runs; must not block (this process)
 	ObserveRound   func(took time.Duration) `toml:"-"` // called after each round of decisions with its duration; must not block (none)
 }
 
@@ -77,7 +77,7 @@
 
 // CallOptions describe a dependency that runs call through Call and that other processes call too.
 type CallOptions struct {
-	Share  float64       // mean number of concurrent calls over Window that the dependency can take from this process (no calls)
+	Share  float64       // mean number of concurrent calls over Window that the dependency can take from this process (0: runs are planned without calls, which are then allowed only now and then)
 	Window time.Duration `toml:"Over"` // averaging window of Share (5 s)
 	Linger time.Duration // time for which an abandoned call still loads the dependency (0)
 }
@@ -127,7 +127,7 @@
 	o = o.withDefaults()
 	settings := admission.DefaultSettings()
 	settings.Cores = o.Cores
-	settings.MemoryKB = float64(o.MemoryMB) * 1024 / 2
+	settings.MemoryKB = float64(o.MemoryMB) * 1024 / 2 // requests get half of the process's memory
 	settings.RunningMemoryFactor = runningMemoryFactor
 	settings.KeyKB = keyKB
 	settings.ShedLevelFormat = admission.ShedLevelThreshold
--- a/pool.go
+++ b/pool.go
@@ -12,8 +12,8 @@
 
 // Outcomes of runs, as in the worker pool's protocol.
 const (
-	outcomeSuccess = workerapi.OutcomeSucceeded
-	outcomeFailure = workerapi.OutcomeFailed
+	outcomeSucceeded = workerapi.OutcomeSucceeded
+	outcomeFailed    = workerapi.OutcomeFailed
 )
 
 // workerPool implements the event loop's worker pool with functions of this process as runs. Runs can't be stopped or
@@ -55,7 +55,8 @@
 	return true
 }
 
-// Pause asks a run to end by canceling its context. The server repeats the request while the run continues.
+// Pause asks a run to end by canceling its context. The server pauses no runs of a gate, whose settings have
+// PreemptionNone.
 func (p *workerPool) Pause(id string) bool {
 	if e := p.executions[id]; e != nil && e.runCtx != nil {
 		e.runCtx.cancel(ErrAborted)
@@ -95,11 +96,11 @@
 // endRun records the end of a run and returns its notice. It runs on the event loop.
 func (p *workerPool) endRun(e *execution) workerapi.Notice {
 	notice := workerapi.Notice{
-		Kind: workerapi.RunFinished, RequestID: e.id, Outcome: outcomeSuccess, Result: e.runResult,
+		Kind: workerapi.RunFinished, RequestID: e.id, Outcome: outcomeSucceeded, Result: e.runResult,
 		Duration: p.gate.loop.Now() - e.startedAt,
 	}
 	if e.runErr != nil {
-		notice.Outcome = outcomeFailure
+		notice.Outcome = outcomeFailed
 	}
 	p.running--
 	e.running = false
@@ -119,7 +120,7 @@
 func (p *workerPool) Flush() {}
 
 // Poll requests the gauges, which the next AppendNotices reports. They are read there, after the ended runs have been
-// counted: an ended run still counted as runnable would look like another process's demand for its core.
+// counted: an ended run still counted as runnable would be taken for other work that needs its core.
 func (p *workerPool) Poll() (uint64, bool) {
 	p.pollNonce++
 	p.polled = true
--- a/request.go
+++ b/request.go
@@ -18,7 +18,8 @@
 	Fingerprint uint64
 	// Tenant is the name of a tenant of the Options. Requests with any other name are subject to no quota.
 	Tenant string
-	// Rank is the criticality of the request, from 0 to under 1, for callers that observe Gate.ShedLevel.
+	// Rank is the criticality of the request, from 0 to under 1. Callers should send no requests whose rank is below
+	// Gate.ShedLevel.
 	Rank float64
 	// CallerID identifies the caller that sent the request.
 	CallerID uint32
--- a/runcontext.go
+++ b/runcontext.go
@@ -9,7 +9,8 @@
 // runContext is the context of a run. It is separate from the execution, which is reused: goroutines that a run started
 // may refer to its context long after the run.
 //
-// It implements context.Context itself because most runs never use Done, so that a run costs one allocation.
+// It implements context.Context itself in order to create the channel only when Done is called. Most runs never call
+// Done, and their context costs one allocation.
 type runContext struct {
 	caller   context.Context
 	deadline time.Time // of the request; zero for none
--- a/state.go
+++ b/state.go
@@ -21,10 +21,10 @@
 // process. A request with an idempotency key then runs only after its key is durable, so that a duplicate is recognized
 // even after a crash: it gets the result of the original, or is aborted if the original's outcome is unknown.
 //
-// New fails only if another process uses the directory. If the directory can't be used for another reason, the gate
-// runs without it, logs the error, and retries.
+// New fails if a field is out of range or if another process uses the directory. If the directory can't be used for any
+// other reason, the gate runs without it, logs the error, and retries.
 type State struct {
-	Dir            string        // used by this gate only, mode 0700; its last element is created if missing
+	Dir            string        // used by this gate only, and not writable by other users; its last element is created with mode 0700 if missing
 	Site           string        // label of the site; files of other sites are ignored
 	MaxMB          int           `toml:"MostMB"`    // limit of the total file size in MiB; at least 8 (64)
 	CommitInterval time.Duration `toml:"Commit"`    // time for which keys are collected before they are written together (1 ms); negative for none
--- a/state_test.go
+++ b/state_test.go
@@ -62,10 +62,10 @@
 	require.NoError(t, err)
 	copy(changed, "lost") // the result belongs to the caller
 	for range 2 {
-		repeat, err := g.DoOnce(t.Context(), pay("mine"), again)
+		duplicate, err := g.DoOnce(t.Context(), pay("mine"), again)
 		require.NoError(t, err)
-		assert.Equal(t, "paid", string(repeat), "a caller modified the stored result")
-		copy(repeat, "lost")
+		assert.Equal(t, "paid", string(duplicate), "a caller modified the stored result")
+		copy(duplicate, "lost")
 	}
 	other := pay("b")
 	other.Fingerprint = 2
