--- a/admission/peers.go
+++ b/admission/peers.go
@@ -101,7 +101,7 @@
 // server.
 func (c *Controller) Estimates(now time.Duration, schema estimate.Schema) estimate.Snapshot {
 	snapshot := estimate.Snapshot{Origin: schema.Origin, SettingsDigest: schema.SettingsDigest}
-	snapshot.Pace, snapshot.Calls = c.work.hintSample.estimate(now), c.calls.sample.estimate(now)
+	snapshot.HintRatio, snapshot.Calls = c.work.hintSample.estimate(now), c.calls.sample.estimate(now)
 	for _, route := range c.Routes {
 		snapshot.Routes = append(snapshot.Routes, estimate.RouteEstimates{
 			Name: route.Name, Core: route.coreSample.estimate(now), Run: route.runSample.estimate(now),
@@ -127,7 +127,7 @@
 	for _, route := range c.Routes {
 		route.peerCoreSeconds = peerEstimate{estimate: core[route.Name], kind: estimate.CoreTime, receivedAt: now}
 	}
-	c.work.peerHintRatio = peerEstimate{estimate: snapshot.Pace, kind: estimate.Pace, receivedAt: now}
+	c.work.peerHintRatio = peerEstimate{estimate: snapshot.HintRatio, kind: estimate.HintRatio, receivedAt: now}
 	c.calls.peerSeconds = peerEstimate{estimate: snapshot.Calls, kind: estimate.CallTime, receivedAt: now}
 	c.connections.peerReturnRatio = peerEstimate{estimate: snapshot.ReturnRatio, kind: estimate.ReturnRatio, receivedAt: now}
 	c.peers.present = true
--- a/cmd/quartzpoint/peers.go
+++ b/cmd/quartzpoint/peers.go
@@ -141,7 +141,7 @@
 		row(fmt.Sprintf("%q core s", route.Name), route.Core, estimate.CoreTime)
 		row(fmt.Sprintf("%q run s", route.Name), route.Run, estimate.RunTime)
 	}
-	row("pace", snapshot.Pace, estimate.Pace)
+	row("pace", snapshot.HintRatio, estimate.HintRatio)
 	row("calls s", snapshot.Calls, estimate.CallTime)
 	row("calls rejected", snapshot.RejectRatio, estimate.RejectRatio)
 	row("callers returning", snapshot.ReturnRatio, estimate.ReturnRatio)
--- a/estimate/merge.go
+++ b/estimate/merge.go
@@ -8,7 +8,7 @@
 
 const (
 	maxDisagreement = 3.0 // largest ratio between two means at which both are used
-	maxPaceRatio    = 4.0 // largest factor by which times are scaled between two machines
+	maxSpeedRatio   = 4.0 // largest factor by which times are scaled between two machines
 )
 
 // Merge merges snapshots that Schema.Validate has accepted into one. Their order does not matter. Each estimate is
@@ -19,14 +19,14 @@
 //     most choose between two values of the others.
 //   - Two origins have no majority. If their means differ by more than a factor of three, neither is used; otherwise the
 //     larger mean, spread and age and the fewer samples are.
-//   - Core and run times are first scaled to the median pace, if all snapshots have one.
+//   - Core and run times are first scaled to the median hint ratio, if all snapshots have one.
 func Merge(snapshots []Snapshot) Snapshot {
 	if len(snapshots) == 0 {
 		return Snapshot{}
 	}
 	snapshots = slices.Clone(snapshots)
 	slices.SortStableFunc(snapshots, func(a, b Snapshot) int { return cmp.Compare(a.Origin, b.Origin) })
-	normalizePace(snapshots)
+	normalizeTimes(snapshots)
 	first := snapshots[0]
 	merged := Snapshot{SettingsDigest: first.SettingsDigest, Routes: make([]RouteEstimates, len(first.Routes))}
 	for i := range merged.Routes {
@@ -34,7 +34,7 @@
 		merged.Routes[i].Core = mergeEstimates(snapshots, CoreTime, func(s *Snapshot) Estimate { return s.Routes[i].Core })
 		merged.Routes[i].Run = mergeEstimates(snapshots, RunTime, func(s *Snapshot) Estimate { return s.Routes[i].Run })
 	}
-	merged.Pace = mergeEstimates(snapshots, Pace, func(s *Snapshot) Estimate { return s.Pace })
+	merged.HintRatio = mergeEstimates(snapshots, HintRatio, func(s *Snapshot) Estimate { return s.HintRatio })
 	merged.Calls = mergeEstimates(snapshots, CallTime, func(s *Snapshot) Estimate { return s.Calls })
 	merged.RejectRatio = mergeEstimates(snapshots, RejectRatio, func(s *Snapshot) Estimate { return s.RejectRatio })
 	merged.ReturnRatio = mergeEstimates(snapshots, ReturnRatio, func(s *Snapshot) Estimate { return s.ReturnRatio })
@@ -61,25 +61,25 @@
 	return mergeOrigins(origins)
 }
 
-// normalizePace scales core and run times to the median pace of all origins. Unless every snapshot has a pace, all
-// machines are assumed to be equally fast; a server's own samples later correct the error. The snapshots are sorted by
-// origin.
-func normalizePace(snapshots []Snapshot) {
-	var paces []float64
+// normalizeTimes scales core and run times to the median hint ratio of all origins. Unless every snapshot has a
+// hint ratio, all machines are assumed to be equally fast; a server's own samples later correct the error. The
+// snapshots are sorted by origin.
+func normalizeTimes(snapshots []Snapshot) {
+	var hintRatios []float64
 	for i, snapshot := range snapshots {
 		switch {
-		case snapshot.Pace.Weight(Pace) == 0:
+		case snapshot.HintRatio.Weight(HintRatio) == 0:
 			return
 		case i > 0 && snapshots[i-1].Origin == snapshot.Origin:
-			paces[len(paces)-1] = max(paces[len(paces)-1], snapshot.Pace.Mean)
+			hintRatios[len(hintRatios)-1] = max(hintRatios[len(hintRatios)-1], snapshot.HintRatio.Mean)
 		default:
-			paces = append(paces, snapshot.Pace.Mean)
+			hintRatios = append(hintRatios, snapshot.HintRatio.Mean)
 		}
 	}
-	slices.Sort(paces)
-	median := paces[len(paces)/2]
+	slices.Sort(hintRatios)
+	median := hintRatios[len(hintRatios)/2]
 	for i := range snapshots {
-		ratio := min(max(median/snapshots[i].Pace.Mean, 1/maxPaceRatio), maxPaceRatio)
+		ratio := min(max(median/snapshots[i].HintRatio.Mean, 1/maxSpeedRatio), maxSpeedRatio)
 		snapshots[i].Routes = slices.Clone(snapshots[i].Routes)
 		for j := range snapshots[i].Routes {
 			route := &snapshots[i].Routes[j]
--- a/estimate/merge_test.go
+++ b/estimate/merge_test.go
@@ -30,7 +30,7 @@
 		assert.InDelta(t, c.mean, got.Mean, 1e-9, c.name)
 	}
 	fast, slow := snapshotOf(1, 0.1), snapshotOf(2, 0.2)
-	slow.Pace.Mean = 2
+	slow.HintRatio.Mean = 2
 	assert.InDelta(t, 0.2, Merge([]Snapshot{fast, slow}).Routes[0].Core.Mean, 1e-9, "the same work on a machine of half the speed")
 	assert.Empty(t, Merge(nil))
 }
@@ -47,7 +47,7 @@
 	for _, name := range testSchema.Routes {
 		snapshot.Routes = append(snapshot.Routes, RouteEstimates{Name: name, Core: e(4), Run: e(4)})
 	}
-	snapshot.Pace = e(3)
+	snapshot.HintRatio = e(3)
 	return snapshot
 }
 
@@ -65,7 +65,7 @@
 		for i := range merged.Routes {
 			largestMean, largestWeight := 0.0, 0.0
 			for _, snapshot := range snapshots {
-				largestMean = max(largestMean, snapshot.Routes[i].Core.Mean*maxPaceRatio)
+				largestMean = max(largestMean, snapshot.Routes[i].Core.Mean*maxSpeedRatio)
 				largestWeight = max(largestWeight, snapshot.Routes[i].Core.Weight(CoreTime))
 			}
 			assert.LessOrEqual(t, merged.Routes[i].Core.Mean, largestMean)
@@ -81,7 +81,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Float64Range(0.01, 1).Draw(t, "a"), rapid.Float64Range(0.01, 1).Draw(t, "b")
 		wrong := drawSnapshot(t)
-		wrong.Origin, wrong.Pace = 3, estimateOf(1)
+		wrong.Origin, wrong.HintRatio = 3, estimateOf(1)
 		wrong.Routes[0].Core.Samples, wrong.Routes[0].Core.Age = 1, 0
 		got := Merge([]Snapshot{snapshotOf(1, a), snapshotOf(2, b), wrong}).Routes[0].Core
 		assert.GreaterOrEqual(t, got.Mean, min(a, b)-1e-12)
--- a/estimate/schema.go
+++ b/estimate/schema.go
@@ -10,13 +10,13 @@
 
 // Bounds on the estimates of another server. A value outside them cannot have been measured by any process.
 const (
-	maxAge              = 24 * time.Hour
-	maxSamples          = 1e9
-	maxSpread           = 100.0  // multiple of the mean
-	maxDeadlineMultiple = 4.0    // multiple of the route's deadline, for core and run times
-	minTime             = 1e-7   // seconds
-	maxTime             = 3600.0 // seconds; maxDeadlineMultiple may limit core and run times to less
-	minPace, maxPace    = 1e-3, 1e3
+	maxAge                     = 24 * time.Hour
+	maxSamples                 = 1e9
+	maxSpread                  = 100.0  // multiple of the mean
+	maxDeadlineMultiple        = 4.0    // multiple of the route's deadline, for core and run times
+	minTime                    = 1e-7   // seconds
+	maxTime                    = 3600.0 // seconds; maxDeadlineMultiple may limit core and run times to less
+	minHintRatio, maxHintRatio = 1e-3, 1e3
 )
 
 var (
@@ -88,7 +88,7 @@
 		route.Core = route.Core.inRange(minTime, longest)
 		route.Run = route.Run.inRange(minTime, longest)
 	}
-	snapshot.Pace = snapshot.Pace.inRange(minPace, maxPace)
+	snapshot.HintRatio = snapshot.HintRatio.inRange(minHintRatio, maxHintRatio)
 	snapshot.Calls = snapshot.Calls.inRange(minTime, maxTime)
 	snapshot.RejectRatio = snapshot.RejectRatio.inRange(0, 1)
 	snapshot.ReturnRatio = snapshot.ReturnRatio.inRange(0, 1)
--- a/estimate/snapshot.go
+++ b/estimate/snapshot.go
@@ -48,7 +48,7 @@
 	Origin         uint64           `cbor:"1,keyasint" json:"origin"`  // id of the process, random at each start
 	SettingsDigest uint64           `cbor:"2,keyasint" json:"terms"`   // Digest of the settings in force
 	Routes         []RouteEstimates `cbor:"3,keyasint" json:"types"`   // in the order of the settings
-	Pace           Estimate         `cbor:"4,keyasint" json:"pace"`    // core seconds used per second of the callers' cost hints
+	HintRatio      Estimate         `cbor:"4,keyasint" json:"pace"`    // core seconds used per second of the callers' cost hints
 	Calls          Estimate         `cbor:"5,keyasint" json:"calls"`   // seconds per call to the shared dependency
 	RejectRatio    Estimate         `cbor:"6,keyasint" json:"refused"` // fraction of these calls that failed
 	ReturnRatio    Estimate         `cbor:"7,keyasint" json:"returns"` // fraction of requests within the idle timeout after another request of the same router
@@ -72,7 +72,7 @@
 				return
 			}
 		}
-		_ = yield(&s.Pace, Pace) && yield(&s.Calls, CallTime) && yield(&s.RejectRatio, RejectRatio) &&
+		_ = yield(&s.HintRatio, HintRatio) && yield(&s.Calls, CallTime) && yield(&s.RejectRatio, RejectRatio) &&
 			yield(&s.ReturnRatio, ReturnRatio)
 	}
 }
--- a/estimate/snapshot_test.go
+++ b/estimate/snapshot_test.go
@@ -25,5 +25,5 @@
 func snapshotOf(origin uint64, core float64) Snapshot {
 	return Snapshot{Origin: origin, SettingsDigest: 7, Routes: []RouteEstimates{
 		{Name: "browse", Core: estimateOf(core), Run: estimateOf(core)}, {Name: "pay", Core: estimateOf(2 * core), Run: estimateOf(3 * core)},
-	}, Pace: estimateOf(1)}
+	}, HintRatio: estimateOf(1)}
 }
--- a/estimate/weight.go
+++ b/estimate/weight.go
@@ -12,17 +12,17 @@
 const (
 	CoreTime Kind = iota
 	RunTime
-	Pace
+	HintRatio
 	CallTime
 	RejectRatio
 	ReturnRatio
 )
 
 // halfLives are the ages at which an estimate has half its weight. Core time changes with the mix of requests over an
-// evening, and at once when a zone is lost; run and call times depend on the load of the last seconds; the pace of a
-// machine changes with its noisy neighbours, and callers' habits change over minutes.
+// evening, and at once when a zone is lost; run and call times depend on the load of the last seconds; the hint
+// ratio of a machine changes with its noisy neighbours, and callers' habits change over minutes.
 var halfLives = [...]time.Duration{
-	CoreTime: 20 * time.Second, RunTime: 10 * time.Second, Pace: time.Minute, CallTime: 10 * time.Second,
+	CoreTime: 20 * time.Second, RunTime: 10 * time.Second, HintRatio: time.Minute, CallTime: 10 * time.Second,
 	RejectRatio: 5 * time.Second, ReturnRatio: 2 * time.Minute,
 }
 
--- a/estimate/weight_test.go
+++ b/estimate/weight_test.go
@@ -15,7 +15,7 @@
 	assert.InDelta(t, maxWeight/2, e.Weight(CoreTime), 1e-9)
 	e.Age = MaxAge(CoreTime)
 	assert.Zero(t, e.Weight(CoreTime))
-	assert.Zero(t, Estimate{}.Weight(Pace))
+	assert.Zero(t, Estimate{}.Weight(HintRatio))
 	assert.True(t, snapshotOf(1, 1).HasFresh())
 	assert.False(t, snapshotOf(1, 1).Aged(MaxAge(ReturnRatio)).HasFresh())
 	assert.True(t, Snapshot{}.NeedsPeers())
--- a/internal/peersync/exchange_test.go
+++ b/internal/peersync/exchange_test.go
@@ -91,7 +91,7 @@
 			for i := range snapshot.Routes {
 				snapshot.Routes[i].Core.Age, snapshot.Routes[i].Run.Age = time.Second, time.Second
 			}
-			snapshot.Pace, snapshot.Calls, snapshot.RejectRatio, snapshot.ReturnRatio = estimate.Estimate{}, estimate.Estimate{}, estimate.Estimate{}, estimate.Estimate{}
+			snapshot.HintRatio, snapshot.Calls, snapshot.RejectRatio, snapshot.ReturnRatio = estimate.Estimate{}, estimate.Estimate{}, estimate.Estimate{}, estimate.Estimate{}
 			assert.Equal(t, testSnapshot(5), snapshot)
 		})
 	}
--- a/internal/testkit/replay/adapter_test.go
+++ b/internal/testkit/replay/adapter_test.go
@@ -115,7 +115,7 @@
 func (s *subject) snapshot(now time.Duration, origin, settingsDigest uint64) snapshot {
 	v := s.controller.Estimates(now, estimates.Schema{Origin: origin, SettingsDigest: settingsDigest})
 	converted := snapshot{
-		origin: v.Origin, settingsDigest: v.SettingsDigest, pace: recordedEstimate(v.Pace), calls: recordedEstimate(v.Calls), rejectRatio: recordedEstimate(v.RejectRatio), returnRatio: recordedEstimate(v.ReturnRatio),
+		origin: v.Origin, settingsDigest: v.SettingsDigest, hintRatio: recordedEstimate(v.HintRatio), calls: recordedEstimate(v.Calls), rejectRatio: recordedEstimate(v.RejectRatio), returnRatio: recordedEstimate(v.ReturnRatio),
 	}
 	for _, r := range v.Routes {
 		converted.routes = append(converted.routes, routeEstimates{r.Name, recordedEstimate(r.Core), recordedEstimate(r.Run)})
@@ -133,7 +133,7 @@
 
 func (v snapshot) toSnapshot() estimates.Snapshot {
 	converted := estimates.Snapshot{
-		Origin: v.origin, SettingsDigest: v.settingsDigest, Pace: v.pace.toEstimate(), Calls: v.calls.toEstimate(), RejectRatio: v.rejectRatio.toEstimate(),
+		Origin: v.origin, SettingsDigest: v.settingsDigest, HintRatio: v.hintRatio.toEstimate(), Calls: v.calls.toEstimate(), RejectRatio: v.rejectRatio.toEstimate(),
 		ReturnRatio: v.returnRatio.toEstimate(),
 	}
 	for _, r := range v.routes {
--- a/internal/testkit/replay/recording_test.go
+++ b/internal/testkit/replay/recording_test.go
@@ -108,9 +108,9 @@
 }
 
 type snapshot struct {
-	origin, settingsDigest                uint64
-	routes                                []routeEstimates
-	pace, calls, rejectRatio, returnRatio estimate
+	origin, settingsDigest                     uint64
+	routes                                     []routeEstimates
+	hintRatio, calls, rejectRatio, returnRatio estimate
 }
 
 type schema struct {
@@ -324,7 +324,7 @@
 	for n := r.count(); n > 0 && r.err == nil; n-- {
 		v.routes = append(v.routes, routeEstimates{r.text(), r.estimate(), r.estimate()})
 	}
-	v.pace, v.calls, v.rejectRatio, v.returnRatio = r.estimate(), r.estimate(), r.estimate(), r.estimate()
+	v.hintRatio, v.calls, v.rejectRatio, v.returnRatio = r.estimate(), r.estimate(), r.estimate(), r.estimate()
 	return v
 }
 
