--- a/budget/timeline.go
+++ b/budget/timeline.go
@@ -38,8 +38,8 @@
 	return spans
 }
 
-// RequiredPath returns the configured duration of the longest path of required calls, plus the reserve.
-func (p *Plan) RequiredPath() time.Duration { return p.requiredCallsPath() + p.Reserve }
+// RequiredDuration returns the configured duration of the longest path of required calls, plus the reserve.
+func (p *Plan) RequiredDuration() time.Duration { return p.requiredCallsPath() + p.Reserve }
 
 // requiredCallsPath returns the configured duration of the longest path of required calls. Optional calls on it count
 // as 0, because they are skipped if time is short.
--- a/emulator/server_lifecycle.go
+++ b/emulator/server_lifecycle.go
@@ -26,7 +26,7 @@
 	s.composer, s.awaitingCall = newComposer(s), nil
 	for i, route := range w.fleet.Routes {
 		if plan := w.fleet.Plans[route.Name]; plan != nil {
-			s.routes[i].CallWait = plan.RequiredPath()
+			s.routes[i].CallWait = plan.RequiredDuration()
 		}
 	}
 	if controller, ok := s.policy.(*admission.Controller); ok && w.fleet.PeerSync {
--- a/internal/fanout/composer.go
+++ b/internal/fanout/composer.go
@@ -115,7 +115,7 @@
 // ExpectedWait returns the expected duration of the longest path of required calls of a composed route, including the
 // time reserved for the answer.
 func (c *Composer) ExpectedWait(route string) time.Duration {
-	return c.routes[route].Plan.RequiredPath()
+	return c.routes[route].Plan.RequiredDuration()
 }
 
 // Start sends the first calls of a request. It returns false if it did not start the request, because its route is not
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -36,14 +36,14 @@
 	maxBytes    int64 // limit for all files together
 	persistKeys bool
 
-	keys            *recovery.KeyTable
-	log             datadir.File
-	logHeader       recovery.Header
-	nextSequence    uint64 // of the next record
-	nextEstimates   uint64 // of the next estimates file
-	pending         []byte // frames to be written by the next commit
-	segmentBytes    int64  // of the current log file
-	bytesSinceTable int64  // of all log files since the last key table
+	keys                  *recovery.KeyTable
+	log                   datadir.File
+	logHeader             recovery.Header
+	nextSequence          uint64 // of the next record
+	nextEstimatesSequence uint64 // of the next estimates file
+	pending               []byte // frames to be written by the next commit
+	segmentBytes          int64  // of the current log file
+	bytesSinceTable       int64  // of all log files since the last key table
 }
 
 // plan decides which state in the directory is used. It changes nothing.
@@ -58,7 +58,7 @@
 // apply carries out a plan: it quarantines data that is not used, writes a snapshot of the key table, and starts a new
 // log. Nothing is removed before its replacement is durable.
 func (w *writer) apply(plan recovery.Plan, keys *recovery.KeyTable) error {
-	w.keys, w.nextSequence, w.nextEstimates = keys, plan.NextSequence, plan.NextEstimates
+	w.keys, w.nextSequence, w.nextEstimatesSequence = keys, plan.NextSequence, plan.NextEstimatesSequence
 	if err := w.quarantine(plan.Quarantine); err != nil {
 		return err
 	}
@@ -136,9 +136,9 @@
 
 // estimatesJob returns the job that writes a snapshot of the estimates.
 func (w *writer) estimatesJob(snapshot estimate.Snapshot) func() error {
-	header := w.newHeader(recovery.EstimatesFile, w.nextEstimates)
+	header := w.newHeader(recovery.EstimatesFile, w.nextEstimatesSequence)
 	header.SettingsDigest = snapshot.SettingsDigest
-	w.nextEstimates++
+	w.nextEstimatesSequence++
 	return func() error {
 		raw := appendFrame(nil, 0, 0, header)
 		raw = appendFrame(raw, header.ID, 1, snapshot.Published())
--- a/recovery/plan.go
+++ b/recovery/plan.go
@@ -32,19 +32,19 @@
 
 // Plan states what a start uses of the files that it found, and which data is quarantined.
 type Plan struct {
-	Estimates     estimate.Snapshot // aged to now; without a fresh estimate (HasFresh) if none are used
-	EstimatesFrom string            // name of their file
-	Keys          *KeyTable
-	UnservedKeys  int    // keys whose requests started and are not known to have been served; their repeats are aborted
-	NextSequence  uint64 // of the next record: above all sequence numbers found
-	NextEstimates uint64 // sequence number of the next EstimatesFile
-	Quarantine    []Quarantined
-	Findings      []Finding
+	Estimates             estimate.Snapshot // aged to now; without a fresh estimate (HasFresh) if none are used
+	EstimatesFrom         string            // name of their file
+	Keys                  *KeyTable
+	UnservedKeys          int    // keys whose requests started and are not known to have been served; their repeats are aborted
+	NextSequence          uint64 // of the next record: above all sequence numbers found
+	NextEstimatesSequence uint64 // sequence number of the next EstimatesFile
+	Quarantine            []Quarantined
+	Findings              []Finding
 }
 
 // NewPlan decides which parts of the files are used. The result does not depend on the order of the files.
 func NewPlan(files []File, environment Environment) Plan {
-	p := Plan{Keys: NewKeyTable(), NextSequence: 1, NextEstimates: 1}
+	p := Plan{Keys: NewKeyTable(), NextSequence: 1, NextEstimatesSequence: 1}
 	var estimates, tables, logs []File
 	files = slices.Clone(files)
 	slices.SortFunc(files, func(a, b File) int { return cmp.Compare(a.Name, b.Name) })
@@ -56,7 +56,7 @@
 		switch f.Header.Content {
 		case EstimatesFile:
 			estimates = append(estimates, f)
-			p.NextEstimates = max(p.NextEstimates, f.Header.Sequence+1)
+			p.NextEstimatesSequence = max(p.NextEstimatesSequence, f.Header.Sequence+1)
 		case KeyTableFile:
 			tables = append(tables, f)
 			p.NextSequence = max(p.NextSequence, f.Header.Sequence+1)
