--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -107,6 +107,6 @@
 func (b *bench) SetShedLevel(level float64) {
 	b.decisions = append(b.decisions, fmt.Sprintf("level %.2f", level))
 }
-func (b *bench) CloseIdleAfter(span time.Duration) { b.closeAfter = span }
+func (b *bench) SetIdleTimeout(span time.Duration) { b.closeAfter = span }
 func (b *bench) WakeAfter(time.Duration)           {}
 func (b *bench) Log(string)                        {}
--- a/admission/idle.go
+++ b/admission/idle.go
@@ -64,6 +64,6 @@
 	c.connections.forget(c.now, idleTimeout)
 	ratio, known := c.connections.returnRatio(c.now)
 	if known && idleTimeout > 0 {
-		executor.CloseIdleAfter(max(minIdleTimeout, time.Duration(math.Pow(ratio, reuseExponent)*float64(idleTimeout))))
+		executor.SetIdleTimeout(max(minIdleTimeout, time.Duration(math.Pow(ratio, reuseExponent)*float64(idleTimeout))))
 	}
 }
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -178,7 +178,7 @@
 func (p *simulatedServer) SkipCall(*admission.Request)                   {}
 func (p *simulatedServer) SetHealth(bool, bool)                          {}
 func (p *simulatedServer) SetShedLevel(float64)                          {}
-func (p *simulatedServer) CloseIdleAfter(time.Duration)                  {}
+func (p *simulatedServer) SetIdleTimeout(time.Duration)                  {}
 func (p *simulatedServer) Log(string)                                    {}
 
 // snapshot returns the snapshot that this server publishes.
--- a/admission/round.go
+++ b/admission/round.go
@@ -84,8 +84,8 @@
 	SetHealth(healthy, withoutWorkers bool)
 	// SetShedLevel sets the shed level that answers carry from now on, in the format of the settings.
 	SetShedLevel(level float64)
-	// CloseIdleAfter closes connections that have been idle for as long as idle.
-	CloseIdleAfter(idle time.Duration)
+	// SetIdleTimeout sets how long a connection may be idle from now on before it is closed.
+	SetIdleTimeout(timeout time.Duration)
 	// WakeAfter requests a round with Gauges after wait.
 	WakeAfter(wait time.Duration)
 	// Log logs a message that operators may act on.
--- a/cmd/adapter/executor.go
+++ b/cmd/adapter/executor.go
@@ -62,7 +62,7 @@
 
 func (s *server) SetShedLevel(level float64) { s.reply.AddShedLevel(s.id, level) }
 
-func (s *server) CloseIdleAfter(idle time.Duration) { s.reply.AddCloseIdle(s.id, idle) }
+func (s *server) SetIdleTimeout(idle time.Duration) { s.reply.AddCloseIdle(s.id, idle) }
 
 func (s *server) WakeAfter(wait time.Duration) { s.reply.AddWake(s.id, wait) }
 
--- a/emulator/server_executor.go
+++ b/emulator/server_executor.go
@@ -126,7 +126,7 @@
 
 func (s *server) SetShedLevel(level float64) { s.shedLevel = level }
 
-func (s *server) CloseIdleAfter(time.Duration) {}
+func (s *server) SetIdleTimeout(time.Duration) {}
 
 func (s *server) Log(string) {}
 
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -104,8 +104,8 @@
 // OpenConnections returns the number of connections, including those that are being closed.
 func (f *Frontend) OpenConnections() int { return len(f.conns) }
 
-// CloseIdle sets how long a connection may carry no traffic before it is drained.
-func (f *Frontend) CloseIdle(timeout time.Duration) { f.idleTimeout = timeout }
+// SetIdleTimeout sets how long a connection may carry no traffic before it is drained.
+func (f *Frontend) SetIdleTimeout(timeout time.Duration) { f.idleTimeout = timeout }
 
 // Flush writes answers, and checks the connections' timeouts if that is due. It checks them after writing, as a
 // connection whose last request was answered in this round is idle only once that answer was sent. written reports
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -200,7 +200,7 @@
 	busy, idle := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	busy.Send(t, fake.RequestFrame(1, "pay", ""))
 	b.pool.Next(t, "spawn")
-	b.server.Submit(func() { b.CloseIdle(20 * time.Millisecond) })
+	b.server.Submit(func() { b.SetIdleTimeout(20 * time.Millisecond) })
 	assert.Equal(t, fake.Reply{Type: 30, Fields: map[string]string{}}, idle.Next(t))
 	idle.WaitClosed(t) // the server closes it, as its router does not
 	b.pool.Finish(fake.CallID(1), "success", []byte("kept open"))
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -42,7 +42,7 @@
 
 func (b *bench) ReportHealth(_ uint32, healthy bool, _ string) { b.checks <- healthy }
 
-func (b *bench) CloseIdle(time.Duration) {}
+func (b *bench) SetIdleTimeout(time.Duration) {}
 
 func (b *bench) Flush() bool { return !b.peersStalled }
 
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -85,10 +85,10 @@
 	s.shedLevel = shedLevel{value: level, text: strconv.FormatFloat(level, 'f', -1, 64)}
 }
 
-// CloseIdleAfter makes the front ends ask peers to close connections that have been idle for timeout.
-func (s *Server) CloseIdleAfter(timeout time.Duration) {
+// SetIdleTimeout sets how long a connection of the front ends may be idle before its peer is asked to close it.
+func (s *Server) SetIdleTimeout(timeout time.Duration) {
 	for _, f := range s.frontends {
-		f.CloseIdle(timeout)
+		f.SetIdleTimeout(timeout)
 	}
 }
 
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -40,8 +40,8 @@
 
 // Frontend reads requests from connections. The event loop calls its methods.
 type Frontend interface {
-	// CloseIdle sets how long a connection may be idle before its peer is asked to close it.
-	CloseIdle(timeout time.Duration)
+	// SetIdleTimeout sets how long a connection may be idle before its peer is asked to close it.
+	SetIdleTimeout(timeout time.Duration)
 	// Flush writes answers; written reports whether all could be written. They can't while a peer does not read.
 	Flush() (written bool)
 	// StopAccepting stops accepting connections, and asks peers to send no more requests on the open ones.
--- a/internal/testkit/replay/adapter_test.go
+++ b/internal/testkit/replay/adapter_test.go
@@ -232,8 +232,8 @@
 // SetShedLevel records decision L.
 func (s *subject) SetShedLevel(level float64) { s.record(decision{kind: 'L', value: bits(level)}, nil) }
 
-// CloseIdleAfter records decision I.
-func (s *subject) CloseIdleAfter(idle time.Duration) {
+// SetIdleTimeout records decision I.
+func (s *subject) SetIdleTimeout(idle time.Duration) {
 	s.record(decision{kind: 'I', duration: idle}, nil)
 }
 
--- a/pool.go
+++ b/pool.go
@@ -136,8 +136,8 @@
 // request directly to the event loop.
 type frontend struct{ gate *Gate }
 
-// CloseIdle implements server.Frontend, as do the methods below.
-func (frontend) CloseIdle(time.Duration) {}
+// SetIdleTimeout implements server.Frontend, as do the methods below.
+func (frontend) SetIdleTimeout(time.Duration) {}
 
 // Flush publishes the shed level after each round.
 func (f frontend) Flush() bool {
