--- a/execution.go
+++ b/execution.go
@@ -118,7 +118,7 @@
 func (e *execution) handleArrival() {
 	g := e.gate
 	g.pool.executions[e.id] = e
-	incoming := server.Incoming{
+	incoming := server.IncomingRequest{
 		ID: e.id, Route: e.request.Route, QueuedKB: g.queuedKB, Rank: e.request.Rank, Router: e.request.CallerID,
 		Arrived: e.arrivedAt, Key: e.request.IdempotencyKey, Fingerprint: e.request.Fingerprint, Tenant: math.MaxInt, Caller: e,
 	}
@@ -129,7 +129,7 @@
 	if !deadline.IsZero() {
 		incoming.Timeout = max(time.Until(deadline)+g.loop.Now()-e.arrivedAt, 1) // from arrival; 0 would mean no timeout
 	}
-	g.loop.AdoptRoute(e.request.Route)
+	g.loop.AssignSpareRoute(e.request.Route)
 	if received := g.loop.Receive(incoming); received != nil && !e.settled {
 		e.serverRequest = received
 		return
--- a/gate_test.go
+++ b/gate_test.go
@@ -44,7 +44,7 @@
 	assert.PanicsWithValue(t, "oh", func() {
 		_ = g.Do(t.Context(), Request{Route: "anything"}, func(context.Context) error { panic("oh") })
 	})
-	for i := range spareRoutes + 5 { // the number of adopted routes is bounded
+	for i := range spareRoutes + 5 { // the number of assigned spare routes is bounded
 		err := g.Do(t.Context(), Request{Route: fmt.Sprint(i)}, func(context.Context) error { return nil })
 		var rejected *RejectedError
 		assert.Equal(t, i >= spareRoutes-2, errors.As(err, &rejected), i)
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -30,7 +30,7 @@
 )
 
 // parseRequest parses a request's fields and body. The result does not refer to the input buffer.
-func (c *conn) parseRequest(fields frame.Fields, body []byte) (in server.Incoming, err error) {
+func (c *conn) parseRequest(fields frame.Fields, body []byte) (in server.IncomingRequest, err error) {
 	text := func(name string) string {
 		value, _ := fields.Get(name)
 		return string(value)
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -92,7 +92,7 @@
 // submitRequest has the event loop receive a request.
 func (b *bench) submitRequest(stream uint32, route string, timeout time.Duration) {
 	b.Submit(func() {
-		b.Receive(Incoming{
+		b.Receive(IncomingRequest{
 			ID: fake.CallID(stream), Route: route, QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: timeout,
 			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
 		})
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -101,7 +101,7 @@
 		return stopped
 	}, fake.WaitLimit, time.Millisecond)
 	b.onLoop(func() { // read only now, after the grace of 400 ms: it is answered, and does not run
-		b.Receive(Incoming{
+		b.Receive(IncomingRequest{
 			ID: fake.CallID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Arrived: b.drain.startedAt + 401*time.Millisecond,
 			Timeout: time.Minute, Caller: b, Stream: 1,
 		})
@@ -129,7 +129,7 @@
 		notifiedAt := b.Now() - 300*time.Millisecond
 		b.startDrain(notifiedAt, 3*time.Second)
 		assert.Equal(t, notifiedAt+3*time.Second-maxLateness, b.drain.stopAt)
-		late := Incoming{ID: fake.CallID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
+		late := IncomingRequest{ID: fake.CallID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
 		late.Arrived = notifiedAt + 401*time.Millisecond // the site's grace is 400 ms
 		b.Receive(late)
 		due := late
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -48,7 +48,7 @@
 func keyOf(route, key string) string { return route + "\x00" + key }
 
 // keyConflicts reports whether a request has the key of another request with another body.
-func (s *Server) keyConflicts(in *Incoming) bool {
+func (s *Server) keyConflicts(in *IncomingRequest) bool {
 	entry := s.keys.entries[keyOf(in.Route, in.Key)]
 	return entry != nil && entry.fingerprint != in.Fingerprint
 }
@@ -62,7 +62,7 @@
 
 // attachKey gives a keyed request its key. A duplicate also gets its original's entry; for an original an entry is
 // added.
-func (s *Server) attachKey(request *Request, in *Incoming) {
+func (s *Server) attachKey(request *Request, in *IncomingRequest) {
 	if request.Route.Idempotency != admission.Keyed {
 		return
 	}
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -17,8 +17,8 @@
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
-	incoming := func(stream uint32, key string) Incoming {
-		return Incoming{
+	incoming := func(stream uint32, key string) IncomingRequest {
+		return IncomingRequest{
 			ID: fake.CallID(stream), Route: "pay", QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: stream, Key: key,
 		}
@@ -48,8 +48,8 @@
 	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
-	incoming := func(stream uint32, arrived time.Duration) Incoming {
-		return Incoming{
+	incoming := func(stream uint32, arrived time.Duration) IncomingRequest {
+		return IncomingRequest{
 			ID: fake.CallID(stream), Route: "pay", QueuedKB: 20, Rank: 0.9, Arrived: arrived, Timeout: time.Minute,
 			Caller: b, Stream: stream, Key: "n",
 		}
@@ -81,7 +81,7 @@
 	b.pool.Ready()
 	b.waitLinkSynced(t)
 	b.onLoop(func() {
-		request := b.Receive(Incoming{
+		request := b.Receive(IncomingRequest{
 			ID: fake.CallID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: 1, Key: "n",
 		})
--- a/internal/server/receive.go
+++ b/internal/server/receive.go
@@ -8,8 +8,8 @@
 	"quartzpoint/internal/events"
 )
 
-// Incoming is a request as read by a front end.
-type Incoming struct {
+// IncomingRequest is a request as read by a front end.
+type IncomingRequest struct {
 	ID         string // unique
 	Route      string
 	QueuedKB   float64 // memory of the worker pool that the request takes while queued
@@ -31,7 +31,7 @@
 
 // Receive adds a request that a front end has read to the next round. It returns nil if it answered the request at
 // once.
-func (s *Server) Receive(in Incoming) *Request {
+func (s *Server) Receive(in IncomingRequest) *Request {
 	route := s.tables.routes[in.Route]
 	now := s.Now()
 	if in.Arrived == 0 {
@@ -64,7 +64,7 @@
 
 // answerWithoutRun returns the answer to a request that must not run even if there is capacity, with the reason. The
 // reason is empty for a request that may run.
-func (s *Server) answerWithoutRun(in *Incoming, route *admission.Route) (reason string, answer Answer) {
+func (s *Server) answerWithoutRun(in *IncomingRequest, route *admission.Route) (reason string, answer Answer) {
 	known := s.requests.byID[in.ID]
 	switch {
 	case route == nil:
@@ -82,7 +82,7 @@
 }
 
 // rejectReason returns why a request that did not run is not accepted, or an empty text if it is.
-func (s *Server) rejectReason(in *Incoming, route *admission.Route) string {
+func (s *Server) rejectReason(in *IncomingRequest, route *admission.Route) string {
 	if route == nil {
 		return "request for an unknown route"
 	}
@@ -105,7 +105,7 @@
 }
 
 // enqueue adds a request to the next round.
-func (s *Server) enqueue(in *Incoming, route *admission.Route, now time.Duration) *Request {
+func (s *Server) enqueue(in *IncomingRequest, route *admission.Route, now time.Duration) *Request {
 	request := &Request{
 		Request: admission.Request{
 			Route: route, QueuedKB: in.QueuedKB, Arrived: in.Arrived, Rank: in.Rank, Router: in.Router,
@@ -127,7 +127,7 @@
 }
 
 // rejectIncoming answers a request that is not accepted. The controller never sees it.
-func (s *Server) rejectIncoming(in *Incoming, reason string, answer Answer) {
+func (s *Server) rejectIncoming(in *IncomingRequest, reason string, answer Answer) {
 	s.counters.Count(reason)
 	kind := events.RequestRejected
 	if answer.Verdict != Rejected {
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -32,7 +32,7 @@
 		var request *Request
 		b.Submit(func() {
 			b.Reconfigure(adjusted("extra.halt=" + halt))
-			request = b.Receive(Incoming{ID: id, Route: "browse", QueuedKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
+			request = b.Receive(IncomingRequest{ID: id, Route: "browse", QueuedKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 		})
 		assert.Equal(t, id, b.pool.Next(t, "spawn").RunID)
 		b.Submit(func() { b.Cancel(request) })
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -129,7 +129,7 @@
 	for stream := range uint32(2000) {
 		route := []string{"browse", "pay"}[stream%2]
 		b.Submit(func() {
-			b.Receive(Incoming{
+			b.Receive(IncomingRequest{
 				ID: fake.CallID(stream), Route: route, QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(),
 				Timeout: time.Minute, Router: stream, Caller: b, Stream: stream,
 			})
@@ -175,7 +175,7 @@
 	b.pool.Ready()
 	var request *Request
 	b.Submit(func() {
-		request = b.Receive(Incoming{ID: "x", Route: "browse", QueuedKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
+		request = b.Receive(IncomingRequest{ID: "x", Route: "browse", QueuedKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 	})
 	b.pool.Next(t, "spawn")
 	b.Submit(func() { b.Cancel(request); b.Cancel(request) })
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -25,10 +25,10 @@
 
 // tables holds the routes and tenants in force, and the pending changes in their order.
 type tables struct {
-	routes   map[string]*admission.Route
-	unserved map[string]bool // routes that call a dependency although none is configured
-	adopted  int             // number of spare routes that were given a name
-	tenants  map[string]int  // name to index in the controller
+	routes         map[string]*admission.Route
+	unserved       map[string]bool // routes that call a dependency although none is configured
+	assignedSpares int             // number of spare routes that were given a name
+	tenants        map[string]int  // name to index in the controller
 
 	changes []TableChange // pending; the first may have been made in part
 	free    []freeIndex   // of removed tenants, oldest first
@@ -172,15 +172,15 @@
 	return timeouts
 }
 
-// AdoptRoute assigns one of the settings' spare routes, whose names begin with a NUL byte, to a route name that the
+// AssignSpareRoute assigns one of the settings' spare routes, whose names begin with a NUL byte, to a route name that the
 // settings do not define. Once no spare route is left, requests for other names are rejected.
-func (s *Server) AdoptRoute(name string) {
+func (s *Server) AssignSpareRoute(name string) {
 	if s.tables.routes[name] != nil {
 		return
 	}
-	spare := fmt.Sprintf("\x00%d", s.tables.adopted)
+	spare := fmt.Sprintf("\x00%d", s.tables.assignedSpares)
 	if route := s.tables.routes[spare]; route != nil {
-		s.tables.adopted++
+		s.tables.assignedSpares++
 		s.tables.routes[name] = route
 	}
 }
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -95,7 +95,7 @@
 	put := TableChange{Routes: []settings.RouteChange{{Name: "charge", Route: keyed}}}
 	submit := func(stream uint32) {
 		b.Submit(func() {
-			b.Receive(Incoming{
+			b.Receive(IncomingRequest{
 				ID: fake.CallID(stream), Route: "charge", QueuedKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 				Caller: b, Stream: stream, Key: "once", Fingerprint: 1,
 			})
@@ -135,7 +135,7 @@
 	b.changeTables(t, tenant("north", 5))
 	assert.Equal(t, 0, index("north"))
 	b.Submit(func() {
-		b.Receive(Incoming{ID: "a", Route: "pay", QueuedKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
+		b.Receive(IncomingRequest{ID: "a", Route: "pay", QueuedKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 	})
 	run := b.pool.Next(t, "spawn")
 	b.changeTables(t, tenant("north", 7))
