--- a/internal/server/overdue.go
+++ b/internal/server/overdue.go
@@ -87,7 +87,7 @@
 	now := s.Now()
 	for _, request := range s.requests.byID {
 		if !request.active && !request.answered && now > request.readAt+queuedMemoryDelay {
-			r.WaitingKB += request.QueuedKB
+			r.QueuedKB += request.QueuedKB
 		}
 	}
 	return r, true
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -30,9 +30,9 @@
 
 // Readings is the load of the machine at one moment.
 type Readings struct {
-	Runnable  float64 // processes on a core or waiting for one, runs and others
-	MemoryKB  float64 // in use by all requests
-	WaitingKB float64 // lower bound of the part of MemoryKB that requests without a run use
+	Runnable float64 // processes on a core or waiting for one, runs and others
+	MemoryKB float64 // in use by all requests
+	QueuedKB float64 // lower bound of the part of MemoryKB that requests without a run use
 }
 
 // Reconciler counts, for each run, the latest consecutive readings that prove its end. The zero value is ready for use.
@@ -65,7 +65,7 @@
 
 // excess returns by how much the tracked runs exceed the readings, in runnable runs and in memory.
 func excess(readings Readings, tracked []Run) (runnable, memoryKB float64) {
-	runnable, memoryKB = -readings.Runnable, -max(readings.MemoryKB-readings.WaitingKB, 0)
+	runnable, memoryKB = -readings.Runnable, -max(readings.MemoryKB-readings.QueuedKB, 0)
 	for _, run := range tracked {
 		if run.Runnable {
 			runnable++
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -42,8 +42,8 @@
 		{"one of two has ended", Readings{Runnable: 1, MemoryKB: runKB}, mayHaveEnded("a", "b"), []string{"a"}},
 		{"on no core, but its memory is in use: it waits for a disk", Readings{Runnable: 0, MemoryKB: runKB}, mayHaveEnded("a"), nil},
 		{"its memory is free, but a core is in use", Readings{Runnable: 1}, mayHaveEnded("a"), nil},
-		{"the memory in use is that of waiting requests", Readings{MemoryKB: 80, WaitingKB: 80}, mayHaveEnded("a"), []string{"a"}},
-		{"waiting requests may use more than the lower bound", Readings{MemoryKB: 80, WaitingKB: 20}, mayHaveEnded("a"), nil},
+		{"the memory in use is that of waiting requests", Readings{MemoryKB: 80, QueuedKB: 80}, mayHaveEnded("a"), []string{"a"}},
+		{"waiting requests may use more than the lower bound", Readings{MemoryKB: 80, QueuedKB: 20}, mayHaveEnded("a"), nil},
 		{"a run that is not overdue never counts as ended", Readings{}, []Run{notOverdue}, nil},
 		{"a run that is not overdue accounts for its part of the readings", Readings{Runnable: 1, MemoryKB: runKB}, append(mayHaveEnded("a"), notOverdue), []string{"a"}},
 		{"a run that waits for a call needs no core", Readings{Runnable: 7}, []Run{atCall}, []string{"at call"}},
@@ -83,10 +83,10 @@
 		rng.Shuffle(len(tracked), func(i, j int) { tracked[i], tracked[j] = tracked[j], tracked[i] })
 		for range 50 {
 			atDisk := rng.Intn(live + 1)
-			waitingKB := rng.Float64() * 300
+			queuedKB := rng.Float64() * 300
 			ended := r.Reconcile(Readings{
 				Runnable: float64(live-atDisk) + rng.Float64()*2,
-				MemoryKB: float64(live)*runKB + waitingKB, WaitingKB: waitingKB * rng.Float64(),
+				MemoryKB: float64(live)*runKB + queuedKB, QueuedKB: queuedKB * rng.Float64(),
 			}, tracked)
 			tracked = without(tracked, ended)
 			assert.GreaterOrEqual(t, len(tracked), live, "seed %d", seed)
