--- a/admission/admit_test.go
+++ b/admission/admit_test.go
@@ -11,7 +11,7 @@
 // requests without calls were rejected. They return to the cores only through a call made within the bound, so they do
 // not count against it.
 func TestRunsAwaitingACallDoNotCountAgainstMaxConcurrency(t *testing.T) {
-	b := newBench(func(s *Settings) { s.MaxRunnablePerCore = 2 })
+	b := newBench(func(s *Settings) { s.MaxRunsPerCore = 2 })
 	b.calls.capacity, b.calls.credit = 0, 0
 	maxConcurrency := int(b.maxConcurrency())
 	var waiting []*Request
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -25,7 +25,7 @@
 func testSettings(change func(*Settings)) Settings {
 	settings := DefaultSettings()
 	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.KeyKB = 4, 10000, 10, 50
-	settings.MaxRunnablePerCore, settings.ColdSpeed, settings.WarmUp = 6, 0.2, 10*time.Second
+	settings.MaxRunsPerCore, settings.ColdSpeed, settings.WarmUp = 6, 0.2, 10*time.Second
 	settings.Grace, settings.ShedLevelFormat = 2*time.Second, ShedLevelThreshold
 	settings.RetryAfter, settings.MaxRetryAfter = true, time.Second
 	settings.CallQuota, settings.CallWindow, settings.CallLinger = 10, 5*time.Second, 200*ms
--- a/admission/callcapacity.go
+++ b/admission/callcapacity.go
@@ -57,7 +57,7 @@
 	if settings.CallsTier {
 		// The servers of the tier protect themselves and state no quota: the calls are bounded by this server's own
 		// concurrency.
-		c.quota = concurrencyShare * settings.MaxRunnablePerCore * settings.Cores
+		c.quota = concurrencyShare * settings.MaxRunsPerCore * settings.Cores
 	}
 	c.capacity = c.quota * initialCallShare
 	c.credit = c.capacity
--- a/admission/newcomer_test.go
+++ b/admission/newcomer_test.go
@@ -54,7 +54,7 @@
 
 func simulate(routes []harness.Route, m harness.Machine, load []harness.Arrival, origin uint64) *simulatedServer {
 	settings := admission.DefaultSettings()
-	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.MaxRunnablePerCore = m.Cores, m.MemoryKB, 8, 6
+	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.MaxRunsPerCore = m.Cores, m.MemoryKB, 8, 6
 	settings.ShedLevelFormat, settings.RetryAfter, settings.MaxRetryAfter = admission.ShedLevelThreshold, true, time.Second
 	settings.Cold, settings.ColdSpeed, settings.WarmUp = m.ColdShare > 0, m.ColdShare, m.WarmUp
 	settings.IdleTimeout = 15 * time.Second
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -13,11 +13,11 @@
 	RunningMemoryFactor float64 // ratio of a request's memory while running to that while queued
 	KeyKB               float64 // memory of an idempotency key's entry in KiB
 
-	// MaxRunnablePerCore is the number of runs per core, on the cores or at calls, that a warm server survives.
-	MaxRunnablePerCore float64
-	Cold               bool          // the server starts cold and warms up over WarmUp
-	ColdSpeed          float64       // speed right after a cold start, as a fraction of the warm speed
-	WarmUp             time.Duration // time from a cold start to full speed
+	// MaxRunsPerCore is the number of runs per core, on the cores or at calls, that a warm server survives.
+	MaxRunsPerCore float64
+	Cold           bool          // the server starts cold and warms up over WarmUp
+	ColdSpeed      float64       // speed right after a cold start, as a fraction of the warm speed
+	WarmUp         time.Duration // time from a cold start to full speed
 
 	Grace       time.Duration // time after the notice to shut down in which requests that arrive still run
 	IdleTimeout time.Duration // time for which routers keep an idle connection open; 0 if unknown
@@ -58,7 +58,7 @@
 		Cores:               1,
 		MemoryKB:            math.Inf(1),
 		RunningMemoryFactor: 1,
-		MaxRunnablePerCore:  2,
+		MaxRunsPerCore:      2,
 		WarmUp:              time.Second,
 		CallWindow:          5 * time.Second,
 		FleetServers:        1,
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -36,5 +36,5 @@
 // calls return at once. A run whose call may not be made yet is not counted: it returns to the cores only through a
 // call made within this bound.
 func (c *Controller) maxConcurrency() float64 {
-	return concurrencyShare * (1 + (c.settings.MaxRunnablePerCore-1)*c.speed()) * c.settings.Cores
+	return concurrencyShare * (1 + (c.settings.MaxRunsPerCore-1)*c.speed()) * c.settings.Cores
 }
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -143,7 +143,7 @@
 	settings.Cores = m.Cores
 	settings.MemoryKB = m.MemoryKB
 	settings.RunningMemoryFactor = 8
-	settings.MaxRunnablePerCore = 6
+	settings.MaxRunsPerCore = 6
 	settings.Cold = m.ColdShare > 0
 	settings.ColdSpeed = m.ColdShare
 	settings.WarmUp = m.WarmUp
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -15,7 +15,7 @@
 
 const (
 	queuedKB            = 20.0                   // memory of a queued request, in KiB
-	survivedRunsPerCore = 8.0                    // runs per core, above the 6 that Settings sets as MaxRunnablePerCore; more violate rule 4 of package rulecheck
+	survivedRunsPerCore = 8.0                    // runs per core, above the 6 that Settings sets as MaxRunsPerCore; more violate rule 4 of package rulecheck
 	linkDelay           = 100 * time.Microsecond // between a server and its worker pool
 	drainCheckInterval  = 20 * time.Millisecond  // between checks whether a server that shuts down has answered everything
 	stopMargin          = 15 * time.Millisecond  // before the end of a shutdown; everything must be answered by then
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -101,7 +101,7 @@
 	"limits.max-retry-after":          durationOf(nonNegative, func(s *Settings) *time.Duration { return &s.Admission.MaxRetryAfter }),
 	"obligations.cold-share":          numberOf(fraction, func(s *Settings) *float64 { return &s.Admission.ColdSpeed }),
 	"obligations.warm-up":             durationOf(nonNegative, func(s *Settings) *time.Duration { return &s.Admission.WarmUp }),
-	"obligations.overload-factor":     numberOf(positive, func(s *Settings) *float64 { return &s.Admission.MaxRunnablePerCore }),
+	"obligations.overload-factor":     numberOf(positive, func(s *Settings) *float64 { return &s.Admission.MaxRunsPerCore }),
 	"obligations.stop-sending-within": durationOf(nonNegative, func(s *Settings) *time.Duration { return &s.Admission.Grace }),
 	"over-share-worth":                numberOf(fraction, func(s *Settings) *float64 { return &s.Admission.OverQuotaValue }),
 	keyValueBy:                        textOf(func(s *Settings, v string) { s.Admission.ValueByWork = v == "work" }),
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -47,7 +47,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, lines, tree)
 	want := admission.DefaultSettings()
-	want.Cores, want.MemoryKB, want.MaxRunnablePerCore, want.CallWindow = 2, 1000, 4, 5*time.Second
+	want.Cores, want.MemoryKB, want.MaxRunsPerCore, want.CallWindow = 2, 1000, 4, 5*time.Second
 	want.Routes = []admission.Route{
 		{
 			Name: "browse", Value: 1, LatencyTarget: 2 * time.Second, Deadline: time.Second, Idempotency: admission.Keyed,
--- a/options.go
+++ b/options.go
@@ -28,7 +28,7 @@
 	spareRoutes         = 32 // number of routes that can be added when their first request arrives
 	runningMemoryFactor = 16 // memory of a running request relative to that of a queued one
 	keyKB               = 1  // memory of an entry in the idempotency key table in KiB
-	maxRunnablePerCore  = 6
+	maxRunsPerCore      = 6
 	idleTimeout         = 30 * time.Second // time for which callers keep an idle connection open
 	maxRetryAfter       = time.Second      // upper bound of RejectedError.RetryAfter
 )
@@ -131,7 +131,7 @@
 	settings.RunningMemoryFactor = runningMemoryFactor
 	settings.KeyKB = keyKB
 	settings.ShedLevelFormat = admission.ShedLevelThreshold
-	settings.MaxRunnablePerCore = maxRunnablePerCore
+	settings.MaxRunsPerCore = maxRunsPerCore
 	settings.Preemption = admission.PreemptionNone
 	settings.IdleTimeout = idleTimeout
 	settings.RetryAfter, settings.MaxRetryAfter = true, maxRetryAfter
