--- a/emulator/dependency.go
+++ b/emulator/dependency.go
@@ -39,7 +39,7 @@
 	w := d.world
 	c := &call{onEnd: onEnd, startedAt: w.now}
 	w.after(timeout, func() { d.end(c, admission.Unknown) })
-	w.rules.Add(rulecheck.Event{Kind: rulecheck.CallsOpen, At: w.now, Server: d.number,
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.DependencyLoad, At: w.now, Server: d.number,
 		Value: float64(d.inFlight+len(d.queue)) / (survivedCallsPerSlot * float64(d.Slots))})
 	switch {
 	case d.errorRate > 0 && d.rng.Float64() < d.errorRate, len(d.queue) >= maxQueue:
--- a/emulator/server_executor.go
+++ b/emulator/server_executor.go
@@ -28,8 +28,8 @@
 		s.pool.start(&a.run)
 	}
 	n := float64(len(s.pool.runs))
-	s.world.rules.Add(rulecheck.Event{Kind: rulecheck.RunsPerCore, At: s.world.now, Server: s.number, Value: n / (survivedRunsPerCore * s.pool.machine.Cores)})
-	s.world.rules.Add(rulecheck.Event{Kind: rulecheck.Memory, At: s.world.now, Server: s.number, Value: s.memoryShare()})
+	s.world.rules.Add(rulecheck.Event{Kind: rulecheck.RunLoad, At: s.world.now, Server: s.number, Value: n / (survivedRunsPerCore * s.pool.machine.Cores)})
+	s.world.rules.Add(rulecheck.Event{Kind: rulecheck.MemoryUse, At: s.world.now, Server: s.number, Value: s.memoryShare()})
 }
 
 func (s *server) memoryShare() float64 {
--- a/emulator/server_lifecycle.go
+++ b/emulator/server_lifecycle.go
@@ -114,7 +114,7 @@
 	if !s.alive || s.incarnation != incarnation {
 		return
 	}
-	w.rules.Add(rulecheck.Event{Kind: rulecheck.Stopped, At: w.now, Server: s.number})
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.ShutdownEnded, At: w.now, Server: s.number})
 	s.alive = false
 	s.dropOpen()
 	if s.onStopped != nil {
--- a/rulecheck/rules.go
+++ b/rulecheck/rules.go
@@ -27,11 +27,11 @@
 	Answered                         // Attempt, Rejected or not
 	Abandoned                        // nobody waits for Attempt any more
 	ShutdownNotified                 // Server; Deadline is the end of its grace
-	Stopped                          // Server ended its graceful shutdown
+	ShutdownEnded                    // Server ended its graceful shutdown
 	Crashed                          // Server ended with all its open attempts
-	Memory                           // Server; Value is the fraction in use
-	RunsPerCore                      // Server; Value is its runs on the cores, divided by the number that it survives
-	CallsOpen                        // Server is a dependency; Value is its load divided by the load that it survives
+	MemoryUse                        // Server; Value is the fraction in use
+	RunLoad                          // Server; Value is its runs on the cores, divided by the number that it survives
+	DependencyLoad                   // Server is a dependency; Value is its load divided by the load that it survives
 )
 
 // Event is an event of an experiment. Times are since the start of the experiment.
@@ -103,17 +103,17 @@
 		}
 	case ShutdownNotified:
 		c.shutdowns[e.Server] = shutdown{e.Deadline}
-	case Stopped, Crashed:
+	case ShutdownEnded, Crashed:
 		c.ended(e)
-	case Memory:
+	case MemoryUse:
 		if e.Value > 1 {
 			c.violate(4, e.At, "server %d uses %.2f of its memory", e.Server, e.Value)
 		}
-	case RunsPerCore:
+	case RunLoad:
 		if e.Value > 1 {
 			c.violate(4, e.At, "server %d has %.2f of the runs that it survives on its cores", e.Server, e.Value)
 		}
-	case CallsOpen:
+	case DependencyLoad:
 		if e.Value > 1 {
 			c.violate(4, e.At, "dependency %d has %.2f of the load that it survives", e.Server, e.Value)
 		}
@@ -164,7 +164,7 @@
 		if a.server != e.Server {
 			continue
 		}
-		if e.Kind == Stopped && !a.abandoned {
+		if e.Kind == ShutdownEnded && !a.abandoned {
 			c.violate(3, e.At, "server %d stopped with attempt %d unanswered", e.Server, id)
 		}
 		delete(c.open, id)
--- a/rulecheck/rules_test.go
+++ b/rulecheck/rules_test.go
@@ -21,7 +21,7 @@
 	rejected := Event{Kind: Answered, At: s + ms, Server: 1, Attempt: 1, Rejected: true}
 	abandoned := Event{Kind: Abandoned, At: s, Attempt: 1}
 	notice := Event{Kind: ShutdownNotified, At: s / 2, Server: 1, Deadline: s - ms}
-	stopped := Event{Kind: Stopped, At: 3 * s, Server: 1}
+	shutdownEnded := Event{Kind: ShutdownEnded, At: 3 * s, Server: 1}
 	crashed := Event{Kind: Crashed, At: 3 * s, Server: 1}
 	second := Event{Kind: Received, At: s, Server: 2, Attempt: 2, Effect: 9, Deadline: 2 * s}
 	secondStarted := Event{Kind: Started, At: s, Server: 2, Attempt: 2}
@@ -42,13 +42,13 @@
 		{"effect after a rejection", []Event{effect, rejected, second, secondStarted, {Kind: Answered, At: s, Attempt: 2}}, [5]int{}},
 		{"started after the grace", []Event{notice, received, started, answered}, [5]int{3: 1}},
 		{"rejected after the grace", []Event{notice, received, rejected}, [5]int{}},
-		{"stopped before the answer", []Event{received, stopped}, [5]int{3: 1}},
+		{"stopped before the answer", []Event{received, shutdownEnded}, [5]int{3: 1}},
 		{"crashed", []Event{received, crashed}, [5]int{}},
 		{"received twice", []Event{received, received, answered}, [5]int{1: 1}},
 		{"started but not received", []Event{started}, [5]int{1: 1}},
-		{"memory", []Event{{Kind: Memory, Value: 1.1}}, [5]int{4: 1}},
-		{"runs per core", []Event{{Kind: RunsPerCore, Value: 1.1}, {Kind: RunsPerCore, Value: 1}}, [5]int{4: 1}},
-		{"calls", []Event{{Kind: CallsOpen, Value: 2}}, [5]int{4: 1}},
+		{"memory", []Event{{Kind: MemoryUse, Value: 1.1}}, [5]int{4: 1}},
+		{"runs per core", []Event{{Kind: RunLoad, Value: 1.1}, {Kind: RunLoad, Value: 1}}, [5]int{4: 1}},
+		{"calls", []Event{{Kind: DependencyLoad, Value: 2}}, [5]int{4: 1}},
 	}
 	for _, c := range cases {
 		checker := New(0)
