--- a/cmd/quartzpoint/lease.go
+++ b/cmd/quartzpoint/lease.go
@@ -62,7 +62,7 @@
 			holds = "yes"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%v\t%s\t%d\t\n", status.Lease, holds, status.Token, status.Remaining.Round(time.Millisecond),
-			status.LastVoteFor, status.HighestToken)
+			status.LastGrantedTo, status.LastGrantToken)
 	}
 	return table.Flush()
 }
--- a/internal/leasing/status.go
+++ b/internal/leasing/status.go
@@ -9,13 +9,13 @@
 
 // Status is the state of one lease as known to this server.
 type Status struct {
-	Lease        string        `json:"duty"`
-	Holds        bool          `json:"holds"`            // whether this server holds the lease now
-	Token        uint64        `json:"token"`            // of the lease if it is held, otherwise of the last request
-	Remaining    time.Duration `json:"left_ns"`          // time until the lease expires, on this server's clock; 0 if not held
-	LastVoteFor  string        `json:"holder,omitempty"` // candidate to which this server's voter last granted the lease
-	HighestToken uint64        `json:"newest"`           // token of that grant
-	expiry       time.Duration
+	Lease          string        `json:"duty"`
+	Holds          bool          `json:"holds"`            // whether this server holds the lease now
+	Token          uint64        `json:"token"`            // of the lease if it is held, otherwise of the last request
+	Remaining      time.Duration `json:"left_ns"`          // time until the lease expires, on this server's clock; 0 if not held
+	LastGrantedTo  string        `json:"holder,omitempty"` // candidate to which this server's voter last granted the lease
+	LastGrantToken uint64        `json:"newest"`           // token of that grant
+	expiry         time.Duration
 }
 
 // Status returns the status of all leases.
@@ -49,7 +49,7 @@
 			status.Remaining, status.expiry = c.Expiry()-now, c.Expiry()
 		}
 		holder, token := m.voter.LastGrant(c.Lease)
-		status.LastVoteFor, status.HighestToken = holder, uint64(token)
+		status.LastGrantedTo, status.LastGrantToken = holder, uint64(token)
 		published = append(published, status)
 	}
 	m.status.Store(&published)
