--- a/cmd/quartzpoint-bench/dependenciesreport.go
+++ b/cmd/quartzpoint-bench/dependenciesreport.go
@@ -172,8 +172,8 @@
 // attempt there. The started slot-checks are counted as the attempts at the tables less the idempotency keys there,
 // which only confirm-booking sends.
 func guestAttempts(_ int, r scenarioResult) float64 {
-	started := float64(r.dependencies[tables].Attempts - r.dependencies[tables].DistinctKeys)
-	return float64(r.dependencies[guests].Attempts) / max(started, 1)
+	started := float64(r.dependencies[tables].Calls - r.dependencies[tables].DistinctKeys)
+	return float64(r.dependencies[guests].Calls) / max(started, 1)
 }
 
 // quantileMillis returns a figure: a quantile, in milliseconds, of the latencies of the served requests.
--- a/cmd/quartzpoint-bench/fronts/fronts_test.go
+++ b/cmd/quartzpoint-bench/fronts/fronts_test.go
@@ -48,7 +48,7 @@
 					defer f.Close()
 					n, err := conformance.Run(f, c)
 					require.NoError(t, err)
-					assert.Zero(t, n.Outcomes[conformance.Unanswered]+n.LateAnswers+n.RepeatedEffects, "%+v", n)
+					assert.Zero(t, n.Outcomes[conformance.Unanswered]+n.LateAnswers+n.RepeatedRuns, "%+v", n)
 					assert.Equal(t, c.ShutdownAt > 0, n.ShutdownClean)
 					if want, known := exact[c.Name]; known {
 						assert.Equal(t, want, n.Outcomes)
--- a/cmd/quartzpoint-bench/fronts/runs.go
+++ b/cmd/quartzpoint-bench/fronts/runs.go
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// Effects implements conformance.FrontEnd.
-func (c *runCounter) Effects() (runs, repeated int) {
+// Runs implements conformance.FrontEnd.
+func (c *runCounter) Runs() (runs, repeated int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.runs, c.repeated
--- a/cmd/quartzpoint-bench/library_frontends.go
+++ b/cmd/quartzpoint-bench/library_frontends.go
@@ -113,7 +113,7 @@
 		total.Outcomes[outcome] += counts.Outcomes[outcome]
 	}
 	total.LateAnswers += counts.LateAnswers
-	total.RepeatedEffects += counts.RepeatedEffects
+	total.RepeatedRuns += counts.RepeatedRuns
 	total.Runs += counts.Runs
 }
 
@@ -136,8 +136,8 @@
 			fmt.Fprintf(table, "\t%d/%d/%d/%d", n.Outcomes[conformance.Served], n.Outcomes[conformance.Rejected],
 				n.Outcomes[conformance.Aborted], n.Outcomes[conformance.Canceled])
 			unanswered := n.Outcomes[conformance.Unanswered]
-			if unanswered+n.LateAnswers+n.RepeatedEffects > 0 {
-				violations = append(violations, fmt.Errorf("%s, %s: %d unanswered, %d late, %d run twice", front.name, c.Name, unanswered, n.LateAnswers, n.RepeatedEffects))
+			if unanswered+n.LateAnswers+n.RepeatedRuns > 0 {
+				violations = append(violations, fmt.Errorf("%s, %s: %d unanswered, %d late, %d run twice", front.name, c.Name, unanswered, n.LateAnswers, n.RepeatedRuns))
 			}
 		}
 		fmt.Fprintln(table, "\t")
--- a/cmd/quartzpoint/calls_test.go
+++ b/cmd/quartzpoint/calls_test.go
@@ -52,17 +52,17 @@
 				assert.Equal(t, byte(20), reply.Code)
 				return reply.Body
 			}
-			assert.Equal(t, "first "+fake.CallID(1)+" what", run(1))
+			assert.Equal(t, "first "+fake.RequestID(1)+" what", run(1))
 
 			fake.RewriteConfigWithDependency(t, p.path, p.address, p.pool.Address, p.members.Address, startDependency(t, "second"), callingSettings)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 			p.waitLogged(t, "only_with_a_restart=[]")
-			assert.Equal(t, "second "+fake.CallID(2)+" what", run(2))
+			assert.Equal(t, "second "+fake.RequestID(2)+" what", run(2))
 
 			fake.RewriteConfig(t, p.path, p.address, p.pool.Address, p.members.Address, callingSettings)
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 			p.waitLogged(t, "only_with_a_restart=[index]")
-			assert.Equal(t, "second "+fake.CallID(3)+" what", run(3))
+			assert.Equal(t, "second "+fake.RequestID(3)+" what", run(3))
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 			_ = router.Close()
 			assert.Zero(t, p.waitExit())
--- a/cmd/quartzpoint/crossing_test.go
+++ b/cmd/quartzpoint/crossing_test.go
@@ -75,7 +75,7 @@
 		routers = append(routers, fake.Dial(t, p.address))
 	}
 	for i, r := range append(routers, existing) {
-		r.Send(t, fake.RequestFrame(2, "pay", "", "call", fake.CallID(uint32(100+i))))
+		r.Send(t, fake.RequestFrame(2, "pay", "", "call", fake.RequestID(uint32(100+i))))
 	}
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGCONT))
 	for i, r := range append(routers, existing) {
--- a/cmd/quartzpoint/main_test.go
+++ b/cmd/quartzpoint/main_test.go
@@ -132,7 +132,7 @@
 			p.pool.Next(t, "spawn")
 			first := len(p.pool.Commands)
 			p.pool.CloseLink()
-			p.pool.Finish(fake.CallID(4), "success", []byte("once"))
+			p.pool.Finish(fake.RequestID(4), "success", []byte("once"))
 			assert.Equal(t, "once", router.Next(t).Body)
 			assert.Zero(t, first)
 			for len(p.pool.Commands) > 0 {
--- a/internal/fanout/compose_test.go
+++ b/internal/fanout/compose_test.go
@@ -101,7 +101,7 @@
 	}
 	require.Eventually(t, func() bool { return lateResponses() == 1 }, testTimeout, 10*ms, "the late response is counted")
 	assert.Empty(t, server.notices, "the late response has no other effect")
-	assert.Equal(t, harness.DependencyStats{Attempts: 1, Effects: 1, DistinctKeys: 1, MaxOpen: 1}, deposit.Stats())
+	assert.Equal(t, harness.DependencyStats{Calls: 1, Effects: 1, DistinctKeys: 1, MaxOpen: 1}, deposit.Stats())
 }
 
 // A call runs and the connection ends before its response. A call with an idempotency key is retried with the same key
@@ -119,7 +119,7 @@
 	outcome, a := server.next()
 	assert.Equal(t, "success", outcome)
 	assert.True(t, a.Complete)
-	assert.Equal(t, harness.DependencyStats{Attempts: 2, Effects: 1, DistinctKeys: 1, MaxOpen: 1}, hold.Stats())
+	assert.Equal(t, harness.DependencyStats{Calls: 2, Effects: 1, DistinctKeys: 1, MaxOpen: 1}, hold.Stats())
 
 	hold, deposit = startDependency(t, 5*ms, nil), startDependency(t, 5*ms, nil)
 	server = newTestServer(t, 64<<20, confirmRoute(), dependency("hold", hold.Address), dependency("deposit", startCutProxy(t, deposit.Address)))
@@ -128,7 +128,7 @@
 	assert.Equal(t, "interrupted", outcome)
 	assert.Equal(t, "unclear", a.Parts[1].Reason)
 	time.Sleep(100 * ms)
-	assert.Equal(t, 1, deposit.Stats().Attempts)
+	assert.Equal(t, 1, deposit.Stats().Calls)
 }
 
 // A dependency is silent, sends garbage, is down or rejects calls for a while. The connections are dialled again, and
@@ -232,12 +232,12 @@
 	hold, deposit := startDependency(t, 50*ms, nil), startDependency(t, ms, nil)
 	server := newTestServer(t, 64<<20, confirmRoute(), dependency("hold", hold.Address), dependency("deposit", deposit.Address))
 	id := server.start("confirm", "x", time.Second)
-	require.Eventually(t, func() bool { return hold.Stats().Attempts == 1 }, testTimeout, ms)
+	require.Eventually(t, func() bool { return hold.Stats().Calls == 1 }, testTimeout, ms)
 	server.submitted <- func() { assert.True(t, server.Pause(id)) }
 	outcome, _ := server.next()
 	assert.Equal(t, "interrupted", outcome)
 	time.Sleep(150 * ms)
-	assert.Zero(t, deposit.Stats().Attempts)
+	assert.Zero(t, deposit.Stats().Calls)
 	remaining := make(chan int, 1)
 	server.submitted <- func() { remaining <- len(server.requests) + server.scheduler.InFlight() }
 	assert.Zero(t, <-remaining)
@@ -264,5 +264,5 @@
 	assert.Equal(t, "interrupted", outcome)
 	assert.Equal(t, []string{"missing", "missing"}, states(a))
 	assert.Equal(t, "failed", a.Parts[1].Reason)
-	assert.Zero(t, deposit.Stats().Attempts)
+	assert.Zero(t, deposit.Stats().Calls)
 }
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -46,7 +46,7 @@
 	}
 	for _, stream := range []uint32{2, 3, 1} {
 		result := strings.Repeat(strconv.Itoa(int(stream)), 4<<10)
-		b.pool.Finish(fake.CallID(stream), "success", []byte(result))
+		b.pool.Finish(fake.RequestID(stream), "success", []byte(result))
 		got := router.Next(t)
 		assert.Equal(t, stream, got.Stream)
 		assert.Equal(t, result, got.Body)
@@ -60,7 +60,7 @@
 	truncated[9] = 200 // more fields than the frame contains
 	var many []byte
 	for stream := range uint32(maxOpenRequests + 1) {
-		many = append(many, fake.RequestFrame(stream+1, "pay", "", "call", fake.CallID(1000+stream))...)
+		many = append(many, fake.RequestFrame(stream+1, "pay", "", "call", fake.RequestID(1000+stream))...)
 	}
 	cases := map[string]struct {
 		bytes []byte
@@ -74,7 +74,7 @@
 		"cut fields":    {truncated, 0, "field list cut short"},
 		"cut check":     {[]byte{0, 0, 0, 6, 20, 0, 0, 0, 1, 9}, 0, "field list cut short"},
 		"stream 0":      {fake.RequestFrame(0, "pay", ""), 0, "stream used before"},
-		"stream in use": {append(valid, fake.RequestFrame(1, "pay", "", "call", fake.CallID(9))...), 1, "stream used before"},
+		"stream in use": {append(valid, fake.RequestFrame(1, "pay", "", "call", fake.RequestID(9))...), 1, "stream used before"},
 		"an old stream": {append(fake.RequestFrame(8, "unheard-of", ""), valid...), 1, "stream used before"},
 		"too many open": {many, maxOpenRequests, "too many open tasks"},
 	}
@@ -138,7 +138,7 @@
 	router.Send(t, fake.RequestFrame(1, "browse", ""))
 	b.pool.Next(t, "spawn")
 	_ = router.Close()
-	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
+	assert.Equal(t, fake.RequestID(1), b.pool.Next(t, "suspend").RunID)
 }
 
 // A router that does not read is cut off once it reaches a limit. Until then, other routers are still answered.
@@ -203,7 +203,7 @@
 	b.server.Submit(func() { b.SetIdleTimeout(20 * time.Millisecond) })
 	assert.Equal(t, fake.Reply{Type: 30, Fields: map[string]string{}}, idle.Next(t))
 	idle.WaitClosed(t) // the server closes it, as its router does not
-	b.pool.Finish(fake.CallID(1), "success", []byte("kept open"))
+	b.pool.Finish(fake.RequestID(1), "success", []byte("kept open"))
 	assert.Equal(t, "kept open", busy.Next(t).Body)
 }
 
@@ -254,7 +254,7 @@
 	request := func(stream uint32, more ...string) []byte { return fake.RequestFrame(stream, "browse", "b", more...) }
 	f.Add(append(request(1), request(2, "heap", "-1")...), uint16(7))
 	f.Add(append(request(1), request(1)...), uint16(0))
-	f.Add(append(fake.Frame(20, 1, "", "e2e", "1"), request(3, "call", fake.CallID(9))[:40]...), uint16(30))
+	f.Add(append(fake.Frame(20, 1, "", "e2e", "1"), request(3, "call", fake.RequestID(9))[:40]...), uint16(30))
 	f.Add(append(fake.Frame(10, 1, strings.Repeat("x", 2*frame.MaxBuffered)), request(2)...), uint16(9000))
 	b := newBench(f, defaultLimits())
 	b.pool.Echo = true
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -37,7 +37,7 @@
 	b.waitCounted(t, "connection closed to make room")
 	assert.Equal(t, byte(30), first.Next(t).Type, "the connection idle for longest is drained")
 	first.WaitClosed(t)
-	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
+	b.pool.Finish(fake.RequestID(2), "success", []byte("kept"))
 	assert.Equal(t, "kept", busy.Next(t).Body, "a connection with an open request is never evicted")
 
 	var inUse []*fake.Router
@@ -69,7 +69,7 @@
 	}
 	for range b.maxOverLimit { // a request on each such connection is read and answered once
 		r := b.dialActive(t)
-		r.Send(t, fake.RequestFrame(9, "pay", "", "call", fake.CallID(9)))
+		r.Send(t, fake.RequestFrame(9, "pay", "", "call", fake.RequestID(9)))
 		assert.Equal(t, byte(50), r.Next(t).Code)
 		setFrameBegun(b.server.Now() + fake.WaitLimit)
 	}
@@ -88,7 +88,7 @@
 		return within
 	}, fake.WaitLimit, time.Millisecond)
 	b.pool.SetEcho()
-	last.Send(t, fake.RequestFrame(10, "pay", "", "call", fake.CallID(10)))
+	last.Send(t, fake.RequestFrame(10, "pay", "", "call", fake.RequestID(10)))
 	assert.Equal(t, byte(20), last.Next(t).Code)
 }
 
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -55,7 +55,7 @@
 				closing(b, c)
 			})
 			b.pool.Next(t, "spawn")
-			b.pool.Finish(fake.CallID(2), "success", []byte("whole"))
+			b.pool.Finish(fake.RequestID(2), "success", []byte("whole"))
 			got := r.Next(t)
 			assert.Equal(t, []any{uint32(2), byte(20), "whole"}, []any{got.Stream, got.Code, got.Body})
 		})
@@ -95,8 +95,8 @@
 	r.Send(t, bytes.Repeat([]byte{0xff}, 100_000))
 	b.waitCounted(t, "connection closed: length out of bounds")
 	r.Send(t, fake.RequestFrame(3, "pay", "")) // after the violation, so never read
-	b.pool.Finish(fake.CallID(2), "success", []byte("two"))
-	b.pool.Finish(fake.CallID(1), "failure", nil)
+	b.pool.Finish(fake.RequestID(2), "success", []byte("two"))
+	b.pool.Finish(fake.RequestID(1), "failure", nil)
 	codes := map[uint32]byte{}
 	for _, got := range r.ReadAll(t) {
 		require.NotContains(t, codes, got.Stream, "a second answer")
@@ -154,13 +154,13 @@
 	b.pool.Next(t, "spawn")
 	cancel := func(stream uint32) []byte { return frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0) }
 	r.Send(t, cancel(1), cancel(77))
-	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
-	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
+	assert.Equal(t, fake.RequestID(1), b.pool.Next(t, "suspend").RunID)
+	b.pool.Finish(fake.RequestID(2), "success", []byte("kept"))
 	got := r.Next(t)
 	assert.Equal(t, []any{uint32(2), byte(20), "kept"}, []any{got.Stream, got.Code, got.Body})
 	r.Send(t, cancel(2), fake.RequestFrame(3, "browse", "")) // the cancellation of request 2 crossed its answer
 	b.pool.Next(t, "spawn")
-	b.pool.Finish(fake.CallID(3), "success", []byte("on"))
+	b.pool.Finish(fake.RequestID(3), "success", []byte("on"))
 	assert.Equal(t, "on", r.Next(t).Body)
 }
 
@@ -179,15 +179,15 @@
 	b := newBenchAt(t, limits, keyedSite, nil)
 	one, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	send := func(r *fake.Router, stream uint32, call uint32, org, body string) {
-		r.Send(t, fake.RequestFrame(stream, "file", body, "call", fake.CallID(call), "org", org, "dedupe", "k1"))
+		r.Send(t, fake.RequestFrame(stream, "file", body, "call", fake.RequestID(call), "org", org, "dedupe", "k1"))
 	}
 	send(one, 1, 1, "north", "b")
 	first := b.pool.Next(t, "spawn")
 	send(other, 1, 2, "north", "b") // while the first runs
 	send(other, 2, 3, "south", "b")
 	second := b.pool.Next(t, "spawn")
-	assert.Equal(t, []string{fake.CallID(1), fake.CallID(3)}, []string{first.RunID, second.RunID})
-	b.pool.Finish(fake.CallID(1), "success", []byte("the north's"))
+	assert.Equal(t, []string{fake.RequestID(1), fake.RequestID(3)}, []string{first.RunID, second.RunID})
+	b.pool.Finish(fake.RequestID(1), "success", []byte("the north's"))
 	assert.Equal(t, "the north's", one.Next(t).Body)
 	got := other.Next(t)
 	assert.Equal(t, []any{uint32(1), byte(20), "the north's"}, []any{got.Stream, got.Code, got.Body})
@@ -199,7 +199,7 @@
 	assert.Equal(t, byte(50), one.Next(t).Code)
 	one.Send(t, fake.RequestFrame(5, "file", "b", "org", "north"))
 	assert.Equal(t, byte(50), one.Next(t).Code, "no request runs without a key")
-	b.pool.Finish(fake.CallID(3), "success", []byte("the south's"))
+	b.pool.Finish(fake.RequestID(3), "success", []byte("the south's"))
 	assert.Equal(t, "the south's", other.Next(t).Body)
 	assert.Empty(t, b.pool.Commands, "another request ran")
 }
@@ -232,7 +232,7 @@
 	})
 	close(blocked.open)
 	b.pool.Next(t, "spawn")
-	b.pool.Finish(fake.CallID(1), "success", []byte("whole"))
+	b.pool.Finish(fake.RequestID(1), "success", []byte("whole"))
 	var codes []byte
 	for _, got := range r.ReadAll(t) {
 		if got.Type == 11 {
@@ -287,6 +287,6 @@
 		assert.Equal(t, byte(21), waiting.Next(t).Type)
 		_ = waiting.Close()
 	}
-	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
+	b.pool.Finish(fake.RequestID(2), "success", []byte("kept"))
 	assert.Equal(t, "kept", busy.Next(t).Body)
 }
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -93,7 +93,7 @@
 func (b *bench) submitRequest(stream uint32, route string, timeout time.Duration) {
 	b.Submit(func() {
 		b.Receive(IncomingRequest{
-			ID: fake.CallID(stream), Route: route, QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: timeout,
+			ID: fake.RequestID(stream), Route: route, QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: timeout,
 			Body: fmt.Appendf(nil, "body %d", stream), Caller: b, Stream: stream,
 		})
 	})
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	b.submitRequest(stream, route, timeout)
 	b.pool.Next(t, "spawn")
-	b.pool.Block(fake.CallID(stream), []byte("what"))
+	b.pool.Block(fake.RequestID(stream), []byte("what"))
 	return d.next(t)
 }
 
@@ -58,20 +58,20 @@
 func TestRunWaitsForItsCalls(t *testing.T) {
 	b, d := newCallBench(t, callSite)
 	c := b.runToCall(t, d, 1, "browse", time.Minute)
-	assert.Equal(t, fake.CallID(1), c.RequestID)
+	assert.Equal(t, fake.RequestID(1), c.RequestID)
 	assert.Equal(t, "what", string(c.Body))
 	assert.Positive(t, c.Timeout)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Duration: time.Millisecond, Result: []byte("that")})
 	reply := b.pool.Next(t, "supply")
 	assert.Equal(t, "that", string(reply.Body))
-	b.pool.Block(fake.CallID(1), []byte("and more"))
+	b.pool.Block(fake.RequestID(1), []byte("and more"))
 	c = d.next(t)
 	assert.Equal(t, "and more", string(c.Body))
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.NotRun})
 	c = d.next(t) // a call that was not carried out is retried
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("this")})
 	b.pool.Next(t, "supply")
-	b.pool.Finish(fake.CallID(1), "success", []byte("done"))
+	b.pool.Finish(fake.RequestID(1), "success", []byte("done"))
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	assert.Empty(t, d.canceled)
 }
@@ -81,7 +81,7 @@
 	c := b.runToCall(t, d, 1, "pay", time.Minute)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Unknown})
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict, "a call of an at-most-once request is not retried")
-	b.pool.Finish(fake.CallID(1), "interrupted", nil)
+	b.pool.Finish(fake.RequestID(1), "interrupted", nil)
 
 	c = b.runToCall(t, d, 2, "browse", time.Minute)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Unknown})
@@ -98,9 +98,9 @@
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	assert.Equal(t, c.CallID, <-d.canceled)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("late")})
-	b.pool.Finish(fake.CallID(1), "interrupted", nil)
+	b.pool.Finish(fake.RequestID(1), "interrupted", nil)
 	c = b.runToCall(t, d, 2, "browse", time.Minute)
-	b.pool.Finish(fake.CallID(2), "failure", nil)
+	b.pool.Finish(fake.RequestID(2), "failure", nil)
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
 	assert.Equal(t, c.CallID, <-d.canceled)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded})
@@ -123,7 +123,7 @@
 			})
 			assert.Equal(t, "that", string(b.pool.Next(t, "supply").Body))
 			b.waitLinkSynced(t)
-			b.pool.Block(fake.CallID(1), []byte("more"))
+			b.pool.Block(fake.RequestID(1), []byte("more"))
 			c = d.next(t)
 			b.pool.Relocate(t) // nothing listens at the link's address, so it can't reconnect
 			b.pool.CloseLink()
@@ -137,7 +137,7 @@
 			})
 			b.workerLink.SetAddress(b.pool.Address)
 			assert.Equal(t, "this", string(b.pool.Next(t, "supply").Body))
-			b.pool.Finish(fake.CallID(1), "success", nil)
+			b.pool.Finish(fake.RequestID(1), "success", nil)
 			assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 		})
 	}
@@ -156,6 +156,6 @@
 	assert.Equal(t, time.Second, a.RetryAfter)
 	b.submitRequest(2, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
-	b.pool.Finish(fake.CallID(2), "success", nil)
+	b.pool.Finish(fake.RequestID(2), "success", nil)
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 }
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -57,7 +57,7 @@
 	got := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(3), Rejected}, []any{got.stream, got.Verdict})
 	for stream := range uint32(2) {
-		b.pool.Finish(fake.CallID(stream+1), "success", nil)
+		b.pool.Finish(fake.RequestID(stream+1), "success", nil)
 		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	}
 	<-b.done
@@ -102,7 +102,7 @@
 	}, fake.WaitLimit, time.Millisecond)
 	b.onLoop(func() { // read only now, after the grace of 400 ms: it is answered, and does not run
 		b.Receive(IncomingRequest{
-			ID: fake.CallID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Arrived: b.drain.startedAt + 401*time.Millisecond,
+			ID: fake.RequestID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Arrived: b.drain.startedAt + 401*time.Millisecond,
 			Timeout: time.Minute, Caller: b, Stream: 1,
 		})
 	})
@@ -129,15 +129,15 @@
 		notifiedAt := b.Now() - 300*time.Millisecond
 		b.startDrain(notifiedAt, 3*time.Second)
 		assert.Equal(t, notifiedAt+3*time.Second-maxLateness, b.drain.stopAt)
-		late := IncomingRequest{ID: fake.CallID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
+		late := IncomingRequest{ID: fake.RequestID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
 		late.Arrived = notifiedAt + 401*time.Millisecond // the site's grace is 400 ms
 		b.Receive(late)
 		due := late
-		due.ID, due.Stream, due.Arrived = fake.CallID(2), 2, notifiedAt+399*time.Millisecond
+		due.ID, due.Stream, due.Arrived = fake.RequestID(2), 2, notifiedAt+399*time.Millisecond
 		b.Receive(due)
 	})
 	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.nextAnswer(t); return []any{a.stream, a.Verdict} }())
-	assert.Equal(t, fake.CallID(2), b.pool.Next(t, "spawn").RunID)
-	b.pool.Finish(fake.CallID(2), "success", nil)
+	assert.Equal(t, fake.RequestID(2), b.pool.Next(t, "spawn").RunID)
+	b.pool.Finish(fake.RequestID(2), "success", nil)
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 }
--- a/internal/server/inbox_test.go
+++ b/internal/server/inbox_test.go
@@ -28,7 +28,7 @@
 	submitted := make(chan struct{})
 	b.Submit(func() { <-submitted })
 	b.Submit(func() {
-		b.Receive(IncomingRequest{ID: fake.CallID(1), Route: "pay", SentUnixMS: time.Now().UnixMilli(), Timeout: time.Millisecond, Caller: caller})
+		b.Receive(IncomingRequest{ID: fake.RequestID(1), Route: "pay", SentUnixMS: time.Now().UnixMilli(), Timeout: time.Millisecond, Caller: caller})
 	})
 	for range flood {
 		b.Submit(func() { time.Sleep(time.Millisecond); read++ })
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -19,7 +19,7 @@
 	b.waitLinkSynced(t)
 	incoming := func(stream uint32, key string) IncomingRequest {
 		return IncomingRequest{
-			ID: fake.CallID(stream), Route: "pay", QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
+			ID: fake.RequestID(stream), Route: "pay", QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: stream, Key: key,
 		}
 	}
@@ -50,7 +50,7 @@
 	b.waitLinkSynced(t)
 	incoming := func(stream uint32, arrived time.Duration) IncomingRequest {
 		return IncomingRequest{
-			ID: fake.CallID(stream), Route: "pay", QueuedKB: 20, Rank: 0.9, Arrived: arrived, Timeout: time.Minute,
+			ID: fake.RequestID(stream), Route: "pay", QueuedKB: 20, Rank: 0.9, Arrived: arrived, Timeout: time.Minute,
 			Caller: b, Stream: stream, Key: "n",
 		}
 	}
@@ -82,7 +82,7 @@
 	b.waitLinkSynced(t)
 	b.onLoop(func() {
 		request := b.Receive(IncomingRequest{
-			ID: fake.CallID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
+			ID: fake.RequestID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: 1, Key: "n",
 		})
 		b.Cancel(request)
--- a/internal/server/linkrecovery_test.go
+++ b/internal/server/linkrecovery_test.go
@@ -48,7 +48,7 @@
 			}
 			b.pool.CloseLink()
 			if c.ended {
-				b.pool.Finish(fake.CallID(1), "success", []byte("done"))
+				b.pool.Finish(fake.RequestID(1), "success", []byte("done"))
 			}
 			b.pool.SetSilent(false)
 			b.pool.Next(t, "bind")
@@ -56,7 +56,7 @@
 				b.pool.Next(t, "spawn")
 			}
 			if !c.ended && c.want == Served {
-				b.pool.Finish(fake.CallID(1), "success", []byte("done"))
+				b.pool.Finish(fake.RequestID(1), "success", []byte("done"))
 			}
 			start := time.Now()
 			assert.Equal(t, c.want, b.nextAnswer(t).Verdict)
@@ -88,12 +88,12 @@
 			b.pool.SetDropsSpawns(false)
 			b.pool.Next(t, "bind")
 			b.pool.SetSilent(false)
-			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
+			assert.Equal(t, fake.RequestID(1), b.pool.Next(t, "suspend").RunID)
 			if c.lost {
 				assert.Equal(t, "body 1", string(b.pool.Next(t, "spawn").Body))
 			}
-			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "proceed").RunID)
-			b.pool.Finish(fake.CallID(1), "success", []byte("done"))
+			assert.Equal(t, fake.RequestID(1), b.pool.Next(t, "proceed").RunID)
+			b.pool.Finish(fake.RequestID(1), "success", []byte("done"))
 			assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 		})
 	}
@@ -134,12 +134,12 @@
 			}, fake.WaitLimit, time.Millisecond)
 		}
 		b.onLoop(func() {
-			b.Cancel(b.requests.byID[fake.CallID(1)])
+			b.Cancel(b.requests.byID[fake.RequestID(1)])
 			if !down {
 				b.pool.CloseLink() // before the pause is written
 			}
 		})
-		assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
+		assert.Equal(t, fake.RequestID(1), b.pool.Next(t, "suspend").RunID)
 		require.Eventually(t, func() bool {
 			left := 1
 			b.onLoop(func() { left = len(b.requests.byID) })
--- a/internal/server/requests_test.go
+++ b/internal/server/requests_test.go
@@ -18,7 +18,7 @@
 	run := func(route string, stream uint32) {
 		b.submitRequest(stream, route, time.Minute)
 		b.pool.Next(t, "spawn")
-		b.pool.Finish(fake.CallID(stream), "success", []byte("done"))
+		b.pool.Finish(fake.RequestID(stream), "success", []byte("done"))
 		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	}
 	run("pay", 1)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -51,7 +51,7 @@
 	b.pool.Next(t, "spawn")
 	b.submitRequest(1, "pay", time.Minute)
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
-	b.pool.Finish(fake.CallID(1), "success", nil)
+	b.pool.Finish(fake.RequestID(1), "success", nil)
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict, "the first request is answered from its run")
 }
 
@@ -130,7 +130,7 @@
 		route := []string{"browse", "pay"}[stream%2]
 		b.Submit(func() {
 			b.Receive(IncomingRequest{
-				ID: fake.CallID(stream), Route: route, QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(),
+				ID: fake.RequestID(stream), Route: route, QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(),
 				Timeout: time.Minute, Router: stream, Caller: b, Stream: stream,
 			})
 		})
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -96,7 +96,7 @@
 	submit := func(stream uint32) {
 		b.Submit(func() {
 			b.Receive(IncomingRequest{
-				ID: fake.CallID(stream), Route: "charge", QueuedKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
+				ID: fake.RequestID(stream), Route: "charge", QueuedKB: 1, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 				Caller: b, Stream: stream, Key: "once", Fingerprint: 1,
 			})
 		})
--- a/internal/testkit/conformance/conformance.go
+++ b/internal/testkit/conformance/conformance.go
@@ -44,8 +44,8 @@
 	Do(ctx context.Context, r Request) Outcome
 	// Shutdown shuts the front end down gracefully, and returns after it has ended.
 	Shutdown() error
-	// Effects returns the number of runs, and the number of runs of a key after its first.
-	Effects() (runs, repeated int)
+	// Runs returns the number of runs, and the number of runs of a key after its first.
+	Runs() (runs, repeated int)
 	// Close ends the front end and releases its resources.
 	Close()
 }
@@ -124,12 +124,12 @@
 
 // Counts contains the counts of one case at one front end.
 type Counts struct {
-	Requests        int
-	Outcomes        [Unanswered + 1]int
-	Runs            int
-	RepeatedEffects int // runs of a key after its first
-	LateAnswers     int // after the deadline and lateSlack
-	ShutdownClean   bool
+	Requests      int
+	Outcomes      [Unanswered + 1]int
+	Runs          int
+	RepeatedRuns  int // runs of a key after its first
+	LateAnswers   int // after the deadline and lateSlack
+	ShutdownClean bool
 }
 
 // lateSlack is the time after the deadline within which an answer still counts as in time.
@@ -170,6 +170,6 @@
 		n.ShutdownClean = true
 	}
 	running.Wait()
-	n.Runs, n.RepeatedEffects = f.Effects()
+	n.Runs, n.RepeatedRuns = f.Runs()
 	return n, nil
 }
--- a/internal/testkit/conformance/daemon.go
+++ b/internal/testkit/conformance/daemon.go
@@ -67,8 +67,8 @@
 	return Unanswered
 }
 
-// Effects implements FrontEnd.
-func (d *daemonFrontEnd) Effects() (runs, repeated int) {
+// Runs implements FrontEnd.
+func (d *daemonFrontEnd) Runs() (runs, repeated int) {
 	offsets, repeated := d.Workers.StartOffsets()
 	return len(offsets), repeated
 }
--- a/internal/testkit/fake/router.go
+++ b/internal/testkit/fake/router.go
@@ -37,13 +37,13 @@
 	return harness.Frame(kind, stream, body, fields...)
 }
 
-// CallID returns the request ID (field call) of the request that a test sends on a stream.
-func CallID(stream uint32) string { return fmt.Sprintf("%016x", 0xabc0000+uint64(stream)) }
+// RequestID returns the request ID (field call) of the request that a test sends on a stream.
+func RequestID(stream uint32) string { return fmt.Sprintf("%016x", 0xabc0000+uint64(stream)) }
 
 // RequestFrame builds a request of a route. The fields in more precede the default fields and take precedence over
 // them.
 func RequestFrame(stream uint32, route, body string, more ...string) []byte {
-	fields := append(more, "op", route, "call", CallID(stream), "recv", strconv.FormatInt(time.Now().UnixMilli(), 10),
+	fields := append(more, "op", route, "call", RequestID(stream), "recv", strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"src", "2", "ttl", "15000", "heap", "20.5", "crit", "0.9000")
 	return Frame(10, stream, body, fields...)
 }
--- a/internal/testkit/harness/daemon.go
+++ b/internal/testkit/harness/daemon.go
@@ -121,16 +121,16 @@
 	}
 }
 
-// PID returns the process ID, or 0 after Kill, Crash, Shutdown or ShutdownWithin.
-func (d *Daemon) PID() int {
+// RunningPID returns the ID of the running process, or 0 after Kill, Crash, Shutdown or ShutdownWithin.
+func (d *Daemon) RunningPID() int {
 	if d.cmd == nil {
 		return 0
 	}
 	return d.cmd.Process.Pid
 }
 
-// ProcessID returns the process ID, even after the process has ended.
-func (d *Daemon) ProcessID() int { return d.process.Pid }
+// LastPID returns the ID of the process started last, even after it has ended.
+func (d *Daemon) LastPID() int { return d.process.Pid }
 
 // Log returns what the server has logged so far.
 func (d *Daemon) Log() string { return d.log.String() }
--- a/internal/testkit/harness/dependency.go
+++ b/internal/testkit/harness/dependency.go
@@ -26,7 +26,7 @@
 
 // DependencyStats contains the counts of a dependency so far.
 type DependencyStats struct {
-	Attempts     int // calls read
+	Calls        int // calls read
 	Effects      int // runs of calls with an idempotency key
 	DistinctKeys int
 	RepeatedRuns int // runs of a key after its first
@@ -203,7 +203,7 @@
 func (d *Dependency) handle(payload []byte, write func(frame []byte), stream uint32) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stats.Attempts++
+	d.stats.Calls++
 	d.open++
 	d.stats.MaxOpen = max(d.stats.MaxOpen, d.open)
 	behaviour := d.behaviour()
--- a/internal/testkit/scale/configuration.go
+++ b/internal/testkit/scale/configuration.go
@@ -144,7 +144,7 @@
 		s.control = append(s.control, used)
 	}
 	for _, d := range r.servers {
-		used, err := CPU(d.PID())
+		used, err := CPU(d.RunningPID())
 		if err != nil {
 			return s, err
 		}
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -100,7 +100,7 @@
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.history.Versions = append(r.history.Versions, VersionStep{delta.Version, delta.Digest, marker})
+			r.history.Versions = append(r.history.Versions, RecordedVersion{delta.Version, delta.Digest, marker})
 			return nil
 		},
 	}
@@ -241,8 +241,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	digests := map[uint64]configuration.Digest{}
-	for _, step := range r.history.Versions {
-		digests[step.Version] = step.Digest
+	for _, recorded := range r.history.Versions {
+		digests[recorded.Version] = recorded.Digest
 	}
 	for i, d := range r.servers {
 		for _, found := range appliedLine.FindAllStringSubmatch(d.Log(), -1) {
@@ -270,7 +270,7 @@
 				stale = append(stale, name)
 			}
 		}
-		if steps := r.history.Versions; len(steps) == 0 || steps[len(steps)-1].Version < version {
+		if recorded := r.history.Versions; len(recorded) == 0 || recorded[len(recorded)-1].Version < version {
 			stale = append(stale, "recorder")
 		}
 		r.mu.Unlock()
--- a/internal/testkit/scale/history.go
+++ b/internal/testkit/scale/history.go
@@ -15,8 +15,8 @@
 	At      time.Time // when it was first proposed
 }
 
-// VersionStep is one version, as the recorder received it.
-type VersionStep struct {
+// RecordedVersion is one version, as the recorder received it.
+type RecordedVersion struct {
 	Version uint64
 	Digest  configuration.Digest
 	Marker  float64 // in the configuration as of this version
@@ -33,9 +33,9 @@
 
 // History is the record of a run.
 type History struct {
-	Accepted []AcceptedChange // in order of acceptance
-	Versions []VersionStep    // in order of receipt
-	Applied  []AppliedVersion // of each server in the order in which it applied them
+	Accepted []AcceptedChange  // in order of acceptance
+	Versions []RecordedVersion // in order of receipt
+	Applied  []AppliedVersion  // of each server in the order in which it applied them
 }
 
 // Check returns an error if an accepted change is lost or reordered, if a server applied a version that is not in the
@@ -57,14 +57,14 @@
 // marker of each version.
 func (h *History) checkVersions(report func(string, ...any)) (digests map[uint64]configuration.Digest, markers map[uint64]float64) {
 	digests, markers = map[uint64]configuration.Digest{}, map[uint64]float64{}
-	for i, step := range h.Versions {
-		if i > 0 && step.Version != h.Versions[i-1].Version+1 {
-			report("history: version %d after %d", step.Version, h.Versions[i-1].Version)
+	for i, recorded := range h.Versions {
+		if i > 0 && recorded.Version != h.Versions[i-1].Version+1 {
+			report("history: version %d after %d", recorded.Version, h.Versions[i-1].Version)
 		}
-		if i > 0 && step.Marker < h.Versions[i-1].Marker {
-			report("history: version %d contains change %g, and the version before it change %g: reordered", step.Version, step.Marker, h.Versions[i-1].Marker)
+		if i > 0 && recorded.Marker < h.Versions[i-1].Marker {
+			report("history: version %d contains change %g, and the version before it change %g: reordered", recorded.Version, recorded.Marker, h.Versions[i-1].Marker)
 		}
-		digests[step.Version], markers[step.Version] = step.Digest, step.Marker
+		digests[recorded.Version], markers[recorded.Version] = recorded.Digest, recorded.Marker
 	}
 	return digests, markers
 }
--- a/internal/testkit/scale/history_test.go
+++ b/internal/testkit/scale/history_test.go
@@ -12,7 +12,7 @@
 	at := func(seconds int) time.Time { return time.Unix(int64(seconds), 0) }
 	return &History{
 		Accepted: []AcceptedChange{{1, 1, at(1)}, {2, 2, at(2)}, {3, 3, at(3)}},
-		Versions: []VersionStep{{1, 11, 1}, {2, 12, 2}, {3, 13, 3}},
+		Versions: []RecordedVersion{{1, 11, 1}, {2, 12, 2}, {3, 13, 3}},
 		Applied: []AppliedVersion{
 			{"a", 1, 11, at(2), false}, {"a", 2, 12, at(2), false}, {"a", 3, 13, at(4), false},
 			{"b", 2, 12, at(3), false}, {"b", 0, 0, at(4), true}, {"b", 1, 11, at(5), false}, {"b", 3, 13, at(6), false},
@@ -28,7 +28,7 @@
 		wantError string
 	}{
 		"last version lost":           {func(h *History) { h.Versions = h.Versions[:2]; h.Applied = h.Applied[:2] }, "version 3 is not in the history: lost"},
-		"change lost in between":      {func(h *History) { h.Versions[1] = VersionStep{2, 12, 1} }, "version 2 contains change 1, but change 2 was accepted as this version"},
+		"change lost in between":      {func(h *History) { h.Versions[1] = RecordedVersion{2, 12, 1} }, "version 2 contains change 1, but change 2 was accepted as this version"},
 		"changes reordered":           {func(h *History) { h.Versions[0].Marker, h.Versions[1].Marker = 2, 1 }, "reordered"},
 		"accepted versions reordered": {func(h *History) { h.Accepted[0], h.Accepted[1] = h.Accepted[1], h.Accepted[0] }, "version 1 after 2"},
 		"version missing":             {func(h *History) { h.Versions = append(h.Versions[:1], h.Versions[2]) }, "version 3 after 1"},
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -157,12 +157,12 @@
 		points.Add(seriesFile+job.by, job.x, float64(info.Size())/1e6)
 	}
 	time.Sleep(settleDelay)
-	idle, err := coreShare(d.PID(), s.span())
+	idle, err := coreShare(d.RunningPID(), s.span())
 	if err != nil {
 		return points, err
 	}
 	points.Add(seriesIdle+job.by, job.x, idle)
-	resident, err := ResidentMB(d.PID())
+	resident, err := ResidentMB(d.RunningPID())
 	if err != nil {
 		return points, err
 	}
@@ -196,7 +196,7 @@
 		return err
 	}
 	points.Add(seriesReloadChanged+job.by, job.x, milliseconds(spent))
-	resident, err := ResidentMB(d.PID())
+	resident, err := ResidentMB(d.RunningPID())
 	if err != nil {
 		return err
 	}
@@ -218,7 +218,7 @@
 func reload(d *harness.Daemon) (time.Duration, error) {
 	const reloadedMessage = `msg="configuration reloaded"`
 	seen := strings.Count(d.Log(), reloadedMessage)
-	before, err := CPU(d.PID())
+	before, err := CPU(d.RunningPID())
 	if err != nil {
 		return 0, err
 	}
@@ -230,7 +230,7 @@
 			return 0, fmt.Errorf("no reload logged within %v", reloadTimeout)
 		}
 	}
-	after, err := waitAtRest(d.PID())
+	after, err := waitAtRest(d.RunningPID())
 	return after - before, err
 }
 
--- a/internal/testkit/scale/slopes_load.go
+++ b/internal/testkit/scale/slopes_load.go
@@ -26,11 +26,11 @@
 			return points, err
 		}
 		time.Sleep(settleDelay)
-		idle, err := coreShare(d.PID(), s.span())
+		idle, err := coreShare(d.RunningPID(), s.span())
 		if err != nil {
 			return points, err
 		}
-		resident, err := ResidentMB(d.PID())
+		resident, err := ResidentMB(d.RunningPID())
 		if err != nil {
 			return points, err
 		}
@@ -60,7 +60,7 @@
 			}
 			for _, rate := range []float64{0, 250, 500, 1000, 2000} {
 				stop := checkers.startChecks(rate)
-				share, err := coreShare(d.PID(), s.span())
+				share, err := coreShare(d.RunningPID(), s.span())
 				stop()
 				if err != nil {
 					return err
@@ -131,7 +131,7 @@
 		group                     sync.WaitGroup
 	)
 	group.Go(func() { served, errRun = harness.Run(d.Address, routes, load, 1) })
-	group.Go(func() { share, errCPU = coreShare(d.PID(), s.span()) })
+	group.Go(func() { share, errCPU = coreShare(d.RunningPID(), s.span()) })
 	if rate > 0 { // at the same time, so that other load on the machine affects both
 		group.Go(func() { direct, errDirect = runDirect(load) })
 	}
--- a/internal/testkit/soak/runner.go
+++ b/internal/testkit/soak/runner.go
@@ -120,7 +120,7 @@
 			if incarnation == nil {
 				continue
 			}
-			total, err := harness.CPUWaitTime(daemon.ProcessID())
+			total, err := harness.CPUWaitTime(daemon.LastPID())
 			if err != nil {
 				continue // the process has ended
 			}
