--- a/cmd/quartzpoint/state_commands.go
+++ b/cmd/quartzpoint/state_commands.go
@@ -27,12 +27,12 @@
 
 // stateDir holds the arguments that all commands on state directories have.
 type stateDir struct {
-	Dir    string `arg:"" help:"The directory, as in [state] dir."`
-	Site   string `help:"The site; by default that of the files."`
-	MostMB int    `name:"most-mb" default:"64" help:"Maximum size in MB, as in [state]."`
+	Dir   string `arg:"" help:"The directory, as in [state] dir."`
+	Site  string `help:"The site; by default that of the files."`
+	MaxMB int    `name:"most-mb" default:"64" help:"Maximum size in MB, as in [state]."`
 }
 
-func (d *stateDir) maxBytes() int64 { return int64(d.MostMB) << 20 }
+func (d *stateDir) maxBytes() int64 { return int64(d.MaxMB) << 20 }
 
 // inspect reads the directory without taking its lock, as a server may be using it.
 func (d *stateDir) inspect(now recovery.Timestamp) (store.Report, error) {
