--- a/cmd/quartzpoint/configuration_show.go
+++ b/cmd/quartzpoint/configuration_show.go
@@ -5,8 +5,8 @@
 	"os"
 	"time"
 
-	"quartzpoint/internal/adminsocket"
 	"quartzpoint/internal/configwatch"
+	"quartzpoint/internal/controlsocket"
 )
 
 // configurationCommands are the commands that query a server's watch of the configuration service.
@@ -23,7 +23,7 @@
 // Run queries the server once.
 func (cmd *configurationShowCommand) Run() error {
 	var status configwatch.WatcherStatus
-	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: queryConfiguration}, &status); err != nil {
+	if err := controlsocket.Query(cmd.Socket, controlsocket.Request{Query: queryConfiguration}, &status); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/control.go
+++ b/cmd/quartzpoint/control.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"quartzpoint/internal/adminsocket"
 	"quartzpoint/internal/configwatch"
+	"quartzpoint/internal/controlsocket"
 	"quartzpoint/internal/fanout"
 	"quartzpoint/internal/leasing"
 	"quartzpoint/internal/server"
@@ -22,8 +22,8 @@
 	queryConfiguration = "configuration"
 )
 
-// adminHandler answers operators' queries about a running server. A component that the server does not have is nil.
-type adminHandler struct {
+// controlHandler answers operators' queries about a running server. A component that the server does not have is nil.
+type controlHandler struct {
 	server       *server.Server
 	composer     *fanout.Composer
 	leaseManager *leasing.Manager
@@ -31,11 +31,11 @@
 }
 
 // listen answers queries on a Unix socket at path until ctx ends. Without a path it does nothing.
-func (a adminHandler) listen(ctx context.Context, path string) error {
+func (c controlHandler) listen(ctx context.Context, path string) error {
 	if path == "" {
 		return nil
 	}
-	socket, err := adminsocket.Listen(path, a.answer)
+	socket, err := controlsocket.Listen(path, c.answer)
 	if err != nil {
 		return err
 	}
@@ -43,14 +43,14 @@
 	return nil
 }
 
-func (a adminHandler) answer(request adminsocket.Request) (any, error) {
+func (c controlHandler) answer(request controlsocket.Request) (any, error) {
 	switch {
-	case request.Query == queryLease && a.leaseManager != nil:
-		return a.leaseManager.Status(), nil
-	case request.Query == queryConfiguration && a.watcher != nil:
-		return a.watcher.Status(), nil
-	case request.Query == queryDependencies && a.composer != nil:
-		return a.dependencies()
+	case request.Query == queryLease && c.leaseManager != nil:
+		return c.leaseManager.Status(), nil
+	case request.Query == queryConfiguration && c.watcher != nil:
+		return c.watcher.Status(), nil
+	case request.Query == queryDependencies && c.composer != nil:
+		return c.dependencies()
 	case request.Query == queryLease || request.Query == queryConfiguration || request.Query == queryDependencies:
 		return nil, fmt.Errorf("this server has no [%s]", request.Query)
 	}
@@ -58,9 +58,9 @@
 }
 
 // dependencies reads the states of the dependencies on the event loop, which owns them.
-func (a adminHandler) dependencies() (any, error) {
+func (c controlHandler) dependencies() (any, error) {
 	result := make(chan any, 1)
-	a.server.Submit(func() { result <- a.composer.States(a.server.Now()) })
+	c.server.Submit(func() { result <- c.composer.States(c.server.Now()) })
 	select {
 	case states := <-result:
 		return states, nil
--- a/cmd/quartzpoint/dependencies.go
+++ b/cmd/quartzpoint/dependencies.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"quartzpoint/budget"
-	"quartzpoint/internal/adminsocket"
 	"quartzpoint/internal/config"
+	"quartzpoint/internal/controlsocket"
 	"quartzpoint/internal/fanout"
 	"quartzpoint/internal/invariant"
 	"quartzpoint/internal/server"
@@ -96,7 +96,7 @@
 // Run queries the server once.
 func (cmd *dependenciesCommand) Run() error {
 	var states []budget.State
-	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: queryDependencies}, &states); err != nil {
+	if err := controlsocket.Query(cmd.Socket, controlsocket.Request{Query: queryDependencies}, &states); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/lease.go
+++ b/cmd/quartzpoint/lease.go
@@ -7,8 +7,8 @@
 	"text/tabwriter"
 	"time"
 
-	"quartzpoint/internal/adminsocket"
 	"quartzpoint/internal/config"
+	"quartzpoint/internal/controlsocket"
 	"quartzpoint/internal/leasing"
 )
 
@@ -48,7 +48,7 @@
 // Run queries the server once.
 func (cmd *leaseShow) Run() error {
 	var statuses []leasing.Status
-	if err := adminsocket.Query(cmd.Socket, adminsocket.Request{Query: queryLease}, &statuses); err != nil {
+	if err := controlsocket.Query(cmd.Socket, controlsocket.Request{Query: queryLease}, &statuses); err != nil {
 		return err
 	}
 	if cmd.JSON {
--- a/cmd/quartzpoint/process.go
+++ b/cmd/quartzpoint/process.go
@@ -96,8 +96,8 @@
 	if err != nil {
 		return fmt.Errorf("configuration file %s: %w", path, err)
 	}
-	admin := adminHandler{server: p.server, composer: composer, leaseManager: p.leaseManager, watcher: p.watcher}
-	if err := admin.listen(ctx, p.file.ControlSocket); err != nil {
+	control := controlHandler{server: p.server, composer: composer, leaseManager: p.leaseManager, watcher: p.watcher}
+	if err := control.listen(ctx, p.file.ControlSocket); err != nil {
 		return err
 	}
 	if p.file.State != nil || p.file.Peers != nil {
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/controlsocket/controlsocket_test.go
@@ -1,4 +1,4 @@
-package adminsocket
+package controlsocket
 
 import (
 	"errors"
