--- a/admission/admit_test.go
+++ b/admission/admit_test.go
@@ -11,7 +11,7 @@
 // requests without calls were rejected. They return to the cores only through a call made within the bound, so they do
 // not count against it.
 func TestRunsAwaitingACallDoNotCountAgainstMaxConcurrency(t *testing.T) {
-	b := newBench(func(s *Settings) { s.MaxRunsPerCore = 2 })
+	b := newFixture(func(s *Settings) { s.MaxRunsPerCore = 2 })
 	b.calls.capacity, b.calls.credit = 0, 0
 	maxConcurrency := int(b.maxConcurrency())
 	var waiting []*Request
@@ -27,7 +27,7 @@
 }
 
 func TestReadsGoFirstWhenTheyPileUp(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	b.pass(tickInterval, Gauges{Runnable: 4})
 	two := []*Request{b.request("first", 0), b.request("second", 0)}
 	assert.Equal(t, "start first", b.round(Round{Arrived: two}), "reads leave cores for one run")
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestCallsUnderStrain(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	b.calls.strained, b.calls.capacity = true, 1
 	skippable, required := b.request("skippable", 0), b.request("required", 2)
 	b.round(Round{Arrived: []*Request{skippable, required}})
@@ -18,7 +18,7 @@
 		outcome  Outcome
 		capacity float64
 	}{{Succeeded, 8}, {NotRun, 6}, {Unknown, 8}} {
-		b := newBench(nil)
+		b := newFixture(nil)
 		x := b.request("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
 		b.round(Round{AwaitingCall: []*Request{x}})
@@ -31,7 +31,7 @@
 
 func TestCallsKeepToAQuotaOfLessThanOne(t *testing.T) {
 	for _, quota := range []float64{0, 0.05, 0.5, 0.9, 1.4} {
-		b := newBench(func(s *Settings) { s.CallQuota = quota })
+		b := newFixture(func(s *Settings) { s.CallQuota = quota })
 		highest, mean, n := 0.0, 0.0, 400
 		for range n { // a dependency that hangs keeps each call in progress until its timeout
 			x := b.request("x", 2)
@@ -60,7 +60,7 @@
 		tier       bool
 		calls      int
 	}{{"tier", true, 4}, {"shared", false, 1}} {
-		b := newBench(func(s *Settings) { s.CallQuota, s.CallsTier = 0, c.tier })
+		b := newFixture(func(s *Settings) { s.CallQuota, s.CallsTier = 0, c.tier })
 		var xs []*Request
 		for range 4 {
 			xs = append(xs, b.request("x", 2))
@@ -73,7 +73,7 @@
 }
 
 func TestAnAbandonedCallHoldsCapacityAndMemoryUntilItsEnd(t *testing.T) {
-	b := newBench(func(s *Settings) { s.CallQuota, s.MemoryKB = 1.2, 600 })
+	b := newFixture(func(s *Settings) { s.CallQuota, s.MemoryKB = 1.2, 600 })
 	x, y, large := b.request("x", 2), b.request("y", 2), b.request("large", 0)
 	large.QueuedKB = 40
 	b.round(Round{Arrived: []*Request{x, y}})
@@ -89,7 +89,7 @@
 // The run of an aborted or canceled request may end at its call before the end of the call is reported. The dependency
 // still works on the call, so it is charged for CallLinger.
 func TestACallAbandonedByItsRunLingers(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	request := b.request("a", 2)
 	b.round(Round{Arrived: []*Request{request}})
 	b.round(Round{AwaitingCall: []*Request{request}})
@@ -106,7 +106,7 @@
 		credit float64
 		want   string
 	}{{1, "call x"}, {-0.5, ""}, {-1.5, "skip x"}} { // a deficit of one call-second at a capacity of one is a wait of one second
-		b := newBench(nil)
+		b := newFixture(nil)
 		x := b.request("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
 		b.calls.capacity, b.calls.credit = 1, c.credit
@@ -119,7 +119,7 @@
 // cut for seconds (split+brink). Each call in progress kept its place until its request was aborted, and all others
 // waited for one or two of them.
 func TestACallThatIsNeverAnsweredIsMadeAgain(t *testing.T) {
-	b := newBench(func(s *Settings) { s.Routes[0].SkipValueShare = 0 })
+	b := newFixture(func(s *Settings) { s.Routes[0].SkipValueShare = 0 })
 	for range 10 {
 		b.calls.seconds.add(0.02, 500)
 	}
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestOneRoundMayHoldSeveralEventsOfARequest(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	x := b.request("x", 2)
 	b.round(Round{Arrived: []*Request{x}})
 	b.round(Round{AwaitingCall: []*Request{x}})
@@ -20,7 +20,7 @@
 
 func TestSameEventsSameDecisions(t *testing.T) {
 	decide := func() (all string) {
-		b := newBench(nil)
+		b := newFixture(nil)
 		for i := range 400 {
 			x := b.request(fmt.Sprint(i), i%3)
 			all += b.round(Round{Arrived: []*Request{x}}) + b.round(Round{AwaitingCall: []*Request{x}})
@@ -38,7 +38,7 @@
 		"zero quota and fleet": func(s *Settings) { s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{QuotaRPS: 0}}, 0, 0 },
 		"zero durations":       func(s *Settings) { s.CallWindow, s.CallLinger, s.WarmUp = 0, 0, 1 },
 	} {
-		b := newBench(change)
+		b := newFixture(change)
 		decisions := ""
 		for range 40 {
 			x := b.request("x", 2)
--- a/admission/drain_test.go
+++ b/admission/drain_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestDrain(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	x := b.request("x", 2)
 	b.round(Round{Arrived: []*Request{x}})
 	assert.Contains(t, b.round(Round{StopAt: b.at + 3*time.Second}), "health false")
--- a/admission/bench_test.go
+++ b/admission/fixture_test.go
@@ -8,8 +8,8 @@
 
 const ms = time.Millisecond
 
-// bench drives one Controller as a program would, and records its decisions by request name.
-type bench struct {
+// fixture drives one Controller as a program would, and records its decisions by request name.
+type fixture struct {
 	*Controller
 	names            map[*Request]string
 	decisions        []string
@@ -42,21 +42,21 @@
 	return settings
 }
 
-func newBench(change func(*Settings)) *bench {
-	b := &bench{Controller: New(testSettings(change), 1), names: map[*Request]string{}, at: time.Second}
+func newFixture(change func(*Settings)) *fixture {
+	b := &fixture{Controller: New(testSettings(change), 1), names: map[*Request]string{}, at: time.Second}
 	b.round(Round{})
 	return b
 }
 
 // request returns a request of the route with an index, which arrives now.
-func (b *bench) request(name string, route int) *Request {
+func (b *fixture) request(name string, route int) *Request {
 	request := &Request{Route: b.Routes[route], QueuedKB: 10, Arrived: b.at, Rank: 0.99}
 	b.names[request] = name
 	return request
 }
 
 // round has the controller process a round at the current time, and returns the decisions.
-func (b *bench) round(r Round) string {
+func (b *fixture) round(r Round) string {
 	b.decisions = nil
 	r.Now = b.at
 	b.Decide(&r, b)
@@ -64,7 +64,7 @@
 }
 
 // pass advances the time by span, with a tick for each tickInterval, and returns the decisions.
-func (b *bench) pass(span time.Duration, g Gauges) string {
+func (b *fixture) pass(span time.Duration, g Gauges) string {
 	var all []string
 	for end := b.at + span; b.at < end; {
 		b.at += tickInterval
@@ -76,37 +76,37 @@
 }
 
 // run lets a request arrive, run for span and succeed.
-func (b *bench) run(request *Request, span time.Duration) {
+func (b *fixture) run(request *Request, span time.Duration) {
 	b.round(Round{Arrived: []*Request{request}})
 	b.at += span
 	b.round(Round{RunsEnded: []Completion{{Request: request, Outcome: Succeeded, Took: span}}})
 }
 
-func (b *bench) record(what string, request *Request) {
+func (b *fixture) record(what string, request *Request) {
 	b.decisions = append(b.decisions, what+" "+b.names[request])
 }
 
-func (b *bench) Start(request *Request) { b.record("start", request) }
-func (b *bench) Pause(request *Request) { b.record("pause", request) }
-func (b *bench) Reject(request *Request, retryAfter time.Duration, noRetryElsewhere bool) {
+func (b *fixture) Start(request *Request) { b.record("start", request) }
+func (b *fixture) Pause(request *Request) { b.record("pause", request) }
+func (b *fixture) Reject(request *Request, retryAfter time.Duration, noRetryElsewhere bool) {
 	b.record("reject", request)
 	b.retryAfter, b.noRetryElsewhere = retryAfter, noRetryElsewhere
 }
-func (b *bench) Abort(request *Request)                        { b.record("abort", request) }
-func (b *bench) AnswerFromOriginal(request *Request)           { b.record("answer-from-original", request) }
-func (b *bench) RememberKey(request *Request, _ time.Duration) { b.record("remember", request) }
-func (b *bench) ForgetKey(request *Request)                    { b.record("forget", request) }
-func (b *bench) Call(request *Request, timeout time.Duration) {
+func (b *fixture) Abort(request *Request)                        { b.record("abort", request) }
+func (b *fixture) AnswerFromOriginal(request *Request)           { b.record("answer-from-original", request) }
+func (b *fixture) RememberKey(request *Request, _ time.Duration) { b.record("remember", request) }
+func (b *fixture) ForgetKey(request *Request)                    { b.record("forget", request) }
+func (b *fixture) Call(request *Request, timeout time.Duration) {
 	b.record("call", request)
 	b.lastTimeout = timeout
 }
-func (b *bench) SkipCall(request *Request) { b.record("skip", request) }
-func (b *bench) SetHealth(good, _ bool) {
+func (b *fixture) SkipCall(request *Request) { b.record("skip", request) }
+func (b *fixture) SetHealth(good, _ bool) {
 	b.decisions = append(b.decisions, fmt.Sprint("health ", good))
 }
-func (b *bench) SetShedLevel(level float64) {
+func (b *fixture) SetShedLevel(level float64) {
 	b.decisions = append(b.decisions, fmt.Sprintf("level %.2f", level))
 }
-func (b *bench) SetIdleTimeout(span time.Duration) { b.closeAfter = span }
-func (b *bench) WakeAfter(time.Duration)           {}
-func (b *bench) Log(string)                        {}
+func (b *fixture) SetIdleTimeout(span time.Duration) { b.closeAfter = span }
+func (b *fixture) WakeAfter(time.Duration)           {}
+func (b *fixture) Log(string)                        {}
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -12,7 +12,7 @@
 
 // sender is a server of a fleet whose requests all call one dependency.
 type sender struct {
-	*bench
+	*fixture
 	took        time.Duration // duration of a call
 	calls       map[*Request]Completion
 	callsMadeAt []time.Duration
@@ -67,13 +67,13 @@
 					random := rand.New(rand.NewSource(int64(n)))
 					var fleet []*sender
 					for range n {
-						b := &bench{names: map[*Request]string{}, at: time.Second}
+						b := &fixture{names: map[*Request]string{}, at: time.Second}
 						b.Controller = New(testSettings(func(s *Settings) {
 							s.Cold, s.CallQuota, s.CallWindow = true, budget/float64(n), window
 							s.Routes[0].SkipValueShare, s.Routes[0].LateValueShare = 0, 0.5
 							s.Routes[0].LatencyTarget, s.Routes[0].Deadline = 3*time.Second, 20*time.Second
 						}), random.Int63())
-						fleet = append(fleet, &sender{bench: b, took: took, calls: map[*Request]Completion{}})
+						fleet = append(fleet, &sender{fixture: b, took: took, calls: map[*Request]Completion{}})
 					}
 					span, quiet := 40*time.Second, time.Duration(0)
 					if idleBefore {
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestAServerWhoseRunsFailEjectsItself(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	for range 6 {
 		x := b.request("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
--- a/admission/idle_test.go
+++ b/admission/idle_test.go
@@ -13,7 +13,7 @@
 		idle    time.Duration
 		want    time.Duration
 	}{{1, 30 * time.Second, 20 * time.Second}, {1000, 30 * time.Second, 10 * ms}, {1, 0, 0}} {
-		b := newBench(func(s *Settings) { s.IdleTimeout = c.idle })
+		b := newFixture(func(s *Settings) { s.IdleTimeout = c.idle })
 		for i := range uint32(50) {
 			x := b.request("x", 0)
 			x.Router = i % c.callers
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(nil)
+			b := newFixture(nil)
 			b.limit.value = c.before
 			b.pass(calibrationPeriod, c.gauges)
 			assert.Equal(t, c.after, b.limit.value)
@@ -33,7 +33,7 @@
 		})
 	}
 	t.Run("mean latency over 1.5 times the long-term mean reduces", func(t *testing.T) {
-		b := newBench(nil)
+		b := newFixture(nil)
 		for range 50 {
 			b.run(b.request("usual", 0), 100*ms)
 		}
@@ -46,7 +46,7 @@
 		assert.Equal(t, 6.0, b.limit.value)
 	})
 	t.Run("raised between calibrations while cores are idle and requests are queued", func(t *testing.T) {
-		b := newBench(nil)
+		b := newFixture(nil)
 		b.limit.value = 8
 		for i := range 12 {
 			b.round(Round{Arrived: []*Request{b.request(fmt.Sprint(i), 0)}})
@@ -55,7 +55,7 @@
 		assert.Equal(t, 9.0, b.limit.value)
 	})
 	t.Run("memory bounds the maximum", func(t *testing.T) {
-		b := newBench(func(s *Settings) { s.MemoryKB = 600 })
+		b := newFixture(func(s *Settings) { s.MemoryKB = 600 })
 		b.round(Round{Arrived: []*Request{b.request("a", 0)}})
 		assert.InDelta(t, 5.4, b.maxLimit(), 0.01)
 	})
@@ -66,7 +66,7 @@
 // on the hung machine.
 func TestLimitDoesNotGrowByOldGauges(t *testing.T) {
 	for _, age := range []time.Duration{0, maxGaugesAge + ms} {
-		b := newBench(nil)
+		b := newFixture(nil)
 		var waiting []*Request
 		for range 30 {
 			waiting = append(waiting, b.request("waiting", 0))
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestQueueStartsByDeadlineUnderTheLimit(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	var first []*Request
 	for i := range 4 {
 		first = append(first, b.request(fmt.Sprint(i), 0))
@@ -26,16 +26,16 @@
 	cases := []struct {
 		name string
 		kind int
-		into func(b *bench, x *Request)
+		into func(b *fixture, x *Request)
 		want string
 	}{
-		{"queued retryable", 0, func(b *bench, x *Request) { b.limit.value, b.limit.minimum, b.settings.Cores = 0, 0, 0 }, "reject x"},
-		{"queued keyed", 1, func(b *bench, x *Request) { b.limit.value, b.limit.minimum, b.settings.Cores = 0, 0, 0 }, "forget x, reject x"},
+		{"queued retryable", 0, func(b *fixture, x *Request) { b.limit.value, b.limit.minimum, b.settings.Cores = 0, 0, 0 }, "reject x"},
+		{"queued keyed", 1, func(b *fixture, x *Request) { b.limit.value, b.limit.minimum, b.settings.Cores = 0, 0, 0 }, "forget x, reject x"},
 		{"running retryable", 0, nil, "abort x, pause x"},
 		{"running keyed", 1, nil, "abort x, pause x"},
 		{"running at-most-once", 2, nil, "abort x, pause x"},
-		{"at a call", 2, func(b *bench, x *Request) { b.round(Round{AwaitingCall: []*Request{x}}) }, "abort x"},
-		{"waiting for its call", 2, func(b *bench, x *Request) {
+		{"at a call", 2, func(b *fixture, x *Request) { b.round(Round{AwaitingCall: []*Request{x}}) }, "abort x"},
+		{"waiting for its call", 2, func(b *fixture, x *Request) {
 			b.calls.capacity = 0
 			b.round(Round{AwaitingCall: []*Request{x}})
 		}, "abort x"},
@@ -43,7 +43,7 @@
 	}
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(nil)
+			b := newFixture(nil)
 			x := b.request("x", c.kind)
 			x.Duplicate = i == len(cases)-1
 			if c.into != nil && i < 2 {
@@ -61,7 +61,7 @@
 		})
 	}
 	t.Run("a stall of the process", func(t *testing.T) {
-		b := newBench(nil)
+		b := newFixture(nil)
 		x := b.request("x", 0)
 		b.round(Round{Arrived: []*Request{x}})
 		b.at += 10 * time.Second
@@ -70,7 +70,7 @@
 }
 
 func TestKeyedRequestsTakeEffectOnce(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	x, duplicate := b.request("x", 1), b.request("again", 1)
 	duplicate.Duplicate = true
 	assert.Equal(t, "remember x, start x", b.round(Round{Arrived: []*Request{x}}), "the entry is created before the run")
@@ -87,11 +87,11 @@
 }
 
 func TestMemoryIsReservedAndAQueueBeyondItIsShed(t *testing.T) {
-	b := newBench(func(s *Settings) { s.MemoryKB = 200 })
+	b := newFixture(func(s *Settings) { s.MemoryKB = 200 })
 	assert.Equal(t, "remember a, start a", b.round(Round{Arrived: []*Request{b.request("a", 1)}}))
 	assert.Equal(t, "reject b", b.round(Round{Arrived: []*Request{b.request("b", 1)}}), "no run without memory for the key's entry")
 	assert.Empty(t, b.round(Round{Arrived: []*Request{b.request("c", 0)}}), "no start beyond the memory bound")
-	b = newBench(func(s *Settings) { s.MemoryKB, s.Cores = 600, 0 })
+	b = newFixture(func(s *Settings) { s.MemoryKB, s.Cores = 600, 0 })
 	var burst []*Request
 	for i := range 56 {
 		burst = append(burst, b.request("low", i/55*2))
@@ -101,7 +101,7 @@
 }
 
 func TestCanceledRequests(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	x, n := b.request("x", 0), b.request("n", 1)
 	b.round(Round{Arrived: []*Request{x, n}})
 	assert.Equal(t, "pause x", b.round(Round{Canceled: []*Request{x, n}}), "a keyed run continues for its duplicates")
@@ -111,7 +111,7 @@
 
 func TestACallerMayLeaveAsItsRequestIsRead(t *testing.T) {
 	for kind, want := range []string{"", "remember x, forget x", ""} {
-		b := newBench(nil)
+		b := newFixture(nil)
 		x := b.request("x", kind)
 		assert.Equal(t, want, b.round(Round{Arrived: []*Request{x}, Canceled: []*Request{x}}))
 		assert.NotContains(t, b.pass(10*time.Second, Gauges{CPU: 1}), "x", "no answer to a canceled request")
--- a/admission/ranking_test.go
+++ b/admission/ranking_test.go
@@ -42,7 +42,7 @@
 func BenchmarkBurst(b *testing.B) {
 	for _, burst := range []int{1, 250, 1000, 4000} {
 		b.Run(fmt.Sprint(burst), func(b *testing.B) {
-			server := newBench(func(s *Settings) {
+			server := newFixture(func(s *Settings) {
 				s.MemoryKB, s.Routes = 1e6, s.Routes[:1]
 			})
 			arrived := make([]*Request, burst)
--- a/admission/reject_test.go
+++ b/admission/reject_test.go
@@ -12,7 +12,7 @@
 func TestNoPreemptionWhenSettingsAllowNone(t *testing.T) {
 	for _, how := range []string{"aborted", "canceled"} {
 		t.Run(how, func(t *testing.T) {
-			b := newBench(func(s *Settings) { s.Preemption = PreemptionNone })
+			b := newFixture(func(s *Settings) { s.Preemption = PreemptionNone })
 			x := b.request("x", 0)
 			b.round(Round{Arrived: []*Request{x}})
 			if how == "canceled" {
@@ -41,7 +41,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(c.change)
+			b := newFixture(c.change)
 			x := b.request("x", 0)
 			x.Arrived -= c.unread
 			x.Deadline = b.at + 2*tickInterval + time.Duration(medianToMean*float64(b.expectedWork(x))) - ms // a millisecond short
@@ -57,7 +57,7 @@
 		left  time.Duration
 		want  bool
 	}{{0, time.Second, false}, {fleetFullLevel, time.Second, false}, {2 * fleetFullLevel, time.Second, true}, {0, 200 * ms, false}, {0, 100 * ms, true}} {
-		b := newBench(nil)
+		b := newFixture(nil)
 		x := b.request("x", 0)
 		x.usefulUntil, b.shedding.level = b.at+c.left, c.level
 		b.answerRejected(x, ReasonNoTime, b)
--- a/admission/shed_test.go
+++ b/admission/shed_test.go
@@ -12,7 +12,7 @@
 // would be too late. Without strain the same request is started.
 func TestStrainedCallsCountInTheQueue(t *testing.T) {
 	for _, strained := range []bool{false, true} {
-		b := newBench(nil)
+		b := newFixture(nil)
 		b.calls.outcomes.add(b.at, 1, 3.0)
 		b.calls.strained = strained
 		x := b.request("x", 2)
@@ -28,7 +28,7 @@
 // If cores are short, a request that can only be answered late earns only its late value share, so it is shed before
 // one of the same value that would still be answered in time.
 func TestLateAnswersAreShedFirstWhenCoresAreShort(t *testing.T) {
-	b := newBench(func(s *Settings) {
+	b := newFixture(func(s *Settings) {
 		s.Cores, s.ValueByWork, s.Routes[0].LateValueShare = 1, true, 0.2
 		s.Routes[1].Idempotency, s.Routes[1].Value = Retryable, 1
 	})
@@ -50,7 +50,7 @@
 }
 
 func TestUnmeetableRequestsAreShedByValue(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	for range 20 {
 		b.run(b.request("usual", 0), 500*ms)
 		b.run(b.request("usual", 2), 500*ms)
@@ -64,7 +64,7 @@
 }
 
 func TestALongRequestIsJudgedByTheMedian(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	for range 20 {
 		b.run(b.request("usual", 0), time.Second)
 	}
@@ -74,7 +74,7 @@
 }
 
 func TestRequestsOfATenantOverItsQuotaHaveLessValue(t *testing.T) {
-	b := newBench(func(s *Settings) {
+	b := newFixture(func(s *Settings) {
 		s.Tenants, s.FleetServers, s.OverQuotaValue = []Tenant{{QuotaRPS: 10}, {QuotaRPS: 10}}, 10, 0.05
 	})
 	within, over := b.request("within", 0), b.request("over", 0)
@@ -85,14 +85,14 @@
 	for range 20 {
 		b.tenants.add(1, b.at)
 	}
-	assert.Equal(t, b.valueDensity(within), (&bench{Controller: newBench(nil).Controller}).valueDensity(within))
+	assert.Equal(t, b.valueDensity(within), (&fixture{Controller: newFixture(nil).Controller}).valueDensity(within))
 	assert.InDelta(t, 0.525*b.valueDensity(within), b.valueDensity(over), 0.001)
 }
 
 // Guards against shedding a burst that arrives before the first run of its route has ended. Each request was assumed to
 // take a sixth of its latency target, although the idle machine completes a hundred of them in that time.
 func TestBurstOfAnUnmeasuredRouteIsKept(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	var burst []*Request
 	for range 30 {
 		burst = append(burst, b.request("burst", 0))
@@ -112,7 +112,7 @@
 // If the runs of such a route do not end, their core time so far shows that the burst has too little time left: it is
 // shed long before its deadline.
 func TestBurstOfAnUnmeasuredRouteIsShedWhenItsRunsTakeLong(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	var burst []*Request
 	for range 30 {
 		burst = append(burst, b.request("burst", 0))
--- a/admission/shedlevel_test.go
+++ b/admission/shedlevel_test.go
@@ -14,7 +14,7 @@
 	}{
 		"many shed": {1, 0, 1, 0.95, 0.4}, "few shed": {16, 0, 1, 0.1, 0}, "many read late": {1, 0.5, 0, 0.95, 0.1},
 	} {
-		b := newBench(nil)
+		b := newFixture(nil)
 		for i := range 64 {
 			if i%c.ticks == 0 {
 				b.shedding.unread.add(b.at, 1, c.unread)
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -45,7 +45,7 @@
 
 // Latencies are checked only for routes whose runs ended recently, and a rise on one of these is still detected.
 func TestOnlyBusyRoutesAreChecked(t *testing.T) {
-	b := newBench(nil)
+	b := newFixture(nil)
 	for i := range 50 {
 		b.PutRoute(nil, Route{Name: fmt.Sprint("idle", i), LatencyTarget: time.Second, Deadline: time.Second})
 	}
--- a/admission/trial_test.go
+++ b/admission/trial_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// hungBench returns a bench whose runs took 50 ms until its machine hung for eight seconds with a run on each core. Now
+// hungFixture returns a fixture whose runs took 50 ms until its machine hung for eight seconds with a run on each core. Now
 // all of those runs have ended.
-func hungBench(outcome Outcome) *bench {
-	b := newBench(func(s *Settings) { s.Preemption = PreemptionNone })
+func hungFixture(outcome Outcome) *fixture {
+	b := newFixture(func(s *Settings) { s.Preemption = PreemptionNone })
 	for range 20 {
 		b.run(b.request("usual", 0), 50*ms)
 	}
@@ -33,7 +33,7 @@
 // served.
 func TestATrialShowsThatAHangIsOver(t *testing.T) {
 	for _, outcome := range []Outcome{Succeeded, Stopped} {
-		b := hungBench(outcome)
+		b := hungFixture(outcome)
 		first, second, third := b.request("first", 0), b.request("second", 0), b.request("third", 0)
 		assert.Equal(t, "start first", b.round(Round{Arrived: []*Request{first}}))
 		assert.Empty(t, b.round(Round{Arrived: []*Request{second, third}}), "they wait for the trial")
@@ -47,7 +47,7 @@
 // The machine is still slow: the request on trial takes long and those that wait are rejected in time. From then on one
 // request at a time is tried, and the others are rejected at once.
 func TestATrialOnASlowMachine(t *testing.T) {
-	b := hungBench(Succeeded)
+	b := hungFixture(Succeeded)
 	first, second := b.request("first", 0), b.request("second", 0)
 	assert.Equal(t, "start first", b.round(Round{Arrived: []*Request{first, second}}))
 	assert.Contains(t, b.pass(800*ms, Gauges{CPU: 1, Runnable: 1}), "reject second")
@@ -65,7 +65,7 @@
 
 // A trial needs a core without a run, and time for the usual work.
 func TestNoTrialWithoutACoreOrTime(t *testing.T) {
-	b := hungBench(Succeeded)
+	b := hungFixture(Succeeded)
 	unmeetable := b.request("unmeetable", 0)
 	unmeetable.Deadline = b.at + answerMargin + 10*ms
 	assert.Equal(t, "reject unmeetable", b.round(Round{Arrived: []*Request{unmeetable}}))
@@ -77,7 +77,7 @@
 
 // A trial whose run failed quickly shows nothing of the machine's speed.
 func TestATrialThatFailsShowsNothing(t *testing.T) {
-	b := hungBench(Succeeded)
+	b := hungFixture(Succeeded)
 	first := b.request("first", 0)
 	b.round(Round{Arrived: []*Request{first}})
 	b.round(Round{RunsEnded: []Completion{{Request: first, Outcome: Failed, Took: ms}}})
--- a/admission/work_test.go
+++ b/admission/work_test.go
@@ -10,7 +10,7 @@
 // Requests with forged properties must not change the estimates: a false arrival time, many router IDs, and runs that
 // the pool does not know.
 func TestForgedRequestsDoNotChangeEstimates(t *testing.T) {
-	b := newBench(func(s *Settings) { s.IdleTimeout = 30 * time.Second })
+	b := newFixture(func(s *Settings) { s.IdleTimeout = 30 * time.Second })
 	before := b.expectedWork(b.request("real", 0))
 	for i := range 2 * maxRouters {
 		forged := b.request("forged", 0)
--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/fixture_test.go
@@ -18,25 +18,25 @@
 	"quartzpoint/internal/workerlink"
 )
 
-// bench is a front end with a server and a fake worker pool.
-type bench struct {
+// fixture is a front end with a server and a fake worker pool.
+type fixture struct {
 	*Frontend
 	pool *fake.Pool
 }
 
-func newBench(t testing.TB, limits server.Limits) *bench {
-	return newBenchAt(t, limits, fake.SiteSettings, nil)
+func newFixture(t testing.TB, limits server.Limits) *fixture {
+	return newFixtureAt(t, limits, fake.SiteSettings, nil)
 }
 
-// newBenchAt returns a bench for a site. If wrap is not nil, the front end accepts from the listener that it returns.
-func newBenchAt(t testing.TB, limits server.Limits, site string, wrap func(netpoll.Listener) netpoll.Listener) *bench {
+// newFixtureAt returns a fixture for a site. If wrap is not nil, the front end accepts from the listener that it returns.
+func newFixtureAt(t testing.TB, limits server.Limits, site string, wrap func(netpoll.Listener) netpoll.Listener) *fixture {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	configured, err := settings.FromJSON([]byte(site))
 	require.NoError(t, err)
 	counters := invariant.New(log)
 	srv, err := server.New(configured, 1, limits, counters, log)
 	require.NoError(t, err)
-	b := &bench{pool: fake.NewPool(t).Ready()}
+	b := &fixture{pool: fake.NewPool(t).Ready()}
 	b.Frontend, err = Listen("127.0.0.1:0", srv, limits, counters, log)
 	require.NoError(t, err)
 	if wrap != nil {
@@ -65,13 +65,13 @@
 func defaultLimits() server.Limits { return server.Limits{MemoryMB: 96, Sockets: 256} }
 
 // waitCounted waits until an event was counted.
-func (b *bench) waitCounted(t *testing.T, what string) {
+func (b *fixture) waitCounted(t *testing.T, what string) {
 	t.Helper()
 	require.Eventually(t, func() bool { return b.counters.Times(what) > 0 }, fake.WaitLimit, time.Millisecond, what)
 }
 
 // dialActive opens a connection and waits for the answer to a health check on it.
-func (b *bench) dialActive(t testing.TB) *fake.Router {
+func (b *fixture) dialActive(t testing.TB) *fake.Router {
 	t.Helper()
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.Frame(20, 1, "", "e2e", "0"))
@@ -80,7 +80,7 @@
 }
 
 // onLoop runs f on the event loop and waits for it.
-func (b *bench) onLoop(f func()) {
+func (b *fixture) onLoop(f func()) {
 	done := make(chan struct{})
 	b.server.Submit(func() { f(); close(done) })
 	<-done
@@ -88,7 +88,7 @@
 
 // sendUnread sends a request and waits until netpoll has read it. It must be called on the event loop, which can't
 // parse the request meanwhile.
-func (b *bench) sendUnread(t *testing.T, c *conn, r *fake.Router, stream uint32) {
+func (b *fixture) sendUnread(t *testing.T, c *conn, r *fake.Router, stream uint32) {
 	t.Helper()
 	r.Send(t, fake.RequestFrame(stream, "pay", ""))
 	require.Eventually(t, func() bool { return c.transport.Reader().Len() > 0 }, fake.WaitLimit, time.Millisecond)
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestRequestsSplitAtEveryByte(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	b.pool.Echo = true
 	router := fake.Dial(t, b.Address())
 	body := "\x00\xffbody\n"
@@ -38,7 +38,7 @@
 }
 
 func TestAnswersInAnyOrder(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	router := fake.Dial(t, b.Address())
 	for stream := range uint32(3) {
 		router.Send(t, fake.RequestFrame(stream+1, "pay", ""))
@@ -78,7 +78,7 @@
 		"an old stream": {append(fake.RequestFrame(8, "unheard-of", ""), valid...), 1, "stream used before"},
 		"too many open": {many, maxOpenRequests, "too many open tasks"},
 	}
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	b.pool.Echo = true
 	bystander := fake.Dial(t, b.Address())
 	for name, c := range cases {
@@ -108,7 +108,7 @@
 }
 
 func TestRejectedRequests(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	router := fake.Dial(t, b.Address())
 	now := time.Now()
 	cases := [][]string{
@@ -133,7 +133,7 @@
 }
 
 func TestClosedConnectionCancelsRequests(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	router := fake.Dial(t, b.Address())
 	router.Send(t, fake.RequestFrame(1, "browse", ""))
 	b.pool.Next(t, "spawn")
@@ -143,7 +143,7 @@
 
 // A router that does not read is cut off once it reaches a limit. Until then, other routers are still answered.
 func TestPeerThatDoesNotRead(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	b.pool.Echo = true
 	stalled, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	checks := bytes.Repeat(fake.Frame(20, 1, "", "e2e", "0"), 1000)
@@ -170,7 +170,7 @@
 // A connection that sends no valid frame, or does not complete one, receives the reason and is closed in time, even if
 // it sends a byte now and then. A connection that has sent a valid frame may be idle.
 func TestSilentConnections(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	idle := b.dialActive(t)
 	silent, partial, slow := fake.Dial(t, b.Address()), b.dialActive(t), fake.Dial(t, b.Address())
 	began := time.Now()
@@ -196,7 +196,7 @@
 }
 
 func TestIdleConnectionsAreDrained(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	busy, idle := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	busy.Send(t, fake.RequestFrame(1, "pay", ""))
 	b.pool.Next(t, "spawn")
@@ -210,7 +210,7 @@
 // Guards against a fault: connections that routers kept open delayed the exit of a draining server until just before its
 // stop.
 func TestDrainClosesOpenConnections(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	open := b.dialActive(t)
 	b.server.Submit(b.StopAccepting)
 	assert.Equal(t, byte(30), open.Next(t).Type)
@@ -220,7 +220,7 @@
 // Guards against a fault: a draining connection was closed before an answer queued long after the drain began was
 // written.
 func TestLateAnswerOnADrainingConnection(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	router := fake.Dial(t, b.Address())
 	router.Send(t, fake.RequestFrame(1, "pay", ""))
 	b.pool.Next(t, "spawn")
@@ -235,7 +235,7 @@
 // Guards against a fault: after one large read, a connection kept a buffer of that size for the beginning of an
 // incomplete frame.
 func TestPartialFramesKeepNoLargeBuffer(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	b.dialActive(t)
 	check := fake.Frame(20, 1, "", "e2e", "0")
 	sizes := make(chan [2]int)
@@ -256,7 +256,7 @@
 	f.Add(append(request(1), request(1)...), uint16(0))
 	f.Add(append(fake.Frame(20, 1, "", "e2e", "1"), request(3, "call", fake.RequestID(9))[:40]...), uint16(30))
 	f.Add(append(fake.Frame(10, 1, strings.Repeat("x", 2*frame.MaxBuffered)), request(2)...), uint16(9000))
-	b := newBench(f, defaultLimits())
+	b := newFixture(f, defaultLimits())
 	b.pool.Echo = true
 	bystander, stream := b.dialActive(f), uint32(1)
 	f.Fuzz(func(t *testing.T, bytes []byte, at uint16) {
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -16,7 +16,7 @@
 // Guards against a fault: hundreds of silent connections used up the connection limit, and routers were refused.
 func TestTableFull(t *testing.T) {
 	limits := server.Limits{MemoryMB: 96, Sockets: 40}
-	b := newBench(t, limits)
+	b := newFixture(t, limits)
 	first := b.dialActive(t)
 	for range 2 * limits.Sockets {
 		joined := b.joinedCount.Load()
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -23,21 +23,21 @@
 // was closed because it was idle for too long after the drain began, because it had sent no valid frame in time, or to
 // make room for another one.
 func TestRequestCrossesTheCloseOfAnIdleConnection(t *testing.T) {
-	closes := map[string]func(b *bench, c *conn){
-		"draining": func(b *bench, c *conn) {
+	closes := map[string]func(b *fixture, c *conn){
+		"draining": func(b *fixture, c *conn) {
 			c.draining, c.activeAt = true, 0
 			b.checkTimeouts(b.server.Now())
 		},
-		"draining with the server": func(b *bench, c *conn) {
+		"draining with the server": func(b *fixture, c *conn) {
 			b.draining, b.listenerShut, c.draining, c.activeAt = true, true, true, 0
 			b.checkTimeouts(b.server.Now())
 			b.draining, b.listenerShut = false, false
 		},
-		"no frame in time": func(b *bench, c *conn) {
+		"no frame in time": func(b *fixture, c *conn) {
 			c.sawFrame, c.openedAt = false, 0
 			b.checkTimeouts(b.server.Now())
 		},
-		"evicted": func(b *bench, _ *conn) {
+		"evicted": func(b *fixture, _ *conn) {
 			b.maxConns = 0
 			if least := b.leastNeeded(nil, true); least != nil {
 				least.close("to make room")
@@ -47,7 +47,7 @@
 	}
 	for name, closing := range closes {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, defaultLimits())
+			b := newFixture(t, defaultLimits())
 			r := b.dialActive(t)
 			b.onLoop(func() {
 				c := b.conns[0]
@@ -65,7 +65,7 @@
 // Guards against a fault: an answer that its router had yet to read, as the buffers were full, was lost when the
 // draining connection was closed.
 func TestAnswerWaitsForItsReaderAcrossTheClose(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	r := b.dialActive(t)
 	result := strings.Repeat("r", 4<<10)
 	b.onLoop(func() {
@@ -87,7 +87,7 @@
 // Guards against two faults: the open requests of a connection were lost when its router violated the framing later,
 // and the unread rest of the input reset the connection, which lost answers already sent.
 func TestRequestsOutliveABrokenConnection(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.RequestFrame(1, "pay", ""), fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
@@ -108,7 +108,7 @@
 // Guards against a fault: the end of a connection that its router broke and did not close was recorded twice, when it
 // broke and when this side closed it a second later.
 func TestEndOfABrokenConnectionIsRecordedOnce(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	r := fake.Dial(t, b.Address())
 	r.Send(t, bytes.Repeat([]byte{0xff}, 100))
 	require.Eventually(t, func() bool {
@@ -123,7 +123,7 @@
 // Guards against a fault: peers that do not read filled the memory for unread answers, and the next peer to be answered
 // was cut off, though it reads.
 func TestPeersThatDoNotReadCostNoOther(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	stalled, reads := b.dialActive(t), b.dialActive(t)
 	reads.Send(t, fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
@@ -147,7 +147,7 @@
 // the framing, and all requests on the connection lost their answers.
 func TestRouterCancelsARequest(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"cold":false`, `"tells-gone":true,"cold":false`, 1)
-	b := newBenchAt(t, defaultLimits(), site, nil)
+	b := newFixtureAt(t, defaultLimits(), site, nil)
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.RequestFrame(1, "browse", ""), fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
@@ -176,7 +176,7 @@
 func TestDuplicatesOfAKeyedRequest(t *testing.T) {
 	limits := defaultLimits()
 	limits.Keys, limits.Tenants = true, true
-	b := newBenchAt(t, limits, keyedSite, nil)
+	b := newFixtureAt(t, limits, keyedSite, nil)
 	one, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	send := func(r *fake.Router, stream uint32, call uint32, org, body string) {
 		r.Send(t, fake.RequestFrame(stream, "file", body, "call", fake.RequestID(call), "org", org, "dedupe", "k1"))
@@ -219,7 +219,7 @@
 // lost by a reset when the listener was shut down at the end of the grace, and when the process ended.
 func TestRequestOnAConnectionNotYetAccepted(t *testing.T) {
 	blocked := &blockedListener{open: make(chan struct{})}
-	b := newBenchAt(t, defaultLimits(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
+	b := newFixtureAt(t, defaultLimits(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
 		blocked.Listener = l
 		return blocked
 	})
@@ -267,7 +267,7 @@
 // listener are accepted once descriptors are free again.
 func TestDescriptorsRunOutAgain(t *testing.T) {
 	listener := &scarceListener{}
-	b := newBenchAt(t, defaultLimits(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
+	b := newFixtureAt(t, defaultLimits(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
 		listener.Listener = l
 		return listener
 	})
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -37,16 +37,16 @@
 var callSite = strings.NewReplacer(`"below":"none","calls-by-class":[false,false]`,
 	`"below":"shared","calls-out":20,"calls-over":5000000,"calls-by-class":[true,true]`).Replace(fake.SiteSettings)
 
-func newCallBench(t *testing.T, site string) (*bench, *recordingDependency) {
+func newCallFixture(t *testing.T, site string) (*fixture, *recordingDependency) {
 	d := &recordingDependency{make(chan workerapi.Call, 16), make(chan uint64, 16)}
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Calls: true}, d)
+	b := newFixtureWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Calls: true}, d)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
 	return b, d
 }
 
 // runToCall submits a request, and returns the call that its run waits for.
-func (b *bench) runToCall(t *testing.T, d *recordingDependency, stream uint32, route string, timeout time.Duration) workerapi.Call {
+func (b *fixture) runToCall(t *testing.T, d *recordingDependency, stream uint32, route string, timeout time.Duration) workerapi.Call {
 	t.Helper()
 	b.submitRequest(stream, route, timeout)
 	b.pool.Next(t, "spawn")
@@ -56,7 +56,7 @@
 
 // A route that calls a dependency kept the whole server from starting.
 func TestRunWaitsForItsCalls(t *testing.T) {
-	b, d := newCallBench(t, callSite)
+	b, d := newCallFixture(t, callSite)
 	c := b.runToCall(t, d, 1, "browse", time.Minute)
 	assert.Equal(t, fake.RequestID(1), c.RequestID)
 	assert.Equal(t, "what", string(c.Body))
@@ -77,7 +77,7 @@
 }
 
 func TestCallThatMayHaveRun(t *testing.T) {
-	b, d := newCallBench(t, callSite)
+	b, d := newCallFixture(t, callSite)
 	c := b.runToCall(t, d, 1, "pay", time.Minute)
 	b.HandleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Unknown})
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict, "a call of an at-most-once request is not retried")
@@ -92,7 +92,7 @@
 
 // A call is canceled when its request is aborted or its run ends. The end of the call then has no effect.
 func TestCallOfARequestThatIsOver(t *testing.T) {
-	b, d := newCallBench(t, callSite)
+	b, d := newCallFixture(t, callSite)
 	c := b.runToCall(t, d, 1, "browse", 2500*time.Millisecond)
 	assert.Less(t, c.Timeout, 2500*time.Millisecond)
 	assert.Equal(t, Aborted, b.nextAnswer(t).Verdict)
@@ -115,7 +115,7 @@
 func TestReplyAcrossALostLink(t *testing.T) {
 	for _, halt := range []string{"suspend", "none"} {
 		t.Run(halt, func(t *testing.T) {
-			b, d := newCallBench(t, strings.Replace(callSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
+			b, d := newCallFixture(t, strings.Replace(callSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
 			c := b.runToCall(t, d, 1, "pay", time.Minute)
 			b.onLoop(func() {
 				b.handleCallEnd(workerapi.CallEnd{Call: c, Outcome: admission.Succeeded, Result: []byte("that")})
@@ -146,7 +146,7 @@
 // If no dependency is configured, requests of a route that calls one are rejected, and all others are served.
 func TestRoutesWithoutADependency(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"calls-by-class":[false,false]`, `"calls-by-class":[true,false]`, 1)
-	b := newBenchAt(t, site)
+	b := newFixtureAt(t, site)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
 	assert.Equal(t, []string{"browse"}, b.UnservedRoutes())
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBenchWith(t, c.site, c.limits, nil)
+			b := newFixtureWith(t, c.site, c.limits, nil)
 			b.onLoop(func() {
 				notifiedAt := b.Now()
 				b.startDrain(notifiedAt, c.within)
@@ -41,7 +41,7 @@
 }
 
 func TestDrain(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.submitRequest(1, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
@@ -65,7 +65,7 @@
 
 // All requests that were read are answered by the stop, queued and running ones alike.
 func TestStopAnswersAll(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	for stream := range uint32(40) {
 		b.submitRequest(stream, "pay", time.Minute)
@@ -78,7 +78,7 @@
 
 // A peer that does not read its answers kept the process from ending until it was killed.
 func TestDrainWithAPeerThatDoesNotRead(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.Submit(func() { b.peersStalled = true })
 	b.Drain(500 * time.Millisecond)
 	select {
@@ -91,7 +91,7 @@
 // A process that ends with a connection not accepted, or bytes not read, loses a request. It waits for them until the
 // stop.
 func TestDrainWaitsForUnreadInput(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.inputPending.Store(true)
 	b.Drain(4 * time.Second)
@@ -121,7 +121,7 @@
 // The notice to shut down was handled late, and the grace and the stop were counted from then: requests that had arrived
 // after the grace were started, and runs were planned past the stop.
 func TestGraceAndStopRunFromTheNotice(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.pool.Next(t, "bind")
 	b.waitLinkSynced(t)
--- a/internal/server/bench_test.go
+++ b/internal/server/fixture_test.go
@@ -23,9 +23,9 @@
 	Answer
 }
 
-// bench is a server with a fake worker pool. It is also the server's front end and the requests' caller, and records
+// fixture is a server with a fake worker pool. It is also the server's front end and the requests' caller, and records
 // the answers.
-type bench struct {
+type fixture struct {
 	*Server
 	pool             *fake.Pool
 	workerLink       *workerlink.Link
@@ -38,31 +38,31 @@
 	inputPending     atomic.Bool // input has arrived that is not read yet
 }
 
-func (b *bench) Answer(stream uint32, a Answer) { b.answers <- receivedAnswer{stream, a} }
+func (b *fixture) Answer(stream uint32, a Answer) { b.answers <- receivedAnswer{stream, a} }
 
-func (b *bench) ReportHealth(_ uint32, healthy bool, _ string) { b.checks <- healthy }
+func (b *fixture) ReportHealth(_ uint32, healthy bool, _ string) { b.checks <- healthy }
 
-func (b *bench) SetIdleTimeout(time.Duration) {}
+func (b *fixture) SetIdleTimeout(time.Duration) {}
 
-func (b *bench) Flush() bool { return !b.peersStalled }
+func (b *fixture) Flush() bool { return !b.peersStalled }
 
-func (b *bench) StopAccepting() { b.stoppedAccepting = true }
+func (b *fixture) StopAccepting() { b.stoppedAccepting = true }
 
-func (b *bench) OpenConnections() int { return 0 }
+func (b *fixture) OpenConnections() int { return 0 }
 
-func (b *bench) InputDrained() bool { return !b.inputPending.Load() }
+func (b *fixture) InputDrained() bool { return !b.inputPending.Load() }
 
-func newBench(t *testing.T) *bench { return newBenchAt(t, fake.SiteSettings) }
+func newFixture(t *testing.T) *fixture { return newFixtureAt(t, fake.SiteSettings) }
 
-func newBenchAt(t *testing.T, site string) *bench {
-	return newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256}, nil)
+func newFixtureAt(t *testing.T, site string) *fixture {
+	return newFixtureWith(t, site, Limits{MemoryMB: 96, Sockets: 256}, nil)
 }
 
-func newBenchWith(t *testing.T, site string, limits Limits, dependency Dependency) *bench {
+func newFixtureWith(t *testing.T, site string, limits Limits, dependency Dependency) *fixture {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	parsed, err := settings.FromJSON([]byte(site))
 	require.NoError(t, err)
-	b := &bench{
+	b := &fixture{
 		pool: fake.NewPool(t), counts: invariant.New(log), done: make(chan struct{}),
 		answers: make(chan receivedAnswer, 100), checks: make(chan bool, 100),
 	}
@@ -90,7 +90,7 @@
 }
 
 // submitRequest has the event loop receive a request.
-func (b *bench) submitRequest(stream uint32, route string, timeout time.Duration) {
+func (b *fixture) submitRequest(stream uint32, route string, timeout time.Duration) {
 	b.Submit(func() {
 		b.Receive(IncomingRequest{
 			ID: fake.RequestID(stream), Route: route, QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: timeout,
@@ -99,7 +99,7 @@
 	})
 }
 
-func (b *bench) nextAnswer(t *testing.T) receivedAnswer {
+func (b *fixture) nextAnswer(t *testing.T) receivedAnswer {
 	t.Helper()
 	select {
 	case a := <-b.answers:
@@ -111,7 +111,7 @@
 }
 
 // waitLinkSynced waits until the link is up and answers a poll.
-func (b *bench) waitLinkSynced(t *testing.T) {
+func (b *fixture) waitLinkSynced(t *testing.T) {
 	t.Helper()
 	pollNonce := uint64(0) // poll on the current link; an answer on an earlier link proves nothing
 	require.Eventually(t, func() bool {
@@ -131,7 +131,7 @@
 }
 
 // waitAllRead waits until the worker pool has read all commands that were sent, and the server knows it.
-func (b *bench) waitAllRead(t *testing.T) {
+func (b *fixture) waitAllRead(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		known := make(chan bool)
@@ -147,7 +147,7 @@
 }
 
 // onLoop runs f on the event loop, and waits until it returns.
-func (b *bench) onLoop(f func()) {
+func (b *fixture) onLoop(f func()) {
 	done := make(chan struct{})
 	b.Submit(func() { f(); close(done) })
 	<-done
--- a/internal/server/inbox_test.go
+++ b/internal/server/inbox_test.go
@@ -11,7 +11,7 @@
 
 // floodedCaller records how much of the flood had been read when its request is answered.
 type floodedCaller struct {
-	*bench
+	*fixture
 	read       *int
 	readBefore chan int
 }
@@ -22,7 +22,7 @@
 // first waited for all of it.
 func TestFloodDoesNotDelayTheFirstDecision(t *testing.T) {
 	const flood = 300
-	b := newBench(t)
+	b := newFixture(t)
 	read := 0
 	caller := floodedCaller{b, &read, make(chan int, 1)}
 	submitted := make(chan struct{})
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -14,7 +14,7 @@
 // Its caller would have sent it to another server, where it would have run again.
 func TestDuplicatesAreNeverRejectedOnceTheirOriginalMayHaveRun(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
+	b := newFixtureWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
 	incoming := func(stream uint32, key string) IncomingRequest {
@@ -45,7 +45,7 @@
 func TestADuplicateBelongsToTheWindowInWhichItArrived(t *testing.T) {
 	const window = 400 * time.Millisecond
 	site := strings.Replace(fake.SiteSettings, `"fragile"`, `"dedup","dedup-window":400000`, 1)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
+	b := newFixtureWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
 	incoming := func(stream uint32, arrived time.Duration) IncomingRequest {
@@ -77,7 +77,7 @@
 // key was kept for the whole window, as if it would still run: a duplicate was neither run nor rejected.
 func TestKeyOfARequestCanceledAsItWasRead(t *testing.T) {
 	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.SiteSettings)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
+	b := newFixtureWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
 	b.onLoop(func() {
--- a/internal/server/linkrecovery_test.go
+++ b/internal/server/linkrecovery_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBenchAt(t, strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"abort"`, 1))
+			b := newFixtureAt(t, strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"abort"`, 1))
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
 			b.waitLinkSynced(t)
@@ -76,7 +76,7 @@
 		lost bool // the spawn is lost with the link
 	}{{"runs", false}, {"never begun", true}} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			b.pool.RunsOnAfterSuspend, b.pool.DropsSpawns = true, c.lost
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
@@ -102,7 +102,7 @@
 // Each lost link added one more alarm, and each alarm sets the next. The rounds, and the rate at which the in-flight
 // limit and the shed level change, doubled with each loss.
 func TestLinkLostSetsNoAlarms(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	for range 5 {
 		b.waitLinkSynced(t)
@@ -118,7 +118,7 @@
 // core is then free for other runs. (The controller repeats the pause until the end is reported.)
 func TestStopOfARunAcrossALostLink(t *testing.T) {
 	for _, down := range []bool{false, true} {
-		b := newBench(t)
+		b := newFixture(t)
 		b.pool.Ready()
 		b.pool.Next(t, "bind")
 		b.waitLinkSynced(t)
--- a/internal/server/overdue_test.go
+++ b/internal/server/overdue_test.go
@@ -18,7 +18,7 @@
 const siteCores = 4
 
 // fillCores starts a run on each core, and waits until their requests are aborted at their deadlines.
-func (b *bench) fillCores(t *testing.T) {
+func (b *fixture) fillCores(t *testing.T) {
 	for stream := range uint32(siteCores) {
 		b.submitRequest(stream, []string{"browse", "pay"}[stream%2], time.Minute)
 		b.pool.Next(t, "spawn")
@@ -30,7 +30,7 @@
 
 // countStarts submits requests one after the other for a span, and returns the number of runs that the pool was sent
 // meanwhile.
-func (b *bench) countStarts(t *testing.T, span time.Duration) (starts int) {
+func (b *fixture) countStarts(t *testing.T, span time.Duration) (starts int) {
 	for start, stream := time.Now(), uint32(100); time.Since(start) < span; stream++ {
 		b.submitRequest(stream, "browse", time.Minute)
 		b.nextAnswer(t)
@@ -49,7 +49,7 @@
 	for _, halt := range []string{"suspend", "abort", "none"} {
 		t.Run(halt, func(t *testing.T) {
 			t.Parallel()
-			b := newBenchAt(t, strings.Replace(shortSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
+			b := newFixtureAt(t, strings.Replace(shortSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
 			b.pool.IgnoresSuspend = true
 			b.pool.Ready()
 			b.waitLinkSynced(t)
@@ -71,7 +71,7 @@
 
 // Incomplete readings prove nothing: values of an earlier poll say nothing of the present.
 func TestIncompleteReadingsProveNothing(t *testing.T) {
-	b := newBenchAt(t, shortSite)
+	b := newFixtureAt(t, shortSite)
 	b.pool.DropsSpawns = true
 	b.pool.SetPartialReadings(true)
 	b.pool.Ready()
@@ -91,7 +91,7 @@
 	for _, halt := range []string{"suspend", "abort", "none"} {
 		t.Run(halt, func(t *testing.T) {
 			t.Parallel()
-			b := newBenchAt(t, strings.Replace(shortSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
+			b := newFixtureAt(t, strings.Replace(shortSite, `"halt":"suspend"`, `"halt":"`+halt+`"`, 1))
 			b.pool.IgnoresSuspend = true
 			b.pool.Ready()
 			b.waitLinkSynced(t)
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -16,7 +16,7 @@
 // stopped if the settings in force allow preemption, and left to end otherwise. No run is started twice, and a request
 // that was admitted before the changes is answered once.
 func TestSettingsChangeWhileRunning(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.pool.Next(t, "bind")
 	b.waitLinkSynced(t)
--- a/internal/server/requests_test.go
+++ b/internal/server/requests_test.go
@@ -13,7 +13,7 @@
 // A request that arrived again after its run was answered, for example after its router's connection broke, ran a
 // second time although its route is at-most-once.
 func TestRepeatedIDAfterTheAnswer(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	run := func(route string, stream uint32) {
 		b.submitRequest(stream, route, time.Minute)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestRequestIsServed(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.submitRequest(1, "pay", time.Second)
 	spawn := b.pool.Next(t, "spawn")
@@ -30,7 +30,7 @@
 }
 
 func TestInvalidRequestIsRejected(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.submitRequest(1, "unheard-of", time.Second)
 	b.submitRequest(2, "pay", 0)
 	for range 2 {
@@ -45,7 +45,7 @@
 
 // A request sent again while its first run was in progress was answered as rejected, which states that it never ran.
 func TestRepeatedIDOfARunningRequest(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.submitRequest(1, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
@@ -59,7 +59,7 @@
 // polls.
 func TestDueAnswersWithoutThePool(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		b := newBench(t)
+		b := newFixture(t)
 		b.pool.NoReadings = silent
 		if silent {
 			b.pool.Ready()
@@ -72,7 +72,7 @@
 // A request that is read a minute after its timestamp keeps its arrival time. A timestamp ahead of the clock is mapped
 // to now.
 func TestArrivalFollowsTheSystemClock(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.onLoop(func() {
 		now := b.Now()
 		assert.InDelta(t, float64(now-time.Minute), float64(b.arrivalTime(time.Now().Add(-time.Minute).UnixMilli(), now)), 2e9)
@@ -84,7 +84,7 @@
 // windows.
 func TestArrivalAcrossAStepOfTheClock(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
-		b := newBench(t)
+		b := newFixture(t)
 		b.onLoop(func() { b.clock.wallOffset = func() time.Duration { return step } })
 		b.onLoop(func() {}) // a round that observes the new offset
 		b.onLoop(func() {
@@ -100,7 +100,7 @@
 }
 
 func TestCommandNotCarriedOut(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.submitRequest(1, "pay", time.Minute)
 	runID := b.pool.Next(t, "spawn").RunID
@@ -123,7 +123,7 @@
 
 // After many requests with new IDs from new routers, over links that are lost, the tables are empty again.
 func TestTablesAfterManyRequests(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Echo = true
 	b.pool.Ready()
 	for stream := range uint32(2000) {
@@ -156,7 +156,7 @@
 func TestUnreportedEndIsProvenByGauges(t *testing.T) {
 	site := strings.NewReplacer(`"deadline":9000000,"goal-time":8000000`, `"deadline":300000,"goal-time":300000`,
 		`"late-value":0.0`, `"late-value":0.5`).Replace(fake.SiteSettings)
-	b := newBenchAt(t, site)
+	b := newFixtureAt(t, site)
 	b.pool.DropsSpawns = true
 	b.pool.Ready()
 	b.submitRequest(1, "browse", 24*time.Hour)
@@ -171,7 +171,7 @@
 }
 
 func TestCanceledRequestIsForgotten(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	var request *Request
 	b.Submit(func() {
@@ -189,7 +189,7 @@
 }
 
 func TestHealth(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.Submit(func() { b.CheckHealth(b, 1, true) })
 	assert.True(t, <-b.checks)
 	b.Submit(func() { b.SetHealth(true, false); b.CheckHealth(b, 1, true) })
@@ -230,7 +230,7 @@
 // A tenant without a name made all tenants after it lose their index, and with it their quota.
 func TestTenantsWithoutNames(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"tenants":[]`, `"tenants":[{"quota-rps":1},{"name":"b","quota-rps":2},{}]`, 1)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
+	b := newFixtureWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
 	assert.Equal(t, 1, b.TenantIndex("b"))
 	assert.Equal(t, math.MaxInt, b.TenantIndex(""))
 }
--- a/internal/server/tables_test.go
+++ b/internal/server/tables_test.go
@@ -18,7 +18,7 @@
 }
 
 // changeTables changes the tables and waits until the whole change is in force.
-func (b *bench) changeTables(t *testing.T, change TableChange) {
+func (b *fixture) changeTables(t *testing.T, change TableChange) {
 	t.Helper()
 	done := make(chan struct{})
 	change.Done = func() { close(done) }
@@ -33,7 +33,7 @@
 // A route is added, changed and removed while requests of it run. Each request ends under the definition with which it
 // was accepted, and is answered once. A new request of a removed route is answered as one of an unknown route.
 func TestRoutesChangeInService(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.submitRequest(1, "quote", time.Minute)
 	assert.Equal(t, Rejected, b.nextAnswer(t).Verdict, "not known yet")
@@ -61,7 +61,7 @@
 
 // The estimates of a route are kept when it is changed, and dropped when it is removed.
 func TestEstimatesOutlastARouteChange(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	for stream := range uint32(3) {
 		b.submitRequest(stream+1, "pay", time.Minute)
@@ -88,7 +88,7 @@
 
 // A used key is kept for its window, even if its route is removed or changed meanwhile, so that nothing runs twice.
 func TestKeysOutlastTheirRoute(t *testing.T) {
-	b := newBenchWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
+	b := newFixtureWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	keyed := newRoute("charge", time.Minute)
 	keyed.Idempotency, keyed.DedupWindow = admission.Keyed, time.Hour
@@ -119,7 +119,7 @@
 // changes, but not against another tenant that takes its index later. The index of a removed tenant is not reused while
 // requests of it may be left.
 func TestTenantsChangeInService(t *testing.T) {
-	b := newBenchWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
+	b := newFixtureWith(t, fake.SiteSettings, Limits{MemoryMB: 96, Sockets: 256, Tenants: true}, nil)
 	b.pool.Ready()
 	tenant := func(name string, rate float64) TableChange {
 		return TableChange{Tenants: []settings.TenantChange{{Name: name, QuotaRPS: rate}}}
@@ -158,7 +158,7 @@
 // A large change is made over many rounds. Requests are answered meanwhile, and changes come into force in the order of
 // their submission.
 func TestALargeChangeIsSpread(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	const many = 40 * changesPerRound
 	large := TableChange{}
--- a/internal/workerlink/link_test.go
+++ b/internal/workerlink/link_test.go
@@ -17,8 +17,8 @@
 	"quartzpoint/internal/writequeue"
 )
 
-// bench is a link to a fake worker pool, with the notices that were read from it.
-type bench struct {
+// fixture is a link to a fake worker pool, with the notices that were read from it.
+type fixture struct {
 	*Link
 	pool    *fake.Pool
 	counts  *invariant.Counters
@@ -26,9 +26,9 @@
 	notices []workerapi.Notice
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	b := &bench{pool: fake.NewPool(t), counts: invariant.New(log), woken: make(chan struct{}, 1)}
+	b := &fixture{pool: fake.NewPool(t), counts: invariant.New(log), woken: make(chan struct{}, 1)}
 	b.Link = New(b.pool.Address, 1<<20, log, b.counts.Count, func() {
 		select {
 		case b.woken <- struct{}{}:
@@ -40,7 +40,7 @@
 }
 
 // next waits for the next notice of a kind and skips others.
-func (b *bench) next(t *testing.T, kind workerapi.NoticeKind) workerapi.Notice {
+func (b *fixture) next(t *testing.T, kind workerapi.NoticeKind) workerapi.Notice {
 	t.Helper()
 	for limit := time.After(fake.WaitLimit); ; {
 		for len(b.notices) > 0 {
@@ -58,14 +58,14 @@
 	}
 }
 
-func (b *bench) synced(t *testing.T) *bench {
+func (b *fixture) synced(t *testing.T) *fixture {
 	b.pool.Ready()
 	b.next(t, workerapi.LinkSynced)
 	return b
 }
 
 func TestCommandsAndNotices(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	bind := b.pool.Next(t, "bind")
 	assert.Zero(t, bind.Index)
 	assert.False(t, b.Start(workerapi.Run{ID: "early", Route: "browse", Body: nil}), "a command was sent before the pool was bound")
@@ -106,7 +106,7 @@
 // Guards against a fault: the server sent its only poll before the pool had started, and the pool rejected that poll.
 // The link was then never treated as usable, and no request ran from a crash to the end of the day.
 func TestPoolStartsLate(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Next(t, "bind")
 	_, sent := b.Poll()
 	assert.False(t, sent)
@@ -117,7 +117,7 @@
 
 // Guards against a fault: the end of a run was lost if its notice could not be parsed.
 func TestMissedNoticeIsRequestedAgain(t *testing.T) {
-	b := newBench(t).synced(t)
+	b := newFixture(t).synced(t)
 	b.pool.Next(t, "bind")
 	for _, id := range []string{"a", "b", "c"} {
 		b.Start(workerapi.Run{ID: id, Route: "pay", Body: nil})
@@ -143,7 +143,7 @@
 }
 
 func TestReplayAfterALostLink(t *testing.T) {
-	b := newBench(t).synced(t)
+	b := newFixture(t).synced(t)
 	b.pool.Next(t, "bind")
 	for _, id := range []string{"a", "b"} {
 		b.Start(workerapi.Run{ID: id, Route: "pay", Body: nil})
@@ -183,7 +183,7 @@
 		"a wrong nonce": `{"verb":"polled","nonce":"soon"}` + "\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t).synced(t)
+			b := newFixture(t).synced(t)
 			b.pool.Next(t, "bind")
 			b.pool.WriteRaw(text + `{"verb":"finished","index":1,"task":"a","outcome":"success","spent":1}` + "\n")
 			assert.Equal(t, "a", b.next(t, workerapi.RunFinished).RequestID)
@@ -196,7 +196,7 @@
 // After a change of address, runs and notice indexes continue, the old link is closed only once the new one is open,
 // and the commands sent on the old one are known to have been read.
 func TestSetAddress(t *testing.T) {
-	b := newBench(t).synced(t)
+	b := newFixture(t).synced(t)
 	b.pool.Next(t, "bind")
 	b.Start(workerapi.Run{ID: "a", Route: "pay", Body: nil})
 	nextNonce := b.NextPollNonce()
@@ -235,7 +235,7 @@
 
 // A pool that stops reading must neither block the event loop nor fill the memory.
 func TestAPoolThatDoesNotRead(t *testing.T) {
-	b := newBench(t).synced(t)
+	b := newFixture(t).synced(t)
 	b.pool.Next(t, "bind")
 	b.maxQueuedBytes = 1 << 10
 	b.pool.CloseLink()
