--- a/admission/trial_test.go
+++ b/admission/trial_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// hungFixture returns a fixture whose runs took 50 ms until its machine hung for eight seconds with a run on each core. Now
-// all of those runs have ended.
+// hungFixture returns a fixture whose runs took 50 ms until its machine hung for eight seconds with a run on each core.
+// Now all of those runs have ended.
 func hungFixture(outcome Outcome) *fixture {
 	b := newFixture(func(s *Settings) { s.Preemption = PreemptionNone })
 	for range 20 {
--- a/internal/controlsocket/controlsocket.go
+++ b/internal/controlsocket/controlsocket.go
@@ -1,5 +1,5 @@
-// Package controlsocket implements the Unix socket through which operators on the same machine query a running server. A
-// client sends one JSON line with the request and receives one with the response. Only the server's own user can
+// Package controlsocket implements the Unix socket through which operators on the same machine query a running server.
+// A client sends one JSON line with the request and receives one with the response. Only the server's own user can
 // connect.
 package controlsocket
 
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -28,7 +28,8 @@
 	return newFixtureAt(t, limits, fake.SiteSettings, nil)
 }
 
-// newFixtureAt returns a fixture for a site. If wrap is not nil, the front end accepts from the listener that it returns.
+// newFixtureAt returns a fixture for a site. If wrap is not nil, the front end accepts from the listener that wrap
+// returns.
 func newFixtureAt(t testing.TB, limits server.Limits, site string, wrap func(netpoll.Listener) netpoll.Listener) *fixture {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	configured, err := settings.FromJSON([]byte(site))
--- a/internal/server/tables.go
+++ b/internal/server/tables.go
@@ -172,8 +172,8 @@
 	return timeouts
 }
 
-// AssignSpareRoute assigns one of the settings' spare routes, whose names begin with a NUL byte, to a route name that the
-// settings do not define. Once no spare route is left, requests for other names are rejected.
+// AssignSpareRoute assigns one of the settings' spare routes, whose names begin with a NUL byte, to a route name that
+// the settings do not define. Once no spare route is left, requests for other names are rejected.
 func (s *Server) AssignSpareRoute(name string) {
 	if s.tables.routes[name] != nil {
 		return
