--- a/admission/newcomer_test.go
+++ b/admission/peers_test.go
@@ -54,7 +54,7 @@
 
 func simulate(routes []harness.Route, m harness.Machine, load []harness.Arrival, origin uint64) *simulatedServer {
 	settings := admission.DefaultSettings()
-	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.MaxRunnablePerCore = m.Cores, m.MemoryKB, 8, 6
+	settings.Cores, settings.MemoryKB, settings.RunningMemoryFactor, settings.MaxRunsPerCore = m.Cores, m.MemoryKB, 8, 6
 	settings.ShedLevelFormat, settings.RetryAfter, settings.MaxRetryAfter = admission.ShedLevelThreshold, true, time.Second
 	settings.Cold, settings.ColdSpeed, settings.WarmUp = m.ColdShare > 0, m.ColdShare, m.WarmUp
 	settings.IdleTimeout = 15 * time.Second
@@ -178,7 +178,7 @@
 func (p *simulatedServer) SkipCall(*admission.Request)                   {}
 func (p *simulatedServer) SetHealth(bool, bool)                          {}
 func (p *simulatedServer) SetShedLevel(float64)                          {}
-func (p *simulatedServer) CloseIdleAfter(time.Duration)                  {}
+func (p *simulatedServer) SetIdleTimeout(time.Duration)                  {}
 func (p *simulatedServer) Log(string)                                    {}
 
 // snapshot returns the snapshot that this server publishes.
--- a/emulator/server_lifecycle.go
+++ b/emulator/server_lifecycle.go
@@ -26,7 +26,7 @@
 	s.composer, s.awaitingCall = newComposer(s), nil
 	for i, route := range w.fleet.Routes {
 		if plan := w.fleet.Plans[route.Name]; plan != nil {
-			s.routes[i].CallWait = plan.RequiredPath()
+			s.routes[i].CallWait = plan.RequiredDuration()
 		}
 	}
 	if controller, ok := s.policy.(*admission.Controller); ok && w.fleet.PeerSync {
@@ -114,7 +114,7 @@
 	if !s.alive || s.incarnation != incarnation {
 		return
 	}
-	w.rules.Add(rulecheck.Event{Kind: rulecheck.Stopped, At: w.now, Server: s.number})
+	w.rules.Add(rulecheck.Event{Kind: rulecheck.ShutdownEnded, At: w.now, Server: s.number})
 	s.alive = false
 	s.dropOpen()
 	if s.onStopped != nil {
--- a/internal/frontend/races_test.go
+++ b/internal/frontend/races_test.go
@@ -23,21 +23,21 @@
 // was closed because it was idle for too long after the drain began, because it had sent no valid frame in time, or to
 // make room for another one.
 func TestRequestCrossesTheCloseOfAnIdleConnection(t *testing.T) {
-	closes := map[string]func(b *bench, c *conn){
-		"draining": func(b *bench, c *conn) {
+	closes := map[string]func(b *fixture, c *conn){
+		"draining": func(b *fixture, c *conn) {
 			c.draining, c.activeAt = true, 0
 			b.checkTimeouts(b.server.Now())
 		},
-		"draining with the server": func(b *bench, c *conn) {
+		"draining with the server": func(b *fixture, c *conn) {
 			b.draining, b.listenerShut, c.draining, c.activeAt = true, true, true, 0
 			b.checkTimeouts(b.server.Now())
 			b.draining, b.listenerShut = false, false
 		},
-		"no frame in time": func(b *bench, c *conn) {
+		"no frame in time": func(b *fixture, c *conn) {
 			c.sawFrame, c.openedAt = false, 0
 			b.checkTimeouts(b.server.Now())
 		},
-		"evicted": func(b *bench, _ *conn) {
+		"evicted": func(b *fixture, _ *conn) {
 			b.maxConns = 0
 			if least := b.leastNeeded(nil, true); least != nil {
 				least.close("to make room")
@@ -47,7 +47,7 @@
 	}
 	for name, closing := range closes {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, defaultLimits())
+			b := newFixture(t, defaultLimits())
 			r := b.dialActive(t)
 			b.onLoop(func() {
 				c := b.conns[0]
@@ -55,7 +55,7 @@
 				closing(b, c)
 			})
 			b.pool.Next(t, "spawn")
-			b.pool.Finish(fake.CallID(2), "success", []byte("whole"))
+			b.pool.Finish(fake.RequestID(2), "success", []byte("whole"))
 			got := r.Next(t)
 			assert.Equal(t, []any{uint32(2), byte(20), "whole"}, []any{got.Stream, got.Code, got.Body})
 		})
@@ -65,7 +65,7 @@
 // Guards against a fault: an answer that its router had yet to read, as the buffers were full, was lost when the
 // draining connection was closed.
 func TestAnswerWaitsForItsReaderAcrossTheClose(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	r := b.dialActive(t)
 	result := strings.Repeat("r", 4<<10)
 	b.onLoop(func() {
@@ -87,7 +87,7 @@
 // Guards against two faults: the open requests of a connection were lost when its router violated the framing later,
 // and the unread rest of the input reset the connection, which lost answers already sent.
 func TestRequestsOutliveABrokenConnection(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.RequestFrame(1, "pay", ""), fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
@@ -95,8 +95,8 @@
 	r.Send(t, bytes.Repeat([]byte{0xff}, 100_000))
 	b.waitCounted(t, "connection closed: length out of bounds")
 	r.Send(t, fake.RequestFrame(3, "pay", "")) // after the violation, so never read
-	b.pool.Finish(fake.CallID(2), "success", []byte("two"))
-	b.pool.Finish(fake.CallID(1), "failure", nil)
+	b.pool.Finish(fake.RequestID(2), "success", []byte("two"))
+	b.pool.Finish(fake.RequestID(1), "failure", nil)
 	codes := map[uint32]byte{}
 	for _, got := range r.ReadAll(t) {
 		require.NotContains(t, codes, got.Stream, "a second answer")
@@ -108,7 +108,7 @@
 // Guards against a fault: the end of a connection that its router broke and did not close was recorded twice, when it
 // broke and when this side closed it a second later.
 func TestEndOfABrokenConnectionIsRecordedOnce(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	r := fake.Dial(t, b.Address())
 	r.Send(t, bytes.Repeat([]byte{0xff}, 100))
 	require.Eventually(t, func() bool {
@@ -123,7 +123,7 @@
 // Guards against a fault: peers that do not read filled the memory for unread answers, and the next peer to be answered
 // was cut off, though it reads.
 func TestPeersThatDoNotReadCostNoOther(t *testing.T) {
-	b := newBench(t, defaultLimits())
+	b := newFixture(t, defaultLimits())
 	stalled, reads := b.dialActive(t), b.dialActive(t)
 	reads.Send(t, fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
@@ -147,20 +147,20 @@
 // the framing, and all requests on the connection lost their answers.
 func TestRouterCancelsARequest(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"cold":false`, `"tells-gone":true,"cold":false`, 1)
-	b := newBenchAt(t, defaultLimits(), site, nil)
+	b := newFixtureAt(t, defaultLimits(), site, nil)
 	r := fake.Dial(t, b.Address())
 	r.Send(t, fake.RequestFrame(1, "browse", ""), fake.RequestFrame(2, "pay", ""))
 	b.pool.Next(t, "spawn")
 	b.pool.Next(t, "spawn")
 	cancel := func(stream uint32) []byte { return frame.AppendHead(nil, frame.Cancel, stream, 0, nil, 0) }
 	r.Send(t, cancel(1), cancel(77))
-	assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
-	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
+	assert.Equal(t, fake.RequestID(1), b.pool.Next(t, "suspend").RunID)
+	b.pool.Finish(fake.RequestID(2), "success", []byte("kept"))
 	got := r.Next(t)
 	assert.Equal(t, []any{uint32(2), byte(20), "kept"}, []any{got.Stream, got.Code, got.Body})
 	r.Send(t, cancel(2), fake.RequestFrame(3, "browse", "")) // the cancellation of request 2 crossed its answer
 	b.pool.Next(t, "spawn")
-	b.pool.Finish(fake.CallID(3), "success", []byte("on"))
+	b.pool.Finish(fake.RequestID(3), "success", []byte("on"))
 	assert.Equal(t, "on", r.Next(t).Body)
 }
 
@@ -176,18 +176,18 @@
 func TestDuplicatesOfAKeyedRequest(t *testing.T) {
 	limits := defaultLimits()
 	limits.Keys, limits.Tenants = true, true
-	b := newBenchAt(t, limits, keyedSite, nil)
+	b := newFixtureAt(t, limits, keyedSite, nil)
 	one, other := fake.Dial(t, b.Address()), fake.Dial(t, b.Address())
 	send := func(r *fake.Router, stream uint32, call uint32, org, body string) {
-		r.Send(t, fake.RequestFrame(stream, "file", body, "call", fake.CallID(call), "org", org, "dedupe", "k1"))
+		r.Send(t, fake.RequestFrame(stream, "file", body, "call", fake.RequestID(call), "org", org, "dedupe", "k1"))
 	}
 	send(one, 1, 1, "north", "b")
 	first := b.pool.Next(t, "spawn")
 	send(other, 1, 2, "north", "b") // while the first runs
 	send(other, 2, 3, "south", "b")
 	second := b.pool.Next(t, "spawn")
-	assert.Equal(t, []string{fake.CallID(1), fake.CallID(3)}, []string{first.RunID, second.RunID})
-	b.pool.Finish(fake.CallID(1), "success", []byte("the north's"))
+	assert.Equal(t, []string{fake.RequestID(1), fake.RequestID(3)}, []string{first.RunID, second.RunID})
+	b.pool.Finish(fake.RequestID(1), "success", []byte("the north's"))
 	assert.Equal(t, "the north's", one.Next(t).Body)
 	got := other.Next(t)
 	assert.Equal(t, []any{uint32(1), byte(20), "the north's"}, []any{got.Stream, got.Code, got.Body})
@@ -199,7 +199,7 @@
 	assert.Equal(t, byte(50), one.Next(t).Code)
 	one.Send(t, fake.RequestFrame(5, "file", "b", "org", "north"))
 	assert.Equal(t, byte(50), one.Next(t).Code, "no request runs without a key")
-	b.pool.Finish(fake.CallID(3), "success", []byte("the south's"))
+	b.pool.Finish(fake.RequestID(3), "success", []byte("the south's"))
 	assert.Equal(t, "the south's", other.Next(t).Body)
 	assert.Empty(t, b.pool.Commands, "another request ran")
 }
@@ -219,7 +219,7 @@
 // lost by a reset when the listener was shut down at the end of the grace, and when the process ended.
 func TestRequestOnAConnectionNotYetAccepted(t *testing.T) {
 	blocked := &blockedListener{open: make(chan struct{})}
-	b := newBenchAt(t, defaultLimits(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
+	b := newFixtureAt(t, defaultLimits(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
 		blocked.Listener = l
 		return blocked
 	})
@@ -232,7 +232,7 @@
 	})
 	close(blocked.open)
 	b.pool.Next(t, "spawn")
-	b.pool.Finish(fake.CallID(1), "success", []byte("whole"))
+	b.pool.Finish(fake.RequestID(1), "success", []byte("whole"))
 	var codes []byte
 	for _, got := range r.ReadAll(t) {
 		if got.Type == 11 {
@@ -267,7 +267,7 @@
 // listener are accepted once descriptors are free again.
 func TestDescriptorsRunOutAgain(t *testing.T) {
 	listener := &scarceListener{}
-	b := newBenchAt(t, defaultLimits(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
+	b := newFixtureAt(t, defaultLimits(), fake.SiteSettings, func(l netpoll.Listener) netpoll.Listener {
 		listener.Listener = l
 		return listener
 	})
@@ -287,6 +287,6 @@
 		assert.Equal(t, byte(21), waiting.Next(t).Type)
 		_ = waiting.Close()
 	}
-	b.pool.Finish(fake.CallID(2), "success", []byte("kept"))
+	b.pool.Finish(fake.RequestID(2), "success", []byte("kept"))
 	assert.Equal(t, "kept", busy.Next(t).Body)
 }
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBenchWith(t, c.site, c.limits, nil)
+			b := newFixtureWith(t, c.site, c.limits, nil)
 			b.onLoop(func() {
 				notifiedAt := b.Now()
 				b.startDrain(notifiedAt, c.within)
@@ -41,7 +41,7 @@
 }
 
 func TestDrain(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.submitRequest(1, "pay", time.Minute)
 	b.pool.Next(t, "spawn")
@@ -57,7 +57,7 @@
 	got := b.nextAnswer(t)
 	assert.Equal(t, []any{uint32(3), Rejected}, []any{got.stream, got.Verdict})
 	for stream := range uint32(2) {
-		b.pool.Finish(fake.CallID(stream+1), "success", nil)
+		b.pool.Finish(fake.RequestID(stream+1), "success", nil)
 		assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 	}
 	<-b.done
@@ -65,7 +65,7 @@
 
 // All requests that were read are answered by the stop, queued and running ones alike.
 func TestStopAnswersAll(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	for stream := range uint32(40) {
 		b.submitRequest(stream, "pay", time.Minute)
@@ -78,7 +78,7 @@
 
 // A peer that does not read its answers kept the process from ending until it was killed.
 func TestDrainWithAPeerThatDoesNotRead(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.Submit(func() { b.peersStalled = true })
 	b.Drain(500 * time.Millisecond)
 	select {
@@ -91,7 +91,7 @@
 // A process that ends with a connection not accepted, or bytes not read, loses a request. It waits for them until the
 // stop.
 func TestDrainWaitsForUnreadInput(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.inputPending.Store(true)
 	b.Drain(4 * time.Second)
@@ -101,8 +101,8 @@
 		return stopped
 	}, fake.WaitLimit, time.Millisecond)
 	b.onLoop(func() { // read only now, after the grace of 400 ms: it is answered, and does not run
-		b.Receive(Incoming{
-			ID: fake.CallID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Arrived: b.drain.startedAt + 401*time.Millisecond,
+		b.Receive(IncomingRequest{
+			ID: fake.RequestID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Arrived: b.drain.startedAt + 401*time.Millisecond,
 			Timeout: time.Minute, Caller: b, Stream: 1,
 		})
 	})
@@ -121,7 +121,7 @@
 // The notice to shut down was handled late, and the grace and the stop were counted from then: requests that had arrived
 // after the grace were started, and runs were planned past the stop.
 func TestGraceAndStopRunFromTheNotice(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.pool.Next(t, "bind")
 	b.waitLinkSynced(t)
@@ -129,15 +129,15 @@
 		notifiedAt := b.Now() - 300*time.Millisecond
 		b.startDrain(notifiedAt, 3*time.Second)
 		assert.Equal(t, notifiedAt+3*time.Second-maxLateness, b.drain.stopAt)
-		late := Incoming{ID: fake.CallID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
+		late := IncomingRequest{ID: fake.RequestID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, Timeout: time.Minute, Caller: b, Stream: 1}
 		late.Arrived = notifiedAt + 401*time.Millisecond // the site's grace is 400 ms
 		b.Receive(late)
 		due := late
-		due.ID, due.Stream, due.Arrived = fake.CallID(2), 2, notifiedAt+399*time.Millisecond
+		due.ID, due.Stream, due.Arrived = fake.RequestID(2), 2, notifiedAt+399*time.Millisecond
 		b.Receive(due)
 	})
 	assert.Equal(t, []any{uint32(1), Rejected}, func() []any { a := b.nextAnswer(t); return []any{a.stream, a.Verdict} }())
-	assert.Equal(t, fake.CallID(2), b.pool.Next(t, "spawn").RunID)
-	b.pool.Finish(fake.CallID(2), "success", nil)
+	assert.Equal(t, fake.RequestID(2), b.pool.Next(t, "spawn").RunID)
+	b.pool.Finish(fake.RequestID(2), "success", nil)
 	assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 }
--- a/internal/server/inbox_test.go
+++ b/internal/server/inbox_test.go
@@ -11,7 +11,7 @@
 
 // floodedCaller records how much of the flood had been read when its request is answered.
 type floodedCaller struct {
-	*bench
+	*fixture
 	read       *int
 	readBefore chan int
 }
@@ -22,13 +22,13 @@
 // first waited for all of it.
 func TestFloodDoesNotDelayTheFirstDecision(t *testing.T) {
 	const flood = 300
-	b := newBench(t)
+	b := newFixture(t)
 	read := 0
 	caller := floodedCaller{b, &read, make(chan int, 1)}
 	submitted := make(chan struct{})
 	b.Submit(func() { <-submitted })
 	b.Submit(func() {
-		b.Receive(Incoming{ID: fake.CallID(1), Route: "pay", SentUnixMS: time.Now().UnixMilli(), Timeout: time.Millisecond, Caller: caller})
+		b.Receive(IncomingRequest{ID: fake.RequestID(1), Route: "pay", SentUnixMS: time.Now().UnixMilli(), Timeout: time.Millisecond, Caller: caller})
 	})
 	for range flood {
 		b.Submit(func() { time.Sleep(time.Millisecond); read++ })
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -14,12 +14,12 @@
 // Its caller would have sent it to another server, where it would have run again.
 func TestDuplicatesAreNeverRejectedOnceTheirOriginalMayHaveRun(t *testing.T) {
 	site := strings.Replace(fake.SiteSettings, `"fragile"`, `"dedup","dedup-window":20000000`, 1)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
+	b := newFixtureWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
-	incoming := func(stream uint32, key string) Incoming {
-		return Incoming{
-			ID: fake.CallID(stream), Route: "pay", QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
+	incoming := func(stream uint32, key string) IncomingRequest {
+		return IncomingRequest{
+			ID: fake.RequestID(stream), Route: "pay", QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: stream, Key: key,
 		}
 	}
@@ -45,12 +45,12 @@
 func TestADuplicateBelongsToTheWindowInWhichItArrived(t *testing.T) {
 	const window = 400 * time.Millisecond
 	site := strings.Replace(fake.SiteSettings, `"fragile"`, `"dedup","dedup-window":400000`, 1)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
+	b := newFixtureWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
-	incoming := func(stream uint32, arrived time.Duration) Incoming {
-		return Incoming{
-			ID: fake.CallID(stream), Route: "pay", QueuedKB: 20, Rank: 0.9, Arrived: arrived, Timeout: time.Minute,
+	incoming := func(stream uint32, arrived time.Duration) IncomingRequest {
+		return IncomingRequest{
+			ID: fake.RequestID(stream), Route: "pay", QueuedKB: 20, Rank: 0.9, Arrived: arrived, Timeout: time.Minute,
 			Caller: b, Stream: stream, Key: "n",
 		}
 	}
@@ -77,12 +77,12 @@
 // key was kept for the whole window, as if it would still run: a duplicate was neither run nor rejected.
 func TestKeyOfARequestCanceledAsItWasRead(t *testing.T) {
 	site := strings.NewReplacer(`"fragile"`, `"dedup"`, `"ram-kb":60000.0`, `"ram-kb":60000.0,"key-kb":1e6`).Replace(fake.SiteSettings)
-	b := newBenchWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
+	b := newFixtureWith(t, site, Limits{MemoryMB: 96, Sockets: 256, Keys: true}, nil)
 	b.pool.Ready()
 	b.waitLinkSynced(t)
 	b.onLoop(func() {
-		request := b.Receive(Incoming{
-			ID: fake.CallID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
+		request := b.Receive(IncomingRequest{
+			ID: fake.RequestID(1), Route: "pay", QueuedKB: 20, Rank: 0.9, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute,
 			Caller: b, Stream: 1, Key: "n",
 		})
 		b.Cancel(request)
--- a/internal/server/linkrecovery_test.go
+++ b/internal/server/linkrecovery_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBenchAt(t, strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"abort"`, 1))
+			b := newFixtureAt(t, strings.Replace(fake.SiteSettings, `"halt":"suspend"`, `"halt":"abort"`, 1))
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
 			b.waitLinkSynced(t)
@@ -48,7 +48,7 @@
 			}
 			b.pool.CloseLink()
 			if c.ended {
-				b.pool.Finish(fake.CallID(1), "success", []byte("done"))
+				b.pool.Finish(fake.RequestID(1), "success", []byte("done"))
 			}
 			b.pool.SetSilent(false)
 			b.pool.Next(t, "bind")
@@ -56,7 +56,7 @@
 				b.pool.Next(t, "spawn")
 			}
 			if !c.ended && c.want == Served {
-				b.pool.Finish(fake.CallID(1), "success", []byte("done"))
+				b.pool.Finish(fake.RequestID(1), "success", []byte("done"))
 			}
 			start := time.Now()
 			assert.Equal(t, c.want, b.nextAnswer(t).Verdict)
@@ -76,7 +76,7 @@
 		lost bool // the spawn is lost with the link
 	}{{"runs", false}, {"never begun", true}} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			b.pool.RunsOnAfterSuspend, b.pool.DropsSpawns = true, c.lost
 			b.pool.Ready()
 			b.pool.Next(t, "bind")
@@ -88,12 +88,12 @@
 			b.pool.SetDropsSpawns(false)
 			b.pool.Next(t, "bind")
 			b.pool.SetSilent(false)
-			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
+			assert.Equal(t, fake.RequestID(1), b.pool.Next(t, "suspend").RunID)
 			if c.lost {
 				assert.Equal(t, "body 1", string(b.pool.Next(t, "spawn").Body))
 			}
-			assert.Equal(t, fake.CallID(1), b.pool.Next(t, "proceed").RunID)
-			b.pool.Finish(fake.CallID(1), "success", []byte("done"))
+			assert.Equal(t, fake.RequestID(1), b.pool.Next(t, "proceed").RunID)
+			b.pool.Finish(fake.RequestID(1), "success", []byte("done"))
 			assert.Equal(t, Served, b.nextAnswer(t).Verdict)
 		})
 	}
@@ -102,7 +102,7 @@
 // Each lost link added one more alarm, and each alarm sets the next. The rounds, and the rate at which the in-flight
 // limit and the shed level change, doubled with each loss.
 func TestLinkLostSetsNoAlarms(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	for range 5 {
 		b.waitLinkSynced(t)
@@ -118,7 +118,7 @@
 // core is then free for other runs. (The controller repeats the pause until the end is reported.)
 func TestStopOfARunAcrossALostLink(t *testing.T) {
 	for _, down := range []bool{false, true} {
-		b := newBench(t)
+		b := newFixture(t)
 		b.pool.Ready()
 		b.pool.Next(t, "bind")
 		b.waitLinkSynced(t)
@@ -134,12 +134,12 @@
 			}, fake.WaitLimit, time.Millisecond)
 		}
 		b.onLoop(func() {
-			b.Cancel(b.requests.byID[fake.CallID(1)])
+			b.Cancel(b.requests.byID[fake.RequestID(1)])
 			if !down {
 				b.pool.CloseLink() // before the pause is written
 			}
 		})
-		assert.Equal(t, fake.CallID(1), b.pool.Next(t, "suspend").RunID)
+		assert.Equal(t, fake.RequestID(1), b.pool.Next(t, "suspend").RunID)
 		require.Eventually(t, func() bool {
 			left := 1
 			b.onLoop(func() { left = len(b.requests.byID) })
--- a/internal/server/reconfigure_test.go
+++ b/internal/server/reconfigure_test.go
@@ -16,7 +16,7 @@
 // stopped if the settings in force allow preemption, and left to end otherwise. No run is started twice, and a request
 // that was admitted before the changes is answered once.
 func TestSettingsChangeWhileRunning(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.pool.Ready()
 	b.pool.Next(t, "bind")
 	b.waitLinkSynced(t)
@@ -32,7 +32,7 @@
 		var request *Request
 		b.Submit(func() {
 			b.Reconfigure(adjusted("extra.halt=" + halt))
-			request = b.Receive(Incoming{ID: id, Route: "browse", QueuedKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
+			request = b.Receive(IncomingRequest{ID: id, Route: "browse", QueuedKB: 1, SentUnixMS: time.Now().UnixMilli(), Timeout: time.Minute, Caller: b})
 		})
 		assert.Equal(t, id, b.pool.Next(t, "spawn").RunID)
 		b.Submit(func() { b.Cancel(request) })
