--- a/admission/callcapacity.go
+++ b/admission/callcapacity.go
@@ -37,7 +37,7 @@
 	outcomes       *slidingSums // see callTotals
 	inProgress     *slidingSums // call-seconds, over the window of the quota
 	seconds        movingMean   // seconds of a call
-	sample         sampleStats  // the same, for other servers
+	sample         sampleStats  // seconds of a call; published to other servers
 	assumedSeconds float64      // seconds that a call is assumed to take before any is measured
 
 	strained bool // calls take much longer than usual, or are rejected
@@ -64,7 +64,8 @@
 	return c
 }
 
-// assumeAtLeast raises the assumed time of a call, which counts until one is measured, to at least seconds.
+// assumeAtLeast raises the assumed time of a call to seconds, if it is less. The assumed time is used only while no call
+// time is known from this server's calls or from peers.
 func (c *callCapacity) assumeAtLeast(seconds float64) {
 	c.assumedSeconds = max(c.assumedSeconds, seconds)
 }
@@ -97,13 +98,17 @@
 	return c.peerSeconds.estimate.Mean
 }
 
-// pacingAllows reports whether the pacing of calls allows a call now. Pacing spreads the calls of the fleet over time:
-// hundreds of servers that make one call each at the same time, after a release or in a burst, exceed what the
-// dependency survives. A pacing cycle is the time in which the capacity allows one call; each server has a random
-// phase. A call may be made only in the first part of a cycle. That part is, as a fraction of the cycle, the
-// call-seconds per window between the capacity and plannedShare of the quota, divided by the expected seconds of a
-// call. So pacing restricts calls only if one takes longer than these call-seconds. There is no pacing without a
-// configured quota.
+// pacingAllows reports whether the pacing of calls allows a call now.
+//
+// Hundreds of servers that make one call each at the same time, after a release or in a burst, exceed what the
+// dependency survives. Pacing spreads the calls of the fleet over time.
+//
+// A pacing cycle is the time in which the capacity allows one call. The cycles of each server have a random phase. A
+// call may be made only in the first part of a cycle. As a fraction of the cycle, that part is the spare call-seconds
+// divided by the expected seconds of a call. The spare call-seconds are those by which plannedShare of the quota exceeds
+// the capacity in one window. So calls are held back only if they are expected to take longer than that.
+//
+// Calls are not paced if the quota is minCallQuota, which is used if none is configured.
 func (c *callCapacity) pacingAllows() bool {
 	window := max(c.window, tickInterval).Seconds()
 	spare := (c.quota*plannedShare - c.capacity) * window
@@ -138,9 +143,9 @@
 	return time.Duration(max(recent.seconds/max(recent.returned, 1), c.calls.peerCallSeconds()) * float64(time.Second))
 }
 
-// calibrateCalls moves the capacity like the in-flight limit: up by callIncrease of the quota while calls wait for
-// capacity and return as usual, and down to backoffFactor times its value when calls are rejected or take much longer
-// than usual.
+// calibrateCalls moves the capacity like the in-flight limit. While calls wait for capacity and return as usual, it grows
+// by callIncrease of the quota, up to maxCallShare of it. When calls are rejected or take much longer than usual, it is
+// multiplied by backoffFactor, down to minCallShare of the quota.
 func (c *Controller) calibrateCalls() {
 	calls := &c.calls
 	recent := c.recentCalls(recentCallParts)
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -122,9 +122,12 @@
 // lossWithoutCall returns the value that is lost if the request skips its call.
 func (r *Request) lossWithoutCall() float64 { return r.Route.Value * (1 - r.Route.SkipValueShare) }
 
-// skipsCall reports whether a request that can skip its call does so: if the dependency is strained and little capacity
-// is left, as that is reserved for requests that can't skip theirs, or if there is no time for the call and the wait
-// before it. Requests ahead use up the credit first; rest is the time that the run takes after its call.
+// skipsCall reports whether a request skips its call. Only a request that can skip it does, and for one of two reasons:
+//
+//   - The dependency is strained and little capacity is left, which is reserved for requests that can't skip their calls.
+//   - There is no time for the call and the wait before it. Requests ahead use up the credit first.
+//
+// rest is the time that the run takes after its call.
 func (c *Controller) skipsCall(request *Request, rest time.Duration, ahead, inProgress float64) bool {
 	calls := &c.calls
 	turnaround := c.callTime()
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -80,8 +80,8 @@
 }
 
 // Decide processes a round and passes the decisions to the executor. The end of a call is processed before a new call
-// of the same request, and both before the end of its run, so that one round may hold several successive events of a
-// request.
+// of the same request, and both are processed before the end of its run. So one round may hold several successive
+// events of a request.
 func (c *Controller) Decide(r *Round, executor Executor) {
 	c.now = r.Now
 	c.begin(executor)
@@ -108,7 +108,8 @@
 	executor.WakeAfter(tickInterval)
 }
 
-// applyEvents applies the events of the round to the requests.
+// applyEvents applies the events of the round to the requests, one kind of event after the other: see Decide
+// for the order of calls and runs.
 func (c *Controller) applyEvents(r *Round, executor Executor) {
 	for _, end := range r.CallsEnded {
 		c.endCall(end, executor)
@@ -241,8 +242,8 @@
 // Occupancy is the use of the machine as the controller accounts for it.
 type Occupancy struct {
 	Queued         int     // queued requests
-	OnCores        int     // runs on the cores, including those whose requests are answered
-	InFlight       int     // runs on the cores, at calls and waiting for them
+	OnCores        int     // runs on the cores, including runs whose requests are already answered
+	InFlight       int     // runs on the cores, at a call or waiting to make one
 	Answered       int     // requests in flight that are already answered
 	Limit          float64 // in-flight limit
 	MaxConcurrency float64 // upper bound on the runs on the cores and at calls
@@ -250,7 +251,7 @@
 	MaxKB          float64 // upper bound on planned memory, in KiB
 }
 
-// Occupancy returns the occupancy at time now of the clock of rounds.
+// Occupancy returns the occupancy at time now, which is on the same clock as Round.Now.
 func (c *Controller) Occupancy(now time.Duration) Occupancy {
 	c.now = max(c.now, now)
 	count := c.inFlight()
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -9,7 +9,7 @@
 
 // drain is the state of a graceful shutdown.
 type drain struct {
-	deadline   time.Duration // time by which all requests are answered; 0 before the notice
+	deadline   time.Duration // latest time of any answer, answerMargin before the process is stopped; 0 before the notice
 	notifiedAt time.Duration
 }
 
@@ -26,8 +26,8 @@
 // notifiedAt returns when the notice to shut down was received: NotifiedAt if set, otherwise the time of the round.
 func (r *Round) notifiedAt() time.Duration { return cmp.Or(r.NotifiedAt, r.Now) }
 
-// beginDrain starts the graceful shutdown if the round has the first notice: health checks fail, and nothing is planned
-// past the stop.
+// beginDrain starts the graceful shutdown if the round brings the first notice to shut down. From then on health checks
+// fail, and each request is answered before the process is stopped.
 func (c *Controller) beginDrain(r *Round, executor Executor) {
 	if r.StopAt <= 0 || c.drain.begun() {
 		return
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -53,10 +53,10 @@
 	s.Decide(&r, s)
 }
 
-// The calls of all servers together stay within the dependency's budget of N calls per window, but for random
-// variation, for any number of servers: when all start at once with requests waiting, and when a burst arrives after
-// all were idle. One call of each server at the same time, with hundreds of servers, was more than the dependency
-// survives.
+// The calls of all servers together stay within the dependency's budget of N calls per window, except for random
+// variation. This holds for any number of servers, both when all start at once with requests waiting and when a burst
+// arrives after all were idle. One call of each server at the same time, with hundreds of servers, was more than the
+// dependency survives.
 func TestCallsOfAFleetKeepToOneBudget(t *testing.T) {
 	const budget = 10.0 // mean number of calls in progress
 	window := 5 * time.Second
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -31,7 +31,7 @@
 // Backoff is a kind of backoff event.
 type Backoff int
 
-// The kinds of backoff events.
+// The causes of backoff events. BackoffNone stands for no event.
 const (
 	BackoffNone Backoff = iota
 	BackoffCPU
@@ -53,7 +53,8 @@
 	From, To float64 // requests
 }
 
-// inFlightLimit bounds the requests in flight: on the cores, at calls and waiting for them.
+// inFlightLimit bounds the number of requests in flight: those with a run that is on the cores, at a call or waiting to
+// make one.
 type inFlightLimit struct {
 	value          float64         // requests
 	minimum        float64         // requests; the number of cores
@@ -142,8 +143,8 @@
 	}
 }
 
-// maxLimit returns the lower of a multiple of the cores and the number of requests that memory allows at the mean size
-// of those in flight.
+// maxLimit returns the upper bound of the limit: maxInFlightPerCore for each core, but at most the number of requests
+// for which there is memory. Each is assumed to need as much as the requests in flight on average.
 func (c *Controller) maxLimit() float64 {
 	count, kb := 0.0, 0.0
 	for _, request := range c.active {
--- a/admission/peers.go
+++ b/admission/peers.go
@@ -73,8 +73,8 @@
 }
 
 // prior returns the value that is expected before recent runs are considered, from this server's own mean and the
-// peers' estimate, and its weight in runs. While there are no own runs, own.mean is an assumed value that counts as one
-// run, so that the peers' estimate fades into it as it ages; 0 means that there is no such value.
+// peers' estimate, and its weight in runs. While there are no own runs, own.mean is an assumed value, or 0 if there is
+// none. The assumed value counts as one run, so that it gradually replaces the peers' estimate as that ages.
 func (c *Controller) prior(own movingMean, peer *peerEstimate) (mean, runs float64) {
 	if peer.weight == 0 {
 		return own.mean, priorRuns
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -38,8 +38,9 @@
 	OverQuotaValue float64 // value of a tenant's requests beyond its quota, as a fraction of the value within it
 	ValueByWork    bool    // a route's value is per second of work; otherwise per request
 
-	// EstimatesOnly sheds queued requests by estimates alone, even before any run supports these, and disables trials,
-	// as releases of 2026-12-03 and before did. Recordings of those releases are replayed with it.
+	// EstimatesOnly plans queued requests by their expected work even while that is a mere assumption (see
+	// Controller.workKnown), and disables trials. Releases of 2026-12-03 and before did so, and their recordings are
+	// replayed with it.
 	EstimatesOnly bool
 
 	Routes  []Route // settings only, without measurements
--- a/admission/shed.go
+++ b/admission/shed.go
@@ -179,8 +179,9 @@
 	}
 }
 
-// valueDensity returns the value that a second of work on the request earns. Requests beyond a tenant's quota are not
-// marked, so each of its requests counts with the mean value of those within and beyond the quota.
+// valueDensity returns the value that a second of work on the request earns. It is not known which requests of a tenant
+// are beyond its quota. So while the tenant exceeds the quota, each of its requests counts with the mean value of its
+// requests within and beyond the quota.
 func (c *Controller) valueDensity(request *Request) float64 {
 	value := request.Route.Value
 	if request.plannedLate {
--- a/admission/shed_test.go
+++ b/admission/shed_test.go
@@ -109,8 +109,8 @@
 	assert.NotContains(t, b.round(Round{RunsEnded: ended}), "reject", "the runs are short, so the others have time")
 }
 
-// If the runs of such a route do not end, their core time so far shows that the burst has too little time left: it is
-// shed long before its deadline.
+// If the runs of an unmeasured route do not end, their core time so far shows that the burst has too little time left:
+// requests of the burst are rejected long before their deadlines.
 func TestBurstOfAnUnmeasuredRouteIsShedWhenItsRunsTakeLong(t *testing.T) {
 	b := newBench(nil)
 	var burst []*Request
--- a/admission/shedlevel.go
+++ b/admission/shedlevel.go
@@ -13,7 +13,7 @@
 	shedLevelFall     = 0.02 // fall per move
 	tolerableShed     = 0.05 // fraction of the work that may be shed without a rise
 	maxShedLevel      = 0.95 // requests of the highest rank are never held back altogether
-	unreadWeight      = 3.0  // weight of the mean time spent unread, in latency targets, relative to the fraction of work shed
+	unreadWeight      = 3.0  // overload per latency target that requests wait unread on average: a third of one counts like shedding all work
 	halfWeightSamples = 4.0  // number of samples that gets half of the full weight
 	shedWindow        = time.Second
 	shedWindowParts   = 10
@@ -24,7 +24,7 @@
 type shedLevel struct {
 	level      float64      // from 0 to maxShedLevel
 	advertised float64      // value that answers carry, in the format of the settings
-	work       *slidingSums // core seconds of requests with a rank of at least the level: of those read, and of those shed
+	work       *slidingSums // core seconds of the requests read, and of the requests shed; both only with a rank of at least the level
 	unread     *slidingSums // requests read, and the sum of the fractions that addRead counts
 }
 
@@ -41,10 +41,10 @@
 	s.unread.add(now, 1, min(1, float64(now-request.Arrived)/float64(request.Route.LatencyTarget)))
 }
 
-// addOffered counts the work of a request that was read with a rank of at least the level.
+// addOffered counts the work of a request that was read. The caller leaves out requests with a rank below the level.
 func (s *shedLevel) addOffered(now, work time.Duration) { s.work.add(now, work.Seconds()) }
 
-// addShed counts the work of such a request that was shed.
+// addShed counts the work of a request that was shed. The caller leaves out requests with a rank below the level.
 func (s *shedLevel) addShed(now, work time.Duration) { s.work.add(now, 0, work.Seconds()) }
 
 // move moves the level according to the work shed and the time spent unread in the window. While CPU use is below
--- a/admission/table_test.go
+++ b/admission/table_test.go
@@ -43,7 +43,7 @@
 	})
 }
 
-// Latencies are checked only for routes whose runs ended recently, and a rise on one of these is still detected.
+// Latencies are checked only for routes whose runs ended recently, and a rise on one of these routes is still detected.
 func TestOnlyBusyRoutesAreChecked(t *testing.T) {
 	b := newBench(nil)
 	for i := range 50 {
--- a/admission/work.go
+++ b/admission/work.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	priorRuns         = 2.0   // runs that the long-term mean counts for in addition to the recent ones
+	priorRuns         = 2.0   // weight of the long-term mean when it is averaged with the recent runs, as a number of runs
 	runMeanSamples    = 200.0 // runs that the long-term means average over
 	hintedWindow      = 6 * time.Second
 	hintedWindowParts = 12
@@ -11,9 +11,9 @@
 
 // workEstimate measures the work of requests whose callers stated a hint.
 type workEstimate struct {
-	hinted        *slidingSums // core seconds spent on requests with a hint, and hinted seconds of those that ended
+	hinted        *slidingSums // core seconds spent on requests with a hint, and hinted seconds of the requests that ended
 	hintRatio     movingMean   // core seconds per hinted second
-	hintSample    sampleStats  // the same, for other servers
+	hintSample    sampleStats  // core seconds per hinted second on a warm server; published to other servers
 	peerHintRatio peerEstimate
 }
 
@@ -21,9 +21,11 @@
 	return workEstimate{hinted: newSlidingSums(hintedWindow, hintedWindowParts)}
 }
 
-// recordRun adds an ended run to the long-term means. A run that outlived its deadline shows a fault and is left out of
-// them; the sums over the last seconds include it. In a long-term mean it would outlast the fault: no request of the
-// route would be started, so none could show that runs are short again.
+// recordRun adds an ended run to the long-term means.
+//
+// A run that outlived its deadline shows a fault and is left out of them; only the sums of the recent runs include it.
+// It would raise the long-term means even after the fault has ended: no request of the route would then be started, so
+// none could show that runs are short again.
 func (c *Controller) recordRun(request *Request, took time.Duration) {
 	if request.answered && max(took, request.coreTime) > request.Route.Deadline {
 		return
@@ -90,8 +92,9 @@
 		runTotalsOf(route.recentRuns.sum(c.now)).ended > 0
 }
 
-// plannedWork returns the core time by which a request is planned to delay those after it. A mere assumption must not
-// delay other requests: until a run of its route has ended, it is the longest core time of the route's runs so far.
+// plannedWork returns the core time by which a request is planned to delay the requests after it. While workKnown is
+// false, the expected work is a mere assumption, which must not delay other requests. The longest core time of the
+// route's runs so far is then used instead.
 func (c *Controller) plannedWork(request *Request, expected time.Duration) time.Duration {
 	if !c.settings.EstimatesOnly && !c.workKnown(request) {
 		return request.Route.longestRun
--- a/budget/plan.go
+++ b/budget/plan.go
@@ -20,7 +20,7 @@
 // Effect states what repeating a call does, and so whether it may be repeated.
 type Effect int
 
-// The effects of a call.
+// The effects of a call, ordered from the one that allows the most kinds of repeats to the one that allows none.
 const (
 	Read       Effect = iota // without effect: may be retried and hedged
 	Keyed                    // carries an idempotency key, the same on every attempt: may be retried
--- a/estimate/merge.go
+++ b/estimate/merge.go
@@ -15,10 +15,10 @@
 // merged separately:
 //
 //   - Snapshots of one origin count as one, so a repeated snapshot adds no weight.
-//   - Of three or more origins, the median of each of mean, spread, samples and age is used, so a single wrong origin can at
-//     most choose between two values of the others.
-//   - Two origins have no majority. If their means differ by more than a factor of three, neither is used; otherwise the
-//     larger mean, spread and age and the fewer samples are.
+//   - Of three or more origins, the medians of the means, spreads, numbers of samples and ages are used. So a single wrong
+//     origin cannot move any of them out of the range of the other origins' values.
+//   - Two origins have no majority. If their means differ by more than a factor of maxDisagreement, neither is used.
+//     Otherwise the larger of the two means, spreads and ages is used, and the smaller of the two numbers of samples.
 //   - Core and run times are first scaled to the median pace, if all snapshots have one.
 func Merge(snapshots []Snapshot) Snapshot {
 	if len(snapshots) == 0 {
@@ -107,7 +107,8 @@
 	return merged
 }
 
-// pessimistic returns the larger mean, spread and age and the fewer samples of two estimates.
+// pessimistic combines two estimates: it returns the larger of their means, spreads and ages, and the smaller of their
+// numbers of samples.
 func pessimistic(a, b Estimate) Estimate {
 	return Estimate{
 		Mean: max(a.Mean, b.Mean), Spread: max(a.Spread, b.Spread), Samples: min(a.Samples, b.Samples),
--- a/estimate/snapshot.go
+++ b/estimate/snapshot.go
@@ -27,7 +27,7 @@
 	Mean    float64       `cbor:"1,keyasint" json:"mean"`
 	Spread  float64       `cbor:"2,keyasint" json:"spread"`  // standard deviation, in the unit of the mean
 	Samples float64       `cbor:"3,keyasint" json:"samples"` // number of samples on which the mean is based
-	Age     time.Duration `cbor:"4,keyasint" json:"age"`     // mean age of these samples
+	Age     time.Duration `cbor:"4,keyasint" json:"age"`     // mean age of the samples
 }
 
 // Known reports whether the estimate has samples.
@@ -50,7 +50,7 @@
 	Routes         []RouteEstimates `cbor:"3,keyasint" json:"types"`   // in the order of the settings
 	Pace           Estimate         `cbor:"4,keyasint" json:"pace"`    // core seconds used per second of the callers' cost hints
 	Calls          Estimate         `cbor:"5,keyasint" json:"calls"`   // seconds per call to the shared dependency
-	RejectRatio    Estimate         `cbor:"6,keyasint" json:"refused"` // fraction of these calls that failed
+	RejectRatio    Estimate         `cbor:"6,keyasint" json:"refused"` // fraction of the calls to the shared dependency that failed
 	ReturnRatio    Estimate         `cbor:"7,keyasint" json:"returns"` // fraction of requests within the idle timeout after another request of the same router
 }
 
--- a/execution.go
+++ b/execution.go
@@ -147,7 +147,8 @@
 
 // submitCancel reports to the event loop that the caller no longer waits.
 func (e *execution) submitCancel() {
-	e.answeredBy.CompareAndSwap(notAnswered, answeredByLoop) // no caller is left to answer
+	// The caller is gone, so neither the run nor the event loop may answer from now on.
+	e.answeredBy.CompareAndSwap(notAnswered, answeredByLoop)
 	e.references.Add(1)
 	e.gate.loop.Submit(e.cancel)
 }
--- a/internal/configwatch/messages.go
+++ b/internal/configwatch/messages.go
@@ -10,14 +10,15 @@
 	"quartzpoint/internal/strictcbor"
 )
 
-// Limits of message and field sizes, in bytes.
+// Limits of encoded messages and of fields in them, in bytes. The receiver of a longer message gets an error instead of
+// it. A longer reason is cut before it is sent, so that the Report stays within MaxReportBytes.
 const (
 	MaxRequestBytes  = configuration.MaxChangeBytes + 4<<10
 	MaxUpdateBytes   = 64 << 20 // large enough for a snapshot of the largest tables
 	MaxReportBytes   = 16 << 10
 	MaxResponseBytes = 1 << 20
-	maxNameBytes     = 128 // of a watcher or a zone
-	maxReasonBytes   = 8 << 10
+	maxNameBytes     = 128     // of a watcher or a zone
+	maxReasonBytes   = 8 << 10 // of Report.Reason
 )
 
 // Heartbeat is the interval at which a control machine sends an empty Update if it has nothing else to send. A watcher
--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -64,7 +64,7 @@
 
 func defaultLimits() server.Limits { return server.Limits{MemoryMB: 96, Sockets: 256} }
 
-// waitCounted waits until an event was counted.
+// waitCounted waits until the event named what was counted, by the front end or the server, at least once.
 func (b *bench) waitCounted(t *testing.T, what string) {
 	t.Helper()
 	require.Eventually(t, func() bool { return b.counters.Times(what) > 0 }, fake.WaitLimit, time.Millisecond, what)
--- a/internal/frontend/eviction.go
+++ b/internal/frontend/eviction.go
@@ -28,7 +28,7 @@
 	return min(sockets, int(rlimit.Cur))
 }
 
-// splitSockets divides descriptors: conns for connections, overLimit for further connections while all of those are in
+// splitSockets divides descriptors: conns for connections, overLimit for further connections while all conns are in
 // use, and unjoined for accepted connections that have not yet joined the event loop. The rest is for the process
 // itself.
 func splitSockets(sockets int) (conns, overLimit, unjoined int) {
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -12,7 +12,8 @@
 	"quartzpoint/internal/sysfault"
 )
 
-// inputEmpty reports whether no bytes wait to be read, neither in netpoll nor in the kernel.
+// inputEmpty reports whether no bytes wait to be read, neither in netpoll nor in the kernel. It returns
+// true if the connection is closed or the peer has ended its side.
 func (c *conn) inputEmpty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,7 +29,9 @@
 	case errors.Is(err, unix.EAGAIN):
 		return false
 	case err != nil:
-		return sysfault.IsTransient(err) // bytes are assumed if the state is unknown, as closing the connection would lose them
+		// After a transient error it is unknown whether bytes wait. They are assumed to, because a connection without
+		// unread bytes may be closed, which would lose them.
+		return sysfault.IsTransient(err)
 	}
 	return n > 0
 }
--- a/internal/frontend/shutdown.go
+++ b/internal/frontend/shutdown.go
@@ -59,7 +59,9 @@
 		switch {
 		case errors.Is(err, unix.EINTR):
 		case err != nil:
-			return sysfault.IsTransient(err) // input is assumed if the state is unknown, as it would be lost otherwise
+			// After a transient error it is unknown whether input waits. It is assumed to, because otherwise the
+			// listener may be shut down or the process end, which would lose it.
+			return sysfault.IsTransient(err)
 		default:
 			return n > 0 && polled[0].Revents&unix.POLLIN != 0
 		}
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -104,8 +104,8 @@
 }
 
 // readInput handles all input that was reported. Input that arrives meanwhile belongs to the same round, for up to
-// maxPasses passes and until a time limit, so that a flood of input delays neither the round nor the answers due in it.
-// The remaining input belongs to the next round.
+// maxPasses passes and until the time limit. The rest belongs to the next round, so that a flood of input delays neither
+// the round nor the answers due in it.
 func (s *Server) readInput(until time.Duration) {
 	for pass, repeat := 0, true; repeat && pass < maxPasses; pass++ {
 		called := s.callSubmitted(until)
--- a/internal/server/linkrecovery.go
+++ b/internal/server/linkrecovery.go
@@ -44,11 +44,11 @@
 // either runs or never reached the workers.
 //
 //   - A run that was never sent is sent now, or ended if its request is answered.
-//   - A run that may have been sent is sent again if a second run does no harm; the workers ignore the command while the
+//   - A run that may have been sent is sent again if a second run does no harm. The workers ignore the command while the
 //     first runs.
-//   - A run that must not run twice might end just while it is sent again. If the settings allow runs to be paused it is
-//     paused first, and resumePaused resumes or restarts it. Otherwise it is only marked as overdue.
-//   - A reply to a call that may not have reached its run is sent again.
+//   - A run that must not run twice might end just while it is sent again. If the settings allow runs to be paused and
+//     resumed, it is paused first, and resumePaused resumes or restarts it. Otherwise it is only marked as overdue.
+//   - A reply to a call is sent again if it may not have reached the run.
 //   - Any other run stays as it is, or is marked as overdue if it is not known to have begun.
 //
 // A run counts as in flight until its end is reported. The gauges may prove the end of an overdue one.
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -19,9 +19,9 @@
 	samples   int
 }
 
-// monitorOccupancy logs the server's count of runs together with the gauges, at most once a second, if runs may have
-// ended without a report, or if the gauges exceeded the count by more than excessTolerance in every sample of the
-// period. It also flushes the event log once per period.
+// monitorOccupancy compares the server's count of runs with the gauges. Once per occupancyPeriod, it logs both if runs
+// may have ended without a report, or if the gauges exceeded the count by more than excessTolerance in every sample of
+// the period. It also flushes the event log once per period.
 func (s *Server) monitorOccupancy(now time.Duration) {
 	o := &s.occupancyMonitor
 	if s.round.Gauges != nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -93,9 +93,10 @@
 	text  string // the level as answers carry it; empty until it is first set
 }
 
-// New returns a server for its settings. It returns an error if a route has no name of its own, or if the settings
-// require idempotency keys or tenants and limits does not support them: the server could otherwise reject such requests
-// only after reading them. The requests of routes that call a dependency are rejected if none is configured.
+// New returns a server for its settings. It returns an error if no route has a name, or a route has none of its own. It
+// also returns one if the settings require idempotency keys or tenants and limits does not support them, because the
+// server could reject requests with a key or a tenant only after reading them. The requests of routes that call a
+// dependency are rejected if limits.Calls is not set.
 func New(configured *settings.Settings, seed int64, limits Limits, counters *invariant.Counters, log *slog.Logger) (*Server, error) {
 	memory := limits.MemoryMB << 20
 	s := &Server{
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -35,7 +35,7 @@
 
 // CallReplier is a worker pool whose runs report that they wait for a call.
 type CallReplier interface {
-	// ReplyToCall resumes such a run with the reply.
+	// ReplyToCall resumes a run that waits for a call, with the reply to the call.
 	ReplyToCall(id string, reply []byte) (sent bool)
 }
 
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -35,7 +35,8 @@
 
 // runChild is the process that is killed. It recovers the directory, checks that the keys of all effects so far are
 // recovered, and causes new effects. An effect is a line in a file, written by one call once the store has the key; a
-// kill does not undo it. runChild reports whether this process is such a child.
+// kill does not undo it. In the parent, which runs the tests, runChild does
+// nothing and returns false.
 func runChild() bool {
 	dir := os.Getenv(childVariable)
 	if dir == "" {
--- a/internal/testkit/soak/plan.go
+++ b/internal/testkit/soak/plan.go
@@ -42,7 +42,7 @@
 	Linger      time.Duration // time for which an abandoned call stays in flight
 }
 
-// FaultKind is a kind of fault.
+// FaultKind names a kind of fault, as Fault.String prints it.
 type FaultKind string
 
 // The kinds of faults. Kill, GracefulRestart, SignalSeries and Burst end by themselves, IdleConnections after
@@ -70,8 +70,8 @@
 	maxBurst         = 64
 	signalPlansShare = 0.5 // share of plans that have a SignalSeries
 	burstPlansShare  = 0.4 // share of plans that have a Burst
-	// extraFaultsSeed separates the random source of these two faults from that of the others, so that plans of a seed
-	// kept their other faults when the two were added.
+	// extraFaultsSeed gives SignalSeries and Burst a random source of their own. They were added later, and the plan of
+	// a seed had to keep its other faults.
 	extraFaultsSeed = 0x5eed
 )
 
@@ -118,7 +118,7 @@
 
 const (
 	maxDeadline     = 3 * time.Second            // upper limit of the deadline that KillAfter is computed from
-	killMargin      = 700 * time.Millisecond     // after that deadline
+	killMargin      = 700 * time.Millisecond     // from that deadline to the SIGKILL
 	requestKB       = emulator.RunKB / runFactor // memory of a request while queued
 	runFactor       = 8.0                        // ratio of a request's memory while running to that while queued
 	minFaults       = 3
@@ -216,7 +216,8 @@
 	return low + time.Duration(rng.Float64()*float64(high-low))
 }
 
-// LongestDeadline returns the longest deadline of the routes.
+// LongestDeadline returns the longest deadline of the routes. A client waits up to a second longer than that for
+// the last answers on a connection.
 func (p *Plan) LongestDeadline() (longest time.Duration) {
 	for _, route := range p.Routes {
 		longest = max(longest, route.Deadline)
--- a/recovery/replay.go
+++ b/recovery/replay.go
@@ -14,10 +14,10 @@
 	gap          bool // a record is missing or damaged: later ones are unverified
 }
 
-// replayKeys builds the key table from the newest complete snapshot and the records after it, up to the first that is
-// missing or damaged. Of the records after such a gap only the fact that a request started is used: it can only prevent
-// a second run, whereas a result from there may be outdated. Without a snapshot, the first log is not taken for a gap,
-// whatever its sequence number is.
+// replayKeys builds the key table from the newest complete snapshot and the records after it, up to the first gap: a
+// record that is missing or damaged. Of the records after the gap, only the fact that a request started is used: it can
+// only prevent a second run, whereas a result from there may be outdated. Without a snapshot, the first log is not taken
+// for a gap, whatever its sequence number is.
 func (p *Plan) replayKeys(tables, logs []File, now Timestamp) {
 	r := keyReplay{plan: p, now: now}
 	r.loadTable(tables)
