--- a/admission/trial.go
+++ b/admission/trial.go
@@ -8,9 +8,10 @@
 // doubtfulRatio is the ratio of the expected to the usual work from which the expected work is checked by a trial.
 const doubtfulRatio = 8
 
-// trial detects that a fault has ended. If only the recent runs predict that a request takes too long, while a core is
-// free for it, no other run would show whether that still holds. So one such request is started, if it has time by the
-// usual work of its route. If its run takes no longer than usual, the recent runs are forgotten.
+// trial detects that a fault has ended. While the recent runs predict that requests take too long, none is started, so no
+// run would show that the prediction no longer holds. Therefore one request is started on trial if a core is free and
+// the request has time by the usual work of its route. If its run takes no longer than usual, the recent runs are
+// forgotten.
 type trial struct {
 	request      *Request      // request on trial; nil without one
 	maxUsualWork time.Duration // core time up to which its run counts as usual
--- a/estimate/limiter.go
+++ b/estimate/limiter.go
@@ -66,8 +66,9 @@
 	return true
 }
 
-// evictOldest removes the address without open connections whose buckets were filled least recently; of several such
-// addresses, the one that sorts first. There always is one, because maxConns is less than maxAddresses.
+// evictOldest removes the address without open connections whose buckets were filled least recently. If several were
+// filled at that time, it removes the one that sorts first. An address without open connections always exists, because
+// maxConns is less than maxAddresses.
 func (l *ServeLimiter) evictOldest() {
 	oldest := ""
 	for address, buckets := range l.addresses { // the iteration order of the map does not change the result
--- a/internal/frontend/limits_test.go
+++ b/internal/frontend/limits_test.go
@@ -67,7 +67,7 @@
 			}
 		})
 	}
-	for range b.maxOverLimit { // a request on each such connection is read and answered once
+	for range b.maxOverLimit { // a request on each connection over the limit is read and answered
 		r := b.dialActive(t)
 		r.Send(t, fake.RequestFrame(9, "pay", "", "call", fake.CallID(9)))
 		assert.Equal(t, byte(50), r.Next(t).Code)
@@ -78,7 +78,7 @@
 	fake.Dial(t, b.Address()).WaitClosed(t)
 	b.waitCounted(t, "connection refused, limit reached")
 	setFrameBegun(0)
-	last := b.dialActive(t) // takes the place of one of them
+	last := b.dialActive(t) // takes the place of one of the connections over the limit
 
 	for _, r := range inUse { // a connection accepted over the limit is like any other once the limit is met
 		_ = r.Close()
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -100,7 +100,7 @@
 // one may arrive. Without it a copy would run a second time, for example if the connection broke after the answer.
 type executedTable struct {
 	until map[string]time.Duration // when an ID is dropped
-	order []string                 // the same IDs, oldest first
+	order []string                 // the IDs in until, oldest first
 }
 
 // rememberRun stores the ID of a request that may have run. If the table is full it drops the oldest ID, of which a
