--- a/admission/idle.go
+++ b/admission/idle.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxRouters           = 4096 // routers remembered; any further router counts as new each time, which closes connections sooner
+	maxRouters           = 4096 // routers remembered; any further router counts as new each time, which shortens the idle timeout
 	minRequestsJudged    = 10   // requests read before the reuse of connections is evaluated
 	reuseExponent        = 4    // exponent of the return ratio in the idle timeout
 	minIdleTimeout       = 10 * time.Millisecond
@@ -57,8 +57,9 @@
 	return returned / read, read >= minRequestsJudged
 }
 
-// tuneIdleTimeout closes idle connections sooner the less they are reused. An open connection costs core time and takes
-// an entry in a table of limited size. When the table is full, callers are refused without the server noticing.
+// tuneIdleTimeout shortens the time after which the server asks routers to close idle connections (drains them), the
+// less these are reused. An open connection costs core time and takes an entry in a table of limited size. When the
+// table is full, callers are refused without the server noticing.
 func (c *Controller) tuneIdleTimeout(executor Executor) {
 	idleTimeout := c.settings.IdleTimeout
 	c.connections.forget(c.now, idleTimeout)
--- a/cmd/quartzpoint/state_commands.go
+++ b/cmd/quartzpoint/state_commands.go
@@ -22,7 +22,7 @@
 	Show    stateShow    `cmd:"" help:"Print what a directory holds, and what a start would use of it."`
 	Verify  stateVerify  `cmd:"" help:"Check that a directory is complete and undamaged; exit code 1 if it is not."`
 	Export  stateExport  `cmd:"" help:"Print everything that a start would use, as JSON."`
-	Compact stateCompact `cmd:"" help:"Compact the directory of a stopped server to one table and one log."`
+	Compact stateCompact `cmd:"" help:"Compact the directory of a stopped server: write a new key table, start a new log, and remove the tables and logs that are no longer needed."`
 }
 
 // stateDir holds the arguments that all commands on state directories have.
--- a/internal/configwatch/client.go
+++ b/internal/configwatch/client.go
@@ -11,8 +11,13 @@
 	"quartzpoint/internal/peersync"
 )
 
-// ErrUnavailable reports that no control machine answered with the outcome of a proposed change. The change may still
-// have been accepted; it is safe to propose it again with the same ID.
+// ErrUnavailable reports that no control machine gave the requested answer, even if some were reached:
+//
+//   - Propose returns it if the context ends before a machine answers that the change was accepted or rejected: because
+//     none was reached, the handshake failed, no leader was found, or the leader did not learn the outcome. The change
+//     may still have been accepted; it is safe to propose it again with the same ID while the service still stores that
+//     ID (it stores the latest ones only).
+//   - The status command of quartzconfig returns it if no machine answers with its status.
 var ErrUnavailable = errors.New("configuration service not reached")
 
 const responseTimeout = 10 * time.Second
--- a/recovery/timestamp.go
+++ b/recovery/timestamp.go
@@ -15,14 +15,22 @@
 }
 
 // Age returns bounds on the time from then to now: at least minAge has passed, and at most maxAge is assumed to have.
-// Estimates age by maxAge, so that setting a clock gives them less weight and never more. Dedup windows run by minAge,
-// so that setting a clock keeps a key for longer and never for less.
 //
-//   - Within one boot the boot clock decides. maxAge also allows for a wall clock that was set forward.
-//   - From an earlier boot of the same machine, at least the time since the current boot has passed.
-//   - From another machine, nothing is certain.
-//   - If the wall clock reads earlier than then (a timestamp from the future, or a clock set back), or then has no wall
-//     clock reading, maxAge is at least MaxUndatedAge.
+// Dedup windows run by minAge. It depends on the boot clock alone: setting the wall clock does not change it, and a key
+// may be kept for longer than its window but not for less, unless the boot ID is unknown now (see below). Estimates age
+// by maxAge, which is the greater of minAge and the difference of the wall clocks, except where stated below. A wall
+// clock that was set forward may increase maxAge, which gives the estimates less weight; one that was set back may
+// decrease it, but not below minAge.
+//
+//   - Within one boot, minAge is the time that passed by the boot clock, so maxAge is never less than the true age.
+//   - If the boot clock ran backwards within one boot, minAge is 0 and maxAge is MaxUndatedAge.
+//   - From an earlier boot of the same machine, minAge is the time since the current boot. If the wall clock was set
+//     back, maxAge may be less than the true age. An unknown boot ID of now counts as that of a later boot; if it is in
+//     fact the same boot, minAge is more than the true age.
+//   - From another machine, or if the machine or the boot ID of then is unknown, minAge is 0. If the wall clocks of the
+//     machines differ, or one was set back, maxAge may be less than the true age.
+//   - In each of these cases, if the wall clock reads earlier than then (a timestamp from the future, or a clock set
+//     back), or then has no wall clock reading, maxAge is at least MaxUndatedAge.
 func Age(then, now Timestamp) (minAge, maxAge time.Duration) {
 	maxAge = now.Wall - then.Wall
 	sameMachine := then.MachineID != 0 && then.MachineID == now.MachineID && then.BootID != ""
