--- a/cmd/quartzpoint-bench/fronts/fronts_test.go
+++ b/cmd/quartzpoint-bench/fronts/fronts_test.go
@@ -21,11 +21,13 @@
 	program := filepath.Join(t.TempDir(), "quartzpoint")
 	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "quartzpoint/cmd/quartzpoint").CombinedOutput()
 	require.NoError(t, err, string(out))
-	fronts := map[string]func(name string) (conformance.Front, error){
-		"daemon":   func(name string) (conformance.Front, error) { return conformance.NewDaemon(program, t.TempDir(), name) },
-		"library":  func(string) (conformance.Front, error) { return NewLibrary() },
-		"net/http": func(string) (conformance.Front, error) { return NewHTTP() },
-		"gin":      func(string) (conformance.Front, error) { return NewGin() },
+	fronts := map[string]func(name string) (conformance.FrontEnd, error){
+		"daemon": func(name string) (conformance.FrontEnd, error) {
+			return conformance.NewDaemon(program, t.TempDir(), name)
+		},
+		"library":  func(string) (conformance.FrontEnd, error) { return NewLibrary() },
+		"net/http": func(string) (conformance.FrontEnd, error) { return NewHTTP() },
+		"gin":      func(string) (conformance.FrontEnd, error) { return NewGin() },
 	}
 	exact := map[string][conformance.Unanswered + 1]int{ // the outcomes of the other cases depend on timing
 		"runs past their time": {conformance.Aborted: 1, conformance.Rejected: 1, conformance.Served: 2}, // the second slot-check is rejected, as its run is known to take too long
--- a/internal/testkit/conformance/daemon.go
+++ b/internal/testkit/conformance/daemon.go
@@ -26,7 +26,7 @@
 }
 
 // NewDaemon starts the daemon's program as a front end. It does not support cases that need keys.
-func NewDaemon(program, folder, name string) (Front, error) {
+func NewDaemon(program, folder, name string) (FrontEnd, error) {
 	// The runs are independent, like those of the other front ends, which sleep. The settings contain the number of
 	// cores.
 	d, err := harness.StartWithoutFile(program, folder, name, Routes(false), harness.Machine{Cores: Cores, Speed: 1, MemoryKB: 1 << 20, Independent: true})
@@ -36,7 +36,7 @@
 	return &daemonFront{Daemon: d}, nil
 }
 
-// Do implements Front.
+// Do implements FrontEnd.
 func (d *daemonFront) Do(ctx context.Context, r Request) Outcome {
 	route := Routes(false)[r.Route]
 	link, err := net.Dial("tcp", d.Address)
@@ -67,17 +67,17 @@
 	return Unanswered
 }
 
-// Effects implements Front.
+// Effects implements FrontEnd.
 func (d *daemonFront) Effects() (runs, repeated int) {
 	offsets, repeated := d.Workers.StartOffsets()
 	return len(offsets), repeated
 }
 
-// Shutdown implements Front.
+// Shutdown implements FrontEnd.
 func (d *daemonFront) Shutdown() error {
 	d.shutdown.Do(func() { d.err = d.Stop() })
 	return d.err
 }
 
-// Close implements Front.
+// Close implements FrontEnd.
 func (d *daemonFront) Close() { _ = d.Shutdown() }
--- a/internal/testkit/harness/http_dependency.go
+++ b/internal/testkit/harness/http_dependency.go
@@ -41,7 +41,7 @@
 	}
 	d := &HTTPDependency{
 		Address: listener.Addr().String(), slots: slots, serviceTime: serviceTime, linger: linger, started: time.Now(),
-		load: newLoadTracker(Endurance{RunsPerCore: 1, Window: window}), capacity: Machine{Cores: survives, Speed: 1},
+		load: newLoadTracker(LoadLimit{RunsPerCore: 1, Window: window}), capacity: Machine{Cores: survives, Speed: 1},
 	}
 	routes := http.NewServeMux()
 	routes.HandleFunc(lookupPath, d.serve)
@@ -67,8 +67,8 @@
 	d.unresponsive = on
 }
 
-// Strain returns the highest load so far, as a fraction of what the dependency survives, and the number of calls read.
-func (d *HTTPDependency) Strain() (peak Strain, calls int) {
+// PeakLoad returns the highest load so far, as a fraction of what the dependency survives, and the number of calls read.
+func (d *HTTPDependency) PeakLoad() (peak PeakLoad, calls int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.recordInFlight(0)
--- a/internal/testkit/harness/strain.go
+++ b/internal/testkit/harness/strain.go
@@ -6,9 +6,9 @@
 	"quartzpoint/emulator"
 )
 
-// Endurance is the number of runs that a worker pool survives. A pool that gets more runs, or runs that need more than
+// LoadLimit is the number of runs that a worker pool survives. A pool that gets more runs, or runs that need more than
 // its memory, fails (rule 4 of the protocol page).
-type Endurance struct {
+type LoadLimit struct {
 	RunsPerCore float64       // mean number of runs on the cores over Window, for a warm pool; a cold pool survives fewer
 	Window      time.Duration // period of the mean
 }
@@ -18,8 +18,8 @@
 	defaultLoadWindow  = time.Second
 )
 
-// Strain is the highest load of a worker pool, as fractions of what it survives; above 1 the pool has failed.
-type Strain struct {
+// PeakLoad is the highest load of a worker pool, as fractions of what it survives; above 1 the pool has failed.
+type PeakLoad struct {
 	Runs     float64       // mean number of runs on the cores over the window
 	Memory   float64       // memory held by runs
 	RunsAt   time.Duration // when Runs was reached, since the pool's start
@@ -28,8 +28,8 @@
 
 // loadTracker measures the highest load of a pool. The number of runs is constant between two calls of advance.
 type loadTracker struct {
-	limit  Endurance
-	peak   Strain
+	limit  LoadLimit
+	peak   PeakLoad
 	area   float64     // integral of the number of runs over time since the start, in run seconds
 	points []loadPoint // those within the window, and the last one before it
 }
@@ -39,7 +39,7 @@
 	area float64
 }
 
-func newLoadTracker(limit Endurance) *loadTracker {
+func newLoadTracker(limit LoadLimit) *loadTracker {
 	if limit.RunsPerCore == 0 {
 		limit.RunsPerCore = defaultRunsPerCore
 	}
--- a/internal/testkit/harness/workers.go
+++ b/internal/testkit/harness/workers.go
@@ -56,7 +56,7 @@
 	w := &Workers{
 		Address: listener.Addr().String(), machine: m, listener: listener, startedAt: now, last: now,
 		stop: make(chan struct{}), wake: make(chan struct{}, 1), runs: map[string]*run{}, seen: map[string]bool{},
-		load: newLoadTracker(Endurance{}),
+		load: newLoadTracker(LoadLimit{}),
 	}
 	w.continued = sync.NewCond(&w.mu)
 	w.goroutines.Go(w.accept)
@@ -146,15 +146,15 @@
 	w.callingHandlers = handlers
 }
 
-// SetEndurance sets the load that the pool survives. It must be called before any run starts.
-func (w *Workers) SetEndurance(limit Endurance) {
+// SetLoadLimit sets the load that the pool survives. It must be called before any run starts.
+func (w *Workers) SetLoadLimit(limit LoadLimit) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.load = newLoadTracker(limit)
 }
 
-// Strain returns the highest load of the pool so far.
-func (w *Workers) Strain() Strain {
+// PeakLoad returns the highest load of the pool so far.
+func (w *Workers) PeakLoad() PeakLoad {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(time.Now())
--- a/internal/testkit/scale/capacity.go
+++ b/internal/testkit/scale/capacity.go
@@ -262,8 +262,8 @@
 	{"control core of a quiet fleet of 500", seriesQuietCore, PlannedServers, "% a server"},
 }
 
-// RenderCompared returns a table of these costs before and after their fixes.
-func RenderCompared(before, after Points) string {
+// RenderComparison returns a table of these costs before and after their fixes.
+func RenderComparison(before, after Points) string {
 	var out strings.Builder
 	out.WriteString("| what | before | after | |\n| --- | --- | --- | --- |\n")
 	for _, c := range comparedSeries {
@@ -286,8 +286,8 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// ReadBefore reads the points that were measured before the fixes, from the folder "before" in a folder of parts.
-func ReadBefore(folder string) (Points, error) {
+// ReadBaseline reads the points that were measured before the fixes, from the folder "before" in a folder of parts.
+func ReadBaseline(folder string) (Points, error) {
 	all := Points{}
 	for _, part := range []string{"slopes", "fleets"} {
 		points, _, err := ReadPoints(filepath.Join(folder, "before", part+".csv"))
--- a/internal/testkit/scale/fleet_test.go
+++ b/internal/testkit/scale/fleet_test.go
@@ -14,7 +14,7 @@
 // TestMain runs the test program as a process of a hollow fleet if its only argument is "hollow".
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == "hollow" {
-		if err := RunHollow(os.Stdin, os.Stdout); err != nil {
+		if err := RunHollowServers(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -62,9 +62,9 @@
 	raw, err := os.ReadFile(filepath.Join(root, "docs", "CAPACITY.md"))
 	require.NoError(t, err)
 	assert.Contains(t, string(raw), RenderCapacity(rows), "the figures are out of date; make capacity writes them into the page")
-	before, err := ReadBefore(filepath.Join(root, "results", "scale"))
+	before, err := ReadBaseline(filepath.Join(root, "results", "scale"))
 	require.NoError(t, err)
-	assert.Contains(t, string(raw), RenderCompared(before, points))
+	assert.Contains(t, string(raw), RenderComparison(before, points))
 	for part, origin := range origins {
 		assert.Contains(t, string(raw), origin, "%s: the page states the origin of the points", part)
 	}
--- a/internal/testkit/scale/fleets_cut.go
+++ b/internal/testkit/scale/fleets_cut.go
@@ -11,7 +11,7 @@
 
 // measurePartition separates the voters into two regions for a while, and measures the number of lease holders and the
 // time without one.
-func (f *Fleets) measurePartition(ctx context.Context, points Points) (err error) {
+func (f *FleetBenchmark) measurePartition(ctx context.Context, points Points) (err error) {
 	span := 30 * time.Second
 	if f.Small {
 		span = 4 * time.Second
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -72,9 +72,9 @@
 	running      sync.WaitGroup
 }
 
-// RunHollow runs a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec, each
+// RunHollowServers runs a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec, each
 // further line a hollowCommand.
-func RunHollow(in io.Reader, out io.Writer) error {
+func RunHollowServers(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxCommandBytes)
 	if !lines.Scan() {
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -56,8 +56,8 @@
 	requestRepeats   = 3
 )
 
-// Slopes measures one real daemon at several sizes.
-type Slopes struct {
+// DaemonBenchmark measures one real daemon at several sizes.
+type DaemonBenchmark struct {
 	Daemon string // path of the program
 	Folder string // for configurations
 	Seed   int64
@@ -65,7 +65,7 @@
 }
 
 // Run runs all measurements. A few sizes of the daemon's tables are measured at the same time, everything else alone.
-func (s *Slopes) Run(ctx context.Context) (Points, error) {
+func (s *DaemonBenchmark) Run(ctx context.Context) (Points, error) {
 	all := Points{}
 	for _, part := range []func(context.Context) (Points, error){s.measureTables, s.measureConnections, s.measureChecks, s.measureRequests} {
 		points, err := part(ctx)
@@ -78,7 +78,7 @@
 }
 
 // span returns the time over which a share of a core is measured.
-func (s *Slopes) span() time.Duration {
+func (s *DaemonBenchmark) span() time.Duration {
 	if s.Small {
 		return 400 * time.Millisecond
 	}
@@ -89,7 +89,7 @@
 var sizeFractions = []float64{0, 0.25, 0.5, 0.75, 1}
 
 // launch starts a daemon with these numbers of routes and tenants, but with fewRoutes routes at least.
-func (s *Slopes) launch(name string, routes, tenants int) (*harness.Daemon, error) {
+func (s *DaemonBenchmark) launch(name string, routes, tenants int) (*harness.Daemon, error) {
 	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
 	return harness.Launch(s.Daemon, nil, s.Folder, name, machine, "", func(listen, pool, members string) ([]byte, error) {
 		return PlatformConfig(max(routes, fewRoutes), tenants, listen, pool, members)
@@ -104,7 +104,7 @@
 }
 
 // measureTables measures start, memory, idle time and reloads by routes, by tenants, and by both together.
-func (s *Slopes) measureTables(ctx context.Context) (Points, error) {
+func (s *DaemonBenchmark) measureTables(ctx context.Context) (Points, error) {
 	var jobs []table
 	const routes, tenants = PlannedRoutes, PlannedTenants
 	for _, step := range sizeFractions {
@@ -144,7 +144,7 @@
 }
 
 // measureTable measures one size.
-func (s *Slopes) measureTable(name string, job table) (points Points, err error) {
+func (s *DaemonBenchmark) measureTable(name string, job table) (points Points, err error) {
 	began := time.Now()
 	d, err := s.launch(name, job.routes, job.tenants)
 	if err != nil {
@@ -177,7 +177,7 @@
 
 // measureReloads measures reloads that change nothing, and then one that changes a setting that can change without a
 // restart.
-func (s *Slopes) measureReloads(d *harness.Daemon, job table, points Points) error {
+func (s *DaemonBenchmark) measureReloads(d *harness.Daemon, job table, points Points) error {
 	var times []time.Duration
 	for range reloadCount {
 		spent, err := reload(d)
@@ -256,7 +256,7 @@
 }
 
 // measureChecksDuringReload times health checks of a quiet daemon, and again while it reloads.
-func (s *Slopes) measureChecksDuringReload(d *harness.Daemon, job table, points Points) error {
+func (s *DaemonBenchmark) measureChecksDuringReload(d *harness.Daemon, job table, points Points) error {
 	quiet, err := timeChecks(d.Address, checkInterval, checkSpan/2, nil)
 	if err != nil {
 		return err
--- a/internal/testkit/scale/slopes_load.go
+++ b/internal/testkit/scale/slopes_load.go
@@ -11,7 +11,7 @@
 )
 
 // measureConnections measures memory and idle processor time by number of connections without requests.
-func (s *Slopes) measureConnections(context.Context) (points Points, err error) {
+func (s *DaemonBenchmark) measureConnections(context.Context) (points Points, err error) {
 	d, err := s.launch("connections", fewRoutes, 0)
 	if err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 }
 
 // routeCounts returns the numbers of routes for which loads are measured.
-func (s *Slopes) routeCounts() []int {
+func (s *DaemonBenchmark) routeCounts() []int {
 	if s.Small {
 		return []int{PlannedRoutes}
 	}
@@ -49,7 +49,7 @@
 }
 
 // measureChecks measures processor time by health checks a second, round robin over checkConnections connections.
-func (s *Slopes) measureChecks(context.Context) (Points, error) {
+func (s *DaemonBenchmark) measureChecks(context.Context) (Points, error) {
 	points := Points{}
 	for _, routes := range s.routeCounts() {
 		err := s.withDaemon(routes, func(d *harness.Daemon) error {
@@ -78,7 +78,7 @@
 
 // withDaemon runs a measurement on a daemon with this number of routes. It has the planned tenants if there are more
 // than fewRoutes routes, else none.
-func (s *Slopes) withDaemon(routes int, measure func(d *harness.Daemon) error) (err error) {
+func (s *DaemonBenchmark) withDaemon(routes int, measure func(d *harness.Daemon) error) (err error) {
 	tenants := 0
 	if routes > fewRoutes {
 		tenants = PlannedTenants
@@ -95,7 +95,7 @@
 // measureRequests measures processor time by requests a second, and the latency that the daemon adds to a request: the
 // same load goes through the daemon and directly to workers of the same kind, at the same time. Each rate is measured
 // three times.
-func (s *Slopes) measureRequests(context.Context) (Points, error) {
+func (s *DaemonBenchmark) measureRequests(context.Context) (Points, error) {
 	points := Points{}
 	rates := []float64{0, 60, 120, 180, PlannedRequestRate / PlannedServers, maxRequestRate}
 	if s.Small {
@@ -121,7 +121,7 @@
 }
 
 // measureRequestRate measures one rate.
-func (s *Slopes) measureRequestRate(d *harness.Daemon, rate float64, routeCount int, seedOffset int64, series string, points Points) error {
+func (s *DaemonBenchmark) measureRequestRate(d *harness.Daemon, rate float64, routeCount int, seedOffset int64, series string, points Points) error {
 	load, routes := steadyLoad(rate, s.span(), routeCount, s.Seed+seedOffset)
 	var (
 		served                    harness.Result
--- a/internal/testkit/soak/history.go
+++ b/internal/testkit/soak/history.go
@@ -44,7 +44,7 @@
 	ExitCode           int
 	Paused             []Span    // by SIGSTOP
 	CPUWaits           []CPUWait // samples in order of time
-	Strain             harness.Strain
+	Strain             harness.PeakLoad
 	Runs               []harness.RunStart
 	Log                string
 }
@@ -92,10 +92,10 @@
 	Plan          Plan
 	Incarnations  []*Incarnation
 	Requests      []*Request
-	TimerLateness time.Duration  // the most by which a timer of this process was late
-	CallStrain    harness.Strain // of the shared dependency
-	Calls         int            // read by the dependency
-	strayAnswers  int            // answers on streams without an open request
+	TimerLateness time.Duration    // the most by which a timer of this process was late
+	CallStrain    harness.PeakLoad // of the shared dependency
+	Calls         int              // read by the dependency
+	strayAnswers  int              // answers on streams without an open request
 }
 
 // add records a request. Later changes of it are made by update.
--- a/internal/testkit/soak/runner.go
+++ b/internal/testkit/soak/runner.go
@@ -101,7 +101,7 @@
 	err = p.shutdownAll() // senders send until the end
 	close(done)
 	senders.Wait()
-	h.CallStrain, h.Calls = p.dependency.Strain()
+	h.CallStrain, h.Calls = p.dependency.PeakLoad()
 	return h, errors.Join(append(failed, err)...)
 }
 
@@ -160,7 +160,7 @@
 	if p.plan.HasCalls() {
 		daemon.Workers.SetCallingHandlers(calling)
 	}
-	daemon.Workers.SetEndurance(p.plan.Endurance)
+	daemon.Workers.SetLoadLimit(p.plan.Endurance)
 	incarnation := &Incarnation{Server: s.number, Number: s.incarnations}
 	p.history.update(func() { p.history.Incarnations = append(p.history.Incarnations, incarnation) })
 	s.mu.Lock()
@@ -176,7 +176,7 @@
 	s.mu.Lock()
 	s.incarnation = nil
 	s.mu.Unlock()
-	strain, runs, log := daemon.Workers.Strain(), daemon.Workers.RunStarts(), daemon.Log()
+	strain, runs, log := daemon.Workers.PeakLoad(), daemon.Workers.RunStarts(), daemon.Log()
 	p.history.update(func() {
 		incarnation.EndedAt, incarnation.ExitCode, incarnation.KilledAfterTimeout = time.Now(), exit, byKill
 		incarnation.Strain, incarnation.Runs, incarnation.Log = strain, runs, log
