--- a/cmd/quartzpoint-bench/fronts/fronts_test.go
+++ b/cmd/quartzpoint-bench/fronts/fronts_test.go
@@ -20,11 +20,13 @@
 	program := filepath.Join(t.TempDir(), "quartzpoint")
 	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", program, "quartzpoint/cmd/quartzpoint").CombinedOutput()
 	require.NoError(t, err, string(out))
-	fronts := map[string]func(name string) (conformance.Front, error){
-		"daemon":   func(name string) (conformance.Front, error) { return conformance.NewDaemon(program, t.TempDir(), name) },
-		"library":  func(string) (conformance.Front, error) { return NewLibrary() },
-		"net/http": func(string) (conformance.Front, error) { return NewHTTP() },
-		"gin":      func(string) (conformance.Front, error) { return NewGin() },
+	fronts := map[string]func(name string) (conformance.FrontEnd, error){
+		"daemon": func(name string) (conformance.FrontEnd, error) {
+			return conformance.NewDaemon(program, t.TempDir(), name)
+		},
+		"library":  func(string) (conformance.FrontEnd, error) { return NewLibrary() },
+		"net/http": func(string) (conformance.FrontEnd, error) { return NewHTTP() },
+		"gin":      func(string) (conformance.FrontEnd, error) { return NewGin() },
 	}
 	exact := map[string][conformance.Unanswered + 1]int{ // the others hang on moments
 		"runs past their time": {conformance.Aborted: 1, conformance.Rejected: 1, conformance.Served: 2}, // the second is known to take too long
--- a/cmd/quartzpoint-bench/fronts/http.go
+++ b/cmd/quartzpoint-bench/fronts/http.go
@@ -26,7 +26,7 @@
 	recoversPanics bool // the framework answers 500 for a panic
 }
 
-func newHTTPFront(handler func(s *httpFront) http.Handler) (conformance.Front, error) {
+func newHTTPFront(handler func(s *httpFront) http.Handler) (conformance.FrontEnd, error) {
 	g, err := newGate()
 	if err != nil {
 		return nil, err
@@ -38,14 +38,14 @@
 }
 
 // NewHTTP starts the middleware for net/http as a front.
-func NewHTTP() (conformance.Front, error) {
+func NewHTTP() (conformance.FrontEnd, error) {
 	return newHTTPFront(func(s *httpFront) http.Handler {
 		return middleware.New(s.gate, requestOptions())(http.HandlerFunc(s.handle))
 	})
 }
 
 // NewGin starts the middleware for gin as a front.
-func NewGin() (conformance.Front, error) {
+func NewGin() (conformance.FrontEnd, error) {
 	return newHTTPFront(func(s *httpFront) http.Handler {
 		gin.SetMode(gin.ReleaseMode)
 		s.recoversPanics = true
@@ -79,7 +79,7 @@
 	}
 }
 
-// Do implements conformance.Front.
+// Do implements conformance.FrontEnd.
 func (s *httpFront) Do(ctx context.Context, r conformance.Request) conformance.Outcome {
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, s.server.URL+"/", nil)
 	if err != nil {
@@ -114,10 +114,10 @@
 	return conformance.Unanswered
 }
 
-// Shutdown implements conformance.Front.
+// Shutdown implements conformance.FrontEnd.
 func (s *httpFront) Shutdown() error { return shutdownGate(s.gate) }
 
-// Close implements conformance.Front.
+// Close implements conformance.FrontEnd.
 func (s *httpFront) Close() {
 	_ = shutdownGate(s.gate)
 	s.client.CloseIdleConnections()
--- a/cmd/quartzpoint-bench/fronts/library.go
+++ b/cmd/quartzpoint-bench/fronts/library.go
@@ -34,7 +34,7 @@
 }
 
 // NewLibrary starts the library as a front.
-func NewLibrary() (conformance.Front, error) {
+func NewLibrary() (conformance.FrontEnd, error) {
 	g, err := newGate()
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 	return &libraryFront{runCounter{seenKeys: map[string]bool{}}, g}, nil
 }
 
-// Do implements conformance.Front.
+// Do implements conformance.FrontEnd.
 func (l *libraryFront) Do(ctx context.Context, r conformance.Request) conformance.Outcome {
 	_, err := l.gate.DoOnce(ctx, quartzpoint.Request{Route: conformance.Routes(true)[r.Route].Name, IdempotencyKey: r.Key},
 		func(context.Context) ([]byte, error) { return nil, l.run(r) })
@@ -72,8 +72,8 @@
 	return g.Shutdown(ctx)
 }
 
-// Shutdown implements conformance.Front.
+// Shutdown implements conformance.FrontEnd.
 func (l *libraryFront) Shutdown() error { return shutdownGate(l.gate) }
 
-// Close implements conformance.Front.
+// Close implements conformance.FrontEnd.
 func (l *libraryFront) Close() { _ = shutdownGate(l.gate) } // a second shutdown tells nothing new
--- a/cmd/quartzpoint-bench/fronts/runs.go
+++ b/cmd/quartzpoint-bench/fronts/runs.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// Effects implements conformance.Front.
+// Effects implements conformance.FrontEnd.
 func (c *runCounter) Effects() (runs, repeated int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/quartzpoint-bench/library_frontends.go
+++ b/cmd/quartzpoint-bench/library_frontends.go
@@ -24,7 +24,7 @@
 	name        string
 	carriesKeys bool // it carries idempotency keys
 	// start starts an instance. The name is unique among the instances.
-	start func(name string) (conformance.Front, error)
+	start func(name string) (conformance.FrontEnd, error)
 }
 
 // frontEndsResult is how alike the front ends decide.
@@ -44,10 +44,10 @@
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	frontEnds := []frontEnd{
-		{"daemon", false, func(name string) (conformance.Front, error) { return conformance.NewDaemon(m.Daemon, folder, name) }},
-		{"library", true, func(string) (conformance.Front, error) { return fronts.NewLibrary() }},
-		{"net/http", true, func(string) (conformance.Front, error) { return fronts.NewHTTP() }},
-		{"gin", true, func(string) (conformance.Front, error) { return fronts.NewGin() }},
+		{"daemon", false, func(name string) (conformance.FrontEnd, error) { return conformance.NewDaemon(m.Daemon, folder, name) }},
+		{"library", true, func(string) (conformance.FrontEnd, error) { return fronts.NewLibrary() }},
+		{"net/http", true, func(string) (conformance.FrontEnd, error) { return fronts.NewHTTP() }},
+		{"gin", true, func(string) (conformance.FrontEnd, error) { return fronts.NewGin() }},
 	}
 	totals, err := m.runConformance(frontEnds)
 	if err != nil {
--- a/cmd/quartzpoint-bench/scale.go
+++ b/cmd/quartzpoint-bench/scale.go
@@ -19,7 +19,7 @@
 type hollowCommand struct{}
 
 // Run runs the part until the input ends.
-func (*hollowCommand) Run() error { return scale.RunHollow(os.Stdin, os.Stdout) }
+func (*hollowCommand) Run() error { return scale.RunHollowServers(os.Stdin, os.Stdout) }
 
 // scaleCommand measures the cost of the programs up to the planned size.
 type scaleCommand struct {
@@ -57,8 +57,8 @@
 	if err != nil {
 		return nil, origin, err
 	}
-	slopes := &scale.Slopes{Daemon: daemon, Folder: folder, Seed: cmd.Seed, Small: cmd.Small}
-	fleets := &scale.Fleets{Program: self, Seed: cmd.Seed, Small: cmd.Small}
+	slopes := &scale.DaemonBenchmark{Daemon: daemon, Folder: folder, Seed: cmd.Seed, Small: cmd.Small}
+	fleets := &scale.FleetBenchmark{Program: self, Seed: cmd.Seed, Small: cmd.Small}
 	run := map[string]func(context.Context) (scale.Points, error){"slopes": slopes.Run, "fleets": fleets.Run}
 	all := map[string]scale.Points{}
 	for _, part := range cmd.Only {
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	before, err := scale.ReadBefore(cmd.Points)
+	before, err := scale.ReadBaseline(cmd.Points)
 	if err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 	}
 	text, err := replaceBetween(string(raw), figuresBegin, figuresEnd, "\n"+scale.RenderCapacity(rows)+"\n"+originText+"\n\n")
 	if err == nil {
-		text, err = replaceBetween(text, comparedBegin, comparedEnd, "\n"+scale.RenderCompared(before, points)+"\n")
+		text, err = replaceBetween(text, comparedBegin, comparedEnd, "\n"+scale.RenderComparison(before, points)+"\n")
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", cmd.Page, err)
--- a/cmd/quartzpoint/overload_test.go
+++ b/cmd/quartzpoint/overload_test.go
@@ -65,7 +65,7 @@
 
 // runWithFault loads a real server whose pool has a fault from faultFrom until faultUntil. It returns the highest load
 // of the pool, and the server's log.
-func runWithFault(t *testing.T, machine harness.Machine, set func(w *harness.Workers, on bool)) (harness.Strain, string) {
+func runWithFault(t *testing.T, machine harness.Machine, set func(w *harness.Workers, on bool)) (harness.PeakLoad, string) {
 	routes := shortRoutes()
 	daemon, err := harness.StartWithoutFile(builds["release"], t.TempDir(), "n1", routes, machine)
 	require.NoError(t, err)
@@ -80,5 +80,5 @@
 	report := result.Check(daemon.Workers)
 	assert.Empty(t, report.Messages, "no other rule may be broken")
 	assert.NotZero(t, result.Codes[20], "nothing was served")
-	return daemon.Workers.Strain(), daemon.Log()
+	return daemon.Workers.PeakLoad(), daemon.Log()
 }
--- a/cmd/quartzpoint/recovery_test.go
+++ b/cmd/quartzpoint/recovery_test.go
@@ -67,9 +67,9 @@
 				}()
 				served, daemon := runWithHang(t, deadline, halt, true)
 				expected := <-without
-				t.Logf("served in each second after the hang: %v, without a hang: %v; strain %+v", served, expected, daemon.Workers.Strain())
+				t.Logf("served in each second after the hang: %v, without a hang: %v; strain %+v", served, expected, daemon.Workers.PeakLoad())
 				assert.GreaterOrEqual(t, float64(sum(served)), recoveryShare*float64(sum(expected)), daemon.Log())
-				assert.LessOrEqual(t, daemon.Workers.Strain().Runs, 1.0)
+				assert.LessOrEqual(t, daemon.Workers.PeakLoad().Runs, 1.0)
 			})
 		}
 	}
--- a/internal/testkit/conformance/conformance.go
+++ b/internal/testkit/conformance/conformance.go
@@ -38,8 +38,8 @@
 	Unanswered
 )
 
-// Front is a way in which requests reach the admission decisions.
-type Front interface {
+// FrontEnd is a way in which requests reach the admission decisions.
+type FrontEnd interface {
 	// Do sends a request and returns what its caller sees. It may be called from several goroutines.
 	Do(ctx context.Context, r Request) Outcome
 	// Shutdown shuts the front down gracefully, and returns after its end.
@@ -136,7 +136,7 @@
 const lateSlack = 100 * time.Millisecond
 
 // Run runs a case at a front.
-func Run(f Front, c Case) (n Counts, err error) {
+func Run(f FrontEnd, c Case) (n Counts, err error) {
 	routes := Routes(c.NeedsKeys)
 	began := time.Now()
 	n.Requests = len(c.Requests)
--- a/internal/testkit/conformance/daemon.go
+++ b/internal/testkit/conformance/daemon.go
@@ -26,7 +26,7 @@
 }
 
 // NewDaemon starts the daemon's program as a front. Cases that need keys are not for it.
-func NewDaemon(program, folder, name string) (Front, error) {
+func NewDaemon(program, folder, name string) (FrontEnd, error) {
 	// The runs are independent, as those of the other fronts, which sleep. The settings state Cores.
 	d, err := harness.StartWithoutFile(program, folder, name, Routes(false), harness.Machine{Cores: Cores, Speed: 1, MemoryKB: 1 << 20, Independent: true})
 	if err != nil {
--- a/internal/testkit/harness/http_dependency.go
+++ b/internal/testkit/harness/http_dependency.go
@@ -39,7 +39,7 @@
 	}
 	d := &HTTPDependency{
 		Address: listener.Addr().String(), slots: slots, serviceTime: serviceTime, linger: linger, started: time.Now(),
-		strain: newStrainGauge(Endurance{RunsPerCore: 1, Window: window}), capacity: Machine{Cores: survives, Speed: 1},
+		strain: newStrainGauge(LoadLimit{RunsPerCore: 1, Window: window}), capacity: Machine{Cores: survives, Speed: 1},
 	}
 	routes := http.NewServeMux()
 	routes.HandleFunc(lookupPath, d.serve)
@@ -65,8 +65,8 @@
 	d.unresponsive = on
 }
 
-// Strain returns the highest load so far, as a share of what the dependency survives, and the number of calls read.
-func (d *HTTPDependency) Strain() (strain Strain, calls int) {
+// PeakLoad returns the highest load so far, as a share of what the dependency survives, and the number of calls read.
+func (d *HTTPDependency) PeakLoad() (strain PeakLoad, calls int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.recordInFlight(0)
--- a/internal/testkit/harness/strain.go
+++ b/internal/testkit/harness/strain.go
@@ -6,8 +6,8 @@
 	"quartzpoint/emulator"
 )
 
-// Endurance is the load that a worker pool survives. Past either limit it falls over: rule 4 of the protocol page.
-type Endurance struct {
+// LoadLimit is the load that a worker pool survives. Past either limit it falls over: rule 4 of the protocol page.
+type LoadLimit struct {
 	RunsPerCore float64       // on the cores in the mean of Over, for a warm pool; a cold one survives fewer
 	Window      time.Duration // span of that mean
 }
@@ -17,8 +17,8 @@
 	defaultEnduranceWindow = time.Second
 )
 
-// Strain is the highest load of a worker pool, as shares of what it survives: over 1 it has fallen over.
-type Strain struct {
+// PeakLoad is the highest load of a worker pool, as shares of what it survives: over 1 it has fallen over.
+type PeakLoad struct {
 	Runs     float64       // runs on the cores, in the mean of the window
 	Memory   float64       // held by runs
 	RunsAt   time.Duration // when Runs was reached, since the pool's start
@@ -27,8 +27,8 @@
 
 // strainGauge measures the strain of a pool. The number of runs is constant between two calls of advance.
 type strainGauge struct {
-	endurance Endurance
-	max       Strain
+	endurance LoadLimit
+	max       PeakLoad
 	area      float64      // runs times seconds since the start
 	points    []strainArea // within the window, and the last before it
 }
@@ -38,7 +38,7 @@
 	area float64
 }
 
-func newStrainGauge(endurance Endurance) *strainGauge {
+func newStrainGauge(endurance LoadLimit) *strainGauge {
 	if endurance.RunsPerCore == 0 {
 		endurance.RunsPerCore = defaultRunsPerCore
 	}
--- a/internal/testkit/harness/workers.go
+++ b/internal/testkit/harness/workers.go
@@ -56,7 +56,7 @@
 	w := &Workers{
 		Address: listener.Addr().String(), machine: m, listener: listener, startedAt: now, last: now,
 		stop: make(chan struct{}), wake: make(chan struct{}, 1), runs: map[string]*run{}, seen: map[string]bool{},
-		strain: newStrainGauge(Endurance{}),
+		strain: newStrainGauge(LoadLimit{}),
 	}
 	w.continued = sync.NewCond(&w.mu)
 	w.goroutines.Go(w.accept)
@@ -144,15 +144,15 @@
 	w.callingHandlers = handlers
 }
 
-// SetEndurance sets the load that the pool survives. It is set before any run starts.
-func (w *Workers) SetEndurance(endurance Endurance) {
+// SetLoadLimit sets the load that the pool survives. It is set before any run starts.
+func (w *Workers) SetLoadLimit(endurance LoadLimit) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.strain = newStrainGauge(endurance)
 }
 
-// Strain returns the highest load of the pool so far.
-func (w *Workers) Strain() Strain {
+// PeakLoad returns the highest load of the pool so far.
+func (w *Workers) PeakLoad() PeakLoad {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(time.Now())
--- a/internal/testkit/scale/capacity.go
+++ b/internal/testkit/scale/capacity.go
@@ -259,8 +259,8 @@
 	{"control core of a quiet fleet of 500", seriesQuietCore, PlannedServers, "% a server"},
 }
 
-// RenderCompared returns the table of the costs before and after their fixes.
-func RenderCompared(before, after Points) string {
+// RenderComparison returns the table of the costs before and after their fixes.
+func RenderComparison(before, after Points) string {
 	var out strings.Builder
 	out.WriteString("| what | before | after | |\n| --- | --- | --- | --- |\n")
 	for _, c := range comparedSeries {
@@ -283,8 +283,8 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// ReadBefore reads the points that were measured before the fixes.
-func ReadBefore(folder string) (Points, error) {
+// ReadBaseline reads the points that were measured before the fixes.
+func ReadBaseline(folder string) (Points, error) {
 	all := Points{}
 	for _, part := range []string{"slopes", "fleets"} {
 		points, _, err := ReadPoints(filepath.Join(folder, "before", part+".csv"))
--- a/internal/testkit/scale/fleet_test.go
+++ b/internal/testkit/scale/fleet_test.go
@@ -14,7 +14,7 @@
 // TestMain lets the test's own program stand for the one that holds hollow servers.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == "hollow" {
-		if err := RunHollow(os.Stdin, os.Stdout); err != nil {
+		if err := RunHollowServers(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -61,9 +61,9 @@
 	raw, err := os.ReadFile(filepath.Join(root, "docs", "CAPACITY.md"))
 	require.NoError(t, err)
 	assert.Contains(t, string(raw), RenderCapacity(rows), "make capacity writes the figures into the page")
-	before, err := ReadBefore(filepath.Join(root, "results", "scale"))
+	before, err := ReadBaseline(filepath.Join(root, "results", "scale"))
 	require.NoError(t, err)
-	assert.Contains(t, string(raw), RenderCompared(before, points))
+	assert.Contains(t, string(raw), RenderComparison(before, points))
 	for part, origin := range origins {
 		assert.Contains(t, string(raw), origin, "%s: the page says what made the points", part)
 	}
--- a/internal/testkit/scale/fleets.go
+++ b/internal/testkit/scale/fleets.go
@@ -40,15 +40,15 @@
 	healTimeout        = 20 * time.Second
 )
 
-// Fleets measures hollow fleets.
-type Fleets struct {
+// FleetBenchmark measures hollow fleets.
+type FleetBenchmark struct {
 	Program string // that has a command hollow
 	Seed    int64
 	Small   bool // fewer servers and shorter spans
 }
 
 // Run measures everything, one fleet at a time.
-func (f *Fleets) Run(ctx context.Context) (Points, error) {
+func (f *FleetBenchmark) Run(ctx context.Context) (Points, error) {
 	points := Points{}
 	for _, part := range []func(context.Context, Points) error{f.measureSizes, f.measureVoters, f.measureLeases, f.measurePartition} {
 		if err := part(ctx, points); err != nil {
@@ -58,19 +58,19 @@
 	return points, nil
 }
 
-func (f *Fleets) spec(voters, duties int) HollowSpec {
+func (f *FleetBenchmark) spec(voters, duties int) HollowSpec {
 	return HollowSpec{Voters: voters, Duties: duties, Lease: f.leaseDuration(), Routes: PlannedRoutes, Seed: f.Seed}
 }
 
 // leaseDuration returns the duration of a lease.
-func (f *Fleets) leaseDuration() time.Duration {
+func (f *FleetBenchmark) leaseDuration() time.Duration {
 	if f.Small {
 		return shortLease
 	}
 	return longLease
 }
 
-func (f *Fleets) span() time.Duration {
+func (f *FleetBenchmark) span() time.Duration {
 	if f.Small {
 		return time.Second
 	}
@@ -78,7 +78,7 @@
 }
 
 // leaseTimeout returns the time limit for leases to be held.
-func (f *Fleets) leaseTimeout() time.Duration {
+func (f *FleetBenchmark) leaseTimeout() time.Duration {
 	if f.Small {
 		return healTimeout / 4
 	}
@@ -86,7 +86,7 @@
 }
 
 // sizes returns the numbers of servers of the measured fleets.
-func (f *Fleets) sizes() []int {
+func (f *FleetBenchmark) sizes() []int {
 	if f.Small {
 		return []int{10, 25, 50}
 	}
@@ -94,7 +94,7 @@
 }
 
 // firstPoints returns points, only the first two in a small run.
-func (f *Fleets) firstPoints(points ...int) []int {
+func (f *FleetBenchmark) firstPoints(points ...int) []int {
 	if f.Small {
 		return points[:2]
 	}
@@ -119,7 +119,7 @@
 }
 
 // measureSizes measures fleets of several sizes: quiet, with restarts, and, the largest, with a zone that comes back at once.
-func (f *Fleets) measureSizes(ctx context.Context, points Points) error {
+func (f *FleetBenchmark) measureSizes(ctx context.Context, points Points) error {
 	sizes := f.sizes()
 	for _, servers := range sizes {
 		err := f.withFleet(ctx, servers, f.spec(fewVoters, 1), func(fleet *Fleet) error {
@@ -157,7 +157,7 @@
 }
 
 // withFleet runs a measurement on a warm fleet.
-func (f *Fleets) withFleet(ctx context.Context, servers int, spec HollowSpec, measure func(*Fleet) error) (err error) {
+func (f *FleetBenchmark) withFleet(ctx context.Context, servers int, spec HollowSpec, measure func(*Fleet) error) (err error) {
 	fleet, err := StartFleet(f.Program, servers, spec)
 	if err != nil {
 		return fmt.Errorf("%d servers: %w", servers, err)
@@ -173,7 +173,7 @@
 }
 
 // measureRestart measures what one restart costs the whole fleet, over what it costs when quiet.
-func (f *Fleets) measureRestart(ctx context.Context, fleet *Fleet, quiet useRates, points Points) error {
+func (f *FleetBenchmark) measureRestart(ctx context.Context, fleet *Fleet, quiet useRates, points Points) error {
 	const restarted = 4 // one in each process
 	loaded, err := rateDuring(fleet, f.span(), fewVoters, func() error {
 		if err := fleet.Restart(restarted); err != nil {
@@ -195,7 +195,7 @@
 }
 
 // measureRestartRates measures a fleet in which servers restart at several rates.
-func (f *Fleets) measureRestartRates(ctx context.Context, fleet *Fleet, points Points) error {
+func (f *FleetBenchmark) measureRestartRates(ctx context.Context, fleet *Fleet, points Points) error {
 	for _, perMinute := range f.firstPoints(0, 60, 120, 240) {
 		if err := fleet.WaitUntilQuiet(ctx); err != nil {
 			return err
@@ -222,7 +222,7 @@
 }
 
 // measureZoneRestart restarts all servers of a zone at once.
-func (f *Fleets) measureZoneRestart(ctx context.Context, fleet *Fleet, points Points) error {
+func (f *FleetBenchmark) measureZoneRestart(ctx context.Context, fleet *Fleet, points Points) error {
 	if err := fleet.WaitUntilQuiet(ctx); err != nil {
 		return err
 	}
@@ -252,7 +252,7 @@
 }
 
 // measureVoters measures fleets in which every server votes and campaigns for one lease.
-func (f *Fleets) measureVoters(ctx context.Context, points Points) error {
+func (f *FleetBenchmark) measureVoters(ctx context.Context, points Points) error {
 	for _, voters := range f.firstPoints(3, 5, 10, 20, 40) {
 		err := f.withFleet(ctx, voters, f.spec(voters, 1), func(fleet *Fleet) error {
 			if _, err := fleet.waitForHolders(ctx, healTimeout, 1); err != nil {
@@ -272,7 +272,7 @@
 }
 
 // measureLeases measures a few voters with several leases.
-func (f *Fleets) measureLeases(ctx context.Context, points Points) error {
+func (f *FleetBenchmark) measureLeases(ctx context.Context, points Points) error {
 	for _, duties := range f.firstPoints(1, 8, 16, 32, 64) {
 		err := f.withFleet(ctx, fewVoters, f.spec(fewVoters, duties), func(fleet *Fleet) error {
 			// Where they are more than the voters can carry, some are never held; that is a figure, not a failure.
--- a/internal/testkit/scale/fleets_cut.go
+++ b/internal/testkit/scale/fleets_cut.go
@@ -10,7 +10,7 @@
 )
 
 // measurePartition separates the voters into two regions for a while.
-func (f *Fleets) measurePartition(ctx context.Context, points Points) (err error) {
+func (f *FleetBenchmark) measurePartition(ctx context.Context, points Points) (err error) {
 	span := 30 * time.Second
 	if f.Small {
 		span = 4 * time.Second
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -72,8 +72,8 @@
 	over         sync.WaitGroup
 }
 
-// RunHollow runs a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec.
-func RunHollow(in io.Reader, out io.Writer) error {
+// RunHollowServers runs a part of a hollow fleet until its input ends. The first line of the input is the HollowSpec.
+func RunHollowServers(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, commandLimit)
 	if !lines.Scan() {
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -56,8 +56,8 @@
 	requestRepeats = 3
 )
 
-// Slopes measures one real daemon over several sizes.
-type Slopes struct {
+// DaemonBenchmark measures one real daemon over several sizes.
+type DaemonBenchmark struct {
 	Daemon string // path of the program
 	Folder string // for configurations
 	Seed   int64
@@ -65,7 +65,7 @@
 }
 
 // Run measures everything. The daemons' tables are measured a few at once, all else by itself.
-func (s *Slopes) Run(ctx context.Context) (Points, error) {
+func (s *DaemonBenchmark) Run(ctx context.Context) (Points, error) {
 	all := Points{}
 	for _, part := range []func(context.Context) (Points, error){s.tables, s.connections, s.checks, s.requests} {
 		points, err := part(ctx)
@@ -78,7 +78,7 @@
 }
 
 // span returns the time over which a share of a core is measured.
-func (s *Slopes) span() time.Duration {
+func (s *DaemonBenchmark) span() time.Duration {
 	if s.Small {
 		return 400 * time.Millisecond
 	}
@@ -89,7 +89,7 @@
 var steps = []float64{0, 0.25, 0.5, 0.75, 1}
 
 // launch starts a daemon with so many routes and tenants.
-func (s *Slopes) launch(name string, routes, tenants int) (*harness.Daemon, error) {
+func (s *DaemonBenchmark) launch(name string, routes, tenants int) (*harness.Daemon, error) {
 	machine := harness.Machine{Cores: machineCores, Speed: 1, MemoryKB: 4e6}
 	return harness.Launch(s.Daemon, nil, s.Folder, name, machine, "", func(listen, pool, members string) ([]byte, error) {
 		return Site(max(routes, fewRoutes), tenants, listen, pool, members)
@@ -104,7 +104,7 @@
 }
 
 // tables measures start, memory, idle time and reloads by routes, by tenants, and by both together.
-func (s *Slopes) tables(ctx context.Context) (Points, error) {
+func (s *DaemonBenchmark) tables(ctx context.Context) (Points, error) {
 	var jobs []table
 	const routes, tenants = PlannedRoutes, PlannedTenants
 	for _, step := range steps {
@@ -144,7 +144,7 @@
 }
 
 // table measures one size.
-func (s *Slopes) table(name string, job table) (points Points, err error) {
+func (s *DaemonBenchmark) table(name string, job table) (points Points, err error) {
 	began := time.Now()
 	d, err := s.launch(name, job.routes, job.tenants)
 	if err != nil {
@@ -176,7 +176,7 @@
 }
 
 // reloads measures reloads that change nothing, and then one that changes a setting that may move in service.
-func (s *Slopes) reloads(d *harness.Daemon, job table, points Points) error {
+func (s *DaemonBenchmark) reloads(d *harness.Daemon, job table, points Points) error {
 	var took []time.Duration
 	for range reloads {
 		spent, err := reload(d)
@@ -255,7 +255,7 @@
 }
 
 // checksOverReload times health checks on a quiet daemon, and again while it reloads.
-func (s *Slopes) checksOverReload(d *harness.Daemon, job table, points Points) error {
+func (s *DaemonBenchmark) checksOverReload(d *harness.Daemon, job table, points Points) error {
 	quiet, err := timeChecks(d.Address, checkEach, checkedForSpan/2, nil)
 	if err != nil {
 		return err
--- a/internal/testkit/scale/slopes_load.go
+++ b/internal/testkit/scale/slopes_load.go
@@ -11,7 +11,7 @@
 )
 
 // connections measures memory and idle time by connections that carry nothing.
-func (s *Slopes) connections(context.Context) (points Points, err error) {
+func (s *DaemonBenchmark) connections(context.Context) (points Points, err error) {
 	d, err := s.launch("connections", fewRoutes, 0)
 	if err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 }
 
 // bothSizes are the numbers of routes that loads are measured at.
-func (s *Slopes) bothSizes() []int {
+func (s *DaemonBenchmark) bothSizes() []int {
 	if s.Small {
 		return []int{PlannedRoutes}
 	}
@@ -49,7 +49,7 @@
 }
 
 // checks measures processor time by health checks a second, each on another connection.
-func (s *Slopes) checks(context.Context) (Points, error) {
+func (s *DaemonBenchmark) checks(context.Context) (Points, error) {
 	points := Points{}
 	for _, routes := range s.bothSizes() {
 		err := s.withDaemon(routes, func(d *harness.Daemon) error {
@@ -77,7 +77,7 @@
 }
 
 // withDaemon runs a measurement on a daemon with so many routes, and the same share of the planned tenants.
-func (s *Slopes) withDaemon(routes int, measure func(d *harness.Daemon) error) (err error) {
+func (s *DaemonBenchmark) withDaemon(routes int, measure func(d *harness.Daemon) error) (err error) {
 	tenants := 0
 	if routes > fewRoutes {
 		tenants = PlannedTenants
@@ -93,7 +93,7 @@
 
 // requests measures processor time by requests a second, and what the daemon adds to a request: the same load goes
 // through it and straight to workers of the same kind, at the same time, three times over.
-func (s *Slopes) requests(context.Context) (Points, error) {
+func (s *DaemonBenchmark) requests(context.Context) (Points, error) {
 	points := Points{}
 	rates := []float64{0, 60, 120, 180, PlannedRequests / PlannedServers, measuredRequests}
 	if s.Small {
@@ -119,7 +119,7 @@
 }
 
 // request measures one rate.
-func (s *Slopes) request(d *harness.Daemon, rate float64, routes int, place int64, series string, points Points) error {
+func (s *DaemonBenchmark) request(d *harness.Daemon, rate float64, routes int, place int64, series string, points Points) error {
 	load, types := steadyLoad(rate, s.span(), routes, s.Seed+place)
 	var (
 		through                   harness.Result
--- a/internal/testkit/soak/history.go
+++ b/internal/testkit/soak/history.go
@@ -44,7 +44,7 @@
 	ExitCode   int
 	Pauses     []Span    // between SIGSTOP and SIGCONT
 	CPUWaits   []CPUWait // samples, in order of time
-	Strain     harness.Strain
+	Strain     harness.PeakLoad
 	Runs       []harness.RunStart
 	Log        string
 }
@@ -92,10 +92,10 @@
 	Plan          Plan
 	Incarnations  []*Incarnation
 	Requests      []*Request
-	TimerLateness time.Duration  // maximum lateness of a timer of this process
-	CallStrain    harness.Strain // of the dependency that all servers share
-	Calls         int            // read by the dependency
-	strayAnswers  int            // answers on streams without an open request
+	TimerLateness time.Duration    // maximum lateness of a timer of this process
+	CallStrain    harness.PeakLoad // of the dependency that all servers share
+	Calls         int              // read by the dependency
+	strayAnswers  int              // answers on streams without an open request
 }
 
 // add records a request. It is changed later only within update.
