--- a/cmd/quartzpoint-bench/dependencies.go
+++ b/cmd/quartzpoint-bench/dependencies.go
@@ -56,7 +56,7 @@
 	program, args := m.Daemon, []string{"serve"}
 	if flat {
 		program, args = m.Flat, []string{"flat"}
-		config = strings.ReplaceAll(config, "share = ", "connections = 16\nshare = ") // the baseline has no in-flight limit of its calls
+		config = strings.ReplaceAll(config, "share = ", "connections = 16\nshare = ") // the maximum instead of the default of 2, as the baseline does not limit its calls in flight
 	}
 	daemon, err := harness.StartWithArgs(program, args, folder, name, routes, machine, config)
 	if err != nil {
--- a/cmd/quartzpoint-bench/dependenciesreport.go
+++ b/cmd/quartzpoint-bench/dependenciesreport.go
@@ -95,11 +95,11 @@
 
 // scenarioFigures holds the figures of a scenario that have objectives.
 type scenarioFigures struct {
-	ratioToFlat     float64
+	ratioToFlat     float64 // value served over that of the flat baseline
 	ratioToBaseline float64 // value served over that of the baseline scenario; 0 if it was not run
-	hasBaseline     bool
+	hasBaseline     bool    // the baseline scenario was run
 	attempts        float64 // at the guests, per slot-check
-	noCallRatio     float64
+	noCallRatio     float64 // value served of the route without calls, over that of the baseline scenario; 1 if it was not run
 }
 
 // checkObjectives compares a scenario's figures with the objectives.
@@ -116,7 +116,8 @@
 	}
 }
 
-// baseline returns the results, by seed, of the scenario that this one is compared with, or nil if it was not run.
+// baseline returns the results with budgets, by seed, of the scenario that this one is compared with, or nil if it was
+// not run.
 func (c comparison) baseline(comparisons []comparison) []scenarioResult {
 	name := undisturbed
 	if c.scenario.baseline != "" {
--- a/cmd/quartzpoint-bench/emulator.go
+++ b/cmd/quartzpoint-bench/emulator.go
@@ -48,7 +48,7 @@
 // comparedRun holds the results of one run of a script, on real daemons and emulated.
 type comparedRun struct {
 	real, emulated outcomeShares
-	violations     int
+	violations     int // on both sides together; set by compareFleet only
 }
 
 // fleetScript is a rolling deploy of eight servers, during which a fifth of them is killed.
@@ -86,6 +86,8 @@
 	return done, failed
 }
 
+// compareFleet runs a drill with one seed on real daemons and emulated. Unlike in real, unanswered requests are not
+// violations, since an at-most-once request whose connection is closed by a kill is not retried.
 func (m *measureEmulator) compareFleet(folder string, d *scenario.Drill, seed int64) (p comparedRun, err error) {
 	load := d.Arrivals(seed)
 	r, report, err := runFleet(m.Daemon, folder, d, seed, load)
@@ -249,7 +251,7 @@
 		slots <- struct{}{}
 		go func() {
 			defer running.Done()
-			policy, _ := baseline.PolicyByName(j.policy) // the name is known
+			policy, _ := baseline.PolicyByName(j.policy) // the name is one of the registered ones
 			runs[i] = experiment.RunDrill(j.d, j.policy, policy, j.seed)
 			<-slots
 		}()
--- a/cmd/quartzpoint-bench/faultscenarios.go
+++ b/cmd/quartzpoint-bench/faultscenarios.go
@@ -13,7 +13,7 @@
 	waitlist        // required by confirm-booking; its calls have effects
 )
 
-// faultStart is the start of the faults that until schedules, since the start of the load.
+// faultStart is the time after the start of the load at which the faults of until begin.
 const faultStart = time.Second
 
 // noCallRoute is the index in scenarioRoutes of the route without calls.
--- a/cmd/quartzpoint-bench/flatcomposer.go
+++ b/cmd/quartzpoint-bench/flatcomposer.go
@@ -23,7 +23,7 @@
 )
 
 // flatComposer implements server.Composer without budgets. It starts every call whose predecessors are settled, gives all
-// attempts the same timeout, and retries at once.
+// attempts the same timeout, and retries failed attempts at once.
 type flatComposer struct {
 	srv        *server.Server
 	routes     map[string]config.RoutePlan
--- a/cmd/quartzpoint-bench/library_overload.go
+++ b/cmd/quartzpoint-bench/library_overload.go
@@ -17,20 +17,20 @@
 
 const (
 	overloadCores  = 2
-	overloadFactor = 1.5 // offered load over the capacity of the cores
-	lateSlack      = 50 * time.Millisecond
+	overloadFactor = 1.5                   // offered load over the capacity of the cores
+	lateSlack      = 50 * time.Millisecond // after the deadline; an answer up to then is not late
 
 	// The objectives.
 	minGoodputRatio = 1 // exclusive
 	maxGateP99      = 4 * time.Second
 	maxHeapGrowth   = 32 << 20 // bytes
 
-	maxShownRatio = 9. // higher ratios are capped at this
+	maxShownRatio = 9. // upper bound of policiesResult.minGoodputRatio
 )
 
 // policiesResult is the result of comparePolicies.
 type policiesResult struct {
-	minGoodputRatio float64 // the library's goodput over that of a baseline, median of the seeds, minimum of the baselines
+	minGoodputRatio float64 // the library's goodput over that of a baseline, median of the seeds, minimum of the baselines, at most maxShownRatio
 	missed          error   // the missed objectives, nil for none
 }
 
@@ -68,7 +68,7 @@
 	}
 	fmt.Printf("heap growth: %+.1f MB\n", heapGrowth/(1<<20))
 	if heapGrowth > maxHeapGrowth {
-		missed = append(missed, fmt.Errorf("the heap grew by %.0f MB, more than the limit", heapGrowth/(1<<20)))
+		missed = append(missed, fmt.Errorf("the heap grew by %.0f MB, want at most %d MB", heapGrowth/(1<<20), maxHeapGrowth>>20))
 	}
 	result.missed = errors.Join(missed...)
 	return result, nil
@@ -183,12 +183,12 @@
 		s.medianRatio(), s.ratios[0], float64(s.p99().Milliseconds()), s.late)
 }
 
-// check returns an error for a missed objective: the library's answers must be in time, and its goodput above that of a
-// baseline with each seed.
+// check returns an error for a missed objective: the library's answers must be in time and the p99 of its latencies
+// within maxGateP99, and its goodput must be above that of each baseline with each seed.
 func (s *policySummary) check(name string) error {
 	if name == gatePolicy {
 		if s.late > 0 || s.p99() > maxGateP99 {
-			return fmt.Errorf("gate: %d late answers, p99 %v; want none, and a p99 within its limit", s.late, s.p99())
+			return fmt.Errorf("gate: %d late answers, p99 %v; want no late answers and a p99 of at most %v", s.late, s.p99(), maxGateP99)
 		}
 		return nil
 	}
--- a/cmd/quartzpoint-bench/load.go
+++ b/cmd/quartzpoint-bench/load.go
@@ -133,6 +133,7 @@
 	return nil
 }
 
+// readCapture reads a capture whose types are routes. Requests without a rank get a random one.
 func readCapture(path string, routes []harness.Route, seed int64) (load []harness.Arrival, err error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -159,7 +160,7 @@
 			return nil, fmt.Errorf("capture %s line %d: want durations in at and work: %w", path, number, err)
 		}
 		if a.Route < 0 || a.At < 0 {
-			return nil, fmt.Errorf("capture %s line %d: want a type of the mix, got %q, and at of 0 or more", path, number, c.Type)
+			return nil, fmt.Errorf("capture %s line %d: want a route of the branch mix as type and 0 or more as at, got type %q, at %s", path, number, c.Type, c.At)
 		}
 		if a.Rank == 0 {
 			a.Rank = rng.Float64()
--- a/cmd/quartzpoint-bench/peers.go
+++ b/cmd/quartzpoint-bench/peers.go
@@ -16,7 +16,8 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// measurePeers compares new servers that fetch estimates from peers with twins that do not, under the same arrivals.
+// measurePeers compares new servers that fetch estimates from peers with cold ones, which start without estimates,
+// under the same arrivals.
 type measurePeers struct {
 	Daemon string        `default:"bin/quartzpoint" help:"Path of the daemon's binary."`
 	Seeds  int           `default:"10" help:"Number of seeds, each with all groups of servers."`
@@ -27,15 +28,16 @@
 	Cores  float64       `default:"4" help:"Cores of each emulated pool."`
 }
 
-// peersResult is the result of one seed.
+// peersResult is the result of one seed. A twin of a group differs from it in nothing but the estimates that it starts
+// with, or in nothing at all; in the latter case the difference of their results is noise.
 type peersResult struct {
-	fresh, stale, recent         float64   // value served over that of the cold twin: with a fresh snapshot, and on slower machines with a stale and with a recent one
-	twins                        float64   // value served by a second cold twin over that of the first, on slower machines
-	extraStarts, twinExtraStarts []float64 // at each sampled moment, the requests started in excess of the cold twin: with the stale snapshot, and by the second cold twin
-	polled, unpolledTwins        float64   // value served over that of the unpolled servers: by the polled servers, and by a twin of the unpolled ones
-	snapshotBytes                float64   // size of a snapshot
-	fetches                      int       // number of answered fetches
-	fetchDuration                time.Duration
+	fresh, stale, recent         float64       // value served over that of the cold twin: with a fresh snapshot, and on slower machines with a stale and with a recent one
+	twins                        float64       // value served by a second cold twin over that of the first, on slower machines
+	extraStarts, twinExtraStarts []float64     // at each sampled moment, the requests started in excess of the cold twin: with the stale snapshot, and by the second cold twin
+	polled, unpolledTwins        float64       // value served over that of the unpolled servers: by the polled servers, and by a twin of the unpolled ones
+	snapshotBytes                float64       // size of a snapshot
+	fetches                      int           // number of answered fetches
+	fetchDuration                time.Duration // median of the answered fetches
 	violations                   []string
 }
 
@@ -44,7 +46,7 @@
 	fetchInterval  = 100 * time.Millisecond // between fetches from a polled server
 	staleAge       = 5 * time.Minute
 	recentAge      = 10 * time.Second
-	slowFactor     = 1.0 / 3 // of the full speed of a pool
+	slowFactor     = 1.0 / 3 // speed of the slower pools, as a share of the full speed
 	polledLoad     = 1.3     // load of the polled servers and of their twins, as a share of the capacity
 	peerSeedOffset = 500     // gives the running peer a load that differs from the others
 	kbPerCore      = 16000   // memory of a pool
@@ -59,11 +61,11 @@
 	defer func() { _ = os.RemoveAll(folder) }()
 	results := make([]peersResult, m.Seeds)
 	failed := make([]error, m.Seeds)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range results {
-		all.Go(func() { results[i], failed[i] = m.runSeed(folder, int64(i+1)) })
+		running.Go(func() { results[i], failed[i] = m.runSeed(folder, int64(i+1)) })
 	}
-	all.Wait()
+	running.Wait()
 	if err := errors.Join(failed...); err != nil {
 		return err
 	}
--- a/cmd/quartzpoint-bench/peersgroup.go
+++ b/cmd/quartzpoint-bench/peersgroup.go
@@ -9,7 +9,8 @@
 	"quartzpoint/internal/testkit/harness"
 )
 
-// group is a number of daemons of one kind, each with its own load. Groups of one seed have the same loads.
+// group is a number of daemons of one kind, each with its own load. The i-th daemons of groups with the same seed and
+// load get the same arrivals.
 type group struct {
 	name      string
 	machine   harness.Machine
@@ -103,7 +104,7 @@
 	return messages
 }
 
-// startedBy returns the number of requests that the group had started by a moment of its load.
+// startedBy returns the number of requests that the group had started by a time since the start of its load.
 func (g *group) startedBy(at time.Duration) (n int) {
 	for _, d := range g.daemons {
 		started, _ := d.Workers.StartOffsets()
--- a/cmd/quartzpoint-bench/peersreport.go
+++ b/cmd/quartzpoint-bench/peersreport.go
@@ -17,9 +17,10 @@
 	min, max float64
 }
 
-// maxExcess returns the largest lead of a group over its cold twins in started requests, over all sampled moments: in
-// standard errors over the seeds, and in requests a group. The standard errors are estimated from both kinds of pairs
-// together, since at most moments one kind alone has few differences.
+// maxExcess returns the largest mean lead of a group over its cold twin in started requests, over all sampled moments:
+// as a multiple of its standard error over the seeds, and in requests. The standard error is estimated from the
+// differences between the group and its cold twin together with those between two cold twins, since at most moments one
+// of the two sets alone has few differences that are not 0.
 func maxExcess(results []peersResult) (maximum, requests float64) {
 	n := float64(len(results))
 	for at := range results[0].extraStarts {
@@ -51,8 +52,9 @@
 	return values
 }
 
-// meanAndNoiseFloor returns the mean of a figure, and the lowest mean that counts as noise: 1 less maxStandardErrors
-// standard errors, estimated from the figure and its twins.
+// meanAndNoiseFloor returns the mean of a ratio over the seeds, and the lowest mean that can be a ratio of 1 with noise:
+// maxStandardErrors standard errors below 1. The standard error is estimated from the values together with twins, the
+// same ratio between two groups of the same kind.
 func meanAndNoiseFloor(values, twins []float64) (mean, floor float64) {
 	spread := stat.StdDev(append(slices.Clone(values), twins...), nil)
 	return stat.Mean(values, nil), 1 - maxStandardErrors*spread/math.Sqrt(float64(len(values)))
--- a/cmd/quartzpoint-bench/real.go
+++ b/cmd/quartzpoint-bench/real.go
@@ -49,8 +49,8 @@
 	return r, r.Check(f.Pools()...), errors.Join(append(failed, err, f.Close())...)
 }
 
-// incidentServers returns the indexes of the servers that an incident affects. For a share of the servers they are
-// drawn from rng.
+// incidentServers returns the indexes of the servers that an incident affects. If it affects neither one server nor one
+// zone but a share of all servers, it draws them from rng.
 func incidentServers(d *scenario.Drill, i scenario.Incident, rng *rand.Rand) (servers []int) {
 	switch {
 	case i.Server >= 0:
@@ -66,7 +66,8 @@
 	return rng.Perm(d.Fleet.Servers)[:max(1, int(math.Round(i.Share*float64(d.Fleet.Servers))))]
 }
 
-// injectReal carries out an incident on real daemons, and returns at its end.
+// injectReal injects an incident on real daemons. For incidents that change machines or pause servers it returns after
+// their end; the fleet kills and restarts servers in the background.
 func injectReal(f *harness.Fleet, d *scenario.Drill, i scenario.Incident, rng *rand.Rand) error {
 	// change changes the machines of servers for the duration of the incident, or for good if it has none. Servers that
 	// are down are skipped.
@@ -111,7 +112,8 @@
 		}
 		pauses.Wait()
 		return errors.Join(errs...)
-	default: // only ChangeLoad, as runFleet rejects the others; the arrivals contain it
+	default:
+		// ChangeLoad, the only other kind that runFleet accepts. Nothing is injected, as the arrivals include the change.
 	}
 	return nil
 }
--- a/cmd/quartzpoint-bench/soak.go
+++ b/cmd/quartzpoint-bench/soak.go
@@ -37,11 +37,11 @@
 func (cmd *soakCommand) Run() error {
 	program, err := filepath.Abs(cmd.Program)
 	if err != nil {
-		return fmt.Errorf("program: %w", err)
+		return fmt.Errorf("absolute path of the program: %w", err)
 	}
 	folder, err := os.MkdirTemp("", "soak")
 	if err != nil {
-		return fmt.Errorf("folder: %w", err)
+		return fmt.Errorf("create a temporary folder: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
 	outcomes := make([]soakOutcome, cmd.Seeds)
--- a/cmd/quartzpoint-bench/state_disk.go
+++ b/cmd/quartzpoint-bench/state_disk.go
@@ -20,8 +20,8 @@
 const (
 	commitCallers   = 256 // each waits until its record is durable before it sends the next
 	commitSpan      = time.Second
-	recoveredKeys   = 100_000
-	queuedKeys      = 1000 // number recorded before the caller waits for the disk
+	recoveredKeys   = 100_000 // in the large state directory
+	queuedKeys      = 1000    // number of keys that writeManyKeys records before it waits until they are durable
 	durablePollWait = 100 * time.Microsecond
 )
 
@@ -76,7 +76,7 @@
 }
 
 // measureCommits has concurrent callers record keys for commitSpan, and prints how many records became durable and how
-// long the callers waited for them. The objective is the number of durable records.
+// long the callers waited for them. The objective is on the durable records a second, as commitSpan is one second.
 func measureCommits(dir string, interval time.Duration, table *tabwriter.Writer) (objective, error) {
 	s, _, err := store.New(storeOptions(dir, interval))
 	if err != nil {
@@ -85,12 +85,12 @@
 	var durable atomic.Int64
 	waits := hdrhistogram.New(1, 10_000_000, 3) // microseconds
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	end := time.Now().Add(commitSpan)
 	for caller := range commitCallers {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			for i := 0; time.Now().Before(end); i++ {
 				start := time.Now()
 				waitDurable(s, s.RecordStart(fmt.Sprintf("pay\x00%d-%d", caller, i), 1, time.Minute))
@@ -101,7 +101,7 @@
 			}
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	if err := s.Close(); err != nil {
 		return objective{}, err
 	}
--- a/cmd/quartzpoint-bench/state_kills.go
+++ b/cmd/quartzpoint-bench/state_kills.go
@@ -24,7 +24,7 @@
 	killLanes    = 8 // state directories, each with one process at a time
 	childCallers = 8 // concurrent callers of a child's gate
 	maxKillDelay = 250 * time.Millisecond
-	// exitWrongEffect is the exit code of a child that found an effect lost or run twice, or a wrong result.
+	// exitWrongEffect is the exit code of a child in which an effect ran twice or a repeated request got a wrong result.
 	exitWrongEffect = 7
 )
 
@@ -56,11 +56,11 @@
 		return err
 	}
 	earlierKeys := strings.Fields(string(before))
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for caller := range childCallers {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			for i := caller; i < len(earlierKeys); i += childCallers {
 				repeatEffect(gate, earlierKeys[i])
 			}
@@ -72,7 +72,7 @@
 			}
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	return nil
 }
 
@@ -97,7 +97,8 @@
 	os.Exit(exitWrongEffect)
 }
 
-// killTally holds the counts of all lanes.
+// killTally holds the counts of all lanes: effects that ran twice or wrong results, effects, and the largest size of a
+// state directory after a kill.
 type killTally struct {
 	wrong, effects, maxBytes atomic.Int64
 }
@@ -110,16 +111,16 @@
 	}
 	var tally killTally
 	failed := make([]error, killLanes)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for lane := range killLanes {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			dir := filepath.Join(root, fmt.Sprintf("kills-%d", lane))
 			failed[lane] = m.killLane(self, dir, lane, &tally)
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	kills, wrong, effects, bytes := m.Kills/killLanes*killLanes, tally.wrong.Load(), tally.effects.Load(), tally.maxBytes.Load()
 	fmt.Fprintf(table, "kills (real processes): %d, effects %d, wrong %d, max bytes %d\t\t\t\t\n", kills, effects, wrong, bytes)
 	return partResult{[]objective{
--- a/cmd/quartzpoint-bench/state_restart.go
+++ b/cmd/quartzpoint-bench/state_restart.go
@@ -20,15 +20,15 @@
 // restart compares servers that start from a state directory with cold ones, under the same arrivals.
 func (m *measureState) restart(root string, table *tabwriter.Writer) (partResult, error) {
 	results, failed := make([]restartResult, m.Seeds), make([]error, m.Seeds)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range results {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			results[i], failed[i] = m.compareRestarts(root, int64(i+1))
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	if err := errors.Join(failed...); err != nil {
 		return partResult{}, err
 	}
@@ -36,7 +36,8 @@
 }
 
 // restartResult holds, for one seed, the values served by groups over those of their cold twins, and at each sampled
-// moment the requests that groups started in excess of their cold twins.
+// moment the requests that groups started in excess of their cold twins. The fields named after twins compare two cold
+// groups, so they show the noise. stale, recent and slowTwins are of slower pools.
 type restartResult struct {
 	fresh, twins, stale, recent, slowTwins               float64
 	staleExtraStarts, recentExtraStarts, twinExtraStarts []float64
@@ -196,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	for i := range snapshot.Routes { // the directory's clock alone accounts for age
+	for i := range snapshot.Routes { // the age at the writing is capped, so that the directory's clock alone accounts for age
 		snapshot.Routes[i].Core.Age = min(snapshot.Routes[i].Core.Age, time.Second)
 	}
 	s.SaveEstimates(snapshot)
--- a/cmd/quartzpoint-bench/state_rounds.go
+++ b/cmd/quartzpoint-bench/state_rounds.go
@@ -72,15 +72,15 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), roundsSpan)
 	defer cancel()
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for caller := range roundsCallers {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			sendSteadily(ctx, gate, seed, caller)
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	shutdownCtx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
 	return times, gate.Shutdown(shutdownCtx)
@@ -96,7 +96,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		<-tick.C
 		pending.Add(1)
-		request := quartzpoint.Request{Route: "look-up"}
+		request := quartzpoint.Request{Route: "look-up"} // not in the options, so it gets the defaults of a route
 		if i%requestsPerKeyed == 0 {
 			request = quartzpoint.Request{Route: "pay", IdempotencyKey: fmt.Sprintf("%d-%d-%d", seed, caller, i)}
 		}
--- a/cmd/quartzpoint-bench/workers.go
+++ b/cmd/quartzpoint-bench/workers.go
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// failurePeriod is the period in which a failing dependency rejects calls for a share of the time.
+// failurePeriod is the period of a failing dependency, which rejects all calls in the first part of each period. The
+// incident's factor is the length of that part, as a share of the period.
 const failurePeriod = 100 * time.Millisecond
 
 // dependencyScript returns the behaviour of a dependency according to the incidents of a drill.
--- a/internal/testkit/scale/budgets.go
+++ b/internal/testkit/scale/budgets.go
@@ -2,12 +2,13 @@
 
 import "math"
 
-// BudgetFigures compares the measured cost of control with its budgets. Several values at one x are averaged.
+// BudgetFigures compares the measured cost of control with its budgets. Several values at one x are averaged; of the
+// series of the hollow fleets the largest value counts.
 func BudgetFigures(p Points) []Figure {
 	at := func(series string, x float64) float64 {
 		value, measured := p.MeanAt(series, x)
 		if !measured {
-			return math.NaN() // exceeds every budget; see Figure.Missed
+			return math.NaN() // counts as missed; see Figure.Missed
 		}
 		return value
 	}
--- a/internal/testkit/scale/capacity.go
+++ b/internal/testkit/scale/capacity.go
@@ -35,7 +35,7 @@
 const (
 	secondsADay          = 86400
 	serversWithoutZone   = PlannedServers - ZoneServers
-	serversWithoutRegion = PlannedServers / 2
+	serversWithoutRegion = PlannedServers / 2 // the lost region has half of the servers
 	// checkFrameBytes is the size of a health check and of its answer with a shed level, without the packet headers.
 	checkFrameBytes   = 10 + 22
 	packetHeaderBytes = 40  // of TCP and IP, without options
--- a/internal/testkit/scale/configuration.go
+++ b/internal/testkit/scale/configuration.go
@@ -33,8 +33,8 @@
 	appServers             = 3
 	hollowWatchers         = 490
 	watcherProcesses       = 4
-	requestRate            = 150 // a second, to each app server
-	markerTenant           = "marker"
+	requestRate            = 150      // a second, to each app server
+	markerTenant           = "marker" // each change sets the quota of this tenant to the change's marker; see propose
 	propagationTarget      = 9 * time.Second
 	quietPropagationTarget = time.Second
 	maxSlowdown            = 1.2 // p99 latency of requests with changes, divided by that without changes
@@ -75,7 +75,8 @@
 	return full
 }
 
-// Run runs all measurements and checks the recorded history. The error states what is invalid in it.
+// Run runs all measurements and checks the recorded history. It returns an error if a measurement fails or the history
+// is invalid.
 func (c *ConfigurationBenchmark) Run(ctx context.Context) (figures []Figure, points Points, err error) {
 	r := &configurationRun{ConfigurationBenchmark: c, appliedVersions: map[string]uint64{}}
 	ctx, cancel := context.WithCancel(ctx)
@@ -118,7 +119,7 @@
 // cumulativeUse is the processor time and traffic of watchers, control machines and servers up to a moment.
 type cumulativeUse struct {
 	at       time.Time
-	bytes    int64
+	bytes    int64 // sent and received by the watchers
 	watchers time.Duration
 	control  []time.Duration
 	servers  time.Duration
--- a/internal/testkit/scale/configuration_run.go
+++ b/internal/testkit/scale/configuration_run.go
@@ -251,7 +251,8 @@
 			if err != nil {
 				continue
 			}
-			// A server logs no digest; its watcher has compared the digest of the content with that of the delta.
+			// A server logs no digest. The history's is taken, since the server's watcher has compared the digest of its
+			// content with that of the delta.
 			r.history.Applied = append(r.history.Applied, AppliedVersion{fmt.Sprintf("app-%d", i), version, digests[version], at, false})
 		}
 	}
--- a/internal/testkit/scale/fleet.go
+++ b/internal/testkit/scale/fleet.go
@@ -38,7 +38,7 @@
 func newMembershipSink() (*membershipSink, error) {
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("members: %w", err)
+		return nil, fmt.Errorf("membership service: %w", err)
 	}
 	s := &membershipSink{socket: socket}
 	go func() {
--- a/internal/testkit/scale/fleets.go
+++ b/internal/testkit/scale/fleets.go
@@ -222,8 +222,8 @@
 	return nil
 }
 
-// measureZoneRestart restarts as many servers as the largest zone has, all at the same time but at most a fifth of the
-// fleet, and measures the time until all are warm and the bytes exchanged.
+// measureZoneRestart restarts as many servers at once as the largest zone has, but at most a fifth of the fleet. It
+// measures the time from the end of the restarts until all are warm, and the bytes exchanged.
 func (f *FleetBenchmark) measureZoneRestart(ctx context.Context, fleet *Fleet, points Points) error {
 	if err := fleet.WaitUntilQuiet(ctx); err != nil {
 		return err
--- a/internal/testkit/scale/hollow.go
+++ b/internal/testkit/scale/hollow.go
@@ -54,8 +54,8 @@
 	warmUpDelay          = time.Second            // time after which a server without estimates from peers counts as warm, as it has learned its own
 	firstFetchWait       = 300 * time.Millisecond // longest wait for the first answers of all peers
 	estimateSamples      = 40
-	estimateMean         = 0.02
-	sharedSettingsDigest = 7 // of all hollow servers
+	estimateMean         = 0.02 // seconds
+	sharedSettingsDigest = 7    // of all hollow servers, which accept only snapshots with their own digest
 	hollowMaxClockDrift  = 0.01
 	maxCommandBytes      = 1 << 20
 )
--- a/internal/testkit/scale/plan.go
+++ b/internal/testkit/scale/plan.go
@@ -1,5 +1,7 @@
 // Package scale measures the cost of the real programs for growing numbers of routes, tenants, connections, requests
-// and servers, up to the planned size, and computes the figures of the capacity page. It is used for measurements only.
+// and servers, up to the planned size, and computes the figures of the capacity page. Hollow servers and watchers run
+// only the control code of a server, so that one machine can run hundreds of them. The package is used for measurements
+// only.
 package scale
 
 import "time"
--- a/internal/testkit/scale/service.go
+++ b/internal/testkit/scale/service.go
@@ -37,10 +37,10 @@
 type Service struct {
 	program         string
 	folder          string
-	names           []string
-	sessions        []string
-	replicas        []string
-	cmds            []*exec.Cmd
+	names           []string    // by machine, as are the next four
+	sessions        []string    // addresses for the sessions of servers
+	replicas        []string    // addresses for the replication between the machines
+	cmds            []*exec.Cmd // nil for a killed machine
 	logs            []*harness.LogBuffer
 	links           []*faultnet.Proxy
 	proxiedSessions map[string]string // session address of each machine to the address that the other side dials
@@ -60,7 +60,7 @@
 func StartService(program, folder string) (s *Service, err error) {
 	s = &Service{
 		program: program, folder: folder, proxiedSessions: map[string]string{}, proxiedReplicas: map[string]string{},
-		keys: peersync.Keys{[]byte(strings.Repeat("\x5e", len(serviceKey)/2))},
+		keys: peersync.Keys{[]byte(strings.Repeat("\x5e", len(serviceKey)/2))}, // the bytes of serviceKey
 	}
 	defer func() {
 		if err != nil {
--- a/internal/testkit/scale/slopes.go
+++ b/internal/testkit/scale/slopes.go
@@ -41,19 +41,19 @@
 )
 
 const (
-	reloadCount      = 5                // before the memory after reloads is measured
-	reloadTimeout    = 20 * time.Second // for one reload
-	tableConcurrency = 4
-	fewRoutes        = 2
-	checkConnections = 200
+	reloadCount      = 5                     // before the memory after reloads is measured
+	reloadTimeout    = 20 * time.Second      // for one reload
+	tableConcurrency = 4                     // number of daemons whose tables are measured at the same time
+	fewRoutes        = 2                     // of the smallest table
+	checkConnections = 200                   // over which measureChecks distributes the health checks
 	directWork       = 10 * time.Millisecond // of each request
 	machineCores     = 8
 	settleDelay      = 300 * time.Millisecond // after a start, so that the garbage of the start is collected
-	checkInterval    = 2 * time.Millisecond
-	loadedRoutes     = 64
-	routeStride      = 8 // distance between routes with the same idempotency; see routeSettings
-	checkSpan        = 2 * time.Second
-	requestRepeats   = 3
+	checkInterval    = 2 * time.Millisecond   // between the health checks of timeChecks
+	loadedRoutes     = 64                     // maximum number of routes of a load
+	routeStride      = 8                      // distance between routes with the same idempotency; see routeSettings
+	checkSpan        = 2 * time.Second        // of the health checks around a reload
+	requestRepeats   = 3                      // measurements of each request rate
 )
 
 // DaemonBenchmark measures one real daemon at several sizes.
@@ -96,8 +96,8 @@
 	})
 }
 
-// table is one size of a daemon's tables, and the suffix and the x of the series that it is measured for.
-type table struct {
+// tableSize is one size of a daemon's tables, and the suffix and the x of the series that it is measured for.
+type tableSize struct {
 	by              string
 	x               float64
 	routes, tenants int
@@ -105,16 +105,16 @@
 
 // measureTables measures start, memory, idle time and reloads by routes, by tenants, and by both together.
 func (s *DaemonBenchmark) measureTables(ctx context.Context) (Points, error) {
-	var jobs []table
+	var jobs []tableSize
 	const routes, tenants = PlannedRoutes, PlannedTenants
-	for _, step := range sizeFractions {
-		jobs = append(jobs, table{bySize, 100 * step, int(step * routes), int(step * tenants)})
+	for _, fraction := range sizeFractions {
+		jobs = append(jobs, tableSize{bySize, 100 * fraction, int(fraction * routes), int(fraction * tenants)})
 		if s.Small {
 			continue
 		}
 		jobs = append(jobs,
-			table{byRoutes, float64(max(int(step*routes), fewRoutes)), int(step * routes), 0},
-			table{byTenants, float64(int(step * tenants)), fewRoutes, int(step * tenants)})
+			tableSize{byRoutes, float64(max(int(fraction*routes), fewRoutes)), int(fraction * routes), 0},
+			tableSize{byTenants, float64(int(fraction * tenants)), fewRoutes, int(fraction * tenants)})
 	}
 	var (
 		mu    sync.Mutex
@@ -144,7 +144,7 @@
 }
 
 // measureTable measures one size.
-func (s *DaemonBenchmark) measureTable(name string, job table) (points Points, err error) {
+func (s *DaemonBenchmark) measureTable(name string, job tableSize) (points Points, err error) {
 	began := time.Now()
 	d, err := s.launch(name, job.routes, job.tenants)
 	if err != nil {
@@ -177,7 +177,7 @@
 
 // measureReloads measures reloads that change nothing, and then one that changes a setting that can change without a
 // restart.
-func (s *DaemonBenchmark) measureReloads(d *harness.Daemon, job table, points Points) error {
+func (s *DaemonBenchmark) measureReloads(d *harness.Daemon, job tableSize, points Points) error {
 	var times []time.Duration
 	for range reloadCount {
 		spent, err := reload(d)
@@ -227,7 +227,7 @@
 	}
 	for end := time.Now().Add(reloadTimeout); strings.Count(d.Log(), reloadedMessage) == seen; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			return 0, fmt.Errorf("no reload within %v", reloadTimeout)
+			return 0, fmt.Errorf("no reload logged within %v", reloadTimeout)
 		}
 	}
 	after, err := waitAtRest(d.PID())
@@ -256,7 +256,7 @@
 }
 
 // measureChecksDuringReload times health checks of a quiet daemon, and again while it reloads.
-func (s *DaemonBenchmark) measureChecksDuringReload(d *harness.Daemon, job table, points Points) error {
+func (s *DaemonBenchmark) measureChecksDuringReload(d *harness.Daemon, job tableSize, points Points) error {
 	quiet, err := timeChecks(d.Address, checkInterval, checkSpan/2, nil)
 	if err != nil {
 		return err
--- a/internal/testkit/scale/slopes_load.go
+++ b/internal/testkit/scale/slopes_load.go
@@ -20,8 +20,8 @@
 	points = Points{}
 	checkers := &healthCheckers{address: d.Address}
 	defer checkers.close()
-	for _, step := range sizeFractions {
-		count := int(step * PlannedRouters)
+	for _, fraction := range sizeFractions {
+		count := int(fraction * PlannedRouters)
 		if err := checkers.grow(count); err != nil {
 			return points, err
 		}
--- a/internal/testkit/scale/watchers.go
+++ b/internal/testkit/scale/watchers.go
@@ -63,7 +63,7 @@
 	ended  chan struct{}
 }
 
-// lineWriter writes lines. Its method may be called from several goroutines.
+// lineWriter writes lines. It is safe for concurrent use.
 type lineWriter struct {
 	mu  sync.Mutex
 	out *bufio.Writer
@@ -87,7 +87,7 @@
 	lines.Buffer(nil, maxCommandBytes)
 	var spec WatcherSpec
 	if !lines.Scan() {
-		return errors.Join(io.ErrUnexpectedEOF, lines.Err())
+		return fmt.Errorf("watchers: no spec: %w", errors.Join(io.ErrUnexpectedEOF, lines.Err()))
 	}
 	if err := json.Unmarshal(lines.Bytes(), &spec); err != nil {
 		return fmt.Errorf("watchers: spec: %w", err)
